--- a/core/src/main/java/silverlatch/wire/Codec.java
+++ b/core/src/main/java/silverlatch/wire/Codec.java
@@ -6,15 +6,9 @@
 import com.esotericsoftware.kryo.io.Input;
 import com.esotericsoftware.kryo.io.Output;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.Comparator;
-import java.util.Deque;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.TreeMap;
 import silverlatch.clock.Stamp;
 import silverlatch.log.LogRecord;
@@ -22,7 +16,6 @@
 import silverlatch.replication.Replica;
 import silverlatch.replication.View;
 import silverlatch.state.Command;
-import silverlatch.state.CommandResult;
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
 
@@ -74,7 +67,7 @@
         registerBasics();
         numbered.forEach((first, types) -> {
             for (int i = 0; i < types.size(); i++) {
-                kryo.register(types.get(i), first + i);
+                kryo.register(types.get(i), WireTypes.of(types.get(i)).serializer(), first + i);
             }
         });
     }
@@ -120,47 +113,7 @@
     }
 
     private void registerFrames() {
-        final Set<Class<?>> seen = new HashSet<>();
-        final Deque<Class<?>> open = new ArrayDeque<>(List.of(
-                Frame.class,
-                Msg.class,
-                LogRecord.class,
-                Value.class,
-                Command.class,
-                CommandResult.class,
-                LogEntry.class,
-                Replica.class));
-        while (!open.isEmpty()) {
-            final Class<?> type = open.poll();
-            if (!seen.add(type)) {
-                continue;
-            }
-            if (type.isSealed()) {
-                Arrays.stream(type.getPermittedSubclasses())
-                        .sorted(Comparator.comparing(Class::getName))
-                        .forEach(open::add);
-            } else if (type.isRecord()) {
-                kryo.register(type);
-                Arrays.stream(type.getRecordComponents())
-                        .map(c -> c.getType())
-                        .filter(t -> t.getName().startsWith("silverlatch"))
-                        .forEach(open::add);
-                if (type == Msg.Ask.class) {
-                    open.addAll(List.of(
-                            Msg.Mark.class,
-                            Msg.Aged.class,
-                            Msg.RangeEntries.class,
-                            Command.Cell.class,
-                            Value.WeightedBackend.class,
-                            Entry.class,
-                            silverlatch.gossip.Worker.class,
-                            silverlatch.gossip.WorkerReport.class,
-                            Msg.Ranges.class,
-                            Msg.Beats.class,
-                            View.class));
-                }
-            }
-        }
+        WireTypes.ofFrames().forEach(wireType -> kryo.register(wireType.type(), wireType.serializer(), wireType.number()));
     }
 
     /** The bytes of a frame or a note. */
--- /dev/null
+++ b/core/src/main/java/silverlatch/wire/RecordSerializer.java
@@ -0,0 +1,107 @@
+package silverlatch.wire;
+
+import com.esotericsoftware.kryo.Kryo;
+import com.esotericsoftware.kryo.KryoException;
+import com.esotericsoftware.kryo.io.Input;
+import com.esotericsoftware.kryo.io.Output;
+import com.esotericsoftware.kryo.serializers.ImmutableSerializer;
+import java.lang.reflect.Constructor;
+import java.lang.reflect.Method;
+import java.lang.reflect.RecordComponent;
+import java.util.Arrays;
+import java.util.List;
+
+/**
+ * Writes the components of a record in a fixed order, whatever their names are. Kryo's own serializer of records writes
+ * them in alphabetical order, so that renaming one would change the format.
+ *
+ * <p>A component of a primitive or final type is written without its type, any other with the number of its type first.
+ * The accessors and the constructor are looked up at the first use, which keeps the start of a process short.
+ */
+final class RecordSerializer<T extends Record> extends ImmutableSerializer<T> {
+    private final Class<T> type;
+    private final int[] order;
+    private Class<?>[] componentTypes;
+    private Method[] accessors;
+    private Constructor<T> constructor;
+
+    /**
+     * Makes a serializer.
+     *
+     * @param type the record
+     * @param order the positions of its components, in the order in which they are written
+     */
+    RecordSerializer(final Class<T> type, final List<Integer> order) {
+        this.type = type;
+        this.order = order.stream().mapToInt(Integer::intValue).toArray();
+    }
+
+    @Override
+    public void write(final Kryo kryo, final Output output, final T value) {
+        lookUp();
+        for (final int position : order) {
+            final Object component = component(position, value);
+            final Class<?> componentType = componentTypes[position];
+            if (componentType.isPrimitive()) {
+                kryo.writeObject(output, component);
+            } else if (kryo.isFinal(componentType)) {
+                kryo.writeObjectOrNull(output, component, componentType);
+            } else {
+                kryo.writeClassAndObject(output, component);
+            }
+        }
+    }
+
+    @Override
+    public T read(final Kryo kryo, final Input input, final Class<? extends T> readType) {
+        lookUp();
+        final Object[] components = new Object[order.length];
+        for (final int position : order) {
+            final Class<?> componentType = componentTypes[position];
+            if (componentType.isPrimitive()) {
+                components[position] = kryo.readObject(input, componentType);
+            } else if (kryo.isFinal(componentType)) {
+                components[position] = kryo.readObjectOrNull(input, componentType);
+            } else {
+                components[position] = kryo.readClassAndObject(input);
+            }
+        }
+        return construct(components);
+    }
+
+    private Object component(final int position, final T value) {
+        try {
+            return accessors[position].invoke(value);
+        } catch (final ReflectiveOperationException e) {
+            throw new KryoException("component " + position + " of " + type.getName() + " can't be read", e);
+        }
+    }
+
+    private T construct(final Object[] components) {
+        try {
+            return constructor.newInstance(components);
+        } catch (final ReflectiveOperationException e) {
+            throw new KryoException("a " + type.getName() + " can't be made of the components read", e);
+        }
+    }
+
+    private void lookUp() {
+        if (constructor != null) {
+            return;
+        }
+        final RecordComponent[] components = type.getRecordComponents();
+        if (components.length != order.length) {
+            throw new KryoException(type.getName() + " has " + components.length + " components, its wire type "
+                    + order.length);
+        }
+        componentTypes = Arrays.stream(components).map(RecordComponent::getType).toArray(Class<?>[]::new);
+        accessors = Arrays.stream(components).map(RecordComponent::getAccessor).toArray(Method[]::new);
+        Arrays.stream(accessors).forEach(accessor -> accessor.setAccessible(true));
+        try {
+            constructor = type.getDeclaredConstructor(componentTypes);
+            constructor.setAccessible(true);
+        } catch (final NoSuchMethodException e) {
+            throw new KryoException(type.getName() + " has no canonical constructor", e);
+        }
+    }
+}
--- /dev/null
+++ b/core/src/main/java/silverlatch/wire/WireTypes.java
@@ -0,0 +1,159 @@
+package silverlatch.wire;
+
+import java.util.List;
+import java.util.Map;
+import java.util.function.Function;
+import java.util.stream.Collectors;
+import silverlatch.clock.Stamp;
+import silverlatch.gossip.Worker;
+import silverlatch.gossip.WorkerReport;
+import silverlatch.log.LogRecord;
+import silverlatch.membership.Member;
+import silverlatch.replication.LogEntry;
+import silverlatch.replication.Replica;
+import silverlatch.replication.View;
+import silverlatch.state.Command;
+import silverlatch.state.CommandResult;
+import silverlatch.state.Entry;
+import silverlatch.state.Value;
+
+/**
+ * The record types that travel between daemons or rest in data folders, each with its numbers and the order in which its
+ * components are written.
+ *
+ * <p>Numbers and orders are part of the format: daemons of two versions run side by side during a rolling upgrade, and a
+ * data folder outlives the program that wrote it. They don't depend on names, so a type or a component may be renamed or a
+ * type moved. A new type takes a number that was never used; a type that is written takes no new component.
+ */
+final class WireTypes {
+    /**
+     * The types of frames. The first number stands for the type in a frame; those after it are the positions, in the
+     * declaration of the record, of the components in the order in which they are written.
+     */
+    private static final List<WireType> FRAME_TYPES = List.of(
+            type(14, Frame.class, 5, 1, 2, 3, 4, 0),
+            type(15, LogEntry.class, 3, 0, 2, 1),
+            type(16, Replica.class, 1, 0),
+            type(17, Stamp.class, 0),
+            type(18, Msg.Accept.class, 1, 0, 2),
+            type(19, Msg.Accepted.class, 1, 0, 2),
+            type(20, Msg.Ask.class, 0, 4, 3, 1, 2, 5),
+            type(21, Msg.Astray.class, 1, 0),
+            type(22, Msg.Beat.class, 0),
+            type(23, Msg.Bodies.class, 0, 4, 2, 1, 3),
+            type(24, Msg.Bootstrap.class, 0),
+            type(25, Msg.BootstrapAgreed.class, 0, 1),
+            type(26, Msg.CatchUpTarget.class, 1, 0),
+            type(27, Msg.CommitNotice.class, 1, 0),
+            type(28, Msg.CompareDigests.class, 3, 1, 2, 0),
+            type(29, Msg.Discover.class, 1, 2, 0),
+            type(30, Msg.FetchEntries.class, 1, 2, 0),
+            type(31, Msg.Hail.class, 0, 1),
+            type(32, Msg.JoinRequest.class, 1, 2, 0),
+            type(33, Msg.LeaseGrant.class, 1, 3, 0, 2),
+            type(34, Msg.LeaseRequest.class, 1, 4, 3, 2, 0),
+            type(35, Msg.Marks.class, 0, 2, 4, 1, 3),
+            type(36, Msg.Muster.class, 3, 0, 1, 2),
+            type(37, Msg.Preempted.class, 1, 0),
+            type(38, Msg.Prepare.class, 1, 0),
+            type(39, Msg.Promise.class, 1, 4, 3, 0, 2),
+            type(40, Msg.Pulse.class, 0, 1),
+            type(41, Msg.Push.class, 0, 3, 2, 1),
+            type(42, Msg.ReadReply.class, 0, 3, 1, 2),
+            type(43, Msg.ReadRequest.class, 0, 1, 2),
+            type(44, Msg.RepairNext.class, 1, 3, 2, 0),
+            type(45, Msg.RepairRanges.class, 6, 5, 2, 3, 1, 4, 0),
+            type(46, Msg.Replicate.class, 1, 0),
+            type(47, Msg.ReplicateAck.class, 1, 2, 0),
+            type(48, Msg.Tell.class, 2, 0, 4, 3, 6, 1, 5),
+            type(49, Msg.ViewDecided.class, 0),
+            type(50, Msg.WriteReply.class, 0, 1),
+            type(51, Msg.WriteRequest.class, 0, 1, 2),
+            type(52, LogRecord.Accepted.class, 1, 0, 2),
+            type(53, LogRecord.Appended.class, 0),
+            type(54, LogRecord.Batch.class, 0),
+            type(55, LogRecord.Founding.class, 0),
+            type(56, LogRecord.Promised.class, 1, 0),
+            type(57, LogRecord.Snapshot.class, 3, 7, 2, 5, 4, 6, 0, 1),
+            type(58, LogRecord.SnapshotPart.class, 0),
+            type(59, LogRecord.ViewInstalled.class, 1, 0),
+            type(60, Value.AcceptedConfiguration.class, 3, 1, 0, 2),
+            type(61, Value.BackendPool.class, 3, 1, 2, 6, 0, 4, 5, 7),
+            type(62, Value.Claim.class, 3, 1, 2, 0, 4),
+            type(63, Value.CommandOutcome.class, 1, 2, 0),
+            type(64, Value.ConfigurationDocument.class, 0, 1),
+            type(65, Value.Epoch.class, 0),
+            type(66, Value.Evacuation.class, 2, 1, 0),
+            type(67, Value.Route.class, 8, 9, 7, 12, 1, 6, 13, 0, 3, 2, 10, 5, 4, 11),
+            type(68, Value.RoutingConfiguration.class, 2, 1, 4, 0, 3),
+            type(69, Value.Row.class, 7, 4, 5, 10, 1, 3, 11, 2, 9, 12, 6, 8, 0),
+            type(70, Value.Schedule.class, 2, 1, 4, 0, 3),
+            type(71, Value.Tenant.class, 3, 1, 0, 4, 2),
+            type(72, Command.AdvanceEpoch.class, 2, 0, 1),
+            type(73, Command.Claim.class, 4, 3, 0, 1, 2),
+            type(74, Command.CompleteClaim.class, 5, 3, 0, 1, 4, 2),
+            type(75, Command.PatchTable.class, 1, 0, 2),
+            type(76, Command.PutConfiguration.class, 1, 0, 5, 4, 3, 2),
+            type(77, Command.PutSchedule.class, 1, 0, 2),
+            type(78, Command.PutTable.class, 0, 2, 1),
+            type(79, Command.PutTenant.class, 0, 2, 1),
+            type(80, Command.RemoveSchedule.class, 0, 2, 1),
+            type(81, Command.RemoveTenant.class, 0, 2, 1),
+            type(82, Command.Scheduled.class, 1, 0, 2),
+            type(83, Command.SetEvacuation.class, 0, 3, 2, 1),
+            type(84, CommandResult.AlreadyClaimed.class, 0),
+            type(85, CommandResult.Applied.class, 0),
+            type(86, CommandResult.Rejected.class, 0, 1, 2),
+            type(87, CommandResult.Unknown.class, 0),
+            type(88, View.class, 3, 1, 4, 0, 2),
+            type(89, Msg.Mark.class, 0, 1, 2),
+            type(90, Msg.Aged.class, 3, 0, 1, 2),
+            type(91, Msg.RangeEntries.class, 1, 0),
+            type(92, Command.Cell.class, 2, 1, 0, 3),
+            type(93, Value.WeightedBackend.class, 0, 1),
+            type(94, Entry.class, 0, 2, 1),
+            type(95, Worker.class, 1, 13, 0, 9, 10, 4, 12, 7, 3, 14, 6, 5, 8, 11, 2),
+            type(96, WorkerReport.class, 3, 2, 1, 0),
+            type(97, Msg.Ranges.class, 1, 0),
+            type(98, Msg.Beats.class, 1, 0),
+            type(99, Member.class, 4, 5, 0, 6, 9, 3, 1, 8, 7, 2),
+            type(100, Msg.News.Brief.class, 0, 2, 1),
+            type(101, Msg.News.Whole.class, 0, 2, 1));
+
+    private static final Map<Class<?>, WireType> BY_CLASS =
+            FRAME_TYPES.stream().collect(Collectors.toUnmodifiableMap(WireType::type, Function.identity()));
+
+    private WireTypes() {}
+
+    /**
+     * How one type of record is written.
+     *
+     * @param number the number that stands for the type in a frame
+     * @param type the record
+     * @param order the positions of its components, in the order in which they are written
+     */
+    record WireType(int number, Class<? extends Record> type, List<Integer> order) {
+        RecordSerializer<? extends Record> serializer() {
+            return new RecordSerializer<>(type, order);
+        }
+    }
+
+    /** Returns the types of frames, all records that a frame can hold among them. */
+    static List<WireType> ofFrames() {
+        return FRAME_TYPES;
+    }
+
+    /** Returns how a record is written; throws IllegalArgumentException where it is in no frame and no data folder. */
+    static WireType of(final Class<?> type) {
+        final WireType wireType = BY_CLASS.get(type);
+        if (wireType == null) {
+            throw new IllegalArgumentException(type.getName() + " has no wire type");
+        }
+        return wireType;
+    }
+
+    private static WireType type(
+            final int number, final Class<? extends Record> type, final Integer... order) {
+        return new WireType(number, type, List.of(order));
+    }
+}
--- /dev/null
+++ b/core/src/test/java/silverlatch/wire/FrameSamples.java
@@ -0,0 +1,182 @@
+package silverlatch.wire;
+
+import java.util.ArrayList;
+import java.util.List;
+import silverlatch.clock.Stamp;
+import silverlatch.gossip.Worker;
+import silverlatch.gossip.WorkerReport;
+import silverlatch.membership.Member;
+import silverlatch.replication.LogEntry;
+import silverlatch.replication.Replica;
+import silverlatch.replication.View;
+import silverlatch.state.Command;
+import silverlatch.state.CommandResult;
+import silverlatch.state.Entry;
+import silverlatch.state.Value;
+
+/** One message of each type, with different values in all components, for the tests of the wire format. */
+final class FrameSamples {
+    private static final Replica ONE = new Replica("id-a", "10.0.0.1:1");
+    private static final Replica TWO = new Replica("id-b", "10.0.0.2:1");
+    private static final View VIEW = new View(7, 99, List.of(ONE, TWO), List.of(TWO, ONE), "id-a");
+    private static final Member MEMBER =
+            new Member("gateway-1", "gateway", "hall", "attica", "10.0.0.3:1", "10.0.0.3:2", 11, 12, "suspect", true);
+    private static final Worker WORKER = new Worker(
+            "worker-1",
+            "10.0.0.4:1",
+            "hall",
+            "attica",
+            13,
+            14,
+            15,
+            16,
+            17,
+            List.of(18L, 19L),
+            true,
+            20,
+            "pool",
+            21,
+            22);
+    private static final WorkerReport REPORT = new WorkerReport(WORKER, true, false, 23);
+    private static final Value.Tenant TENANT = new Value.Tenant("acme", List.of("attica"), 0.5, "hash", "salt");
+    private static final Value.Row ROW = new Value.Row("acme", "chat", 1, 2, 3, 4, 5, 6, 7, 8, 9, true, 10);
+    private static final Value.Schedule SCHEDULE =
+            new Value.Schedule("night", "0 0 * * *", List.of(new Command.Cell("a", "b", "c", "d")), "hall", true);
+    private static final Value.Claim CLAIM = new Value.Claim("ticket", "carrier", "running", 24, 25);
+    private static final Value.Route ROUTE = new Value.Route(
+            "rule",
+            "host",
+            "/path/",
+            true,
+            false,
+            true,
+            false,
+            26,
+            27,
+            28,
+            29,
+            30,
+            List.of("attica"),
+            List.of(new Value.WeightedBackend("pool", 31)));
+    private static final Value.BackendPool POOL = new Value.BackendPool("pool", "/health", 32, 33, 34.5, 35, 36, 37);
+    private static final Value.RoutingConfiguration CONFIGURATION = new Value.RoutingConfiguration(41, 42, 43, 44, 45);
+
+    private FrameSamples() {}
+
+    /** Returns the frames, each with a message of another type or with another command, result or value in it. */
+    static List<Frame> frames() {
+        final List<Msg> messages = new ArrayList<>();
+        messages.addAll(membershipAndGossip());
+        messages.addAll(replication());
+        commands().forEach(command -> messages.add(new Msg.WriteRequest(51, "10.0.0.3:1", command)));
+        results().forEach(result -> messages.add(new Msg.WriteReply(52, result)));
+        final List<Frame> frames = new ArrayList<>();
+        for (int i = 0; i < messages.size(); i++) {
+            frames.add(new Frame(new Stamp(1_000 + i), 99, "daemon", "10.0.0.9:1", 53, messages.get(i)));
+        }
+        return frames;
+    }
+
+    private static List<Msg> membershipAndGossip() {
+        final Msg.Mark mark = new Msg.Mark("worker-1", 61, 62);
+        final Msg.News whole = new Msg.News.Whole(
+                List.of(new Msg.Aged("worker-1", 63, 64, 65)), List.of(WORKER), List.of(MEMBER));
+        final Msg.News brief = new Msg.News.Brief(
+                66,
+                List.of(new Msg.Ranges(new long[] {67, 68}, new long[] {69})),
+                List.of(new Msg.Beats(70, new long[] {71})));
+        return List.of(
+                new Msg.Hail(MEMBER, 72),
+                new Msg.Muster(List.of(MEMBER), 73, 74, new Stamp(75)),
+                new Msg.Beat(MEMBER),
+                new Msg.Pulse("gateway-1", 76),
+                new Msg.Push(List.of(MEMBER), List.of(WORKER), List.of(REPORT), 77),
+                new Msg.Ask(78, 79, 80, List.of(mark), 81, 82),
+                new Msg.Tell(83, 84, 85, 86, entries(), List.of(VIEW), whole),
+                new Msg.Tell(87, 88, 89, 90, List.of(), List.of(), brief),
+                new Msg.Marks(91, 92, 93, List.of(mark), List.of(new Msg.Mark("gateway-1", 94, 95))),
+                new Msg.Bodies(96, List.of(REPORT), List.of(MEMBER), List.of("worker-2"), List.of("gateway-2")),
+                new Msg.Astray(97, 98));
+    }
+
+    private static List<Msg> replication() {
+        final LogEntry change = new LogEntry(101, 102, new Stamp(103), entries());
+        return List.of(
+                new Msg.Discover(ONE, true, List.of(TWO)),
+                new Msg.Bootstrap(VIEW),
+                new Msg.BootstrapAgreed(104, ONE),
+                new Msg.LeaseRequest(105, 106, ONE, true, false),
+                new Msg.LeaseRequest(107, 108, ONE, false, true),
+                new Msg.LeaseGrant(109, 110, "id-a", 111),
+                new Msg.ViewDecided(VIEW),
+                new Msg.Prepare(112, 113),
+                new Msg.Promise(114, 115, "id-b", 116, List.of(VIEW)),
+                new Msg.Accept(117, 118, VIEW),
+                new Msg.Accepted(119, 120, "id-b"),
+                new Msg.Preempted(121, 122),
+                new Msg.Replicate(123, List.of(change)),
+                new Msg.ReplicateAck(124, "id-a", 125),
+                new Msg.CommitNotice(126, 127),
+                new Msg.CatchUpTarget(128, 129),
+                new Msg.FetchEntries(130, "id-b", 131),
+                new Msg.CompareDigests(132, ONE, 133, new long[] {134, 135}),
+                new Msg.RepairRanges(
+                        136,
+                        137,
+                        138,
+                        139,
+                        List.of(new Msg.RangeEntries(140, entries())),
+                        List.of(change),
+                        new long[] {141}),
+                new Msg.RepairNext(142, TWO, 143, 144),
+                new Msg.JoinRequest(145, TWO, 146),
+                new Msg.ReadRequest(147, "10.0.0.3:1", "t/"),
+                new Msg.ReadReply(148, true, 149, entries()));
+    }
+
+    private static List<Command> commands() {
+        return List.of(
+                new Command.PatchTable("c1", List.of(new Command.Cell("a", "b", "c", "d")), 151),
+                new Command.PutTable("c2", List.of(ROW), 152),
+                new Command.PutTenant("c3", TENANT, 153),
+                new Command.RemoveTenant("c4", "acme", 154),
+                new Command.SetEvacuation("c5", "hall", true, 155),
+                new Command.Claim("c6", "key", "ticket", "carrier", 156),
+                new Command.CompleteClaim("c7", "key", "ticket", "carrier", "done", 157),
+                new Command.AdvanceEpoch("c8", 158, 159),
+                new Command.PutSchedule("c9", SCHEDULE, 160),
+                new Command.RemoveSchedule("c10", "night", 161),
+                new Command.Scheduled("c11", 162, new Command.SetEvacuation("c12", "hall", false, -2)),
+                new Command.PutConfiguration("c13", CONFIGURATION, List.of(ROUTE), List.of(POOL), "the text", 163));
+    }
+
+    private static List<CommandResult> results() {
+        return List.of(
+                new CommandResult.Applied(171),
+                new CommandResult.Rejected(409, List.of("a fault"), 172),
+                new CommandResult.AlreadyClaimed(CLAIM),
+                new CommandResult.Unknown("c1"));
+    }
+
+    private static List<Entry> entries() {
+        final List<Value> values = List.of(
+                TENANT,
+                ROW,
+                new Value.Evacuation("hall", true, new Stamp(181)),
+                SCHEDULE,
+                CLAIM,
+                new Value.Epoch(182),
+                ROUTE,
+                POOL,
+                CONFIGURATION,
+                new Value.ConfigurationDocument(41, "the text of 41"),
+                new Value.CommandOutcome(183, 422, List.of("a fault")),
+                new Value.AcceptedConfiguration(184, 185, 186, "digest"));
+        final List<Entry> entries = new ArrayList<>();
+        for (int i = 0; i < values.size(); i++) {
+            entries.add(new Entry("key-" + i, 190 + i, List.of(values.get(i))));
+        }
+        entries.add(new Entry("removed", 189, List.of()));
+        return entries;
+    }
+}
