--- a/core/src/main/java/silverlatch/log/WriteAheadLog.java
+++ b/core/src/main/java/silverlatch/log/WriteAheadLog.java
@@ -38,7 +38,7 @@
     private static final Pattern PARTS = Pattern.compile("(identity|format|founder|(segment|picture)-\\d{12})\\.part");
 
     /** The format of the folder's files; raised whenever bytes of the version before would be read differently. */
-    static final int VERSION = 2;
+    public static final int VERSION = 2;
 
     private static final long SEGMENT = 4L << 20;
     private static final long SNAPSHOT_PART = 1L << 20;
--- a/core/src/main/java/silverlatch/wire/Codec.java
+++ b/core/src/main/java/silverlatch/wire/Codec.java
@@ -113,7 +113,8 @@
     }
 
     private void registerFrames() {
-        WireTypes.ofFrames().forEach(wireType -> kryo.register(wireType.type(), wireType.serializer(), wireType.number()));
+        WireTypes.ofFrames()
+                .forEach(wireType -> kryo.register(wireType.type(), wireType.serializer(), wireType.number()));
     }
 
     /** The bytes of a frame or a note. */
--- a/core/src/main/java/silverlatch/wire/RecordSerializer.java
+++ b/core/src/main/java/silverlatch/wire/RecordSerializer.java
@@ -91,8 +91,8 @@
         }
         final RecordComponent[] components = type.getRecordComponents();
         if (components.length != order.length) {
-            throw new KryoException(type.getName() + " has " + components.length + " components, its wire type "
-                    + order.length);
+            throw new KryoException(
+                    type.getName() + " has " + components.length + " components, its wire type " + order.length);
         }
         componentTypes = Arrays.stream(components).map(RecordComponent::getType).toArray(Class<?>[]::new);
         accessors = Arrays.stream(components).map(RecordComponent::getAccessor).toArray(Method[]::new);
--- a/core/src/main/java/silverlatch/wire/WireTypes.java
+++ b/core/src/main/java/silverlatch/wire/WireTypes.java
@@ -152,8 +152,7 @@
         return wireType;
     }
 
-    private static WireType type(
-            final int number, final Class<? extends Record> type, final Integer... order) {
+    private static WireType type(final int number, final Class<? extends Record> type, final Integer... order) {
         return new WireType(number, type, List.of(order));
     }
 }
