--- a/simulation/src/main/java/silverlatch/simulation/sim/Day.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Day.java
@@ -44,7 +44,17 @@
 
     /** Runs a day; its faults last as long and overlap as the seed will. */
     public static Came run(final Plan plan, final Script script, final Safeguards guards, final boolean loud) {
-        final World w = new World(plan, script.seed(), script.rate(), guards, loud);
+        return run(plan, script, guards, loud, WorldListener.NONE);
+    }
+
+    /** Runs a day, and tells a listener of all that its processes do. */
+    static Came run(
+            final Plan plan,
+            final Script script,
+            final Safeguards guards,
+            final boolean loud,
+            final WorldListener listener) {
+        final World w = new World(plan, script.seed(), script.rate(), guards, loud, listener);
         w.controllers().forEach(n -> n.disk().ifPresent(d -> d.lies(script.lying())));
         w.open();
         final long begin = w.engine().now();
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
@@ -442,6 +442,7 @@
             post(() -> effect(e));
             return;
         }
+        world.listener().effect(world.engine().now(), name, e);
         switch (e) {
             case Effect.Answer a -> Optional.ofNullable(asked.remove(a.token())).ifPresent(c -> c.accept(a.reply()));
             case Effect.Keep k -> {
@@ -531,6 +532,7 @@
             post(() -> act(a));
             return;
         }
+        world.listener().action(world.engine().now(), name, a);
         switch (a) {
             case Act.Picked p -> {
                 call(p.token(), a, true);
--- a/simulation/src/main/java/silverlatch/simulation/sim/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/World.java
@@ -38,6 +38,7 @@
     private final List<String> story = new ArrayList<>();
     private final Codec codec = new Codec();
     private final boolean loud;
+    private final WorldListener listener;
     private long arrivals;
     private long turns;
     private long rate;
@@ -61,6 +62,17 @@
 
     /** A world of a plan, driven by a seed, with so many tickets a second. */
     public World(final Plan plan, final long seed, final long rate, final Safeguards guards, final boolean loud) {
+        this(plan, seed, rate, guards, loud, WorldListener.NONE);
+    }
+
+    /** A world whose listener is told of all that its processes do. */
+    World(
+            final Plan plan,
+            final long seed,
+            final long rate,
+            final Safeguards guards,
+            final boolean loud,
+            final WorldListener listener) {
         this.engine = new Engine(seed);
         this.net = new Net(engine);
         this.watch = new Watch(engine::now);
@@ -68,6 +80,7 @@
         this.rate = rate;
         this.guards = guards;
         this.loud = loud;
+        this.listener = listener;
         final List<String> seeds = new ArrayList<>();
         for (int i = 1; i <= plan.regions().size(); i++) {
             seeds.add("controller-" + i);
@@ -117,6 +130,10 @@
         return List.copyOf(story);
     }
 
+    WorldListener listener() {
+        return listener;
+    }
+
     Safeguards guards() {
         return guards;
     }
@@ -330,6 +347,7 @@
     }
 
     void ship(final SimulatedNode from, final OutgoingFrame s) {
+        listener.frameSent(engine.now(), from.name(), s);
         from.spoke(s.frame());
         final Optional<SimulatedNode> to =
                 nodes.values().stream().filter(n -> n.address().equals(s.to())).findFirst();
--- /dev/null
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayDigest.java
@@ -0,0 +1,157 @@
+package silverlatch.simulation.sim;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.HexFormat;
+import silverlatch.dispatch.Act;
+import silverlatch.dispatch.Line;
+import silverlatch.node.Effect;
+import silverlatch.node.OutgoingFrame;
+import silverlatch.replication.ChainClient;
+import silverlatch.state.CommandResult;
+import silverlatch.wire.Codec;
+
+/**
+ * Digests of a simulated day: of its course (what each process does, and when) and of the bytes of its frames. The course
+ * holds times, node names, numbers and outcomes, and no text, no name of a type and no name of a constant, so it is the
+ * same before and after a renaming.
+ */
+final class DayDigest implements WorldListener {
+    private final MessageDigest course = sha256();
+    private final MessageDigest bytes = sha256();
+    private final Codec codec = new Codec();
+    private final ByteBuffer word = ByteBuffer.allocate(Long.BYTES);
+    private long events;
+
+    /** The number of events, the digest of the day's course and counts, and the digest of all frames' bytes. */
+    String of(final Day.Came day) {
+        number(day.wrong().size());
+        day.tally().values().stream().sorted().forEach(this::number);
+        return events + " " + HexFormat.of().formatHex(course.digest()) + " "
+                + HexFormat.of().formatHex(bytes.digest());
+    }
+
+    @Override
+    public void frameSent(final long time, final String node, final OutgoingFrame frame) {
+        event('f', time, node);
+        text(frame.to());
+        final byte[] encoded = codec.write(frame.frame());
+        bytes.update(ByteBuffer.allocate(Integer.BYTES).putInt(encoded.length).flip());
+        bytes.update(encoded);
+    }
+
+    @Override
+    public void effect(final long time, final String node, final Effect effect) {
+        event('e', time, node);
+        switch (effect) {
+            case Effect.Send send -> throw new IllegalArgumentException("a message without a stamp");
+            case Effect.Keep keep -> numbers('k', keep.token(), keep.notes().size());
+            case Effect.Answer answer -> {
+                numbers('a', answer.token());
+                if (answer.reply() instanceof CommandResult result) {
+                    result(result);
+                } else if (answer.reply() instanceof ChainClient.Page page) {
+                    numbers(
+                            'p',
+                            page.ok() ? 1 : 0,
+                            page.sequence(),
+                            page.entries().size());
+                }
+            }
+            case Effect.Log log -> numbers('l', log.event().number());
+        }
+    }
+
+    @Override
+    public void action(final long time, final String node, final Act action) {
+        event('a', time, node);
+        switch (action) {
+            case Act.Picked picked -> {
+                numbers('p', picked.token(), picked.page(), picked.stamp());
+                text(picked.ticket() + " " + picked.carrier() + " " + picked.worker());
+            }
+            case Act.Pointed pointed ->
+                numbers('o', pointed.token(), pointed.doors().size());
+            case Act.Rejected rejected -> {
+                numbers('r', rejected.token(), rejected.code(), rejected.after());
+                text(rejected.ticket());
+            }
+            case Act.Flow flow -> {
+                numbers('f', flow.token(), flow.last() ? 1 : 0);
+                flow.lines().forEach(this::line);
+            }
+            case Act.Run run -> {
+                numbers('u', run.job(), run.due());
+                text(run.worker() + " " + run.ticket() + " " + run.run() + " " + run.tenant() + " " + run.kind());
+            }
+            case Act.Cut cut -> numbers('c', cut.job());
+            case Act.Claim claim -> numbers('m', claim.job(), claim.span());
+            case Act.Judged judged -> numbers('j', judged.sights().size(), judged.seed(), judged.page());
+            case Act.Ended ended -> {
+                numbers('e');
+                text(ended.ticket());
+            }
+            case Act.Log log -> numbers('l', log.event().number());
+        }
+    }
+
+    private void line(final Line line) {
+        switch (line) {
+            case Line.Piece piece -> {
+                numbers('p', piece.number());
+                text(piece.ticket() + " " + piece.run() + " " + piece.text());
+            }
+            case Line.Seal seal -> {
+                numbers('s', seal.count());
+                text(seal.worker() + " " + seal.ticket() + " " + seal.run() + " " + seal.sha());
+            }
+            case Line.Lost lost -> {
+                numbers('l');
+                text(lost.ticket());
+            }
+        }
+    }
+
+    private void result(final CommandResult result) {
+        switch (result) {
+            case CommandResult.Applied applied -> numbers('a', applied.sequence());
+            case CommandResult.Rejected rejected ->
+                numbers('r', rejected.code(), rejected.faults().size(), rejected.sequence());
+            case CommandResult.AlreadyClaimed claimed -> numbers('c');
+            case CommandResult.Unknown unknown -> numbers('u');
+        }
+    }
+
+    private void event(final char kind, final long time, final String node) {
+        events++;
+        numbers(kind, time);
+        text(node);
+    }
+
+    private void numbers(final char kind, final long... values) {
+        number(kind);
+        for (final long value : values) {
+            number(value);
+        }
+    }
+
+    private void number(final long value) {
+        course.update(word.clear().putLong(value).flip());
+    }
+
+    private void text(final String text) {
+        final byte[] encoded = text.getBytes(StandardCharsets.UTF_8);
+        number(encoded.length);
+        course.update(encoded);
+    }
+
+    private static MessageDigest sha256() {
+        try {
+            return MessageDigest.getInstance("SHA-256");
+        } catch (final NoSuchAlgorithmException missing) {
+            throw new IllegalStateException("every JDK has SHA-256", missing);
+        }
+    }
+}
