--- a/core/src/main/java/silverlatch/gossip/Gossip.java
+++ b/core/src/main/java/silverlatch/gossip/Gossip.java
@@ -15,7 +15,7 @@
 import silverlatch.safeguard.Safeguard;
 import silverlatch.safeguard.Safeguards;
 import silverlatch.state.StateMachine;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /**
  * News of one daemon. Restrictions travel by push and hold at once; freshness is renewed only by pull and is aged
@@ -217,19 +217,19 @@
     }
 
     /** Takes a message. */
-    public void on(final Msg msg, final String home, final long now) {
+    public void on(final Message msg, final String home, final long now) {
         switch (msg) {
-            case Msg.Ask m -> tell(m, home, now);
-            case Msg.Tell m -> told(m, home, now);
-            case Msg.Marks m -> pulls.ifPresent(p -> out.add(new Effect.Send(home, p.bodies(m, now))));
-            case Msg.Bodies m ->
+            case Message.GossipPull m -> tell(m, home, now);
+            case Message.GossipPullReply m -> told(m, home, now);
+            case Message.ReportVersions m -> pulls.ifPresent(p -> out.add(new Effect.Send(home, p.bodies(m, now))));
+            case Message.MissingReports m ->
                 pulls.flatMap(p -> p.take(m, home, now)).ifPresent(b -> out.add(new Effect.Send(home, b)));
-            case Msg.Push m -> {
-                words.ifPresent(w -> m.words().forEach(x -> w.take(x, true, now)));
+            case Message.GossipPush m -> {
+                words.ifPresent(w -> m.reports().forEach(x -> w.take(x, true, now)));
                 m.members().forEach(x -> crew.learn(x, now));
                 m.workers().forEach(w -> take(w, Optional.empty(), now));
-                if (m.page() > page) {
-                    page = m.page();
+                if (m.revision() > page) {
+                    page = m.revision();
                     out.add(new Effect.Send(home, ask(now)));
                 }
             }
@@ -277,25 +277,25 @@
         final List<WorkerReport> told = words.map(w -> w.fresh(now)).orElse(List.of());
         words.ifPresent(w -> out.addAll(w.drain()));
         if (!news.isEmpty() || !fresh.isEmpty() || !told.isEmpty()) {
-            push(new Msg.Push(news, List.copyOf(fresh), told, page()));
+            push(new Message.GossipPush(news, List.copyOf(fresh), told, page()));
             fresh.clear();
         }
     }
 
-    private void push(final Msg.Push msg) {
+    private void push(final Message.GossipPush msg) {
         (words.isEmpty() ? peers.some(crew.live(), FEW) : peers.spread())
                 .forEach(m -> out.add(new Effect.Send(m.address(), msg)));
     }
 
-    private Msg.Ask ask(final long now) {
-        return new Msg.Ask(
+    private Message.GossipPull ask(final long now) {
+        return new Message.GossipPull(
                 now,
                 books.page(),
                 view.number(),
                 words.isPresent()
                         ? List.of()
                         : workers.values().stream()
-                                .map(h -> new Msg.Mark(
+                                .map(h -> new Message.ReportVersion(
                                         h.worker().id(),
                                         h.worker().life(),
                                         h.worker().sequence()))
@@ -314,84 +314,85 @@
                 .sum();
     }
 
-    private void tell(final Msg.Ask m, final String home, final long now) {
+    private void tell(final Message.GossipPull m, final String home, final long now) {
         final long age = age(now);
         out.add(new Effect.Send(
                 home,
-                new Msg.Tell(
-                        m.at(),
+                new Message.GossipPullReply(
+                        m.askedAt(),
                         books.page(),
                         age == Long.MAX_VALUE ? -1 : Math.max(0, age),
                         fleet,
-                        m.page() < books.page()
-                                ? books.since(m.page())
+                        m.revision() < books.page()
+                                ? books.since(m.revision())
                                 : guards.stands(Safeguard.PAGE) ? List.of() : books.since(0),
                         m.view() < view.number() ? List.of(view) : List.of(),
-                        pulls.<Msg.News>map(p -> p.brief(m, home, sure(now), now))
+                        pulls.<Message.PullContent>map(p -> p.brief(m, home, sure(now), now))
                                 .orElseGet(() -> whole(m, now)))));
     }
 
-    private Msg.News.Whole whole(final Msg.Ask m, final long now) {
-        final Map<String, Msg.Mark> marks = new HashMap<>();
-        m.marks().forEach(k -> marks.put(k.id(), k));
-        final List<Msg.Aged> ages = new ArrayList<>();
+    private Message.PullContent.FullContent whole(final Message.GossipPull m, final long now) {
+        final Map<String, Message.ReportVersion> marks = new HashMap<>();
+        m.versions().forEach(k -> marks.put(k.id(), k));
+        final List<Message.ReportAge> ages = new ArrayList<>();
         final List<Worker> bodies = new ArrayList<>();
         for (final Heard h : workers.values()) {
             final Worker w = h.worker();
-            final Optional<Msg.Mark> mark = Optional.ofNullable(marks.get(w.id()));
+            final Optional<Message.ReportVersion> mark = Optional.ofNullable(marks.get(w.id()));
             final boolean newer = mark.map(
-                            k -> w.life() != k.life() ? w.life() > k.life() : w.sequence() > k.sequence())
+                            k -> w.life() != k.incarnation() ? w.life() > k.incarnation() : w.sequence() > k.sequence())
                     .orElse(true);
-            final boolean same = mark.map(k -> w.life() == k.life() && w.sequence() == k.sequence())
+            final boolean same = mark.map(k -> w.life() == k.incarnation() && w.sequence() == k.sequence())
                     .orElse(false);
             if (newer) {
                 bodies.add(w);
             }
             if (newer || same) {
-                ages.add(new Msg.Aged(
+                ages.add(new Message.ReportAge(
                         w.id(),
                         w.life(),
                         w.sequence(),
                         h.asOf().map(t -> Math.max(0, now - t)).orElse(-1L)));
             }
         }
-        return new Msg.News.Whole(ages, bodies, m.crew() == digest() ? List.of() : crew.all());
+        return new Message.PullContent.FullContent(
+                ages, bodies, m.membershipDigest() == digest() ? List.of() : crew.all());
     }
 
-    private void told(final Msg.Tell m, final String home, final long now) {
-        if (m.at() > now || fleet != 0 && m.fleet() != 0 && m.fleet() != fleet) {
+    private void told(final Message.GossipPullReply m, final String home, final long now) {
+        if (m.askedAt() > now || fleet != 0 && m.fleet() != 0 && m.fleet() != fleet) {
             return;
         }
         if (fleet == 0) {
             fleet = m.fleet();
         }
-        switch (m.news()) {
-            case Msg.News.Whole n -> told(n, m.at(), now);
-            case Msg.News.Brief b ->
-                pulls.flatMap(p -> p.told(b, m.at(), home)).ifPresent(x -> out.add(new Effect.Send(home, x)));
+        switch (m.content()) {
+            case Message.PullContent.FullContent n -> told(n, m.askedAt(), now);
+            case Message.PullContent.DigestContent b ->
+                pulls.flatMap(p -> p.told(b, m.askedAt(), home)).ifPresent(x -> out.add(new Effect.Send(home, x)));
         }
         m.view().stream()
                 .filter(v -> v.number() > view.number() && v.fleet() == fleet)
                 .forEach(v -> view = v);
-        if (m.page() > books.page()) {
-            books.apply(m.page(), m.entries());
+        if (m.revision() > books.page()) {
+            books.apply(m.revision(), m.entries());
             announce();
-        } else if (m.page() > 0 && m.page() < books.page() && !guards.stands(Safeguard.PAGE)) {
-            books.reset(m.page(), m.entries());
-            page = m.page();
+        } else if (m.revision() > 0 && m.revision() < books.page() && !guards.stands(Safeguard.PAGE)) {
+            books.reset(m.revision(), m.entries());
+            page = m.revision();
         }
-        if (m.page() == books.page() && m.age() >= 0) {
-            sure = Optional.of(Math.max(sure.orElse(Long.MIN_VALUE), m.at() - m.age()));
+        if (m.revision() == books.page() && m.age() >= 0) {
+            sure = Optional.of(Math.max(sure.orElse(Long.MIN_VALUE), m.askedAt() - m.age()));
         }
     }
 
-    private void told(final Msg.News.Whole n, final long at, final long now) {
+    private void told(final Message.PullContent.FullContent n, final long at, final long now) {
         n.members().forEach(x -> crew.learn(x, now));
         n.workers().forEach(w -> take(w, Optional.empty(), now));
-        for (final Msg.Aged a : n.ages()) {
+        for (final Message.ReportAge a : n.ages()) {
             Optional.ofNullable(workers.get(a.id()))
                     .filter(h -> a.age() >= 0
-                            && h.worker().life() == a.life()
+                            && h.worker().life() == a.incarnation()
                             && h.worker().sequence() == a.sequence())
                     .ifPresent(h -> renew(h, at - a.age()));
         }
@@ -401,7 +402,7 @@
         page = Math.max(page, books.page());
         if (books.page() > told) {
             told = books.page();
-            push(new Msg.Push(List.of(), List.of(), told));
+            push(new Message.GossipPush(List.of(), List.of(), told));
         }
     }
 
--- a/core/src/main/java/silverlatch/gossip/Peers.java
+++ b/core/src/main/java/silverlatch/gossip/Peers.java
@@ -9,7 +9,7 @@
 import silverlatch.membership.Member;
 import silverlatch.membership.Membership;
 import silverlatch.replication.View;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** Whom to ask and whom to tell, and the crew in short. */
 final class Peers {
@@ -104,7 +104,7 @@
     }
 
     /** What is known of the crew in these ranges. */
-    List<Msg.Mark> marks(final long bits) {
+    List<Message.ReportVersion> marks(final long bits) {
         return crew.all().stream()
                 .filter(m -> Sums.in(bits, m.id()))
                 .map(Peers::mark)
@@ -112,8 +112,8 @@
     }
 
     /** Who is known better here than by these marks, which are all that another holds in these ranges. */
-    List<Member> newer(final long bits, final List<Msg.Mark> marks) {
-        final Map<String, Msg.Mark> map = new HashMap<>();
+    List<Member> newer(final long bits, final List<Message.ReportVersion> marks) {
+        final Map<String, Message.ReportVersion> map = new HashMap<>();
         marks.forEach(k -> map.put(k.id(), k));
         return crew.all().stream()
                 .filter(m -> Sums.in(bits, m.id()))
@@ -124,19 +124,19 @@
     }
 
     /** Who is known worse here than by these marks. */
-    List<String> lacks(final List<Msg.Mark> marks) {
+    List<String> lacks(final List<Message.ReportVersion> marks) {
         return marks.stream()
                 .filter(k -> crew.get(k.id()).map(m -> after(k, mark(m))).orElse(true))
-                .map(Msg.Mark::id)
+                .map(Message.ReportVersion::id)
                 .toList();
     }
 
-    private static boolean after(final Msg.Mark a, final Msg.Mark b) {
-        return a.life() != b.life() ? a.life() > b.life() : a.sequence() > b.sequence();
+    private static boolean after(final Message.ReportVersion a, final Message.ReportVersion b) {
+        return a.incarnation() != b.incarnation() ? a.incarnation() > b.incarnation() : a.sequence() > b.sequence();
     }
 
-    private static Msg.Mark mark(final Member m) {
-        return new Msg.Mark(m.id(), m.life(), m.rank());
+    private static Message.ReportVersion mark(final Member m) {
+        return new Message.ReportVersion(m.id(), m.life(), m.rank());
     }
 
     private void refresh() {
--- a/core/src/main/java/silverlatch/gossip/Sums.java
+++ b/core/src/main/java/silverlatch/gossip/Sums.java
@@ -1,6 +1,6 @@
 package silverlatch.gossip;
 
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** Digests over marks: one over all, and one for each range of names. Order plays no part. */
 final class Sums {
@@ -14,11 +14,11 @@
         return (int) (mix(name(id)) >>> 58);
     }
 
-    void add(final Msg.Mark m) {
+    void add(final Message.ReportVersion m) {
         put(m.id(), hash(m));
     }
 
-    void remove(final Msg.Mark m) {
+    void remove(final Message.ReportVersion m) {
         put(m.id(), -hash(m));
     }
 
@@ -48,8 +48,8 @@
         total += sum;
     }
 
-    private static long hash(final Msg.Mark m) {
-        return mix(mix(name(m.id()) + m.life()) + m.sequence());
+    private static long hash(final Message.ReportVersion m) {
+        return mix(mix(name(m.id()) + m.incarnation()) + m.sequence());
     }
 
     private static long name(final String id) {
--- a/core/src/main/java/silverlatch/gossip/WorkerReport.java
+++ b/core/src/main/java/silverlatch/gossip/WorkerReport.java
@@ -1,7 +1,7 @@
 package silverlatch.gossip;
 
 import java.util.List;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /**
  * A word on a worker as it travels between daemons; its spans are those of the moment at which it is sent.
@@ -52,13 +52,13 @@
     }
 
     /** Whether this word goes before a mark. */
-    public boolean after(final Msg.Mark mark) {
-        return worker.life() != mark.life() ? worker.life() > mark.life() : rank() > mark.sequence();
+    public boolean after(final Message.ReportVersion mark) {
+        return worker.life() != mark.incarnation() ? worker.life() > mark.incarnation() : rank() > mark.sequence();
     }
 
     /** What is held of it, in short. */
-    public Msg.Mark mark() {
-        return new Msg.Mark(id(), worker.life(), rank());
+    public Message.ReportVersion mark() {
+        return new Message.ReportVersion(id(), worker.life(), rank());
     }
 
     /** The same word so much later. */
--- a/core/src/main/java/silverlatch/gossip/WorkerReports.java
+++ b/core/src/main/java/silverlatch/gossip/WorkerReports.java
@@ -12,7 +12,7 @@
 import silverlatch.membership.Member;
 import silverlatch.node.Effect;
 import silverlatch.node.Event;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** Words on workers that announce to controllers. What a worker repeats renews its age here; what it changes travels. */
 final class WorkerReports {
@@ -129,7 +129,7 @@
     }
 
     /** What is held in these ranges. */
-    List<Msg.Mark> marks(final long bits) {
+    List<Message.ReportVersion> marks(final long bits) {
         return items.values().stream()
                 .filter(i -> Sums.in(bits, i.word().id()))
                 .map(i -> i.word().mark())
@@ -137,8 +137,8 @@
     }
 
     /** What is newer here than these marks, which are all that another holds in these ranges. */
-    List<WorkerReport> newer(final long bits, final List<Msg.Mark> marks, final long now) {
-        final Map<String, Msg.Mark> map = new HashMap<>();
+    List<WorkerReport> newer(final long bits, final List<Message.ReportVersion> marks, final long now) {
+        final Map<String, Message.ReportVersion> map = new HashMap<>();
         marks.forEach(m -> map.put(m.id(), m));
         return items.values().stream()
                 .filter(i -> Sums.in(bits, i.word().id()))
@@ -150,13 +150,15 @@
     }
 
     /** Which of these marks are newer than what is held here. */
-    List<String> lacks(final List<Msg.Mark> marks) {
+    List<String> lacks(final List<Message.ReportVersion> marks) {
         return marks.stream()
                 .filter(m -> Optional.ofNullable(items.get(m.id()))
                         .map(i -> i.word().mark())
-                        .map(k -> m.life() != k.life() ? m.life() > k.life() : m.sequence() > k.sequence())
+                        .map(k -> m.incarnation() != k.incarnation()
+                                ? m.incarnation() > k.incarnation()
+                                : m.sequence() > k.sequence())
                         .orElse(true))
-                .map(Msg.Mark::id)
+                .map(Message.ReportVersion::id)
                 .toList();
     }
 
@@ -186,18 +188,18 @@
     }
 
     /** How long ago each worker was heard, in steps; only one that knows the same workers can read it. */
-    Msg.Beats beats(final long now) {
+    Message.HeartbeatAges beats(final long now) {
         final List<Item> list = list();
         final long[] ages = new long[(list.size() + PACK - 1) / PACK];
         for (int i = 0; i < list.size(); i++) {
             final long step = Math.min(NONE, Math.max(0, now - list.get(i).heard()) / step());
             ages[i / PACK] |= step << i % PACK * 4;
         }
-        return new Msg.Beats(roster.total(), ages);
+        return new Message.HeartbeatAges(roster.total(), ages);
     }
 
     /** Takes how long ago another controller heard each worker, dated from when it was asked. */
-    void beats(final Msg.Beats b, final String home, final long at) {
+    void beats(final Message.HeartbeatAges b, final String home, final long at) {
         final List<Item> list = list();
         if (b.roster() != roster.total() || b.ages().length != (list.size() + PACK - 1) / PACK) {
             return;
@@ -317,8 +319,8 @@
         dirty = true;
     }
 
-    private static Msg.Mark life(final WorkerReport word) {
-        return new Msg.Mark(word.id(), word.worker().life(), 0);
+    private static Message.ReportVersion life(final WorkerReport word) {
+        return new Message.ReportVersion(word.id(), word.worker().life(), 0);
     }
 
     private void tell(final Optional<Item> before, final WorkerReport word) {
--- a/core/src/main/java/silverlatch/log/WriteAheadLog.java
+++ b/core/src/main/java/silverlatch/log/WriteAheadLog.java
@@ -229,10 +229,11 @@
                 return new Opened.Damaged("segment " + segments.get(i) + " is damaged at byte " + end);
             }
             for (final byte[] f : frames) {
-                if (!(codec.read(f, LogRecord.Batch.class) instanceof Codec.Read.Good<LogRecord.Batch> good)) {
+                if (!(codec.decode(f, LogRecord.Batch.class)
+                        instanceof Codec.DecodeResult.Decoded<LogRecord.Batch> good)) {
                     return new Opened.Damaged("segment " + segments.get(i) + " holds a batch that can't be read");
                 }
-                notes.addAll(good.thing().notes());
+                notes.addAll(good.value().notes());
             }
             if (end < all.length) {
                 torn = all.length - end;
@@ -319,7 +320,7 @@
     }
 
     private void writeFrame(final FileChannel file, final LogRecord record) throws IOException {
-        writeAll(file, frame(codec.write(record, LARGEST)));
+        writeAll(file, frame(codec.encode(record, LARGEST)));
     }
 
     private static void writeAll(final FileChannel file, final byte[] bytes) throws IOException {
@@ -366,8 +367,8 @@
         }
         final byte[] body = in.readNBytes(size);
         final boolean sound = body.length == size && sum(body, 0, size) == fields.getInt();
-        return sound && codec.read(body, LogRecord.class) instanceof Codec.Read.Good<LogRecord> good
-                ? Optional.of(good.thing())
+        return sound && codec.decode(body, LogRecord.class) instanceof Codec.DecodeResult.Decoded<LogRecord> good
+                ? Optional.of(good.value())
                 : Optional.empty();
     }
 
--- a/core/src/main/java/silverlatch/membership/Membership.java
+++ b/core/src/main/java/silverlatch/membership/Membership.java
@@ -10,7 +10,7 @@
 import silverlatch.node.Effect;
 import silverlatch.node.Event;
 import silverlatch.statemachine.TransitionTable;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** Who is in the fleet and who lives: joining by seeds, heartbeats to watchers named by the ring, suspicion as news. */
 public final class Membership {
@@ -132,18 +132,19 @@
     }
 
     /** Takes a message. */
-    public void on(final Msg msg, final long now, final long phys, final silverlatch.clock.Stamp floor) {
+    public void on(final Message msg, final long now, final long phys, final silverlatch.clock.Stamp floor) {
         switch (msg) {
-            case Msg.Hail m -> {
-                hear(m.me(), now);
-                out.add(new Effect.Send(m.me().address(), new Msg.Muster(all(), m.mono(), phys, floor)));
+            case Message.JoinGreeting m -> {
+                hear(m.sender(), now);
+                out.add(new Effect.Send(m.sender().address(), new Message.MemberList(all(), m.sentAt(), phys, floor)));
             }
-            case Msg.Muster m -> {
+            case Message.MemberList m -> {
                 fresh = false;
                 m.members().forEach(x -> learn(x, times.whole() == 1, now));
             }
-            case Msg.Beat m -> hear(m.me(), now);
-            case Msg.Pulse m -> get(m.id()).filter(x -> x.life() == m.life()).ifPresent(x -> beats.put(x.id(), now));
+            case Message.Heartbeat m -> hear(m.sender(), now);
+            case Message.LivenessHeartbeat m ->
+                get(m.id()).filter(x -> x.life() == m.incarnation()).ifPresent(x -> beats.put(x.id(), now));
             default -> {}
         }
     }
@@ -193,12 +194,14 @@
                             || members.values().stream()
                                     .noneMatch(m ->
                                             m.address().equals(s) && m.state().equals("up")))
-                    .forEach(s -> out.add(new Effect.Send(s, new Msg.Hail(me, now))));
-            reconnect(now).ifPresent(m -> out.add(new Effect.Send(m.address(), new Msg.Hail(me, now))));
+                    .forEach(s -> out.add(new Effect.Send(s, new Message.JoinGreeting(me, now))));
+            reconnect(now).ifPresent(m -> out.add(new Effect.Send(m.address(), new Message.JoinGreeting(me, now))));
         }
         if (now - beatAt >= times.beat()) {
             beatAt = now;
-            final Msg beat = count++ % times.whole() == 0 ? new Msg.Beat(me) : new Msg.Pulse(me.id(), me.life());
+            final Message beat = count++ % times.whole() == 0
+                    ? new Message.Heartbeat(me)
+                    : new Message.LivenessHeartbeat(me.id(), me.life());
             watchers(me.id()).forEach(w -> out.add(new Effect.Send(w.address(), beat)));
         }
         look(now);
--- a/core/src/main/java/silverlatch/node/Effect.java
+++ b/core/src/main/java/silverlatch/node/Effect.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 import silverlatch.log.LogRecord;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** What a core wants done in the world outside. */
 public sealed interface Effect {
     /** Send to the daemon that listens at this address. */
-    record Send(String to, Msg body) implements Effect {}
+    record Send(String to, Message body) implements Effect {}
 
     /** Write to the ledger and sync, then report the token. */
     record Keep(long token, List<LogRecord> notes) implements Effect {}
--- a/core/src/main/java/silverlatch/node/Node.java
+++ b/core/src/main/java/silverlatch/node/Node.java
@@ -27,7 +27,7 @@
 import silverlatch.state.Command;
 import silverlatch.state.Policy;
 import silverlatch.wire.Frame;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /**
  * What every daemon runs: clock, crew, news, and the chain where there is a data folder. It does no input or output.
@@ -326,7 +326,7 @@
         final Sample sample = new Sample(f.stamp().bits() - phys, now);
         switch (keeper.take(f.stamp(), phys)) {
             case ClockReading.Made made -> {
-                samples.put(f.home(), new Sample(0, now));
+                samples.put(f.replyTo(), new Sample(0, now));
                 deliver(f, now, phys);
             }
             case ClockReading.Wait wait -> {
@@ -334,11 +334,11 @@
             }
             case ClockReading.Far far -> {
                 count("far");
-                samples.put(f.home(), sample);
+                samples.put(f.replyTo(), sample);
                 out.add(new Effect.Log(
                         Event.FAR_STAMP, f.from() + " is ahead by " + Ntp.micros(far.units()) + " us too many"));
-                if (!(f.body() instanceof Msg.Astray)) {
-                    inner.add(new Effect.Send(f.home(), new Msg.Astray(far.units(), phys)));
+                if (!(f.body() instanceof Message.StampRejected)) {
+                    inner.add(new Effect.Send(f.replyTo(), new Message.StampRejected(far.units(), phys)));
                 }
             }
         }
@@ -353,32 +353,32 @@
             return;
         }
         count("frames");
-        hand(f.body(), f.home(), now, phys);
+        hand(f.body(), f.replyTo(), now, phys);
     }
 
-    private void hand(final Msg msg, final String home, final long now, final long phys) {
+    private void hand(final Message msg, final String home, final long now, final long phys) {
         switch (msg) {
-            case Msg.Hail m -> crew.on(m, now, phys, keeper.last());
-            case Msg.Muster m -> {
+            case Message.JoinGreeting m -> crew.on(m, now, phys, keeper.last());
+            case Message.MemberList m -> {
                 mustered = true;
-                keeper.floor(m.floor(), phys);
+                keeper.floor(m.stampFloor(), phys);
                 crew.on(m, now, phys, keeper.last());
             }
-            case Msg.Pulse m -> crew.on(m, now, phys, keeper.last());
-            case Msg.Beat m -> crew.on(m, now, phys, keeper.last());
-            case Msg.Push m -> rumor.on(m, home, now);
-            case Msg.Ask m -> {
+            case Message.LivenessHeartbeat m -> crew.on(m, now, phys, keeper.last());
+            case Message.Heartbeat m -> crew.on(m, now, phys, keeper.last());
+            case Message.GossipPush m -> rumor.on(m, home, now);
+            case Message.GossipPull m -> {
                 quay.ifPresent(q -> rumor.own(q.books(), q.view(), q.sure(now), now));
                 rumor.on(m, home, now);
             }
-            case Msg.Tell m -> rumor.on(m, home, now);
-            case Msg.Marks m -> rumor.on(m, home, now);
-            case Msg.Bodies m -> rumor.on(m, home, now);
-            case Msg.WriteReply m -> clerk.on(m, now);
-            case Msg.ReadReply m -> clerk.on(m, now);
-            case Msg.Astray m -> {
-                out.add(new Effect.Log(Event.ASTRAY, home + " says by " + Ntp.micros(m.units()) + " us too many"));
-                samples.put(home, new Sample(m.phys() - phys, now));
+            case Message.GossipPullReply m -> rumor.on(m, home, now);
+            case Message.ReportVersions m -> rumor.on(m, home, now);
+            case Message.MissingReports m -> rumor.on(m, home, now);
+            case Message.WriteReply m -> clerk.on(m, now);
+            case Message.ReadReply m -> clerk.on(m, now);
+            case Message.StampRejected m -> {
+                out.add(new Effect.Log(Event.ASTRAY, home + " says by " + Ntp.micros(m.excess()) + " us too many"));
+                samples.put(home, new Sample(m.physicalTime() - phys, now));
             }
             default -> quay.ifPresent(q -> q.on(msg, home, now));
         }
--- a/core/src/main/java/silverlatch/replication/ChainClient.java
+++ b/core/src/main/java/silverlatch/replication/ChainClient.java
@@ -8,7 +8,7 @@
 import silverlatch.node.Effect;
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** Carries wishes to the head and questions to the tail for one daemon, until they are decided or their time is up. */
 public final class ChainClient {
@@ -52,26 +52,27 @@
         final boolean onLatest =
                 wish instanceof Command.SetEvacuation order && order.match() == Command.SetEvacuation.LATEST;
         final Command first = onLatest ? ((Command.SetEvacuation) wish).on(UNCHANGED) : wish;
-        open(ask, new Open(new Msg.WriteRequest(ask, home, first), true, token, now, expiry, onLatest, 0), now);
+        open(ask, new Open(new Message.WriteRequest(ask, home, first), true, token, now, expiry, onLatest, 0), now);
     }
 
     /** Asks the tail; the outcome comes as an answer under the token, a page. */
     public void read(final String start, final long token, final long now, final long expiry) {
         ask++;
-        open(ask, new Open(new Msg.ReadRequest(ask, home, start), false, token, now, expiry, false, 0), now);
+        open(ask, new Open(new Message.ReadRequest(ask, home, start), false, token, now, expiry, false, 0), now);
     }
 
     /** Takes a reply of the chain. */
-    public void on(final Msg msg, final long now) {
+    public void on(final Message msg, final long now) {
         switch (msg) {
-            case Msg.WriteReply m -> {
-                if (open.containsKey(m.ask()) && !(m.verdict() instanceof CommandResult.Unknown)) {
-                    decided(open.remove(m.ask()), m.verdict(), now);
+            case Message.WriteReply m -> {
+                if (open.containsKey(m.requestId()) && !(m.result() instanceof CommandResult.Unknown)) {
+                    decided(open.remove(m.requestId()), m.result(), now);
                 }
             }
-            case Msg.ReadReply m -> {
-                if (m.ok() && open.containsKey(m.ask())) {
-                    out.add(new Effect.Answer(open.remove(m.ask()).token(), new Page(true, m.sequence(), m.entries())));
+            case Message.ReadReply m -> {
+                if (m.answered() && open.containsKey(m.requestId())) {
+                    out.add(new Effect.Answer(
+                            open.remove(m.requestId()).token(), new Page(true, m.sequence(), m.entries())));
                 }
             }
             default -> {}
@@ -83,10 +84,10 @@
         if (o.onLatest()
                 && result instanceof CommandResult.Rejected r
                 && r.code() == CONFLICT
-                && o.msg() instanceof Msg.WriteRequest w
-                && w.wish() instanceof Command.SetEvacuation order) {
+                && o.msg() instanceof Message.WriteRequest w
+                && w.command() instanceof Command.SetEvacuation order) {
             ask++;
-            final Msg next = new Msg.WriteRequest(ask, home, order.on(r.sequence()));
+            final Message next = new Message.WriteRequest(ask, home, order.on(r.sequence()));
             open(ask, new Open(next, true, o.token(), now, o.expiry(), true, 0), now);
         } else {
             out.add(new Effect.Answer(o.token(), result));
@@ -108,8 +109,8 @@
     private static long pause(final Open o) {
         final int doublings = Math.min(o.resent(), MOST_DOUBLINGS);
         return switch (o.msg()) {
-            case Msg.ReadRequest read -> AGAIN << doublings;
-            case Msg.WriteRequest write -> AGAIN + (AGAIN_PER_CHARACTER * characters(write.wish()) << doublings);
+            case Message.ReadRequest read -> AGAIN << doublings;
+            case Message.WriteRequest write -> AGAIN + (AGAIN_PER_CHARACTER * characters(write.command()) << doublings);
             default -> AGAIN;
         };
     }
@@ -131,8 +132,8 @@
             open.remove(id);
             out.add(new Effect.Answer(
                     o.token(),
-                    o.msg() instanceof Msg.WriteRequest w
-                            ? new CommandResult.Unknown(w.wish().id())
+                    o.msg() instanceof Message.WriteRequest w
+                            ? new CommandResult.Unknown(w.command().id())
                             : new Page(false, 0, List.of())));
             return;
         }
@@ -141,7 +142,7 @@
         (o.write() ? view.head() : view.tail()).ifPresent(b -> out.add(new Effect.Send(b.address(), o.msg())));
     }
 
-    private record Open(Msg msg, boolean write, long token, long sent, long expiry, boolean onLatest, int resent) {
+    private record Open(Message msg, boolean write, long token, long sent, long expiry, boolean onLatest, int resent) {
         Open again() {
             return new Open(msg, write, token, sent, expiry, onLatest, resent + 1);
         }
--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -27,7 +27,7 @@
 import silverlatch.state.StateMachine;
 import silverlatch.state.Value;
 import silverlatch.statemachine.TransitionTable;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /**
  * The chain and the view as one machine with a data folder runs them. It does no input or output: events go in,
@@ -62,7 +62,7 @@
     private final Map<String, Long> heard = new HashMap<>();
     private final Map<String, Long> received = new HashMap<>();
     private final Map<String, Sought> sought = new TreeMap<>();
-    private final Map<String, Msg.JoinRequest> joins = new TreeMap<>();
+    private final Map<String, Message.JoinRequest> joins = new TreeMap<>();
     private final Map<Long, List<Waiting>> waits = new HashMap<>();
     private final List<Late> late = new ArrayList<>();
     private final List<Early> early = new ArrayList<>();
@@ -230,34 +230,34 @@
     }
 
     /** Takes a message. */
-    public void on(final Msg msg, final String home, final long now) {
+    public void on(final Message msg, final String home, final long now) {
         clock = now;
-        if (broken() || forgetful && !(msg instanceof Msg.ViewDecided)) {
+        if (broken() || forgetful && !(msg instanceof Message.ViewDecided)) {
             return;
         }
         switch (msg) {
-            case Msg.Discover m -> seek(m, now);
-            case Msg.Bootstrap m -> found(m, home);
-            case Msg.BootstrapAgreed m -> agreed(m, now);
-            case Msg.LeaseRequest m -> lease(m, now);
-            case Msg.LeaseGrant m -> grant(m, now);
-            case Msg.ViewDecided m -> viewDecided(m, home, now);
-            case Msg.Prepare m -> prepare(m, home);
-            case Msg.Promise m -> promise(m, now);
-            case Msg.Accept m -> accept(m, home);
-            case Msg.Accepted m -> accepted(m, now);
-            case Msg.Preempted m -> outbid(m);
-            case Msg.Replicate m -> pass(m, now);
-            case Msg.CommitNotice m -> acked(m);
-            case Msg.CatchUpTarget m -> level(m);
-            case Msg.FetchEntries m -> reach(m, home);
-            case Msg.CompareDigests m -> compare(m);
-            case Msg.RepairRanges m -> mend(m, home);
-            case Msg.RepairNext m -> sendPiece(m);
-            case Msg.ReplicateAck m -> received(m);
-            case Msg.JoinRequest m -> joinRequested(m, now);
-            case Msg.WriteRequest m -> write(m);
-            case Msg.ReadRequest m -> read(m, now);
+            case Message.Discover m -> seek(m, now);
+            case Message.Bootstrap m -> found(m, home);
+            case Message.BootstrapAgreed m -> agreed(m, now);
+            case Message.LeaseRequest m -> lease(m, now);
+            case Message.LeaseGrant m -> grant(m, now);
+            case Message.ViewDecided m -> viewDecided(m, home, now);
+            case Message.Prepare m -> prepare(m, home);
+            case Message.Promise m -> promise(m, now);
+            case Message.Accept m -> accept(m, home);
+            case Message.Accepted m -> accepted(m, now);
+            case Message.Preempted m -> outbid(m);
+            case Message.Replicate m -> pass(m, now);
+            case Message.CommitNotice m -> acked(m);
+            case Message.CatchUpTarget m -> level(m);
+            case Message.FetchEntries m -> reach(m, home);
+            case Message.CompareDigests m -> compare(m);
+            case Message.RepairRanges m -> mend(m, home);
+            case Message.RepairNext m -> sendPiece(m);
+            case Message.ReplicateAck m -> received(m);
+            case Message.JoinRequest m -> joinRequested(m, now);
+            case Message.WriteRequest m -> write(m);
+            case Message.ReadRequest m -> read(m, now);
             default -> {}
         }
     }
@@ -361,7 +361,7 @@
         } else if (now - soughtAt >= (joining ? 5 * RESEND : RESEND) && !stalled) {
             soughtAt = now;
             view.tail().ifPresent(t -> askRepair(t.address(), now));
-            seats.forEach(s -> send(s, new Msg.LeaseRequest(view.number(), now, setup.me(), false, contact(now))));
+            seats.forEach(s -> send(s, new Message.LeaseRequest(view.number(), now, setup.me(), false, contact(now))));
         }
     }
 
@@ -375,21 +375,21 @@
         }
         asked = now;
         view.voters().forEach(v -> {
-            send(v.address(), new Msg.ViewDecided(view));
-            send(v.address(), new Msg.Prepare(view.number(), 0));
+            send(v.address(), new Message.ViewDecided(view));
+            send(v.address(), new Message.Prepare(view.number(), 0));
         });
     }
 
-    private void viewDecided(final Msg.ViewDecided m, final String home, final long now) {
+    private void viewDecided(final Message.ViewDecided m, final String home, final long now) {
         adopt(m.view(), now);
         if (m.view().number() == view.number()) {
             informed.add(home);
         }
     }
 
-    private void joinRequested(final Msg.JoinRequest m, final long now) {
-        joins.put(m.me().id(), m);
-        heard.put(m.me().id(), now);
+    private void joinRequested(final Message.JoinRequest m, final long now) {
+        joins.put(m.sender().id(), m);
+        heard.put(m.sender().id(), now);
     }
 
     private void ask(final long now) {
@@ -397,7 +397,7 @@
         view.voters()
                 .forEach(b -> send(
                         b.address(),
-                        new Msg.LeaseRequest(view.number(), now, setup.me(), chained() && level, contact(now))));
+                        new Message.LeaseRequest(view.number(), now, setup.me(), chained() && level, contact(now))));
     }
 
     /** Whether a majority of the voters, this one among them, was heard of late. */
@@ -465,13 +465,13 @@
         }
         soughtAt = now;
         sought.values().removeIf(s -> now - s.at() > 2_000_000L);
-        final Msg.Discover seek = new Msg.Discover(
+        final Message.Discover seek = new Message.Discover(
                 setup.me(),
                 birth.isEmpty() && setup.found(),
-                sought.values().stream().map(s -> s.seek().me()).toList());
+                sought.values().stream().map(s -> s.seek().sender()).toList());
         seats.forEach(s -> send(s, seek));
         birth.filter(v -> first(v).equals(setup.me()))
-                .ifPresent(v -> v.voters().forEach(b -> send(b.address(), new Msg.Bootstrap(v))));
+                .ifPresent(v -> v.voters().forEach(b -> send(b.address(), new Message.Bootstrap(v))));
     }
 
     private static Replica first(final View v) {
@@ -480,21 +480,21 @@
                 .orElseThrow();
     }
 
-    private void seek(final Msg.Discover m, final long now) {
+    private void seek(final Message.Discover m, final long now) {
         if (view.number() > 0) {
-            send(m.me().address(), new Msg.ViewDecided(view));
+            send(m.sender().address(), new Message.ViewDecided(view));
             return;
         }
         if (!m.empty()
                 || birth.isPresent()
                 || !setup.found()
                 || !setup.seats().contains(setup.me().address())
-                || !setup.seats().contains(m.me().address())) {
+                || !setup.seats().contains(m.sender().address())) {
             return;
         }
-        sought.put(m.me().id(), new Sought(m, now));
+        sought.put(m.sender().id(), new Sought(m, now));
         final List<Replica> all =
-                sought.values().stream().map(s -> s.seek().me()).toList();
+                sought.values().stream().map(s -> s.seek().sender()).toList();
         final Set<Replica> same = Set.copyOf(all);
         final boolean whole = all.size() == setup.seats().size()
                 && all.stream()
@@ -509,32 +509,32 @@
                     .toList();
             final long fleet = Math.max(1, order.hashCode() * 0x9E3779B97F4A7C15L & Long.MAX_VALUE);
             final View v = new View(1, fleet, order, order, order.get(0).id());
-            order.forEach(b -> send(b.address(), new Msg.Bootstrap(v)));
+            order.forEach(b -> send(b.address(), new Message.Bootstrap(v)));
         }
     }
 
-    private void found(final Msg.Bootstrap m, final String home) {
+    private void found(final Message.Bootstrap m, final String home) {
         final boolean same = birth.map(b -> b.equals(m.view())).orElse(false);
         final boolean fits = birth.isEmpty()
                 && view.number() == 0
                 && m.view().votes(setup.me().id())
                 && m.view().voters().stream().allMatch(b -> sought.containsKey(b.id()));
         if (same) {
-            send(home, new Msg.BootstrapAgreed(m.view().fleet(), setup.me()));
+            send(home, new Message.BootstrapAgreed(m.view().fleet(), setup.me()));
         } else if (fits) {
             birth = Optional.of(m.view());
             keep(
                     List.of(new LogRecord.Founding(m.view())),
-                    t -> send(home, new Msg.BootstrapAgreed(m.view().fleet(), setup.me())));
+                    t -> send(home, new Message.BootstrapAgreed(m.view().fleet(), setup.me())));
         }
     }
 
-    private void agreed(final Msg.BootstrapAgreed m, final long now) {
+    private void agreed(final Message.BootstrapAgreed m, final long now) {
         birth.filter(b -> b.fleet() == m.fleet()).ifPresent(b -> {
-            agreed.add(m.me().id());
+            agreed.add(m.sender().id());
             if (b.voters().stream().allMatch(v -> agreed.contains(v.id()))) {
                 log(Event.FOUNDED, "fleet " + Long.toHexString(b.fleet()));
-                b.voters().forEach(v -> send(v.address(), new Msg.ViewDecided(b)));
+                b.voters().forEach(v -> send(v.address(), new Message.ViewDecided(b)));
                 adopt(b, now);
             }
         });
@@ -606,43 +606,44 @@
         epoch++;
     }
 
-    private void lease(final Msg.LeaseRequest m, final long now) {
+    private void lease(final Message.LeaseRequest m, final long now) {
         if (view.number() == 0) {
             return;
         }
         if (m.view() < view.number()) {
-            send(m.me().address(), new Msg.ViewDecided(view));
+            send(m.sender().address(), new Message.ViewDecided(view));
         } else if (m.view() == view.number() && view.votes(setup.me().id())) {
-            if (joins.containsKey(m.me().id())) {
-                heard.put(m.me().id(), now);
+            if (joins.containsKey(m.sender().id())) {
+                heard.put(m.sender().id(), now);
             }
-            if (view.votes(m.me().id())) {
-                received.put(m.me().id(), now);
-                if (m.contact()) {
-                    heard.put(m.me().id(), now);
+            if (view.votes(m.sender().id())) {
+                received.put(m.sender().id(), now);
+                if (m.hearsMajority()) {
+                    heard.put(m.sender().id(), now);
                 }
             }
-            if (m.level()) {
-                levels.add(m.me().id());
+            if (m.caughtUp()) {
+                levels.add(m.sender().id());
             } else {
-                levels.remove(m.me().id());
+                levels.remove(m.sender().id());
             }
-            if (!shut && view.place(m.me().id()) >= 0) {
-                given.put(m.me().id(), now + setup.lease());
+            if (!shut && view.place(m.sender().id()) >= 0) {
+                given.put(m.sender().id(), now + setup.lease());
                 send(
-                        m.me().address(),
-                        new Msg.LeaseGrant(view.number(), m.at(), setup.me().id(), books.sequence()));
+                        m.sender().address(),
+                        new Message.LeaseGrant(
+                                view.number(), m.askedAt(), setup.me().id(), books.sequence()));
             }
         }
     }
 
-    private void grant(final Msg.LeaseGrant m, final long now) {
+    private void grant(final Message.LeaseGrant m, final long now) {
         if (m.view() == view.number() && view.votes(m.voter())) {
             if (chained() && level && m.committed() > last) {
                 fenceForgetful(m);
                 return;
             }
-            granted.merge(m.voter(), m.at(), Math::max);
+            granted.merge(m.voter(), m.askedAt(), Math::max);
             if (!early.isEmpty() && leased(now)) {
                 final List<Early> due = List.copyOf(early);
                 early.clear();
@@ -655,7 +656,7 @@
      * What is acknowledged has been synced by each member that has caught up; this one lacks some of it, so its folder is
      * not the one that it had. It neither asks, grants nor votes until a later view, in which it is repaired.
      */
-    private void fenceForgetful(final Msg.LeaseGrant m) {
+    private void fenceForgetful(final Message.LeaseGrant m) {
         log(Event.LOG_OUTDATED, "the log ends at " + last + ", but " + m.committed() + " was acknowledged with it");
         forgetful = true;
         level = false;
@@ -668,8 +669,8 @@
         if (now - soughtAt >= RESEND) {
             soughtAt = now;
             view.voters()
-                    .forEach(v ->
-                            send(v.address(), new Msg.LeaseRequest(view.number() - 1, now, setup.me(), false, false)));
+                    .forEach(v -> send(
+                            v.address(), new Message.LeaseRequest(view.number() - 1, now, setup.me(), false, false)));
         }
     }
 
@@ -679,14 +680,14 @@
                 (int) granted.values().stream().filter(at -> now - at < span).count());
     }
 
-    private void prepare(final Msg.Prepare m, final String home) {
+    private void prepare(final Message.Prepare m, final String home) {
         if (m.number() <= view.number()) {
-            send(home, new Msg.ViewDecided(view));
+            send(home, new Message.ViewDecided(view));
         } else if (m.number() == view.number() + 1 && view.votes(setup.me().id())) {
             if (m.ballot() > promised) {
                 hush = home.equals(setup.me().address()) ? hush : clock;
                 promised = m.ballot();
-                final Msg.Promise reply = new Msg.Promise(
+                final Message.Promise reply = new Message.Promise(
                         m.number(),
                         m.ballot(),
                         setup.me().id(),
@@ -694,25 +695,25 @@
                         nod.stream().toList());
                 keep(List.of(new LogRecord.Promised(m.number(), m.ballot())), t -> send(home, reply));
             } else if (m.ballot() < promised) {
-                send(home, new Msg.Preempted(m.number(), promised));
+                send(home, new Message.Preempted(m.number(), promised));
             }
         }
     }
 
-    private void accept(final Msg.Accept m, final String home) {
+    private void accept(final Message.Accept m, final String home) {
         if (m.number() != view.number() + 1 || !view.votes(setup.me().id())) {
             return;
         }
         if (m.ballot() < promised) {
-            send(home, new Msg.Preempted(m.number(), promised));
+            send(home, new Message.Preempted(m.number(), promised));
             return;
         }
         promised = m.ballot();
         nodded = m.ballot();
         nod = Optional.of(m.view());
         shut = true;
-        final Msg.Accepted reply =
-                new Msg.Accepted(m.number(), m.ballot(), setup.me().id());
+        final Message.Accepted reply =
+                new Message.Accepted(m.number(), m.ballot(), setup.me().id());
         keep(List.of(new LogRecord.Accepted(m.number(), m.ballot(), m.view())), t -> {
             final long due = due(m.view());
             if (t >= due) {
@@ -740,12 +741,13 @@
      * Takes a promise. The proposer's own must be among the majority: it is synced, so a ballot is not used again for
      * another view after a restart.
      */
-    private void promise(final Msg.Promise m, final long now) {
+    private void promise(final Message.Promise m, final long now) {
         bid.filter(b -> b.number() == m.number() && b.ballot() == m.ballot() && !b.asking())
                 .ifPresent(b -> {
                     b.yes().add(m.voter());
-                    final Bid best = m.nodded() > b.best() && !m.nod().isEmpty()
-                            ? b.better(m.nodded(), m.nod().get(0))
+                    final Bid best = m.acceptedBallot() > b.best()
+                                    && !m.acceptedView().isEmpty()
+                            ? b.better(m.acceptedBallot(), m.acceptedView().get(0))
                             : b;
                     bid = Optional.of(best);
                     if (view.majority(best.yes().size())
@@ -754,7 +756,8 @@
                         bid = Optional.of(chosen.ask());
                         view.voters()
                                 .forEach(v -> send(
-                                        v.address(), new Msg.Accept(chosen.number(), chosen.ballot(), chosen.view())));
+                                        v.address(),
+                                        new Message.Accept(chosen.number(), chosen.ballot(), chosen.view())));
                     }
                 });
     }
@@ -768,7 +771,7 @@
         return new ViewPlanner(setup, view, id -> silent(id, clock), levels).withPromised(bid.view(), bid.yes());
     }
 
-    private void accepted(final Msg.Accepted m, final long now) {
+    private void accepted(final Message.Accepted m, final long now) {
         bid.filter(b -> b.number() == m.number() && b.ballot() == m.ballot() && b.asking())
                 .ifPresent(b -> {
                     b.yes().add(m.voter());
@@ -779,13 +782,13 @@
                         all.stream()
                                 .filter(t -> !t.equals(setup.me()))
                                 .sorted(java.util.Comparator.comparing(Replica::id))
-                                .forEach(t -> send(t.address(), new Msg.ViewDecided(b.view())));
+                                .forEach(t -> send(t.address(), new Message.ViewDecided(b.view())));
                         adopt(b.view(), now);
                     }
                 });
     }
 
-    private void outbid(final Msg.Preempted m) {
+    private void outbid(final Message.Preempted m) {
         round = Math.max(round, m.ballot() >> BALLOT_SEAT_BITS);
         hush = clock;
         bid = bid.filter(b -> b.number() != m.number());
@@ -836,7 +839,7 @@
                 Event.PROPOSED,
                 "view " + mine.number() + " chain "
                         + mine.view().chain().stream().map(Replica::address).toList());
-        view.voters().forEach(b -> send(b.address(), new Msg.Prepare(mine.number(), mine.ballot())));
+        view.voters().forEach(b -> send(b.address(), new Message.Prepare(mine.number(), mine.ballot())));
     }
 
     /** This machine's place among the members that are heard: those with a higher one let the others propose first. */
@@ -855,7 +858,7 @@
             view.head()
                     .ifPresent(h -> send(
                             h.address(),
-                            new Msg.WriteRequest(
+                            new Message.WriteRequest(
                                     0,
                                     setup.me().address(),
                                     new Command.AdvanceEpoch("sweep-" + turn, turn, view.number()))));
@@ -883,7 +886,7 @@
         sentAt = now;
         view.after(setup.me().id()).ifPresent(b -> {
             if (level) {
-                send(b.address(), new Msg.CatchUpTarget(view.number(), last));
+                send(b.address(), new Message.CatchUpTarget(view.number(), last));
             }
             if (!pend.isEmpty() && pend.peek().sequence() <= kept && window.due(now)) {
                 window.restart(books.sequence(), now);
@@ -897,7 +900,7 @@
                 } else {
                     send(
                             b.address(),
-                            new Msg.FetchEntries(view.number(), setup.me().id(), last));
+                            new Message.FetchEntries(view.number(), setup.me().id(), last));
                 }
             });
         }
@@ -914,7 +917,7 @@
     private void tell() {
         view.chain().stream()
                 .filter(b -> !b.id().equals(setup.me().id()))
-                .forEach(b -> send(b.address(), new Msg.CommitNotice(view.number(), books.sequence())));
+                .forEach(b -> send(b.address(), new Message.CommitNotice(view.number(), books.sequence())));
     }
 
     private void settle(final long now) {
@@ -927,7 +930,7 @@
         }
     }
 
-    private void write(final Msg.WriteRequest m) {
+    private void write(final Message.WriteRequest m) {
         if (!chained() || !level || view.place(setup.me().id()) != 0) {
             return;
         }
@@ -941,12 +944,12 @@
         if (!enough() || pend.size() >= PENDING || stamp.bits() <= roof) {
             return;
         }
-        if (m.wish() instanceof Command.AdvanceEpoch s && s.fence() != view.number()
-                || m.wish() instanceof Command.Scheduled t && t.fence() != view.number()) {
+        if (m.command() instanceof Command.AdvanceEpoch s && s.fence() != view.number()
+                || m.command() instanceof Command.Scheduled t && t.fence() != view.number()) {
             reject(m, 409, "the duty has another holder");
             return;
         }
-        switch (books.judge(m.wish(), overlay, last + 1, stamp)) {
+        switch (books.judge(m.command(), overlay, last + 1, stamp)) {
             case StateMachine.Judged.Over over -> decide(m, over.verdict(), stamp);
             case StateMachine.Judged.Let let -> {
                 final LogEntry c = new LogEntry(last + 1, view.number(), stamp, let.puts());
@@ -957,9 +960,9 @@
     }
 
     /** Answers a write that needs no change of its own, once all that the answer rests on is committed. */
-    private void decide(final Msg.WriteRequest m, final CommandResult result, final Stamp stamp) {
+    private void decide(final Message.WriteRequest m, final CommandResult result, final Stamp stamp) {
         final Optional<Entry> pending =
-                Optional.ofNullable(overlay.get("o/" + m.wish().id()));
+                Optional.ofNullable(overlay.get("o/" + m.command().id()));
         if (pending.isPresent()) {
             await(pending.get().sequence(), new Waiting(m, Optional.empty()));
             return;
@@ -982,12 +985,12 @@
      * Refuses a write at once where the committed state alone refuses it. Else the refusal rests on changes that a new
      * view may drop, and is held until the newest of them is committed.
      */
-    private void refuse(final Msg.WriteRequest m, final CommandResult refusal, final Stamp stamp) {
+    private void refuse(final Message.WriteRequest m, final CommandResult refusal, final Stamp stamp) {
         if (pend.isEmpty() || !setup.guards().stands(Safeguard.SETTLED)) {
             reply(m, refusal);
             return;
         }
-        final StateMachine.Judged committed = books.judge(m.wish(), Map.of(), last + 1, stamp);
+        final StateMachine.Judged committed = books.judge(m.command(), Map.of(), last + 1, stamp);
         if (committed instanceof StateMachine.Judged.Over over && refuses(over.verdict())) {
             reply(m, over.verdict());
         } else {
@@ -1007,21 +1010,24 @@
     private void abandonWaiting() {
         waits.values()
                 .forEach(l -> l.forEach(w -> {
-                    final Msg.WriteRequest m = w.request();
-                    reply(m, new CommandResult.Unknown(m.wish().id()));
+                    final Message.WriteRequest m = w.request();
+                    reply(m, new CommandResult.Unknown(m.command().id()));
                 }));
         waits.clear();
     }
 
-    private void reply(final Msg.WriteRequest m, final CommandResult result) {
+    private void reply(final Message.WriteRequest m, final CommandResult result) {
         if (result instanceof CommandResult.Rejected r) {
-            log(Event.CHANGE_REJECTED, m.wish().id() + " " + r.code());
+            log(Event.CHANGE_REJECTED, m.command().id() + " " + r.code());
         }
-        send(m.home(), new Msg.WriteReply(m.ask(), result));
+        send(m.replyTo(), new Message.WriteReply(m.requestId(), result));
     }
 
-    private void reject(final Msg.WriteRequest m, final int code, final String why) {
-        send(m.home(), new Msg.WriteReply(m.ask(), new CommandResult.Rejected(code, List.of(why), books.sequence())));
+    private void reject(final Message.WriteRequest m, final int code, final String why) {
+        send(
+                m.replyTo(),
+                new Message.WriteReply(
+                        m.requestId(), new CommandResult.Rejected(code, List.of(why), books.sequence())));
     }
 
     private void enter(final LogEntry c) {
@@ -1065,11 +1071,11 @@
             entries.add(entry);
         }
         if (!entries.isEmpty()) {
-            send(successor.get().address(), new Msg.Replicate(view.number(), entries));
+            send(successor.get().address(), new Message.Replicate(view.number(), entries));
         }
     }
 
-    private void received(final Msg.ReplicateAck m) {
+    private void received(final Message.ReplicateAck m) {
         final boolean successor =
                 view.after(setup.me().id()).map(b -> b.id().equals(m.id())).orElse(false);
         if (m.view() == view.number() && chained() && successor) {
@@ -1078,13 +1084,13 @@
         }
     }
 
-    private void pass(final Msg.Replicate m, final long now) {
+    private void pass(final Message.Replicate m, final long now) {
         if (fenced(m.view()) || !chained() || view.place(setup.me().id()) == 0) {
             return;
         }
         final List<LogEntry> fresh = new ArrayList<>();
         long at = last;
-        for (final LogEntry c : m.changes()) {
+        for (final LogEntry c : m.entries()) {
             if (c.sequence() == at + 1) {
                 fresh.add(c);
                 at++;
@@ -1092,14 +1098,15 @@
                 view.before(setup.me().id())
                         .ifPresent(b -> send(
                                 b.address(),
-                                new Msg.FetchEntries(view.number(), setup.me().id(), last)));
+                                new Message.FetchEntries(
+                                        view.number(), setup.me().id(), last)));
                 break;
             }
         }
         view.before(setup.me().id())
                 .ifPresent(b -> send(
                         b.address(),
-                        new Msg.ReplicateAck(view.number(), setup.me().id(), last + fresh.size())));
+                        new Message.ReplicateAck(view.number(), setup.me().id(), last + fresh.size())));
         if (!fresh.isEmpty()) {
             append(fresh);
         } else if (tail() && level) {
@@ -1107,13 +1114,13 @@
         }
     }
 
-    private void acked(final Msg.CommitNotice m) {
+    private void acked(final Message.CommitNotice m) {
         if (!fenced(m.view()) && chained()) {
             commit(Math.min(m.sequence(), kept));
         }
     }
 
-    private void level(final Msg.CatchUpTarget m) {
+    private void level(final Message.CatchUpTarget m) {
         if (m.view() == view.number() && chained() && !level) {
             want = Optional.of(m.sequence());
             rise(clock);
@@ -1128,11 +1135,11 @@
         }
     }
 
-    private void reach(final Msg.FetchEntries m, final String home) {
+    private void reach(final Message.FetchEntries m, final String home) {
         if (m.view() != view.number() || !chained() || !level) {
             return;
         }
-        send(home, new Msg.CatchUpTarget(view.number(), last));
+        send(home, new Message.CatchUpTarget(view.number(), last));
         if (m.sequence() < window.received() || m.sequence() > window.sent()) {
             window.restart(m.sequence(), clock);
         } else {
@@ -1172,8 +1179,8 @@
     }
 
     private void decided(final Waiting waiting, final long sequence) {
-        final Msg.WriteRequest m = waiting.request();
-        reply(m, waiting.refusal().orElseGet(() -> outcome(m.wish().id(), sequence)));
+        final Message.WriteRequest m = waiting.request();
+        reply(m, waiting.refusal().orElseGet(() -> outcome(m.command().id(), sequence)));
     }
 
     private CommandResult outcome(final String id, final long sequence) {
@@ -1198,11 +1205,11 @@
         });
     }
 
-    private Msg.CompareDigests compareOf() {
-        return new Msg.CompareDigests(view.number(), setup.me(), books.sequence(), books.digests(RANGES));
+    private Message.CompareDigests compareOf() {
+        return new Message.CompareDigests(view.number(), setup.me(), books.sequence(), books.digests(RANGES));
     }
 
-    private void compare(final Msg.CompareDigests m) {
+    private void compare(final Message.CompareDigests m) {
         if (m.view() != view.number() || !chained() || !level || m.digests().length != RANGES) {
             return;
         }
@@ -1210,8 +1217,8 @@
             commit(Math.min(m.sequence(), kept));
         }
         final RepairSource source = RepairSource.of(books, m.digests(), syncedPending());
-        repairSources.put(m.me().id(), source);
-        sendPiece(new Msg.RepairNext(m.view(), m.me(), source.sequence(), 0));
+        repairSources.put(m.sender().id(), source);
+        sendPiece(new Message.RepairNext(m.view(), m.sender(), source.sequence(), 0));
     }
 
     /**
@@ -1224,8 +1231,9 @@
                 : List.of();
     }
 
-    private void sendPiece(final Msg.RepairNext m) {
-        final Optional<RepairSource> source = Optional.ofNullable(repairSources.get(m.me().id()))
+    private void sendPiece(final Message.RepairNext m) {
+        final Optional<RepairSource> source = Optional.ofNullable(
+                        repairSources.get(m.sender().id()))
                 .filter(s -> s.sequence() == m.sequence() && m.piece() >= 0)
                 .filter(s -> m.piece() < s.pieces().size());
         if (m.view() != view.number() || source.isEmpty()) {
@@ -1233,8 +1241,8 @@
         }
         final int pieces = source.get().pieces().size();
         send(
-                m.me().address(),
-                new Msg.RepairRanges(
+                m.sender().address(),
+                new Message.RepairRanges(
                         view.number(),
                         m.sequence(),
                         m.piece(),
@@ -1243,7 +1251,7 @@
                         m.piece() == pieces - 1 ? source.get().pending() : List.of(),
                         m.piece() == pieces - 1 ? source.get().digests() : new long[0]));
         if (m.piece() == pieces - 1 && pieces == 1) {
-            repairSources.remove(m.me().id());
+            repairSources.remove(m.sender().id());
         }
     }
 
@@ -1262,14 +1270,14 @@
         }
     }
 
-    private void mend(final Msg.RepairRanges m, final String home) {
+    private void mend(final Message.RepairRanges m, final String home) {
         if (m.view() != view.number() || chained() && level || m.sequence() < books.sequence()) {
             return;
         }
         if (joining
                 && held.isEmpty()
                 && m.pieces() == 1
-                && m.spans().isEmpty()
+                && m.ranges().isEmpty()
                 && m.sequence() == books.sequence()
                 && m.pending().equals(List.copyOf(pend))
                 && sameDigests(m)
@@ -1329,7 +1337,7 @@
      * Whether the state here is that of the source. It is not when a late repair answers a question that this machine
      * asked before it restarted, with other entries: then it asks again.
      */
-    private boolean sameDigests(final Msg.RepairRanges m) {
+    private boolean sameDigests(final Message.RepairRanges m) {
         return Arrays.equals(m.digests(), books.digests(RANGES))
                 || !setup.guards().stands(Safeguard.DIGEST);
     }
@@ -1338,20 +1346,21 @@
         if (quit) {
             return;
         }
-        view.voters().forEach(b -> send(b.address(), new Msg.JoinRequest(view.number(), setup.me(), books.sequence())));
+        view.voters()
+                .forEach(b -> send(b.address(), new Message.JoinRequest(view.number(), setup.me(), books.sequence())));
     }
 
-    private void read(final Msg.ReadRequest m, final long now) {
+    private void read(final Message.ReadRequest m, final long now) {
         final boolean held = !enough() && pend.stream().anyMatch(c -> c.sequence() <= kept);
         final boolean ok =
                 tail() && level && !held && (leased(now) || !setup.guards().stands(Safeguard.LEASE));
         send(
-                m.home(),
-                new Msg.ReadReply(
-                        m.ask(),
+                m.replyTo(),
+                new Message.ReadReply(
+                        m.requestId(),
                         ok,
                         books.sequence(),
-                        ok ? List.copyOf(books.part(m.start()).values()) : List.of()));
+                        ok ? List.copyOf(books.part(m.keyPrefix()).values()) : List.of()));
     }
 
     private boolean chained() {
@@ -1373,7 +1382,7 @@
         out.add(new Effect.Keep(token, notes));
     }
 
-    private void send(final String to, final Msg body) {
+    private void send(final String to, final Message body) {
         out.add(new Effect.Send(to, body));
     }
 
@@ -1384,13 +1393,13 @@
     private record Held(long at, LongConsumer then) {}
 
     /** A write whose answer waits for a change to be committed; the refusal is there where that will be the answer. */
-    private record Waiting(Msg.WriteRequest request, Optional<CommandResult> refusal) {}
+    private record Waiting(Message.WriteRequest request, Optional<CommandResult> refusal) {}
 
-    private record Early(long at, Msg.WriteRequest msg) {}
+    private record Early(long at, Message.WriteRequest msg) {}
 
-    private record Late(long due, long number, String to, Msg msg) {}
+    private record Late(long due, long number, String to, Message msg) {}
 
-    private record Sought(Msg.Discover seek, long at) {}
+    private record Sought(Message.Discover seek, long at) {}
 
     private record Bid(long number, long ballot, View view, long best, boolean asking, Set<String> yes, long at) {
         Bid better(final long more, final View other) {
--- a/core/src/main/java/silverlatch/replication/RepairProgress.java
+++ b/core/src/main/java/silverlatch/replication/RepairProgress.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import silverlatch.state.Entry;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** The pieces of a repair that have come in. The state stays as it is until the last is there. */
 final class RepairProgress {
@@ -16,18 +16,18 @@
     private int next;
     private long at;
 
-    RepairProgress(final Msg.RepairRanges first, final String source) {
+    RepairProgress(final Message.RepairRanges first, final String source) {
         this.sequence = first.sequence();
         this.pieces = first.pieces();
         this.source = source;
     }
 
     /** Takes a piece, if it is the one that comes next. */
-    boolean take(final Msg.RepairRanges piece, final String from, final long now) {
+    boolean take(final Message.RepairRanges piece, final String from, final long now) {
         if (piece.sequence() != sequence || piece.piece() != next || !from.equals(source)) {
             return false;
         }
-        piece.spans()
+        piece.ranges()
                 .forEach(s -> ranges.computeIfAbsent(s.range(), r -> new ArrayList<>())
                         .addAll(s.entries()));
         next++;
@@ -46,8 +46,8 @@
     }
 
     /** The question for the next piece. */
-    Msg.RepairNext question(final long view, final Replica me) {
-        return new Msg.RepairNext(view, me, sequence, next);
+    Message.RepairNext question(final long view, final Replica me) {
+        return new Message.RepairNext(view, me, sequence, next);
     }
 
     /** Whom to ask. */
--- a/core/src/main/java/silverlatch/replication/RepairSource.java
+++ b/core/src/main/java/silverlatch/replication/RepairSource.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import silverlatch.state.Entry;
 import silverlatch.state.StateMachine;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /**
  * What one member is repaired with: the ranges in which its digests differ, as they are at one sequence, cut into
@@ -16,7 +16,7 @@
  * @param pending  the changes after that sequence which are synced at the source, in order; sent with the last piece
  * @param digests  the digests of all ranges at that sequence
  */
-record RepairSource(long sequence, List<List<Msg.RangeEntries>> pieces, List<LogEntry> pending, long[] digests) {
+record RepairSource(long sequence, List<List<Message.RangeEntries>> pieces, List<LogEntry> pending, long[] digests) {
     /** How many bytes a piece has; one entry may be larger. */
     static final long PIECE_BYTES = 64L << 10;
 
@@ -30,8 +30,8 @@
     static RepairSource of(final StateMachine state, final long[] digests, final List<LogEntry> pending) {
         final int ranges = digests.length;
         final long[] mine = state.digests(ranges);
-        final List<List<Msg.RangeEntries>> pieces = new ArrayList<>();
-        List<Msg.RangeEntries> piece = new ArrayList<>();
+        final List<List<Message.RangeEntries>> pieces = new ArrayList<>();
+        List<Message.RangeEntries> piece = new ArrayList<>();
         long bytes = 0;
         for (int range = 0; range < ranges; range++) {
             if (mine[range] == digests[range]) {
@@ -40,7 +40,7 @@
             List<Entry> part = new ArrayList<>();
             for (final Entry entry : state.range(range, ranges)) {
                 if (bytes > 0 && bytes + entry.weight() > PIECE_BYTES) {
-                    piece.add(new Msg.RangeEntries(range, part));
+                    piece.add(new Message.RangeEntries(range, part));
                     pieces.add(piece);
                     piece = new ArrayList<>();
                     part = new ArrayList<>();
@@ -49,7 +49,7 @@
                 part.add(entry);
                 bytes += entry.weight();
             }
-            piece.add(new Msg.RangeEntries(range, part));
+            piece.add(new Message.RangeEntries(range, part));
         }
         pieces.add(piece);
         return new RepairSource(state.sequence(), pieces, pending, mine);
--- a/core/src/main/java/silverlatch/replication/ViewPlanner.java
+++ b/core/src/main/java/silverlatch/replication/ViewPlanner.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import silverlatch.safeguard.Safeguard;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** Which view should come after the one that stands, as one machine sees it. */
 final class ViewPlanner {
@@ -45,7 +45,7 @@
      * The next view, if there should be one: without the lost, else with a newcomer, else without dead votes. A repaired
      * newcomer goes first where the chain without the lost would be shorter than the copies.
      */
-    Optional<View> next(final boolean leaving, final Collection<Msg.JoinRequest> joins) {
+    Optional<View> next(final boolean leaving, final Collection<Message.JoinRequest> joins) {
         final Optional<View> shortened = without(leaving);
         final Optional<View> joined = withNewcomer(joins);
         if (shortened.map(v -> v.chain().size() < setup.copies()).orElse(false) && joined.isPresent()) {
@@ -54,12 +54,12 @@
         return shortened.or(() -> joined).or(this::withoutDeadVotes);
     }
 
-    private Optional<View> withNewcomer(final Collection<Msg.JoinRequest> joins) {
+    private Optional<View> withNewcomer(final Collection<Message.JoinRequest> joins) {
         return joins.stream()
-                .filter(j -> j.view() == view.number() && view.place(j.me().id()) < 0)
-                .filter(j -> !missed(j.me()))
-                .filter(j -> !addressInChain(j.me().address()))
-                .map(j -> with(j.me()))
+                .filter(j -> j.view() == view.number() && view.place(j.sender().id()) < 0)
+                .filter(j -> !missed(j.sender()))
+                .filter(j -> !addressInChain(j.sender().address()))
+                .map(j -> with(j.sender()))
                 .flatMap(Optional::stream)
                 .findFirst();
     }
--- a/core/src/main/java/silverlatch/wire/Codec.java
+++ b/core/src/main/java/silverlatch/wire/Codec.java
@@ -22,12 +22,12 @@
 /** Turns frames and notes into bytes and back: registered classes only, every size bounded by the bytes at hand. */
 public final class Codec {
     /** The largest frame or note. */
-    public static final int MOST = 16 << 20;
+    public static final int MAX_BYTES = 16 << 20;
 
-    private static final int DEPTH = 24;
-    private static final int LOG_PARTS = 50;
-    private static final int LOG_RECORDS = 100;
-    private static final int LOG_VALUES = 200;
+    private static final int MAX_DEPTH = 24;
+    private static final int FIRST_LOG_PART = 50;
+    private static final int FIRST_LOG_RECORD = 100;
+    private static final int FIRST_LOG_VALUE = 200;
 
     /** The records of a data folder in the order of their numbers; compilers differ in the order of permitted types. */
     private static final List<Class<?>> RECORD_TYPES = List.of(
@@ -84,7 +84,7 @@
     public static Map<Integer, List<Class<?>>> logTypes() {
         final Map<Integer, List<Class<?>>> types = new TreeMap<>();
         types.put(
-                LOG_PARTS,
+                FIRST_LOG_PART,
                 List.of(
                         Stamp.class,
                         Entry.class,
@@ -93,19 +93,19 @@
                         View.class,
                         Command.Cell.class,
                         Value.WeightedBackend.class));
-        types.put(LOG_RECORDS, RECORD_TYPES);
-        types.put(LOG_VALUES, VALUE_TYPES);
+        types.put(FIRST_LOG_RECORD, RECORD_TYPES);
+        types.put(FIRST_LOG_VALUE, VALUE_TYPES);
         return types;
     }
 
     private void registerBasics() {
         kryo.setRegistrationRequired(true);
         kryo.setReferences(false);
-        kryo.setMaxDepth(DEPTH);
-        final Texts texts = new Texts();
-        final Lists lists = new Lists();
+        kryo.setMaxDepth(MAX_DEPTH);
+        final StringSerializer texts = new StringSerializer();
+        final ListSerializer lists = new ListSerializer();
         kryo.register(String.class, texts);
-        kryo.register(long[].class, new Longs());
+        kryo.register(long[].class, new LongArraySerializer());
         kryo.register(List.of().getClass(), lists);
         kryo.register(List.of(1).getClass(), lists);
         kryo.register(ArrayList.class, lists);
@@ -118,29 +118,29 @@
     }
 
     /** The bytes of a frame or a note. */
-    public byte[] write(final Object thing) {
-        return write(thing, MOST);
+    public byte[] encode(final Object value) {
+        return encode(value, MAX_BYTES);
     }
 
     /** The bytes of a thing that may be larger than a frame. */
-    public byte[] write(final Object thing, final int most) {
-        final Output out = new Output(512, most);
-        kryo.writeClassAndObject(out, thing);
-        return out.toBytes();
+    public byte[] encode(final Object value, final int maxBytes) {
+        final Output output = new Output(512, maxBytes);
+        kryo.writeClassAndObject(output, value);
+        return output.toBytes();
     }
 
     /** What the bytes say, or why they can't be read. */
-    public <T> Read<T> read(final byte[] bytes, final Class<T> type) {
+    public <T> DecodeResult<T> decode(final byte[] bytes, final Class<T> type) {
         try {
-            final Input in = new Input(bytes);
-            final Object thing = kryo.readClassAndObject(in);
-            if (!type.isInstance(thing)) {
-                return new Read.Bad<>("not a " + type.getSimpleName());
+            final Input input = new Input(bytes);
+            final Object value = kryo.readClassAndObject(input);
+            if (!type.isInstance(value)) {
+                return new DecodeResult.Malformed<>("not a " + type.getSimpleName());
             }
-            if (in.position() != bytes.length) {
-                return new Read.Bad<>("bytes left over");
+            if (input.position() != bytes.length) {
+                return new DecodeResult.Malformed<>("bytes left over");
             }
-            return new Read.Good<>(type.cast(thing));
+            return new DecodeResult.Decoded<>(type.cast(value));
         } catch (final KryoException
                 | IllegalArgumentException
                 | NullPointerException
@@ -148,77 +148,77 @@
                 | NegativeArraySizeException
                 | ClassCastException
                 | IllegalStateException e) {
-            return new Read.Bad<>(e.getClass().getSimpleName());
+            return new DecodeResult.Malformed<>(e.getClass().getSimpleName());
         } finally {
             kryo.reset();
         }
     }
 
     /** What reading gave. */
-    public sealed interface Read<T> {
+    public sealed interface DecodeResult<T> {
         /** It was read. */
-        record Good<T>(T thing) implements Read<T> {}
+        record Decoded<T>(T value) implements DecodeResult<T> {}
 
         /** It is not one of ours. */
-        record Bad<T>(String why) implements Read<T> {}
+        record Malformed<T>(String reason) implements DecodeResult<T> {}
     }
 
-    private static int size(final Input in, final int each) {
-        final int count = in.readInt();
-        if (count < 0 || (long) count * each > in.limit() - in.position()) {
+    private static int size(final Input input, final int minBytesEach) {
+        final int count = input.readInt();
+        if (count < 0 || (long) count * minBytesEach > input.limit() - input.position()) {
             throw new KryoException("size beyond the bytes at hand");
         }
         return count;
     }
 
-    private static final class Texts extends Serializer<String> {
-        Texts() {
+    private static final class StringSerializer extends Serializer<String> {
+        StringSerializer() {
             super(false, true);
         }
 
         @Override
-        public void write(final Kryo kryo, final Output out, final String text) {
+        public void write(final Kryo kryo, final Output output, final String text) {
             final byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-            out.writeInt(bytes.length);
-            out.writeBytes(bytes);
+            output.writeInt(bytes.length);
+            output.writeBytes(bytes);
         }
 
         @Override
-        public String read(final Kryo kryo, final Input in, final Class<? extends String> type) {
-            return new String(in.readBytes(size(in, 1)), StandardCharsets.UTF_8);
+        public String read(final Kryo kryo, final Input input, final Class<? extends String> type) {
+            return new String(input.readBytes(size(input, 1)), StandardCharsets.UTF_8);
         }
     }
 
-    private static final class Longs extends Serializer<long[]> {
+    private static final class LongArraySerializer extends Serializer<long[]> {
         @Override
-        public void write(final Kryo kryo, final Output out, final long[] list) {
-            out.writeInt(list.length);
-            out.writeLongs(list, 0, list.length);
+        public void write(final Kryo kryo, final Output output, final long[] list) {
+            output.writeInt(list.length);
+            output.writeLongs(list, 0, list.length);
         }
 
         @Override
-        public long[] read(final Kryo kryo, final Input in, final Class<? extends long[]> type) {
-            return in.readLongs(size(in, Long.BYTES));
+        public long[] read(final Kryo kryo, final Input input, final Class<? extends long[]> type) {
+            return input.readLongs(size(input, Long.BYTES));
         }
     }
 
-    private static final class Lists extends Serializer<List<?>> {
-        Lists() {
+    private static final class ListSerializer extends Serializer<List<?>> {
+        ListSerializer() {
             super(false, true);
         }
 
         @Override
-        public void write(final Kryo kryo, final Output out, final List<?> list) {
-            out.writeInt(list.size());
-            list.forEach(e -> kryo.writeClassAndObject(out, e));
+        public void write(final Kryo kryo, final Output output, final List<?> list) {
+            output.writeInt(list.size());
+            list.forEach(e -> kryo.writeClassAndObject(output, e));
         }
 
         @Override
-        public List<?> read(final Kryo kryo, final Input in, final Class<? extends List<?>> type) {
-            final int count = size(in, 1);
+        public List<?> read(final Kryo kryo, final Input input, final Class<? extends List<?>> type) {
+            final int count = size(input, 1);
             final List<Object> list = new ArrayList<>();
             for (int i = 0; i < count; i++) {
-                list.add(kryo.readClassAndObject(in));
+                list.add(kryo.readClassAndObject(input));
             }
             return List.copyOf(list);
         }
--- a/core/src/main/java/silverlatch/wire/CodecPool.java
+++ b/core/src/main/java/silverlatch/wire/CodecPool.java
@@ -17,21 +17,21 @@
     private final AtomicInteger idleCount = new AtomicInteger();
     private final AtomicInteger made = new AtomicInteger();
 
-    /** The bytes of a frame or a record; see {@link Codec#write(Object)}. */
-    public byte[] write(final Object thing) {
+    /** The bytes of a frame or a record; see {@link Codec#encode(Object)}. */
+    public byte[] encode(final Object value) {
         final Codec codec = borrow();
         try {
-            return codec.write(thing);
+            return codec.encode(value);
         } finally {
             giveBack(codec);
         }
     }
 
-    /** What the bytes say, or why they can't be read; see {@link Codec#read(byte[], Class)}. */
-    public <T> Codec.Read<T> read(final byte[] bytes, final Class<T> type) {
+    /** What the bytes say, or why they can't be read; see {@link Codec#decode(byte[], Class)}. */
+    public <T> Codec.DecodeResult<T> decode(final byte[] bytes, final Class<T> type) {
         final Codec codec = borrow();
         try {
-            return codec.read(bytes, type);
+            return codec.decode(bytes, type);
         } finally {
             giveBack(codec);
         }
--- a/core/src/main/java/silverlatch/wire/Frame.java
+++ b/core/src/main/java/silverlatch/wire/Frame.java
@@ -9,16 +9,16 @@
  * @param stamp the send event's stamp
  * @param fleet the fleet's number, 0 before it is known
  * @param from  the sender's name
- * @param home  where the sender takes frames
- * @param life  the sender's incarnation
+ * @param replyTo  where the sender takes frames
+ * @param incarnation  the sender's incarnation
  * @param body  what it says
  */
-public record Frame(Stamp stamp, long fleet, String from, String home, long life, Msg body) {
+public record Frame(Stamp stamp, long fleet, String from, String replyTo, long incarnation, Message body) {
     /** Rejects a frame without its stamp. */
     public Frame {
         Objects.requireNonNull(stamp);
         Objects.requireNonNull(from);
-        Objects.requireNonNull(home);
+        Objects.requireNonNull(replyTo);
         Objects.requireNonNull(body);
         if (stamp.bits() <= 0) {
             throw new IllegalArgumentException("a frame needs a stamp");
--- a/core/src/main/java/silverlatch/wire/Msg.java
+++ b/core/src/main/java/silverlatch/wire/Message.java
@@ -13,66 +13,81 @@
 import silverlatch.state.Entry;
 
 /** What daemons say to each other. */
-public sealed interface Msg {
+public sealed interface Message {
     /** A daemon makes itself known, and asks who else is there; it echoes its own monotonic time. */
-    record Hail(Member me, long mono) implements Msg {}
+    record JoinGreeting(Member sender, long sentAt) implements Message {}
 
     /** Who is there, the hailer's echo, the physical time here in fixed point, and the newest stamp as a floor. */
-    record Muster(List<Member> members, long mono, long phys, Stamp floor) implements Msg {
+    record MemberList(List<Member> members, long echoedAt, long physicalTime, Stamp stampFloor) implements Message {
         /** Copies the list. */
-        public Muster {
+        public MemberList {
             members = List.copyOf(members);
         }
     }
 
     /** A heartbeat to a watcher. */
-    record Beat(Member me) implements Msg {}
+    record Heartbeat(Member sender) implements Message {}
 
     /** A heartbeat that tells no more than that a life goes on. */
-    record Pulse(String id, long life) implements Msg {}
+    record LivenessHeartbeat(String id, long incarnation) implements Message {}
 
     /** News passed on at once: it can restrict, but renews nothing. */
-    record Push(List<Member> members, List<Worker> workers, List<WorkerReport> words, long page) implements Msg {
+    record GossipPush(List<Member> members, List<Worker> workers, List<WorkerReport> reports, long revision)
+            implements Message {
         /** Copies the lists. */
-        public Push {
+        public GossipPush {
             members = List.copyOf(members);
             workers = List.copyOf(workers);
-            words = List.copyOf(words);
+            reports = List.copyOf(reports);
         }
 
         /** News without words from controllers. */
-        public Push(final List<Member> members, final List<Worker> workers, final long page) {
+        public GossipPush(final List<Member> members, final List<Worker> workers, final long page) {
             this(members, workers, List.of(), page);
         }
     }
 
     /** A pull: what the asker holds in short, and when by its own monotonic clock it asked. */
-    record Ask(long at, long page, long view, List<Mark> marks, long crew, long words) implements Msg {
+    record GossipPull(
+            long askedAt,
+            long revision,
+            long view,
+            List<ReportVersion> versions,
+            long membershipDigest,
+            long reportsDigest)
+            implements Message {
         /** Copies the list. */
-        public Ask {
-            marks = List.copyOf(marks);
+        public GossipPull {
+            versions = List.copyOf(versions);
         }
     }
 
     /** The word on a worker that the asker holds. */
-    record Mark(String id, long life, long sequence) {}
+    record ReportVersion(String id, long incarnation, long sequence) {}
 
     /** The reply to a pull: the page, what the asker lacks of it, the view if the asker's is older, and the news. */
-    record Tell(long at, long page, long age, long fleet, List<Entry> entries, List<View> view, News news)
-            implements Msg {
+    record GossipPullReply(
+            long askedAt,
+            long revision,
+            long age,
+            long fleet,
+            List<Entry> entries,
+            List<View> view,
+            PullContent content)
+            implements Message {
         /** Copies the lists. */
-        public Tell {
+        public GossipPullReply {
             entries = List.copyOf(entries);
             view = List.copyOf(view);
         }
     }
 
     /** What a reply to a pull says of workers and members. */
-    sealed interface News {
+    sealed interface PullContent {
         /** Ages of what both hold, bodies of what the asker lacks. */
-        record Whole(List<Aged> ages, List<Worker> workers, List<Member> members) implements News {
+        record FullContent(List<ReportAge> ages, List<Worker> workers, List<Member> members) implements PullContent {
             /** Copies the lists. */
-            public Whole {
+            public FullContent {
                 ages = List.copyOf(ages);
                 workers = List.copyOf(workers);
                 members = List.copyOf(members);
@@ -80,47 +95,59 @@
         }
 
         /** How long ago the words were surely the newest or -1, digests if they differ, and beats between controllers. */
-        record Brief(long age, List<Ranges> ranges, List<Beats> beats) implements News {
+        record DigestContent(long age, List<RangeDigests> ranges, List<HeartbeatAges> heartbeats)
+                implements PullContent {
             /** Copies the lists. */
-            public Brief {
+            public DigestContent {
                 ranges = List.copyOf(ranges);
-                beats = List.copyOf(beats);
+                heartbeats = List.copyOf(heartbeats);
             }
         }
     }
 
     /** Digests by range of names; empty where all are equal. */
-    record Ranges(long[] words, long[] crew) {}
+    record RangeDigests(long[] reports, long[] members) {}
 
     /** How long ago each worker of a roster was heard: four bits each, in the order of names. */
-    record Beats(long roster, long[] ages) {}
+    record HeartbeatAges(long roster, long[] ages) {}
 
     /** All that the asker holds in the ranges that differ; the time is that of its pull. */
-    record Marks(long at, long words, long crew, List<Mark> workers, List<Mark> members) implements Msg {
+    record ReportVersions(
+            long askedAt,
+            long reportRanges,
+            long memberRanges,
+            List<ReportVersion> workers,
+            List<ReportVersion> members)
+            implements Message {
         /** Copies the lists. */
-        public Marks {
+        public ReportVersions {
             workers = List.copyOf(workers);
             members = List.copyOf(members);
         }
     }
 
     /** What the other lacks, and the names of what it has newer; the time is that of the pull it ends, or 0. */
-    record Bodies(long at, List<WorkerReport> words, List<Member> members, List<String> workers, List<String> daemons)
-            implements Msg {
+    record MissingReports(
+            long askedAt,
+            List<WorkerReport> reports,
+            List<Member> members,
+            List<String> newerWorkers,
+            List<String> newerDaemons)
+            implements Message {
         /** Copies the lists. */
-        public Bodies {
-            words = List.copyOf(words);
+        public MissingReports {
+            reports = List.copyOf(reports);
             members = List.copyOf(members);
-            workers = List.copyOf(workers);
-            daemons = List.copyOf(daemons);
+            newerWorkers = List.copyOf(newerWorkers);
+            newerDaemons = List.copyOf(newerDaemons);
         }
     }
 
     /** How old the word on a worker is, in microseconds; negative when it was never renewed here. */
-    record Aged(String id, long life, long sequence, long age) {}
+    record ReportAge(String id, long incarnation, long sequence, long age) {}
 
     /** A controller with a data folder looks for the others. */
-    record Discover(Replica me, boolean empty, List<Replica> heard) implements Msg {
+    record Discover(Replica sender, boolean empty, List<Replica> heard) implements Message {
         /** Copies the list. */
         public Discover {
             heard = List.copyOf(heard);
@@ -128,67 +155,69 @@
     }
 
     /** A founding proposed to all seeds. */
-    record Bootstrap(View view) implements Msg {}
+    record Bootstrap(View view) implements Message {}
 
     /** A founding agreed to and synced. */
-    record BootstrapAgreed(long fleet, Replica me) implements Msg {}
+    record BootstrapAgreed(long fleet, Replica sender) implements Message {}
 
     /**
      * A member asks a voter that its view still holds.
      *
      * @param view    the number of the member's view
-     * @param at      when it asks, by its own monotonic clock; the lease is dated from here
-     * @param me      the member
-     * @param level   whether it has all that its chain has
-     * @param contact whether it hears a majority of the voters; one that doesn't is as good as silent
+     * @param askedAt      when it asks, by its own monotonic clock; the lease is dated from here
+     * @param sender      the member
+     * @param caughtUp   whether it has all that its chain has
+     * @param hearsMajority whether it hears a majority of the voters; one that doesn't is as good as silent
      */
-    record LeaseRequest(long view, long at, Replica me, boolean level, boolean contact) implements Msg {}
+    record LeaseRequest(long view, long askedAt, Replica sender, boolean caughtUp, boolean hearsMajority)
+            implements Message {}
 
     /** A voter says that the view holds, and up to where it knows changes to be acknowledged. */
-    record LeaseGrant(long view, long at, String voter, long committed) implements Msg {}
+    record LeaseGrant(long view, long askedAt, String voter, long committed) implements Message {}
 
     /** A decided view. */
-    record ViewDecided(View view) implements Msg {}
+    record ViewDecided(View view) implements Message {}
 
     /** The view register: ask for a promise. */
-    record Prepare(long number, long ballot) implements Msg {}
+    record Prepare(long number, long ballot) implements Message {}
 
     /** The view register: a promise, with what was accepted before. */
-    record Promise(long number, long ballot, String voter, long nodded, List<View> nod) implements Msg {
+    record Promise(long number, long ballot, String voter, long acceptedBallot, List<View> acceptedView)
+            implements Message {
         /** Copies the list. */
         public Promise {
-            nod = List.copyOf(nod);
+            acceptedView = List.copyOf(acceptedView);
         }
     }
 
     /** The view register: accept this. */
-    record Accept(long number, long ballot, View view) implements Msg {}
+    record Accept(long number, long ballot, View view) implements Message {}
 
     /** The view register: accepted. */
-    record Accepted(long number, long ballot, String voter) implements Msg {}
+    record Accepted(long number, long ballot, String voter) implements Message {}
 
     /** The view register: a higher ballot was promised. */
-    record Preempted(long number, long ballot) implements Msg {}
+    record Preempted(long number, long ballot) implements Message {}
 
     /** Changes go down the chain. */
-    record Replicate(long view, List<LogEntry> changes) implements Msg {
+    record Replicate(long view, List<LogEntry> entries) implements Message {
         /** Copies the list. */
         public Replicate {
-            changes = List.copyOf(changes);
+            entries = List.copyOf(entries);
         }
     }
 
     /** Acks come up the chain. */
-    record CommitNotice(long view, long sequence) implements Msg {}
+    record CommitNotice(long view, long sequence) implements Message {}
 
     /** A predecessor says how far its own log goes as this view begins. */
-    record CatchUpTarget(long view, long sequence) implements Msg {}
+    record CatchUpTarget(long view, long sequence) implements Message {}
 
     /** A follower says how far it has come. */
-    record FetchEntries(long view, String id, long sequence) implements Msg {}
+    record FetchEntries(long view, String id, long sequence) implements Message {}
 
     /** A member to be mended sends its digests. */
-    record CompareDigests(long view, Replica me, long sequence, long[] digests) implements Msg {}
+    record CompareDigests(long view, Replica sender, long sequence, long[] digests) implements Message {}
 
     /**
      * One piece of the ranges that differ, at the sequence that all pieces stand for; pieces count from 0. The last one
@@ -200,13 +229,13 @@
             long sequence,
             int piece,
             int pieces,
-            List<RangeEntries> spans,
+            List<RangeEntries> ranges,
             List<LogEntry> pending,
             long[] digests)
-            implements Msg {
+            implements Message {
         /** Copies the lists. */
         public RepairRanges {
-            spans = List.copyOf(spans);
+            ranges = List.copyOf(ranges);
             pending = List.copyOf(pending);
         }
     }
@@ -220,19 +249,19 @@
     }
 
     /** A mended member asks to be put at the end of the chain. */
-    record JoinRequest(long view, Replica me, long sequence) implements Msg {}
+    record JoinRequest(long view, Replica sender, long sequence) implements Message {}
 
     /** A wish is sent to the head. */
-    record WriteRequest(long ask, String home, Command wish) implements Msg {}
+    record WriteRequest(long requestId, String replyTo, Command command) implements Message {}
 
     /** What came of the wish. */
-    record WriteReply(long ask, CommandResult verdict) implements Msg {}
+    record WriteReply(long requestId, CommandResult result) implements Message {}
 
     /** A question for the tail: the entries whose keys start so. */
-    record ReadRequest(long ask, String home, String start) implements Msg {}
+    record ReadRequest(long requestId, String replyTo, String keyPrefix) implements Message {}
 
     /** The tail's reply, at a sequence; ok is false where the asked one can't answer. */
-    record ReadReply(long ask, boolean ok, long sequence, List<Entry> entries) implements Msg {
+    record ReadReply(long requestId, boolean answered, long sequence, List<Entry> entries) implements Message {
         /** Copies the list. */
         public ReadReply {
             entries = List.copyOf(entries);
@@ -240,28 +269,28 @@
     }
 
     /** The sender is told that its stamp was rejected as too far ahead, and the physical time here. */
-    record Astray(long units, long phys) implements Msg {}
+    record StampRejected(long excess, long physicalTime) implements Message {}
 
     /** A member under repair has the pieces before this one. */
-    record RepairNext(long view, Replica me, long sequence, int piece) implements Msg {}
+    record RepairNext(long view, Replica sender, long sequence, int piece) implements Message {}
 
     /** A successor has all entries up to a sequence in memory; it says nothing of its disk. */
-    record ReplicateAck(long view, String id, long sequence) implements Msg {}
+    record ReplicateAck(long view, String id, long sequence) implements Message {}
 
     /** Whether a message is short and others wait for it by a lease or a vote, so that it goes before large ones. */
-    static boolean urgent(final Msg msg) {
-        return msg instanceof LeaseRequest
-                || msg instanceof LeaseGrant
-                || msg instanceof ViewDecided
-                || msg instanceof Prepare
-                || msg instanceof Promise
-                || msg instanceof Accept
-                || msg instanceof Accepted
-                || msg instanceof Preempted
-                || msg instanceof JoinRequest
-                || msg instanceof CommitNotice
-                || msg instanceof ReplicateAck
-                || msg instanceof Beat
-                || msg instanceof Pulse;
+    static boolean urgent(final Message message) {
+        return message instanceof LeaseRequest
+                || message instanceof LeaseGrant
+                || message instanceof ViewDecided
+                || message instanceof Prepare
+                || message instanceof Promise
+                || message instanceof Accept
+                || message instanceof Accepted
+                || message instanceof Preempted
+                || message instanceof JoinRequest
+                || message instanceof CommitNotice
+                || message instanceof ReplicateAck
+                || message instanceof Heartbeat
+                || message instanceof LivenessHeartbeat;
     }
 }
--- a/core/src/test/java/silverlatch/gossip/ControllerReportsTest.java
+++ b/core/src/test/java/silverlatch/gossip/ControllerReportsTest.java
@@ -24,7 +24,7 @@
 import silverlatch.state.Entry;
 import silverlatch.state.StateMachine;
 import silverlatch.state.TableRules;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** Rumors on a fake clock whose workers announce to controllers h0, h1, h2, each in a zone and region of its own. */
 final class ControllerReportsTest {
@@ -34,12 +34,12 @@
     private final Set<String> dead = new HashSet<>();
     private final PriorityQueue<Letter> letters = new PriorityQueue<>(
             (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.turn(), b.turn()));
-    private final List<Msg> sent = new ArrayList<>();
+    private final List<Message> sent = new ArrayList<>();
     private final SplittableRandom luck = new SplittableRandom(5);
     private long now = 100 * SECOND;
     private long turn;
 
-    private record Letter(long at, long turn, String from, String to, Msg body) {}
+    private record Letter(long at, long turn, String from, String to, Message body) {}
 
     private void fleet(final int size) {
         final List<Member> all = new ArrayList<>();
@@ -119,7 +119,9 @@
 
     private long bodies() {
         return sent.stream()
-                .filter(m -> m instanceof Msg.Push || m instanceof Msg.Marks || m instanceof Msg.Bodies)
+                .filter(m -> m instanceof Message.GossipPush
+                        || m instanceof Message.ReportVersions
+                        || m instanceof Message.MissingReports)
                 .count();
     }
 
@@ -132,7 +134,7 @@
         beat("h0", 2, 20);
         assertThat(
                 sent.stream()
-                        .filter(m -> !(m instanceof Msg.Ask || m instanceof Msg.Tell))
+                        .filter(m -> !(m instanceof Message.GossipPull || m instanceof Message.GossipPullReply))
                         .toList(),
                 empty());
         assertThat(at("h0").orElseThrow().age(now), lessThanOrEqualTo(1_300_000L));
@@ -233,7 +235,7 @@
         beat("h0", 1, 3);
         final WorkerReport lie =
                 new WorkerReport(WorkerReport.of(worker(1, 1, false, 0)).worker(), true, false, 5 * SECOND);
-        rumors.get("p4").on(new Msg.Push(List.of(), List.of(), List.of(lie), 0), "h1", now);
+        rumors.get("p4").on(new Message.GossipPush(List.of(), List.of(), List.of(lie), 0), "h1", now);
         pass(SECOND);
         rumors.keySet().forEach(id -> assertThat(id, at(id).orElseThrow().silent(), is(false)));
     }
@@ -285,8 +287,8 @@
         assertThat(bodies(), is(0L));
         assertThat(
                 sent.stream()
-                        .filter(m -> m instanceof Msg.Tell t
-                                && t.news() instanceof Msg.News.Brief b
+                        .filter(m -> m instanceof Message.GossipPullReply t
+                                && t.content() instanceof Message.PullContent.DigestContent b
                                 && !b.ranges().isEmpty())
                         .toList(),
                 empty());
@@ -294,8 +296,8 @@
         rumors.get("h0").drain();
         pass(2 * SECOND);
         sent.forEach(m -> {
-            if (m instanceof Msg.Bodies b) {
-                assertThat(b.words().size(), lessThanOrEqualTo(1));
+            if (m instanceof Message.MissingReports b) {
+                assertThat(b.reports().size(), lessThanOrEqualTo(1));
             }
         });
         rumors.keySet()
--- a/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
+++ b/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
@@ -24,7 +24,7 @@
 import silverlatch.state.StateMachine;
 import silverlatch.state.Value;
 import silverlatch.wire.Codec;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /**
  * Data folders of two machines, written by the sources of commit 988a8ee in log format 2, are read with the whole state,
@@ -222,16 +222,16 @@
         assertThat(replica.state(0).level(), is(true));
         assertThat(
                 "a lower ballot",
-                sent(replica, new Msg.Prepare(4, PROMISED_BALLOT - 1)),
-                is(List.of(new Msg.Preempted(4, PROMISED_BALLOT))));
+                sent(replica, new Message.Prepare(4, PROMISED_BALLOT - 1)),
+                is(List.of(new Message.Preempted(4, PROMISED_BALLOT))));
         assertThat(
                 "no lease is granted under the old view",
-                sent(replica, new Msg.LeaseRequest(3, 0, DataFolderGenerator.replica("b"), true, true)),
+                sent(replica, new Message.LeaseRequest(3, 0, DataFolderGenerator.replica("b"), true, true)),
                 is(List.of()));
         assertThat(
                 "a higher ballot",
-                sent(replica, new Msg.Prepare(4, PROMISED_BALLOT + 1)),
-                is(List.of(new Msg.Promise(
+                sent(replica, new Message.Prepare(4, PROMISED_BALLOT + 1)),
+                is(List.of(new Message.Promise(
                         4,
                         PROMISED_BALLOT + 1,
                         DataFolderGenerator.replica(name).id(),
@@ -240,7 +240,7 @@
     }
 
     /** What a replica answers to a message of machine "b", once its writes are synced. */
-    private static List<Msg> sent(final ChainReplica replica, final Msg message) {
+    private static List<Message> sent(final ChainReplica replica, final Message message) {
         replica.drain();
         replica.on(message, "b:1", 0);
         final List<Effect> effects = new ArrayList<>(replica.drain());
@@ -292,8 +292,8 @@
             final byte[] body = new byte[bytes.getInt(bytes.position() + Long.BYTES)];
             bytes.position(bytes.position() + HEADER_BYTES);
             bytes.get(body);
-            final Codec.Read<LogRecord.Batch> read = Codec.forLog().read(body, LogRecord.Batch.class);
-            batches.add(((Codec.Read.Good<LogRecord.Batch>) read).thing());
+            final Codec.DecodeResult<LogRecord.Batch> read = Codec.forLog().decode(body, LogRecord.Batch.class);
+            batches.add(((Codec.DecodeResult.Decoded<LogRecord.Batch>) read).value());
         }
         return batches;
     }
--- a/core/src/test/java/silverlatch/log/DataFolderGenerator.java
+++ b/core/src/test/java/silverlatch/log/DataFolderGenerator.java
@@ -18,7 +18,7 @@
 import silverlatch.replication.Replica;
 import silverlatch.state.Command;
 import silverlatch.state.Value;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /**
  * Writes the data folders of {@link DataFolderCompatibilityTest}: three replicas on a simulated clock, each with a real
@@ -34,14 +34,14 @@
     private final Path parent;
     private final Map<String, Machine> running = new LinkedHashMap<>();
     private final Deque<Delivery> network = new ArrayDeque<>();
-    private final List<Msg.WriteReply> replies = new ArrayList<>();
+    private final List<Message.WriteReply> replies = new ArrayList<>();
     private final Map<String, Long> acceptedViews = new HashMap<>();
     private long nowMicros = 1_000_000;
     private long stamp = 1_000;
     private long requests;
 
     /** A message on its way. */
-    private record Delivery(String from, String to, Msg message) {}
+    private record Delivery(String from, String to, Message message) {}
 
     /** A replica and the log it writes. */
     private record Machine(String address, WriteAheadLog log, ChainReplica replica) {}
@@ -201,13 +201,13 @@
 
     private void write(final Command command) throws IOException {
         final long request = send(command);
-        await(() -> replies.stream().anyMatch(reply -> reply.ask() == request));
+        await(() -> replies.stream().anyMatch(reply -> reply.requestId() == request));
         final long end = nowMicros + SETTLE_MICROS;
         await(() -> nowMicros >= end);
     }
 
     private long send(final Command command) {
-        network.add(new Delivery(CLIENT, ADDRESSES.get(0), new Msg.WriteRequest(++requests, CLIENT, command)));
+        network.add(new Delivery(CLIENT, ADDRESSES.get(0), new Message.WriteRequest(++requests, CLIENT, command)));
         return requests;
     }
 
@@ -236,7 +236,7 @@
 
     private void deliver(final Delivery delivery) throws IOException {
         if (delivery.to().equals(CLIENT)) {
-            replies.add((Msg.WriteReply) delivery.message());
+            replies.add((Message.WriteReply) delivery.message());
         } else if (running.containsKey(delivery.to())) {
             final Machine machine = running.get(delivery.to());
             machine.replica().on(delivery.message(), delivery.from(), nowMicros);
--- a/core/src/test/java/silverlatch/membership/MembershipTest.java
+++ b/core/src/test/java/silverlatch/membership/MembershipTest.java
@@ -14,7 +14,7 @@
 import silverlatch.clock.Stamp;
 import silverlatch.node.Effect;
 import silverlatch.node.Event;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** A crew on a fake clock; frames arrive at once unless the script holds them back, news is passed to all. */
 final class MembershipTest {
@@ -53,7 +53,7 @@
 
     private void effect(final String id, final Effect e) {
         if (e instanceof Effect.Send s && crews.containsKey(s.to()) && !mute.contains(id) && !mute.contains(s.to())) {
-            final Msg back = s.body();
+            final Message back = s.body();
             crews.get(s.to()).on(back, now, 0, Stamp.NONE);
             crews.get(s.to()).drain().forEach(x -> effect(s.to(), x));
         } else if (e instanceof Effect.Log l) {
--- a/core/src/test/java/silverlatch/membership/PulseTest.java
+++ b/core/src/test/java/silverlatch/membership/PulseTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.clock.Stamp;
 import silverlatch.node.Effect;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** A crew at quiet rates, where three heartbeats in four tell only that a life goes on. */
 final class PulseTest {
     private static final long SECOND = 1_000_000;
     private final Map<String, Membership> crews = new LinkedHashMap<>();
     private final Set<String> mute = new HashSet<>();
-    private final List<Msg> sent = new ArrayList<>();
+    private final List<Message> sent = new ArrayList<>();
     private long now = SECOND;
 
     private void start(final String id, final long life) {
@@ -74,7 +74,7 @@
         sent.clear();
         pass(20 * SECOND);
         crews.keySet().forEach(id -> assertThat(id, up(id), is(8L)));
-        assertThat(4 * sent.stream().filter(m -> m instanceof Msg.Beat).count(), lessThan(2L * sent.size()));
+        assertThat(4 * sent.stream().filter(m -> m instanceof Message.Heartbeat).count(), lessThan(2L * sent.size()));
         mute.add("n5");
         pass(6 * SECOND);
         assertThat(crews.get("n0").get("n5").orElseThrow().state(), is("dead"));
@@ -91,7 +91,7 @@
         pass(SECOND);
         crews.remove("n1");
         for (int i = 0; i < 8; i++) {
-            crews.get("n0").on(new Msg.Pulse("n1", 2), now, 0, Stamp.NONE);
+            crews.get("n0").on(new Message.LivenessHeartbeat("n1", 2), now, 0, Stamp.NONE);
             now += 400_000;
             crews.get("n0").tick(now);
         }
--- a/core/src/test/java/silverlatch/replication/ChainClientTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainClientTest.java
@@ -8,7 +8,7 @@
 import silverlatch.node.Effect;
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 final class ChainClientTest {
     private View view = new View(1, 1, List.of(), List.of(new Replica("a", "a"), new Replica("b", "b")), "a");
@@ -28,7 +28,7 @@
         view = new View(2, 1, List.of(), List.of(new Replica("b", "b")), "b");
         clerk.tick(300_000);
         assertThat(sent(), is(List.of("b")));
-        clerk.on(new Msg.WriteReply(11, new CommandResult.Unknown("order-1")), 1_000);
+        clerk.on(new Message.WriteReply(11, new CommandResult.Unknown("order-1")), 1_000);
         assertThat(clerk.drain(), is(List.of()));
         clerk.tick(1_000_000);
         assertThat(clerk.drain(), is(List.of((Effect) new Effect.Answer(5, new CommandResult.Unknown("order-1")))));
@@ -38,11 +38,11 @@
     void anOrderOnTopOfTheNewestChangeLearnsItDuringTheCallAndIsNeverRefusedForARace() {
         clerk.wish(new Command.SetEvacuation("order-1", "z", true, Command.SetEvacuation.LATEST), 5, 0, 1_000_000);
         assertThat(matches(), is(List.of(0L)));
-        clerk.on(new Msg.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)), 1_000);
+        clerk.on(new Message.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)), 1_000);
         assertThat(matches(), is(List.of(7L)));
-        clerk.on(new Msg.WriteReply(11, new CommandResult.Rejected(409, List.of("a late reply"), 6)), 1_000);
+        clerk.on(new Message.WriteReply(11, new CommandResult.Rejected(409, List.of("a late reply"), 6)), 1_000);
         assertThat(clerk.drain(), is(List.of()));
-        clerk.on(new Msg.WriteReply(12, new CommandResult.Applied(9)), 1_000);
+        clerk.on(new Message.WriteReply(12, new CommandResult.Applied(9)), 1_000);
         assertThat(clerk.drain(), is(List.of((Effect) new Effect.Answer(5, new CommandResult.Applied(9)))));
     }
 
@@ -50,7 +50,7 @@
     void nothingIsSentForACallWhoseTimeIsUp() {
         clerk.wish(new Command.SetEvacuation("order-1", "z", true, Command.SetEvacuation.LATEST), 5, 0, 1_000_000);
         clerk.drain();
-        clerk.on(new Msg.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)), 20_000_000);
+        clerk.on(new Message.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)), 20_000_000);
         final Effect unknown = new Effect.Answer(5, new CommandResult.Unknown("order-1"));
         assertThat("a reply after the process was frozen", clerk.drain(), is(List.of(unknown)));
         clerk.wish(new Command.SetEvacuation("order-2", "z", true, -1), 6, 30_000_000, 25_000_000);
@@ -60,7 +60,7 @@
 
     private List<Long> matches() {
         return clerk.drain().stream()
-                .map(e -> ((Command.SetEvacuation) ((Msg.WriteRequest) ((Effect.Send) e).body()).wish()).match())
+                .map(e -> ((Command.SetEvacuation) ((Message.WriteRequest) ((Effect.Send) e).body()).command()).match())
                 .toList();
     }
 
@@ -68,9 +68,9 @@
     void aQuestionGoesToTheTailAndAReplyThatIsNotSureIsNoReply() {
         clerk.read("r/", 6, 0, 1_000_000);
         assertThat(sent(), is(List.of("b")));
-        clerk.on(new Msg.ReadReply(11, false, 0, List.of()), 1_000);
+        clerk.on(new Message.ReadReply(11, false, 0, List.of()), 1_000);
         assertThat(clerk.drain(), is(List.of()));
-        clerk.on(new Msg.ReadReply(11, true, 9, List.of()), 1_000);
+        clerk.on(new Message.ReadReply(11, true, 9, List.of()), 1_000);
         assertThat(clerk.drain(), is(List.of((Effect) new Effect.Answer(6, new ChainClient.Page(true, 9, List.of())))));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
@@ -20,7 +20,7 @@
 import silverlatch.state.CommandResult;
 import silverlatch.state.Value;
 import silverlatch.util.Lists;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** Three machines, a scripted operator, and a fake clock; messages go only where the script lets them. */
 final class ChainReplicaTest {
@@ -30,7 +30,7 @@
     private final Map<String, List<Effect.Keep>> unsynced = new LinkedHashMap<>();
     private final Set<String> down = new TreeSet<>();
     private final Set<String> stuck = new TreeSet<>();
-    private final List<Msg> told = new ArrayList<>();
+    private final List<Message> told = new ArrayList<>();
     private final Deque<Runnable> mail = new ArrayDeque<>();
     private long now = 1_000_000;
     private long stamp = 1_000;
@@ -121,7 +121,7 @@
     private void put(final String at, final String id, final long match) {
         quays.get(at)
                 .on(
-                        new Msg.WriteRequest(
+                        new Message.WriteRequest(
                                 1,
                                 "operator",
                                 new Command.PutTable(id, List.of(silverlatch.state.TableRules.plain("*", id)), match)),
@@ -130,7 +130,7 @@
         pump();
     }
 
-    private Msg last() {
+    private Message last() {
         return Lists.last(told);
     }
 
@@ -147,7 +147,7 @@
         found();
         assertThat(quays.get("a").view().chain().stream().map(Replica::address).toList(), is(SEATS));
         put("a", "one", -1);
-        assertThat(((Msg.WriteReply) last()).verdict(), instanceOf(CommandResult.Applied.class));
+        assertThat(((Message.WriteReply) last()).result(), instanceOf(CommandResult.Applied.class));
         SEATS.forEach(s -> assertThat(disks.get(s).stream().anyMatch(n -> n instanceof LogRecord.Appended), is(true)));
     }
 
@@ -171,7 +171,7 @@
         pass(4_000_000);
         stuck.clear();
         put("b", "next", -1);
-        assertThat(((Msg.WriteReply) last()).verdict(), instanceOf(CommandResult.Applied.class));
+        assertThat(((Message.WriteReply) last()).result(), instanceOf(CommandResult.Applied.class));
         start("a", "id-a2");
         pass(12_000_000);
         assertThat(quays.get("a").view().chain().size(), is(3));
@@ -185,7 +185,7 @@
         put("a", "one", -1);
         quays.get("a")
                 .on(
-                        new Msg.WriteRequest(
+                        new Message.WriteRequest(
                                 2,
                                 "operator",
                                 new Command.PutTable(
@@ -208,11 +208,11 @@
     void ofTwoRacingChangesTheLoserIsToldTheWinnersSequence() {
         found();
         put("a", "base", -1);
-        final long match = ((CommandResult.Applied) ((Msg.WriteReply) last()).verdict()).sequence();
+        final long match = ((CommandResult.Applied) ((Message.WriteReply) last()).result()).sequence();
         put("a", "win", match);
-        final long won = ((CommandResult.Applied) ((Msg.WriteReply) last()).verdict()).sequence();
+        final long won = ((CommandResult.Applied) ((Message.WriteReply) last()).result()).sequence();
         put("a", "lose", match);
-        final CommandResult.Rejected lost = (CommandResult.Rejected) ((Msg.WriteReply) last()).verdict();
+        final CommandResult.Rejected lost = (CommandResult.Rejected) ((Message.WriteReply) last()).result();
         assertThat(lost.code(), is(409));
         assertThat(lost.sequence(), is(won));
         assertThat(kinds("c"), is(Set.of("win")));
@@ -246,14 +246,14 @@
         SEATS.forEach(s -> start(s, "id-" + s));
         pass(2_000_000);
         SEATS.forEach(s -> assertThat(s, kinds(s), is(Set.of("one"))));
-        quays.get("b").on(new Msg.Prepare(2, 9 << 8), "operator", now);
+        quays.get("b").on(new Message.Prepare(2, 9 << 8), "operator", now);
         pump();
-        assertThat(last(), instanceOf(Msg.Promise.class));
+        assertThat(last(), instanceOf(Message.Promise.class));
         down.add("b");
         start("b", "id-b");
-        quays.get("b").on(new Msg.Prepare(2, 8 << 8), "operator", now);
+        quays.get("b").on(new Message.Prepare(2, 8 << 8), "operator", now);
         pump();
-        assertThat(last(), is(new Msg.Preempted(2, 9 << 8)));
+        assertThat(last(), is(new Message.Preempted(2, 9 << 8)));
     }
 
     @Test
@@ -270,16 +270,16 @@
     @Test
     void aRejectedChangeStaysRejectedWhenACopyOfItComesLate() {
         found();
-        final Msg.WriteRequest copy = new Msg.WriteRequest(
+        final Message.WriteRequest copy = new Message.WriteRequest(
                 7,
                 "operator",
                 new Command.PutTable("late", List.of(silverlatch.state.TableRules.plain("someone", "late")), -1));
         quays.get("a").on(copy, "operator", now);
         pump();
-        assertThat(((CommandResult.Rejected) ((Msg.WriteReply) last()).verdict()).code(), is(422));
+        assertThat(((CommandResult.Rejected) ((Message.WriteReply) last()).result()).code(), is(422));
         quays.get("a")
                 .on(
-                        new Msg.WriteRequest(
+                        new Message.WriteRequest(
                                 8,
                                 "operator",
                                 new Command.PutTenant(
@@ -287,10 +287,10 @@
                         "operator",
                         now);
         pump();
-        assertThat(((Msg.WriteReply) last()).verdict(), instanceOf(CommandResult.Applied.class));
+        assertThat(((Message.WriteReply) last()).result(), instanceOf(CommandResult.Applied.class));
         quays.get("a").on(copy, "operator", now);
         pump();
-        assertThat(((CommandResult.Rejected) ((Msg.WriteReply) last()).verdict()).code(), is(422));
+        assertThat(((CommandResult.Rejected) ((Message.WriteReply) last()).result()).code(), is(422));
         assertThat(kinds("c"), is(Set.of()));
     }
 
@@ -299,11 +299,11 @@
         found();
         quays.get("a")
                 .on(
-                        new Msg.WriteRequest(3, "operator", new Command.AdvanceEpoch("sweep-0", Long.MAX_VALUE, 0)),
+                        new Message.WriteRequest(3, "operator", new Command.AdvanceEpoch("sweep-0", Long.MAX_VALUE, 0)),
                         "operator",
                         now);
         pump();
-        assertThat(((CommandResult.Rejected) ((Msg.WriteReply) last()).verdict()).code(), is(409));
+        assertThat(((CommandResult.Rejected) ((Message.WriteReply) last()).result()).code(), is(409));
     }
 
     @Test
@@ -356,7 +356,7 @@
         found();
         mail.add(() -> quays.get("a")
                 .on(
-                        new Msg.WriteRequest(71, "operator", new Command.Claim("h", "key", "one", "p", 5)),
+                        new Message.WriteRequest(71, "operator", new Command.Claim("h", "key", "one", "p", 5)),
                         "operator",
                         now));
         pass(1_000_000);
@@ -366,7 +366,7 @@
         down.addAll(List.of("b", "c"));
         mail.add(() -> quays.get("a")
                 .on(
-                        new Msg.WriteRequest(72, "operator", new Command.SetEvacuation("z", "syros", true, -1)),
+                        new Message.WriteRequest(72, "operator", new Command.SetEvacuation("z", "syros", true, -1)),
                         "operator",
                         now));
         pass(500_000);
@@ -377,7 +377,7 @@
         assertThat(quays.get("c").books().get("z/syros").isPresent(), is(false));
         mail.add(() -> quays.get("a")
                 .on(
-                        new Msg.WriteRequest(73, "operator", new Command.SetEvacuation("y", "rhodes", true, -1)),
+                        new Message.WriteRequest(73, "operator", new Command.SetEvacuation("y", "rhodes", true, -1)),
                         "operator",
                         now));
         pass(1_000_000);
--- a/core/src/test/java/silverlatch/replication/LogEntryTest.java
+++ b/core/src/test/java/silverlatch/replication/LogEntryTest.java
@@ -14,7 +14,7 @@
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
 import silverlatch.wire.Codec;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 final class LogEntryTest {
     private static LogEntry change(final long sequence, final Value leaf) {
@@ -28,7 +28,7 @@
         final List<LogEntry> many = Collections.nCopies(9, heavy);
         final List<LogEntry> batch = LogEntry.batch(many.stream(), 512, 4L << 20);
         assertThat(batch.size(), is(1));
-        assertThat(new Codec().write(new Msg.Replicate(1, batch)).length, lessThan(Codec.MOST));
+        assertThat(new Codec().encode(new Message.Replicate(1, batch)).length, lessThan(Codec.MAX_BYTES));
         final LogEntry light = change(1, new Value.Epoch(1));
         assertThat(
                 LogEntry.batch(Collections.nCopies(900, light).stream(), 512, 4L << 20)
@@ -66,8 +66,8 @@
                 1,
                 List.of(new Value.ConfigurationDocument(1, "x".repeat(ConfigurationValidator.LONGEST)))));
         final LogEntry c = new LogEntry(1, 1, new Stamp(1), puts);
-        final int size = new Codec().write(new Msg.Replicate(1, List.of(c))).length;
-        assertThat(size, lessThan(Codec.MOST));
+        final int size = new Codec().encode(new Message.Replicate(1, List.of(c))).length;
+        assertThat(size, lessThan(Codec.MAX_BYTES));
         assertThat("a weight is not much below the size", c.weight() * 2, greaterThan((long) size));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ModelDisk.java
+++ b/core/src/test/java/silverlatch/replication/ModelDisk.java
@@ -36,7 +36,7 @@
         long snapshot = 0;
         long others = 0;
         for (final LogRecord record : records) {
-            final long bytes = HEAD_BYTES + codec.write(record, Integer.MAX_VALUE - 8).length;
+            final long bytes = HEAD_BYTES + codec.encode(record, Integer.MAX_VALUE - 8).length;
             if (record instanceof LogRecord.Snapshot) {
                 snapshot += bytes;
             } else {
--- a/core/src/test/java/silverlatch/replication/ReplicaCluster.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaCluster.java
@@ -20,7 +20,7 @@
 import silverlatch.state.ConfigurationValidator;
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** Machines with ledgers and clerks on a fake clock: frames take a time, syncs take a time, and a power cut loses what wasn't synced. */
 final class ReplicaCluster {
@@ -413,8 +413,8 @@
                 l -> l.send(
                         from,
                         send.to(),
-                        frames.write(send.body()).length,
-                        Msg.urgent(send.body()),
+                        frames.encode(send.body()).length,
+                        Message.urgent(send.body()),
                         now,
                         () -> whenThawed(send.to(), job)),
                 () -> at(now + hop + slowLinks.getOrDefault(Set.of(from, send.to()), 0L), send.to(), job));
@@ -453,10 +453,10 @@
         beat(seat, next);
     }
 
-    private void hand(final String seat, final ChainReplica q, final Msg msg, final String home) {
+    private void hand(final String seat, final ChainReplica q, final Message msg, final String home) {
         switch (msg) {
-            case Msg.WriteReply m -> clerks.get(seat).on(m, now);
-            case Msg.ReadReply m -> clerks.get(seat).on(m, now);
+            case Message.WriteReply m -> clerks.get(seat).on(m, now);
+            case Message.ReadReply m -> clerks.get(seat).on(m, now);
             default -> q.on(msg, home, now);
         }
     }
--- a/core/src/test/java/silverlatch/replication/ViewPlannerTest.java
+++ b/core/src/test/java/silverlatch/replication/ViewPlannerTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** Which view follows, for each number of voters and of dead ones. */
 final class ViewPlannerTest {
@@ -74,12 +74,12 @@
 
     @Test
     void aNewcomerReplacesADeadVoterAndIsAddedOnlyWhereAllAreHeardAndInTheChain() {
-        final Msg.JoinRequest join = new Msg.JoinRequest(5, new Replica("id-9", "address-9"), 1);
+        final Message.JoinRequest join = new Message.JoinRequest(5, new Replica("id-9", "address-9"), 1);
         final ToLongFunction<String> dead = id -> id.equals("id-2") ? DEAD : HEARD;
         final View replaced =
                 planner(view(3, 2), dead, 2).next(false, List.of(join)).orElseThrow();
-        assertThat(replaced.voters(), is(List.of(replica(0), replica(1), join.me())));
-        assertThat(replaced.chain(), is(List.of(replica(0), replica(1), join.me())));
+        assertThat(replaced.voters(), is(List.of(replica(0), replica(1), join.sender())));
+        assertThat(replaced.chain(), is(List.of(replica(0), replica(1), join.sender())));
         final View added =
                 planner(view(3, 3), id -> HEARD, 2).next(false, List.of(join)).orElseThrow();
         assertThat(added.voters().size(), is(4));
@@ -100,10 +100,10 @@
 
     @Test
     void aNewIdentityTakesItsOldVoteOnlyOnceTheOldOneIsOutOfTheChain() {
-        final Msg.JoinRequest join = new Msg.JoinRequest(5, new Replica("id-9", "address-2"), 1);
+        final Message.JoinRequest join = new Message.JoinRequest(5, new Replica("id-9", "address-2"), 1);
         assertThat(planner(view(3, 3), id -> HEARD, 2).next(false, List.of(join)), is(Optional.empty()));
         final View next =
                 planner(view(3, 2), id -> HEARD, 2).next(false, List.of(join)).orElseThrow();
-        assertThat(next.voters(), is(List.of(replica(0), replica(1), join.me())));
+        assertThat(next.voters(), is(List.of(replica(0), replica(1), join.sender())));
     }
 }
--- a/core/src/test/java/silverlatch/state/AcceptedConfigurationsTest.java
+++ b/core/src/test/java/silverlatch/state/AcceptedConfigurationsTest.java
@@ -139,7 +139,7 @@
             memory.addAll(AcceptedConfigurations.puts(order(number, number - 1), Map.of(), number - 1, number));
         }
         final int bytes = new Codec()
-                .write(new silverlatch.log.LogRecord.Batch(List.of(new silverlatch.log.LogRecord.Appended(
+                .encode(new silverlatch.log.LogRecord.Batch(List.of(new silverlatch.log.LogRecord.Appended(
                         new silverlatch.replication.LogEntry(1, 1, new Stamp(1), memory)))))
                 .length;
         System.out.println("memory of accepted configurations: " + bytes + " bytes");
--- a/core/src/test/java/silverlatch/wire/CodecCompatibilityTest.java
+++ b/core/src/test/java/silverlatch/wire/CodecCompatibilityTest.java
@@ -86,14 +86,14 @@
             Files.write(
                     Path.of(file),
                     records().stream()
-                            .map(r -> Base64.getEncoder().encodeToString(codec.write(r)))
+                            .map(r -> Base64.getEncoder().encodeToString(codec.encode(r)))
                             .toList());
         }
         try (var in = CodecCompatibilityTest.class.getResourceAsStream(FIXTURE)) {
             final List<LogRecord> read = new String(in.readAllBytes(), StandardCharsets.US_ASCII)
                     .lines()
-                    .map(line -> codec.read(Base64.getDecoder().decode(line), LogRecord.class))
-                    .map(r -> r instanceof Codec.Read.Good<LogRecord> good ? good.thing() : null)
+                    .map(line -> codec.decode(Base64.getDecoder().decode(line), LogRecord.class))
+                    .map(r -> r instanceof Codec.DecodeResult.Decoded<LogRecord> good ? good.value() : null)
                     .toList();
             assertThat(read, is(records()));
         }
--- a/core/src/test/java/silverlatch/wire/CodecPoolTest.java
+++ b/core/src/test/java/silverlatch/wire/CodecPoolTest.java
@@ -30,9 +30,9 @@
 
     @Test
     void damagedBytesLeaveTheCodecUsable() {
-        final byte[] bytes = pool.write(frame(1));
+        final byte[] bytes = pool.encode(frame(1));
         bytes[0] = 127;
-        assertThat(pool.read(bytes, Frame.class), instanceOf(Codec.Read.Bad.class));
+        assertThat(pool.decode(bytes, Frame.class), instanceOf(Codec.DecodeResult.Malformed.class));
         roundTrip(2);
         assertThat(pool.made(), is(1));
     }
@@ -62,13 +62,13 @@
 
     private void roundTrip(final int number) {
         final Frame sent = frame(number);
-        final Codec.Read<Frame> read = pool.read(pool.write(sent), Frame.class);
-        assertThat(read, is(new Codec.Read.Good<>(sent)));
+        final Codec.DecodeResult<Frame> read = pool.decode(pool.encode(sent), Frame.class);
+        assertThat(read, is(new Codec.DecodeResult.Decoded<>(sent)));
     }
 
     private static Frame frame(final int number) {
         final Replica sender = new Replica("id-" + number, "10.0.0.1:7300");
-        final Msg body = new Msg.LeaseRequest(number, number * 10L, sender, false, true);
+        final Message body = new Message.LeaseRequest(number, number * 10L, sender, false, true);
         return new Frame(new Stamp(number + 1L), number, sender.id(), sender.address(), 0, body);
     }
 }
--- a/core/src/test/java/silverlatch/wire/CodecTest.java
+++ b/core/src/test/java/silverlatch/wire/CodecTest.java
@@ -24,7 +24,7 @@
             "p",
             "127.0.0.1:1",
             3,
-            new Msg.Push(
+            new Message.GossipPush(
                     List.of(ME),
                     List.of(new Worker("w", "a", "z", "r", 1, 2, 3, 4, 5, List.of(6L, 7L, 8L), true, 9)),
                     10));
@@ -32,28 +32,31 @@
 
     @Test
     void aFrameSurvivesTheWire() {
-        assertThat(codec.read(codec.write(FRAME), Frame.class), is(new Codec.Read.Good<>(FRAME)));
+        assertThat(codec.decode(codec.encode(FRAME), Frame.class), is(new Codec.DecodeResult.Decoded<>(FRAME)));
     }
 
     @Test
     void aTypeThatWasAddedLaterSurvivesTheDisk() {
         final silverlatch.state.Value added = new silverlatch.state.Value.AcceptedConfiguration(7, 5, 6, "digest");
-        assertThat(codec.read(codec.write(added), silverlatch.state.Value.class), is(new Codec.Read.Good<>(added)));
+        assertThat(
+                codec.decode(codec.encode(added), silverlatch.state.Value.class),
+                is(new Codec.DecodeResult.Decoded<>(added)));
     }
 
     @Test
     void aFrameWithoutAStampCanNotBeMade() {
-        assertThrows(IllegalArgumentException.class, () -> new Frame(Stamp.NONE, 5, "p", "a", 3, new Msg.Beat(ME)));
+        assertThrows(
+                IllegalArgumentException.class, () -> new Frame(Stamp.NONE, 5, "p", "a", 3, new Message.Heartbeat(ME)));
     }
 
     @Test
     void aClassThatIsNotRegisteredCanNotBeWritten() {
-        assertThrows(IllegalArgumentException.class, () -> codec.write(new java.util.Date()));
+        assertThrows(IllegalArgumentException.class, () -> codec.encode(new java.util.Date()));
     }
 
     @Test
     void garbledBytesAreBadAndNeverMoreThanBad() {
-        final byte[] good = codec.write(FRAME);
+        final byte[] good = codec.encode(FRAME);
         final SplittableRandom luck = new SplittableRandom(11);
         int bad = 0;
         for (int i = 0; i < 20_000; i++) {
@@ -61,18 +64,18 @@
             for (int k = luck.nextInt(4); k >= 0 && hurt.length > 0; k--) {
                 hurt[luck.nextInt(hurt.length)] = (byte) luck.nextInt(256);
             }
-            bad += codec.read(hurt, Frame.class) instanceof Codec.Read.Bad ? 1 : 0;
+            bad += codec.decode(hurt, Frame.class) instanceof Codec.DecodeResult.Malformed ? 1 : 0;
         }
         assertThat(bad, greaterThan(5_000));
-        assertThat(codec.read(good, Frame.class), instanceOf(Codec.Read.Good.class));
+        assertThat(codec.decode(good, Frame.class), instanceOf(Codec.DecodeResult.Decoded.class));
     }
 
     @Test
     void aSizeBeyondTheBytesAtHandIsBad() {
         final Output out = new Output(64, 64);
-        final byte[] good = codec.write("text");
+        final byte[] good = codec.encode("text");
         out.writeBytes(good, 0, 1);
         out.writeInt(Integer.MAX_VALUE);
-        assertThat(codec.read(out.toBytes(), String.class), instanceOf(Codec.Read.Bad.class));
+        assertThat(codec.decode(out.toBytes(), String.class), instanceOf(Codec.DecodeResult.Malformed.class));
     }
 }
--- a/core/src/test/java/silverlatch/wire/FrameCompatibilityTest.java
+++ b/core/src/test/java/silverlatch/wire/FrameCompatibilityTest.java
@@ -35,8 +35,8 @@
     @Test
     void framesOfTheOlderVersionAreRead() throws IOException {
         final List<Frame> read = fixture().stream()
-                .map(line -> codec.read(Base64.getDecoder().decode(line), Frame.class))
-                .map(result -> result instanceof Codec.Read.Good<Frame> good ? good.thing() : null)
+                .map(line -> codec.decode(Base64.getDecoder().decode(line), Frame.class))
+                .map(result -> result instanceof Codec.DecodeResult.Decoded<Frame> good ? good.value() : null)
                 .toList();
         // Arrays in records compare by identity, so frames are compared by what they write.
         assertThat(
@@ -69,7 +69,7 @@
         final Set<Class<?>> sampled = FrameSamples.frames().stream()
                 .map(frame -> frame.body().getClass())
                 .collect(Collectors.toSet());
-        final Set<Class<?>> missing = new HashSet<>(records(Msg.class));
+        final Set<Class<?>> missing = new HashSet<>(records(Message.class));
         missing.removeAll(sampled);
         assertThat(missing, is(empty()));
     }
@@ -88,7 +88,7 @@
     }
 
     private String encoded(final Frame frame) {
-        return Base64.getEncoder().encodeToString(codec.write(frame));
+        return Base64.getEncoder().encodeToString(codec.encode(frame));
     }
 
     private static List<String> fixture() throws IOException {
--- a/core/src/test/java/silverlatch/wire/FrameSamples.java
+++ b/core/src/test/java/silverlatch/wire/FrameSamples.java
@@ -65,11 +65,11 @@
 
     /** Returns the frames, each with a message of another type or with another command, result or value in it. */
     static List<Frame> frames() {
-        final List<Msg> messages = new ArrayList<>();
+        final List<Message> messages = new ArrayList<>();
         messages.addAll(membershipAndGossip());
         messages.addAll(replication());
-        commands().forEach(command -> messages.add(new Msg.WriteRequest(51, "10.0.0.3:1", command)));
-        results().forEach(result -> messages.add(new Msg.WriteReply(52, result)));
+        commands().forEach(command -> messages.add(new Message.WriteRequest(51, "10.0.0.3:1", command)));
+        results().forEach(result -> messages.add(new Message.WriteReply(52, result)));
         final List<Frame> frames = new ArrayList<>();
         for (int i = 0; i < messages.size(); i++) {
             frames.add(new Frame(new Stamp(1_000 + i), 99, "daemon", "10.0.0.9:1", 53, messages.get(i)));
@@ -77,57 +77,63 @@
         return frames;
     }
 
-    private static List<Msg> membershipAndGossip() {
-        final Msg.Mark mark = new Msg.Mark("worker-1", 61, 62);
-        final Msg.News whole =
-                new Msg.News.Whole(List.of(new Msg.Aged("worker-1", 63, 64, 65)), List.of(WORKER), List.of(MEMBER));
-        final Msg.News brief = new Msg.News.Brief(
+    private static List<Message> membershipAndGossip() {
+        final Message.ReportVersion mark = new Message.ReportVersion("worker-1", 61, 62);
+        final Message.PullContent whole = new Message.PullContent.FullContent(
+                List.of(new Message.ReportAge("worker-1", 63, 64, 65)), List.of(WORKER), List.of(MEMBER));
+        final Message.PullContent brief = new Message.PullContent.DigestContent(
                 66,
-                List.of(new Msg.Ranges(new long[] {67, 68}, new long[] {69})),
-                List.of(new Msg.Beats(70, new long[] {71})));
+                List.of(new Message.RangeDigests(new long[] {67, 68}, new long[] {69})),
+                List.of(new Message.HeartbeatAges(70, new long[] {71})));
         return List.of(
-                new Msg.Hail(MEMBER, 72),
-                new Msg.Muster(List.of(MEMBER), 73, 74, new Stamp(75)),
-                new Msg.Beat(MEMBER),
-                new Msg.Pulse("gateway-1", 76),
-                new Msg.Push(List.of(MEMBER), List.of(WORKER), List.of(REPORT), 77),
-                new Msg.Ask(78, 79, 80, List.of(mark), 81, 82),
-                new Msg.Tell(83, 84, 85, 86, entries(), List.of(VIEW), whole),
-                new Msg.Tell(87, 88, 89, 90, List.of(), List.of(), brief),
-                new Msg.Marks(91, 92, 93, List.of(mark), List.of(new Msg.Mark("gateway-1", 94, 95))),
-                new Msg.Bodies(96, List.of(REPORT), List.of(MEMBER), List.of("worker-2"), List.of("gateway-2")),
-                new Msg.Astray(97, 98));
+                new Message.JoinGreeting(MEMBER, 72),
+                new Message.MemberList(List.of(MEMBER), 73, 74, new Stamp(75)),
+                new Message.Heartbeat(MEMBER),
+                new Message.LivenessHeartbeat("gateway-1", 76),
+                new Message.GossipPush(List.of(MEMBER), List.of(WORKER), List.of(REPORT), 77),
+                new Message.GossipPull(78, 79, 80, List.of(mark), 81, 82),
+                new Message.GossipPullReply(83, 84, 85, 86, entries(), List.of(VIEW), whole),
+                new Message.GossipPullReply(87, 88, 89, 90, List.of(), List.of(), brief),
+                new Message.ReportVersions(
+                        91, 92, 93, List.of(mark), List.of(new Message.ReportVersion("gateway-1", 94, 95))),
+                new Message.MissingReports(
+                        96, List.of(REPORT), List.of(MEMBER), List.of("worker-2"), List.of("gateway-2")),
+                new Message.StampRejected(97, 98));
     }
 
-    private static List<Msg> replication() {
+    private static List<Message> replication() {
         final LogEntry change = new LogEntry(101, 102, new Stamp(103), entries());
         return List.of(
-                new Msg.Discover(ONE, true, List.of(TWO)),
-                new Msg.Bootstrap(VIEW),
-                new Msg.BootstrapAgreed(104, ONE),
-                new Msg.LeaseRequest(105, 106, ONE, true, false),
-                new Msg.LeaseRequest(107, 108, ONE, false, true),
-                new Msg.LeaseGrant(109, 110, "id-a", 111),
-                new Msg.ViewDecided(VIEW),
-                new Msg.Prepare(112, 113),
-                new Msg.Promise(114, 115, "id-b", 116, List.of(VIEW)),
-                new Msg.Accept(117, 118, VIEW),
-                new Msg.Accepted(119, 120, "id-b"),
-                new Msg.Preempted(121, 122),
-                new Msg.Replicate(123, List.of(change)),
-                new Msg.ReplicateAck(124, "id-a", 125),
-                new Msg.CommitNotice(126, 127),
-                new Msg.CatchUpTarget(128, 129),
-                new Msg.FetchEntries(130, "id-b", 131),
-                new Msg.CompareDigests(132, ONE, 133, new long[] {134, 135}),
-                new Msg.RepairRanges(
-                        136, 137, 138, 139, List.of(new Msg.RangeEntries(140, entries())), List.of(change), new long[] {
-                            141
-                        }),
-                new Msg.RepairNext(142, TWO, 143, 144),
-                new Msg.JoinRequest(145, TWO, 146),
-                new Msg.ReadRequest(147, "10.0.0.3:1", "t/"),
-                new Msg.ReadReply(148, true, 149, entries()));
+                new Message.Discover(ONE, true, List.of(TWO)),
+                new Message.Bootstrap(VIEW),
+                new Message.BootstrapAgreed(104, ONE),
+                new Message.LeaseRequest(105, 106, ONE, true, false),
+                new Message.LeaseRequest(107, 108, ONE, false, true),
+                new Message.LeaseGrant(109, 110, "id-a", 111),
+                new Message.ViewDecided(VIEW),
+                new Message.Prepare(112, 113),
+                new Message.Promise(114, 115, "id-b", 116, List.of(VIEW)),
+                new Message.Accept(117, 118, VIEW),
+                new Message.Accepted(119, 120, "id-b"),
+                new Message.Preempted(121, 122),
+                new Message.Replicate(123, List.of(change)),
+                new Message.ReplicateAck(124, "id-a", 125),
+                new Message.CommitNotice(126, 127),
+                new Message.CatchUpTarget(128, 129),
+                new Message.FetchEntries(130, "id-b", 131),
+                new Message.CompareDigests(132, ONE, 133, new long[] {134, 135}),
+                new Message.RepairRanges(
+                        136,
+                        137,
+                        138,
+                        139,
+                        List.of(new Message.RangeEntries(140, entries())),
+                        List.of(change),
+                        new long[] {141}),
+                new Message.RepairNext(142, TWO, 143, 144),
+                new Message.JoinRequest(145, TWO, 146),
+                new Message.ReadRequest(147, "10.0.0.3:1", "t/"),
+                new Message.ReadReply(148, true, 149, entries()));
     }
 
     private static List<Command> commands() {
--- a/core/src/test/java/silverlatch/wire/SizesTest.java
+++ b/core/src/test/java/silverlatch/wire/SizesTest.java
@@ -17,46 +17,48 @@
             "gateway-117", "gateway", "attica-3", "attica", HOME, "10.131.112.113:8001", 1L << 50, 4, "up", true);
     private final Codec codec = new Codec();
 
-    private int size(final Msg body) {
-        return codec.write(new Frame(new Stamp(1L << 60), 1L << 60, "gateway-117", HOME, 1L << 50, body)).length;
+    private int size(final Message body) {
+        return codec.encode(new Frame(new Stamp(1L << 60), 1L << 60, "gateway-117", HOME, 1L << 50, body)).length;
     }
 
     @Test
     void aPullThatBringsNothingNewIsSmall() {
-        assertThat(size(new Msg.Ask(1L << 40, 2_300, 9, List.of(), 1L << 62, 1L << 61)), lessThan(150));
+        assertThat(size(new Message.GossipPull(1L << 40, 2_300, 9, List.of(), 1L << 62, 1L << 61)), lessThan(150));
         assertThat(
-                size(new Msg.Tell(
+                size(new Message.GossipPullReply(
                         1L << 40,
                         2_300,
                         400_000,
                         1L << 60,
                         List.of(),
                         List.of(),
-                        new Msg.News.Brief(300_000, List.of(), List.of()))),
+                        new Message.PullContent.DigestContent(300_000, List.of(), List.of()))),
                 lessThan(150));
     }
 
     @Test
     void betweenHarborsTheAgesOfAThousandWorkersFitIntoSevenHundredBytes() {
         assertThat(
-                size(new Msg.Tell(
+                size(new Message.GossipPullReply(
                         1L << 40,
                         2_300,
                         400_000,
                         1L << 60,
                         List.of(),
                         List.of(),
-                        new Msg.News.Brief(
-                                300_000, List.of(), List.of(new Msg.Beats(1L << 62, new long[1_100 / 16 + 1]))))),
+                        new Message.PullContent.DigestContent(
+                                300_000,
+                                List.of(),
+                                List.of(new Message.HeartbeatAges(1L << 62, new long[1_100 / 16 + 1]))))),
                 lessThan(720));
     }
 
     @Test
     void aBeatAndAWordAreSmall() {
-        assertThat(size(new Msg.Beat(ME)), lessThan(200));
-        assertThat(size(new Msg.Pulse(ME.id(), ME.life())), lessThan(100));
+        assertThat(size(new Message.Heartbeat(ME)), lessThan(200));
+        assertThat(size(new Message.LivenessHeartbeat(ME.id(), ME.life())), lessThan(100));
         assertThat(
-                size(new Msg.Push(
+                size(new Message.GossipPush(
                         List.of(),
                         List.of(),
                         List.of(WorkerReport.of(new Worker(
--- a/server/src/main/java/silverlatch/server/controller/WorkerRoster.java
+++ b/server/src/main/java/silverlatch/server/controller/WorkerRoster.java
@@ -13,7 +13,7 @@
 import silverlatch.server.eventloop.Logs;
 import silverlatch.util.Threads;
 import silverlatch.wire.Codec;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /**
  * The workers last heard of, beside the ledger: after all have lost their power at once, tickets need not wait until each
@@ -39,9 +39,9 @@
             if (all.length < HEAD || ByteBuffer.wrap(all).getLong() != sum(all, HEAD)) {
                 return List.of();
             }
-            return new Codec().read(java.util.Arrays.copyOfRange(all, HEAD, all.length), Msg.Bodies.class)
-                            instanceof Codec.Read.Good<Msg.Bodies> good
-                    ? good.thing().words()
+            return new Codec().decode(java.util.Arrays.copyOfRange(all, HEAD, all.length), Message.MissingReports.class)
+                            instanceof Codec.DecodeResult.Decoded<Message.MissingReports> good
+                    ? good.value().reports()
                     : List.of();
         } catch (final IOException e) {
             return List.of();
@@ -63,7 +63,8 @@
         boolean told = false;
         while (true) {
             try {
-                final byte[] body = codec.write(new Msg.Bodies(0, ring.take(), List.of(), List.of(), List.of()));
+                final byte[] body =
+                        codec.encode(new Message.MissingReports(0, ring.take(), List.of(), List.of(), List.of()));
                 final byte[] all = ByteBuffer.allocate(HEAD + body.length)
                         .putLong(sum(body, 0))
                         .put(body)
--- a/server/src/main/java/silverlatch/server/transport/PeerConnection.java
+++ b/server/src/main/java/silverlatch/server/transport/PeerConnection.java
@@ -16,7 +16,7 @@
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.wire.CodecPool;
 import silverlatch.wire.Frame;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /**
  * Frames to one address. Nothing here is promised: what waited too long for a connection is dropped. The peer acknowledges what it read
@@ -77,7 +77,7 @@
             dropped.incrementAndGet();
             return;
         }
-        queue.add(new Waiting(f, now, !Msg.urgent(f.body()), offered.incrementAndGet()));
+        queue.add(new Waiting(f, now, !Message.urgent(f.body()), offered.incrementAndGet()));
     }
 
     /** Ends. */
@@ -122,7 +122,7 @@
         Optional<Waiting> next = Optional.of(first);
         while (!over && next.isPresent()) {
             if (!stale(next.get())) {
-                write(s, out, codecs.write(next.get().frame()));
+                write(s, out, codecs.encode(next.get().frame()));
             }
             next = Optional.ofNullable(queue.poll(times.idle(), TimeUnit.MICROSECONDS));
         }
--- a/server/src/main/java/silverlatch/server/transport/Transport.java
+++ b/server/src/main/java/silverlatch/server/transport/Transport.java
@@ -134,7 +134,7 @@
             PeerConnection.probe(s);
             while (!over) {
                 final int size = in.readInt();
-                if (size <= 0 || size > Codec.MOST) {
+                if (size <= 0 || size > Codec.MAX_BYTES) {
                     bad(s, "a length of " + size);
                     return;
                 }
@@ -142,16 +142,16 @@
                 if (bytes.length < size) {
                     return;
                 }
-                switch (codecs.read(bytes, Frame.class)) {
-                    case Codec.Read.Good<Frame> good -> {
+                switch (codecs.decode(bytes, Frame.class)) {
+                    case Codec.DecodeResult.Decoded<Frame> good -> {
                         if (in.available() < Integer.BYTES || EventLoop.now() - told > TOLD) {
                             told = EventLoop.now();
                             s.getOutputStream().write(1);
                         }
-                        sink.accept(good.thing());
+                        sink.accept(good.value());
                     }
-                    case Codec.Read.Bad<Frame> wrong -> {
-                        bad(s, wrong.why());
+                    case Codec.DecodeResult.Malformed<Frame> wrong -> {
+                        bad(s, wrong.reason());
                         return;
                     }
                 }
--- a/server/src/test/java/silverlatch/server/transport/TransportTest.java
+++ b/server/src/test/java/silverlatch/server/transport/TransportTest.java
@@ -25,7 +25,7 @@
 import silverlatch.node.OutgoingFrame;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.wire.Frame;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** Docks on loopback before scripted peers, on shorter times than those in use. */
 final class TransportTest {
@@ -58,7 +58,7 @@
         final Member me =
                 new Member("p" + pad, "gateway", "z", "r", "127.0.0.1:1", "127.0.0.1:2", number, 4, "up", true);
         return new OutgoingFrame(
-                "127.0.0.1:" + port, new Frame(new Stamp(number), 5, "p", "127.0.0.1:1", 3, new Msg.Beat(me)));
+                "127.0.0.1:" + port, new Frame(new Stamp(number), 5, "p", "127.0.0.1:1", 3, new Message.Heartbeat(me)));
     }
 
     private ServerSocket peer(final int port, final BlockingQueue<Socket> taken) throws IOException {
--- a/simulation/src/main/java/silverlatch/simulation/explore/Network.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Network.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** The messages in flight, by sender and receiver in the order they were sent, and the links that are cut. */
 final class Network {
     private final int size;
-    private final List<List<Msg>> channels = new ArrayList<>();
+    private final List<List<Message>> channels = new ArrayList<>();
     private final boolean[] cut;
 
     Network(final int size) {
@@ -20,12 +20,12 @@
     }
 
     /** What is in flight from one machine to another. */
-    List<Msg> channel(final int from, final int to) {
+    List<Message> channel(final int from, final int to) {
         return channels.get(from * size + to);
     }
 
     /** Sends a message, which is lost when the link is cut. */
-    void send(final int from, final int to, final Msg message) {
+    void send(final int from, final int to, final Message message) {
         if (!cut[from * size + to]) {
             channel(from, to).add(message);
         }
--- a/simulation/src/main/java/silverlatch/simulation/explore/PropertyMonitor.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/PropertyMonitor.java
@@ -15,7 +15,7 @@
 import silverlatch.state.ConfigurationValidator;
 import silverlatch.state.Entry;
 import silverlatch.state.StateMachine;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /** Watches a {@link World} and notes the first property that is broken. */
 final class PropertyMonitor {
@@ -105,12 +105,12 @@
     }
 
     /** A replica sends a message; the definite replies among them are looked at. */
-    void replied(final Machine machine, final Msg message) {
-        final boolean read = message instanceof Msg.ReadReply reply && reply.ok();
+    void replied(final Machine machine, final Message message) {
+        final boolean read = message instanceof Message.ReadReply reply && reply.answered();
         final boolean refusal =
-                message instanceof Msg.WriteReply reply && reply.verdict() instanceof CommandResult.Rejected;
+                message instanceof Message.WriteReply reply && reply.result() instanceof CommandResult.Rejected;
         final Optional<Long> applied =
-                message instanceof Msg.WriteReply reply && reply.verdict() instanceof CommandResult.Applied result
+                message instanceof Message.WriteReply reply && reply.result() instanceof CommandResult.Applied result
                         ? Optional.of(result.sequence())
                         : Optional.empty();
         if (!read && !refusal && applied.isEmpty()) {
--- a/simulation/src/main/java/silverlatch/simulation/explore/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/World.java
@@ -12,7 +12,7 @@
 import silverlatch.replication.View;
 import silverlatch.state.Command;
 import silverlatch.state.ConfigurationValidator;
-import silverlatch.wire.Msg;
+import silverlatch.wire.Message;
 
 /**
  * Some machines with replicas and clients, a network and a clock, that do nothing by themselves: each {@link Action} is one
@@ -152,23 +152,23 @@
         flush(machine);
     }
 
-    private Optional<Msg> removed(final Action action) {
-        final List<Msg> channel = network.channel(action.first(), action.second());
+    private Optional<Message> removed(final Action action) {
+        final List<Message> channel = network.channel(action.first(), action.second());
         return action.third() < channel.size() ? Optional.of(channel.remove(action.third())) : Optional.empty();
     }
 
     private boolean duplicate(final Action action) {
-        final List<Msg> channel = network.channel(action.first(), action.second());
+        final List<Message> channel = network.channel(action.first(), action.second());
         return action.third() < channel.size() && channel.add(channel.get(action.third()));
     }
 
     private boolean deliver(final int from, final int to, final int position) {
-        final List<Msg> channel = network.channel(from, to);
+        final List<Message> channel = network.channel(from, to);
         final Machine machine = machines.get(to);
         if (position >= channel.size() || machine.frozen()) {
             return false;
         }
-        final Msg message = channel.remove(position);
+        final Message message = channel.remove(position);
         if (machine.process().isPresent()) {
             hand(machine, message, Machine.address(from));
             flush(machine);
@@ -176,9 +176,9 @@
         return true;
     }
 
-    private void hand(final Machine machine, final Msg message, final String sender) {
+    private void hand(final Machine machine, final Message message, final String sender) {
         final Machine.Process process = machine.process().orElseThrow();
-        if (message instanceof Msg.WriteReply || message instanceof Msg.ReadReply) {
+        if (message instanceof Message.WriteReply || message instanceof Message.ReadReply) {
             process.client().on(message, machine.clock(now));
         } else {
             process.replica().on(message, sender, machine.clock(now));
--- a/simulation/src/main/java/silverlatch/simulation/hollow/Hollow.java
+++ b/simulation/src/main/java/silverlatch/simulation/hollow/Hollow.java
@@ -297,7 +297,7 @@
         final long start = threads.getCurrentThreadCpuTime();
         job.run();
         final List<Letter> letters = new ArrayList<>();
-        n.deck.ships().forEach(s -> letters.add(new Letter(s.to(), codec.write(s.frame()))));
+        n.deck.ships().forEach(s -> letters.add(new Letter(s.to(), codec.encode(s.frame()))));
         final List<Effect> effects = n.deck.drain();
         n.nanos += threads.getCurrentThreadCpuTime() - start;
         letters.forEach(l -> ship(n, l));
@@ -320,8 +320,9 @@
                 .ifPresent(to -> in(
                         from.me.region().equals(to.me.region()) ? NEAR : FAR,
                         () -> work(to, () -> {
-                            if (codec.read(l.bytes(), Frame.class) instanceof Codec.Read.Good<Frame> good) {
-                                to.deck.frame(good.thing(), now);
+                            if (codec.decode(l.bytes(), Frame.class)
+                                    instanceof Codec.DecodeResult.Decoded<Frame> good) {
+                                to.deck.frame(good.value(), now);
                             }
                         })));
     }
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
@@ -403,8 +403,8 @@
     void spoke(final Frame f) {
         final Stamp stamp = f.stamp();
         world.watch().probe(Mark.STAMP);
-        if (f.life() != life) {
-            life = f.life();
+        if (f.incarnation() != life) {
+            life = f.incarnation();
             said = 0;
             top = deck.filter(d -> !bound(top, d)).isPresent() ? 0 : top;
         }
--- a/simulation/src/main/java/silverlatch/simulation/sim/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/World.java
@@ -377,7 +377,9 @@
     }
 
     private Frame again(final Frame f) {
-        return codec.read(codec.write(f), Frame.class) instanceof Codec.Read.Good<Frame> good ? good.thing() : f;
+        return codec.decode(codec.encode(f), Frame.class) instanceof Codec.DecodeResult.Decoded<Frame> good
+                ? good.value()
+                : f;
     }
 
     void run(final SimulatedNode n, final Act.Run r, final Map<Long, Consumer<String>> jobs) {
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayDigest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayDigest.java
@@ -37,7 +37,7 @@
     public void frameSent(final long time, final String node, final OutgoingFrame frame) {
         event('f', time, node);
         text(frame.to());
-        final byte[] encoded = codec.write(frame.frame());
+        final byte[] encoded = codec.encode(frame.frame());
         bytes.update(ByteBuffer.allocate(Integer.BYTES).putInt(encoded.length).flip());
         bytes.update(encoded);
     }
