--- a/core/src/main/java/silverlatch/clock/ProcessClock.java
+++ b/core/src/main/java/silverlatch/clock/ProcessClock.java
@@ -7,19 +7,19 @@
 /** Owns the clock of one daemon: every stamp of the process is made here, one event at a time. */
 public final class ProcessClock {
     /** The longest wait for an overflow, in microseconds. */
-    public static final long BOUND = 5_000L;
+    public static final long MAX_WAIT_MICROS = 5_000L;
 
-    private static final long WINDOW = 10_000_000L;
-    private static final int STORM = 64;
-    private final Safeguards guards;
+    private static final long DROP_WINDOW_MICROS = 10_000_000L;
+    private static final int MAX_DROPS_PER_WINDOW = 64;
+    private final Safeguards safeguards;
     private PwcClock clock;
     private long waits;
-    private long carries;
-    private long fars;
+    private long overflows;
+    private long tooFarAhead;
     private long dropped;
-    private long since;
-    private int storm;
-    private long heard;
+    private long windowStart;
+    private int dropsInWindow;
+    private long highestReceived;
 
     /** Starts a clock above a floor. */
     public ProcessClock(final PwcClock clock) {
@@ -27,64 +27,68 @@
     }
 
     /** Starts a clock above a floor, under the guards that stand. */
-    public ProcessClock(final PwcClock clock, final Safeguards guards) {
-        this.guards = guards;
+    public ProcessClock(final PwcClock clock, final Safeguards safeguards) {
+        this.safeguards = safeguards;
         this.clock = clock;
-        this.heard = clock.last();
+        this.highestReceived = clock.last();
     }
 
     /** The stamp of a local event; after an overflow that no wait could mend it carries on, counted. */
-    public synchronized Stamp local(final long phys) {
-        if (clock.brim(phys)) {
-            carries++;
+    public synchronized Stamp local(final long physicalTime) {
+        if (clock.wouldOverflow(physicalTime)) {
+            overflows++;
         }
-        final ClockReading.Made made = clock.carry(phys);
-        clock = made.clock();
-        return made.stamp();
+        final ClockReading.Stamped stamped = clock.local(physicalTime);
+        clock = stamped.clock();
+        return stamped.stamp();
     }
 
     /** The stamp of a send event, or how long to wait for it. */
-    public synchronized ClockReading send(final long phys) {
-        return settle(clock.send(phys));
+    public synchronized ClockReading send(final long physicalTime) {
+        return advance(clock.send(physicalTime));
     }
 
     /** The stamp of a receive event, or how long to wait, or that the message is from too far ahead. */
-    public synchronized ClockReading take(final Stamp mark, final long phys) {
-        final ClockReading step = settle(taken(mark, phys));
-        if (step instanceof ClockReading.Made) {
-            heard = Math.max(heard, mark.bits());
+    public synchronized ClockReading receive(final Stamp received, final long physicalTime) {
+        final ClockReading reading = advance(merge(received, physicalTime));
+        if (reading instanceof ClockReading.Stamped) {
+            highestReceived = Math.max(highestReceived, received.bits());
         }
-        return step;
+        return reading;
     }
 
     /** Notes that a message was given up since its wait went past the bound. */
-    public synchronized void drop(final long now) {
+    public synchronized void recordDrop(final long nowMicros) {
         dropped++;
-        if (now - since > WINDOW) {
-            since = now;
-            storm = 0;
+        if (nowMicros - windowStart > DROP_WINDOW_MICROS) {
+            windowStart = nowMicros;
+            dropsInWindow = 0;
         }
-        storm++;
+        dropsInWindow++;
     }
 
     /** Whether overflows came so often, or the clock stands so far out, that a rejoin is due. */
-    public synchronized boolean due(final long phys) {
-        return storm >= STORM || clock.astray(phys);
+    public synchronized boolean needsRejoin(final long physicalTime) {
+        return dropsInWindow >= MAX_DROPS_PER_WINDOW || clock.isBeyondSkew(physicalTime);
     }
 
     /** Starts again at the masked clock, but above all that was learned from peers in bounds. */
-    public synchronized void reset(final long phys) {
-        clock = PwcClock.start(phys, clock.low(), clock.skew(), Math.min(heard, clock.top(phys)));
-        storm = 0;
+    public synchronized void reset(final long physicalTime) {
+        clock = PwcClock.start(
+                physicalTime,
+                clock.lowBits(),
+                clock.maxSkew(),
+                Math.min(highestReceived, clock.highestAcceptable(physicalTime)));
+        dropsInWindow = 0;
     }
 
     /** Raises the clock above a floor learned at joining, unless the floor is out of bounds. */
-    public synchronized Optional<Stamp> floor(final Stamp mark, final long phys) {
-        if (mark.bits() > clock.top(phys)) {
+    public synchronized Optional<Stamp> raiseAbove(final Stamp floor, final long physicalTime) {
+        if (floor.bits() > clock.highestAcceptable(physicalTime)) {
             return Optional.empty();
         }
-        heard = Math.max(heard, mark.bits());
-        clock = new PwcClock(Math.max(clock.last(), mark.bits() + 1), clock.low(), clock.skew());
+        highestReceived = Math.max(highestReceived, floor.bits());
+        clock = new PwcClock(Math.max(clock.last(), floor.bits() + 1), clock.lowBits(), clock.maxSkew());
         return Optional.of(new Stamp(clock.last()));
     }
 
@@ -95,28 +99,29 @@
 
     /** How often something happened: waits, carries of local events, far stamps, messages dropped. */
     public synchronized Counts counts() {
-        return new Counts(waits, carries, fars, dropped);
+        return new Counts(waits, overflows, tooFarAhead, dropped);
     }
 
-    private ClockReading taken(final Stamp mark, final long phys) {
-        if (!guards.stands(Safeguard.ABOVE)) {
-            return clock.send(phys);
+    private ClockReading merge(final Stamp received, final long physicalTime) {
+        if (!safeguards.stands(Safeguard.ABOVE)) {
+            return clock.send(physicalTime);
         }
-        final ClockReading step = clock.take(mark, phys);
-        return step instanceof ClockReading.Far && !guards.stands(Safeguard.FAR)
-                ? new PwcClock(Math.max(clock.last(), mark.bits()), clock.low(), clock.skew()).send(phys)
-                : step;
+        final ClockReading reading = clock.receive(received, physicalTime);
+        return reading instanceof ClockReading.TooFarAhead && !safeguards.stands(Safeguard.FAR)
+                ? new PwcClock(Math.max(clock.last(), received.bits()), clock.lowBits(), clock.maxSkew())
+                        .send(physicalTime)
+                : reading;
     }
 
-    private ClockReading settle(final ClockReading step) {
-        switch (step) {
-            case ClockReading.Made made -> clock = made.clock();
+    private ClockReading advance(final ClockReading reading) {
+        switch (reading) {
+            case ClockReading.Stamped made -> clock = made.clock();
             case ClockReading.Wait wait -> waits++;
-            case ClockReading.Far far -> fars++;
+            case ClockReading.TooFarAhead far -> tooFarAhead++;
         }
-        return step;
+        return reading;
     }
 
     /** Counts of what the clock met. */
-    public record Counts(long waits, long carries, long fars, long dropped) {}
+    public record Counts(long waits, long overflows, long tooFarAhead, long dropped) {}
 }
--- a/core/src/main/java/silverlatch/clock/PwcClock.java
+++ b/core/src/main/java/silverlatch/clock/PwcClock.java
@@ -5,69 +5,71 @@
  * The physical clock is handed in with each event, in the same format as the stamp.
  *
  * @param last the stamp of the newest event here
- * @param low  how many low bits (u) count events
- * @param skew the bound on skew, in fixed point units
+ * @param lowBits  how many low bits (u) count events
+ * @param maxSkew the bound on skew, in fixed point units
  */
-public record PwcClock(long last, int low, long skew) {
+public record PwcClock(long last, int lowBits, long maxSkew) {
     /** Rejects a setting under which the clock makes no sense. */
     public PwcClock {
-        if (low < 1 || low > 30 || skew < 0) {
+        if (lowBits < 1 || lowBits > 30 || maxSkew < 0) {
             throw new IllegalArgumentException("low bits 1..30 and a skew of at least 0 are needed");
         }
     }
 
     /** A clock that starts at its masked physical clock, but above the given floor. */
-    public static PwcClock start(final long phys, final int low, final long skew, final long floor) {
-        final long mask = (1L << low) - 1;
-        return new PwcClock(Math.max(phys & ~mask, floor + 1), low, skew);
+    public static PwcClock start(final long physicalTime, final int lowBits, final long maxSkew, final long floor) {
+        final long mask = (1L << lowBits) - 1;
+        return new PwcClock(Math.max(physicalTime & ~mask, floor + 1), lowBits, maxSkew);
     }
 
     /** The physical clock with its low bits masked to zero. */
-    public long masked(final long phys) {
-        return phys & -(1L << low);
+    public long masked(final long physicalTime) {
+        return physicalTime & -(1L << lowBits);
     }
 
     /** Algorithm 2 for a local or send event. */
-    public ClockReading send(final long phys) {
-        return next(last, phys);
+    public ClockReading send(final long physicalTime) {
+        return next(last, physicalTime);
     }
 
     /** Algorithm 2 for the receipt of a message, with the bound on stamps from afar. */
-    public ClockReading take(final Stamp mark, final long phys) {
-        final long over = mark.bits() - top(phys);
-        return over > 0 ? new ClockReading.Far(over) : next(Math.max(last, mark.bits()), phys);
+    public ClockReading receive(final Stamp received, final long physicalTime) {
+        final long unitsAhead = received.bits() - highestAcceptable(physicalTime);
+        return unitsAhead > 0
+                ? new ClockReading.TooFarAhead(unitsAhead)
+                : next(Math.max(last, received.bits()), physicalTime);
     }
 
     /** Algorithm 1 for a local event: it never waits; the carry it may make keeps causality and is counted by the keeper. */
-    public ClockReading.Made carry(final long phys) {
-        return made(Math.max(last + 1, masked(phys)));
+    public ClockReading.Stamped local(final long physicalTime) {
+        return stamped(Math.max(last + 1, masked(physicalTime)));
     }
 
     /** Whether the next event would carry into the high bits. */
-    public boolean brim(final long phys) {
-        return next(last, phys) instanceof ClockReading.Wait;
+    public boolean wouldOverflow(final long physicalTime) {
+        return next(last, physicalTime) instanceof ClockReading.Wait;
     }
 
     /** Whether the clock stands above what the skew allows. */
-    public boolean astray(final long phys) {
-        return last > top(phys);
+    public boolean isBeyondSkew(final long physicalTime) {
+        return last > highestAcceptable(physicalTime);
     }
 
     /** The highest stamp that is believed at this physical time. */
-    public long top(final long phys) {
-        return masked(phys) + skew + (1L << low);
+    public long highestAcceptable(final long physicalTime) {
+        return masked(physicalTime) + maxSkew + (1L << lowBits);
     }
 
-    private ClockReading next(final long base, final long phys) {
-        final long mask = (1L << low) - 1;
-        final long clip = masked(phys);
-        if ((base + 1 & mask) == 0 && base >= clip) {
-            return new ClockReading.Wait(Math.max(1, Ntp.micros(base + 1 - phys)));
+    private ClockReading next(final long previous, final long physicalTime) {
+        final long mask = (1L << lowBits) - 1;
+        final long maskedTime = masked(physicalTime);
+        if ((previous + 1 & mask) == 0 && previous >= maskedTime) {
+            return new ClockReading.Wait(Math.max(1, NtpTime.toMicros(previous + 1 - physicalTime)));
         }
-        return made(Math.max(base + 1, clip));
+        return stamped(Math.max(previous + 1, maskedTime));
     }
 
-    private ClockReading.Made made(final long bits) {
-        return new ClockReading.Made(new PwcClock(bits, low, skew), new Stamp(bits));
+    private ClockReading.Stamped stamped(final long bits) {
+        return new ClockReading.Stamped(new PwcClock(bits, lowBits, maxSkew), new Stamp(bits));
     }
 }
--- a/core/src/main/java/silverlatch/clock/Stamp.java
+++ b/core/src/main/java/silverlatch/clock/Stamp.java
@@ -6,7 +6,7 @@
     public static final Stamp NONE = new Stamp(0L);
 
     /** Tells whether this stamp is less than the other, by plain integer comparison. */
-    public boolean before(final Stamp other) {
+    public boolean isBefore(final Stamp other) {
         return bits < other.bits;
     }
 
--- a/core/src/main/java/silverlatch/dispatch/Dispatcher.java
+++ b/core/src/main/java/silverlatch/dispatch/Dispatcher.java
@@ -192,9 +192,9 @@
                         && (t.worker.isEmpty()
                                 || !t.held
                                 || Optional.ofNullable(facts.workers().get(t.worker))
-                                        .map(h -> who.get().homes().isEmpty()
+                                        .map(h -> who.get().homeRegions().isEmpty()
                                                 || who.get()
-                                                        .homes()
+                                                        .homeRegions()
                                                         .contains(h.worker().region()))
                                         .orElse(true));
                 if (!yours) {
@@ -219,7 +219,7 @@
     }
 
     private Optional<Value.Tenant> same(final Ticket t) {
-        return facts.tenant(t.permit.tenant()).filter(w -> w.hash().equals(t.tenant.hash()));
+        return facts.tenant(t.permit.tenant()).filter(w -> w.keyHash().equals(t.tenant.keyHash()));
     }
 
     private void revoke(final Ticket t, final String why, final long now) {
@@ -277,7 +277,7 @@
     public void pick(final Order o, final long token, final long now) {
         count("picks");
         final Optional<Value.Tenant> who = facts.tenant(o.tenant());
-        if (who.isEmpty() || !Seals.same(Seals.hash(o.secret()), who.get().hash())) {
+        if (who.isEmpty() || !Seals.same(Seals.hash(o.secret()), who.get().keyHash())) {
             final Optional<String> why = unready(now);
             no(
                     token,
@@ -288,7 +288,7 @@
                     "");
             return;
         }
-        final List<String> homes = who.get().homes();
+        final List<String> homes = who.get().homeRegions();
         final Set<String> empty = facts.empty();
         final boolean home = home(who.get());
         if (!home || emptied() || unready(now).isPresent()) {
@@ -300,14 +300,15 @@
             no(token, 422, "", "$.kind: no kind " + o.kind(), 0, "");
             return;
         }
-        if (row.get().once() && o.key().isEmpty()) {
+        if (row.get().atMostOnce() && o.key().isEmpty()) {
             no(token, 422, "", "$.key: kind " + o.kind() + " runs once only and needs a key", 0, "");
             return;
         }
         final Flow flow = flow(o.tenant(), o.kind());
         final int peers = peers(who.get());
-        if (!flow.take(row.get().rate() / peers, Math.max(1, row.get().burst() / peers), now)) {
-            no(token, 429, "", "over the rate of " + row.get().rate() + " a second", SECOND, "");
+        if (!flow.take(
+                row.get().requestsPerSecond() / peers, Math.max(1, row.get().burstRequests() / peers), now)) {
+            no(token, 429, "", "over the rate of " + row.get().requestsPerSecond() + " a second", SECOND, "");
             return;
         }
         if (o.tries() > 0 && !budget.take(now) && up(Safeguard.TRIES)) {
@@ -365,7 +366,7 @@
         }
         final Permit p = read.get();
         final Optional<Value.Tenant> who = facts.tenant(p.tenant());
-        if (who.map(w -> !Seals.same(w.hash(), Seals.hash(l.secret()))).orElse(true)) {
+        if (who.map(w -> !Seals.same(w.keyHash(), Seals.hash(l.secret()))).orElse(true)) {
             no(token, 401, "", "the tenant or its key is not known", 0, "");
             return;
         }
@@ -409,7 +410,7 @@
             return;
         }
         final Flow flow = flow(p.tenant(), p.kind());
-        if (flow.queue.size() >= Math.max(1, row.get().queue() / peers(who.get())) || !room(row.get())) {
+        if (flow.queue.size() >= Math.max(1, row.get().maxQueued() / peers(who.get())) || !room(row.get())) {
             over(token, p.ticket(), 429, "the queue is full");
             return;
         }
@@ -420,7 +421,7 @@
                 salted(who.get(), l.prefix()),
                 l.prompt(),
                 now + l.span(),
-                now + Math.min(row.get().hold(), l.span()),
+                now + Math.min(row.get().timeoutMicros(), l.span()),
                 token,
                 chart.start());
         final Optional<Long> place = slab.put(t);
@@ -452,7 +453,7 @@
                         .map(Ended::ticket)
                         .filter(t -> t.permit.ticket().equals(ticket))
                         .findFirst())
-                .filter(t -> Seals.same(t.tenant.hash(), Seals.hash(secret)))
+                .filter(t -> Seals.same(t.tenant.keyHash(), Seals.hash(secret)))
                 .filter(t -> same(t).map(this::home).orElse(false) || !up(Safeguard.KEPT));
         if (found.isEmpty() || from < 0 || from > found.get().lines.size()) {
             no(token, 404, "", "no such ticket or piece", 0, "");
@@ -525,8 +526,8 @@
                             409,
                             "the key is taken",
                             0,
-                            s.claim().state() + " at " + s.claim().carrier() + " as "
-                                    + s.claim().ticket());
+                            s.claim().state() + " at " + s.claim().gatewayId() + " as "
+                                    + s.claim().requestId());
                 }
                 case CommandResult.Rejected r -> {
                     release(t);
@@ -703,11 +704,13 @@
 
     /** Whether this gateway may take the tenant's tickets, as far as homes go. */
     private boolean home(final Value.Tenant who) {
-        return who.homes().isEmpty() || who.homes().contains(facts.me().region()) || !up(Safeguard.SENT);
+        return who.homeRegions().isEmpty()
+                || who.homeRegions().contains(facts.me().region())
+                || !up(Safeguard.SENT);
     }
 
     private static boolean keyless(final Value.Row row, final Permit p) {
-        return row.once() && p.key().isEmpty();
+        return row.atMostOnce() && p.key().isEmpty();
     }
 
     private boolean emptied() {
@@ -723,7 +726,7 @@
             final Optional<Flow> next = waiting.values().stream()
                     .filter(f -> !stuck.contains(f))
                     .min(Comparator.comparingDouble((Flow f) -> share(f).tag)
-                            .thenComparing(f -> -f.queue.peek().row.rank())
+                            .thenComparing(f -> -f.queue.peek().row.priority())
                             .thenComparingDouble(f -> f.tag));
             if (next.isEmpty()) {
                 return;
@@ -731,7 +734,7 @@
             final Flow f = next.get();
             final Ticket t = f.queue.peek();
             final Value.Row row = facts.row(t.permit.tenant(), t.permit.kind()).orElse(t.row);
-            if (f.running >= Math.max(1, (row.running() + peers(t.tenant) - 1) / peers(t.tenant))) {
+            if (f.running >= Math.max(1, (row.maxRunning() + peers(t.tenant) - 1) / peers(t.tenant))) {
                 stuck.add(f);
                 continue;
             }
@@ -740,7 +743,7 @@
                     quit(f, t);
                     final Share share = share(f);
                     clock = Math.max(clock, share.tag);
-                    share.tag = clock + t.cost() / Math.max(0.001, t.tenant.share());
+                    share.tag = clock + t.cost() / Math.max(0.001, t.tenant.quotaShare());
                     f.tag = clock;
                     f.running++;
                     t.worker = p.worker().worker().id();
@@ -1028,8 +1031,8 @@
         }
         final Optional<Ticket> least = waiting.values().stream()
                 .flatMap(f -> f.queue.stream())
-                .min(Comparator.comparingInt((Ticket t) -> t.row.rank()).thenComparing(t -> -t.begun));
-        if (least.isPresent() && least.get().row.rank() < row.rank()) {
+                .min(Comparator.comparingInt((Ticket t) -> t.row.priority()).thenComparing(t -> -t.begun));
+        if (least.isPresent() && least.get().row.priority() < row.priority()) {
             reject(least.get(), 503, "shed for a kind that goes before", SECOND);
             Optional.of(least.get()).ifPresent(t -> {
                 ended.removeIf(e -> e.ticket() == t);
@@ -1061,7 +1064,8 @@
                 + (int) facts.crew().stream()
                         .filter(m -> m.ready()
                                 && !empty.contains(m.zone())
-                                && (who.homes().isEmpty() || who.homes().contains(m.region())))
+                                && (who.homeRegions().isEmpty()
+                                        || who.homeRegions().contains(m.region())))
                         .count();
     }
 
@@ -1070,7 +1074,7 @@
     }
 
     private static List<Long> salted(final Value.Tenant who, final List<String> prefix) {
-        return prefix.stream().map(d -> Seals.salted(who.salt(), d)).toList();
+        return prefix.stream().map(d -> Seals.salted(who.keySalt(), d)).toList();
     }
 
     private void join(final Flow f, final Ticket t, final boolean first) {
--- a/core/src/main/java/silverlatch/dispatch/Facts.java
+++ b/core/src/main/java/silverlatch/dispatch/Facts.java
@@ -41,23 +41,24 @@
 
     /** A tenant by name. */
     public Optional<Value.Tenant> tenant(final String name) {
-        return policy.leaf("t/" + name).map(l -> (Value.Tenant) l);
+        return policy.value("t/" + name).map(l -> (Value.Tenant) l);
     }
 
     /** The row for a tenant and kind: its own, or the one for all. */
     public Optional<Value.Row> row(final String tenant, final String kind) {
-        return policy.leaf(StateMachine.row(tenant, kind))
-                .or(() -> policy.leaf(StateMachine.row("*", kind)))
+        return policy.value(StateMachine.rowKey(tenant, kind))
+                .or(() -> policy.value(StateMachine.rowKey("*", kind)))
                 .map(l -> (Value.Row) l);
     }
 
     /** The zones that are being emptied. */
     public Set<String> empty() {
-        return policy.empty();
+        return policy.evacuatedZones();
     }
 
     /** Whether a pick with this stamp was made before the worker's zone was ordered empty. */
     public boolean drained(final String zone, final Stamp stamp) {
-        return policy.drains().stream().anyMatch(d -> d.zone().equals(zone) && d.on() && stamp.before(d.at()));
+        return policy.evacuations().stream()
+                .anyMatch(d -> d.zone().equals(zone) && d.active() && stamp.isBefore(d.stamp()));
     }
 }
--- a/core/src/main/java/silverlatch/gossip/Gossip.java
+++ b/core/src/main/java/silverlatch/gossip/Gossip.java
@@ -118,12 +118,14 @@
 
     /** The highest page heard of, held or not. */
     public long page() {
-        return Math.max(page, books.page());
+        return Math.max(page, books.policyRevision());
     }
 
     /** How long ago the books here were surely the newest. */
     public long age(final long now) {
-        return page > books.page() ? Long.MAX_VALUE : sure.map(t -> now - t).orElse(Long.MAX_VALUE);
+        return page > books.policyRevision()
+                ? Long.MAX_VALUE
+                : sure.map(t -> now - t).orElse(Long.MAX_VALUE);
     }
 
     /** Whether the books here were surely the newest at some moment since this one. */
@@ -165,8 +167,8 @@
             fleet = now.fleet();
         }
         if (certain) {
-            if (mine.page() > books.page()) {
-                books.apply(mine.page(), mine.since(books.page()));
+            if (mine.policyRevision() > books.policyRevision()) {
+                books.apply(mine.policyRevision(), mine.policySince(books.policyRevision()));
                 announce();
             }
             sure = Optional.of(at);
@@ -290,7 +292,7 @@
     private Message.GossipPull ask(final long now) {
         return new Message.GossipPull(
                 now,
-                books.page(),
+                books.policyRevision(),
                 view.number(),
                 words.isPresent()
                         ? List.of()
@@ -320,12 +322,12 @@
                 home,
                 new Message.GossipPullReply(
                         m.askedAt(),
-                        books.page(),
+                        books.policyRevision(),
                         age == Long.MAX_VALUE ? -1 : Math.max(0, age),
                         fleet,
-                        m.revision() < books.page()
-                                ? books.since(m.revision())
-                                : guards.stands(Safeguard.PAGE) ? List.of() : books.since(0),
+                        m.revision() < books.policyRevision()
+                                ? books.policySince(m.revision())
+                                : guards.stands(Safeguard.PAGE) ? List.of() : books.policySince(0),
                         m.view() < view.number() ? List.of(view) : List.of(),
                         pulls.<Message.PullContent>map(p -> p.brief(m, home, sure(now), now))
                                 .orElseGet(() -> whole(m, now)))));
@@ -374,14 +376,14 @@
         m.view().stream()
                 .filter(v -> v.number() > view.number() && v.fleet() == fleet)
                 .forEach(v -> view = v);
-        if (m.revision() > books.page()) {
+        if (m.revision() > books.policyRevision()) {
             books.apply(m.revision(), m.entries());
             announce();
-        } else if (m.revision() > 0 && m.revision() < books.page() && !guards.stands(Safeguard.PAGE)) {
+        } else if (m.revision() > 0 && m.revision() < books.policyRevision() && !guards.stands(Safeguard.PAGE)) {
             books.reset(m.revision(), m.entries());
             page = m.revision();
         }
-        if (m.revision() == books.page() && m.age() >= 0) {
+        if (m.revision() == books.policyRevision() && m.age() >= 0) {
             sure = Optional.of(Math.max(sure.orElse(Long.MIN_VALUE), m.askedAt() - m.age()));
         }
     }
@@ -399,9 +401,9 @@
     }
 
     private void announce() {
-        page = Math.max(page, books.page());
-        if (books.page() > told) {
-            told = books.page();
+        page = Math.max(page, books.policyRevision());
+        if (books.policyRevision() > told) {
+            told = books.policyRevision();
             push(new Message.GossipPush(List.of(), List.of(), told));
         }
     }
--- a/core/src/main/java/silverlatch/json/JsonDocument.java
+++ b/core/src/main/java/silverlatch/json/JsonDocument.java
@@ -14,11 +14,11 @@
 /** A JSON object being read and checked: each fault is noted with its path, and reading goes on to find the rest. */
 public final class JsonDocument {
     private static final Jsonb JSON = Jsonb.builder().build();
-    private static final int DEEP = 12;
+    private static final int MAX_DEPTH = 12;
     private final String path;
     private final Map<?, ?> fields;
     private final List<String> faults;
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> readKeys = new HashSet<>();
 
     private JsonDocument(final String path, final Map<?, ?> fields, final List<String> faults) {
         this.path = path;
@@ -27,27 +27,27 @@
     }
 
     /** What parsing gave. */
-    public sealed interface Parsed {
+    public sealed interface ParseResult {
         /** An object to read. */
-        record Good(JsonDocument sheet) implements Parsed {}
+        record Valid(JsonDocument document) implements ParseResult {}
 
         /** Not one: the HTTP-like code and why. */
-        record Bad(int code, String why) implements Parsed {}
+        record Invalid(int code, String reason) implements ParseResult {}
     }
 
     /** Parses an object of at most so many bytes. */
-    public static Parsed parse(final byte[] body, final int most) {
-        if (body.length > most) {
-            return new Parsed.Bad(413, "$: larger than " + most + " bytes");
+    public static ParseResult parse(final byte[] body, final int maxBytes) {
+        if (body.length > maxBytes) {
+            return new ParseResult.Invalid(413, "$: larger than " + maxBytes + " bytes");
         }
-        switch (JsonSchema.of(body, DEEP)) {
-            case DEEP -> {
-                return new Parsed.Bad(422, "$: deeper than " + DEEP + " levels");
+        switch (JsonSyntax.check(body, MAX_DEPTH)) {
+            case TOO_DEEP -> {
+                return new ParseResult.Invalid(422, "$: deeper than " + MAX_DEPTH + " levels");
             }
-            case BROKEN -> {
-                return new Parsed.Bad(400, "$: not JSON");
+            case INVALID -> {
+                return new ParseResult.Invalid(400, "$: not JSON");
             }
-            case WHOLE -> {}
+            case VALID -> {}
         }
         try {
             final Object root = JSON.type(Object.class)
@@ -56,12 +56,12 @@
                             .decode(ByteBuffer.wrap(body))
                             .toString());
             return root instanceof Map<?, ?> map
-                    ? new Parsed.Good(new JsonDocument("$", map, new ArrayList<>()))
-                    : new Parsed.Bad(400, "$: an object is needed");
+                    ? new ParseResult.Valid(new JsonDocument("$", map, new ArrayList<>()))
+                    : new ParseResult.Invalid(400, "$: an object is needed");
         } catch (final CharacterCodingException e) {
-            return new Parsed.Bad(400, "$: not UTF-8");
+            return new ParseResult.Invalid(400, "$: not UTF-8");
         } catch (final RuntimeException e) {
-            return new Parsed.Bad(400, "$: not JSON");
+            return new ParseResult.Invalid(400, "$: not JSON");
         }
     }
 
@@ -71,10 +71,10 @@
     }
 
     /** The same sheet with some fields put in place of its own. */
-    public JsonDocument with(final Map<String, Object> more) {
-        final Map<Object, Object> all = new java.util.LinkedHashMap<>(fields);
-        all.putAll(more);
-        return new JsonDocument(path, all, faults);
+    public JsonDocument with(final Map<String, Object> replacements) {
+        final Map<Object, Object> merged = new java.util.LinkedHashMap<>(fields);
+        merged.putAll(replacements);
+        return new JsonDocument(path, merged, faults);
     }
 
     /** A sheet without any field. */
@@ -83,11 +83,11 @@
     }
 
     /** The fields as they stand. */
-    public Map<String, Object> map() {
-        final Map<String, Object> all = new java.util.LinkedHashMap<>();
+    public Map<String, Object> asMap() {
+        final Map<String, Object> copy = new java.util.LinkedHashMap<>();
         fields.forEach((k, v) ->
-                all.put(String.valueOf(k), Optional.<Object>ofNullable(v).orElse("")));
-        return all;
+                copy.put(String.valueOf(k), Optional.<Object>ofNullable(v).orElse("")));
+        return copy;
     }
 
     /** All faults found so far, also in the parts. */
@@ -96,10 +96,10 @@
     }
 
     /** Notes every key that was not asked for, and gives all faults. */
-    public List<String> end() {
+    public List<String> finish() {
         fields.keySet().stream()
                 .map(String::valueOf)
-                .filter(k -> !asked.contains(k))
+                .filter(k -> !readKeys.contains(k))
                 .sorted()
                 .forEach(k -> faults.add(path + "." + k + ": unknown key"));
         return faults();
@@ -111,100 +111,104 @@
     }
 
     /** Notes a fault of a key. */
-    public void fault(final String key, final String why) {
-        faults.add(path + "." + key + ": " + why);
+    public void addFault(final String key, final String reason) {
+        faults.add(path + "." + key + ": " + reason);
     }
 
     /** Notes a key that isn't there. */
-    public void need(final String key) {
+    public void require(final String key) {
         if (!has(key)) {
-            fault(key, "missing");
+            addFault(key, "missing");
         }
     }
 
     /** A text of at most so many characters. */
-    public String text(final String key, final int most) {
-        return value(key).map(v -> text(path + "." + key, v, most)).orElseGet(() -> missing(key, ""));
+    public String string(final String key, final int maxLength) {
+        return value(key)
+                .map(value -> string(path + "." + key, value, maxLength))
+                .orElseGet(() -> missing(key, ""));
     }
 
     /** A text, or what holds when there is none. */
-    public String text(final String key, final int most, final String other) {
-        return value(key).map(v -> text(path + "." + key, v, most)).orElse(other);
+    public String string(final String key, final int maxLength, final String fallback) {
+        return value(key)
+                .map(value -> string(path + "." + key, value, maxLength))
+                .orElse(fallback);
     }
 
     /** A whole number within bounds. */
-    public long whole(final String key, final long low, final long high) {
-        return value(key).map(v -> whole(key, v, low, high)).orElseGet(() -> missing(key, low));
+    public long integer(final String key, final long minimum, final long maximum) {
+        return value(key).map(value -> integer(key, value, minimum, maximum)).orElseGet(() -> missing(key, minimum));
     }
 
     /** A whole number, or what holds when there is none. */
-    public long whole(final String key, final long low, final long high, final long other) {
-        return value(key).map(v -> whole(key, v, low, high)).orElse(other);
+    public long integer(final String key, final long minimum, final long maximum, final long fallback) {
+        return value(key).map(value -> integer(key, value, minimum, maximum)).orElse(fallback);
     }
 
     /** A number, or what holds when there is none. */
-    public double number(final String key, final double other) {
+    public double number(final String key, final double fallback) {
         return value(key)
                 .map(v -> {
                     if (v instanceof Number n && Double.isFinite(n.doubleValue())) {
                         return n.doubleValue();
                     }
                     faults.add(path + "." + key + ": a number is needed");
-                    return other;
+                    return fallback;
                 })
-                .orElse(other);
+                .orElse(fallback);
     }
 
     /** A flag, or what holds when there is none. */
-    public boolean flag(final String key, final boolean other) {
+    public boolean flag(final String key, final boolean fallback) {
         return value(key)
                 .map(v -> {
                     if (v instanceof Boolean b) {
                         return b;
                     }
                     faults.add(path + "." + key + ": true or false is needed");
-                    return other;
+                    return fallback;
                 })
-                .orElse(other);
+                .orElse(fallback);
     }
 
     /** A list of texts; empty when there is none. */
-    public List<String> texts(final String key, final int count, final int most) {
-        final List<String> list = new ArrayList<>();
-        final List<?> raw = raw(key, count);
-        for (int i = 0; i < raw.size(); i++) {
-            list.add(text(path + "." + key + "[" + i + "]", raw.get(i), most));
+    public List<String> strings(final String key, final int maxCount, final int maxLength) {
+        final List<String> strings = new ArrayList<>();
+        final List<?> elements = list(key, maxCount);
+        for (int i = 0; i < elements.size(); i++) {
+            strings.add(string(path + "." + key + "[" + i + "]", elements.get(i), maxLength));
         }
-        return list;
+        return strings;
     }
 
     /** A list of whole numbers; empty when there is none. */
-    public List<Long> wholes(final String key, final int count) {
-        final List<Long> list = new ArrayList<>();
-        final List<?> raw = raw(key, count);
-        for (int i = 0; i < raw.size(); i++) {
-            list.add(whole(key + "[" + i + "]", raw.get(i), Long.MIN_VALUE, Long.MAX_VALUE));
+    public List<Long> integers(final String key, final int maxCount) {
+        final List<Long> integers = new ArrayList<>();
+        final List<?> elements = list(key, maxCount);
+        for (int i = 0; i < elements.size(); i++) {
+            integers.add(integer(key + "[" + i + "]", elements.get(i), Long.MIN_VALUE, Long.MAX_VALUE));
         }
-        return list;
+        return integers;
     }
 
     /** A list of objects; empty when there is none. */
-    public List<JsonDocument> sheets(final String key, final int count) {
-        final List<JsonDocument> list = new ArrayList<>();
-        final List<?> raw = raw(key, count);
-        for (int i = 0; i < raw.size(); i++) {
-            final String at = path + "." + key + "[" + i + "]";
-            if (raw.get(i) instanceof Map<?, ?> map) {
-                list.add(new JsonDocument(at, map, faults));
+    public List<JsonDocument> objects(final String key, final int maxCount) {
+        final List<JsonDocument> objects = new ArrayList<>();
+        final List<?> elements = list(key, maxCount);
+        for (int i = 0; i < elements.size(); i++) {
+            final String elementPath = path + "." + key + "[" + i + "]";
+            if (elements.get(i) instanceof Map<?, ?> map) {
+                objects.add(new JsonDocument(elementPath, map, faults));
             } else {
-                faults.add(at + ": an object is needed");
+                faults.add(elementPath + ": an object is needed");
             }
         }
-        return list;
+        return objects;
     }
 
     /** An object within this one; an empty one when there is none. */
-    public JsonDocument sheet(final String key) {
+    public JsonDocument object(final String key) {
         return value(key)
                 .filter(v -> v instanceof Map<?, ?>)
                 .map(v -> new JsonDocument(path + "." + key, (Map<?, ?>) v, faults))
@@ -214,7 +218,7 @@
                 });
     }
 
-    private static Optional<String> text(final Object value) {
+    private static Optional<String> string(final Object value) {
         if (value instanceof String s) {
             return s.length() <= 64 ? Optional.of(s) : Optional.empty();
         }
@@ -225,24 +229,24 @@
     }
 
     /** A cell's value as text, whether it is a text, a number or a flag. */
-    public String cell(final String key) {
+    public String scalarText(final String key) {
         return value(key)
-                .map(v -> text(v).orElseGet(() -> {
+                .map(v -> string(v).orElseGet(() -> {
                     faults.add(path + "." + key + ": a text, a number or a flag is needed");
                     return "";
                 }))
                 .orElseGet(() -> missing(key, ""));
     }
 
-    private List<?> raw(final String key, final int count) {
+    private List<?> list(final String key, final int maxCount) {
         return value(key)
                 .map(v -> {
                     if (!(v instanceof List<?> list)) {
                         faults.add(path + "." + key + ": a list is needed");
                         return List.of();
                     }
-                    if (list.size() > count) {
-                        faults.add(path + "." + key + ": at most " + count + " entries");
+                    if (list.size() > maxCount) {
+                        faults.add(path + "." + key + ": at most " + maxCount + " entries");
                         return List.of();
                     }
                     return list;
@@ -250,37 +254,37 @@
                 .orElse(List.of());
     }
 
-    private String text(final String at, final Object v, final int most) {
-        if (!(v instanceof String s)) {
-            faults.add(at + ": a text is needed");
+    private String string(final String valuePath, final Object value, final int maxLength) {
+        if (!(value instanceof String s)) {
+            faults.add(valuePath + ": a text is needed");
             return "";
         }
-        if (s.length() > most) {
-            faults.add(at + ": longer than " + most);
+        if (s.length() > maxLength) {
+            faults.add(valuePath + ": longer than " + maxLength);
             return "";
         }
         return s;
     }
 
-    private long whole(final String key, final Object v, final long low, final long high) {
-        if (v instanceof Number n && n.doubleValue() == Math.rint(n.doubleValue())) {
-            if (n.longValue() >= low && n.longValue() <= high) {
+    private long integer(final String key, final Object value, final long minimum, final long maximum) {
+        if (value instanceof Number n && n.doubleValue() == Math.rint(n.doubleValue())) {
+            if (n.longValue() >= minimum && n.longValue() <= maximum) {
                 return n.longValue();
             }
-            faults.add(path + "." + key + ": not within " + low + " and " + high);
+            faults.add(path + "." + key + ": not within " + minimum + " and " + maximum);
         } else {
             faults.add(path + "." + key + ": a whole number is needed");
         }
-        return low;
+        return minimum;
     }
 
-    private <T> T missing(final String key, final T other) {
+    private <T> T missing(final String key, final T fallback) {
         faults.add(path + "." + key + ": missing");
-        return other;
+        return fallback;
     }
 
     private Optional<Object> value(final String key) {
-        asked.add(key);
+        readKeys.add(key);
         return Optional.ofNullable(fields.get(key));
     }
 }
--- a/core/src/main/java/silverlatch/log/LogRecord.java
+++ b/core/src/main/java/silverlatch/log/LogRecord.java
@@ -8,25 +8,25 @@
 /** What is written to the ledger. */
 public sealed interface LogRecord {
     /** A change in the chain. */
-    record Appended(LogEntry change) implements LogRecord {}
+    record Appended(LogEntry entry) implements LogRecord {}
 
     /** A decided view. */
-    record ViewInstalled(View view, boolean level) implements LogRecord {}
+    record ViewInstalled(View view, boolean caughtUp) implements LogRecord {}
 
     /** A promise of the view register. */
-    record Promised(long number, long ballot) implements LogRecord {}
+    record Promised(long viewNumber, long ballot) implements LogRecord {}
 
     /** An accepted proposal of the view register. */
-    record Accepted(long number, long ballot, View view) implements LogRecord {}
+    record Accepted(long viewNumber, long ballot, View view) implements LogRecord {}
 
     /** A founding this machine agreed to. */
     record Founding(View view) implements LogRecord {}
 
     /** Notes written and synced together. */
-    record Batch(List<LogRecord> notes) implements LogRecord {
+    record Batch(List<LogRecord> records) implements LogRecord {
         /** Copies the notes. */
         public Batch {
-            notes = List.copyOf(notes);
+            records = List.copyOf(records);
         }
     }
 
@@ -34,22 +34,23 @@
     record Snapshot(
             long sequence,
             View view,
-            boolean level,
-            long ballot,
-            long nodded,
-            List<View> nod,
-            long roof,
+            boolean caughtUp,
+            long promisedBallot,
+            long acceptedBallot,
+            List<View> acceptedView,
+            long highestStamp,
             List<Entry> entries)
             implements LogRecord {
         /** Copies the lists. */
         public Snapshot {
-            nod = List.copyOf(nod);
+            acceptedView = List.copyOf(acceptedView);
             entries = List.copyOf(entries);
         }
 
         /** The same with other entries. */
         Snapshot withEntries(final List<Entry> others) {
-            return new Snapshot(sequence, view, level, ballot, nodded, nod, roof, others);
+            return new Snapshot(
+                    sequence, view, caughtUp, promisedBallot, acceptedBallot, acceptedView, highestStamp, others);
         }
     }
 
--- a/core/src/main/java/silverlatch/node/Node.java
+++ b/core/src/main/java/silverlatch/node/Node.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 import silverlatch.clock.ClockReading;
-import silverlatch.clock.Ntp;
+import silverlatch.clock.NtpTime;
 import silverlatch.clock.PhysicalClock;
 import silverlatch.clock.ProcessClock;
 import silverlatch.clock.PwcClock;
@@ -98,8 +98,8 @@
         this.anchor = anchor;
         this.begun = now;
         this.started = now;
-        final long phys = anchor.phys(now);
-        final PwcClock tide = PwcClock.start(phys, setup.low(), Ntp.span(setup.skew()), 0);
+        final long phys = anchor.physicalTime(now);
+        final PwcClock tide = PwcClock.start(phys, setup.low(), NtpTime.fromMicros(setup.skew()), 0);
         this.keeper = new ProcessClock(tide, setup.guards());
         this.floor = floor(notes);
         this.crew = new Membership(setup.me(), setup.seeds(), setup.crew());
@@ -113,8 +113,8 @@
         return notes.stream()
                 .flatMap(n -> switch (n) {
                     case LogRecord.Appended d ->
-                        java.util.stream.Stream.of(d.change().stamp());
-                    case LogRecord.Snapshot p -> java.util.stream.Stream.of(new Stamp(p.roof()));
+                        java.util.stream.Stream.of(d.entry().stamp());
+                    case LogRecord.Snapshot p -> java.util.stream.Stream.of(new Stamp(p.highestStamp()));
                     default -> java.util.stream.Stream.<Stamp>empty();
                 })
                 .max(Stamp::compareTo);
@@ -122,7 +122,7 @@
 
     /** The stamp of a local event at this moment of the duty's own clock. */
     public Stamp local(final long now) {
-        return keeper.local(anchor.phys(now));
+        return keeper.local(anchor.physicalTime(now));
     }
 
     /** The clock's keeper, shared by the duties of the process. */
@@ -184,17 +184,17 @@
                     rumor.workers(),
                     crew.live().stream().filter(Member::gateway).toList());
         }
-        if (policyPage != rumor.books().page()) {
-            final boolean on = policyPage > 0 && policyPage < rumor.books().page();
-            policy = (on ? policy : Policy.NONE).with(rumor.books().since(on ? policyPage : 0));
-            policyPage = rumor.books().page();
+        if (policyPage != rumor.books().policyRevision()) {
+            final boolean on = policyPage > 0 && policyPage < rumor.books().policyRevision();
+            policy = (on ? policy : Policy.NONE).with(rumor.books().policySince(on ? policyPage : 0));
+            policyPage = rumor.books().policyRevision();
         }
         final long now = begun;
         final Optional<Long> sure =
                 rumor.age(now) == Long.MAX_VALUE ? Optional.empty() : Optional.of(now - rumor.age(now));
         return new Facts(
                 crew.me(),
-                rumor.books().page(),
+                rumor.books().policyRevision(),
                 sure.filter(s -> mustered),
                 policy,
                 rumor.workers(),
@@ -286,7 +286,7 @@
                 out.add(new Effect.Log(Event.WALL_JUMP, "the wall clock is not followed"));
             }
         }
-        floor = floor.filter(f -> keeper.floor(f, anchor.phys(now)).isEmpty());
+        floor = floor.filter(f -> keeper.raiseAbove(f, anchor.physicalTime(now)).isEmpty());
         parked(now);
         judge(now);
         crew.tick(now);
@@ -322,21 +322,21 @@
     }
 
     private boolean take(final Frame f, final long now) {
-        final long phys = anchor.phys(now);
+        final long phys = anchor.physicalTime(now);
         final Sample sample = new Sample(f.stamp().bits() - phys, now);
-        switch (keeper.take(f.stamp(), phys)) {
-            case ClockReading.Made made -> {
+        switch (keeper.receive(f.stamp(), phys)) {
+            case ClockReading.Stamped made -> {
                 samples.put(f.replyTo(), new Sample(0, now));
                 deliver(f, now, phys);
             }
             case ClockReading.Wait wait -> {
                 return false;
             }
-            case ClockReading.Far far -> {
+            case ClockReading.TooFarAhead far -> {
                 count("far");
                 samples.put(f.replyTo(), sample);
                 out.add(new Effect.Log(
-                        Event.FAR_STAMP, f.from() + " is ahead by " + Ntp.micros(far.units()) + " us too many"));
+                        Event.FAR_STAMP, f.from() + " is ahead by " + NtpTime.toMicros(far.units()) + " us too many"));
                 if (!(f.body() instanceof Message.StampRejected)) {
                     inner.add(new Effect.Send(f.replyTo(), new Message.StampRejected(far.units(), phys)));
                 }
@@ -361,7 +361,7 @@
             case Message.JoinGreeting m -> crew.on(m, now, phys, keeper.last());
             case Message.MemberList m -> {
                 mustered = true;
-                keeper.floor(m.stampFloor(), phys);
+                keeper.raiseAbove(m.stampFloor(), phys);
                 crew.on(m, now, phys, keeper.last());
             }
             case Message.LivenessHeartbeat m -> crew.on(m, now, phys, keeper.last());
@@ -377,7 +377,8 @@
             case Message.WriteReply m -> clerk.on(m, now);
             case Message.ReadReply m -> clerk.on(m, now);
             case Message.StampRejected m -> {
-                out.add(new Effect.Log(Event.ASTRAY, home + " says by " + Ntp.micros(m.excess()) + " us too many"));
+                out.add(new Effect.Log(
+                        Event.ASTRAY, home + " says by " + NtpTime.toMicros(m.excess()) + " us too many"));
                 samples.put(home, new Sample(m.physicalTime() - phys, now));
             }
             default -> quay.ifPresent(q -> q.on(msg, home, now));
@@ -390,26 +391,27 @@
         }
         judged = now;
         samples.values().removeIf(s -> now - s.at() > SAMPLE);
-        final long phys = anchor.phys(now);
+        final long phys = anchor.physicalTime(now);
         final List<Long> gaps =
                 new ArrayList<>(samples.values().stream().map(Sample::gap).toList());
         gaps.add(0L);
         gaps.sort(Long::compare);
         final long middle = gaps.get((gaps.size() - 1) / 2);
-        final long skew = Ntp.span(setup.skew());
+        final long skew = NtpTime.fromMicros(setup.skew());
         if (gaps.size() >= 3 && Math.abs(middle) > skew) {
-            anchor = anchor.moved(middle < 0 ? -Ntp.micros(-middle) : Ntp.micros(middle));
+            anchor = anchor.shiftedBy(middle < 0 ? -NtpTime.toMicros(-middle) : NtpTime.toMicros(middle));
             out.add(new Effect.Log(
-                    Event.ANCHORED, "moved by " + (middle < 0 ? -Ntp.micros(-middle) : Ntp.micros(middle)) + " us"));
+                    Event.ANCHORED,
+                    "moved by " + (middle < 0 ? -NtpTime.toMicros(-middle) : NtpTime.toMicros(middle)) + " us"));
             rejoin(now, "the median of the peers");
-        } else if (keeper.due(phys)) {
+        } else if (keeper.needsRejoin(phys)) {
             rejoin(now, "overflows");
         }
     }
 
     private void rejoin(final long now, final String why) {
         count("rejoins");
-        keeper.reset(anchor.phys(now));
+        keeper.reset(anchor.physicalTime(now));
         samples.clear();
         going.clear();
         coming.clear();
@@ -432,16 +434,16 @@
     }
 
     private void late(final Deque<? extends Parked<?>> list, final long now) {
-        while (!list.isEmpty() && now - list.peek().at() > ProcessClock.BOUND) {
+        while (!list.isEmpty() && now - list.peek().at() > ProcessClock.MAX_WAIT_MICROS) {
             list.poll();
-            keeper.drop(now);
+            keeper.recordDrop(now);
             count("overflow");
             out.add(new Effect.Log(Event.OVERFLOW, "a message was given up"));
         }
     }
 
     private boolean stamp(final OutgoingFrame s, final long now) {
-        if (keeper.send(anchor.phys(now)) instanceof ClockReading.Made made) {
+        if (keeper.send(anchor.physicalTime(now)) instanceof ClockReading.Stamped made) {
             ships.add(new OutgoingFrame(
                     s.to(),
                     new Frame(
@@ -473,7 +475,7 @@
     /** Hands a message to this daemon itself, or stamps it for another; it waits its turn while the clock overflows. */
     private void dispatch(final Effect.Send send, final long now) {
         if (send.to().equals(setup.me().address())) {
-            hand(send.body(), send.to(), now, anchor.phys(now));
+            hand(send.body(), send.to(), now, anchor.physicalTime(now));
             return;
         }
         final Frame unstamped =
--- a/core/src/main/java/silverlatch/placement/scorer/Cold.java
+++ b/core/src/main/java/silverlatch/placement/scorer/Cold.java
@@ -22,7 +22,7 @@
 
     @Override
     public double weight(final Case ticket) {
-        return ticket.row().cold();
+        return ticket.row().warmupWeight();
     }
 
     @Override
--- a/core/src/main/java/silverlatch/placement/scorer/Cross.java
+++ b/core/src/main/java/silverlatch/placement/scorer/Cross.java
@@ -14,7 +14,7 @@
 
     @Override
     public double weight(final Case ticket) {
-        return ticket.row().cross();
+        return ticket.row().localityWeight();
     }
 
     @Override
--- a/core/src/main/java/silverlatch/placement/scorer/Home.java
+++ b/core/src/main/java/silverlatch/placement/scorer/Home.java
@@ -19,8 +19,10 @@
 
     @Override
     public ScorerResult weigh(final Case ticket, final PlacementInput worker) {
-        return ticket.tenant().homes().isEmpty()
-                        || ticket.tenant().homes().contains(worker.worker().region())
+        return ticket.tenant().homeRegions().isEmpty()
+                        || ticket.tenant()
+                                .homeRegions()
+                                .contains(worker.worker().region())
                 ? new ScorerResult.Score(1)
                 : new ScorerResult.Veto("region " + worker.worker().region() + " is no home");
     }
--- a/core/src/main/java/silverlatch/placement/scorer/Load.java
+++ b/core/src/main/java/silverlatch/placement/scorer/Load.java
@@ -14,7 +14,7 @@
 
     @Override
     public double weight(final Case ticket) {
-        return ticket.row().load();
+        return ticket.row().loadWeight();
     }
 
     @Override
--- a/core/src/main/java/silverlatch/placement/scorer/Prefix.java
+++ b/core/src/main/java/silverlatch/placement/scorer/Prefix.java
@@ -15,7 +15,7 @@
 
     @Override
     public double weight(final Case ticket) {
-        return ticket.row().prefix();
+        return ticket.row().prefixWeight();
     }
 
     @Override
--- a/core/src/main/java/silverlatch/replication/ChainClient.java
+++ b/core/src/main/java/silverlatch/replication/ChainClient.java
@@ -50,8 +50,8 @@
     public void wish(final Command wish, final long token, final long now, final long expiry) {
         ask++;
         final boolean onLatest =
-                wish instanceof Command.SetEvacuation order && order.match() == Command.SetEvacuation.LATEST;
-        final Command first = onLatest ? ((Command.SetEvacuation) wish).on(UNCHANGED) : wish;
+                wish instanceof Command.SetEvacuation order && order.expectedRevision() == Command.SetEvacuation.LATEST;
+        final Command first = onLatest ? ((Command.SetEvacuation) wish).active(UNCHANGED) : wish;
         open(ask, new Open(new Message.WriteRequest(ask, home, first), true, token, now, expiry, onLatest, 0), now);
     }
 
@@ -87,7 +87,7 @@
                 && o.msg() instanceof Message.WriteRequest w
                 && w.command() instanceof Command.SetEvacuation order) {
             ask++;
-            final Message next = new Message.WriteRequest(ask, home, order.on(r.sequence()));
+            final Message next = new Message.WriteRequest(ask, home, order.active(r.sequence()));
             open(ask, new Open(next, true, o.token(), now, o.expiry(), true, 0), now);
         } else {
             out.add(new Effect.Answer(o.token(), result));
@@ -116,7 +116,7 @@
     }
 
     private static long characters(final Command command) {
-        return command instanceof Command.PutConfiguration put ? put.paper().length() : 0;
+        return command instanceof Command.PutConfiguration put ? put.document().length() : 0;
     }
 
     /** What is to be done; it is handed over once. */
--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -218,7 +218,7 @@
 
     /** How this machine stands. */
     public State state(final long now) {
-        return new State(spot, level, view, books.sequence(), books.page(), pend.size(), leased(now));
+        return new State(spot, level, view, books.sequence(), books.policyRevision(), pend.size(), leased(now));
     }
 
     /** Whether every acknowledged change of policy is surely in the books here at this moment. */
@@ -226,7 +226,7 @@
         return chained()
                 && level
                 && leased(now)
-                && pend.stream().noneMatch(c -> c.puts().stream().anyMatch(Entry::policy));
+                && pend.stream().noneMatch(c -> c.puts().stream().anyMatch(Entry::isPolicy));
     }
 
     /** Takes a message. */
@@ -416,21 +416,21 @@
         switch (note) {
             case LogRecord.Snapshot p -> {
                 books.reset(p.sequence(), p.entries());
-                books.level(p.sequence());
+                books.completeRepair(p.sequence());
                 view = p.view();
-                level = p.level();
-                promised = p.ballot();
-                nodded = p.nodded();
-                nod = p.nod().stream().findFirst();
+                level = p.caughtUp();
+                promised = p.promisedBallot();
+                nodded = p.acceptedBallot();
+                nod = p.acceptedView().stream().findFirst();
                 shut = nod.isPresent();
                 pend.clear();
                 overlay.clear();
                 last = p.sequence();
-                roof = Math.max(roof, p.roof());
+                roof = Math.max(roof, p.highestStamp());
             }
             case LogRecord.Appended d -> {
-                if (d.change().sequence() == last + 1) {
-                    enter(d.change());
+                if (d.entry().sequence() == last + 1) {
+                    enter(d.entry());
                 }
             }
             case LogRecord.ViewInstalled s -> {
@@ -441,12 +441,12 @@
                     shut = false;
                 }
                 view = s.view();
-                level = s.level();
+                level = s.caughtUp();
                 birth = Optional.empty();
             }
-            case LogRecord.Promised v -> promised = v.number() == view.number() + 1 ? v.ballot() : promised;
+            case LogRecord.Promised v -> promised = v.viewNumber() == view.number() + 1 ? v.ballot() : promised;
             case LogRecord.Accepted n -> {
-                if (n.number() == view.number() + 1) {
+                if (n.viewNumber() == view.number() + 1) {
                     promised = n.ballot();
                     nodded = n.ballot();
                     nod = Optional.of(n.view());
@@ -454,7 +454,7 @@
                 }
             }
             case LogRecord.Founding b -> birth = Optional.of(b.view());
-            case LogRecord.Batch b -> b.notes().forEach(this::recall);
+            case LogRecord.Batch b -> b.records().forEach(this::recall);
             case LogRecord.SnapshotPart p -> throw new IllegalArgumentException("a part without its snapshot");
         }
     }
@@ -854,7 +854,7 @@
             swept = now;
         } else if (now - swept >= SWEEP) {
             swept = now;
-            final long turn = books.turn() + 1;
+            final long turn = books.epoch() + 1;
             view.head()
                     .ifPresent(h -> send(
                             h.address(),
@@ -944,15 +944,15 @@
         if (!enough() || pend.size() >= PENDING || stamp.bits() <= roof) {
             return;
         }
-        if (m.command() instanceof Command.AdvanceEpoch s && s.fence() != view.number()
-                || m.command() instanceof Command.Scheduled t && t.fence() != view.number()) {
+        if (m.command() instanceof Command.AdvanceEpoch s && s.fencingToken() != view.number()
+                || m.command() instanceof Command.Scheduled t && t.fencingToken() != view.number()) {
             reject(m, 409, "the duty has another holder");
             return;
         }
-        switch (books.judge(m.command(), overlay, last + 1, stamp)) {
-            case StateMachine.Judged.Over over -> decide(m, over.verdict(), stamp);
-            case StateMachine.Judged.Let let -> {
-                final LogEntry c = new LogEntry(last + 1, view.number(), stamp, let.puts());
+        switch (books.evaluate(m.command(), overlay, last + 1, stamp)) {
+            case StateMachine.Evaluation.Reply over -> decide(m, over.result(), stamp);
+            case StateMachine.Evaluation.Write let -> {
+                final LogEntry c = new LogEntry(last + 1, view.number(), stamp, let.entries());
                 await(c.sequence(), new Waiting(m, Optional.empty()));
                 append(List.of(c));
             }
@@ -990,9 +990,9 @@
             reply(m, refusal);
             return;
         }
-        final StateMachine.Judged committed = books.judge(m.command(), Map.of(), last + 1, stamp);
-        if (committed instanceof StateMachine.Judged.Over over && refuses(over.verdict())) {
-            reply(m, over.verdict());
+        final StateMachine.Evaluation committed = books.evaluate(m.command(), Map.of(), last + 1, stamp);
+        if (committed instanceof StateMachine.Evaluation.Reply over && refuses(over.result())) {
+            reply(m, over.result());
         } else {
             await(last, new Waiting(m, Optional.of(refusal)));
         }
@@ -1154,7 +1154,7 @@
             books.apply(c.sequence(), c.puts());
             c.puts().forEach(e -> overlay.remove(e.key(), e));
             remember(c);
-            if (c.puts().stream().anyMatch(Entry::policy)) {
+            if (c.puts().stream().anyMatch(Entry::isPolicy)) {
                 log(
                         Event.CHANGED,
                         "sequence " + c.sequence() + " view " + c.view() + " stamp "
@@ -1185,7 +1185,7 @@
 
     private CommandResult outcome(final String id, final long sequence) {
         return books.get("o/" + id)
-                .map(e -> (Value.CommandOutcome) e.leaf().get(0))
+                .map(e -> (Value.CommandOutcome) e.value().get(0))
                 .filter(o -> o.code() != 0)
                 .map(o -> (CommandResult) new CommandResult.Rejected(o.code(), o.faults(), o.sequence()))
                 .orElse(new CommandResult.Applied(sequence));
@@ -1196,7 +1196,7 @@
         loggedEntries = 0;
         final List<LogRecord> notes = new ArrayList<>();
         notes.add(new LogRecord.Snapshot(
-                books.sequence(), view, level, promised, nodded, nod.stream().toList(), roof, books.all()));
+                books.sequence(), view, level, promised, nodded, nod.stream().toList(), roof, books.allEntries()));
         pend.forEach(c -> notes.add(new LogRecord.Appended(c)));
         final long sequence = books.sequence();
         keep(notes, t -> {
@@ -1298,12 +1298,12 @@
         }
         repair = Optional.empty();
         if (setup.guards().stands(Safeguard.DIGEST)) {
-            taken.ranges().forEach((range, entries) -> books.mend(range, RANGES, entries));
+            taken.ranges().forEach((range, entries) -> books.replaceRange(range, RANGES, entries));
         }
         if (!sameDigests(m)) {
             return;
         }
-        books.level(m.sequence());
+        books.completeRepair(m.sequence());
         recent.clear();
         recentBytes = 0;
         window.begin(m.sequence(), clock);
@@ -1360,7 +1360,7 @@
                         m.requestId(),
                         ok,
                         books.sequence(),
-                        ok ? List.copyOf(books.part(m.keyPrefix()).values()) : List.of()));
+                        ok ? List.copyOf(books.entriesWithPrefix(m.keyPrefix()).values()) : List.of()));
     }
 
     private boolean chained() {
--- a/core/src/main/java/silverlatch/replication/LogEntry.java
+++ b/core/src/main/java/silverlatch/replication/LogEntry.java
@@ -16,7 +16,7 @@
 
     /** About how many bytes the change takes in a frame. */
     public long weight() {
-        return 64 + puts.stream().mapToLong(Entry::weight).sum();
+        return 64 + puts.stream().mapToLong(Entry::estimatedBytes).sum();
     }
 
     /** As many changes as may go in one frame: the first, and what else is light enough. */
--- a/core/src/main/java/silverlatch/replication/RepairSource.java
+++ b/core/src/main/java/silverlatch/replication/RepairSource.java
@@ -38,8 +38,8 @@
                 continue;
             }
             List<Entry> part = new ArrayList<>();
-            for (final Entry entry : state.range(range, ranges)) {
-                if (bytes > 0 && bytes + entry.weight() > PIECE_BYTES) {
+            for (final Entry entry : state.entriesInRange(range, ranges)) {
+                if (bytes > 0 && bytes + entry.estimatedBytes() > PIECE_BYTES) {
                     piece.add(new Message.RangeEntries(range, part));
                     pieces.add(piece);
                     piece = new ArrayList<>();
@@ -47,7 +47,7 @@
                     bytes = 0;
                 }
                 part.add(entry);
-                bytes += entry.weight();
+                bytes += entry.estimatedBytes();
             }
             piece.add(new Message.RangeEntries(range, part));
         }
--- a/core/src/main/java/silverlatch/routing/LatencyPredictor.java
+++ b/core/src/main/java/silverlatch/routing/LatencyPredictor.java
@@ -59,7 +59,7 @@
                 + (odd ? APART : 0)
                 + harm
                 + Math.max(0, s.overdue(now)) * 2
-                + (s.cold(now) ? rule.aim() / 2 : 0);
+                + (s.cold(now) ? rule.latencyTargetMicros() / 2 : 0);
         return new View(first, first + extra, unread);
     }
 
--- a/core/src/main/java/silverlatch/routing/Router.java
+++ b/core/src/main/java/silverlatch/routing/Router.java
@@ -84,7 +84,7 @@
             this.pool = pool;
             this.begun = begun;
             this.stamp = stamp;
-            this.end = begun + Math.min(fare.left(), rule.hold());
+            this.end = begun + Math.min(fare.left(), rule.timeoutMicros());
         }
     }
 
@@ -229,7 +229,7 @@
         find(run).ifPresent(o -> {
             reach(stands.get(o.worker)).heard(now);
             load.ifPresent(l -> stands.get(o.worker).load(l.running(), l.waiting(), l.slots(), now));
-            final boolean may = status >= 500 && o.rule.again() && o.tries < o.rule.tries() && now < o.end;
+            final boolean may = status >= 500 && o.rule.isRetryable() && o.tries < o.rule.maxAttempts() && now < o.end;
             if (may) {
                 o.failed.add(o.worker);
             }
@@ -275,11 +275,12 @@
             final boolean free =
                     point == FailurePoint.UNSENT || point == FailurePoint.NOT_RUN || point == FailurePoint.STRANGER;
             o.mayHaveRun |= !free;
-            final boolean may =
-                    (free || o.rule.again() && (point != FailurePoint.BEGUN || o.rule.resume() && o.rule.stream()))
-                            && now < o.end;
-            final boolean left =
-                    point == FailurePoint.UNSENT && o.tries <= o.rule.tries() + 1 || o.tries < o.rule.tries();
+            final boolean may = (free
+                            || o.rule.isRetryable()
+                                    && (point != FailurePoint.BEGUN || o.rule.resumable() && o.rule.streaming()))
+                    && now < o.end;
+            final boolean left = point == FailurePoint.UNSENT && o.tries <= o.rule.maxAttempts() + 1
+                    || o.tries < o.rule.maxAttempts();
             if (may && left && !places(o, now).isEmpty() && (point == FailurePoint.UNSENT || budget.take(now))) {
                 o.tries -= point == FailurePoint.UNSENT ? 1 : 0;
                 count("again");
@@ -332,11 +333,12 @@
         }
         final WorkerState s = stands.get(o.worker);
         final WorkerState.Run r = s.runs.get(o.run);
-        final long patience =
-                r.first ? Math.max(SECOND, 2 * o.rule.gap()) : Math.max(o.rule.aim() * 3 / 4, 3 * r.guess);
-        if (o.rule.again()
-                && (!o.begunReply || o.rule.resume())
-                && o.tries < o.rule.tries()
+        final long patience = r.first
+                ? Math.max(SECOND, 2 * o.rule.maxEventGapMicros())
+                : Math.max(o.rule.latencyTargetMicros() * 3 / 4, 3 * r.guess);
+        if (o.rule.isRetryable()
+                && (!o.begunReply || o.rule.resumable())
+                && o.tries < o.rule.maxAttempts()
                 && now - r.heard > patience
                 && !o.failed.contains(o.worker)) {
             out.add(new RoutingEffect.Log(Event.RUN_BROKE, o.worker + " silent for " + (now - r.heard) / 1000 + " ms"));
@@ -361,26 +363,26 @@
 
     private String lot(final Value.Route rule) {
         final int sum =
-                rule.lots().stream().mapToInt(Value.WeightedBackend::weight).sum();
+                rule.backends().stream().mapToInt(Value.WeightedBackend::weight).sum();
         int at = sum <= 0 ? 0 : luck.nextInt(sum);
-        for (final Value.WeightedBackend l : rule.lots()) {
+        for (final Value.WeightedBackend l : rule.backends()) {
             at -= l.weight();
             if (at < 0) {
                 return l.pool();
             }
         }
-        return rule.lots().isEmpty() ? "" : rule.lots().get(0).pool();
+        return rule.backends().isEmpty() ? "" : rule.backends().get(0).pool();
     }
 
     private record Pick(WorkerState stand, LatencyPredictor.View view) {}
 
     private List<Pick> places(final Open o, final long now) {
         final Value.Tenant who =
-                tenants.computeIfAbsent(o.rule.name(), n -> new Value.Tenant(n, o.rule.homes(), 1, "", ""));
+                tenants.computeIfAbsent(o.rule.name(), n -> new Value.Tenant(n, o.rule.homeRegions(), 1, "", ""));
         final Case plea = new Case(
                 o.fare.ticket(),
                 who,
-                TableRules.plain("*", o.rule.name()),
+                TableRules.defaultRow("*", o.rule.name()),
                 List.of(),
                 facts.me().zone(),
                 facts.me().region(),
@@ -408,8 +410,8 @@
                         LatencyPredictor.of(
                                 o.fare, o.rule, s, facts.me().zone(), facts.me().region(), homes, writers, now)))
                 .sorted(Comparator.comparingLong(p -> p.view().cost()
-                        + (mute.get(p.stand().worker.region()) ? o.rule.aim() * 2 : 0)
-                        + (p.stand().shunned(now) ? o.rule.aim() * 4 : 0)))
+                        + (mute.get(p.stand().worker.region()) ? o.rule.latencyTargetMicros() * 2 : 0)
+                        + (p.stand().shunned(now) ? o.rule.latencyTargetMicros() * 4 : 0)))
                 .toList();
     }
 
@@ -424,7 +426,7 @@
                                 .worker
                                 .region()
                                 .equals(all.get(0).stand().worker.region())
-                        && p.view().cost() <= best + NEAR * o.rule.aim())
+                        && p.view().cost() <= best + NEAR * o.rule.latencyTargetMicros())
                 .toList();
         final List<Pick> least = near.stream()
                 .sorted(Comparator.comparingInt(p -> p.stand().runs.size()))
@@ -464,7 +466,7 @@
     /** Whether this gateway may send to a cold worker now: a few gateways named by hashing share what it bears. */
     private boolean warm(final WorkerState s, final String pool, final long now) {
         final double rate = charters.pool(pool)
-                .map(Value.BackendPool::rate)
+                .map(Value.BackendPool::warmupRequestsPerSecond)
                 .filter(r -> r > 0)
                 .orElse(1.0);
         final int share = Math.max(1, Math.min(most, (int) Math.floor(rate)));
@@ -494,8 +496,11 @@
                         .map(p -> new WeightedScorers.Opinion(
                                 p.stand().worker.id(),
                                 "outlook",
-                                new ScorerResult.Score((double) o.rule.aim()
-                                        / Math.max(1, o.rule.aim() + p.view().cost())),
+                                new ScorerResult.Score((double) o.rule.latencyTargetMicros()
+                                        / Math.max(
+                                                1,
+                                                o.rule.latencyTargetMicros()
+                                                        + p.view().cost())),
                                 1))
                         .toList()));
         if (pick.isEmpty()) {
@@ -528,9 +533,9 @@
                 w.id(),
                 w.address(),
                 o.end - now,
-                o.rule.rank(),
-                !o.rule.again(),
-                o.rule.stream()));
+                o.rule.priority(),
+                !o.rule.isRetryable(),
+                o.rule.streaming()));
     }
 
     /** When to come back: soon where another worker may take it, later where none is known yet or the allowed ones are cold. */
@@ -540,7 +545,9 @@
         if (!known) {
             return SECOND + luck.nextLong(SECOND / 2);
         }
-        return Math.max(SECOND / 20, o.rule.aim() / 4 + luck.nextLong(Math.max(1, o.rule.aim() / 4)));
+        return Math.max(
+                SECOND / 20,
+                o.rule.latencyTargetMicros() / 4 + luck.nextLong(Math.max(1, o.rule.latencyTargetMicros() / 4)));
     }
 
     private Optional<Open> find(final long run) {
--- a/core/src/main/java/silverlatch/routing/RoutingTable.java
+++ b/core/src/main/java/silverlatch/routing/RoutingTable.java
@@ -18,7 +18,7 @@
     private Optional<Value.RoutingConfiguration> limits = Optional.empty();
 
     RoutingTable(final Policy policy) {
-        policy.leaves().forEach(l -> {
+        policy.values().forEach(l -> {
             switch (l) {
                 case Value.Route r ->
                     hosts.computeIfAbsent(r.host().toLowerCase(Locale.ROOT), h -> new ArrayList<>())
@@ -29,8 +29,8 @@
             }
         });
         hosts.values()
-                .forEach(l -> l.sort(
-                        Comparator.comparingInt((Value.Route r) -> -r.path().length())));
+                .forEach(l -> l.sort(Comparator.comparingInt(
+                        (Value.Route r) -> -r.pathPrefix().length())));
     }
 
     Optional<Value.Route> rule(final String host, final String path) {
@@ -38,7 +38,8 @@
         final String name =
                 (colon > 0 && host.indexOf(']') < colon ? host.substring(0, colon) : host).toLowerCase(Locale.ROOT);
         return Optional.ofNullable(hosts.get(name))
-                .flatMap(l -> l.stream().filter(r -> path.startsWith(r.path())).findFirst());
+                .flatMap(l ->
+                        l.stream().filter(r -> path.startsWith(r.pathPrefix())).findFirst());
     }
 
     Optional<Value.BackendPool> pool(final String name) {
--- a/core/src/main/java/silverlatch/routing/TrafficStatistics.java
+++ b/core/src/main/java/silverlatch/routing/TrafficStatistics.java
@@ -43,10 +43,10 @@
 
     void note(final RoutedRequest fare, final Value.Route rule, final long now) {
         final Kind old =
-                kinds.getOrDefault(rule.name(), new Kind(Long.MIN_VALUE / 2, Long.MIN_VALUE / 2, rule.homes()));
+                kinds.getOrDefault(rule.name(), new Kind(Long.MIN_VALUE / 2, Long.MIN_VALUE / 2, rule.homeRegions()));
         kinds.put(
                 rule.name(),
-                new Kind(lengthy(fare) ? now : old.longAt(), lengthy(fare) ? old.shortAt() : now, rule.homes()));
+                new Kind(lengthy(fare) ? now : old.longAt(), lengthy(fare) ? old.shortAt() : now, rule.homeRegions()));
         if (LatencyPredictor.worth(fare.parts())) {
             final long key = LatencyPredictor.key(fare);
             seen.add(new Seen(key, now));
--- a/core/src/main/java/silverlatch/state/AcceptedConfigurations.java
+++ b/core/src/main/java/silverlatch/state/AcceptedConfigurations.java
@@ -17,74 +17,78 @@
  */
 final class AcceptedConfigurations {
     /** How the keys begin; the number follows in decimal with leading zeros, so that keys sort as numbers do. */
-    static final String KEYS = "a/";
+    static final String KEY_PREFIX = "a/";
 
     /**
      * How many are remembered, the oldest being forgotten. A day holds hundreds of changes and an order is sent again
      * within the day, so 4,096 are several days'; at about 100 bytes each they take 0.4 MB of a disk of 64.
      */
-    static final int REMEMBERED = 4_096;
+    static final int MAX_REMEMBERED = 4_096;
 
-    private static final String REFUSALS = "o/refused/";
+    private static final String REFUSAL_PREFIX = "o/refused/";
 
     private AcceptedConfigurations() {}
 
     /** The key of a number's entry. */
     static String key(final long number) {
-        return KEYS + String.format("%019d", number);
+        return KEY_PREFIX + String.format("%019d", number);
     }
 
     /** The key under which the refusal of an order is kept, whatever id it comes with. */
-    static String refusalKey(final Command.PutConfiguration order) {
-        return REFUSALS + order.match() + "-" + order.charter().number() + "-" + digest(order.paper());
+    static String refusalKey(final Command.PutConfiguration command) {
+        return REFUSAL_PREFIX + command.expectedRevision() + "-"
+                + command.configuration().number() + "-" + digest(command.document());
     }
 
     /**
      * Whether an order is the one that was accepted: the same text, on top of the same number. The same text on top of
      * another number is another order. One that asks for no comparison is known by its text.
      */
-    static boolean same(final Value.AcceptedConfiguration accepted, final Command.PutConfiguration order) {
-        return (order.match() < 0 || order.match() == accepted.match())
-                && accepted.digest().equals(digest(order.paper()));
+    static boolean isSame(final Value.AcceptedConfiguration accepted, final Command.PutConfiguration command) {
+        return (command.expectedRevision() < 0 || command.expectedRevision() == accepted.expectedRevision())
+                && accepted.digest().equals(digest(command.document()));
     }
 
     /**
      * The highest number that may have been accepted and forgotten since; 0 where none was.
      *
-     * @param held    the entries under {@link #KEYS}
-     * @param inForce the number in force
+     * @param remembered    the entries under {@link #KEY_PREFIX}
+     * @param currentNumber the number in force
      */
-    static long forgotten(final SortedMap<String, Entry> held, final long inForce) {
-        return held.isEmpty()
-                ? Math.max(0, inForce - 1)
-                : value(held.get(held.firstKey())).previous();
+    static long highestForgotten(final SortedMap<String, Entry> remembered, final long currentNumber) {
+        return remembered.isEmpty()
+                ? Math.max(0, currentNumber - 1)
+                : value(remembered.get(remembered.firstKey())).previousNumber();
     }
 
     /** What accepting an order writes: its own entry, and the end of those beyond the bound. */
-    static List<Entry> puts(
-            final Command.PutConfiguration order,
+    static List<Entry> writes(
+            final Command.PutConfiguration command,
             final Map<String, Entry> remembered,
-            final long inForce,
+            final long currentNumber,
             final long sequence) {
-        final SortedMap<String, Entry> held = new TreeMap<>(remembered);
-        final List<Entry> puts = new ArrayList<>();
-        held.keySet().stream()
-                .limit(Math.max(0, held.size() + 1 - REMEMBERED))
-                .forEach(k -> puts.add(new Entry(k, sequence, List.of())));
+        final SortedMap<String, Entry> byNumber = new TreeMap<>(remembered);
+        final List<Entry> writes = new ArrayList<>();
+        byNumber.keySet().stream()
+                .limit(Math.max(0, byNumber.size() + 1 - MAX_REMEMBERED))
+                .forEach(k -> writes.add(new Entry(k, sequence, List.of())));
         final Value.AcceptedConfiguration accepted = new Value.AcceptedConfiguration(
-                order.charter().number(), order.match(), inForce, digest(order.paper()));
-        puts.add(new Entry(key(accepted.number()), sequence, List.of(accepted)));
-        return puts;
+                command.configuration().number(),
+                command.expectedRevision(),
+                currentNumber,
+                digest(command.document()));
+        writes.add(new Entry(key(accepted.number()), sequence, List.of(accepted)));
+        return writes;
     }
 
     static Value.AcceptedConfiguration value(final Entry entry) {
-        return (Value.AcceptedConfiguration) entry.leaf().get(0);
+        return (Value.AcceptedConfiguration) entry.value().get(0);
     }
 
     private static String digest(final String text) {
         try {
-            final byte[] sum = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
-            return Base64.getUrlEncoder().withoutPadding().encodeToString(sum);
+            final byte[] hash = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
+            return Base64.getUrlEncoder().withoutPadding().encodeToString(hash);
         } catch (final NoSuchAlgorithmException missing) {
             throw new IllegalStateException("every Java platform has SHA-256", missing);
         }
--- a/core/src/main/java/silverlatch/state/Policy.java
+++ b/core/src/main/java/silverlatch/state/Policy.java
@@ -18,66 +18,70 @@
     /** Nothing. */
     public static final Policy NONE = new Policy(Map.of(), Map.of(), List.of());
 
-    private static final int FEW = 256;
+    private static final int MAX_OVERLAY_ENTRIES = 256;
     private final Map<String, Entry> base;
-    private final Map<String, Entry> over;
-    private final List<Value.Evacuation> drains;
-    private final Set<String> empty;
+    private final Map<String, Entry> overlay;
+    private final List<Value.Evacuation> evacuations;
+    private final Set<String> evacuatedZones;
 
-    private Policy(final Map<String, Entry> base, final Map<String, Entry> over, final List<Value.Evacuation> drains) {
+    private Policy(
+            final Map<String, Entry> base, final Map<String, Entry> overlay, final List<Value.Evacuation> evacuations) {
         this.base = base;
-        this.over = over;
-        this.drains = drains;
-        this.empty = drains.stream()
-                .filter(Value.Evacuation::on)
+        this.overlay = overlay;
+        this.evacuations = evacuations;
+        this.evacuatedZones = evacuations.stream()
+                .filter(Value.Evacuation::active)
                 .map(Value.Evacuation::zone)
                 .collect(Collectors.toUnmodifiableSet());
     }
 
     /** A policy of these entries. */
-    public static Policy of(final Collection<Entry> all) {
-        return NONE.with(all);
+    public static Policy of(final Collection<Entry> entries) {
+        return NONE.with(entries);
     }
 
     /** The policy after a change; entries that are gone take theirs away. */
-    public Policy with(final Collection<Entry> news) {
-        final boolean many = over.size() + news.size() > FEW;
-        final Map<String, Entry> next = new HashMap<>(many ? base : over);
-        if (many) {
-            next.putAll(over);
+    public Policy with(final Collection<Entry> changes) {
+        final boolean compacts = overlay.size() + changes.size() > MAX_OVERLAY_ENTRIES;
+        final Map<String, Entry> updated = new HashMap<>(compacts ? base : overlay);
+        if (compacts) {
+            updated.putAll(overlay);
         }
-        news.forEach(e -> next.put(e.key(), e));
-        if (many) {
-            next.values().removeIf(Entry::gone);
+        changes.forEach(e -> updated.put(e.key(), e));
+        if (compacts) {
+            updated.values().removeIf(Entry::isDeleted);
         }
-        final List<Value.Evacuation> zones = new ArrayList<>(drains);
-        news.stream().filter(e -> e.key().startsWith("z/")).forEach(e -> {
-            zones.removeIf(d -> d.zone().equals(e.key().substring(2)));
-            e.leaf().forEach(l -> zones.add((Value.Evacuation) l));
+        final List<Value.Evacuation> updatedEvacuations = new ArrayList<>(evacuations);
+        changes.stream().filter(e -> e.key().startsWith("z/")).forEach(e -> {
+            updatedEvacuations.removeIf(d -> d.zone().equals(e.key().substring(2)));
+            e.value().forEach(l -> updatedEvacuations.add((Value.Evacuation) l));
         });
-        return many ? new Policy(next, Map.of(), List.copyOf(zones)) : new Policy(base, next, List.copyOf(zones));
+        return compacts
+                ? new Policy(updated, Map.of(), List.copyOf(updatedEvacuations))
+                : new Policy(base, updated, List.copyOf(updatedEvacuations));
     }
 
     /** What a key holds. */
-    public Optional<Value> leaf(final String key) {
-        return Optional.ofNullable(over.get(key))
+    public Optional<Value> value(final String key) {
+        return Optional.ofNullable(overlay.get(key))
                 .or(() -> Optional.ofNullable(base.get(key)))
-                .flatMap(e -> e.leaf().stream().findFirst());
+                .flatMap(e -> e.value().stream().findFirst());
     }
 
     /** Orders on zones. */
-    public List<Value.Evacuation> drains() {
-        return drains;
+    public List<Value.Evacuation> evacuations() {
+        return evacuations;
     }
 
     /** The zones that are being emptied. */
-    public Set<String> empty() {
-        return empty;
+    public Set<String> evacuatedZones() {
+        return evacuatedZones;
     }
 
     /** All that is held. */
-    public Stream<Value> leaves() {
-        return Stream.concat(over.values().stream(), base.values().stream().filter(e -> !over.containsKey(e.key())))
-                .flatMap(e -> e.leaf().stream());
+    public Stream<Value> values() {
+        return Stream.concat(
+                        overlay.values().stream(), base.values().stream().filter(e -> !overlay.containsKey(e.key())))
+                .flatMap(e -> e.value().stream());
     }
 }
--- a/core/src/main/java/silverlatch/state/StateMachine.java
+++ b/core/src/main/java/silverlatch/state/StateMachine.java
@@ -19,25 +19,25 @@
 /** The shared books of the control plane: what they hold, and the one function that judges a wish against them. */
 public final class StateMachine {
     /** How many rows a table may have. */
-    public static final int ROWS = 20_000;
+    public static final int MAX_ROWS = 20_000;
     /** How many claims are kept at once. */
-    public static final int CLAIMS = 200_000;
+    public static final int MAX_CLAIMS = 200_000;
     /** A claim is kept for so many turns of the glass: 7 days of ten minutes each. */
-    public static final int TURNS = 7 * 144;
+    public static final int CLAIM_RETENTION_EPOCHS = 7 * 144;
 
-    private static final int SWEPT = 5_000;
-    private static final String GLASS = "h/glass";
+    private static final int MAX_EXPIRED_PER_EPOCH = 5_000;
+    private static final String EPOCH_KEY = "h/glass";
     private static final String RUNNING = "running";
     private static final String REJECTED = "rejected";
-    private static final int DEEDS = 1_000;
+    private static final int MAX_OUTCOMES = 1_000;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
-    private final TreeSet<Entry> newest =
+    private final TreeSet<Entry> policyBySequence =
             new TreeSet<>(Comparator.comparingLong(Entry::sequence).thenComparing(Entry::key));
-    private final Safeguards guards;
+    private final Safeguards safeguards;
     private long sequence;
-    private long page;
+    private long policyRevision;
     private long table;
-    private int claims;
+    private int claimCount;
 
     /** Empty books. */
     public StateMachine() {
@@ -45,8 +45,8 @@
     }
 
     /** Empty books under the guards that stand. */
-    public StateMachine(final Safeguards guards) {
-        this.guards = guards;
+    public StateMachine(final Safeguards safeguards) {
+        this.safeguards = safeguards;
     }
 
     /** The newest sequence applied. */
@@ -55,112 +55,114 @@
     }
 
     /** The newest sequence that changed what the data plane follows. */
-    public long page() {
-        return page;
+    public long policyRevision() {
+        return policyRevision;
     }
 
     /** Applies the entries of one change. */
-    public void apply(final long seq, final Collection<Entry> puts) {
-        sequence = Math.max(sequence, seq);
-        for (final Entry put : puts) {
-            if (put.policy()) {
-                page = Math.max(page, put.sequence());
+    public void apply(final long newSequence, final Collection<Entry> writes) {
+        sequence = Math.max(sequence, newSequence);
+        for (final Entry write : writes) {
+            if (write.isPolicy()) {
+                policyRevision = Math.max(policyRevision, write.sequence());
             }
-            if (put.gone() && !put.policy()) {
-                Optional.ofNullable(entries.remove(put.key())).ifPresent(this::unlist);
+            if (write.isDeleted() && !write.isPolicy()) {
+                Optional.ofNullable(entries.remove(write.key())).ifPresent(this::removeFromIndex);
             } else {
-                final Optional<Entry> old = Optional.ofNullable(entries.get(put.key()));
-                if (old.map(o -> put.sequence() >= o.sequence()).orElse(true)) {
-                    old.ifPresent(this::unlist);
-                    entries.put(put.key(), put);
-                    list(put);
+                final Optional<Entry> old = Optional.ofNullable(entries.get(write.key()));
+                if (old.map(o -> write.sequence() >= o.sequence()).orElse(true)) {
+                    old.ifPresent(this::removeFromIndex);
+                    entries.put(write.key(), write);
+                    addToIndex(write);
                 }
             }
         }
     }
 
-    private void list(final Entry e) {
-        claims += e.key().startsWith("c/") ? 1 : 0;
-        if (e.policy()) {
-            newest.add(e);
-            if (e.key().startsWith("r/")) {
-                table = Math.max(table, e.sequence());
+    private void addToIndex(final Entry entry) {
+        claimCount += entry.key().startsWith("c/") ? 1 : 0;
+        if (entry.isPolicy()) {
+            policyBySequence.add(entry);
+            if (entry.key().startsWith("r/")) {
+                table = Math.max(table, entry.sequence());
             }
         }
     }
 
-    private void unlist(final Entry e) {
-        claims -= e.key().startsWith("c/") ? 1 : 0;
-        if (e.policy()) {
-            newest.remove(e);
+    private void removeFromIndex(final Entry entry) {
+        claimCount -= entry.key().startsWith("c/") ? 1 : 0;
+        if (entry.isPolicy()) {
+            policyBySequence.remove(entry);
         }
     }
 
     /** Replaces everything, as a repair or a picture does. */
-    public void reset(final long seq, final Collection<Entry> all) {
+    public void reset(final long newSequence, final Collection<Entry> newEntries) {
         entries.clear();
-        newest.clear();
+        policyBySequence.clear();
         sequence = 0;
-        page = 0;
+        policyRevision = 0;
         table = 0;
-        claims = 0;
-        apply(seq, all);
+        claimCount = 0;
+        apply(newSequence, newEntries);
     }
 
     /** Replaces all keys of one range of digests by the given ones. */
-    public void mend(final int range, final int ranges, final Collection<Entry> all) {
-        entries.values().removeIf(e -> slot(e.key(), ranges) == range);
-        all.forEach(e -> entries.put(e.key(), e));
+    public void replaceRange(final int range, final int rangeCount, final Collection<Entry> rangeEntries) {
+        entries.values().removeIf(e -> rangeOf(e.key(), rangeCount) == range);
+        rangeEntries.forEach(e -> entries.put(e.key(), e));
     }
 
     /** Sets the sequences after a repair. */
-    public void level(final long seq) {
-        sequence = seq;
-        newest.clear();
+    public void completeRepair(final long newSequence) {
+        sequence = newSequence;
+        policyBySequence.clear();
         table = 0;
-        claims = 0;
-        entries.values().forEach(this::list);
-        page = newest.isEmpty() ? 0 : newest.last().sequence();
+        claimCount = 0;
+        entries.values().forEach(this::addToIndex);
+        policyRevision =
+                policyBySequence.isEmpty() ? 0 : policyBySequence.last().sequence();
     }
 
     /** Everything. */
-    public List<Entry> all() {
+    public List<Entry> allEntries() {
         return List.copyOf(entries.values());
     }
 
     /** What the data plane follows and was written after the given page. */
-    public List<Entry> since(final long old) {
-        return List.copyOf(newest.tailSet(new Entry("", old + 1, List.of())));
+    public List<Entry> policySince(final long revision) {
+        return List.copyOf(policyBySequence.tailSet(new Entry("", revision + 1, List.of())));
     }
 
     /** One digest for each range of keys. */
-    public long[] digests(final int ranges) {
-        final long[] sums = new long[ranges];
-        for (final Entry e : entries.values()) {
-            sums[slot(e.key(), ranges)] += mix(name(e.key()) + e.sequence() * 0x9E3779B97F4A7C15L);
+    public long[] digests(final int rangeCount) {
+        final long[] digests = new long[rangeCount];
+        for (final Entry entry : entries.values()) {
+            digests[rangeOf(entry.key(), rangeCount)] +=
+                    mix(hashKey(entry.key()) + entry.sequence() * 0x9E3779B97F4A7C15L);
         }
-        return sums;
+        return digests;
     }
 
     /** The entries of one range. */
-    public List<Entry> range(final int range, final int ranges) {
+    public List<Entry> entriesInRange(final int range, final int rangeCount) {
         return entries.values().stream()
-                .filter(e -> slot(e.key(), ranges) == range)
+                .filter(e -> rangeOf(e.key(), rangeCount) == range)
                 .toList();
     }
 
     /** The entry of a key, if it is held and not gone. */
     public Optional<Entry> get(final String key) {
-        return Optional.ofNullable(entries.get(key)).filter(e -> !e.gone());
+        return Optional.ofNullable(entries.get(key)).filter(e -> !e.isDeleted());
     }
 
     /** All entries whose key starts so. */
-    public SortedMap<String, Entry> part(final String start) {
-        return entries.subMap(start, start + Character.MAX_VALUE);
+    public SortedMap<String, Entry> entriesWithPrefix(final String prefix) {
+        return entries.subMap(prefix, prefix + Character.MAX_VALUE);
     }
 
     /** The key of a row. */
-    public static String row(final String tenant, final String kind) {
+    public static String rowKey(final String tenant, final String kind) {
         return "r/" + tenant + "/" + kind;
     }
 
@@ -169,423 +171,469 @@
      * otherwise later is written too, so that a copy of the wish that comes late finds it.
      * The overlay holds what was let in but is not applied yet.
      */
-    public Judged judge(final Command wish, final Map<String, Entry> overlay, final long seq, final Stamp stamp) {
-        final Map<String, Entry> seen = new HashMap<>(overlay);
-        final Look look = new Look(seen);
-        final Optional<Entry> done = look.at("o/" + wish.id());
-        if (done.isPresent() && done.get().leaf().get(0) instanceof Value.CommandOutcome d) {
-            return new Judged.Over(
+    public Evaluation evaluate(
+            final Command command, final Map<String, Entry> overlay, final long writeSequence, final Stamp stamp) {
+        final Map<String, Entry> overlayCopy = new HashMap<>(overlay);
+        final OverlaidState view = new OverlaidState(overlayCopy);
+        final Optional<Entry> outcome = view.find("o/" + command.id());
+        if (outcome.isPresent() && outcome.get().value().get(0) instanceof Value.CommandOutcome d) {
+            return new Evaluation.Reply(
                     d.code() == 0
-                            ? new CommandResult.Applied(done.get().sequence())
+                            ? new CommandResult.Applied(outcome.get().sequence())
                             : new CommandResult.Rejected(d.code(), d.faults(), d.sequence()));
         }
-        final Judged judged = judged(wish, look, seq, stamp);
-        final boolean lasting = wish instanceof Command.Claim
-                || wish instanceof Command.CompleteClaim
-                || wish instanceof Command.AdvanceEpoch;
-        return judged instanceof Judged.Over over
-                        && over.verdict() instanceof CommandResult.Rejected r
+        final Evaluation evaluation = evaluateNew(command, view, writeSequence, stamp);
+        final boolean lasting = command instanceof Command.Claim
+                || command instanceof Command.CompleteClaim
+                || command instanceof Command.AdvanceEpoch;
+        return evaluation instanceof Evaluation.Reply reply
+                        && reply.result() instanceof CommandResult.Rejected r
                         && r.code() != 409
                         && !lasting
-                ? let(look, List.of(), wish.id(), seq, new Value.CommandOutcome(r.sequence(), r.code(), r.faults()))
-                : judged;
-    }
-
-    private Judged judged(final Command wish, final Look look, final long seq, final Stamp stamp) {
-        return switch (wish) {
-            case Command.PatchTable w -> cells(w, look, seq);
-            case Command.PutTable w -> table(w, look, seq);
+                ? writeWithOutcome(
+                        view,
+                        List.of(),
+                        command.id(),
+                        writeSequence,
+                        new Value.CommandOutcome(r.sequence(), r.code(), r.faults()))
+                : evaluation;
+    }
+
+    private Evaluation evaluateNew(
+            final Command command, final OverlaidState view, final long writeSequence, final Stamp stamp) {
+        return switch (command) {
+            case Command.PatchTable w -> patchTable(w, view, writeSequence);
+            case Command.PutTable w -> table(w, view, writeSequence);
             case Command.PutTenant w ->
-                matched(
-                        look,
+                writeIfCurrent(
+                        view,
                         "t/" + w.tenant().name(),
-                        w.match(),
+                        w.expectedRevision(),
                         () -> TableRules.faults(w.tenant()),
                         w.id(),
-                        seq,
+                        writeSequence,
                         w.tenant());
             case Command.RemoveTenant w ->
-                look.at("t/" + w.tenant()).isEmpty()
-                        ? rejected(404, "no tenant " + w.tenant(), 0)
-                        : matched(look, "t/" + w.tenant(), w.match(), List::of, w.id(), seq);
+                view.find("t/" + w.tenant()).isEmpty()
+                        ? reject(404, "no tenant " + w.tenant(), 0)
+                        : writeIfCurrent(
+                                view, "t/" + w.tenant(), w.expectedRevision(), List::of, w.id(), writeSequence);
             case Command.SetEvacuation w ->
-                matched(
-                        look,
+                writeIfCurrent(
+                        view,
                         "z/" + w.zone(),
-                        guards.stands(Safeguard.NEWEST) ? w.match() : -1,
-                        () -> TableRules.word("zone", w.zone()),
+                        safeguards.stands(Safeguard.NEWEST) ? w.expectedRevision() : -1,
+                        () -> TableRules.nameFaults("zone", w.zone()),
                         w.id(),
-                        seq,
-                        new Value.Evacuation(w.zone(), w.on(), stamp));
-            case Command.Claim w -> hold(w, look, seq);
-            case Command.CompleteClaim w -> end(w, look, seq);
+                        writeSequence,
+                        new Value.Evacuation(w.zone(), w.active(), stamp));
+            case Command.Claim w -> claim(w, view, writeSequence);
+            case Command.CompleteClaim w -> completeClaim(w, view, writeSequence);
             case Command.PutSchedule w ->
-                matched(
-                        look,
-                        "k/" + w.calendar().name(),
-                        w.match(),
-                        () -> TableRules.word("name", w.calendar().name()),
+                writeIfCurrent(
+                        view,
+                        "k/" + w.schedule().name(),
+                        w.expectedRevision(),
+                        () -> TableRules.nameFaults("name", w.schedule().name()),
                         w.id(),
-                        seq,
-                        w.calendar());
+                        writeSequence,
+                        w.schedule());
             case Command.RemoveSchedule w ->
-                look.at("k/" + w.name()).isEmpty()
-                        ? rejected(404, "no calendar " + w.name(), 0)
-                        : matched(look, "k/" + w.name(), w.match(), List::of, w.id(), seq);
-            case Command.Scheduled w -> judged(w.wish(), look, seq, stamp);
-            case Command.AdvanceEpoch w -> sweep(w, look, seq);
-            case Command.PutConfiguration w -> lay(w, look, seq);
+                view.find("k/" + w.name()).isEmpty()
+                        ? reject(404, "no calendar " + w.name(), 0)
+                        : writeIfCurrent(view, "k/" + w.name(), w.expectedRevision(), List::of, w.id(), writeSequence);
+            case Command.Scheduled w -> evaluateNew(w.command(), view, writeSequence, stamp);
+            case Command.AdvanceEpoch w -> advanceEpoch(w, view, writeSequence);
+            case Command.PutConfiguration w -> putConfiguration(w, view, writeSequence);
         };
     }
 
-    private Judged cells(final Command.PatchTable w, final Look look, final long seq) {
-        final long now = look.table();
-        if (lost(w.match(), now)) {
-            return rejected(409, "the table is at sequence " + now, now);
+    private Evaluation patchTable(
+            final Command.PatchTable command, final OverlaidState view, final long writeSequence) {
+        final long currentRevision = view.tableRevision();
+        if (isConflict(command.expectedRevision(), currentRevision)) {
+            return reject(409, "the table is at sequence " + currentRevision, currentRevision);
         }
         final List<String> faults = new ArrayList<>();
         final Map<String, Value.Row> rows = new HashMap<>();
-        for (int i = 0; i < w.cells().size(); i++) {
-            final Command.Cell c = w.cells().get(i);
-            final String key = row(c.tenant(), c.kind());
-            final Value.Row old = rows.computeIfAbsent(
+        for (int i = 0; i < command.cells().size(); i++) {
+            final Command.Cell cell = command.cells().get(i);
+            final String key = rowKey(cell.tenant(), cell.kind());
+            final Value.Row previous = rows.computeIfAbsent(
                     key,
-                    k -> look.at(k)
-                            .map(e -> (Value.Row) e.leaf().get(0))
-                            .orElseGet(() -> look.at(row("*", c.kind()))
-                                    .map(e -> (Value.Row) e.leaf().get(0))
-                                    .map(r -> TableRules.renamed(r, c.tenant()))
-                                    .orElse(TableRules.plain(c.tenant(), c.kind()))));
-            switch (TableRules.set(old, c.field(), c.value())) {
-                case TableRules.Cut.Good good -> rows.put(key, good.row());
-                case TableRules.Cut.Bad bad -> faults.add("$.cells[" + i + "]: " + bad.fault());
+                    k -> view.find(k)
+                            .map(e -> (Value.Row) e.value().get(0))
+                            .orElseGet(() -> view.find(rowKey("*", cell.kind()))
+                                    .map(e -> (Value.Row) e.value().get(0))
+                                    .map(r -> TableRules.withTenant(r, cell.tenant()))
+                                    .orElse(TableRules.defaultRow(cell.tenant(), cell.kind()))));
+            switch (TableRules.withCell(previous, cell.field(), cell.value())) {
+                case TableRules.CellChange.Changed changed -> rows.put(key, changed.row());
+                case TableRules.CellChange.Invalid invalid -> faults.add("$.cells[" + i + "]: " + invalid.fault());
             }
         }
         rows.values().forEach(r -> {
             faults.addAll(TableRules.faults(r));
-            faults.addAll(look.person(r));
+            faults.addAll(view.tenantFaults(r));
         });
         if (!faults.isEmpty() || rows.isEmpty()) {
-            return new Judged.Over(
-                    new CommandResult.Rejected(422, rows.isEmpty() ? List.of("$.cells: none given") : faults, now));
+            return new Evaluation.Reply(new CommandResult.Rejected(
+                    422, rows.isEmpty() ? List.of("$.cells: none given") : faults, currentRevision));
         }
-        final long more =
-                rows.keySet().stream().filter(k -> look.at(k).isEmpty()).count();
-        if (more > 0 && look.rows().size() + more > ROWS) {
-            return rejected(507, "the table would have more than " + ROWS + " rows", now);
+        final long addedRows =
+                rows.keySet().stream().filter(k -> view.find(k).isEmpty()).count();
+        if (addedRows > 0 && view.rowKeys().size() + addedRows > MAX_ROWS) {
+            return reject(507, "the table would have more than " + MAX_ROWS + " rows", currentRevision);
         }
-        final List<Entry> puts = new ArrayList<>();
-        rows.forEach((k, r) -> puts.add(new Entry(k, seq, List.of(r))));
-        return let(look, puts, w.id(), seq);
+        final List<Entry> writes = new ArrayList<>();
+        rows.forEach((k, r) -> writes.add(new Entry(k, writeSequence, List.of(r))));
+        return writeWithOutcome(view, writes, command.id(), writeSequence);
     }
 
-    private Judged table(final Command.PutTable w, final Look look, final long seq) {
-        final long now = look.table();
-        if (lost(w.match(), now)) {
-            return rejected(409, "the table is at sequence " + now, now);
+    private Evaluation table(final Command.PutTable command, final OverlaidState view, final long writeSequence) {
+        final long currentRevision = view.tableRevision();
+        if (isConflict(command.expectedRevision(), currentRevision)) {
+            return reject(409, "the table is at sequence " + currentRevision, currentRevision);
         }
-        if (w.rows().size() > ROWS) {
-            return rejected(413, "a table has at most " + ROWS + " rows", now);
+        if (command.rows().size() > MAX_ROWS) {
+            return reject(413, "a table has at most " + MAX_ROWS + " rows", currentRevision);
         }
         final List<String> faults = new ArrayList<>();
         final Set<String> keys = new HashSet<>();
-        final List<Entry> puts = new ArrayList<>();
-        for (int i = 0; i < w.rows().size(); i++) {
-            final Value.Row r = w.rows().get(i);
-            final String at = "$.rows[" + i + "]";
-            TableRules.faults(r).forEach(f -> faults.add(at + "." + f));
-            look.person(r).forEach(f -> faults.add(at + "." + f));
-            if (!keys.add(row(r.tenant(), r.kind()))) {
-                faults.add(at + ": a second row for " + r.tenant() + " and " + r.kind());
+        final List<Entry> writes = new ArrayList<>();
+        for (int i = 0; i < command.rows().size(); i++) {
+            final Value.Row row = command.rows().get(i);
+            final String path = "$.rows[" + i + "]";
+            TableRules.faults(row).forEach(f -> faults.add(path + "." + f));
+            view.tenantFaults(row).forEach(f -> faults.add(path + "." + f));
+            if (!keys.add(rowKey(row.tenant(), row.kind()))) {
+                faults.add(path + ": a second row for " + row.tenant() + " and " + row.kind());
             }
-            puts.add(new Entry(row(r.tenant(), r.kind()), seq, List.of(r)));
+            writes.add(new Entry(rowKey(row.tenant(), row.kind()), writeSequence, List.of(row)));
         }
-        if (w.rows().isEmpty()) {
+        if (command.rows().isEmpty()) {
             faults.add("$.rows: a table needs a row");
         }
         if (!faults.isEmpty()) {
-            return new Judged.Over(
-                    new CommandResult.Rejected(422, faults.subList(0, Math.min(50, faults.size())), now));
+            return new Evaluation.Reply(
+                    new CommandResult.Rejected(422, faults.subList(0, Math.min(50, faults.size())), currentRevision));
         }
-        look.rows().stream().filter(k -> !keys.contains(k)).forEach(k -> puts.add(new Entry(k, seq, List.of())));
-        return let(look, puts, w.id(), seq);
+        view.rowKeys().stream()
+                .filter(k -> !keys.contains(k))
+                .forEach(k -> writes.add(new Entry(k, writeSequence, List.of())));
+        return writeWithOutcome(view, writes, command.id(), writeSequence);
     }
 
-    private Judged matched(
-            final Look look,
+    private Evaluation writeIfCurrent(
+            final OverlaidState view,
             final String key,
-            final long match,
+            final long expectedRevision,
             final java.util.function.Supplier<List<String>> check,
             final String id,
-            final long seq,
-            final Value... leaf) {
-        final long now = look.sequence(key);
-        if (lost(match, now)) {
-            return rejected(409, key.substring(2) + " is at sequence " + now, now);
+            final long writeSequence,
+            final Value... value) {
+        final long currentRevision = view.sequenceOf(key);
+        if (isConflict(expectedRevision, currentRevision)) {
+            return reject(409, key.substring(2) + " is at sequence " + currentRevision, currentRevision);
         }
         final List<String> faults = check.get();
         if (!faults.isEmpty()) {
-            return new Judged.Over(new CommandResult.Rejected(422, faults, now));
+            return new Evaluation.Reply(new CommandResult.Rejected(422, faults, currentRevision));
         }
-        return let(look, List.of(new Entry(key, seq, List.of(leaf))), id, seq);
+        return writeWithOutcome(view, List.of(new Entry(key, writeSequence, List.of(value))), id, writeSequence);
     }
 
-    private boolean lost(final long match, final long now) {
-        return match >= 0 && match != now && guards.stands(Safeguard.MATCH);
+    private boolean isConflict(final long expectedRevision, final long currentRevision) {
+        return expectedRevision >= 0 && expectedRevision != currentRevision && safeguards.stands(Safeguard.MATCH);
     }
 
-    private Judged hold(final Command.Claim w, final Look look, final long seq) {
-        final Optional<Value.Claim> old = look.at("c/" + w.key())
-                .map(e -> (Value.Claim) e.leaf().get(0))
-                .filter(c -> guards.stands(Safeguard.CLAIM));
-        if (old.map(c -> c.ticket().equals(w.ticket()) && c.state().equals(RUNNING))
+    private Evaluation claim(final Command.Claim command, final OverlaidState view, final long writeSequence) {
+        final Optional<Value.Claim> existing = view.find("c/" + command.key())
+                .map(e -> (Value.Claim) e.value().get(0))
+                .filter(c -> safeguards.stands(Safeguard.CLAIM));
+        if (existing.map(c ->
+                        c.requestId().equals(command.requestId()) && c.state().equals(RUNNING))
                 .orElse(false)) {
-            return new Judged.Over(new CommandResult.Applied(look.sequence("c/" + w.key())));
+            return new Evaluation.Reply(new CommandResult.Applied(view.sequenceOf("c/" + command.key())));
         }
-        if (old.isPresent() && !taken(old.get(), w)) {
-            return new Judged.Over(new CommandResult.AlreadyClaimed(old.get()));
+        if (existing.isPresent() && !canReclaim(existing.get(), command)) {
+            return new Evaluation.Reply(new CommandResult.AlreadyClaimed(existing.get()));
         }
-        if (old.isEmpty() && claims + look.fresh("c/") >= CLAIMS) {
-            return rejected(507, "the space for claims is full", sequence);
+        if (existing.isEmpty() && claimCount + view.overlayCount("c/") >= MAX_CLAIMS) {
+            return reject(507, "the space for claims is full", sequence);
         }
-        return claimed(w.key(), seq, new Value.Claim(w.ticket(), w.carrier(), RUNNING, w.at(), look.turn()));
+        return writeClaim(
+                command.key(),
+                writeSequence,
+                new Value.Claim(command.requestId(), command.gatewayId(), RUNNING, command.claimedAt(), view.epoch()));
     }
 
     /** A claim that ended as rejected never ran: a ticket that was claimed later may have its key, and none other. */
-    private static boolean taken(final Value.Claim old, final Command.Claim w) {
-        return old.state().equals(REJECTED) && !old.ticket().equals(w.ticket()) && w.at() > old.at();
-    }
-
-    private Judged end(final Command.CompleteClaim w, final Look look, final long seq) {
-        final Optional<Value.Claim> old =
-                look.at("c/" + w.key()).map(e -> (Value.Claim) e.leaf().get(0));
-        if (old.isEmpty() && w.state().equals(REJECTED)) {
-            return claimed(w.key(), seq, new Value.Claim(w.ticket(), w.carrier(), w.state(), w.at(), look.turn()));
-        }
-        if (old.isEmpty() || !old.get().ticket().equals(w.ticket())) {
-            return rejected(409, "the claim is not this ticket's", sequence);
-        }
-        if (!old.get().state().equals(RUNNING)) {
-            return new Judged.Over(new CommandResult.Applied(look.sequence("c/" + w.key())));
-        }
-        return claimed(
-                w.key(),
-                seq,
+    private static boolean canReclaim(final Value.Claim existing, final Command.Claim command) {
+        return existing.state().equals(REJECTED)
+                && !existing.requestId().equals(command.requestId())
+                && command.claimedAt() > existing.claimedAt();
+    }
+
+    private Evaluation completeClaim(
+            final Command.CompleteClaim command, final OverlaidState view, final long writeSequence) {
+        final Optional<Value.Claim> existing =
+                view.find("c/" + command.key()).map(e -> (Value.Claim) e.value().get(0));
+        if (existing.isEmpty() && command.state().equals(REJECTED)) {
+            return writeClaim(
+                    command.key(),
+                    writeSequence,
+                    new Value.Claim(
+                            command.requestId(),
+                            command.gatewayId(),
+                            command.state(),
+                            command.claimedAt(),
+                            view.epoch()));
+        }
+        if (existing.isEmpty() || !existing.get().requestId().equals(command.requestId())) {
+            return reject(409, "the claim is not this ticket's", sequence);
+        }
+        if (!existing.get().state().equals(RUNNING)) {
+            return new Evaluation.Reply(new CommandResult.Applied(view.sequenceOf("c/" + command.key())));
+        }
+        return writeClaim(
+                command.key(),
+                writeSequence,
                 new Value.Claim(
-                        old.get().ticket(),
-                        old.get().carrier(),
-                        w.state(),
-                        old.get().at(),
-                        old.get().turn()));
+                        existing.get().requestId(),
+                        existing.get().gatewayId(),
+                        command.state(),
+                        existing.get().claimedAt(),
+                        existing.get().epoch()));
     }
 
-    private static Judged claimed(final String key, final long seq, final Value.Claim claim) {
-        return new Judged.Let(List.of(new Entry("c/" + key, seq, List.of(claim))));
+    private static Evaluation writeClaim(final String key, final long writeSequence, final Value.Claim claim) {
+        return new Evaluation.Write(List.of(new Entry("c/" + key, writeSequence, List.of(claim))));
     }
 
-    private Judged let(final Look look, final List<Entry> puts, final String id, final long seq) {
-        return let(look, puts, id, seq, new Value.CommandOutcome(seq, 0, List.of()));
+    private Evaluation writeWithOutcome(
+            final OverlaidState view, final List<Entry> writes, final String id, final long writeSequence) {
+        return writeWithOutcome(view, writes, id, writeSequence, new Value.CommandOutcome(writeSequence, 0, List.of()));
     }
 
-    private Judged let(
-            final Look look, final List<Entry> puts, final String id, final long seq, final Value.CommandOutcome deed) {
-        final List<Entry> all = new ArrayList<>(puts);
-        all.add(new Entry("o/" + id, seq, List.of(deed)));
-        final Map<String, Entry> outcomes = look.under("o/");
-        final int fresh =
+    private Evaluation writeWithOutcome(
+            final OverlaidState view,
+            final List<Entry> writes,
+            final String id,
+            final long writeSequence,
+            final Value.CommandOutcome outcome) {
+        final List<Entry> all = new ArrayList<>(writes);
+        all.add(new Entry("o/" + id, writeSequence, List.of(outcome)));
+        final Map<String, Entry> outcomes = view.liveWithPrefix("o/");
+        final int added =
                 (int) all.stream().filter(e -> e.key().startsWith("o/")).count();
         outcomes.values().stream()
                 .sorted(Comparator.comparingLong(Entry::sequence).thenComparing(Entry::key))
-                .limit(Math.max(0, outcomes.size() + fresh - DEEDS))
-                .forEach(e -> all.add(new Entry(e.key(), seq, List.of())));
-        return new Judged.Let(all);
+                .limit(Math.max(0, outcomes.size() + added - MAX_OUTCOMES))
+                .forEach(e -> all.add(new Entry(e.key(), writeSequence, List.of())));
+        return new Evaluation.Write(all);
     }
 
-    private Judged lay(final Command.PutConfiguration w, final Look look, final long seq) {
-        final long now = look.at(ConfigurationValidator.CHARTER)
-                .map(e -> ((Value.RoutingConfiguration) e.leaf().get(0)).number())
+    private Evaluation putConfiguration(
+            final Command.PutConfiguration command, final OverlaidState view, final long writeSequence) {
+        final long currentNumber = view.find(ConfigurationValidator.CONFIGURATION_KEY)
+                .map(e -> ((Value.RoutingConfiguration) e.value().get(0)).number())
                 .orElse(0L);
-        final Optional<Entry> accepted = accepted(w, look, now);
+        final Optional<Entry> accepted = firstAcceptance(command, view, currentNumber);
         if (accepted.isPresent()) {
-            return new Judged.Over(new CommandResult.Applied(accepted.get().sequence()));
+            return new Evaluation.Reply(new CommandResult.Applied(accepted.get().sequence()));
         }
-        final String refusalKey = AcceptedConfigurations.refusalKey(w);
+        final String refusalKey = AcceptedConfigurations.refusalKey(command);
         final Optional<Value.CommandOutcome> refusal =
-                look.at(refusalKey).map(e -> (Value.CommandOutcome) e.leaf().get(0));
+                view.find(refusalKey).map(e -> (Value.CommandOutcome) e.value().get(0));
         if (refusal.isPresent()) {
-            return new Judged.Over(new CommandResult.Rejected(
+            return new Evaluation.Reply(new CommandResult.Rejected(
                     refusal.get().code(), refusal.get().faults(), refusal.get().sequence()));
         }
-        final Map<String, Entry> remembered = look.under(AcceptedConfigurations.KEYS);
-        if (forgotten(w, remembered, now)) {
-            return new Judged.Over(new CommandResult.Unknown(w.id()));
+        final Map<String, Entry> remembered = view.liveWithPrefix(AcceptedConfigurations.KEY_PREFIX);
+        if (mayBeForgotten(command, remembered, currentNumber)) {
+            return new Evaluation.Reply(new CommandResult.Unknown(command.id()));
         }
-        if (lost(w.match(), now)) {
-            return lostRace(w, look, refusalKey, now, seq);
+        if (isConflict(command.expectedRevision(), currentNumber)) {
+            return rejectConflict(command, view, refusalKey, currentNumber, writeSequence);
         }
-        final List<String> faults = ConfigurationValidator.faults(w, now);
+        final List<String> faults = ConfigurationValidator.faults(command, currentNumber);
         if (!faults.isEmpty()) {
-            return new Judged.Over(new CommandResult.Rejected(422, faults, now));
+            return new Evaluation.Reply(new CommandResult.Rejected(422, faults, currentNumber));
         }
-        final Map<String, Entry> old = look.under(ConfigurationValidator.RULES);
-        old.putAll(look.under(ConfigurationValidator.POOLS));
-        final List<Entry> puts = new ArrayList<>(ConfigurationValidator.puts(w, old, seq));
-        puts.addAll(AcceptedConfigurations.puts(w, remembered, now, seq));
-        return let(look, puts, w.id(), seq);
+        final Map<String, Entry> current = view.liveWithPrefix(ConfigurationValidator.ROUTE_PREFIX);
+        current.putAll(view.liveWithPrefix(ConfigurationValidator.POOL_PREFIX));
+        final List<Entry> writes = new ArrayList<>(ConfigurationValidator.writes(command, current, writeSequence));
+        writes.addAll(AcceptedConfigurations.writes(command, remembered, currentNumber, writeSequence));
+        return writeWithOutcome(view, writes, command.id(), writeSequence);
     }
 
     /**
      * The entry of an order's first acceptance, if it was accepted. The configuration in force is known by its own text
      * where a folder of an older version holds no memory of it.
      */
-    private Optional<Entry> accepted(final Command.PutConfiguration w, final Look look, final long now) {
-        final Optional<Entry> remembered = guards.stands(Safeguard.TAKEN)
-                ? look.at(AcceptedConfigurations.key(w.charter().number()))
+    private Optional<Entry> firstAcceptance(
+            final Command.PutConfiguration command, final OverlaidState view, final long currentNumber) {
+        final Optional<Entry> remembered = safeguards.stands(Safeguard.TAKEN)
+                ? view.find(AcceptedConfigurations.key(command.configuration().number()))
                 : Optional.empty();
         if (remembered.isPresent()) {
-            return remembered.filter(e -> AcceptedConfigurations.same(AcceptedConfigurations.value(e), w));
+            return remembered.filter(e -> AcceptedConfigurations.isSame(AcceptedConfigurations.value(e), command));
         }
-        final boolean inForce = now == w.charter().number()
-                && w.match() < now
-                && look.at(ConfigurationValidator.PAPER)
-                        .map(e -> ((Value.ConfigurationDocument) e.leaf().get(0))
+        final boolean inForce = currentNumber == command.configuration().number()
+                && command.expectedRevision() < currentNumber
+                && view.find(ConfigurationValidator.DOCUMENT_KEY)
+                        .map(e -> ((Value.ConfigurationDocument) e.value().get(0))
                                 .text()
-                                .equals(w.paper()))
+                                .equals(command.document()))
                         .orElse(false);
-        return look.at(ConfigurationValidator.CHARTER).filter(e -> inForce);
+        return view.find(ConfigurationValidator.CONFIGURATION_KEY).filter(e -> inForce);
     }
 
     /** Whether an order that isn't remembered may have been accepted, so that a refusal could be wrong. */
-    private boolean forgotten(final Command.PutConfiguration w, final Map<String, Entry> remembered, final long now) {
-        final long number = w.charter().number();
-        return guards.stands(Safeguard.TAKEN)
-                && w.match() < number
-                && number <= AcceptedConfigurations.forgotten(new TreeMap<>(remembered), now)
-                && ConfigurationValidator.faults(w, 0).isEmpty();
+    private boolean mayBeForgotten(
+            final Command.PutConfiguration command, final Map<String, Entry> remembered, final long currentNumber) {
+        final long number = command.configuration().number();
+        return safeguards.stands(Safeguard.TAKEN)
+                && command.expectedRevision() < number
+                && number <= AcceptedConfigurations.highestForgotten(new TreeMap<>(remembered), currentNumber)
+                && ConfigurationValidator.faults(command, 0).isEmpty();
     }
 
     /**
      * A race lost to a higher number is lost for good, as numbers only rise. An order on top of a number that isn't in
      * force yet could be accepted later, so its refusal is written: each copy that comes finds it.
      */
-    private Judged lostRace(
-            final Command.PutConfiguration w,
-            final Look look,
+    private Evaluation rejectConflict(
+            final Command.PutConfiguration command,
+            final OverlaidState view,
             final String refusalKey,
-            final long now,
-            final long seq) {
-        final List<String> faults = List.of("the charter in force is number " + now);
-        if (w.match() < now) {
-            return new Judged.Over(new CommandResult.Rejected(409, faults, now));
+            final long currentNumber,
+            final long writeSequence) {
+        final List<String> faults = List.of("the charter in force is number " + currentNumber);
+        if (command.expectedRevision() < currentNumber) {
+            return new Evaluation.Reply(new CommandResult.Rejected(409, faults, currentNumber));
         }
-        final Value.CommandOutcome refused = new Value.CommandOutcome(now, 409, faults);
-        return let(look, List.of(new Entry(refusalKey, seq, List.of(refused))), w.id(), seq, refused);
+        final Value.CommandOutcome refusal = new Value.CommandOutcome(currentNumber, 409, faults);
+        return writeWithOutcome(
+                view,
+                List.of(new Entry(refusalKey, writeSequence, List.of(refusal))),
+                command.id(),
+                writeSequence,
+                refusal);
     }
 
-    private static Judged rejected(final int code, final String why, final long now) {
-        return new Judged.Over(new CommandResult.Rejected(code, List.of(why), now));
+    private static Evaluation reject(final int code, final String reason, final long currentRevision) {
+        return new Evaluation.Reply(new CommandResult.Rejected(code, List.of(reason), currentRevision));
     }
 
     /** How often the glass was turned. */
-    public long turn() {
-        return get(GLASS).map(e -> ((Value.Epoch) e.leaf().get(0)).turn()).orElse(0L);
+    public long epoch() {
+        return get(EPOCH_KEY)
+                .map(e -> ((Value.Epoch) e.value().get(0)).number())
+                .orElse(0L);
     }
 
-    private Judged sweep(final Command.AdvanceEpoch w, final Look look, final long seq) {
-        final long now = look.turn();
-        if (w.turn() != now + 1) {
-            return w.turn() <= now
-                    ? new Judged.Over(new CommandResult.Applied(look.sequence(GLASS)))
-                    : rejected(409, "the glass was turned " + now + " times", now);
+    private Evaluation advanceEpoch(
+            final Command.AdvanceEpoch command, final OverlaidState view, final long writeSequence) {
+        final long currentEpoch = view.epoch();
+        if (command.epoch() != currentEpoch + 1) {
+            return command.epoch() <= currentEpoch
+                    ? new Evaluation.Reply(new CommandResult.Applied(view.sequenceOf(EPOCH_KEY)))
+                    : reject(409, "the glass was turned " + currentEpoch + " times", currentEpoch);
         }
-        final List<Entry> puts = new ArrayList<>(List.of(new Entry(GLASS, seq, List.of(new Value.Epoch(w.turn())))));
-        part("c/").values().stream()
-                .map(e -> look.at(e.key()))
+        final List<Entry> writes = new ArrayList<>(
+                List.of(new Entry(EPOCH_KEY, writeSequence, List.of(new Value.Epoch(command.epoch())))));
+        entriesWithPrefix("c/").values().stream()
+                .map(e -> view.find(e.key()))
                 .flatMap(Optional::stream)
-                .filter(e -> e.leaf().get(0) instanceof Value.Claim c && c.turn() + TURNS < w.turn())
-                .limit(SWEPT)
-                .forEach(e -> puts.add(new Entry(e.key(), seq, List.of())));
-        return new Judged.Let(puts);
+                .filter(e -> e.value().get(0) instanceof Value.Claim c
+                        && c.epoch() + CLAIM_RETENTION_EPOCHS < command.epoch())
+                .limit(MAX_EXPIRED_PER_EPOCH)
+                .forEach(e -> writes.add(new Entry(e.key(), writeSequence, List.of())));
+        return new Evaluation.Write(writes);
     }
 
-    private static int slot(final String key, final int ranges) {
-        return Math.floorMod(key.hashCode() * 0x9E3779B9, ranges);
+    private static int rangeOf(final String key, final int rangeCount) {
+        return Math.floorMod(key.hashCode() * 0x9E3779B9, rangeCount);
     }
 
-    private static long name(final String key) {
-        long sum = 0xCBF29CE484222325L;
+    private static long hashKey(final String key) {
+        long hash = 0xCBF29CE484222325L;
         for (int i = 0; i < key.length(); i++) {
-            sum = (sum ^ key.charAt(i)) * 0x100000001B3L;
+            hash = (hash ^ key.charAt(i)) * 0x100000001B3L;
         }
-        return sum;
+        return hash;
     }
 
     private static long mix(final long seed) {
-        final long a = (seed ^ seed >>> 30) * 0xBF58476D1CE4E5B9L;
-        final long b = (a ^ a >>> 27) * 0x94D049BB133111EBL;
-        return b ^ b >>> 31;
+        final long firstPass = (seed ^ seed >>> 30) * 0xBF58476D1CE4E5B9L;
+        final long secondPass = (firstPass ^ firstPass >>> 27) * 0x94D049BB133111EBL;
+        return secondPass ^ secondPass >>> 31;
     }
 
     /** What judging a wish gives. */
-    public sealed interface Judged {
+    public sealed interface Evaluation {
         /** It is let in and writes these entries. */
-        record Let(List<Entry> puts) implements Judged {}
+        record Write(List<Entry> entries) implements Evaluation {}
 
         /** It is decided without a write. */
-        record Over(CommandResult verdict) implements Judged {}
+        record Reply(CommandResult result) implements Evaluation {}
     }
 
-    private final class Look {
-        private final Map<String, Entry> seen;
+    private final class OverlaidState {
+        private final Map<String, Entry> overlay;
 
-        Look(final Map<String, Entry> seen) {
-            this.seen = seen;
+        OverlaidState(final Map<String, Entry> overlay) {
+            this.overlay = overlay;
         }
 
-        Optional<Entry> at(final String key) {
-            return Optional.ofNullable(seen.get(key))
+        Optional<Entry> find(final String key) {
+            return Optional.ofNullable(overlay.get(key))
                     .or(() -> Optional.ofNullable(entries.get(key)))
-                    .filter(e -> !e.gone());
+                    .filter(e -> !e.isDeleted());
         }
 
-        long sequence(final String key) {
-            return Optional.ofNullable(seen.get(key))
+        long sequenceOf(final String key) {
+            return Optional.ofNullable(overlay.get(key))
                     .or(() -> Optional.ofNullable(entries.get(key)))
                     .map(Entry::sequence)
                     .orElse(0L);
         }
 
-        long table() {
-            long most = table;
-            for (final Entry e : seen.values()) {
-                most = e.key().startsWith("r/") ? Math.max(most, e.sequence()) : most;
+        long tableRevision() {
+            long newest = table;
+            for (final Entry entry : overlay.values()) {
+                newest = entry.key().startsWith("r/") ? Math.max(newest, entry.sequence()) : newest;
             }
-            return most;
+            return newest;
         }
 
-        long turn() {
-            return at(GLASS).map(e -> ((Value.Epoch) e.leaf().get(0)).turn()).orElse(0L);
+        long epoch() {
+            return find(EPOCH_KEY)
+                    .map(e -> ((Value.Epoch) e.value().get(0)).number())
+                    .orElse(0L);
         }
 
-        Set<String> rows() {
-            return under("r/").keySet();
+        Set<String> rowKeys() {
+            return liveWithPrefix("r/").keySet();
         }
 
-        Map<String, Entry> under(final String start) {
-            final Map<String, Entry> all = new HashMap<>(part(start));
-            seen.values().stream().filter(e -> e.key().startsWith(start)).forEach(e -> all.put(e.key(), e));
-            all.values().removeIf(Entry::gone);
-            return all;
+        Map<String, Entry> liveWithPrefix(final String prefix) {
+            final Map<String, Entry> live = new HashMap<>(entriesWithPrefix(prefix));
+            overlay.values().stream().filter(e -> e.key().startsWith(prefix)).forEach(e -> live.put(e.key(), e));
+            live.values().removeIf(Entry::isDeleted);
+            return live;
         }
 
-        long fresh(final String start) {
-            return seen.keySet().stream().filter(k -> k.startsWith(start)).count();
+        long overlayCount(final String prefix) {
+            return overlay.keySet().stream().filter(k -> k.startsWith(prefix)).count();
         }
 
-        List<String> person(final Value.Row r) {
-            return r.tenant().equals("*") || at("t/" + r.tenant()).isPresent()
+        List<String> tenantFaults(final Value.Row row) {
+            return row.tenant().equals("*") || find("t/" + row.tenant()).isPresent()
                     ? List.of()
-                    : List.of("tenant: there is no tenant " + r.tenant());
+                    : List.of("tenant: there is no tenant " + row.tenant());
         }
     }
 }
--- a/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
@@ -43,7 +43,7 @@
     private Dispatcher made(final Member me) {
         tenant("one", List.of(), 1);
         tenant("two", List.of(), 1);
-        row(TableRules.plain("*", "ask"));
+        row(TableRules.defaultRow("*", "ask"));
         worker("w1", "z1", "r1", 4);
         return new Dispatcher(
                 Dispatcher.Setup.PLAIN, SEALS, facts(me), () -> new Stamp(++stamp), new SplittableRandom(3));
@@ -64,8 +64,8 @@
 
     private void row(final Value.Row r) {
         policy.put(
-                StateMachine.row(r.tenant(), r.kind()),
-                new Entry(StateMachine.row(r.tenant(), r.kind()), page, List.of(r)));
+                StateMachine.rowKey(r.tenant(), r.kind()),
+                new Entry(StateMachine.rowKey(r.tenant(), r.kind()), page, List.of(r)));
     }
 
     private void worker(final String id, final String zone, final String region, final int slots) {
--- a/core/src/test/java/silverlatch/gossip/ControllerReportsTest.java
+++ b/core/src/test/java/silverlatch/gossip/ControllerReportsTest.java
@@ -351,11 +351,11 @@
     void aNewPageReachesNinetySixDaemonsInASecondAndPullsConfirmIt() {
         fleet(96);
         final StateMachine books = new StateMachine();
-        books.apply(1, List.of(new Entry("r/*/chat", 1, List.of(TableRules.plain("*", "chat")))));
+        books.apply(1, List.of(new Entry("r/*/chat", 1, List.of(TableRules.defaultRow("*", "chat")))));
         rumors.get("h0").own(books, View.NONE, true, now);
         ship("h0");
         final long start = now;
-        while (rumors.values().stream().anyMatch(r -> r.books().page() < 1) && now - start < 2 * SECOND) {
+        while (rumors.values().stream().anyMatch(r -> r.books().policyRevision() < 1) && now - start < 2 * SECOND) {
             pass(50_000);
         }
         assertThat(now - start, lessThanOrEqualTo(700_000L));
--- a/core/src/test/java/silverlatch/json/JsonSchemaTest.java
+++ b/core/src/test/java/silverlatch/json/JsonSyntaxTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-final class JsonSchemaTest {
+final class JsonSyntaxTest {
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -19,8 +19,8 @@
                 "\"é\"",
                 "-7"
             })
-    void oneWholeValueIsWhole(final String text) {
-        assertThat(found(text), is(JsonSchema.Found.WHOLE));
+    void oneCompleteValueIsValid(final String text) {
+        assertThat(check(text), is(JsonSyntax.Result.VALID));
     }
 
     @ParameterizedTest
@@ -57,18 +57,18 @@
                 "'a'",
                 "{\"a\":1 \"b\":2}"
             })
-    void anythingElseIsBroken(final String text) {
-        assertThat(found(text), is(JsonSchema.Found.BROKEN));
+    void anythingElseIsInvalid(final String text) {
+        assertThat(check(text), is(JsonSyntax.Result.INVALID));
     }
 
     @Test
     void levelsAreCounted() {
-        assertThat(found("[[[[]]]]"), is(JsonSchema.Found.WHOLE));
-        assertThat(found("[[[[[]]]]]"), is(JsonSchema.Found.DEEP));
-        assertThat(found("[{\"a\":[{\"b\":[]}]}]"), is(JsonSchema.Found.DEEP));
+        assertThat(check("[[[[]]]]"), is(JsonSyntax.Result.VALID));
+        assertThat(check("[[[[[]]]]]"), is(JsonSyntax.Result.TOO_DEEP));
+        assertThat(check("[{\"a\":[{\"b\":[]}]}]"), is(JsonSyntax.Result.TOO_DEEP));
     }
 
-    private static JsonSchema.Found found(final String text) {
-        return JsonSchema.of(text.getBytes(StandardCharsets.UTF_8), 4);
+    private static JsonSyntax.Result check(final String text) {
+        return JsonSyntax.check(text.getBytes(StandardCharsets.UTF_8), 4);
     }
 }
--- a/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
+++ b/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
@@ -123,13 +123,14 @@
     }
 
     /** Opens a copy of a folder, as opening may write to it. */
-    private WriteAheadLog.Opened.Good open(final String name) throws IOException, URISyntaxException {
+    private WriteAheadLog.OpenResult.Success open(final String name) throws IOException, URISyntaxException {
         final Path copy = Files.createDirectories(folder.resolve("copy-" + name));
         for (final Path file : files(fixture(name))) {
             Files.copy(file, copy.resolve(file.getFileName()));
         }
-        final WriteAheadLog.Opened.Good opened = (WriteAheadLog.Opened.Good) WriteAheadLog.open(copy, false);
-        opened.ledger().close();
+        final WriteAheadLog.OpenResult.Success opened =
+                (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(copy, false);
+        opened.log().close();
         return opened;
     }
 
@@ -145,7 +146,7 @@
             if (written instanceof LogRecord.Snapshot snapshot) {
                 state.reset(snapshot.sequence(), snapshot.entries());
             } else if (written instanceof LogRecord.Appended appended) {
-                state.apply(appended.change().sequence(), appended.change().puts());
+                state.apply(appended.entry().sequence(), appended.entry().puts());
             }
         }
         return state;
@@ -163,9 +164,9 @@
         final Path parent = target.isEmpty() ? folder : Path.of(target);
         DataFolderGenerator.generate(parent);
         for (final String name : List.of("a", "b", "c")) {
-            final WriteAheadLog.Opened.Good opened =
-                    (WriteAheadLog.Opened.Good) WriteAheadLog.open(parent.resolve(name));
-            opened.ledger().close();
+            final WriteAheadLog.OpenResult.Success opened =
+                    (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(parent.resolve(name));
+            opened.log().close();
             assertThat(opened.identity(), is(DataFolderGenerator.replica(name).id()));
         }
     }
@@ -173,51 +174,51 @@
     @ParameterizedTest
     @ValueSource(strings = {"a", "c"})
     void theIdentityAndTheFoundingMarkAreKept(final String name) throws IOException, URISyntaxException {
-        final WriteAheadLog.Opened.Good opened = open(name);
+        final WriteAheadLog.OpenResult.Success opened = open(name);
         assertThat(opened.identity(), is(DataFolderGenerator.replica(name).id()));
-        assertThat(opened.founder(), is(true));
-        assertThat(opened.torn(), is(0L));
+        assertThat(opened.mayFound(), is(true));
+        assertThat(opened.tornBytes(), is(0L));
     }
 
     @Test
     void theLogOfTheHeadHoldsEveryChangeSinceTheFounding() throws IOException, URISyntaxException {
-        final List<LogRecord> records = open("a").notes();
+        final List<LogRecord> records = open("a").records();
         assertThat(records.get(0), is(new LogRecord.Founding(view(1, "abc"))));
         assertThat(records.get(1), is(new LogRecord.ViewInstalled(view(1, "abc"), true)));
         final StateMachine state = replay(records);
         final List<Entry> expected = new ArrayList<>(committedEntries());
         expected.addAll(uncommittedEntries());
         expected.sort(java.util.Comparator.comparing(Entry::key));
-        assertThat(state.all(), is(expected));
+        assertThat(state.allEntries(), is(expected));
         assertThat(state.sequence(), is(COMMITTED + 1));
         final ChainReplica replica = recover("a", records);
-        assertThat("committed at the head", replica.books().all(), is(List.of()));
+        assertThat("committed at the head", replica.books().allEntries(), is(List.of()));
         assertThat("not known to be committed", replica.state(0).pending(), is((int) COMMITTED + 1));
     }
 
     @Test
     void theSnapshotAndTheLogAfterItHoldTheCommittedState() throws IOException, URISyntaxException {
-        final List<LogRecord> records = open("c").notes();
+        final List<LogRecord> records = open("c").records();
         final LogRecord.Snapshot snapshot = (LogRecord.Snapshot) records.get(0);
         assertThat(
                 snapshot.withEntries(List.of()),
                 is(new LogRecord.Snapshot(14, view(2, "ab"), false, 0, 0, List.of(), 1_012, List.of())));
         final StateMachine state = recover("c", records).books();
-        assertThat(state.all(), is(committedEntries()));
+        assertThat(state.allEntries(), is(committedEntries()));
         assertThat(state.sequence(), is(COMMITTED));
-        assertThat(state.page(), is(COMMITTED));
-        assertThat(state.turn(), is(1L));
+        assertThat(state.policyRevision(), is(COMMITTED));
+        assertThat(state.epoch(), is(1L));
         assertThat(state.digests(DIGEST_RANGES), is(new long[] {
             -441960143949867817L, 1793177870366617797L, -1597986634623973776L, 2048095622116333263L
         }));
-        assertThat(replay(records).all(), is(committedEntries()));
+        assertThat(replay(records).allEntries(), is(committedEntries()));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "c"})
     void theViewAndTheAcceptedProposalAreThoseThatWereWritten(final String name)
             throws IOException, URISyntaxException {
-        final ChainReplica replica = recover(name, open(name).notes());
+        final ChainReplica replica = recover(name, open(name).records());
         assertThat(replica.view(), is(view(3, "abc")));
         assertThat(replica.state(0).level(), is(true));
         assertThat(
@@ -258,15 +259,15 @@
     @ValueSource(strings = {"a", "c"})
     void theRecordsAreWrittenAsTheSameBytes(final String name) throws IOException, URISyntaxException {
         final Path copy = folder.resolve("written-" + name);
-        final WriteAheadLog log = ((WriteAheadLog.Opened.Good) WriteAheadLog.open(copy)).ledger();
-        final LogRecord first = open(name).notes().get(0);
+        final WriteAheadLog log = ((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(copy)).log();
+        final LogRecord first = open(name).records().get(0);
         if (first instanceof LogRecord.Snapshot) {
             log.write(List.of(first));
         }
         for (final Path file : files(fixture(name))) {
             if (file.getFileName().toString().startsWith("segment")) {
                 for (final LogRecord.Batch batch : batches(file)) {
-                    log.write(batch.notes());
+                    log.write(batch.records());
                 }
             }
         }
--- a/core/src/test/java/silverlatch/log/DataFolderGenerator.java
+++ b/core/src/test/java/silverlatch/log/DataFolderGenerator.java
@@ -167,16 +167,18 @@
         final String name = address.substring(0, 1);
         final Path folder = parent.resolve(name);
         if (!Files.exists(folder)) {
-            ((WriteAheadLog.Opened.Good) WriteAheadLog.open(folder)).ledger().close();
+            ((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder))
+                    .log()
+                    .close();
             Files.write(folder.resolve("identity"), replica(name).id().getBytes(StandardCharsets.US_ASCII));
         }
-        final WriteAheadLog.Opened.Good opened = (WriteAheadLog.Opened.Good) WriteAheadLog.open(folder);
+        final WriteAheadLog.OpenResult.Success opened = (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder);
         final ChainReplica replica = new ChainReplica(
-                ChainReplica.Setup.of(replica(name), ADDRESSES).founds(opened.founder()),
-                opened.notes(),
+                ChainReplica.Setup.of(replica(name), ADDRESSES).founds(opened.mayFound()),
+                opened.records(),
                 () -> new Stamp(++stamp),
                 nowMicros);
-        running.put(address, new Machine(address, opened.ledger(), replica));
+        running.put(address, new Machine(address, opened.log(), replica));
     }
 
     private void stop(final String address) throws IOException {
@@ -262,7 +264,7 @@
 
     private void noteAccepted(final String address, final LogRecord written) {
         if (written instanceof LogRecord.Accepted accepted) {
-            acceptedViews.put(address, accepted.number());
+            acceptedViews.put(address, accepted.viewNumber());
         }
     }
 }
--- a/core/src/test/java/silverlatch/log/WriteAheadLogTest.java
+++ b/core/src/test/java/silverlatch/log/WriteAheadLogTest.java
@@ -31,8 +31,8 @@
     @TempDir
     private Path folder;
 
-    private static WriteAheadLog.Opened.Good open(final Path folder) {
-        return (WriteAheadLog.Opened.Good) WriteAheadLog.open(folder);
+    private static WriteAheadLog.OpenResult.Success open(final Path folder) {
+        return (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder);
     }
 
     private Path segment(final int number) {
@@ -41,14 +41,14 @@
 
     @Test
     void whatWasWrittenIsReadBackUnderTheSameIdentity() throws IOException {
-        final WriteAheadLog.Opened.Good first = open(folder);
-        first.ledger().write(List.of(new LogRecord.Promised(1, 0), new LogRecord.Promised(2, 3)));
-        first.ledger().write(List.of(new LogRecord.Promised(4, 0)));
-        first.ledger().close();
-        final WriteAheadLog.Opened.Good second = open(folder);
+        final WriteAheadLog.OpenResult.Success first = open(folder);
+        first.log().write(List.of(new LogRecord.Promised(1, 0), new LogRecord.Promised(2, 3)));
+        first.log().write(List.of(new LogRecord.Promised(4, 0)));
+        first.log().close();
+        final WriteAheadLog.OpenResult.Success second = open(folder);
         assertThat(second.identity(), is(first.identity()));
         assertThat(
-                second.notes(),
+                second.records(),
                 is(List.of(new LogRecord.Promised(1, 0), new LogRecord.Promised(2, 3), new LogRecord.Promised(4, 0))));
     }
 
@@ -56,11 +56,12 @@
     void aDamagedFolderIsPutAsideAndItsMachineIsANewOneThatDoesNotFound() throws IOException {
         final String old = open(folder).identity();
         Files.writeString(folder.resolve("identity"), "torn");
-        assertThat(WriteAheadLog.open(folder) instanceof WriteAheadLog.Opened.Damaged, is(true));
-        WriteAheadLog.aside(folder);
-        final WriteAheadLog.Opened.Good next = (WriteAheadLog.Opened.Good) WriteAheadLog.open(folder, false);
+        assertThat(WriteAheadLog.open(folder) instanceof WriteAheadLog.OpenResult.Damaged, is(true));
+        WriteAheadLog.moveAside(folder);
+        final WriteAheadLog.OpenResult.Success next =
+                (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder, false);
         assertThat(next.identity().equals(old), is(false));
-        assertThat(next.founder(), is(false));
+        assertThat(next.mayFound(), is(false));
         assertThat(Files.readString(folder.resolve("damaged/identity")), is("torn"));
     }
 
@@ -68,81 +69,82 @@
     void aDiskThatCantBeReadIsNotTakenForDamage() throws IOException {
         final Path file = folder.resolve("plain");
         Files.writeString(file, "no folder");
-        assertThat(WriteAheadLog.open(file) instanceof WriteAheadLog.Opened.Barred, is(true));
+        assertThat(WriteAheadLog.open(file) instanceof WriteAheadLog.OpenResult.Unavailable, is(true));
     }
 
     @Test
     void aFolderKeepsWhetherItWasMadeToFound() {
-        assertThat(open(folder).founder(), is(true));
-        assertThat(((WriteAheadLog.Opened.Good) WriteAheadLog.open(folder, false)).founder(), is(true));
+        assertThat(open(folder).mayFound(), is(true));
+        assertThat(((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder, false)).mayFound(), is(true));
         final Path wiped = folder.resolve("wiped");
-        assertThat(((WriteAheadLog.Opened.Good) WriteAheadLog.open(wiped, false)).founder(), is(false));
-        assertThat(((WriteAheadLog.Opened.Good) WriteAheadLog.open(wiped, false)).founder(), is(false));
+        assertThat(((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(wiped, false)).mayFound(), is(false));
+        assertThat(((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(wiped, false)).mayFound(), is(false));
     }
 
     @Test
-    void aPictureOfAsManyClaimsAsThereMayBeIsReadBack() throws IOException {
+    void aSnapshotOfAsManyClaimsAsThereMayBeIsReadBack() throws IOException {
         final List<Entry> claims = new java.util.ArrayList<>();
-        for (int i = 0; i < StateMachine.CLAIMS; i++) {
+        for (int i = 0; i < StateMachine.MAX_CLAIMS; i++) {
             claims.add(new Entry(
                     "c/" + String.format("%064x", i),
                     i,
                     List.of(new Value.Claim("gateway-1-hmi2nbkpu3-z2gfbs3q7i" + i, "10.0.0.1:7000", "running", i, 1))));
         }
-        final LogRecord.Snapshot picture = new LogRecord.Snapshot(1, View.NONE, true, 0, 0, List.of(), 1, claims);
-        final WriteAheadLog.Opened.Good first = open(folder);
-        first.ledger().write(List.of(picture));
-        first.ledger().close();
-        assertThat(open(folder).notes().equals(List.of(picture)), is(true));
+        final LogRecord.Snapshot snapshot = new LogRecord.Snapshot(1, View.NONE, true, 0, 0, List.of(), 1, claims);
+        final WriteAheadLog.OpenResult.Success first = open(folder);
+        first.log().write(List.of(snapshot));
+        first.log().close();
+        assertThat(open(folder).records().equals(List.of(snapshot)), is(true));
     }
 
     @Test
     void aTornTailIsCutOffWhereverItTears() throws IOException {
-        final WriteAheadLog.Opened.Good first = open(folder);
-        first.ledger().write(List.of(new LogRecord.Promised(1, 0)));
-        final long whole = Files.size(segment(1));
-        first.ledger().write(List.of(new LogRecord.Promised(2, 3)));
-        first.ledger().close();
-        final byte[] all = Files.readAllBytes(segment(1));
-        for (int cut = (int) whole; cut < all.length; cut++) {
-            Files.write(segment(1), Arrays.copyOf(all, cut));
-            final WriteAheadLog.Opened.Good again = open(folder);
-            assertThat(again.notes(), is(List.of((LogRecord) new LogRecord.Promised(1, 0))));
-            assertThat(again.torn(), is(cut - whole));
-            again.ledger().write(List.of(new LogRecord.Promised(9, 0)));
-            again.ledger().close();
-            assertThat(Lists.last(open(folder).notes()), is(new LogRecord.Promised(9, 0)));
+        final WriteAheadLog.OpenResult.Success first = open(folder);
+        first.log().write(List.of(new LogRecord.Promised(1, 0)));
+        final long intactBytes = Files.size(segment(1));
+        first.log().write(List.of(new LogRecord.Promised(2, 3)));
+        first.log().close();
+        final byte[] bytes = Files.readAllBytes(segment(1));
+        for (int cut = (int) intactBytes; cut < bytes.length; cut++) {
+            Files.write(segment(1), Arrays.copyOf(bytes, cut));
+            final WriteAheadLog.OpenResult.Success again = open(folder);
+            assertThat(again.records(), is(List.of((LogRecord) new LogRecord.Promised(1, 0))));
+            assertThat(again.tornBytes(), is(cut - intactBytes));
+            again.log().write(List.of(new LogRecord.Promised(9, 0)));
+            again.log().close();
+            assertThat(Lists.last(open(folder).records()), is(new LogRecord.Promised(9, 0)));
         }
     }
 
     @Test
     void damageInTheMiddleIsRejected() throws IOException {
-        final WriteAheadLog.Opened.Good first = open(folder);
-        first.ledger().write(List.of(new LogRecord.Promised(1, 0)));
-        first.ledger().write(List.of(new LogRecord.Promised(2, 3)));
-        first.ledger().close();
-        final byte[] all = Files.readAllBytes(segment(1));
-        for (int at = 0; at < all.length / 2; at++) {
-            final byte[] hurt = all.clone();
-            hurt[at] ^= 0x10;
-            Files.write(segment(1), hurt);
-            assertThat("byte " + at, WriteAheadLog.open(folder), instanceOf(WriteAheadLog.Opened.Damaged.class));
+        final WriteAheadLog.OpenResult.Success first = open(folder);
+        first.log().write(List.of(new LogRecord.Promised(1, 0)));
+        first.log().write(List.of(new LogRecord.Promised(2, 3)));
+        first.log().close();
+        final byte[] bytes = Files.readAllBytes(segment(1));
+        for (int at = 0; at < bytes.length / 2; at++) {
+            final byte[] damaged = bytes.clone();
+            damaged[at] ^= 0x10;
+            Files.write(segment(1), damaged);
+            assertThat("byte " + at, WriteAheadLog.open(folder), instanceOf(WriteAheadLog.OpenResult.Damaged.class));
         }
     }
 
     @Test
-    void aPictureFreesOldSegmentsAndKeepsWhatFollows() throws IOException {
-        final WriteAheadLog.Opened.Good first = open(folder);
-        first.ledger().write(List.of(new LogRecord.Promised(1, 0)));
-        final LogRecord.Snapshot picture = new LogRecord.Snapshot(7, View.NONE, true, 0, 0, List.of(), 0, List.of());
-        first.ledger().write(List.of(picture, new LogRecord.Promised(2, 0)));
-        first.ledger().write(List.of(new LogRecord.Promised(3, 0)));
-        first.ledger().close();
+    void aSnapshotRemovesOldSegmentsAndKeepsWhatFollows() throws IOException {
+        final WriteAheadLog.OpenResult.Success first = open(folder);
+        first.log().write(List.of(new LogRecord.Promised(1, 0)));
+        final LogRecord.Snapshot snapshot = new LogRecord.Snapshot(7, View.NONE, true, 0, 0, List.of(), 0, List.of());
+        first.log().write(List.of(snapshot, new LogRecord.Promised(2, 0)));
+        first.log().write(List.of(new LogRecord.Promised(3, 0)));
+        first.log().close();
         assertThat(Files.exists(segment(1)), is(false));
         assertThat(
-                open(folder).notes(), is(List.of(picture, new LogRecord.Promised(2, 0), new LogRecord.Promised(3, 0))));
+                open(folder).records(),
+                is(List.of(snapshot, new LogRecord.Promised(2, 0), new LogRecord.Promised(3, 0))));
         Files.write(folder.resolve("picture-000000000002"), new byte[] {1, 2, 3});
-        assertThat(WriteAheadLog.open(folder), instanceOf(WriteAheadLog.Opened.Damaged.class));
+        assertThat(WriteAheadLog.open(folder), instanceOf(WriteAheadLog.OpenResult.Damaged.class));
     }
 
     private static Entry entry(final int number) {
@@ -165,28 +167,28 @@
     @Test
     void aSnapshotInPartsIsReadBackAndOneCutAnywhereIsDamage() throws IOException {
         final LogRecord.Snapshot snapshot = snapshot(7, 20);
-        final WriteAheadLog.Opened.Good first = open(folder);
-        first.ledger().write(List.of(snapshot));
-        first.ledger().close();
-        assertThat(open(folder).notes().equals(List.of(snapshot)), is(true));
+        final WriteAheadLog.OpenResult.Success first = open(folder);
+        first.log().write(List.of(snapshot));
+        first.log().close();
+        assertThat(open(folder).records().equals(List.of(snapshot)), is(true));
         final Path file = folder.resolve("picture-000000000002");
-        final byte[] all = Files.readAllBytes(file);
-        for (int cut = 0; cut < all.length; cut += 1 + all.length / 50) {
-            Files.write(file, Arrays.copyOf(all, cut));
-            assertThat("cut " + cut, WriteAheadLog.open(folder), instanceOf(WriteAheadLog.Opened.Damaged.class));
+        final byte[] bytes = Files.readAllBytes(file);
+        for (int cut = 0; cut < bytes.length; cut += 1 + bytes.length / 50) {
+            Files.write(file, Arrays.copyOf(bytes, cut));
+            assertThat("cut " + cut, WriteAheadLog.open(folder), instanceOf(WriteAheadLog.OpenResult.Damaged.class));
         }
-        Files.write(file, Arrays.copyOf(all, all.length + 1));
-        assertThat(WriteAheadLog.open(folder), instanceOf(WriteAheadLog.Opened.Damaged.class));
+        Files.write(file, Arrays.copyOf(bytes, bytes.length + 1));
+        assertThat(WriteAheadLog.open(folder), instanceOf(WriteAheadLog.OpenResult.Damaged.class));
     }
 
     @Test
     void eachNameThatIsLostOrKeptByItselfAfterASnapshotLeavesTheSameRecords() throws IOException {
-        final WriteAheadLog.Opened.Good first = open(folder);
-        first.ledger().write(List.of(snapshot(3, 1), new LogRecord.Promised(1, 0)));
+        final WriteAheadLog.OpenResult.Success first = open(folder);
+        first.log().write(List.of(snapshot(3, 1), new LogRecord.Promised(1, 0)));
         final Map<String, byte[]> before = files(folder);
         final LogRecord.Snapshot snapshot = snapshot(7, 2);
-        first.ledger().write(List.of(snapshot, new LogRecord.Promised(2, 0)));
-        first.ledger().close();
+        first.log().write(List.of(snapshot, new LogRecord.Promised(2, 0)));
+        first.log().close();
         final Map<String, byte[]> after = files(folder);
         final List<String> removed =
                 before.keySet().stream().filter(n -> !after.containsKey(n)).toList();
@@ -211,13 +213,13 @@
     }
 
     private static Map<String, byte[]> files(final Path folder) throws IOException {
-        final Map<String, byte[]> all = new TreeMap<>();
+        final Map<String, byte[]> contents = new TreeMap<>();
         try (Stream<Path> files = Files.list(folder)) {
             for (final Path file : files.filter(Files::isRegularFile).toList()) {
-                all.put(file.getFileName().toString(), Files.readAllBytes(file));
+                contents.put(file.getFileName().toString(), Files.readAllBytes(file));
             }
         }
-        return all;
+        return contents;
     }
 
     private List<LogRecord> recovered(final Map<String, byte[]> files) throws IOException {
@@ -225,69 +227,69 @@
         for (final Map.Entry<String, byte[]> file : files.entrySet()) {
             Files.write(copy.resolve(file.getKey()), file.getValue());
         }
-        final WriteAheadLog.Opened.Good good = open(copy);
-        good.ledger().close();
+        final WriteAheadLog.OpenResult.Success good = open(copy);
+        good.log().close();
         assertThat(
                 "nothing is left of a write that was not finished",
                 files(copy).keySet().stream().noneMatch(n -> n.endsWith(".part")),
                 is(true));
-        return good.notes();
+        return good.records();
     }
 
     @Test
     void aLogWhoseSnapshotCouldNotBeWrittenIsOpenedAgainWithAllThatWasSynced() throws IOException {
-        final WriteAheadLog.Opened.Good first = open(folder);
-        first.ledger().write(List.of(new LogRecord.Promised(1, 0)));
+        final WriteAheadLog.OpenResult.Success first = open(folder);
+        first.log().write(List.of(new LogRecord.Promised(1, 0)));
         final Path inTheWay = folder.resolve("picture-000000000002.part");
         Files.createDirectories(inTheWay.resolve("inside"));
-        assertThrows(IOException.class, () -> first.ledger().write(List.of(snapshot(7, 1))));
-        assertThat(first.ledger().reopen(), instanceOf(WriteAheadLog.Opened.Barred.class));
+        assertThrows(IOException.class, () -> first.log().write(List.of(snapshot(7, 1))));
+        assertThat(first.log().reopen(), instanceOf(WriteAheadLog.OpenResult.Unavailable.class));
         Files.delete(inTheWay.resolve("inside"));
-        final WriteAheadLog.Opened.Good again =
-                (WriteAheadLog.Opened.Good) first.ledger().reopen();
+        final WriteAheadLog.OpenResult.Success again =
+                (WriteAheadLog.OpenResult.Success) first.log().reopen();
         assertThat(again.identity(), is(first.identity()));
-        assertThat(again.notes(), is(List.of((LogRecord) new LogRecord.Promised(1, 0))));
-        again.ledger().write(List.of(snapshot(8, 1)));
-        again.ledger().close();
-        assertThat(open(folder).notes(), is(List.of((LogRecord) snapshot(8, 1))));
+        assertThat(again.records(), is(List.of((LogRecord) new LogRecord.Promised(1, 0))));
+        again.log().write(List.of(snapshot(8, 1)));
+        again.log().close();
+        assertThat(open(folder).records(), is(List.of((LogRecord) snapshot(8, 1))));
     }
 
     @Test
     void aHalfWrittenBatchIsCutOffWhenTheLogIsOpenedAgain() throws IOException {
-        final WriteAheadLog.Opened.Good first = open(folder);
-        first.ledger().write(List.of(new LogRecord.Promised(1, 0)));
-        final byte[] whole = Files.readAllBytes(segment(1));
-        final byte[] half = Arrays.copyOf(whole, whole.length + whole.length / 2);
-        System.arraycopy(whole, 0, half, whole.length, whole.length / 2);
-        Files.write(segment(1), half);
-        final WriteAheadLog.Opened.Good again =
-                (WriteAheadLog.Opened.Good) first.ledger().reopen();
-        assertThat(again.notes(), is(List.of((LogRecord) new LogRecord.Promised(1, 0))));
-        again.ledger().write(List.of(new LogRecord.Promised(2, 0)));
-        again.ledger().close();
-        assertThat(open(folder).notes().size(), is(2));
+        final WriteAheadLog.OpenResult.Success first = open(folder);
+        first.log().write(List.of(new LogRecord.Promised(1, 0)));
+        final byte[] intact = Files.readAllBytes(segment(1));
+        final byte[] torn = Arrays.copyOf(intact, intact.length + intact.length / 2);
+        System.arraycopy(intact, 0, torn, intact.length, intact.length / 2);
+        Files.write(segment(1), torn);
+        final WriteAheadLog.OpenResult.Success again =
+                (WriteAheadLog.OpenResult.Success) first.log().reopen();
+        assertThat(again.records(), is(List.of((LogRecord) new LogRecord.Promised(1, 0))));
+        again.log().write(List.of(new LogRecord.Promised(2, 0)));
+        again.log().close();
+        assertThat(open(folder).records().size(), is(2));
     }
 
     @Test
     void aFolderThatLostItsIdentityIsNotOpenedAgainAsANewMachine() throws IOException {
-        final WriteAheadLog.Opened.Good first = open(folder);
+        final WriteAheadLog.OpenResult.Success first = open(folder);
         Files.delete(folder.resolve("identity"));
-        assertThat(first.ledger().reopen(), instanceOf(WriteAheadLog.Opened.Barred.class));
+        assertThat(first.log().reopen(), instanceOf(WriteAheadLog.OpenResult.Unavailable.class));
         assertThat(Files.exists(folder.resolve("identity")), is(false));
     }
 
     @Test
     void aFolderOfAnotherFormatIsRefusedAndLeftAsItIs() throws IOException {
-        open(folder).ledger().close();
-        assertThat(Files.readString(folder.resolve("format")), is("" + WriteAheadLog.VERSION));
+        open(folder).log().close();
+        assertThat(Files.readString(folder.resolve("format")), is("" + WriteAheadLog.FORMAT_VERSION));
         Files.delete(folder.resolve("format"));
         final Map<String, byte[]> before = files(folder);
-        final WriteAheadLog.Opened older = WriteAheadLog.open(folder);
-        assertThat(older, instanceOf(WriteAheadLog.Opened.Unsupported.class));
-        assertThat(((WriteAheadLog.Opened.Unsupported) older).why(), containsString("log format 1"));
+        final WriteAheadLog.OpenResult older = WriteAheadLog.open(folder);
+        assertThat(older, instanceOf(WriteAheadLog.OpenResult.Unsupported.class));
+        assertThat(((WriteAheadLog.OpenResult.Unsupported) older).reason(), containsString("log format 1"));
         assertThat(files(folder).keySet(), is(before.keySet()));
-        Files.writeString(folder.resolve("format"), "" + (WriteAheadLog.VERSION + 1));
-        assertThat(WriteAheadLog.open(folder), instanceOf(WriteAheadLog.Opened.Unsupported.class));
+        Files.writeString(folder.resolve("format"), "" + (WriteAheadLog.FORMAT_VERSION + 1));
+        assertThat(WriteAheadLog.open(folder), instanceOf(WriteAheadLog.OpenResult.Unsupported.class));
     }
 
     @Test
@@ -310,9 +312,9 @@
                 new LogRecord.Promised(4, 5),
                 new LogRecord.Accepted(4, 5, view),
                 new LogRecord.Founding(view));
-        final WriteAheadLog.Opened.Good first = open(folder);
-        first.ledger().write(records);
-        first.ledger().close();
-        assertThat(open(folder).notes(), is(records));
+        final WriteAheadLog.OpenResult.Success first = open(folder);
+        first.log().write(records);
+        first.log().close();
+        assertThat(open(folder).records(), is(records));
     }
 }
--- a/core/src/test/java/silverlatch/node/NodeCluster.java
+++ b/core/src/test/java/silverlatch/node/NodeCluster.java
@@ -196,7 +196,7 @@
             order.result = Optional.of((CommandResult) r);
             order.ended = now;
             if (order.acknowledged() && command instanceof Command.PutConfiguration c) {
-                acknowledged.add(new Acknowledged(now, c.charter().number()));
+                acknowledged.add(new Acknowledged(now, c.configuration().number()));
             }
         });
         machines.get(at).step(n -> n.wish(command, mine, now, now + ORDER_TIMEOUT));
@@ -215,7 +215,7 @@
         final List<Object> answers = new ArrayList<>();
         final long mine = ++token;
         machines.get(at).open.put(mine, answers::add);
-        machines.get(at).step(n -> n.read(ConfigurationValidator.CHARTER, mine, now, now + ORDER_TIMEOUT));
+        machines.get(at).step(n -> n.read(ConfigurationValidator.CONFIGURATION_KEY, mine, now, now + ORDER_TIMEOUT));
         return answers;
     }
 
@@ -225,7 +225,7 @@
                 .map(a -> (silverlatch.replication.ChainClient.Page) a)
                 .filter(p -> p.ok())
                 .map(p -> p.entries().stream()
-                        .map(e -> ((Value.RoutingConfiguration) e.leaf().get(0)).number())
+                        .map(e -> ((Value.RoutingConfiguration) e.value().get(0)).number())
                         .findFirst()
                         .orElse(0L))
                 .findFirst();
@@ -421,8 +421,8 @@
             }
             final long held = n.rumor()
                     .books()
-                    .get(ConfigurationValidator.CHARTER)
-                    .map(e -> ((Value.RoutingConfiguration) e.leaf().get(0)).number())
+                    .get(ConfigurationValidator.CONFIGURATION_KEY)
+                    .map(e -> ((Value.RoutingConfiguration) e.value().get(0)).number())
                     .orElse(0L);
             acknowledged.stream()
                     .filter(a -> a.at() <= now - age && a.number() > held)
--- a/core/src/test/java/silverlatch/replication/CatchUpTest.java
+++ b/core/src/test/java/silverlatch/replication/CatchUpTest.java
@@ -114,7 +114,7 @@
                 .orElseThrow();
         figures("members " + members + " documents " + count + " back after us " + span + " bytes " + bytes
                 + " largest disk " + disk + " entries "
-                + cluster.quay(away).books().all().size());
+                + cluster.quay(away).books().allEntries().size());
         assertThat("it is back" + cluster, span, greaterThan(0L));
         assertThat("in a bounded time", span, lessThan(4 * SECOND));
         assertThat("with bounded bytes", bytes, lessThan(2L << 20));
@@ -163,8 +163,8 @@
         for (int number = 1; number <= count; number++) {
             put(cluster, "a", number, true);
         }
-        final long state = cluster.quay("a").books().all().stream()
-                .mapToLong(silverlatch.state.Entry::weight)
+        final long state = cluster.quay("a").books().allEntries().stream()
+                .mapToLong(silverlatch.state.Entry::estimatedBytes)
                 .sum();
         cluster.kill("c");
         cluster.wipe("c");
@@ -175,7 +175,8 @@
         final long span = cluster.until(60 * SECOND, () -> whole(cluster, 3));
         final long bytes = cluster.links().received("c") - before;
         figures("empty machine, " + count + " documents of new names: entries "
-                + cluster.quay("a").books().all().size() + " weight " + state + " back after us " + span + " bytes "
+                + cluster.quay("a").books().allEntries().size() + " weight " + state + " back after us " + span
+                + " bytes "
                 + bytes + " largest disk "
                 + cluster.up().stream()
                         .mapToLong(s -> cluster.modelDisk(s).peakBytes())
--- a/core/src/test/java/silverlatch/replication/ChainClientTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainClientTest.java
@@ -60,7 +60,8 @@
 
     private List<Long> matches() {
         return clerk.drain().stream()
-                .map(e -> ((Command.SetEvacuation) ((Message.WriteRequest) ((Effect.Send) e).body()).command()).match())
+                .map(e -> ((Command.SetEvacuation) ((Message.WriteRequest) ((Effect.Send) e).body()).command())
+                        .expectedRevision())
                 .toList();
     }
 
--- a/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
@@ -124,7 +124,8 @@
                         new Message.WriteRequest(
                                 1,
                                 "operator",
-                                new Command.PutTable(id, List.of(silverlatch.state.TableRules.plain("*", id)), match)),
+                                new Command.PutTable(
+                                        id, List.of(silverlatch.state.TableRules.defaultRow("*", id)), match)),
                         "operator",
                         now);
         pump();
@@ -136,9 +137,9 @@
 
     private Set<String> kinds(final String at) {
         final Set<String> set = new TreeSet<>();
-        quays.get(at).books().part("r/").values().stream()
-                .filter(e -> !e.gone())
-                .forEach(e -> set.add(((Value.Row) e.leaf().get(0)).kind()));
+        quays.get(at).books().entriesWithPrefix("r/").values().stream()
+                .filter(e -> !e.isDeleted())
+                .forEach(e -> set.add(((Value.Row) e.value().get(0)).kind()));
         return set;
     }
 
@@ -189,7 +190,7 @@
                                 2,
                                 "operator",
                                 new Command.PutTable(
-                                        "two", List.of(silverlatch.state.TableRules.plain("*", "two")), -1)),
+                                        "two", List.of(silverlatch.state.TableRules.defaultRow("*", "two")), -1)),
                         "operator",
                         now);
         quays.get("a").drain().forEach(e -> effect("a", quays.get("a"), e));
@@ -273,7 +274,7 @@
         final Message.WriteRequest copy = new Message.WriteRequest(
                 7,
                 "operator",
-                new Command.PutTable("late", List.of(silverlatch.state.TableRules.plain("someone", "late")), -1));
+                new Command.PutTable("late", List.of(silverlatch.state.TableRules.defaultRow("someone", "late")), -1));
         quays.get("a").on(copy, "operator", now);
         pump();
         assertThat(((CommandResult.Rejected) ((Message.WriteReply) last()).result()).code(), is(422));
@@ -361,7 +362,7 @@
                         now));
         pass(1_000_000);
         final long right = stamp;
-        stamp = right + silverlatch.clock.Ntp.span(30L * 86_400 * 1_000_000);
+        stamp = right + silverlatch.clock.NtpTime.fromMicros(30L * 86_400 * 1_000_000);
         start("a", "id-a");
         down.addAll(List.of("b", "c"));
         mail.add(() -> quays.get("a")
--- a/core/src/test/java/silverlatch/replication/DiskFailureTest.java
+++ b/core/src/test/java/silverlatch/replication/DiskFailureTest.java
@@ -55,8 +55,8 @@
         final Command.PutConfiguration plain = ReplicaCluster.charter(number, -1);
         return new Command.PutConfiguration(
                 "document-" + number,
-                plain.charter(),
-                plain.rules(),
+                plain.configuration(),
+                plain.routes(),
                 plain.pools(),
                 "x".repeat(characters) + number,
                 -1);
@@ -74,9 +74,9 @@
                 .filter(r -> r instanceof ChainClient.Page p && p.ok())
                 .map(r -> ((ChainClient.Page) r)
                         .entries().stream()
-                                .filter(e -> !e.gone())
+                                .filter(e -> !e.isDeleted())
                                 .mapToLong(e ->
-                                        ((Value.ConfigurationDocument) e.leaf().get(0)).number())
+                                        ((Value.ConfigurationDocument) e.value().get(0)).number())
                                 .max()
                                 .orElse(0))
                 .orElse(-1L);
--- a/core/src/test/java/silverlatch/replication/LogEntryTest.java
+++ b/core/src/test/java/silverlatch/replication/LogEntryTest.java
@@ -24,7 +24,7 @@
     @Test
     void heavyChangesGoInFramesOfTheirOwn() {
         final LogEntry heavy =
-                change(1, new Value.ConfigurationDocument(1, "x".repeat(ConfigurationValidator.LONGEST)));
+                change(1, new Value.ConfigurationDocument(1, "x".repeat(ConfigurationValidator.MAX_DOCUMENT_BYTES)));
         final List<LogEntry> many = Collections.nCopies(9, heavy);
         final List<LogEntry> batch = LogEntry.batch(many.stream(), 512, 4L << 20);
         assertThat(batch.size(), is(1));
@@ -43,7 +43,7 @@
     @Test
     void aCharterOfAsManyRulesAsThereMayBeFitsAFrame() {
         final List<Entry> puts = new ArrayList<>();
-        for (int i = 0; i < ConfigurationValidator.MOST; i++) {
+        for (int i = 0; i < ConfigurationValidator.MAX_ROUTES; i++) {
             final Value.Route r = new Value.Route(
                     "rule of route number " + i,
                     "service-" + i + ".example",
@@ -59,12 +59,12 @@
                     3,
                     List.of("north", "south"),
                     List.of(new Value.WeightedBackend("warm", 3), new Value.WeightedBackend("spare", 1)));
-            puts.add(new Entry(ConfigurationValidator.rule(r.host(), r.path()), 1, List.of(r)));
+            puts.add(new Entry(ConfigurationValidator.routeKey(r.host(), r.pathPrefix()), 1, List.of(r)));
         }
         puts.add(new Entry(
-                ConfigurationValidator.PAPER,
+                ConfigurationValidator.DOCUMENT_KEY,
                 1,
-                List.of(new Value.ConfigurationDocument(1, "x".repeat(ConfigurationValidator.LONGEST)))));
+                List.of(new Value.ConfigurationDocument(1, "x".repeat(ConfigurationValidator.MAX_DOCUMENT_BYTES)))));
         final LogEntry c = new LogEntry(1, 1, new Stamp(1), puts);
         final int size = new Codec().encode(new Message.Replicate(1, List.of(c))).length;
         assertThat(size, lessThan(Codec.MAX_BYTES));
--- a/core/src/test/java/silverlatch/replication/OrderStorm.java
+++ b/core/src/test/java/silverlatch/replication/OrderStorm.java
@@ -68,12 +68,12 @@
         }
 
         long number() {
-            return document.charter().number();
+            return document.configuration().number();
         }
 
         @Override
         public String toString() {
-            return document.paper() + " on " + document.match() + (invalid ? " (invalid)" : "") + ": "
+            return document.document() + " on " + document.expectedRevision() + (invalid ? " (invalid)" : "") + ": "
                     + acknowledgements + " acknowledged, " + refusals + " refused";
         }
     }
@@ -285,7 +285,7 @@
     private void send(final Order order, final int operator, final boolean mayBeLost) {
         final Command.PutConfiguration d = order.document;
         final Command.PutConfiguration call = new Command.PutConfiguration(
-                "call-" + ++callNumber, d.charter(), d.rules(), d.pools(), d.paper(), d.match());
+                "call-" + ++callNumber, d.configuration(), d.routes(), d.pools(), d.document(), d.expectedRevision());
         final boolean heard = !mayBeLost || random.nextInt(10) >= LOST_IN_TEN;
         order.nextAt = cluster.now() + SECOND + random.nextInt(random.nextInt(4) == 0 ? 30_000_000 : 1_000_000);
         calls.add(new Call(order, cluster.order(up(), call, CALL), heard, operator));
@@ -341,7 +341,7 @@
     }
 
     private Optional<Order> written(final String text) {
-        return orders.stream().filter(o -> o.document.paper().equals(text)).findFirst();
+        return orders.stream().filter(o -> o.document.document().equals(text)).findFirst();
     }
 
     private void checkRead(final Readback read, final ChainClient.Page page) {
@@ -349,8 +349,8 @@
             return;
         }
         final Optional<Value.ConfigurationDocument> document = page.entries().stream()
-                .filter(e -> !e.gone())
-                .map(e -> (Value.ConfigurationDocument) e.leaf().get(0))
+                .filter(e -> !e.isDeleted())
+                .map(e -> (Value.ConfigurationDocument) e.value().get(0))
                 .findFirst();
         final long number = document.map(Value.ConfigurationDocument::number).orElse(0L);
         if (number < read.least()) {
@@ -381,8 +381,8 @@
     private void checkBooks(final String seat) {
         cluster.quay(seat)
                 .books()
-                .get(ConfigurationValidator.PAPER)
-                .map(Entry::leaf)
+                .get(ConfigurationValidator.DOCUMENT_KEY)
+                .map(Entry::value)
                 .map(l -> (Value.ConfigurationDocument) l.get(0))
                 .ifPresent(d -> tookEffect(d.text(), d.number()));
     }
@@ -393,12 +393,14 @@
                 orders.stream().filter(o -> o.acknowledgements > 0).toList();
         for (final Order one : taken) {
             for (final Order other : taken) {
-                if (one != other && one.document.match() < other.number() && other.number() <= one.number()) {
+                if (one != other
+                        && one.document.expectedRevision() < other.number()
+                        && other.number() <= one.number()) {
                     wrong("both acknowledged: " + one + " and " + other);
                 }
             }
             if (committed.containsKey(one.number())
-                    && !committed.get(one.number()).equals(one.document.paper())) {
+                    && !committed.get(one.number()).equals(one.document.document())) {
                 wrong("acknowledged, but another is in force under its number: " + one);
             }
         }
@@ -507,7 +509,7 @@
         /** A read that began after an order was acknowledged gives it, unless a newer one was sent meanwhile. */
         private void checkZone(final ZoneRead read, final ChainClient.Page page) {
             final List<Boolean> on = page.entries().stream()
-                    .map(e -> ((Value.Evacuation) e.leaf().get(0)).on())
+                    .map(e -> ((Value.Evacuation) e.value().get(0)).active())
                     .toList();
             if (page.ok() && read.newest() == last() && !on.equals(List.of(read.newest().on))) {
                 wrong("the zone stands at " + on + ", acknowledged was " + read.newest().on);
--- a/core/src/test/java/silverlatch/replication/OrdersTest.java
+++ b/core/src/test/java/silverlatch/replication/OrdersTest.java
@@ -49,7 +49,12 @@
     private static Command.PutConfiguration again(final long number, final long match, final int call) {
         final Command.PutConfiguration first = ReplicaCluster.charter(number, match);
         return new Command.PutConfiguration(
-                first.id() + "-call-" + call, first.charter(), first.rules(), first.pools(), first.paper(), match);
+                first.id() + "-call-" + call,
+                first.configuration(),
+                first.routes(),
+                first.pools(),
+                first.document(),
+                match);
     }
 
     @Test
@@ -131,8 +136,8 @@
         final ReplicaCluster.Asked read = cluster.read(head, "z/", CALL);
         cluster.pass(SECOND);
         final Value.Evacuation zone = (Value.Evacuation)
-                ((ChainClient.Page) read.reply()).entries().get(0).leaf().get(0);
-        assertThat("the zone was taken back, and that was acknowledged", zone.on(), is(false));
+                ((ChainClient.Page) read.reply()).entries().get(0).value().get(0);
+        assertThat("the zone was taken back, and that was acknowledged", zone.active(), is(false));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/replication/RepairOfPendingTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairOfPendingTest.java
@@ -54,7 +54,7 @@
             if (entry instanceof LogRecord.Snapshot snapshot) {
                 holds = snapshot.sequence() >= 1;
             } else if (entry instanceof LogRecord.Appended appended) {
-                holds |= appended.change().equals(acknowledged);
+                holds |= appended.entry().equals(acknowledged);
             }
         }
         return holds;
--- a/core/src/test/java/silverlatch/replication/ReplicaCluster.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaCluster.java
@@ -289,7 +289,7 @@
     }
 
     Asked read(final String at, final long span) {
-        return read(at, ConfigurationValidator.PAPER, span);
+        return read(at, ConfigurationValidator.DOCUMENT_KEY, span);
     }
 
     /** Asks the tail for the entries whose keys start so. */
@@ -312,8 +312,8 @@
     long held(final String seat) {
         return quays.get(seat)
                 .books()
-                .get(ConfigurationValidator.CHARTER)
-                .map(e -> ((Value.RoutingConfiguration) e.leaf().get(0)).number())
+                .get(ConfigurationValidator.CONFIGURATION_KEY)
+                .map(e -> ((Value.RoutingConfiguration) e.value().get(0)).number())
                 .orElse(0L);
     }
 
@@ -330,8 +330,8 @@
     /** The number of the newest charter of these entries, or 0. */
     private static long newest(final List<Entry> entries) {
         return entries.stream()
-                .filter(e -> e.key().equals(ConfigurationValidator.CHARTER))
-                .mapToLong(e -> ((Value.RoutingConfiguration) e.leaf().get(0)).number())
+                .filter(e -> e.key().equals(ConfigurationValidator.CONFIGURATION_KEY))
+                .mapToLong(e -> ((Value.RoutingConfiguration) e.value().get(0)).number())
                 .max()
                 .orElse(0);
     }
@@ -341,7 +341,7 @@
             disks.get(seat).clear();
             newest.put(seat, newest(p.entries()));
         } else if (note instanceof LogRecord.Appended x) {
-            newest.merge(seat, newest(x.change().puts()), Math::max);
+            newest.merge(seat, newest(x.entry().puts()), Math::max);
         }
         disks.get(seat).add(note);
     }
--- a/core/src/test/java/silverlatch/replication/StormTest.java
+++ b/core/src/test/java/silverlatch/replication/StormTest.java
@@ -126,9 +126,9 @@
                     answered++;
                     final long told = ((ChainClient.Page) x)
                             .entries().stream()
-                                    .filter(e -> !e.gone())
+                                    .filter(e -> !e.isDeleted())
                                     .mapToLong(e -> ((Value.ConfigurationDocument)
-                                                    e.leaf().get(0))
+                                                    e.value().get(0))
                                             .number())
                                     .max()
                                     .orElse(0);
--- a/core/src/test/java/silverlatch/replication/VotersTest.java
+++ b/core/src/test/java/silverlatch/replication/VotersTest.java
@@ -63,7 +63,7 @@
             assertThat(
                     s,
                     p.entries().stream()
-                            .filter(e -> !e.gone())
+                            .filter(e -> !e.isDeleted())
                             .map(VotersTest::paper)
                             .toList(),
                     is(List.of("paper " + number)));
@@ -71,7 +71,7 @@
     }
 
     private static String paper(final Entry e) {
-        return ((Value.ConfigurationDocument) e.leaf().get(0)).text();
+        return ((Value.ConfigurationDocument) e.value().get(0)).text();
     }
 
     @Test
--- a/core/src/test/java/silverlatch/routing/RouterTest.java
+++ b/core/src/test/java/silverlatch/routing/RouterTest.java
@@ -210,7 +210,11 @@
     void theLimitsOfTheConfigurationInForceAreTold() {
         assertThat(passage.limits().isPresent(), is(false));
         worker("w", "west", 0, false, 1);
-        assertThat(passage.limits().map(Value.RoutingConfiguration::idle).orElse(0L), is(15 * S));
+        assertThat(
+                passage.limits()
+                        .map(Value.RoutingConfiguration::idleTimeoutMicros)
+                        .orElse(0L),
+                is(15 * S));
     }
 
     @Test
