--- a/core/src/test/java/silverlatch/state/AcceptedConfigurationsTest.java
+++ b/core/src/test/java/silverlatch/state/AcceptedConfigurationsTest.java
@@ -13,11 +13,11 @@
 import silverlatch.wire.Codec;
 
 final class AcceptedConfigurationsTest {
-    private static final int MORE_THAN_REMEMBERED = AcceptedConfigurations.REMEMBERED + 10;
+    private static final int MORE_THAN_REMEMBERED = AcceptedConfigurations.MAX_REMEMBERED + 10;
     private final StateMachine state = new StateMachine();
     private long id;
 
-    private Command.PutConfiguration order(final long number, final long match, final String text) {
+    private Command.PutConfiguration command(final long number, final long match, final String text) {
         final Value.Route route = new Value.Route(
                 "route",
                 "host",
@@ -42,30 +42,31 @@
                 match);
     }
 
-    private Command.PutConfiguration order(final long number, final long match) {
-        return order(number, match, "text " + number);
+    private Command.PutConfiguration command(final long number, final long match) {
+        return command(number, match, "text " + number);
     }
 
     private Command.PutConfiguration invalid(final long number, final long match) {
-        final Command.PutConfiguration o = order(number, match);
-        return new Command.PutConfiguration(o.id(), o.charter(), o.rules(), List.of(), o.paper(), match);
+        final Command.PutConfiguration valid = command(number, match);
+        return new Command.PutConfiguration(
+                valid.id(), valid.configuration(), valid.routes(), List.of(), valid.document(), match);
     }
 
-    private StateMachine.Judged judge(final Command command) {
-        return state.judge(command, Map.of(), state.sequence() + 1, new Stamp(state.sequence() + 1));
+    private StateMachine.Evaluation evaluate(final Command command) {
+        return state.evaluate(command, Map.of(), state.sequence() + 1, new Stamp(state.sequence() + 1));
     }
 
     private CommandResult result(final Command command) {
-        return switch (judge(command)) {
-            case StateMachine.Judged.Over over -> over.verdict();
-            case StateMachine.Judged.Let let -> committed(command, let);
+        return switch (evaluate(command)) {
+            case StateMachine.Evaluation.Reply reply -> reply.result();
+            case StateMachine.Evaluation.Write write -> committed(command, write);
         };
     }
 
-    private CommandResult committed(final Command command, final StateMachine.Judged.Let let) {
-        state.apply(state.sequence() + 1, let.puts());
+    private CommandResult committed(final Command command, final StateMachine.Evaluation.Write write) {
+        state.apply(state.sequence() + 1, write.entries());
         final Value.CommandOutcome outcome = (Value.CommandOutcome)
-                state.get("o/" + command.id()).orElseThrow().leaf().get(0);
+                state.get("o/" + command.id()).orElseThrow().value().get(0);
         return outcome.code() == 0
                 ? new CommandResult.Applied(state.sequence())
                 : new CommandResult.Rejected(outcome.code(), outcome.faults(), outcome.sequence());
@@ -76,71 +77,76 @@
     }
 
     @Test
-    void whatIsOlderThanTheMemoryGetsNoClearAnswerAndTheRestIsKnown() {
+    void whatIsOlderThanTheRememberedHasAnUnknownResultAndTheRestIsKnown() {
         for (long n = 1; n <= MORE_THAN_REMEMBERED; n++) {
-            assertThat(result(order(2 * n, 2 * (n - 1))), is(new CommandResult.Applied(n)));
+            assertThat(result(command(2 * n, 2 * (n - 1))), is(new CommandResult.Applied(n)));
         }
-        assertThat(state.part(AcceptedConfigurations.KEYS).size(), is(AcceptedConfigurations.REMEMBERED));
-        assertThat("the newest forgotten", result(order(20, 18)), is(instanceOf(CommandResult.Unknown.class)));
-        assertThat("the first", result(order(2, 0)), is(instanceOf(CommandResult.Unknown.class)));
-        assertThat("perhaps one of them", result(order(20, 18, "x")), is(instanceOf(CommandResult.Unknown.class)));
-        assertThat("the oldest remembered", result(order(22, 20)), is(new CommandResult.Applied(11)));
-        assertThat("never taken under this number", code(result(order(22, 20, "x"))), is(409));
-        assertThat("never taken on top of this", code(result(order(22, 18))), is(409));
-        assertThat("a number that nobody took", code(result(order(21, 20))), is(409));
+        assertThat(
+                state.entriesWithPrefix(AcceptedConfigurations.KEY_PREFIX).size(),
+                is(AcceptedConfigurations.MAX_REMEMBERED));
+        assertThat("the newest forgotten", result(command(20, 18)), is(instanceOf(CommandResult.Unknown.class)));
+        assertThat("the first", result(command(2, 0)), is(instanceOf(CommandResult.Unknown.class)));
+        assertThat("perhaps one of them", result(command(20, 18, "x")), is(instanceOf(CommandResult.Unknown.class)));
+        assertThat("the oldest remembered", result(command(22, 20)), is(new CommandResult.Applied(11)));
+        assertThat("never taken under this number", code(result(command(22, 20, "x"))), is(409));
+        assertThat("never taken on top of this", code(result(command(22, 18))), is(409));
+        assertThat("a number that nobody took", code(result(command(21, 20))), is(409));
         assertThat("never valid", code(result(invalid(20, 18))), is(409));
-        assertThat("never higher than its base", code(result(order(20, 20))), is(409));
+        assertThat("never higher than its base", code(result(command(20, 20))), is(409));
     }
 
     @Test
-    void theMemoryIsBoundedAlsoWhereManyAreUnderWay() {
+    void theRememberedAreBoundedAlsoWhereManyArePending() {
         final Map<String, Entry> overlay = new java.util.HashMap<>();
         for (long n = 1; n <= MORE_THAN_REMEMBERED; n++) {
-            final StateMachine.Judged.Let let =
-                    (StateMachine.Judged.Let) state.judge(order(n, n - 1), overlay, n, new Stamp(n));
-            let.puts().forEach(e -> overlay.put(e.key(), e));
+            final StateMachine.Evaluation.Write write =
+                    (StateMachine.Evaluation.Write) state.evaluate(command(n, n - 1), overlay, n, new Stamp(n));
+            write.entries().forEach(e -> overlay.put(e.key(), e));
             if (n % 8 == 0 || n == MORE_THAN_REMEMBERED) {
                 state.apply(n, overlay.values());
                 overlay.clear();
             }
         }
-        assertThat(state.part(AcceptedConfigurations.KEYS).size(), is(AcceptedConfigurations.REMEMBERED));
-        assertThat("outcomes", state.part("o/").size(), is(1_000));
+        assertThat(
+                state.entriesWithPrefix(AcceptedConfigurations.KEY_PREFIX).size(),
+                is(AcceptedConfigurations.MAX_REMEMBERED));
+        assertThat("outcomes", state.entriesWithPrefix("o/").size(), is(1_000));
     }
 
     @Test
-    void aFolderWithoutTheMemoryKnowsWhatIsInForceAndRefusesNothingElseThatItMayHaveTaken() {
-        final Command.PutConfiguration inForce = order(7, 5);
-        state.apply(1, ConfigurationValidator.puts(inForce, Map.of(), 1));
-        assertThat(result(order(7, 5)), is(new CommandResult.Applied(1)));
-        assertThat("on top of itself", code(result(order(7, 7))), is(422));
-        assertThat("another under its number", code(result(order(7, 5, "x"))), is(409));
-        assertThat(result(order(5, 3)), is(instanceOf(CommandResult.Unknown.class)));
-        assertThat(result(order(8, 7)), is(instanceOf(CommandResult.Applied.class)));
-        assertThat(result(order(5, 3)), is(instanceOf(CommandResult.Unknown.class)));
-        assertThat("in force when the memory began", result(order(7, 5)), is(instanceOf(CommandResult.Unknown.class)));
-        assertThat(result(order(8, 7)), is(instanceOf(CommandResult.Applied.class)));
+    void aFolderWithoutRememberedConfigurationsKnowsTheCurrentOneAndRefusesNothingElseThatItMayHaveAccepted() {
+        final Command.PutConfiguration inForce = command(7, 5);
+        state.apply(1, ConfigurationValidator.writes(inForce, Map.of(), 1));
+        assertThat(result(command(7, 5)), is(new CommandResult.Applied(1)));
+        assertThat("on top of itself", code(result(command(7, 7))), is(422));
+        assertThat("another under its number", code(result(command(7, 5, "x"))), is(409));
+        assertThat(result(command(5, 3)), is(instanceOf(CommandResult.Unknown.class)));
+        assertThat(result(command(8, 7)), is(instanceOf(CommandResult.Applied.class)));
+        assertThat(result(command(5, 3)), is(instanceOf(CommandResult.Unknown.class)));
+        assertThat(
+                "in force when the memory began", result(command(7, 5)), is(instanceOf(CommandResult.Unknown.class)));
+        assertThat(result(command(8, 7)), is(instanceOf(CommandResult.Applied.class)));
     }
 
     @Test
-    void aRefusalAheadOfItsBaseIsKeptForEveryCopy() {
-        result(order(5, 0));
-        assertThat(code(result(order(9, 8))), is(409));
-        result(order(8, 5));
-        assertThat(code(result(order(9, 8))), is(409));
-        assertThat("another text", result(order(9, 8, "x")), is(instanceOf(CommandResult.Applied.class)));
+    void aRefusalAheadOfItsBaseIsKeptForEveryDuplicate() {
+        result(command(5, 0));
+        assertThat(code(result(command(9, 8))), is(409));
+        result(command(8, 5));
+        assertThat(code(result(command(9, 8))), is(409));
+        assertThat("another text", result(command(9, 8, "x")), is(instanceOf(CommandResult.Applied.class)));
     }
 
     @Test
-    void theWholeMemoryTakesLessThanAMegabyteOfASnapshot() {
-        final List<Entry> memory = new ArrayList<>();
-        for (long n = 1; n <= AcceptedConfigurations.REMEMBERED; n++) {
+    void allRememberedTakeLessThanAMegabyteOfASnapshot() {
+        final List<Entry> remembered = new ArrayList<>();
+        for (long n = 1; n <= AcceptedConfigurations.MAX_REMEMBERED; n++) {
             final long number = 1_000_000_000L + n;
-            memory.addAll(AcceptedConfigurations.puts(order(number, number - 1), Map.of(), number - 1, number));
+            remembered.addAll(AcceptedConfigurations.writes(command(number, number - 1), Map.of(), number - 1, number));
         }
         final int bytes = new Codec()
                 .encode(new silverlatch.log.LogRecord.Batch(List.of(new silverlatch.log.LogRecord.Appended(
-                        new silverlatch.replication.LogEntry(1, 1, new Stamp(1), memory)))))
+                        new silverlatch.replication.LogEntry(1, 1, new Stamp(1), remembered)))))
                 .length;
         System.out.println("memory of accepted configurations: " + bytes + " bytes");
         assertThat(bytes, is(lessThan(1 << 20)));
--- a/core/src/test/java/silverlatch/state/ConfigurationValidatorTest.java
+++ b/core/src/test/java/silverlatch/state/ConfigurationValidatorTest.java
@@ -15,7 +15,7 @@
 
 final class ConfigurationValidatorTest {
     private static final List<Value.BackendPool> POOLS = List.of(pool("warm"), pool("spare"));
-    private final StateMachine books = new StateMachine();
+    private final StateMachine state = new StateMachine();
     private final Map<String, Entry> overlay = new HashMap<>();
     private long sequence;
     private long id;
@@ -24,115 +24,138 @@
         return new Value.BackendPool(name, "/health/", 8, 1_000_000, 2, 16, 100_000, 4);
     }
 
-    private static Value.Route rule(
-            final String host, final String path, final long hold, final Value.WeightedBackend... lots) {
+    private static Value.Route route(
+            final String host, final String path, final long timeoutMicros, final Value.WeightedBackend... backends) {
         return new Value.Route(
-                "rule " + host, host, path, true, false, false, true, hold, 0, 0, 0, 1, List.of(), List.of(lots));
+                "rule " + host,
+                host,
+                path,
+                true,
+                false,
+                false,
+                true,
+                timeoutMicros,
+                0,
+                0,
+                0,
+                1,
+                List.of(),
+                List.of(backends));
     }
 
-    private static Value.Route good(final String host) {
-        return rule(host, "/", 1_000, new Value.WeightedBackend("warm", 1));
+    private static Value.Route validRoute(final String host) {
+        return route(host, "/", 1_000, new Value.WeightedBackend("warm", 1));
     }
 
-    private Command.PutConfiguration lay(
-            final long number, final List<Value.Route> rules, final List<Value.BackendPool> pools, final long match) {
+    private Command.PutConfiguration putConfiguration(
+            final long number,
+            final List<Value.Route> routes,
+            final List<Value.BackendPool> pools,
+            final long expectedRevision) {
         return new Command.PutConfiguration(
                 "id-" + ++id,
                 new Value.RoutingConfiguration(number, 8_192, 1 << 20, 1, 1),
-                rules,
+                routes,
                 pools,
-                "paper " + number + " " + rules.hashCode(),
-                match);
+                "paper " + number + " " + routes.hashCode(),
+                expectedRevision);
     }
 
-    private StateMachine.Judged judge(final Command w) {
-        return books.judge(w, overlay, sequence + 1, new Stamp(sequence + 1));
+    private StateMachine.Evaluation evaluate(final Command command) {
+        return state.evaluate(command, overlay, sequence + 1, new Stamp(sequence + 1));
     }
 
-    private List<String> let(final Command w) {
-        final StateMachine.Judged.Let let = (StateMachine.Judged.Let) judge(w);
-        books.apply(++sequence, let.puts());
-        return let.puts().stream()
-                .map(e -> (e.gone() ? "-" : "") + e.key())
+    private List<String> writtenKeys(final Command command) {
+        final StateMachine.Evaluation.Write write = (StateMachine.Evaluation.Write) evaluate(command);
+        state.apply(++sequence, write.entries());
+        return write.entries().stream()
+                .map(e -> (e.isDeleted() ? "-" : "") + e.key())
                 .filter(k -> !k.startsWith("o/"))
                 .toList();
     }
 
-    private List<String> faults(final Command w) {
-        final StateMachine.Judged.Let let = (StateMachine.Judged.Let) judge(w);
-        assertThat("nothing but the deed is written", let.puts().size(), is(1));
-        final Value.CommandOutcome deed =
-                (Value.CommandOutcome) let.puts().get(0).leaf().get(0);
-        assertThat(deed.code(), is(422));
-        return deed.faults();
+    private List<String> faults(final Command command) {
+        final StateMachine.Evaluation.Write write = (StateMachine.Evaluation.Write) evaluate(command);
+        assertThat("nothing but the deed is written", write.entries().size(), is(1));
+        final Value.CommandOutcome outcome =
+                (Value.CommandOutcome) write.entries().get(0).value().get(0);
+        assertThat(outcome.code(), is(422));
+        return outcome.faults();
     }
 
-    private CommandResult over(final Command w) {
-        return ((StateMachine.Judged.Over) judge(w)).verdict();
+    private CommandResult reply(final Command command) {
+        return ((StateMachine.Evaluation.Reply) evaluate(command)).result();
     }
 
     @Test
-    void onlyWhatDiffersIsWrittenAndWhatVanishedLeavesAMark() {
+    void onlyWhatDiffersIsWrittenAndWhatWasRemovedLeavesATombstone() {
         assertThat(
-                let(lay(1, List.of(good("a"), good("b")), POOLS, 0)),
+                writtenKeys(putConfiguration(1, List.of(validRoute("a"), validRoute("b")), POOLS, 0)),
                 containsInAnyOrder(
                         "u/a|/", "u/b|/", "b/warm", "b/spare", "p/charter", "q/paper", "a/0000000000000000001"));
         assertThat(
-                let(lay(2, List.of(good("a"), good("c")), POOLS, 1)),
+                writtenKeys(putConfiguration(2, List.of(validRoute("a"), validRoute("c")), POOLS, 1)),
                 containsInAnyOrder("-u/b|/", "u/c|/", "p/charter", "q/paper", "a/0000000000000000002"));
-        assertThat(books.get("u/b|/").isPresent(), is(false));
-        assertThat(books.since(1).stream().map(Entry::key).toList(), containsInAnyOrder("u/b|/", "u/c|/", "p/charter"));
+        assertThat(state.get("u/b|/").isPresent(), is(false));
+        assertThat(
+                state.policySince(1).stream().map(Entry::key).toList(),
+                containsInAnyOrder("u/b|/", "u/c|/", "p/charter"));
     }
 
     @Test
-    void theSamePaperAgainIsKeptAndALowerNumberIsNot() {
-        let(lay(5, List.of(good("a")), POOLS, 0));
-        final Command.PutConfiguration again = lay(5, List.of(good("a")), POOLS, 0);
-        assertThat(over(again), is(new CommandResult.Applied(1)));
+    void theSameDocumentAgainIsAppliedAndALowerNumberIsNot() {
+        writtenKeys(putConfiguration(5, List.of(validRoute("a")), POOLS, 0));
+        final Command.PutConfiguration repeated = putConfiguration(5, List.of(validRoute("a")), POOLS, 0);
+        assertThat(reply(repeated), is(new CommandResult.Applied(1)));
         assertThat(
-                faults(lay(5, List.of(good("b")), POOLS, 5)),
+                faults(putConfiguration(5, List.of(validRoute("b")), POOLS, 5)),
                 is(List.of("$.number: 5 is not higher than 5, which is in force")));
         assertThat(
-                faults(lay(4, List.of(good("b")), POOLS, -1)),
+                faults(putConfiguration(4, List.of(validRoute("b")), POOLS, -1)),
                 is(List.of("$.number: 4 is not higher than 5, which is in force")));
     }
 
     @Test
-    void ofTwoThatRaceOnOneNumberOneIsLetInAndTheOtherIsToldWhatIsInForce() {
-        final StateMachine.Judged.Let won = (StateMachine.Judged.Let) judge(lay(1, List.of(good("a")), POOLS, 0));
-        won.puts().forEach(e -> overlay.put(e.key(), e));
+    void ofTwoThatRaceOnOneNumberOneIsAcceptedAndTheOtherLearnsTheCurrentNumber() {
+        final StateMachine.Evaluation.Write winner =
+                (StateMachine.Evaluation.Write) evaluate(putConfiguration(1, List.of(validRoute("a")), POOLS, 0));
+        winner.entries().forEach(e -> overlay.put(e.key(), e));
         assertThat(
                 "let in, not yet acknowledged",
-                over(lay(2, List.of(good("b")), POOLS, 0)),
+                reply(putConfiguration(2, List.of(validRoute("b")), POOLS, 0)),
                 is(new CommandResult.Rejected(409, List.of("the charter in force is number 1"), 1)));
         assertThat(
                 "the same document by another way",
-                over(lay(1, List.of(good("a")), POOLS, 0)),
+                reply(putConfiguration(1, List.of(validRoute("a")), POOLS, 0)),
                 is(new CommandResult.Applied(1)));
         assertThat(
-                ((StateMachine.Judged.Let) books.judge(lay(2, List.of(good("b")), POOLS, 1), overlay, 2, new Stamp(2)))
-                        .puts().stream().filter(Entry::gone).map(Entry::key).toList(),
+                ((StateMachine.Evaluation.Write) state.evaluate(
+                                putConfiguration(2, List.of(validRoute("b")), POOLS, 1), overlay, 2, new Stamp(2)))
+                        .entries().stream()
+                                .filter(Entry::isDeleted)
+                                .map(Entry::key)
+                                .toList(),
                 is(List.of("u/a|/")));
     }
 
     @Test
-    void everyFaultIsNamedWithItsPlace() {
-        final Value.Route none =
+    void everyFaultIsReportedWithItsPath() {
+        final Value.Route invalidRoute =
                 new Value.Route("", "", "x", false, false, false, false, 0, -1, 0, 0, 0, List.of(""), List.of());
         assertThat(
-                faults(lay(
+                faults(putConfiguration(
                                 1,
                                 List.of(
-                                        good("a"),
-                                        rule("a", "/", 1, new Value.WeightedBackend("cold", 2)),
-                                        rule("b", "/x/", 1, new Value.WeightedBackend("warm", 0)),
-                                        rule(
+                                        validRoute("a"),
+                                        route("a", "/", 1, new Value.WeightedBackend("cold", 2)),
+                                        route("b", "/x/", 1, new Value.WeightedBackend("warm", 0)),
+                                        route(
                                                 "c",
                                                 "/x/",
                                                 1,
                                                 new Value.WeightedBackend("warm", 3),
                                                 new Value.WeightedBackend("spare", -1)),
-                                        none),
+                                        invalidRoute),
                                 POOLS,
                                 0))
                         .stream()
@@ -152,26 +175,28 @@
                         "$.rules[4].homes[0]",
                         "$.rules[4].lots"));
         assertThat(
-                faults(lay(1, List.of(), List.of(pool("a"), pool("a"), pool("")), 0)).stream()
+                faults(putConfiguration(1, List.of(), List.of(pool("a"), pool("a"), pool("")), 0)).stream()
                         .map(f -> f.substring(0, f.indexOf(':')))
                         .toList(),
                 containsInAnyOrder("$.pools[1].name", "$.pools[2].name"));
     }
 
     @Test
-    void aRejectedCharterLeavesLittleBehind() {
-        final List<Value.Route> many = new ArrayList<>();
+    void aRejectedConfigurationStoresLittle() {
+        final List<Value.Route> routes = new ArrayList<>();
         for (int i = 0; i < 5_000; i++) {
-            many.add(rule(
+            routes.add(route(
                     "h".repeat(2_000) + i, "p".repeat(5_000), 0, new Value.WeightedBackend("none".repeat(1_000), 1)));
         }
-        final List<String> faults = faults(lay(1, many, POOLS, 0));
+        final List<String> faults = faults(putConfiguration(1, routes, POOLS, 0));
         assertThat(faults.size(), is(20));
         assertThat(faults.stream().mapToInt(String::length).max().orElse(0), lessThanOrEqualTo(256));
-        for (int i = 0; i <= ConfigurationValidator.MOST; i++) {
-            many.add(good("h" + i));
+        for (int i = 0; i <= ConfigurationValidator.MAX_ROUTES; i++) {
+            routes.add(validRoute("h" + i));
         }
-        assertThat(faults(lay(1, many, POOLS, 0)), is(List.of("$.rules: at most 20000, not 25001")));
-        assertThat(judge(lay(1, many.subList(5_000, 25_000), POOLS, 0)), instanceOf(StateMachine.Judged.Let.class));
+        assertThat(faults(putConfiguration(1, routes, POOLS, 0)), is(List.of("$.rules: at most 20000, not 25001")));
+        assertThat(
+                evaluate(putConfiguration(1, routes.subList(5_000, 25_000), POOLS, 0)),
+                instanceOf(StateMachine.Evaluation.Write.class));
     }
 }
--- a/core/src/test/java/silverlatch/state/PolicyTest.java
+++ b/core/src/test/java/silverlatch/state/PolicyTest.java
@@ -16,47 +16,47 @@
 final class PolicyTest {
     @Test
     void manySmallStepsGiveTheSameAsOneLargeStep() {
-        final SplittableRandom luck = new SplittableRandom(4);
-        final StateMachine books = new StateMachine();
+        final SplittableRandom random = new SplittableRandom(4);
+        final StateMachine state = new StateMachine();
         final Map<String, Value> model = new HashMap<>();
         Policy policy = Policy.NONE;
-        long page = 0;
+        long revision = 0;
         for (int i = 1; i <= 3_000; i++) {
-            final List<Entry> puts = new ArrayList<>();
-            for (int k = 0; k < 1 + (i % 500 == 0 ? 400 : luck.nextInt(3)); k++) {
-                final int n = luck.nextInt(600);
-                final boolean zone = n % 7 == 0;
-                final String key = zone ? "z/zone" + n : StateMachine.row("*", "kind" + n);
-                final Value leaf = zone
-                        ? new Value.Evacuation("zone" + n, luck.nextBoolean(), new Stamp(i))
-                        : TableRules.plain("*", "kind" + n);
-                final boolean gone = luck.nextInt(4) == 0;
-                puts.removeIf(e -> e.key().equals(key));
-                puts.add(new Entry(key, i, gone ? List.of() : List.of(leaf)));
+            final List<Entry> writes = new ArrayList<>();
+            for (int k = 0; k < 1 + (i % 500 == 0 ? 400 : random.nextInt(3)); k++) {
+                final int number = random.nextInt(600);
+                final boolean isZone = number % 7 == 0;
+                final String key = isZone ? "z/zone" + number : StateMachine.rowKey("*", "kind" + number);
+                final Value value = isZone
+                        ? new Value.Evacuation("zone" + number, random.nextBoolean(), new Stamp(i))
+                        : TableRules.defaultRow("*", "kind" + number);
+                final boolean deleted = random.nextInt(4) == 0;
+                writes.removeIf(e -> e.key().equals(key));
+                writes.add(new Entry(key, i, deleted ? List.of() : List.of(value)));
             }
-            puts.forEach(e -> {
-                if (e.gone()) {
+            writes.forEach(e -> {
+                if (e.isDeleted()) {
                     model.remove(e.key());
                 } else {
-                    model.put(e.key(), e.leaf().get(0));
+                    model.put(e.key(), e.value().get(0));
                 }
             });
-            books.apply(i, puts);
-            if (luck.nextInt(3) == 0) {
-                policy = policy.with(books.since(page));
-                page = books.page();
+            state.apply(i, writes);
+            if (random.nextInt(3) == 0) {
+                policy = policy.with(state.policySince(revision));
+                revision = state.policyRevision();
             }
         }
-        final Policy last = policy.with(books.since(page));
-        model.forEach((k, l) -> assertThat(k, last.leaf(k), is(Optional.of(l))));
-        assertThat(last.leaves().count(), is((long) model.size()));
+        final Policy last = policy.with(state.policySince(revision));
+        model.forEach((k, l) -> assertThat(k, last.value(k), is(Optional.of(l))));
+        assertThat(last.values().count(), is((long) model.size()));
         assertThat(
-                last.empty(),
+                last.evacuatedZones(),
                 is(model.values().stream()
-                        .filter(l -> l instanceof Value.Evacuation d && d.on())
+                        .filter(l -> l instanceof Value.Evacuation d && d.active())
                         .map(l -> ((Value.Evacuation) l).zone())
                         .collect(Collectors.toSet())));
-        assertThat(last.drains().size(), is((int)
+        assertThat(last.evacuations().size(), is((int)
                 model.keySet().stream().filter(k -> k.startsWith("z/")).count()));
     }
 }
--- a/core/src/test/java/silverlatch/state/StateMachineTest.java
+++ b/core/src/test/java/silverlatch/state/StateMachineTest.java
@@ -11,153 +11,170 @@
 import silverlatch.clock.Stamp;
 
 final class StateMachineTest {
-    private final StateMachine books = new StateMachine();
+    private final StateMachine state = new StateMachine();
     private long sequence;
 
-    private StateMachine.Judged judge(final Command w) {
-        final StateMachine.Judged judged = books.judge(w, Map.of(), sequence + 1, new Stamp(sequence + 1));
-        if (judged instanceof StateMachine.Judged.Let let) {
-            books.apply(++sequence, let.puts());
+    private StateMachine.Evaluation execute(final Command command) {
+        final StateMachine.Evaluation evaluation =
+                state.evaluate(command, Map.of(), sequence + 1, new Stamp(sequence + 1));
+        if (evaluation instanceof StateMachine.Evaluation.Write write) {
+            state.apply(++sequence, write.entries());
         }
-        return judged;
+        return evaluation;
     }
 
-    private CommandResult.Rejected rejected(final Command w) {
-        judge(w);
-        return (CommandResult.Rejected) ((StateMachine.Judged.Over) judge(w)).verdict();
+    private CommandResult.Rejected rejected(final Command command) {
+        execute(command);
+        return (CommandResult.Rejected) ((StateMachine.Evaluation.Reply) execute(command)).result();
     }
 
     @Test
-    void claimsAreNeverForgottenEarlyAndAFullSpaceIsTold() {
-        final List<Entry> all = new ArrayList<>();
-        for (int i = 0; i < StateMachine.CLAIMS; i++) {
-            all.add(new Entry("c/" + i, 1, List.of(new Value.Claim("t" + i, "p", "running", 5, 0))));
+    void claimsAreNeverExpiredEarlyAndAFullTableIsRejected() {
+        final List<Entry> entries = new ArrayList<>();
+        for (int i = 0; i < StateMachine.MAX_CLAIMS; i++) {
+            entries.add(new Entry("c/" + i, 1, List.of(new Value.Claim("t" + i, "p", "running", 5, 0))));
         }
-        books.apply(++sequence, all);
-        final StateMachine.Judged full = judge(new Command.Claim("id", "new", "t", "p", 9));
-        assertThat(((CommandResult.Rejected) ((StateMachine.Judged.Over) full).verdict()).code(), is(507));
-        final StateMachine.Judged taken = judge(new Command.Claim("id", "7", "t", "p", 9));
-        assertThat(((StateMachine.Judged.Over) taken).verdict(), instanceOf(CommandResult.AlreadyClaimed.class));
-        judge(new Command.AdvanceEpoch("s1", 1, 1));
-        books.apply(
-                ++sequence, List.of(new Entry("h/glass", sequence, List.of(new Value.Epoch(StateMachine.TURNS - 1)))));
-        judge(new Command.AdvanceEpoch("s", StateMachine.TURNS, 1));
-        assertThat(books.part("c/").size(), is(StateMachine.CLAIMS));
-        assertThat(
-                judge(new Command.AdvanceEpoch("far", StateMachine.TURNS + 100, 1)) instanceof StateMachine.Judged.Over,
+        state.apply(++sequence, entries);
+        final StateMachine.Evaluation full = execute(new Command.Claim("id", "new", "t", "p", 9));
+        assertThat(((CommandResult.Rejected) ((StateMachine.Evaluation.Reply) full).result()).code(), is(507));
+        final StateMachine.Evaluation taken = execute(new Command.Claim("id", "7", "t", "p", 9));
+        assertThat(((StateMachine.Evaluation.Reply) taken).result(), instanceOf(CommandResult.AlreadyClaimed.class));
+        execute(new Command.AdvanceEpoch("s1", 1, 1));
+        state.apply(
+                ++sequence,
+                List.of(new Entry(
+                        "h/glass", sequence, List.of(new Value.Epoch(StateMachine.CLAIM_RETENTION_EPOCHS - 1)))));
+        execute(new Command.AdvanceEpoch("s", StateMachine.CLAIM_RETENTION_EPOCHS, 1));
+        assertThat(state.entriesWithPrefix("c/").size(), is(StateMachine.MAX_CLAIMS));
+        assertThat(
+                execute(new Command.AdvanceEpoch("far", StateMachine.CLAIM_RETENTION_EPOCHS + 100, 1))
+                        instanceof StateMachine.Evaluation.Reply,
+                is(true));
+        assertThat(execute(new Command.AdvanceEpoch("old", 5, 1)) instanceof StateMachine.Evaluation.Reply, is(true));
+        assertThat(state.epoch(), is((long) StateMachine.CLAIM_RETENTION_EPOCHS));
+        execute(new Command.AdvanceEpoch("next", StateMachine.CLAIM_RETENTION_EPOCHS + 1, 1));
+        assertThat(state.entriesWithPrefix("c/").size() < StateMachine.MAX_CLAIMS, is(true));
+        assertThat(
+                execute(new Command.Claim("id", "new", "t", "p", 9)) instanceof StateMachine.Evaluation.Write,
                 is(true));
-        assertThat(judge(new Command.AdvanceEpoch("old", 5, 1)) instanceof StateMachine.Judged.Over, is(true));
-        assertThat(books.turn(), is((long) StateMachine.TURNS));
-        judge(new Command.AdvanceEpoch("next", StateMachine.TURNS + 1, 1));
-        assertThat(books.part("c/").size() < StateMachine.CLAIMS, is(true));
-        assertThat(judge(new Command.Claim("id", "new", "t", "p", 9)) instanceof StateMachine.Judged.Let, is(true));
     }
 
-    private CommandResult over(final Command w) {
-        return ((StateMachine.Judged.Over) judge(w)).verdict();
+    private CommandResult reply(final Command command) {
+        return ((StateMachine.Evaluation.Reply) execute(command)).result();
     }
 
     @Test
-    void aKeyWhoseTicketWasRejectedGoesToOneLaterTicketAndToNoOther() {
-        judge(new Command.Claim("h1", "key", "one", "p", 10));
+    void aKeyWhoseRequestWasRejectedGoesToOneLaterRequestAndToNoOther() {
+        execute(new Command.Claim("h1", "key", "one", "p", 10));
         assertThat(
-                over(new Command.Claim("h2", "key", "two", "q", 20)), instanceOf(CommandResult.AlreadyClaimed.class));
-        judge(new Command.CompleteClaim("e1", "key", "one", "p", "rejected", 10));
+                reply(new Command.Claim("h2", "key", "two", "q", 20)), instanceOf(CommandResult.AlreadyClaimed.class));
+        execute(new Command.CompleteClaim("e1", "key", "one", "p", "rejected", 10));
         assertThat(
                 "a late copy of the first claim",
-                over(new Command.Claim("h1", "key", "one", "p", 10)),
+                reply(new Command.Claim("h1", "key", "one", "p", 10)),
                 instanceOf(CommandResult.AlreadyClaimed.class));
-        assertThat(judge(new Command.Claim("h3", "key", "two", "q", 20)), instanceOf(StateMachine.Judged.Let.class));
         assertThat(
-                over(new Command.Claim("h4", "key", "three", "q", 30)), instanceOf(CommandResult.AlreadyClaimed.class));
+                execute(new Command.Claim("h3", "key", "two", "q", 20)),
+                instanceOf(StateMachine.Evaluation.Write.class));
+        assertThat(
+                reply(new Command.Claim("h4", "key", "three", "q", 30)),
+                instanceOf(CommandResult.AlreadyClaimed.class));
         assertThat(
                 "a late end of the first",
-                ((CommandResult.Rejected) over(new Command.CompleteClaim("e1", "key", "one", "p", "rejected", 10)))
+                ((CommandResult.Rejected) reply(new Command.CompleteClaim("e1", "key", "one", "p", "rejected", 10)))
                         .code(),
                 is(409));
-        judge(new Command.CompleteClaim("e2", "key", "two", "q", "rejected", 20));
+        execute(new Command.CompleteClaim("e2", "key", "two", "q", "rejected", 20));
         assertThat(
                 "a late copy of the first claim",
-                over(new Command.Claim("h1", "key", "one", "p", 10)),
+                reply(new Command.Claim("h1", "key", "one", "p", 10)),
                 instanceOf(CommandResult.AlreadyClaimed.class));
-        assertThat(judge(new Command.Claim("h5", "key", "four", "q", 40)), instanceOf(StateMachine.Judged.Let.class));
-        judge(new Command.CompleteClaim("e3", "key", "four", "q", "lost", 40));
         assertThat(
-                over(new Command.Claim("h6", "key", "five", "q", 50)), instanceOf(CommandResult.AlreadyClaimed.class));
+                execute(new Command.Claim("h5", "key", "four", "q", 40)),
+                instanceOf(StateMachine.Evaluation.Write.class));
+        execute(new Command.CompleteClaim("e3", "key", "four", "q", "lost", 40));
+        assertThat(
+                reply(new Command.Claim("h6", "key", "five", "q", 50)), instanceOf(CommandResult.AlreadyClaimed.class));
     }
 
     @Test
-    void anEndThatOvertakesItsClaimLeavesAMark() {
+    void aCompletionThatOvertakesItsClaimLeavesARecord() {
         assertThat(
-                judge(new Command.CompleteClaim("e1", "key", "one", "p", "rejected", 10)),
-                instanceOf(StateMachine.Judged.Let.class));
+                execute(new Command.CompleteClaim("e1", "key", "one", "p", "rejected", 10)),
+                instanceOf(StateMachine.Evaluation.Write.class));
         assertThat(
                 "the claim comes late",
-                over(new Command.Claim("h1", "key", "one", "p", 10)),
+                reply(new Command.Claim("h1", "key", "one", "p", 10)),
                 instanceOf(CommandResult.AlreadyClaimed.class));
-        assertThat(judge(new Command.Claim("h2", "key", "two", "q", 20)), instanceOf(StateMachine.Judged.Let.class));
         assertThat(
-                over(new Command.Claim("h1", "key", "one", "p", 10)), instanceOf(CommandResult.AlreadyClaimed.class));
+                execute(new Command.Claim("h2", "key", "two", "q", 20)),
+                instanceOf(StateMachine.Evaluation.Write.class));
+        assertThat(
+                reply(new Command.Claim("h1", "key", "one", "p", 10)), instanceOf(CommandResult.AlreadyClaimed.class));
     }
 
     @Test
-    void aTableIsTakenWholeOrNotAtAll() {
+    void aTableIsReplacedCompletelyOrNotAtAll() {
         assertThat(
-                judge(new Command.PutTable("one", List.of(TableRules.plain("*", "a"), TableRules.plain("*", "b")), -1))
-                        instanceof StateMachine.Judged.Let,
+                execute(new Command.PutTable(
+                                "one", List.of(TableRules.defaultRow("*", "a"), TableRules.defaultRow("*", "b")), -1))
+                        instanceof StateMachine.Evaluation.Write,
                 is(true));
         assertThat(
                 rejected(new Command.PutTable(
-                                "two", List.of(TableRules.plain("*", "c"), TableRules.plain("nobody", "c")), -1))
+                                "two",
+                                List.of(TableRules.defaultRow("*", "c"), TableRules.defaultRow("nobody", "c")),
+                                -1))
                         .code(),
                 is(422));
         assertThat(
                 rejected(new Command.PutTable(
-                                "two-b", List.of(TableRules.plain("*", "c"), TableRules.plain("*", "c")), -1))
+                                "two-b", List.of(TableRules.defaultRow("*", "c"), TableRules.defaultRow("*", "c")), -1))
                         .code(),
                 is(422));
-        assertThat(books.get("r/*/c").isPresent(), is(false));
-        final List<Value.Row> many = new ArrayList<>();
-        for (int i = 0; i <= StateMachine.ROWS; i++) {
-            many.add(TableRules.plain("*", "k" + i));
+        assertThat(state.get("r/*/c").isPresent(), is(false));
+        final List<Value.Row> rows = new ArrayList<>();
+        for (int i = 0; i <= StateMachine.MAX_ROWS; i++) {
+            rows.add(TableRules.defaultRow("*", "k" + i));
         }
-        assertThat(rejected(new Command.PutTable("three", many, -1)).code(), is(413));
+        assertThat(rejected(new Command.PutTable("three", rows, -1)).code(), is(413));
         assertThat(
-                judge(new Command.PutTable("four", List.of(TableRules.plain("*", "b")), 1))
-                        instanceof StateMachine.Judged.Let,
+                execute(new Command.PutTable("four", List.of(TableRules.defaultRow("*", "b")), 1))
+                        instanceof StateMachine.Evaluation.Write,
                 is(true));
-        assertThat(books.get("r/*/a").isPresent(), is(false));
-        assertThat(books.since(1).stream().anyMatch(e -> e.key().equals("r/*/a") && e.gone()), is(true));
+        assertThat(state.get("r/*/a").isPresent(), is(false));
+        assertThat(state.policySince(1).stream().anyMatch(e -> e.key().equals("r/*/a") && e.isDeleted()), is(true));
     }
 
     @Test
     void theSameIdTakesEffectOnce() {
         assertThat(
-                judge(new Command.SetEvacuation("drain", "z", true, -1)) instanceof StateMachine.Judged.Let, is(true));
-        judge(new Command.SetEvacuation("undrain", "z", false, -1));
+                execute(new Command.SetEvacuation("drain", "z", true, -1)) instanceof StateMachine.Evaluation.Write,
+                is(true));
+        execute(new Command.SetEvacuation("undrain", "z", false, -1));
         assertThat(
-                ((StateMachine.Judged.Over) judge(new Command.SetEvacuation("drain", "z", true, -1))).verdict(),
+                ((StateMachine.Evaluation.Reply) execute(new Command.SetEvacuation("drain", "z", true, -1))).result(),
                 is(new CommandResult.Applied(1)));
-        assertThat(((Value.Evacuation) books.get("z/z").orElseThrow().leaf().get(0)).on(), is(false));
+        assertThat(((Value.Evacuation) state.get("z/z").orElseThrow().value().get(0)).active(), is(false));
     }
 
     @Test
-    void digestsTellBooksThatDifferAndMendingMakesThemTheSame() {
+    void digestsDetectStatesThatDifferAndRepairMakesThemEqual() {
         for (int i = 0; i < 50; i++) {
-            judge(new Command.SetEvacuation("d" + i, "z" + i, true, -1));
+            execute(new Command.SetEvacuation("d" + i, "z" + i, true, -1));
         }
         final StateMachine other = new StateMachine();
-        other.reset(40, books.all().subList(0, 60));
-        final long[] mine = books.digests(16);
-        final long[] theirs = other.digests(16);
-        int differ = 0;
+        other.reset(40, state.allEntries().subList(0, 60));
+        final long[] digests = state.digests(16);
+        final long[] otherDigests = other.digests(16);
+        int differences = 0;
         for (int i = 0; i < 16; i++) {
-            if (mine[i] != theirs[i]) {
-                differ++;
-                other.mend(i, 16, books.range(i, 16));
+            if (digests[i] != otherDigests[i]) {
+                differences++;
+                other.replaceRange(i, 16, state.entriesInRange(i, 16));
             }
         }
-        assertThat(differ > 0, is(true));
-        assertThat(other.all(), is(books.all()));
+        assertThat(differences > 0, is(true));
+        assertThat(other.allEntries(), is(state.allEntries()));
     }
 }
--- a/core/src/test/java/silverlatch/wire/LogLayoutTest.java
+++ b/core/src/test/java/silverlatch/wire/LogLayoutTest.java
@@ -40,7 +40,8 @@
         final String layout = types.entrySet().stream()
                 .map(entry -> entry.getKey() + " " + components(entry.getValue()))
                 .collect(Collectors.joining("\n"));
-        try (InputStream in = LogLayoutTest.class.getResourceAsStream("log-layout-" + WriteAheadLog.VERSION + ".txt")) {
+        try (InputStream in =
+                LogLayoutTest.class.getResourceAsStream("log-layout-" + WriteAheadLog.FORMAT_VERSION + ".txt")) {
             assertThat(layout, is(new String(in.readAllBytes(), StandardCharsets.UTF_8).strip()));
         }
     }
--- a/server/src/main/java/silverlatch/server/controller/ConfigurationJson.java
+++ b/server/src/main/java/silverlatch/server/controller/ConfigurationJson.java
@@ -20,21 +20,21 @@
     /** Reads a charter; what is wrong with it is noted in the sheet. */
     public static Command.PutConfiguration read(
             final JsonDocument s, final String paper, final String id, final long match) {
-        final long number = s.whole("number", 1, LONG);
-        final List<Value.Route> rules = s.sheets("rules", ConfigurationValidator.MOST + 1).stream()
+        final long number = s.integer("number", 1, LONG);
+        final List<Value.Route> rules = s.objects("rules", ConfigurationValidator.MAX_ROUTES + 1).stream()
                 .map(ConfigurationJson::rule)
                 .toList();
-        final List<Value.BackendPool> pools = s.sheets("pools", ConfigurationValidator.MOST_POOLS + 1).stream()
+        final List<Value.BackendPool> pools = s.objects("pools", ConfigurationValidator.MAX_POOLS + 1).stream()
                 .map(ConfigurationJson::pool)
                 .toList();
-        final JsonDocument b = s.sheet("bounds");
+        final JsonDocument b = s.object("bounds");
         final Value.RoutingConfiguration charter = new Value.RoutingConfiguration(
                 number,
-                (int) b.whole("head", 0, INT),
-                (int) b.whole("body", 0, INT),
-                b.whole("slow", 0, LONG),
-                b.whole("idle", 0, LONG));
-        b.end();
+                (int) b.integer("head", 0, INT),
+                (int) b.integer("body", 0, INT),
+                b.integer("slow", 0, LONG),
+                b.integer("idle", 0, LONG));
+        b.finish();
         return new Command.PutConfiguration(id, charter, rules, pools, paper, match);
     }
 
@@ -51,20 +51,20 @@
         final Map<String, Object> map = new LinkedHashMap<>();
         map.put("name", r.name());
         map.put("host", r.host());
-        map.put("path", r.path());
-        map.put("once", r.once());
-        map.put("stream", r.stream());
-        map.put("resume", r.resume());
-        map.put("kept", r.kept());
-        map.put("hold", r.hold());
-        map.put("aim", r.aim());
-        map.put("gap", r.gap());
-        map.put("rank", r.rank());
-        map.put("tries", r.tries());
-        map.put("homes", r.homes());
+        map.put("path", r.pathPrefix());
+        map.put("once", r.atMostOnce());
+        map.put("stream", r.streaming());
+        map.put("resume", r.resumable());
+        map.put("kept", r.prefixCached());
+        map.put("hold", r.timeoutMicros());
+        map.put("aim", r.latencyTargetMicros());
+        map.put("gap", r.maxEventGapMicros());
+        map.put("rank", r.priority());
+        map.put("tries", r.maxAttempts());
+        map.put("homes", r.homeRegions());
         map.put(
                 "lots",
-                r.lots().stream()
+                r.backends().stream()
                         .map(l -> Map.of("pool", l.pool(), "weight", l.weight()))
                         .toList());
         return map;
@@ -74,53 +74,54 @@
     public static Map<String, Object> write(final Value.BackendPool p) {
         final Map<String, Object> map = new LinkedHashMap<>();
         map.put("name", p.name());
-        map.put("health", p.health());
-        map.put("lines", p.lines());
-        map.put("cold", p.cold());
-        map.put("rate", p.rate());
+        map.put("health", p.healthPath());
+        map.put("lines", p.maxConnections());
+        map.put("cold", p.warmupMicros());
+        map.put("rate", p.warmupRequestsPerSecond());
         map.put("slots", p.slots());
-        map.put("memory", p.memory());
-        map.put("stride", p.stride());
+        map.put("memory", p.cacheTokens());
+        map.put("stride", p.tokensPerEvent());
         return map;
     }
 
     private static Value.Route rule(final JsonDocument s) {
         final Value.Route r = new Value.Route(
-                s.text("name", 256),
-                s.text("host", 256),
-                s.text("path", 1_024),
+                s.string("name", 256),
+                s.string("host", 256),
+                s.string("path", 1_024),
                 s.flag("once", false),
                 s.flag("stream", false),
                 s.flag("resume", false),
                 s.flag("kept", false),
-                s.whole("hold", 0, LONG),
-                s.whole("aim", 0, LONG, 0),
-                s.whole("gap", 0, LONG, 0),
-                (int) s.whole("rank", 0, INT, 0),
-                (int) s.whole("tries", 0, INT, 1),
-                s.texts("homes", 64, 64),
-                s.sheets("lots", 1_000).stream().map(ConfigurationJson::lot).toList());
-        s.end();
+                s.integer("hold", 0, LONG),
+                s.integer("aim", 0, LONG, 0),
+                s.integer("gap", 0, LONG, 0),
+                (int) s.integer("rank", 0, INT, 0),
+                (int) s.integer("tries", 0, INT, 1),
+                s.strings("homes", 64, 64),
+                s.objects("lots", 1_000).stream().map(ConfigurationJson::lot).toList());
+        s.finish();
         return r;
     }
 
     private static Value.WeightedBackend lot(final JsonDocument s) {
-        final Value.WeightedBackend l = new Value.WeightedBackend(s.text("pool", 256), (int) s.whole("weight", 0, INT));
-        s.end();
+        final Value.WeightedBackend l =
+                new Value.WeightedBackend(s.string("pool", 256), (int) s.integer("weight", 0, INT));
+        s.finish();
         return l;
     }
 
     private static Value.BackendPool pool(final JsonDocument s) {
         final Value.BackendPool p = new Value.BackendPool(
-                s.text("name", 256),
-                s.text("health", 1_024, ""),
-                (int) s.whole("lines", 0, INT, 0),
-                s.whole("cold", 0, LONG, 0),
+                s.string("name", 256),
+                s.string("health", 1_024, ""),
+                (int) s.integer("lines", 0, INT, 0),
+                s.integer("cold", 0, LONG, 0),
                 s.number("rate", 0),
-                (int) s.whole("slots", 0, INT),
-                (int) s.whole("memory", 0, INT, 0),
-                (int) s.whole("stride", 0, INT, 0));
-        s.end();
+                (int) s.integer("slots", 0, INT),
+                (int) s.integer("memory", 0, INT, 0),
+                (int) s.integer("stride", 0, INT, 0));
+        s.finish();
         return p;
     }
 }
--- a/server/src/main/java/silverlatch/server/controller/Controller.java
+++ b/server/src/main/java/silverlatch/server/controller/Controller.java
@@ -115,9 +115,9 @@
 
     @Override
     public void lay(final Command.PutConfiguration wish, final Consumer<CommandResult> then) {
-        if (ConfigurationValidator.huge(wish.paper())) {
+        if (ConfigurationValidator.isTooLong(wish.document())) {
             then.accept(new CommandResult.Rejected(
-                    413, List.of("$: longer than " + ConfigurationValidator.LONGEST + " bytes"), 0));
+                    413, List.of("$: longer than " + ConfigurationValidator.MAX_DOCUMENT_BYTES + " bytes"), 0));
             return;
         }
         wish(wish, SOON, then);
@@ -131,7 +131,7 @@
 
     @Override
     public void paper(final Consumer<ChainClient.Page> then) {
-        if (!bridge.read(ConfigurationValidator.PAPER, SOON, r -> then.accept((ChainClient.Page) r))) {
+        if (!bridge.read(ConfigurationValidator.DOCUMENT_KEY, SOON, r -> then.accept((ChainClient.Page) r))) {
             then.accept(new ChainClient.Page(false, 0, List.of()));
         }
     }
@@ -262,7 +262,8 @@
                         .ifPresent(fence -> calendars
                                 .due(
                                         q.books(),
-                                        d.anchor().unix() + (now - d.anchor().mono()) * 1000,
+                                        d.anchor().unixNanos()
+                                                + (now - d.anchor().monotonicMicros()) * 1000,
                                         fence)
                                 .forEach(w -> {
                                     Logs.write(Event.CALENDAR, w.id());
--- a/server/src/main/java/silverlatch/server/controller/Door.java
+++ b/server/src/main/java/silverlatch/server/controller/Door.java
@@ -78,7 +78,7 @@
             case "GET /v1/tenants" -> page(c, "t/", "tenants");
             case "GET /v1/calendars" -> page(c, "k/", "calendars");
             case "GET /v1/zones" -> page(c, "z/", "zones");
-            case "GET /v1/rules" -> page(c, ConfigurationValidator.RULES, "rules");
+            case "GET /v1/rules" -> page(c, ConfigurationValidator.ROUTE_PREFIX, "rules");
             case "GET /v1/charter" -> paper(c);
             case "PUT /v1/charter" -> charter(c);
             default -> {
@@ -115,7 +115,7 @@
             final Optional<silverlatch.state.Entry> e =
                     p.entries().stream().filter(x -> x.key().equals("o/" + id)).findFirst();
             final Optional<Value.CommandOutcome> deed =
-                    e.map(x -> (Value.CommandOutcome) x.leaf().get(0));
+                    e.map(x -> (Value.CommandOutcome) x.value().get(0));
             c.reply(
                     deed.isPresent() ? 200 : 404,
                     deed.isEmpty()
@@ -166,7 +166,7 @@
                         final long next = d.announced(w, echo, EventLoop.now());
                         c.reply(
                                 200,
-                                Map.of("echo", next, "table", d.rumor().books().page()));
+                                Map.of("echo", next, "table", d.rumor().books().policyRevision()));
                     })) {
                 no(c, 503, "the ring is full");
             }
@@ -176,10 +176,10 @@
     private void paper(final Call c) {
         read(
                 c,
-                ConfigurationValidator.PAPER,
+                ConfigurationValidator.DOCUMENT_KEY,
                 p -> p.entries().stream()
-                        .filter(e -> !e.gone())
-                        .map(e -> (Value.ConfigurationDocument) e.leaf().get(0))
+                        .filter(e -> !e.isDeleted())
+                        .map(e -> (Value.ConfigurationDocument) e.value().get(0))
                         .findFirst()
                         .ifPresentOrElse(
                                 x -> c.text("application/json", x.text(), Map.of("ETag", "\"" + x.number() + "\"")),
@@ -192,15 +192,17 @@
             no(c, 400, "$: not UTF-8");
             return;
         }
-        if (ConfigurationValidator.huge(paper.get())) {
-            no(c, 413, "$: longer than " + ConfigurationValidator.LONGEST + " bytes");
+        if (ConfigurationValidator.isTooLong(paper.get())) {
+            no(c, 413, "$: longer than " + ConfigurationValidator.MAX_DOCUMENT_BYTES + " bytes");
             return;
         }
         sheet(c).ifPresent(s -> {
             final Command.PutConfiguration w = ConfigurationJson.read(s, paper.get(), id(c), -1);
             if (!faulty(c, s)) {
-                match(c).ifPresent(m ->
-                        wish(c, new Command.PutConfiguration(w.id(), w.charter(), w.rules(), w.pools(), w.paper(), m)));
+                match(c).ifPresent(m -> wish(
+                        c,
+                        new Command.PutConfiguration(
+                                w.id(), w.configuration(), w.routes(), w.pools(), w.document(), m)));
             }
         });
     }
@@ -208,10 +210,10 @@
     private void table(final Call c) {
         sheet(c).ifPresent(s -> {
             final List<Value.Row> rows = new ArrayList<>();
-            s.whole("sequence", 0, Long.MAX_VALUE, 0);
-            s.sheets("rows", StateMachine.ROWS + 1).forEach(x -> {
+            s.integer("sequence", 0, Long.MAX_VALUE, 0);
+            s.objects("rows", StateMachine.MAX_ROWS + 1).forEach(x -> {
                 rows.add(Rows.read(x));
-                x.end();
+                x.finish();
             });
             if (!faulty(c, s)) {
                 match(c).ifPresent(m -> wish(c, new Command.PutTable(id(c), rows, m)));
@@ -232,9 +234,9 @@
         sheet(c).ifPresent(s -> {
             final Value.Tenant t = new Value.Tenant(
                     name,
-                    s.texts("homes", 64, 64),
+                    s.strings("homes", 64, 64),
                     s.number("share", 1),
-                    Seals.hash(s.text("key", 256)),
+                    Seals.hash(s.string("key", 256)),
                     Seals.hash(settings.key() + "|" + name).substring(0, 16));
             if (!faulty(c, s)) {
                 match(c).ifPresent(m -> wish(c, new Command.PutTenant(id(c), t, m)));
@@ -246,8 +248,8 @@
         sheet(c).ifPresent(s -> {
             final List<Command.Cell> cells = cellsOf(s);
             final Value.Schedule k = new Value.Schedule(
-                    name, s.text("cron", 128), cells, s.text("zone", 64, ""), s.flag("empty", false));
-            final List<String> faults = new ArrayList<>(s.end());
+                    name, s.string("cron", 128), cells, s.string("zone", 64, ""), s.flag("empty", false));
+            final List<String> faults = new ArrayList<>(s.finish());
             faults.addAll(calendars.faults(k));
             if (!faults.isEmpty()) {
                 c.reply(422, Map.of("outcome", "rejected", "faults", faults));
@@ -259,9 +261,10 @@
 
     private static List<Command.Cell> cellsOf(final JsonDocument s) {
         final List<Command.Cell> cells = new ArrayList<>();
-        s.sheets("cells", 10_000).forEach(x -> {
-            cells.add(new Command.Cell(x.text("tenant", 64), x.text("kind", 64), x.text("field", 64), x.cell("value")));
-            x.end();
+        s.objects("cells", 10_000).forEach(x -> {
+            cells.add(new Command.Cell(
+                    x.string("tenant", 64), x.string("kind", 64), x.string("field", 64), x.scalarText("value")));
+            x.finish();
         });
         return cells;
     }
@@ -269,7 +272,7 @@
     private void zone(final Call c, final String zone) {
         sheet(c).ifPresent(s -> {
             if (!s.has("empty")) {
-                s.text("empty", 1);
+                s.string("empty", 1);
             }
             final boolean on = s.flag("empty", false);
             if (!faulty(c, s)) {
@@ -338,16 +341,16 @@
 
     private Optional<JsonDocument> sheet(final Call c) {
         return switch (JsonDocument.parse(c.body(), Math.max(settings.body(), 8 << 20))) {
-            case JsonDocument.Parsed.Bad bad -> {
-                no(c, bad.code(), bad.why());
+            case JsonDocument.ParseResult.Invalid bad -> {
+                no(c, bad.code(), bad.reason());
                 yield Optional.empty();
             }
-            case JsonDocument.Parsed.Good good -> Optional.of(good.sheet());
+            case JsonDocument.ParseResult.Valid good -> Optional.of(good.document());
         };
     }
 
     private static boolean faulty(final Call c, final JsonDocument s) {
-        final List<String> faults = s.end();
+        final List<String> faults = s.finish();
         if (!faults.isEmpty()) {
             c.reply(422, Map.of("outcome", "rejected", "faults", faults.subList(0, Math.min(100, faults.size()))));
         }
@@ -385,7 +388,7 @@
                 map.put("sequence", s.sequence());
                 map.put("pending", s.pending());
             });
-            map.put("table", d.rumor().books().page());
+            map.put("table", d.rumor().books().policyRevision());
             map.put("stamp", "" + d.keeper().last().bits());
             map.put(
                     "crew",
@@ -410,8 +413,8 @@
             final Map<String, Object> all = new TreeMap<>();
             final var n = d.keeper().counts();
             all.put("tide_waits", n.waits());
-            all.put("tide_carries", n.carries());
-            all.put("tide_far", n.fars());
+            all.put("tide_carries", n.overflows());
+            all.put("tide_far", n.tooFarAhead());
             all.put("tide_dropped", n.dropped());
             d.tally().forEach((k, v) -> all.put("deck_" + k, v));
             d.quay().ifPresent(q -> all.put("quay_sequence", q.books().sequence()));
--- a/server/src/main/java/silverlatch/server/controller/LogWriter.java
+++ b/server/src/main/java/silverlatch/server/controller/LogWriter.java
@@ -109,7 +109,7 @@
 
     private static long weight(final Effect.Keep keep) {
         return keep.notes().stream()
-                .mapToLong(n -> n instanceof LogRecord.Appended d ? d.change().weight() : 64)
+                .mapToLong(n -> n instanceof LogRecord.Appended d ? d.entry().weight() : 64)
                 .sum();
     }
 
@@ -122,10 +122,10 @@
         pauseMs = System.nanoTime() - recoveredAt > CALM_NANOS ? firstPauseMs : Math.min(LONGEST_PAUSE_MS, 2 * pauseMs);
         while (true) {
             TimeUnit.MILLISECONDS.sleep(pauseMs);
-            if (log.reopen() instanceof WriteAheadLog.Opened.Good good) {
-                log = good.ledger();
+            if (log.reopen() instanceof WriteAheadLog.OpenResult.Success good) {
+                log = good.log();
                 recoveredAt = System.nanoTime();
-                listener.recovered(good.notes());
+                listener.recovered(good.records());
                 return;
             }
         }
--- a/server/src/main/java/silverlatch/server/controller/Main.java
+++ b/server/src/main/java/silverlatch/server/controller/Main.java
@@ -41,37 +41,37 @@
     }
 
     /** Opens the ledger in the data folder, if there is one, as soon as the disk lets it; a damaged one ends the process. */
-    public static Optional<WriteAheadLog.Opened.Good> open(final Settings s) {
+    public static Optional<WriteAheadLog.OpenResult.Success> open(final Settings s) {
         return open(s, false);
     }
 
     /** The same; where damaged ones are put aside, the machine starts as an empty one under a new identity. */
-    public static Optional<WriteAheadLog.Opened.Good> open(final Settings s, final boolean aside) {
+    public static Optional<WriteAheadLog.OpenResult.Success> open(final Settings s, final boolean aside) {
         return s.data().map(data -> {
             boolean told = false;
             while (true) {
                 switch (WriteAheadLog.open(Path.of(data), s.found())) {
-                    case WriteAheadLog.Opened.Barred b -> {
+                    case WriteAheadLog.OpenResult.Unavailable b -> {
                         if (!told) {
-                            Logs.write(Event.BARRED, b.why());
+                            Logs.write(Event.BARRED, b.reason());
                         }
                         told = true;
                         LockSupport.parkNanos(PAUSE);
                     }
-                    case WriteAheadLog.Opened.Damaged d -> {
-                        Logs.write(Event.DAMAGED, d.why());
+                    case WriteAheadLog.OpenResult.Damaged d -> {
+                        Logs.write(Event.DAMAGED, d.reason());
                         if (!aside || !aside(Path.of(data))) {
                             System.exit(4);
                         }
                     }
-                    case WriteAheadLog.Opened.Unsupported u -> {
-                        Logs.write(Event.LOG_FORMAT, u.why());
+                    case WriteAheadLog.OpenResult.Unsupported u -> {
+                        Logs.write(Event.LOG_FORMAT, u.reason());
                         System.exit(4);
                     }
-                    case WriteAheadLog.Opened.Good g -> {
+                    case WriteAheadLog.OpenResult.Success g -> {
                         Logs.write(
                                 Event.RECOVERED,
-                                g.notes().size() + " notes, " + g.torn() + " bytes of a torn tail cut off");
+                                g.records().size() + " notes, " + g.tornBytes() + " bytes of a torn tail cut off");
                         return g;
                     }
                 }
@@ -81,7 +81,7 @@
 
     private static boolean aside(final Path data) {
         try {
-            WriteAheadLog.aside(data);
+            WriteAheadLog.moveAside(data);
             return true;
         } catch (final IOException e) {
             Logs.write(Event.BARRED, "" + e.getMessage());
@@ -90,7 +90,7 @@
     }
 
     /** Builds a controller from its settings and its ledger, if it has a data folder. */
-    public static Controller build(final Settings s, final Optional<WriteAheadLog.Opened.Good> opened) {
+    public static Controller build(final Settings s, final Optional<WriteAheadLog.OpenResult.Success> opened) {
         return DaggerMain_Parts.factory().make(s, opened).controller();
     }
 
@@ -117,7 +117,8 @@
         @Component.Factory
         interface Maker {
             /** From its settings and its ledger, if it has a data folder. */
-            Parts make(@BindsInstance Settings settings, @BindsInstance Optional<WriteAheadLog.Opened.Good> opened);
+            Parts make(
+                    @BindsInstance Settings settings, @BindsInstance Optional<WriteAheadLog.OpenResult.Success> opened);
         }
     }
 
@@ -128,19 +129,19 @@
 
         @Provides
         @Singleton
-        static Optional<WriteAheadLog> ledger(final Optional<WriteAheadLog.Opened.Good> opened) {
-            return opened.map(WriteAheadLog.Opened.Good::ledger);
+        static Optional<WriteAheadLog> ledger(final Optional<WriteAheadLog.OpenResult.Success> opened) {
+            return opened.map(WriteAheadLog.OpenResult.Success::log);
         }
 
         @Provides
         @Singleton
-        static Node deck(final Settings s, final Optional<WriteAheadLog.Opened.Good> opened) {
+        static Node deck(final Settings s, final Optional<WriteAheadLog.OpenResult.Success> opened) {
             final long now = EventLoop.now();
             final long wall = EventLoopHandle.wall();
             final Member me = new Member(
                     s.name(), "controller", s.zone(), s.region(), s.address(), s.door(), wall / 1000, 0, "up", false);
             final List<LogRecord> notes =
-                    opened.map(WriteAheadLog.Opened.Good::notes).orElse(List.of());
+                    opened.map(WriteAheadLog.OpenResult.Success::records).orElse(List.of());
             return new Node(
                     new Node.Setup(
                             me,
@@ -151,7 +152,7 @@
                             s.rates().rumor()),
                     opened.map(o -> ChainReplica.Setup.of(new Replica(o.identity(), s.address()), s.seeds())
                             .counts(s.copies(), s.voters())
-                            .founds(s.found() || o.founder())),
+                            .founds(s.found() || o.mayFound())),
                     notes,
                     new PhysicalClock(wall, now, 0),
                     new SplittableRandom(new SecureRandom().nextLong()),
--- a/server/src/main/java/silverlatch/server/controller/Rows.java
+++ b/server/src/main/java/silverlatch/server/controller/Rows.java
@@ -19,44 +19,44 @@
         final Map<String, Object> map = new LinkedHashMap<>();
         map.put("tenant", r.tenant());
         map.put("kind", r.kind());
-        map.put("prefix", r.prefix());
-        map.put("load", r.load());
-        map.put("cold", r.cold());
-        map.put("cross", r.cross());
-        map.put("rate", r.rate());
-        map.put("burst", r.burst());
-        map.put("running", r.running());
-        map.put("queue", r.queue());
-        map.put("hold", r.hold());
-        map.put("once", r.once());
-        map.put("rank", r.rank());
+        map.put("prefix", r.prefixWeight());
+        map.put("load", r.loadWeight());
+        map.put("cold", r.warmupWeight());
+        map.put("cross", r.localityWeight());
+        map.put("rate", r.requestsPerSecond());
+        map.put("burst", r.burstRequests());
+        map.put("running", r.maxRunning());
+        map.put("queue", r.maxQueued());
+        map.put("hold", r.timeoutMicros());
+        map.put("once", r.atMostOnce());
+        map.put("rank", r.priority());
         return map;
     }
 
     /** A row from JSON; what is not said is as in the plain row. */
     public static Value.Row read(final JsonDocument s) {
-        final Value.Row p = TableRules.plain(s.text("tenant", 64), s.text("kind", 64));
+        final Value.Row p = TableRules.defaultRow(s.string("tenant", 64), s.string("kind", 64));
         return new Value.Row(
                 p.tenant(),
                 p.kind(),
-                s.number("prefix", p.prefix()),
-                s.number("load", p.load()),
-                s.number("cold", p.cold()),
-                s.number("cross", p.cross()),
-                s.number("rate", p.rate()),
-                s.number("burst", p.burst()),
-                (int) s.whole("running", 0, Integer.MAX_VALUE, p.running()),
-                (int) s.whole("queue", 0, Integer.MAX_VALUE, p.queue()),
-                s.whole("hold", 0, Long.MAX_VALUE, p.hold()),
-                s.flag("once", p.once()),
-                (int) s.whole("rank", 0, Integer.MAX_VALUE, p.rank()));
+                s.number("prefix", p.prefixWeight()),
+                s.number("load", p.loadWeight()),
+                s.number("cold", p.warmupWeight()),
+                s.number("cross", p.localityWeight()),
+                s.number("rate", p.requestsPerSecond()),
+                s.number("burst", p.burstRequests()),
+                (int) s.integer("running", 0, Integer.MAX_VALUE, p.maxRunning()),
+                (int) s.integer("queue", 0, Integer.MAX_VALUE, p.maxQueued()),
+                s.integer("hold", 0, Long.MAX_VALUE, p.timeoutMicros()),
+                s.flag("once", p.atMostOnce()),
+                (int) s.integer("rank", 0, Integer.MAX_VALUE, p.priority()));
     }
 
     /** Entries as a list of JSON objects, gone ones left out, and the newest sequence among all. */
     public static Map<String, Object> page(final String name, final List<Entry> entries) {
         final List<Map<String, Object>> list = new ArrayList<>();
         entries.stream()
-                .filter(e -> !e.gone())
+                .filter(e -> !e.isDeleted())
                 .sorted(Comparator.comparing(Entry::key))
                 .forEach(e -> list.add(one(e)));
         final Map<String, Object> map = new LinkedHashMap<>();
@@ -66,17 +66,25 @@
     }
 
     private static String since(final long stamp) {
-        return java.time.Instant.ofEpochSecond(silverlatch.clock.Ntp.EPOCH + (stamp >> 32))
+        return java.time.Instant.ofEpochSecond(silverlatch.clock.NtpTime.EPOCH_UNIX_SECONDS + (stamp >> 32))
                 .toString();
     }
 
     private static Map<String, Object> one(final Entry e) {
-        return switch (e.leaf().get(0)) {
+        return switch (e.value().get(0)) {
             case Value.Row r -> write(r);
             case Value.Tenant t ->
-                Map.of("name", t.name(), "homes", t.homes(), "share", t.share(), "sequence", e.sequence());
+                Map.of("name", t.name(), "homes", t.homeRegions(), "share", t.quotaShare(), "sequence", e.sequence());
             case Value.Evacuation d ->
-                Map.of("zone", d.zone(), "empty", d.on(), "stamp", "" + d.at().bits(), "sequence", e.sequence());
+                Map.of(
+                        "zone",
+                        d.zone(),
+                        "empty",
+                        d.active(),
+                        "stamp",
+                        "" + d.stamp().bits(),
+                        "sequence",
+                        e.sequence());
             case Value.Schedule k ->
                 Map.of(
                         "name",
@@ -90,18 +98,26 @@
                         "zone",
                         k.zone(),
                         "empty",
-                        k.empty(),
+                        k.evacuate(),
                         "sequence",
                         e.sequence());
             case Value.Claim c ->
-                Map.of("ticket", c.ticket(), "carrier", c.carrier(), "state", c.state(), "since", since(c.at()));
-            case Value.Epoch g -> Map.of("turn", g.turn());
+                Map.of(
+                        "ticket",
+                        c.requestId(),
+                        "carrier",
+                        c.gatewayId(),
+                        "state",
+                        c.state(),
+                        "since",
+                        since(c.claimedAt()));
+            case Value.Epoch g -> Map.of("turn", g.number());
             case Value.Route r -> ConfigurationJson.write(r);
             case Value.BackendPool p -> ConfigurationJson.write(p);
             case Value.RoutingConfiguration c -> Map.of("number", c.number(), "sequence", e.sequence());
             case Value.ConfigurationDocument p -> Map.of("number", p.number(), "paper", p.text());
             case Value.AcceptedConfiguration a ->
-                Map.of("number", a.number(), "match", a.match(), "sequence", e.sequence());
+                Map.of("number", a.number(), "match", a.expectedRevision(), "sequence", e.sequence());
             case Value.CommandOutcome d ->
                 Map.of(
                         "change",
--- a/server/src/main/java/silverlatch/server/controller/Schedules.java
+++ b/server/src/main/java/silverlatch/server/controller/Schedules.java
@@ -29,7 +29,7 @@
 
     /** What is wrong with a calendar; one whose time never comes is wrong. */
     public List<String> faults(final Value.Schedule k) {
-        final List<String> list = new ArrayList<>(TableRules.word("name", k.name()));
+        final List<String> list = new ArrayList<>(TableRules.nameFaults("name", k.name()));
         final Optional<Cron> cron = parse(k.cron());
         if (cron.isEmpty()) {
             list.add("$.cron: five fields are needed: minute, hour, day, month, weekday; not '" + k.cron() + "'");
@@ -43,7 +43,8 @@
         }
         for (int i = 0; i < k.cells().size(); i++) {
             final Command.Cell c = k.cells().get(i);
-            if (TableRules.set(TableRules.plain("*", "any"), c.field(), c.value()) instanceof TableRules.Cut.Bad bad) {
+            if (TableRules.withCell(TableRules.defaultRow("*", "any"), c.field(), c.value())
+                    instanceof TableRules.CellChange.Invalid bad) {
                 list.add("$.cells[" + i + "]: " + bad.fault());
             }
         }
@@ -54,23 +55,25 @@
     public List<Command> due(final StateMachine books, final long nanos, final long fence) {
         final long now = nanos / 1_000_000_000L;
         final List<Command> list = new ArrayList<>();
-        books.part("k/").values().stream().filter(e -> !e.gone()).forEach(e -> {
-            final Value.Schedule k = (Value.Schedule) e.leaf().get(0);
-            parse(k.cron())
-                    .flatMap(c -> ExecutionTime.forCron(c).lastExecution(at(now + 1)))
-                    .map(ZonedDateTime::toEpochSecond)
-                    .filter(t -> now - t <= WINDOW)
-                    .ifPresent(t -> {
-                        final String id = "cal-" + k.name() + "-" + t;
-                        if (!asked.containsKey(id)) {
-                            asked.put(id, t);
-                            final Command inner = k.zone().isEmpty()
-                                    ? new Command.PatchTable(id, k.cells(), -1)
-                                    : new Command.SetEvacuation(id, k.zone(), k.empty(), -1);
-                            list.add(new Command.Scheduled(id, fence, inner));
-                        }
-                    });
-        });
+        books.entriesWithPrefix("k/").values().stream()
+                .filter(e -> !e.isDeleted())
+                .forEach(e -> {
+                    final Value.Schedule k = (Value.Schedule) e.value().get(0);
+                    parse(k.cron())
+                            .flatMap(c -> ExecutionTime.forCron(c).lastExecution(at(now + 1)))
+                            .map(ZonedDateTime::toEpochSecond)
+                            .filter(t -> now - t <= WINDOW)
+                            .ifPresent(t -> {
+                                final String id = "cal-" + k.name() + "-" + t;
+                                if (!asked.containsKey(id)) {
+                                    asked.put(id, t);
+                                    final Command inner = k.zone().isEmpty()
+                                            ? new Command.PatchTable(id, k.cells(), -1)
+                                            : new Command.SetEvacuation(id, k.zone(), k.evacuate(), -1);
+                                    list.add(new Command.Scheduled(id, fence, inner));
+                                }
+                            });
+                });
         asked.values().removeIf(t -> now - t > 2 * WINDOW);
         return list;
     }
--- a/server/src/main/java/silverlatch/server/controller/WorkerRoster.java
+++ b/server/src/main/java/silverlatch/server/controller/WorkerRoster.java
@@ -69,7 +69,7 @@
                         .putLong(sum(body, 0))
                         .put(body)
                         .array();
-                WriteAheadLog.put(file, all);
+                WriteAheadLog.replaceFile(file, all);
                 told = false;
             } catch (final IOException e) {
                 if (!told) {
--- a/server/src/main/java/silverlatch/server/gateway/Gateway.java
+++ b/server/src/main/java/silverlatch/server/gateway/Gateway.java
@@ -326,16 +326,16 @@
 
     private Optional<JsonDocument> sheet(final Call c) {
         return switch (JsonDocument.parse(c.body(), settings.body())) {
-            case JsonDocument.Parsed.Bad bad -> {
-                c.reply(bad.code(), Map.of("outcome", "rejected", "faults", List.of(bad.why())));
+            case JsonDocument.ParseResult.Invalid bad -> {
+                c.reply(bad.code(), Map.of("outcome", "rejected", "faults", List.of(bad.reason())));
                 yield Optional.empty();
             }
-            case JsonDocument.Parsed.Good good -> Optional.of(good.sheet());
+            case JsonDocument.ParseResult.Valid good -> Optional.of(good.document());
         };
     }
 
     private static boolean faulty(final Call c, final JsonDocument s) {
-        final List<String> faults = s.end();
+        final List<String> faults = s.finish();
         if (!faults.isEmpty()) {
             c.reply(422, Map.of("outcome", "rejected", "faults", faults));
         }
@@ -358,12 +358,12 @@
         sheet(c).ifPresent(s -> {
             final Order o = new Order(
                     c.secret(),
-                    s.text("tenant", 64),
-                    s.text("kind", 64),
-                    s.texts("prefix", 64, 128),
-                    s.whole("size", 0, Integer.MAX_VALUE, 0),
-                    s.text("key", 128, ""),
-                    (int) s.whole("tries", 0, 1_000, 0));
+                    s.string("tenant", 64),
+                    s.string("kind", 64),
+                    s.strings("prefix", 64, 128),
+                    s.integer("size", 0, Integer.MAX_VALUE, 0),
+                    s.string("key", 128, ""),
+                    (int) s.integer("tries", 0, 1_000, 0));
             if (!faulty(c, s)) {
                 begin(c, token -> carry.pick(o, token, EventLoop.now()));
             }
@@ -374,10 +374,10 @@
         sheet(c).ifPresent(s -> {
             final Load l = new Load(
                     c.secret(),
-                    s.text("permit", 4096),
-                    s.texts("prefix", 64, 128),
-                    s.text("prompt", settings.body()),
-                    s.whole("expiryMs", 1, 3_600_000, 30_000) * 1000);
+                    s.string("permit", 4096),
+                    s.strings("prefix", 64, 128),
+                    s.string("prompt", settings.body()),
+                    s.integer("expiryMs", 1, 3_600_000, 30_000) * 1000);
             if (!faulty(c, s)) {
                 begin(c, token -> carry.ticket(l, token, EventLoop.now()));
             }
@@ -407,7 +407,7 @@
             }
             if (!bridge.with(d -> {
                 final long next = d.announced(w, echo, EventLoop.now());
-                c.reply(200, Map.of("echo", next, "table", d.rumor().books().page()));
+                c.reply(200, Map.of("echo", next, "table", d.rumor().books().policyRevision()));
                 publish(d);
             })) {
                 reject(c, 503, "", "the ring is full", MILLION, "");
@@ -484,7 +484,7 @@
             map.put("name", settings.name());
             map.put("ready", unready.isEmpty());
             map.put("why", unready.orElse(""));
-            map.put("table", d.rumor().books().page());
+            map.put("table", d.rumor().books().policyRevision());
             map.put(
                     "tableAgeMs",
                     d.rumor().age(now) == Long.MAX_VALUE ? -1 : d.rumor().age(now) / 1000);
@@ -522,8 +522,8 @@
             bridge.with(d -> {
                 final var n = d.keeper().counts();
                 all.put("tide_waits", n.waits());
-                all.put("tide_carries", n.carries());
-                all.put("tide_far", n.fars());
+                all.put("tide_carries", n.overflows());
+                all.put("tide_far", n.tooFarAhead());
                 all.put("tide_dropped", n.dropped());
                 d.tally().forEach((k, v) -> all.put("deck_" + k, v));
                 all.put("wire_bad", dock.bad());
--- a/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
+++ b/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
@@ -64,15 +64,15 @@
     /** The door at which clients come in; it follows the limits of the configuration in force. */
     public void door(final Doors.Door at) {
         door = Optional.of(at);
-        limits.ifPresent(now -> at.limits(now.head(), now.idle() / 1000));
+        limits.ifPresent(now -> at.limits(now.maxHeaderBytes(), now.idleTimeoutMicros() / 1000));
     }
 
     /** Takes the limits of the configuration in force, also for connections that rest now. */
     public void limits(final Value.RoutingConfiguration next) {
         if (limits.filter(next::equals).isEmpty()) {
             limits = Optional.of(next);
-            maxBodyBytes = Math.min(MAX_BODY_BYTES, next.body());
-            door.ifPresent(at -> at.limits(next.head(), next.idle() / 1000));
+            maxBodyBytes = Math.min(MAX_BODY_BYTES, next.maxBodyBytes());
+            door.ifPresent(at -> at.limits(next.maxHeaderBytes(), next.idleTimeoutMicros() / 1000));
         }
     }
 
--- a/server/src/main/java/silverlatch/server/replay/Pages.java
+++ b/server/src/main/java/silverlatch/server/replay/Pages.java
@@ -80,7 +80,7 @@
         final Map<String, Object> map = new LinkedHashMap<>();
         map.put("ticket", c.ticket());
         map.put("tenant", c.tenant().name());
-        map.put("homes", c.tenant().homes());
+        map.put("homes", c.tenant().homeRegions());
         map.put("row", Rows.write(c.row()));
         map.put("prefix", c.prefix());
         map.put("zone", c.zone());
@@ -128,72 +128,72 @@
             final Map<String, String> ends,
             final List<String> faults) {
         switch (JsonDocument.parse(text.getBytes(StandardCharsets.UTF_8), LINE)) {
-            case JsonDocument.Parsed.Bad bad -> faults.add(at + bad.why());
-            case JsonDocument.Parsed.Good good -> {
-                final JsonDocument s = good.sheet();
+            case JsonDocument.ParseResult.Invalid bad -> faults.add(at + bad.reason());
+            case JsonDocument.ParseResult.Valid good -> {
+                final JsonDocument s = good.document();
                 if (s.has("end")) {
-                    final JsonDocument e = s.sheet("end");
-                    ends.put(e.text("ticket", 256), e.text("state", 32));
-                    e.text("why", 4096, "");
-                    e.end();
+                    final JsonDocument e = s.object("end");
+                    ends.put(e.string("ticket", 256), e.string("state", 32));
+                    e.string("why", 4096, "");
+                    e.finish();
                 } else {
-                    final JsonDocument p = s.sheet("pick");
+                    final JsonDocument p = s.object("pick");
                     if (s.faults().isEmpty()) {
                         judged.add(judged(p));
                     }
                 }
-                s.end().forEach(f -> faults.add(at + f));
+                s.finish().forEach(f -> faults.add(at + f));
             }
         }
     }
 
     private static Act.Judged judged(final JsonDocument s) {
-        final JsonDocument r = s.sheet("row");
+        final JsonDocument r = s.object("row");
         final Value.Row row = Rows.read(r);
-        r.end();
+        r.finish();
         final List<PlacementInput> sights = new ArrayList<>();
-        s.sheets("sights", 10_000).forEach(x -> {
+        s.objects("sights", 10_000).forEach(x -> {
             final Worker w = new Worker(
-                    x.text("worker", 64),
+                    x.string("worker", 64),
                     "",
-                    x.text("zone", 64),
-                    x.text("region", 64),
+                    x.string("zone", 64),
+                    x.string("region", 64),
                     0,
                     0,
-                    (int) x.whole("running", 0, Integer.MAX_VALUE),
-                    (int) x.whole("queued", 0, Integer.MAX_VALUE),
-                    (int) x.whole("slots", 1, Integer.MAX_VALUE),
-                    x.wholes("kept", 4_096),
+                    (int) x.integer("running", 0, Integer.MAX_VALUE),
+                    (int) x.integer("queued", 0, Integer.MAX_VALUE),
+                    (int) x.integer("slots", 1, Integer.MAX_VALUE),
+                    x.integers("kept", 4_096),
                     x.flag("leaving", false),
-                    x.whole("up", 0, FAR));
+                    x.integer("up", 0, FAR));
             sights.add(new PlacementInput(
                     w,
-                    x.whole("age", 0, FAR),
-                    (int) x.whole("since", 0, Integer.MAX_VALUE),
-                    (int) x.whole("mine", 0, Integer.MAX_VALUE),
-                    x.whole("back", 0, FAR),
+                    x.integer("age", 0, FAR),
+                    (int) x.integer("since", 0, Integer.MAX_VALUE),
+                    (int) x.integer("mine", 0, Integer.MAX_VALUE),
+                    x.integer("back", 0, FAR),
                     x.flag("shunned", false),
-                    (int) x.whole("peers", 1, Integer.MAX_VALUE)));
-            x.end();
+                    (int) x.integer("peers", 1, Integer.MAX_VALUE)));
+            x.finish();
         });
-        final Value.Tenant who = new Value.Tenant(s.text("tenant", 64), s.texts("homes", 64, 64), 1, "", "");
+        final Value.Tenant who = new Value.Tenant(s.string("tenant", 64), s.strings("homes", 64, 64), 1, "", "");
         final Case plea = new Case(
-                s.text("ticket", 256),
+                s.string("ticket", 256),
                 who,
                 row,
-                s.wholes("prefix", 64),
-                s.text("zone", 64),
-                s.text("region", 64),
-                Set.copyOf(s.texts("empty", 64, 64)));
-        final String stamp = s.text("stamp", 20);
+                s.integers("prefix", 64),
+                s.string("zone", 64),
+                s.string("region", 64),
+                Set.copyOf(s.strings("empty", 64, 64)));
+        final String stamp = s.string("stamp", 20);
         final Act.Judged made = new Act.Judged(
                 plea,
                 sights,
-                s.whole("seed", 0, Long.MAX_VALUE),
-                s.whole("page", 0, Long.MAX_VALUE),
+                s.integer("seed", 0, Long.MAX_VALUE),
+                s.integer("page", 0, Long.MAX_VALUE),
                 stamp.matches("\\d{1,19}") ? Long.parseLong(stamp) : 0,
-                s.text("picked", 64));
-        s.end();
+                s.string("picked", 64));
+        s.finish();
         return made;
     }
 
@@ -202,19 +202,19 @@
         final Map<String, Value.Row> rows = new HashMap<>();
         try {
             switch (JsonDocument.parse(Files.readAllBytes(file), 64 << 20)) {
-                case JsonDocument.Parsed.Bad bad -> faults.add(file + ": " + bad.why());
-                case JsonDocument.Parsed.Good good -> {
-                    final JsonDocument s = good.sheet();
-                    s.whole("sequence", 0, Long.MAX_VALUE, 0);
-                    final List<JsonDocument> list = s.sheets("rows", 20_000);
+                case JsonDocument.ParseResult.Invalid bad -> faults.add(file + ": " + bad.reason());
+                case JsonDocument.ParseResult.Valid good -> {
+                    final JsonDocument s = good.document();
+                    s.integer("sequence", 0, Long.MAX_VALUE, 0);
+                    final List<JsonDocument> list = s.objects("rows", 20_000);
                     for (int i = 0; i < list.size(); i++) {
                         final Value.Row row = Rows.read(list.get(i));
-                        list.get(i).end();
+                        list.get(i).finish();
                         final String at = file + ": $.rows[" + i + "].";
                         TableRules.faults(row).forEach(f -> faults.add(at + f));
                         rows.put(row.tenant() + "/" + row.kind(), row);
                     }
-                    s.end().forEach(f -> faults.add(file + ": " + f));
+                    s.finish().forEach(f -> faults.add(file + ": " + f));
                 }
             }
         } catch (final IOException e) {
--- a/server/src/main/java/silverlatch/server/settings/Settings.java
+++ b/server/src/main/java/silverlatch/server/settings/Settings.java
@@ -75,55 +75,55 @@
             return new Read.Bad(List.of("the settings file can't be read: " + e.getMessage()));
         }
         return switch (JsonDocument.parse(body, MOST)) {
-            case JsonDocument.Parsed.Bad bad -> new Read.Bad(List.of(bad.why()));
-            case JsonDocument.Parsed.Good good -> check(good.sheet().with(flags), controller);
+            case JsonDocument.ParseResult.Invalid bad -> new Read.Bad(List.of(bad.reason()));
+            case JsonDocument.ParseResult.Valid good -> check(good.document().with(flags), controller);
         };
     }
 
     private static Read check(final JsonDocument s, final boolean controller) {
         final List<String> faults = new ArrayList<>();
         final Dispatcher.Setup plain = Dispatcher.Setup.PLAIN;
-        final String data = s.text("data", 4096, "");
+        final String data = s.string("data", 4096, "");
         final Settings made = new Settings(
-                s.text("name", 64),
-                s.text("zone", 64),
-                s.text("region", 64),
-                s.text("address", 64),
-                s.text("door", 64),
-                s.texts("seeds", 3, 64),
+                s.string("name", 64),
+                s.string("zone", 64),
+                s.string("region", 64),
+                s.string("address", 64),
+                s.string("door", 64),
+                s.strings("seeds", 3, 64),
                 data.isEmpty() ? Optional.empty() : Optional.of(data),
-                Optional.of(s.text("record", 4096, "")).filter(r -> !r.isEmpty()),
-                s.text("key", 256),
-                s.text("operator", 256),
-                s.text("worker", 256),
-                (int) s.whole("low", 1, 30, 7),
-                s.whole("skew", 0, 10_000_000L, 50_000L),
-                s.whole("grace", 0, 600_000_000L, 5_000_000L),
+                Optional.of(s.string("record", 4096, "")).filter(r -> !r.isEmpty()),
+                s.string("key", 256),
+                s.string("operator", 256),
+                s.string("worker", 256),
+                (int) s.integer("low", 1, 30, 7),
+                s.integer("skew", 0, 10_000_000L, 50_000L),
+                s.integer("grace", 0, 600_000_000L, 5_000_000L),
                 new Dispatcher.Setup(
-                        (int) s.whole("slab", 1, 1_000_000, plain.slab()),
-                        (int) s.whole("queue", 1, 1_000_000, plain.queue()),
-                        s.whole("permit", 100_000, 10_000_000, plain.permit()),
-                        s.whole("word", 500_000, 2_500_000, plain.word()),
-                        s.whole("sure", 500_000, 2_500_000, plain.sure()),
-                        s.whole("claim", 100_000, 10_000_000, plain.claim()),
-                        s.whole("keep", 0, 600_000_000L, plain.keep()),
-                        (int) s.whole("buffer", 1_024, 64 << 20, plain.buffer()),
+                        (int) s.integer("slab", 1, 1_000_000, plain.slab()),
+                        (int) s.integer("queue", 1, 1_000_000, plain.queue()),
+                        s.integer("permit", 100_000, 10_000_000, plain.permit()),
+                        s.integer("word", 500_000, 2_500_000, plain.word()),
+                        s.integer("sure", 500_000, 2_500_000, plain.sure()),
+                        s.integer("claim", 100_000, 10_000_000, plain.claim()),
+                        s.integer("keep", 0, 600_000_000L, plain.keep()),
+                        (int) s.integer("buffer", 1_024, 64 << 20, plain.buffer()),
                         s.number("tries", plain.tries()),
-                        s.whole("shun", 0, 60_000_000L, plain.shun()),
-                        s.whole("patience", 0, 600_000_000L, plain.patience()),
-                        s.whole("memory", 10_000_000L, 600_000_000L, plain.memory()),
-                        s.whole("start", 100_000L, 60_000_000L, plain.start())),
-                (int) s.whole("body", 1_024, 16 << 20, 4 << 20),
-                (int) s.whole("line", 1_024, 4 << 20, 256 << 10),
+                        s.integer("shun", 0, 60_000_000L, plain.shun()),
+                        s.integer("patience", 0, 600_000_000L, plain.patience()),
+                        s.integer("memory", 10_000_000L, 600_000_000L, plain.memory()),
+                        s.integer("start", 100_000L, 60_000_000L, plain.start())),
+                (int) s.integer("body", 1_024, 16 << 20, 4 << 20),
+                (int) s.integer("line", 1_024, 4 << 20, 256 << 10),
                 s.flag("found", true),
-                (int) s.whole("copies", 1, 7, 2),
-                (int) s.whole("voters", 1, 9, 3),
+                (int) s.integer("copies", 1, 7, 2),
+                (int) s.integer("voters", 1, 9, 3),
                 Rates.read(s, faults),
-                Optional.of(s.text("gate", 64, "")).filter(g -> !g.isEmpty()));
-        faults.addAll(s.end());
-        faults.addAll(TableRules.word("name", made.name()));
-        faults.addAll(TableRules.word("zone", made.zone()));
-        faults.addAll(TableRules.word("region", made.region()));
+                Optional.of(s.string("gate", 64, "")).filter(g -> !g.isEmpty()));
+        faults.addAll(s.finish());
+        faults.addAll(TableRules.nameFaults("name", made.name()));
+        faults.addAll(TableRules.nameFaults("zone", made.zone()));
+        faults.addAll(TableRules.nameFaults("region", made.region()));
         place(faults, "address", made.address());
         place(faults, "door", made.door());
         made.gate().ifPresent(g -> place(faults, "gate", g));
--- a/server/src/main/java/silverlatch/server/tool/Difference.java
+++ b/server/src/main/java/silverlatch/server/tool/Difference.java
@@ -30,14 +30,14 @@
 
     /** Compares the table as it was read with a file of rows. */
     static Difference between(final JsonDocument now, final byte[] file) {
-        if (!(JsonDocument.parse(file, 64 << 20) instanceof JsonDocument.Parsed.Good read)) {
+        if (!(JsonDocument.parse(file, 64 << 20) instanceof JsonDocument.ParseResult.Valid read)) {
             return new Bad(List.of("$: not JSON"));
         }
-        final JsonDocument s = read.sheet();
-        s.whole("sequence", 0, Long.MAX_VALUE, 0);
+        final JsonDocument s = read.document();
+        s.integer("sequence", 0, Long.MAX_VALUE, 0);
         final List<String> faults = new ArrayList<>();
         final Map<String, Value.Row> next = rows(s, faults);
-        faults.addAll(s.end());
+        faults.addAll(s.finish());
         if (!faults.isEmpty()) {
             return new Bad(faults);
         }
@@ -54,25 +54,25 @@
                 return;
             }
             TableRules.FIELDS.stream()
-                    .filter(f -> !TableRules.get(old.get(k), f).equals(TableRules.get(r, f)))
+                    .filter(f -> !TableRules.cellText(old.get(k), f).equals(TableRules.cellText(r, f)))
                     .forEach(f -> lines.add("  " + r.tenant() + " " + r.kind() + " " + f + ": "
-                            + TableRules.get(old.get(k), f) + " -> " + TableRules.get(r, f)));
+                            + TableRules.cellText(old.get(k), f) + " -> " + TableRules.cellText(r, f)));
         });
-        return new Good(lines, now.whole("sequence", 0, Long.MAX_VALUE));
+        return new Good(lines, now.integer("sequence", 0, Long.MAX_VALUE));
     }
 
     private static Map<String, Value.Row> rows(final JsonDocument s, final List<String> faults) {
         final Map<String, Value.Row> rows = new TreeMap<>();
-        final List<JsonDocument> all = s.sheets("rows", StateMachine.ROWS + 1);
+        final List<JsonDocument> all = s.objects("rows", StateMachine.MAX_ROWS + 1);
         for (int i = 0; i < all.size(); i++) {
             final Value.Row r = Rows.read(all.get(i));
-            all.get(i).end();
+            all.get(i).finish();
             final String at = "$.rows[" + i + "].";
             TableRules.faults(r).forEach(f -> faults.add(at + f));
-            if (rows.containsKey(StateMachine.row(r.tenant(), r.kind()))) {
+            if (rows.containsKey(StateMachine.rowKey(r.tenant(), r.kind()))) {
                 faults.add(at + "kind: a second row for " + r.tenant() + " and " + r.kind());
             }
-            rows.put(StateMachine.row(r.tenant(), r.kind()), r);
+            rows.put(StateMachine.rowKey(r.tenant(), r.kind()), r);
         }
         return rows;
     }
--- a/server/src/main/java/silverlatch/server/tool/Main.java
+++ b/server/src/main/java/silverlatch/server/tool/Main.java
@@ -257,8 +257,8 @@
                 send(new Ask("GET", path, Optional.empty()), new PrintStream(bytes, true, StandardCharsets.UTF_8), err);
         json = was;
         if (code[0] == 0
-                && JsonDocument.parse(bytes.toByteArray(), 64 << 20) instanceof JsonDocument.Parsed.Good good) {
-            return Optional.of(good.sheet());
+                && JsonDocument.parse(bytes.toByteArray(), 64 << 20) instanceof JsonDocument.ParseResult.Valid good) {
+            return Optional.of(good.document());
         }
         err.print(bytes.toString(StandardCharsets.UTF_8));
         return Optional.empty();
@@ -295,11 +295,11 @@
             if (page.isEmpty()) {
                 return code[0];
             }
-            final List<JsonDocument> all = page.get().sheets("claims", Integer.MAX_VALUE).stream()
-                    .filter(s -> s.text("state", 16).equals(state))
+            final List<JsonDocument> all = page.get().objects("claims", Integer.MAX_VALUE).stream()
+                    .filter(s -> s.string("state", 16).equals(state))
                     .toList();
-            all.forEach(s -> out.println("ticket=" + s.text("ticket", 256) + "  carrier=" + s.text("carrier", 64)
-                    + "  since=" + s.text("since", 64)));
+            all.forEach(s -> out.println("ticket=" + s.string("ticket", 256) + "  carrier=" + s.string("carrier", 64)
+                    + "  since=" + s.string("since", 64)));
             found += all.size();
         }
         out.println(found + " " + state);
@@ -314,9 +314,10 @@
             return code;
         }
         switch (JsonDocument.parse(text.getBytes(StandardCharsets.UTF_8), 64 << 20)) {
-            case JsonDocument.Parsed.Bad bad -> err.println("silverlatch: " + reply.getStatus() + " " + text);
-            case JsonDocument.Parsed.Good good -> {
-                final Map<String, Object> map = new LinkedHashMap<>(good.sheet().map());
+            case JsonDocument.ParseResult.Invalid bad -> err.println("silverlatch: " + reply.getStatus() + " " + text);
+            case JsonDocument.ParseResult.Valid good -> {
+                final Map<String, Object> map =
+                        new LinkedHashMap<>(good.document().asMap());
                 if (code == 0) {
                     print("", map, out);
                 } else {
--- a/server/src/main/java/silverlatch/server/workerclient/Lines.java
+++ b/server/src/main/java/silverlatch/server/workerclient/Lines.java
@@ -62,26 +62,26 @@
 
     private void line(final byte[] bytes) {
         switch (JsonDocument.parse(bytes, most)) {
-            case JsonDocument.Parsed.Bad bad -> wrong("a line that is no JSON object");
-            case JsonDocument.Parsed.Good good -> {
-                final JsonDocument s = good.sheet();
+            case JsonDocument.ParseResult.Invalid bad -> wrong("a line that is no JSON object");
+            case JsonDocument.ParseResult.Valid good -> {
+                final JsonDocument s = good.document();
                 if (s.has("seal")) {
-                    final JsonDocument x = s.sheet("seal");
+                    final JsonDocument x = s.object("seal");
                     final Line.Seal seal = new Line.Seal(
-                            x.text("worker", 256),
-                            x.text("ticket", 256),
-                            x.text("run", 256),
-                            x.whole("count", 0, Integer.MAX_VALUE),
-                            x.text("sha256", 64));
+                            x.string("worker", 256),
+                            x.string("ticket", 256),
+                            x.string("run", 256),
+                            x.integer("count", 0, Integer.MAX_VALUE),
+                            x.string("sha256", 64));
                     give(s, seal);
                 } else {
                     give(
                             s,
                             new Line.Piece(
-                                    s.text("ticket", 256),
-                                    s.text("run", 256),
-                                    s.whole("number", 0, Integer.MAX_VALUE),
-                                    s.text("text", most)));
+                                    s.string("ticket", 256),
+                                    s.string("run", 256),
+                                    s.integer("number", 0, Integer.MAX_VALUE),
+                                    s.string("text", most)));
                 }
             }
         }
--- a/server/src/test/java/silverlatch/server/controller/ConfigurationJsonTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ConfigurationJsonTest.java
@@ -13,7 +13,8 @@
 
 final class ConfigurationJsonTest {
     private static JsonDocument sheet(final String text) {
-        return ((JsonDocument.Parsed.Good) JsonDocument.parse(text.getBytes(StandardCharsets.UTF_8), 1 << 20)).sheet();
+        return ((JsonDocument.ParseResult.Valid) JsonDocument.parse(text.getBytes(StandardCharsets.UTF_8), 1 << 20))
+                .document();
     }
 
     @Test
@@ -45,7 +46,7 @@
                 Map.of("head", 8_192, "body", 65_536, "slow", 5_000, "idle", 6_000)));
         final JsonDocument s = sheet(text);
         final Command.PutConfiguration lay = ConfigurationJson.read(s, text, "id", 6);
-        assertThat(s.end(), is(List.of()));
+        assertThat(s.finish(), is(List.of()));
         assertThat(
                 lay,
                 is(new Command.PutConfiguration(
@@ -64,7 +65,7 @@
                         + "\"bounds\":{\"head\":1,\"body\":1,\"slow\":1}}");
         ConfigurationJson.read(s, "", "id", 0);
         assertThat(
-                s.end(),
+                s.finish(),
                 is(List.of(
                         "$.rules[0].hold: a whole number is needed",
                         "$.rules[0].lots[0].weight: missing",
--- a/server/src/test/java/silverlatch/server/controller/ControllerTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ControllerTest.java
@@ -100,7 +100,7 @@
                 silverlatch.server.settings.Rates.PLAIN,
                 Optional.empty());
         final Controller h = DaggerMain_Parts.factory()
-                .make(alone, Optional.of((WriteAheadLog.Opened.Good)
+                .make(alone, Optional.of((WriteAheadLog.OpenResult.Success)
                         WriteAheadLog.open(Path.of(s.data().get()))))
                 .controller();
         h.start();
@@ -174,7 +174,7 @@
         assertThat(
                 ControllerTest.<CommandResult>get(t -> h.lay(lay(9, 3), t)), instanceOf(CommandResult.Applied.class));
         final ChainClient.Page page = get(h::paper);
-        assertThat(page.entries().get(0).leaf(), is(List.of(new Value.ConfigurationDocument(9, "paper 9"))));
+        assertThat(page.entries().get(0).value(), is(List.of(new Value.ConfigurationDocument(9, "paper 9"))));
         assertThat(
                 ControllerTest.<CommandResult>get(t -> h.zone("z", true, t)), instanceOf(CommandResult.Applied.class));
         assertThat(call("GET", "/v1/charter", "", "operator-key", "*").body(), is("paper 9"));
--- a/server/src/test/java/silverlatch/server/controller/LogWriterTest.java
+++ b/server/src/test/java/silverlatch/server/controller/LogWriterTest.java
@@ -59,7 +59,7 @@
 
     @Test
     void afterAFailedWriteTheLogIsOpenedAgainAndNothingThatWaitedIsToldAsSynced() throws Exception {
-        final WriteAheadLog log = ((WriteAheadLog.Opened.Good) WriteAheadLog.open(folder)).ledger();
+        final WriteAheadLog log = ((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder)).log();
         final Recorder recorder = new Recorder();
         final LogWriter writer = new LogWriter(log, recorder, 5);
         writer.start();
@@ -79,6 +79,7 @@
         assertThat(recorder.next(), is(new Told.Synced(List.of(4L))));
         writer.write(new Effect.Keep(5, List.of(LAST)));
         assertThat(recorder.next(), is(new Told.Synced(List.of(5L))));
-        assertThat(((WriteAheadLog.Opened.Good) WriteAheadLog.open(folder)).notes(), is(List.of(SNAPSHOT, LAST)));
+        assertThat(
+                ((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder)).records(), is(List.of(SNAPSHOT, LAST)));
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/check/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/check/Main.java
@@ -56,22 +56,23 @@
         for (final Path p : records) {
             long left = Long.MAX_VALUE;
             for (final JsonDocument s : lines(p)) {
-                final String event = s.text("event", 16);
+                final String event = s.string("event", 16);
                 if (event.equals("leave")) {
-                    left = s.whole("at", 0, Long.MAX_VALUE);
+                    left = s.integer("at", 0, Long.MAX_VALUE);
                 }
                 if (!event.equals("start")) {
                     continue;
                 }
                 runs++;
-                starts.computeIfAbsent(s.text("ticket", 256), k -> new ArrayList<>())
+                starts.computeIfAbsent(s.string("ticket", 256), k -> new ArrayList<>())
                         .add(s);
-                final List<String> allowed = homes.getOrDefault(s.text("tenant", 64), List.of());
-                if (!allowed.isEmpty() && !allowed.contains(s.text("region", 64))) {
-                    wrong.add("ticket " + s.text("ticket", 256) + " ran outside its homes");
+                final List<String> allowed = homes.getOrDefault(s.string("tenant", 64), List.of());
+                if (!allowed.isEmpty() && !allowed.contains(s.string("region", 64))) {
+                    wrong.add("ticket " + s.string("ticket", 256) + " ran outside its homes");
                 }
-                if (s.whole("at", 0, Long.MAX_VALUE) - left > 3_000) {
-                    wrong.add("ticket " + s.text("ticket", 256) + " came to a worker 3 s after it said it was leaving");
+                if (s.integer("at", 0, Long.MAX_VALUE) - left > 3_000) {
+                    wrong.add(
+                            "ticket " + s.string("ticket", 256) + " came to a worker 3 s after it said it was leaving");
                 }
             }
         }
@@ -79,9 +80,9 @@
         int count = 0;
         for (final JsonDocument r : lines(receipts)) {
             count++;
-            final String ticket = r.text("ticket", 256);
+            final String ticket = r.string("ticket", 256);
             final List<JsonDocument> ran = starts.getOrDefault(ticket, List.of());
-            final String outcome = r.text("outcome", 256);
+            final String outcome = r.string("outcome", 256);
             if (outcome.startsWith("rejected") && !ran.isEmpty()) {
                 wrong.add("ticket " + ticket + " was rejected and ran");
             }
@@ -89,12 +90,12 @@
                 wrong.add("ticket " + ticket + " ran " + ran.size() + " times");
             }
             if (outcome.equals("done")
-                    && (ran.size() != 1 || !ran.get(0).text("prompt", 64).equals(r.text("prompt", 64)))) {
+                    && (ran.size() != 1 || !ran.get(0).string("prompt", 64).equals(r.string("prompt", 64)))) {
                 wrong.add("ticket " + ticket + " is done without its own run");
             }
-            final String key = r.text("key", 128);
+            final String key = r.string("key", 128);
             if (!key.isEmpty() && !ran.isEmpty()) {
-                Optional.ofNullable(keys.put(r.text("tenant", 64) + "|" + key, ticket))
+                Optional.ofNullable(keys.put(r.string("tenant", 64) + "|" + key, ticket))
                         .filter(o -> !o.equals(ticket))
                         .ifPresent(o -> wrong.add("key " + key + " ran as " + o + " and as " + ticket));
             }
@@ -109,8 +110,8 @@
         final List<JsonDocument> list = new ArrayList<>();
         for (final String line : Files.readAllLines(p)) {
             if (JsonDocument.parse(line.getBytes(StandardCharsets.UTF_8), 1 << 20)
-                    instanceof JsonDocument.Parsed.Good g) {
-                list.add(g.sheet());
+                    instanceof JsonDocument.ParseResult.Valid g) {
+                list.add(g.document());
             }
         }
         return list;
--- a/simulation/src/main/java/silverlatch/simulation/consumer/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/consumer/Main.java
@@ -202,18 +202,18 @@
                     end(code == 0 ? "unreached" : "rejected-" + code, s);
                     return;
                 }
-                if (s.text("outcome", 16).equals("pointed")) {
+                if (s.string("outcome", 16).equals("pointed")) {
                     if (hops > 3) {
                         end("rejected-hops", s);
                     } else {
-                        pick(s.texts("doors", 8, 64).get(0), hops + 1);
+                        pick(s.strings("doors", 8, 64).get(0), hops + 1);
                     }
                     return;
                 }
-                ticket = s.text("ticket", 256);
-                table = s.whole("table", 0, Long.MAX_VALUE);
+                ticket = s.string("ticket", 256);
+                table = s.integer("table", 0, Long.MAX_VALUE);
                 picked = System.currentTimeMillis();
-                hand(s.text("carrier", 64), s.text("permit", 4096));
+                hand(s.string("carrier", 64), s.string("permit", 4096));
             });
         }
 
@@ -285,8 +285,8 @@
             } else if (last.isPresent()) {
                 end("lost", JsonDocument.empty());
             } else if (code >= 400 && result.isSucceeded()) {
-                final JsonDocument s = JsonDocument.parse(other, 1 << 20) instanceof JsonDocument.Parsed.Good g
-                        ? g.sheet()
+                final JsonDocument s = JsonDocument.parse(other, 1 << 20) instanceof JsonDocument.ParseResult.Valid g
+                        ? g.document()
                         : JsonDocument.empty();
                 end("rejected-" + code, s);
             } else {
@@ -304,7 +304,7 @@
                     "worker", worker, "table", table, "pieces", next));
             map.put("prompt", Seals.hash(prompt).substring(0, 12));
             map.put("picked", picked);
-            map.put("why", s.has("faults") ? String.join("; ", s.texts("faults", 10, 500)) : "");
+            map.put("why", s.has("faults") ? String.join("; ", s.strings("faults", 10, 500)) : "");
             synchronized (Main.this) {
                 book.println(JsonDocument.write(map));
             }
@@ -326,8 +326,8 @@
                         public void onComplete(final Result result) {
                             final JsonDocument s = result.isSucceeded()
                                             && JsonDocument.parse(getContent(), 1 << 20)
-                                                    instanceof JsonDocument.Parsed.Good g
-                                    ? g.sheet()
+                                                    instanceof JsonDocument.ParseResult.Valid g
+                                    ? g.document()
                                     : JsonDocument.empty();
                             then.accept(
                                     result.isSucceeded() ? result.getResponse().getStatus() : 0, s);
--- a/simulation/src/main/java/silverlatch/simulation/explore/DiskContent.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/DiskContent.java
@@ -22,9 +22,9 @@
                 changes.clear();
                 whole.entries().forEach(held -> snapshot.put(held.key(), held));
             } else if (entry instanceof LogRecord.Appended appended
-                    && appended.change().sequence() == last + 1) {
+                    && appended.entry().sequence() == last + 1) {
                 last++;
-                changes.put(last, appended.change().puts());
+                changes.put(last, appended.entry().puts());
             }
         }
         return new DiskContent(base, snapshot, changes);
--- a/simulation/src/main/java/silverlatch/simulation/explore/Documents.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Documents.java
@@ -47,7 +47,7 @@
     static String value(final Action.Kind kind, final Collection<Entry> entries) {
         String value = kind == Action.Kind.READ ? "" : "false";
         for (final Entry entry : entries) {
-            if (!entry.gone()) {
+            if (!entry.isDeleted()) {
                 value = text(entry);
             }
         }
@@ -56,9 +56,9 @@
 
     /** The text of a document, or whether a zone is evacuated. */
     static String text(final Entry entry) {
-        return entry.leaf().get(0) instanceof Value.ConfigurationDocument document
+        return entry.value().get(0) instanceof Value.ConfigurationDocument document
                 ? document.text()
-                : Boolean.toString(entry.leaf().get(0) instanceof Value.Evacuation evacuation && evacuation.on());
+                : Boolean.toString(entry.value().get(0) instanceof Value.Evacuation evacuation && evacuation.active());
     }
 
     /** The number of a document, 0 where there is none. */
@@ -68,6 +68,7 @@
 
     /** Whether an entry is what a property looks at: the document or an evacuation. */
     static boolean watched(final Entry entry) {
-        return entry.key().equals(ConfigurationValidator.PAPER) || entry.key().startsWith(ZONES);
+        return entry.key().equals(ConfigurationValidator.DOCUMENT_KEY)
+                || entry.key().startsWith(ZONES);
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/explore/PropertyMonitor.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/PropertyMonitor.java
@@ -83,8 +83,9 @@
     }
 
     private void oneHistory(final Machine machine, final StateMachine state) {
-        final List<Entry> held = new ArrayList<>(state.part(Documents.ZONES).values());
-        state.get(ConfigurationValidator.PAPER).ifPresent(held::add);
+        final List<Entry> held =
+                new ArrayList<>(state.entriesWithPrefix(Documents.ZONES).values());
+        state.get(ConfigurationValidator.DOCUMENT_KEY).ifPresent(held::add);
         final Integer other = committed.putIfAbsent(state.sequence(), held.hashCode());
         if (other != null && other != held.hashCode()) {
             broken(
@@ -93,7 +94,7 @@
                             + ", another held something else");
         }
         held.stream()
-                .filter(entry -> entry.key().equals(ConfigurationValidator.PAPER))
+                .filter(entry -> entry.key().equals(ConfigurationValidator.DOCUMENT_KEY))
                 .map(Documents::text)
                 .forEach(this::tookEffect);
     }
@@ -149,8 +150,8 @@
     private void acknowledged(final Machine machine, final long sequence) {
         final List<Entry> entries = machine.disk().stream()
                 .filter(entry -> entry instanceof LogRecord.Appended appended
-                        && appended.change().sequence() == sequence)
-                .map(entry -> ((LogRecord.Appended) entry).change().puts())
+                        && appended.entry().sequence() == sequence)
+                .map(entry -> ((LogRecord.Appended) entry).entry().puts())
                 .findFirst()
                 .orElse(List.of());
         acknowledged.putIfAbsent(
--- a/simulation/src/main/java/silverlatch/simulation/explore/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/World.java
@@ -337,7 +337,7 @@
         }
         final long token = history.begin(new Operation(kind, 0, -1, step, Optional.empty()));
         final long clock = machine.clock(now);
-        final String start = kind == Action.Kind.READ ? ConfigurationValidator.PAPER : Documents.ZONES;
+        final String start = kind == Action.Kind.READ ? ConfigurationValidator.DOCUMENT_KEY : Documents.ZONES;
         machine.process().orElseThrow().client().read(start, token, clock, clock + OPERATION_TIME);
         flush(machine);
         return true;
--- a/simulation/src/main/java/silverlatch/simulation/fleet/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/fleet/Main.java
@@ -25,18 +25,18 @@
 
     private static boolean obeyed(final Path receipts, final String changed, final long acked) throws Exception {
         final long sequence = JsonDocument.parse(changed.getBytes(java.nio.charset.StandardCharsets.UTF_8), 4096)
-                        instanceof JsonDocument.Parsed.Good g
-                ? g.sheet().whole("sequence", 1, Long.MAX_VALUE)
+                        instanceof JsonDocument.ParseResult.Valid g
+                ? g.document().integer("sequence", 1, Long.MAX_VALUE)
                 : Long.MAX_VALUE;
         long under = 0;
         long late = 0;
         long first = Long.MAX_VALUE;
         for (final String line : Files.readAllLines(receipts)) {
             if (JsonDocument.parse(line.getBytes(java.nio.charset.StandardCharsets.UTF_8), 1 << 20)
-                            instanceof JsonDocument.Parsed.Good r
-                    && r.sheet().whole("picked", 0, Long.MAX_VALUE) > 0) {
-                final long at = r.sheet().whole("picked", 0, Long.MAX_VALUE);
-                final boolean fresh = r.sheet().whole("table", 0, Long.MAX_VALUE) >= sequence;
+                            instanceof JsonDocument.ParseResult.Valid r
+                    && r.document().integer("picked", 0, Long.MAX_VALUE) > 0) {
+                final long at = r.document().integer("picked", 0, Long.MAX_VALUE);
+                final boolean fresh = r.document().integer("table", 0, Long.MAX_VALUE) >= sequence;
                 under += fresh ? 1 : 0;
                 late += !fresh && at > acked + 3_000 ? 1 : 0;
                 first = fresh ? Math.min(first, at - acked) : first;
--- a/simulation/src/main/java/silverlatch/simulation/fleet/Plan.java
+++ b/simulation/src/main/java/silverlatch/simulation/fleet/Plan.java
@@ -33,28 +33,28 @@
     /** Reads the plan of a folder under examples. */
     public static Plan read(final Path folder) throws IOException {
         if (!(JsonDocument.parse(Files.readAllBytes(folder.resolve("plan.json")), 1 << 20)
-                instanceof JsonDocument.Parsed.Good good)) {
+                instanceof JsonDocument.ParseResult.Valid good)) {
             throw new IOException("the plan is not JSON");
         }
-        final JsonDocument s = good.sheet();
+        final JsonDocument s = good.document();
         final List<Region> regions = new ArrayList<>();
-        s.sheets("regions", 16)
-                .forEach(r -> regions.add(
-                        new Region(r.text("region", 64), r.text("zone", 64), (int) r.whole("gateways", 0, 64), (int)
-                                r.whole("workers", 0, 64))));
+        s.objects("regions", 16)
+                .forEach(r -> regions.add(new Region(
+                        r.string("region", 64), r.string("zone", 64), (int) r.integer("gateways", 0, 64), (int)
+                                r.integer("workers", 0, 64))));
         final List<Kind> kinds = new ArrayList<>();
-        s.sheets("kinds", 16)
+        s.objects("kinds", 16)
                 .forEach(k -> kinds.add(new Kind(
-                        k.text("kind", 64),
-                        (int) k.whole("weight", 0, 100),
-                        (int) k.whole("pieces", 1, 1000),
-                        (int) k.whole("prefix", 0, 64),
+                        k.string("kind", 64),
+                        (int) k.integer("weight", 0, 100),
+                        (int) k.integer("pieces", 1, 1000),
+                        (int) k.integer("prefix", 0, 64),
                         k.flag("once", false))));
         final List<Tenant> tenants = new ArrayList<>();
-        s.sheets("tenants", 1000)
+        s.objects("tenants", 1000)
                 .forEach(t -> tenants.add(new Tenant(
-                        t.text("name", 64), t.text("key", 64), t.number("share", 1), t.texts("homes", 16, 64))));
-        final List<String> faults = s.end();
+                        t.string("name", 64), t.string("key", 64), t.number("share", 1), t.strings("homes", 16, 64))));
+        final List<String> faults = s.finish();
         if (!faults.isEmpty()) {
             throw new IOException(String.join("; ", faults));
         }
--- a/simulation/src/main/java/silverlatch/simulation/hollow/Hollow.java
+++ b/simulation/src/main/java/silverlatch/simulation/hollow/Hollow.java
@@ -190,11 +190,11 @@
 
     /** Whether all daemons know so many workers, each other, and the page. */
     boolean settled() {
-        final long page = nodes.get(0).deck.rumor().books().page();
+        final long page = nodes.get(0).deck.rumor().books().policyRevision();
         return nodes.stream()
                 .allMatch(n -> n.deck.rumor().workers().size() == hands.size()
                         && n.deck.crew().live().size() == nodes.size() - 1
-                        && n.deck.rumor().books().page() == page
+                        && n.deck.rumor().books().policyRevision() == page
                         && n.deck.rumor().sure(now) < 2 * SECOND
                         && n.deck.rumor().age(now) < 2 * SECOND);
     }
@@ -226,7 +226,7 @@
                 token,
                 v -> page[0] = v instanceof silverlatch.state.CommandResult.Applied k ? k.sequence() : Long.MAX_VALUE);
         work(node, () -> node.deck.wish(wish, token, now, now + 5 * SECOND));
-        return until(d -> d.rumor().books().page() >= page[0], span);
+        return until(d -> d.rumor().books().policyRevision() >= page[0], span);
     }
 
     private long until(final Predicate<Node> known, final long span) {
--- a/simulation/src/main/java/silverlatch/simulation/hollow/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/hollow/Main.java
@@ -54,7 +54,7 @@
         final Hollow fleet = new Hollow(ask.daemons(), ask.workers(), ask.seed());
         System.out.println("hollow " + ask.daemons() + " daemons, " + ask.workers() + " workers, seed " + ask.seed());
         fleet.pass(8 * Hollow.SECOND);
-        fleet.rule(new Command.PutTable("table", List.of(TableRules.plain("*", "chat")), -1), 5 * Hollow.SECOND);
+        fleet.rule(new Command.PutTable("table", List.of(TableRules.defaultRow("*", "chat")), -1), 5 * Hollow.SECOND);
         fleet.pass(12 * Hollow.SECOND);
         show("start", fleet);
         System.out.println("settled after 20 s: " + fleet.settled());
--- a/simulation/src/main/java/silverlatch/simulation/measure/Bits.java
+++ b/simulation/src/main/java/silverlatch/simulation/measure/Bits.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import silverlatch.clock.ClockReading;
-import silverlatch.clock.Ntp;
+import silverlatch.clock.NtpTime;
 import silverlatch.clock.PwcClock;
 import silverlatch.clock.Stamp;
 
@@ -33,12 +33,12 @@
     private static void one(
             final long seed, final int seconds, final double skew, final int rate, final boolean leader) {
         final SplittableRandom luck = new SplittableRandom(seed);
-        final long bound = Ntp.span((long) (skew * 1000));
+        final long bound = NtpTime.fromMicros((long) (skew * 1000));
         final long[] off = new long[NODES];
         final PwcClock[] tides = new PwcClock[NODES];
         for (int i = 0; i < NODES; i++) {
             off[i] = leader ? i == 0 ? bound : 0 : luck.nextLong(bound + 1);
-            tides[i] = PwcClock.start(Ntp.span(1_000_000) + off[i], WIDE, bound * 4, 0);
+            tides[i] = PwcClock.start(NtpTime.fromMicros(1_000_000) + off[i], WIDE, bound * 4, 0);
         }
         final PriorityQueue<Mail> mail =
                 new PriorityQueue<>(Comparator.comparingLong(Mail::due).thenComparingLong(Mail::number));
@@ -50,19 +50,19 @@
         for (double at = 0; at < end; ) {
             final boolean take = !mail.isEmpty() && mail.peek().due() <= next;
             at = take ? mail.peek().due() : next;
-            final long real = Ntp.span(1_000_000 + (long) at);
+            final long real = NtpTime.fromMicros(1_000_000 + (long) at);
             final int node;
             final ClockReading step;
             if (take) {
                 final Mail m = mail.poll();
                 node = m.to();
-                step = tides[node].take(m.stamp(), real + off[node]);
+                step = tides[node].receive(m.stamp(), real + off[node]);
             } else {
                 node = luck.nextInt(NODES);
                 step = tides[node].send(real + off[node]);
                 next += gap * (0.5 + luck.nextDouble());
             }
-            if (step instanceof ClockReading.Made made) {
+            if (step instanceof ClockReading.Stamped made) {
                 tides[node] = made.clock();
                 final int need = 64 - Long.numberOfLeadingZeros(made.stamp().bits() & (1L << WIDE) - 1);
                 count[need]++;
--- a/simulation/src/main/java/silverlatch/simulation/measure/Disks.java
+++ b/simulation/src/main/java/silverlatch/simulation/measure/Disks.java
@@ -23,33 +23,34 @@
         System.out.println("| --- | --- |");
         for (final int batch : new int[] {1, 16, 256}) {
             final Path folder = Files.createTempDirectory("silverlatch-disk");
-            final WriteAheadLog.Opened.Good open = (WriteAheadLog.Opened.Good) WriteAheadLog.open(folder);
+            final WriteAheadLog.OpenResult.Success open = (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder);
             final long[] spans = new long[50];
             for (int i = 0; i < spans.length; i++) {
                 final List<LogRecord> notes = notes(i * batch, batch);
                 final long at = EventLoop.now();
-                open.ledger().write(notes);
+                open.log().write(notes);
                 spans[i] = EventLoop.now() - at;
             }
             Arrays.sort(spans);
             System.out.println("| " + batch + " | " + spans[0] + "/" + spans[25] + "/" + spans[49] + " |");
-            open.ledger().close();
+            open.log().close();
         }
         System.out.println("| changes in the log | open ms min/median/max of 5 |");
         System.out.println("| --- | --- |");
         for (final int count : new int[] {1_000, 10_000, 100_000}) {
             final Path folder = Files.createTempDirectory("silverlatch-disk");
-            final WriteAheadLog.Opened.Good open = (WriteAheadLog.Opened.Good) WriteAheadLog.open(folder);
+            final WriteAheadLog.OpenResult.Success open = (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder);
             for (int i = 0; i < count; i += 500) {
-                open.ledger().write(notes(i, 500));
+                open.log().write(notes(i, 500));
             }
-            open.ledger().close();
+            open.log().close();
             final long[] spans = new long[5];
             for (int i = 0; i < spans.length; i++) {
                 final long at = EventLoop.now();
-                final WriteAheadLog.Opened.Good again = (WriteAheadLog.Opened.Good) WriteAheadLog.open(folder);
+                final WriteAheadLog.OpenResult.Success again =
+                        (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder);
                 spans[i] = (EventLoop.now() - at) / 1000;
-                again.ledger().close();
+                again.log().close();
             }
             Arrays.sort(spans);
             System.out.println("| " + count + " | " + spans[0] + "/" + spans[2] + "/" + spans[4] + " |");
--- a/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationOperators.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationOperators.java
@@ -126,11 +126,11 @@
 
     private void read(final SimulatedNode controller) {
         final long before = history.newest();
-        controller.read(ConfigurationValidator.PAPER, CALL_TIMEOUT, r -> {
+        controller.read(ConfigurationValidator.DOCUMENT_KEY, CALL_TIMEOUT, r -> {
             if (r instanceof ChainClient.Page p && p.ok()) {
                 p.entries().stream()
-                        .filter(e -> !e.gone())
-                        .map(e -> (Value.ConfigurationDocument) e.leaf().get(0))
+                        .filter(e -> !e.isDeleted())
+                        .map(e -> (Value.ConfigurationDocument) e.value().get(0))
                         .findFirst()
                         .ifPresentOrElse(
                                 d -> history.read(d.text(), d.number(), before), () -> history.read("none", 0, before));
--- a/simulation/src/main/java/silverlatch/simulation/sim/Office.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Office.java
@@ -98,11 +98,11 @@
             final boolean whole = world.settled();
             read(h, "r/", p -> {
                 final Set<String> seen = new HashSet<>();
-                p.entries().forEach(e -> e.leaf().forEach(l -> seen.add(value(((Value.Row) l).rate()))));
+                p.entries().forEach(e -> e.value().forEach(l -> seen.add(value(((Value.Row) l).requestsPerSecond()))));
                 watch.rules().read(before, p.sequence(), seen, !whole || !world.settled());
                 final boolean once = p.entries().stream()
-                        .flatMap(e -> e.leaf().stream())
-                        .anyMatch(l -> l instanceof Value.Row r && r.kind().equals(GATE) && r.once());
+                        .flatMap(e -> e.value().stream())
+                        .anyMatch(l -> l instanceof Value.Row r && r.kind().equals(GATE) && r.atMostOnce());
                 edit(
                         h,
                         some().orElse(h),
@@ -121,7 +121,7 @@
         if (world.engine().luck().nextInt(6) == 0) {
             final double v = ++values;
             final List<Value.Row> rows = new ArrayList<>(rows(v, once));
-            rows.add(TableRules.plain("nobody-at-all", "quick"));
+            rows.add(TableRules.defaultRow("nobody-at-all", "quick"));
             one.wish(new Command.PutTable("bad-" + (long) v, rows, -1), 3 * SECOND, r -> fate(v, r, -1));
         }
     }
@@ -397,20 +397,33 @@
     private List<Value.Row> rows(final double rate, final boolean once) {
         final List<Value.Row> rows =
                 new ArrayList<>(world.sorts().stream().map(s -> row(s, rate)).toList());
-        final Value.Row r = TableRules.plain("*", GATE);
-        rows.add(new Value.Row("*", GATE, 1, r.load(), r.cold(), r.cross(), 900, 2_000, 400, 600, 3_000_000, once, 1));
+        final Value.Row r = TableRules.defaultRow("*", GATE);
+        rows.add(new Value.Row(
+                "*",
+                GATE,
+                1,
+                r.loadWeight(),
+                r.warmupWeight(),
+                r.localityWeight(),
+                900,
+                2_000,
+                400,
+                600,
+                3_000_000,
+                once,
+                1));
         return rows;
     }
 
     private static Value.Row row(final World.Sort s, final double rate) {
-        final Value.Row r = TableRules.plain("*", s.kind());
+        final Value.Row r = TableRules.defaultRow("*", s.kind());
         return new Value.Row(
                 "*",
                 s.kind(),
                 s.prefix() > 8 ? 3 : 1,
-                r.load(),
-                r.cold(),
-                r.cross(),
+                r.loadWeight(),
+                r.warmupWeight(),
+                r.localityWeight(),
                 rate,
                 2_000,
                 400,
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import silverlatch.clock.Ntp;
+import silverlatch.clock.NtpTime;
 import silverlatch.clock.PhysicalClock;
 import silverlatch.clock.Stamp;
 import silverlatch.dispatch.Act;
@@ -415,7 +415,7 @@
         said = Math.max(said, stamp.bits());
         if (world.dragging() && wall == 0 && world.engine().now() - reset > 10_000_000L) {
             world.watch().probe(Mark.DRAG);
-            final long ahead = Ntp.micros(Math.max(0, stamp.bits() - clock()));
+            final long ahead = NtpTime.toMicros(Math.max(0, stamp.bits() - clock()));
             if (ahead > DRAGGED) {
                 world.watch().fault(Mark.DRAG, name + " is " + ahead / 1000 + " ms ahead of true time");
             }
@@ -430,11 +430,11 @@
 
     /** Whether a stamp is one that this daemon may believe by its physical clock as it is now. */
     private boolean bound(final long bits, final Node d) {
-        return bits - d.anchor().phys(now()) <= Ntp.span(SKEW);
+        return bits - d.anchor().physicalTime(now()) <= NtpTime.fromMicros(SKEW);
     }
 
     private long clock() {
-        return Ntp.ofUnixNanos((EPOCH + world.engine().now()) * 1000);
+        return NtpTime.fromUnixNanos((EPOCH + world.engine().now()) * 1000);
     }
 
     private void effect(final Effect e) {
@@ -568,9 +568,9 @@
     /** The values of the marked cells that this daemon goes by. */
     Set<String> values() {
         final Set<String> set = new HashSet<>();
-        facts.ifPresent(f -> f.policy().leaves().forEach(l -> {
+        facts.ifPresent(f -> f.policy().values().forEach(l -> {
             if (l instanceof Value.Row r) {
-                set.add(Office.value(r.rate()));
+                set.add(Office.value(r.requestsPerSecond()));
             }
         }));
         return set;
--- a/simulation/src/main/java/silverlatch/simulation/sim/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/World.java
@@ -357,7 +357,7 @@
             net.frame(from.name(), t.name(), () -> {
                 if (life == t.epoch()) {
                     if (Optional.ofNullable(newest.get(t.name()))
-                            .map(o -> o.stamp().before(f.stamp()))
+                            .map(o -> o.stamp().isBefore(f.stamp()))
                             .orElse(true)) {
                         newest.put(t.name(), f);
                     }
--- a/simulation/src/main/java/silverlatch/simulation/worker/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/worker/Main.java
@@ -132,7 +132,7 @@
             c.reply(401, Map.of("faults", List.of("the workers' key is needed")), Map.of("X-Started", "no"));
             return;
         }
-        if (!(JsonDocument.parse(c.body(), 4 << 20) instanceof JsonDocument.Parsed.Good good)) {
+        if (!(JsonDocument.parse(c.body(), 4 << 20) instanceof JsonDocument.ParseResult.Valid good)) {
             c.reply(400, Map.of("faults", List.of("not JSON")), Map.of("X-Started", "no"));
             return;
         }
@@ -140,13 +140,13 @@
             c.reply(503, Map.of("started", false), Map.of("X-Started", "no"));
             return;
         }
-        final JsonDocument s = good.sheet();
-        final String ticket = s.text("ticket", 256);
-        final String run = s.text("run", 256);
-        final String tenant = s.text("tenant", 64);
-        final String kind = s.text("kind", 64);
-        final String prompt = s.text("prompt", 4 << 20);
-        final List<Long> prefix = s.wholes("prefix", 64);
+        final JsonDocument s = good.document();
+        final String ticket = s.string("ticket", 256);
+        final String run = s.string("run", 256);
+        final String tenant = s.string("tenant", 64);
+        final String kind = s.string("kind", 64);
+        final String prompt = s.string("prompt", 4 << 20);
+        final List<Long> prefix = s.integers("prefix", 64);
         note(Map.of(
                 "event",
                 "start",
@@ -276,8 +276,9 @@
                         @Override
                         public void onComplete(final org.eclipse.jetty.client.Result result) {
                             if (result.isSucceeded()
-                                    && JsonDocument.parse(getContent(), 4096) instanceof JsonDocument.Parsed.Good g) {
-                                echoes.put(p, g.sheet().whole("echo", 0, Long.MAX_VALUE, 0));
+                                    && JsonDocument.parse(getContent(), 4096)
+                                            instanceof JsonDocument.ParseResult.Valid g) {
+                                echoes.put(p, g.document().integer("echo", 0, Long.MAX_VALUE, 0));
                             }
                         }
                     });
--- a/simulation/src/test/java/silverlatch/simulation/hollow/HollowTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/hollow/HollowTest.java
@@ -27,7 +27,8 @@
         fleet.pass(8 * Hollow.SECOND);
         assertThat(
                 fleet.rule(
-                        new Command.PutTable("table", List.of(TableRules.plain("*", "chat")), -1), 5 * Hollow.SECOND),
+                        new Command.PutTable("table", List.of(TableRules.defaultRow("*", "chat")), -1),
+                        5 * Hollow.SECOND),
                 greaterThanOrEqualTo(0L));
         fleet.pass(12 * Hollow.SECOND);
         assertThat(fleet.settled(), is(true));
