--- a/core/src/main/java/silverlatch/clock/ProcessClock.java
+++ b/core/src/main/java/silverlatch/clock/ProcessClock.java
@@ -103,11 +103,11 @@
     }
 
     private ClockReading merge(final Stamp received, final long physicalTime) {
-        if (!safeguards.stands(Safeguard.ABOVE)) {
+        if (!safeguards.isEnabled(Safeguard.ABOVE)) {
             return clock.send(physicalTime);
         }
         final ClockReading reading = clock.receive(received, physicalTime);
-        return reading instanceof ClockReading.TooFarAhead && !safeguards.stands(Safeguard.FAR)
+        return reading instanceof ClockReading.TooFarAhead && !safeguards.isEnabled(Safeguard.FAR)
                 ? new PwcClock(Math.max(clock.last(), received.bits()), clock.lowBits(), clock.maxSkew())
                         .send(physicalTime)
                 : reading;
--- a/core/src/main/java/silverlatch/dispatch/Dispatcher.java
+++ b/core/src/main/java/silverlatch/dispatch/Dispatcher.java
@@ -163,14 +163,14 @@
 
     /** Takes what the gateway knows now. */
     public void facts(final Facts next, final long now) {
-        if (next.me().life() != facts.me().life()) {
+        if (next.me().incarnation() != facts.me().incarnation()) {
             flows.values()
                     .forEach(f -> List.copyOf(f.queue).forEach(t -> reject(t, 503, "the carrier joined anew", SECOND)));
         }
         if (next.workers() != facts.workers()) {
             next.workers()
                     .forEach((id, h) -> hands.computeIfAbsent(
-                                    id, k -> new Hand(h.worker().life()))
+                                    id, k -> new Hand(h.worker().incarnation()))
                             .see(h, now));
         }
         hands.keySet().removeIf(id -> !next.workers().containsKey(id) && hands.get(id).mine == 0);
@@ -315,7 +315,7 @@
             no(token, 429, "", "too many tickets are tried again", 2 * SECOND, "");
             return;
         }
-        final String ticket = facts.me().id() + "-" + Long.toString(facts.me().life(), 36) + "-"
+        final String ticket = facts.me().id() + "-" + Long.toString(facts.me().incarnation(), 36) + "-"
                 + Long.toString(++serial, 36) + Long.toString(luck.nextLong() >>> 20, 36);
         final Case plea = plea(ticket, who.get(), row.get(), salted(who.get(), o.prefix()));
         final long stampOf = stamps.get().bits();
@@ -345,7 +345,7 @@
                 o.kind(),
                 worker,
                 facts.me().id(),
-                facts.me().life(),
+                facts.me().incarnation(),
                 facts.page(),
                 stamp,
                 now + setup.permit(),
@@ -353,7 +353,7 @@
         tales.put(new TraceLog.Tale(
                 ticket, o.tenant(), o.kind(), worker, facts.page(), stamp.bits(), "picked", "", 0, ruling.opinions()));
         out.add(new Act.Picked(
-                token, ticket, facts.me().door(), seals.write(permit), worker, facts.page(), stamp.bits()));
+                token, ticket, facts.me().httpAddress(), seals.write(permit), worker, facts.page(), stamp.bits()));
     }
 
     /** A consumer hands over its ticket. */
@@ -375,7 +375,7 @@
             return;
         }
         if (!p.carrier().equals(facts.me().id())
-                || up(Safeguard.LIFE) && (p.life() != facts.me().life() || now - p.expiry() > setup.memory())) {
+                || up(Safeguard.LIFE) && (p.life() != facts.me().incarnation() || now - p.expiry() > setup.memory())) {
             no(
                     token,
                     410,
@@ -423,7 +423,7 @@
                 now + l.span(),
                 now + Math.min(row.get().timeoutMicros(), l.span()),
                 token,
-                chart.start());
+                chart.initialState());
         final Optional<Long> place = slab.put(t);
         if (place.isEmpty()) {
             over(token, p.ticket(), 503, "the slab is full");
@@ -677,7 +677,7 @@
                 .filter(Member::ready)
                 .filter(m -> m.state().equals("up") && !empty.contains(m.zone()))
                 .filter(m -> homes.isEmpty() || homes.contains(m.region()))
-                .map(Member::door)
+                .map(Member::httpAddress)
                 .toList());
         if (doors.isEmpty()) {
             no(
@@ -695,7 +695,7 @@
     }
 
     private boolean up(final Safeguard guard) {
-        return setup.guards().stands(guard);
+        return setup.guards().isEnabled(guard);
     }
 
     private boolean sure(final long now) {
@@ -825,7 +825,8 @@
     }
 
     private void ask(final Ticket t, final long now) {
-        final Optional<Gossip.Heard> w = Optional.ofNullable(facts.workers().get(t.worker));
+        final Optional<Gossip.ObservedWorker> w =
+                Optional.ofNullable(facts.workers().get(t.worker));
         final Optional<Value.Row> row = facts.row(t.permit.tenant(), t.permit.kind());
         final Optional<Value.Tenant> who = facts.tenant(t.permit.tenant());
         final boolean stands = w.isPresent()
@@ -866,7 +867,11 @@
     }
 
     private boolean allowed(
-            final Ticket t, final Value.Tenant who, final Value.Row row, final Gossip.Heard h, final long now) {
+            final Ticket t,
+            final Value.Tenant who,
+            final Value.Row row,
+            final Gossip.ObservedWorker h,
+            final long now) {
         final Case plea = plea(t.permit.ticket(), who, row, t.prefix);
         final PlacementInput s = new PlacementInput(h.worker(), h.age(now), 0, 0, Long.MAX_VALUE, false, 1);
         return last.stands(plea, s);
@@ -914,7 +919,7 @@
     }
 
     private void feed(final Ticket t) {
-        final boolean over = chart.ended(t.state);
+        final boolean over = chart.isFinal(t.state);
         if (t.reader.isEmpty() || !t.hungry || t.state.equals("rejected") || t.lines.size() == t.sent && !over) {
             return;
         }
@@ -1008,7 +1013,7 @@
     }
 
     private void move(final Ticket t, final String event) {
-        t.state = chart.move(t.state, event);
+        t.state = chart.transition(t.state, event);
         tales.state(t.permit.ticket(), t.state, t.why);
     }
 
@@ -1048,7 +1053,7 @@
         return facts.workers().values().stream()
                 .sorted(Comparator.comparing(h -> h.worker().id()))
                 .map(h -> hands.computeIfAbsent(
-                                h.worker().id(), k -> new Hand(h.worker().life()))
+                                h.worker().id(), k -> new Hand(h.worker().incarnation()))
                         .sight(h, now, peers))
                 .toList();
     }
--- a/core/src/main/java/silverlatch/dispatch/Facts.java
+++ b/core/src/main/java/silverlatch/dispatch/Facts.java
@@ -26,7 +26,7 @@
         long page,
         Optional<Long> sure,
         Policy policy,
-        Map<String, Gossip.Heard> workers,
+        Map<String, Gossip.ObservedWorker> workers,
         List<Member> crew) {
     /** Copies the collections. */
     public Facts {
--- a/core/src/main/java/silverlatch/dispatch/Hand.java
+++ b/core/src/main/java/silverlatch/dispatch/Hand.java
@@ -20,9 +20,9 @@
         this.life = life;
     }
 
-    void see(final Gossip.Heard h, final long now) {
-        if (h.worker().life() != life) {
-            life = h.worker().life();
+    void see(final Gossip.ObservedWorker h, final long now) {
+        if (h.worker().incarnation() != life) {
+            life = h.worker().incarnation();
             back = now;
         }
         h.asOf().ifPresent(t -> {
@@ -49,7 +49,7 @@
         done++;
     }
 
-    PlacementInput sight(final Gossip.Heard h, final long now, final int peers) {
+    PlacementInput sight(final Gossip.ObservedWorker h, final long now, final int peers) {
         return new PlacementInput(
                 h.worker(), h.age(now), Math.max(0, sent.size() - done), mine, now - back, now < shun, peers);
     }
--- a/core/src/main/java/silverlatch/gossip/Gossip.java
+++ b/core/src/main/java/silverlatch/gossip/Gossip.java
@@ -22,41 +22,42 @@
  * from the moment the asker sent its question.
  */
 public final class Gossip {
-    private static final int FEW = 3;
-    private static final int MOST = 4_096;
-    private static final long FORGET = 60_000_000L;
-    private static final long OLD = 1_000_000L;
-    private final Times times;
-    private final Membership crew;
-    private final Safeguards guards;
-    private final RandomGenerator luck;
-    private final Peers peers;
-    private final StateMachine books = new StateMachine();
-    private final Map<String, Heard> workers = new TreeMap<>();
-    private final Map<String, Echo> echoes = new HashMap<>();
-    private final List<Effect> out = new ArrayList<>();
-    private Map<String, Heard> seen = Map.of();
-    private final List<Worker> fresh = new ArrayList<>();
-    private Optional<Long> sure = Optional.empty();
-    private long page;
+    private static final int PUSH_FANOUT = 3;
+    private static final int MAX_WORKERS = 4_096;
+    private static final long WORKER_RETENTION = 60_000_000L;
+    private static final long STALE_AGE = 1_000_000L;
+    private final Settings settings;
+    private final Membership membership;
+    private final Safeguards safeguards;
+    private final RandomGenerator random;
+    private final PeerSelector peerSelector;
+    private final StateMachine stateMachine = new StateMachine();
+    private final Map<String, ObservedWorker> workers = new TreeMap<>();
+    private final Map<String, AnnouncementEcho> echoes = new HashMap<>();
+    private final List<Effect> effects = new ArrayList<>();
+    private Map<String, ObservedWorker> workersSnapshot = Map.of();
+    private final List<Worker> newlyDraining = new ArrayList<>();
+    private Optional<Long> reportsAge = Optional.empty();
+    private long highestRevision;
     private long fleet;
-    private long told;
+    private long onPullReply;
     private View view = View.NONE;
-    private long askAt;
-    private long rootAt;
-    private final Optional<WorkerReports> words;
-    private final Optional<Pulls> pulls;
+    private long lastGatewayPull;
+    private long lastControllerPull;
+    private final Optional<WorkerReports> reports;
+    private final Optional<AntiEntropy> antiEntropy;
 
     /** How often to pull from gateways and from controllers, in microseconds, and how words of workers spread. */
-    public record Times(long pull, long root, Way way) {
+    public record Settings(long gatewayPullInterval, long controllerPullInterval, WorkerReporting reporting) {
         /** The times that hold when nothing is said. */
-        public static final Times PLAIN = new Times(250_000L, 400_000L);
+        public static final Settings DEFAULTS = new Settings(250_000L, 400_000L);
         /** Times for a large fleet whose workers announce to controllers. */
-        public static final Times QUIET = new Times(1_000_000L, 400_000L, Way.Controllers.PLAIN);
+        public static final Settings LARGE_FLEET =
+                new Settings(1_000_000L, 400_000L, WorkerReporting.ToControllers.DEFAULTS);
 
         /** Times where words spread everywhere. */
-        public Times(final long pull, final long root) {
-            this(pull, root, new Way.Everywhere());
+        public Settings(final long gatewayPullInterval, final long controllerPullInterval) {
+            this(gatewayPullInterval, controllerPullInterval, new WorkerReporting.ToAnyNode());
         }
     }
 
@@ -66,22 +67,22 @@
      * @param worker what it said of itself
      * @param asOf   the moment up to which it is surely true
      * @param silent whether no controller has heard from it for long
-     * @param at     the moment from which the spans it told run
+     * @param measuredAt     the moment from which the spans it told run
      */
-    public record Heard(Worker worker, Optional<Long> asOf, boolean silent, long at) {
+    public record ObservedWorker(Worker worker, Optional<Long> asOf, boolean silent, long measuredAt) {
         /** A worker that isn't silent; its spans run from the moment up to which its word is true. */
-        public Heard(final Worker worker, final Optional<Long> asOf) {
+        public ObservedWorker(final Worker worker, final Optional<Long> asOf) {
             this(worker, asOf, false, asOf.orElse(0L));
         }
 
         /** How long it stays cold yet. */
-        public long cold(final long now) {
-            return worker.aged(now - at).cold();
+        public long warmupRemaining(final long now) {
+            return worker.agedBy(now - measuredAt).warmupRemaining();
         }
 
         /** How long it is there yet by its own word; 0 when it says nothing of its end. */
-        public long rest(final long now) {
-            return worker.aged(now - at).rest();
+        public long lifetimeRemaining(final long now) {
+            return worker.agedBy(now - measuredAt).lifetimeRemaining();
         }
 
         /** How old the word is; the largest number when it was never renewed here. */
@@ -91,19 +92,25 @@
     }
 
     /** News for a daemon of the crew. */
-    public Gossip(final Membership crew, final RandomGenerator luck, final Times times, final Safeguards guards) {
-        this.crew = crew;
-        this.luck = luck;
-        this.peers = new Peers(crew, luck);
-        this.times = times;
-        this.guards = guards;
-        this.words = times.way() instanceof Way.Controllers h ? Optional.of(new WorkerReports(h)) : Optional.empty();
-        this.pulls = words.map(w -> new Pulls(w, peers, crew));
+    public Gossip(
+            final Membership membership,
+            final RandomGenerator random,
+            final Settings settings,
+            final Safeguards safeguards) {
+        this.membership = membership;
+        this.random = random;
+        this.peerSelector = new PeerSelector(membership, random);
+        this.settings = settings;
+        this.safeguards = safeguards;
+        this.reports = settings.reporting() instanceof WorkerReporting.ToControllers h
+                ? Optional.of(new WorkerReports(h))
+                : Optional.empty();
+        this.antiEntropy = reports.map(w -> new AntiEntropy(w, peerSelector, membership));
     }
 
     /** The copy of the books held here; the caller does not change it. */
-    public StateMachine books() {
-        return books;
+    public StateMachine stateMachine() {
+        return stateMachine;
     }
 
     /** The view heard of. */
@@ -117,122 +124,134 @@
     }
 
     /** The highest page heard of, held or not. */
-    public long page() {
-        return Math.max(page, books.policyRevision());
+    public long highestRevision() {
+        return Math.max(highestRevision, stateMachine.policyRevision());
     }
 
     /** How long ago the books here were surely the newest. */
-    public long age(final long now) {
-        return page > books.policyRevision()
+    public long stateAge(final long now) {
+        return highestRevision > stateMachine.policyRevision()
                 ? Long.MAX_VALUE
-                : sure.map(t -> now - t).orElse(Long.MAX_VALUE);
+                : reportsAge.map(t -> now - t).orElse(Long.MAX_VALUE);
     }
 
     /** Whether the books here were surely the newest at some moment since this one. */
     public boolean confirmedSince(final long since) {
-        return sure.filter(at -> at >= since).isPresent();
+        return reportsAge.filter(at -> at >= since).isPresent();
     }
 
     /** The workers heard of. */
-    public Map<String, Heard> workers() {
-        if (words.isPresent()) {
-            return words.get().workers(peers.controller());
+    public Map<String, ObservedWorker> workers() {
+        if (reports.isPresent()) {
+            return reports.get().workers(peerSelector.isController());
         }
-        if (seen.size() != workers.size()) {
-            seen = Map.copyOf(workers);
+        if (workersSnapshot.size() != workers.size()) {
+            workersSnapshot = Map.copyOf(workers);
         }
-        return seen;
+        return workersSnapshot;
     }
 
     /** How long ago the words on workers here were surely the newest. */
-    public long sure(final long now) {
-        return words.flatMap(w -> w.sure(peers.controller(), peers.controllers().size() + 1, now))
+    public long reportsAge(final long now) {
+        return reports.flatMap(w -> w.confirmedAt(
+                        peerSelector.isController(),
+                        peerSelector.otherControllers().size() + 1,
+                        now))
                 .map(t -> Math.max(0, now - t))
                 .orElse(Long.MAX_VALUE);
     }
 
     /** Forgets what makes this daemon sure, as a rejoin does. */
-    public void doubt() {
-        words.ifPresent(WorkerReports::doubt);
-        pulls.ifPresent(Pulls::doubt);
-        sure = Optional.empty();
-        workers.replaceAll((k, h) -> new Heard(h.worker(), Optional.empty()));
-        seen = Map.of();
+    public void resetFreshness() {
+        reports.ifPresent(WorkerReports::resetFreshness);
+        antiEntropy.ifPresent(AntiEntropy::reset);
+        reportsAge = Optional.empty();
+        workers.replaceAll((k, h) -> new ObservedWorker(h.worker(), Optional.empty()));
+        workersSnapshot = Map.of();
     }
 
     /** What a controller knows for itself. */
-    public void own(final StateMachine mine, final View now, final boolean certain, final long at) {
-        if (now.number() > view.number()) {
-            view = now;
-            fleet = now.fleet();
+    public void adoptReplicaState(
+            final StateMachine replicaState,
+            final View replicaView,
+            final boolean isConfirmed,
+            final long confirmedAt) {
+        if (replicaView.number() > view.number()) {
+            view = replicaView;
+            fleet = replicaView.fleet();
         }
-        if (certain) {
-            if (mine.policyRevision() > books.policyRevision()) {
-                books.apply(mine.policyRevision(), mine.policySince(books.policyRevision()));
-                announce();
+        if (isConfirmed) {
+            if (replicaState.policyRevision() > stateMachine.policyRevision()) {
+                stateMachine.apply(
+                        replicaState.policyRevision(), replicaState.policySince(stateMachine.policyRevision()));
+                pushRevision();
             }
-            sure = Optional.of(at);
+            reportsAge = Optional.of(confirmedAt);
         }
     }
 
     /** A worker announced itself here; the echo proves how old its word can be. Gives the echo to hand back. */
-    public long announced(final Worker word, final long echo, final long now) {
-        if (words.isPresent()) {
-            words.get().say(word, now);
-            spread(now);
+    public long onAnnouncement(final Worker worker, final long echo, final long now) {
+        if (reports.isPresent()) {
+            reports.get().announce(worker, now);
+            pushChanges(now);
             return 0;
         }
-        final Optional<Long> asOf = Optional.ofNullable(echoes.get(word.id()))
-                .filter(e -> e.life() == word.life() && e.token() == echo)
-                .map(Echo::at);
-        take(word, asOf, now);
-        final long token = luck.nextLong() >>> 11;
-        echoes.put(word.id(), new Echo(word.life(), token, now));
+        final Optional<Long> asOf = Optional.ofNullable(echoes.get(worker.id()))
+                .filter(e -> e.incarnation() == worker.incarnation() && e.token() == echo)
+                .map(AnnouncementEcho::issuedAt);
+        merge(worker, asOf, now);
+        final long token = random.nextLong() >>> 11;
+        echoes.put(worker.id(), new AnnouncementEcho(worker.incarnation(), token, now));
         return token;
     }
 
     /** A digest over the words of workers that announce to controllers; it changes when one of them does. */
-    public long roster() {
-        return words.map(w -> w.sums().total()).orElse(0L);
+    public long reportsDigest() {
+        return reports.map(w -> w.digests().total()).orElse(0L);
     }
 
     /** The words to be kept over a restart. */
-    public List<WorkerReport> standing(final long now) {
-        return words.map(w -> w.standing(now)).orElse(List.of());
+    public List<WorkerReport> activeReports(final long now) {
+        return reports.map(w -> w.activeReports(now)).orElse(List.of());
     }
 
     /** Takes words kept over a restart; what is known already or comes later goes before them. */
-    public void recall(final List<WorkerReport> kept, final long now) {
-        words.ifPresent(w -> kept.forEach(k -> w.take(k, false, now)));
+    public void restoreReports(final List<WorkerReport> restored, final long now) {
+        reports.ifPresent(w -> restored.forEach(k -> w.merge(k, false, now)));
     }
 
     /** A worker's life is over; false when it isn't known here. */
-    public boolean gone(final String id, final long now) {
-        final boolean known = words.map(w -> w.gone(id, now)).orElseGet(() -> {
+    public boolean onWorkerGone(final String id, final long now) {
+        final boolean known = reports.map(w -> w.markGone(id, now)).orElseGet(() -> {
             final Optional<Worker> last =
-                    Optional.ofNullable(workers.get(id)).map(h -> h.worker().gone());
-            last.filter(w -> !workers.get(id).worker().leaving()).ifPresent(w -> take(w.next(), Optional.empty(), now));
+                    Optional.ofNullable(workers.get(id)).map(h -> h.worker().asDraining());
+            last.filter(w -> !workers.get(id).worker().draining())
+                    .ifPresent(w -> merge(w.withNextSequence(), Optional.empty(), now));
             return last.isPresent();
         });
-        spread(now);
+        pushChanges(now);
         return known;
     }
 
     /** Takes a message. */
-    public void on(final Message msg, final String home, final long now) {
-        switch (msg) {
-            case Message.GossipPull m -> tell(m, home, now);
-            case Message.GossipPullReply m -> told(m, home, now);
-            case Message.ReportVersions m -> pulls.ifPresent(p -> out.add(new Effect.Send(home, p.bodies(m, now))));
+    public void on(final Message message, final String sender, final long now) {
+        switch (message) {
+            case Message.GossipPull m -> answerPull(m, sender, now);
+            case Message.GossipPullReply m -> onPullReply(m, sender, now);
+            case Message.ReportVersions m ->
+                antiEntropy.ifPresent(p -> effects.add(new Effect.Send(sender, p.missingReports(m, now))));
             case Message.MissingReports m ->
-                pulls.flatMap(p -> p.take(m, home, now)).ifPresent(b -> out.add(new Effect.Send(home, b)));
+                antiEntropy
+                        .flatMap(p -> p.onMissingReports(m, sender, now))
+                        .ifPresent(b -> effects.add(new Effect.Send(sender, b)));
             case Message.GossipPush m -> {
-                words.ifPresent(w -> m.reports().forEach(x -> w.take(x, true, now)));
-                m.members().forEach(x -> crew.learn(x, now));
-                m.workers().forEach(w -> take(w, Optional.empty(), now));
-                if (m.revision() > page) {
-                    page = m.revision();
-                    out.add(new Effect.Send(home, ask(now)));
+                reports.ifPresent(w -> m.reports().forEach(x -> w.merge(x, true, now)));
+                m.members().forEach(x -> membership.learn(x, now));
+                m.workers().forEach(w -> merge(w, Optional.empty(), now));
+                if (m.revision() > highestRevision) {
+                    highestRevision = m.revision();
+                    effects.add(new Effect.Send(sender, pullRequest(now)));
                 }
             }
             default -> {}
@@ -241,205 +260,229 @@
 
     /** A clock event. */
     public void tick(final long now) {
-        words.ifPresent(w -> w.tick(peers.controller(), peers.controllers(), now));
-        spread(now);
-        if (now - askAt >= times.pull() && !(words.isPresent() && peers.controller())) {
-            askAt = now;
-            peers.some(crew.live().stream().filter(Member::gateway).toList(), words.isPresent() ? 1 : 2)
-                    .forEach(m -> out.add(new Effect.Send(m.address(), ask(now))));
+        reports.ifPresent(w -> w.tick(peerSelector.isController(), peerSelector.otherControllers(), now));
+        pushChanges(now);
+        if (now - lastGatewayPull >= settings.gatewayPullInterval()
+                && !(reports.isPresent() && peerSelector.isController())) {
+            lastGatewayPull = now;
+            peerSelector
+                    .sample(
+                            membership.liveMembers().stream()
+                                    .filter(Member::isGateway)
+                                    .toList(),
+                            reports.isPresent() ? 1 : 2)
+                    .forEach(m -> effects.add(new Effect.Send(m.address(), pullRequest(now))));
         }
-        if (now - rootAt >= peers.root(times)) {
-            rootAt = now;
-            roots(now).forEach(m -> out.add(new Effect.Send(m.address(), ask(now))));
+        if (now - lastControllerPull >= peerSelector.controllerPullInterval(settings)) {
+            lastControllerPull = now;
+            controllersToPull(now).forEach(m -> effects.add(new Effect.Send(m.address(), pullRequest(now))));
         }
-        if (workers.values().removeIf(h -> h.age(now) > FORGET && h.asOf().isPresent())) {
-            seen = Map.of();
+        if (workers.values()
+                .removeIf(h -> h.age(now) > WORKER_RETENTION && h.asOf().isPresent())) {
+            workersSnapshot = Map.of();
         }
         echoes.keySet().retainAll(workers.keySet());
     }
 
     /** What is to be done; it is handed over once. */
     public List<Effect> drain() {
-        final List<Effect> list = List.copyOf(out);
-        out.clear();
+        final List<Effect> list = List.copyOf(effects);
+        effects.clear();
         return list;
     }
 
-    private List<Member> roots(final long now) {
-        final List<Member> roots = peers.roots(view, words.isPresent());
-        return words.isEmpty()
-                ? peers.some(roots, 2)
-                : peers.controller()
-                        ? peers.turn(roots, 3)
-                        : peers.some(age(now) > OLD || sure(now) > OLD ? roots : peers.near(roots), 1);
-    }
-
-    private void spread(final long now) {
-        final List<Member> news = crew.news();
-        final List<WorkerReport> told = words.map(w -> w.fresh(now)).orElse(List.of());
-        words.ifPresent(w -> out.addAll(w.drain()));
-        if (!news.isEmpty() || !fresh.isEmpty() || !told.isEmpty()) {
-            push(new Message.GossipPush(news, List.copyOf(fresh), told, page()));
-            fresh.clear();
+    private List<Member> controllersToPull(final long now) {
+        final List<Member> roots = peerSelector.liveControllers(view, reports.isPresent());
+        return reports.isEmpty()
+                ? peerSelector.sample(roots, 2)
+                : peerSelector.isController()
+                        ? peerSelector.nextInTurn(roots, 3)
+                        : peerSelector.sample(
+                                stateAge(now) > STALE_AGE || reportsAge(now) > STALE_AGE
+                                        ? roots
+                                        : peerSelector.preferOwnRegion(roots),
+                                1);
+    }
+
+    private void pushChanges(final long now) {
+        final List<Member> changedMembers = membership.drainUpdates();
+        final List<WorkerReport> changedReports =
+                reports.map(w -> w.drainChanged(now)).orElse(List.of());
+        reports.ifPresent(w -> effects.addAll(w.drain()));
+        if (!changedMembers.isEmpty() || !newlyDraining.isEmpty() || !changedReports.isEmpty()) {
+            push(new Message.GossipPush(changedMembers, List.copyOf(newlyDraining), changedReports, highestRevision()));
+            newlyDraining.clear();
         }
     }
 
-    private void push(final Message.GossipPush msg) {
-        (words.isEmpty() ? peers.some(crew.live(), FEW) : peers.spread())
-                .forEach(m -> out.add(new Effect.Send(m.address(), msg)));
+    private void push(final Message.GossipPush message) {
+        (reports.isEmpty() ? peerSelector.sample(membership.liveMembers(), PUSH_FANOUT) : peerSelector.pushTargets())
+                .forEach(m -> effects.add(new Effect.Send(m.address(), message)));
     }
 
-    private Message.GossipPull ask(final long now) {
+    private Message.GossipPull pullRequest(final long now) {
         return new Message.GossipPull(
                 now,
-                books.policyRevision(),
+                stateMachine.policyRevision(),
                 view.number(),
-                words.isPresent()
+                reports.isPresent()
                         ? List.of()
                         : workers.values().stream()
                                 .map(h -> new Message.ReportVersion(
                                         h.worker().id(),
-                                        h.worker().life(),
+                                        h.worker().incarnation(),
                                         h.worker().sequence()))
                                 .toList(),
-                words.isPresent() ? peers.ring().total() : digest(),
-                words.map(w -> w.sums().total()).orElse(0L));
+                reports.isPresent() ? peerSelector.memberDigests().total() : membershipDigest(),
+                reports.map(w -> w.digests().total()).orElse(0L));
     }
 
-    private long digest() {
-        return crew.all().stream()
+    private long membershipDigest() {
+        return membership.all().stream()
                 .mapToLong(m -> (m.id().hashCode() * 31L
-                                + m.life() * 17
-                                + m.turn() * 7
+                                + m.incarnation() * 17
+                                + m.sequence() * 7
                                 + m.state().hashCode())
                         * 0x9E3779B97F4A7C15L)
                 .sum();
     }
 
-    private void tell(final Message.GossipPull m, final String home, final long now) {
-        final long age = age(now);
-        out.add(new Effect.Send(
-                home,
+    private void answerPull(final Message.GossipPull pull, final String sender, final long now) {
+        final long age = stateAge(now);
+        effects.add(new Effect.Send(
+                sender,
                 new Message.GossipPullReply(
-                        m.askedAt(),
-                        books.policyRevision(),
+                        pull.askedAt(),
+                        stateMachine.policyRevision(),
                         age == Long.MAX_VALUE ? -1 : Math.max(0, age),
                         fleet,
-                        m.revision() < books.policyRevision()
-                                ? books.policySince(m.revision())
-                                : guards.stands(Safeguard.PAGE) ? List.of() : books.policySince(0),
-                        m.view() < view.number() ? List.of(view) : List.of(),
-                        pulls.<Message.PullContent>map(p -> p.brief(m, home, sure(now), now))
-                                .orElseGet(() -> whole(m, now)))));
-    }
-
-    private Message.PullContent.FullContent whole(final Message.GossipPull m, final long now) {
-        final Map<String, Message.ReportVersion> marks = new HashMap<>();
-        m.versions().forEach(k -> marks.put(k.id(), k));
+                        pull.revision() < stateMachine.policyRevision()
+                                ? stateMachine.policySince(pull.revision())
+                                : safeguards.isEnabled(Safeguard.PAGE) ? List.of() : stateMachine.policySince(0),
+                        pull.view() < view.number() ? List.of(view) : List.of(),
+                        antiEntropy
+                                .<Message.PullContent>map(p -> p.digestContent(pull, sender, reportsAge(now), now))
+                                .orElseGet(() -> fullContent(pull, now)))));
+    }
+
+    private Message.PullContent.FullContent fullContent(final Message.GossipPull pull, final long now) {
+        final Map<String, Message.ReportVersion> knownVersions = new HashMap<>();
+        pull.versions().forEach(k -> knownVersions.put(k.id(), k));
         final List<Message.ReportAge> ages = new ArrayList<>();
-        final List<Worker> bodies = new ArrayList<>();
-        for (final Heard h : workers.values()) {
-            final Worker w = h.worker();
-            final Optional<Message.ReportVersion> mark = Optional.ofNullable(marks.get(w.id()));
-            final boolean newer = mark.map(
-                            k -> w.life() != k.incarnation() ? w.life() > k.incarnation() : w.sequence() > k.sequence())
+        final List<Worker> newerWorkers = new ArrayList<>();
+        for (final ObservedWorker observed : workers.values()) {
+            final Worker worker = observed.worker();
+            final Optional<Message.ReportVersion> knownVersion = Optional.ofNullable(knownVersions.get(worker.id()));
+            final boolean newer = knownVersion
+                    .map(k -> worker.incarnation() != k.incarnation()
+                            ? worker.incarnation() > k.incarnation()
+                            : worker.sequence() > k.sequence())
                     .orElse(true);
-            final boolean same = mark.map(k -> w.life() == k.incarnation() && w.sequence() == k.sequence())
+            final boolean same = knownVersion
+                    .map(k -> worker.incarnation() == k.incarnation() && worker.sequence() == k.sequence())
                     .orElse(false);
             if (newer) {
-                bodies.add(w);
+                newerWorkers.add(worker);
             }
             if (newer || same) {
                 ages.add(new Message.ReportAge(
-                        w.id(),
-                        w.life(),
-                        w.sequence(),
-                        h.asOf().map(t -> Math.max(0, now - t)).orElse(-1L)));
+                        worker.id(),
+                        worker.incarnation(),
+                        worker.sequence(),
+                        observed.asOf().map(t -> Math.max(0, now - t)).orElse(-1L)));
             }
         }
         return new Message.PullContent.FullContent(
-                ages, bodies, m.membershipDigest() == digest() ? List.of() : crew.all());
+                ages, newerWorkers, pull.membershipDigest() == membershipDigest() ? List.of() : membership.all());
     }
 
-    private void told(final Message.GossipPullReply m, final String home, final long now) {
-        if (m.askedAt() > now || fleet != 0 && m.fleet() != 0 && m.fleet() != fleet) {
+    private void onPullReply(final Message.GossipPullReply reply, final String sender, final long now) {
+        if (reply.askedAt() > now || fleet != 0 && reply.fleet() != 0 && reply.fleet() != fleet) {
             return;
         }
         if (fleet == 0) {
-            fleet = m.fleet();
+            fleet = reply.fleet();
         }
-        switch (m.content()) {
-            case Message.PullContent.FullContent n -> told(n, m.askedAt(), now);
+        switch (reply.content()) {
+            case Message.PullContent.FullContent content -> onPullReply(content, reply.askedAt(), now);
             case Message.PullContent.DigestContent b ->
-                pulls.flatMap(p -> p.told(b, m.askedAt(), home)).ifPresent(x -> out.add(new Effect.Send(home, x)));
+                antiEntropy
+                        .flatMap(p -> p.onDigestContent(b, reply.askedAt(), sender))
+                        .ifPresent(x -> effects.add(new Effect.Send(sender, x)));
         }
-        m.view().stream()
+        reply.view().stream()
                 .filter(v -> v.number() > view.number() && v.fleet() == fleet)
                 .forEach(v -> view = v);
-        if (m.revision() > books.policyRevision()) {
-            books.apply(m.revision(), m.entries());
-            announce();
-        } else if (m.revision() > 0 && m.revision() < books.policyRevision() && !guards.stands(Safeguard.PAGE)) {
-            books.reset(m.revision(), m.entries());
-            page = m.revision();
+        if (reply.revision() > stateMachine.policyRevision()) {
+            stateMachine.apply(reply.revision(), reply.entries());
+            pushRevision();
+        } else if (reply.revision() > 0
+                && reply.revision() < stateMachine.policyRevision()
+                && !safeguards.isEnabled(Safeguard.PAGE)) {
+            stateMachine.reset(reply.revision(), reply.entries());
+            highestRevision = reply.revision();
         }
-        if (m.revision() == books.policyRevision() && m.age() >= 0) {
-            sure = Optional.of(Math.max(sure.orElse(Long.MIN_VALUE), m.askedAt() - m.age()));
+        if (reply.revision() == stateMachine.policyRevision() && reply.age() >= 0) {
+            reportsAge = Optional.of(Math.max(reportsAge.orElse(Long.MIN_VALUE), reply.askedAt() - reply.age()));
         }
     }
 
-    private void told(final Message.PullContent.FullContent n, final long at, final long now) {
-        n.members().forEach(x -> crew.learn(x, now));
-        n.workers().forEach(w -> take(w, Optional.empty(), now));
-        for (final Message.ReportAge a : n.ages()) {
-            Optional.ofNullable(workers.get(a.id()))
-                    .filter(h -> a.age() >= 0
-                            && h.worker().life() == a.incarnation()
-                            && h.worker().sequence() == a.sequence())
-                    .ifPresent(h -> renew(h, at - a.age()));
+    private void onPullReply(final Message.PullContent.FullContent content, final long askedAt, final long now) {
+        content.members().forEach(x -> membership.learn(x, now));
+        content.workers().forEach(w -> merge(w, Optional.empty(), now));
+        for (final Message.ReportAge reported : content.ages()) {
+            Optional.ofNullable(workers.get(reported.id()))
+                    .filter(h -> reported.age() >= 0
+                            && h.worker().incarnation() == reported.incarnation()
+                            && h.worker().sequence() == reported.sequence())
+                    .ifPresent(h -> renew(h, askedAt - reported.age()));
         }
     }
 
-    private void announce() {
-        page = Math.max(page, books.policyRevision());
-        if (books.policyRevision() > told) {
-            told = books.policyRevision();
-            push(new Message.GossipPush(List.of(), List.of(), told));
+    private void pushRevision() {
+        highestRevision = Math.max(highestRevision, stateMachine.policyRevision());
+        if (stateMachine.policyRevision() > onPullReply) {
+            onPullReply = stateMachine.policyRevision();
+            push(new Message.GossipPush(List.of(), List.of(), onPullReply));
         }
     }
 
-    private void renew(final Heard h, final long asOf) {
-        if (h.asOf().map(t -> t < asOf).orElse(true)) {
-            put(new Heard(h.worker(), Optional.of(asOf)));
+    private void renew(final ObservedWorker observed, final long asOf) {
+        if (observed.asOf().map(t -> t < asOf).orElse(true)) {
+            store(new ObservedWorker(observed.worker(), Optional.of(asOf)));
         }
     }
 
-    private void take(final Worker word, final Optional<Long> asOf, final long now) {
-        final Optional<Heard> old = Optional.ofNullable(workers.get(word.id()));
-        if (old.isEmpty() && workers.size() >= MOST) {
+    private void merge(final Worker worker, final Optional<Long> asOf, final long now) {
+        final Optional<ObservedWorker> old = Optional.ofNullable(workers.get(worker.id()));
+        if (old.isEmpty() && workers.size() >= MAX_WORKERS) {
             return;
         }
-        if (old.map(h -> word.after(h.worker())).orElse(true)) {
-            final boolean same = old.map(h -> h.worker().life() == word.life()).orElse(false);
-            final boolean left = old.map(h -> h.worker().leaving()).orElse(false) && same;
-            put(new Heard(word, asOf.or(() -> old.filter(h -> same).flatMap(Heard::asOf))));
+        if (old.map(h -> worker.isNewerThan(h.worker())).orElse(true)) {
+            final boolean sameIncarnation = old.map(h -> h.worker().incarnation() == worker.incarnation())
+                    .orElse(false);
+            final boolean wasDraining = old.map(h -> h.worker().draining()).orElse(false) && sameIncarnation;
+            store(new ObservedWorker(
+                    worker, asOf.or(() -> old.filter(h -> sameIncarnation).flatMap(ObservedWorker::asOf))));
             if (old.isEmpty()) {
-                out.add(new Effect.Log(Event.WORKER_KNOWN, word.id() + " " + word.address() + " zone " + word.zone()));
+                effects.add(new Effect.Log(
+                        Event.WORKER_KNOWN, worker.id() + " " + worker.address() + " zone " + worker.zone()));
             }
-            if (word.leaving() && !left) {
-                out.add(new Effect.Log(Event.WORKER_LEAVING, word.id()));
-                fresh.add(word);
+            if (worker.draining() && !wasDraining) {
+                effects.add(new Effect.Log(Event.WORKER_LEAVING, worker.id()));
+                newlyDraining.add(worker);
             }
         }
-        asOf.ifPresent(t -> Optional.ofNullable(workers.get(word.id()))
-                .filter(h -> h.worker().life() == word.life() && h.worker().sequence() == word.sequence())
+        asOf.ifPresent(t -> Optional.ofNullable(workers.get(worker.id()))
+                .filter(h -> h.worker().incarnation() == worker.incarnation()
+                        && h.worker().sequence() == worker.sequence())
                 .ifPresent(h -> renew(h, t)));
     }
 
-    private void put(final Heard heard) {
-        workers.put(heard.worker().id(), heard);
-        seen = Map.of();
+    private void store(final ObservedWorker observed) {
+        workers.put(observed.worker().id(), observed);
+        workersSnapshot = Map.of();
     }
 
-    private record Echo(long life, long token, long at) {}
+    private record AnnouncementEcho(long incarnation, long token, long issuedAt) {}
 }
--- a/core/src/main/java/silverlatch/gossip/Worker.java
+++ b/core/src/main/java/silverlatch/gossip/Worker.java
@@ -9,37 +9,37 @@
  * @param address  where it takes runs
  * @param zone     its zone
  * @param region   its region
- * @param life     its start; a larger one for each
+ * @param incarnation     its start; a larger one for each
  * @param sequence the number of the word, rising within a life
  * @param running  runs under way
  * @param queued   runs waiting
  * @param slots    runs it takes at once
- * @param kept     the salted digests of prefixes in its cache
- * @param leaving  whether it takes no new work
- * @param up       microseconds since it started
+ * @param cachedPrefixes     the salted digests of prefixes in its cache
+ * @param draining  whether it takes no new work
+ * @param uptime       microseconds since it started
  * @param pool     the pool it belongs to, or empty
- * @param cold     how long it stays cold yet by its own word, in microseconds
- * @param rest     how long it is there yet by its own word, in microseconds; 0 when it says nothing of its end
+ * @param warmupRemaining     how long it stays cold yet by its own word, in microseconds
+ * @param lifetimeRemaining     how long it is there yet by its own word, in microseconds; 0 when it says nothing of its end
  */
 public record Worker(
         String id,
         String address,
         String zone,
         String region,
-        long life,
+        long incarnation,
         long sequence,
         int running,
         int queued,
         int slots,
-        List<Long> kept,
-        boolean leaving,
-        long up,
+        List<Long> cachedPrefixes,
+        boolean draining,
+        long uptime,
         String pool,
-        long cold,
-        long rest) {
+        long warmupRemaining,
+        long lifetimeRemaining) {
     /** Copies the digests. */
     public Worker {
-        kept = List.copyOf(kept);
+        cachedPrefixes = List.copyOf(cachedPrefixes);
     }
 
     /** A worker of no pool. */
@@ -48,73 +48,116 @@
             final String address,
             final String zone,
             final String region,
-            final long life,
+            final long incarnation,
             final long sequence,
             final int running,
             final int queued,
             final int slots,
-            final List<Long> kept,
-            final boolean leaving,
-            final long up) {
-        this(id, address, zone, region, life, sequence, running, queued, slots, kept, leaving, up, "", 0, 0);
+            final List<Long> cachedPrefixes,
+            final boolean draining,
+            final long uptime) {
+        this(
+                id,
+                address,
+                zone,
+                region,
+                incarnation,
+                sequence,
+                running,
+                queued,
+                slots,
+                cachedPrefixes,
+                draining,
+                uptime,
+                "",
+                0,
+                0);
     }
 
     /** Whether this word is newer than the other. */
-    public boolean after(final Worker old) {
-        return life != old.life ? life > old.life : sequence > old.sequence;
+    public boolean isNewerThan(final Worker other) {
+        return incarnation != other.incarnation ? incarnation > other.incarnation : sequence > other.sequence;
     }
 
     /** The same worker, leaving. */
-    public Worker gone() {
+    public Worker asDraining() {
         return new Worker(
-                id, address, zone, region, life, sequence, running, queued, slots, kept, true, up, pool, cold, rest);
+                id,
+                address,
+                zone,
+                region,
+                incarnation,
+                sequence,
+                running,
+                queued,
+                slots,
+                cachedPrefixes,
+                true,
+                uptime,
+                pool,
+                warmupRemaining,
+                lifetimeRemaining);
     }
 
     /** The same word so much later: what it stays cold and what it rests grow shorter. */
-    public Worker aged(final long span) {
-        return span <= 0 || cold == 0 && rest == 0
+    public Worker agedBy(final long elapsed) {
+        return elapsed <= 0 || warmupRemaining == 0 && lifetimeRemaining == 0
                 ? this
                 : new Worker(
                         id,
                         address,
                         zone,
                         region,
-                        life,
+                        incarnation,
                         sequence,
                         running,
                         queued,
                         slots,
-                        kept,
-                        leaving,
-                        up,
+                        cachedPrefixes,
+                        draining,
+                        uptime,
                         pool,
-                        Math.max(0, cold - span),
-                        rest == 0 ? 0 : Math.max(1, rest - span));
+                        Math.max(0, warmupRemaining - elapsed),
+                        lifetimeRemaining == 0 ? 0 : Math.max(1, lifetimeRemaining - elapsed));
     }
 
     /** The same word under another sequence. */
-    public Worker at(final long next) {
+    public Worker withSequence(final long next) {
         return new Worker(
-                id, address, zone, region, life, next, running, queued, slots, kept, leaving, up, pool, cold, rest);
+                id,
+                address,
+                zone,
+                region,
+                incarnation,
+                next,
+                running,
+                queued,
+                slots,
+                cachedPrefixes,
+                draining,
+                uptime,
+                pool,
+                warmupRemaining,
+                lifetimeRemaining);
     }
 
     /** The same, said once more. */
-    public Worker next() {
+    public Worker withNextSequence() {
         return new Worker(
                 id,
                 address,
                 zone,
                 region,
-                life,
+                incarnation,
                 sequence + 1,
                 running,
                 queued,
                 slots,
-                kept,
-                leaving,
-                up,
+                cachedPrefixes,
+                draining,
+                uptime,
                 pool,
-                cold,
-                rest);
+                warmupRemaining,
+                lifetimeRemaining);
     }
 }
--- a/core/src/main/java/silverlatch/gossip/WorkerReport.java
+++ b/core/src/main/java/silverlatch/gossip/WorkerReport.java
@@ -13,24 +13,24 @@
  */
 public record WorkerReport(Worker worker, boolean silent, boolean gone, long age) {
     /** A worker's own word; what it repeats with each call stays behind. */
-    public static WorkerReport of(final Worker w) {
+    public static WorkerReport of(final Worker worker) {
         return new WorkerReport(
                 new Worker(
-                        w.id(),
-                        w.address(),
-                        w.zone(),
-                        w.region(),
-                        w.life(),
-                        w.sequence(),
+                        worker.id(),
+                        worker.address(),
+                        worker.zone(),
+                        worker.region(),
+                        worker.incarnation(),
+                        worker.sequence(),
                         0,
                         0,
-                        w.slots(),
+                        worker.slots(),
                         List.of(),
-                        w.leaving(),
-                        w.up(),
-                        w.pool(),
-                        w.cold(),
-                        w.rest()),
+                        worker.draining(),
+                        worker.uptime(),
+                        worker.pool(),
+                        worker.warmupRemaining(),
+                        worker.lifetimeRemaining()),
                 false,
                 false,
                 0);
@@ -42,27 +42,31 @@
     }
 
     /** The place of this word among those of one life: the end goes before all, silence before the word it follows. */
-    public long rank() {
+    public long precedence() {
         return gone ? Long.MAX_VALUE : Math.min(worker.sequence(), Long.MAX_VALUE / 4) * 2 + (silent ? 1 : 0);
     }
 
     /** Whether this word goes before the other. */
-    public boolean after(final WorkerReport old) {
-        return worker.life() != old.worker.life() ? worker.life() > old.worker.life() : rank() > old.rank();
+    public boolean isNewerThan(final WorkerReport other) {
+        return worker.incarnation() != other.worker.incarnation()
+                ? worker.incarnation() > other.worker.incarnation()
+                : precedence() > other.precedence();
     }
 
     /** Whether this word goes before a mark. */
-    public boolean after(final Message.ReportVersion mark) {
-        return worker.life() != mark.incarnation() ? worker.life() > mark.incarnation() : rank() > mark.sequence();
+    public boolean isNewerThan(final Message.ReportVersion version) {
+        return worker.incarnation() != version.incarnation()
+                ? worker.incarnation() > version.incarnation()
+                : precedence() > version.sequence();
     }
 
     /** What is held of it, in short. */
-    public Message.ReportVersion mark() {
-        return new Message.ReportVersion(id(), worker.life(), rank());
+    public Message.ReportVersion version() {
+        return new Message.ReportVersion(id(), worker.incarnation(), precedence());
     }
 
     /** The same word so much later. */
-    public WorkerReport aged(final long span) {
-        return new WorkerReport(worker.aged(span), silent, gone, silent || gone ? age + span : 0);
+    public WorkerReport agedBy(final long elapsed) {
+        return new WorkerReport(worker.agedBy(elapsed), silent, gone, silent || gone ? age + elapsed : 0);
     }
 }
--- a/core/src/main/java/silverlatch/gossip/WorkerReports.java
+++ b/core/src/main/java/silverlatch/gossip/WorkerReports.java
@@ -16,144 +16,149 @@
 
 /** Words on workers that announce to controllers. What a worker repeats renews its age here; what it changes travels. */
 final class WorkerReports {
-    private static final int MOST = 4_096;
-    private static final long SLACK = 500_000L;
-    private static final long LOOK = 250_000L;
-    private static final long GAP = 1_000_000L;
-    private static final int STEPS = 12;
-    private static final int NONE = 15;
-    private static final int PACK = 16;
-    private final Way.Controllers way;
-    private final Map<String, Item> items = new TreeMap<>();
-    private final Map<String, Long> contacts = new HashMap<>();
-    private final Map<String, Long> matched = new HashMap<>();
-    private final Set<String> fresh = new LinkedHashSet<>();
+    private static final int MAX_WORKERS = 4_096;
+    private static final long TOLERANCE = 500_000L;
+    private static final long SCAN_INTERVAL = 250_000L;
+    private static final long PAUSE_THRESHOLD = 1_000_000L;
+    private static final int AGE_STEPS = 12;
+    private static final int AGE_UNKNOWN = 15;
+    private static final int AGES_PER_LONG = 16;
+    private final WorkerReporting.ToControllers reporting;
+    private final Map<String, TrackedReport> tracked = new TreeMap<>();
+    private final Map<String, Long> lastContacts = new HashMap<>();
+    private final Map<String, Long> syncedAt = new HashMap<>();
+    private final Set<String> drainChanged = new LinkedHashSet<>();
     private final List<Effect> logs = new ArrayList<>();
-    private final Sums sums = new Sums();
-    private final Sums roster = new Sums();
-    private Optional<Long> sure = Optional.empty();
-    private Map<String, Gossip.Heard> seen = Map.of();
-    private boolean dirty;
-    private long looked = Long.MIN_VALUE / 2;
-    private long awake = Long.MIN_VALUE / 2;
-
-    WorkerReports(final Way.Controllers way) {
-        this.way = way;
+    private final VersionDigests digests = new VersionDigests();
+    private final VersionDigests incarnationDigests = new VersionDigests();
+    private Optional<Long> confirmedAt = Optional.empty();
+    private Map<String, Gossip.ObservedWorker> workersSnapshot = Map.of();
+    private boolean isSnapshotStale;
+    private long lastScan = Long.MIN_VALUE / 2;
+    private long awakeSince = Long.MIN_VALUE / 2;
+
+    WorkerReports(final WorkerReporting.ToControllers reporting) {
+        this.reporting = reporting;
     }
 
-    Sums sums() {
-        return sums;
+    VersionDigests digests() {
+        return digests;
     }
 
     /** A worker said this here; false when it came late. */
-    boolean say(final Worker said, final long now) {
-        final Optional<Item> old = Optional.ofNullable(items.get(said.id()));
-        if (old.isEmpty() && items.size() >= MOST
-                || old.filter(i -> i.late(said)).isPresent()) {
+    boolean announce(final Worker announced, final long now) {
+        final Optional<TrackedReport> old = Optional.ofNullable(tracked.get(announced.id()));
+        if (old.isEmpty() && tracked.size() >= MAX_WORKERS
+                || old.filter(i -> i.isStale(announced)).isPresent()) {
             return false;
         }
-        final WorkerReport word = WorkerReport.of(said);
-        if (old.filter(i -> !i.changed(said, now)).isPresent()) {
-            items.put(said.id(), old.get().beat(said.sequence(), now));
-            dirty = true;
+        final WorkerReport report = WorkerReport.of(announced);
+        if (old.filter(i -> !i.differsFrom(announced, now)).isPresent()) {
+            tracked.put(announced.id(), old.get().onHeartbeat(announced.sequence(), now));
+            isSnapshotStale = true;
             return true;
         }
-        put(new Item(word, now, now, now, said.sequence()));
-        tell(old, word);
-        fresh.add(word.id());
+        store(new TrackedReport(report, now, now, now, announced.sequence()));
+        logChange(old, report);
+        drainChanged.add(report.id());
         return true;
     }
 
     /** A worker's life is over; false when it isn't known, true also where that was known before. */
-    boolean gone(final String id, final long now) {
-        final Optional<Item> old = Optional.ofNullable(items.get(id));
-        old.filter(i -> !i.word().gone()).ifPresent(i -> {
-            final WorkerReport word = new WorkerReport(i.now(now).worker(), false, true, 0);
-            put(new Item(word, now, i.heard(), i.own(), i.top()));
-            tell(old, word);
-            fresh.add(id);
+    boolean markGone(final String id, final long now) {
+        final Optional<TrackedReport> old = Optional.ofNullable(tracked.get(id));
+        old.filter(i -> !i.report().gone()).ifPresent(i -> {
+            final WorkerReport report = new WorkerReport(i.reportAt(now).worker(), false, true, 0);
+            store(new TrackedReport(report, now, i.heardAt(), i.announcedHereAt(), i.highestSequence()));
+            logChange(old, report);
+            drainChanged.add(id);
         });
         return old.isPresent();
     }
 
     /** Takes a word from another daemon; one that came by push is passed on. */
-    void take(final WorkerReport word, final boolean pass, final long now) {
-        final Optional<Item> old = Optional.ofNullable(items.get(word.id()));
-        if (old.isEmpty() && items.size() >= MOST
-                || (word.silent() || word.gone()) && word.age() > way.forget()
-                || !old.map(i -> word.after(i.word())).orElse(true)) {
+    void merge(final WorkerReport report, final boolean forward, final long now) {
+        final Optional<TrackedReport> old = Optional.ofNullable(tracked.get(report.id()));
+        if (old.isEmpty() && tracked.size() >= MAX_WORKERS
+                || (report.silent() || report.gone()) && report.age() > reporting.retention()
+                || !old.map(i -> report.isNewerThan(i.report())).orElse(true)) {
             return;
         }
-        final Optional<Item> same =
-                old.filter(i -> i.word().worker().life() == word.worker().life());
-        final boolean beats = word.silent()
-                && same.map(i -> now - i.own() < way.silent()
-                                && i.top() > word.worker().sequence())
+        final Optional<TrackedReport> same = old.filter(
+                i -> i.report().worker().incarnation() == report.worker().incarnation());
+        final boolean refuted = report.silent()
+                && same.map(i -> now - i.announcedHereAt() < reporting.silenceTimeout()
+                                && i.highestSequence() > report.worker().sequence())
                         .orElse(false);
-        final WorkerReport kept =
-                beats ? new WorkerReport(word.worker().at(same.get().top()), false, false, 0) : word;
-        final long heard = word.silent() || word.gone() ? same.map(Item::heard).orElse(now) : now;
-        put(new Item(
-                kept,
+        final WorkerReport accepted = refuted
+                ? new WorkerReport(report.worker().withSequence(same.get().highestSequence()), false, false, 0)
+                : report;
+        final long heardAt = report.silent() || report.gone()
+                ? same.map(TrackedReport::heardAt).orElse(now)
+                : now;
+        store(new TrackedReport(
+                accepted,
                 now,
-                heard,
-                same.map(Item::own).orElse(Long.MIN_VALUE / 2),
-                Math.max(same.map(Item::top).orElse(0L), kept.worker().sequence())));
-        tell(old, kept);
-        if (pass || beats) {
-            fresh.add(word.id());
+                heardAt,
+                same.map(TrackedReport::announcedHereAt).orElse(Long.MIN_VALUE / 2),
+                Math.max(
+                        same.map(TrackedReport::highestSequence).orElse(0L),
+                        accepted.worker().sequence())));
+        logChange(old, accepted);
+        if (forward || refuted) {
+            drainChanged.add(report.id());
         }
     }
 
     /** Words to be passed on; handed over once. */
-    List<WorkerReport> fresh(final long now) {
-        final List<WorkerReport> list = words(fresh, now);
-        fresh.clear();
-        return list;
+    List<WorkerReport> drainChanged(final long now) {
+        final List<WorkerReport> changedReports = reportsOf(drainChanged, now);
+        drainChanged.clear();
+        return changedReports;
     }
 
     /** All words that are neither silent nor gone, as of now. */
-    List<WorkerReport> standing(final long now) {
-        return items.values().stream()
-                .filter(i -> !i.word().gone() && !i.word().silent())
-                .map(i -> i.now(now))
+    List<WorkerReport> activeReports(final long now) {
+        return tracked.values().stream()
+                .filter(i -> !i.report().gone() && !i.report().silent())
+                .map(i -> i.reportAt(now))
                 .toList();
     }
 
     /** The words on some workers, as of now. */
-    List<WorkerReport> words(final Collection<String> ids, final long now) {
+    List<WorkerReport> reportsOf(final Collection<String> ids, final long now) {
         return ids.stream()
-                .flatMap(id -> Optional.ofNullable(items.get(id)).stream())
-                .map(i -> i.now(now))
+                .flatMap(id -> Optional.ofNullable(tracked.get(id)).stream())
+                .map(i -> i.reportAt(now))
                 .toList();
     }
 
     /** What is held in these ranges. */
-    List<Message.ReportVersion> marks(final long bits) {
-        return items.values().stream()
-                .filter(i -> Sums.in(bits, i.word().id()))
-                .map(i -> i.word().mark())
+    List<Message.ReportVersion> versions(final long rangeBits) {
+        return tracked.values().stream()
+                .filter(i -> VersionDigests.isInRanges(rangeBits, i.report().id()))
+                .map(i -> i.report().version())
                 .toList();
     }
 
     /** What is newer here than these marks, which are all that another holds in these ranges. */
-    List<WorkerReport> newer(final long bits, final List<Message.ReportVersion> marks, final long now) {
-        final Map<String, Message.ReportVersion> map = new HashMap<>();
-        marks.forEach(m -> map.put(m.id(), m));
-        return items.values().stream()
-                .filter(i -> Sums.in(bits, i.word().id()))
-                .filter(i -> Optional.ofNullable(map.get(i.word().id()))
-                        .map(i.word()::after)
+    List<WorkerReport> reportsNewerThan(final long rangeBits, final List<Message.ReportVersion> known, final long now) {
+        final Map<String, Message.ReportVersion> knownById = new HashMap<>();
+        known.forEach(m -> knownById.put(m.id(), m));
+        return tracked.values().stream()
+                .filter(i -> VersionDigests.isInRanges(rangeBits, i.report().id()))
+                .filter(i -> Optional.ofNullable(knownById.get(i.report().id()))
+                        .map(i.report()::isNewerThan)
                         .orElse(true))
-                .map(i -> i.now(now))
+                .map(i -> i.reportAt(now))
                 .toList();
     }
 
     /** Which of these marks are newer than what is held here. */
-    List<String> lacks(final List<Message.ReportVersion> marks) {
-        return marks.stream()
-                .filter(m -> Optional.ofNullable(items.get(m.id()))
-                        .map(i -> i.word().mark())
+    List<String> outdatedWorkers(final List<Message.ReportVersion> known) {
+        return known.stream()
+                .filter(m -> Optional.ofNullable(tracked.get(m.id()))
+                        .map(i -> i.report().version())
                         .map(k -> m.incarnation() != k.incarnation()
                                 ? m.incarnation() > k.incarnation()
                                 : m.sequence() > k.sequence())
@@ -163,110 +168,117 @@
     }
 
     /** What was here when another was asked was surely all that it knew, and that was the newest at a moment. */
-    void sure(final long asOf) {
-        if (sure.map(s -> s < asOf).orElse(true)) {
-            sure = Optional.of(asOf);
-            dirty = true;
+    void confirmedAt(final long asOf) {
+        if (confirmedAt.map(s -> s < asOf).orElse(true)) {
+            confirmedAt = Optional.of(asOf);
+            isSnapshotStale = true;
         }
     }
 
     /** All that a controller knew at a moment is held here. */
-    void match(final String home, final long at) {
-        matched.merge(home, at, Math::max);
+    void markSynced(final String address, final long at) {
+        syncedAt.merge(address, at, Math::max);
     }
 
     /** When the words here were surely the newest: at a controller, when most controllers knew no other. */
-    Optional<Long> sure(final boolean controller, final int controllers, final long now) {
-        if (!controller) {
-            return sure;
+    Optional<Long> confirmedAt(final boolean isController, final int controllers, final long now) {
+        if (!isController) {
+            return confirmedAt;
         }
-        final List<Long> times = new ArrayList<>(matched.values());
+        final List<Long> times = new ArrayList<>(syncedAt.values());
         times.add(now);
         times.sort((a, b) -> Long.compare(b, a));
-        final int most = controllers / 2 + 1;
-        return times.size() < most ? Optional.empty() : Optional.of(times.get(most - 1));
+        final int majority = controllers / 2 + 1;
+        return times.size() < majority ? Optional.empty() : Optional.of(times.get(majority - 1));
     }
 
     /** How long ago each worker was heard, in steps; only one that knows the same workers can read it. */
-    Message.HeartbeatAges beats(final long now) {
-        final List<Item> list = list();
-        final long[] ages = new long[(list.size() + PACK - 1) / PACK];
-        for (int i = 0; i < list.size(); i++) {
-            final long step = Math.min(NONE, Math.max(0, now - list.get(i).heard()) / step());
-            ages[i / PACK] |= step << i % PACK * 4;
+    Message.HeartbeatAges heartbeatAges(final long now) {
+        final List<TrackedReport> workers = present();
+        final long[] ages = new long[(workers.size() + AGES_PER_LONG - 1) / AGES_PER_LONG];
+        for (int i = 0; i < workers.size(); i++) {
+            final long step =
+                    Math.min(AGE_UNKNOWN, Math.max(0, now - workers.get(i).heardAt()) / ageStep());
+            ages[i / AGES_PER_LONG] |= step << i % AGES_PER_LONG * 4;
         }
-        return new Message.HeartbeatAges(roster.total(), ages);
+        return new Message.HeartbeatAges(incarnationDigests.total(), ages);
     }
 
     /** Takes how long ago another controller heard each worker, dated from when it was asked. */
-    void beats(final Message.HeartbeatAges b, final String home, final long at) {
-        final List<Item> list = list();
-        if (b.roster() != roster.total() || b.ages().length != (list.size() + PACK - 1) / PACK) {
+    void heartbeatAges(final Message.HeartbeatAges heartbeats, final String address, final long askedAt) {
+        final List<TrackedReport> workers = present();
+        if (heartbeats.roster() != incarnationDigests.total()
+                || heartbeats.ages().length != (workers.size() + AGES_PER_LONG - 1) / AGES_PER_LONG) {
             return;
         }
-        contacts.merge(home, at, Math::max);
-        for (int i = 0; i < list.size(); i++) {
-            final long step = b.ages()[i / PACK] >>> i % PACK * 4 & NONE;
-            final long heard = at - (step + 1) * step();
-            if (step < NONE && heard > list.get(i).heard()) {
-                items.put(list.get(i).word().id(), list.get(i).heard(heard));
-                dirty = true;
+        lastContacts.merge(address, askedAt, Math::max);
+        for (int i = 0; i < workers.size(); i++) {
+            final long step = heartbeats.ages()[i / AGES_PER_LONG] >>> i % AGES_PER_LONG * 4 & AGE_UNKNOWN;
+            final long heardAt = askedAt - (step + 1) * ageStep();
+            if (step < AGE_UNKNOWN && heardAt > workers.get(i).heardAt()) {
+                tracked.put(workers.get(i).report().id(), workers.get(i).heardAt(heardAt));
+                isSnapshotStale = true;
             }
         }
     }
 
     /** A clock event; the controllers are all that are known, without this daemon, if it is one itself. */
-    void tick(final boolean controller, final List<Member> controllers, final long now) {
-        if (now - looked < LOOK) {
+    void tick(final boolean isController, final List<Member> controllers, final long now) {
+        if (now - lastScan < SCAN_INTERVAL) {
             return;
         }
-        if (now - looked > GAP) {
-            awake = now;
+        if (now - lastScan > PAUSE_THRESHOLD) {
+            awakeSince = now;
         }
-        looked = now;
-        final List<Item> old = items.values().stream()
-                .filter(i -> (i.word().silent() || i.word().gone()) && i.word().age() + now - i.at() > way.forget())
+        lastScan = now;
+        final List<TrackedReport> expired = tracked.values().stream()
+                .filter(i -> (i.report().silent() || i.report().gone())
+                        && i.report().age() + now - i.measuredAt() > reporting.retention())
                 .toList();
-        old.forEach(i -> drop(i.word()));
-        if (controller && now - awake >= way.silent()) {
-            items.values().stream()
-                    .filter(i -> !i.word().silent() && !i.word().gone() && now - i.heard() > way.silent())
-                    .filter(i -> contact(i.word().worker(), controllers, now))
+        expired.forEach(i -> remove(i.report()));
+        if (isController && now - awakeSince >= reporting.silenceTimeout()) {
+            tracked.values().stream()
+                    .filter(i -> !i.report().silent()
+                            && !i.report().gone()
+                            && now - i.heardAt() > reporting.silenceTimeout())
+                    .filter(i -> hearsControllersNear(i.report().worker(), controllers, now))
                     .toList()
                     .forEach(i -> {
-                        final WorkerReport word = new WorkerReport(i.now(now).worker(), true, false, now - i.heard());
-                        put(new Item(word, now, i.heard(), i.own(), i.top()));
-                        tell(Optional.of(i), word);
-                        fresh.add(word.id());
+                        final WorkerReport report =
+                                new WorkerReport(i.reportAt(now).worker(), true, false, now - i.heardAt());
+                        store(new TrackedReport(report, now, i.heardAt(), i.announcedHereAt(), i.highestSequence()));
+                        logChange(Optional.of(i), report);
+                        drainChanged.add(report.id());
                     });
         }
     }
 
     /** Forgets what makes the words sure. */
-    void doubt() {
-        sure = Optional.empty();
-        contacts.clear();
-        matched.clear();
-        awake = Long.MIN_VALUE / 2;
-        looked = Long.MIN_VALUE / 2;
-        dirty = true;
+    void resetFreshness() {
+        confirmedAt = Optional.empty();
+        lastContacts.clear();
+        syncedAt.clear();
+        awakeSince = Long.MIN_VALUE / 2;
+        lastScan = Long.MIN_VALUE / 2;
+        isSnapshotStale = true;
     }
 
     /** The workers that are not gone; at a controller as of when they were heard, at a gateway as of when it was sure. */
-    Map<String, Gossip.Heard> workers(final boolean controller) {
-        if (dirty) {
-            final Map<String, Gossip.Heard> map = new HashMap<>();
-            list().forEach(i -> map.put(
-                    i.word().id(),
-                    new Gossip.Heard(
-                            i.word().worker(),
-                            controller ? Optional.of(i.heard()) : sure,
-                            i.word().silent(),
-                            i.at())));
-            seen = Map.copyOf(map);
-            dirty = false;
+    Map<String, Gossip.ObservedWorker> workers(final boolean isController) {
+        if (isSnapshotStale) {
+            final Map<String, Gossip.ObservedWorker> observed = new HashMap<>();
+            present()
+                    .forEach(i -> observed.put(
+                            i.report().id(),
+                            new Gossip.ObservedWorker(
+                                    i.report().worker(),
+                                    isController ? Optional.of(i.heardAt()) : confirmedAt,
+                                    i.report().silent(),
+                                    i.measuredAt())));
+            workersSnapshot = Map.copyOf(observed);
+            isSnapshotStale = false;
         }
-        return seen;
+        return workersSnapshot;
     }
 
     /** What is to be logged; handed over once. */
@@ -276,109 +288,115 @@
         return list;
     }
 
-    private long step() {
-        return way.silent() / STEPS;
+    private long ageStep() {
+        return reporting.silenceTimeout() / AGE_STEPS;
     }
 
-    private List<Item> list() {
-        return items.values().stream().filter(i -> !i.word().gone()).toList();
+    private List<TrackedReport> present() {
+        return tracked.values().stream().filter(i -> !i.report().gone()).toList();
     }
 
     /** Whether this controller knows what the controllers near a worker hear: those of its zone, else its region, else all. */
-    private boolean contact(final Worker w, final List<Member> controllers, final long now) {
+    private boolean hearsControllersNear(final Worker worker, final List<Member> controllers, final long now) {
         final List<Member> zone =
-                controllers.stream().filter(m -> m.zone().equals(w.zone())).toList();
+                controllers.stream().filter(m -> m.zone().equals(worker.zone())).toList();
         final List<Member> near = zone.isEmpty()
                 ? controllers.stream()
-                        .filter(m -> m.region().equals(w.region()))
+                        .filter(m -> m.region().equals(worker.region()))
                         .toList()
                 : zone;
         return (near.isEmpty() ? controllers : near)
                 .stream()
-                        .allMatch(m -> Optional.ofNullable(contacts.get(m.address()))
-                                .map(t -> now - t <= way.silent() / 2)
+                        .allMatch(m -> Optional.ofNullable(lastContacts.get(m.address()))
+                                .map(t -> now - t <= reporting.silenceTimeout() / 2)
                                 .orElse(false));
     }
 
-    private void put(final Item next) {
-        Optional.ofNullable(items.get(next.word().id())).ifPresent(i -> drop(i.word()));
-        items.put(next.word().id(), next);
-        sums.add(next.word().mark());
-        if (!next.word().gone()) {
-            roster.add(life(next.word()));
+    private void store(final TrackedReport next) {
+        Optional.ofNullable(tracked.get(next.report().id())).ifPresent(i -> remove(i.report()));
+        tracked.put(next.report().id(), next);
+        digests.add(next.report().version());
+        if (!next.report().gone()) {
+            incarnationDigests.add(incarnationVersion(next.report()));
         }
-        dirty = true;
+        isSnapshotStale = true;
     }
 
-    private void drop(final WorkerReport word) {
-        items.remove(word.id());
-        sums.remove(word.mark());
-        if (!word.gone()) {
-            roster.remove(life(word));
+    private void remove(final WorkerReport report) {
+        tracked.remove(report.id());
+        digests.remove(report.version());
+        if (!report.gone()) {
+            incarnationDigests.remove(incarnationVersion(report));
         }
-        dirty = true;
+        isSnapshotStale = true;
     }
 
-    private static Message.ReportVersion life(final WorkerReport word) {
-        return new Message.ReportVersion(word.id(), word.worker().life(), 0);
+    private static Message.ReportVersion incarnationVersion(final WorkerReport report) {
+        return new Message.ReportVersion(report.id(), report.worker().incarnation(), 0);
     }
 
-    private void tell(final Optional<Item> before, final WorkerReport word) {
-        final Optional<WorkerReport> old = before.map(Item::word)
-                .filter(o -> o.worker().life() == word.worker().life());
-        final Worker w = word.worker();
-        if (before.isEmpty() && !word.gone()) {
-            logs.add(new Effect.Log(Event.WORKER_KNOWN, w.id() + " " + w.address() + " zone " + w.zone()));
+    private void logChange(final Optional<TrackedReport> before, final WorkerReport report) {
+        final Optional<WorkerReport> old = before.map(TrackedReport::report)
+                .filter(o -> o.worker().incarnation() == report.worker().incarnation());
+        final Worker worker = report.worker();
+        if (before.isEmpty() && !report.gone()) {
+            logs.add(new Effect.Log(
+                    Event.WORKER_KNOWN, worker.id() + " " + worker.address() + " zone " + worker.zone()));
         }
-        if (word.gone() && before.isPresent()) {
-            logs.add(new Effect.Log(Event.WORKER_GONE, w.id() + " life " + w.life()));
-        } else if (word.silent() && !old.map(WorkerReport::silent).orElse(false)) {
-            logs.add(new Effect.Log(Event.WORKER_SILENT, w.id() + " for " + word.age() / 1000 + " ms"));
-        } else if (w.leaving() && !old.map(o -> o.worker().leaving()).orElse(false)) {
-            logs.add(new Effect.Log(Event.WORKER_LEAVING, w.id()));
+        if (report.gone() && before.isPresent()) {
+            logs.add(new Effect.Log(Event.WORKER_GONE, worker.id() + " life " + worker.incarnation()));
+        } else if (report.silent() && !old.map(WorkerReport::silent).orElse(false)) {
+            logs.add(new Effect.Log(Event.WORKER_SILENT, worker.id() + " for " + report.age() / 1000 + " ms"));
+        } else if (worker.draining() && !old.map(o -> o.worker().draining()).orElse(false)) {
+            logs.add(new Effect.Log(Event.WORKER_LEAVING, worker.id()));
         }
     }
 
     /**
      * A word and what this daemon knows of its age.
      *
-     * @param word  the word, its spans those of a moment
-     * @param at    that moment
-     * @param heard when a controller last heard the worker, as far as is known here
-     * @param own   when it last announced itself here
-     * @param top   the highest sequence of this life
+     * @param report  the word, its spans those of a moment
+     * @param measuredAt    that moment
+     * @param heardAt when a controller last heard the worker, as far as is known here
+     * @param announcedHereAt   when it last announced itself here
+     * @param highestSequence   the highest sequence of this life
      */
-    private record Item(WorkerReport word, long at, long heard, long own, long top) {
-        boolean late(final Worker said) {
-            final long life = word.worker().life();
-            return said.life() < life || said.life() == life && (word.gone() || said.sequence() <= top);
+    private record TrackedReport(
+            WorkerReport report, long measuredAt, long heardAt, long announcedHereAt, long highestSequence) {
+        boolean isStale(final Worker announced) {
+            final long incarnation = report.worker().incarnation();
+            return announced.incarnation() < incarnation
+                    || announced.incarnation() == incarnation
+                            && (report.gone() || announced.sequence() <= highestSequence);
         }
 
-        boolean changed(final Worker said, final long now) {
-            final Worker old = word.worker().aged(now - at);
-            return word.silent()
-                    || said.life() != old.life()
-                    || said.leaving() != old.leaving()
-                    || said.slots() != old.slots()
-                    || !said.address().equals(old.address())
-                    || !said.zone().equals(old.zone())
-                    || !said.region().equals(old.region())
-                    || !said.pool().equals(old.pool())
-                    || Math.abs(said.cold() - old.cold()) > Math.max(SLACK, old.cold() / 8)
-                    || said.rest() == 0 != (old.rest() == 0)
-                    || Math.abs(said.rest() - old.rest()) > Math.max(4 * SLACK, old.rest() / 8);
+        boolean differsFrom(final Worker announced, final long now) {
+            final Worker old = report.worker().agedBy(now - measuredAt);
+            return report.silent()
+                    || announced.incarnation() != old.incarnation()
+                    || announced.draining() != old.draining()
+                    || announced.slots() != old.slots()
+                    || !announced.address().equals(old.address())
+                    || !announced.zone().equals(old.zone())
+                    || !announced.region().equals(old.region())
+                    || !announced.pool().equals(old.pool())
+                    || Math.abs(announced.warmupRemaining() - old.warmupRemaining())
+                            > Math.max(TOLERANCE, old.warmupRemaining() / 8)
+                    || announced.lifetimeRemaining() == 0 != (old.lifetimeRemaining() == 0)
+                    || Math.abs(announced.lifetimeRemaining() - old.lifetimeRemaining())
+                            > Math.max(4 * TOLERANCE, old.lifetimeRemaining() / 8);
         }
 
-        Item beat(final long sequence, final long now) {
-            return new Item(word, at, now, now, sequence);
+        TrackedReport onHeartbeat(final long sequence, final long now) {
+            return new TrackedReport(report, measuredAt, now, now, sequence);
         }
 
-        Item heard(final long time) {
-            return new Item(word, at, time, own, top);
+        TrackedReport heardAt(final long time) {
+            return new TrackedReport(report, measuredAt, time, announcedHereAt, highestSequence);
         }
 
-        WorkerReport now(final long now) {
-            return word.aged(now - at);
+        WorkerReport reportAt(final long now) {
+            return report.agedBy(now - measuredAt);
         }
     }
 }
--- a/core/src/main/java/silverlatch/membership/Member.java
+++ b/core/src/main/java/silverlatch/membership/Member.java
@@ -10,9 +10,9 @@
  * @param zone    its zone
  * @param region  its region
  * @param address where it takes frames
- * @param door    where it takes HTTP
- * @param life    its incarnation, a larger one for each start and each rejoin
- * @param turn    how often it spoke up against suspicion in this life
+ * @param httpAddress    where it takes HTTP
+ * @param incarnation    its incarnation, a larger one for each start and each rejoin
+ * @param sequence    how often it spoke up against suspicion in this life
  * @param state   a state of the chart member
  * @param ready   whether it takes tickets
  */
@@ -22,48 +22,48 @@
         String zone,
         String region,
         String address,
-        String door,
-        long life,
-        long turn,
+        String httpAddress,
+        long incarnation,
+        long sequence,
         String state,
         boolean ready) {
     /** Whether this word on the same daemon goes before the other. */
-    public boolean beats(final Member old) {
-        if (life != old.life) {
-            return life > old.life;
+    public boolean supersedes(final Member other) {
+        if (incarnation != other.incarnation) {
+            return incarnation > other.incarnation;
         }
-        if (turn != old.turn) {
-            return turn > old.turn;
+        if (sequence != other.sequence) {
+            return sequence > other.sequence;
         }
-        return grave(state) > grave(old.state);
+        return severityOf(state) > severityOf(other.state);
     }
 
     /** The place of this word among those of one life. */
-    public long rank() {
-        return turn * 4 + grave(state);
+    public long precedence() {
+        return sequence * 4 + severityOf(state);
     }
 
     /** The same daemon in another state. */
-    public Member in(final String next) {
-        return new Member(id, role, zone, region, address, door, life, turn, next, ready);
+    public Member withState(final String newState) {
+        return new Member(id, role, zone, region, address, httpAddress, incarnation, sequence, newState, ready);
     }
 
     /** The same daemon a turn later. */
-    public Member turned(final long next, final boolean open) {
-        return new Member(id, role, zone, region, address, door, life, next, "up", open);
+    public Member asUp(final long newSequence, final boolean isReady) {
+        return new Member(id, role, zone, region, address, httpAddress, incarnation, newSequence, "up", isReady);
     }
 
     /** Whether it is thought to live. */
-    public boolean live() {
+    public boolean isLive() {
         return state.equals("up") || state.equals("suspect");
     }
 
     /** Whether it is a gateway. */
-    public boolean gateway() {
+    public boolean isGateway() {
         return role.equals("gateway");
     }
 
-    private static int grave(final String state) {
+    private static int severityOf(final String state) {
         return Optional.of(java.util.List.of("up", "suspect", "dead", "left").indexOf(state))
                 .orElse(0);
     }
--- a/core/src/main/java/silverlatch/node/Effect.java
+++ b/core/src/main/java/silverlatch/node/Effect.java
@@ -7,13 +7,13 @@
 /** What a core wants done in the world outside. */
 public sealed interface Effect {
     /** Send to the daemon that listens at this address. */
-    record Send(String to, Message body) implements Effect {}
+    record Send(String to, Message message) implements Effect {}
 
     /** Write to the ledger and sync, then report the token. */
-    record Keep(long token, List<LogRecord> notes) implements Effect {}
+    record Persist(long token, List<LogRecord> records) implements Effect {}
 
     /** An asked-for outcome is known. */
-    record Answer(long token, Object reply) implements Effect {}
+    record Respond(long token, Object response) implements Effect {}
 
     /** A numbered event for the log. */
     record Log(Event event, String text) implements Effect {}
--- a/core/src/main/java/silverlatch/node/Event.java
+++ b/core/src/main/java/silverlatch/node/Event.java
@@ -92,11 +92,11 @@
     RECORD_BROKEN(700, true);
 
     private final int number;
-    private final boolean warning;
+    private final boolean isWarning;
 
-    Event(final int number, final boolean warning) {
+    Event(final int number, final boolean isWarning) {
         this.number = number;
-        this.warning = warning;
+        this.isWarning = isWarning;
     }
 
     /** The event's number. */
@@ -105,7 +105,7 @@
     }
 
     /** Whether someone should look. */
-    public boolean warning() {
-        return warning;
+    public boolean isWarning() {
+        return isWarning;
     }
 }
--- a/core/src/main/java/silverlatch/node/Node.java
+++ b/core/src/main/java/silverlatch/node/Node.java
@@ -34,83 +34,85 @@
  * One duty owns it; only the clock's keeper is shared.
  */
 public final class Node {
-    private static final long SAMPLE = 4_000_000L;
-    private static final int LOOPS = 10_000;
-    private final Setup setup;
-    private final Membership crew;
-    private final Gossip rumor;
-    private final ChainClient clerk;
-    private Optional<ChainReplica> quay;
-    private final ProcessClock keeper;
-    private final Map<String, Sample> samples = new HashMap<>();
-    private final Deque<Parked<OutgoingFrame>> going = new ArrayDeque<>();
-    private final Deque<Parked<Frame>> coming = new ArrayDeque<>();
-    private final Deque<Effect> inner = new ArrayDeque<>();
-    private final List<OutgoingFrame> ships = new ArrayList<>();
-    private final List<Effect> out = new ArrayList<>();
-    private final Map<String, Long> tally = new HashMap<>();
-    private volatile PhysicalClock anchor;
-    private long begun;
-    private long judged;
-    private long slewed;
-    private boolean mustered;
-    private Optional<Stamp> floor;
-    private final long started;
-    private boolean confirmed;
+    private static final long OFFSET_RETENTION = 4_000_000L;
+    private static final int MAX_EFFECTS_PER_STEP = 10_000;
+    private final Settings settings;
+    private final Membership membership;
+    private final Gossip gossip;
+    private final ChainClient chainClient;
+    private Optional<ChainReplica> chainReplica;
+    private final ProcessClock processClock;
+    private final Map<String, ClockOffset> clockOffsets = new HashMap<>();
+    private final Deque<Delayed<OutgoingFrame>> delayedOutgoing = new ArrayDeque<>();
+    private final Deque<Delayed<Frame>> delayedIncoming = new ArrayDeque<>();
+    private final Deque<Effect> pendingEffects = new ArrayDeque<>();
+    private final List<OutgoingFrame> drainFrames = new ArrayList<>();
+    private final List<Effect> effects = new ArrayList<>();
+    private final Map<String, Long> counters = new HashMap<>();
+    private volatile PhysicalClock physicalClock;
+    private long currentTime;
+    private long lastClockCheck;
+    private long lastSlew;
+    private boolean hasJoined;
+    private Optional<Stamp> stampFloor;
+    private final long startedAt;
+    private boolean isStateConfirmed;
     private Policy policy = Policy.NONE;
-    private long policyPage;
+    private long policyRevision;
 
     /** A daemon's place and settings; skew in microseconds. */
-    public record Setup(
-            Member me,
+    public record Settings(
+            Member self,
             List<String> seeds,
-            int low,
-            long skew,
-            Membership.Times crew,
-            Gossip.Times rumor,
-            Safeguards guards) {
+            int stampLowBits,
+            long maxClockSkew,
+            Membership.Settings membership,
+            Gossip.Settings gossip,
+            Safeguards safeguards) {
         /** Copies the seeds. */
-        public Setup {
+        public Settings {
             seeds = List.copyOf(seeds);
         }
 
         /** A place and settings with all guards standing. */
-        public Setup(
-                final Member me,
+        public Settings(
+                final Member self,
                 final List<String> seeds,
-                final int low,
-                final long skew,
-                final Membership.Times crew,
-                final Gossip.Times rumor) {
-            this(me, seeds, low, skew, crew, rumor, Safeguards.ALL);
+                final int stampLowBits,
+                final long maxClockSkew,
+                final Membership.Settings membership,
+                final Gossip.Settings gossip) {
+            this(self, seeds, stampLowBits, maxClockSkew, membership, gossip, Safeguards.ALL);
         }
     }
 
     /** A daemon as it starts: its anchor, and for a controller with a data folder its chain setup and what the ledger held. */
     public Node(
-            final Setup setup,
-            final Optional<ChainReplica.Setup> chain,
-            final List<LogRecord> notes,
-            final PhysicalClock anchor,
-            final RandomGenerator luck,
+            final Settings settings,
+            final Optional<ChainReplica.Setup> chainSettings,
+            final List<LogRecord> records,
+            final PhysicalClock physicalClock,
+            final RandomGenerator random,
             final long now) {
-        this.setup = setup;
-        this.anchor = anchor;
-        this.begun = now;
-        this.started = now;
-        final long phys = anchor.physicalTime(now);
-        final PwcClock tide = PwcClock.start(phys, setup.low(), NtpTime.fromMicros(setup.skew()), 0);
-        this.keeper = new ProcessClock(tide, setup.guards());
-        this.floor = floor(notes);
-        this.crew = new Membership(setup.me(), setup.seeds(), setup.crew());
-        this.rumor = new Gossip(crew, luck, setup.rumor(), setup.guards());
-        this.quay = chain.map(c -> new ChainReplica(c.under(setup.guards()), notes, this::local, now));
-        this.clerk = new ChainClient(setup.me().address(), this::view, luck.nextLong() >>> 8);
-        this.quay.ifPresent(q -> rumor.own(q.books(), q.view(), false, now));
-    }
-
-    private static Optional<Stamp> floor(final List<LogRecord> notes) {
-        return notes.stream()
+        this.settings = settings;
+        this.physicalClock = physicalClock;
+        this.currentTime = now;
+        this.startedAt = now;
+        final long physicalTime = physicalClock.physicalTime(now);
+        final PwcClock clock =
+                PwcClock.start(physicalTime, settings.stampLowBits(), NtpTime.fromMicros(settings.maxClockSkew()), 0);
+        this.processClock = new ProcessClock(clock, settings.safeguards());
+        this.stampFloor = stampFloor(records);
+        this.membership = new Membership(settings.self(), settings.seeds(), settings.membership());
+        this.gossip = new Gossip(membership, random, settings.gossip(), settings.safeguards());
+        this.chainReplica = chainSettings.map(
+                c -> new ChainReplica(c.under(settings.safeguards()), records, this::localStamp, now));
+        this.chainClient = new ChainClient(settings.self().address(), this::view, random.nextLong() >>> 8);
+        this.chainReplica.ifPresent(q -> gossip.adoptReplicaState(q.books(), q.view(), false, now));
+    }
+
+    private static Optional<Stamp> stampFloor(final List<LogRecord> records) {
+        return records.stream()
                 .flatMap(n -> switch (n) {
                     case LogRecord.Appended d ->
                         java.util.stream.Stream.of(d.entry().stamp());
@@ -121,51 +123,52 @@
     }
 
     /** The stamp of a local event at this moment of the duty's own clock. */
-    public Stamp local(final long now) {
-        return keeper.local(anchor.physicalTime(now));
+    public Stamp localStamp(final long now) {
+        return processClock.local(physicalClock.physicalTime(now));
     }
 
     /** The clock's keeper, shared by the duties of the process. */
-    public ProcessClock keeper() {
-        return keeper;
+    public ProcessClock processClock() {
+        return processClock;
     }
 
     /** The physical clock. */
-    public PhysicalClock anchor() {
-        return anchor;
+    public PhysicalClock physicalClock() {
+        return physicalClock;
     }
 
     /** Who is there. */
-    public Membership crew() {
-        return crew;
+    public Membership membership() {
+        return membership;
     }
 
     /** The news. */
-    public Gossip rumor() {
-        return rumor;
+    public Gossip gossip() {
+        return gossip;
     }
 
     /** The chain, at a controller with a data folder. */
-    public Optional<ChainReplica> quay() {
-        return quay;
+    public Optional<ChainReplica> chainReplica() {
+        return chainReplica;
     }
 
     /** Counts of what the wire brought. */
-    public Map<String, Long> tally() {
-        return Map.copyOf(tally);
+    public Map<String, Long> counters() {
+        return Map.copyOf(counters);
     }
 
     /** The newest view known here. */
     public View view() {
-        final View heard = rumor.view();
-        return quay.map(ChainReplica::view)
-                .filter(v -> v.number() >= heard.number())
-                .orElse(heard);
+        final View gossiped = gossip.view();
+        return chainReplica
+                .map(ChainReplica::view)
+                .filter(v -> v.number() >= gossiped.number())
+                .orElse(gossiped);
     }
 
     /** Whether a frame waits for the clock. */
-    public boolean parked() {
-        return !going.isEmpty() || !coming.isEmpty();
+    public boolean hasDelayedFrames() {
+        return !delayedOutgoing.isEmpty() || !delayedIncoming.isEmpty();
     }
 
     /**
@@ -174,330 +177,335 @@
      * machine routed by.
      */
     public Facts facts() {
-        confirmed = confirmed || rumor.confirmedSince(started);
-        if (!confirmed) {
+        isStateConfirmed = isStateConfirmed || gossip.confirmedSince(startedAt);
+        if (!isStateConfirmed) {
             return new Facts(
-                    crew.me(),
+                    membership.self(),
                     0,
                     Optional.empty(),
                     Policy.NONE,
-                    rumor.workers(),
-                    crew.live().stream().filter(Member::gateway).toList());
+                    gossip.workers(),
+                    membership.liveMembers().stream().filter(Member::isGateway).toList());
         }
-        if (policyPage != rumor.books().policyRevision()) {
-            final boolean on = policyPage > 0 && policyPage < rumor.books().policyRevision();
-            policy = (on ? policy : Policy.NONE).with(rumor.books().policySince(on ? policyPage : 0));
-            policyPage = rumor.books().policyRevision();
+        if (policyRevision != gossip.stateMachine().policyRevision()) {
+            final boolean incremental =
+                    policyRevision > 0 && policyRevision < gossip.stateMachine().policyRevision();
+            policy = (incremental ? policy : Policy.NONE)
+                    .with(gossip.stateMachine().policySince(incremental ? policyRevision : 0));
+            policyRevision = gossip.stateMachine().policyRevision();
         }
-        final long now = begun;
-        final Optional<Long> sure =
-                rumor.age(now) == Long.MAX_VALUE ? Optional.empty() : Optional.of(now - rumor.age(now));
+        final long now = currentTime;
+        final Optional<Long> confirmedAt =
+                gossip.stateAge(now) == Long.MAX_VALUE ? Optional.empty() : Optional.of(now - gossip.stateAge(now));
         return new Facts(
-                crew.me(),
-                rumor.books().policyRevision(),
-                sure.filter(s -> mustered),
+                membership.self(),
+                gossip.stateMachine().policyRevision(),
+                confirmedAt.filter(s -> hasJoined),
                 policy,
-                rumor.workers(),
-                crew.live().stream().filter(Member::gateway).toList());
+                gossip.workers(),
+                membership.liveMembers().stream().filter(Member::isGateway).toList());
     }
 
     /** A frame came in. */
-    public void frame(final Frame f, final long now) {
-        step(now);
-        if (!coming.isEmpty() || !take(f, now)) {
-            coming.add(new Parked<>(f, now));
+    public void onFrame(final Frame frame, final long now) {
+        advanceTime(now);
+        if (!delayedIncoming.isEmpty() || !admit(frame, now)) {
+            delayedIncoming.add(new Delayed<>(frame, now));
         }
-        settle(now);
+        processEffects(now);
     }
 
     /** A worker announced itself; gives the echo to hand back. */
-    public long announced(final Worker word, final long echo, final long now) {
-        step(now);
-        local(now);
-        final long token = rumor.announced(word, echo, now);
-        settle(now);
+    public long onAnnouncement(final Worker worker, final long echo, final long now) {
+        advanceTime(now);
+        localStamp(now);
+        final long token = gossip.onAnnouncement(worker, echo, now);
+        processEffects(now);
         return token;
     }
 
     /** A worker's life is over; false when it isn't known here. */
-    public boolean gone(final String id, final long now) {
-        step(now);
-        final boolean known = rumor.gone(id, now);
-        settle(now);
+    public boolean onWorkerGone(final String id, final long now) {
+        advanceTime(now);
+        final boolean known = gossip.onWorkerGone(id, now);
+        processEffects(now);
         return known;
     }
 
     /** Someone here wishes for a change. */
-    public void wish(final Command wish, final long token, final long now, final long expiry) {
-        step(now);
-        clerk.wish(wish, token, now, expiry);
-        settle(now);
+    public void submit(final Command command, final long token, final long now, final long deadline) {
+        advanceTime(now);
+        chainClient.wish(command, token, now, deadline);
+        processEffects(now);
     }
 
     /** Someone here asks the tail. */
-    public void read(final String start, final long token, final long now, final long expiry) {
-        step(now);
-        clerk.read(start, token, now, expiry);
-        settle(now);
+    public void read(final String keyPrefix, final long token, final long now, final long deadline) {
+        advanceTime(now);
+        chainClient.read(keyPrefix, token, now, deadline);
+        processEffects(now);
     }
 
     /** The ledger synced a write. */
-    public void kept(final long token, final long now) {
-        step(now);
-        quay.ifPresent(q -> q.kept(token, now));
-        settle(now);
+    public void onPersisted(final long token, final long now) {
+        advanceTime(now);
+        chainReplica.ifPresent(q -> q.kept(token, now));
+        processEffects(now);
     }
 
     /** The ledger failed. */
-    public void broke(final String why, final long now) {
-        step(now);
-        quay.ifPresent(q -> q.broke(why));
-        settle(now);
+    public void onDiskFailed(final String reason, final long now) {
+        advanceTime(now);
+        chainReplica.ifPresent(q -> q.broke(reason));
+        processEffects(now);
     }
 
     /** The disk takes writes again: the chain's replica begins anew from what the log holds, as after a restart. */
-    public void recovered(final List<LogRecord> records, final long now) {
-        step(now);
-        quay = quay.map(q -> q.recovered(records, now));
-        settle(now);
+    public void onDiskRecovered(final List<LogRecord> records, final long now) {
+        advanceTime(now);
+        chainReplica = chainReplica.map(q -> q.recovered(records, now));
+        processEffects(now);
     }
 
     /** Whether this daemon takes tickets, as the others shall know it. */
-    public void ready(final boolean open) {
-        crew.ready(open);
+    public void setReady(final boolean isReady) {
+        membership.setReady(isReady);
     }
 
     /** This daemon is about to stop. */
     public void leave(final long now) {
-        step(now);
-        crew.leave();
-        quay.ifPresent(ChainReplica::leave);
-        settle(now);
+        advanceTime(now);
+        membership.leave();
+        chainReplica.ifPresent(ChainReplica::leave);
+        processEffects(now);
     }
 
     /** A clock event, some twenty a second. */
-    public void tick(final long now, final long wall) {
-        step(now);
-        if (now - slewed >= 1_000_000L) {
-            slewed = now;
-            final long jumps = anchor.jumps();
-            anchor = anchor.slew(wall, now, setup.skew());
-            if (anchor.jumps() > jumps && anchor.jumps() == 1) {
-                out.add(new Effect.Log(Event.WALL_JUMP, "the wall clock is not followed"));
+    public void tick(final long now, final long wallTime) {
+        advanceTime(now);
+        if (now - lastSlew >= 1_000_000L) {
+            lastSlew = now;
+            final long jumps = physicalClock.jumps();
+            physicalClock = physicalClock.slew(wallTime, now, settings.maxClockSkew());
+            if (physicalClock.jumps() > jumps && physicalClock.jumps() == 1) {
+                effects.add(new Effect.Log(Event.WALL_JUMP, "the wall clock is not followed"));
             }
         }
-        floor = floor.filter(f -> keeper.raiseAbove(f, anchor.physicalTime(now)).isEmpty());
-        parked(now);
-        judge(now);
-        crew.tick(now);
-        quay.ifPresent(q -> {
+        stampFloor = stampFloor.filter(
+                f -> processClock.raiseAbove(f, physicalClock.physicalTime(now)).isEmpty());
+        hasDelayedFrames(now);
+        checkClock(now);
+        membership.tick(now);
+        chainReplica.ifPresent(q -> {
             q.tick(now);
-            rumor.own(q.books(), q.view(), q.sure(now), now);
+            gossip.adoptReplicaState(q.books(), q.view(), q.sure(now), now);
         });
-        rumor.tick(now);
-        clerk.tick(now);
-        settle(now);
+        gossip.tick(now);
+        chainClient.tick(now);
+        processEffects(now);
     }
 
     /** Frames to be shipped; handed over once. */
-    public List<OutgoingFrame> ships() {
-        final List<OutgoingFrame> list = List.copyOf(ships);
-        ships.clear();
-        return list;
+    public List<OutgoingFrame> drainFrames() {
+        final List<OutgoingFrame> frames = List.copyOf(drainFrames);
+        drainFrames.clear();
+        return frames;
     }
 
     /** Other effects; handed over once. */
     public List<Effect> drain() {
-        final List<Effect> list = List.copyOf(out);
-        out.clear();
+        final List<Effect> list = List.copyOf(effects);
+        effects.clear();
         return list;
     }
 
-    private Stamp local() {
-        return local(begun);
+    private Stamp localStamp() {
+        return localStamp(currentTime);
     }
 
-    private void step(final long now) {
-        begun = Math.max(begun, now);
+    private void advanceTime(final long now) {
+        currentTime = Math.max(currentTime, now);
     }
 
-    private boolean take(final Frame f, final long now) {
-        final long phys = anchor.physicalTime(now);
-        final Sample sample = new Sample(f.stamp().bits() - phys, now);
-        switch (keeper.receive(f.stamp(), phys)) {
+    private boolean admit(final Frame frame, final long now) {
+        final long physicalTime = physicalClock.physicalTime(now);
+        final ClockOffset offset = new ClockOffset(frame.stamp().bits() - physicalTime, now);
+        switch (processClock.receive(frame.stamp(), physicalTime)) {
             case ClockReading.Stamped made -> {
-                samples.put(f.replyTo(), new Sample(0, now));
-                deliver(f, now, phys);
+                clockOffsets.put(frame.replyTo(), new ClockOffset(0, now));
+                deliver(frame, now, physicalTime);
             }
             case ClockReading.Wait wait -> {
                 return false;
             }
             case ClockReading.TooFarAhead far -> {
-                count("far");
-                samples.put(f.replyTo(), sample);
-                out.add(new Effect.Log(
-                        Event.FAR_STAMP, f.from() + " is ahead by " + NtpTime.toMicros(far.units()) + " us too many"));
-                if (!(f.body() instanceof Message.StampRejected)) {
-                    inner.add(new Effect.Send(f.replyTo(), new Message.StampRejected(far.units(), phys)));
+                increment("far");
+                clockOffsets.put(frame.replyTo(), offset);
+                effects.add(new Effect.Log(
+                        Event.FAR_STAMP,
+                        frame.from() + " is ahead by " + NtpTime.toMicros(far.units()) + " us too many"));
+                if (!(frame.body() instanceof Message.StampRejected)) {
+                    pendingEffects.add(
+                            new Effect.Send(frame.replyTo(), new Message.StampRejected(far.units(), physicalTime)));
                 }
             }
         }
         return true;
     }
 
-    private void deliver(final Frame f, final long now, final long phys) {
-        final long fleet = rumor.fleet();
-        if (fleet != 0 && f.fleet() != 0 && f.fleet() != fleet) {
-            count("fleet");
-            out.add(new Effect.Log(Event.OTHER_FLEET, f.from()));
+    private void deliver(final Frame frame, final long now, final long physicalTime) {
+        final long fleet = gossip.fleet();
+        if (fleet != 0 && frame.fleet() != 0 && frame.fleet() != fleet) {
+            increment("fleet");
+            effects.add(new Effect.Log(Event.OTHER_FLEET, frame.from()));
             return;
         }
-        count("frames");
-        hand(f.body(), f.replyTo(), now, phys);
+        increment("frames");
+        dispatch(frame.body(), frame.replyTo(), now, physicalTime);
     }
 
-    private void hand(final Message msg, final String home, final long now, final long phys) {
-        switch (msg) {
-            case Message.JoinGreeting m -> crew.on(m, now, phys, keeper.last());
+    private void dispatch(final Message message, final String sender, final long now, final long physicalTime) {
+        switch (message) {
+            case Message.JoinGreeting m -> membership.on(m, now, physicalTime, processClock.last());
             case Message.MemberList m -> {
-                mustered = true;
-                keeper.raiseAbove(m.stampFloor(), phys);
-                crew.on(m, now, phys, keeper.last());
+                hasJoined = true;
+                processClock.raiseAbove(m.stampFloor(), physicalTime);
+                membership.on(m, now, physicalTime, processClock.last());
             }
-            case Message.LivenessHeartbeat m -> crew.on(m, now, phys, keeper.last());
-            case Message.Heartbeat m -> crew.on(m, now, phys, keeper.last());
-            case Message.GossipPush m -> rumor.on(m, home, now);
+            case Message.LivenessHeartbeat m -> membership.on(m, now, physicalTime, processClock.last());
+            case Message.Heartbeat m -> membership.on(m, now, physicalTime, processClock.last());
+            case Message.GossipPush m -> gossip.on(m, sender, now);
             case Message.GossipPull m -> {
-                quay.ifPresent(q -> rumor.own(q.books(), q.view(), q.sure(now), now));
-                rumor.on(m, home, now);
+                chainReplica.ifPresent(q -> gossip.adoptReplicaState(q.books(), q.view(), q.sure(now), now));
+                gossip.on(m, sender, now);
             }
-            case Message.GossipPullReply m -> rumor.on(m, home, now);
-            case Message.ReportVersions m -> rumor.on(m, home, now);
-            case Message.MissingReports m -> rumor.on(m, home, now);
-            case Message.WriteReply m -> clerk.on(m, now);
-            case Message.ReadReply m -> clerk.on(m, now);
+            case Message.GossipPullReply m -> gossip.on(m, sender, now);
+            case Message.ReportVersions m -> gossip.on(m, sender, now);
+            case Message.MissingReports m -> gossip.on(m, sender, now);
+            case Message.WriteReply m -> chainClient.on(m, now);
+            case Message.ReadReply m -> chainClient.on(m, now);
             case Message.StampRejected m -> {
-                out.add(new Effect.Log(
-                        Event.ASTRAY, home + " says by " + NtpTime.toMicros(m.excess()) + " us too many"));
-                samples.put(home, new Sample(m.physicalTime() - phys, now));
+                effects.add(new Effect.Log(
+                        Event.ASTRAY, sender + " says by " + NtpTime.toMicros(m.excess()) + " us too many"));
+                clockOffsets.put(sender, new ClockOffset(m.physicalTime() - physicalTime, now));
             }
-            default -> quay.ifPresent(q -> q.on(msg, home, now));
+            default -> chainReplica.ifPresent(q -> q.on(message, sender, now));
         }
     }
 
-    private void judge(final long now) {
-        if (now - judged < 500_000L) {
+    private void checkClock(final long now) {
+        if (now - lastClockCheck < 500_000L) {
             return;
         }
-        judged = now;
-        samples.values().removeIf(s -> now - s.at() > SAMPLE);
-        final long phys = anchor.physicalTime(now);
-        final List<Long> gaps =
-                new ArrayList<>(samples.values().stream().map(Sample::gap).toList());
-        gaps.add(0L);
-        gaps.sort(Long::compare);
-        final long middle = gaps.get((gaps.size() - 1) / 2);
-        final long skew = NtpTime.fromMicros(setup.skew());
-        if (gaps.size() >= 3 && Math.abs(middle) > skew) {
-            anchor = anchor.shiftedBy(middle < 0 ? -NtpTime.toMicros(-middle) : NtpTime.toMicros(middle));
-            out.add(new Effect.Log(
+        lastClockCheck = now;
+        clockOffsets.values().removeIf(s -> now - s.measuredAt() > OFFSET_RETENTION);
+        final long physicalTime = physicalClock.physicalTime(now);
+        final List<Long> offsets = new ArrayList<>(
+                clockOffsets.values().stream().map(ClockOffset::offset).toList());
+        offsets.add(0L);
+        offsets.sort(Long::compare);
+        final long median = offsets.get((offsets.size() - 1) / 2);
+        final long maxSkew = NtpTime.fromMicros(settings.maxClockSkew());
+        if (offsets.size() >= 3 && Math.abs(median) > maxSkew) {
+            physicalClock = physicalClock.shiftedBy(median < 0 ? -NtpTime.toMicros(-median) : NtpTime.toMicros(median));
+            effects.add(new Effect.Log(
                     Event.ANCHORED,
-                    "moved by " + (middle < 0 ? -NtpTime.toMicros(-middle) : NtpTime.toMicros(middle)) + " us"));
+                    "moved by " + (median < 0 ? -NtpTime.toMicros(-median) : NtpTime.toMicros(median)) + " us"));
             rejoin(now, "the median of the peers");
-        } else if (keeper.needsRejoin(phys)) {
+        } else if (processClock.needsRejoin(physicalTime)) {
             rejoin(now, "overflows");
         }
     }
 
-    private void rejoin(final long now, final String why) {
-        count("rejoins");
-        keeper.reset(anchor.physicalTime(now));
-        samples.clear();
-        going.clear();
-        coming.clear();
-        mustered = false;
-        rumor.doubt();
-        crew.life(crew.me().life() + 1);
-        crew.again();
-        out.add(new Effect.Log(Event.REJOIN, why));
+    private void rejoin(final long now, final String reason) {
+        increment("rejoins");
+        processClock.reset(physicalClock.physicalTime(now));
+        clockOffsets.clear();
+        delayedOutgoing.clear();
+        delayedIncoming.clear();
+        hasJoined = false;
+        gossip.resetFreshness();
+        membership.startIncarnation(membership.self().incarnation() + 1);
+        membership.rejoinSeeds();
+        effects.add(new Effect.Log(Event.REJOIN, reason));
     }
 
-    private void parked(final long now) {
-        while (!coming.isEmpty() && take(coming.peek().thing(), now)) {
-            coming.poll();
+    private void hasDelayedFrames(final long now) {
+        while (!delayedIncoming.isEmpty() && admit(delayedIncoming.peek().item(), now)) {
+            delayedIncoming.poll();
         }
-        while (!going.isEmpty() && stamp(going.peek().thing(), now)) {
-            going.poll();
+        while (!delayedOutgoing.isEmpty() && tryStamp(delayedOutgoing.peek().item(), now)) {
+            delayedOutgoing.poll();
         }
-        late(coming, now);
-        late(going, now);
+        dropExpired(delayedIncoming, now);
+        dropExpired(delayedOutgoing, now);
     }
 
-    private void late(final Deque<? extends Parked<?>> list, final long now) {
-        while (!list.isEmpty() && now - list.peek().at() > ProcessClock.MAX_WAIT_MICROS) {
-            list.poll();
-            keeper.recordDrop(now);
-            count("overflow");
-            out.add(new Effect.Log(Event.OVERFLOW, "a message was given up"));
+    private void dropExpired(final Deque<? extends Delayed<?>> delayed, final long now) {
+        while (!delayed.isEmpty() && now - delayed.peek().since() > ProcessClock.MAX_WAIT_MICROS) {
+            delayed.poll();
+            processClock.recordDrop(now);
+            increment("overflow");
+            effects.add(new Effect.Log(Event.OVERFLOW, "a message was given up"));
         }
     }
 
-    private boolean stamp(final OutgoingFrame s, final long now) {
-        if (keeper.send(anchor.physicalTime(now)) instanceof ClockReading.Stamped made) {
-            ships.add(new OutgoingFrame(
-                    s.to(),
+    private boolean tryStamp(final OutgoingFrame outgoing, final long now) {
+        if (processClock.send(physicalClock.physicalTime(now)) instanceof ClockReading.Stamped made) {
+            drainFrames.add(new OutgoingFrame(
+                    outgoing.to(),
                     new Frame(
                             made.stamp(),
-                            rumor.fleet(),
-                            setup.me().id(),
-                            setup.me().address(),
-                            crew.me().life(),
-                            s.frame().body())));
+                            gossip.fleet(),
+                            settings.self().id(),
+                            settings.self().address(),
+                            membership.self().incarnation(),
+                            outgoing.frame().body())));
             return true;
         }
         return false;
     }
 
-    private void settle(final long now) {
-        int loops = 0;
-        gather();
-        while (!inner.isEmpty() && loops++ < LOOPS) {
-            final Effect e = inner.poll();
-            if (e instanceof Effect.Send send) {
-                dispatch(send, now);
+    private void processEffects(final long now) {
+        int processed = 0;
+        collectEffects();
+        while (!pendingEffects.isEmpty() && processed++ < MAX_EFFECTS_PER_STEP) {
+            final Effect effect = pendingEffects.poll();
+            if (effect instanceof Effect.Send send) {
+                send(send, now);
             } else {
-                out.add(e);
+                effects.add(effect);
             }
-            gather();
+            collectEffects();
         }
     }
 
     /** Hands a message to this daemon itself, or stamps it for another; it waits its turn while the clock overflows. */
-    private void dispatch(final Effect.Send send, final long now) {
-        if (send.to().equals(setup.me().address())) {
-            hand(send.body(), send.to(), now, anchor.physicalTime(now));
+    private void send(final Effect.Send send, final long now) {
+        if (send.to().equals(settings.self().address())) {
+            dispatch(send.message(), send.to(), now, physicalClock.physicalTime(now));
             return;
         }
         final Frame unstamped =
-                new Frame(new Stamp(1), 0, setup.me().id(), setup.me().address(), 0, send.body());
-        final OutgoingFrame ship = new OutgoingFrame(send.to(), unstamped);
-        if (!going.isEmpty() || !stamp(ship, now)) {
-            going.add(new Parked<>(ship, now));
+                new Frame(new Stamp(1), 0, settings.self().id(), settings.self().address(), 0, send.message());
+        final OutgoingFrame outgoing = new OutgoingFrame(send.to(), unstamped);
+        if (!delayedOutgoing.isEmpty() || !tryStamp(outgoing, now)) {
+            delayedOutgoing.add(new Delayed<>(outgoing, now));
         }
     }
 
-    private void gather() {
-        inner.addAll(crew.drain());
-        quay.ifPresent(q -> inner.addAll(q.drain()));
-        inner.addAll(rumor.drain());
-        inner.addAll(clerk.drain());
+    private void collectEffects() {
+        pendingEffects.addAll(membership.drain());
+        chainReplica.ifPresent(q -> pendingEffects.addAll(q.drain()));
+        pendingEffects.addAll(gossip.drain());
+        pendingEffects.addAll(chainClient.drain());
     }
 
-    private void count(final String name) {
-        tally.merge(name, 1L, Long::sum);
+    private void increment(final String name) {
+        counters.merge(name, 1L, Long::sum);
     }
 
-    private record Sample(long gap, long at) {}
+    private record ClockOffset(long offset, long measuredAt) {}
 
-    private record Parked<T>(T thing, long at) {}
+    private record Delayed<T>(T item, long since) {}
 }
--- a/core/src/main/java/silverlatch/placement/PlacementInput.java
+++ b/core/src/main/java/silverlatch/placement/PlacementInput.java
@@ -24,7 +24,7 @@
 
     /** How warm it is, from a tenth to one. */
     public double warmth() {
-        final long span = Math.max(0, Math.min(worker.up(), back));
+        final long span = Math.max(0, Math.min(worker.uptime(), back));
         return Math.min(1, LOW + (1 - LOW) * span / RAMP);
     }
 
--- a/core/src/main/java/silverlatch/placement/WeightedScorers.java
+++ b/core/src/main/java/silverlatch/placement/WeightedScorers.java
@@ -34,8 +34,8 @@
     public static WeightedScorers full(final long oldest, final Safeguards guards) {
         final List<Scorer> all = new ArrayList<>(List.of(new Prefix(), new Load(), new Cross()));
         all.addAll(sworn(oldest, guards));
-        if (guards.stands(Safeguard.RAMP)) {
-            all.add(new Cold(guards.stands(Safeguard.WARM)));
+        if (guards.isEnabled(Safeguard.RAMP)) {
+            all.add(new Cold(guards.isEnabled(Safeguard.WARM)));
         }
         return new WeightedScorers(all);
     }
@@ -47,13 +47,13 @@
 
     private static List<Scorer> sworn(final long oldest, final Safeguards guards) {
         final List<Scorer> all = new ArrayList<>();
-        if (guards.stands(Safeguard.SERVED)) {
+        if (guards.isEnabled(Safeguard.SERVED)) {
             all.add(new Home());
         }
-        if (guards.stands(Safeguard.ZONE)) {
+        if (guards.isEnabled(Safeguard.ZONE)) {
             all.add(new Zone());
         }
-        all.add(new Lease(guards.stands(Safeguard.WORD) ? oldest : Long.MAX_VALUE));
+        all.add(new Lease(guards.isEnabled(Safeguard.WORD) ? oldest : Long.MAX_VALUE));
         return all;
     }
 
--- a/core/src/main/java/silverlatch/placement/scorer/Lease.java
+++ b/core/src/main/java/silverlatch/placement/scorer/Lease.java
@@ -26,7 +26,7 @@
 
     @Override
     public ScorerResult weigh(final Case ticket, final PlacementInput worker) {
-        if (worker.worker().leaving()) {
+        if (worker.worker().draining()) {
             return new ScorerResult.Veto("it is leaving");
         }
         if (worker.age() > oldest) {
--- a/core/src/main/java/silverlatch/placement/scorer/Prefix.java
+++ b/core/src/main/java/silverlatch/placement/scorer/Prefix.java
@@ -22,7 +22,7 @@
     public ScorerResult weigh(final Case ticket, final PlacementInput worker) {
         final List<Long> want = ticket.prefix();
         int held = 0;
-        while (held < want.size() && worker.worker().kept().contains(want.get(held))) {
+        while (held < want.size() && worker.worker().cachedPrefixes().contains(want.get(held))) {
             held++;
         }
         return new ScorerResult.Score(want.isEmpty() ? 0 : (double) held / want.size());
--- a/core/src/main/java/silverlatch/replication/ChainClient.java
+++ b/core/src/main/java/silverlatch/replication/ChainClient.java
@@ -71,7 +71,7 @@
             }
             case Message.ReadReply m -> {
                 if (m.answered() && open.containsKey(m.requestId())) {
-                    out.add(new Effect.Answer(
+                    out.add(new Effect.Respond(
                             open.remove(m.requestId()).token(), new Page(true, m.sequence(), m.entries())));
                 }
             }
@@ -90,7 +90,7 @@
             final Message next = new Message.WriteRequest(ask, home, order.active(r.sequence()));
             open(ask, new Open(next, true, o.token(), now, o.expiry(), true, 0), now);
         } else {
-            out.add(new Effect.Answer(o.token(), result));
+            out.add(new Effect.Respond(o.token(), result));
         }
     }
 
@@ -130,7 +130,7 @@
     private void open(final long id, final Open o, final long now) {
         if (now >= o.expiry()) {
             open.remove(id);
-            out.add(new Effect.Answer(
+            out.add(new Effect.Respond(
                     o.token(),
                     o.msg() instanceof Message.WriteRequest w
                             ? new CommandResult.Unknown(w.command().id())
--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -123,14 +123,14 @@
         this.stamps = stamps;
         this.seats = setup.seats();
         this.books = new StateMachine(setup.guards());
-        this.spot = chart.start();
+        this.spot = chart.initialState();
         notes.forEach(this::recall);
         floor = now + setup.lease();
         clock = now;
         swept = now;
         if (view.number() > 0) {
             final boolean in = view.place(setup.me().id()) >= 0;
-            spot = chart.move(spot, in ? "chain" : "learn");
+            spot = chart.transition(spot, in ? "chain" : "learn");
             if (!in) {
                 forget();
             }
@@ -282,7 +282,7 @@
     /** The disk failed: this machine takes no part until it has recovered. */
     public void broke(final String why) {
         if (!broken()) {
-            spot = chart.move(spot, "break");
+            spot = chart.transition(spot, "break");
             log(Event.DISK_BROKEN, why);
             held.clear();
             abandonWaiting();
@@ -300,7 +300,7 @@
     }
 
     /**
-     * Whether this machine may end, after {@link #leave()}: the chain goes on without it, and a majority of the voters
+     * Whether this machine may end, after {@link #deliverFrame()}: the chain goes on without it, and a majority of the voters
      * that remain knows that. A member that the chain needs for its copies stays until its grace ends.
      */
     public boolean gone() {
@@ -310,7 +310,7 @@
         if (view.place(setup.me().id()) >= 0) {
             return view.voters().equals(List.of(setup.me())) && joins.isEmpty();
         }
-        if (!setup.guards().stands(Safeguard.HANDOVER)) {
+        if (!setup.guards().isEnabled(Safeguard.HANDOVER)) {
             return true;
         }
         final long know = view.voters().stream()
@@ -581,7 +581,7 @@
                 heard.put(b.id(), now);
             }
         });
-        spot = chart.move(spot, in ? "chain" : "learn");
+        spot = chart.transition(spot, in ? "chain" : "learn");
         keep(List.of(new LogRecord.ViewInstalled(view, level)), t -> {});
         log(
                 Event.VIEW,
@@ -729,7 +729,7 @@
      * the old view alone: what the new one acknowledges has passed them.
      */
     private long due(final View next) {
-        return ViewPlanner.grown(view, next) || !setup.guards().stands(Safeguard.LEASE_WAIT)
+        return ViewPlanner.grown(view, next) || !setup.guards().isEnabled(Safeguard.LEASE_WAIT)
                 ? 0
                 : view.chain().stream()
                         .filter(b -> next.place(b.id()) < 0)
@@ -799,7 +799,7 @@
             return;
         }
         bid = Optional.empty();
-        if (!view.votes(setup.me().id()) || !setup.guards().stands(Safeguard.MEND)) {
+        if (!view.votes(setup.me().id()) || !setup.guards().isEnabled(Safeguard.MEND)) {
             return;
         }
         if (level) {
@@ -871,12 +871,12 @@
 
     /** Whether the chain is long enough for an acknowledgement. */
     private boolean enough() {
-        return view.chain().size() >= setup.copies() || !setup.guards().stands(Safeguard.COPIES);
+        return view.chain().size() >= setup.copies() || !setup.guards().isEnabled(Safeguard.COPIES);
     }
 
     /** Whether a replication message is of another view than the one held here, and so must not be taken. */
     private boolean fenced(final long number) {
-        return number != view.number() && setup.guards().stands(Safeguard.FENCE);
+        return number != view.number() && setup.guards().isEnabled(Safeguard.FENCE);
     }
 
     private void again(final long now) {
@@ -986,7 +986,7 @@
      * view may drop, and is held until the newest of them is committed.
      */
     private void refuse(final Message.WriteRequest m, final CommandResult refusal, final Stamp stamp) {
-        if (pend.isEmpty() || !setup.guards().stands(Safeguard.SETTLED)) {
+        if (pend.isEmpty() || !setup.guards().isEnabled(Safeguard.SETTLED)) {
             reply(m, refusal);
             return;
         }
@@ -1226,7 +1226,7 @@
      * this machine restarted, so a machine that is repaired from here keeps them too.
      */
     private List<LogEntry> syncedPending() {
-        return setup.guards().stands(Safeguard.REPAIR_PENDING)
+        return setup.guards().isEnabled(Safeguard.REPAIR_PENDING)
                 ? pend.stream().filter(c -> c.sequence() <= kept).toList()
                 : List.of();
     }
@@ -1297,7 +1297,7 @@
             return;
         }
         repair = Optional.empty();
-        if (setup.guards().stands(Safeguard.DIGEST)) {
+        if (setup.guards().isEnabled(Safeguard.DIGEST)) {
             taken.ranges().forEach((range, entries) -> books.replaceRange(range, RANGES, entries));
         }
         if (!sameDigests(m)) {
@@ -1339,7 +1339,7 @@
      */
     private boolean sameDigests(final Message.RepairRanges m) {
         return Arrays.equals(m.digests(), books.digests(RANGES))
-                || !setup.guards().stands(Safeguard.DIGEST);
+                || !setup.guards().isEnabled(Safeguard.DIGEST);
     }
 
     private void join() {
@@ -1353,7 +1353,7 @@
     private void read(final Message.ReadRequest m, final long now) {
         final boolean held = !enough() && pend.stream().anyMatch(c -> c.sequence() <= kept);
         final boolean ok =
-                tail() && level && !held && (leased(now) || !setup.guards().stands(Safeguard.LEASE));
+                tail() && level && !held && (leased(now) || !setup.guards().isEnabled(Safeguard.LEASE));
         send(
                 m.replyTo(),
                 new Message.ReadReply(
@@ -1373,13 +1373,13 @@
 
     private void keep(final List<LogRecord> notes, final LongConsumer then) {
         token++;
-        final boolean early = !setup.guards().stands(Safeguard.PROMISE)
+        final boolean early = !setup.guards().isEnabled(Safeguard.PROMISE)
                 && (notes.get(0) instanceof LogRecord.Promised || notes.get(0) instanceof LogRecord.Accepted);
         if (early) {
             then.accept(clock);
         }
         held.put(token, new Held(clock, early ? t -> {} : then));
-        out.add(new Effect.Keep(token, notes));
+        out.add(new Effect.Persist(token, notes));
     }
 
     private void send(final String to, final Message body) {
--- a/core/src/main/java/silverlatch/replication/ViewPlanner.java
+++ b/core/src/main/java/silverlatch/replication/ViewPlanner.java
@@ -126,7 +126,7 @@
     /** Whether these members would still be enough copies of all that was acknowledged. */
     private boolean heldByEnough(final List<Replica> members) {
         return members.stream().filter(b -> level.contains(b.id())).count() >= setup.copies()
-                || !setup.guards().stands(Safeguard.HANDOVER);
+                || !setup.guards().isEnabled(Safeguard.HANDOVER);
     }
 
     /**
@@ -138,7 +138,7 @@
         final Optional<Replica> replaced = Stream.of(
                         view.voters().stream().filter(v -> v.id().equals(newcomer.id())),
                         out().filter(v -> v.address().equals(newcomer.address())),
-                        out().filter(v -> missed(v) && setup.guards().stands(Safeguard.DEAD_VOTES)))
+                        out().filter(v -> missed(v) && setup.guards().isEnabled(Safeguard.DEAD_VOTES)))
                 .flatMap(s -> s)
                 .findFirst();
         final List<Replica> voters = new ArrayList<>(view.voters());
@@ -159,7 +159,7 @@
                 .allMatch(v -> view.place(v.id()) >= 0
                         && silent.applyAsLong(v.id()) <= setup.suspect() / 2
                         && !v.address().equals(newcomer.address()));
-        return view.voters().size() < setup.most() && (sound || !setup.guards().stands(Safeguard.DEAD_VOTES));
+        return view.voters().size() < setup.most() && (sound || !setup.guards().isEnabled(Safeguard.DEAD_VOTES));
     }
 
     /** The same chain without the votes of dead machines, where fewer votes bear more losses. */
@@ -177,7 +177,7 @@
      * three voters with one dead all three stay, until a newcomer takes the dead one's vote.
      */
     private List<Replica> without(final List<Replica> voters, final List<Replica> gone) {
-        if (!setup.guards().stands(Safeguard.DEAD_VOTES)) {
+        if (!setup.guards().isEnabled(Safeguard.DEAD_VOTES)) {
             return voters;
         }
         final long remaining = voters.stream().filter(v -> !gone.contains(v)).count();
--- a/core/src/main/java/silverlatch/routing/Router.java
+++ b/core/src/main/java/silverlatch/routing/Router.java
@@ -541,7 +541,7 @@
     /** When to come back: soon where another worker may take it, later where none is known yet or the allowed ones are cold. */
     private long away(final Open o) {
         final boolean known =
-                stands.values().stream().anyMatch(s -> s.worker.pool().equals(o.pool) && !s.worker.leaving());
+                stands.values().stream().anyMatch(s -> s.worker.pool().equals(o.pool) && !s.worker.draining());
         if (!known) {
             return SECOND + luck.nextLong(SECOND / 2);
         }
--- a/core/src/main/java/silverlatch/routing/TrafficStatistics.java
+++ b/core/src/main/java/silverlatch/routing/TrafficStatistics.java
@@ -70,7 +70,7 @@
     /** The workers of each region that write long replies where both kinds of work come by; the others read. */
     Set<String> writers(final List<WorkerState> pool, final long now) {
         final Map<String, List<WorkerState>> regions =
-                pool.stream().filter(s -> !s.worker.leaving()).collect(Collectors.groupingBy(s -> s.worker.region()));
+                pool.stream().filter(s -> !s.worker.draining()).collect(Collectors.groupingBy(s -> s.worker.region()));
         return regions.entrySet().stream()
                 .filter(e -> e.getValue().size() > 1 && both(e.getKey(), now))
                 .flatMap(e -> e.getValue().stream()
--- a/core/src/main/java/silverlatch/routing/WorkerState.java
+++ b/core/src/main/java/silverlatch/routing/WorkerState.java
@@ -28,10 +28,10 @@
     boolean silent;
     double pace = 1;
 
-    WorkerState(final Gossip.Heard heard, final long now) {
+    WorkerState(final Gossip.ObservedWorker heard, final long now) {
         this.worker = heard.worker();
         this.slots = heard.worker().slots();
-        this.coldUntil = now + heard.cold(now);
+        this.coldUntil = now + heard.warmupRemaining(now);
         this.silent = heard.silent();
     }
 
@@ -51,9 +51,9 @@
         }
     }
 
-    void word(final Gossip.Heard next, final long now) {
-        final long cold = next.cold(now);
-        if (cold > 0 && !cold(now) || next.worker().life() != worker.life()) {
+    void word(final Gossip.ObservedWorker next, final long now) {
+        final long cold = next.warmupRemaining(now);
+        if (cold > 0 && !cold(now) || next.worker().incarnation() != worker.incarnation()) {
             parts.clear();
             loadAt = Long.MIN_VALUE / 2;
         }
--- a/core/src/main/java/silverlatch/state/StateMachine.java
+++ b/core/src/main/java/silverlatch/state/StateMachine.java
@@ -222,7 +222,7 @@
                 writeIfCurrent(
                         view,
                         "z/" + w.zone(),
-                        safeguards.stands(Safeguard.NEWEST) ? w.expectedRevision() : -1,
+                        safeguards.isEnabled(Safeguard.NEWEST) ? w.expectedRevision() : -1,
                         () -> TableRules.nameFaults("zone", w.zone()),
                         w.id(),
                         writeSequence,
@@ -344,13 +344,13 @@
     }
 
     private boolean isConflict(final long expectedRevision, final long currentRevision) {
-        return expectedRevision >= 0 && expectedRevision != currentRevision && safeguards.stands(Safeguard.MATCH);
+        return expectedRevision >= 0 && expectedRevision != currentRevision && safeguards.isEnabled(Safeguard.MATCH);
     }
 
     private Evaluation claim(final Command.Claim command, final OverlaidState view, final long writeSequence) {
         final Optional<Value.Claim> existing = view.find("c/" + command.key())
                 .map(e -> (Value.Claim) e.value().get(0))
-                .filter(c -> safeguards.stands(Safeguard.CLAIM));
+                .filter(c -> safeguards.isEnabled(Safeguard.CLAIM));
         if (existing.map(c ->
                         c.requestId().equals(command.requestId()) && c.state().equals(RUNNING))
                 .orElse(false)) {
@@ -474,7 +474,7 @@
      */
     private Optional<Entry> firstAcceptance(
             final Command.PutConfiguration command, final OverlaidState view, final long currentNumber) {
-        final Optional<Entry> remembered = safeguards.stands(Safeguard.TAKEN)
+        final Optional<Entry> remembered = safeguards.isEnabled(Safeguard.TAKEN)
                 ? view.find(AcceptedConfigurations.key(command.configuration().number()))
                 : Optional.empty();
         if (remembered.isPresent()) {
@@ -494,7 +494,7 @@
     private boolean mayBeForgotten(
             final Command.PutConfiguration command, final Map<String, Entry> remembered, final long currentNumber) {
         final long number = command.configuration().number();
-        return safeguards.stands(Safeguard.TAKEN)
+        return safeguards.isEnabled(Safeguard.TAKEN)
                 && command.expectedRevision() < number
                 && number <= AcceptedConfigurations.highestForgotten(new TreeMap<>(remembered), currentNumber)
                 && ConfigurationValidator.faults(command, 0).isEmpty();
--- a/core/src/main/java/silverlatch/statemachine/TransitionTable.java
+++ b/core/src/main/java/silverlatch/statemachine/TransitionTable.java
@@ -20,19 +20,19 @@
 public final class TransitionTable {
     private static final Map<String, TransitionTable> LOADED = new ConcurrentHashMap<>();
     private final String name;
-    private final String start;
-    private final Map<String, Map<String, String>> moves;
-    private final Set<String> ends;
+    private final String initialState;
+    private final Map<String, Map<String, String>> transitions;
+    private final Set<String> finalStates;
 
     private TransitionTable(
             final String name,
-            final String start,
-            final Map<String, Map<String, String>> moves,
-            final Set<String> ends) {
+            final String initialState,
+            final Map<String, Map<String, String>> transitions,
+            final Set<String> finalStates) {
         this.name = name;
-        this.start = start;
-        this.moves = moves;
-        this.ends = ends;
+        this.initialState = initialState;
+        this.transitions = transitions;
+        this.finalStates = finalStates;
     }
 
     /** Reads the table of the given name from the folder of tables of the program. */
@@ -54,57 +54,58 @@
     public static TransitionTable parse(final String text) {
         final Map<?, ?> root =
                 (Map<?, ?>) Jsonb.builder().build().type(Object.class).fromJson(text);
-        final String first = (String) root.get("start");
-        final Map<String, Map<String, String>> moves = new HashMap<>();
+        final String initialState = (String) root.get("start");
+        final Map<String, Map<String, String>> transitions = new HashMap<>();
         for (final Object row : (List<?>) root.get("moves")) {
             final List<?> cells = (List<?>) row;
-            final Map<String, String> from = moves.computeIfAbsent((String) cells.get(0), k -> new HashMap<>());
-            final boolean twice = from.containsKey((String) cells.get(1));
+            final Map<String, String> from = transitions.computeIfAbsent((String) cells.get(0), k -> new HashMap<>());
+            final boolean isDuplicate = from.containsKey((String) cells.get(1));
             from.put((String) cells.get(1), (String) cells.get(2));
-            if (twice) {
+            if (isDuplicate) {
                 throw new IllegalArgumentException("two moves from " + cells.get(0) + " on " + cells.get(1));
             }
         }
-        final Set<String> ends = new HashSet<>();
-        ((List<?>) root.get("ends")).forEach(e -> ends.add((String) e));
-        final Set<String> seen = new HashSet<>(Set.of(first));
+        final Set<String> finalStates = new HashSet<>();
+        ((List<?>) root.get("ends")).forEach(e -> finalStates.add((String) e));
+        final Set<String> reachable = new HashSet<>(Set.of(initialState));
         boolean more = true;
         while (more) {
             more = false;
-            for (final String state : List.copyOf(seen)) {
-                more |= seen.addAll(moves.getOrDefault(state, Map.of()).values());
+            for (final String state : List.copyOf(reachable)) {
+                more |= reachable.addAll(
+                        transitions.getOrDefault(state, Map.of()).values());
             }
         }
-        if (!seen.containsAll(moves.keySet()) || !seen.containsAll(ends)) {
+        if (!reachable.containsAll(transitions.keySet()) || !reachable.containsAll(finalStates)) {
             throw new IllegalArgumentException("a state can't be reached in transition table " + root.get("name"));
         }
-        for (final String state : seen) {
-            if (moves.containsKey(state) == ends.contains(state)) {
+        for (final String state : reachable) {
+            if (transitions.containsKey(state) == finalStates.contains(state)) {
                 throw new IllegalArgumentException("state " + state + " must either move or be an end");
             }
         }
-        return new TransitionTable((String) root.get("name"), first, moves, ends);
+        return new TransitionTable((String) root.get("name"), initialState, transitions, finalStates);
     }
 
     /** The state in which things begin. */
-    public String start() {
-        return start;
+    public String initialState() {
+        return initialState;
     }
 
     /** Where an event leads, or nothing when the state does not take it. */
     public Optional<String> next(final String state, final String event) {
-        return Optional.ofNullable(moves.getOrDefault(state, Map.of()).get(event));
+        return Optional.ofNullable(transitions.getOrDefault(state, Map.of()).get(event));
     }
 
     /** Where an event leads; an event the state does not take is a fault of the program. */
-    public String move(final String state, final String event) {
+    public String transition(final String state, final String event) {
         return next(state, event)
                 .orElseThrow(() -> new IllegalStateException(
                         "transition table " + name + ": " + state + " does not take " + event));
     }
 
     /** Whether nothing follows on this state. */
-    public boolean ended(final String state) {
-        return ends.contains(state);
+    public boolean isFinal(final String state) {
+        return finalStates.contains(state);
     }
 }
--- a/core/src/main/java/silverlatch/util/Numbers.java
+++ b/core/src/main/java/silverlatch/util/Numbers.java
@@ -5,17 +5,17 @@
     private Numbers() {}
 
     /** The value, or the bound that it lies beyond. */
-    public static double clamp(final double value, final double least, final double most) {
-        return Math.max(least, Math.min(most, value));
+    public static double clamp(final double value, final double min, final double max) {
+        return Math.max(min, Math.min(max, value));
     }
 
     /** The value, or the bound that it lies beyond. */
-    public static long clamp(final long value, final long least, final long most) {
-        return Math.max(least, Math.min(most, value));
+    public static long clamp(final long value, final long min, final long max) {
+        return Math.max(min, Math.min(max, value));
     }
 
     /** The value, or the bound that it lies beyond. */
-    public static int clamp(final int value, final int least, final int most) {
-        return Math.max(least, Math.min(most, value));
+    public static int clamp(final int value, final int min, final int max) {
+        return Math.max(min, Math.min(max, value));
     }
 }
--- a/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
@@ -32,7 +32,7 @@
     private static final Seals SEALS = new Seals("a-cluster-key-for-tests");
     private static final Member ME = new Member("p1", "gateway", "z1", "r1", "a", "d", 7, 0, "up", true);
     private final Map<String, Entry> policy = new HashMap<>();
-    private final Map<String, Gossip.Heard> workers = new HashMap<>();
+    private final Map<String, Gossip.ObservedWorker> workers = new HashMap<>();
     private final List<Act> acts = new ArrayList<>();
     private long now = 100_000_000;
     private long page = 1;
@@ -71,13 +71,13 @@
     private void worker(final String id, final String zone, final String region, final int slots) {
         workers.put(
                 id,
-                new Gossip.Heard(
+                new Gossip.ObservedWorker(
                         new Worker(id, id, zone, region, 1, now, 0, 0, slots, List.of(), false, 60_000_000),
                         Optional.of(now)));
     }
 
     private void learn() {
-        workers.replaceAll((k, h) -> new Gossip.Heard(h.worker(), Optional.of(now)));
+        workers.replaceAll((k, h) -> new Gossip.ObservedWorker(h.worker(), Optional.of(now)));
         carry.facts(facts(ME), now);
         gather();
     }
--- a/core/src/test/java/silverlatch/gossip/ControllerReportsTest.java
+++ b/core/src/test/java/silverlatch/gossip/ControllerReportsTest.java
@@ -29,19 +29,20 @@
 /** Rumors on a fake clock whose workers announce to controllers h0, h1, h2, each in a zone and region of its own. */
 final class ControllerReportsTest {
     private static final long SECOND = 1_000_000;
-    private final Map<String, Gossip> rumors = new LinkedHashMap<>();
-    private final Set<String> cut = new HashSet<>();
+    private final Map<String, Gossip> nodes = new LinkedHashMap<>();
+    private final Set<String> partitioned = new HashSet<>();
     private final Set<String> dead = new HashSet<>();
-    private final PriorityQueue<Letter> letters = new PriorityQueue<>(
-            (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.turn(), b.turn()));
+    private final PriorityQueue<InFlightMessage> inFlight = new PriorityQueue<>((a, b) -> a.deliverAt() != b.deliverAt()
+            ? Long.compare(a.deliverAt(), b.deliverAt())
+            : Long.compare(a.order(), b.order()));
     private final List<Message> sent = new ArrayList<>();
-    private final SplittableRandom luck = new SplittableRandom(5);
+    private final SplittableRandom random = new SplittableRandom(5);
     private long now = 100 * SECOND;
-    private long turn;
+    private long sendOrder;
 
-    private record Letter(long at, long turn, String from, String to, Message body) {}
+    private record InFlightMessage(long deliverAt, long order, String from, String to, Message message) {}
 
-    private void fleet(final int size) {
+    private void startFleet(final int size) {
         final List<Member> all = new ArrayList<>();
         for (int i = 0; i < size; i++) {
             final String id = (i < 3 ? "h" : "p") + i;
@@ -49,75 +50,90 @@
                     id, i < 3 ? "controller" : "gateway", "z" + i % 3, "r" + i % 3, id, id, 1, 0, "up", true));
         }
         all.forEach(m -> {
-            final Membership crew = new Membership(m, List.of("h0", "h1", "h2"), Membership.Times.PLAIN);
-            all.forEach(x -> crew.learn(x, now));
-            crew.news();
-            crew.drain();
-            rumors.put(m.id(), new Gossip(crew, luck.split(), Gossip.Times.QUIET, Safeguards.ALL));
+            final Membership membership = new Membership(m, List.of("h0", "h1", "h2"), Membership.Settings.DEFAULTS);
+            all.forEach(x -> membership.learn(x, now));
+            membership.drainUpdates();
+            membership.drain();
+            nodes.put(m.id(), new Gossip(membership, random.split(), Gossip.Settings.LARGE_FLEET, Safeguards.ALL));
         });
-        pass(6 * SECOND);
+        advance(6 * SECOND);
     }
 
-    private void pass(final long span) {
-        for (final long end = now + span; now < end; now += 10_000) {
+    private void advance(final long duration) {
+        for (final long end = now + duration; now < end; now += 10_000) {
             if (now % 50_000 == 0) {
-                rumors.forEach((id, r) -> {
+                nodes.forEach((id, r) -> {
                     if (!dead.contains(id)) {
                         r.tick(now);
-                        ship(id);
+                        deliverEffects(id);
                     }
                 });
             }
-            while (!letters.isEmpty() && letters.peek().at() <= now) {
-                final Letter l = letters.poll();
-                if (!dead.contains(l.to()) && cut.contains(l.from()) == cut.contains(l.to())) {
-                    rumors.get(l.to()).on(l.body(), l.from(), now);
-                    ship(l.to());
+            while (!inFlight.isEmpty() && inFlight.peek().deliverAt() <= now) {
+                final InFlightMessage next = inFlight.poll();
+                if (!dead.contains(next.to()) && partitioned.contains(next.from()) == partitioned.contains(next.to())) {
+                    nodes.get(next.to()).on(next.message(), next.from(), now);
+                    deliverEffects(next.to());
                 }
             }
         }
     }
 
-    private void ship(final String id) {
-        for (final Effect e : rumors.get(id).drain()) {
-            if (e instanceof Effect.Send s) {
-                sent.add(s.body());
-                letters.add(new Letter(
+    private void deliverEffects(final String id) {
+        for (final Effect effect : nodes.get(id).drain()) {
+            if (effect instanceof Effect.Send s) {
+                sent.add(s.message());
+                inFlight.add(new InFlightMessage(
                         now + 1_000 + (id.charAt(1) % 3 == s.to().charAt(1) % 3 ? 0 : 34_000),
-                        turn++,
+                        sendOrder++,
                         id,
                         s.to(),
-                        s.body()));
+                        s.message()));
             }
         }
     }
 
-    private static Worker worker(final long life, final long sequence, final boolean leaving, final long cold) {
+    private static Worker worker(
+            final long incarnation, final long sequence, final boolean draining, final long warmupRemaining) {
         return new Worker(
-                "w", "10.0.0.9:1", "z0", "r0", life, sequence, 3, 1, 8, List.of(4L), leaving, 0, "pool", cold, 0);
+                "w",
+                "10.0.0.9:1",
+                "z0",
+                "r0",
+                incarnation,
+                sequence,
+                3,
+                1,
+                8,
+                List.of(4L),
+                draining,
+                0,
+                "pool",
+                warmupRemaining,
+                0);
     }
 
-    private void say(final String at, final long sequence) {
-        say(at, worker(1, sequence, false, 0));
+    private void announce(final String at, final long sequence) {
+        announce(at, worker(1, sequence, false, 0));
     }
 
-    private void say(final String at, final Worker word) {
-        rumors.get(at).announced(word, 0, now);
-        ship(at);
+    private void announce(final String at, final Worker worker) {
+        nodes.get(at).onAnnouncement(worker, 0, now);
+        deliverEffects(at);
     }
 
-    private void beat(final String at, final long from, final int count) {
+    private void sendHeartbeats(final String at, final long from, final int count) {
         for (int i = 0; i < count; i++) {
-            say(at, from + i);
-            pass(1_200_000);
+            announce(at, from + i);
+            advance(1_200_000);
         }
     }
 
-    private Optional<Gossip.Heard> at(final String id) {
-        return Optional.ofNullable(rumors.get(id).workers().get("w"));
+    private Optional<Gossip.ObservedWorker> observedAt(final String id) {
+        return Optional.ofNullable(nodes.get(id).workers().get("w"));
     }
 
-    private long bodies() {
+    private long reportMessageCount() {
         return sent.stream()
                 .filter(m -> m instanceof Message.GossipPush
                         || m instanceof Message.ReportVersions
@@ -126,165 +142,170 @@
     }
 
     @Test
-    void whatAWorkerRepeatsTravelsNowhereAndKeepsItsAgeYoung() {
-        fleet(12);
-        say("h0", 1);
-        pass(3 * SECOND);
+    void repeatedAnnouncementsAreNotForwardedAndRenewTheAge() {
+        startFleet(12);
+        announce("h0", 1);
+        advance(3 * SECOND);
         sent.clear();
-        beat("h0", 2, 20);
+        sendHeartbeats("h0", 2, 20);
         assertThat(
                 sent.stream()
                         .filter(m -> !(m instanceof Message.GossipPull || m instanceof Message.GossipPullReply))
                         .toList(),
                 empty());
-        assertThat(at("h0").orElseThrow().age(now), lessThanOrEqualTo(1_300_000L));
-        rumors.keySet().forEach(id -> {
-            assertThat(at(id).orElseThrow().worker().sequence(), is(1L));
-            assertThat(at(id).orElseThrow().silent(), is(false));
+        assertThat(observedAt("h0").orElseThrow().age(now), lessThanOrEqualTo(1_300_000L));
+        nodes.keySet().forEach(id -> {
+            assertThat(observedAt(id).orElseThrow().worker().sequence(), is(1L));
+            assertThat(observedAt(id).orElseThrow().silent(), is(false));
         });
     }
 
     @Test
-    void aLeavingWorkerIsKnownToAllWithinASecondThoughTheHarborThatTookItDies() {
-        fleet(12);
-        say("h0", 1);
-        pass(2 * SECOND);
-        say("h0", worker(1, 2, true, 0));
+    void drainingWorkerIsKnownEverywhereWithinASecondThoughItsControllerDies() {
+        startFleet(12);
+        announce("h0", 1);
+        advance(2 * SECOND);
+        announce("h0", worker(1, 2, true, 0));
         dead.add("h0");
-        pass(SECOND);
-        rumors.keySet().stream()
+        advance(SECOND);
+        nodes.keySet().stream()
                 .filter(id -> !id.equals("h0"))
-                .forEach(id -> assertThat(id, at(id).orElseThrow().worker().leaving(), is(true)));
+                .forEach(id ->
+                        assertThat(id, observedAt(id).orElseThrow().worker().draining(), is(true)));
     }
 
     @Test
-    void aLateCallCanNotUndoLeaving() {
-        fleet(5);
-        say("h0", 1);
-        say("h0", worker(1, 9, true, 0));
-        pass(SECOND);
-        say("h0", 8);
-        say("h1", 7);
-        pass(2 * SECOND);
-        rumors.keySet().forEach(id -> assertThat(at(id).orElseThrow().worker().leaving(), is(true)));
-        say("h1", 10);
-        pass(SECOND);
-        rumors.keySet().forEach(id -> assertThat(at(id).orElseThrow().worker().leaving(), is(false)));
+    void lateAnnouncementDoesNotUndoDraining() {
+        startFleet(5);
+        announce("h0", 1);
+        announce("h0", worker(1, 9, true, 0));
+        advance(SECOND);
+        announce("h0", 8);
+        announce("h1", 7);
+        advance(2 * SECOND);
+        nodes.keySet()
+                .forEach(id -> assertThat(observedAt(id).orElseThrow().worker().draining(), is(true)));
+        announce("h1", 10);
+        advance(SECOND);
+        nodes.keySet()
+                .forEach(id -> assertThat(observedAt(id).orElseThrow().worker().draining(), is(false)));
     }
 
     @Test
-    void aGoneWorkerStaysGoneButANewLifeComesBackAndItIsForgottenAfterAMinute() {
-        fleet(5);
-        say("h0", 1);
-        pass(SECOND);
-        assertThat(rumors.get("h1").gone("nobody", now), is(false));
-        assertThat(rumors.get("h1").gone("w", now), is(true));
-        ship("h1");
-        assertThat(rumors.get("h1").gone("w", now), is(true));
-        pass(SECOND);
-        say("h2", 50);
-        pass(SECOND);
-        rumors.keySet().forEach(id -> assertThat(id, at(id).isPresent(), is(false)));
-        say("h2", worker(2, 1, false, 0));
-        pass(SECOND);
-        rumors.keySet()
-                .forEach(id -> assertThat(id, at(id).orElseThrow().worker().life(), is(2L)));
-        rumors.get("h0").gone("w", now);
-        ship("h0");
-        pass(62 * SECOND);
+    void goneWorkerStaysGoneUntilANewIncarnationAndIsForgottenAfterAMinute() {
+        startFleet(5);
+        announce("h0", 1);
+        advance(SECOND);
+        assertThat(nodes.get("h1").onWorkerGone("nobody", now), is(false));
+        assertThat(nodes.get("h1").onWorkerGone("w", now), is(true));
+        deliverEffects("h1");
+        assertThat(nodes.get("h1").onWorkerGone("w", now), is(true));
+        advance(SECOND);
+        announce("h2", 50);
+        advance(SECOND);
+        nodes.keySet().forEach(id -> assertThat(id, observedAt(id).isPresent(), is(false)));
+        announce("h2", worker(2, 1, false, 0));
+        advance(SECOND);
+        nodes.keySet()
+                .forEach(id ->
+                        assertThat(id, observedAt(id).orElseThrow().worker().incarnation(), is(2L)));
+        nodes.get("h0").onWorkerGone("w", now);
+        deliverEffects("h0");
+        advance(62 * SECOND);
         sent.clear();
-        pass(3 * SECOND);
-        assertThat(bodies(), is(0L));
-        say("h2", worker(2, 2, false, 0));
-        pass(SECOND);
-        rumors.keySet().forEach(id -> assertThat(id, at(id).isPresent(), is(true)));
+        advance(3 * SECOND);
+        assertThat(reportMessageCount(), is(0L));
+        announce("h2", worker(2, 2, false, 0));
+        advance(SECOND);
+        nodes.keySet().forEach(id -> assertThat(id, observedAt(id).isPresent(), is(true)));
     }
 
     @Test
-    void aSilentWorkerIsToldAndKeptAndALaterWordUndoesIt() {
-        fleet(6);
-        beat("h0", 1, 3);
-        pass(3_500_000);
-        rumors.keySet().forEach(id -> assertThat(id, at(id).orElseThrow().silent(), is(false)));
-        pass(3_500_000);
-        rumors.keySet().forEach(id -> assertThat(id, at(id).orElseThrow().silent(), is(true)));
-        say("h1", 9);
-        pass(SECOND);
-        rumors.keySet().forEach(id -> assertThat(id, at(id).orElseThrow().silent(), is(false)));
-        pass(8 * SECOND);
-        rumors.keySet().forEach(id -> assertThat(id, at(id).orElseThrow().silent(), is(true)));
-        pass(60 * SECOND);
-        rumors.keySet().forEach(id -> assertThat(id, at(id).isPresent(), is(false)));
+    void silentWorkerIsReportedAndKeptUntilALaterAnnouncement() {
+        startFleet(6);
+        sendHeartbeats("h0", 1, 3);
+        advance(3_500_000);
+        nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(false)));
+        advance(3_500_000);
+        nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(true)));
+        announce("h1", 9);
+        advance(SECOND);
+        nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(false)));
+        advance(8 * SECOND);
+        nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(true)));
+        advance(60 * SECOND);
+        nodes.keySet().forEach(id -> assertThat(id, observedAt(id).isPresent(), is(false)));
     }
 
     @Test
-    void aCutMakesNoOneSilentWhoMayBeatOnTheOtherSide() {
-        fleet(9);
-        beat("h0", 1, 3);
-        cut.addAll(List.of("h0", "p3", "p6"));
-        beat("h0", 4, 60);
-        rumors.keySet().forEach(id -> assertThat(id, at(id).orElseThrow().silent(), is(false)));
-        cut.clear();
-        beat("h0", 64, 5);
-        rumors.keySet().forEach(id -> assertThat(id, at(id).orElseThrow().silent(), is(false)));
+    void partitionMarksNoWorkerSilentThatMayBeHeardOnTheOtherSide() {
+        startFleet(9);
+        sendHeartbeats("h0", 1, 3);
+        partitioned.addAll(List.of("h0", "p3", "p6"));
+        sendHeartbeats("h0", 4, 60);
+        nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(false)));
+        partitioned.clear();
+        sendHeartbeats("h0", 64, 5);
+        nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(false)));
     }
 
     @Test
-    void aWrongWordOfSilenceIsRefutedByTheHarborThatHearsTheWorker() {
-        fleet(5);
-        beat("h0", 1, 3);
-        final WorkerReport lie =
+    void wrongSilenceReportIsRefutedByTheControllerThatHearsTheWorker() {
+        startFleet(5);
+        sendHeartbeats("h0", 1, 3);
+        final WorkerReport wrongReport =
                 new WorkerReport(WorkerReport.of(worker(1, 1, false, 0)).worker(), true, false, 5 * SECOND);
-        rumors.get("p4").on(new Message.GossipPush(List.of(), List.of(), List.of(lie), 0), "h1", now);
-        pass(SECOND);
-        rumors.keySet().forEach(id -> assertThat(id, at(id).orElseThrow().silent(), is(false)));
+        nodes.get("p4").on(new Message.GossipPush(List.of(), List.of(), List.of(wrongReport), 0), "h1", now);
+        advance(SECOND);
+        nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(false)));
     }
 
     @Test
-    void coldRunsOutOverAllHopsAndItsNaturalEndTravelsNowhere() {
-        fleet(12);
-        say("h0", worker(1, 1, false, 9 * SECOND));
+    void warmupRunsOutOnEveryNodeAndItsEndIsNotForwarded() {
+        startFleet(12);
+        announce("h0", worker(1, 1, false, 9 * SECOND));
         final long start = now;
         for (int i = 2; i < 6; i++) {
-            pass(SECOND);
-            say("h0", worker(1, i, false, 9 * SECOND - (now - start)));
+            advance(SECOND);
+            announce("h0", worker(1, i, false, 9 * SECOND - (now - start)));
         }
-        rumors.keySet().forEach(id -> {
-            final long left = at(id).orElseThrow().cold(now);
-            assertThat(id, left, greaterThan(9 * SECOND - (now - start) - 1));
-            assertThat(id, left, lessThanOrEqualTo(9 * SECOND - (now - start) + 300_000));
+        nodes.keySet().forEach(id -> {
+            final long remaining = observedAt(id).orElseThrow().warmupRemaining(now);
+            assertThat(id, remaining, greaterThan(9 * SECOND - (now - start) - 1));
+            assertThat(id, remaining, lessThanOrEqualTo(9 * SECOND - (now - start) + 300_000));
         });
         sent.clear();
-        pass(3 * SECOND);
-        say("h0", worker(1, 6, false, 9 * SECOND - (now - start)));
-        pass(2_500_000);
-        say("h0", worker(1, 7, false, 0));
-        pass(SECOND);
-        assertThat(bodies(), is(0L));
-        rumors.keySet().forEach(id -> assertThat(id, at(id).orElseThrow().cold(now), is(0L)));
+        advance(3 * SECOND);
+        announce("h0", worker(1, 6, false, 9 * SECOND - (now - start)));
+        advance(2_500_000);
+        announce("h0", worker(1, 7, false, 0));
+        advance(SECOND);
+        assertThat(reportMessageCount(), is(0L));
+        nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().warmupRemaining(now), is(0L)));
     }
 
     @Test
-    void aColdEndThatComesEarlyIsToldToAll() {
-        fleet(12);
-        say("h0", worker(1, 1, false, 60 * SECOND));
-        pass(2 * SECOND);
-        say("h0", 2);
-        pass(SECOND);
-        rumors.keySet().forEach(id -> assertThat(id, at(id).orElseThrow().cold(now), is(0L)));
+    void earlyEndOfWarmupIsForwarded() {
+        startFleet(12);
+        announce("h0", worker(1, 1, false, 60 * SECOND));
+        advance(2 * SECOND);
+        announce("h0", 2);
+        advance(SECOND);
+        nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().warmupRemaining(now), is(0L)));
     }
 
     @Test
-    void equalDigestsBringNoBodiesAndOneThatDiffersBringsOne() {
-        fleet(5);
+    void equalDigestsTransferNoReportsAndOneDifferenceTransfersOne() {
+        startFleet(5);
         for (int i = 0; i < 40; i++) {
-            rumors.get("h0")
-                    .announced(new Worker("w" + i, "a:" + i, "z0", "r0", 1, 1, 0, 0, 8, List.of(), false, 0), 0, now);
+            nodes.get("h0")
+                    .onAnnouncement(
+                            new Worker("w" + i, "a:" + i, "z0", "r0", 1, 1, 0, 0, 8, List.of(), false, 0), 0, now);
         }
-        pass(3 * SECOND);
+        advance(3 * SECOND);
         sent.clear();
-        pass(2 * SECOND);
-        assertThat(bodies(), is(0L));
+        advance(2 * SECOND);
+        assertThat(reportMessageCount(), is(0L));
         assertThat(
                 sent.stream()
                         .filter(m -> m instanceof Message.GossipPullReply t
@@ -292,77 +313,79 @@
                                 && !b.ranges().isEmpty())
                         .toList(),
                 empty());
-        rumors.get("h0").announced(new Worker("w7", "a:7", "z0", "r0", 1, 2, 0, 0, 8, List.of(), true, 0), 0, now);
-        rumors.get("h0").drain();
-        pass(2 * SECOND);
+        nodes.get("h0").onAnnouncement(new Worker("w7", "a:7", "z0", "r0", 1, 2, 0, 0, 8, List.of(), true, 0), 0, now);
+        nodes.get("h0").drain();
+        advance(2 * SECOND);
         sent.forEach(m -> {
             if (m instanceof Message.MissingReports b) {
                 assertThat(b.reports().size(), lessThanOrEqualTo(1));
             }
         });
-        rumors.keySet()
+        nodes.keySet()
                 .forEach(id -> assertThat(
-                        id, rumors.get(id).workers().get("w7").worker().leaving(), is(true)));
+                        id, nodes.get(id).workers().get("w7").worker().draining(), is(true)));
     }
 
     @Test
-    void wordsAreSureAtPursersInTouchAndGrowUnsureBehindACut() {
-        fleet(9);
-        say("h0", 1);
-        pass(2 * SECOND);
-        rumors.keySet().forEach(id -> assertThat(id, rumors.get(id).sure(now), lessThanOrEqualTo(2 * SECOND)));
-        cut.addAll(List.of("h0", "p3", "p6"));
-        pass(5 * SECOND);
-        List.of("h0", "p3", "p6").forEach(id -> assertThat(id, rumors.get(id).sure(now), greaterThan(4 * SECOND)));
+    void reportsAreConfirmedAtConnectedGatewaysAndAgeBehindAPartition() {
+        startFleet(9);
+        announce("h0", 1);
+        advance(2 * SECOND);
+        nodes.keySet().forEach(id -> assertThat(id, nodes.get(id).reportsAge(now), lessThanOrEqualTo(2 * SECOND)));
+        partitioned.addAll(List.of("h0", "p3", "p6"));
+        advance(5 * SECOND);
+        List.of("h0", "p3", "p6").forEach(id -> assertThat(id, nodes.get(id).reportsAge(now), greaterThan(4 * SECOND)));
         List.of("h1", "h2", "p4", "p8")
-                .forEach(id -> assertThat(id, rumors.get(id).sure(now), lessThanOrEqualTo(2 * SECOND)));
+                .forEach(id -> assertThat(id, nodes.get(id).reportsAge(now), lessThanOrEqualTo(2 * SECOND)));
     }
 
     @Test
-    void aDeadHarborKeepsSilenceUntoldOfItsOwnZoneOnly() {
-        fleet(9);
-        say("h1", 1);
-        rumors.get("h1")
-                .announced(new Worker("v", "10.0.0.8:1", "z1", "r1", 1, 1, 0, 0, 8, List.of(), false, 0), 0, now);
-        ship("h1");
-        pass(SECOND);
+    void deadControllerSuppressesSilenceReportsOfItsOwnZoneOnly() {
+        startFleet(9);
+        announce("h1", 1);
+        nodes.get("h1")
+                .onAnnouncement(new Worker("v", "10.0.0.8:1", "z1", "r1", 1, 1, 0, 0, 8, List.of(), false, 0), 0, now);
+        deliverEffects("h1");
+        advance(SECOND);
         dead.add("h0");
-        pass(9 * SECOND);
-        rumors.keySet().stream().filter(id -> !id.equals("h0")).forEach(id -> {
-            assertThat(id, rumors.get(id).workers().get("v").silent(), is(true));
-            assertThat(id, at(id).orElseThrow().silent(), is(false));
+        advance(9 * SECOND);
+        nodes.keySet().stream().filter(id -> !id.equals("h0")).forEach(id -> {
+            assertThat(id, nodes.get(id).workers().get("v").silent(), is(true));
+            assertThat(id, observedAt(id).orElseThrow().silent(), is(false));
         });
     }
 
     @Test
-    void aHarborThatFrozeAndWakesCallsNoOneSilent() {
-        fleet(6);
-        beat("h1", 1, 3);
+    void controllerThatWasPausedMarksNoWorkerSilent() {
+        startFleet(6);
+        sendHeartbeats("h1", 1, 3);
         dead.add("h0");
-        beat("h1", 4, 10);
+        sendHeartbeats("h1", 4, 10);
         dead.clear();
         for (int i = 0; i < 8; i++) {
-            beat("h1", 20 + i, 1);
-            rumors.keySet().forEach(id -> assertThat(id, at(id).orElseThrow().silent(), is(false)));
+            sendHeartbeats("h1", 20 + i, 1);
+            nodes.keySet()
+                    .forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(false)));
         }
     }
 
     @Test
-    void aNewPageReachesNinetySixDaemonsInASecondAndPullsConfirmIt() {
-        fleet(96);
-        final StateMachine books = new StateMachine();
-        books.apply(1, List.of(new Entry("r/*/chat", 1, List.of(TableRules.defaultRow("*", "chat")))));
-        rumors.get("h0").own(books, View.NONE, true, now);
-        ship("h0");
+    void newRevisionReachesNinetySixNodesInASecondAndPullsConfirmIt() {
+        startFleet(96);
+        final StateMachine stateMachine = new StateMachine();
+        stateMachine.apply(1, List.of(new Entry("r/*/chat", 1, List.of(TableRules.defaultRow("*", "chat")))));
+        nodes.get("h0").adoptReplicaState(stateMachine, View.NONE, true, now);
+        deliverEffects("h0");
         final long start = now;
-        while (rumors.values().stream().anyMatch(r -> r.books().policyRevision() < 1) && now - start < 2 * SECOND) {
-            pass(50_000);
+        while (nodes.values().stream().anyMatch(r -> r.stateMachine().policyRevision() < 1)
+                && now - start < 2 * SECOND) {
+            advance(50_000);
         }
         assertThat(now - start, lessThanOrEqualTo(700_000L));
         for (int i = 0; i < 40; i++) {
-            rumors.get("h0").own(books, View.NONE, true, now);
-            pass(50_000);
+            nodes.get("h0").adoptReplicaState(stateMachine, View.NONE, true, now);
+            advance(50_000);
         }
-        rumors.forEach((id, r) -> assertThat(id, r.age(now), lessThanOrEqualTo(2 * SECOND)));
+        nodes.forEach((id, r) -> assertThat(id, r.stateAge(now), lessThanOrEqualTo(2 * SECOND)));
     }
 }
--- a/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
+++ b/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
@@ -246,12 +246,12 @@
         replica.on(message, "b:1", 0);
         final List<Effect> effects = new ArrayList<>(replica.drain());
         effects.stream()
-                .filter(Effect.Keep.class::isInstance)
-                .forEach(write -> replica.kept(((Effect.Keep) write).token(), 0));
+                .filter(Effect.Persist.class::isInstance)
+                .forEach(write -> replica.kept(((Effect.Persist) write).token(), 0));
         effects.addAll(replica.drain());
         return effects.stream()
                 .filter(Effect.Send.class::isInstance)
-                .map(send -> ((Effect.Send) send).body())
+                .map(send -> ((Effect.Send) send).message())
                 .toList();
     }
 
--- a/core/src/test/java/silverlatch/log/DataFolderGenerator.java
+++ b/core/src/test/java/silverlatch/log/DataFolderGenerator.java
@@ -252,10 +252,10 @@
                 effects = machine.replica().drain()) {
             for (final Effect effect : effects) {
                 if (effect instanceof Effect.Send send) {
-                    network.add(new Delivery(machine.address(), send.to(), send.body()));
-                } else if (effect instanceof Effect.Keep keep) {
-                    machine.log().write(keep.notes());
-                    keep.notes().forEach(written -> noteAccepted(machine.address(), written));
+                    network.add(new Delivery(machine.address(), send.to(), send.message()));
+                } else if (effect instanceof Effect.Persist keep) {
+                    machine.log().write(keep.records());
+                    keep.records().forEach(written -> noteAccepted(machine.address(), written));
                     machine.replica().kept(keep.token(), nowMicros);
                 }
             }
--- a/core/src/test/java/silverlatch/node/EventTest.java
+++ b/core/src/test/java/silverlatch/node/EventTest.java
@@ -19,35 +19,35 @@
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
 
     @Test
-    void codeAndCatalogueAgree() throws IOException {
-        final Set<String> page = new TreeSet<>();
+    void eventsMatchTheirDocumentation() throws IOException {
+        final Set<String> documented = new TreeSet<>();
         final Matcher rows = Pattern.compile("\\| SL(\\d+) \\| ([A-Z_]+) \\| (INFO|WARN) \\| [^|]+ \\| [^|]+ \\|")
                 .matcher(Files.readString(ROOT.resolve("docs/log-events.md")));
         while (rows.find()) {
-            page.add(rows.group(1) + " " + rows.group(2) + " " + rows.group(3));
+            documented.add(rows.group(1) + " " + rows.group(2) + " " + rows.group(3));
         }
-        final Set<String> code = Arrays.stream(Event.values())
-                .map(e -> e.number() + " " + e + " " + (e.warning() ? "WARN" : "INFO"))
+        final Set<String> declared = Arrays.stream(Event.values())
+                .map(e -> e.number() + " " + e + " " + (e.isWarning() ? "WARN" : "INFO"))
                 .collect(Collectors.toCollection(TreeSet::new));
-        assertThat(page, is(code));
+        assertThat(documented, is(declared));
         assertThat(
                 Arrays.stream(Event.values()).map(Event::number).distinct().count(), is((long) Event.values().length));
     }
 
     @Test
-    void everyEventIsWrittenSomewhere() throws IOException {
-        final StringBuilder all = new StringBuilder();
+    void everyEventIsLoggedSomewhere() throws IOException {
+        final StringBuilder sources = new StringBuilder();
         for (final String module : new String[] {"core", "server"}) {
             try (Stream<Path> files = Files.walk(ROOT.resolve(module + "/src/main/java"))) {
-                for (final Path f : files.filter(p -> p.toString().endsWith(".java") && !p.endsWith("Event.java"))
+                for (final Path file : files.filter(p -> p.toString().endsWith(".java") && !p.endsWith("Event.java"))
                         .toList()) {
-                    all.append(Files.readString(f));
+                    sources.append(Files.readString(file));
                 }
             }
         }
         final Set<String> unused = Arrays.stream(Event.values())
                 .map(Event::name)
-                .filter(n -> !all.toString().contains("Event." + n))
+                .filter(n -> !sources.toString().contains("Event." + n))
                 .collect(Collectors.toCollection(TreeSet::new));
         assertThat(unused, is(Set.of()));
     }
--- a/core/src/test/java/silverlatch/node/NodeCluster.java
+++ b/core/src/test/java/silverlatch/node/NodeCluster.java
@@ -35,16 +35,16 @@
 final class NodeCluster {
     static final long SECOND = 1_000_000L;
     /** How long a caller waits for the answer to an order. */
-    static final long ORDER_TIMEOUT = 900_000L;
+    static final long COMMAND_TIMEOUT = 900_000L;
 
-    private static final long TICK = 20_000L;
-    private static final long HOP = 10_000L;
-    private static final long SYNC = 2_000L;
+    private static final long TICK_INTERVAL = 20_000L;
+    private static final long NETWORK_DELAY = 10_000L;
+    private static final long DISK_SYNC_DELAY = 2_000L;
     private static final long UNIX_EPOCH = 1_700_000_000_000_000L;
     private final Safeguards safeguards;
     private final Map<String, Machine> machines = new TreeMap<>();
-    private final Set<Link> cut = new HashSet<>();
-    private final Map<String, Long> slowed = new HashMap<>();
+    private final Set<Link> partition = new HashSet<>();
+    private final Map<String, Long> addedDelays = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
     private final List<Acknowledged> acknowledged = new ArrayList<>();
     private final SplittableRandom random;
@@ -52,7 +52,7 @@
             new PriorityQueue<>(Comparator.comparingLong(Scheduled::at).thenComparingLong(Scheduled::order));
     private long now = 100 * SECOND;
     private long scheduled;
-    private long token;
+    private long lastToken;
 
     NodeCluster(final int controllers, final int gateways, final long seed) {
         this(controllers, gateways, seed, Safeguards.ALL);
@@ -68,33 +68,33 @@
             machines.put("g" + i, new Machine("g" + i, i));
         }
         machines.values().forEach(m -> m.start(controllers()));
-        pass(5 * SECOND);
+        advance(5 * SECOND);
     }
 
     /** What an operator learnt of an order. */
-    static final class Order {
-        private final long sent;
+    static final class PendingCommand {
+        private final long sentAt;
         private Optional<CommandResult> result = Optional.empty();
-        private long ended;
+        private long endedAt;
 
-        Order(final long sent) {
-            this.sent = sent;
+        PendingCommand(final long sentAt) {
+            this.sentAt = sentAt;
         }
 
-        boolean acknowledged() {
+        boolean isAcknowledged() {
             return result.filter(r -> r instanceof CommandResult.Applied).isPresent();
         }
 
-        boolean refused() {
+        boolean isRejected() {
             return result.filter(r -> r instanceof CommandResult.Rejected).isPresent();
         }
 
-        long ended() {
-            return ended;
+        long endedAt() {
+            return endedAt;
         }
 
-        long sent() {
-            return sent;
+        long sentAt() {
+            return sentAt;
         }
     }
 
@@ -119,48 +119,48 @@
     }
 
     /** The revision by which a gateway routes requests; 0 while it takes none. */
-    long served(final String gateway) {
-        return machines.get(gateway).served();
+    long servedRevision(final String gateway) {
+        return machines.get(gateway).servedRevision();
     }
 
-    boolean ready(final String gateway) {
+    boolean isReady(final String gateway) {
         return machines.get(gateway).router.orElseThrow().unready().isEmpty();
     }
 
     /** How long ago the configuration of a machine was surely the newest. */
-    long age(final String name) {
-        return node(name).rumor().age(now);
+    long stateAge(final String name) {
+        return node(name).gossip().stateAge(now);
     }
 
     /** Cuts all links between the two groups, in both directions. */
-    void cut(final List<String> group, final List<String> others) {
-        cutOneWay(group, others);
-        cutOneWay(others, group);
+    void partition(final List<String> group, final List<String> others) {
+        partitionOneWay(group, others);
+        partitionOneWay(others, group);
     }
 
     /** Cuts all links from one group to the other; frames the other way still pass. */
-    void cutOneWay(final List<String> from, final List<String> to) {
-        from.forEach(f -> to.stream().filter(t -> !t.equals(f)).forEach(t -> cut.add(new Link(f, t))));
+    void partitionOneWay(final List<String> from, final List<String> to) {
+        from.forEach(f -> to.stream().filter(t -> !t.equals(f)).forEach(t -> partition.add(new Link(f, t))));
     }
 
     void heal() {
-        cut.clear();
-        slowed.clear();
+        partition.clear();
+        addedDelays.clear();
     }
 
     /** Each frame from and to the machine takes so much longer. */
     void slow(final String name, final long delay) {
-        slowed.put(name, delay);
+        addedDelays.put(name, delay);
     }
 
     /** All frames under way from and to the machine are lost. */
-    void reset(final String name) {
+    void resetConnections(final String name) {
         machines.get(name).connection++;
     }
 
     /** The process stands still; what it had sent but not delivered yet, and what comes in, waits until it is thawed. */
     void freeze(final String name) {
-        machines.get(name).frozen = true;
+        machines.get(name).isFrozen = true;
     }
 
     void thaw(final String name) {
@@ -177,50 +177,50 @@
     }
 
     /** The machine's disk is lost, and with it its identity. */
-    void wipe(final String name) {
-        machines.get(name).wipe();
+    void wipeDisk(final String name) {
+        machines.get(name).wipeDisk();
     }
 
-    void worker(final String at, final Worker report) {
-        machines.get(at).step(n -> n.announced(report, 0, now));
+    void announceWorker(final String at, final Worker report) {
+        machines.get(at).step(n -> n.onAnnouncement(report, 0, now));
     }
 
-    Order put(final String at, final long number, final long match) {
+    PendingCommand put(final String at, final long number, final long match) {
         return put(at, configuration("order-" + number + "-" + match, number, match));
     }
 
-    Order put(final String at, final Command command) {
-        final Order order = new Order(now);
-        final long mine = ++token;
-        machines.get(at).open.put(mine, r -> {
-            order.result = Optional.of((CommandResult) r);
-            order.ended = now;
-            if (order.acknowledged() && command instanceof Command.PutConfiguration c) {
+    PendingCommand put(final String at, final Command command) {
+        final PendingCommand pending = new PendingCommand(now);
+        final long token = ++lastToken;
+        machines.get(at).pendingResponses.put(token, r -> {
+            pending.result = Optional.of((CommandResult) r);
+            pending.endedAt = now;
+            if (pending.isAcknowledged() && command instanceof Command.PutConfiguration c) {
                 acknowledged.add(new Acknowledged(now, c.configuration().number()));
             }
         });
-        machines.get(at).step(n -> n.wish(command, mine, now, now + ORDER_TIMEOUT));
-        return order;
+        machines.get(at).step(n -> n.submit(command, token, now, now + COMMAND_TIMEOUT));
+        return pending;
     }
 
     /** Reads the number of the newest configuration through a machine; empty where it can't tell within the caller's time. */
     Optional<Long> read(final String at) {
-        final List<Object> answers = ask(at);
-        pass(SECOND);
-        return number(answers);
+        final List<Object> answers = startRead(at);
+        advance(SECOND);
+        return readRevision(answers);
     }
 
     /** Starts a read; its answer is added to the list when it comes. */
-    List<Object> ask(final String at) {
+    List<Object> startRead(final String at) {
         final List<Object> answers = new ArrayList<>();
-        final long mine = ++token;
-        machines.get(at).open.put(mine, answers::add);
-        machines.get(at).step(n -> n.read(ConfigurationValidator.CONFIGURATION_KEY, mine, now, now + ORDER_TIMEOUT));
+        final long token = ++lastToken;
+        machines.get(at).pendingResponses.put(token, answers::add);
+        machines.get(at).step(n -> n.read(ConfigurationValidator.CONFIGURATION_KEY, token, now, now + COMMAND_TIMEOUT));
         return answers;
     }
 
     /** The number that a read was answered, if it was. */
-    static Optional<Long> number(final List<Object> answers) {
+    static Optional<Long> readRevision(final List<Object> answers) {
         return answers.stream()
                 .map(a -> (silverlatch.replication.ChainClient.Page) a)
                 .filter(p -> p.ok())
@@ -257,8 +257,8 @@
                 match);
     }
 
-    void pass(final long span) {
-        final long end = now + span;
+    void advance(final long duration) {
+        final long end = now + duration;
         while (!queue.isEmpty() && queue.peek().at() <= end) {
             final Scheduled next = queue.poll();
             now = next.at();
@@ -268,19 +268,19 @@
     }
 
     /** Passes time until something holds; how long that took, or -1 where it didn't come. */
-    long until(final long most, final java.util.function.BooleanSupplier what) {
+    long advanceUntil(final long limit, final java.util.function.BooleanSupplier condition) {
         final long from = now;
-        while (!what.getAsBoolean()) {
-            if (now - from > most) {
+        while (!condition.getAsBoolean()) {
+            if (now - from > limit) {
                 return -1;
             }
-            pass(10_000);
+            advance(10_000);
         }
         return now - from;
     }
 
-    private void at(final long when, final Runnable job) {
-        queue.add(new Scheduled(when, scheduled++, job));
+    private void schedule(final long time, final Runnable job) {
+        queue.add(new Scheduled(time, scheduled++, job));
     }
 
     private record Acknowledged(long at, long number) {}
@@ -292,135 +292,142 @@
     /** A machine with its disk, its process if one runs, and what waits while that is frozen. */
     private final class Machine {
         private final String name;
-        private final int place;
+        private final int index;
         private final List<LogRecord> disk = new ArrayList<>();
         private final List<Runnable> waiting = new ArrayList<>();
-        private final Map<Long, java.util.function.Consumer<Object>> open = new HashMap<>();
+        private final Map<Long, java.util.function.Consumer<Object>> pendingResponses = new HashMap<>();
         private String identity;
         private Optional<Node> node = Optional.empty();
         private Optional<Router> router = Optional.empty();
-        private boolean frozen;
-        private boolean bootstrap = true;
-        private int life;
+        private boolean isFrozen;
+        private boolean isFirstStart = true;
+        private int processNumber;
         private int connection;
-        private long newest;
+        private long newestServed;
 
-        Machine(final String name, final int place) {
+        Machine(final String name, final int index) {
             this.name = name;
-            this.place = place;
+            this.index = index;
             this.identity = "id-" + name;
         }
 
-        boolean controller() {
+        boolean isController() {
             return name.startsWith("c");
         }
 
         void start(final List<String> seeds) {
-            life++;
-            newest = 0;
-            frozen = false;
+            processNumber++;
+            newestServed = 0;
+            isFrozen = false;
             waiting.clear();
-            open.clear();
-            final Member me = new Member(
+            pendingResponses.clear();
+            final Member self = new Member(
                     name,
-                    controller() ? "controller" : "gateway",
-                    "z" + place,
-                    "r" + place,
+                    isController() ? "controller" : "gateway",
+                    "z" + index,
+                    "r" + index,
                     name,
                     name,
                     UNIX_EPOCH + now,
                     0,
                     "up",
                     false);
-            final Optional<ChainReplica.Setup> chain = controller()
+            final Optional<ChainReplica.Setup> chain = isController()
                     ? Optional.of(ChainReplica.Setup.of(new Replica(identity, name), seeds)
-                            .founds(bootstrap))
+                            .founds(isFirstStart))
                     : Optional.empty();
-            bootstrap = false;
+            isFirstStart = false;
             node = Optional.of(new Node(
-                    new Node.Setup(me, seeds, 7, 50_000, Membership.Times.QUIET, Gossip.Times.QUIET, safeguards),
+                    new Node.Settings(
+                            self,
+                            seeds,
+                            7,
+                            50_000,
+                            Membership.Settings.LARGE_FLEET,
+                            Gossip.Settings.LARGE_FLEET,
+                            safeguards),
                     chain,
                     List.copyOf(disk),
                     new PhysicalClock((UNIX_EPOCH + now) * 1000, now, 0),
                     random.split(),
                     now));
-            router = controller()
+            router = isController()
                     ? Optional.empty()
                     : Optional.of(
                             new Router(Router.Setup.PLAIN, node.get().facts(), () -> new Stamp(now), random.split()));
-            tick(life);
+            tick(processNumber);
         }
 
         void kill() {
-            life++;
+            processNumber++;
             node = Optional.empty();
             router = Optional.empty();
             waiting.clear();
         }
 
-        void wipe() {
+        void wipeDisk() {
             disk.clear();
             identity = "id-" + name + "-" + now;
         }
 
         void thaw() {
-            frozen = false;
+            isFrozen = false;
             final List<Runnable> all = List.copyOf(waiting);
             waiting.clear();
             all.forEach(Runnable::run);
         }
 
-        long served() {
+        long servedRevision() {
             return router.filter(r -> r.unready().isEmpty())
                     .map(Router::charter)
                     .orElse(0L);
         }
 
         void step(final java.util.function.Consumer<Node> job) {
-            final int mine = life;
+            final int expectedProcess = processNumber;
             final Runnable guarded = () -> {
-                if (mine == life && node.isPresent()) {
+                if (expectedProcess == processNumber && node.isPresent()) {
                     job.accept(node.get());
-                    flush();
+                    drainNode();
                 }
             };
-            if (frozen) {
+            if (isFrozen) {
                 waiting.add(guarded);
             } else {
                 guarded.run();
             }
         }
 
-        private void tick(final int mine) {
-            at(now + TICK, () -> {
-                if (mine == life) {
-                    if (!frozen) {
+        private void tick(final int expectedProcess) {
+            schedule(now + TICK_INTERVAL, () -> {
+                if (expectedProcess == processNumber) {
+                    if (!isFrozen) {
                         step(n -> n.tick(now, (UNIX_EPOCH + now) * 1000));
                     }
-                    tick(mine);
+                    tick(expectedProcess);
                 }
             });
         }
 
-        private void flush() {
-            final Node n = node.orElseThrow();
-            n.drain().forEach(this::effect);
-            n.ships().forEach(this::ship);
-            confirmed(n);
+        private void drainNode() {
+            final Node running = node.orElseThrow();
+            running.drain().forEach(this::handleEffect);
+            running.drainFrames().forEach(this::sendFrame);
+            checkConfirmedState(running);
             router.ifPresent(r -> {
-                r.facts(n.facts(), now);
-                observe(r);
+                r.facts(running.facts(), now);
+                checkServedRevision(r);
             });
         }
 
         /** What a node calls the newest as of a moment holds all that was acknowledged before that moment. */
-        private void confirmed(final Node n) {
-            final long age = n.rumor().age(now);
+        private void checkConfirmedState(final Node running) {
+            final long age = running.gossip().stateAge(now);
             if (age == Long.MAX_VALUE) {
                 return;
             }
-            final long held = n.rumor()
-                    .books()
+            final long held = running.gossip()
+                    .stateMachine()
                     .get(ConfigurationValidator.CONFIGURATION_KEY)
                     .map(e -> ((Value.RoutingConfiguration) e.value().get(0)).number())
                     .orElse(0L);
@@ -431,52 +438,53 @@
                             + ", but " + a.number() + " was acknowledged at " + a.at()));
         }
 
-        private void observe(final Router r) {
-            final long number = served();
-            if (number > 0 && number < newest) {
-                violations.add(name + " went back from " + newest + " to " + number + " at " + now);
+        private void checkServedRevision(final Router gatewayRouter) {
+            final long number = servedRevision();
+            if (number > 0 && number < newestServed) {
+                violations.add(name + " went back from " + newestServed + " to " + number + " at " + now);
             }
-            newest = Math.max(newest, number);
+            newestServed = Math.max(newestServed, number);
         }
 
-        private void effect(final Effect effect) {
-            final int mine = life;
+        private void handleEffect(final Effect effect) {
+            final int expectedProcess = processNumber;
             switch (effect) {
-                case Effect.Keep k ->
-                    at(now + SYNC, () -> {
-                        if (mine == life) {
-                            k.notes().forEach(note -> {
+                case Effect.Persist k ->
+                    schedule(now + DISK_SYNC_DELAY, () -> {
+                        if (expectedProcess == processNumber) {
+                            k.records().forEach(note -> {
                                 if (note instanceof LogRecord.Snapshot) {
                                     disk.clear();
                                 }
                                 disk.add(note);
                             });
-                            step(n -> n.kept(k.token(), now));
+                            step(n -> n.onPersisted(k.token(), now));
                         }
                     });
-                case Effect.Answer a ->
-                    Optional.ofNullable(open.remove(a.token())).ifPresent(o -> o.accept(a.reply()));
+                case Effect.Respond a ->
+                    Optional.ofNullable(pendingResponses.remove(a.token())).ifPresent(o -> o.accept(a.response()));
                 case Effect.Log l -> {}
                 case Effect.Send s -> throw new IllegalStateException("a node stamps what it sends");
             }
         }
 
-        private void ship(final OutgoingFrame outgoing) {
+        private void sendFrame(final OutgoingFrame outgoing) {
             final Machine to = machines.get(outgoing.to());
             final int here = connection;
             final int there = to.connection;
-            final long delay = HOP + slowed.getOrDefault(name, 0L) + slowed.getOrDefault(to.name, 0L);
-            at(now + delay, () -> leave(outgoing, to, here, there));
+            final long delay =
+                    NETWORK_DELAY + addedDelays.getOrDefault(name, 0L) + addedDelays.getOrDefault(to.name, 0L);
+            schedule(now + delay, () -> deliverFrame(outgoing, to, here, there));
         }
 
-        private void leave(final OutgoingFrame outgoing, final Machine to, final int here, final int there) {
-            if (frozen) {
-                waiting.add(() -> leave(outgoing, to, here, there));
+        private void deliverFrame(final OutgoingFrame outgoing, final Machine to, final int here, final int there) {
+            if (isFrozen) {
+                waiting.add(() -> deliverFrame(outgoing, to, here, there));
             } else if (here == connection
                     && there == to.connection
-                    && !cut.contains(new Link(name, to.name))
+                    && !partition.contains(new Link(name, to.name))
                     && to.node.isPresent()) {
-                to.step(n -> n.frame(outgoing.frame(), now));
+                to.step(n -> n.onFrame(outgoing.frame(), now));
             }
         }
     }
