--- a/core/src/test/java/silverlatch/node/PartitionTest.java
+++ b/core/src/test/java/silverlatch/node/PartitionTest.java
@@ -22,10 +22,10 @@
     private static final long SECOND = NodeCluster.SECOND;
     private static final long OUTAGE = 20 * SECOND;
     /** A gateway in touch follows a configuration that was acknowledged so long ago. */
-    private static final long APPLY = 3 * SECOND;
+    private static final long PROPAGATION_LIMIT = 3 * SECOND;
 
     /** How a controller loses its contact with the other controllers; gateways reach both sides. */
-    enum Trouble {
+    enum Fault {
         CUT,
         DEAF,
         MUTE,
@@ -34,49 +34,49 @@
         RESET
     }
 
-    private static String place(final NodeCluster cluster, final int place) {
-        return cluster.node("c0").view().chain().get(place).address();
+    private static String addressAt(final NodeCluster cluster, final int position) {
+        return cluster.node("c0").view().chain().get(position).address();
     }
 
     private static List<String> others(final NodeCluster cluster, final String one) {
         return cluster.controllers().stream().filter(c -> !c.equals(one)).toList();
     }
 
-    private static void begin(final NodeCluster cluster, final Trouble trouble, final String victim) {
+    private static void injectFault(final NodeCluster cluster, final Fault fault, final String victim) {
         final List<String> others = others(cluster, victim);
-        switch (trouble) {
-            case CUT -> cluster.cut(List.of(victim), others);
-            case DEAF -> cluster.cutOneWay(others, List.of(victim));
-            case MUTE -> cluster.cutOneWay(List.of(victim), others);
+        switch (fault) {
+            case CUT -> cluster.partition(List.of(victim), others);
+            case DEAF -> cluster.partitionOneWay(others, List.of(victim));
+            case MUTE -> cluster.partitionOneWay(List.of(victim), others);
             case FROZEN -> cluster.freeze(victim);
             case SLOWED -> cluster.slow(victim, 2 * SECOND);
-            case RESET -> cluster.reset(victim);
+            case RESET -> cluster.resetConnections(victim);
         }
     }
 
-    private static void goOn(final NodeCluster cluster, final Trouble trouble, final String victim) {
-        if (trouble == Trouble.RESET) {
-            cluster.reset(victim);
+    private static void continueFault(final NodeCluster cluster, final Fault fault, final String victim) {
+        if (fault == Fault.RESET) {
+            cluster.resetConnections(victim);
         }
     }
 
     private static long acknowledge(
-            final NodeCluster cluster, final List<String> through, final long number, final long most) {
+            final NodeCluster cluster, final List<String> through, final long number, final long limit) {
         final long from = cluster.now();
-        while (cluster.now() - from <= most) {
+        while (cluster.now() - from <= limit) {
             for (final String controller : through) {
-                final NodeCluster.Order order = cluster.put(controller, number, -1);
-                cluster.pass(NodeCluster.ORDER_TIMEOUT + 100_000);
-                if (order.acknowledged()) {
-                    return order.ended();
+                final NodeCluster.PendingCommand pending = cluster.put(controller, number, -1);
+                cluster.advance(NodeCluster.COMMAND_TIMEOUT + 100_000);
+                if (pending.isAcknowledged()) {
+                    return pending.endedAt();
                 }
             }
         }
         throw new AssertionError(number + " was not acknowledged");
     }
 
-    private static boolean followed(final NodeCluster cluster, final long number) {
-        return cluster.gateways().stream().allMatch(g -> cluster.served(g) >= number);
+    private static boolean allServe(final NodeCluster cluster, final long number) {
+        return cluster.gateways().stream().allMatch(g -> cluster.servedRevision(g) >= number);
     }
 
     @ParameterizedTest
@@ -100,39 +100,43 @@
         "RESET,1",
         "RESET,2"
     })
-    void aControllerWithoutAMajorityDecidesNothingAndGatewaysFollowTheOthers(final Trouble trouble, final int place) {
-        final NodeCluster cluster = new NodeCluster(3, 4, 7 + place);
+    void controllerWithoutMajorityDecidesNothingAndGatewaysFollowTheOthers(final Fault fault, final int position) {
+        final NodeCluster cluster = new NodeCluster(3, 4, 7 + position);
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
-        assertThat(cluster.until(APPLY, () -> followed(cluster, 1)), greaterThanOrEqualTo(0L));
-        final String victim = place(cluster, place);
-        begin(cluster, trouble, victim);
+        assertThat(cluster.advanceUntil(PROPAGATION_LIMIT, () -> allServe(cluster, 1)), greaterThanOrEqualTo(0L));
+        final String victim = addressAt(cluster, position);
+        injectFault(cluster, fault, victim);
         final long end = cluster.now() + OUTAGE;
-        final List<NodeCluster.Order> there = new ArrayList<>();
+        final List<NodeCluster.PendingCommand> sentToVictim = new ArrayList<>();
         long number = 1;
         long last = 1;
         while (cluster.now() < end) {
             number++;
             final long acknowledged = acknowledge(cluster, others(cluster, victim), number, 8 * SECOND);
             final long wanted = number;
-            if (trouble != Trouble.RESET && cluster.now() - end + OUTAGE > 2 * SECOND) {
-                there.add(cluster.put(victim, ++number, wanted));
-                there.add(cluster.put(victim, ++number, 1));
+            if (fault != Fault.RESET && cluster.now() - end + OUTAGE > 2 * SECOND) {
+                sentToVictim.add(cluster.put(victim, ++number, wanted));
+                sentToVictim.add(cluster.put(victim, ++number, 1));
             }
-            cluster.until(APPLY, () -> followed(cluster, wanted));
-            assertThat(followed(cluster, wanted), is(true));
-            assertThat(cluster.now() - acknowledged, lessThanOrEqualTo(APPLY));
-            goOn(cluster, trouble, victim);
-            cluster.pass(SECOND);
-            cluster.gateways().forEach(g -> assertThat(g, cluster.age(g), lessThanOrEqualTo(APPLY)));
+            cluster.advanceUntil(PROPAGATION_LIMIT, () -> allServe(cluster, wanted));
+            assertThat(allServe(cluster, wanted), is(true));
+            assertThat(cluster.now() - acknowledged, lessThanOrEqualTo(PROPAGATION_LIMIT));
+            continueFault(cluster, fault, victim);
+            cluster.advance(SECOND);
+            cluster.gateways().forEach(g -> assertThat(g, cluster.stateAge(g), lessThanOrEqualTo(PROPAGATION_LIMIT)));
             last = wanted;
         }
-        assertThat(there.stream().filter(o -> o.acknowledged() || o.refused()).toList(), empty());
-        if (trouble == Trouble.CUT || trouble == Trouble.DEAF) {
+        assertThat(
+                sentToVictim.stream()
+                        .filter(o -> o.isAcknowledged() || o.isRejected())
+                        .toList(),
+                empty());
+        if (fault == Fault.CUT || fault == Fault.DEAF) {
             assertThat(cluster.read(victim), is(Optional.empty()));
         }
         cluster.heal();
         cluster.thaw(victim);
-        cluster.pass(15 * SECOND);
+        cluster.advance(15 * SECOND);
         final Optional<Long> read = cluster.read(victim);
         assertThat(read.orElse(0L), both(greaterThanOrEqualTo(last)).and(lessThanOrEqualTo(number)));
         for (final String controller : cluster.controllers()) {
@@ -142,162 +146,169 @@
     }
 
     @Test
-    void aControllerThatOnlyItsCallersReachDecidesNothing() {
-        for (int place = 0; place < 3; place++) {
-            final NodeCluster cluster = new NodeCluster(3, 2, 21 + place);
+    void controllerReachedByItsClientsOnlyDecidesNothing() {
+        for (int position = 0; position < 3; position++) {
+            final NodeCluster cluster = new NodeCluster(3, 2, 21 + position);
             acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
-            cluster.pass(SECOND);
-            final String victim = place(cluster, place);
+            cluster.advance(SECOND);
+            final String victim = addressAt(cluster, position);
             final List<String> rest = new ArrayList<>(others(cluster, victim));
             rest.addAll(cluster.gateways());
-            cluster.cut(List.of(victim), rest);
+            cluster.partition(List.of(victim), rest);
             final long end = cluster.now() + OUTAGE;
-            cluster.pass(SECOND);
+            cluster.advance(SECOND);
             acknowledge(cluster, others(cluster, victim), 2, 8 * SECOND);
-            final List<NodeCluster.Order> there = new ArrayList<>();
+            final List<NodeCluster.PendingCommand> sentToVictim = new ArrayList<>();
             while (cluster.now() < end) {
-                there.add(cluster.put(victim, 3, 2));
-                there.add(cluster.put(victim, 3, 0));
-                there.add(cluster.put(victim, 1, 1));
+                sentToVictim.add(cluster.put(victim, 3, 2));
+                sentToVictim.add(cluster.put(victim, 3, 0));
+                sentToVictim.add(cluster.put(victim, 1, 1));
                 assertThat(cluster.read(victim), is(Optional.empty()));
             }
             assertThat(
-                    there.stream().filter(o -> o.acknowledged() || o.refused()).toList(), empty());
+                    sentToVictim.stream()
+                            .filter(o -> o.isAcknowledged() || o.isRejected())
+                            .toList(),
+                    empty());
             cluster.heal();
-            cluster.pass(10 * SECOND);
+            cluster.advance(10 * SECOND);
             assertThat(cluster.read(victim), is(Optional.of(2L)));
             assertThat(cluster.violations(), empty());
         }
     }
 
     @Test
-    void aGatewayThatStartsBesideACutOffControllerTakesNoRequestBeforeItHeardAMajority() {
-        for (int place = 0; place < 3; place++) {
-            final NodeCluster cluster = new NodeCluster(3, 3, 11 + place);
+    void gatewayStartedBesideAPartitionedControllerServesNothingBeforeItHeardAMajority() {
+        for (int position = 0; position < 3; position++) {
+            final NodeCluster cluster = new NodeCluster(3, 3, 11 + position);
             acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
-            final String victim = place(cluster, place);
+            final String victim = addressAt(cluster, position);
             final List<String> side = List.of(victim, "g0", "g1");
             final List<String> others = new ArrayList<>(others(cluster, victim));
             others.add("g2");
-            cluster.cut(side, others);
+            cluster.partition(side, others);
             acknowledge(cluster, others(cluster, victim), 2, 8 * SECOND);
             cluster.kill("g0");
-            cluster.pass(SECOND);
+            cluster.advance(SECOND);
             cluster.start("g0", cluster.controllers());
             for (int i = 0; i < 100; i++) {
-                cluster.pass(100_000);
-                assertThat("at " + i, cluster.ready("g0"), is(false));
+                cluster.advance(100_000);
+                assertThat("at " + i, cluster.isReady("g0"), is(false));
             }
-            assertThat(cluster.served("g1"), is(1L));
+            assertThat(cluster.servedRevision("g1"), is(1L));
             cluster.heal();
-            assertThat(cluster.until(5 * SECOND, () -> cluster.ready("g0")), greaterThanOrEqualTo(0L));
-            assertThat(cluster.served("g0"), is(2L));
+            assertThat(cluster.advanceUntil(5 * SECOND, () -> cluster.isReady("g0")), greaterThanOrEqualTo(0L));
+            assertThat(cluster.servedRevision("g0"), is(2L));
             assertThat(cluster.violations(), empty());
         }
     }
 
     @Test
-    void aGatewayThatStartsInCalmTimesIsReadySoon() {
+    void gatewayStartedWithoutFaultsIsReadyWithin300Milliseconds() {
         final NodeCluster cluster = new NodeCluster(3, 4, 17);
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
-        cluster.pass(SECOND);
+        cluster.advance(SECOND);
         for (int i = 0; i < 20; i++) {
             cluster.kill("g0");
-            cluster.pass(500_000 + i * 70_000L);
+            cluster.advance(500_000 + i * 70_000L);
             cluster.start("g0", cluster.controllers());
-            final long took = cluster.until(5 * SECOND, () -> cluster.ready("g0"));
+            final long took = cluster.advanceUntil(5 * SECOND, () -> cluster.isReady("g0"));
             assertThat(took, both(greaterThanOrEqualTo(0L)).and(lessThanOrEqualTo(300_000L)));
         }
     }
 
     @Test
-    void aGatewayThatStartsAndReachesBothSidesBeginsWithTheNewest() {
+    void gatewayThatReachesBothSidesStartsWithTheNewestRevision() {
         for (int seed = 0; seed < 12; seed++) {
             final NodeCluster cluster = new NodeCluster(3, 3, 40 + seed);
             acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
-            final String victim = place(cluster, seed % 3);
-            cluster.cut(List.of(victim), others(cluster, victim));
+            final String victim = addressAt(cluster, seed % 3);
+            cluster.partition(List.of(victim), others(cluster, victim));
             acknowledge(cluster, others(cluster, victim), 2, 8 * SECOND);
             cluster.kill("g0");
-            cluster.pass(SECOND);
+            cluster.advance(SECOND);
             final List<String> seeds = new ArrayList<>(List.of(victim));
             seeds.addAll(others(cluster, victim));
             cluster.start("g0", seeds);
-            assertThat(cluster.until(APPLY, () -> cluster.ready("g0")), greaterThanOrEqualTo(0L));
-            assertThat(cluster.served("g0"), is(2L));
+            assertThat(cluster.advanceUntil(PROPAGATION_LIMIT, () -> cluster.isReady("g0")), greaterThanOrEqualTo(0L));
+            assertThat(cluster.servedRevision("g0"), is(2L));
         }
     }
 
     @Test
-    void anOrderThatOnlyACutOffHeadHoldsIsNeverHandedOutAlsoAfterItsRestart() {
+    void commandHeldByAPartitionedHeadOnlyIsNeverServedEvenAfterItsRestart() {
         final NodeCluster cluster = new NodeCluster(3, 3, 3);
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
-        final String head = place(cluster, 0);
-        cluster.cut(List.of(head), others(cluster, head));
-        final NodeCluster.Order lost = cluster.put(head, 77, -1);
-        cluster.pass(2 * SECOND);
-        assertThat(lost.acknowledged() || lost.refused(), is(false));
+        final String head = addressAt(cluster, 0);
+        cluster.partition(List.of(head), others(cluster, head));
+        final NodeCluster.PendingCommand lost = cluster.put(head, 77, -1);
+        cluster.advance(2 * SECOND);
+        assertThat(lost.isAcknowledged() || lost.isRejected(), is(false));
         cluster.kill(head);
         cluster.start(head, cluster.controllers());
         final List<Long> seen = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            cluster.pass(100_000);
-            cluster.gateways().forEach(g -> seen.add(cluster.served(g)));
+            cluster.advance(100_000);
+            cluster.gateways().forEach(g -> seen.add(cluster.servedRevision(g)));
         }
         acknowledge(cluster, others(cluster, head), 2, 8 * SECOND);
         cluster.heal();
         for (int i = 0; i < 100; i++) {
-            cluster.pass(100_000);
-            cluster.gateways().forEach(g -> seen.add(cluster.served(g)));
+            cluster.advance(100_000);
+            cluster.gateways().forEach(g -> seen.add(cluster.servedRevision(g)));
         }
         assertThat(seen, everyItem(lessThanOrEqualTo(2L)));
         assertThat(cluster.read(head), is(Optional.of(2L)));
     }
 
     @Test
-    void anOrderUnderWayWhenTheCutEndsIsEitherInForceOrUnanswered() {
+    void commandInFlightWhenThePartitionHealsIsEitherCommittedOrUnanswered() {
         for (int i = 0; i < 12; i++) {
             final NodeCluster cluster = new NodeCluster(3, 2, 60 + i);
             acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
-            final String victim = place(cluster, i % 3);
-            cluster.cut(List.of(victim), others(cluster, victim));
-            cluster.pass(5 * SECOND);
-            final NodeCluster.Order there = cluster.put(victim, 2, 1);
-            cluster.pass(i * 70_000L);
+            final String victim = addressAt(cluster, i % 3);
+            cluster.partition(List.of(victim), others(cluster, victim));
+            cluster.advance(5 * SECOND);
+            final NodeCluster.PendingCommand sentToVictim = cluster.put(victim, 2, 1);
+            cluster.advance(i * 70_000L);
             cluster.heal();
-            cluster.pass(10 * SECOND);
+            cluster.advance(10 * SECOND);
             final long read = cluster.read("c0").orElseThrow();
-            assertThat(there.refused(), is(false));
-            assertThat(read, is(there.acknowledged() ? 2L : read));
-            assertThat(there.acknowledged() ? there.ended() - there.sent() : 0, lessThanOrEqualTo(SECOND));
-            cluster.gateways().forEach(g -> assertThat(cluster.served(g), is(read)));
+            assertThat(sentToVictim.isRejected(), is(false));
+            assertThat(read, is(sentToVictim.isAcknowledged() ? 2L : read));
+            assertThat(
+                    sentToVictim.isAcknowledged() ? sentToVictim.endedAt() - sentToVictim.sentAt() : 0,
+                    lessThanOrEqualTo(SECOND));
+            cluster.gateways().forEach(g -> assertThat(cluster.servedRevision(g), is(read)));
             assertThat(cluster.violations(), empty());
         }
     }
 
     @Test
-    void aFrozenGatewayThatThawsFollowsWithinTheBound() {
+    void pausedGatewayFollowsWithinTheLimitOnceResumed() {
         final NodeCluster cluster = new NodeCluster(3, 3, 5);
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
-        cluster.pass(SECOND);
+        cluster.advance(SECOND);
         cluster.freeze("g0");
         acknowledge(cluster, cluster.controllers(), 2, 5 * SECOND);
-        cluster.pass(OUTAGE);
+        cluster.advance(OUTAGE);
         cluster.thaw("g0");
-        assertThat(cluster.until(APPLY, () -> cluster.served("g0") == 2), greaterThanOrEqualTo(0L));
+        assertThat(
+                cluster.advanceUntil(PROPAGATION_LIMIT, () -> cluster.servedRevision("g0") == 2),
+                greaterThanOrEqualTo(0L));
         assertThat(cluster.violations(), empty());
     }
 
     @Test
-    void aTailThatFreezesInsideItsLeaseAnswersNoReadThatBeganAfterALaterAcknowledgement() {
+    void tailPausedInsideItsLeaseAnswersNoStaleRead() {
         for (int i = 0; i < 20; i++) {
             final NodeCluster cluster = new NodeCluster(3, 2, 80 + i);
             acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
-            final String tail = place(cluster, 2);
-            cluster.pass(i * 20_000L);
+            final String tail = addressAt(cluster, 2);
+            cluster.advance(i * 20_000L);
             cluster.freeze(tail);
             acknowledge(cluster, others(cluster, tail), 2, 8 * SECOND);
-            cluster.pass(OUTAGE);
+            cluster.advance(OUTAGE);
             cluster.thaw(tail);
             for (int read = 0; read < 3; read++) {
                 cluster.read(tail).ifPresent(n -> assertThat(n, is(2L)));
@@ -307,108 +318,111 @@
     }
 
     @Test
-    void aTailThatThawsWithOldGrantsInItsQueueAnswersNoReadUnderThem() {
+    void tailResumedWithOldLeaseGrantsQueuedAnswersNoReadUnderThem() {
         for (int i = 0; i < 13; i++) {
             final NodeCluster cluster = new NodeCluster(3, 2, 100);
             acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
-            final String tail = place(cluster, 2);
+            final String tail = addressAt(cluster, 2);
             final List<String> rest = new ArrayList<>(others(cluster, tail));
             rest.addAll(cluster.gateways());
-            cluster.pass(i * 10_000L);
+            cluster.advance(i * 10_000L);
             cluster.freeze(tail);
-            cluster.pass(30_000);
-            cluster.cut(List.of(tail), rest);
+            cluster.advance(30_000);
+            cluster.partition(List.of(tail), rest);
             acknowledge(cluster, others(cluster, tail), 2, 8 * SECOND);
-            final List<Object> answers = cluster.ask(tail);
+            final List<Object> answers = cluster.startRead(tail);
             cluster.thaw(tail);
-            cluster.pass(SECOND);
-            assertThat(NodeCluster.number(answers), is(Optional.empty()));
+            cluster.advance(SECOND);
+            assertThat(NodeCluster.readRevision(answers), is(Optional.empty()));
             assertThat(cluster.violations(), empty());
         }
     }
 
     @Test
-    void aMemberThatMissesCommitNoticesDoesNotCallItsStateTheNewest() {
+    void memberThatMissesCommitNoticesDoesNotConfirmItsState() {
         final NodeCluster cluster = new NodeCluster(3, 2, 18);
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
-        cluster.pass(SECOND);
-        cluster.cutOneWay(List.of(place(cluster, 2)), List.of(place(cluster, 1)));
-        final NodeCluster.Order order = cluster.put(place(cluster, 0), 2, 1);
-        cluster.pass(500_000);
-        assertThat(order.acknowledged(), is(true));
-        cluster.pass(5 * SECOND);
+        cluster.advance(SECOND);
+        cluster.partitionOneWay(List.of(addressAt(cluster, 2)), List.of(addressAt(cluster, 1)));
+        final NodeCluster.PendingCommand order = cluster.put(addressAt(cluster, 0), 2, 1);
+        cluster.advance(500_000);
+        assertThat(order.isAcknowledged(), is(true));
+        cluster.advance(5 * SECOND);
         assertThat(cluster.violations(), empty());
     }
 
-    private static Worker worker(final long sequence, final boolean leaving) {
-        return new Worker("w", "10.0.0.9:1", "z0", "r0", 1, sequence, 3, 1, 8, List.of(4L), leaving, 0, "pool", 0, 0);
+    private static Worker worker(final long sequence, final boolean isDraining) {
+        return new Worker(
+                "w", "10.0.0.9:1", "z0", "r0", 1, sequence, 3, 1, 8, List.of(4L), isDraining, 0, "pool", 0, 0);
     }
 
-    private static boolean draining(final NodeCluster cluster, final String gateway) {
-        return Optional.ofNullable(cluster.node(gateway).rumor().workers().get("w"))
-                .map(h -> h.worker().leaving())
+    private static boolean isDraining(final NodeCluster cluster, final String gateway) {
+        return Optional.ofNullable(cluster.node(gateway).gossip().workers().get("w"))
+                .map(h -> h.worker().draining())
                 .orElse(false);
     }
 
     @Test
-    void aWorkerThatDrainsAtTheCutOffSideIsKnownToAllOnceTheCutEnds() {
+    void workerDrainedAtThePartitionedSideIsKnownToAllOnceItHeals() {
         final NodeCluster cluster = new NodeCluster(3, 4, 9);
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
-        cluster.worker("c1", worker(1, false));
-        cluster.pass(2 * SECOND);
-        cluster.cut(List.of("c0", "g0"), List.of("c1", "c2", "g1", "g2", "g3"));
-        cluster.pass(SECOND);
-        cluster.worker("c0", worker(2, true));
-        assertThat(cluster.until(SECOND, () -> draining(cluster, "g0")), greaterThanOrEqualTo(0L));
-        cluster.pass(OUTAGE);
+        cluster.announceWorker("c1", worker(1, false));
+        cluster.advance(2 * SECOND);
+        cluster.partition(List.of("c0", "g0"), List.of("c1", "c2", "g1", "g2", "g3"));
+        cluster.advance(SECOND);
+        cluster.announceWorker("c0", worker(2, true));
+        assertThat(cluster.advanceUntil(SECOND, () -> isDraining(cluster, "g0")), greaterThanOrEqualTo(0L));
+        cluster.advance(OUTAGE);
         cluster.heal();
         assertThat(
-                cluster.until(APPLY, () -> cluster.gateways().stream().allMatch(g -> draining(cluster, g))),
+                cluster.advanceUntil(
+                        PROPAGATION_LIMIT, () -> cluster.gateways().stream().allMatch(g -> isDraining(cluster, g))),
                 greaterThanOrEqualTo(0L));
     }
 
     @Test
-    void aDrainSpreadsToGatewaysThatReachBothSidesAtOnce() {
+    void drainReachesGatewaysConnectedToBothSides() {
         final NodeCluster cluster = new NodeCluster(3, 4, 10);
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
-        cluster.worker("c1", worker(1, false));
-        cluster.pass(2 * SECOND);
-        cluster.cut(List.of("c0"), List.of("c1", "c2"));
-        cluster.pass(3 * SECOND);
-        cluster.worker("c0", worker(2, true));
+        cluster.announceWorker("c1", worker(1, false));
+        cluster.advance(2 * SECOND);
+        cluster.partition(List.of("c0"), List.of("c1", "c2"));
+        cluster.advance(3 * SECOND);
+        cluster.announceWorker("c0", worker(2, true));
         assertThat(
-                cluster.until(SECOND, () -> cluster.gateways().stream().allMatch(g -> draining(cluster, g))),
+                cluster.advanceUntil(SECOND, () -> cluster.gateways().stream().allMatch(g -> isDraining(cluster, g))),
                 greaterThanOrEqualTo(0L));
     }
 
     @Test
-    void sidesWhoseSeedsAllLieOnTheirOwnSideMeetAgainWhenTheCutEnds() {
+    void sidesWithSeedsOnTheirOwnSideOnlyReconnectWhenThePartitionHeals() {
         final NodeCluster cluster = new NodeCluster(3, 4, 12);
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
         final List<String> small = List.of("c0", "g0", "g1");
         final List<String> large = List.of("c1", "c2", "g2", "g3");
-        cluster.cut(small, large);
-        small.forEach(n -> cluster.node(n).crew().seeds(List.of("c0")));
-        large.forEach(n -> cluster.node(n).crew().seeds(List.of("c1", "c2")));
-        cluster.pass(OUTAGE);
-        cluster.worker("c1", worker(1, false));
-        cluster.worker("c1", worker(2, true));
+        cluster.partition(small, large);
+        small.forEach(n -> cluster.node(n).membership().setSeeds(List.of("c0")));
+        large.forEach(n -> cluster.node(n).membership().setSeeds(List.of("c1", "c2")));
+        cluster.advance(OUTAGE);
+        cluster.announceWorker("c1", worker(1, false));
+        cluster.announceWorker("c1", worker(2, true));
         acknowledge(cluster, List.of("c1", "c2"), 2, 8 * SECOND);
         cluster.heal();
-        assertThat(cluster.until(APPLY, () -> followed(cluster, 2)), greaterThanOrEqualTo(0L));
+        assertThat(cluster.advanceUntil(PROPAGATION_LIMIT, () -> allServe(cluster, 2)), greaterThanOrEqualTo(0L));
         assertThat(
-                cluster.until(APPLY, () -> cluster.gateways().stream().allMatch(g -> draining(cluster, g))),
+                cluster.advanceUntil(
+                        PROPAGATION_LIMIT, () -> cluster.gateways().stream().allMatch(g -> isDraining(cluster, g))),
                 greaterThanOrEqualTo(0L));
     }
 
     @Test
-    void machinesRestartedWithSeedsOnTheOtherSideOfTheCutServeTheNewestOnceItEnds() {
+    void machinesRestartedWithSeedsOnTheOtherSideServeTheNewestOnceThePartitionHeals() {
         final NodeCluster cluster = new NodeCluster(3, 4, 13);
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
         final List<String> small = List.of("c0", "g0", "g1");
         final List<String> large = List.of("c1", "c2", "g2", "g3");
-        cluster.cut(small, large);
-        cluster.pass(3 * SECOND);
+        cluster.partition(small, large);
+        cluster.advance(3 * SECOND);
         for (final String name : List.of("c0", "g0")) {
             cluster.kill(name);
             cluster.start(name, List.of("c1", "c2"));
@@ -418,30 +432,31 @@
             cluster.start(name, List.of("c0"));
         }
         acknowledge(cluster, List.of("c1", "c2"), 2, 10 * SECOND);
-        cluster.pass(OUTAGE);
+        cluster.advance(OUTAGE);
         cluster.heal();
-        assertThat(cluster.until(APPLY + SECOND, () -> followed(cluster, 2)), greaterThanOrEqualTo(0L));
+        assertThat(
+                cluster.advanceUntil(PROPAGATION_LIMIT + SECOND, () -> allServe(cluster, 2)), greaterThanOrEqualTo(0L));
         assertThat(cluster.violations(), empty());
         assertThat(cluster.read("c0"), is(Optional.of(2L)));
     }
 
     @Test
-    void aControllerThatLostItsDiskFoundsNothingAndHandsOutNothingOfItsOwn() {
+    void controllerThatLostItsDiskNeitherFoundsNorServesAFleet() {
         final NodeCluster cluster = new NodeCluster(3, 3, 14);
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
         final long fleet = cluster.node("c1").view().fleet();
-        final String victim = place(cluster, 1);
+        final String victim = addressAt(cluster, 1);
         cluster.kill(victim);
-        cluster.wipe(victim);
-        cluster.cut(List.of(victim), others(cluster, victim));
+        cluster.wipeDisk(victim);
+        cluster.partition(List.of(victim), others(cluster, victim));
         cluster.start(victim, cluster.controllers());
-        cluster.pass(OUTAGE);
-        assertThat(cluster.node(victim).quay().orElseThrow().view().number(), is(0L));
-        final NodeCluster.Order order = cluster.put(victim, 2, -1);
-        cluster.pass(SECOND);
-        assertThat(order.acknowledged() || order.refused(), is(false));
+        cluster.advance(OUTAGE);
+        assertThat(cluster.node(victim).chainReplica().orElseThrow().view().number(), is(0L));
+        final NodeCluster.PendingCommand order = cluster.put(victim, 2, -1);
+        cluster.advance(SECOND);
+        assertThat(order.isAcknowledged() || order.isRejected(), is(false));
         cluster.heal();
-        cluster.pass(20 * SECOND);
+        cluster.advance(20 * SECOND);
         assertThat(cluster.node(victim).view().fleet(), is(fleet));
         assertThat(
                 cluster.node("c0").view().chain().stream().map(Replica::address).toList(),
@@ -452,37 +467,41 @@
     }
 
     @Test
-    void gatewaysFollowWhileEightOrdersAreAlwaysUnderWay() {
+    void gatewaysFollowWhileEightCommandsAreInFlight() {
         final NodeCluster cluster = new NodeCluster(3, 4, 15);
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
-        final List<NodeCluster.Order> under = new ArrayList<>();
+        final List<NodeCluster.PendingCommand> inFlight = new ArrayList<>();
         long number = 1;
         long acknowledged = 1;
-        final java.util.Map<NodeCluster.Order, Long> numbers = new java.util.HashMap<>();
+        final java.util.Map<NodeCluster.PendingCommand, Long> numbers = new java.util.HashMap<>();
         final long end = cluster.now() + OUTAGE;
         final List<long[]> acknowledgements = new ArrayList<>();
         while (cluster.now() < end) {
-            for (final NodeCluster.Order o : List.copyOf(under)) {
-                if (o.ended() > 0) {
-                    under.remove(o);
-                    if (o.acknowledged()) {
-                        acknowledgements.add(new long[] {o.ended(), numbers.get(o)});
+            for (final NodeCluster.PendingCommand pending : List.copyOf(inFlight)) {
+                if (pending.endedAt() > 0) {
+                    inFlight.remove(pending);
+                    if (pending.isAcknowledged()) {
+                        acknowledgements.add(new long[] {pending.endedAt(), numbers.get(pending)});
                     }
                 }
             }
-            while (under.size() < 8) {
-                final NodeCluster.Order o = cluster.put(cluster.controllers().get((int) (number % 3)), ++number, -1);
-                numbers.put(o, number);
-                under.add(o);
+            while (inFlight.size() < 8) {
+                final NodeCluster.PendingCommand pending =
+                        cluster.put(cluster.controllers().get((int) (number % 3)), ++number, -1);
+                numbers.put(pending, number);
+                inFlight.add(pending);
             }
-            cluster.pass(5_000);
-            for (final long[] a : acknowledgements) {
-                if (cluster.now() - a[0] > APPLY) {
-                    acknowledged = Math.max(acknowledged, a[1]);
+            cluster.advance(5_000);
+            for (final long[] acknowledgement : acknowledgements) {
+                if (cluster.now() - acknowledgement[0] > PROPAGATION_LIMIT) {
+                    acknowledged = Math.max(acknowledged, acknowledgement[1]);
                 }
             }
-            for (final String g : cluster.gateways()) {
-                assertThat(g + " at " + cluster.now(), cluster.served(g), greaterThanOrEqualTo(acknowledged));
+            for (final String gateway : cluster.gateways()) {
+                assertThat(
+                        gateway + " at " + cluster.now(),
+                        cluster.servedRevision(gateway),
+                        greaterThanOrEqualTo(acknowledged));
             }
         }
         assertThat(acknowledgements.size(), greaterThanOrEqualTo(100));
--- a/core/src/test/java/silverlatch/replication/ChainClientTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainClientTest.java
@@ -31,7 +31,7 @@
         clerk.on(new Message.WriteReply(11, new CommandResult.Unknown("order-1")), 1_000);
         assertThat(clerk.drain(), is(List.of()));
         clerk.tick(1_000_000);
-        assertThat(clerk.drain(), is(List.of((Effect) new Effect.Answer(5, new CommandResult.Unknown("order-1")))));
+        assertThat(clerk.drain(), is(List.of((Effect) new Effect.Respond(5, new CommandResult.Unknown("order-1")))));
     }
 
     @Test
@@ -43,7 +43,7 @@
         clerk.on(new Message.WriteReply(11, new CommandResult.Rejected(409, List.of("a late reply"), 6)), 1_000);
         assertThat(clerk.drain(), is(List.of()));
         clerk.on(new Message.WriteReply(12, new CommandResult.Applied(9)), 1_000);
-        assertThat(clerk.drain(), is(List.of((Effect) new Effect.Answer(5, new CommandResult.Applied(9)))));
+        assertThat(clerk.drain(), is(List.of((Effect) new Effect.Respond(5, new CommandResult.Applied(9)))));
     }
 
     @Test
@@ -51,16 +51,16 @@
         clerk.wish(new Command.SetEvacuation("order-1", "z", true, Command.SetEvacuation.LATEST), 5, 0, 1_000_000);
         clerk.drain();
         clerk.on(new Message.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)), 20_000_000);
-        final Effect unknown = new Effect.Answer(5, new CommandResult.Unknown("order-1"));
+        final Effect unknown = new Effect.Respond(5, new CommandResult.Unknown("order-1"));
         assertThat("a reply after the process was frozen", clerk.drain(), is(List.of(unknown)));
         clerk.wish(new Command.SetEvacuation("order-2", "z", true, -1), 6, 30_000_000, 25_000_000);
-        final Effect late = new Effect.Answer(6, new CommandResult.Unknown("order-2"));
+        final Effect late = new Effect.Respond(6, new CommandResult.Unknown("order-2"));
         assertThat("a call that waited while it was frozen", clerk.drain(), is(List.of(late)));
     }
 
     private List<Long> matches() {
         return clerk.drain().stream()
-                .map(e -> ((Command.SetEvacuation) ((Message.WriteRequest) ((Effect.Send) e).body()).command())
+                .map(e -> ((Command.SetEvacuation) ((Message.WriteRequest) ((Effect.Send) e).message()).command())
                         .expectedRevision())
                 .toList();
     }
@@ -72,6 +72,7 @@
         clerk.on(new Message.ReadReply(11, false, 0, List.of()), 1_000);
         assertThat(clerk.drain(), is(List.of()));
         clerk.on(new Message.ReadReply(11, true, 9, List.of()), 1_000);
-        assertThat(clerk.drain(), is(List.of((Effect) new Effect.Answer(6, new ChainClient.Page(true, 9, List.of())))));
+        assertThat(clerk.drain(), is(List.of((Effect)
+                new Effect.Respond(6, new ChainClient.Page(true, 9, List.of())))));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
@@ -27,7 +27,7 @@
     private static final List<String> SEATS = List.of("a", "b", "c");
     private final Map<String, ChainReplica> quays = new LinkedHashMap<>();
     private final Map<String, List<LogRecord>> disks = new LinkedHashMap<>();
-    private final Map<String, List<Effect.Keep>> unsynced = new LinkedHashMap<>();
+    private final Map<String, List<Effect.Persist>> unsynced = new LinkedHashMap<>();
     private final Set<String> down = new TreeSet<>();
     private final Set<String> stuck = new TreeSet<>();
     private final List<Message> told = new ArrayList<>();
@@ -86,16 +86,16 @@
         switch (e) {
             case Effect.Send s -> {
                 if (s.to().equals("operator")) {
-                    told.add(s.body());
+                    told.add(s.message());
                     return;
                 }
                 mail.add(() -> {
                     if (!down.contains(s.to()) && !down.contains(seat) && quays.containsKey(s.to())) {
-                        quays.get(s.to()).on(s.body(), seat, now);
+                        quays.get(s.to()).on(s.message(), seat, now);
                     }
                 });
             }
-            case Effect.Keep k -> {
+            case Effect.Persist k -> {
                 if (stuck.contains(seat)) {
                     unsynced.get(seat).add(k);
                 } else {
@@ -106,9 +106,9 @@
         }
     }
 
-    private void sync(final String seat, final ChainReplica q, final Effect.Keep k) {
+    private void sync(final String seat, final ChainReplica q, final Effect.Persist k) {
         if (quays.get(seat) == q && !down.contains(seat)) {
-            k.notes().forEach(n -> {
+            k.records().forEach(n -> {
                 if (n instanceof LogRecord.Snapshot) {
                     disks.get(seat).clear();
                 }
--- a/core/src/test/java/silverlatch/replication/RepairOfPendingTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairOfPendingTest.java
@@ -60,8 +60,8 @@
         return holds;
     }
 
-    private static boolean replacesTheLog(final Effect.Keep keep) {
-        return keep.notes().stream().anyMatch(LogRecord.Snapshot.class::isInstance);
+    private static boolean replacesTheLog(final Effect.Persist keep) {
+        return keep.records().stream().anyMatch(LogRecord.Snapshot.class::isInstance);
     }
 
     /** Repairs until the log of the repaired replica has been replaced once, synced in one piece. */
@@ -103,15 +103,15 @@
             final long now) {
         final List<Effect> effects = from.drain();
         for (final Effect effect : effects) {
-            if (effect instanceof Effect.Keep keep) {
+            if (effect instanceof Effect.Persist keep) {
                 if (sender.equals(REPAIRED) && written.isEmpty() && replacesTheLog(keep)) {
-                    written.addAll(keep.notes());
+                    written.addAll(keep.records());
                 }
                 from.kept(keep.token(), now);
             } else if (effect instanceof Effect.Send send && send.to().equals(receiver.address())) {
-                to.on(send.body(), sender.address(), now);
+                to.on(send.message(), sender.address(), now);
             } else if (effect instanceof Effect.Send send && send.to().equals(sender.address())) {
-                from.on(send.body(), sender.address(), now);
+                from.on(send.message(), sender.address(), now);
             }
         }
         return !effects.isEmpty();
--- a/core/src/test/java/silverlatch/replication/ReplicaCluster.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaCluster.java
@@ -388,20 +388,20 @@
         switch (e) {
             case Effect.Send s -> {
                 if (s.to().equals(seat)) {
-                    hand(seat, q, s.body(), seat);
+                    hand(seat, q, s.message(), seat);
                 } else if (!cuts.contains(Set.of(seat, s.to()))) {
                     deliver(seat, s, () -> {
                         if (quays.containsKey(s.to())) {
-                            hand(s.to(), quays.get(s.to()), s.body(), seat);
+                            hand(s.to(), quays.get(s.to()), s.message(), seat);
                             flush(s.to(), quays.get(s.to()));
                         }
                     });
                 }
             }
-            case Effect.Keep k -> keep(seat, q, k);
-            case Effect.Answer a ->
+            case Effect.Persist k -> keep(seat, q, k);
+            case Effect.Respond a ->
                 Optional.ofNullable(asked.remove(a.token())).ifPresent(x -> {
-                    x.reply = Optional.of(a.reply());
+                    x.reply = Optional.of(a.response());
                     x.end = now;
                 });
             case Effect.Log l -> logged.merge(l.event(), 1L, Long::sum);
@@ -413,26 +413,26 @@
                 l -> l.send(
                         from,
                         send.to(),
-                        frames.encode(send.body()).length,
-                        Message.urgent(send.body()),
+                        frames.encode(send.message()).length,
+                        Message.urgent(send.message()),
                         now,
                         () -> whenThawed(send.to(), job)),
                 () -> at(now + hop + slowLinks.getOrDefault(Set.of(from, send.to()), 0L), send.to(), job));
     }
 
-    private void keep(final String seat, final ChainReplica q, final Effect.Keep k) {
+    private void keep(final String seat, final ChainReplica q, final Effect.Persist k) {
         final Optional<ModelDisk> disk = Optional.ofNullable(modelDisks.get(seat));
-        at(disk.map(d -> d.due(now, k.notes())).orElse(now + syncSpan), seat, () -> {
+        at(disk.map(d -> d.due(now, k.records())).orElse(now + syncSpan), seat, () -> {
             if (quays.get(seat) != q) {
                 return;
             }
-            if (!disk.map(d -> d.write(k.notes())).orElse(true)) {
+            if (!disk.map(d -> d.write(k.records())).orElse(true)) {
                 q.broke("no space left");
                 flush(seat, q);
                 at(now + 1_000_000, () -> recover(seat, q));
                 return;
             }
-            k.notes().forEach(n -> sync(seat, n));
+            k.records().forEach(n -> sync(seat, n));
             q.kept(k.token(), now);
             flush(seat, q);
         });
--- a/core/src/test/java/silverlatch/routing/RouterTest.java
+++ b/core/src/test/java/silverlatch/routing/RouterTest.java
@@ -76,8 +76,8 @@
     }
 
     private Facts facts() {
-        final Map<String, Gossip.Heard> heard = new HashMap<>();
-        workers.forEach((k, w) -> heard.put(k, new Gossip.Heard(w, Optional.of(now))));
+        final Map<String, Gossip.ObservedWorker> heard = new HashMap<>();
+        workers.forEach((k, w) -> heard.put(k, new Gossip.ObservedWorker(w, Optional.of(now))));
         return new Facts(gateway("me"), page, Optional.of(now), Policy.of(entries), heard, crew);
     }
 
--- a/core/src/test/java/silverlatch/statemachine/TransitionTableTest.java
+++ b/core/src/test/java/silverlatch/statemachine/TransitionTableTest.java
@@ -8,19 +8,19 @@
 
 final class TransitionTableTest {
     @Test
-    void everyChartOfTheProductIsSoundAndTheFileDecides() {
+    void everyTransitionTableIsValidAndDecides() {
         for (final String name : new String[] {"ticket", "controller", "member"}) {
             TransitionTable.load(name);
         }
         final TransitionTable ticket = TransitionTable.load("ticket");
-        assertThat(ticket.move("asking", "start"), is("running"));
-        assertThat(ticket.ended("rejected"), is(true));
-        assertThrows(IllegalStateException.class, () -> ticket.move("rejected", "start"));
-        assertThrows(IllegalStateException.class, () -> ticket.move("running", "reject"));
+        assertThat(ticket.transition("asking", "start"), is("running"));
+        assertThat(ticket.isFinal("rejected"), is(true));
+        assertThrows(IllegalStateException.class, () -> ticket.transition("rejected", "start"));
+        assertThrows(IllegalStateException.class, () -> ticket.transition("running", "reject"));
     }
 
     @Test
-    void aChartWithAFaultIsNotTaken() {
+    void invalidTableIsRejected() {
         assertThrows(
                 IllegalArgumentException.class,
                 () -> TransitionTable.parse(
--- a/core/src/test/java/silverlatch/util/ChildJvmTest.java
+++ b/core/src/test/java/silverlatch/util/ChildJvmTest.java
@@ -14,14 +14,14 @@
 /** Each JDK gets options that it knows. */
 final class ChildJvmTest {
     @Test
-    void eachVersionGetsWhatItNeeds() {
+    void eachVersionGetsItsOptions() {
         assertThat(ChildJvm.optionsOf(17), contains("--enable-preview"));
         assertThat(ChildJvm.optionsOf(21), empty());
         assertThat(ChildJvm.optionsOf(25), contains("--sun-misc-unsafe-memory-access=allow"));
     }
 
     @Test
-    void thisJvmKnowsItsOptions() throws IOException, InterruptedException {
+    void thisJvmAcceptsItsOptions() throws IOException, InterruptedException {
         final List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(ChildJvm.options());
--- a/core/src/test/java/silverlatch/wire/SizesTest.java
+++ b/core/src/test/java/silverlatch/wire/SizesTest.java
@@ -56,7 +56,7 @@
     @Test
     void aBeatAndAWordAreSmall() {
         assertThat(size(new Message.Heartbeat(ME)), lessThan(200));
-        assertThat(size(new Message.LivenessHeartbeat(ME.id(), ME.life())), lessThan(100));
+        assertThat(size(new Message.LivenessHeartbeat(ME.id(), ME.incarnation())), lessThan(100));
         assertThat(
                 size(new Message.GossipPush(
                         List.of(),
--- a/server/src/main/java/silverlatch/server/controller/Controller.java
+++ b/server/src/main/java/silverlatch/server/controller/Controller.java
@@ -59,18 +59,18 @@
         this.scribe = ledger.map(log -> new LogWriter(log, new LogWriter.Listener() {
             @Override
             public void synced(final List<Long> tokens) {
-                tell(d -> tokens.forEach(t -> d.kept(t, EventLoop.now())), () -> {});
+                tell(d -> tokens.forEach(t -> d.onPersisted(t, EventLoop.now())), () -> {});
             }
 
             @Override
             public void failed(final String why, final Runnable fenced) {
-                tell(d -> d.broke(why, EventLoop.now()), fenced);
+                tell(d -> d.onDiskFailed(why, EventLoop.now()), fenced);
             }
 
             @Override
             public void recovered(final List<LogRecord> records) {
                 Logs.write(Event.RECOVERED, records.size() + " records, after the disk had failed");
-                tell(d -> d.recovered(records, EventLoop.now()), () -> {});
+                tell(d -> d.onDiskRecovered(records, EventLoop.now()), () -> {});
             }
         }));
         this.roster = settings.data().map(d -> new WorkerRoster(java.nio.file.Path.of(d)));
@@ -85,7 +85,7 @@
     public void start() throws IOException, Web.WebFault {
         scribe.ifPresent(LogWriter::start);
         roster.ifPresent(r -> {
-            deck.rumor().recall(r.read(), EventLoop.now());
+            deck.gossip().restoreReports(r.read(), EventLoop.now());
             r.start();
         });
         dock.start();
@@ -141,8 +141,8 @@
         word(
                 d -> {
                     final boolean left = leaving(d, worker.id());
-                    d.announced(worker, 0, EventLoop.now());
-                    return new Taken(d.rumor().workers().containsKey(worker.id()), !left && leaving(d, worker.id()));
+                    d.onAnnouncement(worker, 0, EventLoop.now());
+                    return new Taken(d.gossip().workers().containsKey(worker.id()), !left && leaving(d, worker.id()));
                 },
                 then);
     }
@@ -151,7 +151,7 @@
     public void gone(final String worker, final Consumer<Boolean> then) {
         word(
                 d -> {
-                    final boolean known = d.gone(worker, EventLoop.now());
+                    final boolean known = d.onWorkerGone(worker, EventLoop.now());
                     return new Taken(known, known);
                 },
                 then);
@@ -160,8 +160,8 @@
     /** Takes the seeds that hold from now on. */
     public void seeds(final List<String> next) {
         bridge.with(d -> {
-            d.crew().seeds(next);
-            d.quay().ifPresent(q -> q.seats(next));
+            d.membership().setSeeds(next);
+            d.chainReplica().ifPresent(q -> q.seats(next));
         });
     }
 
@@ -190,8 +190,8 @@
     }
 
     private static boolean leaving(final Node d, final String id) {
-        return Optional.ofNullable(d.rumor().workers().get(id))
-                .map(h -> h.worker().leaving())
+        return Optional.ofNullable(d.gossip().workers().get(id))
+                .map(h -> h.worker().draining())
                 .orElse(false);
     }
 
@@ -202,10 +202,10 @@
     }
 
     private void frame(final silverlatch.wire.Frame f) {
-        bridge.with(d -> d.frame(f, EventLoop.now()));
+        bridge.with(d -> d.onFrame(f, EventLoop.now()));
     }
 
-    private void keep(final Effect.Keep k) {
+    private void keep(final Effect.Persist k) {
         scribe.ifPresent(s -> s.write(k));
     }
 
@@ -221,12 +221,12 @@
         owed.clear();
         due.forEach(Runnable::run);
         nears = java.util.stream.Stream.concat(
-                        java.util.stream.Stream.of(d.crew().me()), d.crew().live().stream())
-                .filter(m -> !m.gateway() && m.state().equals("up"))
+                        java.util.stream.Stream.of(d.membership().self()), d.membership().liveMembers().stream())
+                .filter(m -> !m.isGateway() && m.state().equals("up"))
                 .toList();
         final Optional<String> why = closing
                 ? Optional.of("stopping")
-                : d.quay()
+                : d.chainReplica()
                         .map(q -> {
                             final ChainReplica.State s = q.state(now);
                             gone = q.gone();
@@ -234,19 +234,19 @@
                                     ? Optional.<String>empty()
                                     : Optional.of("the chain: " + s.spot() + (s.leased() ? "" : ", no lease"));
                         })
-                        .orElseGet(() -> d.rumor().age(now) < 2_500_000L
+                        .orElseGet(() -> d.gossip().stateAge(now) < 2_500_000L
                                 ? Optional.empty()
                                 : Optional.of("the books are not confirmed"));
         if (why.isPresent() != unready.isPresent()) {
             Logs.write(
                     why.isPresent() ? Event.UNREADY : Event.READY,
                     settings.name() + why.map(w -> ": " + w).orElse(""));
-            d.ready(why.isEmpty());
+            d.setReady(why.isEmpty());
         }
         unready = why;
-        roster.filter(r -> listed != d.rumor().roster()).ifPresent(r -> {
-            if (r.write(d.rumor().standing(now))) {
-                listed = d.rumor().roster();
+        roster.filter(r -> listed != d.gossip().reportsDigest()).ifPresent(r -> {
+            if (r.write(d.gossip().activeReports(now))) {
+                listed = d.gossip().reportsDigest();
             }
         });
         calendars(d, now);
@@ -257,13 +257,13 @@
             return;
         }
         calendarAt = now;
-        d.quay()
+        d.chainReplica()
                 .ifPresent(q -> q.duty(now)
                         .ifPresent(fence -> calendars
                                 .due(
                                         q.books(),
-                                        d.anchor().unixNanos()
-                                                + (now - d.anchor().monotonicMicros()) * 1000,
+                                        d.physicalClock().unixNanos()
+                                                + (now - d.physicalClock().monotonicMicros()) * 1000,
                                         fence)
                                 .forEach(w -> {
                                     Logs.write(Event.CALENDAR, w.id());
--- a/server/src/main/java/silverlatch/server/controller/Door.java
+++ b/server/src/main/java/silverlatch/server/controller/Door.java
@@ -163,10 +163,14 @@
             final long echo = Words.echo(s);
             if (!faulty(c, s)
                     && !bridge.with(d -> {
-                        final long next = d.announced(w, echo, EventLoop.now());
+                        final long next = d.onAnnouncement(w, echo, EventLoop.now());
                         c.reply(
                                 200,
-                                Map.of("echo", next, "table", d.rumor().books().policyRevision()));
+                                Map.of(
+                                        "echo",
+                                        next,
+                                        "table",
+                                        d.gossip().stateMachine().policyRevision()));
                     })) {
                 no(c, 503, "the ring is full");
             }
@@ -380,7 +384,7 @@
                             .map(b -> b.id() + " " + b.address())
                             .toList());
             map.put("chain", d.view().chain().stream().map(b -> b.address()).toList());
-            d.quay().ifPresent(q -> {
+            d.chainReplica().ifPresent(q -> {
                 final ChainReplica.State s = q.state(now);
                 map.put("state", s.spot());
                 map.put("level", s.level());
@@ -388,20 +392,20 @@
                 map.put("sequence", s.sequence());
                 map.put("pending", s.pending());
             });
-            map.put("table", d.rumor().books().policyRevision());
-            map.put("stamp", "" + d.keeper().last().bits());
+            map.put("table", d.gossip().stateMachine().policyRevision());
+            map.put("stamp", "" + d.processClock().last().bits());
             map.put(
                     "crew",
-                    d.crew().all().stream()
-                            .map(m -> m.id() + " " + m.role() + " " + m.zone() + " " + m.region() + " " + m.door() + " "
-                                    + m.state() + (m.ready() ? " ready" : ""))
+                    d.membership().all().stream()
+                            .map(m -> m.id() + " " + m.role() + " " + m.zone() + " " + m.region() + " "
+                                    + m.httpAddress() + " " + m.state() + (m.ready() ? " ready" : ""))
                             .toList());
             map.put(
                     "workers",
-                    d.rumor().workers().values().stream()
+                    d.gossip().workers().values().stream()
                             .map(h -> h.worker().id() + " " + h.worker().zone() + " running "
                                     + h.worker().running() + "/" + h.worker().slots()
-                                    + (h.worker().leaving() ? " leaving" : ""))
+                                    + (h.worker().draining() ? " leaving" : ""))
                             .sorted()
                             .toList());
             c.reply(200, map);
@@ -411,13 +415,13 @@
     private void metrics(final Call c) {
         bridge.with(d -> {
             final Map<String, Object> all = new TreeMap<>();
-            final var n = d.keeper().counts();
+            final var n = d.processClock().counts();
             all.put("tide_waits", n.waits());
             all.put("tide_carries", n.overflows());
             all.put("tide_far", n.tooFarAhead());
             all.put("tide_dropped", n.dropped());
-            d.tally().forEach((k, v) -> all.put("deck_" + k, v));
-            d.quay().ifPresent(q -> all.put("quay_sequence", q.books().sequence()));
+            d.counters().forEach((k, v) -> all.put("deck_" + k, v));
+            d.chainReplica().ifPresent(q -> all.put("quay_sequence", q.books().sequence()));
             all.put("wire_bad", dock.bad());
             all.put("wire_dropped", dock.dropped());
             c.text(all.entrySet().stream()
--- a/server/src/main/java/silverlatch/server/controller/LogWriter.java
+++ b/server/src/main/java/silverlatch/server/controller/LogWriter.java
@@ -22,7 +22,7 @@
     private static final long FIRST_PAUSE_MS = 1_000;
     private static final long LONGEST_PAUSE_MS = 8_000;
     private static final long CALM_NANOS = TimeUnit.SECONDS.toNanos(30);
-    private final BlockingQueue<Effect.Keep> queue = new LinkedBlockingQueue<>(16_384);
+    private final BlockingQueue<Effect.Persist> queue = new LinkedBlockingQueue<>(16_384);
     private final Listener listener;
     private final long firstPauseMs;
     private WriteAheadLog log;
@@ -61,7 +61,7 @@
     }
 
     /** Takes a write. */
-    public void write(final Effect.Keep keep) {
+    public void write(final Effect.Persist keep) {
         if (!queue.offer(keep)) {
             overflowed = true;
         }
@@ -85,19 +85,19 @@
 
     private void writeBatches() throws IOException, InterruptedException {
         while (true) {
-            final List<Effect.Keep> batch = nextBatch();
+            final List<Effect.Persist> batch = nextBatch();
             final List<LogRecord> records = new ArrayList<>();
-            batch.forEach(k -> records.addAll(k.notes()));
+            batch.forEach(k -> records.addAll(k.records()));
             log.write(records);
             if (overflowed) {
                 throw new IOException("too many writes wait");
             }
-            listener.synced(batch.stream().map(Effect.Keep::token).toList());
+            listener.synced(batch.stream().map(Effect.Persist::token).toList());
         }
     }
 
-    private List<Effect.Keep> nextBatch() throws InterruptedException {
-        final List<Effect.Keep> batch = new ArrayList<>();
+    private List<Effect.Persist> nextBatch() throws InterruptedException {
+        final List<Effect.Persist> batch = new ArrayList<>();
         batch.add(queue.take());
         long sum = weight(batch.get(0));
         while (batch.size() < MOST && !queue.isEmpty() && sum + weight(queue.peek()) <= HEAVY) {
@@ -107,8 +107,8 @@
         return batch;
     }
 
-    private static long weight(final Effect.Keep keep) {
-        return keep.notes().stream()
+    private static long weight(final Effect.Persist keep) {
+        return keep.records().stream()
                 .mapToLong(n -> n instanceof LogRecord.Appended d ? d.entry().weight() : 64)
                 .sum();
     }
--- a/server/src/main/java/silverlatch/server/controller/Main.java
+++ b/server/src/main/java/silverlatch/server/controller/Main.java
@@ -143,7 +143,7 @@
             final List<LogRecord> notes =
                     opened.map(WriteAheadLog.OpenResult.Success::records).orElse(List.of());
             return new Node(
-                    new Node.Setup(
+                    new Node.Settings(
                             me,
                             s.seeds(),
                             s.low(),
--- a/server/src/main/java/silverlatch/server/eventloop/EventLoopHandle.java
+++ b/server/src/main/java/silverlatch/server/eventloop/EventLoopHandle.java
@@ -14,7 +14,7 @@
 public final class EventLoopHandle {
     private final Node node;
     private final Consumer<OutgoingFrame> transport;
-    private final Consumer<Effect.Keep> logWriter;
+    private final Consumer<Effect.Persist> logWriter;
     private final Consumer<Node> after;
     private final EventLoop loop;
     private final AtomicLong tokens = new AtomicLong();
@@ -25,7 +25,7 @@
             final Node node,
             final long beat,
             final Consumer<OutgoingFrame> transport,
-            final Consumer<Effect.Keep> logWriter,
+            final Consumer<Effect.Persist> logWriter,
             final Consumer<Node> after) {
         this.node = node;
         this.transport = transport;
@@ -67,7 +67,7 @@
         final long end = EventLoop.now() + span;
         return with(d -> {
             asked.put(token, then);
-            d.wish(wish, token, EventLoop.now(), end);
+            d.submit(wish, token, EventLoop.now(), end);
         });
     }
 
@@ -94,18 +94,18 @@
     }
 
     private void flush() {
-        node.ships().forEach(transport);
+        node.drainFrames().forEach(transport);
         final List<Effect> list = node.drain();
         for (final Effect e : list) {
             switch (e) {
-                case Effect.Answer a ->
-                    java.util.Optional.ofNullable(asked.remove(a.token())).ifPresent(c -> c.accept(a.reply()));
+                case Effect.Respond a ->
+                    java.util.Optional.ofNullable(asked.remove(a.token())).ifPresent(c -> c.accept(a.response()));
                 case Effect.Log l -> Logs.write(l.event(), l.text());
-                case Effect.Keep k -> logWriter.accept(k);
+                case Effect.Persist k -> logWriter.accept(k);
                 case Effect.Send s -> throw new IllegalStateException("a send left the node unstamped");
             }
         }
-        if (node.parked()) {
+        if (node.hasDelayedFrames()) {
             loop.post(() -> {
                 java.util.concurrent.locks.LockSupport.parkNanos(200_000L);
                 node.tick(EventLoop.now(), wall());
--- a/server/src/main/java/silverlatch/server/eventloop/Logs.java
+++ b/server/src/main/java/silverlatch/server/eventloop/Logs.java
@@ -12,7 +12,7 @@
 
     /** Writes one event. */
     public static void write(final Event event, final String text) {
-        if (event.warning()) {
+        if (event.isWarning()) {
             LOG.warn("SL{} {} {}", event.number(), event, text);
         } else {
             LOG.info("SL{} {} {}", event.number(), event, text);
--- a/server/src/main/java/silverlatch/server/gateway/Gateway.java
+++ b/server/src/main/java/silverlatch/server/gateway/Gateway.java
@@ -115,7 +115,7 @@
             duty.post(carry::close);
             duty.post(passage::leave);
             gate.ifPresent(ProxyServer::close);
-            bridge.with(d -> d.ready(false));
+            bridge.with(d -> d.setReady(false));
             final long end = EventLoop.now() + settings.grace();
             TimeUnit.MICROSECONDS.sleep(gate.isEmpty() ? 200_000L : Math.min(LINGER, settings.grace() / 3));
             duty.post(passage::close);
@@ -152,7 +152,7 @@
     }
 
     private void frame(final silverlatch.wire.Frame f) {
-        bridge.with(d -> d.frame(f, EventLoop.now()));
+        bridge.with(d -> d.onFrame(f, EventLoop.now()));
     }
 
     /** Makes the gate for tickets that come by host and path; where there is one it decides when this gateway is ready. */
@@ -164,7 +164,7 @@
 
     /** Takes the seeds that hold from now on. */
     public void seeds(final List<String> next) {
-        bridge.with(d -> d.crew().seeds(next));
+        bridge.with(d -> d.membership().setSeeds(next));
     }
 
     /** Whether tickets are taken, or why not. */
@@ -205,7 +205,7 @@
             Logs.write(
                     why.isPresent() ? Event.UNREADY : Event.READY,
                     settings.name() + why.map(w -> ": " + w).orElse(""));
-            bridge.with(d -> d.ready(why.isEmpty()));
+            bridge.with(d -> d.setReady(why.isEmpty()));
         }
         unready = why;
     }
@@ -406,8 +406,10 @@
                 return;
             }
             if (!bridge.with(d -> {
-                final long next = d.announced(w, echo, EventLoop.now());
-                c.reply(200, Map.of("echo", next, "table", d.rumor().books().policyRevision()));
+                final long next = d.onAnnouncement(w, echo, EventLoop.now());
+                c.reply(
+                        200,
+                        Map.of("echo", next, "table", d.gossip().stateMachine().policyRevision()));
                 publish(d);
             })) {
                 reject(c, 503, "", "the ring is full", MILLION, "");
@@ -484,26 +486,26 @@
             map.put("name", settings.name());
             map.put("ready", unready.isEmpty());
             map.put("why", unready.orElse(""));
-            map.put("table", d.rumor().books().policyRevision());
+            map.put("table", d.gossip().stateMachine().policyRevision());
             map.put(
                     "tableAgeMs",
-                    d.rumor().age(now) == Long.MAX_VALUE ? -1 : d.rumor().age(now) / 1000);
-            map.put("stamp", "" + d.keeper().last().bits());
-            map.put("wallJumps", d.anchor().jumps());
+                    d.gossip().stateAge(now) == Long.MAX_VALUE ? -1 : d.gossip().stateAge(now) / 1000);
+            map.put("stamp", "" + d.processClock().last().bits());
+            map.put("wallJumps", d.physicalClock().jumps());
             map.put("view", d.view().number());
             map.put("chain", d.view().chain().stream().map(b -> b.address()).toList());
             map.put(
                     "crew",
-                    d.crew().all().stream()
+                    d.membership().all().stream()
                             .map(m -> m.id() + " " + m.role() + " " + m.zone() + " " + m.state()
                                     + (m.ready() ? " ready" : ""))
                             .toList());
             map.put(
                     "workers",
-                    d.rumor().workers().values().stream()
+                    d.gossip().workers().values().stream()
                             .map(h -> h.worker().id() + " " + h.worker().zone() + " running "
                                     + h.worker().running() + "/" + h.worker().slots()
-                                    + (h.worker().leaving() ? " leaving" : "") + " age "
+                                    + (h.worker().draining() ? " leaving" : "") + " age "
                                     + (h.age(now) == Long.MAX_VALUE ? "unknown" : h.age(now) / 1000 + " ms"))
                             .sorted()
                             .toList());
@@ -520,12 +522,12 @@
             all.put("passage_open", passage.open());
             all.put("passage_charter", passage.charter());
             bridge.with(d -> {
-                final var n = d.keeper().counts();
+                final var n = d.processClock().counts();
                 all.put("tide_waits", n.waits());
                 all.put("tide_carries", n.overflows());
                 all.put("tide_far", n.tooFarAhead());
                 all.put("tide_dropped", n.dropped());
-                d.tally().forEach((k, v) -> all.put("deck_" + k, v));
+                d.counters().forEach((k, v) -> all.put("deck_" + k, v));
                 all.put("wire_bad", dock.bad());
                 all.put("wire_dropped", dock.dropped());
                 all.put("ring_full", duty.full() + bridge.eventLoop().full());
--- a/server/src/main/java/silverlatch/server/gateway/Main.java
+++ b/server/src/main/java/silverlatch/server/gateway/Main.java
@@ -83,7 +83,7 @@
             final Member me = new Member(
                     s.name(), "gateway", s.zone(), s.region(), s.address(), s.door(), wall / 1000, 0, "up", false);
             return new Node(
-                    new Node.Setup(
+                    new Node.Settings(
                             me,
                             s.seeds(),
                             s.low(),
@@ -101,13 +101,13 @@
         @Singleton
         static Dispatcher carry(final Settings s, final Node deck, final SplittableRandom luck) {
             return new Dispatcher(
-                    s.carry(), new Seals(s.key()), deck.facts(), () -> deck.local(EventLoop.now()), luck.split());
+                    s.carry(), new Seals(s.key()), deck.facts(), () -> deck.localStamp(EventLoop.now()), luck.split());
         }
 
         @Provides
         @Singleton
         static Router passage(final Settings s, final Node deck, final SplittableRandom luck) {
-            return new Router(Router.Setup.PLAIN, deck.facts(), () -> deck.local(EventLoop.now()), luck.split());
+            return new Router(Router.Setup.PLAIN, deck.facts(), () -> deck.localStamp(EventLoop.now()), luck.split());
         }
     }
 }
--- a/server/src/main/java/silverlatch/server/replay/Pages.java
+++ b/server/src/main/java/silverlatch/server/replay/Pages.java
@@ -66,9 +66,11 @@
             map.put("running", w.running());
             map.put("queued", w.queued());
             map.put("slots", w.slots());
-            map.put("kept", c.prefix().stream().filter(w.kept()::contains).toList());
-            map.put("leaving", w.leaving());
-            map.put("up", Math.min(FAR, w.up()));
+            map.put(
+                    "kept",
+                    c.prefix().stream().filter(w.cachedPrefixes()::contains).toList());
+            map.put("leaving", w.draining());
+            map.put("up", Math.min(FAR, w.uptime()));
             map.put("age", Math.min(FAR, s.age()));
             map.put("since", s.since());
             map.put("mine", s.mine());
--- a/server/src/test/java/silverlatch/server/controller/LogWriterTest.java
+++ b/server/src/test/java/silverlatch/server/controller/LogWriterTest.java
@@ -63,21 +63,21 @@
         final Recorder recorder = new Recorder();
         final LogWriter writer = new LogWriter(log, recorder, 5);
         writer.start();
-        writer.write(new Effect.Keep(1, List.of(FIRST)));
+        writer.write(new Effect.Persist(1, List.of(FIRST)));
         assertThat(recorder.next(), is(new Told.Synced(List.of(1L))));
         final Path inTheWay = folder.resolve("picture-000000000002.part");
         Files.createDirectories(inTheWay.resolve("inside"));
-        writer.write(new Effect.Keep(2, List.of(SNAPSHOT)));
+        writer.write(new Effect.Persist(2, List.of(SNAPSHOT)));
         final Told.Failed failed = (Told.Failed) recorder.next();
-        writer.write(new Effect.Keep(3, List.of(NEVER_SYNCED)));
+        writer.write(new Effect.Persist(3, List.of(NEVER_SYNCED)));
         failed.fenced().run();
         TimeUnit.MILLISECONDS.sleep(100);
         assertThat("the disk still refuses", recorder.told.isEmpty(), is(true));
         Files.delete(inTheWay.resolve("inside"));
         assertThat(recorder.next(), is(new Told.Recovered(List.of(FIRST))));
-        writer.write(new Effect.Keep(4, List.of(SNAPSHOT)));
+        writer.write(new Effect.Persist(4, List.of(SNAPSHOT)));
         assertThat(recorder.next(), is(new Told.Synced(List.of(4L))));
-        writer.write(new Effect.Keep(5, List.of(LAST)));
+        writer.write(new Effect.Persist(5, List.of(LAST)));
         assertThat(recorder.next(), is(new Told.Synced(List.of(5L))));
         assertThat(
                 ((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder)).records(), is(List.of(SNAPSHOT, LAST)));
--- a/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
@@ -189,11 +189,11 @@
     }
 
     private Facts facts(final long page) {
-        final Map<String, Gossip.Heard> heard = new HashMap<>();
+        final Map<String, Gossip.ObservedWorker> heard = new HashMap<>();
         for (int i = 0; i < peers.size(); i++) {
             heard.put(
                     "w" + i,
-                    new Gossip.Heard(
+                    new Gossip.ObservedWorker(
                             new Worker(
                                     "w" + i,
                                     "127.0.0.1:" + peers.get(i).server.getLocalPort(),
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
@@ -161,11 +161,11 @@
     }
 
     private static Facts facts(final List<ScriptedWorker> workers) {
-        final Map<String, Gossip.Heard> heard = new HashMap<>();
+        final Map<String, Gossip.ObservedWorker> heard = new HashMap<>();
         for (final ScriptedWorker worker : workers) {
             heard.put(
                     worker.id,
-                    new Gossip.Heard(
+                    new Gossip.ObservedWorker(
                             new Worker(
                                     worker.id,
                                     "127.0.0.1:" + worker.port(),
--- a/simulation/src/main/java/silverlatch/simulation/explore/Machine.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Machine.java
@@ -16,7 +16,7 @@
     private final int index;
     private final int drift;
     private final List<LogRecord> disk = new ArrayList<>();
-    private final Deque<Effect.Keep> pending = new ArrayDeque<>();
+    private final Deque<Effect.Persist> pending = new ArrayDeque<>();
     private Optional<Process> process = Optional.empty();
     private int generation;
     private boolean frozen;
@@ -94,7 +94,7 @@
         return disk;
     }
 
-    Deque<Effect.Keep> pending() {
+    Deque<Effect.Persist> pending() {
         return pending;
     }
 
@@ -111,7 +111,7 @@
     /** The process ends; the first unsynced writes are on the disk all the same, the others are lost. */
     void crash(final int kept) {
         for (int i = 0; i < kept && !pending.isEmpty(); i++) {
-            write(pending.poll().notes());
+            write(pending.poll().records());
         }
         pending.clear();
         process = Optional.empty();
--- a/simulation/src/main/java/silverlatch/simulation/explore/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/World.java
@@ -189,8 +189,8 @@
         if (machine.pending().isEmpty() || !machine.handles()) {
             return false;
         }
-        final Effect.Keep write = machine.pending().poll();
-        machine.write(write.notes());
+        final Effect.Persist write = machine.pending().poll();
+        machine.write(write.records());
         if (options.mutant() != Mutant.SYNC) {
             machine.process().orElseThrow().replica().kept(write.token(), machine.clock(now));
         }
@@ -358,14 +358,14 @@
     private void perform(final Machine machine, final Effect effect) {
         switch (effect) {
             case Effect.Send send -> send(machine, send);
-            case Effect.Keep keep -> {
+            case Effect.Persist keep -> {
                 machine.pending().add(keep);
                 if (options.mutant() == Mutant.SYNC) {
                     machine.process().orElseThrow().replica().kept(keep.token(), machine.clock(now));
                 }
             }
-            case Effect.Answer answer -> {
-                history.answered(answer.token(), answer.reply(), step);
+            case Effect.Respond answer -> {
+                history.answered(answer.token(), answer.response(), step);
                 monitor.answered(answer.token());
             }
             case Effect.Log log -> {}
@@ -373,11 +373,11 @@
     }
 
     private void send(final Machine machine, final Effect.Send send) {
-        monitor.replied(machine, send.body());
+        monitor.replied(machine, send.message());
         if (send.to().equals(machine.address())) {
-            hand(machine, send.body(), machine.address());
+            hand(machine, send.message(), machine.address());
         } else {
-            network.send(machine.index(), Machine.index(send.to()), send.body());
+            network.send(machine.index(), Machine.index(send.to()), send.message());
         }
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/hollow/Hollow.java
+++ b/simulation/src/main/java/silverlatch/simulation/hollow/Hollow.java
@@ -107,7 +107,8 @@
             final HollowDaemon node = new HollowDaemon(
                     me,
                     new Node(
-                            new Node.Setup(me, seeds, 7, 50_000, Membership.Times.QUIET, Gossip.Times.QUIET),
+                            new Node.Settings(
+                                    me, seeds, 7, 50_000, Membership.Settings.LARGE_FLEET, Gossip.Settings.LARGE_FLEET),
                             chain,
                             List.of(),
                             new PhysicalClock(wall(), now, 0),
@@ -180,7 +181,7 @@
     /** What the daemons of one role did. */
     Tally tally(final boolean controller) {
         final List<HollowDaemon> list =
-                nodes.stream().filter(n -> n.me.gateway() != controller).toList();
+                nodes.stream().filter(n -> n.me.isGateway() != controller).toList();
         return new Tally(
                 list.size(),
                 list.stream().mapToLong(n -> n.frames).sum(),
@@ -190,31 +191,31 @@
 
     /** Whether all daemons know so many workers, each other, and the page. */
     boolean settled() {
-        final long page = nodes.get(0).deck.rumor().books().policyRevision();
+        final long page = nodes.get(0).deck.gossip().stateMachine().policyRevision();
         return nodes.stream()
-                .allMatch(n -> n.deck.rumor().workers().size() == hands.size()
-                        && n.deck.crew().live().size() == nodes.size() - 1
-                        && n.deck.rumor().books().policyRevision() == page
-                        && n.deck.rumor().sure(now) < 2 * SECOND
-                        && n.deck.rumor().age(now) < 2 * SECOND);
+                .allMatch(n -> n.deck.gossip().workers().size() == hands.size()
+                        && n.deck.membership().liveMembers().size() == nodes.size() - 1
+                        && n.deck.gossip().stateMachine().policyRevision() == page
+                        && n.deck.gossip().reportsAge(now) < 2 * SECOND
+                        && n.deck.gossip().stateAge(now) < 2 * SECOND);
     }
 
     /** How many daemons are not sure of their words or their page within two seconds. */
     long unsure() {
         return nodes.stream()
-                .filter(n ->
-                        n.deck.rumor().sure(now) > 2 * SECOND || n.deck.rumor().age(now) > 2 * SECOND)
+                .filter(n -> n.deck.gossip().reportsAge(now) > 2 * SECOND
+                        || n.deck.gossip().stateAge(now) > 2 * SECOND)
                 .count();
     }
 
     /** One worker changes what it says, and says it at once; gives how long until all know, or -1 after the span. */
     long change(final long span) {
         final Hand hand = hands.get(luck.nextInt(hands.size()));
-        final boolean leaving = !hand.word.leaving();
+        final boolean leaving = !hand.word.draining();
         hand.word = word(hand.word, leaving);
         say(hand);
         final String id = hand.word.id();
-        return until(d -> d.rumor().workers().get(id).worker().leaving() == leaving, span);
+        return until(d -> d.gossip().workers().get(id).worker().draining() == leaving, span);
     }
 
     /** One cell of the table changes; gives how long from the wish until all follow it, or -1 after the span. */
@@ -225,8 +226,8 @@
         asked.put(
                 token,
                 v -> page[0] = v instanceof silverlatch.state.CommandResult.Applied k ? k.sequence() : Long.MAX_VALUE);
-        work(node, () -> node.deck.wish(wish, token, now, now + 5 * SECOND));
-        return until(d -> d.rumor().books().policyRevision() >= page[0], span);
+        work(node, () -> node.deck.submit(wish, token, now, now + 5 * SECOND));
+        return until(d -> d.gossip().stateMachine().policyRevision() >= page[0], span);
     }
 
     private long until(final Predicate<Node> known, final long span) {
@@ -264,7 +265,7 @@
     }
 
     private void repeat(final Hand hand) {
-        hand.word = word(hand.word, hand.word.leaving());
+        hand.word = word(hand.word, hand.word.draining());
         say(hand);
         in(WORD, () -> repeat(hand));
     }
@@ -275,7 +276,7 @@
                 w.address(),
                 w.zone(),
                 w.region(),
-                w.life(),
+                w.incarnation(),
                 w.sequence() + 1,
                 0,
                 0,
@@ -290,14 +291,14 @@
 
     private void say(final Hand hand) {
         final HollowDaemon n = nodes.get(hand.home);
-        work(n, () -> n.deck.announced(hand.word, 0, now));
+        work(n, () -> n.deck.onAnnouncement(hand.word, 0, now));
     }
 
     private void work(final HollowDaemon n, final Runnable job) {
         final long start = threads.getCurrentThreadCpuTime();
         job.run();
         final List<Letter> letters = new ArrayList<>();
-        n.deck.ships().forEach(s -> letters.add(new Letter(s.to(), codec.encode(s.frame()))));
+        n.deck.drainFrames().forEach(s -> letters.add(new Letter(s.to(), codec.encode(s.frame()))));
         final List<Effect> effects = n.deck.drain();
         n.nanos += threads.getCurrentThreadCpuTime() - start;
         letters.forEach(l -> ship(n, l));
@@ -307,8 +308,9 @@
 
     private void effect(final HollowDaemon n, final Effect e) {
         switch (e) {
-            case Effect.Keep k -> in(NEAR, () -> work(n, () -> n.deck.kept(k.token(), now)));
-            case Effect.Answer a -> Optional.ofNullable(asked.remove(a.token())).ifPresent(c -> c.accept(a.reply()));
+            case Effect.Persist k -> in(NEAR, () -> work(n, () -> n.deck.onPersisted(k.token(), now)));
+            case Effect.Respond a ->
+                Optional.ofNullable(asked.remove(a.token())).ifPresent(c -> c.accept(a.response()));
             default -> {}
         }
     }
@@ -322,7 +324,7 @@
                         () -> work(to, () -> {
                             if (codec.decode(l.bytes(), Frame.class)
                                     instanceof Codec.DecodeResult.Decoded<Frame> good) {
-                                to.deck.frame(good.value(), now);
+                                to.deck.onFrame(good.value(), now);
                             }
                         })));
     }
--- a/simulation/src/main/java/silverlatch/simulation/sim/Disk.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Disk.java
@@ -10,7 +10,7 @@
 public final class Disk {
     private final Engine engine;
     private final List<LogRecord> notes = new ArrayList<>();
-    private final java.util.Deque<Effect.Keep> afloat = new java.util.ArrayDeque<>();
+    private final java.util.Deque<Effect.Persist> afloat = new java.util.ArrayDeque<>();
     private final List<Runnable> waiting = new ArrayList<>();
     private String identity;
     private long epoch;
@@ -44,7 +44,7 @@
     }
 
     /** Writes and syncs; then tells, unless the power went away before. */
-    public void write(final Effect.Keep keep, final Consumer<Long> kept, final Consumer<String> broke) {
+    public void write(final Effect.Persist keep, final Consumer<Long> kept, final Consumer<String> broke) {
         final long mine = epoch;
         if (full) {
             engine.in(500, () -> {
@@ -60,11 +60,11 @@
                 if (lies) {
                     engine.in(3_000_000, () -> {
                         if (mine == epoch && afloat.remove(keep)) {
-                            store(keep.notes());
+                            store(keep.records());
                         }
                     });
                 } else if (afloat.remove(keep)) {
-                    store(keep.notes());
+                    store(keep.records());
                 }
                 syncs++;
                 kept.accept(keep.token());
@@ -100,8 +100,8 @@
         epoch++;
         if (!lies && !afloat.isEmpty() && engine.luck().nextBoolean()) {
             torn++;
-            final List<Effect.Keep> left = List.copyOf(afloat);
-            left.subList(0, engine.luck().nextInt(left.size() + 1)).forEach(k -> store(k.notes()));
+            final List<Effect.Persist> left = List.copyOf(afloat);
+            left.subList(0, engine.luck().nextInt(left.size() + 1)).forEach(k -> store(k.records()));
         }
         afloat.clear();
         waiting.clear();
--- a/simulation/src/main/java/silverlatch/simulation/sim/Measure.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Measure.java
@@ -69,7 +69,7 @@
                 }
                 spans.add((w.engine().now() - got[1]) / 1000);
                 for (final SimulatedNode n : w.gateways()) {
-                    for (final Gossip.Heard h :
+                    for (final Gossip.ObservedWorker h :
                             n.facts().orElseThrow().workers().values()) {
                         final long age = h.age(n.now());
                         ages.add(Math.min(age, 60 * SECOND) / 1000);
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
@@ -178,7 +178,8 @@
             return ChainReplica.Setup.of(new Replica(d.identity(), address), seeds);
         });
         final Node made = new Node(
-                new Node.Setup(me, seeds, 7, 50_000, Membership.Times.PLAIN, Gossip.Times.PLAIN, world.guards()),
+                new Node.Settings(
+                        me, seeds, 7, 50_000, Membership.Settings.DEFAULTS, Gossip.Settings.DEFAULTS, world.guards()),
                 chain,
                 disk.map(Disk::notes).orElse(List.of()),
                 new PhysicalClock(wall(), now(), 0),
@@ -191,7 +192,7 @@
                     Dispatcher.Setup.PLAIN.under(world.guards()),
                     new Seals("simulated-cluster-key"),
                     made.facts(),
-                    () -> made.local(now()),
+                    () -> made.localStamp(now()),
                     world.engine().luck().split()));
         }
         beat(epoch);
@@ -222,7 +223,7 @@
     void stop() {
         carry.ifPresent(Dispatcher::close);
         post(() -> {
-            deck.ifPresent(d -> d.ready(false));
+            deck.ifPresent(d -> d.setReady(false));
             flush();
         });
         world.engine()
@@ -275,7 +276,7 @@
     void frame(final Frame f) {
         post(() -> {
             deck.ifPresent(d -> {
-                d.frame(f, now());
+                d.onFrame(f, now());
                 heard(f, d);
             });
             flush();
@@ -286,7 +287,7 @@
         post(() -> {
             token++;
             asked.put(token, then);
-            deck.ifPresent(d -> d.wish(w, token, now(), now() + span));
+            deck.ifPresent(d -> d.submit(w, token, now(), now() + span));
             flush();
         });
     }
@@ -302,7 +303,7 @@
 
     void announced(final Worker w, final long echo, final Consumer<Long> then) {
         post(() -> {
-            deck.ifPresent(d -> then.accept(d.announced(w, echo, now())));
+            deck.ifPresent(d -> then.accept(d.onAnnouncement(w, echo, now())));
             flush();
         });
     }
@@ -350,19 +351,19 @@
 
     private void look(final Node d) {
         if (controller()) {
-            ready = d.quay()
+            ready = d.chainReplica()
                     .map(q -> {
                         final ChainReplica.State s = q.state(now());
                         return s.spot().equals("chained") && s.level() && s.leased();
                     })
-                    .orElse(d.rumor().age(now()) < 2_500_000L);
+                    .orElse(d.gossip().stateAge(now()) < 2_500_000L);
         } else {
             carry.ifPresent(c -> {
                 c.tick(now());
                 ready = c.unready(now()).isEmpty();
             });
         }
-        d.ready(ready);
+        d.setReady(ready);
         flush();
     }
 
@@ -378,7 +379,7 @@
                 facts = Optional.of(f);
                 c.facts(f, now());
             });
-            final List<OutgoingFrame> ships = d.ships();
+            final List<OutgoingFrame> ships = d.drainFrames();
             ships.forEach(s -> world.ship(this, s));
             final List<Effect> effects = d.drain();
             effects.forEach(this::effect);
@@ -386,7 +387,7 @@
             acts.forEach(this::act);
             more = !effects.isEmpty() || !acts.isEmpty();
         }
-        if (alive() && d.parked()) {
+        if (alive() && d.hasDelayedFrames()) {
             final long mine = epoch;
             world.engine().in(500, () -> {
                 if (mine == epoch) {
@@ -423,14 +424,14 @@
     }
 
     private void heard(final Frame f, final Node d) {
-        if (!d.parked() && bound(f.stamp().bits(), d)) {
+        if (!d.hasDelayedFrames() && bound(f.stamp().bits(), d)) {
             top = Math.max(top, f.stamp().bits());
         }
     }
 
     /** Whether a stamp is one that this daemon may believe by its physical clock as it is now. */
     private boolean bound(final long bits, final Node d) {
-        return bits - d.anchor().physicalTime(now()) <= NtpTime.fromMicros(SKEW);
+        return bits - d.physicalClock().physicalTime(now()) <= NtpTime.fromMicros(SKEW);
     }
 
     private long clock() {
@@ -444,24 +445,25 @@
         }
         world.listener().effect(world.engine().now(), name, e);
         switch (e) {
-            case Effect.Answer a -> Optional.ofNullable(asked.remove(a.token())).ifPresent(c -> c.accept(a.reply()));
-            case Effect.Keep k -> {
+            case Effect.Respond a ->
+                Optional.ofNullable(asked.remove(a.token())).ifPresent(c -> c.accept(a.response()));
+            case Effect.Persist k -> {
                 final long mine = epoch;
                 disk.ifPresent(x -> x.write(
                         k,
                         t -> {
                             if (mine == epoch) {
-                                if (k.notes().stream().anyMatch(LogRecord.Appended.class::isInstance)) {
+                                if (k.records().stream().anyMatch(LogRecord.Appended.class::isInstance)) {
                                     deck.ifPresent(this::synced);
                                 }
                                 post(() -> {
-                                    deck.ifPresent(d -> d.kept(t, now()));
+                                    deck.ifPresent(d -> d.onPersisted(t, now()));
                                     flush();
                                 });
                             }
                         },
                         why -> post(() -> {
-                            deck.ifPresent(d -> d.broke(why, now()));
+                            deck.ifPresent(d -> d.onDiskFailed(why, now()));
                             flush();
                             recover(mine);
                         })));
@@ -493,7 +495,7 @@
             }
             final List<LogRecord> records = disk.get().reopen();
             post(() -> {
-                deck.ifPresent(d -> d.recovered(records, now()));
+                deck.ifPresent(d -> d.onDiskRecovered(records, now()));
                 flush();
             });
         });
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayDigest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayDigest.java
@@ -47,12 +47,13 @@
         event('e', time, node);
         switch (effect) {
             case Effect.Send send -> throw new IllegalArgumentException("a message without a stamp");
-            case Effect.Keep keep -> numbers('k', keep.token(), keep.notes().size());
-            case Effect.Answer answer -> {
+            case Effect.Persist keep ->
+                numbers('k', keep.token(), keep.records().size());
+            case Effect.Respond answer -> {
                 numbers('a', answer.token());
-                if (answer.reply() instanceof CommandResult result) {
+                if (answer.response() instanceof CommandResult result) {
                     result(result);
-                } else if (answer.reply() instanceof ChainClient.Page page) {
+                } else if (answer.response() instanceof ChainClient.Page page) {
                     numbers(
                             'p',
                             page.ok() ? 1 : 0,
