--- a/core/src/main/java/silverlatch/node/Node.java
+++ b/core/src/main/java/silverlatch/node/Node.java
@@ -89,7 +89,7 @@
     /** A daemon as it starts: its anchor, and for a controller with a data folder its chain setup and what the ledger held. */
     public Node(
             final Settings settings,
-            final Optional<ChainReplica.Setup> chainSettings,
+            final Optional<ChainReplica.ReplicaSettings> chainSettings,
             final List<LogRecord> records,
             final PhysicalClock physicalClock,
             final RandomGenerator random,
@@ -106,9 +106,9 @@
         this.membership = new Membership(settings.self(), settings.seeds(), settings.membership());
         this.gossip = new Gossip(membership, random, settings.gossip(), settings.safeguards());
         this.chainReplica = chainSettings.map(
-                c -> new ChainReplica(c.under(settings.safeguards()), records, this::localStamp, now));
+                c -> new ChainReplica(c.withSafeguards(settings.safeguards()), records, this::localStamp, now));
         this.chainClient = new ChainClient(settings.self().address(), this::view, random.nextLong() >>> 8);
-        this.chainReplica.ifPresent(q -> gossip.adoptReplicaState(q.books(), q.view(), false, now));
+        this.chainReplica.ifPresent(q -> gossip.adoptReplicaState(q.stateMachine(), q.view(), false, now));
     }
 
     private static Optional<Stamp> stampFloor(final List<LogRecord> records) {
@@ -235,7 +235,7 @@
     /** Someone here wishes for a change. */
     public void submit(final Command command, final long token, final long now, final long deadline) {
         advanceTime(now);
-        chainClient.wish(command, token, now, deadline);
+        chainClient.submit(command, token, now, deadline);
         processEffects(now);
     }
 
@@ -249,14 +249,14 @@
     /** The ledger synced a write. */
     public void onPersisted(final long token, final long now) {
         advanceTime(now);
-        chainReplica.ifPresent(q -> q.kept(token, now));
+        chainReplica.ifPresent(q -> q.synced(token, now));
         processEffects(now);
     }
 
     /** The ledger failed. */
     public void onDiskFailed(final String reason, final long now) {
         advanceTime(now);
-        chainReplica.ifPresent(q -> q.broke(reason));
+        chainReplica.ifPresent(q -> q.diskFailed(reason));
         processEffects(now);
     }
 
@@ -298,7 +298,7 @@
         membership.tick(now);
         chainReplica.ifPresent(q -> {
             q.tick(now);
-            gossip.adoptReplicaState(q.books(), q.view(), q.sure(now), now);
+            gossip.adoptReplicaState(q.stateMachine(), q.view(), q.isUpToDate(now), now);
         });
         gossip.tick(now);
         chainClient.tick(now);
@@ -376,20 +376,21 @@
             case Message.Heartbeat m -> membership.on(m, now, physicalTime, processClock.last());
             case Message.GossipPush m -> gossip.on(m, sender, now);
             case Message.GossipPull m -> {
-                chainReplica.ifPresent(q -> gossip.adoptReplicaState(q.books(), q.view(), q.sure(now), now));
+                chainReplica.ifPresent(
+                        q -> gossip.adoptReplicaState(q.stateMachine(), q.view(), q.isUpToDate(now), now));
                 gossip.on(m, sender, now);
             }
             case Message.GossipPullReply m -> gossip.on(m, sender, now);
             case Message.ReportVersions m -> gossip.on(m, sender, now);
             case Message.MissingReports m -> gossip.on(m, sender, now);
-            case Message.WriteReply m -> chainClient.on(m, now);
-            case Message.ReadReply m -> chainClient.on(m, now);
+            case Message.WriteReply m -> chainClient.onMessage(m, now);
+            case Message.ReadReply m -> chainClient.onMessage(m, now);
             case Message.StampRejected m -> {
                 effects.add(new Effect.Log(
                         Event.ASTRAY, sender + " says by " + NtpTime.toMicros(m.excess()) + " us too many"));
                 clockOffsets.put(sender, new ClockOffset(m.physicalTime() - physicalTime, now));
             }
-            default -> chainReplica.ifPresent(q -> q.on(message, sender, now));
+            default -> chainReplica.ifPresent(q -> q.onMessage(message, sender, now));
         }
     }
 
--- a/core/src/main/java/silverlatch/replication/ChainClient.java
+++ b/core/src/main/java/silverlatch/replication/ChainClient.java
@@ -12,58 +12,78 @@
 
 /** Carries wishes to the head and questions to the tail for one daemon, until they are decided or their time is up. */
 public final class ChainClient {
-    private static final long AGAIN = 250_000L;
+    private static final long RETRY_MICROS = 250_000L;
     private static final int CONFLICT = 409;
-    private static final long UNCHANGED = 0;
+    private static final long NO_REVISION = 0;
 
     /**
      * A document is sent again later the longer it is, in microseconds a character, and each time twice
      * as late: its first copy may still be under way.
      */
-    private static final long AGAIN_PER_CHARACTER = 4;
+    private static final long RETRY_MICROS_PER_CHARACTER = 4;
 
-    private static final int MOST_DOUBLINGS = 6;
+    private static final int MAX_DOUBLINGS = 6;
 
-    private final String home;
-    private final Supplier<View> views;
-    private final Map<Long, Open> open = new LinkedHashMap<>();
-    private final List<Effect> out = new ArrayList<>();
-    private long ask;
-    private long number;
+    private final String address;
+    private final Supplier<View> currentView;
+    private final Map<Long, PendingCall> open = new LinkedHashMap<>();
+    private final List<Effect> effects = new ArrayList<>();
+    private long lastRequestId;
+    private long lastViewNumber;
 
     /** A clerk of the daemon that listens at the address. */
-    public ChainClient(final String home, final Supplier<View> views, final long first) {
-        this.home = home;
-        this.views = views;
-        this.ask = first;
+    public ChainClient(final String address, final Supplier<View> currentView, final long firstRequestId) {
+        this.address = address;
+        this.currentView = currentView;
+        this.lastRequestId = firstRequestId;
     }
 
     /** The tail's reply to a question; ok is false when none came in time. */
-    public record Page(boolean ok, long sequence, List<silverlatch.state.Entry> entries) {
+    public record ReadResult(boolean answered, long sequence, List<silverlatch.state.Entry> entries) {
         /** Copies the entries. */
-        public Page {
+        public ReadResult {
             entries = List.copyOf(entries);
         }
     }
 
     /** Sends a wish; the outcome comes as an answer under the token, a verdict. */
-    public void wish(final Command wish, final long token, final long now, final long expiry) {
-        ask++;
-        final boolean onLatest =
-                wish instanceof Command.SetEvacuation order && order.expectedRevision() == Command.SetEvacuation.LATEST;
-        final Command first = onLatest ? ((Command.SetEvacuation) wish).active(UNCHANGED) : wish;
-        open(ask, new Open(new Message.WriteRequest(ask, home, first), true, token, now, expiry, onLatest, 0), now);
+    public void submit(final Command command, final long token, final long now, final long deadline) {
+        lastRequestId++;
+        final boolean onLatest = command instanceof Command.SetEvacuation order
+                && order.expectedRevision() == Command.SetEvacuation.LATEST;
+        final Command firstAttempt = onLatest ? ((Command.SetEvacuation) command).active(NO_REVISION) : command;
+        open(
+                lastRequestId,
+                new PendingCall(
+                        new Message.WriteRequest(lastRequestId, address, firstAttempt),
+                        true,
+                        token,
+                        now,
+                        deadline,
+                        onLatest,
+                        0),
+                now);
     }
 
     /** Asks the tail; the outcome comes as an answer under the token, a page. */
-    public void read(final String start, final long token, final long now, final long expiry) {
-        ask++;
-        open(ask, new Open(new Message.ReadRequest(ask, home, start), false, token, now, expiry, false, 0), now);
+    public void read(final String keyPrefix, final long token, final long now, final long deadline) {
+        lastRequestId++;
+        open(
+                lastRequestId,
+                new PendingCall(
+                        new Message.ReadRequest(lastRequestId, address, keyPrefix),
+                        false,
+                        token,
+                        now,
+                        deadline,
+                        false,
+                        0),
+                now);
     }
 
     /** Takes a reply of the chain. */
-    public void on(final Message msg, final long now) {
-        switch (msg) {
+    public void onMessage(final Message message, final long now) {
+        switch (message) {
             case Message.WriteReply m -> {
                 if (open.containsKey(m.requestId()) && !(m.result() instanceof CommandResult.Unknown)) {
                     decided(open.remove(m.requestId()), m.result(), now);
@@ -71,8 +91,8 @@
             }
             case Message.ReadReply m -> {
                 if (m.answered() && open.containsKey(m.requestId())) {
-                    out.add(new Effect.Respond(
-                            open.remove(m.requestId()).token(), new Page(true, m.sequence(), m.entries())));
+                    effects.add(new Effect.Respond(
+                            open.remove(m.requestId()).token(), new ReadResult(true, m.sequence(), m.entries())));
                 }
             }
             default -> {}
@@ -80,38 +100,39 @@
     }
 
     /** Hands the result on; an order on top of the newest change that came too late for one goes on top of the next. */
-    private void decided(final Open o, final CommandResult result, final long now) {
-        if (o.onLatest()
+    private void decided(final PendingCall call, final CommandResult result, final long now) {
+        if (call.onLatest()
                 && result instanceof CommandResult.Rejected r
                 && r.code() == CONFLICT
-                && o.msg() instanceof Message.WriteRequest w
+                && call.request() instanceof Message.WriteRequest w
                 && w.command() instanceof Command.SetEvacuation order) {
-            ask++;
-            final Message next = new Message.WriteRequest(ask, home, order.active(r.sequence()));
-            open(ask, new Open(next, true, o.token(), now, o.expiry(), true, 0), now);
+            lastRequestId++;
+            final Message retry = new Message.WriteRequest(lastRequestId, address, order.active(r.sequence()));
+            open(lastRequestId, new PendingCall(retry, true, call.token(), now, call.deadline(), true, 0), now);
         } else {
-            out.add(new Effect.Respond(o.token(), result));
+            effects.add(new Effect.Respond(call.token(), result));
         }
     }
 
     /** A clock event: asks again, at once under another view, and ends what is past its expiry. */
     public void tick(final long now) {
-        final boolean other = views.get().number() != number;
-        number = views.get().number();
-        for (final Map.Entry<Long, Open> e : List.copyOf(open.entrySet())) {
-            final Open o = e.getValue();
-            if (now >= o.expiry() || other || now - o.sent() >= pause(o)) {
-                open(e.getKey(), o.again(), now);
+        final boolean viewChanged = currentView.get().number() != lastViewNumber;
+        lastViewNumber = currentView.get().number();
+        for (final Map.Entry<Long, PendingCall> entry : List.copyOf(open.entrySet())) {
+            final PendingCall call = entry.getValue();
+            if (now >= call.deadline() || viewChanged || now - call.sentAt() >= retryDelay(call)) {
+                open(entry.getKey(), call.retried(), now);
             }
         }
     }
 
-    private static long pause(final Open o) {
-        final int doublings = Math.min(o.resent(), MOST_DOUBLINGS);
-        return switch (o.msg()) {
-            case Message.ReadRequest read -> AGAIN << doublings;
-            case Message.WriteRequest write -> AGAIN + (AGAIN_PER_CHARACTER * characters(write.command()) << doublings);
-            default -> AGAIN;
+    private static long retryDelay(final PendingCall call) {
+        final int doublings = Math.min(call.retries(), MAX_DOUBLINGS);
+        return switch (call.request()) {
+            case Message.ReadRequest read -> RETRY_MICROS << doublings;
+            case Message.WriteRequest write ->
+                RETRY_MICROS + (RETRY_MICROS_PER_CHARACTER * characters(write.command()) << doublings);
+            default -> RETRY_MICROS;
         };
     }
 
@@ -121,30 +142,41 @@
 
     /** What is to be done; it is handed over once. */
     public List<Effect> drain() {
-        final List<Effect> list = List.copyOf(out);
-        out.clear();
-        return list;
+        final List<Effect> drained = List.copyOf(effects);
+        effects.clear();
+        return drained;
     }
 
     /** Sends while the call lasts, also where this process was frozen meanwhile; else the call ends. */
-    private void open(final long id, final Open o, final long now) {
-        if (now >= o.expiry()) {
+    private void open(final long id, final PendingCall call, final long now) {
+        if (now >= call.deadline()) {
             open.remove(id);
-            out.add(new Effect.Respond(
-                    o.token(),
-                    o.msg() instanceof Message.WriteRequest w
+            effects.add(new Effect.Respond(
+                    call.token(),
+                    call.request() instanceof Message.WriteRequest w
                             ? new CommandResult.Unknown(w.command().id())
-                            : new Page(false, 0, List.of())));
+                            : new ReadResult(false, 0, List.of())));
             return;
         }
-        open.put(id, new Open(o.msg(), o.write(), o.token(), now, o.expiry(), o.onLatest(), o.resent()));
-        final View view = views.get();
-        (o.write() ? view.head() : view.tail()).ifPresent(b -> out.add(new Effect.Send(b.address(), o.msg())));
+        open.put(
+                id,
+                new PendingCall(
+                        call.request(),
+                        call.isWrite(),
+                        call.token(),
+                        now,
+                        call.deadline(),
+                        call.onLatest(),
+                        call.retries()));
+        final View view = currentView.get();
+        (call.isWrite() ? view.head() : view.tail())
+                .ifPresent(replica -> effects.add(new Effect.Send(replica.address(), call.request())));
     }
 
-    private record Open(Message msg, boolean write, long token, long sent, long expiry, boolean onLatest, int resent) {
-        Open again() {
-            return new Open(msg, write, token, sent, expiry, onLatest, resent + 1);
+    private record PendingCall(
+            Message request, boolean isWrite, long token, long sentAt, long deadline, boolean onLatest, int retries) {
+        PendingCall retried() {
+            return new PendingCall(request, isWrite, token, sentAt, deadline, onLatest, retries + 1);
         }
     }
 }
--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -34,171 +34,213 @@
  * effects come out, and a write to the ledger comes back as a kept token.
  */
 public final class ChainReplica {
-    private static final int RANGES = 64;
+    private static final int DIGEST_RANGES = 64;
 
     /** The low bits of a ballot name its proposer's place among the voters, the others count its rounds. */
-    private static final int BALLOT_SEAT_BITS = 8;
-
-    private static final long RECENT_BYTES = 8L << 20;
-    private static final int RECENT_ENTRIES = 10_000;
-    private static final long SNAPSHOT_BYTES = 8L << 20;
-    private static final int SNAPSHOT_ENTRIES = 10_000;
-    private static final int BATCH = 512;
-    private static final long REPAIR_PAUSE = 900_000L;
-    private static final int PENDING = 4_096;
-    private static final int EARLY = 64;
-    private static final long RESEND = 300_000L;
-    private static final long SWEEP = 600_000_000L;
-    private final Setup setup;
+    private static final int BALLOT_PROPOSER_BITS = 8;
+
+    private static final long MAX_RECENT_BYTES = 8L << 20;
+    private static final int MAX_RECENT_ENTRIES = 10_000;
+    private static final long SNAPSHOT_INTERVAL_BYTES = 8L << 20;
+    private static final int SNAPSHOT_INTERVAL_ENTRIES = 10_000;
+    private static final int MAX_BATCH_ENTRIES = 512;
+    private static final long REPAIR_RETRY_MICROS = 900_000L;
+    private static final int MAX_PENDING_ENTRIES = 4_096;
+    private static final int MAX_UNLEASED_WRITES = 64;
+    private static final long RETRY_MICROS = 300_000L;
+    private static final long EPOCH_MICROS = 600_000_000L;
+    private final ReplicaSettings settings;
     private final Supplier<Stamp> stamps;
-    private final TransitionTable chart = TransitionTable.load("controller");
-    private final StateMachine books;
-    private final List<Effect> out = new ArrayList<>();
-    private final Deque<LogEntry> pend = new ArrayDeque<>();
-    private final Deque<LogEntry> recent = new ArrayDeque<>();
-    private final Map<String, Entry> overlay = new HashMap<>();
-    private final Map<Long, Held> held = new LinkedHashMap<>();
-    private final Map<String, Long> granted = new HashMap<>();
-    private final Map<String, Long> heard = new HashMap<>();
+    private final TransitionTable transitions = TransitionTable.load("controller");
+    private final StateMachine stateMachine;
+    private final List<Effect> effects = new ArrayList<>();
+    private final Deque<LogEntry> pendingEntries = new ArrayDeque<>();
+    private final Deque<LogEntry> recentEntries = new ArrayDeque<>();
+    private final Map<String, Entry> pendingValues = new HashMap<>();
+    private final Map<Long, UnsyncedWrite> unsyncedWrites = new LinkedHashMap<>();
+    private final Map<String, Long> grantTimes = new HashMap<>();
+    private final Map<String, Long> heardAt = new HashMap<>();
     private final Map<String, Long> received = new HashMap<>();
-    private final Map<String, Sought> sought = new TreeMap<>();
-    private final Map<String, Message.JoinRequest> joins = new TreeMap<>();
-    private final Map<Long, List<Waiting>> waits = new HashMap<>();
-    private final List<Late> late = new ArrayList<>();
-    private final List<Early> early = new ArrayList<>();
-    private final Set<String> agreed = new HashSet<>();
+    private final Map<String, Discovery> discoveries = new TreeMap<>();
+    private final Map<String, Message.JoinRequest> joinRequests = new TreeMap<>();
+    private final Map<Long, List<WaitingWrite>> waitingWrites = new HashMap<>();
+    private final List<DelayedAccept> delayedAccepts = new ArrayList<>();
+    private final List<UnleasedWrite> unleasedWrites = new ArrayList<>();
+    private final Set<String> bootstrapAgreed = new HashSet<>();
     private final ReplicationWindow window = new ReplicationWindow();
     private final Map<String, RepairSource> repairSources = new HashMap<>();
-    private Optional<RepairProgress> repair = Optional.empty();
-    private long repairAskedAt;
-    private List<String> seats;
-    private String spot;
+    private Optional<RepairProgress> repairProgress = Optional.empty();
+    private long repairRequestedAt;
+    private List<String> seeds;
+    private String replicaState;
     private View view = View.NONE;
-    private boolean level;
-    private boolean shut;
-    private final Map<String, Long> given = new HashMap<>();
-    private final Set<String> levels = new HashSet<>();
-    private long floor;
-    private long promised;
-    private long nodded;
-    private Optional<View> nod = Optional.empty();
-    private Optional<View> birth = Optional.empty();
-    private Optional<Bid> bid = Optional.empty();
-    private long round;
-    private long last;
-    private long kept;
-    private long token;
+    private boolean caughtUp;
+    private boolean grantsSuspended;
+    private final Map<String, Long> grantExpiries = new HashMap<>();
+    private final Set<String> caughtUpMembers = new HashSet<>();
+    private long earlierGrantsExpireAt;
+    private long promisedBallot;
+    private long acceptedBallot;
+    private Optional<View> acceptedView = Optional.empty();
+    private Optional<View> foundingView = Optional.empty();
+    private Optional<Proposal> proposal = Optional.empty();
+    private long highestRound;
+    private long lastSequence;
+    private long synced;
+    private long lastToken;
     private long recentBytes;
-    private long loggedBytes;
-    private int loggedEntries;
-    private long asked;
-    private long sentAt;
-    private long soughtAt;
-    private long doubt;
-    private long hush;
-    private Optional<Long> want = Optional.empty();
-    private long low;
-    private long clock;
-    private long epoch;
-    private long roof;
-    private long swept;
-    private boolean quit;
-    private final Set<String> informed = new HashSet<>();
+    private long bytesSinceSnapshot;
+    private int entriesSinceSnapshot;
+    private long leaseRequestedAt;
+    private long lastRetryAt;
+    private long lastDiscoveryAt;
+    private long suspectedSince;
+    private long preemptedAt;
+    private Optional<Long> catchUpTarget = Optional.empty();
+    private long catchUpStartedAt;
+    private long currentTime;
+    private long logGeneration;
+    private long highestStamp;
+    private long epochAdvancedAt;
+    private boolean leaving;
+    private final Set<String> informedVoters = new HashSet<>();
     private boolean joining;
-    private boolean forgetful;
+    private boolean logOutdated;
 
     /** A machine as its ledger left it. */
-    public ChainReplica(final Setup setup, final List<LogRecord> notes, final Supplier<Stamp> stamps, final long now) {
-        this(setup, notes, stamps, now, 0);
+    public ChainReplica(
+            final ReplicaSettings settings,
+            final List<LogRecord> records,
+            final Supplier<Stamp> stamps,
+            final long now) {
+        this(settings, records, stamps, now, 0);
     }
 
     private ChainReplica(
-            final Setup setup,
-            final List<LogRecord> notes,
+            final ReplicaSettings settings,
+            final List<LogRecord> records,
             final Supplier<Stamp> stamps,
             final long now,
             final long token) {
-        this.token = token;
-        this.setup = setup;
+        this.lastToken = token;
+        this.settings = settings;
         this.stamps = stamps;
-        this.seats = setup.seats();
-        this.books = new StateMachine(setup.guards());
-        this.spot = chart.initialState();
-        notes.forEach(this::recall);
-        floor = now + setup.lease();
-        clock = now;
-        swept = now;
+        this.seeds = settings.seeds();
+        this.stateMachine = new StateMachine(settings.safeguards());
+        this.replicaState = transitions.initialState();
+        records.forEach(this::replay);
+        earlierGrantsExpireAt = now + settings.leaseMicros();
+        currentTime = now;
+        epochAdvancedAt = now;
         if (view.number() > 0) {
-            final boolean in = view.place(setup.me().id()) >= 0;
-            spot = chart.transition(spot, in ? "chain" : "learn");
-            if (!in) {
-                forget();
+            final boolean inChain = view.positionOf(settings.self().id()) >= 0;
+            replicaState = transitions.transition(replicaState, inChain ? "chain" : "learn");
+            if (!inChain) {
+                dropPendingEntries();
             }
-            view.voters().forEach(b -> heard.put(b.id(), now));
+            view.voters().forEach(voter -> heardAt.put(voter.id(), now));
         }
-        kept = last;
-        if (tail() && level && enough()) {
-            commit(kept);
+        synced = lastSequence;
+        if (isTail() && caughtUp && hasRequiredCopies()) {
+            commit(synced);
         }
     }
 
     /**
      * What this machine is made with; times in microseconds.
      *
-     * @param copies how many synced copies there are before an acknowledgement
-     * @param most   how many machines vote where so many are there
-     * @param found  whether this machine may take part in a first founding
+     * @param minInSyncReplicas how many synced copies there are before an acknowledgement
+     * @param maxVoters   how many machines vote where so many are there
+     * @param mayBootstrap  whether this machine may take part in a first founding
      */
-    public record Setup(
-            Replica me,
-            List<String> seats,
-            long lease,
-            long ask,
-            long suspect,
-            long stall,
-            int copies,
-            int most,
-            boolean found,
-            Safeguards guards) {
+    public record ReplicaSettings(
+            Replica self,
+            List<String> seeds,
+            long leaseMicros,
+            long leaseRequestMicros,
+            long suspicionMicros,
+            long diskStallMicros,
+            int minInSyncReplicas,
+            int maxVoters,
+            boolean mayBootstrap,
+            Safeguards safeguards) {
         /** Copies the seats. */
-        public Setup {
-            seats = List.copyOf(seats);
+        public ReplicaSettings {
+            seeds = List.copyOf(seeds);
         }
 
         /** The times that hold when nothing is said. */
-        public static Setup of(final Replica me, final List<String> seats) {
-            return new Setup(me, seats, 600_000L, 120_000L, 800_000L, 1_000_000L, 2, 3, true, Safeguards.ALL);
+        public static ReplicaSettings of(final Replica self, final List<String> seeds) {
+            return new ReplicaSettings(
+                    self, seeds, 600_000L, 120_000L, 800_000L, 1_000_000L, 2, 3, true, Safeguards.ALL);
         }
 
         /** The same under the guards that stand. */
-        public Setup under(final Safeguards standing) {
-            return new Setup(me, seats, lease, ask, suspect, stall, copies, most, found, standing);
+        public ReplicaSettings withSafeguards(final Safeguards standing) {
+            return new ReplicaSettings(
+                    self,
+                    seeds,
+                    leaseMicros,
+                    leaseRequestMicros,
+                    suspicionMicros,
+                    diskStallMicros,
+                    minInSyncReplicas,
+                    maxVoters,
+                    mayBootstrap,
+                    standing);
         }
 
         /** The same with other counts of copies and of voters. */
-        public Setup counts(final int synced, final int voters) {
-            return new Setup(me, seats, lease, ask, suspect, stall, synced, voters, found, guards);
+        public ReplicaSettings withCounts(final int inSyncReplicas, final int voters) {
+            return new ReplicaSettings(
+                    self,
+                    seeds,
+                    leaseMicros,
+                    leaseRequestMicros,
+                    suspicionMicros,
+                    diskStallMicros,
+                    inSyncReplicas,
+                    voters,
+                    mayBootstrap,
+                    safeguards);
         }
 
         /** The same, where a first founding is allowed or not. */
-        public Setup founds(final boolean allowed) {
-            return new Setup(me, seats, lease, ask, suspect, stall, copies, most, allowed, guards);
+        public ReplicaSettings withBootstrap(final boolean allowed) {
+            return new ReplicaSettings(
+                    self,
+                    seeds,
+                    leaseMicros,
+                    leaseRequestMicros,
+                    suspicionMicros,
+                    diskStallMicros,
+                    minInSyncReplicas,
+                    maxVoters,
+                    allowed,
+                    safeguards);
         }
     }
 
     /** What the log and the status show. */
-    public record State(String spot, boolean level, View view, long sequence, long page, int pending, boolean leased) {}
+    public record ReplicaStatus(
+            String state,
+            boolean isCaughtUp,
+            View view,
+            long sequence,
+            long revision,
+            int pendingEntries,
+            boolean isLeased) {}
 
     /** What is to be done in the world; it is handed over once. */
     public List<Effect> drain() {
-        final List<Effect> list = List.copyOf(out);
-        out.clear();
-        return list;
+        final List<Effect> drained = List.copyOf(effects);
+        effects.clear();
+        return drained;
     }
 
     /** The committed books; the caller does not change them. */
-    public StateMachine books() {
-        return books;
+    public StateMachine stateMachine() {
+        return stateMachine;
     }
 
     /** The view held here. */
@@ -207,65 +249,74 @@
     }
 
     /** The fencing number under which this machine holds the duties, if it does. */
-    public Optional<Long> duty(final long now) {
-        return chained()
-                        && level
-                        && leased(now)
-                        && view.holder().equals(setup.me().id())
+    public Optional<Long> fencingToken(final long now) {
+        return isInChain()
+                        && caughtUp
+                        && isLeased(now)
+                        && view.singletonOwner().equals(settings.self().id())
                 ? Optional.of(view.number())
                 : Optional.empty();
     }
 
     /** How this machine stands. */
-    public State state(final long now) {
-        return new State(spot, level, view, books.sequence(), books.policyRevision(), pend.size(), leased(now));
+    public ReplicaStatus status(final long now) {
+        return new ReplicaStatus(
+                replicaState,
+                caughtUp,
+                view,
+                stateMachine.sequence(),
+                stateMachine.policyRevision(),
+                pendingEntries.size(),
+                isLeased(now));
     }
 
     /** Whether every acknowledged change of policy is surely in the books here at this moment. */
-    public boolean sure(final long now) {
-        return chained()
-                && level
-                && leased(now)
-                && pend.stream().noneMatch(c -> c.puts().stream().anyMatch(Entry::isPolicy));
+    public boolean isUpToDate(final long now) {
+        return isInChain()
+                && caughtUp
+                && isLeased(now)
+                && pendingEntries.stream()
+                        .noneMatch(entry -> entry.puts().stream().anyMatch(Entry::isPolicy));
     }
 
     /** Takes a message. */
-    public void on(final Message msg, final String home, final long now) {
-        clock = now;
-        if (broken() || forgetful && !(msg instanceof Message.ViewDecided)) {
+    public void onMessage(final Message message, final String sender, final long now) {
+        currentTime = now;
+        if (isDiskFailed() || logOutdated && !(message instanceof Message.ViewDecided)) {
             return;
         }
-        switch (msg) {
-            case Message.Discover m -> seek(m, now);
-            case Message.Bootstrap m -> found(m, home);
-            case Message.BootstrapAgreed m -> agreed(m, now);
-            case Message.LeaseRequest m -> lease(m, now);
-            case Message.LeaseGrant m -> grant(m, now);
-            case Message.ViewDecided m -> viewDecided(m, home, now);
-            case Message.Prepare m -> prepare(m, home);
-            case Message.Promise m -> promise(m, now);
-            case Message.Accept m -> accept(m, home);
-            case Message.Accepted m -> accepted(m, now);
-            case Message.Preempted m -> outbid(m);
-            case Message.Replicate m -> pass(m, now);
-            case Message.CommitNotice m -> acked(m);
-            case Message.CatchUpTarget m -> level(m);
-            case Message.FetchEntries m -> reach(m, home);
-            case Message.CompareDigests m -> compare(m);
-            case Message.RepairRanges m -> mend(m, home);
-            case Message.RepairNext m -> sendPiece(m);
+        switch (message) {
+            case Message.Discover m -> handleDiscover(m, now);
+            case Message.Bootstrap m -> handleBootstrap(m, sender);
+            case Message.BootstrapAgreed m -> bootstrapAgreed(m, now);
+            case Message.LeaseRequest m -> handleLeaseRequest(m, now);
+            case Message.LeaseGrant m -> handleLeaseGrant(m, now);
+            case Message.ViewDecided m -> handleViewDecided(m, sender, now);
+            case Message.Prepare m -> handlePrepare(m, sender);
+            case Message.Promise m -> handlePromise(m, now);
+            case Message.Accept m -> handleAccept(m, sender);
+            case Message.Accepted m -> handleAccepted(m, now);
+            case Message.Preempted m -> handlePreempted(m);
+            case Message.Replicate m -> handleReplicate(m, now);
+            case Message.CommitNotice m -> handleCommitNotice(m);
+            case Message.CatchUpTarget m -> caughtUp(m);
+            case Message.FetchEntries m -> handleFetchEntries(m, sender);
+            case Message.CompareDigests m -> handleCompareDigests(m);
+            case Message.RepairRanges m -> handleRepairRanges(m, sender);
+            case Message.RepairNext m -> handleRepairNext(m);
             case Message.ReplicateAck m -> received(m);
-            case Message.JoinRequest m -> joinRequested(m, now);
-            case Message.WriteRequest m -> write(m);
-            case Message.ReadRequest m -> read(m, now);
+            case Message.JoinRequest m -> handleJoinRequest(m, now);
+            case Message.WriteRequest m -> handleWriteRequest(m);
+            case Message.ReadRequest m -> handleReadRequest(m, now);
             default -> {}
         }
     }
 
     /** A write to the ledger was synced. */
-    public void kept(final long done, final long now) {
-        clock = now;
-        Optional.ofNullable(held.remove(done)).ifPresent(h -> h.then().accept(now));
+    public void synced(final long token, final long now) {
+        currentTime = now;
+        Optional.ofNullable(unsyncedWrites.remove(token))
+                .ifPresent(write -> write.onSynced().accept(now));
     }
 
     /**
@@ -273,95 +324,98 @@
      * holds. Tokens of writes go on from the old ones, so that no late word of an old write is taken for a new one's.
      */
     public ChainReplica recovered(final List<LogRecord> records, final long now) {
-        final ChainReplica next = new ChainReplica(setup, records, stamps, now, token);
-        next.seats = seats;
-        next.quit = quit;
+        final ChainReplica next = new ChainReplica(settings, records, stamps, now, lastToken);
+        next.seeds = seeds;
+        next.leaving = leaving;
         return next;
     }
 
     /** The disk failed: this machine takes no part until it has recovered. */
-    public void broke(final String why) {
-        if (!broken()) {
-            spot = chart.transition(spot, "break");
-            log(Event.DISK_BROKEN, why);
-            held.clear();
-            abandonWaiting();
+    public void diskFailed(final String reason) {
+        if (!isDiskFailed()) {
+            replicaState = transitions.transition(replicaState, "break");
+            log(Event.DISK_BROKEN, reason);
+            unsyncedWrites.clear();
+            abandonWaitingWrites();
         }
     }
 
     /** Takes the addresses to ask for a view from now on; a founding keeps to those of the start. */
-    public void seats(final List<String> next) {
-        seats = List.copyOf(next);
+    public void seeds(final List<String> next) {
+        seeds = List.copyOf(next);
     }
 
     /** This machine is about to stop: the others are asked to take it out of the chain and to name another holder. */
     public void leave() {
-        quit = true;
+        leaving = true;
     }
 
     /**
      * Whether this machine may end, after {@link #deliverFrame()}: the chain goes on without it, and a majority of the voters
      * that remain knows that. A member that the chain needs for its copies stays until its grace ends.
      */
-    public boolean gone() {
-        if (view.number() == 0 || broken()) {
+    public boolean hasLeft() {
+        if (view.number() == 0 || isDiskFailed()) {
             return true;
         }
-        if (view.place(setup.me().id()) >= 0) {
-            return view.voters().equals(List.of(setup.me())) && joins.isEmpty();
+        if (view.positionOf(settings.self().id()) >= 0) {
+            return view.voters().equals(List.of(settings.self())) && joinRequests.isEmpty();
         }
-        if (!setup.guards().isEnabled(Safeguard.HANDOVER)) {
+        if (!settings.safeguards().isEnabled(Safeguard.HANDOVER)) {
             return true;
         }
-        final long know = view.voters().stream()
-                .filter(v -> !v.equals(setup.me()) && informed.contains(v.address()))
+        final long informed = view.voters().stream()
+                .filter(voter -> !voter.equals(settings.self()) && informedVoters.contains(voter.address()))
                 .count();
-        return view.majority((int) know);
+        return view.isMajority((int) informed);
     }
 
     /** A clock event, a few each lease. */
     public void tick(final long now) {
-        clock = now;
-        if (broken()) {
+        currentTime = now;
+        if (isDiskFailed()) {
             return;
         }
-        final boolean stalled = held.values().stream()
+        final boolean stalled = unsyncedWrites.values().stream()
                 .findFirst()
-                .map(h -> now - h.at() > setup.stall())
+                .map(write -> now - write.startedAt() > settings.diskStallMicros())
                 .orElse(false);
-        for (final Late l : List.copyOf(late)) {
-            if (l.due() <= now) {
-                late.remove(l);
-                if (l.number() == view.number() + 1) {
-                    send(l.to(), l.msg());
+        for (final DelayedAccept accept : List.copyOf(delayedAccepts)) {
+            if (accept.sendAt() <= now) {
+                delayedAccepts.remove(accept);
+                if (accept.number() == view.number() + 1) {
+                    send(accept.to(), accept.reply());
                 }
             }
         }
         if (view.number() == 0) {
-            hunt(now);
+            discoverPeers(now);
             return;
         }
-        if (forgetful) {
-            askForLaterView(now);
+        if (logOutdated) {
+            requestLaterView(now);
             return;
         }
-        if (quit && !chained()) {
+        if (leaving && !isInChain()) {
             confirmLeft(now);
             return;
         }
-        if (now - asked >= (view.votes(setup.me().id()) ? setup.ask() : RESEND) && !stalled) {
-            ask(now);
+        if (now - leaseRequestedAt
+                        >= (view.isVoter(settings.self().id()) ? settings.leaseRequestMicros() : RETRY_MICROS)
+                && !stalled) {
+            requestLease(now);
         }
-        if (chained()) {
-            sweep(now);
-            again(now);
+        if (isInChain()) {
+            advanceEpoch(now);
+            retryReplication(now);
             if (!stalled) {
-                watch(now);
+                proposeNextView(now);
             }
-        } else if (now - soughtAt >= (joining ? 5 * RESEND : RESEND) && !stalled) {
-            soughtAt = now;
-            view.tail().ifPresent(t -> askRepair(t.address(), now));
-            seats.forEach(s -> send(s, new Message.LeaseRequest(view.number(), now, setup.me(), false, contact(now))));
+        } else if (now - lastDiscoveryAt >= (joining ? 5 * RETRY_MICROS : RETRY_MICROS) && !stalled) {
+            lastDiscoveryAt = now;
+            view.tail().ifPresent(tail -> requestRepair(tail.address(), now));
+            seeds.forEach(seed -> send(
+                    seed, new Message.LeaseRequest(view.number(), now, settings.self(), false, hearsMajority(now))));
         }
     }
 
@@ -370,284 +424,299 @@
      * its silence counts. A prepare for a number that was decided is replied to with the view of whoever knows it.
      */
     private void confirmLeft(final long now) {
-        if (now - asked < setup.ask()) {
+        if (now - leaseRequestedAt < settings.leaseRequestMicros()) {
             return;
         }
-        asked = now;
-        view.voters().forEach(v -> {
-            send(v.address(), new Message.ViewDecided(view));
-            send(v.address(), new Message.Prepare(view.number(), 0));
+        leaseRequestedAt = now;
+        view.voters().forEach(voter -> {
+            send(voter.address(), new Message.ViewDecided(view));
+            send(voter.address(), new Message.Prepare(view.number(), 0));
         });
     }
 
-    private void viewDecided(final Message.ViewDecided m, final String home, final long now) {
-        adopt(m.view(), now);
-        if (m.view().number() == view.number()) {
-            informed.add(home);
+    private void handleViewDecided(final Message.ViewDecided message, final String sender, final long now) {
+        installView(message.view(), now);
+        if (message.view().number() == view.number()) {
+            informedVoters.add(sender);
         }
     }
 
-    private void joinRequested(final Message.JoinRequest m, final long now) {
-        joins.put(m.sender().id(), m);
-        heard.put(m.sender().id(), now);
+    private void handleJoinRequest(final Message.JoinRequest request, final long now) {
+        joinRequests.put(request.sender().id(), request);
+        heardAt.put(request.sender().id(), now);
     }
 
-    private void ask(final long now) {
-        asked = now;
+    private void requestLease(final long now) {
+        leaseRequestedAt = now;
         view.voters()
-                .forEach(b -> send(
-                        b.address(),
-                        new Message.LeaseRequest(view.number(), now, setup.me(), chained() && level, contact(now))));
+                .forEach(voter -> send(
+                        voter.address(),
+                        new Message.LeaseRequest(
+                                view.number(), now, settings.self(), isInChain() && caughtUp, hearsMajority(now))));
     }
 
     /** Whether a majority of the voters, this one among them, was heard of late. */
-    private boolean contact(final long now) {
+    private boolean hearsMajority(final long now) {
         final long heardVoters = view.voters().stream()
                 .map(Replica::id)
-                .filter(id -> id.equals(setup.me().id())
+                .filter(id -> id.equals(settings.self().id())
                         || Optional.ofNullable(received.get(id))
-                                .filter(at -> now - at <= setup.suspect() / 2)
+                                .filter(at -> now - at <= settings.suspicionMicros() / 2)
                                 .isPresent())
                 .count();
-        return view.majority((int) heardVoters);
+        return view.isMajority((int) heardVoters);
     }
 
-    private void recall(final LogRecord note) {
-        switch (note) {
+    private void replay(final LogRecord record) {
+        switch (record) {
             case LogRecord.Snapshot p -> {
-                books.reset(p.sequence(), p.entries());
-                books.completeRepair(p.sequence());
+                stateMachine.reset(p.sequence(), p.entries());
+                stateMachine.completeRepair(p.sequence());
                 view = p.view();
-                level = p.caughtUp();
-                promised = p.promisedBallot();
-                nodded = p.acceptedBallot();
-                nod = p.acceptedView().stream().findFirst();
-                shut = nod.isPresent();
-                pend.clear();
-                overlay.clear();
-                last = p.sequence();
-                roof = Math.max(roof, p.highestStamp());
+                caughtUp = p.caughtUp();
+                promisedBallot = p.promisedBallot();
+                acceptedBallot = p.acceptedBallot();
+                acceptedView = p.acceptedView().stream().findFirst();
+                grantsSuspended = acceptedView.isPresent();
+                pendingEntries.clear();
+                pendingValues.clear();
+                lastSequence = p.sequence();
+                highestStamp = Math.max(highestStamp, p.highestStamp());
             }
             case LogRecord.Appended d -> {
-                if (d.entry().sequence() == last + 1) {
-                    enter(d.entry());
+                if (d.entry().sequence() == lastSequence + 1) {
+                    addPending(d.entry());
                 }
             }
             case LogRecord.ViewInstalled s -> {
                 if (s.view().number() > view.number()) {
-                    promised = 0;
-                    nodded = 0;
-                    nod = Optional.empty();
-                    shut = false;
+                    promisedBallot = 0;
+                    acceptedBallot = 0;
+                    acceptedView = Optional.empty();
+                    grantsSuspended = false;
                 }
                 view = s.view();
-                level = s.caughtUp();
-                birth = Optional.empty();
+                caughtUp = s.caughtUp();
+                foundingView = Optional.empty();
             }
-            case LogRecord.Promised v -> promised = v.viewNumber() == view.number() + 1 ? v.ballot() : promised;
+            case LogRecord.Promised v ->
+                promisedBallot = v.viewNumber() == view.number() + 1 ? v.ballot() : promisedBallot;
             case LogRecord.Accepted n -> {
                 if (n.viewNumber() == view.number() + 1) {
-                    promised = n.ballot();
-                    nodded = n.ballot();
-                    nod = Optional.of(n.view());
-                    shut = true;
+                    promisedBallot = n.ballot();
+                    acceptedBallot = n.ballot();
+                    acceptedView = Optional.of(n.view());
+                    grantsSuspended = true;
                 }
             }
-            case LogRecord.Founding b -> birth = Optional.of(b.view());
-            case LogRecord.Batch b -> b.records().forEach(this::recall);
+            case LogRecord.Founding b -> foundingView = Optional.of(b.view());
+            case LogRecord.Batch b -> b.records().forEach(this::replay);
             case LogRecord.SnapshotPart p -> throw new IllegalArgumentException("a part without its snapshot");
         }
     }
 
-    private void hunt(final long now) {
-        if (now - soughtAt < RESEND) {
+    private void discoverPeers(final long now) {
+        if (now - lastDiscoveryAt < RETRY_MICROS) {
             return;
         }
-        soughtAt = now;
-        sought.values().removeIf(s -> now - s.at() > 2_000_000L);
-        final Message.Discover seek = new Message.Discover(
-                setup.me(),
-                birth.isEmpty() && setup.found(),
-                sought.values().stream().map(s -> s.seek().sender()).toList());
-        seats.forEach(s -> send(s, seek));
-        birth.filter(v -> first(v).equals(setup.me()))
-                .ifPresent(v -> v.voters().forEach(b -> send(b.address(), new Message.Bootstrap(v))));
-    }
-
-    private static Replica first(final View v) {
-        return v.voters().stream()
+        lastDiscoveryAt = now;
+        discoveries.values().removeIf(s -> now - s.receivedAt() > 2_000_000L);
+        final Message.Discover request = new Message.Discover(
+                settings.self(),
+                foundingView.isEmpty() && settings.mayBootstrap(),
+                discoveries.values().stream().map(s -> s.request().sender()).toList());
+        seeds.forEach(s -> send(s, request));
+        foundingView
+                .filter(founding -> lowestId(founding).equals(settings.self()))
+                .ifPresent(founding ->
+                        founding.voters().forEach(voter -> send(voter.address(), new Message.Bootstrap(founding))));
+    }
+
+    private static Replica lowestId(final View view) {
+        return view.voters().stream()
                 .min(java.util.Comparator.comparing(Replica::id))
                 .orElseThrow();
     }
 
-    private void seek(final Message.Discover m, final long now) {
+    private void handleDiscover(final Message.Discover request, final long now) {
         if (view.number() > 0) {
-            send(m.sender().address(), new Message.ViewDecided(view));
+            send(request.sender().address(), new Message.ViewDecided(view));
             return;
         }
-        if (!m.empty()
-                || birth.isPresent()
-                || !setup.found()
-                || !setup.seats().contains(setup.me().address())
-                || !setup.seats().contains(m.sender().address())) {
+        if (!request.empty()
+                || foundingView.isPresent()
+                || !settings.mayBootstrap()
+                || !settings.seeds().contains(settings.self().address())
+                || !settings.seeds().contains(request.sender().address())) {
             return;
         }
-        sought.put(m.sender().id(), new Sought(m, now));
+        discoveries.put(request.sender().id(), new Discovery(request, now));
         final List<Replica> all =
-                sought.values().stream().map(s -> s.seek().sender()).toList();
-        final Set<Replica> same = Set.copyOf(all);
-        final boolean whole = all.size() == setup.seats().size()
+                discoveries.values().stream().map(s -> s.request().sender()).toList();
+        final Set<Replica> known = Set.copyOf(all);
+        final boolean complete = all.size() == settings.seeds().size()
                 && all.stream()
                         .map(Replica::address)
                         .collect(java.util.stream.Collectors.toSet())
-                        .equals(Set.copyOf(setup.seats()))
-                && sought.values().stream()
-                        .allMatch(s -> Set.copyOf(s.seek().heard()).equals(same));
-        if (whole && all.get(0).id().equals(setup.me().id())) {
+                        .equals(Set.copyOf(settings.seeds()))
+                && discoveries.values().stream()
+                        .allMatch(s -> Set.copyOf(s.request().heard()).equals(known));
+        if (complete && all.get(0).id().equals(settings.self().id())) {
             final List<Replica> order = all.stream()
-                    .sorted(java.util.Comparator.comparingInt(b -> setup.seats().indexOf(b.address())))
+                    .sorted(java.util.Comparator.comparingInt(
+                            replica -> settings.seeds().indexOf(replica.address())))
                     .toList();
             final long fleet = Math.max(1, order.hashCode() * 0x9E3779B97F4A7C15L & Long.MAX_VALUE);
-            final View v = new View(1, fleet, order, order, order.get(0).id());
-            order.forEach(b -> send(b.address(), new Message.Bootstrap(v)));
+            final View founding = new View(1, fleet, order, order, order.get(0).id());
+            order.forEach(replica -> send(replica.address(), new Message.Bootstrap(founding)));
         }
     }
 
-    private void found(final Message.Bootstrap m, final String home) {
-        final boolean same = birth.map(b -> b.equals(m.view())).orElse(false);
-        final boolean fits = birth.isEmpty()
+    private void handleBootstrap(final Message.Bootstrap request, final String sender) {
+        final boolean known =
+                foundingView.map(voter -> voter.equals(request.view())).orElse(false);
+        final boolean acceptable = foundingView.isEmpty()
                 && view.number() == 0
-                && m.view().votes(setup.me().id())
-                && m.view().voters().stream().allMatch(b -> sought.containsKey(b.id()));
-        if (same) {
-            send(home, new Message.BootstrapAgreed(m.view().fleet(), setup.me()));
-        } else if (fits) {
-            birth = Optional.of(m.view());
-            keep(
-                    List.of(new LogRecord.Founding(m.view())),
-                    t -> send(home, new Message.BootstrapAgreed(m.view().fleet(), setup.me())));
-        }
-    }
-
-    private void agreed(final Message.BootstrapAgreed m, final long now) {
-        birth.filter(b -> b.fleet() == m.fleet()).ifPresent(b -> {
-            agreed.add(m.sender().id());
-            if (b.voters().stream().allMatch(v -> agreed.contains(v.id()))) {
-                log(Event.FOUNDED, "fleet " + Long.toHexString(b.fleet()));
-                b.voters().forEach(v -> send(v.address(), new Message.ViewDecided(b)));
-                adopt(b, now);
+                && request.view().isVoter(settings.self().id())
+                && request.view().voters().stream().allMatch(voter -> discoveries.containsKey(voter.id()));
+        if (known) {
+            send(sender, new Message.BootstrapAgreed(request.view().fleet(), settings.self()));
+        } else if (acceptable) {
+            foundingView = Optional.of(request.view());
+            persist(
+                    List.of(new LogRecord.Founding(request.view())),
+                    syncedAt -> send(
+                            sender, new Message.BootstrapAgreed(request.view().fleet(), settings.self())));
+        }
+    }
+
+    private void bootstrapAgreed(final Message.BootstrapAgreed message, final long now) {
+        foundingView.filter(founding -> founding.fleet() == message.fleet()).ifPresent(founding -> {
+            bootstrapAgreed.add(message.sender().id());
+            if (founding.voters().stream().allMatch(voter -> bootstrapAgreed.contains(voter.id()))) {
+                log(Event.FOUNDED, "fleet " + Long.toHexString(founding.fleet()));
+                founding.voters().forEach(voter -> send(voter.address(), new Message.ViewDecided(founding)));
+                installView(founding, now);
             }
         });
     }
 
-    private void adopt(final View next, final long now) {
+    private void installView(final View next, final long now) {
         if (next.number() <= view.number() || view.fleet() != 0 && next.fleet() != view.fleet()) {
             return;
         }
-        final boolean was = view.place(setup.me().id()) >= 0;
-        final boolean in = next.place(setup.me().id()) >= 0;
-        final boolean born = birth.map(next::equals).orElse(false);
-        given.values().removeIf(t -> t <= now);
-        floor = Set.copyOf(view.voters()).equals(Set.copyOf(next.voters())) ? floor : now + setup.lease();
+        final boolean wasInChain = view.positionOf(settings.self().id()) >= 0;
+        final boolean inChain = next.positionOf(settings.self().id()) >= 0;
+        final boolean founded = foundingView.map(next::equals).orElse(false);
+        grantExpiries.values().removeIf(t -> t <= now);
+        earlierGrantsExpireAt = Set.copyOf(view.voters()).equals(Set.copyOf(next.voters()))
+                ? earlierGrantsExpireAt
+                : now + settings.leaseMicros();
         view = next;
-        forgetful = false;
-        level = in && (was && level || born);
-        birth = Optional.empty();
-        granted.clear();
-        bid = Optional.empty();
-        nod = Optional.empty();
-        promised = 0;
-        nodded = 0;
-        shut = false;
-        doubt = 0;
-        hush = 0;
-        late.clear();
-        joins.clear();
-        informed.clear();
-        want = Optional.empty();
+        logOutdated = false;
+        caughtUp = inChain && (wasInChain && caughtUp || founded);
+        foundingView = Optional.empty();
+        grantTimes.clear();
+        proposal = Optional.empty();
+        acceptedView = Optional.empty();
+        promisedBallot = 0;
+        acceptedBallot = 0;
+        grantsSuspended = false;
+        suspectedSince = 0;
+        preemptedAt = 0;
+        delayedAccepts.clear();
+        joinRequests.clear();
+        informedVoters.clear();
+        catchUpTarget = Optional.empty();
         joining = false;
-        low = now;
-        repair = Optional.empty();
+        catchUpStartedAt = now;
+        repairProgress = Optional.empty();
         repairSources.clear();
-        repairAskedAt = 0;
-        window.begin(books.sequence(), now);
-        levels.clear();
-        heard.keySet().retainAll(view.voters().stream().map(Replica::id).toList());
-        received.keySet().retainAll(heard.keySet());
-        view.voters().forEach(b -> {
-            if (was) {
-                heard.putIfAbsent(b.id(), now);
+        repairRequestedAt = 0;
+        window.reset(stateMachine.sequence(), now);
+        caughtUpMembers.clear();
+        heardAt.keySet().retainAll(view.voters().stream().map(Replica::id).toList());
+        received.keySet().retainAll(heardAt.keySet());
+        view.voters().forEach(voter -> {
+            if (wasInChain) {
+                heardAt.putIfAbsent(voter.id(), now);
             } else {
-                heard.put(b.id(), now);
+                heardAt.put(voter.id(), now);
             }
         });
-        spot = chart.transition(spot, in ? "chain" : "learn");
-        keep(List.of(new LogRecord.ViewInstalled(view, level)), t -> {});
+        replicaState = transitions.transition(replicaState, inChain ? "chain" : "learn");
+        persist(List.of(new LogRecord.ViewInstalled(view, caughtUp)), t -> {});
         log(
                 Event.VIEW,
                 "view " + view.number() + " chain "
                         + view.chain().stream().map(Replica::address).toList());
-        ask(now);
-        if (!in) {
-            forget();
+        requestLease(now);
+        if (!inChain) {
+            dropPendingEntries();
             return;
         }
-        sentAt = 0;
-        again(now);
-        settle(now);
+        lastRetryAt = 0;
+        retryReplication(now);
+        commitAsTail(now);
     }
 
-    private void forget() {
-        abandonWaiting();
-        pend.clear();
-        overlay.clear();
-        last = books.sequence();
-        kept = last;
-        epoch++;
+    private void dropPendingEntries() {
+        abandonWaitingWrites();
+        pendingEntries.clear();
+        pendingValues.clear();
+        lastSequence = stateMachine.sequence();
+        synced = lastSequence;
+        logGeneration++;
     }
 
-    private void lease(final Message.LeaseRequest m, final long now) {
+    private void handleLeaseRequest(final Message.LeaseRequest request, final long now) {
         if (view.number() == 0) {
             return;
         }
-        if (m.view() < view.number()) {
-            send(m.sender().address(), new Message.ViewDecided(view));
-        } else if (m.view() == view.number() && view.votes(setup.me().id())) {
-            if (joins.containsKey(m.sender().id())) {
-                heard.put(m.sender().id(), now);
+        if (request.view() < view.number()) {
+            send(request.sender().address(), new Message.ViewDecided(view));
+        } else if (request.view() == view.number()
+                && view.isVoter(settings.self().id())) {
+            if (joinRequests.containsKey(request.sender().id())) {
+                heardAt.put(request.sender().id(), now);
             }
-            if (view.votes(m.sender().id())) {
-                received.put(m.sender().id(), now);
-                if (m.hearsMajority()) {
-                    heard.put(m.sender().id(), now);
+            if (view.isVoter(request.sender().id())) {
+                received.put(request.sender().id(), now);
+                if (request.hearsMajority()) {
+                    heardAt.put(request.sender().id(), now);
                 }
             }
-            if (m.caughtUp()) {
-                levels.add(m.sender().id());
+            if (request.caughtUp()) {
+                caughtUpMembers.add(request.sender().id());
             } else {
-                levels.remove(m.sender().id());
+                caughtUpMembers.remove(request.sender().id());
             }
-            if (!shut && view.place(m.sender().id()) >= 0) {
-                given.put(m.sender().id(), now + setup.lease());
+            if (!grantsSuspended && view.positionOf(request.sender().id()) >= 0) {
+                grantExpiries.put(request.sender().id(), now + settings.leaseMicros());
                 send(
-                        m.sender().address(),
+                        request.sender().address(),
                         new Message.LeaseGrant(
-                                view.number(), m.askedAt(), setup.me().id(), books.sequence()));
+                                view.number(),
+                                request.askedAt(),
+                                settings.self().id(),
+                                stateMachine.sequence()));
             }
         }
     }
 
-    private void grant(final Message.LeaseGrant m, final long now) {
-        if (m.view() == view.number() && view.votes(m.voter())) {
-            if (chained() && level && m.committed() > last) {
-                fenceForgetful(m);
+    private void handleLeaseGrant(final Message.LeaseGrant grant, final long now) {
+        if (grant.view() == view.number() && view.isVoter(grant.voter())) {
+            if (isInChain() && caughtUp && grant.committed() > lastSequence) {
+                fenceOutdatedLog(grant);
                 return;
             }
-            granted.merge(m.voter(), m.askedAt(), Math::max);
-            if (!early.isEmpty() && leased(now)) {
-                final List<Early> due = List.copyOf(early);
-                early.clear();
-                due.stream().filter(e -> now - e.at() < setup.lease()).forEach(e -> write(e.msg()));
+            grantTimes.merge(grant.voter(), grant.askedAt(), Math::max);
+            if (!unleasedWrites.isEmpty() && isLeased(now)) {
+                final List<UnleasedWrite> ready = List.copyOf(unleasedWrites);
+                unleasedWrites.clear();
+                ready.stream()
+                        .filter(e -> now - e.receivedAt() < settings.leaseMicros())
+                        .forEach(e -> handleWriteRequest(e.request()));
             }
         }
     }
@@ -656,70 +725,76 @@
      * What is acknowledged has been synced by each member that has caught up; this one lacks some of it, so its folder is
      * not the one that it had. It neither asks, grants nor votes until a later view, in which it is repaired.
      */
-    private void fenceForgetful(final Message.LeaseGrant m) {
-        log(Event.LOG_OUTDATED, "the log ends at " + last + ", but " + m.committed() + " was acknowledged with it");
-        forgetful = true;
-        level = false;
-        granted.clear();
-        forget();
+    private void fenceOutdatedLog(final Message.LeaseGrant grant) {
+        log(
+                Event.LOG_OUTDATED,
+                "the log ends at " + lastSequence + ", but " + grant.committed() + " was acknowledged with it");
+        logOutdated = true;
+        caughtUp = false;
+        grantTimes.clear();
+        dropPendingEntries();
     }
 
     /** Asks under the view before this one: the reply is the view as it is now, and the asker counts as silent. */
-    private void askForLaterView(final long now) {
-        if (now - soughtAt >= RESEND) {
-            soughtAt = now;
+    private void requestLaterView(final long now) {
+        if (now - lastDiscoveryAt >= RETRY_MICROS) {
+            lastDiscoveryAt = now;
             view.voters()
-                    .forEach(v -> send(
-                            v.address(), new Message.LeaseRequest(view.number() - 1, now, setup.me(), false, false)));
+                    .forEach(voter -> send(
+                            voter.address(),
+                            new Message.LeaseRequest(view.number() - 1, now, settings.self(), false, false)));
         }
     }
 
-    private boolean leased(final long now) {
-        final long span = setup.lease() * 9 / 10;
-        return view.majority(
-                (int) granted.values().stream().filter(at -> now - at < span).count());
+    private boolean isLeased(final long now) {
+        final long span = settings.leaseMicros() * 9 / 10;
+        return view.isMajority((int) grantTimes.values().stream()
+                .filter(requestedAt -> now - requestedAt < span)
+                .count());
     }
 
-    private void prepare(final Message.Prepare m, final String home) {
-        if (m.number() <= view.number()) {
-            send(home, new Message.ViewDecided(view));
-        } else if (m.number() == view.number() + 1 && view.votes(setup.me().id())) {
-            if (m.ballot() > promised) {
-                hush = home.equals(setup.me().address()) ? hush : clock;
-                promised = m.ballot();
+    private void handlePrepare(final Message.Prepare request, final String sender) {
+        if (request.number() <= view.number()) {
+            send(sender, new Message.ViewDecided(view));
+        } else if (request.number() == view.number() + 1
+                && view.isVoter(settings.self().id())) {
+            if (request.ballot() > promisedBallot) {
+                preemptedAt = sender.equals(settings.self().address()) ? preemptedAt : currentTime;
+                promisedBallot = request.ballot();
                 final Message.Promise reply = new Message.Promise(
-                        m.number(),
-                        m.ballot(),
-                        setup.me().id(),
-                        nodded,
-                        nod.stream().toList());
-                keep(List.of(new LogRecord.Promised(m.number(), m.ballot())), t -> send(home, reply));
-            } else if (m.ballot() < promised) {
-                send(home, new Message.Preempted(m.number(), promised));
+                        request.number(),
+                        request.ballot(),
+                        settings.self().id(),
+                        acceptedBallot,
+                        acceptedView.stream().toList());
+                persist(List.of(new LogRecord.Promised(request.number(), request.ballot())), t -> send(sender, reply));
+            } else if (request.ballot() < promisedBallot) {
+                send(sender, new Message.Preempted(request.number(), promisedBallot));
             }
         }
     }
 
-    private void accept(final Message.Accept m, final String home) {
-        if (m.number() != view.number() + 1 || !view.votes(setup.me().id())) {
+    private void handleAccept(final Message.Accept request, final String sender) {
+        if (request.number() != view.number() + 1
+                || !view.isVoter(settings.self().id())) {
             return;
         }
-        if (m.ballot() < promised) {
-            send(home, new Message.Preempted(m.number(), promised));
+        if (request.ballot() < promisedBallot) {
+            send(sender, new Message.Preempted(request.number(), promisedBallot));
             return;
         }
-        promised = m.ballot();
-        nodded = m.ballot();
-        nod = Optional.of(m.view());
-        shut = true;
-        final Message.Accepted reply =
-                new Message.Accepted(m.number(), m.ballot(), setup.me().id());
-        keep(List.of(new LogRecord.Accepted(m.number(), m.ballot(), m.view())), t -> {
-            final long due = due(m.view());
-            if (t >= due) {
-                send(home, reply);
+        promisedBallot = request.ballot();
+        acceptedBallot = request.ballot();
+        acceptedView = Optional.of(request.view());
+        grantsSuspended = true;
+        final Message.Accepted reply = new Message.Accepted(
+                request.number(), request.ballot(), settings.self().id());
+        persist(List.of(new LogRecord.Accepted(request.number(), request.ballot(), request.view())), syncedAt -> {
+            final long sendAt = removedGrantsExpireAt(request.view());
+            if (syncedAt >= sendAt) {
+                send(sender, reply);
             } else {
-                late.add(new Late(due, m.number(), home, reply));
+                delayedAccepts.add(new DelayedAccept(sendAt, request.number(), sender, reply));
             }
         });
     }
@@ -728,256 +803,272 @@
      * When none that goes with this view can answer under a lease from here any more. Those that stay can't answer for
      * the old view alone: what the new one acknowledges has passed them.
      */
-    private long due(final View next) {
-        return ViewPlanner.grown(view, next) || !setup.guards().isEnabled(Safeguard.LEASE_WAIT)
+    private long removedGrantsExpireAt(final View next) {
+        return ViewPlanner.isExtension(view, next) || !settings.safeguards().isEnabled(Safeguard.LEASE_WAIT)
                 ? 0
                 : view.chain().stream()
-                        .filter(b -> next.place(b.id()) < 0)
-                        .mapToLong(b -> given.getOrDefault(b.id(), 0L))
-                        .reduce(floor, Math::max);
+                        .filter(member -> next.positionOf(member.id()) < 0)
+                        .mapToLong(member -> grantExpiries.getOrDefault(member.id(), 0L))
+                        .reduce(earlierGrantsExpireAt, Math::max);
     }
 
     /**
      * Takes a promise. The proposer's own must be among the majority: it is synced, so a ballot is not used again for
      * another view after a restart.
      */
-    private void promise(final Message.Promise m, final long now) {
-        bid.filter(b -> b.number() == m.number() && b.ballot() == m.ballot() && !b.asking())
-                .ifPresent(b -> {
-                    b.yes().add(m.voter());
-                    final Bid best = m.acceptedBallot() > b.best()
-                                    && !m.acceptedView().isEmpty()
-                            ? b.better(m.acceptedBallot(), m.acceptedView().get(0))
-                            : b;
-                    bid = Optional.of(best);
-                    if (view.majority(best.yes().size())
-                            && best.yes().contains(setup.me().id())) {
-                        final Bid chosen = free(best) ? best.better(0, withPromised(best)) : best;
-                        bid = Optional.of(chosen.ask());
+    private void handlePromise(final Message.Promise reply, final long now) {
+        proposal.filter(current -> current.number() == reply.number()
+                        && current.ballot() == reply.ballot()
+                        && !current.isAccepting())
+                .ifPresent(current -> {
+                    current.supporters().add(reply.voter());
+                    final Proposal best = reply.acceptedBallot() > current.highestAcceptedBallot()
+                                    && !reply.acceptedView().isEmpty()
+                            ? current.withView(
+                                    reply.acceptedBallot(), reply.acceptedView().get(0))
+                            : current;
+                    proposal = Optional.of(best);
+                    if (view.isMajority(best.supporters().size())
+                            && best.supporters().contains(settings.self().id())) {
+                        final Proposal chosen = isUnbound(best) ? best.withView(0, withPromised(best)) : best;
+                        proposal = Optional.of(chosen.toAccept());
                         view.voters()
-                                .forEach(v -> send(
-                                        v.address(),
+                                .forEach(voter -> send(
+                                        voter.address(),
                                         new Message.Accept(chosen.number(), chosen.ballot(), chosen.view())));
                     }
                 });
     }
 
     /** Whether no view that an earlier ballot may have decided binds this one. */
-    private static boolean free(final Bid bid) {
-        return bid.best() == 0;
-    }
-
-    private View withPromised(final Bid bid) {
-        return new ViewPlanner(setup, view, id -> silent(id, clock), levels).withPromised(bid.view(), bid.yes());
-    }
-
-    private void accepted(final Message.Accepted m, final long now) {
-        bid.filter(b -> b.number() == m.number() && b.ballot() == m.ballot() && b.asking())
-                .ifPresent(b -> {
-                    b.yes().add(m.voter());
-                    if (view.majority(b.yes().size())) {
-                        final Set<Replica> all = new HashSet<>(view.voters());
-                        all.addAll(b.view().voters());
-                        all.addAll(b.view().chain());
-                        all.stream()
-                                .filter(t -> !t.equals(setup.me()))
+    private static boolean isUnbound(final Proposal proposal) {
+        return proposal.highestAcceptedBallot() == 0;
+    }
+
+    private View withPromised(final Proposal proposal) {
+        return new ViewPlanner(settings, view, id -> microsSinceHeard(id, currentTime), caughtUpMembers)
+                .withPromised(proposal.view(), proposal.supporters());
+    }
+
+    private void handleAccepted(final Message.Accepted reply, final long now) {
+        proposal.filter(current -> current.number() == reply.number()
+                        && current.ballot() == reply.ballot()
+                        && current.isAccepting())
+                .ifPresent(current -> {
+                    current.supporters().add(reply.voter());
+                    if (view.isMajority(current.supporters().size())) {
+                        final Set<Replica> recipients = new HashSet<>(view.voters());
+                        recipients.addAll(current.view().voters());
+                        recipients.addAll(current.view().chain());
+                        recipients.stream()
+                                .filter(recipient -> !recipient.equals(settings.self()))
                                 .sorted(java.util.Comparator.comparing(Replica::id))
-                                .forEach(t -> send(t.address(), new Message.ViewDecided(b.view())));
-                        adopt(b.view(), now);
+                                .forEach(recipient ->
+                                        send(recipient.address(), new Message.ViewDecided(current.view())));
+                        installView(current.view(), now);
                     }
                 });
     }
 
-    private void outbid(final Message.Preempted m) {
-        round = Math.max(round, m.ballot() >> BALLOT_SEAT_BITS);
-        hush = clock;
-        bid = bid.filter(b -> b.number() != m.number());
+    private void handlePreempted(final Message.Preempted reply) {
+        highestRound = Math.max(highestRound, reply.ballot() >> BALLOT_PROPOSER_BITS);
+        preemptedAt = currentTime;
+        proposal = proposal.filter(current -> current.number() != reply.number());
     }
 
-    private void watch(final long now) {
-        if (bid.isPresent() && now - bid.get().at() < setup.lease() * 2 + setup.suspect()) {
+    private void proposeNextView(final long now) {
+        if (proposal.isPresent()
+                && now - proposal.get().startedAt() < settings.leaseMicros() * 2 + settings.suspicionMicros()) {
             return;
         }
-        bid = Optional.empty();
-        if (!view.votes(setup.me().id()) || !setup.guards().isEnabled(Safeguard.MEND)) {
+        proposal = Optional.empty();
+        if (!view.isVoter(settings.self().id()) || !settings.safeguards().isEnabled(Safeguard.MEND)) {
             return;
         }
-        if (level) {
-            levels.add(setup.me().id());
+        if (caughtUp) {
+            caughtUpMembers.add(settings.self().id());
         }
-        final ViewPlanner after = new ViewPlanner(setup, view, id -> silent(id, now), levels);
-        final Optional<View> next = after.next(quit, joins.values());
-        if (next.isEmpty() && nod.isEmpty()) {
-            doubt = 0;
+        final ViewPlanner planner = new ViewPlanner(settings, view, id -> microsSinceHeard(id, now), caughtUpMembers);
+        final Optional<View> next = planner.next(leaving, joinRequests.values());
+        if (next.isEmpty() && acceptedView.isEmpty()) {
+            suspectedSince = 0;
             return;
         }
-        if (doubt == 0) {
-            doubt = now;
-            after.missed().forEach(b -> log(Event.CHAIN_SUSPECT, b.address()));
-        }
-        final List<Replica> able = after.able();
-        final int rank = quit && after.missed().isEmpty() ? 0 : rank(able);
-        final boolean others = hush > 0 && now - hush < setup.suspect() + rank * setup.suspect() / 2;
-        if (others || now - doubt < rank * setup.suspect() || !view.majority(able.size())) {
+        if (suspectedSince == 0) {
+            suspectedSince = now;
+            planner.suspected().forEach(replica -> log(Event.CHAIN_SUSPECT, replica.address()));
+        }
+        final List<Replica> reachable = planner.reachableVoters();
+        final int rank = leaving && planner.suspected().isEmpty() ? 0 : proposalRank(reachable);
+        final boolean othersPropose = preemptedAt > 0
+                && now - preemptedAt < settings.suspicionMicros() + rank * settings.suspicionMicros() / 2;
+        if (othersPropose
+                || now - suspectedSince < rank * settings.suspicionMicros()
+                || !view.isMajority(reachable.size())) {
             return;
         }
-        round = Math.max(round, promised >> BALLOT_SEAT_BITS) + 1;
-        final int seat = view.voters().stream()
+        highestRound = Math.max(highestRound, promisedBallot >> BALLOT_PROPOSER_BITS) + 1;
+        final int voterIndex = view.voters().stream()
                 .map(Replica::id)
                 .toList()
-                .indexOf(setup.me().id());
-        final Bid mine = new Bid(
+                .indexOf(settings.self().id());
+        final Proposal own = new Proposal(
                 view.number() + 1,
-                round << BALLOT_SEAT_BITS | seat,
-                next.or(() -> nod).orElse(view),
+                highestRound << BALLOT_PROPOSER_BITS | voterIndex,
+                next.or(() -> acceptedView).orElse(view),
                 0,
                 false,
                 new HashSet<>(),
                 now);
-        bid = Optional.of(mine);
+        proposal = Optional.of(own);
         log(
                 Event.PROPOSED,
-                "view " + mine.number() + " chain "
-                        + mine.view().chain().stream().map(Replica::address).toList());
-        view.voters().forEach(b -> send(b.address(), new Message.Prepare(mine.number(), mine.ballot())));
+                "view " + own.number() + " chain "
+                        + own.view().chain().stream().map(Replica::address).toList());
+        view.voters().forEach(replica -> send(replica.address(), new Message.Prepare(own.number(), own.ballot())));
     }
 
     /** This machine's place among the members that are heard: those with a higher one let the others propose first. */
-    private int rank(final List<Replica> able) {
-        final List<String> members =
-                able.stream().map(Replica::id).filter(i -> view.place(i) >= 0).toList();
-        return Math.max(0, members.indexOf(setup.me().id()));
-    }
-
-    private void sweep(final long now) {
-        if (duty(now).isEmpty()) {
-            swept = now;
-        } else if (now - swept >= SWEEP) {
-            swept = now;
-            final long turn = books.epoch() + 1;
+    private int proposalRank(final List<Replica> reachable) {
+        final List<String> members = reachable.stream()
+                .map(Replica::id)
+                .filter(id -> view.positionOf(id) >= 0)
+                .toList();
+        return Math.max(0, members.indexOf(settings.self().id()));
+    }
+
+    private void advanceEpoch(final long now) {
+        if (fencingToken(now).isEmpty()) {
+            epochAdvancedAt = now;
+        } else if (now - epochAdvancedAt >= EPOCH_MICROS) {
+            epochAdvancedAt = now;
+            final long nextEpoch = stateMachine.epoch() + 1;
             view.head()
-                    .ifPresent(h -> send(
-                            h.address(),
+                    .ifPresent(head -> send(
+                            head.address(),
                             new Message.WriteRequest(
                                     0,
-                                    setup.me().address(),
-                                    new Command.AdvanceEpoch("sweep-" + turn, turn, view.number()))));
+                                    settings.self().address(),
+                                    new Command.AdvanceEpoch("sweep-" + nextEpoch, nextEpoch, view.number()))));
         }
     }
 
-    private long silent(final String id, final long now) {
-        return id.equals(setup.me().id()) ? 0 : now - heard.getOrDefault(id, 0L);
+    private long microsSinceHeard(final String id, final long now) {
+        return id.equals(settings.self().id()) ? 0 : now - heardAt.getOrDefault(id, 0L);
     }
 
     /** Whether the chain is long enough for an acknowledgement. */
-    private boolean enough() {
-        return view.chain().size() >= setup.copies() || !setup.guards().isEnabled(Safeguard.COPIES);
+    private boolean hasRequiredCopies() {
+        return view.chain().size() >= settings.minInSyncReplicas()
+                || !settings.safeguards().isEnabled(Safeguard.COPIES);
     }
 
     /** Whether a replication message is of another view than the one held here, and so must not be taken. */
-    private boolean fenced(final long number) {
-        return number != view.number() && setup.guards().isEnabled(Safeguard.FENCE);
+    private boolean isFenced(final long number) {
+        return number != view.number() && settings.safeguards().isEnabled(Safeguard.FENCE);
     }
 
-    private void again(final long now) {
-        if (now - sentAt < RESEND) {
+    private void retryReplication(final long now) {
+        if (now - lastRetryAt < RETRY_MICROS) {
             return;
         }
-        sentAt = now;
-        view.after(setup.me().id()).ifPresent(b -> {
-            if (level) {
-                send(b.address(), new Message.CatchUpTarget(view.number(), last));
+        lastRetryAt = now;
+        view.successorOf(settings.self().id()).ifPresent(neighbor -> {
+            if (caughtUp) {
+                send(neighbor.address(), new Message.CatchUpTarget(view.number(), lastSequence));
             }
-            if (!pend.isEmpty() && pend.peek().sequence() <= kept && window.due(now)) {
-                window.restart(books.sequence(), now);
+            if (!pendingEntries.isEmpty() && pendingEntries.peek().sequence() <= synced && window.isRetryDue(now)) {
+                window.restart(stateMachine.sequence(), now);
             }
             sendNext();
         });
-        if (!level) {
-            view.before(setup.me().id()).ifPresent(b -> {
-                if (now - low > 4 * RESEND) {
-                    askRepair(b.address(), now);
+        if (!caughtUp) {
+            view.predecessorOf(settings.self().id()).ifPresent(neighbor -> {
+                if (now - catchUpStartedAt > 4 * RETRY_MICROS) {
+                    requestRepair(neighbor.address(), now);
                 } else {
                     send(
-                            b.address(),
-                            new Message.FetchEntries(view.number(), setup.me().id(), last));
+                            neighbor.address(),
+                            new Message.FetchEntries(
+                                    view.number(), settings.self().id(), lastSequence));
                 }
             });
         }
-        if (tail() && level) {
-            settle(now);
-            tell();
+        if (isTail() && caughtUp) {
+            commitAsTail(now);
+            notifyCommitted();
         }
     }
 
-    private boolean tail() {
-        return chained() && view.after(setup.me().id()).isEmpty();
+    private boolean isTail() {
+        return isInChain() && view.successorOf(settings.self().id()).isEmpty();
     }
 
-    private void tell() {
+    private void notifyCommitted() {
         view.chain().stream()
-                .filter(b -> !b.id().equals(setup.me().id()))
-                .forEach(b -> send(b.address(), new Message.CommitNotice(view.number(), books.sequence())));
+                .filter(member -> !member.id().equals(settings.self().id()))
+                .forEach(member ->
+                        send(member.address(), new Message.CommitNotice(view.number(), stateMachine.sequence())));
     }
 
-    private void settle(final long now) {
-        if (tail() && level && enough()) {
-            final long old = books.sequence();
-            commit(kept);
-            if (books.sequence() > old) {
-                tell();
+    private void commitAsTail(final long now) {
+        if (isTail() && caughtUp && hasRequiredCopies()) {
+            final long committed = stateMachine.sequence();
+            commit(synced);
+            if (stateMachine.sequence() > committed) {
+                notifyCommitted();
             }
         }
     }
 
-    private void write(final Message.WriteRequest m) {
-        if (!chained() || !level || view.place(setup.me().id()) != 0) {
+    private void handleWriteRequest(final Message.WriteRequest request) {
+        if (!isInChain() || !caughtUp || view.positionOf(settings.self().id()) != 0) {
             return;
         }
-        if (!leased(clock)) {
-            if (early.size() < EARLY) {
-                early.add(new Early(clock, m));
+        if (!isLeased(currentTime)) {
+            if (unleasedWrites.size() < MAX_UNLEASED_WRITES) {
+                unleasedWrites.add(new UnleasedWrite(currentTime, request));
             }
             return;
         }
         final Stamp stamp = stamps.get();
-        if (!enough() || pend.size() >= PENDING || stamp.bits() <= roof) {
+        if (!hasRequiredCopies() || pendingEntries.size() >= MAX_PENDING_ENTRIES || stamp.bits() <= highestStamp) {
             return;
         }
-        if (m.command() instanceof Command.AdvanceEpoch s && s.fencingToken() != view.number()
-                || m.command() instanceof Command.Scheduled t && t.fencingToken() != view.number()) {
-            reject(m, 409, "the duty has another holder");
+        if (request.command() instanceof Command.AdvanceEpoch s && s.fencingToken() != view.number()
+                || request.command() instanceof Command.Scheduled t && t.fencingToken() != view.number()) {
+            reject(request, 409, "the duty has another holder");
             return;
         }
-        switch (books.evaluate(m.command(), overlay, last + 1, stamp)) {
-            case StateMachine.Evaluation.Reply over -> decide(m, over.result(), stamp);
+        switch (stateMachine.evaluate(request.command(), pendingValues, lastSequence + 1, stamp)) {
+            case StateMachine.Evaluation.Reply over -> replyToJudged(request, over.result(), stamp);
             case StateMachine.Evaluation.Write let -> {
-                final LogEntry c = new LogEntry(last + 1, view.number(), stamp, let.entries());
-                await(c.sequence(), new Waiting(m, Optional.empty()));
-                append(List.of(c));
+                final LogEntry entry = new LogEntry(lastSequence + 1, view.number(), stamp, let.entries());
+                awaitCommit(entry.sequence(), new WaitingWrite(request, Optional.empty()));
+                appendEntries(List.of(entry));
             }
         }
     }
 
     /** Answers a write that needs no change of its own, once all that the answer rests on is committed. */
-    private void decide(final Message.WriteRequest m, final CommandResult result, final Stamp stamp) {
+    private void replyToJudged(final Message.WriteRequest request, final CommandResult result, final Stamp stamp) {
         final Optional<Entry> pending =
-                Optional.ofNullable(overlay.get("o/" + m.command().id()));
+                Optional.ofNullable(pendingValues.get("o/" + request.command().id()));
         if (pending.isPresent()) {
-            await(pending.get().sequence(), new Waiting(m, Optional.empty()));
+            awaitCommit(pending.get().sequence(), new WaitingWrite(request, Optional.empty()));
             return;
         }
         switch (result) {
             case CommandResult.Applied applied -> {
-                if (applied.sequence() > books.sequence()) {
-                    await(applied.sequence(), new Waiting(m, Optional.empty()));
+                if (applied.sequence() > stateMachine.sequence()) {
+                    awaitCommit(applied.sequence(), new WaitingWrite(request, Optional.empty()));
                 } else {
-                    reply(m, applied);
+                    reply(request, applied);
                 }
             }
-            case CommandResult.Rejected rejected -> refuse(m, rejected, stamp);
-            case CommandResult.AlreadyClaimed claimed -> refuse(m, claimed, stamp);
-            case CommandResult.Unknown unknown -> reply(m, unknown);
+            case CommandResult.Rejected rejected -> replyWhenCommitted(request, rejected, stamp);
+            case CommandResult.AlreadyClaimed claimed -> replyWhenCommitted(request, claimed, stamp);
+            case CommandResult.Unknown unknown -> reply(request, unknown);
         }
     }
 
@@ -985,86 +1076,95 @@
      * Refuses a write at once where the committed state alone refuses it. Else the refusal rests on changes that a new
      * view may drop, and is held until the newest of them is committed.
      */
-    private void refuse(final Message.WriteRequest m, final CommandResult refusal, final Stamp stamp) {
-        if (pend.isEmpty() || !setup.guards().isEnabled(Safeguard.SETTLED)) {
-            reply(m, refusal);
+    private void replyWhenCommitted(
+            final Message.WriteRequest request, final CommandResult rejection, final Stamp stamp) {
+        if (pendingEntries.isEmpty() || !settings.safeguards().isEnabled(Safeguard.SETTLED)) {
+            reply(request, rejection);
             return;
         }
-        final StateMachine.Evaluation committed = books.evaluate(m.command(), Map.of(), last + 1, stamp);
-        if (committed instanceof StateMachine.Evaluation.Reply over && refuses(over.result())) {
-            reply(m, over.result());
+        final StateMachine.Evaluation committed =
+                stateMachine.evaluate(request.command(), Map.of(), lastSequence + 1, stamp);
+        if (committed instanceof StateMachine.Evaluation.Reply over && isRejection(over.result())) {
+            reply(request, over.result());
         } else {
-            await(last, new Waiting(m, Optional.of(refusal)));
+            awaitCommit(lastSequence, new WaitingWrite(request, Optional.of(rejection)));
         }
     }
 
-    private static boolean refuses(final CommandResult result) {
+    private static boolean isRejection(final CommandResult result) {
         return result instanceof CommandResult.Rejected || result instanceof CommandResult.AlreadyClaimed;
     }
 
-    private void await(final long sequence, final Waiting waiting) {
-        waits.computeIfAbsent(sequence, s -> new ArrayList<>()).add(waiting);
+    private void awaitCommit(final long sequence, final WaitingWrite waiting) {
+        waitingWrites.computeIfAbsent(sequence, s -> new ArrayList<>()).add(waiting);
     }
 
     /** Those that wait for changes which this machine may drop are told that nothing is known. */
-    private void abandonWaiting() {
-        waits.values()
-                .forEach(l -> l.forEach(w -> {
-                    final Message.WriteRequest m = w.request();
-                    reply(m, new CommandResult.Unknown(m.command().id()));
+    private void abandonWaitingWrites() {
+        waitingWrites
+                .values()
+                .forEach(writes -> writes.forEach(waiting -> {
+                    final Message.WriteRequest request = waiting.request();
+                    reply(request, new CommandResult.Unknown(request.command().id()));
                 }));
-        waits.clear();
+        waitingWrites.clear();
     }
 
-    private void reply(final Message.WriteRequest m, final CommandResult result) {
+    private void reply(final Message.WriteRequest request, final CommandResult result) {
         if (result instanceof CommandResult.Rejected r) {
-            log(Event.CHANGE_REJECTED, m.command().id() + " " + r.code());
+            log(Event.CHANGE_REJECTED, request.command().id() + " " + r.code());
         }
-        send(m.replyTo(), new Message.WriteReply(m.requestId(), result));
+        send(request.replyTo(), new Message.WriteReply(request.requestId(), result));
     }
 
-    private void reject(final Message.WriteRequest m, final int code, final String why) {
+    private void reject(final Message.WriteRequest request, final int code, final String reason) {
         send(
-                m.replyTo(),
+                request.replyTo(),
                 new Message.WriteReply(
-                        m.requestId(), new CommandResult.Rejected(code, List.of(why), books.sequence())));
-    }
-
-    private void enter(final LogEntry c) {
-        last = c.sequence();
-        roof = Math.max(roof, c.stamp().bits());
-        pend.add(c);
-        c.puts().forEach(e -> overlay.put(e.key(), e));
-    }
-
-    private void append(final List<LogEntry> list) {
-        list.forEach(this::enter);
-        final long end = last;
-        final long mine = epoch;
-        keep(list.stream().map(c -> (LogRecord) new LogRecord.Appended(c)).toList(), t -> {
-            if (mine == epoch && chained()) {
-                kept = Math.max(kept, end);
-                sendNext();
-                rise(t);
-                settle(t);
-            }
-        });
+                        request.requestId(),
+                        new CommandResult.Rejected(code, List.of(reason), stateMachine.sequence())));
+    }
+
+    private void addPending(final LogEntry entry) {
+        lastSequence = entry.sequence();
+        highestStamp = Math.max(highestStamp, entry.stamp().bits());
+        pendingEntries.add(entry);
+        entry.puts().forEach(e -> pendingValues.put(e.key(), e));
+    }
+
+    private void appendEntries(final List<LogEntry> entries) {
+        entries.forEach(this::addPending);
+        final long lastAppended = lastSequence;
+        final long generation = logGeneration;
+        persist(
+                entries.stream()
+                        .map(entry -> (LogRecord) new LogRecord.Appended(entry))
+                        .toList(),
+                syncedAt -> {
+                    if (generation == logGeneration && isInChain()) {
+                        synced = Math.max(synced, lastAppended);
+                        sendNext();
+                        finishCatchUp(syncedAt);
+                        commitAsTail(syncedAt);
+                    }
+                });
     }
 
     /** Sends the entries that the successor lacks and that are synced here, as far as the window admits them. */
     private void sendNext() {
-        final Optional<Replica> successor = view.after(setup.me().id());
-        if (successor.isEmpty() || window.sent() >= kept) {
+        final Optional<Replica> successor = view.successorOf(settings.self().id());
+        if (successor.isEmpty() || window.sentSequence() >= synced) {
             return;
         }
-        final Stream<LogEntry> committed = window.sent() < books.sequence() ? recent.stream() : Stream.empty();
+        final Stream<LogEntry> committed =
+                window.sentSequence() < stateMachine.sequence() ? recentEntries.stream() : Stream.empty();
         final List<LogEntry> entries = new ArrayList<>();
-        for (final LogEntry entry : (Iterable<LogEntry>) Stream.concat(committed, pend.stream())::iterator) {
-            if (entry.sequence() <= window.sent()) {
+        for (final LogEntry entry : (Iterable<LogEntry>) Stream.concat(committed, pendingEntries.stream())::iterator) {
+            if (entry.sequence() <= window.sentSequence()) {
                 continue;
             }
-            final boolean next = entry.sequence() == window.sent() + 1 && entry.sequence() <= kept;
-            if (!next || entries.size() >= BATCH || !window.admits(entry)) {
+            final boolean next = entry.sequence() == window.sentSequence() + 1 && entry.sequence() <= synced;
+            if (!next || entries.size() >= MAX_BATCH_ENTRIES || !window.admits(entry)) {
                 break;
             }
             window.add(entry);
@@ -1075,150 +1175,167 @@
         }
     }
 
-    private void received(final Message.ReplicateAck m) {
-        final boolean successor =
-                view.after(setup.me().id()).map(b -> b.id().equals(m.id())).orElse(false);
-        if (m.view() == view.number() && chained() && successor) {
-            window.progress(m.sequence(), clock);
+    private void received(final Message.ReplicateAck acknowledgement) {
+        final boolean successor = view.successorOf(settings.self().id())
+                .map(replica -> replica.id().equals(acknowledgement.id()))
+                .orElse(false);
+        if (acknowledgement.view() == view.number() && isInChain() && successor) {
+            window.acknowledge(acknowledgement.sequence(), currentTime);
             sendNext();
         }
     }
 
-    private void pass(final Message.Replicate m, final long now) {
-        if (fenced(m.view()) || !chained() || view.place(setup.me().id()) == 0) {
+    private void handleReplicate(final Message.Replicate message, final long now) {
+        if (isFenced(message.view())
+                || !isInChain()
+                || view.positionOf(settings.self().id()) == 0) {
             return;
         }
         final List<LogEntry> fresh = new ArrayList<>();
-        long at = last;
-        for (final LogEntry c : m.entries()) {
-            if (c.sequence() == at + 1) {
-                fresh.add(c);
-                at++;
-            } else if (c.sequence() > at + 1) {
-                view.before(setup.me().id())
-                        .ifPresent(b -> send(
-                                b.address(),
+        long lastReceived = lastSequence;
+        for (final LogEntry entry : message.entries()) {
+            if (entry.sequence() == lastReceived + 1) {
+                fresh.add(entry);
+                lastReceived++;
+            } else if (entry.sequence() > lastReceived + 1) {
+                view.predecessorOf(settings.self().id())
+                        .ifPresent(predecessor -> send(
+                                predecessor.address(),
                                 new Message.FetchEntries(
-                                        view.number(), setup.me().id(), last)));
+                                        view.number(), settings.self().id(), lastSequence)));
                 break;
             }
         }
-        view.before(setup.me().id())
-                .ifPresent(b -> send(
-                        b.address(),
-                        new Message.ReplicateAck(view.number(), setup.me().id(), last + fresh.size())));
+        view.predecessorOf(settings.self().id())
+                .ifPresent(predecessor -> send(
+                        predecessor.address(),
+                        new Message.ReplicateAck(view.number(), settings.self().id(), lastSequence + fresh.size())));
         if (!fresh.isEmpty()) {
-            append(fresh);
-        } else if (tail() && level) {
-            tell();
+            appendEntries(fresh);
+        } else if (isTail() && caughtUp) {
+            notifyCommitted();
         }
     }
 
-    private void acked(final Message.CommitNotice m) {
-        if (!fenced(m.view()) && chained()) {
-            commit(Math.min(m.sequence(), kept));
+    private void handleCommitNotice(final Message.CommitNotice notice) {
+        if (!isFenced(notice.view()) && isInChain()) {
+            commit(Math.min(notice.sequence(), synced));
         }
     }
 
-    private void level(final Message.CatchUpTarget m) {
-        if (m.view() == view.number() && chained() && !level) {
-            want = Optional.of(m.sequence());
-            rise(clock);
-            settle(clock);
+    private void caughtUp(final Message.CatchUpTarget message) {
+        if (message.view() == view.number() && isInChain() && !caughtUp) {
+            catchUpTarget = Optional.of(message.sequence());
+            finishCatchUp(currentTime);
+            commitAsTail(currentTime);
         }
     }
 
-    private void rise(final long now) {
-        if (!level && want.map(w -> kept >= w).orElse(false)) {
-            level = true;
-            keep(List.of(new LogRecord.ViewInstalled(view, true)), t -> {});
+    private void finishCatchUp(final long now) {
+        if (!caughtUp && catchUpTarget.map(target -> synced >= target).orElse(false)) {
+            caughtUp = true;
+            persist(List.of(new LogRecord.ViewInstalled(view, true)), t -> {});
         }
     }
 
-    private void reach(final Message.FetchEntries m, final String home) {
-        if (m.view() != view.number() || !chained() || !level) {
+    private void handleFetchEntries(final Message.FetchEntries request, final String sender) {
+        if (request.view() != view.number() || !isInChain() || !caughtUp) {
             return;
         }
-        send(home, new Message.CatchUpTarget(view.number(), last));
-        if (m.sequence() < window.received() || m.sequence() > window.sent()) {
-            window.restart(m.sequence(), clock);
+        send(sender, new Message.CatchUpTarget(view.number(), lastSequence));
+        if (request.sequence() < window.acknowledgedSequence() || request.sequence() > window.sentSequence()) {
+            window.restart(request.sequence(), currentTime);
         } else {
-            window.progress(m.sequence(), clock);
+            window.acknowledge(request.sequence(), currentTime);
         }
         sendNext();
     }
 
-    private void commit(final long upto) {
-        while (!pend.isEmpty() && pend.peek().sequence() <= upto) {
-            final LogEntry c = pend.poll();
-            books.apply(c.sequence(), c.puts());
-            c.puts().forEach(e -> overlay.remove(e.key(), e));
-            remember(c);
-            if (c.puts().stream().anyMatch(Entry::isPolicy)) {
+    private void commit(final long limit) {
+        while (!pendingEntries.isEmpty() && pendingEntries.peek().sequence() <= limit) {
+            final LogEntry entry = pendingEntries.poll();
+            stateMachine.apply(entry.sequence(), entry.puts());
+            entry.puts().forEach(e -> pendingValues.remove(e.key(), e));
+            retainRecent(entry);
+            if (entry.puts().stream().anyMatch(Entry::isPolicy)) {
                 log(
                         Event.CHANGED,
-                        "sequence " + c.sequence() + " view " + c.view() + " stamp "
-                                + c.stamp().bits());
+                        "sequence " + entry.sequence() + " view " + entry.view() + " stamp "
+                                + entry.stamp().bits());
             }
-            Optional.ofNullable(waits.remove(c.sequence())).ifPresent(l -> l.forEach(w -> decided(w, c.sequence())));
+            Optional.ofNullable(waitingWrites.remove(entry.sequence()))
+                    .ifPresent(writes -> writes.forEach(waiting -> replyToWaiting(waiting, entry.sequence())));
         }
-        if (loggedBytes > SNAPSHOT_BYTES || loggedEntries > SNAPSHOT_ENTRIES) {
-            picture(t -> {});
+        if (bytesSinceSnapshot > SNAPSHOT_INTERVAL_BYTES || entriesSinceSnapshot > SNAPSHOT_INTERVAL_ENTRIES) {
+            writeSnapshot(t -> {});
         }
     }
 
     /** Keeps a committed entry for a successor that lacks it, within bounds. */
-    private void remember(final LogEntry entry) {
-        recent.add(entry);
-        recentBytes += entry.weight();
-        loggedBytes += entry.weight();
-        loggedEntries++;
-        while (recent.size() > 1 && (recentBytes > RECENT_BYTES || recent.size() > RECENT_ENTRIES)) {
-            recentBytes -= recent.poll().weight();
+    private void retainRecent(final LogEntry entry) {
+        recentEntries.add(entry);
+        recentBytes += entry.estimatedBytes();
+        bytesSinceSnapshot += entry.estimatedBytes();
+        entriesSinceSnapshot++;
+        while (recentEntries.size() > 1
+                && (recentBytes > MAX_RECENT_BYTES || recentEntries.size() > MAX_RECENT_ENTRIES)) {
+            recentBytes -= recentEntries.poll().estimatedBytes();
         }
     }
 
-    private void decided(final Waiting waiting, final long sequence) {
-        final Message.WriteRequest m = waiting.request();
-        reply(m, waiting.refusal().orElseGet(() -> outcome(m.command().id(), sequence)));
+    private void replyToWaiting(final WaitingWrite waiting, final long sequence) {
+        final Message.WriteRequest request = waiting.request();
+        reply(
+                request,
+                waiting.refusal().orElseGet(() -> outcomeOf(request.command().id(), sequence)));
     }
 
-    private CommandResult outcome(final String id, final long sequence) {
-        return books.get("o/" + id)
+    private CommandResult outcomeOf(final String id, final long sequence) {
+        return stateMachine
+                .get("o/" + id)
                 .map(e -> (Value.CommandOutcome) e.value().get(0))
-                .filter(o -> o.code() != 0)
-                .map(o -> (CommandResult) new CommandResult.Rejected(o.code(), o.faults(), o.sequence()))
+                .filter(recorded -> recorded.code() != 0)
+                .map(recorded -> (CommandResult)
+                        new CommandResult.Rejected(recorded.code(), recorded.faults(), recorded.sequence()))
                 .orElse(new CommandResult.Applied(sequence));
     }
 
-    private void picture(final LongConsumer then) {
-        loggedBytes = 0;
-        loggedEntries = 0;
-        final List<LogRecord> notes = new ArrayList<>();
-        notes.add(new LogRecord.Snapshot(
-                books.sequence(), view, level, promised, nodded, nod.stream().toList(), roof, books.allEntries()));
-        pend.forEach(c -> notes.add(new LogRecord.Appended(c)));
-        final long sequence = books.sequence();
-        keep(notes, t -> {
+    private void writeSnapshot(final LongConsumer onSynced) {
+        bytesSinceSnapshot = 0;
+        entriesSinceSnapshot = 0;
+        final List<LogRecord> records = new ArrayList<>();
+        records.add(new LogRecord.Snapshot(
+                stateMachine.sequence(),
+                view,
+                caughtUp,
+                promisedBallot,
+                acceptedBallot,
+                acceptedView.stream().toList(),
+                highestStamp,
+                stateMachine.allEntries()));
+        pendingEntries.forEach(entry -> records.add(new LogRecord.Appended(entry)));
+        final long sequence = stateMachine.sequence();
+        persist(records, syncedAt -> {
             log(Event.PICTURE, "sequence " + sequence);
-            then.accept(t);
+            onSynced.accept(syncedAt);
         });
     }
 
-    private Message.CompareDigests compareOf() {
-        return new Message.CompareDigests(view.number(), setup.me(), books.sequence(), books.digests(RANGES));
+    private Message.CompareDigests digestRequest() {
+        return new Message.CompareDigests(
+                view.number(), settings.self(), stateMachine.sequence(), stateMachine.digests(DIGEST_RANGES));
     }
 
-    private void compare(final Message.CompareDigests m) {
-        if (m.view() != view.number() || !chained() || !level || m.digests().length != RANGES) {
+    private void handleCompareDigests(final Message.CompareDigests request) {
+        if (request.view() != view.number() || !isInChain() || !caughtUp || request.digests().length != DIGEST_RANGES) {
             return;
         }
-        if (m.sequence() > books.sequence()) {
-            commit(Math.min(m.sequence(), kept));
+        if (request.sequence() > stateMachine.sequence()) {
+            commit(Math.min(request.sequence(), synced));
         }
-        final RepairSource source = RepairSource.of(books, m.digests(), syncedPending());
-        repairSources.put(m.sender().id(), source);
-        sendPiece(new Message.RepairNext(m.view(), m.sender(), source.sequence(), 0));
+        final RepairSource source = RepairSource.of(stateMachine, request.digests(), syncedPending());
+        repairSources.put(request.sender().id(), source);
+        handleRepairNext(new Message.RepairNext(request.view(), request.sender(), source.sequence(), 0));
     }
 
     /**
@@ -1226,109 +1343,120 @@
      * this machine restarted, so a machine that is repaired from here keeps them too.
      */
     private List<LogEntry> syncedPending() {
-        return setup.guards().isEnabled(Safeguard.REPAIR_PENDING)
-                ? pend.stream().filter(c -> c.sequence() <= kept).toList()
+        return settings.safeguards().isEnabled(Safeguard.REPAIR_PENDING)
+                ? pendingEntries.stream()
+                        .filter(entry -> entry.sequence() <= synced)
+                        .toList()
                 : List.of();
     }
 
-    private void sendPiece(final Message.RepairNext m) {
+    private void handleRepairNext(final Message.RepairNext request) {
         final Optional<RepairSource> source = Optional.ofNullable(
-                        repairSources.get(m.sender().id()))
-                .filter(s -> s.sequence() == m.sequence() && m.piece() >= 0)
-                .filter(s -> m.piece() < s.pieces().size());
-        if (m.view() != view.number() || source.isEmpty()) {
+                        repairSources.get(request.sender().id()))
+                .filter(s -> s.sequence() == request.sequence() && request.piece() >= 0)
+                .filter(s -> request.piece() < s.pieces().size());
+        if (request.view() != view.number() || source.isEmpty()) {
             return;
         }
         final int pieces = source.get().pieces().size();
         send(
-                m.sender().address(),
+                request.sender().address(),
                 new Message.RepairRanges(
                         view.number(),
-                        m.sequence(),
-                        m.piece(),
+                        request.sequence(),
+                        request.piece(),
                         pieces,
-                        source.get().pieces().get(m.piece()),
-                        m.piece() == pieces - 1 ? source.get().pending() : List.of(),
-                        m.piece() == pieces - 1 ? source.get().digests() : new long[0]));
-        if (m.piece() == pieces - 1 && pieces == 1) {
-            repairSources.remove(m.sender().id());
+                        source.get().pieces().get(request.piece()),
+                        request.piece() == pieces - 1 ? source.get().pending() : List.of(),
+                        request.piece() == pieces - 1 ? source.get().digests() : new long[0]));
+        if (request.piece() == pieces - 1 && pieces == 1) {
+            repairSources.remove(request.sender().id());
         }
     }
 
     /** Asks for a repair, or for the next piece of the one under way, a pause after the last word of it. */
-    private void askRepair(final String source, final long now) {
-        if (now - Math.max(repairAskedAt, repair.map(RepairProgress::at).orElse(0L)) < REPAIR_PAUSE) {
+    private void requestRepair(final String source, final long now) {
+        if (now
+                        - Math.max(
+                                repairRequestedAt,
+                                repairProgress.map(RepairProgress::receivedAt).orElse(0L))
+                < REPAIR_RETRY_MICROS) {
             return;
         }
-        final boolean lost = repair.map(r -> now - r.at() > 3 * REPAIR_PAUSE).orElse(true);
-        repairAskedAt = now;
+        final boolean lost = repairProgress
+                .map(progress -> now - progress.receivedAt() > 3 * REPAIR_RETRY_MICROS)
+                .orElse(true);
+        repairRequestedAt = now;
         if (lost) {
-            repair = Optional.empty();
-            send(source, compareOf());
+            repairProgress = Optional.empty();
+            send(source, digestRequest());
         } else {
-            repair.ifPresent(r -> send(r.source(), r.question(view.number(), setup.me())));
+            repairProgress.ifPresent(
+                    progress -> send(progress.source(), progress.nextRequest(view.number(), settings.self())));
         }
     }
 
-    private void mend(final Message.RepairRanges m, final String home) {
-        if (m.view() != view.number() || chained() && level || m.sequence() < books.sequence()) {
+    private void handleRepairRanges(final Message.RepairRanges message, final String sender) {
+        if (message.view() != view.number()
+                || isInChain() && caughtUp
+                || message.sequence() < stateMachine.sequence()) {
             return;
         }
         if (joining
-                && held.isEmpty()
-                && m.pieces() == 1
-                && m.ranges().isEmpty()
-                && m.sequence() == books.sequence()
-                && m.pending().equals(List.copyOf(pend))
-                && sameDigests(m)
-                && !chained()) {
-            join();
+                && unsyncedWrites.isEmpty()
+                && message.pieces() == 1
+                && message.ranges().isEmpty()
+                && message.sequence() == stateMachine.sequence()
+                && message.pending().equals(List.copyOf(pendingEntries))
+                && sameDigests(message)
+                && !isInChain()) {
+            requestJoin();
             return;
         }
-        if (m.piece() == 0) {
-            repair = Optional.of(new RepairProgress(m, home));
+        if (message.piece() == 0) {
+            repairProgress = Optional.of(new RepairProgress(message, sender));
         }
-        if (repair.isEmpty() || !repair.get().take(m, home, clock)) {
+        if (repairProgress.isEmpty() || !repairProgress.get().accept(message, sender, currentTime)) {
             return;
         }
-        final RepairProgress taken = repair.get();
-        if (!taken.whole()) {
-            send(home, taken.question(view.number(), setup.me()));
+        final RepairProgress complete = repairProgress.get();
+        if (!complete.isComplete()) {
+            send(sender, complete.nextRequest(view.number(), settings.self()));
             return;
         }
-        repair = Optional.empty();
-        if (setup.guards().isEnabled(Safeguard.DIGEST)) {
-            taken.ranges().forEach((range, entries) -> books.replaceRange(range, RANGES, entries));
+        repairProgress = Optional.empty();
+        if (settings.safeguards().isEnabled(Safeguard.DIGEST)) {
+            complete.ranges().forEach((range, entries) -> stateMachine.replaceRange(range, DIGEST_RANGES, entries));
         }
-        if (!sameDigests(m)) {
+        if (!sameDigests(message)) {
             return;
         }
-        books.completeRepair(m.sequence());
-        recent.clear();
+        stateMachine.completeRepair(message.sequence());
+        recentEntries.clear();
         recentBytes = 0;
-        window.begin(m.sequence(), clock);
-        pend.clear();
-        overlay.clear();
-        last = m.sequence();
-        m.pending().forEach(this::enter);
-        epoch++;
-        low = clock;
+        window.reset(message.sequence(), currentTime);
+        pendingEntries.clear();
+        pendingValues.clear();
+        lastSequence = message.sequence();
+        message.pending().forEach(this::addPending);
+        logGeneration++;
+        catchUpStartedAt = currentTime;
         joining = true;
         final long number = view.number();
-        final long end = last;
-        final long mine = epoch;
-        kept = 0;
-        picture(t -> {
-            if (mine != epoch) {
+        final long lastRepaired = lastSequence;
+        final long generation = logGeneration;
+        synced = 0;
+        writeSnapshot(syncedAt -> {
+            if (generation != logGeneration) {
                 return;
             }
-            kept = Math.max(kept, end);
-            if (chained()) {
-                rise(t);
-                settle(t);
+            synced = Math.max(synced, lastRepaired);
+            if (isInChain()) {
+                finishCatchUp(syncedAt);
+                commitAsTail(syncedAt);
             } else if (number == view.number()) {
-                log(Event.MENDED, "sequence " + m.sequence());
-                join();
+                log(Event.MENDED, "sequence " + message.sequence());
+                requestJoin();
             }
         });
     }
@@ -1337,77 +1465,93 @@
      * Whether the state here is that of the source. It is not when a late repair answers a question that this machine
      * asked before it restarted, with other entries: then it asks again.
      */
-    private boolean sameDigests(final Message.RepairRanges m) {
-        return Arrays.equals(m.digests(), books.digests(RANGES))
-                || !setup.guards().isEnabled(Safeguard.DIGEST);
+    private boolean sameDigests(final Message.RepairRanges message) {
+        return Arrays.equals(message.digests(), stateMachine.digests(DIGEST_RANGES))
+                || !settings.safeguards().isEnabled(Safeguard.DIGEST);
     }
 
-    private void join() {
-        if (quit) {
+    private void requestJoin() {
+        if (leaving) {
             return;
         }
         view.voters()
-                .forEach(b -> send(b.address(), new Message.JoinRequest(view.number(), setup.me(), books.sequence())));
-    }
-
-    private void read(final Message.ReadRequest m, final long now) {
-        final boolean held = !enough() && pend.stream().anyMatch(c -> c.sequence() <= kept);
-        final boolean ok =
-                tail() && level && !held && (leased(now) || !setup.guards().isEnabled(Safeguard.LEASE));
+                .forEach(voter -> send(
+                        voter.address(),
+                        new Message.JoinRequest(view.number(), settings.self(), stateMachine.sequence())));
+    }
+
+    private void handleReadRequest(final Message.ReadRequest request, final long now) {
+        final boolean mayMissAcknowledged =
+                !hasRequiredCopies() && pendingEntries.stream().anyMatch(entry -> entry.sequence() <= synced);
+        final boolean answers = isTail()
+                && caughtUp
+                && !mayMissAcknowledged
+                && (isLeased(now) || !settings.safeguards().isEnabled(Safeguard.LEASE));
         send(
-                m.replyTo(),
+                request.replyTo(),
                 new Message.ReadReply(
-                        m.requestId(),
-                        ok,
-                        books.sequence(),
-                        ok ? List.copyOf(books.entriesWithPrefix(m.keyPrefix()).values()) : List.of()));
+                        request.requestId(),
+                        answers,
+                        stateMachine.sequence(),
+                        answers
+                                ? List.copyOf(stateMachine
+                                        .entriesWithPrefix(request.keyPrefix())
+                                        .values())
+                                : List.of()));
     }
 
-    private boolean chained() {
-        return spot.equals("chained");
+    private boolean isInChain() {
+        return replicaState.equals("chained");
     }
 
-    private boolean broken() {
-        return spot.equals("broken");
+    private boolean isDiskFailed() {
+        return replicaState.equals("broken");
     }
 
-    private void keep(final List<LogRecord> notes, final LongConsumer then) {
-        token++;
-        final boolean early = !setup.guards().isEnabled(Safeguard.PROMISE)
-                && (notes.get(0) instanceof LogRecord.Promised || notes.get(0) instanceof LogRecord.Accepted);
-        if (early) {
-            then.accept(clock);
+    private void persist(final List<LogRecord> records, final LongConsumer onSynced) {
+        lastToken++;
+        final boolean reportedEarly = !settings.safeguards().isEnabled(Safeguard.PROMISE)
+                && (records.get(0) instanceof LogRecord.Promised || records.get(0) instanceof LogRecord.Accepted);
+        if (reportedEarly) {
+            onSynced.accept(currentTime);
         }
-        held.put(token, new Held(clock, early ? t -> {} : then));
-        out.add(new Effect.Persist(token, notes));
+        unsyncedWrites.put(lastToken, new UnsyncedWrite(currentTime, reportedEarly ? t -> {} : onSynced));
+        effects.add(new Effect.Persist(lastToken, records));
     }
 
     private void send(final String to, final Message body) {
-        out.add(new Effect.Send(to, body));
+        effects.add(new Effect.Send(to, body));
     }
 
     private void log(final Event event, final String text) {
-        out.add(new Effect.Log(event, text));
+        effects.add(new Effect.Log(event, text));
     }
 
-    private record Held(long at, LongConsumer then) {}
+    private record UnsyncedWrite(long startedAt, LongConsumer onSynced) {}
 
     /** A write whose answer waits for a change to be committed; the refusal is there where that will be the answer. */
-    private record Waiting(Message.WriteRequest request, Optional<CommandResult> refusal) {}
+    private record WaitingWrite(Message.WriteRequest request, Optional<CommandResult> refusal) {}
 
-    private record Early(long at, Message.WriteRequest msg) {}
+    private record UnleasedWrite(long receivedAt, Message.WriteRequest request) {}
 
-    private record Late(long due, long number, String to, Message msg) {}
+    private record DelayedAccept(long sendAt, long number, String to, Message reply) {}
 
-    private record Sought(Message.Discover seek, long at) {}
+    private record Discovery(Message.Discover request, long receivedAt) {}
 
-    private record Bid(long number, long ballot, View view, long best, boolean asking, Set<String> yes, long at) {
-        Bid better(final long more, final View other) {
-            return new Bid(number, ballot, other, more, asking, yes, at);
+    private record Proposal(
+            long number,
+            long ballot,
+            View view,
+            long highestAcceptedBallot,
+            boolean isAccepting,
+            Set<String> supporters,
+            long startedAt) {
+        Proposal withView(final long acceptedBallot, final View acceptedView) {
+            return new Proposal(number, ballot, acceptedView, acceptedBallot, isAccepting, supporters, startedAt);
         }
 
-        Bid ask() {
-            return new Bid(number, ballot, view, best, true, new HashSet<>(), at);
+        Proposal toAccept() {
+            return new Proposal(number, ballot, view, highestAcceptedBallot, true, new HashSet<>(), startedAt);
         }
     }
 }
--- a/core/src/main/java/silverlatch/replication/LogEntry.java
+++ b/core/src/main/java/silverlatch/replication/LogEntry.java
@@ -15,22 +15,22 @@
     }
 
     /** About how many bytes the change takes in a frame. */
-    public long weight() {
+    public long estimatedBytes() {
         return 64 + puts.stream().mapToLong(Entry::estimatedBytes).sum();
     }
 
     /** As many changes as may go in one frame: the first, and what else is light enough. */
-    static List<LogEntry> batch(final Stream<LogEntry> all, final int most, final long heavy) {
-        final List<LogEntry> list = new ArrayList<>();
-        long sum = 0;
-        for (final Iterator<LogEntry> i = all.iterator(); i.hasNext() && list.size() < most; ) {
-            final LogEntry c = i.next();
-            sum += c.weight();
-            if (!list.isEmpty() && sum > heavy) {
-                return list;
+    static List<LogEntry> batch(final Stream<LogEntry> all, final int limitEntries, final long limitBytes) {
+        final List<LogEntry> batch = new ArrayList<>();
+        long bytes = 0;
+        for (final Iterator<LogEntry> entries = all.iterator(); entries.hasNext() && batch.size() < limitEntries; ) {
+            final LogEntry entry = entries.next();
+            bytes += entry.estimatedBytes();
+            if (!batch.isEmpty() && bytes > limitBytes) {
+                return batch;
             }
-            list.add(c);
+            batch.add(entry);
         }
-        return list;
+        return batch;
     }
 }
--- a/core/src/main/java/silverlatch/replication/RepairProgress.java
+++ b/core/src/main/java/silverlatch/replication/RepairProgress.java
@@ -13,8 +13,8 @@
     private final int pieces;
     private final String source;
     private final Map<Integer, List<Entry>> ranges = new TreeMap<>();
-    private int next;
-    private long at;
+    private int nextPiece;
+    private long receivedAt;
 
     RepairProgress(final Message.RepairRanges first, final String source) {
         this.sequence = first.sequence();
@@ -23,21 +23,21 @@
     }
 
     /** Takes a piece, if it is the one that comes next. */
-    boolean take(final Message.RepairRanges piece, final String from, final long now) {
-        if (piece.sequence() != sequence || piece.piece() != next || !from.equals(source)) {
+    boolean accept(final Message.RepairRanges piece, final String sender, final long now) {
+        if (piece.sequence() != sequence || piece.piece() != nextPiece || !sender.equals(source)) {
             return false;
         }
         piece.ranges()
-                .forEach(s -> ranges.computeIfAbsent(s.range(), r -> new ArrayList<>())
-                        .addAll(s.entries()));
-        next++;
-        at = now;
+                .forEach(range -> ranges.computeIfAbsent(range.range(), r -> new ArrayList<>())
+                        .addAll(range.entries()));
+        nextPiece++;
+        receivedAt = now;
         return true;
     }
 
     /** Whether all pieces are there. */
-    boolean whole() {
-        return next == pieces;
+    boolean isComplete() {
+        return nextPiece == pieces;
     }
 
     /** The entries of each range that differed. */
@@ -46,8 +46,8 @@
     }
 
     /** The question for the next piece. */
-    Message.RepairNext question(final long view, final Replica me) {
-        return new Message.RepairNext(view, me, sequence, next);
+    Message.RepairNext nextRequest(final long view, final Replica self) {
+        return new Message.RepairNext(view, self, sequence, nextPiece);
     }
 
     /** Whom to ask. */
@@ -56,7 +56,7 @@
     }
 
     /** When the last piece came. */
-    long at() {
-        return at;
+    long receivedAt() {
+        return receivedAt;
     }
 }
--- a/core/src/main/java/silverlatch/replication/RepairSource.java
+++ b/core/src/main/java/silverlatch/replication/RepairSource.java
@@ -27,31 +27,31 @@
     }
 
     /** The ranges of a state whose digests differ from the given ones. */
-    static RepairSource of(final StateMachine state, final long[] digests, final List<LogEntry> pending) {
-        final int ranges = digests.length;
-        final long[] mine = state.digests(ranges);
+    static RepairSource of(final StateMachine state, final long[] otherDigests, final List<LogEntry> pending) {
+        final int ranges = otherDigests.length;
+        final long[] own = state.digests(ranges);
         final List<List<Message.RangeEntries>> pieces = new ArrayList<>();
         List<Message.RangeEntries> piece = new ArrayList<>();
         long bytes = 0;
         for (int range = 0; range < ranges; range++) {
-            if (mine[range] == digests[range]) {
+            if (own[range] == otherDigests[range]) {
                 continue;
             }
-            List<Entry> part = new ArrayList<>();
+            List<Entry> rangeEntries = new ArrayList<>();
             for (final Entry entry : state.entriesInRange(range, ranges)) {
                 if (bytes > 0 && bytes + entry.estimatedBytes() > PIECE_BYTES) {
-                    piece.add(new Message.RangeEntries(range, part));
+                    piece.add(new Message.RangeEntries(range, rangeEntries));
                     pieces.add(piece);
                     piece = new ArrayList<>();
-                    part = new ArrayList<>();
+                    rangeEntries = new ArrayList<>();
                     bytes = 0;
                 }
-                part.add(entry);
+                rangeEntries.add(entry);
                 bytes += entry.estimatedBytes();
             }
-            piece.add(new Message.RangeEntries(range, part));
+            piece.add(new Message.RangeEntries(range, rangeEntries));
         }
         pieces.add(piece);
-        return new RepairSource(state.sequence(), pieces, pending, mine);
+        return new RepairSource(state.sequence(), pieces, pending, own);
     }
 }
--- a/core/src/main/java/silverlatch/replication/ReplicationWindow.java
+++ b/core/src/main/java/silverlatch/replication/ReplicationWindow.java
@@ -12,74 +12,74 @@
     /** How many bytes may be under way; one entry may be larger. */
     static final long LIMIT_BYTES = 128L << 10;
 
-    private static final long FIRST_PAUSE = 600_000L;
-    private static final long LONGEST_PAUSE = 4_800_000L;
-    private final Deque<Sent> underWay = new ArrayDeque<>();
-    private long bytesUnderWay;
-    private long sent;
-    private long received;
+    private static final long INITIAL_BACKOFF_MICROS = 600_000L;
+    private static final long MAX_BACKOFF_MICROS = 4_800_000L;
+    private final Deque<InFlightEntry> inFlight = new ArrayDeque<>();
+    private long inFlightBytes;
+    private long sentSequence;
+    private long acknowledgedSequence;
     private long progressAt;
-    private long pause = FIRST_PAUSE;
+    private long backoff = INITIAL_BACKOFF_MICROS;
 
     /** Begins after a sequence that the successor has. */
     void restart(final long sequence, final long now) {
-        underWay.clear();
-        bytesUnderWay = 0;
-        sent = sequence;
-        received = sequence;
+        inFlight.clear();
+        inFlightBytes = 0;
+        sentSequence = sequence;
+        acknowledgedSequence = sequence;
         progressAt = now;
     }
 
     /** Begins under another view, where nothing was waited for yet. */
-    void begin(final long sequence, final long now) {
+    void reset(final long sequence, final long now) {
         restart(sequence, now);
-        pause = FIRST_PAUSE;
+        backoff = INITIAL_BACKOFF_MICROS;
     }
 
     /** The newest sequence that was sent. */
-    long sent() {
-        return sent;
+    long sentSequence() {
+        return sentSequence;
     }
 
     /** The newest sequence that the successor has said it has. */
-    long received() {
-        return received;
+    long acknowledgedSequence() {
+        return acknowledgedSequence;
     }
 
     /** Whether an entry may be sent now. */
     boolean admits(final LogEntry entry) {
-        return underWay.isEmpty() || bytesUnderWay + entry.weight() <= LIMIT_BYTES;
+        return inFlight.isEmpty() || inFlightBytes + entry.estimatedBytes() <= LIMIT_BYTES;
     }
 
     /** An entry goes out. */
     void add(final LogEntry entry) {
-        sent = entry.sequence();
-        underWay.add(new Sent(entry.sequence(), entry.weight()));
-        bytesUnderWay += entry.weight();
+        sentSequence = entry.sequence();
+        inFlight.add(new InFlightEntry(entry.sequence(), entry.estimatedBytes()));
+        inFlightBytes += entry.estimatedBytes();
     }
 
     /** The successor has all up to a sequence, or more was committed. */
-    void progress(final long sequence, final long now) {
-        if (sequence <= received) {
+    void acknowledge(final long sequence, final long now) {
+        if (sequence <= acknowledgedSequence) {
             return;
         }
-        received = sequence;
-        sent = Math.max(sent, sequence);
+        acknowledgedSequence = sequence;
+        sentSequence = Math.max(sentSequence, sequence);
         progressAt = now;
-        pause = FIRST_PAUSE;
-        while (!underWay.isEmpty() && underWay.peek().sequence() <= sequence) {
-            bytesUnderWay -= underWay.poll().bytes();
+        backoff = INITIAL_BACKOFF_MICROS;
+        while (!inFlight.isEmpty() && inFlight.peek().sequence() <= sequence) {
+            inFlightBytes -= inFlight.poll().bytes();
         }
     }
 
     /** Whether it is time to send again, as nothing has come on for a pause; the next pause is longer. */
-    boolean due(final long now) {
-        if (now - progressAt < pause) {
+    boolean isRetryDue(final long now) {
+        if (now - progressAt < backoff) {
             return false;
         }
-        pause = Math.min(LONGEST_PAUSE, 2 * pause);
+        backoff = Math.min(MAX_BACKOFF_MICROS, 2 * backoff);
         return true;
     }
 
-    private record Sent(long sequence, long bytes) {}
+    private record InFlightEntry(long sequence, long bytes) {}
 }
--- a/core/src/main/java/silverlatch/replication/View.java
+++ b/core/src/main/java/silverlatch/replication/View.java
@@ -5,7 +5,7 @@
 import silverlatch.util.Lists;
 
 /** The agreed view: its number (also the fencing number), the fleet, the voters, the chain's order, the duty holder. */
-public record View(long number, long fleet, List<Replica> voters, List<Replica> chain, String holder) {
+public record View(long number, long fleet, List<Replica> voters, List<Replica> chain, String singletonOwner) {
     /** The view before any founding. */
     public static final View NONE = new View(0, 0, List.of(), List.of(), "");
 
@@ -16,17 +16,17 @@
     }
 
     /** Whether so many voters are more than half. */
-    public boolean majority(final int count) {
+    public boolean isMajority(final int count) {
         return count * 2 > voters.size();
     }
 
     /** Whether an identity votes here. */
-    public boolean votes(final String id) {
-        return voters.stream().anyMatch(b -> b.id().equals(id));
+    public boolean isVoter(final String id) {
+        return voters.stream().anyMatch(voter -> voter.id().equals(id));
     }
 
     /** The place in the chain, or -1. */
-    public int place(final String id) {
+    public int positionOf(final String id) {
         for (int i = 0; i < chain.size(); i++) {
             if (chain.get(i).id().equals(id)) {
                 return i;
@@ -36,15 +36,15 @@
     }
 
     /** Who follows in the chain. */
-    public Optional<Replica> after(final String id) {
-        final int i = place(id);
-        return i < 0 || i + 1 >= chain.size() ? Optional.empty() : Optional.of(chain.get(i + 1));
+    public Optional<Replica> successorOf(final String id) {
+        final int position = positionOf(id);
+        return position < 0 || position + 1 >= chain.size() ? Optional.empty() : Optional.of(chain.get(position + 1));
     }
 
     /** Who stands before in the chain. */
-    public Optional<Replica> before(final String id) {
-        final int i = place(id);
-        return i <= 0 ? Optional.empty() : Optional.of(chain.get(i - 1));
+    public Optional<Replica> predecessorOf(final String id) {
+        final int position = positionOf(id);
+        return position <= 0 ? Optional.empty() : Optional.of(chain.get(position - 1));
     }
 
     /** The head, where writes enter. */
--- a/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
+++ b/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
@@ -153,8 +153,8 @@
     }
 
     private static ChainReplica recover(final String name, final List<LogRecord> records) {
-        final ChainReplica.Setup setup =
-                ChainReplica.Setup.of(DataFolderGenerator.replica(name), DataFolderGenerator.ADDRESSES);
+        final ChainReplica.ReplicaSettings setup =
+                ChainReplica.ReplicaSettings.of(DataFolderGenerator.replica(name), DataFolderGenerator.ADDRESSES);
         return new ChainReplica(setup, records, () -> new Stamp(2_000), 0);
     }
 
@@ -192,8 +192,8 @@
         assertThat(state.allEntries(), is(expected));
         assertThat(state.sequence(), is(COMMITTED + 1));
         final ChainReplica replica = recover("a", records);
-        assertThat("committed at the head", replica.books().allEntries(), is(List.of()));
-        assertThat("not known to be committed", replica.state(0).pending(), is((int) COMMITTED + 1));
+        assertThat("committed at the head", replica.stateMachine().allEntries(), is(List.of()));
+        assertThat("not known to be committed", replica.status(0).pendingEntries(), is((int) COMMITTED + 1));
     }
 
     @Test
@@ -203,7 +203,7 @@
         assertThat(
                 snapshot.withEntries(List.of()),
                 is(new LogRecord.Snapshot(14, view(2, "ab"), false, 0, 0, List.of(), 1_012, List.of())));
-        final StateMachine state = recover("c", records).books();
+        final StateMachine state = recover("c", records).stateMachine();
         assertThat(state.allEntries(), is(committedEntries()));
         assertThat(state.sequence(), is(COMMITTED));
         assertThat(state.policyRevision(), is(COMMITTED));
@@ -220,7 +220,7 @@
             throws IOException, URISyntaxException {
         final ChainReplica replica = recover(name, open(name).records());
         assertThat(replica.view(), is(view(3, "abc")));
-        assertThat(replica.state(0).level(), is(true));
+        assertThat(replica.status(0).isCaughtUp(), is(true));
         assertThat(
                 "a lower ballot",
                 sent(replica, new Message.Prepare(4, PROMISED_BALLOT - 1)),
@@ -243,11 +243,11 @@
     /** What a replica answers to a message of machine "b", once its writes are synced. */
     private static List<Message> sent(final ChainReplica replica, final Message message) {
         replica.drain();
-        replica.on(message, "b:1", 0);
+        replica.onMessage(message, "b:1", 0);
         final List<Effect> effects = new ArrayList<>(replica.drain());
         effects.stream()
                 .filter(Effect.Persist.class::isInstance)
-                .forEach(write -> replica.kept(((Effect.Persist) write).token(), 0));
+                .forEach(write -> replica.synced(((Effect.Persist) write).token(), 0));
         effects.addAll(replica.drain());
         return effects.stream()
                 .filter(Effect.Send.class::isInstance)
--- a/core/src/test/java/silverlatch/log/DataFolderGenerator.java
+++ b/core/src/test/java/silverlatch/log/DataFolderGenerator.java
@@ -174,7 +174,7 @@
         }
         final WriteAheadLog.OpenResult.Success opened = (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder);
         final ChainReplica replica = new ChainReplica(
-                ChainReplica.Setup.of(replica(name), ADDRESSES).founds(opened.mayFound()),
+                ChainReplica.ReplicaSettings.of(replica(name), ADDRESSES).withBootstrap(opened.mayFound()),
                 opened.records(),
                 () -> new Stamp(++stamp),
                 nowMicros);
@@ -188,9 +188,9 @@
     private boolean inService(final int members) {
         return running.size() == members
                 && running.values().stream()
-                        .map(machine -> machine.replica().state(nowMicros))
-                        .allMatch(state -> state.level()
-                                && state.leased()
+                        .map(machine -> machine.replica().status(nowMicros))
+                        .allMatch(state -> state.isCaughtUp()
+                                && state.isLeased()
                                 && state.view().chain().size() == members);
     }
 
@@ -241,7 +241,7 @@
             replies.add((Message.WriteReply) delivery.message());
         } else if (running.containsKey(delivery.to())) {
             final Machine machine = running.get(delivery.to());
-            machine.replica().on(delivery.message(), delivery.from(), nowMicros);
+            machine.replica().onMessage(delivery.message(), delivery.from(), nowMicros);
             perform(machine);
         }
     }
@@ -256,7 +256,7 @@
                 } else if (effect instanceof Effect.Persist keep) {
                     machine.log().write(keep.records());
                     keep.records().forEach(written -> noteAccepted(machine.address(), written));
-                    machine.replica().kept(keep.token(), nowMicros);
+                    machine.replica().synced(keep.token(), nowMicros);
                 }
             }
         }
--- a/core/src/test/java/silverlatch/node/NodeCluster.java
+++ b/core/src/test/java/silverlatch/node/NodeCluster.java
@@ -222,8 +222,8 @@
     /** The number that a read was answered, if it was. */
     static Optional<Long> readRevision(final List<Object> answers) {
         return answers.stream()
-                .map(a -> (silverlatch.replication.ChainClient.Page) a)
-                .filter(p -> p.ok())
+                .map(a -> (silverlatch.replication.ChainClient.ReadResult) a)
+                .filter(p -> p.answered())
                 .map(p -> p.entries().stream()
                         .map(e -> ((Value.RoutingConfiguration) e.value().get(0)).number())
                         .findFirst()
@@ -332,9 +332,9 @@
                     0,
                     "up",
                     false);
-            final Optional<ChainReplica.Setup> chain = isController()
-                    ? Optional.of(ChainReplica.Setup.of(new Replica(identity, name), seeds)
-                            .founds(isFirstStart))
+            final Optional<ChainReplica.ReplicaSettings> chain = isController()
+                    ? Optional.of(ChainReplica.ReplicaSettings.of(new Replica(identity, name), seeds)
+                            .withBootstrap(isFirstStart))
                     : Optional.empty();
             isFirstStart = false;
             node = Optional.of(new Node(
--- a/core/src/test/java/silverlatch/replication/BandwidthLinks.java
+++ b/core/src/test/java/silverlatch/replication/BandwidthLinks.java
@@ -18,9 +18,9 @@
     private final long bytesPerSecond;
     private final long delay;
     private final ObjLongConsumer<Runnable> scheduler;
-    private final Map<String, Map<String, Deque<Outgoing>>> connections = new HashMap<>();
+    private final Map<String, Map<String, Deque<Frame>>> connections = new HashMap<>();
     private final Map<String, Boolean> sending = new HashMap<>();
-    private final Map<String, Long> receiverFree = new HashMap<>();
+    private final Map<String, Long> receiverFreeAt = new HashMap<>();
     private final Map<String, Long> received = new HashMap<>();
 
     /** Links of so many bytes a second and a delay in microseconds; the scheduler runs a job at a time. */
@@ -38,14 +38,14 @@
             final boolean urgent,
             final long now,
             final Runnable deliver) {
-        final Deque<Outgoing> queue = connections
+        final Deque<Frame> queue = connections
                 .computeIfAbsent(from, f -> new LinkedHashMap<>())
                 .computeIfAbsent(to, t -> new ArrayDeque<>());
-        final Deque<Outgoing> behind = new ArrayDeque<>();
+        final Deque<Frame> behind = new ArrayDeque<>();
         while (urgent && !queue.isEmpty() && !queue.peekLast().urgent && !queue.peekLast().begun) {
             behind.addFirst(queue.pollLast());
         }
-        queue.add(new Outgoing(bytes, urgent, deliver));
+        queue.add(new Frame(bytes, urgent, deliver));
         queue.addAll(behind);
         if (!sending.getOrDefault(from, false)) {
             sending.put(from, true);
@@ -54,15 +54,15 @@
     }
 
     /** How many bytes a machine has received. */
-    long received(final String seat) {
-        return received.getOrDefault(seat, 0L);
+    long received(final String address) {
+        return received.getOrDefault(address, 0L);
     }
 
     /** How many bytes wait at a machine. */
     long waiting(final String from) {
         return connections.getOrDefault(from, Map.of()).values().stream()
                 .flatMap(Deque::stream)
-                .mapToLong(f -> f.left)
+                .mapToLong(f -> f.bytesLeft)
                 .sum();
     }
 
@@ -72,55 +72,55 @@
     }
 
     private void sendPacket(final String from, final long now) {
-        final Map<String, Deque<Outgoing>> queues = connections.getOrDefault(from, Map.of());
+        final Map<String, Deque<Frame>> queues = connections.getOrDefault(from, Map.of());
         queues.values().removeIf(Deque::isEmpty);
         if (queues.isEmpty()) {
             sending.put(from, false);
             return;
         }
-        final Iterator<Map.Entry<String, Deque<Outgoing>>> first =
+        final Iterator<Map.Entry<String, Deque<Frame>>> first =
                 queues.entrySet().iterator();
-        final Map.Entry<String, Deque<Outgoing>> turn = first.next();
+        final Map.Entry<String, Deque<Frame>> turn = first.next();
         final String to = turn.getKey();
-        final Deque<Outgoing> queue = turn.getValue();
+        final Deque<Frame> queue = turn.getValue();
         first.remove();
         queues.put(to, queue);
-        final Outgoing frame = queue.peek();
-        final long bytes = Math.min(PACKET_BYTES, frame.left);
+        final Frame frame = queue.peek();
+        final long bytes = Math.min(PACKET_BYTES, frame.bytesLeft);
         frame.begun = true;
-        frame.left -= bytes;
-        final boolean last = frame.left == 0;
+        frame.bytesLeft -= bytes;
+        final boolean last = frame.bytesLeft == 0;
         if (last) {
             queue.poll();
         }
-        final long end = now + span(bytes);
+        final long end = now + transferMicros(bytes);
         scheduler.accept(() -> sendPacket(from, end), end);
         scheduler.accept(() -> receive(to, bytes, end + delay, last, frame.deliver), end + delay);
     }
 
     private void receive(
             final String to, final long bytes, final long now, final boolean last, final Runnable deliver) {
-        final long end = Math.max(now, receiverFree.getOrDefault(to, 0L)) + span(bytes);
-        receiverFree.put(to, end);
+        final long end = Math.max(now, receiverFreeAt.getOrDefault(to, 0L)) + transferMicros(bytes);
+        receiverFreeAt.put(to, end);
         received.merge(to, bytes, Long::sum);
         if (last) {
             scheduler.accept(deliver, end);
         }
     }
 
-    private long span(final long bytes) {
+    private long transferMicros(final long bytes) {
         return bytes * 1_000_000 / bytesPerSecond;
     }
 
-    private static final class Outgoing {
+    private static final class Frame {
         private final boolean urgent;
         private final Runnable deliver;
-        private long left;
+        private long bytesLeft;
         private boolean begun;
 
-        Outgoing(final long bytes, final boolean urgent, final Runnable deliver) {
+        Frame(final long bytes, final boolean urgent, final Runnable deliver) {
             this.urgent = urgent;
-            this.left = bytes;
+            this.bytesLeft = bytes;
             this.deliver = deliver;
         }
     }
--- a/core/src/test/java/silverlatch/replication/CatchUpTest.java
+++ b/core/src/test/java/silverlatch/replication/CatchUpTest.java
@@ -25,21 +25,21 @@
     private static final int DOCUMENT = 150_000;
 
     private static ReplicaCluster cluster(final int members) {
-        final List<String> seats = SIX.subList(0, 3);
+        final List<String> seeds = SIX.subList(0, 3);
         final ReplicaCluster cluster =
-                new ReplicaCluster(seats, 1_000, s -> s.counts(2, members)).limited(LINK, SYNC, DISK);
+                new ReplicaCluster(seeds, 1_000, s -> s.withCounts(2, members)).withLimits(LINK, SYNC, DISK);
         SIX.subList(0, members).forEach(s -> cluster.start(s, true));
-        cluster.until(60 * SECOND, () -> whole(cluster, members));
-        assertThat("the chain is whole" + cluster, whole(cluster, members), is(true));
+        cluster.advanceUntil(60 * SECOND, () -> isChainComplete(cluster, members));
+        assertThat("the chain is whole" + cluster, isChainComplete(cluster, members), is(true));
         return cluster;
     }
 
-    private static boolean whole(final ReplicaCluster cluster, final int members) {
-        return cluster.up().size() == members
-                && cluster.up().stream().allMatch(s -> {
-                    final ChainReplica.State state = cluster.quay(s).state(cluster.now());
-                    return state.level()
-                            && state.leased()
+    private static boolean isChainComplete(final ReplicaCluster cluster, final int members) {
+        return cluster.running().size() == members
+                && cluster.running().stream().allMatch(s -> {
+                    final ChainReplica.ReplicaStatus state = cluster.replica(s).status(cluster.now());
+                    return state.isCaughtUp()
+                            && state.isLeased()
                             && state.view().chain().size() == members;
                 });
     }
@@ -48,7 +48,7 @@
     private static Command.PutConfiguration document(final long number, final boolean renamed) {
         final List<Value.Route> routes = new ArrayList<>();
         for (int i = 0; i < ROUTES; i++) {
-            final long aim = number % 2 == 1 || i == number % ROUTES ? number : 0;
+            final long latencyTarget = number % 2 == 1 || i == number % ROUTES ? number : 0;
             routes.add(new Value.Route(
                     "route-" + i,
                     "host-" + i + (renamed ? "-" + number : "") + ".tenant.example",
@@ -58,7 +58,7 @@
                     false,
                     false,
                     1,
-                    1_000 + aim,
+                    1_000 + latencyTarget,
                     0,
                     0,
                     1,
@@ -86,9 +86,10 @@
     }
 
     private static void put(final ReplicaCluster cluster, final String at, final long number, final boolean renamed) {
-        final ReplicaCluster.Asked asked = cluster.order(at, document(number, renamed), 20 * SECOND);
-        cluster.until(20 * SECOND, () -> asked.answer().isPresent());
-        assertThat("document " + number + " at " + at + " " + asked.answer() + cluster, asked.kept(), is(true));
+        final ReplicaCluster.PendingCall asked = cluster.submit(at, document(number, renamed), 20 * SECOND);
+        cluster.advanceUntil(20 * SECOND, () -> asked.answer().isPresent());
+        assertThat(
+                "document " + number + " at " + at + " " + asked.answer() + cluster, asked.isAcknowledged(), is(true));
     }
 
     @ParameterizedTest
@@ -98,7 +99,7 @@
         final String away = SIX.get(members - 1);
         put(cluster, "a", 1);
         cluster.kill(away);
-        cluster.pass(3 * SECOND);
+        cluster.advance(3 * SECOND);
         final int count = Integer.getInteger("silverlatch.documents", 60);
         for (int number = 2; number <= count; number++) {
             put(cluster, "a", number);
@@ -106,23 +107,23 @@
         final long before = cluster.links().received(away);
         final long views = cluster.logged(Event.CHAIN_SUSPECT);
         cluster.start(away, false);
-        final long span = cluster.until(60 * SECOND, () -> whole(cluster, members));
+        final long span = cluster.advanceUntil(60 * SECOND, () -> isChainComplete(cluster, members));
         final long bytes = cluster.links().received(away) - before;
-        final long disk = cluster.up().stream()
-                .mapToLong(s -> cluster.modelDisk(s).peakBytes())
+        final long disk = cluster.running().stream()
+                .mapToLong(s -> cluster.simulatedDisk(s).peakBytes())
                 .max()
                 .orElseThrow();
         figures("members " + members + " documents " + count + " back after us " + span + " bytes " + bytes
                 + " largest disk " + disk + " entries "
-                + cluster.quay(away).books().allEntries().size());
+                + cluster.replica(away).stateMachine().allEntries().size());
         assertThat("it is back" + cluster, span, greaterThan(0L));
         assertThat("in a bounded time", span, lessThan(4 * SECOND));
         assertThat("with bounded bytes", bytes, lessThan(2L << 20));
         assertThat("in an eighth of the disk", disk, lessThan(DISK / 8));
         assertThat("nobody was taken for dead", cluster.logged(Event.CHAIN_SUSPECT), is(views));
         SIX.subList(0, members - 2).forEach(cluster::kill);
-        cluster.pass(SECOND);
-        assertThat(cluster.held(away), is((long) count));
+        cluster.advance(SECOND);
+        assertThat(cluster.committedNumber(away), is((long) count));
     }
 
     @Test
@@ -130,7 +131,7 @@
         final ReplicaCluster cluster = cluster(3);
         put(cluster, "a", 1);
         cluster.kill("c");
-        cluster.pass(3 * SECOND);
+        cluster.advance(3 * SECOND);
         long number = 1;
         for (int i = 0; i < 10; i++) {
             put(cluster, "a", ++number);
@@ -140,16 +141,16 @@
         boolean back = false;
         long slowest = 0;
         for (int round = 0; round < 10; round++) {
-            final List<ReplicaCluster.Asked> asked = new ArrayList<>();
+            final List<ReplicaCluster.PendingCall> asked = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                asked.add(cluster.order(i % 2 == 0 ? "a" : "b", document(++number, false), 30 * SECOND));
+                asked.add(cluster.submit(i % 2 == 0 ? "a" : "b", document(++number, false), 30 * SECOND));
             }
-            final long span = cluster.until(
+            final long span = cluster.advanceUntil(
                     30 * SECOND, () -> asked.stream().allMatch(a -> a.answer().isPresent()));
-            figures("eight at once took us " + span + ", back " + whole(cluster, 3));
+            figures("eight at once took us " + span + ", back " + isChainComplete(cluster, 3));
             assertThat("eight are taken in a bounded time" + cluster, span, greaterThan(0L));
             slowest = Math.max(slowest, span);
-            back |= whole(cluster, 3);
+            back |= isChainComplete(cluster, 3);
         }
         assertThat("the slowest eight", slowest, lessThan(10 * SECOND));
         assertThat("it is back while the writes go on" + cluster, back, is(true));
@@ -163,23 +164,24 @@
         for (int number = 1; number <= count; number++) {
             put(cluster, "a", number, true);
         }
-        final long state = cluster.quay("a").books().allEntries().stream()
+        final long state = cluster.replica("a").stateMachine().allEntries().stream()
                 .mapToLong(silverlatch.state.Entry::estimatedBytes)
                 .sum();
         cluster.kill("c");
-        cluster.wipe("c");
-        cluster.pass(3 * SECOND);
+        cluster.loseDisk("c");
+        cluster.advance(3 * SECOND);
         final long suspected = cluster.logged(Event.CHAIN_SUSPECT);
         final long before = cluster.links().received("c");
         cluster.start("c", false);
-        final long span = cluster.until(60 * SECOND, () -> whole(cluster, 3));
+        final long span = cluster.advanceUntil(60 * SECOND, () -> isChainComplete(cluster, 3));
         final long bytes = cluster.links().received("c") - before;
         figures("empty machine, " + count + " documents of new names: entries "
-                + cluster.quay("a").books().allEntries().size() + " weight " + state + " back after us " + span
+                + cluster.replica("a").stateMachine().allEntries().size() + " weight " + state + " back after us "
+                + span
                 + " bytes "
                 + bytes + " largest disk "
-                + cluster.up().stream()
-                        .mapToLong(s -> cluster.modelDisk(s).peakBytes())
+                + cluster.running().stream()
+                        .mapToLong(s -> cluster.simulatedDisk(s).peakBytes())
                         .max()
                         .orElseThrow());
         assertThat("it is in the chain" + cluster, span, greaterThan(0L));
--- a/core/src/test/java/silverlatch/replication/ChainClientTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainClientTest.java
@@ -12,67 +12,69 @@
 
 final class ChainClientTest {
     private View view = new View(1, 1, List.of(), List.of(new Replica("a", "a"), new Replica("b", "b")), "a");
-    private final ChainClient clerk = new ChainClient("me", () -> view, 10);
+    private final ChainClient client = new ChainClient("me", () -> view, 10);
 
     private List<String> sent() {
-        return clerk.drain().stream()
+        return client.drain().stream()
                 .filter(e -> e instanceof Effect.Send)
                 .map(e -> ((Effect.Send) e).to())
                 .toList();
     }
 
     @Test
-    void aWishGoesToTheHeadOfTheNewestViewUntilItIsToldAndEndsUnknownWithItsId() {
-        clerk.wish(new Command.SetEvacuation("order-1", "z", true, -1), 5, 0, 1_000_000);
+    void aCommandGoesToTheHeadOfTheNewestViewAndEndsUnknownAtItsDeadline() {
+        client.submit(new Command.SetEvacuation("order-1", "z", true, -1), 5, 0, 1_000_000);
         assertThat(sent(), is(List.of("a")));
         view = new View(2, 1, List.of(), List.of(new Replica("b", "b")), "b");
-        clerk.tick(300_000);
+        client.tick(300_000);
         assertThat(sent(), is(List.of("b")));
-        clerk.on(new Message.WriteReply(11, new CommandResult.Unknown("order-1")), 1_000);
-        assertThat(clerk.drain(), is(List.of()));
-        clerk.tick(1_000_000);
-        assertThat(clerk.drain(), is(List.of((Effect) new Effect.Respond(5, new CommandResult.Unknown("order-1")))));
+        client.onMessage(new Message.WriteReply(11, new CommandResult.Unknown("order-1")), 1_000);
+        assertThat(client.drain(), is(List.of()));
+        client.tick(1_000_000);
+        assertThat(client.drain(), is(List.of((Effect) new Effect.Respond(5, new CommandResult.Unknown("order-1")))));
     }
 
     @Test
-    void anOrderOnTopOfTheNewestChangeLearnsItDuringTheCallAndIsNeverRefusedForARace() {
-        clerk.wish(new Command.SetEvacuation("order-1", "z", true, Command.SetEvacuation.LATEST), 5, 0, 1_000_000);
+    void anEvacuationOnTheLatestRevisionRetriesAConflictWithTheRevisionItLearned() {
+        client.submit(new Command.SetEvacuation("order-1", "z", true, Command.SetEvacuation.LATEST), 5, 0, 1_000_000);
         assertThat(matches(), is(List.of(0L)));
-        clerk.on(new Message.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)), 1_000);
+        client.onMessage(new Message.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)), 1_000);
         assertThat(matches(), is(List.of(7L)));
-        clerk.on(new Message.WriteReply(11, new CommandResult.Rejected(409, List.of("a late reply"), 6)), 1_000);
-        assertThat(clerk.drain(), is(List.of()));
-        clerk.on(new Message.WriteReply(12, new CommandResult.Applied(9)), 1_000);
-        assertThat(clerk.drain(), is(List.of((Effect) new Effect.Respond(5, new CommandResult.Applied(9)))));
+        client.onMessage(
+                new Message.WriteReply(11, new CommandResult.Rejected(409, List.of("a late reply"), 6)), 1_000);
+        assertThat(client.drain(), is(List.of()));
+        client.onMessage(new Message.WriteReply(12, new CommandResult.Applied(9)), 1_000);
+        assertThat(client.drain(), is(List.of((Effect) new Effect.Respond(5, new CommandResult.Applied(9)))));
     }
 
     @Test
-    void nothingIsSentForACallWhoseTimeIsUp() {
-        clerk.wish(new Command.SetEvacuation("order-1", "z", true, Command.SetEvacuation.LATEST), 5, 0, 1_000_000);
-        clerk.drain();
-        clerk.on(new Message.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)), 20_000_000);
+    void nothingIsSentForACallPastItsDeadline() {
+        client.submit(new Command.SetEvacuation("order-1", "z", true, Command.SetEvacuation.LATEST), 5, 0, 1_000_000);
+        client.drain();
+        client.onMessage(
+                new Message.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)), 20_000_000);
         final Effect unknown = new Effect.Respond(5, new CommandResult.Unknown("order-1"));
-        assertThat("a reply after the process was frozen", clerk.drain(), is(List.of(unknown)));
-        clerk.wish(new Command.SetEvacuation("order-2", "z", true, -1), 6, 30_000_000, 25_000_000);
+        assertThat("a reply after the process was frozen", client.drain(), is(List.of(unknown)));
+        client.submit(new Command.SetEvacuation("order-2", "z", true, -1), 6, 30_000_000, 25_000_000);
         final Effect late = new Effect.Respond(6, new CommandResult.Unknown("order-2"));
-        assertThat("a call that waited while it was frozen", clerk.drain(), is(List.of(late)));
+        assertThat("a call that waited while it was frozen", client.drain(), is(List.of(late)));
     }
 
     private List<Long> matches() {
-        return clerk.drain().stream()
+        return client.drain().stream()
                 .map(e -> ((Command.SetEvacuation) ((Message.WriteRequest) ((Effect.Send) e).message()).command())
                         .expectedRevision())
                 .toList();
     }
 
     @Test
-    void aQuestionGoesToTheTailAndAReplyThatIsNotSureIsNoReply() {
-        clerk.read("r/", 6, 0, 1_000_000);
+    void aReadGoesToTheTailAndAnInconclusiveReplyIsIgnored() {
+        client.read("r/", 6, 0, 1_000_000);
         assertThat(sent(), is(List.of("b")));
-        clerk.on(new Message.ReadReply(11, false, 0, List.of()), 1_000);
-        assertThat(clerk.drain(), is(List.of()));
-        clerk.on(new Message.ReadReply(11, true, 9, List.of()), 1_000);
-        assertThat(clerk.drain(), is(List.of((Effect)
-                new Effect.Respond(6, new ChainClient.Page(true, 9, List.of())))));
+        client.onMessage(new Message.ReadReply(11, false, 0, List.of()), 1_000);
+        assertThat(client.drain(), is(List.of()));
+        client.onMessage(new Message.ReadReply(11, true, 9, List.of()), 1_000);
+        assertThat(client.drain(), is(List.of((Effect)
+                new Effect.Respond(6, new ChainClient.ReadResult(true, 9, List.of())))));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
@@ -24,103 +24,103 @@
 
 /** Three machines, a scripted operator, and a fake clock; messages go only where the script lets them. */
 final class ChainReplicaTest {
-    private static final List<String> SEATS = List.of("a", "b", "c");
-    private final Map<String, ChainReplica> quays = new LinkedHashMap<>();
+    private static final List<String> SEEDS = List.of("a", "b", "c");
+    private final Map<String, ChainReplica> replicas = new LinkedHashMap<>();
     private final Map<String, List<LogRecord>> disks = new LinkedHashMap<>();
     private final Map<String, List<Effect.Persist>> unsynced = new LinkedHashMap<>();
     private final Set<String> down = new TreeSet<>();
-    private final Set<String> stuck = new TreeSet<>();
-    private final List<Message> told = new ArrayList<>();
-    private final Deque<Runnable> mail = new ArrayDeque<>();
+    private final Set<String> stalledDisks = new TreeSet<>();
+    private final List<Message> replies = new ArrayList<>();
+    private final Deque<Runnable> deliveries = new ArrayDeque<>();
     private long now = 1_000_000;
     private long stamp = 1_000;
 
-    private void start(final String seat, final String id) {
-        disks.putIfAbsent(seat, new ArrayList<>());
-        unsynced.put(seat, new ArrayList<>());
-        quays.put(
-                seat,
+    private void start(final String address, final String id) {
+        disks.putIfAbsent(address, new ArrayList<>());
+        unsynced.put(address, new ArrayList<>());
+        replicas.put(
+                address,
                 new ChainReplica(
-                        ChainReplica.Setup.of(new Replica(id, seat), SEATS),
-                        List.copyOf(disks.get(seat)),
+                        ChainReplica.ReplicaSettings.of(new Replica(id, address), SEEDS),
+                        List.copyOf(disks.get(address)),
                         () -> new Stamp(++stamp),
                         now));
-        down.remove(seat);
+        down.remove(address);
     }
 
-    private void found() {
-        SEATS.forEach(s -> start(s, "id-" + s));
-        pass(3_000_000);
+    private void bootstrap() {
+        SEEDS.forEach(s -> start(s, "id-" + s));
+        advance(3_000_000);
     }
 
-    private void pass(final long span) {
+    private void advance(final long span) {
         final long end = now + span;
         while (now < end) {
             now += 50_000;
-            quays.forEach((s, q) -> {
+            replicas.forEach((s, replica) -> {
                 if (!down.contains(s)) {
-                    q.tick(now);
+                    replica.tick(now);
                 }
             });
-            pump();
+            deliverAll();
         }
     }
 
-    private void pump() {
+    private void deliverAll() {
         boolean more = true;
         while (more) {
-            final int before = told.size();
-            quays.forEach((s, q) -> {
+            final int before = replies.size();
+            replicas.forEach((s, replica) -> {
                 if (!down.contains(s)) {
-                    q.drain().forEach(e -> effect(s, q, e));
+                    replica.drain().forEach(e -> performEffect(s, replica, e));
                 }
             });
-            more = !mail.isEmpty() || told.size() > before;
-            for (int i = mail.size(); i > 0; i--) {
-                mail.poll().run();
+            more = !deliveries.isEmpty() || replies.size() > before;
+            for (int i = deliveries.size(); i > 0; i--) {
+                deliveries.poll().run();
             }
         }
     }
 
-    private void effect(final String seat, final ChainReplica q, final Effect e) {
-        switch (e) {
+    private void performEffect(final String address, final ChainReplica replica, final Effect effect) {
+        switch (effect) {
             case Effect.Send s -> {
                 if (s.to().equals("operator")) {
-                    told.add(s.message());
+                    replies.add(s.message());
                     return;
                 }
-                mail.add(() -> {
-                    if (!down.contains(s.to()) && !down.contains(seat) && quays.containsKey(s.to())) {
-                        quays.get(s.to()).on(s.message(), seat, now);
+                deliveries.add(() -> {
+                    if (!down.contains(s.to()) && !down.contains(address) && replicas.containsKey(s.to())) {
+                        replicas.get(s.to()).onMessage(s.message(), address, now);
                     }
                 });
             }
             case Effect.Persist k -> {
-                if (stuck.contains(seat)) {
-                    unsynced.get(seat).add(k);
+                if (stalledDisks.contains(address)) {
+                    unsynced.get(address).add(k);
                 } else {
-                    mail.add(() -> sync(seat, q, k));
+                    deliveries.add(() -> sync(address, replica, k));
                 }
             }
             default -> {}
         }
     }
 
-    private void sync(final String seat, final ChainReplica q, final Effect.Persist k) {
-        if (quays.get(seat) == q && !down.contains(seat)) {
-            k.records().forEach(n -> {
-                if (n instanceof LogRecord.Snapshot) {
-                    disks.get(seat).clear();
+    private void sync(final String address, final ChainReplica replica, final Effect.Persist write) {
+        if (replicas.get(address) == replica && !down.contains(address)) {
+            write.records().forEach(record -> {
+                if (record instanceof LogRecord.Snapshot) {
+                    disks.get(address).clear();
                 }
-                disks.get(seat).add(n);
+                disks.get(address).add(record);
             });
-            q.kept(k.token(), now);
+            replica.synced(write.token(), now);
         }
     }
 
     private void put(final String at, final String id, final long match) {
-        quays.get(at)
-                .on(
+        replicas.get(at)
+                .onMessage(
                         new Message.WriteRequest(
                                 1,
                                 "operator",
@@ -128,64 +128,65 @@
                                         id, List.of(silverlatch.state.TableRules.defaultRow("*", id)), match)),
                         "operator",
                         now);
-        pump();
+        deliverAll();
     }
 
-    private Message last() {
-        return Lists.last(told);
+    private Message lastReply() {
+        return Lists.last(replies);
     }
 
     private Set<String> kinds(final String at) {
-        final Set<String> set = new TreeSet<>();
-        quays.get(at).books().entriesWithPrefix("r/").values().stream()
+        final Set<String> kinds = new TreeSet<>();
+        replicas.get(at).stateMachine().entriesWithPrefix("r/").values().stream()
                 .filter(e -> !e.isDeleted())
-                .forEach(e -> set.add(((Value.Row) e.value().get(0)).kind()));
-        return set;
+                .forEach(e -> kinds.add(((Value.Row) e.value().get(0)).kind()));
+        return kinds;
     }
 
     @Test
-    void threeEmptyMachinesFoundOneChainAndAWriteIsOnAllOfThemBeforeItsAck() {
-        found();
-        assertThat(quays.get("a").view().chain().stream().map(Replica::address).toList(), is(SEATS));
+    void threeEmptyReplicasBootstrapOneChainAndAcknowledgeAWriteOnlyWhenAllSyncedIt() {
+        bootstrap();
+        assertThat(
+                replicas.get("a").view().chain().stream().map(Replica::address).toList(), is(SEEDS));
         put("a", "one", -1);
-        assertThat(((Message.WriteReply) last()).result(), instanceOf(CommandResult.Applied.class));
-        SEATS.forEach(s -> assertThat(disks.get(s).stream().anyMatch(n -> n instanceof LogRecord.Appended), is(true)));
+        assertThat(((Message.WriteReply) lastReply()).result(), instanceOf(CommandResult.Applied.class));
+        SEEDS.forEach(s -> assertThat(disks.get(s).stream().anyMatch(n -> n instanceof LogRecord.Appended), is(true)));
     }
 
     @Test
-    void twoMachinesAloneFoundNothing() {
+    void twoOfThreeSeedsDoNotBootstrap() {
         start("a", "id-a");
         start("b", "id-b");
-        pass(5_000_000);
-        assertThat(quays.get("a").view().number(), is(0L));
-        assertThat(quays.get("b").view().number(), is(0L));
+        advance(5_000_000);
+        assertThat(replicas.get("a").view().number(), is(0L));
+        assertThat(replicas.get("b").view().number(), is(0L));
     }
 
     @Test
-    void aWriteThatDidNotReachTheTailIsNotAckedAndAHeadThatLosesItsDiskTakesItAlong() {
-        found();
-        stuck.add("a");
+    void aWriteThatDidNotReachTheTailIsNotAcknowledgedAndIsLostWithTheHeadsDisk() {
+        bootstrap();
+        stalledDisks.add("a");
         put("a", "gone", -1);
-        assertThat(told.isEmpty(), is(true));
+        assertThat(replies.isEmpty(), is(true));
         down.add("a");
         disks.get("a").clear();
-        pass(4_000_000);
-        stuck.clear();
+        advance(4_000_000);
+        stalledDisks.clear();
         put("b", "next", -1);
-        assertThat(((Message.WriteReply) last()).result(), instanceOf(CommandResult.Applied.class));
+        assertThat(((Message.WriteReply) lastReply()).result(), instanceOf(CommandResult.Applied.class));
         start("a", "id-a2");
-        pass(12_000_000);
-        assertThat(quays.get("a").view().chain().size(), is(3));
+        advance(12_000_000);
+        assertThat(replicas.get("a").view().chain().size(), is(3));
         assertThat(kinds("a"), is(Set.of("next")));
-        assertThat(quays.get("a").view().votes("id-a"), is(false));
+        assertThat(replicas.get("a").view().isVoter("id-a"), is(false));
     }
 
     @Test
-    void aHeadThatDiesBetweenSyncAndReplyLeavesItsChangeToTheNextHead() {
-        found();
+    void anEntryOfAHeadThatDiesBetweenSyncAndReplyIsCommittedByTheNextHead() {
+        bootstrap();
         put("a", "one", -1);
-        quays.get("a")
-                .on(
+        replicas.get("a")
+                .onMessage(
                         new Message.WriteRequest(
                                 2,
                                 "operator",
@@ -193,27 +194,27 @@
                                         "two", List.of(silverlatch.state.TableRules.defaultRow("*", "two")), -1)),
                         "operator",
                         now);
-        quays.get("a").drain().forEach(e -> effect("a", quays.get("a"), e));
-        for (int i = mail.size(); i > 0; i--) {
-            mail.poll().run();
+        replicas.get("a").drain().forEach(e -> performEffect("a", replicas.get("a"), e));
+        for (int i = deliveries.size(); i > 0; i--) {
+            deliveries.poll().run();
         }
-        quays.get("a").drain().forEach(e -> effect("a", quays.get("a"), e));
-        mail.poll().run();
+        replicas.get("a").drain().forEach(e -> performEffect("a", replicas.get("a"), e));
+        deliveries.poll().run();
         down.add("a");
-        pass(5_000_000);
+        advance(5_000_000);
         assertThat(kinds("b"), is(Set.of("two")));
         assertThat(kinds("c"), is(Set.of("two")));
     }
 
     @Test
-    void ofTwoRacingChangesTheLoserIsToldTheWinnersSequence() {
-        found();
+    void theLoserOfTwoRacingWritesGetsTheWinnersSequence() {
+        bootstrap();
         put("a", "base", -1);
-        final long match = ((CommandResult.Applied) ((Message.WriteReply) last()).result()).sequence();
+        final long match = ((CommandResult.Applied) ((Message.WriteReply) lastReply()).result()).sequence();
         put("a", "win", match);
-        final long won = ((CommandResult.Applied) ((Message.WriteReply) last()).result()).sequence();
+        final long won = ((CommandResult.Applied) ((Message.WriteReply) lastReply()).result()).sequence();
         put("a", "lose", match);
-        final CommandResult.Rejected lost = (CommandResult.Rejected) ((Message.WriteReply) last()).result();
+        final CommandResult.Rejected lost = (CommandResult.Rejected) ((Message.WriteReply) lastReply()).result();
         assertThat(lost.code(), is(409));
         assertThat(lost.sequence(), is(won));
         assertThat(kinds("c"), is(Set.of("win")));
@@ -221,65 +222,65 @@
 
     @Test
     void aTailThatIsCutOffStopsReadingBeforeTheOthersGoOnWithoutIt() {
-        found();
+        bootstrap();
         put("a", "old", -1);
         down.add("c");
         boolean overlap = false;
         for (int i = 0; i < 80; i++) {
             now += 50_000;
-            quays.get("a").tick(now);
-            quays.get("b").tick(now);
-            pump();
-            final boolean reads = quays.get("c").state(now).leased();
-            final boolean moved =
-                    quays.get("a").view().number() > 1 || quays.get("b").view().number() > 1;
+            replicas.get("a").tick(now);
+            replicas.get("b").tick(now);
+            deliverAll();
+            final boolean reads = replicas.get("c").status(now).isLeased();
+            final boolean moved = replicas.get("a").view().number() > 1
+                    || replicas.get("b").view().number() > 1;
             overlap |= reads && moved;
         }
-        assertThat("the chain went on", quays.get("b").view().number() > 1, is(true));
+        assertThat("the chain went on", replicas.get("b").view().number() > 1, is(true));
         assertThat("and the old tail read on", overlap, is(false));
     }
 
     @Test
-    void aRestartedMachineRemembersWhatItPromisedAndWhatItKept() {
-        found();
+    void aRestartedReplicaRecoversItsPromiseAndItsEntries() {
+        bootstrap();
         put("a", "one", -1);
-        SEATS.forEach(down::add);
-        SEATS.forEach(s -> start(s, "id-" + s));
-        pass(2_000_000);
-        SEATS.forEach(s -> assertThat(s, kinds(s), is(Set.of("one"))));
-        quays.get("b").on(new Message.Prepare(2, 9 << 8), "operator", now);
-        pump();
-        assertThat(last(), instanceOf(Message.Promise.class));
+        SEEDS.forEach(down::add);
+        SEEDS.forEach(s -> start(s, "id-" + s));
+        advance(2_000_000);
+        SEEDS.forEach(s -> assertThat(s, kinds(s), is(Set.of("one"))));
+        replicas.get("b").onMessage(new Message.Prepare(2, 9 << 8), "operator", now);
+        deliverAll();
+        assertThat(lastReply(), instanceOf(Message.Promise.class));
         down.add("b");
         start("b", "id-b");
-        quays.get("b").on(new Message.Prepare(2, 8 << 8), "operator", now);
-        pump();
-        assertThat(last(), is(new Message.Preempted(2, 9 << 8)));
+        replicas.get("b").onMessage(new Message.Prepare(2, 8 << 8), "operator", now);
+        deliverAll();
+        assertThat(lastReply(), is(new Message.Preempted(2, 9 << 8)));
     }
 
     @Test
-    void aHeadWhoseClockIsBehindTheNewestChangeTakesNoneAndRejectsNone() {
-        found();
+    void aHeadWhoseClockIsBehindTheNewestEntryNeitherAcceptsNorRejectsWrites() {
+        bootstrap();
         put("a", "one", -1);
         stamp = 0;
-        final int before = told.size();
+        final int before = replies.size();
         put("a", "two", -1);
-        assertThat(told.size(), is(before));
+        assertThat(replies.size(), is(before));
         assertThat(kinds("c"), is(Set.of("one")));
     }
 
     @Test
-    void aRejectedChangeStaysRejectedWhenACopyOfItComesLate() {
-        found();
+    void aRejectedWriteStaysRejectedWhenADuplicateArrivesLate() {
+        bootstrap();
         final Message.WriteRequest copy = new Message.WriteRequest(
                 7,
                 "operator",
                 new Command.PutTable("late", List.of(silverlatch.state.TableRules.defaultRow("someone", "late")), -1));
-        quays.get("a").on(copy, "operator", now);
-        pump();
-        assertThat(((CommandResult.Rejected) ((Message.WriteReply) last()).result()).code(), is(422));
-        quays.get("a")
-                .on(
+        replicas.get("a").onMessage(copy, "operator", now);
+        deliverAll();
+        assertThat(((CommandResult.Rejected) ((Message.WriteReply) lastReply()).result()).code(), is(422));
+        replicas.get("a")
+                .onMessage(
                         new Message.WriteRequest(
                                 8,
                                 "operator",
@@ -287,101 +288,103 @@
                                         "who", new Value.Tenant("someone", List.of(), 1, "0".repeat(64), "s"), -1)),
                         "operator",
                         now);
-        pump();
-        assertThat(((Message.WriteReply) last()).result(), instanceOf(CommandResult.Applied.class));
-        quays.get("a").on(copy, "operator", now);
-        pump();
-        assertThat(((CommandResult.Rejected) ((Message.WriteReply) last()).result()).code(), is(422));
+        deliverAll();
+        assertThat(((Message.WriteReply) lastReply()).result(), instanceOf(CommandResult.Applied.class));
+        replicas.get("a").onMessage(copy, "operator", now);
+        deliverAll();
+        assertThat(((CommandResult.Rejected) ((Message.WriteReply) lastReply()).result()).code(), is(422));
         assertThat(kinds("c"), is(Set.of()));
     }
 
     @Test
-    void aDutyOfAnOldHolderIsRejected() {
-        found();
-        quays.get("a")
-                .on(
+    void aWriteUnderAnOldFencingTokenIsRejected() {
+        bootstrap();
+        replicas.get("a")
+                .onMessage(
                         new Message.WriteRequest(3, "operator", new Command.AdvanceEpoch("sweep-0", Long.MAX_VALUE, 0)),
                         "operator",
                         now);
-        pump();
-        assertThat(((CommandResult.Rejected) ((Message.WriteReply) last()).result()).code(), is(409));
+        deliverAll();
+        assertThat(((CommandResult.Rejected) ((Message.WriteReply) lastReply()).result()).code(), is(409));
     }
 
     @Test
-    void aMachineThatLeavesNamesItsSuccessorAndTheChainGoesOn() {
-        found();
-        assertThat(quays.get("a").view().holder(), is("id-a"));
-        quays.get("a").leave();
-        pass(3_000_000);
-        assertThat(quays.get("b").view().holder(), is("id-b"));
-        assertThat(quays.get("b").view().place("id-a"), is(-1));
+    void aLeavingReplicaHandsOverTheSingletonAndTheChainGoesOn() {
+        bootstrap();
+        assertThat(replicas.get("a").view().singletonOwner(), is("id-a"));
+        replicas.get("a").leave();
+        advance(3_000_000);
+        assertThat(replicas.get("b").view().singletonOwner(), is("id-b"));
+        assertThat(replicas.get("b").view().positionOf("id-a"), is(-1));
     }
 
     @Test
-    void machinesThatAllLeaveKeepTwoCopiesInTheChain() {
-        found();
+    void leavingReplicasKeepTwoCopiesInTheChain() {
+        bootstrap();
         put("a", "one", -1);
-        for (final String s : SEATS) {
-            quays.get(s).leave();
-            pass(3_000_000);
+        for (final String address : SEEDS) {
+            replicas.get(address).leave();
+            advance(3_000_000);
             assertThat(
-                    s + ": only the first has left enough copies", quays.get(s).gone(), is(s.equals("a")));
-            down.add(s);
+                    address + ": only the first has left enough copies",
+                    replicas.get(address).hasLeft(),
+                    is(address.equals("a")));
+            down.add(address);
         }
         disks.get("c").clear();
         start("b", "id-b");
         start("a", "id-a");
         start("c", "id-c2");
-        pass(15_000_000);
+        advance(15_000_000);
         assertThat(kinds("b"), is(Set.of("one")));
-        assertThat(quays.get("b").view().chain().size(), is(3));
+        assertThat(replicas.get("b").view().chain().size(), is(3));
     }
 
     @Test
-    void aStalledDiskIsMendedOutAndComesBack() {
-        found();
-        stuck.add("b");
+    void aReplicaWithAStalledDiskLeavesTheChainAndRejoins() {
+        bootstrap();
+        stalledDisks.add("b");
         put("a", "slow", -1);
-        pass(5_000_000);
-        assertThat(quays.get("a").view().place("id-b"), is(-1));
+        advance(5_000_000);
+        assertThat(replicas.get("a").view().positionOf("id-b"), is(-1));
         assertThat(kinds("c"), is(Set.of("slow")));
-        stuck.clear();
-        unsynced.get("b").forEach(k -> sync("b", quays.get("b"), k));
-        pass(5_000_000);
-        assertThat(quays.get("a").view().place("id-b") >= 0, is(true));
+        stalledDisks.clear();
+        unsynced.get("b").forEach(k -> sync("b", replicas.get("b"), k));
+        advance(5_000_000);
+        assertThat(replicas.get("a").view().positionOf("id-b") >= 0, is(true));
         assertThat(kinds("b"), is(Set.of("slow")));
     }
 
     @Test
     void aHolderWhoseClockIsFarAheadForgetsNoClaimAndLetsNoChangeIn() {
-        found();
-        mail.add(() -> quays.get("a")
-                .on(
+        bootstrap();
+        deliveries.add(() -> replicas.get("a")
+                .onMessage(
                         new Message.WriteRequest(71, "operator", new Command.Claim("h", "key", "one", "p", 5)),
                         "operator",
                         now));
-        pass(1_000_000);
+        advance(1_000_000);
         final long right = stamp;
         stamp = right + silverlatch.clock.NtpTime.fromMicros(30L * 86_400 * 1_000_000);
         start("a", "id-a");
         down.addAll(List.of("b", "c"));
-        mail.add(() -> quays.get("a")
-                .on(
+        deliveries.add(() -> replicas.get("a")
+                .onMessage(
                         new Message.WriteRequest(72, "operator", new Command.SetEvacuation("z", "syros", true, -1)),
                         "operator",
                         now));
-        pass(500_000);
+        advance(500_000);
         stamp = right + 1_000_000;
         down.clear();
-        pass(20_000_000);
-        assertThat(quays.get("c").books().get("c/key").isPresent(), is(true));
-        assertThat(quays.get("c").books().get("z/syros").isPresent(), is(false));
-        mail.add(() -> quays.get("a")
-                .on(
+        advance(20_000_000);
+        assertThat(replicas.get("c").stateMachine().get("c/key").isPresent(), is(true));
+        assertThat(replicas.get("c").stateMachine().get("z/syros").isPresent(), is(false));
+        deliveries.add(() -> replicas.get("a")
+                .onMessage(
                         new Message.WriteRequest(73, "operator", new Command.SetEvacuation("y", "rhodes", true, -1)),
                         "operator",
                         now));
-        pass(1_000_000);
-        assertThat(quays.get("c").books().get("z/rhodes").isPresent(), is(true));
+        advance(1_000_000);
+        assertThat(replicas.get("c").stateMachine().get("z/rhodes").isPresent(), is(true));
     }
 }
