--- a/core/src/test/java/silverlatch/replication/DiskFailureTest.java
+++ b/core/src/test/java/silverlatch/replication/DiskFailureTest.java
@@ -18,23 +18,23 @@
 /** Disks that fill, stall, slow down, or come back with an older copy of the folder, at each place of the chain. */
 final class DiskFailureTest {
     private static final long SECOND = 1_000_000;
-    private static final List<String> SEATS = List.of("a", "b", "c");
+    private static final List<String> SEEDS = List.of("a", "b", "c");
     private final ReplicaCluster cluster =
-            new ReplicaCluster(SEATS, 1_000, s -> s.counts(2, 3)).limited(7_000_000 / 8, 5_000, 64L << 20);
+            new ReplicaCluster(SEEDS, 1_000, s -> s.withCounts(2, 3)).withLimits(7_000_000 / 8, 5_000, 64L << 20);
     private long number;
     private int characters = 300_000;
 
     private void start() {
-        SEATS.forEach(s -> cluster.start(s, true));
-        assertThat("the chain is whole", cluster.until(20 * SECOND, () -> whole()), greaterThan(0L));
+        SEEDS.forEach(s -> cluster.start(s, true));
+        assertThat("the chain is whole", cluster.advanceUntil(20 * SECOND, () -> isChainComplete()), greaterThan(0L));
     }
 
-    private boolean whole() {
-        return cluster.up().size() == 3
-                && cluster.up().stream().allMatch(s -> {
-                    final ChainReplica.State state = cluster.quay(s).state(cluster.now());
-                    return state.level()
-                            && state.leased()
+    private boolean isChainComplete() {
+        return cluster.running().size() == 3
+                && cluster.running().stream().allMatch(s -> {
+                    final ChainReplica.ReplicaStatus state = cluster.replica(s).status(cluster.now());
+                    return state.isCaughtUp()
+                            && state.isLeased()
                             && state.view().chain().size() == 3;
                 });
     }
@@ -42,9 +42,9 @@
     /** Puts documents until one is acknowledged; each try is a document of its own. */
     private void put(final String at) {
         for (int tries = 0; tries < 10; tries++) {
-            final ReplicaCluster.Asked asked = cluster.order(at, document(++number), 3 * SECOND);
-            cluster.until(4 * SECOND, () -> asked.answer().isPresent());
-            if (asked.kept()) {
+            final ReplicaCluster.PendingCall asked = cluster.submit(at, document(++number), 3 * SECOND);
+            cluster.advanceUntil(4 * SECOND, () -> asked.answer().isPresent());
+            if (asked.isAcknowledged()) {
                 return;
             }
         }
@@ -52,7 +52,7 @@
     }
 
     private Command.PutConfiguration document(final long number) {
-        final Command.PutConfiguration plain = ReplicaCluster.charter(number, -1);
+        final Command.PutConfiguration plain = ReplicaCluster.configuration(number, -1);
         return new Command.PutConfiguration(
                 "document-" + number,
                 plain.configuration(),
@@ -62,17 +62,17 @@
                 -1);
     }
 
-    private long readAt(final String seat) {
-        final ReplicaCluster.Asked asked = cluster.read(seat, 3 * SECOND);
-        cluster.until(4 * SECOND, () -> asked.answer().isPresent());
+    private long readAt(final String address) {
+        final ReplicaCluster.PendingCall asked = cluster.read(address, 3 * SECOND);
+        cluster.advanceUntil(4 * SECOND, () -> asked.answer().isPresent());
         return number(asked);
     }
 
     /** The number that was read; -1 where nobody answered. */
-    private static long number(final ReplicaCluster.Asked asked) {
+    private static long number(final ReplicaCluster.PendingCall asked) {
         return asked.answer()
-                .filter(r -> r instanceof ChainClient.Page p && p.ok())
-                .map(r -> ((ChainClient.Page) r)
+                .filter(r -> r instanceof ChainClient.ReadResult p && p.answered())
+                .map(r -> ((ChainClient.ReadResult) r)
                         .entries().stream()
                                 .filter(e -> !e.isDeleted())
                                 .mapToLong(e ->
@@ -82,96 +82,113 @@
                 .orElse(-1L);
     }
 
-    private String other(final String seat) {
-        return SEATS.stream().filter(s -> !s.equals(seat)).findFirst().orElseThrow();
+    private String other(final String address) {
+        return SEEDS.stream().filter(s -> !s.equals(address)).findFirst().orElseThrow();
     }
 
     /** All but one other lose power: what the member has now must be what was acknowledged. */
-    private void isLeftWithOneOther(final String seat) {
+    private void isLeftWithOneOther(final String address) {
         final long acknowledged = number;
-        SEATS.stream().filter(s -> !s.equals(seat) && !s.equals(other(seat))).forEach(cluster::kill);
-        cluster.pass(3 * SECOND);
-        assertThat("it answers with what was acknowledged" + cluster, readAt(seat), is(acknowledged));
-        put(seat);
+        SEEDS.stream()
+                .filter(s -> !s.equals(address) && !s.equals(other(address)))
+                .forEach(cluster::kill);
+        cluster.advance(3 * SECOND);
+        assertThat("it answers with what was acknowledged" + cluster, readAt(address), is(acknowledged));
+        put(address);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
-    void aDiskThatFillsInTheMiddleOfASnapshotCostsItsMemberOnlyTheTimeThatItIsFull(final String seat) {
+    void aDiskThatFillsInTheMiddleOfASnapshotCostsItsMemberOnlyTheTimeThatItIsFull(final String address) {
         start();
-        cluster.modelDisk(seat).fullAtSnapshot();
+        cluster.simulatedDisk(address).fullAtSnapshot();
         for (int i = 0; i < 20; i++) {
-            put(other(seat));
+            put(other(address));
         }
         assertThat("the disk failed", cluster.logged(Event.DISK_BROKEN), greaterThanOrEqualTo(1L));
-        assertThat("it takes no part", cluster.quay(seat).state(cluster.now()).leased(), is(false));
-        cluster.modelDisk(seat).full(false);
-        assertThat("it is back without a restart" + cluster, cluster.until(6 * SECOND, () -> whole()), greaterThan(0L));
-        put(other(seat));
-        isLeftWithOneOther(seat);
+        assertThat(
+                "it takes no part",
+                cluster.replica(address).status(cluster.now()).isLeased(),
+                is(false));
+        cluster.simulatedDisk(address).full(false);
+        assertThat(
+                "it is back without a restart" + cluster,
+                cluster.advanceUntil(6 * SECOND, () -> isChainComplete()),
+                greaterThan(0L));
+        put(other(address));
+        isLeftWithOneOther(address);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
-    void aDiskThatStallsForSecondsCostsItsMemberOnlyThatTime(final String seat) {
+    void aDiskThatStallsForSecondsCostsItsMemberOnlyThatTime(final String address) {
         start();
-        put(other(seat));
-        cluster.modelDisk(seat).stall(cluster.now() + 8 * SECOND);
+        put(other(address));
+        cluster.simulatedDisk(address).stall(cluster.now() + 8 * SECOND);
         final long began = cluster.now();
-        put(other(seat));
+        put(other(address));
         assertThat("the others went on", cluster.now() - began < 6 * SECOND, is(true));
-        cluster.pass(8 * SECOND);
-        assertThat("it is back" + cluster, cluster.until(6 * SECOND, () -> whole()), greaterThanOrEqualTo(0L));
-        put(other(seat));
-        isLeftWithOneOther(seat);
+        cluster.advance(8 * SECOND);
+        assertThat(
+                "it is back" + cluster,
+                cluster.advanceUntil(6 * SECOND, () -> isChainComplete()),
+                greaterThanOrEqualTo(0L));
+        put(other(address));
+        isLeftWithOneOther(address);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
-    void aSlowDiskSlowsChangesAndNothingElse(final String seat) {
+    void aSlowDiskSlowsChangesAndNothingElse(final String address) {
         start();
-        cluster.modelDisk(seat).sync(150_000);
+        cluster.simulatedDisk(address).syncMicros(150_000);
         for (int i = 0; i < 5; i++) {
-            put(other(seat));
+            put(other(address));
         }
-        cluster.modelDisk(seat).sync(5_000);
-        assertThat("the chain is whole" + cluster, cluster.until(6 * SECOND, () -> whole()), greaterThanOrEqualTo(0L));
-        isLeftWithOneOther(seat);
+        cluster.simulatedDisk(address).syncMicros(5_000);
+        assertThat(
+                "the chain is whole" + cluster,
+                cluster.advanceUntil(6 * SECOND, () -> isChainComplete()),
+                greaterThanOrEqualTo(0L));
+        isLeftWithOneOther(address);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
-    void anOldCopyOfAFolderNeitherAnswersNorLeads(final String seat) {
+    void anOldCopyOfAFolderNeitherAnswersNorLeads(final String address) {
         characters = 300;
         start();
-        put(other(seat));
-        final List<LogRecord> copy = List.copyOf(cluster.disk(seat));
+        put(other(address));
+        final List<LogRecord> copy = List.copyOf(cluster.disk(address));
         for (int i = 0; i < 5; i++) {
-            put(other(seat));
+            put(other(address));
         }
         final long acknowledged = number;
-        cluster.pass(SECOND);
-        cluster.kill(seat);
-        cluster.disk(seat).clear();
-        cluster.disk(seat).addAll(copy);
-        cluster.start(seat, false);
-        final List<ReplicaCluster.Asked> reads = new ArrayList<>();
-        final List<ReplicaCluster.Asked> writes = new ArrayList<>();
+        cluster.advance(SECOND);
+        cluster.kill(address);
+        cluster.disk(address).clear();
+        cluster.disk(address).addAll(copy);
+        cluster.start(address, false);
+        final List<ReplicaCluster.PendingCall> reads = new ArrayList<>();
+        final List<ReplicaCluster.PendingCall> writes = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            reads.add(cluster.read(SEATS.get(i % 3), SECOND));
+            reads.add(cluster.read(SEEDS.get(i % 3), SECOND));
             if (i % 20 == 0) {
-                writes.add(cluster.order(seat, document(acknowledged), SECOND));
+                writes.add(cluster.submit(address, document(acknowledged), SECOND));
             }
-            cluster.pass(50_000);
+            cluster.advance(50_000);
             reads.removeIf(r -> {
                 final Optional<Object> answer = r.answer();
                 assertThat("nothing older is read" + cluster, number(r) == -1 || number(r) >= acknowledged, is(true));
                 return answer.isPresent();
             });
         }
-        assertThat("it is back" + cluster, cluster.until(10 * SECOND, () -> whole()), greaterThanOrEqualTo(0L));
-        put(other(seat));
-        isLeftWithOneOther(seat);
+        assertThat(
+                "it is back" + cluster,
+                cluster.advanceUntil(10 * SECOND, () -> isChainComplete()),
+                greaterThanOrEqualTo(0L));
+        put(other(address));
+        isLeftWithOneOther(address);
     }
 
     @ParameterizedTest
@@ -183,20 +200,23 @@
             put("a");
         }
         final long acknowledged = number;
-        SEATS.forEach(cluster::kill);
-        SEATS.stream().filter(s -> !s.equals(missing)).forEach(s -> cluster.start(s, false));
-        final List<ReplicaCluster.Asked> reads = new ArrayList<>();
+        SEEDS.forEach(cluster::kill);
+        SEEDS.stream().filter(s -> !s.equals(missing)).forEach(s -> cluster.start(s, false));
+        final List<ReplicaCluster.PendingCall> reads = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
-            for (final String seat : cluster.up()) {
-                reads.add(cluster.read(seat, 5 * SECOND));
+            for (final String address : cluster.running()) {
+                reads.add(cluster.read(address, 5 * SECOND));
             }
-            cluster.pass(20_000);
+            cluster.advance(20_000);
         }
-        cluster.pass(5 * SECOND);
+        cluster.advance(5 * SECOND);
         reads.forEach(r -> assertThat("a read" + cluster, number(r) == -1 || number(r) == acknowledged, is(true)));
         assertThat("reads are answered", reads.stream().anyMatch(r -> number(r) == acknowledged), is(true));
         cluster.start(missing, false);
-        assertThat("all are back" + cluster, cluster.until(10 * SECOND, () -> whole()), greaterThanOrEqualTo(0L));
+        assertThat(
+                "all are back" + cluster,
+                cluster.advanceUntil(10 * SECOND, () -> isChainComplete()),
+                greaterThanOrEqualTo(0L));
         isLeftWithOneOther(missing);
     }
 }
--- a/core/src/test/java/silverlatch/replication/FailoverTimeTest.java
+++ b/core/src/test/java/silverlatch/replication/FailoverTimeTest.java
@@ -14,49 +14,57 @@
 
 /** How soon a change is acknowledged when the core is in trouble, with 35 ms one way between all machines. */
 final class FailoverTimeTest {
-    private static final List<String> SEATS = List.of("a", "b", "c");
+    private static final List<String> SEEDS = List.of("a", "b", "c");
     private static final List<String> SIX = List.of("a", "b", "c", "d", "e", "f");
-    private static final long HOP = 35_000;
+    private static final long LINK_DELAY_MICROS = 35_000;
     private static final long SOON = 1_500_000;
     private static final int MOMENTS = 24;
 
-    private static ReplicaCluster found(final List<String> all) {
-        final ReplicaCluster bay = new ReplicaCluster(SEATS, HOP, s -> s.counts(2, all.size()));
-        all.forEach(s -> bay.start(s, true));
-        final long took = bay.until(
+    private static ReplicaCluster bootstrapped(final List<String> all) {
+        final ReplicaCluster cluster = new ReplicaCluster(SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(2, all.size()));
+        all.forEach(s -> cluster.start(s, true));
+        final long took = cluster.advanceUntil(
                 20_000_000,
                 () -> all.stream()
-                        .allMatch(s -> bay.quay(s).state(bay.now()).level()
-                                && bay.quay(s).view().chain().size() == all.size()));
+                        .allMatch(s -> cluster.replica(s).status(cluster.now()).isCaughtUp()
+                                && cluster.replica(s).view().chain().size() == all.size()));
         assertThat("all stand in the chain", took >= 0, is(true));
-        bay.pass(1_000_000);
-        return bay;
+        cluster.advance(1_000_000);
+        return cluster;
     }
 
     /** The longest time from the trouble to a reply, over many moments, by each controller that is left. */
-    private static long longest(final List<String> all, final List<String> dead, final boolean cut) {
+    private static long longestOutage(final List<String> all, final List<String> dead, final boolean cut) {
         long most = 0;
         for (int i = 0; i < MOMENTS; i++) {
-            final ReplicaCluster bay = found(all);
-            bay.pass(i * 7_300L);
-            for (final String d : dead) {
+            final ReplicaCluster cluster = bootstrapped(all);
+            cluster.advance(i * 7_300L);
+            for (final String address : dead) {
                 if (cut) {
-                    all.stream().filter(s -> !s.equals(d)).forEach(s -> bay.cut(s, d, true));
+                    all.stream().filter(s -> !s.equals(address)).forEach(s -> cluster.cut(s, address, true));
                 } else {
-                    bay.kill(d);
+                    cluster.kill(address);
                 }
             }
-            final List<ReplicaCluster.Asked> asks = new ArrayList<>();
+            final List<ReplicaCluster.PendingCall> calls = new ArrayList<>();
             all.stream()
                     .filter(s -> !dead.contains(s))
-                    .forEach(s -> asks.add(bay.lay(s, asks.size() + 1, -1, 6_000_000)));
-            bay.pass(6_500_000);
-            assertThat("one at least is kept", asks.stream().anyMatch(ReplicaCluster.Asked::kept), is(true));
-            asks.forEach(
-                    a -> assertThat("" + a.reply(), a.kept() || a.reply() instanceof CommandResult.Rejected, is(true)));
+                    .forEach(s -> calls.add(cluster.putConfiguration(s, calls.size() + 1, -1, 6_000_000)));
+            cluster.advance(6_500_000);
+            assertThat(
+                    "one at least is kept",
+                    calls.stream().anyMatch(ReplicaCluster.PendingCall::isAcknowledged),
+                    is(true));
+            calls.forEach(call -> assertThat(
+                    "" + call.reply(),
+                    call.isAcknowledged() || call.reply() instanceof CommandResult.Rejected,
+                    is(true)));
             most = Math.max(
                     most,
-                    asks.stream().mapToLong(ReplicaCluster.Asked::span).max().orElseThrow());
+                    calls.stream()
+                            .mapToLong(ReplicaCluster.PendingCall::latency)
+                            .max()
+                            .orElseThrow());
         }
         return most;
     }
@@ -64,44 +72,49 @@
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
     void aChangeIsAcknowledgedSoonAfterAnyOfThreeDies(final String dead) {
-        assertThat(longest(SEATS, List.of(dead), false), lessThan(SOON));
+        assertThat(longestOutage(SEEDS, List.of(dead), false), lessThan(SOON));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
     void aChangeIsAcknowledgedSoonAfterAnyOfThreeIsCutOff(final String lost) {
-        assertThat(longest(SEATS, List.of(lost), true), lessThan(SOON));
+        assertThat(longestOutage(SEEDS, List.of(lost), true), lessThan(SOON));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a,b", "a,f", "c,d", "e,f"})
     void aChangeIsAcknowledgedSoonAfterTwoOfSixDie(final String dead) {
-        assertThat(longest(SIX, List.of(dead.split(",")), false), lessThan(SOON));
+        assertThat(longestOutage(SIX, List.of(dead.split(",")), false), lessThan(SOON));
     }
 
     @Test
     void changesGoOnWhileTheVotersGrowFromThreeToSix() {
-        final ReplicaCluster bay = new ReplicaCluster(SEATS, HOP, s -> s.counts(2, 6));
-        SIX.forEach(s -> bay.start(s, true));
-        bay.until(5_000_000, () -> bay.quay("a").view().number() == 1);
-        final List<ReplicaCluster.Asked> asks = LongStream.rangeClosed(1, 60)
+        final ReplicaCluster cluster = new ReplicaCluster(SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(2, 6));
+        SIX.forEach(s -> cluster.start(s, true));
+        cluster.advanceUntil(5_000_000, () -> cluster.replica("a").view().number() == 1);
+        final List<ReplicaCluster.PendingCall> calls = LongStream.rangeClosed(1, 60)
                 .mapToObj(i -> {
-                    final ReplicaCluster.Asked a = bay.lay("b", i, -1, 3_000_000);
-                    bay.pass(50_000);
-                    return a;
+                    final ReplicaCluster.PendingCall call = cluster.putConfiguration("b", i, -1, 3_000_000);
+                    cluster.advance(50_000);
+                    return call;
                 })
                 .toList();
-        bay.pass(3_000_000);
-        assertThat(bay.quay("a").view().voters().size(), is(6));
-        assertThat(asks.stream().mapToLong(ReplicaCluster.Asked::span).max().orElseThrow(), lessThan(600_000L));
+        cluster.advance(3_000_000);
+        assertThat(cluster.replica("a").view().voters().size(), is(6));
+        assertThat(
+                calls.stream()
+                        .mapToLong(ReplicaCluster.PendingCall::latency)
+                        .max()
+                        .orElseThrow(),
+                lessThan(600_000L));
     }
 
     @Test
-    void inQuietTimesAChangeTakesTheWayThroughTheChainAndBack() {
-        final ReplicaCluster bay = found(SEATS);
-        final ReplicaCluster.Asked a = bay.lay("b", 1, 0, 900_000);
-        bay.pass(900_000);
-        assertThat(a.kept(), is(true));
-        assertThat(a.span(), lessThan(6 * HOP));
+    void withoutFaultsAWriteTakesOneRoundTripThroughTheChain() {
+        final ReplicaCluster cluster = bootstrapped(SEEDS);
+        final ReplicaCluster.PendingCall call = cluster.putConfiguration("b", 1, 0, 900_000);
+        cluster.advance(900_000);
+        assertThat(call.isAcknowledged(), is(true));
+        assertThat(call.latency(), lessThan(6 * LINK_DELAY_MICROS));
     }
 }
--- a/core/src/test/java/silverlatch/replication/LogEntryTest.java
+++ b/core/src/test/java/silverlatch/replication/LogEntryTest.java
@@ -17,19 +17,19 @@
 import silverlatch.wire.Message;
 
 final class LogEntryTest {
-    private static LogEntry change(final long sequence, final Value leaf) {
+    private static LogEntry entry(final long sequence, final Value leaf) {
         return new LogEntry(sequence, 1, new Stamp(sequence), List.of(new Entry("q/paper", sequence, List.of(leaf))));
     }
 
     @Test
-    void heavyChangesGoInFramesOfTheirOwn() {
+    void largeEntriesGoInFramesOfTheirOwn() {
         final LogEntry heavy =
-                change(1, new Value.ConfigurationDocument(1, "x".repeat(ConfigurationValidator.MAX_DOCUMENT_BYTES)));
+                entry(1, new Value.ConfigurationDocument(1, "x".repeat(ConfigurationValidator.MAX_DOCUMENT_BYTES)));
         final List<LogEntry> many = Collections.nCopies(9, heavy);
         final List<LogEntry> batch = LogEntry.batch(many.stream(), 512, 4L << 20);
         assertThat(batch.size(), is(1));
         assertThat(new Codec().encode(new Message.Replicate(1, batch)).length, lessThan(Codec.MAX_BYTES));
-        final LogEntry light = change(1, new Value.Epoch(1));
+        final LogEntry light = entry(1, new Value.Epoch(1));
         assertThat(
                 LogEntry.batch(Collections.nCopies(900, light).stream(), 512, 4L << 20)
                         .size(),
@@ -41,10 +41,10 @@
     }
 
     @Test
-    void aCharterOfAsManyRulesAsThereMayBeFitsAFrame() {
+    void aConfigurationOfTheLargestSizeFitsAFrame() {
         final List<Entry> puts = new ArrayList<>();
         for (int i = 0; i < ConfigurationValidator.MAX_ROUTES; i++) {
-            final Value.Route r = new Value.Route(
+            final Value.Route route = new Value.Route(
                     "rule of route number " + i,
                     "service-" + i + ".example",
                     "/some/longer/path/",
@@ -59,15 +59,15 @@
                     3,
                     List.of("north", "south"),
                     List.of(new Value.WeightedBackend("warm", 3), new Value.WeightedBackend("spare", 1)));
-            puts.add(new Entry(ConfigurationValidator.routeKey(r.host(), r.pathPrefix()), 1, List.of(r)));
+            puts.add(new Entry(ConfigurationValidator.routeKey(route.host(), route.pathPrefix()), 1, List.of(route)));
         }
         puts.add(new Entry(
                 ConfigurationValidator.DOCUMENT_KEY,
                 1,
                 List.of(new Value.ConfigurationDocument(1, "x".repeat(ConfigurationValidator.MAX_DOCUMENT_BYTES)))));
-        final LogEntry c = new LogEntry(1, 1, new Stamp(1), puts);
-        final int size = new Codec().encode(new Message.Replicate(1, List.of(c))).length;
+        final LogEntry entry = new LogEntry(1, 1, new Stamp(1), puts);
+        final int size = new Codec().encode(new Message.Replicate(1, List.of(entry))).length;
         assertThat(size, lessThan(Codec.MAX_BYTES));
-        assertThat("a weight is not much below the size", c.weight() * 2, greaterThan((long) size));
+        assertThat("a weight is not much below the size", entry.estimatedBytes() * 2, greaterThan((long) size));
     }
 }
--- a/core/src/test/java/silverlatch/replication/MembershipModelTest.java
+++ b/core/src/test/java/silverlatch/replication/MembershipModelTest.java
@@ -40,35 +40,35 @@
 
     /** A loss that counts until a time; NEVER while it isn't known when its machine comes back. */
     private static final class Loss {
-        private String seat;
+        private String address;
         private long until = NEVER;
         private boolean down = true;
         private boolean full;
 
-        Loss(final String seat) {
-            this.seat = seat;
+        Loss(final String address) {
+            this.address = address;
         }
     }
 
-    private record Planned(long at, long turn, Runnable job) {}
+    private record ScheduledTask(long at, long order, Runnable task) {}
 
-    private record Put(ReplicaCluster.Asked asked, long number) {}
+    private record Put(ReplicaCluster.PendingCall asked, long number) {}
 
     /** One schedule; the checks after each step are those of {@link #check}. */
     private static final class Schedule {
         private final Random random;
         private final int tolerance;
-        private final int most;
+        private final int maxVoters;
         private final ReplicaCluster cluster;
         private final Set<String> members = new TreeSet<>();
         private final Set<String> leaving = new TreeSet<>();
         private final List<Loss> losses = new ArrayList<>();
-        private final PriorityQueue<Planned> agenda =
-                new PriorityQueue<>(Comparator.comparingLong(Planned::at).thenComparingLong(Planned::turn));
+        private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
+                Comparator.comparingLong(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
         private final List<Put> puts = new ArrayList<>();
         private final Map<Long, View> views = new HashMap<>();
-        private final List<String> story = new ArrayList<>();
-        private long turn;
+        private final List<String> trace = new ArrayList<>();
+        private long lastOrder;
         private long number;
         private long acknowledged;
         private long acknowledgedAt;
@@ -81,59 +81,61 @@
         Schedule(final long seed, final int tolerance, final int size, final Safeguards safeguards) {
             this.tolerance = tolerance;
             random = new Random(seed * 31 + size);
-            most = 2 * tolerance + 3;
-            final List<String> seats = List.of("a", "b", "c", "d", "e", "f").subList(0, size);
+            maxVoters = 2 * tolerance + 3;
+            final List<String> addresses = List.of("a", "b", "c", "d", "e", "f").subList(0, size);
             cluster = new ReplicaCluster(
-                    seats.subList(0, 3),
+                    addresses.subList(0, 3),
                     1_000 + random.nextInt(34_001),
-                    s -> s.counts(tolerance + 1, most).under(safeguards));
-            cluster.syncs(1_000 + random.nextInt(4_001));
-            members.addAll(seats);
-            seats.forEach(s -> cluster.start(s, true));
+                    s -> s.withCounts(tolerance + 1, maxVoters).withSafeguards(safeguards));
+            cluster.setSyncMicros(1_000 + random.nextInt(4_001));
+            members.addAll(addresses);
+            addresses.forEach(s -> cluster.start(s, true));
         }
 
         void run() {
-            cluster.pass(20 * SECOND);
+            cluster.advance(20 * SECOND);
             acknowledgedAt = cluster.now();
             for (int i = 0; i < STEPS; i++) {
-                due();
-                draw();
+                runDue();
+                drawEvents();
                 put();
-                cluster.pass(STEP);
-                note();
+                cluster.advance(STEP);
+                recordAcknowledged();
                 check();
             }
-            quiet();
+            recover();
         }
 
         /** No further event: all come back, and all hold the newest. */
-        private void quiet() {
+        private void recover() {
             for (int i = 0; i < 250; i++) {
-                due();
+                runDue();
                 put();
-                cluster.pass(STEP);
-                note();
+                cluster.advance(STEP);
+                recordAcknowledged();
                 check();
             }
             members.forEach(s -> assertThat(
-                    s + text(), cluster.held(s), greaterThanOrEqualTo(members.size() > most ? 0 : acknowledged - 20)));
+                    s + text(),
+                    cluster.committedNumber(s),
+                    greaterThanOrEqualTo(members.size() > maxVoters ? 0 : acknowledged - 20)));
         }
 
         private String text() {
-            return "\n" + String.join("\n", story) + "\n" + lost() + " lost at " + cluster.now() / 1_000 + cluster;
+            return "\n" + String.join("\n", trace) + "\n" + lost() + " lost at " + cluster.now() / 1_000 + cluster;
         }
 
-        private void tell(final String what) {
-            story.add(cluster.now() / 1_000 + " ms: " + what);
+        private void recordEvent(final String what) {
+            trace.add(cluster.now() / 1_000 + " ms: " + what);
         }
 
-        private void plan(final long span, final Runnable job) {
-            agenda.add(new Planned(cluster.now() + span, turn++, job));
+        private void plan(final long span, final Runnable task) {
+            tasks.add(new ScheduledTask(cluster.now() + span, lastOrder++, task));
         }
 
-        private void due() {
-            while (!agenda.isEmpty() && agenda.peek().at() <= cluster.now()) {
-                agenda.poll().job().run();
+        private void runDue() {
+            while (!tasks.isEmpty() && tasks.peek().at() <= cluster.now()) {
+                tasks.poll().task().run();
             }
             losses.stream().filter(l -> l.until <= cluster.now()).forEach(this::returned);
             losses.removeIf(l -> l.until <= cluster.now());
@@ -147,17 +149,17 @@
             return least + (long) (random.nextDouble() * (most - least));
         }
 
-        private void draw() {
+        private void drawEvents() {
             if (random.nextInt(12) > 0) {
                 return;
             }
             if (random.nextInt(6) == 0) {
-                again();
+                killAgain();
             }
-            final int most = random.nextInt(3) == 0 ? tolerance : 1;
-            for (int i = 0; i < most && lost() < tolerance; i++) {
+            final int eventCount = random.nextInt(3) == 0 ? tolerance : 1;
+            for (int i = 0; i < eventCount && lost() < tolerance; i++) {
                 final List<String> sound = members.stream()
-                        .filter(s -> !leaving.contains(s) && losses.stream().noneMatch(l -> l.seat.equals(s)))
+                        .filter(s -> !leaving.contains(s) && losses.stream().noneMatch(l -> l.address.equals(s)))
                         .toList();
                 event(sound.get(random.nextInt(sound.size())));
                 events++;
@@ -167,20 +169,20 @@
             }
         }
 
-        private void event(final String seat) {
+        private void event(final String address) {
             switch (random.nextInt(9)) {
-                case 0 -> restart(seat, false);
-                case 1 -> restart(seat, true);
-                case 2, 3 -> replace(seat);
-                case 4, 5 -> replaceAsPlanned(seat);
-                case 6 -> terminate(seat);
-                case 7 -> freeze(seat);
-                default -> isolate(seat);
+                case 0 -> restart(address, false);
+                case 1 -> restart(address, true);
+                case 2, 3 -> replace(address);
+                case 4, 5 -> replaceAsPlanned(address);
+                case 6 -> terminate(address);
+                case 7 -> freeze(address);
+                default -> isolate(address);
             }
         }
 
-        private Loss loss(final String seat) {
-            final Loss loss = new Loss(seat);
+        private Loss loss(final String address) {
+            final Loss loss = new Loss(address);
             losses.add(loss);
             return loss;
         }
@@ -196,139 +198,139 @@
             final List<String> list = new ArrayList<>(members);
             java.util.Collections.shuffle(list, random);
             cluster.seeds(list.subList(0, Math.min(3, list.size())));
-            members.add(loss.seat);
-            cluster.start(loss.seat, false);
+            members.add(loss.address);
+            cluster.start(loss.address, false);
             back(loss);
-            tell("start " + loss.seat);
+            recordEvent("start " + loss.address);
         }
 
         /** Killed, with its disk or without; it starts again at its address. */
-        private void restart(final String seat, final boolean wiped) {
-            tell((wiped ? "kill and wipe " : "kill ") + seat);
-            final Loss loss = loss(seat);
-            cluster.kill(seat);
+        private void restart(final String address, final boolean wiped) {
+            recordEvent((wiped ? "kill and wipe " : "kill ") + address);
+            final Loss loss = loss(address);
+            cluster.kill(address);
             if (wiped) {
-                cluster.wipe(seat);
+                cluster.loseDisk(address);
             }
             plan(between(STEP, 8 * SECOND), () -> start(loss));
         }
 
-        private void end(final String seat) {
-            cluster.kill(seat);
-            cluster.wipe(seat);
-            members.remove(seat);
-            leaving.remove(seat);
+        private void end(final String address) {
+            cluster.kill(address);
+            cluster.loseDisk(address);
+            members.remove(address);
+            leaving.remove(address);
         }
 
         /** Removed for good without a word; its successor starts later. */
-        private void replace(final String seat) {
-            tell("remove " + seat);
-            final Loss loss = loss(seat);
-            end(seat);
-            loss.seat = "s" + ++successors;
+        private void replace(final String address) {
+            recordEvent("remove " + address);
+            final Loss loss = loss(address);
+            end(address);
+            loss.address = "s" + ++successors;
             plan(between(STEP, 3 * SECOND), () -> start(loss));
         }
 
         /** The successor starts first; when it has had its time, the old machine is told to end, for good. */
-        private void replaceAsPlanned(final String seat) {
+        private void replaceAsPlanned(final String address) {
             final Loss loss = loss("s" + ++successors);
-            tell("planned: " + loss.seat + " for " + seat);
+            recordEvent("planned: " + loss.address + " for " + address);
             start(loss);
-            leaving.add(seat);
-            plan(CATCH_UP + between(0, SECOND), () -> leave(seat, () -> {}));
+            leaving.add(address);
+            plan(CATCH_UP + between(0, SECOND), () -> leave(address, () -> {}));
         }
 
-        private void leave(final String seat, final Runnable then) {
-            if (!cluster.up().contains(seat)) {
-                end(seat);
+        private void leave(final String address, final Runnable then) {
+            if (!cluster.running().contains(address)) {
+                end(address);
                 then.run();
                 return;
             }
-            tell("SIGTERM " + seat);
-            leaving.add(seat);
-            cluster.quay(seat).leave();
-            ended(seat, cluster.now() + GRACE, then);
+            recordEvent("SIGTERM " + address);
+            leaving.add(address);
+            cluster.replica(address).leave();
+            ended(address, cluster.now() + GRACE, then);
         }
 
-        private void ended(final String seat, final long grace, final Runnable then) {
-            if (cluster.quay(seat).gone()) {
-                tell(seat + " ended");
-                leaving.remove(seat);
-                finish(seat, then);
+        private void ended(final String address, final long grace, final Runnable then) {
+            if (cluster.replica(address).hasLeft()) {
+                recordEvent(address + " ended");
+                leaving.remove(address);
+                finish(address, then);
             } else if (cluster.now() >= grace) {
-                tell("SIGKILL " + seat);
+                recordEvent("SIGKILL " + address);
                 killedAtGrace++;
-                leaving.remove(seat);
-                finish(seat, then);
-                if (losses.stream().noneMatch(l -> l.seat.equals(seat)) && !members.contains(seat)) {
-                    loss(seat).until = cluster.now() + DETECTION;
+                leaving.remove(address);
+                finish(address, then);
+                if (losses.stream().noneMatch(l -> l.address.equals(address)) && !members.contains(address)) {
+                    loss(address).until = cluster.now() + DETECTION;
                 }
             } else {
-                plan(STEP, () -> ended(seat, grace, then));
+                plan(STEP, () -> ended(address, grace, then));
             }
         }
 
-        private void finish(final String seat, final Runnable then) {
+        private void finish(final String address, final Runnable then) {
             then.run();
-            if (members.contains(seat) && losses.stream().noneMatch(l -> l.seat.equals(seat))) {
-                end(seat);
+            if (members.contains(address) && losses.stream().noneMatch(l -> l.address.equals(address))) {
+                end(address);
             } else {
-                cluster.kill(seat);
+                cluster.kill(address);
             }
         }
 
         /** Told to end, and started again with its disk, or replaced after it ended. */
-        private void terminate(final String seat) {
-            final Loss loss = loss(seat);
+        private void terminate(final String address) {
+            final Loss loss = loss(address);
             loss.down = false;
             final boolean forGood = random.nextBoolean();
-            leave(seat, () -> {
+            leave(address, () -> {
                 loss.down = true;
                 if (forGood) {
-                    end(seat);
-                    loss.seat = "s" + ++successors;
+                    end(address);
+                    loss.address = "s" + ++successors;
                 }
                 plan(between(STEP, SECOND), () -> start(loss));
             });
         }
 
-        private void freeze(final String seat) {
-            tell("freeze " + seat);
-            final Loss loss = loss(seat);
-            cluster.freeze(seat);
+        private void freeze(final String address) {
+            recordEvent("freeze " + address);
+            final Loss loss = loss(address);
+            cluster.freeze(address);
             plan(between(STEP, 9 * SECOND), () -> {
-                tell("thaw " + seat);
-                cluster.thaw(seat);
+                recordEvent("thaw " + address);
+                cluster.thaw(address);
                 back(loss);
             });
         }
 
-        private void isolate(final String seat) {
-            tell("cut off " + seat);
-            final Loss loss = loss(seat);
+        private void isolate(final String address) {
+            recordEvent("cut off " + address);
+            final Loss loss = loss(address);
             final Set<String> others = new TreeSet<>(members);
-            others.remove(seat);
-            others.forEach(o -> cluster.cut(seat, o, true));
+            others.remove(address);
+            others.forEach(o -> cluster.cut(address, o, true));
             plan(between(STEP, 9 * SECOND), () -> {
-                tell("join again " + seat);
-                others.forEach(o -> cluster.cut(seat, o, false));
+                recordEvent("join again " + address);
+                others.forEach(o -> cluster.cut(address, o, false));
                 back(loss);
             });
         }
 
         /** A machine that came back and still counts as lost goes again, at times for good. */
-        private void again() {
+        private void killAgain() {
             losses.stream()
-                    .filter(l -> !l.down && l.full && !leaving.contains(l.seat))
+                    .filter(l -> !l.down && l.full && !leaving.contains(l.address))
                     .findFirst()
                     .ifPresent(l -> {
-                        tell("kill again " + l.seat);
+                        recordEvent("kill again " + l.address);
                         l.until = NEVER;
                         l.down = true;
-                        cluster.kill(l.seat);
+                        cluster.kill(l.address);
                         if (random.nextBoolean()) {
-                            end(l.seat);
-                            l.seat = "s" + ++successors;
+                            end(l.address);
+                            l.address = "s" + ++successors;
                         }
                         plan(between(STEP, 3 * SECOND), () -> start(l));
                     });
@@ -336,7 +338,7 @@
 
         /** Every process is killed at the same moment and comes back within a second, with its disk. */
         private void killAll() {
-            tell("kill all");
+            recordEvent("kill all");
             members.forEach(s -> {
                 final Loss loss = loss(s);
                 cluster.kill(s);
@@ -346,18 +348,20 @@
 
         private void put() {
             final List<String> at = members.stream()
-                    .filter(s -> cluster.up().contains(s) && losses.stream().noneMatch(l -> l.seat.equals(s)))
+                    .filter(s ->
+                            cluster.running().contains(s) && losses.stream().noneMatch(l -> l.address.equals(s)))
                     .toList();
             if (!at.isEmpty()) {
                 number++;
-                puts.add(new Put(cluster.lay(at.get(random.nextInt(at.size())), number, -1, 2 * SECOND), number));
+                puts.add(new Put(
+                        cluster.putConfiguration(at.get(random.nextInt(at.size())), number, -1, 2 * SECOND), number));
             }
         }
 
-        private void note() {
+        private void recordAcknowledged() {
             puts.removeIf(p -> {
                 final Optional<Object> reply = p.asked().answer();
-                if (p.asked().kept()) {
+                if (p.asked().isAcknowledged()) {
                     acknowledged = Math.max(acknowledged, p.number());
                     longest = Math.max(longest, cluster.now() - acknowledgedAt);
                     acknowledgedAt = cluster.now();
@@ -367,14 +371,14 @@
         }
 
         private View newest() {
-            return cluster.up().stream()
-                    .map(s -> cluster.quay(s).view())
+            return cluster.running().stream()
+                    .map(s -> cluster.replica(s).view())
                     .max(Comparator.comparingLong(View::number))
                     .orElse(View.NONE);
         }
 
         /** Fails with the schedule so far; the text is made for a failure only. */
-        private void hold(final String what, final boolean holds) {
+        private void require(final String what, final boolean holds) {
             if (!holds) {
                 throw new AssertionError(what + text());
             }
@@ -382,7 +386,7 @@
 
         private void check() {
             oneViewPerNumber();
-            if (newest().voters().size() >= most) {
+            if (newest().voters().size() >= maxVoters) {
                 cappedAt = cluster.now();
             }
             if (lost() > tolerance) {
@@ -391,20 +395,20 @@
             }
             enoughCopies();
             majorityBearsTheNextLosses();
-            hold("writes go on", cluster.now() - acknowledgedAt <= OUTAGE);
+            require("writes go on", cluster.now() - acknowledgedAt <= OUTAGE);
         }
 
         private void oneViewPerNumber() {
-            cluster.up().forEach(s -> {
-                final View view = cluster.quay(s).view();
+            cluster.running().forEach(s -> {
+                final View view = cluster.replica(s).view();
                 final View before = Optional.ofNullable(views.putIfAbsent(view.number(), view))
                         .orElse(view);
-                hold("one view per number", view.equals(before));
+                require("one view per number", view.equals(before));
             });
         }
 
-        private boolean present(final String seat) {
-            return members.contains(seat) && losses.stream().noneMatch(l -> l.seat.equals(seat));
+        private boolean present(final String address) {
+            return members.contains(address) && losses.stream().noneMatch(l -> l.address.equals(address));
         }
 
         /** The newest acknowledged change is on more disks of present machines than may still be lost. */
@@ -412,34 +416,36 @@
             final long copies = members.stream()
                     .filter(s -> present(s) && cluster.synced(s, acknowledged))
                     .count();
-            hold("copies of " + acknowledged, copies > tolerance - lost());
+            require("copies of " + acknowledged, copies > tolerance - lost());
         }
 
         /** With as many more lost as may be, a majority of the newest view's voters is left. */
         private void majorityBearsTheNextLosses() {
             final View view = newest();
             final long voters = view.voters().stream()
-                    .filter(v -> present(v.address()) && cluster.up().contains(v.address()))
+                    .filter(v -> present(v.address()) && cluster.running().contains(v.address()))
                     .count();
-            hold("a majority bears the next losses", view.majority((int) (voters - (tolerance - lost()))));
+            require("a majority bears the next losses", view.isMajority((int) (voters - (tolerance - lost()))));
         }
 
         /** A machine that no longer counts as lost is a full member, unless there were as many voters as may be. */
         private void returned(final Loss loss) {
             if (loss.full
                     && cluster.now() - cappedAt > DETECTION
-                    && cluster.up().contains(loss.seat)
+                    && cluster.running().contains(loss.address)
                     && lost() <= tolerance) {
-                final ChainReplica.State state = cluster.quay(loss.seat).state(cluster.now());
-                hold(
-                        loss.seat + " is a full member",
-                        state.level() && newest().place(state.view().chain().isEmpty() ? "" : id(loss.seat)) >= 0);
+                final ChainReplica.ReplicaStatus state =
+                        cluster.replica(loss.address).status(cluster.now());
+                require(
+                        loss.address + " is a full member",
+                        state.isCaughtUp()
+                                && newest().positionOf(state.view().chain().isEmpty() ? "" : id(loss.address)) >= 0);
             }
         }
 
-        private String id(final String seat) {
+        private String id(final String address) {
             return newest().chain().stream()
-                    .filter(r -> r.address().equals(seat))
+                    .filter(r -> r.address().equals(address))
                     .map(Replica::id)
                     .findFirst()
                     .orElse("");
--- a/core/src/test/java/silverlatch/replication/MembershipTest.java
+++ b/core/src/test/java/silverlatch/replication/MembershipTest.java
@@ -23,31 +23,31 @@
 final class MembershipTest {
     private static final List<String> SEEDS = List.of("a", "b", "c");
     private static final List<String> SIX = List.of("a", "b", "c", "d", "e", "f");
-    private static final long HOP = 35_000;
+    private static final long LINK_DELAY_MICROS = 35_000;
     private static final long SECOND = 1_000_000;
     private static final long CATCH_UP = 4 * SECOND;
     private static final long GRACE = 8 * SECOND;
     private static final long RECOVERY = 5 * SECOND;
 
     private static ReplicaCluster three() {
-        final ReplicaCluster cluster = new ReplicaCluster(SEEDS, HOP, s -> s.counts(2, 5));
+        final ReplicaCluster cluster = new ReplicaCluster(SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(2, 5));
         SEEDS.forEach(s -> cluster.start(s, true));
-        cluster.pass(3 * SECOND);
+        cluster.advance(3 * SECOND);
         assertThat(voters(cluster), is(Set.copyOf(SEEDS)));
         return cluster;
     }
 
     private static ReplicaCluster six() {
-        final ReplicaCluster cluster = new ReplicaCluster(SEEDS, HOP, s -> s.counts(3, 7));
+        final ReplicaCluster cluster = new ReplicaCluster(SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(3, 7));
         SIX.forEach(s -> cluster.start(s, true));
-        assertThat(cluster.until(30 * SECOND, () -> voters(cluster).equals(Set.copyOf(SIX))) >= 0, is(true));
-        cluster.pass(2 * SECOND);
+        assertThat(cluster.advanceUntil(30 * SECOND, () -> voters(cluster).equals(Set.copyOf(SIX))) >= 0, is(true));
+        cluster.advance(2 * SECOND);
         return cluster;
     }
 
     private static View view(final ReplicaCluster cluster) {
-        return cluster.up().stream()
-                .map(s -> cluster.quay(s).view())
+        return cluster.running().stream()
+                .map(s -> cluster.replica(s).view())
                 .max(Comparator.comparingLong(View::number))
                 .orElseThrow();
     }
@@ -61,22 +61,22 @@
     }
 
     private static void put(final ReplicaCluster cluster, final long number) {
-        final String at = cluster.up().stream().sorted().findFirst().orElseThrow();
-        final ReplicaCluster.Asked asked = cluster.lay(at, number, number - 1, RECOVERY);
-        cluster.until(RECOVERY + SECOND, () -> asked.span() > 0);
-        assertThat("put " + number + cluster, asked.kept(), is(true));
+        final String at = cluster.running().stream().sorted().findFirst().orElseThrow();
+        final ReplicaCluster.PendingCall asked = cluster.putConfiguration(at, number, number - 1, RECOVERY);
+        cluster.advanceUntil(RECOVERY + SECOND, () -> asked.latency() > 0);
+        assertThat("put " + number + cluster, asked.isAcknowledged(), is(true));
     }
 
-    private static void lose(final ReplicaCluster cluster, final String seat) {
-        cluster.kill(seat);
-        cluster.wipe(seat);
+    private static void lose(final ReplicaCluster cluster, final String address) {
+        cluster.kill(address);
+        cluster.loseDisk(address);
     }
 
     /** SIGTERM, and SIGKILL when the grace ends. */
-    private static void remove(final ReplicaCluster cluster, final String seat) {
-        cluster.quay(seat).leave();
-        cluster.until(GRACE, () -> cluster.quay(seat).gone());
-        lose(cluster, seat);
+    private static void remove(final ReplicaCluster cluster, final String address) {
+        cluster.replica(address).leave();
+        cluster.advanceUntil(GRACE, () -> cluster.replica(address).hasLeft());
+        lose(cluster, address);
     }
 
     @ParameterizedTest
@@ -85,9 +85,9 @@
         final ReplicaCluster cluster = three();
         put(cluster, 1);
         lose(cluster, "c");
-        cluster.pass(delay);
+        cluster.advance(delay);
         cluster.start("g", false);
-        cluster.pass(CATCH_UP);
+        cluster.advance(CATCH_UP);
         final Set<String> before = voters(cluster);
         lose(cluster, "g");
         put(cluster, 2);
@@ -101,14 +101,14 @@
         String lost = "c";
         for (int i = 0; i < 8; i++) {
             lose(cluster, lost);
-            cluster.pass(SECOND / 2 * (i % 4));
-            cluster.seeds(cluster.up().stream().sorted().toList());
+            cluster.advance(SECOND / 2 * (i % 4));
+            cluster.seeds(cluster.running().stream().sorted().toList());
             cluster.start("successor-" + i, false);
-            cluster.pass(CATCH_UP);
+            cluster.advance(CATCH_UP);
             assertThat("" + cluster, voters(cluster).size(), is(3));
             assertThat("" + cluster, chain(cluster), is(voters(cluster)));
             put(cluster, i + 2);
-            lost = cluster.up().stream().sorted().toList().get(i % 3);
+            lost = cluster.running().stream().sorted().toList().get(i % 3);
         }
     }
 
@@ -119,13 +119,13 @@
             final ReplicaCluster cluster = three();
             put(cluster, 1);
             cluster.start("g", false);
-            cluster.pass(CATCH_UP);
+            cluster.advance(CATCH_UP);
             assertThat(chain(cluster), hasItem("g"));
             if (terminated) {
                 remove(cluster, "c");
             } else {
                 lose(cluster, "c");
-                cluster.pass(2 * SECOND);
+                cluster.advance(2 * SECOND);
             }
             lose(cluster, next);
             put(cluster, 2);
@@ -135,18 +135,19 @@
 
     /** On how many disks of others a change is as one of the last two members ends, and its successor came later. */
     private static long copiesWhenALeaverEnds(final Safeguards safeguards) {
-        final ReplicaCluster cluster =
-                new ReplicaCluster(SEEDS, HOP, s -> s.counts(2, 5).under(safeguards));
+        final ReplicaCluster cluster = new ReplicaCluster(
+                SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(2, 5).withSafeguards(safeguards));
         SEEDS.forEach(s -> cluster.start(s, true));
-        cluster.pass(3 * SECOND);
+        cluster.advance(3 * SECOND);
         lose(cluster, "c");
-        cluster.pass(2 * SECOND);
+        cluster.advance(2 * SECOND);
         put(cluster, 1);
-        cluster.quay("b").leave();
-        final long waited = cluster.until(SECOND, () -> cluster.quay("b").gone());
+        cluster.replica("b").leave();
+        final long waited =
+                cluster.advanceUntil(SECOND, () -> cluster.replica("b").hasLeft());
         if (waited < 0) {
             cluster.start("g", false);
-            cluster.until(GRACE, () -> cluster.quay("b").gone());
+            cluster.advanceUntil(GRACE, () -> cluster.replica("b").hasLeft());
         }
         lose(cluster, "b");
         return cluster.synced(1);
@@ -164,11 +165,11 @@
         for (long delay = 0; delay < SECOND; delay += 90_000) {
             final ReplicaCluster cluster = three();
             lose(cluster, "c");
-            cluster.pass(2 * SECOND);
-            cluster.quay("b").leave();
-            cluster.pass(GRACE - SECOND + delay);
+            cluster.advance(2 * SECOND);
+            cluster.replica("b").leave();
+            cluster.advance(GRACE - SECOND + delay);
             put(cluster, 1);
-            assertThat(cluster.quay("b").gone(), is(false));
+            assertThat(cluster.replica("b").hasLeft(), is(false));
             lose(cluster, "b");
             assertThat(cluster.synced("a", 1), is(true));
         }
@@ -180,16 +181,16 @@
             final ReplicaCluster cluster = three();
             put(cluster, 1);
             cluster.kill("c");
-            cluster.pass(away / 2);
+            cluster.advance(away / 2);
             cluster.start("g", false);
-            cluster.pass(away / 2);
+            cluster.advance(away / 2);
             cluster.start("c", false);
-            cluster.pass(2 * CATCH_UP);
+            cluster.advance(2 * CATCH_UP);
             assertThat("" + cluster, voters(cluster), is(Set.of("a", "b", "c", "g")));
             assertThat("" + cluster, chain(cluster), is(voters(cluster)));
             lose(cluster, "a");
             put(cluster, 2);
-            cluster.pass(CATCH_UP);
+            cluster.advance(CATCH_UP);
             assertThat("" + cluster, voters(cluster), is(Set.of("b", "c", "g")));
             lose(cluster, "g");
             put(cluster, 3);
@@ -202,12 +203,12 @@
         cluster.cut("c", "a", true);
         cluster.cut("c", "b", true);
         cluster.cut("c", "g", true);
-        cluster.pass(SECOND);
+        cluster.advance(SECOND);
         cluster.start("g", false);
-        cluster.pass(CATCH_UP);
+        cluster.advance(CATCH_UP);
         put(cluster, 1);
         cluster.heal();
-        cluster.pass(CATCH_UP);
+        cluster.advance(CATCH_UP);
         assertThat("" + cluster, chain(cluster), is(Set.of("a", "b", "c", "g")));
         lose(cluster, "b");
         put(cluster, 2);
@@ -219,14 +220,14 @@
         put(cluster, 1);
         lose(cluster, "e");
         lose(cluster, "f");
-        cluster.pass(SECOND);
+        cluster.advance(SECOND);
         cluster.start("g", false);
-        cluster.pass(CATCH_UP);
+        cluster.advance(CATCH_UP);
         lose(cluster, "a");
         put(cluster, 2);
         cluster.start("h", false);
         cluster.start("i", false);
-        cluster.pass(2 * CATCH_UP);
+        cluster.advance(2 * CATCH_UP);
         assertThat("" + cluster, voters(cluster), is(Set.of("b", "c", "d", "g", "h", "i")));
         lose(cluster, "g");
         lose(cluster, "b");
@@ -239,10 +240,10 @@
         final ReplicaCluster cluster = six();
         lose(cluster, "e");
         lose(cluster, "f");
-        cluster.pass(SECOND + SECOND / 10);
+        cluster.advance(SECOND + SECOND / 10);
         cluster.start("g", false);
         cluster.start("h", false);
-        cluster.pass(CATCH_UP);
+        cluster.advance(CATCH_UP);
         assertThat("" + cluster, voters(cluster), is(Set.of("a", "b", "c", "d", "g", "h")));
         lose(cluster, "g");
         lose(cluster, "h");
@@ -255,12 +256,12 @@
             final ReplicaCluster cluster = three();
             put(cluster, 1);
             lose(cluster, "c");
-            cluster.pass(SECOND);
+            cluster.advance(SECOND);
             cluster.start("g", false);
-            cluster.pass(span);
+            cluster.advance(span);
             lose(cluster, "g");
             cluster.start("h", false);
-            cluster.pass(CATCH_UP);
+            cluster.advance(CATCH_UP);
             assertThat("after " + span + cluster, voters(cluster), is(Set.of("a", "b", "h")));
             lose(cluster, "a");
             put(cluster, 2);
@@ -271,20 +272,20 @@
     @Test
     void aRegionOfTwoIsLostAndComesBackWithOrWithoutItsDisks() {
         for (int i = 0; i < 15; i++) {
-            final ReplicaCluster cluster = new ReplicaCluster(SEEDS, HOP, s -> s.counts(2, 5));
+            final ReplicaCluster cluster = new ReplicaCluster(SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(2, 5));
             SIX.forEach(s -> cluster.start(s, true));
-            cluster.until(30 * SECOND, () -> voters(cluster).size() == 5);
-            cluster.pass(2 * SECOND);
+            cluster.advanceUntil(30 * SECOND, () -> voters(cluster).size() == 5);
+            cluster.advance(2 * SECOND);
             put(cluster, 1);
             final List<String> region = List.of(SIX.get(i % 6), SIX.get((i + 1 + i / 6) % 6));
             region.forEach(cluster::kill);
             if (i % 2 == 0) {
-                region.forEach(cluster::wipe);
+                region.forEach(cluster::loseDisk);
             }
             put(cluster, 2);
-            cluster.pass(i * 150_000L);
+            cluster.advance(i * 150_000L);
             region.forEach(s -> cluster.start(s, false));
-            cluster.pass(CATCH_UP);
+            cluster.advance(CATCH_UP);
             assertThat("" + cluster, voters(cluster).size(), is(5));
             assertThat("" + cluster, chain(cluster), is(voters(cluster)));
             final List<String> next = chain(cluster).stream().sorted().limit(2).toList();
--- a/core/src/test/java/silverlatch/replication/OrderStorm.java
+++ b/core/src/test/java/silverlatch/replication/OrderStorm.java
@@ -21,12 +21,12 @@
  * than the copies), lose power, and links are cut or slow. Every answer is checked, also those that the operators lose.
  */
 final class OrderStorm {
-    private static final List<String> SEATS = List.of("a", "b", "c");
+    private static final List<String> SEEDS = List.of("a", "b", "c");
     private static final List<String> SIX = List.of("a", "b", "c", "d", "e", "f");
     private static final long SECOND = 1_000_000;
     private static final long CALL = 880_000;
     private static final int STEPS = 260;
-    private static final int UNDER_WAY = 8;
+    private static final int MAX_IN_FLIGHT = 8;
     private static final int LOST_IN_TEN = 7;
     private static final List<String> ZONES = List.of("hall", "quay", "yard", "mole");
     private final long seed;
@@ -50,7 +50,9 @@
         this.copies = copies;
         random = new Random(seed);
         cluster = new ReplicaCluster(
-                SEATS, 1_000 + random.nextInt(60_000), s -> s.counts(copies, 6).under(standing));
+                SEEDS,
+                1_000 + random.nextInt(60_000),
+                s -> s.withCounts(copies, 6).withSafeguards(standing));
     }
 
     /** One order as the operator wrote it; every call of it is the same to the letter. */
@@ -78,9 +80,9 @@
         }
     }
 
-    private record Call(Order order, ReplicaCluster.Asked asked, boolean heard, int operator) {}
+    private record Call(Order order, ReplicaCluster.PendingCall asked, boolean heard, int operator) {}
 
-    private record Readback(ReplicaCluster.Asked asked, long least) {}
+    private record Readback(ReplicaCluster.PendingCall asked, long least) {}
 
     long acknowledged() {
         return orders.stream().filter(o -> o.acknowledgements > 0).count();
@@ -96,41 +98,41 @@
 
     void run() {
         SIX.forEach(s -> cluster.start(s, true));
-        cluster.pass(20 * SECOND);
+        cluster.advance(20 * SECOND);
         for (int i = 0; i < STEPS; i++) {
             fault();
             write();
             zoneOperators.forEach(ZoneOperator::act);
-            reads.add(new Readback(cluster.read(up(), CALL), newest()));
-            cluster.pass(20_000L + random.nextInt(300_000));
+            reads.add(new Readback(cluster.read(anyRunning(), CALL), newest()));
+            cluster.advance(20_000L + random.nextInt(300_000));
             check();
         }
-        settle();
+        recover();
         sendEachAgain();
         readBack();
     }
 
     /** A machine that runs; every second time the one that was last cut off or slowed. */
-    private String up() {
-        if (troubled.filter(cluster.up()::contains).isPresent() && random.nextBoolean()) {
+    private String anyRunning() {
+        if (troubled.filter(cluster.running()::contains).isPresent() && random.nextBoolean()) {
             return troubled.get();
         }
-        final List<String> all = cluster.up().stream().sorted().toList();
+        final List<String> all = cluster.running().stream().sorted().toList();
         return all.get(random.nextInt(all.size()));
     }
 
-    private boolean whole() {
-        return cluster.up().size() == 6
+    private boolean isChainComplete() {
+        return cluster.running().size() == 6
                 && SIX.stream().allMatch(s -> {
-                    final ChainReplica.State q = cluster.quay(s).state(cluster.now());
-                    return q.level() && q.view().chain().size() == 6;
+                    final ChainReplica.ReplicaStatus status = cluster.replica(s).status(cluster.now());
+                    return status.isCaughtUp() && status.view().chain().size() == 6;
                 });
     }
 
     private void fault() {
         final String one = SIX.get(random.nextInt(6));
         final String other = SIX.get(random.nextInt(6));
-        if (whole()) {
+        if (isChainComplete()) {
             wiped = 0;
         }
         switch (random.nextInt(18)) {
@@ -140,10 +142,10 @@
                 }
             }
             case 2 -> {
-                if (cluster.up().contains(one) && mayLoseOne() && wiped < copies - 1) {
+                if (cluster.running().contains(one) && mayLoseOne() && wiped < copies - 1) {
                     wiped++;
                     cluster.kill(one);
-                    cluster.wipe(one);
+                    cluster.loseDisk(one);
                 }
             }
             case 3 -> {
@@ -160,7 +162,7 @@
             case 13 -> split();
             case 16 -> {
                 final String frozen = random.nextBoolean() ? one : head().orElse(one);
-                if (cluster.up().contains(frozen) && cluster.now() >= thaw && mayLoseOne()) {
+                if (cluster.running().contains(frozen) && cluster.now() >= thaw && mayLoseOne()) {
                     troubled = Optional.of(frozen);
                     final long span = 200_000 + random.nextInt(20_000_000);
                     thaw = cluster.now() + span;
@@ -173,25 +175,28 @@
             }
             case 8 -> {
                 if (random.nextInt(4) == 0) {
-                    List.copyOf(cluster.up()).forEach(cluster::kill);
-                    cluster.pass(random.nextInt(500_000));
+                    List.copyOf(cluster.running()).forEach(cluster::kill);
+                    cluster.advance(random.nextInt(500_000));
                     SIX.forEach(s -> cluster.start(s, false));
                 }
             }
             case 9 -> killTheHead();
             case 10, 11, 12 ->
-                SIX.stream().filter(s -> !cluster.up().contains(s)).findFirst().ifPresent(s -> cluster.start(s, false));
+                SIX.stream()
+                        .filter(s -> !cluster.running().contains(s))
+                        .findFirst()
+                        .ifPresent(s -> cluster.start(s, false));
             default -> {}
         }
     }
 
     private Optional<String> head() {
-        return cluster.quay(up()).view().head().map(Replica::address).filter(cluster.up()::contains);
+        return cluster.replica(anyRunning()).view().head().map(Replica::address).filter(cluster.running()::contains);
     }
 
     /** At most two machines are down or frozen at a time. */
     private boolean mayLoseOne() {
-        return cluster.up().size() - (cluster.now() < thaw ? 1 : 0) > 4;
+        return cluster.running().size() - (cluster.now() < thaw ? 1 : 0) > 4;
     }
 
     private void killTheHead() {
@@ -204,27 +209,27 @@
         part.forEach(s -> SIX.stream().filter(t -> !part.contains(t)).forEach(t -> cluster.cut(s, t, true)));
     }
 
-    private void isolate(final String seat) {
-        troubled = Optional.of(seat);
-        SIX.stream().filter(s -> !s.equals(seat)).forEach(s -> cluster.cut(seat, s, true));
+    private void isolate(final String address) {
+        troubled = Optional.of(address);
+        SIX.stream().filter(s -> !s.equals(address)).forEach(s -> cluster.cut(address, s, true));
     }
 
     /** Sends what is due again, and draws new orders, each to another machine, until eight are under way. */
     private void write() {
         final long now = cluster.now();
         for (final Order order : orders) {
-            if (!order.clear && order.nextAt <= now && calls.size() < UNDER_WAY) {
+            if (!order.clear && order.nextAt <= now && calls.size() < MAX_IN_FLIGHT) {
                 send(order, random.nextInt(2), true);
             }
         }
-        final int fresh = random.nextInt(6) == 0 ? UNDER_WAY : random.nextInt(3);
-        for (int i = 0; i < fresh && calls.size() < UNDER_WAY; i++) {
+        final int fresh = random.nextInt(6) == 0 ? MAX_IN_FLIGHT : random.nextInt(3);
+        for (int i = 0; i < fresh && calls.size() < MAX_IN_FLIGHT; i++) {
             final int operator = random.nextInt(2);
             final Order order = drawn(operator);
             orders.add(order);
             send(order, operator, true);
         }
-        if (!orders.isEmpty() && random.nextInt(3) == 0 && calls.size() < UNDER_WAY) {
+        if (!orders.isEmpty() && random.nextInt(3) == 0 && calls.size() < MAX_IN_FLIGHT) {
             send(orders.get(random.nextInt(orders.size())), random.nextInt(2), true);
         }
     }
@@ -283,12 +288,17 @@
     }
 
     private void send(final Order order, final int operator, final boolean mayBeLost) {
-        final Command.PutConfiguration d = order.document;
+        final Command.PutConfiguration document = order.document;
         final Command.PutConfiguration call = new Command.PutConfiguration(
-                "call-" + ++callNumber, d.configuration(), d.routes(), d.pools(), d.document(), d.expectedRevision());
+                "call-" + ++callNumber,
+                document.configuration(),
+                document.routes(),
+                document.pools(),
+                document.document(),
+                document.expectedRevision());
         final boolean heard = !mayBeLost || random.nextInt(10) >= LOST_IN_TEN;
         order.nextAt = cluster.now() + SECOND + random.nextInt(random.nextInt(4) == 0 ? 30_000_000 : 1_000_000);
-        calls.add(new Call(order, cluster.order(up(), call, CALL), heard, operator));
+        calls.add(new Call(order, cluster.submit(anyRunning(), call, CALL), heard, operator));
     }
 
     private long newest() {
@@ -299,7 +309,7 @@
                 .orElse(0);
     }
 
-    private void wrong(final String what) {
+    private void fail(final String what) {
         throw new AssertionError("seed " + seed + ", copies " + copies + ", at " + cluster.now() + ": " + what + "\n"
                 + String.join("\n", orders.stream().map(Order::toString).toList()) + cluster);
     }
@@ -307,14 +317,14 @@
     private void check() {
         calls.removeIf(c -> {
             c.asked().answer().ifPresent(a -> answered(c, a));
-            return c.asked().answer().isPresent() || cluster.now() - c.asked().at() > SECOND;
+            return c.asked().answer().isPresent() || cluster.now() - c.asked().calledAt() > SECOND;
         });
         zoneOperators.forEach(ZoneOperator::check);
         reads.removeIf(r -> {
-            r.asked().answer().ifPresent(a -> checkRead(r, (ChainClient.Page) a));
+            r.asked().answer().ifPresent(a -> checkRead(r, (ChainClient.ReadResult) a));
             return r.asked().answer().isPresent();
         });
-        cluster.up().forEach(this::checkBooks);
+        cluster.running().forEach(this::checkCommitted);
         checkAcknowledged();
     }
 
@@ -323,14 +333,14 @@
         if (answer instanceof CommandResult.Applied) {
             order.acknowledgements++;
             if (order.invalid) {
-                wrong("an invalid order was acknowledged: " + order);
+                fail("an invalid order was acknowledged: " + order);
             }
         }
         if (answer instanceof CommandResult.Rejected) {
             order.refusals++;
         }
         if (order.acknowledgements > 0 && order.refusals > 0) {
-            wrong("acknowledged and refused: " + order + ", the last answer " + answer);
+            fail("acknowledged and refused: " + order + ", the last answer " + answer);
         }
         if (call.heard() && !(answer instanceof CommandResult.Unknown)) {
             order.clear = true;
@@ -344,8 +354,8 @@
         return orders.stream().filter(o -> o.document.document().equals(text)).findFirst();
     }
 
-    private void checkRead(final Readback read, final ChainClient.Page page) {
-        if (!page.ok()) {
+    private void checkRead(final Readback read, final ChainClient.ReadResult page) {
+        if (!page.answered()) {
             return;
         }
         final Optional<Value.ConfigurationDocument> document = page.entries().stream()
@@ -354,7 +364,7 @@
                 .findFirst();
         final long number = document.map(Value.ConfigurationDocument::number).orElse(0L);
         if (number < read.least()) {
-            wrong("a read gave " + number + " after " + read.least() + " was acknowledged");
+            fail("a read gave " + number + " after " + read.least() + " was acknowledged");
         }
         document.ifPresent(d -> tookEffect(d.text(), d.number()));
         for (int operator = 0; operator < known.length; operator++) {
@@ -367,20 +377,20 @@
     private void tookEffect(final String text, final long number) {
         final Optional<Order> order = written(text);
         if (order.isEmpty() || order.get().number() != number) {
-            wrong("nobody wrote " + text + " under " + number);
+            fail("nobody wrote " + text + " under " + number);
         }
         if (order.get().invalid || order.get().refusals > 0) {
-            wrong("in force though invalid or refused: " + order.get());
+            fail("in force though invalid or refused: " + order.get());
         }
         final String other = committed.putIfAbsent(number, text);
         if (other != null && !other.equals(text)) {
-            wrong("two documents under " + number + ": " + other + " and " + text);
+            fail("two documents under " + number + ": " + other + " and " + text);
         }
     }
 
-    private void checkBooks(final String seat) {
-        cluster.quay(seat)
-                .books()
+    private void checkCommitted(final String address) {
+        cluster.replica(address)
+                .stateMachine()
                 .get(ConfigurationValidator.DOCUMENT_KEY)
                 .map(Entry::value)
                 .map(l -> (Value.ConfigurationDocument) l.get(0))
@@ -396,20 +406,20 @@
                 if (one != other
                         && one.document.expectedRevision() < other.number()
                         && other.number() <= one.number()) {
-                    wrong("both acknowledged: " + one + " and " + other);
+                    fail("both acknowledged: " + one + " and " + other);
                 }
             }
             if (committed.containsKey(one.number())
                     && !committed.get(one.number()).equals(one.document.document())) {
-                wrong("acknowledged, but another is in force under its number: " + one);
+                fail("acknowledged, but another is in force under its number: " + one);
             }
         }
     }
 
-    private void settle() {
+    private void recover() {
         cluster.heal();
-        SIX.stream().filter(s -> !cluster.up().contains(s)).forEach(s -> cluster.start(s, false));
-        cluster.pass(40 * SECOND);
+        SIX.stream().filter(s -> !cluster.running().contains(s)).forEach(s -> cluster.start(s, false));
+        cluster.advance(40 * SECOND);
         check();
     }
 
@@ -418,12 +428,12 @@
             for (int tries = 0; tries < 2; tries++) {
                 send(order, 0, false);
                 final Call call = calls.get(calls.size() - 1);
-                cluster.pass(SECOND);
+                cluster.advance(SECOND);
                 if (call.asked()
                         .answer()
                         .filter(a -> !(a instanceof CommandResult.Unknown))
                         .isEmpty()) {
-                    wrong("no clear answer in a calm time: " + order + " "
+                    fail("no clear answer in a calm time: " + order + " "
                             + call.asked().answer());
                 }
                 check();
@@ -432,18 +442,18 @@
     }
 
     private void readBack() {
-        final ReplicaCluster.Asked document = cluster.read(up(), CALL);
+        final ReplicaCluster.PendingCall document = cluster.read(anyRunning(), CALL);
         zoneOperators.forEach(ZoneOperator::read);
-        cluster.pass(SECOND);
-        checkRead(new Readback(document, newest()), (ChainClient.Page) document.reply());
+        cluster.advance(SECOND);
+        checkRead(new Readback(document, newest()), (ChainClient.ReadResult) document.reply());
         zoneOperators.forEach(ZoneOperator::check);
     }
 
-    private record ZoneRead(ReplicaCluster.Asked asked, ZoneOrder newest) {}
+    private record ZoneRead(ReplicaCluster.PendingCall asked, ZoneOrder newest) {}
 
     private static final class ZoneOrder {
         private final boolean on;
-        private Optional<ReplicaCluster.Asked> call = Optional.empty();
+        private Optional<ReplicaCluster.PendingCall> call = Optional.empty();
         private boolean heard;
         private boolean acknowledged;
 
@@ -469,8 +479,8 @@
             read();
             if (!last().acknowledged && last().call.isEmpty()) {
                 last().heard = random.nextBoolean();
-                last().call = Optional.of(cluster.order(
-                        up(),
+                last().call = Optional.of(cluster.submit(
+                        anyRunning(),
                         new Command.SetEvacuation(
                                 "zone-" + ++callNumber, zone, last().on, Command.SetEvacuation.LATEST),
                         CALL));
@@ -479,14 +489,14 @@
 
         void read() {
             if (last().acknowledged) {
-                zoneReads.add(new ZoneRead(cluster.read(up(), "z/" + zone, CALL), last()));
+                zoneReads.add(new ZoneRead(cluster.read(anyRunning(), "z/" + zone, CALL), last()));
             }
         }
 
         void check() {
             sent.stream().filter(z -> z.call.isPresent()).forEach(this::answered);
             zoneReads.removeIf(r -> {
-                r.asked().answer().ifPresent(a -> checkZone(r, (ChainClient.Page) a));
+                r.asked().answer().ifPresent(a -> checkZone(r, (ChainClient.ReadResult) a));
                 return r.asked().answer().isPresent();
             });
         }
@@ -496,23 +506,23 @@
         }
 
         private void answered(final ZoneOrder order) {
-            final ReplicaCluster.Asked call = order.call.orElseThrow();
+            final ReplicaCluster.PendingCall call = order.call.orElseThrow();
             if (call.answer().filter(CommandResult.Rejected.class::isInstance).isPresent()) {
-                wrong("an evacuation was refused: " + call.reply());
+                fail("an evacuation was refused: " + call.reply());
             }
-            if (call.answer().isPresent() || cluster.now() - call.at() > SECOND) {
-                order.acknowledged |= call.kept() && order.heard;
+            if (call.answer().isPresent() || cluster.now() - call.calledAt() > SECOND) {
+                order.acknowledged |= call.isAcknowledged() && order.heard;
                 order.call = Optional.empty();
             }
         }
 
         /** A read that began after an order was acknowledged gives it, unless a newer one was sent meanwhile. */
-        private void checkZone(final ZoneRead read, final ChainClient.Page page) {
+        private void checkZone(final ZoneRead read, final ChainClient.ReadResult page) {
             final List<Boolean> on = page.entries().stream()
                     .map(e -> ((Value.Evacuation) e.value().get(0)).active())
                     .toList();
-            if (page.ok() && read.newest() == last() && !on.equals(List.of(read.newest().on))) {
-                wrong("the zone stands at " + on + ", acknowledged was " + read.newest().on);
+            if (page.answered() && read.newest() == last() && !on.equals(List.of(read.newest().on))) {
+                fail("the zone stands at " + on + ", acknowledged was " + read.newest().on);
             }
         }
     }
--- a/core/src/test/java/silverlatch/replication/OrdersTest.java
+++ b/core/src/test/java/silverlatch/replication/OrdersTest.java
@@ -24,30 +24,31 @@
     private static final List<String> THREE = List.of("a", "b", "c");
     private static final long SECOND = 1_000_000;
     private static final long CALL = 880_000;
-    private static final long HOP = 5_000;
+    private static final long LINK_DELAY_MICROS = 5_000;
     private static final int MUTANT_SEEDS = 60;
 
     private static ReplicaCluster three() {
-        final ReplicaCluster cluster = new ReplicaCluster(THREE, HOP, s -> s.counts(2, 3));
+        final ReplicaCluster cluster = new ReplicaCluster(THREE, LINK_DELAY_MICROS, s -> s.withCounts(2, 3));
         THREE.forEach(s -> cluster.start(s, true));
-        cluster.pass(5 * SECOND);
+        cluster.advance(5 * SECOND);
         return cluster;
     }
 
-    private static Object told(final ReplicaCluster cluster, final String at, final Command command) {
-        final ReplicaCluster.Asked asked = cluster.order(at, command, CALL);
-        cluster.pass(SECOND);
+    private static Object reply(final ReplicaCluster cluster, final String at, final Command command) {
+        final ReplicaCluster.PendingCall asked = cluster.submit(at, command, CALL);
+        cluster.advance(SECOND);
         return asked.answer().orElse("silence");
     }
 
-    private static void taken(final ReplicaCluster cluster, final String at, final long number, final long match) {
-        final ReplicaCluster.Asked asked = cluster.lay(at, number, match, CALL);
-        cluster.pass(SECOND);
-        assertThat("order " + number + " on " + match + cluster, asked.kept(), is(true));
+    private static void putAcknowledged(
+            final ReplicaCluster cluster, final String at, final long number, final long match) {
+        final ReplicaCluster.PendingCall asked = cluster.putConfiguration(at, number, match, CALL);
+        cluster.advance(SECOND);
+        assertThat("order " + number + " on " + match + cluster, asked.isAcknowledged(), is(true));
     }
 
-    private static Command.PutConfiguration again(final long number, final long match, final int call) {
-        final Command.PutConfiguration first = ReplicaCluster.charter(number, match);
+    private static Command.PutConfiguration retry(final long number, final long match, final int call) {
+        final Command.PutConfiguration first = ReplicaCluster.configuration(number, match);
         return new Command.PutConfiguration(
                 first.id() + "-call-" + call,
                 first.configuration(),
@@ -60,110 +61,110 @@
     @Test
     void anOrderSentAgainAfterOthersFollowedIsAcknowledgedAgain() {
         final ReplicaCluster cluster = three();
-        taken(cluster, "a", 5, 0);
-        taken(cluster, "b", 6, 5);
-        taken(cluster, "c", 9, 6);
-        assertThat(told(cluster, "b", again(5, 0, 2)), is(instanceOf(CommandResult.Applied.class)));
+        putAcknowledged(cluster, "a", 5, 0);
+        putAcknowledged(cluster, "b", 6, 5);
+        putAcknowledged(cluster, "c", 9, 6);
+        assertThat(reply(cluster, "b", retry(5, 0, 2)), is(instanceOf(CommandResult.Applied.class)));
         THREE.forEach(cluster::kill);
         THREE.forEach(s -> cluster.start(s, false));
-        cluster.pass(5 * SECOND);
-        assertThat("after a restart", told(cluster, "c", again(6, 5, 3)), is(instanceOf(CommandResult.Applied.class)));
+        cluster.advance(5 * SECOND);
+        assertThat("after a restart", reply(cluster, "c", retry(6, 5, 3)), is(instanceOf(CommandResult.Applied.class)));
         cluster.kill("a");
-        cluster.wipe("a");
+        cluster.loseDisk("a");
         cluster.start("a", false);
-        cluster.pass(20 * SECOND);
+        cluster.advance(20 * SECOND);
         cluster.kill("b");
-        cluster.pass(5 * SECOND);
+        cluster.advance(5 * SECOND);
         assertThat(
                 "after a repair and a new view",
-                told(cluster, "a", again(5, 0, 4)),
+                reply(cluster, "a", retry(5, 0, 4)),
                 is(instanceOf(CommandResult.Applied.class)));
         assertThat(
                 "what was never taken",
-                told(cluster, "a", again(7, 5, 1)),
+                reply(cluster, "a", retry(7, 5, 1)),
                 is(instanceOf(CommandResult.Rejected.class)));
     }
 
     @Test
     void aRefusalDoesNotRestOnWhatIsDroppedWithAView() {
         final ReplicaCluster cluster = three();
-        taken(cluster, "a", 5, 0);
-        final String head = cluster.quay("a").view().head().orElseThrow().address();
+        putAcknowledged(cluster, "a", 5, 0);
+        final String head = cluster.replica("a").view().head().orElseThrow().address();
         final List<String> others = THREE.stream().filter(s -> !s.equals(head)).toList();
         others.forEach(s -> cluster.cut(head, s, true));
-        final ReplicaCluster.Asked dropped = cluster.order(head, again(6, 5, 1), CALL);
-        cluster.pass(20_000);
-        final ReplicaCluster.Asked loser = cluster.order(head, again(7, 5, 1), CALL);
-        cluster.pass(10 * SECOND);
+        final ReplicaCluster.PendingCall dropped = cluster.submit(head, retry(6, 5, 1), CALL);
+        cluster.advance(20_000);
+        final ReplicaCluster.PendingCall loser = cluster.submit(head, retry(7, 5, 1), CALL);
+        cluster.advance(10 * SECOND);
         assertThat(dropped.reply(), is(instanceOf(CommandResult.Unknown.class)));
-        taken(cluster, others.get(0), 7, 5);
+        putAcknowledged(cluster, others.get(0), 7, 5);
         assertThat("refused for what never came to be", loser.reply(), is(instanceOf(CommandResult.Unknown.class)));
     }
 
     @Test
     void anOrderRefusedAheadOfItsBaseStaysRefused() {
         final ReplicaCluster cluster = three();
-        taken(cluster, "a", 5, 0);
-        assertThat(told(cluster, "b", again(9, 8, 1)), is(instanceOf(CommandResult.Rejected.class)));
-        taken(cluster, "c", 8, 5);
-        assertThat(told(cluster, "a", again(9, 8, 2)), is(instanceOf(CommandResult.Rejected.class)));
-        assertThat(cluster.held("a"), is(8L));
+        putAcknowledged(cluster, "a", 5, 0);
+        assertThat(reply(cluster, "b", retry(9, 8, 1)), is(instanceOf(CommandResult.Rejected.class)));
+        putAcknowledged(cluster, "c", 8, 5);
+        assertThat(reply(cluster, "a", retry(9, 8, 2)), is(instanceOf(CommandResult.Rejected.class)));
+        assertThat(cluster.committedNumber("a"), is(8L));
     }
 
     @Test
     void theNumberInForceSentOnTopOfItselfIsInvalidThoughTheTextIsTheSame() {
         final ReplicaCluster cluster = three();
-        taken(cluster, "a", 5, 0);
-        assertThat(told(cluster, "b", again(5, 5, 1)), is(instanceOf(CommandResult.Rejected.class)));
+        putAcknowledged(cluster, "a", 5, 0);
+        assertThat(reply(cluster, "b", retry(5, 5, 1)), is(instanceOf(CommandResult.Rejected.class)));
     }
 
     @Test
     void aLateCopyOfAnEvacuationDoesNotUndoWhatWasOrderedAfterIt() {
         final ReplicaCluster cluster = three();
-        final String head = cluster.quay("a").view().head().orElseThrow().address();
+        final String head = cluster.replica("a").view().head().orElseThrow().address();
         final List<String> others = THREE.stream().filter(s -> !s.equals(head)).toList();
         cluster.slow(others.get(0), head, 8 * SECOND);
-        cluster.order(others.get(0), evacuation("first", true), CALL);
-        cluster.pass(1_000);
+        cluster.submit(others.get(0), evacuation("first", true), CALL);
+        cluster.advance(1_000);
         cluster.kill(others.get(0));
         cluster.heal();
-        cluster.pass(3 * SECOND);
-        assertThat(cluster.quay(head).view().head().orElseThrow().address(), is(head));
+        cluster.advance(3 * SECOND);
+        assertThat(cluster.replica(head).view().head().orElseThrow().address(), is(head));
         assertThat(
-                told(cluster, others.get(1), evacuation("second", true)), is(instanceOf(CommandResult.Applied.class)));
-        assertThat(told(cluster, head, evacuation("back", false)), is(instanceOf(CommandResult.Applied.class)));
-        cluster.pass(10 * SECOND);
-        final ReplicaCluster.Asked read = cluster.read(head, "z/", CALL);
-        cluster.pass(SECOND);
+                reply(cluster, others.get(1), evacuation("second", true)), is(instanceOf(CommandResult.Applied.class)));
+        assertThat(reply(cluster, head, evacuation("back", false)), is(instanceOf(CommandResult.Applied.class)));
+        cluster.advance(10 * SECOND);
+        final ReplicaCluster.PendingCall read = cluster.read(head, "z/", CALL);
+        cluster.advance(SECOND);
         final Value.Evacuation zone = (Value.Evacuation)
-                ((ChainClient.Page) read.reply()).entries().get(0).value().get(0);
+                ((ChainClient.ReadResult) read.reply()).entries().get(0).value().get(0);
         assertThat("the zone was taken back, and that was acknowledged", zone.active(), is(false));
     }
 
     @Test
     void anOrderWithoutAMajorityEndsWithoutAClearAnswerInsideTheCallersSecond() {
         final ReplicaCluster cluster = three();
-        taken(cluster, "a", 5, 0);
+        putAcknowledged(cluster, "a", 5, 0);
         for (final String alone : THREE) {
             THREE.stream().filter(s -> !s.equals(alone)).forEach(s -> cluster.cut(alone, s, true));
             for (int i = 0; i < 20; i++) {
-                final List<ReplicaCluster.Asked> calls = List.of(
-                        cluster.order(alone, again(9, 5, i), CALL),
-                        cluster.order(alone, again(3, 2, i), CALL),
-                        cluster.order(alone, again(9, 7, i), CALL));
-                cluster.pass(SECOND);
+                final List<ReplicaCluster.PendingCall> calls = List.of(
+                        cluster.submit(alone, retry(9, 5, i), CALL),
+                        cluster.submit(alone, retry(3, 2, i), CALL),
+                        cluster.submit(alone, retry(9, 7, i), CALL));
+                cluster.advance(SECOND);
                 final boolean mayStillBeLeased = i == 0;
-                for (final ReplicaCluster.Asked call : calls) {
-                    assertThat(call.span() < SECOND, is(true));
+                for (final ReplicaCluster.PendingCall call : calls) {
+                    assertThat(call.latency() < SECOND, is(true));
                     if (!mayStillBeLeased) {
                         assertThat(alone, call.reply(), is(instanceOf(CommandResult.Unknown.class)));
                     }
                 }
             }
             cluster.heal();
-            cluster.pass(20 * SECOND);
+            cluster.advance(20 * SECOND);
         }
-        assertThat("nothing of it took effect", cluster.held("a"), is(5L));
+        assertThat("nothing of it took effect", cluster.committedNumber("a"), is(5L));
     }
 
     private static Command.SetEvacuation evacuation(final String id, final boolean on) {
--- a/core/src/test/java/silverlatch/replication/RepairOfPendingTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairOfPendingTest.java
@@ -81,8 +81,8 @@
     private ChainReplica replica(final Replica me, final View view, final boolean level, final Safeguards standing) {
         final List<LogRecord> records =
                 List.of(new LogRecord.ViewInstalled(view, level), new LogRecord.Appended(acknowledged));
-        final ChainReplica.Setup setup =
-                ChainReplica.Setup.of(me, List.of("a", "b", "c")).under(standing);
+        final ChainReplica.ReplicaSettings setup =
+                ChainReplica.ReplicaSettings.of(me, List.of("a", "b", "c")).withSafeguards(standing);
         return new ChainReplica(setup, records, () -> new Stamp(START), START);
     }
 
@@ -107,11 +107,11 @@
                 if (sender.equals(REPAIRED) && written.isEmpty() && replacesTheLog(keep)) {
                     written.addAll(keep.records());
                 }
-                from.kept(keep.token(), now);
+                from.synced(keep.token(), now);
             } else if (effect instanceof Effect.Send send && send.to().equals(receiver.address())) {
-                to.on(send.message(), sender.address(), now);
+                to.onMessage(send.message(), sender.address(), now);
             } else if (effect instanceof Effect.Send send && send.to().equals(sender.address())) {
-                from.on(send.message(), sender.address(), now);
+                from.onMessage(send.message(), sender.address(), now);
             }
         }
         return !effects.isEmpty();
--- a/core/src/test/java/silverlatch/replication/ReplicaCluster.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaCluster.java
@@ -24,42 +24,45 @@
 
 /** Machines with ledgers and clerks on a fake clock: frames take a time, syncs take a time, and a power cut loses what wasn't synced. */
 final class ReplicaCluster {
-    static final long BEAT = 20_000;
-    private List<String> seats;
-    private final long hop;
-    private final UnaryOperator<ChainReplica.Setup> setup;
-    private final Map<String, ChainReplica> quays = new TreeMap<>();
-    private final Map<String, ChainClient> clerks = new HashMap<>();
+    static final long TICK_MICROS = 20_000;
+    private List<String> seeds;
+    private final long linkDelay;
+    private final UnaryOperator<ChainReplica.ReplicaSettings> settings;
+    private final Map<String, ChainReplica> replicas = new TreeMap<>();
+    private final Map<String, ChainClient> clients = new HashMap<>();
     private final Map<String, List<LogRecord>> disks = new TreeMap<>();
     private final Map<String, Long> newest = new HashMap<>();
-    private final Map<String, String> names = new HashMap<>();
+    private final Map<String, String> identities = new HashMap<>();
     private final Set<Set<String>> cuts = new HashSet<>();
     private final Map<Set<String>, Long> slowLinks = new HashMap<>();
     private final Map<String, List<Runnable>> frozen = new TreeMap<>();
-    private long syncSpan = 2_000;
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::turn));
-    private final Map<Long, Asked> asked = new LinkedHashMap<>();
-    private final Map<String, ModelDisk> modelDisks = new HashMap<>();
+    private long syncMicros = 2_000;
+    private final PriorityQueue<ScheduledTask> queue =
+            new PriorityQueue<>(Comparator.comparingLong(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
+    private final Map<Long, PendingCall> pendingCalls = new LinkedHashMap<>();
+    private final Map<String, SimulatedDisk> simulatedDisks = new HashMap<>();
     private final Map<silverlatch.node.Event, Long> logged = new HashMap<>();
-    private final silverlatch.wire.Codec frames = new silverlatch.wire.Codec();
+    private final silverlatch.wire.Codec codec = new silverlatch.wire.Codec();
     private Optional<BandwidthLinks> links = Optional.empty();
-    private Optional<java.util.function.Supplier<ModelDisk>> diskModel = Optional.empty();
+    private Optional<java.util.function.Supplier<SimulatedDisk>> diskModel = Optional.empty();
     private long now = 1_000_000;
-    private long turn;
+    private long lastOrder;
     private long stamp = 1_000;
     private long token;
 
-    ReplicaCluster(final List<String> seats, final long hop, final UnaryOperator<ChainReplica.Setup> setup) {
-        this.seats = seats;
-        this.hop = hop;
-        this.setup = setup;
+    ReplicaCluster(
+            final List<String> seeds,
+            final long linkDelay,
+            final UnaryOperator<ChainReplica.ReplicaSettings> settings) {
+        this.seeds = seeds;
+        this.linkDelay = linkDelay;
+        this.settings = settings;
     }
 
     /** Gives every machine a link of so many bytes a second and a disk with a time for each sync and a capacity. */
-    ReplicaCluster limited(final long bytesPerSecond, final long sync, final long diskBytes) {
-        links = Optional.of(new BandwidthLinks(bytesPerSecond, hop, (job, when) -> at(when, job)));
-        diskModel = Optional.of(() -> new ModelDisk(sync, diskBytes));
+    ReplicaCluster withLimits(final long bytesPerSecond, final long sync, final long diskBytes) {
+        links = Optional.of(new BandwidthLinks(bytesPerSecond, linkDelay, (task, when) -> schedule(when, task)));
+        diskModel = Optional.of(() -> new SimulatedDisk(sync, diskBytes));
         return this;
     }
 
@@ -69,13 +72,13 @@
     }
 
     /** The model of a machine's disk, where there is a limit. */
-    ModelDisk modelDisk(final String seat) {
-        return modelDisks.get(seat);
+    SimulatedDisk simulatedDisk(final String address) {
+        return simulatedDisks.get(address);
     }
 
     /** What a machine has on its disk. */
-    List<LogRecord> disk(final String seat) {
-        return disks.get(seat);
+    List<LogRecord> disk(final String address) {
+        return disks.get(address);
     }
 
     /** How often an event was logged by any machine. */
@@ -84,25 +87,25 @@
     }
 
     /** What came of a wish or a question, and when. */
-    static final class Asked {
-        private final long at;
+    static final class PendingCall {
+        private final long calledAt;
         private Optional<Object> reply = Optional.empty();
-        private long end;
+        private long answeredAt;
 
-        Asked(final long at) {
-            this.at = at;
+        PendingCall(final long at) {
+            this.calledAt = at;
         }
 
-        boolean kept() {
+        boolean isAcknowledged() {
             return reply.filter(r -> r instanceof CommandResult.Applied).isPresent();
         }
 
-        long at() {
-            return at;
+        long calledAt() {
+            return calledAt;
         }
 
-        long span() {
-            return end - at;
+        long latency() {
+            return answeredAt - calledAt;
         }
 
         Optional<Object> answer() {
@@ -117,14 +120,17 @@
     /** How all machines stand, for a failure's text. */
     @Override
     public String toString() {
-        return quays.entrySet().stream()
+        return replicas.entrySet().stream()
                 .map(e -> {
-                    final ChainReplica.State s = e.getValue().state(now);
-                    return "\n" + e.getKey() + " " + s.spot() + (s.level() ? " level" : "")
-                            + (s.leased() ? " leased" : "") + " sequence " + s.sequence()
-                            + " pending " + s.pending() + " view " + s.view().number() + " voters "
-                            + s.view().voters() + " chain "
-                            + s.view().chain().stream().map(Replica::address).toList();
+                    final ChainReplica.ReplicaStatus status = e.getValue().status(now);
+                    return "\n" + e.getKey() + " " + status.state() + (status.isCaughtUp() ? " level" : "")
+                            + (status.isLeased() ? " leased" : "") + " sequence " + status.sequence()
+                            + " pending " + status.pendingEntries() + " view "
+                            + status.view().number() + " voters "
+                            + status.view().voters() + " chain "
+                            + status.view().chain().stream()
+                                    .map(Replica::address)
+                                    .toList();
                 })
                 .collect(java.util.stream.Collectors.joining());
     }
@@ -133,70 +139,70 @@
         return now;
     }
 
-    ChainReplica quay(final String seat) {
-        return quays.get(seat);
+    ChainReplica replica(final String address) {
+        return replicas.get(address);
     }
 
-    Set<String> up() {
-        return Set.copyOf(quays.keySet());
+    Set<String> running() {
+        return Set.copyOf(replicas.keySet());
     }
 
     /** Starts a machine: from its disk, or empty under a new identity. */
-    void start(final String seat, final boolean found) {
-        final List<LogRecord> disk = disks.computeIfAbsent(seat, s -> new ArrayList<>());
-        diskModel.ifPresent(model -> modelDisks.computeIfAbsent(seat, s -> model.get()));
-        final String name = names.computeIfAbsent(seat, s -> "id-" + s + "-" + ++turn);
-        final ChainReplica q = new ChainReplica(
-                setup.apply(ChainReplica.Setup.of(new Replica(name, seat), seats))
-                        .founds(found),
+    void start(final String address, final boolean mayBootstrap) {
+        final List<LogRecord> disk = disks.computeIfAbsent(address, s -> new ArrayList<>());
+        diskModel.ifPresent(model -> simulatedDisks.computeIfAbsent(address, s -> model.get()));
+        final String identity = identities.computeIfAbsent(address, s -> "id-" + s + "-" + ++lastOrder);
+        final ChainReplica replica = new ChainReplica(
+                settings.apply(ChainReplica.ReplicaSettings.of(new Replica(identity, address), seeds))
+                        .withBootstrap(mayBootstrap),
                 List.copyOf(disk),
                 () -> new Stamp(++stamp),
                 now);
-        quays.put(seat, q);
-        clerks.put(seat, new ChainClient(seat, q::view, turn++ * 1_000_000));
-        beat(seat, q);
+        replicas.put(address, replica);
+        clients.put(address, new ChainClient(address, replica::view, lastOrder++ * 1_000_000));
+        scheduleTick(address, replica);
     }
 
     /** The seeds that machines started from now on are given. */
     void seeds(final List<String> next) {
-        seats = List.copyOf(next);
+        seeds = List.copyOf(next);
     }
 
     /** How long a sync takes from now on. */
-    void syncs(final long span) {
-        syncSpan = span;
+    void setSyncMicros(final long span) {
+        syncMicros = span;
     }
 
     /** The machine's process stands still: what comes meanwhile waits for it. */
-    void freeze(final String seat) {
-        frozen.putIfAbsent(seat, new ArrayList<>());
+    void freeze(final String address) {
+        frozen.putIfAbsent(address, new ArrayList<>());
     }
 
     /** The machine's process goes on with what waits for it. */
-    void thaw(final String seat) {
-        Optional.ofNullable(frozen.remove(seat)).ifPresent(jobs -> jobs.forEach(Runnable::run));
+    void thaw(final String address) {
+        Optional.ofNullable(frozen.remove(address)).ifPresent(jobs -> jobs.forEach(Runnable::run));
     }
 
     /** The machine's process ends, and its power with it. */
-    void kill(final String seat) {
-        frozen.remove(seat);
-        quays.remove(seat);
-        clerks.remove(seat);
-        links.ifPresent(l -> l.drop(seat));
+    void kill(final String address) {
+        frozen.remove(address);
+        replicas.remove(address);
+        clients.remove(address);
+        links.ifPresent(l -> l.drop(address));
     }
 
     /** The machine's process stands still for so long; what comes meanwhile waits for it. */
-    void freeze(final String seat, final long span) {
-        freeze(seat);
-        at(now + span, () -> thaw(seat));
+    void freeze(final String address, final long span) {
+        freeze(address);
+        schedule(now + span, () -> thaw(address));
     }
 
     /** The disk is lost; the next start is under a new identity. */
-    void wipe(final String seat) {
-        disks.remove(seat);
-        newest.remove(seat);
-        modelDisks.remove(seat);
-        names.remove(seat);
+    void loseDisk(final String address) {
+        disks.remove(address);
+        newest.remove(address);
+        simulatedDisks.remove(address);
+        identities.remove(address);
     }
 
     /** Nothing goes between two machines, or all does again. */
@@ -220,31 +226,31 @@
         slowLinks.clear();
     }
 
-    void pass(final long span) {
+    void advance(final long span) {
         final long end = now + span;
         while (!queue.isEmpty() && queue.peek().at() <= end) {
-            final Due d = queue.poll();
-            now = d.at();
-            d.job().run();
+            final ScheduledTask task = queue.poll();
+            now = task.at();
+            task.task().run();
         }
         now = end;
     }
 
     /** Passes time until something holds; how long it took, or -1 when it did not come. */
-    long until(final long most, final java.util.function.BooleanSupplier what) {
-        final long from = now;
-        while (!what.getAsBoolean()) {
-            if (now - from > most) {
+    long advanceUntil(final long limit, final java.util.function.BooleanSupplier condition) {
+        final long startedAt = now;
+        while (!condition.getAsBoolean()) {
+            if (now - startedAt > limit) {
                 return -1;
             }
-            pass(1_000);
+            advance(1_000);
         }
-        return now - from;
+        return now - startedAt;
     }
 
-    static Command.PutConfiguration charter(final long number, final long match) {
+    static Command.PutConfiguration configuration(final long number, final long match) {
         final Value.BackendPool pool = new Value.BackendPool("pool", "/", 1, 0, 1, 1, 0, 1);
-        final Value.Route rule = new Value.Route(
+        final Value.Route route = new Value.Route(
                 "rule",
                 "host" + number,
                 "/",
@@ -262,56 +268,56 @@
         return new Command.PutConfiguration(
                 "lay-" + number + "-" + match,
                 new Value.RoutingConfiguration(number, 1, 1, 1, 1),
-                List.of(rule),
+                List.of(route),
                 List.of(pool),
                 "paper " + number,
                 match);
     }
 
-    Asked lay(final String at, final long number, final long match, final long span) {
-        return order(at, charter(number, match), span);
+    PendingCall putConfiguration(final String at, final long number, final long match, final long span) {
+        return submit(at, configuration(number, match), span);
     }
 
     /** Hands a command to the client of one machine. */
-    Asked order(final String at, final Command command, final long span) {
-        final Asked a = new Asked(now);
-        asked.put(++token, a);
-        final long mine = token;
-        final long end = now + span;
-        final ChainReplica called = quays.get(at);
+    PendingCall submit(final String at, final Command command, final long span) {
+        final PendingCall call = new PendingCall(now);
+        pendingCalls.put(++token, call);
+        final long callToken = token;
+        final long deadline = now + span;
+        final ChainReplica called = replicas.get(at);
         whenThawed(at, () -> {
-            if (quays.get(at) == called) {
-                clerks.get(at).wish(command, mine, now, end);
-                flush(at, called);
+            if (replicas.get(at) == called) {
+                clients.get(at).submit(command, callToken, now, deadline);
+                performEffects(at, called);
             }
         });
-        return a;
+        return call;
     }
 
-    Asked read(final String at, final long span) {
+    PendingCall read(final String at, final long span) {
         return read(at, ConfigurationValidator.DOCUMENT_KEY, span);
     }
 
     /** Asks the tail for the entries whose keys start so. */
-    Asked read(final String at, final String start, final long span) {
-        final Asked a = new Asked(now);
-        asked.put(++token, a);
-        final long mine = token;
-        final long end = now + span;
-        final ChainReplica called = quays.get(at);
+    PendingCall read(final String at, final String keyPrefix, final long span) {
+        final PendingCall call = new PendingCall(now);
+        pendingCalls.put(++token, call);
+        final long callToken = token;
+        final long deadline = now + span;
+        final ChainReplica called = replicas.get(at);
         whenThawed(at, () -> {
-            if (quays.get(at) == called) {
-                clerks.get(at).read(start, mine, now, end);
-                flush(at, called);
+            if (replicas.get(at) == called) {
+                clients.get(at).read(keyPrefix, callToken, now, deadline);
+                performEffects(at, called);
             }
         });
-        return a;
+        return call;
     }
 
     /** The number of the charter that a machine holds as acknowledged. */
-    long held(final String seat) {
-        return quays.get(seat)
-                .books()
+    long committedNumber(final String address) {
+        return replicas.get(address)
+                .stateMachine()
                 .get(ConfigurationValidator.CONFIGURATION_KEY)
                 .map(e -> ((Value.RoutingConfiguration) e.value().get(0)).number())
                 .orElse(0L);
@@ -319,12 +325,14 @@
 
     /** On how many of the disks a charter is synced, as a change or within a picture. */
     long synced(final long number) {
-        return disks.keySet().stream().filter(seat -> synced(seat, number)).count();
+        return disks.keySet().stream()
+                .filter(address -> synced(address, number))
+                .count();
     }
 
     /** Whether a charter, or a later one, is synced on the disk of one machine. */
-    boolean synced(final String seat, final long number) {
-        return newest.getOrDefault(seat, 0L) >= number;
+    boolean synced(final String address, final long number) {
+        return newest.getOrDefault(address, 0L) >= number;
     }
 
     /** The number of the newest charter of these entries, or 0. */
@@ -336,130 +344,131 @@
                 .orElse(0);
     }
 
-    private void sync(final String seat, final LogRecord note) {
-        if (note instanceof LogRecord.Snapshot p) {
-            disks.get(seat).clear();
-            newest.put(seat, newest(p.entries()));
-        } else if (note instanceof LogRecord.Appended x) {
-            newest.merge(seat, newest(x.entry().puts()), Math::max);
+    private void sync(final String address, final LogRecord record) {
+        if (record instanceof LogRecord.Snapshot p) {
+            disks.get(address).clear();
+            newest.put(address, newest(p.entries()));
+        } else if (record instanceof LogRecord.Appended x) {
+            newest.merge(address, newest(x.entry().puts()), Math::max);
         }
-        disks.get(seat).add(note);
+        disks.get(address).add(record);
     }
 
-    private void at(final long when, final Runnable job) {
-        queue.add(new Due(when, turn++, job));
+    private void schedule(final long when, final Runnable task) {
+        queue.add(new ScheduledTask(when, lastOrder++, task));
     }
 
     /** Does something on a machine, or when it thaws. */
-    private void at(final long when, final String seat, final Runnable job) {
-        at(when, () -> whenThawed(seat, job));
+    private void schedule(final long when, final String address, final Runnable task) {
+        schedule(when, () -> whenThawed(address, task));
     }
 
-    private void whenThawed(final String seat, final Runnable job) {
-        if (frozen.containsKey(seat)) {
-            frozen.get(seat).add(job);
+    private void whenThawed(final String address, final Runnable task) {
+        if (frozen.containsKey(address)) {
+            frozen.get(address).add(task);
         } else {
-            job.run();
+            task.run();
         }
     }
 
-    private void beat(final String seat, final ChainReplica q) {
-        at(now + BEAT, seat, () -> {
-            if (quays.get(seat) == q) {
-                q.tick(now);
-                clerks.get(seat).tick(now);
-                flush(seat, q);
-                beat(seat, q);
+    private void scheduleTick(final String address, final ChainReplica replica) {
+        schedule(now + TICK_MICROS, address, () -> {
+            if (replicas.get(address) == replica) {
+                replica.tick(now);
+                clients.get(address).tick(now);
+                performEffects(address, replica);
+                scheduleTick(address, replica);
             }
         });
     }
 
-    private void flush(final String seat, final ChainReplica q) {
+    private void performEffects(final String address, final ChainReplica replica) {
         boolean more = true;
         while (more) {
-            final List<Effect> all = new ArrayList<>(q.drain());
-            all.addAll(clerks.get(seat).drain());
+            final List<Effect> all = new ArrayList<>(replica.drain());
+            all.addAll(clients.get(address).drain());
             more = !all.isEmpty();
-            all.forEach(e -> effect(seat, q, e));
+            all.forEach(effect -> performEffect(address, replica, effect));
         }
     }
 
-    private void effect(final String seat, final ChainReplica q, final Effect e) {
-        switch (e) {
+    private void performEffect(final String address, final ChainReplica replica, final Effect effect) {
+        switch (effect) {
             case Effect.Send s -> {
-                if (s.to().equals(seat)) {
-                    hand(seat, q, s.message(), seat);
-                } else if (!cuts.contains(Set.of(seat, s.to()))) {
-                    deliver(seat, s, () -> {
-                        if (quays.containsKey(s.to())) {
-                            hand(s.to(), quays.get(s.to()), s.message(), seat);
-                            flush(s.to(), quays.get(s.to()));
+                if (s.to().equals(address)) {
+                    dispatch(address, replica, s.message(), address);
+                } else if (!cuts.contains(Set.of(address, s.to()))) {
+                    deliver(address, s, () -> {
+                        if (replicas.containsKey(s.to())) {
+                            dispatch(s.to(), replicas.get(s.to()), s.message(), address);
+                            performEffects(s.to(), replicas.get(s.to()));
                         }
                     });
                 }
             }
-            case Effect.Persist k -> keep(seat, q, k);
+            case Effect.Persist write -> writeLog(address, replica, write);
             case Effect.Respond a ->
-                Optional.ofNullable(asked.remove(a.token())).ifPresent(x -> {
+                Optional.ofNullable(pendingCalls.remove(a.token())).ifPresent(x -> {
                     x.reply = Optional.of(a.response());
-                    x.end = now;
+                    x.answeredAt = now;
                 });
             case Effect.Log l -> logged.merge(l.event(), 1L, Long::sum);
         }
     }
 
-    private void deliver(final String from, final Effect.Send send, final Runnable job) {
+    private void deliver(final String from, final Effect.Send send, final Runnable task) {
         links.ifPresentOrElse(
                 l -> l.send(
                         from,
                         send.to(),
-                        frames.encode(send.message()).length,
+                        codec.encode(send.message()).length,
                         Message.urgent(send.message()),
                         now,
-                        () -> whenThawed(send.to(), job)),
-                () -> at(now + hop + slowLinks.getOrDefault(Set.of(from, send.to()), 0L), send.to(), job));
+                        () -> whenThawed(send.to(), task)),
+                () -> schedule(now + linkDelay + slowLinks.getOrDefault(Set.of(from, send.to()), 0L), send.to(), task));
     }
 
-    private void keep(final String seat, final ChainReplica q, final Effect.Persist k) {
-        final Optional<ModelDisk> disk = Optional.ofNullable(modelDisks.get(seat));
-        at(disk.map(d -> d.due(now, k.records())).orElse(now + syncSpan), seat, () -> {
-            if (quays.get(seat) != q) {
+    private void writeLog(final String address, final ChainReplica replica, final Effect.Persist write) {
+        final Optional<SimulatedDisk> disk = Optional.ofNullable(simulatedDisks.get(address));
+        schedule(disk.map(d -> d.syncedAt(now, write.records())).orElse(now + syncMicros), address, () -> {
+            if (replicas.get(address) != replica) {
                 return;
             }
-            if (!disk.map(d -> d.write(k.records())).orElse(true)) {
-                q.broke("no space left");
-                flush(seat, q);
-                at(now + 1_000_000, () -> recover(seat, q));
+            if (!disk.map(d -> d.write(write.records())).orElse(true)) {
+                replica.diskFailed("no space left");
+                performEffects(address, replica);
+                schedule(now + 1_000_000, () -> recover(address, replica));
                 return;
             }
-            k.records().forEach(n -> sync(seat, n));
-            q.kept(k.token(), now);
-            flush(seat, q);
+            write.records().forEach(n -> sync(address, n));
+            replica.synced(write.token(), now);
+            performEffects(address, replica);
         });
     }
 
     /** Opens the log again each second after a failed write, as the log's writer does. */
-    private void recover(final String seat, final ChainReplica broken) {
-        if (quays.get(seat) != broken) {
+    private void recover(final String address, final ChainReplica broken) {
+        if (replicas.get(address) != broken) {
             return;
         }
-        if (modelDisks.get(seat).full()) {
-            at(now + 1_000_000, () -> recover(seat, broken));
+        if (simulatedDisks.get(address).full()) {
+            schedule(now + 1_000_000, () -> recover(address, broken));
             return;
         }
-        final ChainReplica next = broken.recovered(List.copyOf(disks.get(seat)), now);
-        quays.put(seat, next);
-        clerks.put(seat, new ChainClient(seat, next::view, turn++ * 1_000_000));
-        beat(seat, next);
-    }
-
-    private void hand(final String seat, final ChainReplica q, final Message msg, final String home) {
-        switch (msg) {
-            case Message.WriteReply m -> clerks.get(seat).on(m, now);
-            case Message.ReadReply m -> clerks.get(seat).on(m, now);
-            default -> q.on(msg, home, now);
+        final ChainReplica next = broken.recovered(List.copyOf(disks.get(address)), now);
+        replicas.put(address, next);
+        clients.put(address, new ChainClient(address, next::view, lastOrder++ * 1_000_000));
+        scheduleTick(address, next);
+    }
+
+    private void dispatch(
+            final String address, final ChainReplica replica, final Message message, final String sender) {
+        switch (message) {
+            case Message.WriteReply m -> clients.get(address).onMessage(m, now);
+            case Message.ReadReply m -> clients.get(address).onMessage(m, now);
+            default -> replica.onMessage(message, sender, now);
         }
     }
 
-    private record Due(long at, long turn, Runnable job) {}
+    private record ScheduledTask(long at, long order, Runnable task) {}
 }
--- a/core/src/test/java/silverlatch/replication/ReplicationWindowTest.java
+++ b/core/src/test/java/silverlatch/replication/ReplicationWindowTest.java
@@ -25,34 +25,34 @@
 
     @Test
     void oneLargeEntryOrSeveralSmallOnesAreUnderWay() {
-        window.begin(0, 0);
+        window.reset(0, 0);
         assertThat(window.admits(entry(1, 400_000)), is(true));
         window.add(entry(1, 400_000));
         assertThat(window.admits(entry(2, 10)), is(false));
-        window.progress(1, 5);
+        window.acknowledge(1, 5);
         for (long sequence = 2; sequence < 7; sequence++) {
             assertThat(window.admits(entry(sequence, 10_000)), is(true));
             window.add(entry(sequence, 10_000));
         }
         assertThat(window.admits(entry(7, 20_000)), is(false));
-        window.progress(4, 6);
+        window.acknowledge(4, 6);
         assertThat(window.admits(entry(7, 20_000)), is(true));
-        assertThat(window.received(), is(4L));
-        assertThat(window.sent(), is(6L));
+        assertThat(window.acknowledgedSequence(), is(4L));
+        assertThat(window.sentSequence(), is(6L));
     }
 
     @Test
     void whatMakesNoProgressIsSentAgainAtDoublingPauses() {
-        window.begin(0, 0);
+        window.reset(0, 0);
         long now = 0;
         for (final long pause : new long[] {600_000, 1_200_000, 2_400_000, 4_800_000, 4_800_000}) {
-            assertThat(window.due(now + pause - 1), is(false));
-            assertThat(window.due(now + pause), is(true));
+            assertThat(window.isRetryDue(now + pause - 1), is(false));
+            assertThat(window.isRetryDue(now + pause), is(true));
             now += pause;
             window.restart(0, now);
         }
         window.add(entry(1, 10));
-        window.progress(1, now);
-        assertThat("progress makes the pause short again", window.due(now + 600_000), is(true));
+        window.acknowledge(1, now);
+        assertThat("progress makes the pause short again", window.isRetryDue(now + 600_000), is(true));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ShortChainTest.java
+++ b/core/src/test/java/silverlatch/replication/ShortChainTest.java
@@ -34,33 +34,33 @@
     @ParameterizedTest
     @MethodSource("spans")
     void aMemberThatPromisesStaysInTheChain(final long lag, final long apart) {
-        final ReplicaCluster cluster = new ReplicaCluster(SEEDS, MILLISECOND, s -> s.counts(COPIES, 3));
+        final ReplicaCluster cluster = new ReplicaCluster(SEEDS, MILLISECOND, s -> s.withCounts(COPIES, 3));
         SEEDS.forEach(s -> cluster.start(s, true));
-        cluster.pass(3 * SECOND);
-        final ReplicaCluster.Asked first = cluster.lay("a", 1, 0, SECOND);
-        cluster.pass(SECOND);
-        assertThat("the first put" + cluster, first.kept(), is(true));
+        cluster.advance(3 * SECOND);
+        final ReplicaCluster.PendingCall first = cluster.putConfiguration("a", 1, 0, SECOND);
+        cluster.advance(SECOND);
+        assertThat("the first put" + cluster, first.isAcknowledged(), is(true));
 
         cluster.cut("a", "b", true);
         cluster.cut("a", "c", true);
-        cluster.pass(lag * MILLISECOND);
+        cluster.advance(lag * MILLISECOND);
         cluster.cut("b", "c", true);
-        final long before = cluster.quay("b").view().number();
-        cluster.pass(apart * MILLISECOND);
+        final long before = cluster.replica("b").view().number();
+        cluster.advance(apart * MILLISECOND);
         cluster.cut("b", "c", false);
-        cluster.until(5 * SECOND, () -> cluster.quay("b").view().number() > before);
+        cluster.advanceUntil(5 * SECOND, () -> cluster.replica("b").view().number() > before);
         assertThat(
                 "the chain after the loss of a" + cluster,
-                cluster.quay("b").view().chain().size(),
+                cluster.replica("b").view().chain().size(),
                 greaterThanOrEqualTo(COPIES));
 
         cluster.kill("b");
-        cluster.wipe("b");
+        cluster.loseDisk("b");
         cluster.heal();
         cluster.start("b", false);
-        cluster.pass(10 * SECOND);
-        final ReplicaCluster.Asked last = cluster.lay("c", 2, 1, 5 * SECOND);
-        cluster.pass(6 * SECOND);
-        assertThat("writes go on after the loss of b's disk" + cluster, last.kept(), is(true));
+        cluster.advance(10 * SECOND);
+        final ReplicaCluster.PendingCall last = cluster.putConfiguration("c", 2, 1, 5 * SECOND);
+        cluster.advance(6 * SECOND);
+        assertThat("writes go on after the loss of b's disk" + cluster, last.isAcknowledged(), is(true));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ModelDisk.java
+++ b/core/src/test/java/silverlatch/replication/SimulatedDisk.java
@@ -5,30 +5,30 @@
 import silverlatch.wire.Codec;
 
 /** What a small disk takes: how long a sync is, how many bytes fit; it can be full, or stalled until a time. */
-final class ModelDisk {
-    private static final long HEAD_BYTES = 16;
+final class SimulatedDisk {
+    private static final long HEADER_BYTES = 16;
     private final Codec codec = Codec.forLog();
-    private long sync;
+    private long syncMicros;
     private final long capacity;
     private long logBytes;
     private long snapshotBytes;
     private long peakBytes;
-    private long free;
+    private long freeAt;
     private long stalledUntil;
     private boolean full;
     private boolean fullAtSnapshot;
 
     /** A disk with so many microseconds a sync and so many bytes. */
-    ModelDisk(final long sync, final long capacity) {
-        this.sync = sync;
+    SimulatedDisk(final long syncMicros, final long capacity) {
+        this.syncMicros = syncMicros;
         this.capacity = capacity;
     }
 
     /** When a write that begins now is synced. */
-    long due(final long now, final List<LogRecord> records) {
+    long syncedAt(final long now, final List<LogRecord> records) {
         final boolean snapshot = records.stream().anyMatch(LogRecord.Snapshot.class::isInstance);
-        free = Math.max(Math.max(free, stalledUntil), now) + (snapshot ? 4 * sync : sync);
-        return free;
+        freeAt = Math.max(Math.max(freeAt, stalledUntil), now) + (snapshot ? 4 * syncMicros : syncMicros);
+        return freeAt;
     }
 
     /** Takes a write, as the log does: a snapshot stands beside the older files until it is synced; false when full. */
@@ -36,20 +36,20 @@
         long snapshot = 0;
         long others = 0;
         for (final LogRecord record : records) {
-            final long bytes = HEAD_BYTES + codec.encode(record, Integer.MAX_VALUE - 8).length;
+            final long bytes = HEADER_BYTES + codec.encode(record, Integer.MAX_VALUE - 8).length;
             if (record instanceof LogRecord.Snapshot) {
                 snapshot += bytes;
             } else {
                 others += bytes;
             }
         }
-        final long whole = logBytes + snapshotBytes + snapshot + others;
+        final long total = logBytes + snapshotBytes + snapshot + others;
         full |= fullAtSnapshot && snapshot > 0;
         fullAtSnapshot &= snapshot == 0;
-        if (full || whole > capacity) {
+        if (full || total > capacity) {
             return false;
         }
-        peakBytes = Math.max(peakBytes, whole);
+        peakBytes = Math.max(peakBytes, total);
         logBytes = snapshot > 0 ? others : logBytes + others;
         snapshotBytes = snapshot > 0 ? snapshot : snapshotBytes;
         return true;
@@ -76,8 +76,8 @@
     }
 
     /** A sync takes so many microseconds from now on. */
-    void sync(final long span) {
-        sync = span;
+    void syncMicros(final long span) {
+        syncMicros = span;
     }
 
     /** Hangs until a time. */
--- a/core/src/test/java/silverlatch/replication/StormTest.java
+++ b/core/src/test/java/silverlatch/replication/StormTest.java
@@ -14,126 +14,134 @@
 
 /** Drawn storms over six machines: deaths, power cuts of all, lost disks fewer than the copies, and cut links. */
 final class StormTest {
-    private static final List<String> SEATS = List.of("a", "b", "c");
+    private static final List<String> SEEDS = List.of("a", "b", "c");
     private static final List<String> SIX = List.of("a", "b", "c", "d", "e", "f");
     private static final long SECOND = 1_000_000;
 
     private static final class Storm {
-        private final Random luck;
-        private final ReplicaCluster bay;
+        private final Random random;
+        private final ReplicaCluster cluster;
         private final int copies;
-        private final List<Seen> reads = new ArrayList<>();
-        private final List<Wrote> writes = new ArrayList<>();
+        private final List<Read> reads = new ArrayList<>();
+        private final List<Write> writes = new ArrayList<>();
         private long number;
         private int wiped;
         private int answered;
 
         Storm(final long seed, final int copies) {
             this.copies = copies;
-            luck = new Random(seed);
-            bay = new ReplicaCluster(SEATS, 1_000 + luck.nextInt(60_000), s -> s.counts(copies, 6));
+            random = new Random(seed);
+            cluster = new ReplicaCluster(SEEDS, 1_000 + random.nextInt(60_000), s -> s.withCounts(copies, 6));
         }
 
-        private record Seen(ReplicaCluster.Asked asked, long least) {}
+        private record Read(ReplicaCluster.PendingCall asked, long least) {}
 
-        private record Wrote(ReplicaCluster.Asked asked, long number) {}
+        private record Write(ReplicaCluster.PendingCall asked, long number) {}
 
         void run() {
-            SIX.forEach(s -> bay.start(s, true));
-            bay.pass(20 * SECOND);
+            SIX.forEach(s -> cluster.start(s, true));
+            cluster.advance(20 * SECOND);
             for (int i = 0; i < 300; i++) {
                 fault();
-                work();
-                bay.pass(20_000L + luck.nextInt(300_000));
-                judge();
+                callReplicas();
+                cluster.advance(20_000L + random.nextInt(300_000));
+                checkReads();
             }
-            bay.heal();
-            SIX.stream().filter(s -> !bay.up().contains(s)).forEach(s -> bay.start(s, false));
-            bay.pass(40 * SECOND);
-            judge();
-            final long most = acked();
-            SIX.forEach(
-                    s -> assertThat(s + " has the newest in the end" + bay, bay.held(s), greaterThanOrEqualTo(most)));
-            final ReplicaCluster.Asked last = bay.lay("d", ++number, -1, 5 * SECOND);
-            bay.pass(6 * SECOND);
-            assertThat("writes go on" + bay, last.kept(), is(true));
+            cluster.heal();
+            SIX.stream().filter(s -> !cluster.running().contains(s)).forEach(s -> cluster.start(s, false));
+            cluster.advance(40 * SECOND);
+            checkReads();
+            final long newest = newestAcknowledged();
+            SIX.forEach(s -> assertThat(
+                    s + " has the newest in the end" + cluster,
+                    cluster.committedNumber(s),
+                    greaterThanOrEqualTo(newest)));
+            final ReplicaCluster.PendingCall last = cluster.putConfiguration("d", ++number, -1, 5 * SECOND);
+            cluster.advance(6 * SECOND);
+            assertThat("writes go on" + cluster, last.isAcknowledged(), is(true));
         }
 
-        private long acked() {
+        private long newestAcknowledged() {
             return writes.stream()
-                    .filter(w -> w.asked().kept())
-                    .mapToLong(Wrote::number)
+                    .filter(w -> w.asked().isAcknowledged())
+                    .mapToLong(Write::number)
                     .max()
                     .orElse(0);
         }
 
-        private boolean whole() {
-            return bay.up().size() == 6
+        private boolean isChainComplete() {
+            return cluster.running().size() == 6
                     && SIX.stream().allMatch(s -> {
-                        final ChainReplica.State q = bay.quay(s).state(bay.now());
-                        return q.level() && q.view().chain().size() == 6;
+                        final ChainReplica.ReplicaStatus status =
+                                cluster.replica(s).status(cluster.now());
+                        return status.isCaughtUp() && status.view().chain().size() == 6;
                     });
         }
 
         private void fault() {
-            final String one = SIX.get(luck.nextInt(6));
-            final String other = SIX.get(luck.nextInt(6));
-            if (whole()) {
+            final String one = SIX.get(random.nextInt(6));
+            final String other = SIX.get(random.nextInt(6));
+            if (isChainComplete()) {
                 wiped = 0;
             }
-            switch (luck.nextInt(14)) {
+            switch (random.nextInt(14)) {
                 case 0, 1 -> {
-                    if (bay.up().size() > 4) {
-                        bay.kill(one);
+                    if (cluster.running().size() > 4) {
+                        cluster.kill(one);
                     }
                 }
                 case 2 -> {
-                    if (bay.up().contains(one) && bay.up().size() > 4 && wiped < copies - 1) {
+                    if (cluster.running().contains(one) && cluster.running().size() > 4 && wiped < copies - 1) {
                         wiped++;
-                        bay.kill(one);
-                        bay.wipe(one);
+                        cluster.kill(one);
+                        cluster.loseDisk(one);
                     }
                 }
                 case 3 -> {
                     if (!one.equals(other)) {
-                        bay.cut(one, other, true);
+                        cluster.cut(one, other, true);
                     }
                 }
-                case 4 -> bay.heal();
+                case 4 -> cluster.heal();
                 case 5 -> {
-                    if (luck.nextInt(4) == 0) {
-                        List.copyOf(bay.up()).forEach(bay::kill);
-                        bay.pass(luck.nextInt(500_000));
-                        SIX.forEach(s -> bay.start(s, false));
+                    if (random.nextInt(4) == 0) {
+                        List.copyOf(cluster.running()).forEach(cluster::kill);
+                        cluster.advance(random.nextInt(500_000));
+                        SIX.forEach(s -> cluster.start(s, false));
                     }
                 }
                 case 6, 7, 8 ->
-                    SIX.stream().filter(s -> !bay.up().contains(s)).findFirst().ifPresent(s -> bay.start(s, false));
+                    SIX.stream()
+                            .filter(s -> !cluster.running().contains(s))
+                            .findFirst()
+                            .ifPresent(s -> cluster.start(s, false));
                 default -> {}
             }
         }
 
-        private void work() {
-            final List<String> up = bay.up().stream().sorted().toList();
-            writes.add(new Wrote(bay.lay(up.get(luck.nextInt(up.size())), ++number, -1, 900_000), number));
-            reads.add(new Seen(bay.read(up.get(luck.nextInt(up.size())), 900_000), acked()));
+        private void callReplicas() {
+            final List<String> up = cluster.running().stream().sorted().toList();
+            writes.add(new Write(
+                    cluster.putConfiguration(up.get(random.nextInt(up.size())), ++number, -1, 900_000), number));
+            reads.add(new Read(cluster.read(up.get(random.nextInt(up.size())), 900_000), newestAcknowledged()));
         }
 
-        private void judge() {
+        private void checkReads() {
             reads.removeIf(r -> {
                 final Optional<Object> reply = r.asked().answer();
-                reply.filter(x -> x instanceof ChainClient.Page p && p.ok()).ifPresent(x -> {
-                    answered++;
-                    final long told = ((ChainClient.Page) x)
-                            .entries().stream()
-                                    .filter(e -> !e.isDeleted())
-                                    .mapToLong(e -> ((Value.ConfigurationDocument)
-                                                    e.value().get(0))
-                                            .number())
-                                    .max()
-                                    .orElse(0);
-                    assertThat("a read after an ack", told, greaterThanOrEqualTo(r.least()));
-                });
+                reply.filter(x -> x instanceof ChainClient.ReadResult p && p.answered())
+                        .ifPresent(x -> {
+                            answered++;
+                            final long number = ((ChainClient.ReadResult) x)
+                                    .entries().stream()
+                                            .filter(e -> !e.isDeleted())
+                                            .mapToLong(e -> ((Value.ConfigurationDocument)
+                                                            e.value().get(0))
+                                                    .number())
+                                            .max()
+                                            .orElse(0);
+                            assertThat("a read after an ack", number, greaterThanOrEqualTo(r.least()));
+                        });
                 return reply.isPresent();
             });
         }
@@ -141,20 +149,22 @@
 
     @ParameterizedTest
     @ValueSource(ints = {2, 3})
-    void noReadIsOlderThanAnAckAndNoAckIsLost(final int copies) {
+    void noReadIsOlderThanAnAcknowledgementAndNoAcknowledgedWriteIsLost(final int copies) {
         long kept = 0;
         long answered = 0;
         final long first = Long.getLong("silverlatch.storm", 1);
         final int count = Integer.getInteger("silverlatch.storms", 10);
         for (long seed = first; seed < first + count; seed++) {
-            final Storm s = new Storm(seed, copies);
+            final Storm storm = new Storm(seed, copies);
             try {
-                s.run();
+                storm.run();
             } catch (final AssertionError e) {
                 throw new AssertionError("storm " + seed + ": " + e.getMessage(), e);
             }
-            kept += s.writes.stream().filter(w -> w.asked().kept()).count();
-            answered += s.answered;
+            kept += storm.writes.stream()
+                    .filter(w -> w.asked().isAcknowledged())
+                    .count();
+            answered += storm.answered;
         }
         assertThat("most changes were kept", kept, greaterThanOrEqualTo(100L * count));
         assertThat("most reads were answered", answered, greaterThanOrEqualTo(150L * count));
--- a/core/src/test/java/silverlatch/replication/ViewPlannerTest.java
+++ b/core/src/test/java/silverlatch/replication/ViewPlannerTest.java
@@ -29,8 +29,8 @@
     }
 
     private static ViewPlanner planner(final View view, final ToLongFunction<String> silent, final int copies) {
-        final ChainReplica.Setup setup =
-                ChainReplica.Setup.of(replica(0), List.of()).counts(copies, 7);
+        final ChainReplica.ReplicaSettings setup =
+                ChainReplica.ReplicaSettings.of(replica(0), List.of()).withCounts(copies, 7);
         final Set<String> level = new HashSet<>();
         view.chain().forEach(r -> level.add(r.id()));
         return new ViewPlanner(setup, view, silent, level);
@@ -66,7 +66,7 @@
         final View next = planner(view(voters, voters), id -> HEARD, copies)
                 .next(true, List.of())
                 .orElseThrow();
-        assertThat(next.place("id-0"), is(-1));
+        assertThat(next.positionOf("id-0"), is(-1));
         assertThat(next.voters().size(), is(left));
         assertThat(next.chain().size(), greaterThanOrEqualTo(copies));
         assertThat(planner(view(voters, copies), id -> HEARD, copies).next(true, List.of()), is(Optional.empty()));
--- a/server/src/main/java/silverlatch/server/controller/ControlService.java
+++ b/server/src/main/java/silverlatch/server/controller/ControlService.java
@@ -19,7 +19,7 @@
     void lay(Command.PutConfiguration wish, Consumer<CommandResult> then);
 
     /** Asks for the newest acknowledged charter's paper; no entry where there is none, not ok where none can tell it now. */
-    void paper(Consumer<ChainClient.Page> then);
+    void paper(Consumer<ChainClient.ReadResult> then);
 
     /**
      * Empties a zone, or gives it back; what is not decided in time is told as unknown. It takes effect while the call
--- a/server/src/main/java/silverlatch/server/controller/Controller.java
+++ b/server/src/main/java/silverlatch/server/controller/Controller.java
@@ -130,9 +130,9 @@
     }
 
     @Override
-    public void paper(final Consumer<ChainClient.Page> then) {
-        if (!bridge.read(ConfigurationValidator.DOCUMENT_KEY, SOON, r -> then.accept((ChainClient.Page) r))) {
-            then.accept(new ChainClient.Page(false, 0, List.of()));
+    public void paper(final Consumer<ChainClient.ReadResult> then) {
+        if (!bridge.read(ConfigurationValidator.DOCUMENT_KEY, SOON, r -> then.accept((ChainClient.ReadResult) r))) {
+            then.accept(new ChainClient.ReadResult(false, 0, List.of()));
         }
     }
 
@@ -161,7 +161,7 @@
     public void seeds(final List<String> next) {
         bridge.with(d -> {
             d.membership().setSeeds(next);
-            d.chainReplica().ifPresent(q -> q.seats(next));
+            d.chainReplica().ifPresent(q -> q.seeds(next));
         });
     }
 
@@ -228,11 +228,11 @@
                 ? Optional.of("stopping")
                 : d.chainReplica()
                         .map(q -> {
-                            final ChainReplica.State s = q.state(now);
-                            gone = q.gone();
-                            return s.spot().equals("chained") && s.level() && s.leased()
+                            final ChainReplica.ReplicaStatus s = q.status(now);
+                            gone = q.hasLeft();
+                            return s.state().equals("chained") && s.isCaughtUp() && s.isLeased()
                                     ? Optional.<String>empty()
-                                    : Optional.of("the chain: " + s.spot() + (s.leased() ? "" : ", no lease"));
+                                    : Optional.of("the chain: " + s.state() + (s.isLeased() ? "" : ", no lease"));
                         })
                         .orElseGet(() -> d.gossip().stateAge(now) < 2_500_000L
                                 ? Optional.empty()
@@ -258,10 +258,10 @@
         }
         calendarAt = now;
         d.chainReplica()
-                .ifPresent(q -> q.duty(now)
+                .ifPresent(q -> q.fencingToken(now)
                         .ifPresent(fence -> calendars
                                 .due(
-                                        q.books(),
+                                        q.stateMachine(),
                                         d.physicalClock().unixNanos()
                                                 + (now - d.physicalClock().monotonicMicros()) * 1000,
                                         fence)
--- a/server/src/main/java/silverlatch/server/controller/Door.java
+++ b/server/src/main/java/silverlatch/server/controller/Door.java
@@ -136,10 +136,10 @@
         });
     }
 
-    private void read(final Call c, final String start, final Consumer<ChainClient.Page> then) {
+    private void read(final Call c, final String start, final Consumer<ChainClient.ReadResult> then) {
         final boolean sent = bridge.read(start, SPAN, r -> {
-            final ChainClient.Page p = (ChainClient.Page) r;
-            if (p.ok()) {
+            final ChainClient.ReadResult p = (ChainClient.ReadResult) r;
+            if (p.answered()) {
                 then.accept(p);
             } else {
                 c.reply(
@@ -377,7 +377,7 @@
             map.put("why", unready.get().orElse(""));
             map.put("fleet", Long.toHexString(d.view().fleet()));
             map.put("view", d.view().number());
-            map.put("holder", d.view().holder());
+            map.put("holder", d.view().singletonOwner());
             map.put(
                     "voters",
                     d.view().voters().stream()
@@ -385,12 +385,12 @@
                             .toList());
             map.put("chain", d.view().chain().stream().map(b -> b.address()).toList());
             d.chainReplica().ifPresent(q -> {
-                final ChainReplica.State s = q.state(now);
-                map.put("state", s.spot());
-                map.put("level", s.level());
-                map.put("leased", s.leased());
+                final ChainReplica.ReplicaStatus s = q.status(now);
+                map.put("state", s.state());
+                map.put("level", s.isCaughtUp());
+                map.put("leased", s.isLeased());
                 map.put("sequence", s.sequence());
-                map.put("pending", s.pending());
+                map.put("pending", s.pendingEntries());
             });
             map.put("table", d.gossip().stateMachine().policyRevision());
             map.put("stamp", "" + d.processClock().last().bits());
@@ -421,7 +421,8 @@
             all.put("tide_far", n.tooFarAhead());
             all.put("tide_dropped", n.dropped());
             d.counters().forEach((k, v) -> all.put("deck_" + k, v));
-            d.chainReplica().ifPresent(q -> all.put("quay_sequence", q.books().sequence()));
+            d.chainReplica()
+                    .ifPresent(q -> all.put("quay_sequence", q.stateMachine().sequence()));
             all.put("wire_bad", dock.bad());
             all.put("wire_dropped", dock.dropped());
             c.text(all.entrySet().stream()
--- a/server/src/main/java/silverlatch/server/controller/LogWriter.java
+++ b/server/src/main/java/silverlatch/server/controller/LogWriter.java
@@ -109,7 +109,7 @@
 
     private static long weight(final Effect.Persist keep) {
         return keep.records().stream()
-                .mapToLong(n -> n instanceof LogRecord.Appended d ? d.entry().weight() : 64)
+                .mapToLong(n -> n instanceof LogRecord.Appended d ? d.entry().estimatedBytes() : 64)
                 .sum();
     }
 
--- a/server/src/main/java/silverlatch/server/controller/Main.java
+++ b/server/src/main/java/silverlatch/server/controller/Main.java
@@ -150,9 +150,9 @@
                             s.skew(),
                             s.rates().crew(),
                             s.rates().rumor()),
-                    opened.map(o -> ChainReplica.Setup.of(new Replica(o.identity(), s.address()), s.seeds())
-                            .counts(s.copies(), s.voters())
-                            .founds(s.found() || o.mayFound())),
+                    opened.map(o -> ChainReplica.ReplicaSettings.of(new Replica(o.identity(), s.address()), s.seeds())
+                            .withCounts(s.copies(), s.voters())
+                            .withBootstrap(s.found() || o.mayFound())),
                     notes,
                     new PhysicalClock(wall, now, 0),
                     new SplittableRandom(new SecureRandom().nextLong()),
--- a/server/src/test/java/silverlatch/server/controller/ControllerTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ControllerTest.java
@@ -173,7 +173,7 @@
                 call("GET", "/v1/rules", "", "operator-key", "*").body().contains("\"host\":\"h.example\""), is(true));
         assertThat(
                 ControllerTest.<CommandResult>get(t -> h.lay(lay(9, 3), t)), instanceOf(CommandResult.Applied.class));
-        final ChainClient.Page page = get(h::paper);
+        final ChainClient.ReadResult page = get(h::paper);
         assertThat(page.entries().get(0).value(), is(List.of(new Value.ConfigurationDocument(9, "paper 9"))));
         assertThat(
                 ControllerTest.<CommandResult>get(t -> h.zone("z", true, t)), instanceOf(CommandResult.Applied.class));
@@ -217,7 +217,7 @@
             least = Math.min(least, (System.nanoTime() - at) / 1_000_000);
         }
         assertThat("by a duty that has time", least, lessThan(950L));
-        assertThat(ControllerTest.<ChainClient.Page>get(h::paper).ok(), is(false));
+        assertThat(ControllerTest.<ChainClient.ReadResult>get(h::paper).answered(), is(false));
         h.stop();
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/explore/Arguments.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Arguments.java
@@ -65,7 +65,7 @@
             int threads,
             Mutant mutant) {}
 
-    /** Checks all values; {@link #wrong()} tells what is wrong with them, each with its name. */
+    /** Checks all values; {@link #fail()} tells what is wrong with them, each with its name. */
     Checked check() {
         final Checked checked = new Checked(
                 whole("--seeds", seeds, 0, Long.MAX_VALUE / 2),
--- a/simulation/src/main/java/silverlatch/simulation/explore/History.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/History.java
@@ -21,8 +21,8 @@
         switch (reply) {
             case CommandResult.Applied applied -> end(token, new Operation.Outcome.Acknowledged(step));
             case CommandResult.Rejected rejected -> end(token, new Operation.Outcome.Refused(step, rejected.code()));
-            case ChainClient.Page page -> {
-                if (page.ok()) {
+            case ChainClient.ReadResult page -> {
+                if (page.answered()) {
                     end(token, new Operation.Outcome.Value(step, Documents.value(operation.kind(), page.entries())));
                 }
             }
--- a/simulation/src/main/java/silverlatch/simulation/explore/PropertyMonitor.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/PropertyMonitor.java
@@ -57,9 +57,9 @@
     /** A replica may have taken another view, applied something, or caught up. */
     void replicaChanged(final Machine machine, final long now) {
         final ChainReplica replica = machine.process().orElseThrow().replica();
-        final ChainReplica.State state = replica.state(machine.clock(now));
+        final ChainReplica.ReplicaStatus state = replica.status(machine.clock(now));
         final boolean level =
-                state.level() && state.view().place(machine.identity().id()) >= 0;
+                state.isCaughtUp() && state.view().positionOf(machine.identity().id()) >= 0;
         final Seen next = new Seen(replica, state.view(), state.sequence(), level);
         final Seen last = seen.put(machine.index(), next);
         if (next.equals(last)) {
@@ -67,7 +67,7 @@
         }
         oneView(machine, state.view());
         if (level) {
-            oneHistory(machine, replica.books());
+            oneHistory(machine, replica.stateMachine());
         }
         if (level && machine.replaced()) {
             machine.caughtUp();
@@ -132,18 +132,23 @@
 
     /** Whether a replica has applied something in this step that is applied in the newest view too, and tells of that. */
     private boolean appliedJustNow(final Machine machine) {
-        final long sequence = machine.process().orElseThrow().replica().books().sequence();
+        final long sequence =
+                machine.process().orElseThrow().replica().stateMachine().sequence();
         final boolean elsewhere = machines.stream()
                 .flatMap(other -> other.process().stream())
                 .anyMatch(process -> process.replica().view().number() >= newestView
-                        && process.replica().books().sequence() >= sequence);
+                        && process.replica().stateMachine().sequence() >= sequence);
         return elsewhere && appliedNow(machine);
     }
 
     private boolean appliedNow(final Machine machine) {
         return Optional.ofNullable(seen.get(machine.index()))
                 .map(last -> last.sequence()
-                        < machine.process().orElseThrow().replica().books().sequence())
+                        < machine.process()
+                                .orElseThrow()
+                                .replica()
+                                .stateMachine()
+                                .sequence())
                 .orElse(false);
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/explore/Recovery.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Recovery.java
@@ -60,9 +60,10 @@
 
     private boolean whole() {
         return world.machines().stream().allMatch(machine -> {
-            final silverlatch.replication.ChainReplica.State state =
-                    machine.process().orElseThrow().replica().state(machine.clock(world.now()));
-            return state.level() && state.view().place(machine.identity().id()) >= 0;
+            final silverlatch.replication.ChainReplica.ReplicaStatus state =
+                    machine.process().orElseThrow().replica().status(machine.clock(world.now()));
+            return state.isCaughtUp()
+                    && state.view().positionOf(machine.identity().id()) >= 0;
         });
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/explore/StateDigest.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/StateDigest.java
@@ -141,7 +141,7 @@
     private static boolean constant(final Class<?> type, final Field field) {
         final boolean part = type == ChainReplica.class || type == ChainClient.class;
         return part
-                && (field.getType() == ChainReplica.Setup.class
+                && (field.getType() == ChainReplica.ReplicaSettings.class
                         || field.getType().getName().contains("TransitionTable"));
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/explore/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/World.java
@@ -97,8 +97,8 @@
 
     /** The machines didn't recover in time after the last fault. */
     void notRecovered() {
-        final List<ChainReplica.State> states = machines.stream()
-                .map(machine -> machine.process().orElseThrow().replica().state(machine.clock(now)))
+        final List<ChainReplica.ReplicaStatus> states = machines.stream()
+                .map(machine -> machine.process().orElseThrow().replica().status(machine.clock(now)))
                 .toList();
         monitor.broken(Property.RECOVERS, "not within " + Recovery.BOUND + " ms: " + states);
     }
@@ -142,10 +142,10 @@
 
     private void start(final Machine machine) {
         starts++;
-        final ChainReplica.Setup setup = ChainReplica.Setup.of(machine.identity(), addresses)
-                .counts(options.copies(), options.replicas())
-                .founds(false)
-                .under(options.mutant().safeguards());
+        final ChainReplica.ReplicaSettings setup = ChainReplica.ReplicaSettings.of(machine.identity(), addresses)
+                .withCounts(options.copies(), options.replicas())
+                .withBootstrap(false)
+                .withSafeguards(options.mutant().safeguards());
         final ChainReplica replica =
                 new ChainReplica(setup, List.copyOf(machine.disk()), () -> new Stamp(++stamp), machine.clock(now));
         machine.start(new Machine.Process(replica, new ChainClient(machine.address(), replica::view, starts << 32)));
@@ -179,9 +179,9 @@
     private void hand(final Machine machine, final Message message, final String sender) {
         final Machine.Process process = machine.process().orElseThrow();
         if (message instanceof Message.WriteReply || message instanceof Message.ReadReply) {
-            process.client().on(message, machine.clock(now));
+            process.client().onMessage(message, machine.clock(now));
         } else {
-            process.replica().on(message, sender, machine.clock(now));
+            process.replica().onMessage(message, sender, machine.clock(now));
         }
     }
 
@@ -192,7 +192,7 @@
         final Effect.Persist write = machine.pending().poll();
         machine.write(write.records());
         if (options.mutant() != Mutant.SYNC) {
-            machine.process().orElseThrow().replica().kept(write.token(), machine.clock(now));
+            machine.process().orElseThrow().replica().synced(write.token(), machine.clock(now));
         }
         flush(machine);
         monitor.diskChanged();
@@ -320,7 +320,7 @@
         final long token = history.begin(operation);
         final Command command = command(operation, "order-" + ++requests);
         final long clock = machine.clock(now);
-        machine.process().orElseThrow().client().wish(command, token, clock, clock + OPERATION_TIME);
+        machine.process().orElseThrow().client().submit(command, token, clock, clock + OPERATION_TIME);
         flush(machine);
         return true;
     }
@@ -361,7 +361,7 @@
             case Effect.Persist keep -> {
                 machine.pending().add(keep);
                 if (options.mutant() == Mutant.SYNC) {
-                    machine.process().orElseThrow().replica().kept(keep.token(), machine.clock(now));
+                    machine.process().orElseThrow().replica().synced(keep.token(), machine.clock(now));
                 }
             }
             case Effect.Respond answer -> {
--- a/simulation/src/main/java/silverlatch/simulation/hollow/Hollow.java
+++ b/simulation/src/main/java/silverlatch/simulation/hollow/Hollow.java
@@ -101,8 +101,8 @@
                     0,
                     "up",
                     true);
-            final Optional<ChainReplica.Setup> chain = i < CHAIN
-                    ? Optional.of(ChainReplica.Setup.of(new Replica("disk-" + i, address(i)), seeds))
+            final Optional<ChainReplica.ReplicaSettings> chain = i < CHAIN
+                    ? Optional.of(ChainReplica.ReplicaSettings.of(new Replica("disk-" + i, address(i)), seeds))
                     : Optional.empty();
             final HollowDaemon node = new HollowDaemon(
                     me,
--- a/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationOperators.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationOperators.java
@@ -127,7 +127,7 @@
     private void read(final SimulatedNode controller) {
         final long before = history.newest();
         controller.read(ConfigurationValidator.DOCUMENT_KEY, CALL_TIMEOUT, r -> {
-            if (r instanceof ChainClient.Page p && p.ok()) {
+            if (r instanceof ChainClient.ReadResult p && p.answered()) {
                 p.entries().stream()
                         .filter(e -> !e.isDeleted())
                         .map(e -> (Value.ConfigurationDocument) e.value().get(0))
--- a/simulation/src/main/java/silverlatch/simulation/sim/Office.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Office.java
@@ -350,7 +350,7 @@
             if (told[0]) {
                 return;
             }
-            if (!(r instanceof ChainClient.Page p) || !p.ok()) {
+            if (!(r instanceof ChainClient.ReadResult p) || !p.answered()) {
                 told[0] = true;
                 again.run();
                 return;
@@ -372,15 +372,15 @@
     }
 
     private void read(
-            final SimulatedNode h, final String part, final java.util.function.Consumer<ChainClient.Page> then) {
+            final SimulatedNode h, final String part, final java.util.function.Consumer<ChainClient.ReadResult> then) {
         h.read(part, 3 * SECOND, r -> {
-            if (r instanceof ChainClient.Page p && p.ok()) {
+            if (r instanceof ChainClient.ReadResult p && p.answered()) {
                 then.accept(p);
             }
         });
     }
 
-    private static long sequence(final ChainClient.Page p, final String key) {
+    private static long sequence(final ChainClient.ReadResult p, final String key) {
         return p.entries().stream()
                 .filter(e -> e.key().equals(key))
                 .mapToLong(Entry::sequence)
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
@@ -174,8 +174,8 @@
                 0,
                 "up",
                 false);
-        final Optional<ChainReplica.Setup> chain = disk.map(d -> {
-            return ChainReplica.Setup.of(new Replica(d.identity(), address), seeds);
+        final Optional<ChainReplica.ReplicaSettings> chain = disk.map(d -> {
+            return ChainReplica.ReplicaSettings.of(new Replica(d.identity(), address), seeds);
         });
         final Node made = new Node(
                 new Node.Settings(
@@ -353,8 +353,8 @@
         if (controller()) {
             ready = d.chainReplica()
                     .map(q -> {
-                        final ChainReplica.State s = q.state(now());
-                        return s.spot().equals("chained") && s.level() && s.leased();
+                        final ChainReplica.ReplicaStatus s = q.status(now());
+                        return s.state().equals("chained") && s.isCaughtUp() && s.isLeased();
                     })
                     .orElse(d.gossip().stateAge(now()) < 2_500_000L);
         } else {
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayDigest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayDigest.java
@@ -53,10 +53,10 @@
                 numbers('a', answer.token());
                 if (answer.response() instanceof CommandResult result) {
                     result(result);
-                } else if (answer.response() instanceof ChainClient.Page page) {
+                } else if (answer.response() instanceof ChainClient.ReadResult page) {
                     numbers(
                             'p',
-                            page.ok() ? 1 : 0,
+                            page.answered() ? 1 : 0,
                             page.sequence(),
                             page.entries().size());
                 }
