--- a/core/src/main/java/silverlatch/dispatch/Facts.java
+++ b/core/src/main/java/silverlatch/dispatch/ClusterSnapshot.java
@@ -14,29 +14,29 @@
 /**
  * What a gateway knows at one moment, copied for the duty that carries tickets.
  *
- * @param me      this gateway
- * @param page    the page held
- * @param sure    when the page was surely the newest, by the monotonic clock
+ * @param self      this gateway
+ * @param revision    the page held
+ * @param confirmedAt    when the page was surely the newest, by the monotonic clock
  * @param policy  tenants, rows and orders on zones
  * @param workers the workers heard of
- * @param crew    the live gateways, without this one
+ * @param peers    the live gateways, without this one
  */
-public record Facts(
-        Member me,
-        long page,
-        Optional<Long> sure,
+public record ClusterSnapshot(
+        Member self,
+        long revision,
+        Optional<Long> confirmedAt,
         Policy policy,
         Map<String, Gossip.ObservedWorker> workers,
-        List<Member> crew) {
+        List<Member> peers) {
     /** Copies the collections. */
-    public Facts {
+    public ClusterSnapshot {
         workers = Map.copyOf(workers);
-        crew = List.copyOf(crew);
+        peers = List.copyOf(peers);
     }
 
     /** Whether the page held was surely the newest within the span. */
-    public boolean fresh(final long now, final long span) {
-        return sure.map(t -> now - t <= span).orElse(false);
+    public boolean isConfirmedWithin(final long now, final long maxAge) {
+        return confirmedAt.map(t -> now - t <= maxAge).orElse(false);
     }
 
     /** A tenant by name. */
@@ -52,13 +52,13 @@
     }
 
     /** The zones that are being emptied. */
-    public Set<String> empty() {
+    public Set<String> evacuatingZones() {
         return policy.evacuatedZones();
     }
 
     /** Whether a pick with this stamp was made before the worker's zone was ordered empty. */
-    public boolean drained(final String zone, final Stamp stamp) {
+    public boolean isPlacedBeforeEvacuation(final String zone, final Stamp placedAt) {
         return policy.evacuations().stream()
-                .anyMatch(d -> d.zone().equals(zone) && d.active() && stamp.isBefore(d.stamp()));
+                .anyMatch(d -> d.zone().equals(zone) && d.active() && placedAt.isBefore(d.stamp()));
     }
 }
--- a/core/src/main/java/silverlatch/dispatch/Dispatcher.java
+++ b/core/src/main/java/silverlatch/dispatch/Dispatcher.java
@@ -18,12 +18,12 @@
 import silverlatch.clock.Stamp;
 import silverlatch.dispatch.buffer.Slab;
 import silverlatch.dispatch.permit.Permit;
-import silverlatch.dispatch.permit.Seals;
+import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.gossip.Gossip;
 import silverlatch.gossip.Worker;
 import silverlatch.membership.Member;
 import silverlatch.node.Event;
-import silverlatch.placement.Case;
+import silverlatch.placement.PlacementContext;
 import silverlatch.placement.PlacementInput;
 import silverlatch.placement.WeightedScorers;
 import silverlatch.safeguard.Safeguard;
@@ -39,55 +39,55 @@
  */
 public final class Dispatcher {
     private static final long SECOND = 1_000_000L;
-    private static final int LINES = 256;
-    private final Setup setup;
-    private final Seals seals;
-    private final Supplier<Stamp> stamps;
-    private final RandomGenerator luck;
-    private final WeightedScorers court;
-    private final WeightedScorers last;
-    private final TransitionTable chart = TransitionTable.load("ticket");
-    private final Slab<Ticket> slab;
-    private final Map<String, Long> open = new HashMap<>();
-    private final Map<Long, Long> jobs = new HashMap<>();
-    private final Map<String, Flow> flows = new TreeMap<>();
-    private final TreeMap<String, Flow> waiting = new TreeMap<>();
-    private final Map<String, Hand> hands = new HashMap<>();
-    private final Map<String, Share> shares = new HashMap<>();
-    private final LinkedHashMap<String, Long> spent = new LinkedHashMap<>();
-    private final Deque<Ended> ended = new ArrayDeque<>();
+    private static final int MAX_RECORDS_PER_WRITE = 256;
+    private final Settings settings;
+    private final PermitSigner signer;
+    private final Supplier<Stamp> timestamps;
+    private final RandomGenerator random;
+    private final WeightedScorers scorers;
+    private final WeightedScorers constraints;
+    private final TransitionTable transitions = TransitionTable.load("ticket");
+    private final Slab<DispatchedRequest> requests;
+    private final Map<String, Long> openRequests = new HashMap<>();
+    private final Map<Long, Long> handlesByOperation = new HashMap<>();
+    private final Map<String, RequestQueue> queues = new TreeMap<>();
+    private final TreeMap<String, RequestQueue> nonEmptyQueues = new TreeMap<>();
+    private final Map<String, WorkerUsage> workerUsage = new HashMap<>();
+    private final Map<String, TenantShare> tenantShares = new HashMap<>();
+    private final LinkedHashMap<String, Long> spentPermits = new LinkedHashMap<>();
+    private final Deque<EndedRequest> endedRequests = new ArrayDeque<>();
     private final Map<Long, Long> readers = new HashMap<>();
-    private final TraceLog tales = new TraceLog(20_000);
-    private final Budget budget;
-    private final Map<String, Long> tally = new TreeMap<>();
-    private final List<Act> out = new ArrayList<>();
-    private Facts facts;
-    private long serial;
-    private long job;
-    private double clock;
-    private long time;
-    private long swept;
-    private int queued;
+    private final TraceLog traces = new TraceLog(20_000);
+    private final RetryBudget retryBudget;
+    private final Map<String, Long> counters = new TreeMap<>();
+    private final List<DispatchEffect> effects = new ArrayList<>();
+    private ClusterSnapshot clusterSnapshot;
+    private long requestSerial;
+    private long operation;
+    private double virtualTime;
+    private long lastTick;
+    private long lastSweep;
+    private int queuedRequests;
     private boolean closing;
 
     /** Settings; times in microseconds. */
-    public record Setup(
-            int slab,
-            int queue,
-            long permit,
-            long word,
-            long sure,
-            long claim,
-            long keep,
-            int buffer,
-            double tries,
-            long shun,
-            long patience,
-            long memory,
-            long start,
-            Safeguards guards) {
+    public record Settings(
+            int maxOpenRequests,
+            int maxQueuedRequests,
+            long permitLifetime,
+            long maxReportAge,
+            long maxConfirmationAge,
+            long claimTimeout,
+            long endedRetention,
+            int maxResponseBytes,
+            double retryRatio,
+            long ejectionTime,
+            long readerAbsenceTimeout,
+            long permitRetention,
+            long startTimeout,
+            Safeguards safeguards) {
         /** What holds when nothing is said. */
-        public static final Setup PLAIN = new Setup(
+        public static final Settings DEFAULT = new Settings(
                 4_096,
                 2_048,
                 2 * SECOND,
@@ -104,1014 +104,1165 @@
                 Safeguards.ALL);
 
         /** Settings as operators give them: all guards stand. */
-        public Setup(
-                final int slab,
-                final int queue,
-                final long permit,
-                final long word,
-                final long sure,
-                final long claim,
-                final long keep,
-                final int buffer,
-                final double tries,
-                final long shun,
-                final long patience,
-                final long memory,
-                final long start) {
+        public Settings(
+                final int maxOpenRequests,
+                final int maxQueuedRequests,
+                final long permitLifetime,
+                final long maxReportAge,
+                final long maxConfirmationAge,
+                final long claimTimeout,
+                final long endedRetention,
+                final int maxResponseBytes,
+                final double retryRatio,
+                final long ejectionTime,
+                final long readerAbsenceTimeout,
+                final long permitRetention,
+                final long startTimeout) {
             this(
-                    slab,
-                    queue,
-                    permit,
-                    word,
-                    sure,
-                    claim,
-                    keep,
-                    buffer,
-                    tries,
-                    shun,
-                    patience,
-                    memory,
-                    start,
+                    maxOpenRequests,
+                    maxQueuedRequests,
+                    permitLifetime,
+                    maxReportAge,
+                    maxConfirmationAge,
+                    claimTimeout,
+                    endedRetention,
+                    maxResponseBytes,
+                    retryRatio,
+                    ejectionTime,
+                    readerAbsenceTimeout,
+                    permitRetention,
+                    startTimeout,
                     Safeguards.ALL);
         }
 
         /** The same under the guards that stand. */
-        public Setup under(final Safeguards standing) {
-            return new Setup(
-                    slab, queue, permit, word, sure, claim, keep, buffer, tries, shun, patience, memory, start,
-                    standing);
+        public Settings withSafeguards(final Safeguards enabledSafeguards) {
+            return new Settings(
+                    maxOpenRequests,
+                    maxQueuedRequests,
+                    permitLifetime,
+                    maxReportAge,
+                    maxConfirmationAge,
+                    claimTimeout,
+                    endedRetention,
+                    maxResponseBytes,
+                    retryRatio,
+                    ejectionTime,
+                    readerAbsenceTimeout,
+                    permitRetention,
+                    startTimeout,
+                    enabledSafeguards);
         }
     }
 
     /** A gateway that carries nothing yet. */
     public Dispatcher(
-            final Setup setup,
-            final Seals seals,
-            final Facts facts,
-            final Supplier<Stamp> stamps,
-            final RandomGenerator luck) {
-        this.setup = setup;
-        this.seals = seals;
-        this.facts = facts;
-        this.stamps = stamps;
-        this.luck = luck;
-        this.court = WeightedScorers.full(setup.word(), setup.guards());
-        this.last = WeightedScorers.last(setup.word(), setup.guards());
-        this.slab = new Slab<>(setup.slab());
-        this.budget = new Budget(setup.tries(), 1);
+            final Settings settings,
+            final PermitSigner signer,
+            final ClusterSnapshot clusterSnapshot,
+            final Supplier<Stamp> timestamps,
+            final RandomGenerator random) {
+        this.settings = settings;
+        this.signer = signer;
+        this.clusterSnapshot = clusterSnapshot;
+        this.timestamps = timestamps;
+        this.random = random;
+        this.scorers = WeightedScorers.allScorers(settings.maxReportAge(), settings.safeguards());
+        this.constraints = WeightedScorers.constraints(settings.maxReportAge(), settings.safeguards());
+        this.requests = new Slab<>(settings.maxOpenRequests());
+        this.retryBudget = new RetryBudget(settings.retryRatio(), 1);
     }
 
     /** Takes what the gateway knows now. */
-    public void facts(final Facts next, final long now) {
-        if (next.me().incarnation() != facts.me().incarnation()) {
-            flows.values()
-                    .forEach(f -> List.copyOf(f.queue).forEach(t -> reject(t, 503, "the carrier joined anew", SECOND)));
+    public void clusterSnapshot(final ClusterSnapshot next, final long now) {
+        if (next.self().incarnation() != clusterSnapshot.self().incarnation()) {
+            queues.values()
+                    .forEach(queue -> List.copyOf(queue.requests)
+                            .forEach(request -> reject(request, 503, "the carrier joined anew", SECOND)));
         }
-        if (next.workers() != facts.workers()) {
+        if (next.workers() != clusterSnapshot.workers()) {
             next.workers()
-                    .forEach((id, h) -> hands.computeIfAbsent(
-                                    id, k -> new Hand(h.worker().incarnation()))
-                            .see(h, now));
+                    .forEach((workerId, report) -> workerUsage
+                            .computeIfAbsent(
+                                    workerId,
+                                    k -> new WorkerUsage(report.worker().incarnation()))
+                            .observe(report, now));
         }
-        hands.keySet().removeIf(id -> !next.workers().containsKey(id) && hands.get(id).mine == 0);
-        final boolean turned = next.page() != facts.page();
-        facts = next;
-        if (turned && up(Safeguard.KEPT)) {
-            follow(now);
+        workerUsage
+                .keySet()
+                .removeIf(workerId -> !next.workers().containsKey(workerId) && workerUsage.get(workerId).inFlight == 0);
+        final boolean revisionChanged = next.revision() != clusterSnapshot.revision();
+        clusterSnapshot = next;
+        if (revisionChanged && isEnabled(Safeguard.KEPT)) {
+            dropNoLongerAllowed(now);
         }
-        pump(now);
+        dispatchQueued(now);
     }
 
     /** What is queued, runs or is kept of a tenant follows its homes, its key and its being there. */
-    private void follow(final long now) {
-        for (final long place : List.copyOf(open.values())) {
-            slab.get(place).ifPresent(t -> {
-                final Optional<Value.Tenant> who = same(t);
-                final boolean mine = who.map(this::home).orElse(false);
-                final boolean yours = mine
-                        && (t.worker.isEmpty()
-                                || !t.held
-                                || Optional.ofNullable(facts.workers().get(t.worker))
-                                        .map(h -> who.get().homeRegions().isEmpty()
-                                                || who.get()
-                                                        .homeRegions()
-                                                        .contains(h.worker().region()))
+    private void dropNoLongerAllowed(final long now) {
+        for (final long handle : List.copyOf(openRequests.values())) {
+            requests.get(handle).ifPresent(request -> {
+                final Optional<Value.Tenant> tenant = currentTenant(request);
+                final boolean isServedHere = tenant.map(this::servesTenant).orElse(false);
+                final boolean mayRunOn = isServedHere
+                        && (request.worker.isEmpty()
+                                || !request.holdsWorkerSlot
+                                || Optional.ofNullable(clusterSnapshot.workers().get(request.worker))
+                                        .map(report ->
+                                                tenant.get().homeRegions().isEmpty()
+                                                        || tenant.get()
+                                                                .homeRegions()
+                                                                .contains(report.worker()
+                                                                        .region()))
                                         .orElse(true));
-                if (!yours) {
+                if (!mayRunOn) {
                     count("homeless");
                     revoke(
-                            t,
-                            mine
+                            request,
+                            isServedHere
                                     ? "the worker is no longer in the tenant's homes"
                                     : "the tenant may not be carried here any more",
                             now);
                 }
             });
         }
-        ended.stream()
-                .filter(e -> !same(e.ticket()).map(this::home).orElse(false))
+        endedRequests.stream()
+                .filter(ended ->
+                        !currentTenant(ended.request()).map(this::servesTenant).orElse(false))
                 .toList()
-                .forEach(e -> {
-                    ended.remove(e);
-                    drop(e.ticket());
+                .forEach(ended -> {
+                    endedRequests.remove(ended);
+                    discard(ended.request());
                     count("dropped");
                 });
     }
 
-    private Optional<Value.Tenant> same(final Ticket t) {
-        return facts.tenant(t.permit.tenant()).filter(w -> w.keyHash().equals(t.tenant.keyHash()));
+    private Optional<Value.Tenant> currentTenant(final DispatchedRequest request) {
+        return clusterSnapshot
+                .tenant(request.permit.tenant())
+                .filter(w -> w.keyHash().equals(request.tenant.keyHash()));
     }
 
-    private void revoke(final Ticket t, final String why, final long now) {
-        switch (t.state) {
-            case "queued" -> reject(t, 503, why, SECOND);
+    private void revoke(final DispatchedRequest request, final String reason, final long now) {
+        switch (request.state) {
+            case "queued" -> reject(request, 503, reason, SECOND);
             case "claiming" -> {
-                release(t);
-                t.claimed = true;
-                reject(t, 503, why, SECOND);
+                releaseWorkerSlot(request);
+                request.mayHoldClaim = true;
+                reject(request, 503, reason, SECOND);
             }
             case "asking", "running" -> {
-                out.add(new Act.Cut(t.job));
-                lose(t, why, now);
+                effects.add(new DispatchEffect.CancelAttempt(request.operationId));
+                lose(request, reason, now);
             }
             default -> {}
         }
     }
 
     /** Whether tickets are taken, or why not. */
-    public Optional<String> unready(final long now) {
+    public Optional<String> unreadyReason(final long now) {
         if (closing) {
             return Optional.of("stopping");
         }
-        return sure(now) ? Optional.empty() : Optional.of("the table held here is not confirmed");
+        return isConfirmed(now) ? Optional.empty() : Optional.of("the table held here is not confirmed");
     }
 
     /** No new ticket is taken from now on. */
-    public void close() {
+    public void stopAccepting() {
         closing = true;
     }
 
     /** How many tickets are under way. */
-    public int open() {
-        return open.size();
+    public int openRequests() {
+        return openRequests.size();
     }
 
     /** Counts by name. */
-    public Map<String, Long> tally() {
-        return Map.copyOf(tally);
+    public Map<String, Long> counters() {
+        return Map.copyOf(counters);
     }
 
     /** The stories of tickets. */
-    public TraceLog tales() {
-        return tales;
+    public TraceLog traces() {
+        return traces;
     }
 
     /** What is to be done; it is handed over once. */
-    public List<Act> drain() {
-        final List<Act> list = List.copyOf(out);
-        out.clear();
+    public List<DispatchEffect> drainEffects() {
+        final List<DispatchEffect> list = List.copyOf(effects);
+        effects.clear();
         return list;
     }
 
     /** A consumer asks where to go. */
-    public void pick(final Order o, final long token, final long now) {
+    public void requestPlacement(final PlacementRequest placement, final long callId, final long now) {
         count("picks");
-        final Optional<Value.Tenant> who = facts.tenant(o.tenant());
-        if (who.isEmpty() || !Seals.same(Seals.hash(o.secret()), who.get().keyHash())) {
-            final Optional<String> why = unready(now);
-            no(
-                    token,
-                    why.isPresent() ? 503 : 401,
+        final Optional<Value.Tenant> tenant = clusterSnapshot.tenant(placement.tenant());
+        if (tenant.isEmpty()
+                || !PermitSigner.constantTimeEquals(
+                        PermitSigner.sha256Hex(placement.secret()), tenant.get().keyHash())) {
+            final Optional<String> reason = unreadyReason(now);
+            sendRejection(
+                    callId,
+                    reason.isPresent() ? 503 : 401,
                     "",
-                    why.orElse("the tenant or its key is not known"),
-                    why.isPresent() ? SECOND : 0,
+                    reason.orElse("the tenant or its key is not known"),
+                    reason.isPresent() ? SECOND : 0,
                     "");
             return;
         }
-        final List<String> homes = who.get().homeRegions();
-        final Set<String> empty = facts.empty();
-        final boolean home = home(who.get());
-        if (!home || emptied() || unready(now).isPresent()) {
-            point(token, homes, empty, home, now);
+        final List<String> homes = tenant.get().homeRegions();
+        final Set<String> evacuatingZones = clusterSnapshot.evacuatingZones();
+        final boolean isServedHere = servesTenant(tenant.get());
+        if (!isServedHere || isZoneEvacuating() || unreadyReason(now).isPresent()) {
+            redirect(callId, homes, evacuatingZones, isServedHere, now);
             return;
         }
-        final Optional<Value.Row> row = facts.row(o.tenant(), o.kind());
+        final Optional<Value.Row> row = clusterSnapshot.row(placement.tenant(), placement.kind());
         if (row.isEmpty()) {
-            no(token, 422, "", "$.kind: no kind " + o.kind(), 0, "");
+            sendRejection(callId, 422, "", "$.kind: no kind " + placement.kind(), 0, "");
             return;
         }
-        if (row.get().atMostOnce() && o.key().isEmpty()) {
-            no(token, 422, "", "$.key: kind " + o.kind() + " runs once only and needs a key", 0, "");
+        if (row.get().atMostOnce() && placement.idempotencyKey().isEmpty()) {
+            sendRejection(
+                    callId, 422, "", "$.key: kind " + placement.kind() + " runs once only and needs a key", 0, "");
             return;
         }
-        final Flow flow = flow(o.tenant(), o.kind());
-        final int peers = peers(who.get());
-        if (!flow.take(
-                row.get().requestsPerSecond() / peers, Math.max(1, row.get().burstRequests() / peers), now)) {
-            no(token, 429, "", "over the rate of " + row.get().requestsPerSecond() + " a second", SECOND, "");
+        final RequestQueue queue = queueOf(placement.tenant(), placement.kind());
+        final int gatewayCount = gatewayCount(tenant.get());
+        if (!queue.tryAcquireRateToken(
+                row.get().requestsPerSecond() / gatewayCount,
+                Math.max(1, row.get().burstRequests() / gatewayCount),
+                now)) {
+            sendRejection(
+                    callId, 429, "", "over the rate of " + row.get().requestsPerSecond() + " a second", SECOND, "");
             return;
         }
-        if (o.tries() > 0 && !budget.take(now) && up(Safeguard.TRIES)) {
-            no(token, 429, "", "too many tickets are tried again", 2 * SECOND, "");
+        if (placement.previousAttempts() > 0 && !retryBudget.tryAcquire(now) && isEnabled(Safeguard.TRIES)) {
+            sendRejection(callId, 429, "", "too many tickets are tried again", 2 * SECOND, "");
             return;
         }
-        final String ticket = facts.me().id() + "-" + Long.toString(facts.me().incarnation(), 36) + "-"
-                + Long.toString(++serial, 36) + Long.toString(luck.nextLong() >>> 20, 36);
-        final Case plea = plea(ticket, who.get(), row.get(), salted(who.get(), o.prefix()));
-        final long stampOf = stamps.get().bits();
-        final WeightedScorers.Ruling ruling = judged(plea, sights(now), stampOf);
-        if (ruling instanceof WeightedScorers.Ruling.Barred) {
-            tales.put(new TraceLog.Tale(
-                    ticket,
-                    o.tenant(),
-                    o.kind(),
+        final String requestId = clusterSnapshot.self().id() + "-"
+                + Long.toString(clusterSnapshot.self().incarnation(), 36) + "-" + Long.toString(++requestSerial, 36)
+                + Long.toString(random.nextLong() >>> 20, 36);
+        final PlacementContext context = placementContext(
+                requestId, tenant.get(), row.get(), saltedDigests(tenant.get(), placement.prefixDigests()));
+        final long timestampBits = timestamps.get().bits();
+        final WeightedScorers.Decision decision = decide(context, placementInputs(now), timestampBits);
+        if (decision instanceof WeightedScorers.Decision.NoneAllowed) {
+            traces.put(new TraceLog.RequestTrace(
+                    requestId,
+                    placement.tenant(),
+                    placement.kind(),
                     "",
-                    facts.page(),
-                    stampOf,
+                    clusterSnapshot.revision(),
+                    timestampBits,
                     "rejected",
                     "no worker is allowed",
                     0,
-                    ruling.opinions()));
-            no(token, 503, ticket, "no worker is allowed", SECOND, "");
+                    decision.scores()));
+            sendRejection(callId, 503, requestId, "no worker is allowed", SECOND, "");
             return;
         }
-        final String worker = ruling instanceof WeightedScorers.Ruling.Picked p
-                ? p.worker().worker().id()
+        final String worker = decision instanceof WeightedScorers.Decision.Selected selected
+                ? selected.candidate().worker().id()
                 : "";
-        final Stamp stamp = new Stamp(stampOf);
+        final Stamp timestamp = new Stamp(timestampBits);
         final Permit permit = new Permit(
-                ticket,
-                o.tenant(),
-                o.kind(),
+                requestId,
+                placement.tenant(),
+                placement.kind(),
                 worker,
-                facts.me().id(),
-                facts.me().incarnation(),
-                facts.page(),
-                stamp,
-                now + setup.permit(),
-                o.key());
-        tales.put(new TraceLog.Tale(
-                ticket, o.tenant(), o.kind(), worker, facts.page(), stamp.bits(), "picked", "", 0, ruling.opinions()));
-        out.add(new Act.Picked(
-                token, ticket, facts.me().httpAddress(), seals.write(permit), worker, facts.page(), stamp.bits()));
+                clusterSnapshot.self().id(),
+                clusterSnapshot.self().incarnation(),
+                clusterSnapshot.revision(),
+                timestamp,
+                now + settings.permitLifetime(),
+                placement.idempotencyKey());
+        traces.put(new TraceLog.RequestTrace(
+                requestId,
+                placement.tenant(),
+                placement.kind(),
+                worker,
+                clusterSnapshot.revision(),
+                timestamp.bits(),
+                "picked",
+                "",
+                0,
+                decision.scores()));
+        effects.add(new DispatchEffect.Placed(
+                callId,
+                requestId,
+                clusterSnapshot.self().httpAddress(),
+                signer.sign(permit),
+                worker,
+                clusterSnapshot.revision(),
+                timestamp.bits()));
     }
 
     /** A consumer hands over its ticket. */
-    public void ticket(final Load l, final long token, final long now) {
+    public void submit(final SubmittedRequest submitted, final long callId, final long now) {
         count("tickets");
-        final Optional<Permit> read = seals.read(l.permit());
-        if (read.isEmpty()) {
-            no(token, 403, "", "the permit bears no seal of ours", 0, "");
+        final Optional<Permit> verified = signer.verify(submitted.permit());
+        if (verified.isEmpty()) {
+            sendRejection(callId, 403, "", "the permit bears no seal of ours", 0, "");
             return;
         }
-        final Permit p = read.get();
-        final Optional<Value.Tenant> who = facts.tenant(p.tenant());
-        if (who.map(w -> !Seals.same(w.keyHash(), Seals.hash(l.secret()))).orElse(true)) {
-            no(token, 401, "", "the tenant or its key is not known", 0, "");
+        final Permit permit = verified.get();
+        final Optional<Value.Tenant> tenant = clusterSnapshot.tenant(permit.tenant());
+        if (tenant.map(w -> !PermitSigner.constantTimeEquals(w.keyHash(), PermitSigner.sha256Hex(submitted.secret())))
+                .orElse(true)) {
+            sendRejection(callId, 401, "", "the tenant or its key is not known", 0, "");
             return;
         }
-        if (spent.containsKey(p.ticket()) && up(Safeguard.SPENT)) {
-            no(token, 409, p.ticket(), "the ticket was handed over before", 0, "");
+        if (spentPermits.containsKey(permit.requestId()) && isEnabled(Safeguard.SPENT)) {
+            sendRejection(callId, 409, permit.requestId(), "the ticket was handed over before", 0, "");
             return;
         }
-        if (!p.carrier().equals(facts.me().id())
-                || up(Safeguard.LIFE) && (p.life() != facts.me().incarnation() || now - p.expiry() > setup.memory())) {
-            no(
-                    token,
+        if (!permit.gateway().equals(clusterSnapshot.self().id())
+                || isEnabled(Safeguard.LIFE)
+                        && (permit.incarnation() != clusterSnapshot.self().incarnation()
+                                || now - permit.expiry() > settings.permitRetention())) {
+            sendRejection(
+                    callId,
                     410,
-                    p.ticket(),
+                    permit.requestId(),
                     "the permit is of another time; whether its ticket ran is not known here",
                     0,
                     "");
             return;
         }
-        if (now >= p.expiry() && up(Safeguard.LIFE)) {
-            no(token, 503, p.ticket(), "the permit is stale", SECOND / 2, "");
+        if (now >= permit.expiry() && isEnabled(Safeguard.LIFE)) {
+            sendRejection(callId, 503, permit.requestId(), "the permit is stale", SECOND / 2, "");
             return;
         }
-        spent.put(p.ticket(), p.expiry());
-        final Optional<String> why = unready(now);
-        if (why.isPresent()) {
-            over(token, p.ticket(), 503, why.get());
+        spentPermits.put(permit.requestId(), permit.expiry());
+        final Optional<String> reason = unreadyReason(now);
+        if (reason.isPresent()) {
+            rejectSubmission(callId, permit.requestId(), 503, reason.get());
             return;
         }
-        final Optional<Value.Row> row = facts.row(p.tenant(), p.kind());
+        final Optional<Value.Row> row = clusterSnapshot.row(permit.tenant(), permit.kind());
         if (row.isEmpty()) {
-            over(token, p.ticket(), 422, "no kind " + p.kind() + " any more");
+            rejectSubmission(callId, permit.requestId(), 422, "no kind " + permit.kind() + " any more");
             return;
         }
-        if (keyless(row.get(), p)) {
-            over(token, p.ticket(), 422, "kind " + p.kind() + " runs once only by now and needs a key");
+        if (lacksRequiredKey(row.get(), permit)) {
+            rejectSubmission(
+                    callId,
+                    permit.requestId(),
+                    422,
+                    "kind " + permit.kind() + " runs once only by now and needs a key");
             return;
         }
-        final boolean home = home(who.get());
-        if (!home || emptied()) {
-            over(token, p.ticket(), 503, home ? "this zone is being emptied" : "this region is no home");
+        final boolean isServedHere = servesTenant(tenant.get());
+        if (!isServedHere || isZoneEvacuating()) {
+            rejectSubmission(
+                    callId,
+                    permit.requestId(),
+                    503,
+                    isServedHere ? "this zone is being emptied" : "this region is no home");
             return;
         }
-        final Flow flow = flow(p.tenant(), p.kind());
-        if (flow.queue.size() >= Math.max(1, row.get().maxQueued() / peers(who.get())) || !room(row.get())) {
-            over(token, p.ticket(), 429, "the queue is full");
+        final RequestQueue queue = queueOf(permit.tenant(), permit.kind());
+        if (queue.requests.size() >= Math.max(1, row.get().maxQueued() / gatewayCount(tenant.get()))
+                || !makeRoom(row.get())) {
+            rejectSubmission(callId, permit.requestId(), 429, "the queue is full");
             return;
         }
-        final Ticket t = new Ticket(
-                p,
-                who.get(),
+        final DispatchedRequest request = new DispatchedRequest(
+                permit,
+                tenant.get(),
                 row.get(),
-                salted(who.get(), l.prefix()),
-                l.prompt(),
-                now + l.span(),
-                now + Math.min(row.get().timeoutMicros(), l.span()),
-                token,
-                chart.initialState());
-        final Optional<Long> place = slab.put(t);
-        if (place.isEmpty()) {
-            over(token, p.ticket(), 503, "the slab is full");
+                saltedDigests(tenant.get(), submitted.prefixDigests()),
+                submitted.prompt(),
+                now + submitted.timeout(),
+                now + Math.min(row.get().timeoutMicros(), submitted.timeout()),
+                callId,
+                transitions.initialState());
+        final Optional<Long> handle = requests.insert(request);
+        if (handle.isEmpty()) {
+            rejectSubmission(callId, permit.requestId(), 503, "the slab is full");
             return;
         }
-        t.place = place.get();
-        open.put(p.ticket(), t.place);
-        readers.put(token, t.place);
-        move(t, "queue");
-        join(flow, t, false);
-        final boolean stale = p.page() < facts.page()
-                || facts.workers().containsKey(p.worker())
-                        && facts.drained(
-                                facts.workers().get(p.worker()).worker().zone(), p.stamp());
+        request.handle = handle.get();
+        openRequests.put(permit.requestId(), request.handle);
+        readers.put(callId, request.handle);
+        transition(request, "queue");
+        enqueue(queue, request, false);
+        final boolean stale = permit.revision() < clusterSnapshot.revision()
+                || clusterSnapshot.workers().containsKey(permit.worker())
+                        && clusterSnapshot.isPlacedBeforeEvacuation(
+                                clusterSnapshot
+                                        .workers()
+                                        .get(permit.worker())
+                                        .worker()
+                                        .zone(),
+                                permit.timestamp());
         if (stale) {
             count("stale");
         }
-        t.want = stale ? Optional.empty() : Optional.of(p.worker()).filter(w -> !w.isEmpty());
-        pump(now);
+        request.preferredWorker =
+                stale ? Optional.empty() : Optional.of(permit.worker()).filter(w -> !w.isEmpty());
+        dispatchQueued(now);
     }
 
     /** A consumer comes back to a ticket's stream, from a piece on. */
-    public void attach(final String ticket, final String secret, final long from, final long token, final long now) {
-        final Optional<Ticket> found = Optional.ofNullable(open.get(ticket))
-                .flatMap(slab::get)
-                .or(() -> ended.stream()
-                        .map(Ended::ticket)
-                        .filter(t -> t.permit.ticket().equals(ticket))
+    public void attach(
+            final String requestId, final String secret, final long firstRecord, final long callId, final long now) {
+        final Optional<DispatchedRequest> found = Optional.ofNullable(openRequests.get(requestId))
+                .flatMap(requests::get)
+                .or(() -> endedRequests.stream()
+                        .map(EndedRequest::request)
+                        .filter(request -> request.permit.requestId().equals(requestId))
                         .findFirst())
-                .filter(t -> Seals.same(t.tenant.keyHash(), Seals.hash(secret)))
-                .filter(t -> same(t).map(this::home).orElse(false) || !up(Safeguard.KEPT));
-        if (found.isEmpty() || from < 0 || from > found.get().lines.size()) {
-            no(token, 404, "", "no such ticket or piece", 0, "");
+                .filter(request ->
+                        PermitSigner.constantTimeEquals(request.tenant.keyHash(), PermitSigner.sha256Hex(secret)))
+                .filter(request ->
+                        currentTenant(request).map(this::servesTenant).orElse(false) || !isEnabled(Safeguard.KEPT));
+        if (found.isEmpty()
+                || firstRecord < 0
+                || firstRecord > found.get().records.size()) {
+            sendRejection(callId, 404, "", "no such ticket or piece", 0, "");
             return;
         }
-        if (!sure(now) && up(Safeguard.KEPT)) {
-            no(token, 425, ticket, "the table held here is not confirmed; read again a little later", SECOND, "");
+        if (!isConfirmed(now) && isEnabled(Safeguard.KEPT)) {
+            sendRejection(
+                    callId,
+                    425,
+                    requestId,
+                    "the table held here is not confirmed; read again a little later",
+                    SECOND,
+                    "");
             return;
         }
-        final Ticket t = found.get();
-        if (t.state.equals("rejected")) {
-            no(token, 503, ticket, t.why, SECOND, "");
+        final DispatchedRequest request = found.get();
+        if (request.state.equals("rejected")) {
+            sendRejection(callId, 503, requestId, request.reason, SECOND, "");
             return;
         }
-        t.reader.filter(r -> r != token).ifPresent(r -> {
-            readers.remove(r);
-            out.add(new Act.Flow(r, List.of(), true));
+        request.readerCallId.filter(previousReader -> previousReader != callId).ifPresent(previousReader -> {
+            readers.remove(previousReader);
+            effects.add(new DispatchEffect.StreamWrite(previousReader, List.of(), true));
         });
-        t.reader = Optional.of(token);
-        t.left = Optional.empty();
-        t.sent = (int) from;
-        t.hungry = true;
-        readers.put(token, t.place);
-        feed(t);
+        request.readerCallId = Optional.of(callId);
+        request.readerLeftAt = Optional.empty();
+        request.recordsSent = (int) firstRecord;
+        request.readerReady = true;
+        readers.put(callId, request.handle);
+        writeToReader(request);
     }
 
     /** The consumer's side can take more. */
-    public void hungry(final long token) {
-        Optional.ofNullable(readers.get(token))
-                .flatMap(slab::get)
-                .filter(t -> t.reader.map(r -> r == token).orElse(false))
-                .ifPresent(t -> {
-                    t.hungry = true;
-                    feed(t);
+    public void readerReady(final long callId) {
+        Optional.ofNullable(readers.get(callId))
+                .flatMap(requests::get)
+                .filter(request -> request.readerCallId.map(r -> r == callId).orElse(false))
+                .ifPresent(request -> {
+                    request.readerReady = true;
+                    writeToReader(request);
                 });
     }
 
     /** The consumer's connection went away. */
-    public void left(final long token, final long now) {
-        Optional.ofNullable(readers.remove(token))
-                .flatMap(slab::get)
-                .filter(t -> t.reader.map(r -> r == token).orElse(false))
-                .ifPresent(t -> {
-                    t.reader = Optional.empty();
-                    t.left = Optional.of(now);
-                    if (t.state.equals("queued")) {
-                        reject(t, 503, "the consumer went away", 0);
+    public void readerDisconnected(final long callId, final long now) {
+        Optional.ofNullable(readers.remove(callId))
+                .flatMap(requests::get)
+                .filter(request -> request.readerCallId.map(r -> r == callId).orElse(false))
+                .ifPresent(request -> {
+                    request.readerCallId = Optional.empty();
+                    request.readerLeftAt = Optional.of(now);
+                    if (request.state.equals("queued")) {
+                        reject(request, 503, "the consumer went away", 0);
                     }
                 });
     }
 
     /** A verdict of the chain on a job's wish. */
-    public void verdict(final long id, final CommandResult v, final long now) {
-        job(id).filter(t -> t.state.equals("claiming")).ifPresent(t -> {
-            switch (v) {
-                case CommandResult.Applied k -> {
-                    t.claimed = true;
-                    ask(t, now);
-                }
-                case CommandResult.AlreadyClaimed s -> {
-                    release(t);
-                    if (s.claim().state().equals("rejected")) {
-                        reject(t, 503, "the key was claimed by a ticket that was rejected", SECOND / 2);
-                        return;
+    public void claimDecided(final long operationId, final CommandResult result, final long now) {
+        operation(operationId)
+                .filter(request -> request.state.equals("claiming"))
+                .ifPresent(request -> {
+                    switch (result) {
+                        case CommandResult.Applied applied -> {
+                            request.mayHoldClaim = true;
+                            startAttempt(request, now);
+                        }
+                        case CommandResult.AlreadyClaimed taken -> {
+                            releaseWorkerSlot(request);
+                            if (taken.claim().state().equals("rejected")) {
+                                reject(request, 503, "the key was claimed by a ticket that was rejected", SECOND / 2);
+                                return;
+                            }
+                            request.reason = "the key is taken";
+                            finish(request, "reject");
+                            sendRejection(
+                                    request,
+                                    409,
+                                    "the key is taken",
+                                    0,
+                                    taken.claim().state() + " at "
+                                            + taken.claim().gatewayId() + " as "
+                                            + taken.claim().requestId());
+                        }
+                        case CommandResult.Rejected rejected -> {
+                            releaseWorkerSlot(request);
+                            reject(
+                                    request,
+                                    rejected.code() == 507 ? 507 : 503,
+                                    String.join("; ", rejected.faults()),
+                                    SECOND);
+                        }
+                        case CommandResult.Unknown unknown -> {
+                            request.mayHoldClaim = true;
+                            releaseWorkerSlot(request);
+                            reject(request, 503, "the claim could not be confirmed in time", SECOND);
+                        }
                     }
-                    t.why = "the key is taken";
-                    finish(t, "reject");
-                    no(
-                            t,
-                            409,
-                            "the key is taken",
-                            0,
-                            s.claim().state() + " at " + s.claim().gatewayId() + " as "
-                                    + s.claim().requestId());
-                }
-                case CommandResult.Rejected r -> {
-                    release(t);
-                    reject(t, r.code() == 507 ? 507 : 503, String.join("; ", r.faults()), SECOND);
-                }
-                case CommandResult.Unknown u -> {
-                    t.claimed = true;
-                    release(t);
-                    reject(t, 503, "the claim could not be confirmed in time", SECOND);
-                }
-            }
-        });
-        pump(now);
+                });
+        dispatchQueued(now);
     }
 
     /** The worker said that it starts. */
-    public void begun(final long id) {
-        job(id).filter(t -> t.state.equals("asking")).ifPresent(t -> move(t, "start"));
+    public void attemptStarted(final long operationId) {
+        operation(operationId)
+                .filter(request -> request.state.equals("asking"))
+                .ifPresent(request -> transition(request, "start"));
     }
 
     /** The worker sent a line. */
-    public void line(final long id, final Line line, final long now) {
-        job(id).ifPresent(t -> {
-            if (t.state.equals("asking")) {
-                move(t, "start");
+    public void recordReceived(final long operationId, final StreamRecord received, final long now) {
+        operation(operationId).ifPresent(request -> {
+            if (request.state.equals("asking")) {
+                transition(request, "start");
             }
-            final Optional<String> fault = fault(t, line);
-            if (fault.isPresent()) {
-                out.add(new Act.Log(Event.WORKER_BROKE, t.worker + " ticket " + t.permit.ticket() + " " + fault.get()));
-                out.add(new Act.Cut(id));
-                lose(t, "the worker broke the stream: " + fault.get(), now);
+            final Optional<String> violation = protocolViolation(request, received);
+            if (violation.isPresent()) {
+                effects.add(new DispatchEffect.Log(
+                        Event.WORKER_BROKE,
+                        request.worker + " ticket " + request.permit.requestId() + " " + violation.get()));
+                effects.add(new DispatchEffect.CancelAttempt(operationId));
+                lose(request, "the worker broke the stream: " + violation.get(), now);
                 return;
             }
-            t.lines.add(line);
-            if (line instanceof Line.Piece p) {
-                final byte[] bytes = p.text().getBytes(java.nio.charset.StandardCharsets.UTF_8);
-                t.sum.update(bytes);
-                t.bytes += bytes.length;
-                if (t.bytes > setup.buffer()) {
-                    out.add(new Act.Cut(id));
-                    lose(t, "the reply is larger than the buffer", now);
+            request.records.add(received);
+            if (received instanceof StreamRecord.Chunk chunk) {
+                final byte[] bytes = chunk.text().getBytes(java.nio.charset.StandardCharsets.UTF_8);
+                request.responseDigest.update(bytes);
+                request.responseBytes += bytes.length;
+                if (request.responseBytes > settings.maxResponseBytes()) {
+                    effects.add(new DispatchEffect.CancelAttempt(operationId));
+                    lose(request, "the reply is larger than the buffer", now);
                     return;
                 }
-                feed(t);
+                writeToReader(request);
             } else {
-                release(t);
-                finish(t, "seal");
-                feed(t);
-                pump(now);
+                releaseWorkerSlot(request);
+                finish(request, "seal");
+                writeToReader(request);
+                dispatchQueued(now);
             }
         });
     }
 
     /** The exchange with the worker ended without a seal; started is false only where it provably did not begin. */
-    public void failed(final long id, final boolean started, final String why, final long now) {
-        job(id).ifPresent(t -> {
-            if ((started || t.state.equals("running")) && up(Safeguard.BEGUN)) {
-                lose(t, why, now);
+    public void attemptFailed(final long operationId, final boolean started, final String reason, final long now) {
+        operation(operationId).ifPresent(request -> {
+            if ((started || request.state.equals("running")) && isEnabled(Safeguard.BEGUN)) {
+                lose(request, reason, now);
                 return;
             }
-            if (t.state.equals("running")) {
-                t.state = "asking";
+            if (request.state.equals("running")) {
+                request.state = "asking";
             }
-            shun(t.worker, now);
-            release(t);
-            if (now < t.hold && t.tries < 2 && (budget.take(now) || !up(Safeguard.TRIES))) {
+            eject(request.worker, now);
+            releaseWorkerSlot(request);
+            if (now < request.queueDeadline
+                    && request.attempts < 2
+                    && (retryBudget.tryAcquire(now) || !isEnabled(Safeguard.TRIES))) {
                 count("again");
-                move(t, "again");
-                t.want = Optional.empty();
-                join(flow(t.permit.tenant(), t.permit.kind()), t, true);
+                transition(request, "again");
+                request.preferredWorker = Optional.empty();
+                enqueue(queueOf(request.permit.tenant(), request.permit.kind()), request, true);
             } else {
-                reject(t, 503, "the worker did not take it: " + why, SECOND);
+                reject(request, 503, "the worker did not take it: " + reason, SECOND);
             }
-            pump(now);
+            dispatchQueued(now);
         });
     }
 
     /** A clock event. */
     public void tick(final long now) {
-        time = now;
-        for (final var all = spent.entrySet().iterator(); all.hasNext(); ) {
-            final Map.Entry<String, Long> e = all.next();
-            if (now - e.getValue() <= 3 * setup.memory()) {
+        lastTick = now;
+        for (final var iterator = spentPermits.entrySet().iterator(); iterator.hasNext(); ) {
+            final Map.Entry<String, Long> entry = iterator.next();
+            if (now - entry.getValue() <= 3 * settings.permitRetention()) {
                 break;
             }
-            if (!open.containsKey(e.getKey())) {
-                all.remove();
+            if (!openRequests.containsKey(entry.getKey())) {
+                iterator.remove();
             }
         }
-        while (!ended.isEmpty() && (ended.peek().at() + setup.keep() < now || ended.size() > setup.slab())) {
-            drop(ended.poll().ticket());
+        while (!endedRequests.isEmpty()
+                && (endedRequests.peek().endedAt() + settings.endedRetention() < now
+                        || endedRequests.size() > settings.maxOpenRequests())) {
+            discard(endedRequests.poll().request());
         }
-        for (final Flow f : List.copyOf(waiting.values())) {
-            for (final Ticket t : List.copyOf(f.queue)) {
-                if (now >= t.hold) {
-                    reject(t, 503, "no room came in time", SECOND);
+        for (final RequestQueue queue : List.copyOf(nonEmptyQueues.values())) {
+            for (final DispatchedRequest request : List.copyOf(queue.requests)) {
+                if (now >= request.queueDeadline) {
+                    reject(request, 503, "no room came in time", SECOND);
                 }
             }
         }
-        for (final long place : List.copyOf(open.values())) {
-            slab.get(place)
-                    .filter(t -> t.state.equals("running") || t.state.equals("asking"))
-                    .ifPresent(t -> {
-                        final boolean alone =
-                                t.left.map(at -> now - at > setup.patience()).orElse(false);
-                        final boolean mute = t.state.equals("asking") && now - t.asked > setup.start();
-                        if (now >= t.expiry || alone || mute) {
-                            out.add(new Act.Cut(t.job));
+        for (final long handle : List.copyOf(openRequests.values())) {
+            requests.get(handle)
+                    .filter(request -> request.state.equals("running") || request.state.equals("asking"))
+                    .ifPresent(request -> {
+                        final boolean isAbandoned = request.readerLeftAt
+                                .map(at -> now - at > settings.readerAbsenceTimeout())
+                                .orElse(false);
+                        final boolean isSilent = request.state.equals("asking")
+                                && now - request.attemptStartedAt > settings.startTimeout();
+                        if (now >= request.deadline || isAbandoned || isSilent) {
+                            effects.add(new DispatchEffect.CancelAttempt(request.operationId));
                             lose(
-                                    t,
-                                    alone
+                                    request,
+                                    isAbandoned
                                             ? "the consumer went away"
-                                            : mute ? "the worker gave no sign of a start in time" : "the expiry passed",
+                                            : isSilent
+                                                    ? "the worker gave no sign of a start in time"
+                                                    : "the expiry passed",
                                     now);
                         }
                     });
         }
-        if (now - swept >= SECOND) {
-            swept = now;
-            if (flows.values().removeIf(f -> f.idle(now))) {
-                shares.keySet()
-                        .retainAll(flows.values().stream()
-                                .map(f -> f.tenant)
+        if (now - lastSweep >= SECOND) {
+            lastSweep = now;
+            if (queues.values().removeIf(queue -> queue.isIdle(now))) {
+                tenantShares
+                        .keySet()
+                        .retainAll(queues.values().stream()
+                                .map(queue -> queue.tenant)
                                 .collect(java.util.stream.Collectors.toSet()));
             }
         }
-        pump(now);
+        dispatchQueued(now);
     }
 
     /** Ends all that is under way, as a process does at the end of its grace. */
-    public void end(final long now) {
-        flows.values().forEach(f -> List.copyOf(f.queue).forEach(t -> reject(t, 503, "stopping", SECOND)));
-        for (final long place : List.copyOf(open.values())) {
-            slab.get(place).ifPresent(t -> {
-                revoke(t, "stopping", now);
+    public void shutdown(final long now) {
+        queues.values()
+                .forEach(queue ->
+                        List.copyOf(queue.requests).forEach(request -> reject(request, 503, "stopping", SECOND)));
+        for (final long handle : List.copyOf(openRequests.values())) {
+            requests.get(handle).ifPresent(request -> {
+                revoke(request, "stopping", now);
             });
         }
     }
 
-    private Optional<Ticket> job(final long id) {
-        return Optional.ofNullable(jobs.get(id)).flatMap(slab::get).filter(t -> t.job == id);
+    private Optional<DispatchedRequest> operation(final long operationId) {
+        return Optional.ofNullable(handlesByOperation.get(operationId))
+                .flatMap(requests::get)
+                .filter(request -> request.operationId == operationId);
     }
 
-    private void point(
-            final long token, final List<String> homes, final Set<String> empty, final boolean home, final long now) {
-        final List<String> doors = new ArrayList<>(facts.crew().stream()
+    private void redirect(
+            final long callId,
+            final List<String> homes,
+            final Set<String> evacuatingZones,
+            final boolean isServedHere,
+            final long now) {
+        final List<String> endpoints = new ArrayList<>(clusterSnapshot.peers().stream()
                 .filter(Member::ready)
-                .filter(m -> m.state().equals("up") && !empty.contains(m.zone()))
+                .filter(m -> m.state().equals("up") && !evacuatingZones.contains(m.zone()))
                 .filter(m -> homes.isEmpty() || homes.contains(m.region()))
                 .map(Member::httpAddress)
                 .toList());
-        if (doors.isEmpty()) {
-            no(
-                    token,
+        if (endpoints.isEmpty()) {
+            sendRejection(
+                    callId,
                     503,
                     "",
-                    unready(now).orElse(home ? "this zone is being emptied" : "no gateway in the homes is ready"),
+                    unreadyReason(now)
+                            .orElse(isServedHere ? "this zone is being emptied" : "no gateway in the homes is ready"),
                     SECOND,
                     "");
             return;
         }
-        java.util.Collections.shuffle(doors, new java.util.Random(luck.nextLong()));
+        java.util.Collections.shuffle(endpoints, new java.util.Random(random.nextLong()));
         count("pointed");
-        out.add(new Act.Pointed(token, doors.subList(0, Math.min(3, doors.size()))));
+        effects.add(new DispatchEffect.Redirected(callId, endpoints.subList(0, Math.min(3, endpoints.size()))));
     }
 
-    private boolean up(final Safeguard guard) {
-        return setup.guards().isEnabled(guard);
+    private boolean isEnabled(final Safeguard guard) {
+        return settings.safeguards().isEnabled(guard);
     }
 
-    private boolean sure(final long now) {
-        return facts.fresh(now, setup.sure()) || !up(Safeguard.SURE);
+    private boolean isConfirmed(final long now) {
+        return clusterSnapshot.isConfirmedWithin(now, settings.maxConfirmationAge()) || !isEnabled(Safeguard.SURE);
     }
 
     /** Whether this gateway may take the tenant's tickets, as far as homes go. */
-    private boolean home(final Value.Tenant who) {
-        return who.homeRegions().isEmpty()
-                || who.homeRegions().contains(facts.me().region())
-                || !up(Safeguard.SENT);
+    private boolean servesTenant(final Value.Tenant tenant) {
+        return tenant.homeRegions().isEmpty()
+                || tenant.homeRegions().contains(clusterSnapshot.self().region())
+                || !isEnabled(Safeguard.SENT);
     }
 
-    private static boolean keyless(final Value.Row row, final Permit p) {
-        return row.atMostOnce() && p.key().isEmpty();
+    private static boolean lacksRequiredKey(final Value.Row row, final Permit permit) {
+        return row.atMostOnce() && permit.idempotencyKey().isEmpty();
     }
 
-    private boolean emptied() {
-        return facts.empty().contains(facts.me().zone()) && up(Safeguard.ZONE);
+    private boolean isZoneEvacuating() {
+        return clusterSnapshot.evacuatingZones().contains(clusterSnapshot.self().zone()) && isEnabled(Safeguard.ZONE);
     }
 
-    private void pump(final long now) {
-        if (!sure(now)) {
+    private void dispatchQueued(final long now) {
+        if (!isConfirmed(now)) {
             return;
         }
-        final Set<Flow> stuck = new java.util.HashSet<>();
+        final Set<RequestQueue> blocked = new java.util.HashSet<>();
         while (true) {
-            final Optional<Flow> next = waiting.values().stream()
-                    .filter(f -> !stuck.contains(f))
-                    .min(Comparator.comparingDouble((Flow f) -> share(f).tag)
-                            .thenComparing(f -> -f.queue.peek().row.priority())
-                            .thenComparingDouble(f -> f.tag));
+            final Optional<RequestQueue> next = nonEmptyQueues.values().stream()
+                    .filter(queue -> !blocked.contains(queue))
+                    .min(Comparator.comparingDouble((RequestQueue queue) -> shareOf(queue).virtualFinishTime)
+                            .thenComparing(queue -> -queue.requests.peek().row.priority())
+                            .thenComparingDouble(queue -> queue.lastServedVirtualTime));
             if (next.isEmpty()) {
                 return;
             }
-            final Flow f = next.get();
-            final Ticket t = f.queue.peek();
-            final Value.Row row = facts.row(t.permit.tenant(), t.permit.kind()).orElse(t.row);
-            if (f.running >= Math.max(1, (row.maxRunning() + peers(t.tenant) - 1) / peers(t.tenant))) {
-                stuck.add(f);
+            final RequestQueue queue = next.get();
+            final DispatchedRequest request = queue.requests.peek();
+            final Value.Row row = clusterSnapshot
+                    .row(request.permit.tenant(), request.permit.kind())
+                    .orElse(request.row);
+            if (queue.inFlight
+                    >= Math.max(
+                            1, (row.maxRunning() + gatewayCount(request.tenant) - 1) / gatewayCount(request.tenant))) {
+                blocked.add(queue);
                 continue;
             }
-            switch (place(t, row, now)) {
-                case WeightedScorers.Ruling.Picked p -> {
-                    quit(f, t);
-                    final Share share = share(f);
-                    clock = Math.max(clock, share.tag);
-                    share.tag = clock + t.cost() / Math.max(0.001, t.tenant.quotaShare());
-                    f.tag = clock;
-                    f.running++;
-                    t.worker = p.worker().worker().id();
-                    t.held = true;
-                    hands.get(t.worker).start(now);
-                    if (!t.permit.key().isEmpty() && !t.claimed) {
-                        claim(t);
+            switch (selectWorker(request, row, now)) {
+                case WeightedScorers.Decision.Selected selected -> {
+                    dequeue(queue, request);
+                    final TenantShare share = shareOf(queue);
+                    virtualTime = Math.max(virtualTime, share.virtualFinishTime);
+                    share.virtualFinishTime =
+                            virtualTime + request.cost() / Math.max(0.001, request.tenant.quotaShare());
+                    queue.lastServedVirtualTime = virtualTime;
+                    queue.inFlight++;
+                    request.worker = selected.candidate().worker().id();
+                    request.holdsWorkerSlot = true;
+                    workerUsage.get(request.worker).attemptStarted(now);
+                    if (!request.permit.idempotencyKey().isEmpty() && !request.mayHoldClaim) {
+                        claim(request);
                     } else {
-                        ask(t, now);
+                        startAttempt(request, now);
                     }
                 }
-                case WeightedScorers.Ruling.Full full -> stuck.add(f);
-                case WeightedScorers.Ruling.Barred barred -> reject(t, 503, "no worker is allowed", SECOND);
+                case WeightedScorers.Decision.AllBusy full -> blocked.add(queue);
+                case WeightedScorers.Decision.NoneAllowed barred ->
+                    reject(request, 503, "no worker is allowed", SECOND);
             }
         }
     }
 
-    private WeightedScorers.Ruling place(final Ticket t, final Value.Row row, final long now) {
-        final Optional<Value.Tenant> who = facts.tenant(t.permit.tenant());
-        if (who.isEmpty() || !home(who.get())) {
-            return new WeightedScorers.Ruling.Barred(List.of());
+    private WeightedScorers.Decision selectWorker(
+            final DispatchedRequest request, final Value.Row row, final long now) {
+        final Optional<Value.Tenant> tenant = clusterSnapshot.tenant(request.permit.tenant());
+        if (tenant.isEmpty() || !servesTenant(tenant.get())) {
+            return new WeightedScorers.Decision.NoneAllowed(List.of());
         }
-        final Case plea = plea(t.permit.ticket(), who.get(), row, t.prefix);
-        final List<PlacementInput> all = sights(now);
-        final Optional<PlacementInput> wanted = t.want.flatMap(
-                        w -> all.stream().filter(s -> s.worker().id().equals(w)).findFirst())
-                .filter(s -> court.stands(plea, s));
-        if (wanted.isPresent() && t.permit.page() == facts.page()) {
-            return new WeightedScorers.Ruling.Picked(wanted.get(), List.of());
+        final PlacementContext context =
+                placementContext(request.permit.requestId(), tenant.get(), row, request.prefixDigests);
+        final List<PlacementInput> candidates = placementInputs(now);
+        final Optional<PlacementInput> preferred = request.preferredWorker
+                .flatMap(w -> candidates.stream()
+                        .filter(s -> s.worker().id().equals(w))
+                        .findFirst())
+                .filter(s -> scorers.accepts(context, s));
+        if (preferred.isPresent() && request.permit.revision() == clusterSnapshot.revision()) {
+            return new WeightedScorers.Decision.Selected(preferred.get(), List.of());
         }
-        final long stamp = stamps.get().bits();
-        final WeightedScorers.Ruling ruling = judged(plea, all, stamp);
-        if (ruling instanceof WeightedScorers.Ruling.Picked p) {
-            tales.put(new TraceLog.Tale(
-                    t.permit.ticket(),
-                    t.permit.tenant(),
-                    t.permit.kind(),
-                    p.worker().worker().id(),
-                    facts.page(),
-                    stamp,
-                    t.state,
+        final long timestamp = timestamps.get().bits();
+        final WeightedScorers.Decision decision = decide(context, candidates, timestamp);
+        if (decision instanceof WeightedScorers.Decision.Selected selected) {
+            traces.put(new TraceLog.RequestTrace(
+                    request.permit.requestId(),
+                    request.permit.tenant(),
+                    request.permit.kind(),
+                    selected.candidate().worker().id(),
+                    clusterSnapshot.revision(),
+                    timestamp,
+                    request.state,
                     "",
-                    t.tries,
-                    ruling.opinions()));
+                    request.attempts,
+                    decision.scores()));
         }
-        return ruling;
+        return decision;
     }
 
-    private WeightedScorers.Ruling judged(final Case plea, final List<PlacementInput> all, final long stamp) {
-        final long seed = luck.nextLong() >>> 12;
-        final WeightedScorers.Ruling ruling = court.pick(plea, all, new java.util.SplittableRandom(seed));
-        if (!(ruling instanceof WeightedScorers.Ruling.Full)) {
-            out.add(new Act.Judged(
-                    plea,
-                    all,
+    private WeightedScorers.Decision decide(
+            final PlacementContext context, final List<PlacementInput> candidates, final long timestamp) {
+        final long seed = random.nextLong() >>> 12;
+        final WeightedScorers.Decision decision =
+                scorers.select(context, candidates, new java.util.SplittableRandom(seed));
+        if (!(decision instanceof WeightedScorers.Decision.AllBusy)) {
+            effects.add(new DispatchEffect.PlacementDecided(
+                    context,
+                    candidates,
                     seed,
-                    facts.page(),
-                    stamp,
-                    ruling instanceof WeightedScorers.Ruling.Picked p
-                            ? p.worker().worker().id()
+                    clusterSnapshot.revision(),
+                    timestamp,
+                    decision instanceof WeightedScorers.Decision.Selected selected
+                            ? selected.candidate().worker().id()
                             : ""));
         }
-        return ruling;
+        return decision;
     }
 
-    private void claim(final Ticket t) {
-        move(t, "claim");
-        job(t);
-        t.at = stamps.get().bits();
-        out.add(new Act.Claim(
-                t.job,
+    private void claim(final DispatchedRequest request) {
+        transition(request, "claim");
+        operation(request);
+        request.claimTimestamp = timestamps.get().bits();
+        effects.add(new DispatchEffect.SubmitCommand(
+                request.operationId,
                 new Command.Claim(
-                        t.permit.ticket(),
-                        t.key(),
-                        t.permit.ticket(),
-                        facts.me().id(),
-                        t.at),
-                setup.claim()));
+                        request.permit.requestId(),
+                        request.claimKey(),
+                        request.permit.requestId(),
+                        clusterSnapshot.self().id(),
+                        request.claimTimestamp),
+                settings.claimTimeout()));
     }
 
-    private void ask(final Ticket t, final long now) {
-        final Optional<Gossip.ObservedWorker> w =
-                Optional.ofNullable(facts.workers().get(t.worker));
-        final Optional<Value.Row> row = facts.row(t.permit.tenant(), t.permit.kind());
-        final Optional<Value.Tenant> who = facts.tenant(t.permit.tenant());
-        final boolean stands = w.isPresent()
+    private void startAttempt(final DispatchedRequest request, final long now) {
+        final Optional<Gossip.ObservedWorker> report =
+                Optional.ofNullable(clusterSnapshot.workers().get(request.worker));
+        final Optional<Value.Row> row = clusterSnapshot.row(request.permit.tenant(), request.permit.kind());
+        final Optional<Value.Tenant> tenant = clusterSnapshot.tenant(request.permit.tenant());
+        final boolean isStillValid = report.isPresent()
                 && row.isPresent()
-                && who.isPresent()
-                && sure(now)
-                && now < t.expiry
-                && !keyless(row.get(), t.permit)
-                && allowed(t, who.get(), row.get(), w.get(), now);
-        if (!stands) {
-            release(t);
-            reject(t, 503, "the pick grew stale before it was sent", SECOND / 2);
+                && tenant.isPresent()
+                && isConfirmed(now)
+                && now < request.deadline
+                && !lacksRequiredKey(row.get(), request.permit)
+                && isStillAllowed(request, tenant.get(), row.get(), report.get(), now);
+        if (!isStillValid) {
+            releaseWorkerSlot(request);
+            reject(request, 503, "the pick grew stale before it was sent", SECOND / 2);
             return;
         }
-        move(t, "ask");
-        job(t);
-        t.tries++;
-        t.asked = now;
-        t.run = t.permit.ticket() + "." + t.tries;
+        transition(request, "ask");
+        operation(request);
+        request.attempts++;
+        request.attemptStartedAt = now;
+        request.attemptId = request.permit.requestId() + "." + request.attempts;
         count("asked");
-        if (t.tries > 1) {
+        if (request.attempts > 1) {
             count("extra");
         } else {
-            budget.fresh(now);
+            retryBudget.recordRequest(now);
         }
-        final Worker x = w.get().worker();
-        out.add(new Act.Run(
-                t.job,
-                now + setup.start(),
-                x.id(),
-                x.address(),
-                t.permit.ticket(),
-                t.run,
-                t.permit.tenant(),
-                t.permit.kind(),
-                t.prefix,
-                t.prompt));
+        final Worker worker = report.get().worker();
+        effects.add(new DispatchEffect.StartAttempt(
+                request.operationId,
+                now + settings.startTimeout(),
+                worker.id(),
+                worker.address(),
+                request.permit.requestId(),
+                request.attemptId,
+                request.permit.tenant(),
+                request.permit.kind(),
+                request.prefixDigests,
+                request.prompt));
     }
 
-    private boolean allowed(
-            final Ticket t,
-            final Value.Tenant who,
+    private boolean isStillAllowed(
+            final DispatchedRequest request,
+            final Value.Tenant tenant,
             final Value.Row row,
-            final Gossip.ObservedWorker h,
+            final Gossip.ObservedWorker report,
             final long now) {
-        final Case plea = plea(t.permit.ticket(), who, row, t.prefix);
-        final PlacementInput s = new PlacementInput(h.worker(), h.age(now), 0, 0, Long.MAX_VALUE, false, 1);
-        return last.stands(plea, s);
+        final PlacementContext context =
+                placementContext(request.permit.requestId(), tenant, row, request.prefixDigests);
+        final PlacementInput input =
+                new PlacementInput(report.worker(), report.age(now), 0, 0, Long.MAX_VALUE, false, 1);
+        return constraints.accepts(context, input);
     }
 
-    private void job(final Ticket t) {
-        jobs.remove(t.job);
-        t.job = ++job;
-        jobs.put(t.job, t.place);
+    private void operation(final DispatchedRequest request) {
+        handlesByOperation.remove(request.operationId);
+        request.operationId = ++operation;
+        handlesByOperation.put(request.operationId, request.handle);
     }
 
-    private Optional<String> fault(final Ticket t, final Line line) {
-        return switch (line) {
-            case Line.Piece p ->
-                up(Safeguard.LINE) && !p.ticket().equals(t.permit.ticket())
+    private Optional<String> protocolViolation(final DispatchedRequest request, final StreamRecord received) {
+        return switch (received) {
+            case StreamRecord.Chunk chunk ->
+                isEnabled(Safeguard.LINE) && !chunk.requestId().equals(request.permit.requestId())
                         ? Optional.of("a piece of another ticket")
-                        : up(Safeguard.LINE) && !p.run().equals(t.run)
+                        : isEnabled(Safeguard.LINE) && !chunk.attemptId().equals(request.attemptId)
                                 ? Optional.of("a piece of another run")
-                                : up(Safeguard.PIECE) && p.number() != t.lines.size()
-                                        ? Optional.of("piece " + p.number() + " where " + t.lines.size() + " was due")
+                                : isEnabled(Safeguard.PIECE) && chunk.index() != request.records.size()
+                                        ? Optional.of("piece " + chunk.index() + " where " + request.records.size()
+                                                + " was due")
                                         : Optional.empty();
-            case Line.Seal s ->
-                !up(Safeguard.SEAL)
+            case StreamRecord.Trailer trailer ->
+                !isEnabled(Safeguard.SEAL)
                         ? Optional.empty()
-                        : !s.ticket().equals(t.permit.ticket())
-                                        || !s.run().equals(t.run)
-                                        || !s.worker().equals(t.worker)
+                        : !trailer.requestId().equals(request.permit.requestId())
+                                        || !trailer.attemptId().equals(request.attemptId)
+                                        || !trailer.worker().equals(request.worker)
                                 ? Optional.of("a seal of another ticket, run or worker")
-                                : s.count() != t.lines.size()
-                                        ? Optional.of("a seal over " + s.count() + " pieces where " + t.lines.size()
-                                                + " came")
-                                        : !s.sha().equals(HexFormat.of().formatHex(copy(t.sum)))
+                                : trailer.chunkCount() != request.records.size()
+                                        ? Optional.of("a seal over " + trailer.chunkCount() + " pieces where "
+                                                + request.records.size() + " came")
+                                        : !trailer.sha256()
+                                                        .equals(HexFormat.of()
+                                                                .formatHex(currentDigest(request.responseDigest)))
                                                 ? Optional.of("a seal that does not fit")
                                                 : Optional.empty();
-            case Line.Lost l -> Optional.of(l.why());
+            case StreamRecord.Lost lost -> Optional.of(lost.reason());
         };
     }
 
-    private static byte[] copy(final MessageDigest sum) {
+    private static byte[] currentDigest(final MessageDigest digest) {
         try {
-            return ((MessageDigest) sum.clone()).digest();
+            return ((MessageDigest) digest.clone()).digest();
         } catch (final CloneNotSupportedException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private void feed(final Ticket t) {
-        final boolean over = chart.isFinal(t.state);
-        if (t.reader.isEmpty() || !t.hungry || t.state.equals("rejected") || t.lines.size() == t.sent && !over) {
+    private void writeToReader(final DispatchedRequest request) {
+        final boolean isEnded = transitions.isFinal(request.state);
+        if (request.readerCallId.isEmpty()
+                || !request.readerReady
+                || request.state.equals("rejected")
+                || request.records.size() == request.recordsSent && !isEnded) {
             return;
         }
-        final int end = Math.min(t.lines.size(), t.sent + LINES);
-        final boolean last = over && end == t.lines.size();
-        out.add(new Act.Flow(t.reader.get(), t.lines.subList(t.sent, end), last));
-        t.sent = end;
-        t.hungry = false;
-        if (last) {
-            readers.remove(t.reader.get());
-            t.reader = Optional.empty();
+        final int end = Math.min(request.records.size(), request.recordsSent + MAX_RECORDS_PER_WRITE);
+        final boolean endOfStream = isEnded && end == request.records.size();
+        effects.add(new DispatchEffect.StreamWrite(
+                request.readerCallId.get(), request.records.subList(request.recordsSent, end), endOfStream));
+        request.recordsSent = end;
+        request.readerReady = false;
+        if (endOfStream) {
+            readers.remove(request.readerCallId.get());
+            request.readerCallId = Optional.empty();
         }
     }
 
-    private void lose(final Ticket t, final String why, final long now) {
-        release(t);
-        t.why = why;
-        t.lines.add(new Line.Lost(t.permit.ticket(), why));
-        out.add(new Act.Log(Event.TICKET_LOST, t.permit.ticket() + " " + why));
-        if (t.state.equals("asking")) {
-            shun(t.worker, now);
+    private void lose(final DispatchedRequest request, final String reason, final long now) {
+        releaseWorkerSlot(request);
+        request.reason = reason;
+        request.records.add(new StreamRecord.Lost(request.permit.requestId(), reason));
+        effects.add(new DispatchEffect.Log(Event.TICKET_LOST, request.permit.requestId() + " " + reason));
+        if (request.state.equals("asking")) {
+            eject(request.worker, now);
         }
-        finish(t, "lose");
-        feed(t);
-        pump(now);
+        finish(request, "lose");
+        writeToReader(request);
+        dispatchQueued(now);
     }
 
-    private void reject(final Ticket t, final int code, final String why, final long after) {
-        quit(flow(t.permit.tenant(), t.permit.kind()), t);
-        t.why = why;
-        finish(t, "reject");
-        no(t, code, why, after, "");
+    private void reject(
+            final DispatchedRequest request, final int statusCode, final String reason, final long retryAfter) {
+        dequeue(queueOf(request.permit.tenant(), request.permit.kind()), request);
+        request.reason = reason;
+        finish(request, "reject");
+        sendRejection(request, statusCode, reason, retryAfter, "");
     }
 
-    private void no(final Ticket t, final int code, final String why, final long after, final String stands) {
-        t.reader.ifPresent(r -> {
-            readers.remove(r);
-            no(r, code, t.permit.ticket(), why, after, stands);
+    private void sendRejection(
+            final DispatchedRequest request,
+            final int statusCode,
+            final String reason,
+            final long retryAfter,
+            final String claimState) {
+        request.readerCallId.ifPresent(reader -> {
+            readers.remove(reader);
+            sendRejection(reader, statusCode, request.permit.requestId(), reason, retryAfter, claimState);
         });
-        t.reader = Optional.empty();
+        request.readerCallId = Optional.empty();
     }
 
-    private void finish(final Ticket t, final String event) {
-        move(t, event);
-        count(t.state);
-        out.add(new Act.Ended(t.permit.ticket(), t.state, t.why));
-        jobs.remove(t.job);
-        open.remove(t.permit.ticket());
-        if (t.claimed) {
-            out.add(new Act.Claim(
+    private void finish(final DispatchedRequest request, final String event) {
+        transition(request, event);
+        count(request.state);
+        effects.add(new DispatchEffect.RequestEnded(request.permit.requestId(), request.state, request.reason));
+        handlesByOperation.remove(request.operationId);
+        openRequests.remove(request.permit.requestId());
+        if (request.mayHoldClaim) {
+            effects.add(new DispatchEffect.SubmitCommand(
                     0,
                     new Command.CompleteClaim(
-                            t.run + "/" + t.state,
-                            t.key(),
-                            t.permit.ticket(),
-                            facts.me().id(),
-                            t.state,
-                            t.at),
+                            request.attemptId + "/" + request.state,
+                            request.claimKey(),
+                            request.permit.requestId(),
+                            clusterSnapshot.self().id(),
+                            request.state,
+                            request.claimTimestamp),
                     30 * SECOND));
         }
-        ended.add(new Ended(t, time));
-        t.prompt = "";
+        endedRequests.add(new EndedRequest(request, lastTick));
+        request.prompt = "";
     }
 
-    private void drop(final Ticket t) {
-        t.reader.ifPresent(r -> {
-            readers.remove(r);
-            out.add(new Act.Flow(r, List.of(), true));
+    private void discard(final DispatchedRequest request) {
+        request.readerCallId.ifPresent(reader -> {
+            readers.remove(reader);
+            effects.add(new DispatchEffect.StreamWrite(reader, List.of(), true));
         });
-        slab.drop(t.place);
+        requests.remove(request.handle);
     }
 
-    private void over(final long token, final String ticket, final int code, final String why) {
-        tales.state(ticket, "rejected", why);
+    private void rejectSubmission(
+            final long callId, final String requestId, final int statusCode, final String reason) {
+        traces.recordState(requestId, "rejected", reason);
         count("rejected");
-        no(token, code, ticket, why, SECOND, "");
+        sendRejection(callId, statusCode, requestId, reason, SECOND, "");
     }
 
-    private void no(
-            final long token,
-            final int code,
-            final String ticket,
-            final String why,
-            final long after,
-            final String stands) {
-        count("code" + code);
-        if (!ticket.isEmpty()) {
-            out.add(new Act.Log(Event.TICKET_REJECTED, ticket + " " + code + " " + why));
+    private void sendRejection(
+            final long callId,
+            final int statusCode,
+            final String requestId,
+            final String reason,
+            final long retryAfter,
+            final String claimState) {
+        count("code" + statusCode);
+        if (!requestId.isEmpty()) {
+            effects.add(new DispatchEffect.Log(Event.TICKET_REJECTED, requestId + " " + statusCode + " " + reason));
         }
-        out.add(new Act.Rejected(token, code, ticket, why, after == 0 ? 0 : after + luck.nextLong(after), stands));
+        effects.add(new DispatchEffect.Rejected(
+                callId,
+                statusCode,
+                requestId,
+                reason,
+                retryAfter == 0 ? 0 : retryAfter + random.nextLong(retryAfter),
+                claimState));
     }
 
-    private void move(final Ticket t, final String event) {
-        t.state = chart.transition(t.state, event);
-        tales.state(t.permit.ticket(), t.state, t.why);
+    private void transition(final DispatchedRequest request, final String event) {
+        request.state = transitions.transition(request.state, event);
+        traces.recordState(request.permit.requestId(), request.state, request.reason);
     }
 
-    private void release(final Ticket t) {
-        if (t.held) {
-            t.held = false;
-            Optional.ofNullable(hands.get(t.worker)).ifPresent(Hand::end);
-            final Flow f = flow(t.permit.tenant(), t.permit.kind());
-            f.running--;
+    private void releaseWorkerSlot(final DispatchedRequest request) {
+        if (request.holdsWorkerSlot) {
+            request.holdsWorkerSlot = false;
+            Optional.ofNullable(workerUsage.get(request.worker)).ifPresent(WorkerUsage::attemptEnded);
+            final RequestQueue queue = queueOf(request.permit.tenant(), request.permit.kind());
+            queue.inFlight--;
         }
     }
 
-    private void shun(final String worker, final long now) {
-        Optional.ofNullable(hands.get(worker)).ifPresent(h -> h.shun = now + setup.shun());
+    private void eject(final String worker, final long now) {
+        Optional.ofNullable(workerUsage.get(worker))
+                .ifPresent(usage -> usage.ejectedUntil = now + settings.ejectionTime());
     }
 
-    private boolean room(final Value.Row row) {
-        if (queued < setup.queue() && slab.used() < slab.size()) {
+    private boolean makeRoom(final Value.Row row) {
+        if (queuedRequests < settings.maxQueuedRequests() && requests.used() < requests.capacity()) {
             return true;
         }
-        final Optional<Ticket> least = waiting.values().stream()
-                .flatMap(f -> f.queue.stream())
-                .min(Comparator.comparingInt((Ticket t) -> t.row.priority()).thenComparing(t -> -t.begun));
-        if (least.isPresent() && least.get().row.priority() < row.priority()) {
-            reject(least.get(), 503, "shed for a kind that goes before", SECOND);
-            Optional.of(least.get()).ifPresent(t -> {
-                ended.removeIf(e -> e.ticket() == t);
-                drop(t);
+        final Optional<DispatchedRequest> leastImportant = nonEmptyQueues.values().stream()
+                .flatMap(queue -> queue.requests.stream())
+                .min(Comparator.comparingInt((DispatchedRequest request) -> request.row.priority())
+                        .thenComparing(request -> -request.permitExpiry));
+        if (leastImportant.isPresent() && leastImportant.get().row.priority() < row.priority()) {
+            reject(leastImportant.get(), 503, "shed for a kind that goes before", SECOND);
+            Optional.of(leastImportant.get()).ifPresent(request -> {
+                endedRequests.removeIf(ended -> ended.request() == request);
+                discard(request);
             });
             return true;
         }
         return false;
     }
 
-    private List<PlacementInput> sights(final long now) {
-        final int peers = peers();
-        return facts.workers().values().stream()
-                .sorted(Comparator.comparing(h -> h.worker().id()))
-                .map(h -> hands.computeIfAbsent(
-                                h.worker().id(), k -> new Hand(h.worker().incarnation()))
-                        .sight(h, now, peers))
+    private List<PlacementInput> placementInputs(final long now) {
+        final int gatewayCount = gatewayCount();
+        return clusterSnapshot.workers().values().stream()
+                .sorted(Comparator.comparing(report -> report.worker().id()))
+                .map(report -> workerUsage
+                        .computeIfAbsent(
+                                report.worker().id(),
+                                k -> new WorkerUsage(report.worker().incarnation()))
+                        .placementInput(report, now, gatewayCount))
                 .toList();
     }
 
-    private int peers() {
-        return 1 + (int) facts.crew().stream().filter(Member::ready).count();
+    private int gatewayCount() {
+        return 1 + (int) clusterSnapshot.peers().stream().filter(Member::ready).count();
     }
 
     /** How many gateways share a cell of the tenant: those that may carry for it. */
-    private int peers(final Value.Tenant who) {
-        final Set<String> empty = facts.empty();
+    private int gatewayCount(final Value.Tenant tenant) {
+        final Set<String> evacuatingZones = clusterSnapshot.evacuatingZones();
         return 1
-                + (int) facts.crew().stream()
+                + (int) clusterSnapshot.peers().stream()
                         .filter(m -> m.ready()
-                                && !empty.contains(m.zone())
-                                && (who.homeRegions().isEmpty()
-                                        || who.homeRegions().contains(m.region())))
+                                && !evacuatingZones.contains(m.zone())
+                                && (tenant.homeRegions().isEmpty()
+                                        || tenant.homeRegions().contains(m.region())))
                         .count();
     }
 
-    private Case plea(final String ticket, final Value.Tenant who, final Value.Row row, final List<Long> prefix) {
-        return new Case(ticket, who, row, prefix, facts.me().zone(), facts.me().region(), facts.empty());
+    private PlacementContext placementContext(
+            final String requestId, final Value.Tenant tenant, final Value.Row row, final List<Long> prefixDigests) {
+        return new PlacementContext(
+                requestId,
+                tenant,
+                row,
+                prefixDigests,
+                clusterSnapshot.self().zone(),
+                clusterSnapshot.self().region(),
+                clusterSnapshot.evacuatingZones());
     }
 
-    private static List<Long> salted(final Value.Tenant who, final List<String> prefix) {
-        return prefix.stream().map(d -> Seals.salted(who.keySalt(), d)).toList();
+    private static List<Long> saltedDigests(final Value.Tenant tenant, final List<String> prefixDigests) {
+        return prefixDigests.stream()
+                .map(d -> PermitSigner.saltedDigest(tenant.keySalt(), d))
+                .toList();
     }
 
-    private void join(final Flow f, final Ticket t, final boolean first) {
+    private void enqueue(final RequestQueue queue, final DispatchedRequest request, final boolean first) {
         if (first) {
-            f.queue.addFirst(t);
+            queue.requests.addFirst(request);
         } else {
-            f.queue.add(t);
+            queue.requests.add(request);
         }
-        queued++;
-        waiting.put(f.name, f);
+        queuedRequests++;
+        nonEmptyQueues.put(queue.name, queue);
     }
 
-    private void quit(final Flow f, final Ticket t) {
-        if (f.queue.remove(t)) {
-            queued--;
-            if (f.queue.isEmpty()) {
-                waiting.remove(f.name);
+    private void dequeue(final RequestQueue queue, final DispatchedRequest request) {
+        if (queue.requests.remove(request)) {
+            queuedRequests--;
+            if (queue.requests.isEmpty()) {
+                nonEmptyQueues.remove(queue.name);
             }
         }
     }
 
-    private Flow flow(final String tenant, final String kind) {
-        return flows.computeIfAbsent(tenant + "/" + kind, k -> new Flow(k, tenant, clock));
+    private RequestQueue queueOf(final String tenant, final String kind) {
+        return queues.computeIfAbsent(tenant + "/" + kind, k -> new RequestQueue(k, tenant, virtualTime));
     }
 
-    private Share share(final Flow f) {
-        return shares.computeIfAbsent(f.tenant, k -> new Share(clock));
+    private TenantShare shareOf(final RequestQueue queue) {
+        return tenantShares.computeIfAbsent(queue.tenant, k -> new TenantShare(virtualTime));
     }
 
     private void count(final String name) {
-        tally.merge(name, 1L, Long::sum);
+        counters.merge(name, 1L, Long::sum);
     }
 
-    private record Ended(Ticket ticket, long at) {}
+    private record EndedRequest(DispatchedRequest request, long endedAt) {}
 }
--- a/core/src/main/java/silverlatch/dispatch/TraceLog.java
+++ b/core/src/main/java/silverlatch/dispatch/TraceLog.java
@@ -8,59 +8,60 @@
 
 /** What is remembered of tickets so that a placement can be explained; bounded. */
 public final class TraceLog {
-    private final int most;
-    private final LinkedHashMap<String, Tale> tales = new LinkedHashMap<>();
+    private final int capacity;
+    private final LinkedHashMap<String, RequestTrace> traces = new LinkedHashMap<>();
 
     /** Remembers so many tickets. */
-    public TraceLog(final int most) {
-        this.most = most;
+    public TraceLog(final int capacity) {
+        this.capacity = capacity;
     }
 
     /** A ticket's story: whose, what was said, who was picked under which page and stamp, and how it stands. */
-    public record Tale(
-            String ticket,
+    public record RequestTrace(
+            String requestId,
             String tenant,
             String kind,
             String worker,
-            long page,
-            long stamp,
+            long revision,
+            long timestamp,
             String state,
-            String why,
-            int tries,
-            List<WeightedScorers.Opinion> opinions) {
+            String reason,
+            int attempts,
+            List<WeightedScorers.WeightedScore> scores) {
         /** Copies the opinions. */
-        public Tale {
-            opinions = List.copyOf(opinions);
+        public RequestTrace {
+            scores = List.copyOf(scores);
         }
 
-        Tale at(final String next, final String reason) {
-            return new Tale(ticket, tenant, kind, worker, page, stamp, next, reason, tries, opinions);
+        RequestTrace withState(final String newState, final String newReason) {
+            return new RequestTrace(
+                    requestId, tenant, kind, worker, revision, timestamp, newState, newReason, attempts, scores);
         }
     }
 
     /** Keeps a story. */
-    public void put(final Tale tale) {
-        tales.remove(tale.ticket());
-        tales.put(tale.ticket(), tale);
-        if (tales.size() > most) {
-            tales.remove(tales.keySet().iterator().next());
+    public void put(final RequestTrace trace) {
+        traces.remove(trace.requestId());
+        traces.put(trace.requestId(), trace);
+        if (traces.size() > capacity) {
+            traces.remove(traces.keySet().iterator().next());
         }
     }
 
     /** Notes how a ticket stands. */
-    public void state(final String ticket, final String next, final String why) {
-        tales.computeIfPresent(ticket, (k, t) -> t.at(next, why));
+    public void recordState(final String requestId, final String state, final String reason) {
+        traces.computeIfPresent(requestId, (k, trace) -> trace.withState(state, reason));
     }
 
     /** A ticket's story. */
-    public Optional<Tale> get(final String ticket) {
-        return Optional.ofNullable(tales.get(ticket));
+    public Optional<RequestTrace> get(final String requestId) {
+        return Optional.ofNullable(traces.get(requestId));
     }
 
     /** How many tickets stand in each state. */
-    public Map<String, Long> counts() {
-        return tales.values().stream()
+    public Map<String, Long> countsByState() {
+        return traces.values().stream()
                 .collect(java.util.stream.Collectors.groupingBy(
-                        Tale::state, java.util.TreeMap::new, java.util.stream.Collectors.counting()));
+                        RequestTrace::state, java.util.TreeMap::new, java.util.stream.Collectors.counting()));
     }
 }
--- a/core/src/main/java/silverlatch/dispatch/buffer/Slab.java
+++ b/core/src/main/java/silverlatch/dispatch/buffer/Slab.java
@@ -7,58 +7,58 @@
 
 /** A bounded slab: things are kept at a place, and found by a number that also tells a reused place apart. */
 public final class Slab<T> {
-    private static final int SHIFT = 24;
-    private final int size;
-    private final List<Optional<T>> places = new ArrayList<>();
-    private final List<Long> turns = new ArrayList<>();
-    private final List<Integer> free = new ArrayList<>();
+    private static final int INDEX_BITS = 24;
+    private final int capacity;
+    private final List<Optional<T>> slots = new ArrayList<>();
+    private final List<Long> generations = new ArrayList<>();
+    private final List<Integer> freeSlots = new ArrayList<>();
     private int used;
 
     /** A slab for so many things. */
-    public Slab(final int size) {
-        if (size < 1 || size >= 1 << SHIFT) {
-            throw new IllegalArgumentException("a slab has 1 to " + (1 << SHIFT) + " places");
+    public Slab(final int capacity) {
+        if (capacity < 1 || capacity >= 1 << INDEX_BITS) {
+            throw new IllegalArgumentException("a slab has 1 to " + (1 << INDEX_BITS) + " places");
         }
-        this.size = size;
+        this.capacity = capacity;
     }
 
     /** Keeps a thing and gives its number, or nothing when the slab is full. */
-    public Optional<Long> put(final T thing) {
-        if (used == size) {
+    public Optional<Long> insert(final T element) {
+        if (used == capacity) {
             return Optional.empty();
         }
         used++;
-        final int place;
-        if (free.isEmpty()) {
-            place = places.size();
-            places.add(Optional.of(thing));
-            turns.add(1L);
+        final int slot;
+        if (freeSlots.isEmpty()) {
+            slot = slots.size();
+            slots.add(Optional.of(element));
+            generations.add(1L);
         } else {
-            place = Lists.removeLast(free);
-            places.set(place, Optional.of(thing));
-            turns.set(place, turns.get(place) + 1);
+            slot = Lists.removeLast(freeSlots);
+            slots.set(slot, Optional.of(element));
+            generations.set(slot, generations.get(slot) + 1);
         }
-        return Optional.of(turns.get(place) << SHIFT | place);
+        return Optional.of(generations.get(slot) << INDEX_BITS | slot);
     }
 
     /** The thing of a number, if it is still the one. */
-    public Optional<T> get(final long number) {
-        final int place = (int) (number & (1 << SHIFT) - 1);
-        return number > 0 && place < places.size() && turns.get(place) == number >> SHIFT
-                ? places.get(place)
+    public Optional<T> get(final long handle) {
+        final int slot = (int) (handle & (1 << INDEX_BITS) - 1);
+        return handle > 0 && slot < slots.size() && generations.get(slot) == handle >> INDEX_BITS
+                ? slots.get(slot)
                 : Optional.empty();
     }
 
     /** Lets a thing go. */
-    public Optional<T> drop(final long number) {
-        final Optional<T> old = get(number);
-        if (old.isPresent()) {
-            final int place = (int) (number & (1 << SHIFT) - 1);
-            places.set(place, Optional.empty());
-            free.add(place);
+    public Optional<T> remove(final long handle) {
+        final Optional<T> removed = get(handle);
+        if (removed.isPresent()) {
+            final int slot = (int) (handle & (1 << INDEX_BITS) - 1);
+            slots.set(slot, Optional.empty());
+            freeSlots.add(slot);
             used--;
         }
-        return old;
+        return removed;
     }
 
     /** How many are kept. */
@@ -67,7 +67,7 @@
     }
 
     /** How many can be kept. */
-    public int size() {
-        return size;
+    public int capacity() {
+        return capacity;
     }
 }
--- a/core/src/main/java/silverlatch/dispatch/permit/Permit.java
+++ b/core/src/main/java/silverlatch/dispatch/permit/Permit.java
@@ -5,25 +5,25 @@
 /**
  * What a pick hands out: it binds one ticket to one incarnation of one carrier for a short time.
  *
- * @param ticket  the ticket's id
+ * @param requestId  the ticket's id
  * @param tenant  whose it is
  * @param kind    its kind
  * @param worker  the worker picked
- * @param carrier the gateway that may run it
- * @param life    that gateway's incarnation
- * @param page    the sequence of the table and drains it was picked under
- * @param stamp   the pick's stamp
+ * @param gateway the gateway that may run it
+ * @param incarnation    that gateway's incarnation
+ * @param revision    the sequence of the table and drains it was picked under
+ * @param timestamp   the pick's stamp
  * @param expiry  until when it can be used, by the carrier's monotonic clock
- * @param key     the consumer's own key, or empty
+ * @param idempotencyKey     the consumer's own key, or empty
  */
 public record Permit(
-        String ticket,
+        String requestId,
         String tenant,
         String kind,
         String worker,
-        String carrier,
-        long life,
-        long page,
-        Stamp stamp,
+        String gateway,
+        long incarnation,
+        long revision,
+        Stamp timestamp,
         long expiry,
-        String key) {}
+        String idempotencyKey) {}
--- a/core/src/main/java/silverlatch/node/Node.java
+++ b/core/src/main/java/silverlatch/node/Node.java
@@ -14,7 +14,7 @@
 import silverlatch.clock.ProcessClock;
 import silverlatch.clock.PwcClock;
 import silverlatch.clock.Stamp;
-import silverlatch.dispatch.Facts;
+import silverlatch.dispatch.ClusterSnapshot;
 import silverlatch.gossip.Gossip;
 import silverlatch.gossip.Worker;
 import silverlatch.log.LogRecord;
@@ -176,10 +176,10 @@
      * as the newest as of a moment after this process started: it then goes behind nothing that an earlier process of this
      * machine routed by.
      */
-    public Facts facts() {
+    public ClusterSnapshot facts() {
         isStateConfirmed = isStateConfirmed || gossip.confirmedSince(startedAt);
         if (!isStateConfirmed) {
-            return new Facts(
+            return new ClusterSnapshot(
                     membership.self(),
                     0,
                     Optional.empty(),
@@ -197,7 +197,7 @@
         final long now = currentTime;
         final Optional<Long> confirmedAt =
                 gossip.stateAge(now) == Long.MAX_VALUE ? Optional.empty() : Optional.of(now - gossip.stateAge(now));
-        return new Facts(
+        return new ClusterSnapshot(
                 membership.self(),
                 gossip.stateMachine().policyRevision(),
                 confirmedAt.filter(s -> hasJoined),
--- a/core/src/main/java/silverlatch/placement/Scorer.java
+++ b/core/src/main/java/silverlatch/placement/Scorer.java
@@ -6,8 +6,8 @@
     String name();
 
     /** Its weight in a row of the table. */
-    double weight(Case ticket);
+    double weight(PlacementContext context);
 
     /** What it finds. */
-    ScorerResult weigh(Case ticket, PlacementInput worker);
+    ScorerResult score(PlacementContext context, PlacementInput candidate);
 }
--- a/core/src/main/java/silverlatch/placement/ScorerResult.java
+++ b/core/src/main/java/silverlatch/placement/ScorerResult.java
@@ -6,8 +6,8 @@
     record Score(double value) implements ScorerResult {}
 
     /** Never this worker. */
-    record Veto(String why) implements ScorerResult {}
+    record Veto(String reason) implements ScorerResult {}
 
     /** Not this worker now, but perhaps in a moment. */
-    record Later(String why) implements ScorerResult {}
+    record Deferred(String reason) implements ScorerResult {}
 }
--- a/core/src/main/java/silverlatch/placement/WeightedScorers.java
+++ b/core/src/main/java/silverlatch/placement/WeightedScorers.java
@@ -5,136 +5,141 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
-import silverlatch.placement.scorer.Cold;
-import silverlatch.placement.scorer.Cross;
-import silverlatch.placement.scorer.Home;
-import silverlatch.placement.scorer.Lease;
-import silverlatch.placement.scorer.Load;
-import silverlatch.placement.scorer.Prefix;
-import silverlatch.placement.scorer.Zone;
+import silverlatch.placement.scorer.AvailabilityScorer;
+import silverlatch.placement.scorer.EvacuationScorer;
+import silverlatch.placement.scorer.HomeRegionScorer;
+import silverlatch.placement.scorer.LoadScorer;
+import silverlatch.placement.scorer.LocalityScorer;
+import silverlatch.placement.scorer.PrefixCacheScorer;
+import silverlatch.placement.scorer.SlowStartScorer;
 import silverlatch.safeguard.Safeguard;
 import silverlatch.safeguard.Safeguards;
 
 /** Hears all judges on all workers and picks. */
 public final class WeightedScorers {
-    private static final double NEAR = 0.08;
-    private final List<Scorer> judges;
+    private static final double NEAR_BEST = 0.08;
+    private final List<Scorer> scorers;
 
     /** A court of the given judges. */
-    public WeightedScorers(final List<Scorer> judges) {
-        this.judges = List.copyOf(judges);
+    public WeightedScorers(final List<Scorer> scorers) {
+        this.scorers = List.copyOf(scorers);
     }
 
     /** The judges of the product; a word on a worker counts up to the given age. */
-    public static WeightedScorers full(final long oldest) {
-        return full(oldest, Safeguards.ALL);
+    public static WeightedScorers allScorers(final long maxReportAge) {
+        return allScorers(maxReportAge, Safeguards.ALL);
     }
 
     /** The same, without the judges whose guard is down. */
-    public static WeightedScorers full(final long oldest, final Safeguards guards) {
-        final List<Scorer> all = new ArrayList<>(List.of(new Prefix(), new Load(), new Cross()));
-        all.addAll(sworn(oldest, guards));
-        if (guards.isEnabled(Safeguard.RAMP)) {
-            all.add(new Cold(guards.isEnabled(Safeguard.WARM)));
+    public static WeightedScorers allScorers(final long maxReportAge, final Safeguards safeguards) {
+        final List<Scorer> all =
+                new ArrayList<>(List.of(new PrefixCacheScorer(), new LoadScorer(), new LocalityScorer()));
+        all.addAll(constraintScorers(maxReportAge, safeguards));
+        if (safeguards.isEnabled(Safeguard.RAMP)) {
+            all.add(new SlowStartScorer(safeguards.isEnabled(Safeguard.WARM)));
         }
         return new WeightedScorers(all);
     }
 
     /** The judges that are heard once more at the instant of dispatch. */
-    public static WeightedScorers last(final long oldest, final Safeguards guards) {
-        return new WeightedScorers(sworn(oldest, guards));
+    public static WeightedScorers constraints(final long maxReportAge, final Safeguards safeguards) {
+        return new WeightedScorers(constraintScorers(maxReportAge, safeguards));
     }
 
-    private static List<Scorer> sworn(final long oldest, final Safeguards guards) {
+    private static List<Scorer> constraintScorers(final long maxReportAge, final Safeguards safeguards) {
         final List<Scorer> all = new ArrayList<>();
-        if (guards.isEnabled(Safeguard.SERVED)) {
-            all.add(new Home());
+        if (safeguards.isEnabled(Safeguard.SERVED)) {
+            all.add(new HomeRegionScorer());
         }
-        if (guards.isEnabled(Safeguard.ZONE)) {
-            all.add(new Zone());
+        if (safeguards.isEnabled(Safeguard.ZONE)) {
+            all.add(new EvacuationScorer());
         }
-        all.add(new Lease(guards.isEnabled(Safeguard.WORD) ? oldest : Long.MAX_VALUE));
+        all.add(new AvailabilityScorer(safeguards.isEnabled(Safeguard.WORD) ? maxReportAge : Long.MAX_VALUE));
         return all;
     }
 
     /** One judge's finding on one worker, with the weight it had. */
-    public record Opinion(String worker, String judge, ScorerResult finding, double weight) {}
+    public record WeightedScore(String worker, String scorer, ScorerResult result, double weight) {}
 
     /** What the court decides. */
-    public sealed interface Ruling {
+    public sealed interface Decision {
         /** All that was said. */
-        List<Opinion> opinions();
+        List<WeightedScore> scores();
 
         /** This worker. */
-        record Picked(PlacementInput worker, List<Opinion> opinions) implements Ruling {}
+        record Selected(PlacementInput candidate, List<WeightedScore> scores) implements Decision {}
 
         /** None now, but one may have room in a moment. */
-        record Full(List<Opinion> opinions) implements Ruling {}
+        record AllBusy(List<WeightedScore> scores) implements Decision {}
 
         /** None is allowed. */
-        record Barred(List<Opinion> opinions) implements Ruling {}
+        record NoneAllowed(List<WeightedScore> scores) implements Decision {}
     }
 
     /** Picks a worker for a ticket. */
-    public Ruling pick(final Case ticket, final List<PlacementInput> workers, final RandomGenerator luck) {
-        final List<Opinion> all = new ArrayList<>();
-        final List<Rated> rated = new ArrayList<>();
-        boolean later = false;
-        for (final PlacementInput w : workers) {
-            double sum = 0;
-            double most = 0;
-            boolean veto = false;
-            boolean wait = false;
-            for (final Scorer j : judges) {
-                final double weight = j.weight(ticket);
-                final ScorerResult f = j.weigh(ticket, w);
-                all.add(new Opinion(w.worker().id(), j.name(), f, weight));
-                switch (f) {
-                    case ScorerResult.Score s -> sum += weight * s.value();
-                    case ScorerResult.Veto v -> veto = true;
-                    case ScorerResult.Later l -> wait = true;
+    public Decision select(
+            final PlacementContext context, final List<PlacementInput> candidates, final RandomGenerator random) {
+        final List<WeightedScore> scores = new ArrayList<>();
+        final List<RatedWorker> rated = new ArrayList<>();
+        boolean anyDeferred = false;
+        for (final PlacementInput candidate : candidates) {
+            double weightedSum = 0;
+            double totalWeight = 0;
+            boolean isVetoed = false;
+            boolean isDeferred = false;
+            for (final Scorer scorer : scorers) {
+                final double weight = scorer.weight(context);
+                final ScorerResult result = scorer.score(context, candidate);
+                scores.add(new WeightedScore(candidate.worker().id(), scorer.name(), result, weight));
+                switch (result) {
+                    case ScorerResult.Score s -> weightedSum += weight * s.value();
+                    case ScorerResult.Veto v -> isVetoed = true;
+                    case ScorerResult.Deferred l -> isDeferred = true;
                 }
-                most += weight;
+                totalWeight += weight;
             }
-            if (!veto && !wait) {
-                rated.add(new Rated(w, most == 0 ? 0 : sum / most));
+            if (!isVetoed && !isDeferred) {
+                rated.add(new RatedWorker(candidate, totalWeight == 0 ? 0 : weightedSum / totalWeight));
             }
-            later |= !veto && wait;
+            anyDeferred |= !isVetoed && isDeferred;
         }
         if (rated.isEmpty()) {
-            return later ? new Ruling.Full(all) : new Ruling.Barred(all);
+            return anyDeferred ? new Decision.AllBusy(scores) : new Decision.NoneAllowed(scores);
         }
-        final double best = rated.stream().mapToDouble(Rated::total).max().orElse(0);
-        final List<Rated> near = new ArrayList<>(rated.stream()
-                .filter(r -> r.total() >= best - NEAR)
-                .sorted(Comparator.comparingLong(
-                        (Rated r) -> draw(ticket.ticket(), r.worker().worker().id())))
+        final double best = rated.stream().mapToDouble(RatedWorker::score).max().orElse(0);
+        final List<RatedWorker> nearBest = new ArrayList<>(rated.stream()
+                .filter(r -> r.score() >= best - NEAR_BEST)
+                .sorted(Comparator.comparingLong((RatedWorker r) ->
+                        tieBreakHash(context.requestId(), r.candidate().worker().id())))
                 .toList());
-        final Rated one = near.remove(luck.nextInt(near.size()));
-        final Optional<Rated> two =
-                near.isEmpty() ? Optional.empty() : Optional.of(near.get(luck.nextInt(near.size())));
-        final Rated won = two.filter(t -> free(t) > free(one) || free(t) == free(one) && t.total() > one.total())
-                .orElse(one);
-        return new Ruling.Picked(won.worker(), all);
+        final RatedWorker first = nearBest.remove(random.nextInt(nearBest.size()));
+        final Optional<RatedWorker> second =
+                nearBest.isEmpty() ? Optional.empty() : Optional.of(nearBest.get(random.nextInt(nearBest.size())));
+        final RatedWorker winner = second.filter(t -> freeRatio(t) > freeRatio(first)
+                        || freeRatio(t) == freeRatio(first) && t.score() > first.score())
+                .orElse(first);
+        return new Decision.Selected(winner.candidate(), scores);
     }
 
     /** Whether any judge still stands against the worker, at the instant of dispatch. */
-    public boolean stands(final Case ticket, final PlacementInput worker) {
-        return judges.stream().allMatch(j -> j.weigh(ticket, worker) instanceof ScorerResult.Score);
+    public boolean accepts(final PlacementContext context, final PlacementInput candidate) {
+        return scorers.stream().allMatch(scorer -> scorer.score(context, candidate) instanceof ScorerResult.Score);
     }
 
-    private static double free(final Rated r) {
-        return 1 - (double) r.worker().busy() / Math.max(1, r.worker().worker().slots());
+    private static double freeRatio(final RatedWorker rated) {
+        return 1
+                - (double) rated.candidate().occupiedSlots()
+                        / Math.max(1, rated.candidate().worker().slots());
     }
 
-    private static long draw(final String ticket, final String worker) {
-        long sum = 0xCBF29CE484222325L;
-        final String text = ticket + "/" + worker;
+    private static long tieBreakHash(final String requestId, final String workerId) {
+        long hash = 0xCBF29CE484222325L;
+        final String text = requestId + "/" + workerId;
         for (int i = 0; i < text.length(); i++) {
-            sum = (sum ^ text.charAt(i)) * 0x100000001B3L;
+            hash = (hash ^ text.charAt(i)) * 0x100000001B3L;
         }
-        return sum ^ sum >>> 31;
+        return hash ^ hash >>> 31;
     }
 
-    private record Rated(PlacementInput worker, double total) {}
+    private record RatedWorker(PlacementInput candidate, double score) {}
 }
--- a/core/src/main/java/silverlatch/routing/LatencyPredictor.java
+++ b/core/src/main/java/silverlatch/routing/LatencyPredictor.java
@@ -11,96 +11,118 @@
  * While a worker reads a long prompt the streams it writes pause, so each stream there is counted against it. Microseconds.
  */
 final class LatencyPredictor {
-    static final double TOKEN = 27;
-    private static final double PAIR = 0.0012;
-    private static final double HARM = 60_000;
-    private static final double FULL = 8_000;
-    private static final int MOST = 16;
-    private static final long BASE = 55_000;
-    private static final long WAIT = 30_000;
-    private static final long FAR = 72_000;
-    private static final long NEAR = 1_500;
-    private static final double FIRST = 0.9;
-    private static final double OTHER = 0.15;
-    private static final long STALE = 1_500_000L;
-    private static final long LONG = 25_000;
-    private static final long APART = 200_000;
-    private static final int WORTH = 512;
+    static final double PREFILL_MICROS_PER_TOKEN = 27;
+    private static final double ATTENTION_MICROS_PER_TOKEN_PAIR = 0.0012;
+    private static final double PREFILL_PAUSE_MICROS = 60_000;
+    private static final double FULL_PAUSE_TOKENS = 8_000;
+    private static final int MAX_PAUSED_STREAMS = 16;
+    private static final long BASE_MICROS = 55_000;
+    private static final long MICROS_PER_WAITING_REQUEST = 30_000;
+    private static final long CROSS_REGION_MICROS = 72_000;
+    private static final long CROSS_ZONE_MICROS = 1_500;
+    private static final double CACHED_RATIO_AT_OWNER = 0.9;
+    private static final double CACHED_RATIO_ELSEWHERE = 0.15;
+    private static final long LOAD_REPORT_LIFETIME_MICROS = 1_500_000L;
+    private static final long CROSS_REGION_PENALTY_MICROS = 25_000;
+    private static final long MIXED_TRAFFIC_PENALTY_MICROS = 200_000;
+    private static final int MIN_SHARED_TOKENS = 512;
 
     private LatencyPredictor() {}
 
     /** What is foretold: when the first event comes, and what the choice costs beside it. */
-    record View(long first, long cost, int unread) {}
+    record Prediction(long latency, long cost, int tokensToPrefill) {}
 
-    static View of(
-            final RoutedRequest fare,
-            final Value.Route rule,
-            final WorkerState s,
+    static Prediction predict(
+            final RoutedRequest request,
+            final Value.Route route,
+            final WorkerState worker,
             final String zone,
             final String region,
-            final Map<Long, String> homes,
-            final Set<String> writers,
+            final Map<Long, String> prefixOwners,
+            final Set<String> decodeWorkers,
             final long now) {
-        final boolean far = !s.worker.region().equals(region);
-        final int unread = unread(fare, s, homes, now);
-        final double read = (unread * (TOKEN + PAIR * (fare.in() - unread / 2.0)) + s.unread() * TOKEN) * s.pace;
-        final boolean told = now - s.loadAt < STALE;
-        final double full = Math.max(told ? (double) s.running / s.slots : 0, (double) s.runs.size() / s.slots);
-        final long queue = told ? s.waiting * WAIT : 0;
-        final long way = far ? FAR : s.worker.zone().equals(zone) ? 0 : NEAR;
-        final long first =
-                Math.round(way + BASE * s.pace + read + queue + full * 60_000 + Math.max(0, full - 0.8) * 2_000_000);
-        final boolean odd = !writers.isEmpty() && writers.contains(s.worker.id()) == TrafficStatistics.lengthy(fare);
-        final int streams = Math.max(told ? s.running : 0, s.runs.size());
-        final long harm = TrafficStatistics.lengthy(fare)
-                ? Math.min(MOST, streams) * Math.round(HARM * Math.min(1, unread / FULL))
+        final boolean isRemote = !worker.worker.region().equals(region);
+        final int tokensToPrefill = tokensToPrefill(request, worker, prefixOwners, now);
+        final double prefill = (tokensToPrefill
+                                * (PREFILL_MICROS_PER_TOKEN
+                                        + ATTENTION_MICROS_PER_TOKEN_PAIR
+                                                * (request.promptTokens() - tokensToPrefill / 2.0))
+                        + worker.pendingPrefillTokens() * PREFILL_MICROS_PER_TOKEN)
+                * worker.latencyFactor;
+        final boolean hasLoadReport = now - worker.loadReportedAt < LOAD_REPORT_LIFETIME_MICROS;
+        final double utilization = Math.max(
+                hasLoadReport ? (double) worker.running / worker.slots : 0,
+                (double) worker.attempts.size() / worker.slots);
+        final long queue = hasLoadReport ? worker.waiting * MICROS_PER_WAITING_REQUEST : 0;
+        final long network =
+                isRemote ? CROSS_REGION_MICROS : worker.worker.zone().equals(zone) ? 0 : CROSS_ZONE_MICROS;
+        final long latency = Math.round(network
+                + BASE_MICROS * worker.latencyFactor
+                + prefill
+                + queue
+                + utilization * 60_000
+                + Math.max(0, utilization - 0.8) * 2_000_000);
+        final boolean mixesTraffic = !decodeWorkers.isEmpty()
+                && decodeWorkers.contains(worker.worker.id()) == TrafficStatistics.isLongPrompt(request);
+        final int streams = Math.max(hasLoadReport ? worker.running : 0, worker.attempts.size());
+        final long pausePenalty = TrafficStatistics.isLongPrompt(request)
+                ? Math.min(MAX_PAUSED_STREAMS, streams)
+                        * Math.round(PREFILL_PAUSE_MICROS * Math.min(1, tokensToPrefill / FULL_PAUSE_TOKENS))
                 : 0;
-        final long extra = (far ? LONG : 0)
-                + (odd ? APART : 0)
-                + harm
-                + Math.max(0, s.overdue(now)) * 2
-                + (s.cold(now) ? rule.latencyTargetMicros() / 2 : 0);
-        return new View(first, first + extra, unread);
+        final long penalty = (isRemote ? CROSS_REGION_PENALTY_MICROS : 0)
+                + (mixesTraffic ? MIXED_TRAFFIC_PENALTY_MICROS : 0)
+                + pausePenalty
+                + Math.max(0, worker.maxOverdue(now)) * 2
+                + (worker.isWarmingUp(now) ? route.latencyTargetMicros() / 2 : 0);
+        return new Prediction(latency, latency + penalty, tokensToPrefill);
     }
 
     /** The tokens a worker has likely still to read of a prompt. */
-    static int unread(final RoutedRequest fare, final WorkerState s, final Map<Long, String> homes, final long now) {
-        double all = 0;
-        double kept = 1;
-        for (int i = 0; i < fare.parts().size(); i++) {
-            final RoutedRequest.Part p = fare.parts().get(i);
-            final boolean own = i + 1 == fare.parts().size();
-            kept = Math.min(
-                    kept,
-                    own && !s.keeps(p.name(), now)
+    static int tokensToPrefill(
+            final RoutedRequest request,
+            final WorkerState worker,
+            final Map<Long, String> prefixOwners,
+            final long now) {
+        double tokens = 0;
+        double cachedRatio = 1;
+        for (int i = 0; i < request.promptParts().size(); i++) {
+            final RoutedRequest.PromptPart part = request.promptParts().get(i);
+            final boolean isLast = i + 1 == request.promptParts().size();
+            cachedRatio = Math.min(
+                    cachedRatio,
+                    isLast && !worker.hasCached(part.digest(), now)
                             ? 0
-                            : s.keeps(p.name(), now) ? 1 : s.worker.id().equals(homes.get(p.name())) ? FIRST : OTHER);
-            all += p.tokens() * (1 - kept);
+                            : worker.hasCached(part.digest(), now)
+                                    ? 1
+                                    : worker.worker.id().equals(prefixOwners.get(part.digest()))
+                                            ? CACHED_RATIO_AT_OWNER
+                                            : CACHED_RATIO_ELSEWHERE);
+            tokens += part.tokens() * (1 - cachedRatio);
         }
-        return (int) Math.round(fare.parts().isEmpty() ? fare.in() : all);
+        return (int) Math.round(request.promptParts().isEmpty() ? request.promptTokens() : tokens);
     }
 
     /** Whether a prompt's shared parts are large enough to be kept together. */
-    static boolean worth(final List<RoutedRequest.Part> parts) {
+    static boolean hasLargeSharedPrefix(final List<RoutedRequest.PromptPart> parts) {
         return parts.size() > 1
                 && parts.subList(0, parts.size() - 1).stream()
-                                .mapToInt(RoutedRequest.Part::tokens)
+                                .mapToInt(RoutedRequest.PromptPart::tokens)
                                 .sum()
-                        >= WORTH;
+                        >= MIN_SHARED_TOKENS;
     }
 
     /** The name of a prompt's longest run of shared parts. */
-    static long key(final RoutedRequest fare) {
-        return fare.parts().get(fare.parts().size() - 2).name();
+    static long sharedPrefixKey(final RoutedRequest request) {
+        return request.promptParts().get(request.promptParts().size() - 2).digest();
     }
 
-    static long draw(final long seed, final String name) {
-        long sum = 0xCBF29CE484222325L ^ seed;
+    static long rendezvousHash(final long seed, final String name) {
+        long hash = 0xCBF29CE484222325L ^ seed;
         for (int i = 0; i < name.length(); i++) {
-            sum = (sum ^ name.charAt(i)) * 0x100000001B3L;
+            hash = (hash ^ name.charAt(i)) * 0x100000001B3L;
         }
-        sum = (sum ^ sum >>> 30) * 0xBF58476D1CE4E5B9L;
-        sum = (sum ^ sum >>> 27) * 0x94D049BB133111EBL;
-        return sum ^ sum >>> 31;
+        hash = (hash ^ hash >>> 30) * 0xBF58476D1CE4E5B9L;
+        hash = (hash ^ hash >>> 27) * 0x94D049BB133111EBL;
+        return hash ^ hash >>> 31;
     }
 }
--- a/core/src/main/java/silverlatch/routing/Reachability.java
+++ b/core/src/main/java/silverlatch/routing/Reachability.java
@@ -7,13 +7,13 @@
  * workers has said a word since, or where a connection there fails, the region counts as mute until one speaks.
  */
 final class Reachability {
-    private static final long SLACK = 200_000L;
-    private static final long FIRST = 500_000L;
-    private static final long MOST = 4_000_000L;
+    private static final long SLACK_MICROS = 200_000L;
+    private static final long INITIAL_BACKOFF_MICROS = 500_000L;
+    private static final long MAX_BACKOFF_MICROS = 4_000_000L;
     private final String region;
     private long heard = Long.MIN_VALUE / 2;
-    private long until = Long.MIN_VALUE / 2;
-    private int misses;
+    private long unreachableUntil = Long.MIN_VALUE / 2;
+    private int connectFailures;
 
     Reachability(final String region) {
         this.region = region;
@@ -21,23 +21,26 @@
 
     void heard(final long now) {
         heard = now;
-        misses = 0;
-        until = Long.MIN_VALUE / 2;
+        connectFailures = 0;
+        unreachableUntil = Long.MIN_VALUE / 2;
     }
 
     /** A connection there could not be made. */
-    void missed(final long now) {
-        if (now - heard > SLACK) {
-            until = now + Math.min(MOST, FIRST << Math.min(4, misses));
-            misses++;
+    void connectFailed(final long now) {
+        if (now - heard > SLACK_MICROS) {
+            unreachableUntil =
+                    now + Math.min(MAX_BACKOFF_MICROS, INITIAL_BACKOFF_MICROS << Math.min(4, connectFailures));
+            connectFailures++;
         }
     }
 
-    boolean mute(final Collection<WorkerState> all, final long now) {
-        return now < until
-                || all.stream()
+    boolean isUnreachable(final Collection<WorkerState> workers, final long now) {
+        return now < unreachableUntil
+                || workers.stream()
                         .filter(s -> s.worker.region().equals(region))
-                        .flatMap(s -> s.runs.values().stream())
-                        .anyMatch(r -> !r.first && r.begun > heard && now - r.begun > r.guess + r.guess / 2 + SLACK);
+                        .flatMap(s -> s.attempts.values().stream())
+                        .anyMatch(r -> !r.firstEventSeen
+                                && r.startedAt > heard
+                                && now - r.startedAt > r.predictedLatency + r.predictedLatency / 2 + SLACK_MICROS);
     }
 }
--- a/core/src/main/java/silverlatch/routing/RoutedRequest.java
+++ b/core/src/main/java/silverlatch/routing/RoutedRequest.java
@@ -5,22 +5,29 @@
 /**
  * A ticket that came by host and path, as far as its placement needs to know it; the prompt stays outside.
  *
- * @param token  its number at the door
+ * @param callId  its number at the door
  * @param host   the host it names
  * @param path   its path
- * @param ticket the consumer's own id of this try
- * @param left   how long the consumer waits, in microseconds
- * @param parts  the parts of its prompt, in order; the last is its own
- * @param in     tokens of the prompt
- * @param out    the most tokens of the reply
+ * @param requestId the consumer's own id of this try
+ * @param timeout   how long the consumer waits, in microseconds
+ * @param promptParts  the parts of its prompt, in order; the last is its own
+ * @param promptTokens     tokens of the prompt
+ * @param maxResponseTokens    the most tokens of the reply
  */
 public record RoutedRequest(
-        long token, String host, String path, String ticket, long left, List<Part> parts, int in, int out) {
+        long callId,
+        String host,
+        String path,
+        String requestId,
+        long timeout,
+        List<PromptPart> promptParts,
+        int promptTokens,
+        int maxResponseTokens) {
     /** Copies the parts. */
     public RoutedRequest {
-        parts = List.copyOf(parts);
+        promptParts = List.copyOf(promptParts);
     }
 
     /** A part of a prompt: its name as a number, and its tokens. */
-    public record Part(long name, int tokens) {}
+    public record PromptPart(long digest, int tokens) {}
 }
--- a/core/src/main/java/silverlatch/routing/Router.java
+++ b/core/src/main/java/silverlatch/routing/Router.java
@@ -11,13 +11,13 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 import silverlatch.clock.Stamp;
-import silverlatch.dispatch.Budget;
-import silverlatch.dispatch.Facts;
+import silverlatch.dispatch.ClusterSnapshot;
+import silverlatch.dispatch.RetryBudget;
 import silverlatch.dispatch.TraceLog;
 import silverlatch.dispatch.buffer.Slab;
 import silverlatch.gossip.Worker;
 import silverlatch.node.Event;
-import silverlatch.placement.Case;
+import silverlatch.placement.PlacementContext;
 import silverlatch.placement.PlacementInput;
 import silverlatch.placement.ScorerResult;
 import silverlatch.placement.WeightedScorers;
@@ -30,118 +30,131 @@
  */
 public final class Router {
     private static final long SECOND = 1_000_000L;
-    private static final double NEAR = 0.08;
-    private static final int TALES = 2_000;
-    private static final int SHOWN = 8;
-    private final Setup setup;
-    private final Supplier<Stamp> stamps;
-    private final RandomGenerator luck;
-    private final WeightedScorers last;
-    private final Slab<Open> slab;
+    private static final double NEAR_BEST_RATIO = 0.08;
+    private static final int MAX_TRACES = 2_000;
+    private static final int MAX_TRACED_SCORES = 8;
+    private final Settings settings;
+    private final Supplier<Stamp> timestamps;
+    private final RandomGenerator random;
+    private final WeightedScorers constraints;
+    private final Slab<OpenRequest> requests;
     private final Map<Long, Long> places = new HashMap<>();
-    private final Map<Long, Long> jobs = new HashMap<>();
-    private final Map<String, WorkerState> stands = new TreeMap<>();
-    private final Map<String, Value.Tenant> tenants = new HashMap<>();
-    private final Map<String, Long> tally = new TreeMap<>();
-    private final List<RoutingEffect> out = new ArrayList<>();
-    private final Budget budget;
-    private final TrafficStatistics habits = new TrafficStatistics();
-    private final Map<String, Reachability> reaches = new HashMap<>();
-    private final TraceLog tales = new TraceLog(TALES);
-    private RoutingTable charters = RoutingTable.NONE;
-    private Facts facts;
-    private long job;
-    private int most = 1;
-    private int peak = 1;
-    private long turned;
-    private boolean leaving;
+    private final Map<Long, Long> handlesByAttempt = new HashMap<>();
+    private final Map<String, WorkerState> workers = new TreeMap<>();
+    private final Map<String, Value.Tenant> tenantsByRoute = new HashMap<>();
+    private final Map<String, Long> counters = new TreeMap<>();
+    private final List<RoutingEffect> effects = new ArrayList<>();
+    private final RetryBudget retryBudget;
+    private final TrafficStatistics traffic = new TrafficStatistics();
+    private final Map<String, Reachability> reachabilityByRegion = new HashMap<>();
+    private final TraceLog traces = new TraceLog(MAX_TRACES);
+    private RoutingTable routingTable = RoutingTable.NONE;
+    private ClusterSnapshot clusterSnapshot;
+    private long lastAttemptId;
+    private int gatewayCount = 1;
+    private int peakGatewayCount = 1;
+    private long peakWindowStart;
+    private boolean draining;
     private boolean closing;
 
     /** Settings: open tickets at most, the part of extra tries, how old a word on a worker may be, in microseconds. */
-    public record Setup(int slab, double tries, long word) {
+    public record Settings(int maxOpenRequests, double retryRatio, long maxReportAge) {
         /** What holds when nothing is said. */
-        public static final Setup PLAIN = new Setup(2_048, 0.1, Long.MAX_VALUE);
+        public static final Settings DEFAULT = new Settings(2_048, 0.1, Long.MAX_VALUE);
     }
 
-    private static final class Open {
-        final RoutedRequest fare;
-        final Value.Route rule;
+    private static final class OpenRequest {
+        final RoutedRequest request;
+        final Value.Route route;
         final String pool;
-        final long begun;
-        final long end;
-        final Stamp stamp;
-        int tries;
-        long place;
-        long run;
+        final long arrivedAt;
+        final long deadline;
+        final Stamp timestamp;
+        int attempts;
+        long handle;
+        long attemptId;
         String worker = "";
-        boolean begunReply;
+        boolean responseStarted;
         boolean mayHaveRun;
-        final List<String> failed = new ArrayList<>();
-
-        Open(final RoutedRequest fare, final Value.Route rule, final String pool, final long begun, final Stamp stamp) {
-            this.fare = fare;
-            this.rule = rule;
+        final List<String> failedWorkers = new ArrayList<>();
+
+        OpenRequest(
+                final RoutedRequest request,
+                final Value.Route route,
+                final String pool,
+                final long arrivedAt,
+                final Stamp timestamp) {
+            this.request = request;
+            this.route = route;
             this.pool = pool;
-            this.begun = begun;
-            this.stamp = stamp;
-            this.end = begun + Math.min(fare.left(), rule.timeoutMicros());
+            this.arrivedAt = arrivedAt;
+            this.timestamp = timestamp;
+            this.deadline = arrivedAt + Math.min(request.timeout(), route.timeoutMicros());
         }
     }
 
     /** A gateway that carries nothing yet. */
-    public Router(final Setup setup, final Facts facts, final Supplier<Stamp> stamps, final RandomGenerator luck) {
-        this.setup = setup;
-        this.facts = facts;
-        this.stamps = stamps;
-        this.luck = luck;
-        this.last = WeightedScorers.last(setup.word(), silverlatch.safeguard.Safeguards.ALL);
-        this.slab = new Slab<>(setup.slab());
-        this.budget = new Budget(setup.tries(), 2);
+    public Router(
+            final Settings settings,
+            final ClusterSnapshot clusterSnapshot,
+            final Supplier<Stamp> timestamps,
+            final RandomGenerator random) {
+        this.settings = settings;
+        this.clusterSnapshot = clusterSnapshot;
+        this.timestamps = timestamps;
+        this.random = random;
+        this.constraints = WeightedScorers.constraints(settings.maxReportAge(), silverlatch.safeguard.Safeguards.ALL);
+        this.requests = new Slab<>(settings.maxOpenRequests());
+        this.retryBudget = new RetryBudget(settings.retryRatio(), 2);
     }
 
     /** Takes what the gateway knows now. */
-    public void facts(final Facts next, final long now) {
-        if (next.page() != facts.page() || charters == RoutingTable.NONE) {
-            charters = new RoutingTable(next.policy());
-            tenants.clear();
+    public void clusterSnapshot(final ClusterSnapshot next, final long now) {
+        if (next.revision() != clusterSnapshot.revision() || routingTable == RoutingTable.NONE) {
+            routingTable = new RoutingTable(next.policy());
+            tenantsByRoute.clear();
         }
-        facts = next;
-        facts.workers().forEach((id, h) -> {
-            final WorkerState s = stands.computeIfAbsent(id, k -> new WorkerState(h, now));
-            if (!s.worker.equals(h.worker()) || s.silent != h.silent()) {
-                s.word(h, now);
+        clusterSnapshot = next;
+        clusterSnapshot.workers().forEach((id, report) -> {
+            final WorkerState worker = workers.computeIfAbsent(id, k -> new WorkerState(report, now));
+            if (!worker.worker.equals(report.worker()) || worker.silent != report.silent()) {
+                worker.update(report, now);
             }
         });
-        stands.values().removeIf(s -> s.runs.isEmpty() && !facts.workers().containsKey(s.worker.id()));
-        if (now - turned > 30 * SECOND) {
-            turned = now;
-            most = peak;
-            peak = 1;
+        workers.values()
+                .removeIf(worker ->
+                        worker.attempts.isEmpty() && !clusterSnapshot.workers().containsKey(worker.worker.id()));
+        if (now - peakWindowStart > 30 * SECOND) {
+            peakWindowStart = now;
+            gatewayCount = peakGatewayCount;
+            peakGatewayCount = 1;
         }
-        peak = Math.max(peak, facts.crew().size() + 1);
-        most = Math.max(most, peak);
+        peakGatewayCount = Math.max(peakGatewayCount, clusterSnapshot.peers().size() + 1);
+        gatewayCount = Math.max(gatewayCount, peakGatewayCount);
     }
 
     /** The number of the charter in force here, or 0. */
-    public long charter() {
-        return charters.number();
+    public long configurationNumber() {
+        return routingTable.configurationNumber();
     }
 
     /** What clients may send and how long they may rest, by the configuration in force here. */
     public Optional<Value.RoutingConfiguration> limits() {
-        return charters.limits();
+        return routingTable.limits();
     }
 
     /** Whether tickets are taken, or why not. */
-    public Optional<String> unready() {
-        return leaving || closing
+    public Optional<String> unreadyReason() {
+        return draining || closing
                 ? Optional.of("stopping")
-                : charters.number() == 0 ? Optional.of("no charter is known here yet") : Optional.empty();
+                : routingTable.configurationNumber() == 0
+                        ? Optional.of("no charter is known here yet")
+                        : Optional.empty();
     }
 
     /** This gateway is about to stop: it is no longer ready, but still takes what comes. */
-    public void leave() {
-        leaving = true;
+    public void startDraining() {
+        draining = true;
     }
 
     /** No new ticket is taken from now on. */
@@ -150,439 +163,478 @@
     }
 
     /** How many tickets are under way. */
-    public int open() {
-        return slab.used();
+    public int openRequests() {
+        return requests.used();
     }
 
     /** Counts by name. */
-    public Map<String, Long> tally() {
-        return Map.copyOf(tally);
+    public Map<String, Long> counters() {
+        return Map.copyOf(counters);
     }
 
     /** The stories of tickets. */
-    public TraceLog tales() {
-        return tales;
+    public TraceLog traces() {
+        return traces;
     }
 
     /** What is to be done; it is handed over once. */
-    public List<RoutingEffect> drain() {
-        final List<RoutingEffect> list = List.copyOf(out);
-        out.clear();
+    public List<RoutingEffect> drainEffects() {
+        final List<RoutingEffect> list = List.copyOf(effects);
+        effects.clear();
         return list;
     }
 
     /** A ticket came in whole. */
-    public void arrive(final RoutedRequest fare, final long now) {
+    public void requestArrived(final RoutedRequest request, final long now) {
         count("tickets");
-        if (closing || charters.number() == 0) {
+        if (closing || routingTable.configurationNumber() == 0) {
             reject(
-                    fare.token(),
+                    request.callId(),
                     503,
-                    closing ? SECOND / 20 : SECOND + luck.nextLong(SECOND / 2),
+                    closing ? SECOND / 20 : SECOND + random.nextLong(SECOND / 2),
                     closing ? "stopping" : "no charter is known here yet");
             return;
         }
-        final Optional<Value.Route> rule = charters.rule(fare.host(), fare.path());
-        if (rule.isEmpty()) {
-            reject(fare.token(), 404, 0, "no rule for " + fare.host() + fare.path());
+        final Optional<Value.Route> route = routingTable.route(request.host(), request.path());
+        if (route.isEmpty()) {
+            reject(request.callId(), 404, 0, "no rule for " + request.host() + request.path());
             return;
         }
-        final Open o = new Open(fare, rule.get(), lot(rule.get()), now, stamps.get());
-        final Optional<Long> place = slab.put(o);
-        if (place.isEmpty()) {
-            reject(fare.token(), 503, SECOND / 2, "the slab is full");
+        final OpenRequest open = new OpenRequest(request, route.get(), drawPool(route.get()), now, timestamps.get());
+        final Optional<Long> handle = requests.insert(open);
+        if (handle.isEmpty()) {
+            reject(request.callId(), 503, SECOND / 2, "the slab is full");
             return;
         }
-        o.place = place.get();
-        places.put(fare.token(), o.place);
-        budget.fresh(now);
-        habits.note(fare, o.rule, now);
-        send(o, now);
+        open.handle = handle.get();
+        places.put(request.callId(), open.handle);
+        retryBudget.recordRequest(now);
+        traffic.observe(request, open.route, now);
+        startAttempt(open, now);
     }
 
     /** The reply's head has come and is passed on. */
-    public void headed(final long run, final Optional<Load> load, final long now) {
-        find(run).ifPresent(o -> {
-            reach(stands.get(o.worker)).heard(now);
-            o.begunReply = true;
-            final WorkerState s = stands.get(o.worker);
-            load.ifPresent(l -> s.load(l.running(), l.waiting(), l.slots(), now));
+    public void responseStarted(final long attemptId, final Optional<ReportedLoad> load, final long now) {
+        findAttempt(attemptId).ifPresent(open -> {
+            reachabilityOf(workers.get(open.worker)).heard(now);
+            open.responseStarted = true;
+            final WorkerState worker = workers.get(open.worker);
+            load.ifPresent(report -> worker.updateLoad(report.running(), report.waiting(), report.slots(), now));
         });
     }
 
     /** An event was passed on. */
-    public void heard(final long run, final long now) {
-        find(run).ifPresent(o -> {
-            final WorkerState s = stands.get(o.worker);
-            final WorkerState.Run r = s.runs.get(run);
-            r.heard = now;
-            reach(s).heard(now);
-            if (!r.first) {
-                r.first = true;
-                s.good(r, now);
+    public void eventForwarded(final long attemptId, final long now) {
+        findAttempt(attemptId).ifPresent(open -> {
+            final WorkerState worker = workers.get(open.worker);
+            final WorkerState.Attempt attempt = worker.attempts.get(attemptId);
+            attempt.lastEventAt = now;
+            reachabilityOf(worker).heard(now);
+            if (!attempt.firstEventSeen) {
+                attempt.firstEventSeen = true;
+                worker.recordSuccess(attempt, now);
             }
         });
     }
 
     /** A worker's whole reply that is no success is at hand; not passed on yet. */
-    public void ill(final long run, final int status, final Optional<Load> load, final long now) {
-        find(run).ifPresent(o -> {
-            reach(stands.get(o.worker)).heard(now);
-            load.ifPresent(l -> stands.get(o.worker).load(l.running(), l.waiting(), l.slots(), now));
-            final boolean may = status >= 500 && o.rule.isRetryable() && o.tries < o.rule.maxAttempts() && now < o.end;
-            if (may) {
-                o.failed.add(o.worker);
+    public void errorResponse(
+            final long attemptId, final int status, final Optional<ReportedLoad> load, final long now) {
+        findAttempt(attemptId).ifPresent(open -> {
+            reachabilityOf(workers.get(open.worker)).heard(now);
+            load.ifPresent(report ->
+                    workers.get(open.worker).updateLoad(report.running(), report.waiting(), report.slots(), now));
+            final boolean mayRetry = status >= 500
+                    && open.route.isRetryable()
+                    && open.attempts < open.route.maxAttempts()
+                    && now < open.deadline;
+            if (mayRetry) {
+                open.failedWorkers.add(open.worker);
             }
-            if (may && !places(o, now).isEmpty() && budget.take(now)) {
+            if (mayRetry && !places(open, now).isEmpty() && retryBudget.tryAcquire(now)) {
                 count("again_ill");
-                o.mayHaveRun = true;
-                drop(o, true, now);
-                send(o, now);
+                open.mayHaveRun = true;
+                endAttempt(open, true, now);
+                startAttempt(open, now);
             } else {
-                out.add(new RoutingEffect.Pass(o.fare.token(), run));
+                effects.add(new RoutingEffect.ForwardResponse(open.request.callId(), attemptId));
             }
         });
     }
 
     /** The worker's reply was passed on whole. */
-    public void ended(final long run, final boolean good, final long now) {
-        find(run).ifPresent(o -> {
-            count(good ? "done" : "passed");
-            tales.state(o.fare.ticket(), good ? "done" : "passed", "");
-            drop(o, !good, now);
-            close(o);
+    public void responseCompleted(final long attemptId, final boolean succeeded, final long now) {
+        findAttempt(attemptId).ifPresent(open -> {
+            count(succeeded ? "done" : "passed");
+            traces.recordState(open.request.requestId(), succeeded ? "done" : "passed", "");
+            endAttempt(open, !succeeded, now);
+            close(open);
         });
     }
 
     /** A run broke. */
-    public void failed(final long run, final FailurePoint point, final long now) {
-        find(run).ifPresent(o -> {
+    public void attemptFailed(final long attemptId, final FailurePoint point, final long now) {
+        findAttempt(attemptId).ifPresent(open -> {
             count("broke_" + point.name().toLowerCase(java.util.Locale.ROOT));
-            tales.state(o.fare.ticket(), "broke", point + " at " + o.worker);
-            out.add(new RoutingEffect.Log(
-                    Event.RUN_BROKE, o.worker + " " + point + " after " + (now - o.begun) / 1000 + " ms"));
-            final WorkerState s = stands.get(o.worker);
+            traces.recordState(open.request.requestId(), "broke", point + " at " + open.worker);
+            effects.add(new RoutingEffect.Log(
+                    Event.RUN_BROKE, open.worker + " " + point + " after " + (now - open.arrivedAt) / 1000 + " ms"));
+            final WorkerState worker = workers.get(open.worker);
             if (point == FailurePoint.UNSENT) {
-                reach(s).missed(now);
+                reachabilityOf(worker).connectFailed(now);
             } else if (point == FailurePoint.NOT_RUN || point == FailurePoint.STRANGER) {
-                reach(s).heard(now);
+                reachabilityOf(worker).heard(now);
             }
-            drop(o, point != FailurePoint.NOT_RUN, now);
-            o.failed.add(o.worker);
+            endAttempt(open, point != FailurePoint.NOT_RUN, now);
+            open.failedWorkers.add(open.worker);
             if (point == FailurePoint.NOT_RUN) {
-                s.shunUntil = Math.max(s.shunUntil, now + 150_000);
+                worker.ejectedUntil = Math.max(worker.ejectedUntil, now + 150_000);
             }
-            final boolean free =
+            final boolean surelyNotRun =
                     point == FailurePoint.UNSENT || point == FailurePoint.NOT_RUN || point == FailurePoint.STRANGER;
-            o.mayHaveRun |= !free;
-            final boolean may = (free
-                            || o.rule.isRetryable()
-                                    && (point != FailurePoint.BEGUN || o.rule.resumable() && o.rule.streaming()))
-                    && now < o.end;
-            final boolean left = point == FailurePoint.UNSENT && o.tries <= o.rule.maxAttempts() + 1
-                    || o.tries < o.rule.maxAttempts();
-            if (may && left && !places(o, now).isEmpty() && (point == FailurePoint.UNSENT || budget.take(now))) {
-                o.tries -= point == FailurePoint.UNSENT ? 1 : 0;
+            open.mayHaveRun |= !surelyNotRun;
+            final boolean mayRetry = (surelyNotRun
+                            || open.route.isRetryable()
+                                    && (point != FailurePoint.BEGUN
+                                            || open.route.resumable() && open.route.streaming()))
+                    && now < open.deadline;
+            final boolean hasAttemptsLeft =
+                    point == FailurePoint.UNSENT && open.attempts <= open.route.maxAttempts() + 1
+                            || open.attempts < open.route.maxAttempts();
+            if (mayRetry
+                    && hasAttemptsLeft
+                    && !places(open, now).isEmpty()
+                    && (point == FailurePoint.UNSENT || retryBudget.tryAcquire(now))) {
+                open.attempts -= point == FailurePoint.UNSENT ? 1 : 0;
                 count("again");
-                send(o, now);
-            } else if (!o.mayHaveRun && !o.begunReply) {
-                close(o);
-                reject(o.fare.token(), 503, away(o), "no worker ran it");
+                startAttempt(open, now);
+            } else if (!open.mayHaveRun && !open.responseStarted) {
+                close(open);
+                reject(open.request.callId(), 503, retryAfter(open), "no worker ran it");
             } else {
-                close(o);
-                out.add(new RoutingEffect.Fail(o.fare.token(), 502, "the worker broke off"));
+                close(open);
+                effects.add(new RoutingEffect.Fail(open.request.callId(), 502, "the worker broke off"));
             }
         });
     }
 
     /** The consumer is gone. */
-    public void left(final long token, final long now) {
-        Optional.ofNullable(places.get(token)).flatMap(slab::get).ifPresent(o -> {
+    public void clientDisconnected(final long callId, final long now) {
+        Optional.ofNullable(places.get(callId)).flatMap(requests::get).ifPresent(open -> {
             count("left");
-            cut(o, now);
-            close(o);
+            cancelAttempt(open, now);
+            close(open);
         });
     }
 
     /** A clock event. */
     public void tick(final long now) {
-        for (final long token : List.copyOf(places.keySet())) {
-            slab.get(places.get(token)).ifPresent(o -> look(o, now));
+        for (final long callId : List.copyOf(places.keySet())) {
+            requests.get(places.get(callId)).ifPresent(open -> checkTimeouts(open, now));
         }
     }
 
     /** Ends all that is under way. */
-    public void end(final long now) {
-        for (final long place : List.copyOf(places.values())) {
-            slab.get(place).ifPresent(o -> {
-                cut(o, now);
-                close(o);
-                out.add(new RoutingEffect.Fail(o.fare.token(), 502, "stopping"));
+    public void shutdown(final long now) {
+        for (final long handle : List.copyOf(places.values())) {
+            requests.get(handle).ifPresent(open -> {
+                cancelAttempt(open, now);
+                close(open);
+                effects.add(new RoutingEffect.Fail(open.request.callId(), 502, "stopping"));
             });
         }
     }
 
-    private void look(final Open o, final long now) {
-        if (now >= o.end) {
+    private void checkTimeouts(final OpenRequest open, final long now) {
+        if (now >= open.deadline) {
             count("expired");
-            tales.state(o.fare.ticket(), "expired", "its time is up");
-            cut(o, now);
-            close(o);
-            out.add(new RoutingEffect.Fail(o.fare.token(), 504, "its time is up"));
+            traces.recordState(open.request.requestId(), "expired", "its time is up");
+            cancelAttempt(open, now);
+            close(open);
+            effects.add(new RoutingEffect.Fail(open.request.callId(), 504, "its time is up"));
             return;
         }
-        final WorkerState s = stands.get(o.worker);
-        final WorkerState.Run r = s.runs.get(o.run);
-        final long patience = r.first
-                ? Math.max(SECOND, 2 * o.rule.maxEventGapMicros())
-                : Math.max(o.rule.latencyTargetMicros() * 3 / 4, 3 * r.guess);
-        if (o.rule.isRetryable()
-                && (!o.begunReply || o.rule.resumable())
-                && o.tries < o.rule.maxAttempts()
-                && now - r.heard > patience
-                && !o.failed.contains(o.worker)) {
-            out.add(new RoutingEffect.Log(Event.RUN_BROKE, o.worker + " silent for " + (now - r.heard) / 1000 + " ms"));
-            final List<Pick> others = places(o, now).stream()
-                    .filter(p -> !p.stand().worker.id().equals(o.worker))
+        final WorkerState worker = workers.get(open.worker);
+        final WorkerState.Attempt attempt = worker.attempts.get(open.attemptId);
+        final long silenceLimit = attempt.firstEventSeen
+                ? Math.max(SECOND, 2 * open.route.maxEventGapMicros())
+                : Math.max(open.route.latencyTargetMicros() * 3 / 4, 3 * attempt.predictedLatency);
+        if (open.route.isRetryable()
+                && (!open.responseStarted || open.route.resumable())
+                && open.attempts < open.route.maxAttempts()
+                && now - attempt.lastEventAt > silenceLimit
+                && !open.failedWorkers.contains(open.worker)) {
+            effects.add(new RoutingEffect.Log(
+                    Event.RUN_BROKE, open.worker + " silent for " + (now - attempt.lastEventAt) / 1000 + " ms"));
+            final List<Candidate> others = places(open, now).stream()
+                    .filter(p -> !p.worker().worker.id().equals(open.worker))
                     .toList();
-            if (!others.isEmpty() && budget.take(now)) {
+            if (!others.isEmpty() && retryBudget.tryAcquire(now)) {
                 count("moved");
-                o.mayHaveRun = true;
-                o.failed.add(o.worker);
-                out.add(new RoutingEffect.Cut(o.run));
-                s.bad(now);
-                drop(o, false, now);
-                send(o, now);
+                open.mayHaveRun = true;
+                open.failedWorkers.add(open.worker);
+                effects.add(new RoutingEffect.CancelAttempt(open.attemptId));
+                worker.recordFailure(now);
+                endAttempt(open, false, now);
+                startAttempt(open, now);
             }
         }
     }
 
-    private Reachability reach(final WorkerState s) {
-        return reaches.computeIfAbsent(s.worker.region(), Reachability::new);
+    private Reachability reachabilityOf(final WorkerState worker) {
+        return reachabilityByRegion.computeIfAbsent(worker.worker.region(), Reachability::new);
     }
 
-    private String lot(final Value.Route rule) {
-        final int sum =
-                rule.backends().stream().mapToInt(Value.WeightedBackend::weight).sum();
-        int at = sum <= 0 ? 0 : luck.nextInt(sum);
-        for (final Value.WeightedBackend l : rule.backends()) {
-            at -= l.weight();
-            if (at < 0) {
-                return l.pool();
+    private String drawPool(final Value.Route route) {
+        final int totalWeight = route.backends().stream()
+                .mapToInt(Value.WeightedBackend::weight)
+                .sum();
+        int remaining = totalWeight <= 0 ? 0 : random.nextInt(totalWeight);
+        for (final Value.WeightedBackend backend : route.backends()) {
+            remaining -= backend.weight();
+            if (remaining < 0) {
+                return backend.pool();
             }
         }
-        return rule.backends().isEmpty() ? "" : rule.backends().get(0).pool();
+        return route.backends().isEmpty() ? "" : route.backends().get(0).pool();
     }
 
-    private record Pick(WorkerState stand, LatencyPredictor.View view) {}
+    private record Candidate(WorkerState worker, LatencyPredictor.Prediction prediction) {}
 
-    private List<Pick> places(final Open o, final long now) {
-        final Value.Tenant who =
-                tenants.computeIfAbsent(o.rule.name(), n -> new Value.Tenant(n, o.rule.homeRegions(), 1, "", ""));
-        final Case plea = new Case(
-                o.fare.ticket(),
-                who,
-                TableRules.defaultRow("*", o.rule.name()),
+    private List<Candidate> places(final OpenRequest open, final long now) {
+        final Value.Tenant tenant = tenantsByRoute.computeIfAbsent(
+                open.route.name(), n -> new Value.Tenant(n, open.route.homeRegions(), 1, "", ""));
+        final PlacementContext context = new PlacementContext(
+                open.request.requestId(),
+                tenant,
+                TableRules.defaultRow("*", open.route.name()),
                 List.of(),
-                facts.me().zone(),
-                facts.me().region(),
-                facts.empty());
-        final List<WorkerState> fit = stands.values().stream()
-                .filter(s -> s.worker.pool().equals(o.pool) && facts.workers().containsKey(s.worker.id()))
-                .filter(s -> last.stands(
-                        plea,
+                clusterSnapshot.self().zone(),
+                clusterSnapshot.self().region(),
+                clusterSnapshot.evacuatingZones());
+        final List<WorkerState> eligible = workers.values().stream()
+                .filter(s -> s.worker.pool().equals(open.pool)
+                        && clusterSnapshot.workers().containsKey(s.worker.id()))
+                .filter(s -> constraints.accepts(
+                        context,
                         new PlacementInput(
-                                s.worker, facts.workers().get(s.worker.id()).age(now), 0, 0, 0, false, 1)))
-                .filter(s -> !o.failed.contains(s.worker.id()))
-                .filter(s -> !s.cold(now) || warm(s, o.pool, now))
+                                s.worker,
+                                clusterSnapshot.workers().get(s.worker.id()).age(now),
+                                0,
+                                0,
+                                0,
+                                false,
+                                1)))
+                .filter(s -> !open.failedWorkers.contains(s.worker.id()))
+                .filter(s -> !s.isWarmingUp(now) || maySendWhileWarmingUp(s, open.pool, now))
                 .toList();
-        final Set<String> writers = habits.writers(
-                stands.values().stream()
-                        .filter(s -> s.worker.pool().equals(o.pool))
+        final Set<String> decodeWorkers = traffic.decodeWorkers(
+                workers.values().stream()
+                        .filter(s -> s.worker.pool().equals(open.pool))
                         .toList(),
                 now);
-        final Map<Long, String> homes = homes(o.fare, fit, writers);
-        final Map<String, Boolean> mute = new HashMap<>();
-        fit.forEach(s -> mute.computeIfAbsent(s.worker.region(), r -> reach(s).mute(stands.values(), now)));
-        return fit.stream()
-                .map(s -> new Pick(
+        final Map<Long, String> prefixOwners = prefixOwners(open.request, eligible, decodeWorkers);
+        final Map<String, Boolean> unreachable = new HashMap<>();
+        eligible.forEach(s -> unreachable.computeIfAbsent(
+                s.worker.region(), r -> reachabilityOf(s).isUnreachable(workers.values(), now)));
+        return eligible.stream()
+                .map(s -> new Candidate(
                         s,
-                        LatencyPredictor.of(
-                                o.fare, o.rule, s, facts.me().zone(), facts.me().region(), homes, writers, now)))
-                .sorted(Comparator.comparingLong(p -> p.view().cost()
-                        + (mute.get(p.stand().worker.region()) ? o.rule.latencyTargetMicros() * 2 : 0)
-                        + (p.stand().shunned(now) ? o.rule.latencyTargetMicros() * 4 : 0)))
+                        LatencyPredictor.predict(
+                                open.request,
+                                open.route,
+                                s,
+                                clusterSnapshot.self().zone(),
+                                clusterSnapshot.self().region(),
+                                prefixOwners,
+                                decodeWorkers,
+                                now)))
+                .sorted(Comparator.comparingLong(p -> p.prediction().cost()
+                        + (unreachable.get(p.worker().worker.region()) ? open.route.latencyTargetMicros() * 2 : 0)
+                        + (p.worker().isEjected(now) ? open.route.latencyTargetMicros() * 4 : 0)))
                 .toList();
     }
 
-    private Optional<Pick> pick(final Open o, final List<Pick> all, final long now) {
-        if (all.isEmpty()) {
+    private Optional<Candidate> choose(final OpenRequest open, final List<Candidate> candidates, final long now) {
+        if (candidates.isEmpty()) {
             return Optional.empty();
         }
-        final long best = all.get(0).view().cost();
-        final List<Pick> near = all.stream()
-                .filter(p -> p.stand().shunned(now) == all.get(0).stand().shunned(now)
-                        && p.stand()
+        final long lowestCost = candidates.get(0).prediction().cost();
+        final List<Candidate> nearBest = candidates.stream()
+                .filter(p -> p.worker().isEjected(now)
+                                == candidates.get(0).worker().isEjected(now)
+                        && p.worker()
                                 .worker
                                 .region()
-                                .equals(all.get(0).stand().worker.region())
-                        && p.view().cost() <= best + NEAR * o.rule.latencyTargetMicros())
+                                .equals(candidates.get(0).worker().worker.region())
+                        && p.prediction().cost() <= lowestCost + NEAR_BEST_RATIO * open.route.latencyTargetMicros())
                 .toList();
-        final List<Pick> least = near.stream()
-                .sorted(Comparator.comparingInt(p -> p.stand().runs.size()))
+        final List<Candidate> leastLoaded = nearBest.stream()
+                .sorted(Comparator.comparingInt(p -> p.worker().attempts.size()))
                 .toList();
-        return LatencyPredictor.worth(o.fare.parts())
-                ? Optional.of(all.get(0))
-                : Optional.of(least.get(luck.nextInt(Math.min(2, least.size()))));
+        return LatencyPredictor.hasLargeSharedPrefix(open.request.promptParts())
+                ? Optional.of(candidates.get(0))
+                : Optional.of(leastLoaded.get(random.nextInt(Math.min(2, leastLoaded.size()))));
     }
 
     /**
      * For each shared part of a prompt the worker that keeps it by common rule: one of this region where such parts come up
      * often, else one of all regions, so that it is read once only.
      */
-    private Map<Long, String> homes(final RoutedRequest fare, final List<WorkerState> fit, final Set<String> writers) {
-        final Map<Long, String> homes = new HashMap<>();
-        if (!LatencyPredictor.worth(fare.parts())) {
-            return homes;
+    private Map<Long, String> prefixOwners(
+            final RoutedRequest request, final List<WorkerState> eligible, final Set<String> decodeWorkers) {
+        final Map<Long, String> owners = new HashMap<>();
+        if (!LatencyPredictor.hasLargeSharedPrefix(request.promptParts())) {
+            return owners;
         }
-        final String here = facts.me().region();
-        final List<WorkerState> readers =
-                fit.stream().filter(s -> !writers.contains(s.worker.id())).toList();
-        final int gateways = 1
-                + (int) facts.crew().stream()
-                        .filter(m -> m.region().equals(here))
+        final String ownRegion = clusterSnapshot.self().region();
+        final List<WorkerState> prefillWorkers = eligible.stream()
+                .filter(s -> !decodeWorkers.contains(s.worker.id()))
+                .toList();
+        final int gatewaysInRegion = 1
+                + (int) clusterSnapshot.peers().stream()
+                        .filter(m -> m.region().equals(ownRegion))
                         .count();
-        final boolean near = readers.stream().anyMatch(s -> s.worker.region().equals(here)) && habits.often(gateways);
-        final long key = LatencyPredictor.key(fare);
-        readers.stream()
-                .filter(s -> !near || s.worker.region().equals(here))
-                .max(Comparator.comparingLong(s -> LatencyPredictor.draw(key, s.worker.id())))
-                .ifPresent(s -> fare.parts()
-                        .subList(0, fare.parts().size() - 1)
-                        .forEach(p -> homes.put(p.name(), s.worker.id())));
-        return homes;
+        final boolean keepInRegion =
+                prefillWorkers.stream().anyMatch(s -> s.worker.region().equals(ownRegion))
+                        && traffic.arePrefixesReused(gatewaysInRegion);
+        final long key = LatencyPredictor.sharedPrefixKey(request);
+        prefillWorkers.stream()
+                .filter(s -> !keepInRegion || s.worker.region().equals(ownRegion))
+                .max(Comparator.comparingLong(s -> LatencyPredictor.rendezvousHash(key, s.worker.id())))
+                .ifPresent(s -> request.promptParts()
+                        .subList(0, request.promptParts().size() - 1)
+                        .forEach(p -> owners.put(p.digest(), s.worker.id())));
+        return owners;
     }
 
     /** Whether this gateway may send to a cold worker now: a few gateways named by hashing share what it bears. */
-    private boolean warm(final WorkerState s, final String pool, final long now) {
-        final double rate = charters.pool(pool)
+    private boolean maySendWhileWarmingUp(final WorkerState worker, final String pool, final long now) {
+        final double rate = routingTable
+                .pool(pool)
                 .map(Value.BackendPool::warmupRequestsPerSecond)
                 .filter(r -> r > 0)
                 .orElse(1.0);
-        final int share = Math.max(1, Math.min(most, (int) Math.floor(rate)));
-        final long mine = LatencyPredictor.draw(7, s.worker.id() + facts.me().id());
-        final long before = facts.crew().stream()
-                .filter(m -> LatencyPredictor.draw(7, s.worker.id() + m.id()) > mine)
+        final int gatewaysAllowed = Math.max(1, Math.min(gatewayCount, (int) Math.floor(rate)));
+        final long ownHash = LatencyPredictor.rendezvousHash(
+                7, worker.worker.id() + clusterSnapshot.self().id());
+        final long gatewaysAhead = clusterSnapshot.peers().stream()
+                .filter(m -> LatencyPredictor.rendezvousHash(7, worker.worker.id() + m.id()) > ownHash)
                 .count();
-        final long gap = Math.max(SECOND, Math.round(share * SECOND / rate));
-        return before < share && now - s.lastSent >= gap;
+        final long minInterval = Math.max(SECOND, Math.round(gatewaysAllowed * SECOND / rate));
+        return gatewaysAhead < gatewaysAllowed && now - worker.lastSentAt >= minInterval;
     }
 
-    private void send(final Open o, final long now) {
-        final List<Pick> all = places(o, now);
-        final Optional<Pick> pick = pick(o, all, now);
-        tales.put(new TraceLog.Tale(
-                o.fare.ticket(),
+    private void startAttempt(final OpenRequest open, final long now) {
+        final List<Candidate> candidates = places(open, now);
+        final Optional<Candidate> chosen = choose(open, candidates, now);
+        traces.put(new TraceLog.RequestTrace(
+                open.request.requestId(),
                 "",
-                o.rule.name(),
-                pick.map(p -> p.stand().worker.id()).orElse(""),
-                facts.page(),
-                o.stamp.bits(),
-                pick.isEmpty() ? "nowhere" : "sent",
+                open.route.name(),
+                chosen.map(p -> p.worker().worker.id()).orElse(""),
+                clusterSnapshot.revision(),
+                open.timestamp.bits(),
+                chosen.isEmpty() ? "nowhere" : "sent",
                 "",
-                o.tries,
-                all.stream()
-                        .limit(SHOWN)
-                        .map(p -> new WeightedScorers.Opinion(
-                                p.stand().worker.id(),
+                open.attempts,
+                candidates.stream()
+                        .limit(MAX_TRACED_SCORES)
+                        .map(p -> new WeightedScorers.WeightedScore(
+                                p.worker().worker.id(),
                                 "outlook",
-                                new ScorerResult.Score((double) o.rule.latencyTargetMicros()
+                                new ScorerResult.Score((double) open.route.latencyTargetMicros()
                                         / Math.max(
                                                 1,
-                                                o.rule.latencyTargetMicros()
-                                                        + p.view().cost())),
+                                                open.route.latencyTargetMicros()
+                                                        + p.prediction().cost())),
                                 1))
                         .toList()));
-        if (pick.isEmpty()) {
+        if (chosen.isEmpty()) {
             count("nowhere");
-            close(o);
-            if (o.begunReply || o.mayHaveRun) {
-                out.add(new RoutingEffect.Fail(o.fare.token(), 502, "no worker is allowed"));
+            close(open);
+            if (open.responseStarted || open.mayHaveRun) {
+                effects.add(new RoutingEffect.Fail(open.request.callId(), 502, "no worker is allowed"));
             } else {
-                reject(o.fare.token(), 503, away(o), "no worker is allowed");
+                reject(open.request.callId(), 503, retryAfter(open), "no worker is allowed");
             }
             return;
         }
-        final WorkerState s = pick.get().stand();
-        final Worker w = s.worker;
-        job++;
-        o.tries++;
-        o.run = job;
-        o.worker = w.id();
-        s.runs.put(
-                job,
-                new WorkerState.Run(
-                        now, pick.get().view().unread(), pick.get().view().first()));
-        s.lastSent = now;
-        o.fare.parts().forEach(p -> s.keep(p.name(), now));
-        jobs.put(job, o.place);
+        final WorkerState workerState = chosen.get().worker();
+        final Worker worker = workerState.worker;
+        lastAttemptId++;
+        open.attempts++;
+        open.attemptId = lastAttemptId;
+        open.worker = worker.id();
+        workerState.attempts.put(
+                lastAttemptId,
+                new WorkerState.Attempt(
+                        now,
+                        chosen.get().prediction().tokensToPrefill(),
+                        chosen.get().prediction().latency()));
+        workerState.lastSentAt = now;
+        open.request.promptParts().forEach(p -> workerState.recordCached(p.digest(), now));
+        handlesByAttempt.put(lastAttemptId, open.handle);
         count("sends");
-        out.add(new RoutingEffect.Send(
-                o.fare.token(),
-                job,
-                w.id(),
-                w.address(),
-                o.end - now,
-                o.rule.priority(),
-                !o.rule.isRetryable(),
-                o.rule.streaming()));
+        effects.add(new RoutingEffect.StartAttempt(
+                open.request.callId(),
+                lastAttemptId,
+                worker.id(),
+                worker.address(),
+                open.deadline - now,
+                open.route.priority(),
+                !open.route.isRetryable(),
+                open.route.streaming()));
     }
 
     /** When to come back: soon where another worker may take it, later where none is known yet or the allowed ones are cold. */
-    private long away(final Open o) {
-        final boolean known =
-                stands.values().stream().anyMatch(s -> s.worker.pool().equals(o.pool) && !s.worker.draining());
-        if (!known) {
-            return SECOND + luck.nextLong(SECOND / 2);
+    private long retryAfter(final OpenRequest open) {
+        final boolean hasKnownWorker =
+                workers.values().stream().anyMatch(s -> s.worker.pool().equals(open.pool) && !s.worker.draining());
+        if (!hasKnownWorker) {
+            return SECOND + random.nextLong(SECOND / 2);
         }
         return Math.max(
                 SECOND / 20,
-                o.rule.latencyTargetMicros() / 4 + luck.nextLong(Math.max(1, o.rule.latencyTargetMicros() / 4)));
+                open.route.latencyTargetMicros() / 4
+                        + random.nextLong(Math.max(1, open.route.latencyTargetMicros() / 4)));
     }
 
-    private Optional<Open> find(final long run) {
-        return Optional.ofNullable(jobs.get(run)).flatMap(slab::get).filter(o -> o.run == run);
+    private Optional<OpenRequest> findAttempt(final long attemptId) {
+        return Optional.ofNullable(handlesByAttempt.get(attemptId))
+                .flatMap(requests::get)
+                .filter(open -> open.attemptId == attemptId);
     }
 
-    private void drop(final Open o, final boolean bad, final long now) {
-        jobs.remove(o.run);
-        Optional.ofNullable(stands.get(o.worker)).ifPresent(s -> {
-            s.runs.remove(o.run);
-            if (bad) {
-                s.bad(now);
+    private void endAttempt(final OpenRequest open, final boolean failed, final long now) {
+        handlesByAttempt.remove(open.attemptId);
+        Optional.ofNullable(workers.get(open.worker)).ifPresent(worker -> {
+            worker.attempts.remove(open.attemptId);
+            if (failed) {
+                worker.recordFailure(now);
             }
         });
     }
 
-    private void cut(final Open o, final long now) {
-        out.add(new RoutingEffect.Cut(o.run));
-        drop(o, false, now);
+    private void cancelAttempt(final OpenRequest open, final long now) {
+        effects.add(new RoutingEffect.CancelAttempt(open.attemptId));
+        endAttempt(open, false, now);
     }
 
-    private void close(final Open o) {
-        slab.drop(o.place);
-        places.remove(o.fare.token());
+    private void close(final OpenRequest open) {
+        requests.remove(open.handle);
+        places.remove(open.request.callId());
     }
 
-    private void reject(final long token, final int code, final long after, final String why) {
-        count("rejected_" + code);
-        out.add(new RoutingEffect.Reject(token, code, after, why));
+    private void reject(final long callId, final int statusCode, final long retryAfter, final String reason) {
+        count("rejected_" + statusCode);
+        effects.add(new RoutingEffect.Reject(callId, statusCode, retryAfter, reason));
     }
 
     private void count(final String name) {
-        tally.merge(name, 1L, Long::sum);
+        counters.merge(name, 1L, Long::sum);
     }
 
     /** What a worker's reply tells of its load. */
-    public record Load(int running, int waiting, int slots) {}
+    public record ReportedLoad(int running, int waiting, int slots) {}
 }
--- a/core/src/main/java/silverlatch/routing/RoutingTable.java
+++ b/core/src/main/java/silverlatch/routing/RoutingTable.java
@@ -13,7 +13,7 @@
 /** The rules and pools of one page, found by host and path. */
 final class RoutingTable {
     static final RoutingTable NONE = new RoutingTable(Policy.NONE);
-    private final Map<String, List<Value.Route>> hosts = new HashMap<>();
+    private final Map<String, List<Value.Route>> routesByHost = new HashMap<>();
     private final Map<String, Value.BackendPool> pools = new HashMap<>();
     private Optional<Value.RoutingConfiguration> limits = Optional.empty();
 
@@ -21,23 +21,25 @@
         policy.values().forEach(l -> {
             switch (l) {
                 case Value.Route r ->
-                    hosts.computeIfAbsent(r.host().toLowerCase(Locale.ROOT), h -> new ArrayList<>())
+                    routesByHost
+                            .computeIfAbsent(r.host().toLowerCase(Locale.ROOT), h -> new ArrayList<>())
                             .add(r);
                 case Value.BackendPool p -> pools.put(p.name(), p);
                 case Value.RoutingConfiguration c -> limits = Optional.of(c);
                 default -> {}
             }
         });
-        hosts.values()
+        routesByHost
+                .values()
                 .forEach(l -> l.sort(Comparator.comparingInt(
                         (Value.Route r) -> -r.pathPrefix().length())));
     }
 
-    Optional<Value.Route> rule(final String host, final String path) {
+    Optional<Value.Route> route(final String host, final String path) {
         final int colon = host.lastIndexOf(':');
         final String name =
                 (colon > 0 && host.indexOf(']') < colon ? host.substring(0, colon) : host).toLowerCase(Locale.ROOT);
-        return Optional.ofNullable(hosts.get(name))
+        return Optional.ofNullable(routesByHost.get(name))
                 .flatMap(l ->
                         l.stream().filter(r -> path.startsWith(r.pathPrefix())).findFirst());
     }
@@ -46,7 +48,7 @@
         return Optional.ofNullable(pools.get(name));
     }
 
-    long number() {
+    long configurationNumber() {
         return limits.map(Value.RoutingConfiguration::number).orElse(0L);
     }
 
--- a/core/src/main/java/silverlatch/routing/TrafficStatistics.java
+++ b/core/src/main/java/silverlatch/routing/TrafficStatistics.java
@@ -18,73 +18,82 @@
  */
 final class TrafficStatistics {
     /** A prompt of so many tokens is long: reading it takes a worker more than one piece. */
-    static final int LONG = 2_048;
+    static final int LONG_PROMPT_TOKENS = 2_048;
 
-    private static final long WINDOW = 45_000_000L;
-    private static final double WRITERS = 0.4;
-    private static final double OFTEN = 6;
-    private static final int MOST = 4_096;
-    private final Deque<Seen> seen = new ArrayDeque<>();
-    private final Map<Long, Integer> keys = new HashMap<>();
-    private final Map<String, Kind> kinds = new HashMap<>();
+    private static final long WINDOW_MICROS = 45_000_000L;
+    private static final double DECODE_WORKER_RATIO = 0.4;
+    private static final double MIN_USES_PER_PREFIX = 6;
+    private static final int MAX_TRACKED = 4_096;
+    private final Deque<SharedPrefixUse> recentUses = new ArrayDeque<>();
+    private final Map<Long, Integer> usesByPrefix = new HashMap<>();
+    private final Map<String, RouteTraffic> trafficByRoute = new HashMap<>();
 
-    private record Seen(long key, long at) {}
+    private record SharedPrefixUse(long prefixKey, long usedAt) {}
 
     /** When a rule last brought a long prompt and a short one, and its homes. */
-    private record Kind(long longAt, long shortAt, List<String> homes) {
-        boolean at(final String region) {
+    private record RouteTraffic(long longPromptAt, long shortPromptAt, List<String> homes) {
+        boolean servesRegion(final String region) {
             return homes.isEmpty() || homes.contains(region);
         }
     }
 
-    static boolean lengthy(final RoutedRequest fare) {
-        return fare.in() >= LONG;
+    static boolean isLongPrompt(final RoutedRequest request) {
+        return request.promptTokens() >= LONG_PROMPT_TOKENS;
     }
 
-    void note(final RoutedRequest fare, final Value.Route rule, final long now) {
-        final Kind old =
-                kinds.getOrDefault(rule.name(), new Kind(Long.MIN_VALUE / 2, Long.MIN_VALUE / 2, rule.homeRegions()));
-        kinds.put(
-                rule.name(),
-                new Kind(lengthy(fare) ? now : old.longAt(), lengthy(fare) ? old.shortAt() : now, rule.homeRegions()));
-        if (LatencyPredictor.worth(fare.parts())) {
-            final long key = LatencyPredictor.key(fare);
-            seen.add(new Seen(key, now));
-            keys.merge(key, 1, Integer::sum);
+    void observe(final RoutedRequest request, final Value.Route route, final long now) {
+        final RouteTraffic previous = trafficByRoute.getOrDefault(
+                route.name(), new RouteTraffic(Long.MIN_VALUE / 2, Long.MIN_VALUE / 2, route.homeRegions()));
+        trafficByRoute.put(
+                route.name(),
+                new RouteTraffic(
+                        isLongPrompt(request) ? now : previous.longPromptAt(),
+                        isLongPrompt(request) ? previous.shortPromptAt() : now,
+                        route.homeRegions()));
+        if (LatencyPredictor.hasLargeSharedPrefix(request.promptParts())) {
+            final long prefixKey = LatencyPredictor.sharedPrefixKey(request);
+            recentUses.add(new SharedPrefixUse(prefixKey, now));
+            usesByPrefix.merge(prefixKey, 1, Integer::sum);
         }
-        while (!seen.isEmpty() && (now - seen.peek().at() > WINDOW || seen.size() > MOST)) {
-            keys.computeIfPresent(seen.poll().key(), (k, n) -> n > 1 ? n - 1 : null);
+        while (!recentUses.isEmpty()
+                && (now - recentUses.peek().usedAt() > WINDOW_MICROS || recentUses.size() > MAX_TRACKED)) {
+            usesByPrefix.computeIfPresent(recentUses.poll().prefixKey(), (k, n) -> n > 1 ? n - 1 : null);
         }
-        if (kinds.size() > MOST) {
-            kinds.values().removeIf(k -> now - k.longAt() > WINDOW && now - k.shortAt() > WINDOW);
+        if (trafficByRoute.size() > MAX_TRACKED) {
+            trafficByRoute
+                    .values()
+                    .removeIf(k -> now - k.longPromptAt() > WINDOW_MICROS && now - k.shortPromptAt() > WINDOW_MICROS);
         }
     }
 
     /** Whether the shared parts that come by are used often enough in this region to be kept here too. */
-    boolean often(final int gateways) {
-        final double all = seen.size();
-        final double kinds = all * all / (2 * Math.max(1, all - keys.size()));
-        return all * gateways / Math.max(1, kinds) >= OFTEN;
+    boolean arePrefixesReused(final int gateways) {
+        final double uses = recentUses.size();
+        final double estimatedPrefixes = uses * uses / (2 * Math.max(1, uses - usesByPrefix.size()));
+        return uses * gateways / Math.max(1, estimatedPrefixes) >= MIN_USES_PER_PREFIX;
     }
 
     /** The workers of each region that write long replies where both kinds of work come by; the others read. */
-    Set<String> writers(final List<WorkerState> pool, final long now) {
-        final Map<String, List<WorkerState>> regions =
+    Set<String> decodeWorkers(final List<WorkerState> pool, final long now) {
+        final Map<String, List<WorkerState>> workersByRegion =
                 pool.stream().filter(s -> !s.worker.draining()).collect(Collectors.groupingBy(s -> s.worker.region()));
-        return regions.entrySet().stream()
-                .filter(e -> e.getValue().size() > 1 && both(e.getKey(), now))
+        return workersByRegion.entrySet().stream()
+                .filter(e -> e.getValue().size() > 1 && hasMixedTraffic(e.getKey(), now))
                 .flatMap(e -> e.getValue().stream()
-                        .sorted(Comparator.comparingLong((WorkerState s) -> LatencyPredictor.draw(11, s.worker.id())))
+                        .sorted(Comparator.comparingLong(
+                                (WorkerState s) -> LatencyPredictor.rendezvousHash(11, s.worker.id())))
                         .limit(Numbers.clamp(
-                                Math.round(e.getValue().size() * WRITERS),
+                                Math.round(e.getValue().size() * DECODE_WORKER_RATIO),
                                 1,
                                 e.getValue().size() - 1)))
                 .map(s -> s.worker.id())
                 .collect(Collectors.toSet());
     }
 
-    private boolean both(final String region, final long now) {
-        return kinds.values().stream().anyMatch(k -> k.at(region) && now - k.longAt() < WINDOW)
-                && kinds.values().stream().anyMatch(k -> k.at(region) && now - k.shortAt() < WINDOW);
+    private boolean hasMixedTraffic(final String region, final long now) {
+        return trafficByRoute.values().stream()
+                        .anyMatch(k -> k.servesRegion(region) && now - k.longPromptAt() < WINDOW_MICROS)
+                && trafficByRoute.values().stream()
+                        .anyMatch(k -> k.servesRegion(region) && now - k.shortPromptAt() < WINDOW_MICROS);
     }
 }
