--- a/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.clock.Stamp;
 import silverlatch.dispatch.permit.Permit;
-import silverlatch.dispatch.permit.Seals;
+import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.gossip.Gossip;
 import silverlatch.gossip.Worker;
 import silverlatch.membership.Member;
@@ -29,28 +29,33 @@
 
 /** One gateway with scripted consumers, workers and chain, on a fake clock. */
 final class DispatcherTest {
-    private static final Seals SEALS = new Seals("a-cluster-key-for-tests");
-    private static final Member ME = new Member("p1", "gateway", "z1", "r1", "a", "d", 7, 0, "up", true);
+    private static final PermitSigner SIGNER = new PermitSigner("a-cluster-key-for-tests");
+    private static final Member SELF = new Member("p1", "gateway", "z1", "r1", "a", "d", 7, 0, "up", true);
     private final Map<String, Entry> policy = new HashMap<>();
     private final Map<String, Gossip.ObservedWorker> workers = new HashMap<>();
-    private final List<Act> acts = new ArrayList<>();
+    private final List<DispatchEffect> effects = new ArrayList<>();
     private long now = 100_000_000;
-    private long page = 1;
-    private long stamp = 1_000;
-    private long token;
-    private Dispatcher carry = made(ME);
+    private long revision = 1;
+    private long timestamp = 1_000;
+    private long lastCallId;
+    private Dispatcher dispatcher = newDispatcher(SELF);
 
-    private Dispatcher made(final Member me) {
+    private Dispatcher newDispatcher(final Member self) {
         tenant("one", List.of(), 1);
         tenant("two", List.of(), 1);
         row(TableRules.defaultRow("*", "ask"));
         worker("w1", "z1", "r1", 4);
         return new Dispatcher(
-                Dispatcher.Setup.PLAIN, SEALS, facts(me), () -> new Stamp(++stamp), new SplittableRandom(3));
+                Dispatcher.Settings.DEFAULT,
+                SIGNER,
+                clusterSnapshot(self),
+                () -> new Stamp(++timestamp),
+                new SplittableRandom(3));
     }
 
-    private Facts facts(final Member me) {
-        return new Facts(me, page, Optional.of(now), silverlatch.state.Policy.of(policy.values()), workers, List.of());
+    private ClusterSnapshot clusterSnapshot(final Member self) {
+        return new ClusterSnapshot(
+                self, revision, Optional.of(now), silverlatch.state.Policy.of(policy.values()), workers, List.of());
     }
 
     private void tenant(final String name, final List<String> homes, final double share) {
@@ -58,14 +63,14 @@
                 "t/" + name,
                 new Entry(
                         "t/" + name,
-                        page,
-                        List.of(new Value.Tenant(name, homes, share, Seals.hash("key-" + name), "salt"))));
+                        revision,
+                        List.of(new Value.Tenant(name, homes, share, PermitSigner.sha256Hex("key-" + name), "salt"))));
     }
 
-    private void row(final Value.Row r) {
+    private void row(final Value.Row row) {
         policy.put(
-                StateMachine.rowKey(r.tenant(), r.kind()),
-                new Entry(StateMachine.rowKey(r.tenant(), r.kind()), page, List.of(r)));
+                StateMachine.rowKey(row.tenant(), row.kind()),
+                new Entry(StateMachine.rowKey(row.tenant(), row.kind()), revision, List.of(row)));
     }
 
     private void worker(final String id, final String zone, final String region, final int slots) {
@@ -76,301 +81,336 @@
                         Optional.of(now)));
     }
 
-    private void learn() {
+    private void refreshReports() {
         workers.replaceAll((k, h) -> new Gossip.ObservedWorker(h.worker(), Optional.of(now)));
-        carry.facts(facts(ME), now);
-        gather();
+        dispatcher.clusterSnapshot(clusterSnapshot(SELF), now);
+        collectEffects();
     }
 
-    private void gather() {
-        acts.addAll(carry.drain());
+    private void collectEffects() {
+        effects.addAll(dispatcher.drainEffects());
     }
 
-    private <T extends Act> List<T> all(final Class<T> type) {
-        return acts.stream().filter(type::isInstance).map(type::cast).toList();
+    private <T extends DispatchEffect> List<T> effectsOf(final Class<T> type) {
+        return effects.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    private Act.Picked pick(final String tenant, final String kind, final String key) {
-        carry.pick(new Order("key-" + tenant, tenant, kind, List.of(), 1, key, 0), ++token, now);
-        gather();
-        return Lists.last(all(Act.Picked.class));
+    private DispatchEffect.Placed place(final String tenant, final String kind, final String key) {
+        dispatcher.requestPlacement(
+                new PlacementRequest("key-" + tenant, tenant, kind, List.of(), 1, key, 0), ++lastCallId, now);
+        collectEffects();
+        return Lists.last(effectsOf(DispatchEffect.Placed.class));
     }
 
-    private long hand(final String tenant, final String permit) {
-        carry.ticket(new Load("key-" + tenant, permit, List.of(), "3 hello", 20_000_000), ++token, now);
-        gather();
-        return token;
+    private long submit(final String tenant, final String permit) {
+        dispatcher.submit(
+                new SubmittedRequest("key-" + tenant, permit, List.of(), "3 hello", 20_000_000), ++lastCallId, now);
+        collectEffects();
+        return lastCallId;
     }
 
-    private Act.Rejected rejected(final long of) {
-        return all(Act.Rejected.class).stream()
-                .filter(r -> r.token() == of)
+    private DispatchEffect.Rejected rejectionOf(final long callId) {
+        return effectsOf(DispatchEffect.Rejected.class).stream()
+                .filter(rejection -> rejection.callId() == callId)
                 .findFirst()
                 .orElseThrow();
     }
 
-    private Act.Run run() {
-        return Lists.last(all(Act.Run.class));
+    private DispatchEffect.StartAttempt lastAttempt() {
+        return Lists.last(effectsOf(DispatchEffect.StartAttempt.class));
     }
 
-    private Line.Seal seal(final Act.Run r, final String... texts) {
-        return new Line.Seal(
-                r.worker(),
-                r.ticket(),
-                r.run(),
+    private StreamRecord.Trailer trailerOf(final DispatchEffect.StartAttempt attempt, final String... texts) {
+        return new StreamRecord.Trailer(
+                attempt.worker(),
+                attempt.requestId(),
+                attempt.attemptId(),
                 texts.length,
                 HexFormat.of()
-                        .formatHex(Seals.digest()
+                        .formatHex(PermitSigner.newSha256()
                                 .digest(String.join("", texts).getBytes(java.nio.charset.StandardCharsets.UTF_8))));
     }
 
-    private List<Line> flowed(final long of) {
-        return all(Act.Flow.class).stream()
-                .filter(f -> f.token() == of)
-                .flatMap(f -> f.lines().stream())
+    private List<StreamRecord> recordsSentTo(final long callId) {
+        return effectsOf(DispatchEffect.StreamWrite.class).stream()
+                .filter(f -> f.callId() == callId)
+                .flatMap(f -> f.records().stream())
                 .toList();
     }
 
     @Test
-    void aTicketRunsStreamsAndIsSealed() {
-        final long t = hand("one", pick("one", "ask", "").permit());
-        final Act.Run r = run();
-        carry.begun(r.job());
-        carry.line(r.job(), new Line.Piece(r.ticket(), r.run(), 0, "hi"), now);
-        gather();
-        carry.hungry(t);
-        carry.line(r.job(), seal(r, "hi"), now);
-        gather();
-        assertThat(flowed(t), is(List.of(new Line.Piece(r.ticket(), r.run(), 0, "hi"), seal(r, "hi"))));
+    void aRequestRunsStreamsAndEndsWithATrailer() {
+        final long callId = submit("one", place("one", "ask", "").permit());
+        final DispatchEffect.StartAttempt attempt = lastAttempt();
+        dispatcher.attemptStarted(attempt.operationId());
+        dispatcher.recordReceived(
+                attempt.operationId(), new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 0, "hi"), now);
+        collectEffects();
+        dispatcher.readerReady(callId);
+        dispatcher.recordReceived(attempt.operationId(), trailerOf(attempt, "hi"), now);
+        collectEffects();
+        assertThat(
+                recordsSentTo(callId),
+                is(List.of(
+                        new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 0, "hi"),
+                        trailerOf(attempt, "hi"))));
     }
 
     @Test
-    void whatDoesNotFitEndsAsLostAndNeverWithASeal() {
-        final List<java.util.function.Function<Act.Run, Line>> wrongs = List.of(
-                r -> new Line.Piece(r.ticket(), r.run(), 1, "b"),
-                r -> new Line.Piece(r.ticket() + "x", r.run(), 0, "b"),
-                r -> new Line.Piece(r.ticket(), r.run() + "x", 0, "b"),
-                r -> seal(r, "more"),
-                r -> new Line.Seal(r.worker(), r.ticket(), r.run(), 0, "00"));
-        for (final java.util.function.Function<Act.Run, Line> wrong : wrongs) {
-            final long t = hand("one", pick("one", "ask", "").permit());
-            carry.line(run().job(), wrong.apply(run()), now);
-            gather();
-            assertThat(Lists.last(flowed(t)) instanceof Line.Lost, is(true));
-            assertThat(flowed(t).stream().anyMatch(l -> l instanceof Line.Seal), is(false));
+    void aStreamThatBreaksTheProtocolEndsAsLostAndNeverWithATrailer() {
+        final List<java.util.function.Function<DispatchEffect.StartAttempt, StreamRecord>> violations = List.of(
+                attempt -> new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 1, "b"),
+                attempt -> new StreamRecord.Chunk(attempt.requestId() + "x", attempt.attemptId(), 0, "b"),
+                attempt -> new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId() + "x", 0, "b"),
+                attempt -> trailerOf(attempt, "more"),
+                attempt ->
+                        new StreamRecord.Trailer(attempt.worker(), attempt.requestId(), attempt.attemptId(), 0, "00"));
+        for (final java.util.function.Function<DispatchEffect.StartAttempt, StreamRecord> violation : violations) {
+            final long callId = submit("one", place("one", "ask", "").permit());
+            dispatcher.recordReceived(lastAttempt().operationId(), violation.apply(lastAttempt()), now);
+            collectEffects();
+            assertThat(Lists.last(recordsSentTo(callId)) instanceof StreamRecord.Lost, is(true));
+            assertThat(recordsSentTo(callId).stream().anyMatch(l -> l instanceof StreamRecord.Trailer), is(false));
         }
     }
 
     @Test
-    void aForgedPermitIsRejectedAndALateCopyNeverRuns() {
-        final String permit = pick("one", "ask", "").permit();
+    void aForgedPermitIsRejectedAndAReusedOneNeverRuns() {
+        final String permit = place("one", "ask", "").permit();
         assertThat(
-                rejected(hand("one", permit.substring(0, permit.length() - 2) + "AA"))
-                        .code(),
+                rejectionOf(submit("one", permit.substring(0, permit.length() - 2) + "AA"))
+                        .statusCode(),
                 is(403));
-        assertThat(rejected(hand("two", permit)).code(), is(401));
-        hand("one", permit);
-        final int runs = all(Act.Run.class).size();
-        assertThat(rejected(hand("one", permit)).code(), is(409));
+        assertThat(rejectionOf(submit("two", permit)).statusCode(), is(401));
+        submit("one", permit);
+        final int runs = effectsOf(DispatchEffect.StartAttempt.class).size();
+        assertThat(rejectionOf(submit("one", permit)).statusCode(), is(409));
         now += 3_000_000;
-        learn();
-        assertThat(rejected(hand("one", permit)).code(), is(409));
+        refreshReports();
+        assertThat(rejectionOf(submit("one", permit)).statusCode(), is(409));
         final String old =
-                SEALS.write(new Permit("t", "one", "ask", "w1", "p1", 6, 1, new Stamp(5), now + 1_000_000, ""));
-        assertThat(rejected(hand("one", old)).code(), is(410));
-        assertThat(all(Act.Run.class).size(), is(runs));
+                SIGNER.sign(new Permit("t", "one", "ask", "w1", "p1", 6, 1, new Stamp(5), now + 1_000_000, ""));
+        assertThat(rejectionOf(submit("one", old)).statusCode(), is(410));
+        assertThat(effectsOf(DispatchEffect.StartAttempt.class).size(), is(runs));
     }
 
     @Test
-    void aPickMadeBeforeADrainIsMadeAgainOrRejected() {
+    void aPlacementMadeBeforeAnEvacuationIsMadeAgainOrRejected() {
         worker("w2", "z2", "r1", 4);
-        learn();
-        final Act.Picked p = pick("one", "ask", "");
-        final String zone = p.worker().equals("w1") ? "z1" : "z2";
-        final String other = p.worker().equals("w1") ? "w2" : "w1";
+        refreshReports();
+        final DispatchEffect.Placed placed = place("one", "ask", "");
+        final String zone = placed.worker().equals("w1") ? "z1" : "z2";
+        final String other = placed.worker().equals("w1") ? "w2" : "w1";
         policy.put(
                 "z/" + zone,
-                new Entry("z/" + zone, ++page, List.of(new Value.Evacuation(zone, true, new Stamp(++stamp)))));
+                new Entry("z/" + zone, ++revision, List.of(new Value.Evacuation(zone, true, new Stamp(++timestamp)))));
         if (zone.equals("z1")) {
-            carry.facts(
-                    new Facts(
-                            ME,
-                            page,
+            dispatcher.clusterSnapshot(
+                    new ClusterSnapshot(
+                            SELF,
+                            revision,
                             Optional.of(now),
                             silverlatch.state.Policy.of(policy.values()),
                             workers,
                             List.of()),
                     now);
-            assertThat(rejected(hand("one", p.permit())).why(), containsString("being emptied"));
+            assertThat(rejectionOf(submit("one", placed.permit())).reason(), containsString("being emptied"));
         } else {
-            learn();
-            hand("one", p.permit());
-            assertThat(run().worker(), is(other));
+            refreshReports();
+            submit("one", placed.permit());
+            assertThat(lastAttempt().worker(), is(other));
         }
     }
 
     @Test
     void anUnconfirmedTableIsNotActedOn() {
-        final String permit = pick("one", "ask", "").permit();
+        final String permit = place("one", "ask", "").permit();
         now += 1_900_000;
-        hand("one", permit);
-        assertThat(all(Act.Run.class).size(), is(1));
+        submit("one", permit);
+        assertThat(effectsOf(DispatchEffect.StartAttempt.class).size(), is(1));
         now += 200_000;
-        carry.pick(new Order("key-one", "one", "ask", List.of(), 1, "", 0), ++token, now);
-        gather();
-        assertThat(rejected(token).code(), is(503));
-        assertThat(rejected(token).after(), greaterThan(0L));
+        dispatcher.requestPlacement(
+                new PlacementRequest("key-one", "one", "ask", List.of(), 1, "", 0), ++lastCallId, now);
+        collectEffects();
+        assertThat(rejectionOf(lastCallId).statusCode(), is(503));
+        assertThat(rejectionOf(lastCallId).retryAfter(), greaterThan(0L));
     }
 
     @Test
     void aKeyIsClaimedBeforeTheWorkerIsAskedAndATakenOneNeverRuns() {
         row(new Value.Row("*", "rule", 1, 1, 1, 1, 50, 100, 32, 64, 2_000_000, true, 9));
-        learn();
-        hand("one", pick("one", "rule", "k").permit());
-        assertThat(all(Act.Run.class).isEmpty(), is(true));
-        final long first = Lists.last(all(Act.Claim.class)).job();
-        carry.verdict(first, new CommandResult.Applied(5), now);
-        gather();
-        assertThat(all(Act.Run.class).size(), is(1));
-        final long t = hand("one", pick("one", "rule", "k").permit());
-        carry.verdict(
-                Lists.last(all(Act.Claim.class)).job(),
+        refreshReports();
+        submit("one", place("one", "rule", "k").permit());
+        assertThat(effectsOf(DispatchEffect.StartAttempt.class).isEmpty(), is(true));
+        final long firstOperation =
+                Lists.last(effectsOf(DispatchEffect.SubmitCommand.class)).operationId();
+        dispatcher.claimDecided(firstOperation, new CommandResult.Applied(5), now);
+        collectEffects();
+        assertThat(effectsOf(DispatchEffect.StartAttempt.class).size(), is(1));
+        final long callId = submit("one", place("one", "rule", "k").permit());
+        dispatcher.claimDecided(
+                Lists.last(effectsOf(DispatchEffect.SubmitCommand.class)).operationId(),
                 new CommandResult.AlreadyClaimed(new Value.Claim("x", "p1", "running", 0, 0)),
                 now);
-        gather();
-        assertThat(rejected(t).code(), is(409));
-        assertThat(rejected(t).stands(), containsString("running"));
-        final long u = hand("one", pick("one", "rule", "k2").permit());
-        carry.verdict(Lists.last(all(Act.Claim.class)).job(), new CommandResult.Unknown("id"), now);
-        gather();
-        assertThat(rejected(u).code(), is(503));
-        final long f = hand("one", pick("one", "rule", "k3").permit());
-        carry.verdict(Lists.last(all(Act.Claim.class)).job(), new CommandResult.Rejected(507, List.of("full"), 5), now);
-        gather();
-        assertThat(rejected(f).code(), is(507));
-        assertThat(all(Act.Run.class).size(), is(1));
+        collectEffects();
+        assertThat(rejectionOf(callId).statusCode(), is(409));
+        assertThat(rejectionOf(callId).claimState(), containsString("running"));
+        final long unconfirmedCallId = submit("one", place("one", "rule", "k2").permit());
+        dispatcher.claimDecided(
+                Lists.last(effectsOf(DispatchEffect.SubmitCommand.class)).operationId(),
+                new CommandResult.Unknown("id"),
+                now);
+        collectEffects();
+        assertThat(rejectionOf(unconfirmedCallId).statusCode(), is(503));
+        final long fullCallId = submit("one", place("one", "rule", "k3").permit());
+        dispatcher.claimDecided(
+                Lists.last(effectsOf(DispatchEffect.SubmitCommand.class)).operationId(),
+                new CommandResult.Rejected(507, List.of("full"), 5),
+                now);
+        collectEffects();
+        assertThat(rejectionOf(fullCallId).statusCode(), is(507));
+        assertThat(effectsOf(DispatchEffect.StartAttempt.class).size(), is(1));
     }
 
     @Test
-    void aSecondTryOnlyWhereTheFirstDidNotStartAndWithinTheBudget() {
-        int again = 0;
+    void aRetryOnlyWhereTheFirstAttemptDidNotStartAndWithinTheBudget() {
+        int retries = 0;
         for (int i = 0; i < 60; i++) {
             now += 1_100_000;
-            learn();
-            final long t = hand("one", pick("one", "ask", "").permit());
-            final int before = all(Act.Run.class).size();
-            carry.failed(run().job(), false, "denied", now);
+            refreshReports();
+            final long callId = submit("one", place("one", "ask", "").permit());
+            final int before = effectsOf(DispatchEffect.StartAttempt.class).size();
+            dispatcher.attemptFailed(lastAttempt().operationId(), false, "denied", now);
             now += 1_100_000;
-            learn();
-            carry.tick(now);
-            gather();
-            if (all(Act.Run.class).size() > before) {
-                again++;
-                carry.failed(run().job(), true, "broke", now);
-                gather();
-                assertThat(Lists.last(flowed(t)) instanceof Line.Lost, is(true));
+            refreshReports();
+            dispatcher.tick(now);
+            collectEffects();
+            if (effectsOf(DispatchEffect.StartAttempt.class).size() > before) {
+                retries++;
+                dispatcher.attemptFailed(lastAttempt().operationId(), true, "broke", now);
+                collectEffects();
+                assertThat(Lists.last(recordsSentTo(callId)) instanceof StreamRecord.Lost, is(true));
             }
         }
-        assertThat(again, greaterThan(2));
-        assertThat(again, lessThan(13));
+        assertThat(retries, greaterThan(2));
+        assertThat(retries, lessThan(13));
     }
 
     @Test
-    void overTheRateIsToldAtOnceAndTheRateComesBack() {
+    void aRequestOverTheRateLimitIsRejectedAtOnceAndTheRateRecovers() {
         row(new Value.Row("one", "ask", 1, 1, 1, 1, 2, 3, 32, 64, 2_000_000, false, 1));
-        learn();
+        refreshReports();
         for (int i = 0; i < 4; i++) {
-            carry.pick(new Order("key-one", "one", "ask", List.of(), 1, "", 0), ++token, now);
-            gather();
+            dispatcher.requestPlacement(
+                    new PlacementRequest("key-one", "one", "ask", List.of(), 1, "", 0), ++lastCallId, now);
+            collectEffects();
         }
-        assertThat(all(Act.Picked.class).size(), is(3));
-        assertThat(rejected(token).code(), is(429));
-        assertThat(rejected(token).after(), greaterThan(0L));
+        assertThat(effectsOf(DispatchEffect.Placed.class).size(), is(3));
+        assertThat(rejectionOf(lastCallId).statusCode(), is(429));
+        assertThat(rejectionOf(lastCallId).retryAfter(), greaterThan(0L));
         now += 600_000;
-        learn();
-        carry.pick(new Order("key-one", "one", "ask", List.of(), 1, "", 0), ++token, now);
-        gather();
-        assertThat(all(Act.Picked.class).size(), is(4));
+        refreshReports();
+        dispatcher.requestPlacement(
+                new PlacementRequest("key-one", "one", "ask", List.of(), 1, "", 0), ++lastCallId, now);
+        collectEffects();
+        assertThat(effectsOf(DispatchEffect.Placed.class).size(), is(4));
     }
 
     @Test
     void aGreedyTenantDoesNotStarveAnother() {
         row(new Value.Row("*", "ask", 1, 1, 1, 1, 10_000, 10_000, 1_000, 1_000, 60_000_000, false, 1));
-        learn();
+        refreshReports();
         for (int i = 0; i < 100; i++) {
-            hand("one", pick("one", "ask", "").permit());
+            submit("one", place("one", "ask", "").permit());
         }
         for (int i = 0; i < 10; i++) {
-            hand("two", pick("two", "ask", "").permit());
+            submit("two", place("two", "ask", "").permit());
         }
         for (int i = 0; i < 24; i++) {
-            final Act.Run r = all(Act.Run.class).get(i);
-            carry.line(r.job(), seal(r), now);
+            final DispatchEffect.StartAttempt attempt =
+                    effectsOf(DispatchEffect.StartAttempt.class).get(i);
+            dispatcher.recordReceived(attempt.operationId(), trailerOf(attempt), now);
             now += 1_000;
-            learn();
+            refreshReports();
         }
-        final long two = all(Act.Run.class).stream()
+        final long two = effectsOf(DispatchEffect.StartAttempt.class).stream()
                 .limit(28)
-                .filter(r -> r.tenant().equals("two"))
+                .filter(attempt -> attempt.tenant().equals("two"))
                 .count();
         assertThat(two, is(10L));
     }
 
     @Test
-    void aConsumerThatMovedReadsOnFromItsPiece() {
-        final long t = hand("one", pick("one", "ask", "").permit());
-        final Act.Run r = run();
-        carry.line(r.job(), new Line.Piece(r.ticket(), r.run(), 0, "a"), now);
-        carry.left(t, now);
-        carry.line(r.job(), new Line.Piece(r.ticket(), r.run(), 1, "b"), now);
-        carry.attach(r.ticket(), "key-two", 1, ++token, now);
-        gather();
-        assertThat(rejected(token).code(), is(404));
-        carry.attach(r.ticket(), "key-one", 1, ++token, now);
-        gather();
-        assertThat(flowed(token), is(List.of((Line) new Line.Piece(r.ticket(), r.run(), 1, "b"))));
+    void aClientThatReconnectsReadsOnFromItsChunk() {
+        final long callId = submit("one", place("one", "ask", "").permit());
+        final DispatchEffect.StartAttempt attempt = lastAttempt();
+        dispatcher.recordReceived(
+                attempt.operationId(), new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 0, "a"), now);
+        dispatcher.readerDisconnected(callId, now);
+        dispatcher.recordReceived(
+                attempt.operationId(), new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 1, "b"), now);
+        dispatcher.attach(attempt.requestId(), "key-two", 1, ++lastCallId, now);
+        collectEffects();
+        assertThat(rejectionOf(lastCallId).statusCode(), is(404));
+        dispatcher.attach(attempt.requestId(), "key-one", 1, ++lastCallId, now);
+        collectEffects();
+        assertThat(recordsSentTo(lastCallId), is(List.of((StreamRecord)
+                new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 1, "b"))));
     }
 
     @Test
-    void aTicketGivenUpOnIsToldAtOnceWithATimeToComeBack() {
+    void aRequestWithoutAWorkerIsRejectedAtOnceWithRetryAfter() {
         workers.clear();
-        carry.facts(facts(ME), now);
-        carry.pick(new Order("key-one", "one", "ask", List.of(), 1, "", 0), ++token, now);
-        gather();
-        assertThat(rejected(token).code(), is(503));
-        assertThat(rejected(token).after(), greaterThan(0L));
+        dispatcher.clusterSnapshot(clusterSnapshot(SELF), now);
+        dispatcher.requestPlacement(
+                new PlacementRequest("key-one", "one", "ask", List.of(), 1, "", 0), ++lastCallId, now);
+        collectEffects();
+        assertThat(rejectionOf(lastCallId).statusCode(), is(503));
+        assertThat(rejectionOf(lastCallId).retryAfter(), greaterThan(0L));
     }
 
     @Test
-    void aRunWithoutASignOfItsStartIsGivenUpAndCut() {
-        final long t = hand("one", pick("one", "ask", "").permit());
+    void anAttemptThatDoesNotStartInTimeIsCancelled() {
+        final long callId = submit("one", place("one", "ask", "").permit());
         now += 1_100_000;
-        carry.tick(now);
-        gather();
-        assertThat(Lists.last(all(Act.Cut.class)).job(), is(run().job()));
-        assertThat(Lists.last(flowed(t)) instanceof Line.Lost, is(true));
+        dispatcher.tick(now);
+        collectEffects();
+        assertThat(
+                Lists.last(effectsOf(DispatchEffect.CancelAttempt.class)).operationId(),
+                is(lastAttempt().operationId()));
+        assertThat(Lists.last(recordsSentTo(callId)) instanceof StreamRecord.Lost, is(true));
     }
 
     @Test
-    void whatIsKeptOfATenantFollowsItsHomesAndIsNotToldUnderAnUnconfirmedTable() {
-        hand("one", pick("one", "ask", "").permit());
-        final Act.Run r = run();
-        carry.begun(r.job());
-        carry.line(r.job(), new Line.Piece(r.ticket(), r.run(), 0, "a"), now);
+    void requestsFollowTheirTenantsHomesAndAreNotShownUnderAnUnconfirmedTable() {
+        submit("one", place("one", "ask", "").permit());
+        final DispatchEffect.StartAttempt attempt = lastAttempt();
+        dispatcher.attemptStarted(attempt.operationId());
+        dispatcher.recordReceived(
+                attempt.operationId(), new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 0, "a"), now);
         now += 2_500_000;
-        carry.attach(r.ticket(), "key-one", 0, ++token, now);
-        gather();
-        assertThat("unconfirmed", Lists.last(all(Act.Rejected.class)).code(), is(425));
-        learn();
-        carry.attach(r.ticket(), "key-one", 0, ++token, now);
-        gather();
-        assertThat(flowed(token).size(), is(1));
-        page++;
+        dispatcher.attach(attempt.requestId(), "key-one", 0, ++lastCallId, now);
+        collectEffects();
+        assertThat(
+                "unconfirmed",
+                Lists.last(effectsOf(DispatchEffect.Rejected.class)).statusCode(),
+                is(425));
+        refreshReports();
+        dispatcher.attach(attempt.requestId(), "key-one", 0, ++lastCallId, now);
+        collectEffects();
+        assertThat(recordsSentTo(lastCallId).size(), is(1));
+        revision++;
         tenant("one", List.of("elsewhere"), 1);
-        learn();
-        assertThat("the run is dropped", Lists.last(all(Act.Cut.class)).job(), is(r.job()));
-        carry.attach(r.ticket(), "key-one", 0, ++token, now);
-        gather();
-        assertThat("no home any more", Lists.last(all(Act.Rejected.class)).code(), is(404));
+        refreshReports();
+        assertThat(
+                "the run is dropped",
+                Lists.last(effectsOf(DispatchEffect.CancelAttempt.class)).operationId(),
+                is(attempt.operationId()));
+        dispatcher.attach(attempt.requestId(), "key-one", 0, ++lastCallId, now);
+        collectEffects();
+        assertThat(
+                "no home any more",
+                Lists.last(effectsOf(DispatchEffect.Rejected.class)).statusCode(),
+                is(404));
     }
 }
--- a/core/src/test/java/silverlatch/node/NodeCluster.java
+++ b/core/src/test/java/silverlatch/node/NodeCluster.java
@@ -124,7 +124,7 @@
     }
 
     boolean isReady(final String gateway) {
-        return machines.get(gateway).router.orElseThrow().unready().isEmpty();
+        return machines.get(gateway).router.orElseThrow().unreadyReason().isEmpty();
     }
 
     /** How long ago the configuration of a machine was surely the newest. */
@@ -353,8 +353,8 @@
                     now));
             router = isController()
                     ? Optional.empty()
-                    : Optional.of(
-                            new Router(Router.Setup.PLAIN, node.get().facts(), () -> new Stamp(now), random.split()));
+                    : Optional.of(new Router(
+                            Router.Settings.DEFAULT, node.get().facts(), () -> new Stamp(now), random.split()));
             tick(processNumber);
         }
 
@@ -378,8 +378,8 @@
         }
 
         long servedRevision() {
-            return router.filter(r -> r.unready().isEmpty())
-                    .map(Router::charter)
+            return router.filter(r -> r.unreadyReason().isEmpty())
+                    .map(Router::configurationNumber)
                     .orElse(0L);
         }
 
@@ -415,7 +415,7 @@
             running.drainFrames().forEach(this::sendFrame);
             checkConfirmedState(running);
             router.ifPresent(r -> {
-                r.facts(running.facts(), now);
+                r.clusterSnapshot(running.facts(), now);
                 checkServedRevision(r);
             });
         }
--- a/core/src/test/java/silverlatch/routing/RouterTest.java
+++ b/core/src/test/java/silverlatch/routing/RouterTest.java
@@ -18,7 +18,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import silverlatch.clock.Stamp;
-import silverlatch.dispatch.Facts;
+import silverlatch.dispatch.ClusterSnapshot;
 import silverlatch.gossip.Gossip;
 import silverlatch.gossip.Worker;
 import silverlatch.membership.Member;
@@ -27,27 +27,28 @@
 import silverlatch.state.Value;
 
 final class RouterTest {
-    private static final long MS = 1_000;
-    private static final long S = 1_000_000;
+    private static final long MILLISECOND = 1_000;
+    private static final long SECOND = 1_000_000;
     private final Map<String, Worker> workers = new HashMap<>();
-    private final List<Member> crew = new ArrayList<>();
+    private final List<Member> peers = new ArrayList<>();
     private final List<Entry> entries = new ArrayList<>();
-    private long page = 1;
-    private long now = 100 * S;
-    private long token;
-    private final Router passage = new Router(Router.Setup.PLAIN, facts(), () -> new Stamp(1), new SplittableRandom(7));
+    private long revision = 1;
+    private long now = 100 * SECOND;
+    private long lastCallId;
+    private final Router router =
+            new Router(Router.Settings.DEFAULT, clusterSnapshot(), () -> new Stamp(1), new SplittableRandom(7));
 
     RouterTest() {
-        entries.add(
-                new Entry("p/charter", 1, List.of(new Value.RoutingConfiguration(1, 16_384, 1 << 20, 3 * S, 15 * S))));
         entries.add(new Entry(
-                "b/pool", 1, List.of(new Value.BackendPool("pool", "/health", 100, 3 * S, 9, 128, 100_000, 5))));
-        entries.add(new Entry("u/a|/once/", 1, List.of(rule("once", "/once/", true, false, 2, List.of()))));
-        entries.add(new Entry("u/a|/again/", 1, List.of(rule("again", "/again/", true, true, 2, List.of("west")))));
-        entries.add(new Entry("u/a|/", 1, List.of(rule("all", "/", true, false, 1, List.of()))));
+                "p/charter", 1, List.of(new Value.RoutingConfiguration(1, 16_384, 1 << 20, 3 * SECOND, 15 * SECOND))));
+        entries.add(new Entry(
+                "b/pool", 1, List.of(new Value.BackendPool("pool", "/health", 100, 3 * SECOND, 9, 128, 100_000, 5))));
+        entries.add(new Entry("u/a|/once/", 1, List.of(route("once", "/once/", true, false, 2, List.of()))));
+        entries.add(new Entry("u/a|/again/", 1, List.of(route("again", "/again/", true, true, 2, List.of("west")))));
+        entries.add(new Entry("u/a|/", 1, List.of(route("all", "/", true, false, 1, List.of()))));
     }
 
-    private static Value.Route rule(
+    private static Value.Route route(
             final String name,
             final String path,
             final boolean once,
@@ -62,9 +63,9 @@
                 true,
                 resume,
                 true,
-                15 * S,
-                600 * MS,
-                400 * MS,
+                15 * SECOND,
+                600 * MILLISECOND,
+                400 * MILLISECOND,
                 0,
                 tries,
                 homes,
@@ -75,10 +76,10 @@
         return new Member(id, "gateway", "w1", "west", "10.0.0.1:1", "10.0.0.1:2", 1, 0, "up", true);
     }
 
-    private Facts facts() {
+    private ClusterSnapshot clusterSnapshot() {
         final Map<String, Gossip.ObservedWorker> heard = new HashMap<>();
         workers.forEach((k, w) -> heard.put(k, new Gossip.ObservedWorker(w, Optional.of(now))));
-        return new Facts(gateway("me"), page, Optional.of(now), Policy.of(entries), heard, crew);
+        return new ClusterSnapshot(gateway("me"), revision, Optional.of(now), Policy.of(entries), heard, peers);
     }
 
     private void worker(
@@ -101,29 +102,30 @@
                         "pool",
                         cold,
                         0));
-        learn();
+        refreshReports();
     }
 
-    private void learn() {
-        page++;
-        passage.facts(facts(), now);
+    private void refreshReports() {
+        revision++;
+        router.clusterSnapshot(clusterSnapshot(), now);
     }
 
-    private List<RoutingEffect> arrive(final String path, final List<RoutedRequest.Part> parts) {
-        passage.arrive(new RoutedRequest(++token, "A:80", path, "t" + token, 15 * S, parts, 100, 100), now);
-        return passage.drain();
+    private List<RoutingEffect> arrive(final String path, final List<RoutedRequest.PromptPart> parts) {
+        router.requestArrived(
+                new RoutedRequest(++lastCallId, "A:80", path, "t" + lastCallId, 15 * SECOND, parts, 100, 100), now);
+        return router.drainEffects();
     }
 
-    private RoutingEffect.Send sent(final List<RoutingEffect> moves) {
-        return moves.stream()
-                .filter(RoutingEffect.Send.class::isInstance)
-                .map(RoutingEffect.Send.class::cast)
+    private RoutingEffect.StartAttempt attemptIn(final List<RoutingEffect> effects) {
+        return effects.stream()
+                .filter(RoutingEffect.StartAttempt.class::isInstance)
+                .map(RoutingEffect.StartAttempt.class::cast)
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static RoutingEffect.Reject rejected(final List<RoutingEffect> moves) {
-        return moves.stream()
+    private static RoutingEffect.Reject rejectionIn(final List<RoutingEffect> effects) {
+        return effects.stream()
                 .filter(RoutingEffect.Reject.class::isInstance)
                 .map(RoutingEffect.Reject.class::cast)
                 .findFirst()
@@ -131,61 +133,65 @@
     }
 
     @Test
-    void theLongestPathRulesAndNoRuleIs404() {
+    void theLongestPathWinsAndNoRouteIs404() {
         worker("w", "west", 0, false, 1);
-        assertThat(sent(arrive("/once/x", List.of())).once(), is(true));
-        assertThat(sent(arrive("/again/x", List.of())).once(), is(false));
-        passage.arrive(new RoutedRequest(99, "b", "/once/x", "t", S, List.of(), 1, 1), now);
-        assertThat(rejected(passage.drain()).code(), is(404));
+        assertThat(attemptIn(arrive("/once/x", List.of())).once(), is(true));
+        assertThat(attemptIn(arrive("/again/x", List.of())).once(), is(false));
+        router.requestArrived(new RoutedRequest(99, "b", "/once/x", "t", SECOND, List.of(), 1, 1), now);
+        assertThat(rejectionIn(router.drainEffects()).statusCode(), is(404));
     }
 
     @Test
-    void homesLeavingAndEmptyZonesAreNeverServed() {
+    void workersOutsideTheHomesDrainingOrInEvacuatedZonesAreNeverUsed() {
         worker("e", "east", 0, false, 1);
-        assertThat(rejected(arrive("/again/x", List.of())).code(), is(503));
+        assertThat(rejectionIn(arrive("/again/x", List.of())).statusCode(), is(503));
         worker("w", "west", 0, false, 1);
-        assertThat(sent(arrive("/again/x", List.of())).worker(), is("w"));
+        assertThat(attemptIn(arrive("/again/x", List.of())).worker(), is("w"));
         worker("w", "west", 0, true, 2);
-        assertThat(rejected(arrive("/again/x", List.of())).code(), is(503));
-        assertThat(sent(arrive("/once/x", List.of())).worker(), is("e"));
+        assertThat(rejectionIn(arrive("/again/x", List.of())).statusCode(), is(503));
+        assertThat(attemptIn(arrive("/once/x", List.of())).worker(), is("e"));
         entries.add(new Entry("z/east1", 2, List.of(new Value.Evacuation("east1", true, new Stamp(1)))));
-        learn();
-        assertThat(rejected(arrive("/once/x", List.of())).code(), is(503));
+        refreshReports();
+        assertThat(rejectionIn(arrive("/once/x", List.of())).statusCode(), is(503));
     }
 
     @Test
-    void whatMayHaveRunIsNeverSentTwiceNorPromised() {
+    void aRequestThatMayHaveRunIsNeverRetriedNorCalledRejected() {
         worker("w", "west", 0, false, 1);
         worker("v", "west", 0, false, 1);
-        final RoutingEffect.Send one = sent(arrive("/once/x", List.of()));
-        passage.failed(one.job(), FailurePoint.SENT, now);
-        final List<RoutingEffect> moves = passage.drain();
-        assertThat(moves.stream().filter(RoutingEffect.Send.class::isInstance).toList(), is(empty()));
+        final RoutingEffect.StartAttempt first = attemptIn(arrive("/once/x", List.of()));
+        router.attemptFailed(first.attemptId(), FailurePoint.SENT, now);
+        final List<RoutingEffect> effects = router.drainEffects();
+        assertThat(
+                effects.stream()
+                        .filter(RoutingEffect.StartAttempt.class::isInstance)
+                        .toList(),
+                is(empty()));
         assertThat(
-                moves.stream()
+                effects.stream()
                         .filter(RoutingEffect.Fail.class::isInstance)
-                        .map(m -> ((RoutingEffect.Fail) m).code())
+                        .map(m -> ((RoutingEffect.Fail) m).statusCode())
                         .toList(),
                 is(List.of(502)));
-        passage.failed(one.job(), FailurePoint.NOT_RUN, now);
-        assertThat(passage.drain(), is(empty()));
+        router.attemptFailed(first.attemptId(), FailurePoint.NOT_RUN, now);
+        assertThat(router.drainEffects(), is(empty()));
     }
 
     @Test
-    void aRequestThatMayHaveRunEarlierIsNeverPromisedAfterALaterRefusal() {
+    void aRequestThatMayHaveRunEarlierIsNeverCalledRejectedAfterALaterRefusal() {
         worker("w", "west", 0, false, 1);
         worker("v", "west", 0, false, 1);
-        final RoutingEffect.Send first = sent(arrive("/again/x", List.of()));
-        passage.failed(first.job(), FailurePoint.SENT, now);
-        final RoutingEffect.Send second = sent(passage.drain());
-        passage.failed(second.job(), FailurePoint.NOT_RUN, now);
-        final List<RoutingEffect> effects = passage.drain();
+        final RoutingEffect.StartAttempt first = attemptIn(arrive("/again/x", List.of()));
+        router.attemptFailed(first.attemptId(), FailurePoint.SENT, now);
+        final RoutingEffect.StartAttempt second = attemptIn(router.drainEffects());
+        router.attemptFailed(second.attemptId(), FailurePoint.NOT_RUN, now);
+        final List<RoutingEffect> effects = router.drainEffects();
         assertThat(
                 effects.stream().filter(RoutingEffect.Reject.class::isInstance).toList(), is(empty()));
         assertThat(
                 effects.stream()
                         .filter(RoutingEffect.Fail.class::isInstance)
-                        .map(e -> ((RoutingEffect.Fail) e).code())
+                        .map(e -> ((RoutingEffect.Fail) e).statusCode())
                         .toList(),
                 is(List.of(502)));
     }
@@ -193,93 +199,94 @@
     @Test
     void aWorkerThatFailedARequestIsNotSentItAgain() {
         worker("w", "west", 0, false, 1);
-        final RoutingEffect.Send only = sent(arrive("/again/x", List.of()));
-        passage.ill(only.job(), 500, Optional.empty(), now);
-        assertThat(passage.drain(), is(List.of(new RoutingEffect.Pass(only.token(), only.job()))));
+        final RoutingEffect.StartAttempt only = attemptIn(arrive("/again/x", List.of()));
+        router.errorResponse(only.attemptId(), 500, Optional.empty(), now);
+        assertThat(
+                router.drainEffects(), is(List.of(new RoutingEffect.ForwardResponse(only.callId(), only.attemptId()))));
         worker("v", "west", 0, false, 1);
         for (int i = 0; i < 20; i++) {
-            final RoutingEffect.Send first = sent(arrive("/again/x", List.of()));
-            passage.ill(first.job(), 500, Optional.empty(), now);
-            passage.drain().stream()
-                    .filter(RoutingEffect.Send.class::isInstance)
-                    .forEach(e -> assertThat(((RoutingEffect.Send) e).worker(), not(first.worker())));
+            final RoutingEffect.StartAttempt first = attemptIn(arrive("/again/x", List.of()));
+            router.errorResponse(first.attemptId(), 500, Optional.empty(), now);
+            router.drainEffects().stream()
+                    .filter(RoutingEffect.StartAttempt.class::isInstance)
+                    .forEach(e -> assertThat(((RoutingEffect.StartAttempt) e).worker(), not(first.worker())));
         }
     }
 
     @Test
-    void theLimitsOfTheConfigurationInForceAreTold() {
-        assertThat(passage.limits().isPresent(), is(false));
+    void theLimitsOfTheConfigurationInForceAreShown() {
+        assertThat(router.limits().isPresent(), is(false));
         worker("w", "west", 0, false, 1);
         assertThat(
-                passage.limits()
+                router.limits()
                         .map(Value.RoutingConfiguration::idleTimeoutMicros)
                         .orElse(0L),
-                is(15 * S));
+                is(15 * SECOND));
     }
 
     @Test
-    void whatSurelyDidNotRunGoesToAnotherWorkerOrIsPromised() {
+    void aRequestThatSurelyDidNotRunGoesToAnotherWorkerOrIsRejected() {
         worker("w", "west", 0, false, 1);
         worker("v", "west", 0, false, 1);
-        final RoutingEffect.Send one = sent(arrive("/once/x", List.of()));
-        passage.failed(one.job(), FailurePoint.NOT_RUN, now);
-        final RoutingEffect.Send two = sent(passage.drain());
-        assertThat(two.worker().equals(one.worker()), is(false));
-        passage.failed(two.job(), FailurePoint.STRANGER, now);
-        final RoutingEffect.Reject no = rejected(passage.drain());
-        assertThat(no.code(), is(503));
-        assertThat(no.after(), greaterThan(0L));
+        final RoutingEffect.StartAttempt first = attemptIn(arrive("/once/x", List.of()));
+        router.attemptFailed(first.attemptId(), FailurePoint.NOT_RUN, now);
+        final RoutingEffect.StartAttempt second = attemptIn(router.drainEffects());
+        assertThat(second.worker().equals(first.worker()), is(false));
+        router.attemptFailed(second.attemptId(), FailurePoint.STRANGER, now);
+        final RoutingEffect.Reject rejection = rejectionIn(router.drainEffects());
+        assertThat(rejection.statusCode(), is(503));
+        assertThat(rejection.retryAfter(), greaterThan(0L));
     }
 
     @Test
-    void aBrokenStreamGoesOnElsewhereWhereTheRuleSaysSo() {
+    void aBrokenStreamResumesElsewhereWhereTheRouteSaysSo() {
         worker("w", "west", 0, false, 1);
         worker("v", "west", 0, false, 1);
-        final RoutingEffect.Send one = sent(arrive("/again/x", List.of()));
-        passage.headed(one.job(), Optional.empty(), now);
-        passage.heard(one.job(), now);
-        passage.failed(one.job(), FailurePoint.BEGUN, now);
-        final RoutingEffect.Send two = sent(passage.drain());
-        assertThat(two.worker().equals(one.worker()), is(false));
-        passage.failed(two.job(), FailurePoint.SENT, now);
-        assertThat(passage.drain().stream().anyMatch(RoutingEffect.Fail.class::isInstance), is(true));
+        final RoutingEffect.StartAttempt first = attemptIn(arrive("/again/x", List.of()));
+        router.responseStarted(first.attemptId(), Optional.empty(), now);
+        router.eventForwarded(first.attemptId(), now);
+        router.attemptFailed(first.attemptId(), FailurePoint.BEGUN, now);
+        final RoutingEffect.StartAttempt second = attemptIn(router.drainEffects());
+        assertThat(second.worker().equals(first.worker()), is(false));
+        router.attemptFailed(second.attemptId(), FailurePoint.SENT, now);
+        assertThat(router.drainEffects().stream().anyMatch(RoutingEffect.Fail.class::isInstance), is(true));
     }
 
     @Test
-    void aSilentWorkerIsLeftWhereTheTicketMayRunAgain() {
+    void aSilentWorkerIsAbandonedWhereTheRequestIsIdempotent() {
         worker("w", "west", 0, false, 1);
         worker("v", "west", 0, false, 1);
-        final RoutingEffect.Send one = sent(arrive("/again/x", List.of()));
-        final RoutingEffect.Send still = sent(arrive("/once/x", List.of()));
-        now += S;
-        passage.tick(now);
-        final List<RoutingEffect> moves = passage.drain();
-        assertThat(moves.contains(new RoutingEffect.Cut(one.job())), is(true));
-        assertThat(sent(moves).worker().equals(one.worker()), is(false));
-        assertThat(moves.contains(new RoutingEffect.Cut(still.job())), is(false));
+        final RoutingEffect.StartAttempt first = attemptIn(arrive("/again/x", List.of()));
+        final RoutingEffect.StartAttempt still = attemptIn(arrive("/once/x", List.of()));
+        now += SECOND;
+        router.tick(now);
+        final List<RoutingEffect> effects = router.drainEffects();
+        assertThat(effects.contains(new RoutingEffect.CancelAttempt(first.attemptId())), is(true));
+        assertThat(attemptIn(effects).worker().equals(first.worker()), is(false));
+        assertThat(effects.contains(new RoutingEffect.CancelAttempt(still.attemptId())), is(false));
     }
 
     @Test
-    void moreTriesStayWithinATenthOfTheTickets() {
+    void retriesStayWithinATenthOfTheRequests() {
         for (int i = 0; i < 6; i++) {
             worker("w" + i, "west", 0, false, 1);
         }
         int again = 0;
         final int all = 300;
         for (int i = 0; i < all; i++) {
-            now += 20 * MS;
-            final RoutingEffect.Send one = sent(arrive("/once/x", List.of()));
-            passage.failed(one.job(), FailurePoint.NOT_RUN, now);
-            final List<RoutingEffect> next = passage.drain();
-            final Optional<RoutingEffect.Send> two = next.stream()
-                    .filter(RoutingEffect.Send.class::isInstance)
-                    .map(RoutingEffect.Send.class::cast)
+            now += 20 * MILLISECOND;
+            final RoutingEffect.StartAttempt first = attemptIn(arrive("/once/x", List.of()));
+            router.attemptFailed(first.attemptId(), FailurePoint.NOT_RUN, now);
+            final List<RoutingEffect> next = router.drainEffects();
+            final Optional<RoutingEffect.StartAttempt> second = next.stream()
+                    .filter(RoutingEffect.StartAttempt.class::isInstance)
+                    .map(RoutingEffect.StartAttempt.class::cast)
                     .findFirst();
-            if (two.isPresent()) {
+            if (second.isPresent()) {
                 again++;
-                passage.heard(two.get().job(), now);
-                passage.ended(two.get().job(), true, now);
-                passage.drain();
+                router.eventForwarded(second.get().attemptId(), now);
+                router.responseCompleted(second.get().attemptId(), true, now);
+                router.drainEffects();
             }
         }
         assertThat(again, lessThanOrEqualTo(all / 10 + 3));
@@ -287,37 +294,50 @@
     }
 
     @Test
-    void allPursersTogetherKeepToWhatAColdWorkerBears() {
+    void allGatewaysTogetherKeepToTheRateOfAWorkerThatWarmsUp() {
         for (int i = 0; i < 19; i++) {
-            crew.add(gateway("p" + i));
+            peers.add(gateway("p" + i));
         }
         final Map<Long, Integer> seconds = new HashMap<>();
-        final List<Router> all = new ArrayList<>();
+        final List<Router> gateways = new ArrayList<>();
         final Set<String> names = new HashSet<>();
         for (int i = 0; i < 20; i++) {
-            final Router p = new Router(Router.Setup.PLAIN, facts(), () -> new Stamp(1), new SplittableRandom(i));
-            all.add(p);
+            final Router gateway =
+                    new Router(Router.Settings.DEFAULT, clusterSnapshot(), () -> new Stamp(1), new SplittableRandom(i));
+            gateways.add(gateway);
             names.add(i == 19 ? "me" : "p" + i);
         }
-        worker("w", "west", 60 * S, false, 1);
+        worker("w", "west", 60 * SECOND, false, 1);
         for (int ms = 0; ms < 20_000; ms += 10) {
-            now += 10 * MS;
-            for (int i = 0; i < all.size(); i++) {
+            now += 10 * MILLISECOND;
+            for (int i = 0; i < gateways.size(); i++) {
                 final String id = i == 19 ? "me" : "p" + i;
-                final Facts f = facts();
+                final ClusterSnapshot snapshot = clusterSnapshot();
                 final List<Member> others = new ArrayList<>(names.stream()
                         .filter(n -> !n.equals(id))
                         .map(RouterTest::gateway)
                         .toList());
                 if (ms == 0) {
-                    all.get(i).facts(new Facts(gateway(id), f.page(), f.sure(), f.policy(), f.workers(), others), now);
+                    gateways.get(i)
+                            .clusterSnapshot(
+                                    new ClusterSnapshot(
+                                            gateway(id),
+                                            snapshot.revision(),
+                                            snapshot.confirmedAt(),
+                                            snapshot.policy(),
+                                            snapshot.workers(),
+                                            others),
+                                    now);
                 }
                 if ((ms / 10 + i) % 5 == 0) {
-                    all.get(i).arrive(new RoutedRequest(ms * 100L + i, "a", "/once/x", "t", S, List.of(), 1, 1), now);
-                    final int sends = (int) all.get(i).drain().stream()
-                            .filter(RoutingEffect.Send.class::isInstance)
+                    gateways.get(i)
+                            .requestArrived(
+                                    new RoutedRequest(ms * 100L + i, "a", "/once/x", "t", SECOND, List.of(), 1, 1),
+                                    now);
+                    final int sends = (int) gateways.get(i).drainEffects().stream()
+                            .filter(RoutingEffect.StartAttempt.class::isInstance)
                             .count();
-                    seconds.merge(now / S, sends, Integer::sum);
+                    seconds.merge(now / SECOND, sends, Integer::sum);
                 }
             }
         }
@@ -332,102 +352,104 @@
         }
         final Set<String> used = new HashSet<>();
         for (int i = 0; i < 20; i++) {
-            now += S;
-            final RoutingEffect.Send s = sent(arrive(
+            now += SECOND;
+            final RoutingEffect.StartAttempt attempt = attemptIn(arrive(
                     "/once/x",
                     List.of(
-                            new RoutedRequest.Part(5, 2_500),
-                            new RoutedRequest.Part(6, 3_700),
-                            new RoutedRequest.Part(100 + i, 800))));
-            used.add(s.worker());
-            passage.heard(s.job(), now);
-            passage.ended(s.job(), true, now);
-            passage.drain();
+                            new RoutedRequest.PromptPart(5, 2_500),
+                            new RoutedRequest.PromptPart(6, 3_700),
+                            new RoutedRequest.PromptPart(100 + i, 800))));
+            used.add(attempt.worker());
+            router.eventForwarded(attempt.attemptId(), now);
+            router.responseCompleted(attempt.attemptId(), true, now);
+            router.drainEffects();
         }
         assertThat(used, hasSize(1));
     }
 
     @Test
-    void whatIsPastItsTimeIsToldAtOnce() {
+    void aRequestPastItsDeadlineFailsAtOnce() {
         worker("w", "west", 0, false, 1);
-        final RoutingEffect.Send one = sent(arrive("/once/x", List.of()));
-        now += 16 * S;
-        passage.tick(now);
-        final List<RoutingEffect> moves = passage.drain();
-        assertThat(moves.contains(new RoutingEffect.Cut(one.job())), is(true));
+        final RoutingEffect.StartAttempt first = attemptIn(arrive("/once/x", List.of()));
+        now += 16 * SECOND;
+        router.tick(now);
+        final List<RoutingEffect> effects = router.drainEffects();
+        assertThat(effects.contains(new RoutingEffect.CancelAttempt(first.attemptId())), is(true));
         assertThat(
-                moves.stream()
+                effects.stream()
                         .filter(RoutingEffect.Fail.class::isInstance)
-                        .map(m -> ((RoutingEffect.Fail) m).code())
+                        .map(m -> ((RoutingEffect.Fail) m).statusCode())
                         .toList(),
                 is(List.of(504)));
-        assertThat(passage.open(), is(0));
+        assertThat(router.openRequests(), is(0));
     }
 
     @Test
-    void aLongPromptKeepsAwayFromAWorkerThatWritesManyStreams() {
+    void aLongPromptIsKeptAwayFromAWorkerThatDecodesManyStreams() {
         for (int i = 0; i < 4; i++) {
             worker("w" + i, "west", 0, false, 1);
         }
         final Set<String> writers = new HashSet<>();
         for (int i = 0; i < 40; i++) {
-            final RoutingEffect.Send s = sent(arrive("/once/x", List.of()));
-            writers.add(s.worker());
-            passage.headed(s.job(), Optional.of(new Router.Load(10, 0, 128)), now);
-            passage.heard(s.job(), now);
-            passage.arrive(
+            final RoutingEffect.StartAttempt attempt = attemptIn(arrive("/once/x", List.of()));
+            writers.add(attempt.worker());
+            router.responseStarted(attempt.attemptId(), Optional.of(new Router.ReportedLoad(10, 0, 128)), now);
+            router.eventForwarded(attempt.attemptId(), now);
+            router.requestArrived(
                     new RoutedRequest(
-                            ++token,
+                            ++lastCallId,
                             "a",
                             "/once/x",
-                            "t" + token,
-                            15 * S,
-                            List.of(new RoutedRequest.Part(i, 5_000), new RoutedRequest.Part(1_000 + i, 20_000)),
+                            "t" + lastCallId,
+                            15 * SECOND,
+                            List.of(
+                                    new RoutedRequest.PromptPart(i, 5_000),
+                                    new RoutedRequest.PromptPart(1_000 + i, 20_000)),
                             25_000,
                             50),
                     now);
-            final RoutingEffect.Send l = sent(passage.drain());
-            assertThat(i < 4 || !writers.contains(l.worker()), is(true));
-            passage.headed(l.job(), Optional.empty(), now);
-            passage.heard(l.job(), now);
-            passage.ended(l.job(), true, now);
-            passage.drain();
-            now += 100 * MS;
+            final RoutingEffect.StartAttempt longAttempt = attemptIn(router.drainEffects());
+            assertThat(i < 4 || !writers.contains(longAttempt.worker()), is(true));
+            router.responseStarted(longAttempt.attemptId(), Optional.empty(), now);
+            router.eventForwarded(longAttempt.attemptId(), now);
+            router.responseCompleted(longAttempt.attemptId(), true, now);
+            router.drainEffects();
+            now += 100 * MILLISECOND;
         }
         assertThat(writers.size(), lessThanOrEqualTo(3));
     }
 
     @Test
-    void aRegionThatIsMuteGetsNothingMoreUntilOneThereSpeaks() {
+    void anUnreachableRegionGetsNothingMoreUntilAWorkerThereAnswers() {
         for (int i = 0; i < 3; i++) {
             worker("e" + i, "east", 0, false, 1);
         }
-        final RoutingEffect.Send one = sent(arrive("/once/x", List.of()));
-        assertThat(one.worker().startsWith("e"), is(true));
+        final RoutingEffect.StartAttempt first = attemptIn(arrive("/once/x", List.of()));
+        assertThat(first.worker().startsWith("e"), is(true));
         worker("w", "west", 0, false, 1);
         worker("v", "west", 0, false, 1);
-        now += 600 * MS;
+        now += 600 * MILLISECOND;
         for (int i = 0; i < 20; i++) {
-            final RoutingEffect.Send s = sent(arrive("/once/x", List.of()));
-            assertThat(s.worker().startsWith("e"), is(false));
-            passage.headed(s.job(), Optional.empty(), now);
-            passage.heard(s.job(), now);
+            final RoutingEffect.StartAttempt attempt = attemptIn(arrive("/once/x", List.of()));
+            assertThat(attempt.worker().startsWith("e"), is(false));
+            router.responseStarted(attempt.attemptId(), Optional.empty(), now);
+            router.eventForwarded(attempt.attemptId(), now);
         }
-        passage.headed(one.job(), Optional.empty(), now);
+        router.responseStarted(first.attemptId(), Optional.empty(), now);
         worker("w", "west", 0, true, 2);
         worker("v", "west", 0, true, 2);
-        assertThat(sent(arrive("/once/x", List.of())).worker().startsWith("e"), is(true));
+        assertThat(attemptIn(arrive("/once/x", List.of())).worker().startsWith("e"), is(true));
     }
 
     @Test
-    void withoutACharterNothingIsTaken() {
+    void withoutAConfigurationNothingIsAccepted() {
         final Router bare = new Router(
-                Router.Setup.PLAIN,
-                new Facts(gateway("me"), 0, Optional.empty(), Policy.NONE, Map.of(), List.of()),
+                Router.Settings.DEFAULT,
+                new ClusterSnapshot(gateway("me"), 0, Optional.empty(), Policy.NONE, Map.of(), List.of()),
                 () -> new Stamp(1),
                 new SplittableRandom(1));
-        bare.arrive(new RoutedRequest(1, "a", "/once/x", "t", S, List.of(), 1, 1), now);
-        assertThat(rejected(bare.drain()).code(), is(503));
-        assertThat(bare.unready().isPresent(), is(true));
+        bare.requestArrived(new RoutedRequest(1, "a", "/once/x", "t", SECOND, List.of(), 1, 1), now);
+        assertThat(rejectionIn(bare.drainEffects()).statusCode(), is(503));
+        assertThat(bare.unreadyReason().isPresent(), is(true));
     }
 }
--- a/server/src/main/java/silverlatch/server/controller/Door.java
+++ b/server/src/main/java/silverlatch/server/controller/Door.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import silverlatch.dispatch.permit.Seals;
+import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.gossip.Worker;
 import silverlatch.json.JsonDocument;
 import silverlatch.replication.ChainClient;
@@ -59,7 +59,7 @@
             case "GET /metrics" -> metrics(c);
             case "POST /v1/announcements" -> announce(c);
             default -> {
-                if (!Seals.same(c.secret(), settings.operator())) {
+                if (!PermitSigner.constantTimeEquals(c.secret(), settings.operator())) {
                     no(c, 401, "the operator's key is needed");
                 } else {
                     order(c, at);
@@ -154,7 +154,7 @@
     }
 
     private void announce(final Call c) {
-        if (!Seals.same(c.secret(), settings.worker())) {
+        if (!PermitSigner.constantTimeEquals(c.secret(), settings.worker())) {
             no(c, 401, "the workers' key is needed");
             return;
         }
@@ -240,8 +240,8 @@
                     name,
                     s.strings("homes", 64, 64),
                     s.number("share", 1),
-                    Seals.hash(s.string("key", 256)),
-                    Seals.hash(settings.key() + "|" + name).substring(0, 16));
+                    PermitSigner.sha256Hex(s.string("key", 256)),
+                    PermitSigner.sha256Hex(settings.key() + "|" + name).substring(0, 16));
             if (!faulty(c, s)) {
                 match(c).ifPresent(m -> wish(c, new Command.PutTenant(id(c), t, m)));
             }
--- a/server/src/main/java/silverlatch/server/gateway/Gateway.java
+++ b/server/src/main/java/silverlatch/server/gateway/Gateway.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.Collectors;
-import silverlatch.dispatch.Act;
+import silverlatch.dispatch.ClusterSnapshot;
+import silverlatch.dispatch.DispatchEffect;
 import silverlatch.dispatch.Dispatcher;
-import silverlatch.dispatch.Facts;
-import silverlatch.dispatch.Line;
-import silverlatch.dispatch.Load;
-import silverlatch.dispatch.Order;
+import silverlatch.dispatch.PlacementRequest;
+import silverlatch.dispatch.StreamRecord;
+import silverlatch.dispatch.SubmittedRequest;
 import silverlatch.dispatch.TraceLog;
-import silverlatch.dispatch.permit.Seals;
+import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.gossip.Worker;
 import silverlatch.json.JsonDocument;
 import silverlatch.membership.Member;
@@ -112,19 +112,19 @@
     /** Stops in good order: unready at once, streams go on within the grace, what is left is told to be lost. */
     public void stop() {
         try {
-            duty.post(carry::close);
-            duty.post(passage::leave);
+            duty.post(carry::stopAccepting);
+            duty.post(passage::startDraining);
             gate.ifPresent(ProxyServer::close);
             bridge.with(d -> d.setReady(false));
             final long end = EventLoop.now() + settings.grace();
             TimeUnit.MICROSECONDS.sleep(gate.isEmpty() ? 200_000L : Math.min(LINGER, settings.grace() / 3));
             duty.post(passage::close);
             while (EventLoop.now() < end
-                    && carry.open() + gate.map(ProxyServer::open).orElse(0) > 0) {
+                    && carry.openRequests() + gate.map(ProxyServer::open).orElse(0) > 0) {
                 TimeUnit.MILLISECONDS.sleep(20);
             }
-            post(() -> carry.end(EventLoop.now()));
-            post(() -> passage.end(EventLoop.now()));
+            post(() -> carry.shutdown(EventLoop.now()));
+            post(() -> passage.shutdown(EventLoop.now()));
             bridge.with(d -> d.leave(EventLoop.now()));
             TimeUnit.MILLISECONDS.sleep(150);
             Logs.write(Event.STOPPED, "gateway " + settings.name());
@@ -138,17 +138,17 @@
 
     @Override
     public void begun(final long job) {
-        post(() -> carry.begun(job));
+        post(() -> carry.attemptStarted(job));
     }
 
     @Override
-    public void line(final long job, final Line line) {
-        post(() -> carry.line(job, line, EventLoop.now()));
+    public void line(final long job, final StreamRecord line) {
+        post(() -> carry.recordReceived(job, line, EventLoop.now()));
     }
 
     @Override
     public void failed(final long job, final boolean started, final String why) {
-        post(() -> carry.failed(job, started, why, EventLoop.now()));
+        post(() -> carry.attemptFailed(job, started, why, EventLoop.now()));
     }
 
     private void frame(final silverlatch.wire.Frame f) {
@@ -178,13 +178,13 @@
     }
 
     private void publish(final Node d) {
-        final Facts facts = d.facts();
-        gateways = java.util.stream.Stream.concat(java.util.stream.Stream.of(facts.me()), facts.crew().stream())
+        final ClusterSnapshot facts = d.facts();
+        gateways = java.util.stream.Stream.concat(java.util.stream.Stream.of(facts.self()), facts.peers().stream())
                 .filter(Member::ready)
                 .toList();
         post(() -> {
-            carry.facts(facts, EventLoop.now());
-            passage.facts(facts, EventLoop.now());
+            carry.clusterSnapshot(facts, EventLoop.now());
+            passage.clusterSnapshot(facts, EventLoop.now());
             gate.ifPresent(g -> passage.limits().ifPresent(g::limits));
         });
     }
@@ -200,7 +200,7 @@
         carry.tick(EventLoop.now());
         passage.tick(EventLoop.now());
         act();
-        final Optional<String> why = gate.isEmpty() ? carry.unready(EventLoop.now()) : passage.unready();
+        final Optional<String> why = gate.isEmpty() ? carry.unreadyReason(EventLoop.now()) : passage.unreadyReason();
         if (why.isPresent() != unready.isPresent()) {
             Logs.write(
                     why.isPresent() ? Event.UNREADY : Event.READY,
@@ -211,49 +211,51 @@
     }
 
     private void act() {
-        gate.ifPresent(g -> passage.drain().forEach(g::apply));
-        for (final Act a : carry.drain()) {
+        gate.ifPresent(g -> passage.drainEffects().forEach(g::apply));
+        for (final DispatchEffect a : carry.drainEffects()) {
             switch (a) {
-                case Act.Picked p ->
+                case DispatchEffect.Placed p ->
                     call(
-                            p.token(),
+                            p.callId(),
                             c -> c.reply(
                                     200,
                                     Map.of(
                                             "outcome",
                                             "picked",
                                             "ticket",
-                                            p.ticket(),
+                                            p.requestId(),
                                             "carrier",
-                                            p.carrier(),
+                                            p.gateway(),
                                             "permit",
                                             p.permit(),
                                             "worker",
                                             p.worker(),
                                             "table",
-                                            p.page(),
+                                            p.revision(),
                                             "stamp",
-                                            "" + p.stamp())));
-                case Act.Pointed p ->
-                    call(p.token(), c -> c.reply(200, Map.of("outcome", "pointed", "doors", p.doors())));
-                case Act.Rejected r ->
-                    call(r.token(), c -> reject(c, r.code(), r.ticket(), r.why(), r.after(), r.stands()));
-                case Act.Flow f -> flow(f);
-                case Act.Run r -> run(r);
-                case Act.Cut c -> back.cut(c.job());
-                case Act.Claim c ->
+                                            "" + p.timestamp())));
+                case DispatchEffect.Redirected p ->
+                    call(p.callId(), c -> c.reply(200, Map.of("outcome", "pointed", "doors", p.endpoints())));
+                case DispatchEffect.Rejected r ->
+                    call(
+                            r.callId(),
+                            c -> reject(c, r.statusCode(), r.requestId(), r.reason(), r.retryAfter(), r.claimState()));
+                case DispatchEffect.StreamWrite f -> flow(f);
+                case DispatchEffect.StartAttempt r -> run(r);
+                case DispatchEffect.CancelAttempt c -> back.cut(c.operationId());
+                case DispatchEffect.SubmitCommand c ->
                     bridge.wish(
-                            c.wish(),
-                            c.span(),
-                            v -> post(() -> carry.verdict(c.job(), (CommandResult) v, EventLoop.now())));
-                case Act.Judged j -> book.ifPresent(b -> b.write(Pages.write(j)));
-                case Act.Ended e -> book.ifPresent(b -> b.write(Pages.write(e)));
-                case Act.Log l -> Logs.write(l.event(), l.text());
+                            c.command(),
+                            c.timeout(),
+                            v -> post(() -> carry.claimDecided(c.operationId(), (CommandResult) v, EventLoop.now())));
+                case DispatchEffect.PlacementDecided j -> book.ifPresent(b -> b.write(Pages.write(j)));
+                case DispatchEffect.RequestEnded e -> book.ifPresent(b -> b.write(Pages.write(e)));
+                case DispatchEffect.Log l -> Logs.write(l.event(), l.text());
             }
         }
     }
 
-    private void run(final Act.Run r) {
+    private void run(final DispatchEffect.StartAttempt r) {
         try {
             if (!backed) {
                 back.start();
@@ -262,7 +264,7 @@
             back.run(r);
         } catch (final Back.BackFault e) {
             Logs.write(Event.FAULT, "no run can be sent", e);
-            post(() -> carry.failed(r.job(), false, "no client", EventLoop.now()));
+            post(() -> carry.attemptFailed(r.operationId(), false, "no client", EventLoop.now()));
         }
     }
 
@@ -270,15 +272,16 @@
         Optional.ofNullable(calls.remove(token)).ifPresent(job);
     }
 
-    private void flow(final Act.Flow f) {
-        final Optional<Call> call = Optional.ofNullable(f.last() ? calls.remove(f.token()) : calls.get(f.token()));
+    private void flow(final DispatchEffect.StreamWrite f) {
+        final Optional<Call> call =
+                Optional.ofNullable(f.endOfStream() ? calls.remove(f.callId()) : calls.get(f.callId()));
         call.ifPresent(c -> c.stream(
-                f.lines().stream().map(Lines::write).collect(Collectors.joining()),
-                f.last(),
-                () -> post(() -> carry.hungry(f.token())),
+                f.records().stream().map(Lines::write).collect(Collectors.joining()),
+                f.endOfStream(),
+                () -> post(() -> carry.readerReady(f.callId())),
                 () -> {
-                    calls.remove(f.token());
-                    post(() -> carry.left(f.token(), EventLoop.now()));
+                    calls.remove(f.callId());
+                    post(() -> carry.readerDisconnected(f.callId(), EventLoop.now()));
                 }));
     }
 
@@ -346,7 +349,8 @@
         final long token = tokens.incrementAndGet();
         calls.put(token, c);
         c.gone(() -> {
-            Optional.ofNullable(calls.remove(token)).ifPresent(gone -> post(() -> carry.left(token, EventLoop.now())));
+            Optional.ofNullable(calls.remove(token))
+                    .ifPresent(gone -> post(() -> carry.readerDisconnected(token, EventLoop.now())));
         });
         if (!post(() -> job.accept(token))) {
             calls.remove(token);
@@ -356,7 +360,7 @@
 
     private void pick(final Call c) {
         sheet(c).ifPresent(s -> {
-            final Order o = new Order(
+            final PlacementRequest o = new PlacementRequest(
                     c.secret(),
                     s.string("tenant", 64),
                     s.string("kind", 64),
@@ -365,21 +369,21 @@
                     s.string("key", 128, ""),
                     (int) s.integer("tries", 0, 1_000, 0));
             if (!faulty(c, s)) {
-                begin(c, token -> carry.pick(o, token, EventLoop.now()));
+                begin(c, token -> carry.requestPlacement(o, token, EventLoop.now()));
             }
         });
     }
 
     private void ticket(final Call c) {
         sheet(c).ifPresent(s -> {
-            final Load l = new Load(
+            final SubmittedRequest l = new SubmittedRequest(
                     c.secret(),
                     s.string("permit", 4096),
                     s.strings("prefix", 64, 128),
                     s.string("prompt", settings.body()),
                     s.integer("expiryMs", 1, 3_600_000, 30_000) * 1000);
             if (!faulty(c, s)) {
-                begin(c, token -> carry.ticket(l, token, EventLoop.now()));
+                begin(c, token -> carry.submit(l, token, EventLoop.now()));
             }
         });
     }
@@ -395,7 +399,7 @@
     }
 
     private void announce(final Call c) {
-        if (!Seals.same(c.secret(), settings.worker())) {
+        if (!PermitSigner.constantTimeEquals(c.secret(), settings.worker())) {
             c.reply(401, Map.of("outcome", "rejected", "faults", List.of("the workers' key is needed")));
             return;
         }
@@ -418,7 +422,7 @@
     }
 
     private boolean operator(final Call c) {
-        final boolean good = Seals.same(c.secret(), settings.operator());
+        final boolean good = PermitSigner.constantTimeEquals(c.secret(), settings.operator());
         if (!good) {
             c.reply(401, Map.of("outcome", "rejected", "faults", List.of("the operator's key is needed")));
         }
@@ -427,9 +431,9 @@
 
     private void explain(final Call c, final String ticket) {
         if (operator(c)) {
-            post(() -> carry.tales()
+            post(() -> carry.traces()
                     .get(ticket)
-                    .or(() -> passage.tales().get(ticket))
+                    .or(() -> passage.traces().get(ticket))
                     .ifPresentOrElse(
                             t -> c.reply(200, tale(t)),
                             () -> c.reply(
@@ -437,25 +441,25 @@
         }
     }
 
-    private static Map<String, Object> tale(final TraceLog.Tale t) {
+    private static Map<String, Object> tale(final TraceLog.RequestTrace t) {
         final List<Map<String, Object>> said = new ArrayList<>();
-        t.opinions()
+        t.scores()
                 .forEach(o -> said.add(Map.of(
                         "worker",
                         o.worker(),
                         "judge",
-                        o.judge(),
+                        o.scorer(),
                         "weight",
                         o.weight(),
                         "finding",
-                        switch (o.finding()) {
+                        switch (o.result()) {
                             case ScorerResult.Score s -> "score " + Math.round(s.value() * 1000) / 1000.0;
-                            case ScorerResult.Veto v -> "veto: " + v.why();
-                            case ScorerResult.Later l -> "later: " + l.why();
+                            case ScorerResult.Veto v -> "veto: " + v.reason();
+                            case ScorerResult.Deferred l -> "later: " + l.reason();
                         })));
         final Map<String, Object> map = new TreeMap<>(Map.of(
                 "ticket",
-                t.ticket(),
+                t.requestId(),
                 "tenant",
                 t.tenant(),
                 "kind",
@@ -463,15 +467,15 @@
                 "worker",
                 t.worker(),
                 "table",
-                t.page(),
+                t.revision(),
                 "stamp",
-                "" + t.stamp(),
+                "" + t.timestamp(),
                 "state",
                 t.state(),
                 "why",
-                t.why(),
+                t.reason(),
                 "tries",
-                t.tries()));
+                t.attempts()));
         map.put("judges", said);
         return map;
     }
@@ -516,11 +520,11 @@
     private void metrics(final Call c) {
         post(() -> {
             final Map<String, Object> all = new TreeMap<>();
-            carry.tally().forEach((k, v) -> all.put("carry_" + k, v));
-            all.put("carry_open", carry.open());
-            passage.tally().forEach((k, v) -> all.put("passage_" + k, v));
-            all.put("passage_open", passage.open());
-            all.put("passage_charter", passage.charter());
+            carry.counters().forEach((k, v) -> all.put("carry_" + k, v));
+            all.put("carry_open", carry.openRequests());
+            passage.counters().forEach((k, v) -> all.put("passage_" + k, v));
+            all.put("passage_open", passage.openRequests());
+            all.put("passage_charter", passage.configurationNumber());
             bridge.with(d -> {
                 final var n = d.processClock().counts();
                 all.put("tide_waits", n.waits());
--- a/server/src/main/java/silverlatch/server/gateway/Main.java
+++ b/server/src/main/java/silverlatch/server/gateway/Main.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import silverlatch.clock.PhysicalClock;
 import silverlatch.dispatch.Dispatcher;
-import silverlatch.dispatch.permit.Seals;
+import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.membership.Member;
 import silverlatch.node.Event;
 import silverlatch.node.Node;
@@ -101,13 +101,18 @@
         @Singleton
         static Dispatcher carry(final Settings s, final Node deck, final SplittableRandom luck) {
             return new Dispatcher(
-                    s.carry(), new Seals(s.key()), deck.facts(), () -> deck.localStamp(EventLoop.now()), luck.split());
+                    s.carry(),
+                    new PermitSigner(s.key()),
+                    deck.facts(),
+                    () -> deck.localStamp(EventLoop.now()),
+                    luck.split());
         }
 
         @Provides
         @Singleton
         static Router passage(final Settings s, final Node deck, final SplittableRandom luck) {
-            return new Router(Router.Setup.PLAIN, deck.facts(), () -> deck.localStamp(EventLoop.now()), luck.split());
+            return new Router(
+                    Router.Settings.DEFAULT, deck.facts(), () -> deck.localStamp(EventLoop.now()), luck.split());
         }
     }
 }
--- a/server/src/main/java/silverlatch/server/proxy/Fields.java
+++ b/server/src/main/java/silverlatch/server/proxy/Fields.java
@@ -52,22 +52,22 @@
     }
 
     /** Reads the parts of a prompt; what can't be read is left out. */
-    static List<RoutedRequest.Part> parts(final Optional<String> text) {
-        final List<RoutedRequest.Part> list = new java.util.ArrayList<>();
+    static List<RoutedRequest.PromptPart> parts(final Optional<String> text) {
+        final List<RoutedRequest.PromptPart> list = new java.util.ArrayList<>();
         for (final String one : text.orElse("").split(",")) {
             final int colon = one.indexOf(':');
             if (colon > 0 && list.size() < MAX_PARTS) {
                 final String name = one.substring(0, colon).strip();
                 final Optional<Long> tokens = whole(one.substring(colon + 1));
                 tokens.filter(t -> t <= Integer.MAX_VALUE)
-                        .ifPresent(t -> list.add(new RoutedRequest.Part(name(name), t.intValue())));
+                        .ifPresent(t -> list.add(new RoutedRequest.PromptPart(name(name), t.intValue())));
             }
         }
         return list;
     }
 
     /** Reads a load. */
-    static Optional<Router.Load> load(final Optional<String> text) {
+    static Optional<Router.ReportedLoad> load(final Optional<String> text) {
         final String[] part = text.orElse("").split(",");
         if (part.length != 3) {
             return Optional.empty();
@@ -78,7 +78,7 @@
                 .filter(n -> n < 1_000_000)
                 .toList();
         return all.size() == 3
-                ? Optional.of(new Router.Load(
+                ? Optional.of(new Router.ReportedLoad(
                         all.get(0).intValue(), all.get(1).intValue(), all.get(2).intValue()))
                 : Optional.empty();
     }
--- a/server/src/main/java/silverlatch/server/proxy/ProxiedRequest.java
+++ b/server/src/main/java/silverlatch/server/proxy/ProxiedRequest.java
@@ -73,11 +73,11 @@
     }
 
     /** Sends it to a worker, in place of the exchange that there may be. */
-    synchronized void send(final RoutingEffect.Send send) {
+    synchronized void send(final RoutingEffect.StartAttempt send) {
         exchange.ifPresent(WorkerExchange::drop);
         exchange = Optional.empty();
         if (ended) {
-            proxy.tell(router -> router.left(token, EventLoop.now()));
+            proxy.tell(router -> router.clientDisconnected(token, EventLoop.now()));
             return;
         }
         if (committed && lastEventId.isEmpty()) {
@@ -106,16 +106,17 @@
         }
         exchange.ifPresent(WorkerExchange::drop);
         if (committed) {
-            breakOff(reject.why());
+            breakOff(reject.reason());
             return;
         }
         ended = true;
         clearHead();
-        response.setStatus(reject.code());
-        if (reject.after() > 0) {
-            response.getHeaders().put(HttpHeader.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", reject.after() / 1e6));
+        response.setStatus(reject.statusCode());
+        if (reject.retryAfter() > 0) {
+            response.getHeaders()
+                    .put(HttpHeader.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", reject.retryAfter() / 1e6));
         }
-        text(reject.why());
+        text(reject.reason());
     }
 
     /** Answers with a failure that promises nothing; a response that has begun is broken off. */
@@ -125,13 +126,13 @@
         }
         exchange.ifPresent(WorkerExchange::drop);
         if (committed) {
-            breakOff(fail.why());
+            breakOff(fail.reason());
             return;
         }
         ended = true;
         clearHead();
-        response.setStatus(fail.code());
-        text(fail.why());
+        response.setStatus(fail.statusCode());
+        text(fail.reason());
     }
 
     /** Passes on a worker's whole failure with its own status and headers. */
@@ -146,7 +147,7 @@
                 length(from, bytes.length);
                 response.write(true, ByteBuffer.wrap(bytes), callback);
             });
-            proxy.tell(router -> router.ended(job, false, EventLoop.now()));
+            proxy.tell(router -> router.responseCompleted(job, false, EventLoop.now()));
         });
     }
 
@@ -188,7 +189,7 @@
         if (feeds(from)) {
             write(rest, true, () -> {
                 proxy.done(token);
-                proxy.tell(router -> router.ended(from.job(), true, EventLoop.now()));
+                proxy.tell(router -> router.responseCompleted(from.job(), true, EventLoop.now()));
             });
         }
     }
--- a/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
+++ b/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
@@ -115,11 +115,12 @@
     /** Does what the router decided. */
     public void apply(final RoutingEffect effect) {
         switch (effect) {
-            case RoutingEffect.Send s -> find(s.token()).ifPresentOrElse(r -> r.send(s), () -> left(s.token()));
-            case RoutingEffect.Reject r -> take(r.token()).ifPresent(p -> p.reject(r));
-            case RoutingEffect.Fail f -> take(f.token()).ifPresent(p -> p.fail(f));
-            case RoutingEffect.Pass p -> take(p.token()).ifPresent(r -> r.pass(p.job()));
-            case RoutingEffect.Cut c -> requests.values().forEach(r -> r.cut(c.job()));
+            case RoutingEffect.StartAttempt s ->
+                find(s.callId()).ifPresentOrElse(r -> r.send(s), () -> left(s.callId()));
+            case RoutingEffect.Reject r -> take(r.callId()).ifPresent(p -> p.reject(r));
+            case RoutingEffect.Fail f -> take(f.callId()).ifPresent(p -> p.fail(f));
+            case RoutingEffect.ForwardResponse p -> take(p.callId()).ifPresent(r -> r.pass(p.attemptId()));
+            case RoutingEffect.CancelAttempt c -> requests.values().forEach(r -> r.cut(c.attemptId()));
             case RoutingEffect.Log l -> Logs.write(l.event(), l.text());
         }
     }
@@ -161,7 +162,7 @@
     }
 
     private void left(final long token) {
-        tell(r -> r.left(token, EventLoop.now()));
+        tell(r -> r.clientDisconnected(token, EventLoop.now()));
     }
 
     private Optional<ProxiedRequest> find(final long token) {
@@ -183,7 +184,7 @@
         requests.put(token, new ProxiedRequest(this, token, attemptId, request, response, callback, body));
         request.addIdleTimeoutListener(timeout -> false);
         request.addFailureListener(fault -> abandon(token));
-        if (!tell(r -> r.arrive(routed, EventLoop.now()))) {
+        if (!tell(r -> r.requestArrived(routed, EventLoop.now()))) {
             take(token)
                     .ifPresent(r -> r.reject(new RoutingEffect.Reject(
                             token,
--- a/server/src/main/java/silverlatch/server/proxy/WorkerExchange.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerExchange.java
@@ -26,7 +26,7 @@
     private static final int MAX_RANK = 9;
     private final ProxyServer proxy;
     private final ProxiedRequest owner;
-    private final RoutingEffect.Send send;
+    private final RoutingEffect.StartAttempt send;
     private final AtomicBoolean begun = new AtomicBoolean();
     private final AtomicBoolean over = new AtomicBoolean();
     private final ByteArrayOutputStream failureBody = new ByteArrayOutputStream();
@@ -39,14 +39,14 @@
     WorkerExchange(
             final ProxyServer proxy,
             final ProxiedRequest owner,
-            final RoutingEffect.Send send,
+            final RoutingEffect.StartAttempt send,
             final org.eclipse.jetty.server.Request from,
             final byte[] body,
             final String lastEventId) {
         this.proxy = proxy;
         this.owner = owner;
         this.send = send;
-        final long left = send.left() / 1000;
+        final long left = send.timeout() / 1000;
         request = proxy.workers()
                 .newRequest(send.address(), from.getMethod(), from.getHttpURI().getPathQuery())
                 .headers(to -> headers(from.getHeaders(), lastEventId, to))
@@ -67,7 +67,7 @@
         final Fields names = proxy.names();
         to.clear();
         EndToEndHeaders.copy(from, names.own(), to);
-        to.put(names.deadline(), "" + Math.max(1, send.left() / 1000));
+        to.put(names.deadline(), "" + Math.max(1, send.timeout() / 1000));
         to.put(names.expectedWorker(), send.worker());
         to.put(names.rank(), "" + Math.min(MAX_RANK, send.rank()));
         if (!lastEventId.isEmpty()) {
@@ -77,7 +77,7 @@
 
     /** The router's number of this sending. */
     long job() {
-        return send.job();
+        return send.attemptId();
     }
 
     /** Sends it. */
@@ -111,8 +111,8 @@
             return;
         }
         if (success() && !over.get() && owner.begin(this, from.getStatus(), from.getHeaders())) {
-            final Optional<Router.Load> load = load(from);
-            proxy.tell(router -> router.headed(send.job(), load, EventLoop.now()));
+            final Optional<Router.ReportedLoad> load = load(from);
+            proxy.tell(router -> router.responseStarted(send.attemptId(), load, EventLoop.now()));
         }
     }
 
@@ -138,7 +138,7 @@
             more.run();
             return;
         }
-        proxy.tell(router -> router.heard(send.job(), EventLoop.now()));
+        proxy.tell(router -> router.eventForwarded(send.attemptId(), EventLoop.now()));
         if (!owner.pass(this, ready, events.last(), more)) {
             more.run();
         }
@@ -167,8 +167,8 @@
             return;
         }
         response.ifPresent(from -> {
-            final Optional<Router.Load> load = load(from);
-            proxy.tell(router -> router.ill(send.job(), from.getStatus(), load, EventLoop.now()));
+            final Optional<Router.ReportedLoad> load = load(from);
+            proxy.tell(router -> router.errorResponse(send.attemptId(), from.getStatus(), load, EventLoop.now()));
         });
     }
 
@@ -179,14 +179,14 @@
     }
 
     private void failed(final FailurePoint point) {
-        proxy.tell(router -> router.failed(send.job(), point, EventLoop.now()));
+        proxy.tell(router -> router.attemptFailed(send.attemptId(), point, EventLoop.now()));
     }
 
     private boolean success() {
         return head instanceof WorkerResponseHead.Success;
     }
 
-    private Optional<Router.Load> load(final Response from) {
+    private Optional<Router.ReportedLoad> load(final Response from) {
         return Fields.load(
                 Optional.ofNullable(from.getHeaders().get(proxy.names().load())));
     }
--- a/server/src/main/java/silverlatch/server/replay/Main.java
+++ b/server/src/main/java/silverlatch/server/replay/Main.java
@@ -14,8 +14,8 @@
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
 import org.kohsuke.args4j.ParserProperties;
-import silverlatch.dispatch.Act;
-import silverlatch.placement.Case;
+import silverlatch.dispatch.DispatchEffect;
+import silverlatch.placement.PlacementContext;
 import silverlatch.placement.ScorerResult;
 import silverlatch.placement.WeightedScorers;
 import silverlatch.server.settings.Flags;
@@ -87,12 +87,12 @@
     }
 
     private void replay(final Pages.Day day, final Optional<Map<String, Value.Row>> rows, final PrintStream out) {
-        final WeightedScorers court = WeightedScorers.full(word);
+        final WeightedScorers court = WeightedScorers.allScorers(word);
         final Map<String, Integer> tally = new TreeMap<>();
         int same = 0;
         int shown = 0;
-        for (final Act.Judged j : day.judged()) {
-            final Case old = j.plea();
+        for (final DispatchEffect.PlacementDecided j : day.judged()) {
+            final PlacementContext old = j.context();
             final Optional<Value.Row> row = rows.map(r -> Optional.ofNullable(
                                     r.get(old.tenant().name() + "/" + old.row().kind()))
                             .or(() -> Optional.ofNullable(r.get("*/" + old.row().kind()))))
@@ -101,11 +101,17 @@
                 tally.merge("kind " + old.row().kind() + " is not in the table", 1, Integer::sum);
                 continue;
             }
-            final Case plea = new Case(
-                    old.ticket(), old.tenant(), row.get(), old.prefix(), old.zone(), old.region(), old.empty());
-            final WeightedScorers.Ruling ruling = court.pick(plea, j.sights(), new SplittableRandom(j.seed()));
-            final String now = ruling instanceof WeightedScorers.Ruling.Picked p
-                    ? p.worker().worker().id()
+            final PlacementContext plea = new PlacementContext(
+                    old.requestId(),
+                    old.tenant(),
+                    row.get(),
+                    old.prefixDigests(),
+                    old.gatewayZone(),
+                    old.gatewayRegion(),
+                    old.evacuatingZones());
+            final WeightedScorers.Decision ruling = court.select(plea, j.candidates(), new SplittableRandom(j.seed()));
+            final String now = ruling instanceof WeightedScorers.Decision.Selected p
+                    ? p.candidate().worker().id()
                     : "";
             if (now.equals(j.worker())) {
                 same++;
@@ -113,7 +119,7 @@
             }
             tally.merge(old.row().kind() + " changed", 1, Integer::sum);
             if (shown++ < most) {
-                show(j, ruling, now, day.ends().getOrDefault(old.ticket(), "open"), out);
+                show(j, ruling, now, day.ends().getOrDefault(old.requestId(), "open"), out);
             }
         }
         out.println(day.judged().size() + " picks, " + same + " the same, "
@@ -122,24 +128,25 @@
     }
 
     private static void show(
-            final Act.Judged j,
-            final WeightedScorers.Ruling ruling,
+            final DispatchEffect.PlacementDecided j,
+            final WeightedScorers.Decision ruling,
             final String now,
             final String end,
             final PrintStream out) {
-        out.println("ticket " + j.plea().ticket() + " " + j.plea().tenant().name() + " "
-                + j.plea().row().kind() + ": " + name(j.worker()) + " -> " + name(now) + " (page " + j.page()
-                + ", stamp " + j.stamp() + ", it ended " + end + ")");
+        out.println("ticket " + j.context().requestId() + " "
+                + j.context().tenant().name() + " "
+                + j.context().row().kind() + ": " + name(j.worker()) + " -> " + name(now) + " (page " + j.revision()
+                + ", stamp " + j.timestamp() + ", it ended " + end + ")");
         final Map<String, String> why = new LinkedHashMap<>();
-        ruling.opinions().stream()
+        ruling.scores().stream()
                 .filter(o -> o.worker().equals(now) || o.worker().equals(j.worker()))
                 .forEach(o -> why.merge(
-                        o.judge(),
+                        o.scorer(),
                         o.worker() + " "
-                                + switch (o.finding()) {
+                                + switch (o.result()) {
                                     case ScorerResult.Score s -> String.format("%.2f x %s", s.value(), o.weight());
-                                    case ScorerResult.Veto v -> "veto: " + v.why();
-                                    case ScorerResult.Later l -> "later: " + l.why();
+                                    case ScorerResult.Veto v -> "veto: " + v.reason();
+                                    case ScorerResult.Deferred l -> "later: " + l.reason();
                                 },
                         (a, b) -> a + ", " + b));
         why.forEach((k, v) -> out.println("    " + k + ": " + v));
--- a/server/src/main/java/silverlatch/server/replay/Pages.java
+++ b/server/src/main/java/silverlatch/server/replay/Pages.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import silverlatch.dispatch.Act;
+import silverlatch.dispatch.DispatchEffect;
 import silverlatch.gossip.Worker;
 import silverlatch.json.JsonDocument;
-import silverlatch.placement.Case;
+import silverlatch.placement.PlacementContext;
 import silverlatch.placement.PlacementInput;
 import silverlatch.server.controller.Rows;
 import silverlatch.state.TableRules;
@@ -31,7 +31,7 @@
     private Pages() {}
 
     /** What a recording held. */
-    public record Day(List<Act.Judged> judged, Map<String, String> ends) {
+    public record Day(List<DispatchEffect.PlacementDecided> judged, Map<String, String> ends) {
         /** Copies the collections. */
         public Day {
             judged = List.copyOf(judged);
@@ -54,10 +54,10 @@
     }
 
     /** A placement as a line. */
-    public static String write(final Act.Judged j) {
-        final Case c = j.plea();
+    public static String write(final DispatchEffect.PlacementDecided j) {
+        final PlacementContext c = j.context();
         final List<Map<String, Object>> sights = new ArrayList<>();
-        j.sights().forEach(s -> {
+        j.candidates().forEach(s -> {
             final Worker w = s.worker();
             final Map<String, Object> map = new LinkedHashMap<>();
             map.put("worker", w.id());
@@ -68,28 +68,30 @@
             map.put("slots", w.slots());
             map.put(
                     "kept",
-                    c.prefix().stream().filter(w.cachedPrefixes()::contains).toList());
+                    c.prefixDigests().stream()
+                            .filter(w.cachedPrefixes()::contains)
+                            .toList());
             map.put("leaving", w.draining());
             map.put("up", Math.min(FAR, w.uptime()));
-            map.put("age", Math.min(FAR, s.age()));
-            map.put("since", s.since());
-            map.put("mine", s.mine());
-            map.put("back", Numbers.clamp(s.back(), 0, FAR));
-            map.put("shunned", s.shunned());
-            map.put("peers", s.peers());
+            map.put("age", Math.min(FAR, s.reportAge()));
+            map.put("since", s.attemptsSinceReport());
+            map.put("mine", s.ownAttempts());
+            map.put("back", Numbers.clamp(s.sinceReturn(), 0, FAR));
+            map.put("shunned", s.isEjected());
+            map.put("peers", s.gatewayCount());
             sights.add(map);
         });
         final Map<String, Object> map = new LinkedHashMap<>();
-        map.put("ticket", c.ticket());
+        map.put("ticket", c.requestId());
         map.put("tenant", c.tenant().name());
         map.put("homes", c.tenant().homeRegions());
         map.put("row", Rows.write(c.row()));
-        map.put("prefix", c.prefix());
-        map.put("zone", c.zone());
-        map.put("region", c.region());
-        map.put("empty", c.empty().stream().sorted().toList());
-        map.put("page", j.page());
-        map.put("stamp", "" + j.stamp());
+        map.put("prefix", c.prefixDigests());
+        map.put("zone", c.gatewayZone());
+        map.put("region", c.gatewayRegion());
+        map.put("empty", c.evacuatingZones().stream().sorted().toList());
+        map.put("page", j.revision());
+        map.put("stamp", "" + j.timestamp());
         map.put("seed", j.seed());
         map.put("picked", j.worker());
         map.put("sights", sights);
@@ -97,14 +99,15 @@
     }
 
     /** An end as a line. */
-    public static String write(final Act.Ended e) {
-        return JsonDocument.write(Map.of("end", Map.of("ticket", e.ticket(), "state", e.state(), "why", e.why())));
+    public static String write(final DispatchEffect.RequestEnded e) {
+        return JsonDocument.write(
+                Map.of("end", Map.of("ticket", e.requestId(), "state", e.state(), "why", e.reason())));
     }
 
     /** Reads recordings whole, or names the place of each fault. */
     public static Read read(final List<Path> files) {
         final List<String> faults = new ArrayList<>();
-        final List<Act.Judged> judged = new ArrayList<>();
+        final List<DispatchEffect.PlacementDecided> judged = new ArrayList<>();
         final Map<String, String> ends = new HashMap<>();
         for (final Path file : files) {
             try {
@@ -126,7 +129,7 @@
     private static void line(
             final String at,
             final String text,
-            final List<Act.Judged> judged,
+            final List<DispatchEffect.PlacementDecided> judged,
             final Map<String, String> ends,
             final List<String> faults) {
         switch (JsonDocument.parse(text.getBytes(StandardCharsets.UTF_8), LINE)) {
@@ -149,7 +152,7 @@
         }
     }
 
-    private static Act.Judged judged(final JsonDocument s) {
+    private static DispatchEffect.PlacementDecided judged(final JsonDocument s) {
         final JsonDocument r = s.object("row");
         final Value.Row row = Rows.read(r);
         r.finish();
@@ -179,7 +182,7 @@
             x.finish();
         });
         final Value.Tenant who = new Value.Tenant(s.string("tenant", 64), s.strings("homes", 64, 64), 1, "", "");
-        final Case plea = new Case(
+        final PlacementContext plea = new PlacementContext(
                 s.string("ticket", 256),
                 who,
                 row,
@@ -188,7 +191,7 @@
                 s.string("region", 64),
                 Set.copyOf(s.strings("empty", 64, 64)));
         final String stamp = s.string("stamp", 20);
-        final Act.Judged made = new Act.Judged(
+        final DispatchEffect.PlacementDecided made = new DispatchEffect.PlacementDecided(
                 plea,
                 sights,
                 s.integer("seed", 0, Long.MAX_VALUE),
--- a/server/src/main/java/silverlatch/server/settings/Settings.java
+++ b/server/src/main/java/silverlatch/server/settings/Settings.java
@@ -34,7 +34,7 @@
         int low,
         long skew,
         long grace,
-        Dispatcher.Setup carry,
+        Dispatcher.Settings carry,
         int body,
         int line,
         boolean found,
@@ -82,7 +82,7 @@
 
     private static Read check(final JsonDocument s, final boolean controller) {
         final List<String> faults = new ArrayList<>();
-        final Dispatcher.Setup plain = Dispatcher.Setup.PLAIN;
+        final Dispatcher.Settings plain = Dispatcher.Settings.DEFAULT;
         final String data = s.string("data", 4096, "");
         final Settings made = new Settings(
                 s.string("name", 64),
@@ -99,20 +99,20 @@
                 (int) s.integer("low", 1, 30, 7),
                 s.integer("skew", 0, 10_000_000L, 50_000L),
                 s.integer("grace", 0, 600_000_000L, 5_000_000L),
-                new Dispatcher.Setup(
-                        (int) s.integer("slab", 1, 1_000_000, plain.slab()),
-                        (int) s.integer("queue", 1, 1_000_000, plain.queue()),
-                        s.integer("permit", 100_000, 10_000_000, plain.permit()),
-                        s.integer("word", 500_000, 2_500_000, plain.word()),
-                        s.integer("sure", 500_000, 2_500_000, plain.sure()),
-                        s.integer("claim", 100_000, 10_000_000, plain.claim()),
-                        s.integer("keep", 0, 600_000_000L, plain.keep()),
-                        (int) s.integer("buffer", 1_024, 64 << 20, plain.buffer()),
-                        s.number("tries", plain.tries()),
-                        s.integer("shun", 0, 60_000_000L, plain.shun()),
-                        s.integer("patience", 0, 600_000_000L, plain.patience()),
-                        s.integer("memory", 10_000_000L, 600_000_000L, plain.memory()),
-                        s.integer("start", 100_000L, 60_000_000L, plain.start())),
+                new Dispatcher.Settings(
+                        (int) s.integer("slab", 1, 1_000_000, plain.maxOpenRequests()),
+                        (int) s.integer("queue", 1, 1_000_000, plain.maxQueuedRequests()),
+                        s.integer("permit", 100_000, 10_000_000, plain.permitLifetime()),
+                        s.integer("word", 500_000, 2_500_000, plain.maxReportAge()),
+                        s.integer("sure", 500_000, 2_500_000, plain.maxConfirmationAge()),
+                        s.integer("claim", 100_000, 10_000_000, plain.claimTimeout()),
+                        s.integer("keep", 0, 600_000_000L, plain.endedRetention()),
+                        (int) s.integer("buffer", 1_024, 64 << 20, plain.maxResponseBytes()),
+                        s.number("tries", plain.retryRatio()),
+                        s.integer("shun", 0, 60_000_000L, plain.ejectionTime()),
+                        s.integer("patience", 0, 600_000_000L, plain.readerAbsenceTimeout()),
+                        s.integer("memory", 10_000_000L, 600_000_000L, plain.permitRetention()),
+                        s.integer("start", 100_000L, 60_000_000L, plain.startTimeout())),
                 (int) s.integer("body", 1_024, 16 << 20, 4 << 20),
                 (int) s.integer("line", 1_024, 4 << 20, 256 << 10),
                 s.flag("found", true),
@@ -153,7 +153,7 @@
         if (controller && made.record().isPresent()) {
             faults.add("record: a controller has no day to record");
         }
-        if (!(made.carry().tries() >= 0 && made.carry().tries() <= 0.2)) {
+        if (!(made.carry().retryRatio() >= 0 && made.carry().retryRatio() <= 0.2)) {
             faults.add("tries: not within 0 and 0.2");
         }
         return faults.isEmpty()
--- a/server/src/main/java/silverlatch/server/workerclient/Back.java
+++ b/server/src/main/java/silverlatch/server/workerclient/Back.java
@@ -12,8 +12,8 @@
 import org.eclipse.jetty.client.transport.HttpClientTransportOverHTTP;
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
-import silverlatch.dispatch.Act;
-import silverlatch.dispatch.Line;
+import silverlatch.dispatch.DispatchEffect;
+import silverlatch.dispatch.StreamRecord;
 import silverlatch.json.JsonDocument;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.web.Abrupt;
@@ -32,7 +32,7 @@
         void begun(long job);
 
         /** A line came. */
-        void line(long job, Line line);
+        void line(long job, StreamRecord line);
 
         /** The exchange ended; started is false only where it provably did not begin. */
         void failed(long job, boolean started, String why);
@@ -67,20 +67,20 @@
     }
 
     /** Starts a run at a worker. */
-    public void run(final Act.Run r) {
+    public void run(final DispatchEffect.StartAttempt r) {
         final AtomicBoolean begun = new AtomicBoolean();
-        final Lines lines = new Lines(line, l -> sink.line(r.job(), l));
+        final Lines lines = new Lines(line, l -> sink.line(r.operationId(), l));
         final String body = JsonDocument.write(Map.of(
                 "ticket",
-                r.ticket(),
+                r.requestId(),
                 "run",
-                r.run(),
+                r.attemptId(),
                 "tenant",
                 r.tenant(),
                 "kind",
                 r.kind(),
                 "prefix",
-                r.prefix(),
+                r.prefixDigests(),
                 "prompt",
                 r.prompt()));
         final Request request = http.newRequest(URI.create("http://" + r.address() + "/v1/runs"))
@@ -88,7 +88,7 @@
                 .headers(h -> h.put("Authorization", "Bearer " + key))
                 .body(new StringRequestContent("application/json", body))
                 .onRequestBegin(q -> {
-                    if (EventLoop.now() > r.due()) {
+                    if (EventLoop.now() > r.sendDeadline()) {
                         q.abort(new TimeoutException("it would leave too late"));
                     } else {
                         begun.set(true);
@@ -96,7 +96,7 @@
                 })
                 .onResponseHeaders(response -> {
                     if (response.getStatus() == 200) {
-                        sink.begun(r.job());
+                        sink.begun(r.operationId());
                     }
                 })
                 .onResponseContent((response, bytes) -> {
@@ -105,15 +105,15 @@
                     }
                 })
                 .timeout(10, TimeUnit.MINUTES);
-        jobs.put(r.job(), request);
+        jobs.put(r.operationId(), request);
         request.send(result -> {
-            jobs.remove(r.job());
+            jobs.remove(r.operationId());
             final int status = result.getResponse().getStatus();
             final boolean denied = result.getResponseFailure() == null
                     && status == 503
                     && "no".equals(result.getResponse().getHeaders().get("X-Started"));
             sink.failed(
-                    r.job(),
+                    r.operationId(),
                     begun.get() && !denied,
                     result.isFailed() ? "" + result.getFailure().getMessage() : "status " + status);
         });
--- a/server/src/main/java/silverlatch/server/workerclient/Lines.java
+++ b/server/src/main/java/silverlatch/server/workerclient/Lines.java
@@ -4,18 +4,18 @@
 import java.nio.ByteBuffer;
 import java.util.Map;
 import java.util.function.Consumer;
-import silverlatch.dispatch.Line;
+import silverlatch.dispatch.StreamRecord;
 import silverlatch.json.JsonDocument;
 
 /** Cuts a worker's bytes into lines and reads each as a record of the stream; and writes records for consumers. */
 public final class Lines {
     private final int most;
-    private final Consumer<Line> sink;
+    private final Consumer<StreamRecord> sink;
     private final ByteArrayOutputStream part = new ByteArrayOutputStream();
     private boolean broken;
 
     /** Reads lines of at most so many bytes. */
-    public Lines(final int most, final Consumer<Line> sink) {
+    public Lines(final int most, final Consumer<StreamRecord> sink) {
         this.most = most;
         this.sink = sink;
     }
@@ -36,26 +36,35 @@
     }
 
     /** A record as a line of JSON. */
-    public static String write(final Line line) {
+    public static String write(final StreamRecord line) {
         return JsonDocument.write(
                         switch (line) {
-                            case Line.Piece p ->
-                                Map.of("ticket", p.ticket(), "run", p.run(), "number", p.number(), "text", p.text());
-                            case Line.Seal s ->
+                            case StreamRecord.Chunk p ->
+                                Map.of(
+                                        "ticket",
+                                        p.requestId(),
+                                        "run",
+                                        p.attemptId(),
+                                        "number",
+                                        p.index(),
+                                        "text",
+                                        p.text());
+                            case StreamRecord.Trailer s ->
                                 Map.of(
                                         "seal",
                                         Map.of(
                                                 "worker",
                                                 s.worker(),
                                                 "ticket",
-                                                s.ticket(),
+                                                s.requestId(),
                                                 "run",
-                                                s.run(),
+                                                s.attemptId(),
                                                 "count",
-                                                s.count(),
+                                                s.chunkCount(),
                                                 "sha256",
-                                                s.sha()));
-                            case Line.Lost l -> Map.of("lost", Map.of("ticket", l.ticket(), "why", l.why()));
+                                                s.sha256()));
+                            case StreamRecord.Lost l ->
+                                Map.of("lost", Map.of("ticket", l.requestId(), "why", l.reason()));
                         })
                 + "\n";
     }
@@ -67,7 +76,7 @@
                 final JsonDocument s = good.document();
                 if (s.has("seal")) {
                     final JsonDocument x = s.object("seal");
-                    final Line.Seal seal = new Line.Seal(
+                    final StreamRecord.Trailer seal = new StreamRecord.Trailer(
                             x.string("worker", 256),
                             x.string("ticket", 256),
                             x.string("run", 256),
@@ -77,7 +86,7 @@
                 } else {
                     give(
                             s,
-                            new Line.Piece(
+                            new StreamRecord.Chunk(
                                     s.string("ticket", 256),
                                     s.string("run", 256),
                                     s.integer("number", 0, Integer.MAX_VALUE),
@@ -87,7 +96,7 @@
         }
     }
 
-    private void give(final JsonDocument s, final Line line) {
+    private void give(final JsonDocument s, final StreamRecord line) {
         if (s.faults().isEmpty()) {
             sink.accept(line);
         } else {
@@ -97,6 +106,6 @@
 
     private void wrong(final String why) {
         broken = true;
-        sink.accept(new Line.Lost("", why));
+        sink.accept(new StreamRecord.Lost("", why));
     }
 }
--- a/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import silverlatch.clock.Stamp;
-import silverlatch.dispatch.Facts;
+import silverlatch.dispatch.ClusterSnapshot;
 import silverlatch.gossip.Gossip;
 import silverlatch.gossip.Worker;
 import silverlatch.membership.Member;
@@ -150,14 +150,14 @@
     void open() throws Exception {
         lighter = new WorkerHttpClient(WorkerHttpClient.Setup.PLAIN);
         lighter.start();
-        passage = new Router(Router.Setup.PLAIN, facts(1), () -> new Stamp(1), new SplittableRandom(5));
+        passage = new Router(Router.Settings.DEFAULT, facts(1), () -> new Stamp(1), new SplittableRandom(5));
         gate.set(new ProxyServer(Fields.PLAIN, lighter, job -> {
             if (told.incrementAndGet() == 3) {
                 third.get().run();
             }
             duty.execute(() -> {
                 job.accept(passage);
-                passage.drain().forEach(gate.get()::apply);
+                passage.drainEffects().forEach(gate.get()::apply);
             });
             return true;
         }));
@@ -183,12 +183,12 @@
     private Peer worker(final Function<String, String> script) throws IOException {
         final Peer p = new Peer(script);
         peers.add(p);
-        final Facts next = facts(peers.size() + 1);
-        duty.execute(() -> passage.facts(next, EventLoop.now()));
+        final ClusterSnapshot next = facts(peers.size() + 1);
+        duty.execute(() -> passage.clusterSnapshot(next, EventLoop.now()));
         return p;
     }
 
-    private Facts facts(final long page) {
+    private ClusterSnapshot facts(final long page) {
         final Map<String, Gossip.ObservedWorker> heard = new HashMap<>();
         for (int i = 0; i < peers.size(); i++) {
             heard.put(
@@ -218,7 +218,7 @@
                 new Entry("b/pool", 1, List.of(new Value.BackendPool("pool", "/health", 10, 0, 9, 8, 1_000, 5))),
                 new Entry("u/a|/once/", 1, List.of(rule("/once/", false))),
                 new Entry("u/a|/again/", 1, List.of(rule("/again/", true))));
-        return new Facts(
+        return new ClusterSnapshot(
                 new Member("me", "gateway", "z", "r", "127.0.0.1:1", "127.0.0.1:2", 1, 0, "up", true),
                 page,
                 Optional.of(1L),
@@ -336,7 +336,7 @@
         final Peer other = new Peer(r -> good(r) + CHUNKED + "\r\n" + event(1) + event(2) + event(3) + "0\r\n\r\n");
         peers.add(other);
         third.set(() -> gate.get()
-                .apply(new RoutingEffect.Send(
+                .apply(new RoutingEffect.StartAttempt(
                         1, 99, "w1", "127.0.0.1:" + other.server.getLocalPort(), 3_000_000, 0, false, true)));
         final String reply = ask("/again/x", "", "b");
         assertThat(one.asked.size(), is(1));
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import silverlatch.clock.Stamp;
-import silverlatch.dispatch.Facts;
+import silverlatch.dispatch.ClusterSnapshot;
 import silverlatch.gossip.Gossip;
 import silverlatch.gossip.Worker;
 import silverlatch.membership.Member;
@@ -97,13 +97,13 @@
         client.start();
         final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
         final Router router = new Router(
-                new Router.Setup(2_048, 1, Long.MAX_VALUE),
+                new Router.Settings(2_048, 1, Long.MAX_VALUE),
                 facts(workers),
                 () -> new Stamp(1),
                 new SplittableRandom(seed));
-        router.facts(facts(workers), EventLoop.now());
+        router.clusterSnapshot(facts(workers), EventLoop.now());
         final AtomicReference<ProxyServer> proxy = new AtomicReference<>();
-        final Runnable drain = () -> router.drain().stream()
+        final Runnable drain = () -> router.drainEffects().stream()
                 .filter(effect -> !(effect instanceof RoutingEffect.Log))
                 .forEach(proxy.get()::apply);
         proxy.set(new ProxyServer(
@@ -160,7 +160,7 @@
         }
     }
 
-    private static Facts facts(final List<ScriptedWorker> workers) {
+    private static ClusterSnapshot facts(final List<ScriptedWorker> workers) {
         final Map<String, Gossip.ObservedWorker> heard = new HashMap<>();
         for (final ScriptedWorker worker : workers) {
             heard.put(
@@ -191,7 +191,7 @@
         for (final ExchangeLog.Kind kind : ExchangeLog.Kind.values()) {
             entries.add(new Entry("u/a|" + kind.prefix, 1, List.of(route(kind))));
         }
-        return new Facts(
+        return new ClusterSnapshot(
                 new Member("me", "gateway", "z", "r", "127.0.0.1:1", "127.0.0.1:2", 1, 0, "up", true),
                 1,
                 Optional.of(1L),
--- a/server/src/test/java/silverlatch/server/workerclient/BackTest.java
+++ b/server/src/test/java/silverlatch/server/workerclient/BackTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import silverlatch.dispatch.Act;
-import silverlatch.dispatch.Line;
+import silverlatch.dispatch.DispatchEffect;
+import silverlatch.dispatch.StreamRecord;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.web.Call;
 import silverlatch.server.web.Web;
@@ -41,7 +41,7 @@
             }
 
             @Override
-            public void line(final long job, final Line line) {
+            public void line(final long job, final StreamRecord line) {
                 heard.add(line.toString());
             }
 
@@ -73,13 +73,13 @@
             c.stream(
                     "",
                     false,
-                    () -> c.stream(Lines.write(new Line.Piece("t", "t.1", 0, "hi")), true, () -> {}, () -> {}),
+                    () -> c.stream(Lines.write(new StreamRecord.Chunk("t", "t.1", 0, "hi")), true, () -> {}, () -> {}),
                     () -> {});
         }
     }
 
     private void run(final String prompt, final String address, final long due) {
-        back.run(new Act.Run(1, due, "w", address, "t", "t.1", "who", "ask", List.of(5L), prompt));
+        back.run(new DispatchEffect.StartAttempt(1, due, "w", address, "t", "t.1", "who", "ask", List.of(5L), prompt));
     }
 
     private String next() throws InterruptedException {
@@ -90,7 +90,7 @@
     void aRunIsTakenStreamedAndEnds() throws InterruptedException {
         run("hello", door, EventLoop.now() + 60_000_000);
         assertThat(next(), is("begun"));
-        assertThat(next(), is(new Line.Piece("t", "t.1", 0, "hi").toString()));
+        assertThat(next(), is(new StreamRecord.Chunk("t", "t.1", 0, "hi").toString()));
         assertThat(next(), is("failed true"));
     }
 
@@ -117,6 +117,6 @@
     void aLineBeyondTheBoundIsAFaultOfTheWorker() throws InterruptedException {
         run("long", door, EventLoop.now() + 60_000_000);
         assertThat(next(), is("begun"));
-        assertThat(next(), is(new Line.Lost("", "a line longer than 1024 bytes").toString()));
+        assertThat(next(), is(new StreamRecord.Lost("", "a line longer than 1024 bytes").toString()));
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/consumer/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/consumer/Main.java
@@ -22,8 +22,8 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
-import silverlatch.dispatch.Line;
-import silverlatch.dispatch.permit.Seals;
+import silverlatch.dispatch.StreamRecord;
+import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.json.JsonDocument;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.workerclient.Lines;
@@ -140,7 +140,7 @@
         final List<String> list = new ArrayList<>();
         final int book = luck.nextInt(6);
         for (int i = 0; i < Integer.parseInt(f[3]); i++) {
-            list.add(Seals.hash(f[0] + "/" + book + "/" + i).substring(0, 24));
+            list.add(PermitSigner.sha256Hex(f[0] + "/" + book + "/" + i).substring(0, 24));
         }
         return list;
     }
@@ -157,7 +157,7 @@
         private final String prompt;
         private final List<String> prefix;
         private final SplittableRandom luck;
-        private final MessageDigest sum = Seals.digest();
+        private final MessageDigest sum = PermitSigner.newSha256();
         private final long begin = EventLoop.now();
         private String ticket = "";
         private String worker = "";
@@ -166,7 +166,7 @@
         private long next;
         private String run = "";
         private String fault = "";
-        private Optional<Line> last = Optional.empty();
+        private Optional<StreamRecord> last = Optional.empty();
 
         Trip(
                 final String tenant,
@@ -240,39 +240,39 @@
                     .send(result -> over(result, other.toByteArray()));
         }
 
-        private void line(final Line l) {
+        private void line(final StreamRecord l) {
             switch (l) {
-                case Line.Piece p -> {
+                case StreamRecord.Chunk p -> {
                     if (next == 0 && fault.isEmpty()) {
                         synchronized (Main.this) {
                             firsts.add(EventLoop.now() - begin);
                         }
-                        run = p.run();
+                        run = p.attemptId();
                     }
                     if (last.isPresent()) {
                         fault = "a piece after the end";
-                    } else if (p.number() != next) {
-                        fault = "piece " + p.number() + " where " + next + " was due";
-                    } else if (!p.ticket().equals(ticket) || !p.run().equals(run)) {
+                    } else if (p.index() != next) {
+                        fault = "piece " + p.index() + " where " + next + " was due";
+                    } else if (!p.requestId().equals(ticket) || !p.attemptId().equals(run)) {
                         fault = "a piece of another ticket or run";
-                    } else if (!p.text().equals(Speech.piece(prompt, p.number()))) {
+                    } else if (!p.text().equals(Speech.piece(prompt, p.index()))) {
                         fault = "someone else's text";
                     }
                     next++;
                     sum.update(p.text().getBytes(java.nio.charset.StandardCharsets.UTF_8));
                 }
-                case Line.Seal s -> {
+                case StreamRecord.Trailer s -> {
                     worker = s.worker();
-                    run = s.run();
-                    if (s.count() != next
+                    run = s.attemptId();
+                    if (s.chunkCount() != next
                             || next != Speech.count(prompt)
-                            || !s.ticket().equals(ticket)
-                            || !s.sha().equals(HexFormat.of().formatHex(sum.digest()))) {
+                            || !s.requestId().equals(ticket)
+                            || !s.sha256().equals(HexFormat.of().formatHex(sum.digest()))) {
                         fault = "a seal that does not fit";
                     }
                     last = Optional.of(l);
                 }
-                case Line.Lost x -> last = Optional.of(l);
+                case StreamRecord.Lost x -> last = Optional.of(l);
             }
         }
 
@@ -280,7 +280,7 @@
             final int code = result.getResponse().getStatus();
             if (!fault.isEmpty()) {
                 end("BAD " + fault, JsonDocument.empty());
-            } else if (last.filter(l -> l instanceof Line.Seal).isPresent()) {
+            } else if (last.filter(l -> l instanceof StreamRecord.Trailer).isPresent()) {
                 end("done", JsonDocument.empty());
             } else if (last.isPresent()) {
                 end("lost", JsonDocument.empty());
@@ -302,7 +302,7 @@
             final Map<String, Object> map = new LinkedHashMap<>(Map.of(
                     "ticket", ticket, "tenant", tenant, "kind", kind, "key", key, "outcome", outcome, "run", run,
                     "worker", worker, "table", table, "pieces", next));
-            map.put("prompt", Seals.hash(prompt).substring(0, 12));
+            map.put("prompt", PermitSigner.sha256Hex(prompt).substring(0, 12));
             map.put("picked", picked);
             map.put("why", s.has("faults") ? String.join("; ", s.strings("faults", 10, 500)) : "");
             synchronized (Main.this) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/Measure.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Measure.java
@@ -62,7 +62,7 @@
                     if (got[0] > 0
                             && w.gateways().stream()
                                     .allMatch(n -> n.facts()
-                                            .map(f -> f.page() >= got[0])
+                                            .map(f -> f.revision() >= got[0])
                                             .orElse(false))) {
                         break;
                     }
--- a/simulation/src/main/java/silverlatch/simulation/sim/Mill.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Mill.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import silverlatch.dispatch.Act;
-import silverlatch.dispatch.Line;
+import silverlatch.dispatch.DispatchEffect;
+import silverlatch.dispatch.StreamRecord;
 import silverlatch.gossip.Worker;
 import silverlatch.simulation.worker.Faults;
 import silverlatch.simulation.worker.Speech;
@@ -122,7 +122,7 @@
     }
 
     /** A run arrives; lines and the end go back by the given ways. Gives the exchange's number, or -1 when it is denied. */
-    long take(final Act.Run r, final BiConsumer<Line, Boolean> out) {
+    long take(final DispatchEffect.StartAttempt r, final BiConsumer<StreamRecord, Boolean> out) {
         if (fault == Faults.DENY || line.size() >= slots) {
             return -1;
         }
@@ -133,9 +133,9 @@
             running++;
             most = Math.max(most, running);
             final long fresh =
-                    r.prefix().stream().filter(p -> !kept.containsKey(p)).count();
-            world.watch().count(fresh == 0 && !r.prefix().isEmpty() ? "prefixKept" : "prefixRead");
-            r.prefix().forEach(p -> kept.put(p, true));
+                    r.prefixDigests().stream().filter(p -> !kept.containsKey(p)).count();
+            world.watch().count(fresh == 0 && !r.prefixDigests().isEmpty() ? "prefixKept" : "prefixRead");
+            r.prefixDigests().forEach(p -> kept.put(p, true));
             while (kept.size() > KEPT) {
                 kept.remove(kept.keySet().iterator().next());
             }
@@ -159,9 +159,9 @@
     private void step(
             final long mine,
             final long exchange,
-            final Act.Run r,
+            final DispatchEffect.StartAttempt r,
             final int number,
-            final BiConsumer<Line, Boolean> out) {
+            final BiConsumer<StreamRecord, Boolean> out) {
         if (mine != epoch) {
             return;
         }
@@ -175,7 +175,7 @@
             return;
         }
         if (fault == Faults.DROP && number == 2) {
-            out.accept(new Line.Lost("", "end"), true);
+            out.accept(new StreamRecord.Lost("", "end"), true);
             open.remove(exchange);
             end();
             return;
@@ -186,15 +186,16 @@
                 world.watch().probe(Mark.CUT);
             }
             if (fault != Faults.NOSEAL) {
-                out.accept(new Line.Seal(name, r.ticket(), r.run(), count, sha), false);
+                out.accept(new StreamRecord.Trailer(name, r.requestId(), r.attemptId(), count, sha), false);
             }
-            out.accept(new Line.Lost("", "end"), true);
+            out.accept(new StreamRecord.Lost("", "end"), true);
             open.remove(exchange);
             end();
             return;
         }
-        final String owner = fault == Faults.FOREIGN && number == 1 ? r.ticket() + "x" : r.ticket();
-        final Line piece = new Line.Piece(owner, r.run(), number, Speech.piece(r.prompt(), number));
+        final String owner = fault == Faults.FOREIGN && number == 1 ? r.requestId() + "x" : r.requestId();
+        final StreamRecord piece =
+                new StreamRecord.Chunk(owner, r.attemptId(), number, Speech.piece(r.prompt(), number));
         if (fault != Faults.GAP || number != 1) {
             out.accept(piece, false);
         }
--- a/simulation/src/main/java/silverlatch/simulation/sim/Office.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Office.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.function.LongConsumer;
 import java.util.function.LongFunction;
-import silverlatch.dispatch.permit.Seals;
+import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.replication.ChainClient;
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
@@ -434,6 +434,6 @@
     }
 
     private static Value.Tenant leaf(final World.Person p, final List<String> homes) {
-        return new Value.Tenant(p.name(), homes, p.share(), Seals.hash(p.secret()), "salt-" + p.name());
+        return new Value.Tenant(p.name(), homes, p.share(), PermitSigner.sha256Hex(p.secret()), "salt-" + p.name());
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
@@ -11,10 +11,10 @@
 import silverlatch.clock.NtpTime;
 import silverlatch.clock.PhysicalClock;
 import silverlatch.clock.Stamp;
-import silverlatch.dispatch.Act;
+import silverlatch.dispatch.ClusterSnapshot;
+import silverlatch.dispatch.DispatchEffect;
 import silverlatch.dispatch.Dispatcher;
-import silverlatch.dispatch.Facts;
-import silverlatch.dispatch.permit.Seals;
+import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.gossip.Gossip;
 import silverlatch.gossip.Worker;
 import silverlatch.log.LogRecord;
@@ -47,13 +47,13 @@
     private boolean recovering;
     private final long skew;
     private final Map<Long, Consumer<Object>> asked = new HashMap<>();
-    private final Map<Long, Consumer<Act>> calls = new HashMap<>();
+    private final Map<Long, Consumer<DispatchEffect>> calls = new HashMap<>();
     private final Map<Long, Consumer<String>> jobs = new HashMap<>();
     private final List<Runnable> frozen = new ArrayList<>();
     private final Map<Event, Long> logs = new HashMap<>();
     private Optional<Node> deck = Optional.empty();
     private Optional<Dispatcher> carry = Optional.empty();
-    private Optional<Facts> facts = Optional.empty();
+    private Optional<ClusterSnapshot> facts = Optional.empty();
     private long epoch;
     private long base;
     private double rate = 1;
@@ -116,7 +116,7 @@
         return carry;
     }
 
-    Optional<Facts> facts() {
+    Optional<ClusterSnapshot> facts() {
         return facts;
     }
 
@@ -189,8 +189,8 @@
         if (!controller()) {
             facts = Optional.of(made.facts());
             carry = Optional.of(new Dispatcher(
-                    Dispatcher.Setup.PLAIN.under(world.guards()),
-                    new Seals("simulated-cluster-key"),
+                    Dispatcher.Settings.DEFAULT.withSafeguards(world.guards()),
+                    new PermitSigner("simulated-cluster-key"),
                     made.facts(),
                     () -> made.localStamp(now()),
                     world.engine().luck().split()));
@@ -211,9 +211,9 @@
         cold = false;
         frozen.clear();
         disk.ifPresent(Disk::power);
-        final List<Consumer<Act>> open = List.copyOf(calls.values());
+        final List<Consumer<DispatchEffect>> open = List.copyOf(calls.values());
         calls.clear();
-        open.forEach(c -> c.accept(new Act.Rejected(0, 0, "", "the connection broke", 0, "")));
+        open.forEach(c -> c.accept(new DispatchEffect.Rejected(0, 0, "", "the connection broke", 0, "")));
         final List<Consumer<String>> runs = List.copyOf(jobs.values());
         jobs.clear();
         runs.forEach(r -> r.accept("cut"));
@@ -221,7 +221,7 @@
 
     /** Stops in good order, as a process does when it is asked to. */
     void stop() {
-        carry.ifPresent(Dispatcher::close);
+        carry.ifPresent(Dispatcher::stopAccepting);
         post(() -> {
             deck.ifPresent(d -> d.setReady(false));
             flush();
@@ -230,7 +230,7 @@
                 .in(
                         3_000_000,
                         () -> post(() -> {
-                            carry.ifPresent(c -> c.end(now()));
+                            carry.ifPresent(c -> c.shutdown(now()));
                             deck.ifPresent(d -> d.leave(now()));
                             flush();
                         }));
@@ -311,7 +311,7 @@
     /** A consumer's call: the job gets the token and the carry; the acts for the token come back. */
     void call(
             final java.util.function.ObjLongConsumer<Dispatcher> job,
-            final Consumer<Act> back,
+            final Consumer<DispatchEffect> back,
             final Consumer<Long> number) {
         post(() -> {
             token++;
@@ -332,7 +332,7 @@
     void hangUp(final long number) {
         post(() -> {
             calls.remove(number);
-            carry.ifPresent(c -> c.left(number, now()));
+            carry.ifPresent(c -> c.readerDisconnected(number, now()));
             flush();
         });
     }
@@ -360,7 +360,7 @@
         } else {
             carry.ifPresent(c -> {
                 c.tick(now());
-                ready = c.unready(now()).isEmpty();
+                ready = c.unreadyReason(now()).isEmpty();
             });
         }
         d.setReady(ready);
@@ -375,15 +375,16 @@
         boolean more = true;
         while (more && alive()) {
             carry.ifPresent(c -> {
-                final Facts f = d.facts();
+                final ClusterSnapshot f = d.facts();
                 facts = Optional.of(f);
-                c.facts(f, now());
+                c.clusterSnapshot(f, now());
             });
             final List<OutgoingFrame> ships = d.drainFrames();
             ships.forEach(s -> world.ship(this, s));
             final List<Effect> effects = d.drain();
             effects.forEach(this::effect);
-            final List<Act> acts = carry.map(Dispatcher::drain).orElse(List.of());
+            final List<DispatchEffect> acts =
+                    carry.map(Dispatcher::drainEffects).orElse(List.of());
             acts.forEach(this::act);
             more = !effects.isEmpty() || !acts.isEmpty();
         }
@@ -510,24 +511,24 @@
         }
     }
 
-    private void aimed(final Act a) {
+    private void aimed(final DispatchEffect a) {
         switch (a) {
-            case Act.Picked p -> world.step(Step.PICKED, this);
-            case Act.Claim c -> {
-                if (c.wish() instanceof Command.Claim) {
+            case DispatchEffect.Placed p -> world.step(Step.PICKED, this);
+            case DispatchEffect.SubmitCommand c -> {
+                if (c.command() instanceof Command.Claim) {
                     world.step(Step.CLAIMS, this);
                 }
             }
-            case Act.Run r -> world.step(Step.ASKS, this);
+            case DispatchEffect.StartAttempt r -> world.step(Step.ASKS, this);
             default -> {}
         }
     }
 
-    private void act(final Act a) {
+    private void act(final DispatchEffect a) {
         if (!alive()) {
             return;
         }
-        if (!(a instanceof Act.Picked)) {
+        if (!(a instanceof DispatchEffect.Placed)) {
             aimed(a);
         }
         if (cold) {
@@ -536,34 +537,38 @@
         }
         world.listener().action(world.engine().now(), name, a);
         switch (a) {
-            case Act.Picked p -> {
-                call(p.token(), a, true);
+            case DispatchEffect.Placed p -> {
+                call(p.callId(), a, true);
                 aimed(a);
             }
-            case Act.Pointed p -> call(p.token(), a, true);
-            case Act.Rejected r -> call(r.token(), a, true);
-            case Act.Flow f -> call(f.token(), a, f.last());
-            case Act.Run r -> {
-                if (now() > r.due()) {
-                    carry.ifPresent(c -> c.failed(r.job(), false, "it was not sent in time", now()));
+            case DispatchEffect.Redirected p -> call(p.callId(), a, true);
+            case DispatchEffect.Rejected r -> call(r.callId(), a, true);
+            case DispatchEffect.StreamWrite f -> call(f.callId(), a, f.endOfStream());
+            case DispatchEffect.StartAttempt r -> {
+                if (now() > r.sendDeadline()) {
+                    carry.ifPresent(c -> c.attemptFailed(r.operationId(), false, "it was not sent in time", now()));
                 } else {
                     world.run(this, r, jobs);
                 }
             }
-            case Act.Cut c -> Optional.ofNullable(jobs.remove(c.job())).ifPresent(j -> j.accept("cut"));
-            case Act.Claim c -> {
-                wish(c.wish(), c.span(), v -> carry.ifPresent(x -> x.verdict(c.job(), (CommandResult) v, now())));
+            case DispatchEffect.CancelAttempt c ->
+                Optional.ofNullable(jobs.remove(c.operationId())).ifPresent(j -> j.accept("cut"));
+            case DispatchEffect.SubmitCommand c -> {
+                wish(
+                        c.command(),
+                        c.timeout(),
+                        v -> carry.ifPresent(x -> x.claimDecided(c.operationId(), (CommandResult) v, now())));
             }
-            case Act.Judged j -> world.watch().count("judged");
-            case Act.Ended e -> world.watch().count("ended-" + e.state());
-            case Act.Log l -> {
+            case DispatchEffect.PlacementDecided j -> world.watch().count("judged");
+            case DispatchEffect.RequestEnded e -> world.watch().count("ended-" + e.state());
+            case DispatchEffect.Log l -> {
                 logs.merge(l.event(), 1L, Long::sum);
                 world.log(this, new Effect.Log(l.event(), l.text()));
             }
         }
     }
 
-    private void call(final long number, final Act a, final boolean last) {
+    private void call(final long number, final DispatchEffect a, final boolean last) {
         Optional.ofNullable(last ? calls.remove(number) : calls.get(number)).ifPresent(c -> c.accept(a));
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/Traveller.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Traveller.java
@@ -4,11 +4,11 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Optional;
-import silverlatch.dispatch.Act;
-import silverlatch.dispatch.Line;
-import silverlatch.dispatch.Load;
-import silverlatch.dispatch.Order;
-import silverlatch.dispatch.permit.Seals;
+import silverlatch.dispatch.DispatchEffect;
+import silverlatch.dispatch.PlacementRequest;
+import silverlatch.dispatch.StreamRecord;
+import silverlatch.dispatch.SubmittedRequest;
+import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.simulation.worker.Speech;
 
 /** One consumer's ticket in the simulator, from the pick to its end, verified as it comes. */
@@ -24,7 +24,7 @@
     private final String prompt;
     private final List<String> prefix;
     private final boolean roams;
-    private final MessageDigest sum = Seals.digest();
+    private final MessageDigest sum = PermitSigner.newSha256();
     private String ticket = "";
     private String run = "";
     private Optional<SimulatedNode> carrier = Optional.empty();
@@ -78,21 +78,22 @@
             }
             return;
         }
-        final Order o = new Order(person.secret(), person.name(), sort.kind(), prefix, prompt.length(), key, tries);
+        final PlacementRequest o =
+                new PlacementRequest(person.secret(), person.name(), sort.kind(), prefix, prompt.length(), key, tries);
         world.net()
                 .bytes(
                         place + ">" + n.name() + n.epoch() + "/" + turn,
                         place,
                         n.name(),
                         () -> n.call(
-                                (c, t) -> c.pick(o, t, n.now()),
+                                (c, t) -> c.requestPlacement(o, t, n.now()),
                                 a -> {
-                                    if (a instanceof Act.Picked p) {
+                                    if (a instanceof DispatchEffect.Placed p) {
                                         world.watch()
                                                 .rules()
                                                 .shown(
                                                         n.name(),
-                                                        p.page(),
+                                                        p.revision(),
                                                         world.engine().now());
                                         world.watch()
                                                 .rules()
@@ -104,14 +105,14 @@
                                                         world.engine().now());
                                     }
                                     if (sort.kind().equals(Office.GATE)
-                                            && (a instanceof Act.Picked
-                                                    || a instanceof Act.Rejected x
-                                                            && x.why().startsWith("$.key"))) {
+                                            && (a instanceof DispatchEffect.Placed
+                                                    || a instanceof DispatchEffect.Rejected x
+                                                            && x.reason().startsWith("$.key"))) {
                                         world.watch()
                                                 .rules()
                                                 .passed(
                                                         n.name(),
-                                                        a instanceof Act.Picked,
+                                                        a instanceof DispatchEffect.Placed,
                                                         "a pick",
                                                         world.engine().now());
                                     }
@@ -120,13 +121,13 @@
                                 t -> {}));
     }
 
-    private void picked(final SimulatedNode n, final Act a, final int hops) {
+    private void picked(final SimulatedNode n, final DispatchEffect a, final int hops) {
         if (over) {
             return;
         }
         switch (a) {
-            case Act.Picked p -> {
-                ticket = p.ticket();
+            case DispatchEffect.Placed p -> {
+                ticket = p.requestId();
                 world.known(this, ticket, person, key, tries);
                 final long pause = world.engine().luck().nextInt(30) == 0
                         ? world.engine().luck().nextLong(3_000_000)
@@ -136,15 +137,15 @@
                     world.engine().in(pause + world.engine().luck().nextLong(1_500_000), () -> twin(n, p.permit()));
                 }
             }
-            case Act.Pointed p -> {
-                final Optional<SimulatedNode> other = world.node(p.doors().get(0));
+            case DispatchEffect.Redirected p -> {
+                final Optional<SimulatedNode> other = world.node(p.endpoints().get(0));
                 if (hops > 4 || other.isEmpty()) {
                     end("rejected");
                 } else {
                     pick(other.get(), hops + 1);
                 }
             }
-            case Act.Rejected r -> refused(r);
+            case DispatchEffect.Rejected r -> refused(r);
             default -> end("unreached");
         }
     }
@@ -158,14 +159,14 @@
             return;
         }
         carrier = Optional.of(n);
-        final Load l = new Load(person.secret(), permit, prefix, prompt, 10_000_000);
+        final SubmittedRequest l = new SubmittedRequest(person.secret(), permit, prefix, prompt, 10_000_000);
         world.net()
                 .bytes(
                         lane(n),
                         place,
                         n.name(),
                         () -> n.call(
-                                (c, t) -> c.ticket(l, t, n.now()),
+                                (c, t) -> c.submit(l, t, n.now()),
                                 a -> back(n, a, () -> {
                                     if (leg == 0) {
                                         flow(n, a);
@@ -181,7 +182,8 @@
         if (n.alive()) {
             world.watch().copied(ticket);
             n.call(
-                    (c, t) -> c.ticket(new Load(person.secret(), permit, prefix, prompt, 10_000_000), t, n.now()),
+                    (c, t) -> c.submit(
+                            new SubmittedRequest(person.secret(), permit, prefix, prompt, 10_000_000), t, n.now()),
                     a -> {},
                     t -> {});
         }
@@ -204,7 +206,7 @@
                                 (c, t) -> c.attach(ticket, person.secret(), next, t, n.now()),
                                 a -> back(n, a, () -> {
                                     if (mine == leg) {
-                                        if (a instanceof Act.Flow) {
+                                        if (a instanceof DispatchEffect.StreamWrite) {
                                             world.watch()
                                                     .rules()
                                                     .lodged(
@@ -220,17 +222,18 @@
                                 t -> number = t));
     }
 
-    private void back(final SimulatedNode n, final Act a, final Runnable then) {
-        if (a instanceof Act.Flow f) {
-            f.lines().forEach(l -> {
-                if (l instanceof Line.Piece p && !world.source(p.run()).isEmpty()) {
+    private void back(final SimulatedNode n, final DispatchEffect a, final Runnable then) {
+        if (a instanceof DispatchEffect.StreamWrite f) {
+            f.records().forEach(l -> {
+                if (l instanceof StreamRecord.Chunk p
+                        && !world.source(p.attemptId()).isEmpty()) {
                     world.watch()
                             .rules()
                             .lodged(
                                     person.name(),
-                                    world.source(p.run()),
+                                    world.source(p.attemptId()),
                                     Mark.SERVED,
-                                    "a piece of " + ticket + " came from " + world.source(p.run()),
+                                    "a piece of " + ticket + " came from " + world.source(p.attemptId()),
                                     world.engine().now() - SECOND / 2);
                 }
             });
@@ -242,91 +245,93 @@
         return place + ">" + n.name() + "/" + ticket + "/" + leg;
     }
 
-    private void flow(final SimulatedNode n, final Act a) {
+    private void flow(final SimulatedNode n, final DispatchEffect a) {
         if (over) {
             return;
         }
         switch (a) {
-            case Act.Flow f -> {
-                f.lines().forEach(this::line);
-                if (f.last()) {
+            case DispatchEffect.StreamWrite f -> {
+                f.records().forEach(this::line);
+                if (f.endOfStream()) {
                     end(sealed ? "done" : "lost");
                 } else {
-                    n.carrying(c -> c.hungry(f.token()));
+                    n.carrying(c -> c.readerReady(f.callId()));
                 }
             }
-            case Act.Rejected r -> refused(r);
+            case DispatchEffect.Rejected r -> refused(r);
             default -> end("broken");
         }
     }
 
-    private void refused(final Act.Rejected r) {
-        if (r.code() == 0) {
+    private void refused(final DispatchEffect.Rejected r) {
+        if (r.statusCode() == 0) {
             end("broken");
             return;
         }
-        if (r.code() == 410 || r.code() == 409 && r.why().startsWith("the ticket was handed")) {
+        if (r.statusCode() == 410 || r.statusCode() == 409 && r.reason().startsWith("the ticket was handed")) {
             end("broken");
             return;
         }
-        if (r.code() == 425) {
+        if (r.statusCode() == 425) {
             world.watch().count("code425");
-            carrier.ifPresent(n -> world.engine().in(r.after(), () -> move(n)));
+            carrier.ifPresent(n -> world.engine().in(r.retryAfter(), () -> move(n)));
             return;
         }
-        if (r.code() == 409) {
+        if (r.statusCode() == 409) {
             world.watch().count("stands");
         }
-        if (next > 0 && r.code() != 404) {
+        if (next > 0 && r.statusCode() != 404) {
             world.watch().fault(Mark.REJECTED, "ticket " + ticket + " was rejected after pieces came");
         }
-        world.watch().count("code" + r.code());
-        end(r.code() == 404 ? "broken" : "rejected");
-        if (r.after() > 0 && tries < 2 && !key.isEmpty() | world.engine().luck().nextInt(3) == 0) {
+        world.watch().count("code" + r.statusCode());
+        end(r.statusCode() == 404 ? "broken" : "rejected");
+        if (r.retryAfter() > 0
+                && tries < 2
+                && !key.isEmpty() | world.engine().luck().nextInt(3) == 0) {
             world.engine()
                     .in(
-                            r.after(),
+                            r.retryAfter(),
                             () -> world.travel(
                                     new Traveller(world, person, sort, key, place, tries + 1, prompt, prefix, false)));
         }
     }
 
-    private void line(final Line l) {
+    private void line(final StreamRecord l) {
         switch (l) {
-            case Line.Piece p -> {
+            case StreamRecord.Chunk p -> {
                 if (next == 0) {
-                    run = p.run();
+                    run = p.attemptId();
                     first = world.engine().now();
                 }
                 if (sealed) {
                     wrong(Mark.CUT, "a piece after the seal");
                 }
-                if (p.number() != next) {
-                    wrong(Mark.PIECE, "piece " + p.number() + " where " + next + " was due");
+                if (p.index() != next) {
+                    wrong(Mark.PIECE, "piece " + p.index() + " where " + next + " was due");
                 }
-                if (!p.ticket().equals(ticket)) {
-                    wrong(Mark.FOREIGN, "a piece of ticket " + p.ticket());
-                } else if (!p.run().equals(run)) {
-                    wrong(Mark.JOIN, "a piece of run " + p.run() + " after " + run);
+                if (!p.requestId().equals(ticket)) {
+                    wrong(Mark.FOREIGN, "a piece of ticket " + p.requestId());
+                } else if (!p.attemptId().equals(run)) {
+                    wrong(Mark.JOIN, "a piece of run " + p.attemptId() + " after " + run);
                 }
-                if (!p.text().equals(Speech.piece(prompt, p.number()))) {
+                if (!p.text().equals(Speech.piece(prompt, p.index()))) {
                     wrong(Mark.FOREIGN, "someone else's text");
                 }
-                next = p.number() + 1;
+                next = p.index() + 1;
                 sum.update(p.text().getBytes(java.nio.charset.StandardCharsets.UTF_8));
             }
-            case Line.Seal s -> {
+            case StreamRecord.Trailer s -> {
                 sealed = true;
                 if (next != Speech.count(prompt)
-                        || s.count() != next
-                        || !s.sha().equals(HexFormat.of().formatHex(sum.digest()))) {
+                        || s.chunkCount() != next
+                        || !s.sha256().equals(HexFormat.of().formatHex(sum.digest()))) {
                     wrong(Mark.CUT, "a seal that does not fit what came");
                 }
-                if (!s.ticket().equals(ticket)) {
-                    wrong(Mark.FOREIGN, "a seal of ticket " + s.ticket());
+                if (!s.requestId().equals(ticket)) {
+                    wrong(Mark.FOREIGN, "a seal of ticket " + s.requestId());
                 }
             }
-            case Line.Lost x -> sealed = false;
+            case StreamRecord.Lost x -> sealed = false;
         }
     }
 
@@ -337,7 +342,7 @@
             n.call(
                     (c, t) -> c.attach(ticket, person.secret(), 0, t, n.now()),
                     a -> {
-                        if (a instanceof Act.Flow) {
+                        if (a instanceof DispatchEffect.StreamWrite) {
                             world.watch()
                                     .rules()
                                     .lodged(
--- a/simulation/src/main/java/silverlatch/simulation/sim/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/World.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import silverlatch.dispatch.Act;
-import silverlatch.dispatch.Line;
+import silverlatch.dispatch.DispatchEffect;
+import silverlatch.dispatch.StreamRecord;
 import silverlatch.node.Effect;
 import silverlatch.node.OutgoingFrame;
 import silverlatch.safeguard.Safeguards;
@@ -382,55 +382,56 @@
                 : f;
     }
 
-    void run(final SimulatedNode n, final Act.Run r, final Map<Long, Consumer<String>> jobs) {
+    void run(final SimulatedNode n, final DispatchEffect.StartAttempt r, final Map<Long, Consumer<String>> jobs) {
         final Mill m = mills.get(r.worker());
-        final long page = n.facts().map(f -> f.page()).orElse(0L);
-        final Known who = known.getOrDefault(r.ticket(), new Known(people.get(0), "", 0));
-        watch.tried(r.tenant(), who.key(), !r.run().endsWith(".1") || who.tries() > 0, engine.now());
+        final long page = n.facts().map(f -> f.revision()).orElse(0L);
+        final Known who = known.getOrDefault(r.requestId(), new Known(people.get(0), "", 0));
+        watch.tried(r.tenant(), who.key(), !r.attemptId().endsWith(".1") || who.tries() > 0, engine.now());
         if (r.kind().equals(Office.GATE)) {
-            watch.rules().passed(n.name(), true, "ticket " + r.ticket() + " was sent", engine.now());
+            watch.rules().passed(n.name(), true, "ticket " + r.requestId() + " was sent", engine.now());
         }
         if (!net.open(n.name(), m.name())) {
-            engine.in(SECOND, () -> fail(n, r.job(), false, "no connection in time"));
+            engine.in(SECOND, () -> fail(n, r.operationId(), false, "no connection in time"));
             return;
         }
         final long[] exchange = {0};
         final boolean[] over = {false};
-        jobs.put(r.job(), why -> {
+        jobs.put(r.operationId(), why -> {
             over[0] = true;
             m.hang(exchange[0]);
         });
-        final String lane = n.name() + ">" + m.name() + "/" + r.run();
+        final String lane = n.name() + ">" + m.name() + "/" + r.attemptId();
         final long life = n.epoch();
         net.bytes(lane, n.name(), m.name(), () -> {
             if (over[0]) {
                 return;
             }
             if (!m.alive()) {
-                fail(n, r.job(), false, "connection refused");
+                fail(n, r.operationId(), false, "connection refused");
                 return;
             }
-            final BiConsumer<Line, Boolean> out = (line, last) -> net.bytes(lane + "<", m.name(), n.name(), () -> {
-                if (over[0] || life != n.epoch()) {
-                    return;
-                }
-                if (last) {
-                    fail(n, r.job(), true, "the connection ended");
-                } else {
-                    step(Step.PIECE, n);
-                    n.carrying(c -> c.line(r.job(), line, n.now()));
-                }
-            });
+            final BiConsumer<StreamRecord, Boolean> out =
+                    (line, last) -> net.bytes(lane + "<", m.name(), n.name(), () -> {
+                        if (over[0] || life != n.epoch()) {
+                            return;
+                        }
+                        if (last) {
+                            fail(n, r.operationId(), true, "the connection ended");
+                        } else {
+                            step(Step.PIECE, n);
+                            n.carrying(c -> c.recordReceived(r.operationId(), line, n.now()));
+                        }
+                    });
             exchange[0] = m.take(r, out);
             if (exchange[0] < 0) {
-                net.bytes(lane + "<", m.name(), n.name(), () -> fail(n, r.job(), false, "not started"));
+                net.bytes(lane + "<", m.name(), n.name(), () -> fail(n, r.operationId(), false, "not started"));
                 return;
             }
-            net.bytes(lane + "<", m.name(), n.name(), () -> n.carrying(c -> c.begun(r.job())));
-            sources.put(r.run(), m.region());
+            net.bytes(lane + "<", m.name(), n.name(), () -> n.carrying(c -> c.attemptStarted(r.operationId())));
+            sources.put(r.attemptId(), m.region());
             watch.started(
                     new Watch.Run(
-                            r.ticket(),
+                            r.requestId(),
                             r.tenant(),
                             r.kind(),
                             who.key(),
@@ -442,7 +443,7 @@
                             page),
                     engine.now());
             if (r.kind().equals(Office.GATE)) {
-                watch.rules().obeyed(n.name(), true, "ticket " + r.ticket() + " ran", engine.now());
+                watch.rules().obeyed(n.name(), true, "ticket " + r.requestId() + " ran", engine.now());
             }
             follow(n, m, r, over, life);
         });
@@ -453,14 +454,19 @@
         return sources.getOrDefault(run, "");
     }
 
-    private void follow(final SimulatedNode n, final Mill m, final Act.Run r, final boolean[] over, final long life) {
+    private void follow(
+            final SimulatedNode n,
+            final Mill m,
+            final DispatchEffect.StartAttempt r,
+            final boolean[] over,
+            final long life) {
         engine.in(200_000, () -> {
             if (over[0] || life != n.epoch()) {
                 return;
             }
             if (!m.alive()) {
                 over[0] = true;
-                fail(n, r.job(), true, "the connection broke");
+                fail(n, r.operationId(), true, "the connection broke");
             } else {
                 follow(n, m, r, over, life);
             }
@@ -471,7 +477,7 @@
         final long life = n.epoch();
         n.carrying(c -> {
             if (life == n.epoch()) {
-                c.failed(job, started, why, n.now());
+                c.attemptFailed(job, started, why, n.now());
             }
         });
     }
--- a/simulation/src/main/java/silverlatch/simulation/sim/WorldListener.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/WorldListener.java
@@ -1,6 +1,6 @@
 package silverlatch.simulation.sim;
 
-import silverlatch.dispatch.Act;
+import silverlatch.dispatch.DispatchEffect;
 import silverlatch.node.Effect;
 import silverlatch.node.OutgoingFrame;
 
@@ -19,5 +19,5 @@
     default void effect(final long time, final String node, final Effect effect) {}
 
     /** The gateway's dispatcher asks for something to be done. */
-    default void action(final long time, final String node, final Act action) {}
+    default void action(final long time, final String node, final DispatchEffect action) {}
 }
--- a/simulation/src/main/java/silverlatch/simulation/worker/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/worker/Main.java
@@ -21,7 +21,7 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
-import silverlatch.dispatch.Line;
+import silverlatch.dispatch.StreamRecord;
 import silverlatch.json.JsonDocument;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.web.Call;
@@ -163,7 +163,7 @@
                 "worker",
                 name,
                 "prompt",
-                silverlatch.dispatch.permit.Seals.hash(prompt).substring(0, 12),
+                silverlatch.dispatch.permit.PermitSigner.sha256Hex(prompt).substring(0, 12),
                 "at",
                 System.currentTimeMillis()));
         c.stream("", false, () -> {}, () -> {});
@@ -191,7 +191,7 @@
         if (number == count || fault == Faults.DROP && number == 2) {
             final String sha =
                     fault == Faults.WRONGSEAL ? Speech.sha(prompt, Math.max(0, count - 1)) : Speech.sha(prompt, count);
-            final Line seal = new Line.Seal(name, ticket, run, count, sha);
+            final StreamRecord seal = new StreamRecord.Trailer(name, ticket, run, count, sha);
             note(Map.of(
                     "event",
                     "seal",
@@ -212,7 +212,7 @@
         final String owner = fault == Faults.FOREIGN && number == 1 ? ticket + "x" : ticket;
         final String text = fault == Faults.GARBAGE && number == 1
                 ? "{nonsense\n"
-                : Lines.write(new Line.Piece(owner, run, number, Speech.piece(prompt, number)));
+                : Lines.write(new StreamRecord.Chunk(owner, run, number, Speech.piece(prompt, number)));
         final String out =
                 fault == Faults.GAP && number == 1 ? "" : fault == Faults.REPEAT && number == 1 ? text + text : text;
         final long pause = fault == Faults.SLOW ? piece * 10 : piece;
--- a/simulation/src/main/java/silverlatch/simulation/worker/Speech.java
+++ b/simulation/src/main/java/silverlatch/simulation/worker/Speech.java
@@ -2,7 +2,7 @@
 
 import java.security.MessageDigest;
 import java.util.HexFormat;
-import silverlatch.dispatch.permit.Seals;
+import silverlatch.dispatch.permit.PermitSigner;
 
 /** What a stand-in worker says: a function of the prompt alone, so that a consumer can tell its own reply. */
 public final class Speech {
@@ -10,7 +10,7 @@
 
     /** The text of one piece. */
     public static String piece(final String prompt, final long number) {
-        return Seals.hash(prompt).substring(0, 12) + "#" + number + " ";
+        return PermitSigner.sha256Hex(prompt).substring(0, 12) + "#" + number + " ";
     }
 
     /** How many pieces a prompt asks for; the prompt starts with the number and a blank. */
@@ -22,7 +22,7 @@
 
     /** The hash over the first pieces. */
     public static String sha(final String prompt, final int count) {
-        final MessageDigest sum = Seals.digest();
+        final MessageDigest sum = PermitSigner.newSha256();
         for (int i = 0; i < count; i++) {
             sum.update(piece(prompt, i).getBytes(java.nio.charset.StandardCharsets.UTF_8));
         }
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayDigest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayDigest.java
@@ -5,8 +5,8 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
-import silverlatch.dispatch.Act;
-import silverlatch.dispatch.Line;
+import silverlatch.dispatch.DispatchEffect;
+import silverlatch.dispatch.StreamRecord;
 import silverlatch.node.Effect;
 import silverlatch.node.OutgoingFrame;
 import silverlatch.replication.ChainClient;
@@ -66,51 +66,53 @@
     }
 
     @Override
-    public void action(final long time, final String node, final Act action) {
+    public void action(final long time, final String node, final DispatchEffect action) {
         event('a', time, node);
         switch (action) {
-            case Act.Picked picked -> {
-                numbers('p', picked.token(), picked.page(), picked.stamp());
-                text(picked.ticket() + " " + picked.carrier() + " " + picked.worker());
+            case DispatchEffect.Placed picked -> {
+                numbers('p', picked.callId(), picked.revision(), picked.timestamp());
+                text(picked.requestId() + " " + picked.gateway() + " " + picked.worker());
             }
-            case Act.Pointed pointed ->
-                numbers('o', pointed.token(), pointed.doors().size());
-            case Act.Rejected rejected -> {
-                numbers('r', rejected.token(), rejected.code(), rejected.after());
-                text(rejected.ticket());
+            case DispatchEffect.Redirected pointed ->
+                numbers('o', pointed.callId(), pointed.endpoints().size());
+            case DispatchEffect.Rejected rejected -> {
+                numbers('r', rejected.callId(), rejected.statusCode(), rejected.retryAfter());
+                text(rejected.requestId());
             }
-            case Act.Flow flow -> {
-                numbers('f', flow.token(), flow.last() ? 1 : 0);
-                flow.lines().forEach(this::line);
+            case DispatchEffect.StreamWrite flow -> {
+                numbers('f', flow.callId(), flow.endOfStream() ? 1 : 0);
+                flow.records().forEach(this::line);
             }
-            case Act.Run run -> {
-                numbers('u', run.job(), run.due());
-                text(run.worker() + " " + run.ticket() + " " + run.run() + " " + run.tenant() + " " + run.kind());
+            case DispatchEffect.StartAttempt run -> {
+                numbers('u', run.operationId(), run.sendDeadline());
+                text(run.worker() + " " + run.requestId() + " " + run.attemptId() + " " + run.tenant() + " "
+                        + run.kind());
             }
-            case Act.Cut cut -> numbers('c', cut.job());
-            case Act.Claim claim -> numbers('m', claim.job(), claim.span());
-            case Act.Judged judged -> numbers('j', judged.sights().size(), judged.seed(), judged.page());
-            case Act.Ended ended -> {
+            case DispatchEffect.CancelAttempt cut -> numbers('c', cut.operationId());
+            case DispatchEffect.SubmitCommand claim -> numbers('m', claim.operationId(), claim.timeout());
+            case DispatchEffect.PlacementDecided judged ->
+                numbers('j', judged.candidates().size(), judged.seed(), judged.revision());
+            case DispatchEffect.RequestEnded ended -> {
                 numbers('e');
-                text(ended.ticket());
+                text(ended.requestId());
             }
-            case Act.Log log -> numbers('l', log.event().number());
+            case DispatchEffect.Log log -> numbers('l', log.event().number());
         }
     }
 
-    private void line(final Line line) {
+    private void line(final StreamRecord line) {
         switch (line) {
-            case Line.Piece piece -> {
-                numbers('p', piece.number());
-                text(piece.ticket() + " " + piece.run() + " " + piece.text());
+            case StreamRecord.Chunk piece -> {
+                numbers('p', piece.index());
+                text(piece.requestId() + " " + piece.attemptId() + " " + piece.text());
             }
-            case Line.Seal seal -> {
-                numbers('s', seal.count());
-                text(seal.worker() + " " + seal.ticket() + " " + seal.run() + " " + seal.sha());
+            case StreamRecord.Trailer seal -> {
+                numbers('s', seal.chunkCount());
+                text(seal.worker() + " " + seal.requestId() + " " + seal.attemptId() + " " + seal.sha256());
             }
-            case Line.Lost lost -> {
+            case StreamRecord.Lost lost -> {
                 numbers('l');
-                text(lost.ticket());
+                text(lost.requestId());
             }
         }
     }
