--- a/server/src/main/java/silverlatch/server/controller/ConfigurationJson.java
+++ b/server/src/main/java/silverlatch/server/controller/ConfigurationJson.java
@@ -19,27 +19,27 @@
 
     /** Reads a charter; what is wrong with it is noted in the sheet. */
     public static Command.PutConfiguration read(
-            final JsonDocument s, final String paper, final String id, final long match) {
-        final long number = s.integer("number", 1, LONG);
-        final List<Value.Route> rules = s.objects("rules", ConfigurationValidator.MAX_ROUTES + 1).stream()
-                .map(ConfigurationJson::rule)
+            final JsonDocument document, final String text, final String id, final long expectedRevision) {
+        final long number = document.integer("number", 1, LONG);
+        final List<Value.Route> routes = document.objects("rules", ConfigurationValidator.MAX_ROUTES + 1).stream()
+                .map(ConfigurationJson::readRoute)
                 .toList();
-        final List<Value.BackendPool> pools = s.objects("pools", ConfigurationValidator.MAX_POOLS + 1).stream()
-                .map(ConfigurationJson::pool)
+        final List<Value.BackendPool> pools = document.objects("pools", ConfigurationValidator.MAX_POOLS + 1).stream()
+                .map(ConfigurationJson::readPool)
                 .toList();
-        final JsonDocument b = s.object("bounds");
-        final Value.RoutingConfiguration charter = new Value.RoutingConfiguration(
+        final JsonDocument bounds = document.object("bounds");
+        final Value.RoutingConfiguration configuration = new Value.RoutingConfiguration(
                 number,
-                (int) b.integer("head", 0, INT),
-                (int) b.integer("body", 0, INT),
-                b.integer("slow", 0, LONG),
-                b.integer("idle", 0, LONG));
-        b.finish();
-        return new Command.PutConfiguration(id, charter, rules, pools, paper, match);
+                (int) bounds.integer("head", 0, INT),
+                (int) bounds.integer("body", 0, INT),
+                bounds.integer("slow", 0, LONG),
+                bounds.integer("idle", 0, LONG));
+        bounds.finish();
+        return new Command.PutConfiguration(id, configuration, routes, pools, text, expectedRevision);
     }
 
     /** A body as text, if it can be given back to the byte. */
-    public static Optional<String> paper(final byte[] body) {
+    public static Optional<String> decodeText(final byte[] body) {
         final String text = new String(body, StandardCharsets.UTF_8);
         return java.util.Arrays.equals(text.getBytes(StandardCharsets.UTF_8), body)
                 ? Optional.of(text)
@@ -47,81 +47,83 @@
     }
 
     /** A rule as JSON. */
-    public static Map<String, Object> write(final Value.Route r) {
+    public static Map<String, Object> write(final Value.Route route) {
         final Map<String, Object> map = new LinkedHashMap<>();
-        map.put("name", r.name());
-        map.put("host", r.host());
-        map.put("path", r.pathPrefix());
-        map.put("once", r.atMostOnce());
-        map.put("stream", r.streaming());
-        map.put("resume", r.resumable());
-        map.put("kept", r.prefixCached());
-        map.put("hold", r.timeoutMicros());
-        map.put("aim", r.latencyTargetMicros());
-        map.put("gap", r.maxEventGapMicros());
-        map.put("rank", r.priority());
-        map.put("tries", r.maxAttempts());
-        map.put("homes", r.homeRegions());
+        map.put("name", route.name());
+        map.put("host", route.host());
+        map.put("path", route.pathPrefix());
+        map.put("once", route.atMostOnce());
+        map.put("stream", route.streaming());
+        map.put("resume", route.resumable());
+        map.put("kept", route.prefixCached());
+        map.put("hold", route.timeoutMicros());
+        map.put("aim", route.latencyTargetMicros());
+        map.put("gap", route.maxEventGapMicros());
+        map.put("rank", route.priority());
+        map.put("tries", route.maxAttempts());
+        map.put("homes", route.homeRegions());
         map.put(
                 "lots",
-                r.backends().stream()
+                route.backends().stream()
                         .map(l -> Map.of("pool", l.pool(), "weight", l.weight()))
                         .toList());
         return map;
     }
 
     /** A pool as JSON. */
-    public static Map<String, Object> write(final Value.BackendPool p) {
+    public static Map<String, Object> write(final Value.BackendPool pool) {
         final Map<String, Object> map = new LinkedHashMap<>();
-        map.put("name", p.name());
-        map.put("health", p.healthPath());
-        map.put("lines", p.maxConnections());
-        map.put("cold", p.warmupMicros());
-        map.put("rate", p.warmupRequestsPerSecond());
-        map.put("slots", p.slots());
-        map.put("memory", p.cacheTokens());
-        map.put("stride", p.tokensPerEvent());
+        map.put("name", pool.name());
+        map.put("health", pool.healthPath());
+        map.put("lines", pool.maxConnections());
+        map.put("cold", pool.warmupMicros());
+        map.put("rate", pool.warmupRequestsPerSecond());
+        map.put("slots", pool.slots());
+        map.put("memory", pool.cacheTokens());
+        map.put("stride", pool.tokensPerEvent());
         return map;
     }
 
-    private static Value.Route rule(final JsonDocument s) {
-        final Value.Route r = new Value.Route(
-                s.string("name", 256),
-                s.string("host", 256),
-                s.string("path", 1_024),
-                s.flag("once", false),
-                s.flag("stream", false),
-                s.flag("resume", false),
-                s.flag("kept", false),
-                s.integer("hold", 0, LONG),
-                s.integer("aim", 0, LONG, 0),
-                s.integer("gap", 0, LONG, 0),
-                (int) s.integer("rank", 0, INT, 0),
-                (int) s.integer("tries", 0, INT, 1),
-                s.strings("homes", 64, 64),
-                s.objects("lots", 1_000).stream().map(ConfigurationJson::lot).toList());
-        s.finish();
-        return r;
+    private static Value.Route readRoute(final JsonDocument document) {
+        final Value.Route route = new Value.Route(
+                document.string("name", 256),
+                document.string("host", 256),
+                document.string("path", 1_024),
+                document.flag("once", false),
+                document.flag("stream", false),
+                document.flag("resume", false),
+                document.flag("kept", false),
+                document.integer("hold", 0, LONG),
+                document.integer("aim", 0, LONG, 0),
+                document.integer("gap", 0, LONG, 0),
+                (int) document.integer("rank", 0, INT, 0),
+                (int) document.integer("tries", 0, INT, 1),
+                document.strings("homes", 64, 64),
+                document.objects("lots", 1_000).stream()
+                        .map(ConfigurationJson::readWeightedBackend)
+                        .toList());
+        document.finish();
+        return route;
     }
 
-    private static Value.WeightedBackend lot(final JsonDocument s) {
-        final Value.WeightedBackend l =
-                new Value.WeightedBackend(s.string("pool", 256), (int) s.integer("weight", 0, INT));
-        s.finish();
-        return l;
+    private static Value.WeightedBackend readWeightedBackend(final JsonDocument document) {
+        final Value.WeightedBackend backend =
+                new Value.WeightedBackend(document.string("pool", 256), (int) document.integer("weight", 0, INT));
+        document.finish();
+        return backend;
     }
 
-    private static Value.BackendPool pool(final JsonDocument s) {
-        final Value.BackendPool p = new Value.BackendPool(
-                s.string("name", 256),
-                s.string("health", 1_024, ""),
-                (int) s.integer("lines", 0, INT, 0),
-                s.integer("cold", 0, LONG, 0),
-                s.number("rate", 0),
-                (int) s.integer("slots", 0, INT),
-                (int) s.integer("memory", 0, INT, 0),
-                (int) s.integer("stride", 0, INT, 0));
-        s.finish();
-        return p;
+    private static Value.BackendPool readPool(final JsonDocument document) {
+        final Value.BackendPool pool = new Value.BackendPool(
+                document.string("name", 256),
+                document.string("health", 1_024, ""),
+                (int) document.integer("lines", 0, INT, 0),
+                document.integer("cold", 0, LONG, 0),
+                document.number("rate", 0),
+                (int) document.integer("slots", 0, INT),
+                (int) document.integer("memory", 0, INT, 0),
+                (int) document.integer("stride", 0, INT, 0));
+        document.finish();
+        return pool;
     }
 }
--- a/server/src/main/java/silverlatch/server/controller/ControlService.java
+++ b/server/src/main/java/silverlatch/server/controller/ControlService.java
@@ -16,20 +16,20 @@
      * Lays down a charter; what is not decided in time is told as unknown. One that was taken is acknowledged again
      * however late it is sent again, and a rejection rests on acknowledged changes only.
      */
-    void lay(Command.PutConfiguration wish, Consumer<CommandResult> then);
+    void putConfiguration(Command.PutConfiguration command, Consumer<CommandResult> onResult);
 
     /** Asks for the newest acknowledged charter's paper; no entry where there is none, not ok where none can tell it now. */
-    void paper(Consumer<ChainClient.ReadResult> then);
+    void readConfiguration(Consumer<ChainClient.ReadResult> onResult);
 
     /**
      * Empties a zone, or gives it back; what is not decided in time is told as unknown. It takes effect while the call
      * lasts, or on top of no other order for the zone.
      */
-    void zone(String zone, boolean on, Consumer<CommandResult> then);
+    void setEvacuation(String zone, boolean isEvacuated, Consumer<CommandResult> onResult);
 
     /** Takes a worker's word on itself; true when it is taken and on its way to the others. */
-    void word(Worker worker, Consumer<Boolean> then);
+    void announce(Worker worker, Consumer<Boolean> onResult);
 
     /** A worker said that it is gone; true when its leaving is on its way to the others, false when it isn't known here. */
-    void gone(String worker, Consumer<Boolean> then);
+    void workerLeft(String workerId, Consumer<Boolean> onResult);
 }
--- a/server/src/main/java/silverlatch/server/controller/Controller.java
+++ b/server/src/main/java/silverlatch/server/controller/Controller.java
@@ -19,12 +19,12 @@
 import silverlatch.node.Node;
 import silverlatch.replication.ChainClient;
 import silverlatch.replication.ChainReplica;
+import silverlatch.server.eventloop.EventLog;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.eventloop.EventLoopHandle;
-import silverlatch.server.eventloop.Logs;
 import silverlatch.server.settings.Settings;
 import silverlatch.server.transport.Transport;
-import silverlatch.server.web.Web;
+import silverlatch.server.web.ApiServer;
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
 import silverlatch.state.ConfigurationValidator;
@@ -32,160 +32,170 @@
 /** The control plane's process: chain, view, and the operators' door. */
 @Singleton
 public final class Controller implements ControlService {
-    private static final long SPAN = 4_000_000L;
-    private static final long SOON = 880_000L;
+    private static final long SCHEDULE_TIMEOUT_MICROS = 4_000_000L;
+    private static final long SERVICE_TIMEOUT_MICROS = 880_000L;
     private final Settings settings;
-    private final EventLoopHandle bridge;
-    private final Transport dock;
-    private final Web web;
-    private final Optional<LogWriter> scribe;
-    private final Node deck;
-    private volatile Optional<String> unready = Optional.of("starting");
-    private volatile List<Member> nears = List.of();
+    private final EventLoopHandle eventLoop;
+    private final Transport transport;
+    private final ApiServer apiServer;
+    private final Optional<LogWriter> logWriter;
+    private final Node node;
+    private volatile Optional<String> unreadyReason = Optional.of("starting");
+    private volatile List<Member> readyControllers = List.of();
     private volatile boolean gone;
-    private volatile boolean closing;
+    private volatile boolean isStopping;
     private final Optional<WorkerRoster> roster;
-    private final Schedules calendars = new Schedules();
-    private long listed;
-    private long calendarAt;
-    private final List<Runnable> owed = new ArrayList<>();
+    private final CronScheduler calendars = new CronScheduler();
+    private long savedRosterRevision;
+    private long schedulesCheckedAt;
+    private final List<Runnable> delayedReplies = new ArrayList<>();
 
     /** Joins the parts. */
     @Inject
-    public Controller(final Settings settings, final Node deck, final Optional<WriteAheadLog> ledger) {
+    public Controller(final Settings settings, final Node node, final Optional<WriteAheadLog> writeAheadLog) {
         this.settings = settings;
-        this.deck = deck;
-        this.dock = new Transport(settings.address(), this::frame);
-        this.scribe = ledger.map(log -> new LogWriter(log, new LogWriter.Listener() {
+        this.node = node;
+        this.transport = new Transport(settings.peerAddress(), this::frame);
+        this.logWriter = writeAheadLog.map(log -> new LogWriter(log, new LogWriter.Listener() {
             @Override
             public void synced(final List<Long> tokens) {
-                tell(d -> tokens.forEach(t -> d.onPersisted(t, EventLoop.now())), () -> {});
+                postUntilAccepted(d -> tokens.forEach(t -> d.onPersisted(t, EventLoop.nowMicros())), () -> {});
             }
 
             @Override
             public void failed(final String why, final Runnable fenced) {
-                tell(d -> d.onDiskFailed(why, EventLoop.now()), fenced);
+                postUntilAccepted(d -> d.onDiskFailed(why, EventLoop.nowMicros()), fenced);
             }
 
             @Override
             public void recovered(final List<LogRecord> records) {
-                Logs.write(Event.RECOVERED, records.size() + " records, after the disk had failed");
-                tell(d -> d.onDiskRecovered(records, EventLoop.now()), () -> {});
+                EventLog.write(Event.RECOVERED, records.size() + " records, after the disk had failed");
+                postUntilAccepted(d -> d.onDiskRecovered(records, EventLoop.nowMicros()), () -> {});
             }
         }));
-        this.roster = settings.data().map(d -> new WorkerRoster(java.nio.file.Path.of(d)));
-        this.bridge = new EventLoopHandle(deck, settings.rates().deck(), dock::ship, this::keep, this::look);
-        this.web = new Web(
-                settings.door(),
-                Math.max(settings.body(), 8 << 20),
-                new Door(settings, bridge, dock, calendars, () -> unready)::route);
+        this.roster = settings.dataFolder().map(d -> new WorkerRoster(java.nio.file.Path.of(d)));
+        this.eventLoop = new EventLoopHandle(
+                node, settings.intervals().nodeTick(), transport::send, this::writeLog, this::afterTick);
+        this.apiServer = new ApiServer(
+                settings.httpAddress(),
+                Math.max(settings.maxBodyBytes(), 8 << 20),
+                new ApiRouter(settings, eventLoop, transport, calendars, () -> unreadyReason)::route);
     }
 
     /** Opens the doors. */
-    public void start() throws IOException, Web.WebFault {
-        scribe.ifPresent(LogWriter::start);
+    public void start() throws IOException, ApiServer.HttpServerException {
+        logWriter.ifPresent(LogWriter::start);
         roster.ifPresent(r -> {
-            deck.gossip().restoreReports(r.read(), EventLoop.now());
+            node.gossip().restoreReports(r.read(), EventLoop.nowMicros());
             r.start();
         });
-        dock.start();
-        bridge.start();
-        web.start();
-        Logs.write(
+        transport.start();
+        eventLoop.start();
+        apiServer.start();
+        EventLog.write(
                 Event.STARTED,
-                "controller " + settings.name() + " at " + settings.address() + " door " + settings.door());
+                "controller " + settings.name() + " at " + settings.peerAddress() + " door " + settings.httpAddress());
     }
 
     /** Stops in good order: the chain goes on without this machine, its duties have a successor. */
     public void stop() {
         try {
-            closing = true;
-            bridge.with(d -> d.leave(EventLoop.now()));
-            final long end = EventLoop.now() + settings.grace();
-            while (EventLoop.now() < end && scribe.isPresent() && !gone) {
+            isStopping = true;
+            eventLoop.execute(d -> d.leave(EventLoop.nowMicros()));
+            final long deadline = EventLoop.nowMicros() + settings.shutdownGrace();
+            while (EventLoop.nowMicros() < deadline && logWriter.isPresent() && !gone) {
                 TimeUnit.MILLISECONDS.sleep(20);
             }
             TimeUnit.MILLISECONDS.sleep(100);
-            Logs.write(Event.STOPPED, "controller " + settings.name());
-            web.stop();
-        } catch (final InterruptedException | Web.WebFault e) {
-            Logs.write(Event.STOPPED, "controller " + settings.name() + " in haste");
+            EventLog.write(Event.STOPPED, "controller " + settings.name());
+            apiServer.stop();
+        } catch (final InterruptedException | ApiServer.HttpServerException e) {
+            EventLog.write(Event.STOPPED, "controller " + settings.name() + " in haste");
         }
     }
 
     @Override
-    public void lay(final Command.PutConfiguration wish, final Consumer<CommandResult> then) {
-        if (ConfigurationValidator.isTooLong(wish.document())) {
-            then.accept(new CommandResult.Rejected(
+    public void putConfiguration(final Command.PutConfiguration command, final Consumer<CommandResult> onResult) {
+        if (ConfigurationValidator.isTooLong(command.document())) {
+            onResult.accept(new CommandResult.Rejected(
                     413, List.of("$: longer than " + ConfigurationValidator.MAX_DOCUMENT_BYTES + " bytes"), 0));
             return;
         }
-        wish(wish, SOON, then);
+        wish(command, SERVICE_TIMEOUT_MICROS, onResult);
     }
 
     @Override
-    public void zone(final String zone, final boolean on, final Consumer<CommandResult> then) {
+    public void setEvacuation(final String zone, final boolean isEvacuated, final Consumer<CommandResult> onResult) {
         final String id = UUID.randomUUID().toString();
-        wish(new Command.SetEvacuation(id, zone, on, Command.SetEvacuation.LATEST), SOON, then);
+        wish(
+                new Command.SetEvacuation(id, zone, isEvacuated, Command.SetEvacuation.LATEST),
+                SERVICE_TIMEOUT_MICROS,
+                onResult);
     }
 
     @Override
-    public void paper(final Consumer<ChainClient.ReadResult> then) {
-        if (!bridge.read(ConfigurationValidator.DOCUMENT_KEY, SOON, r -> then.accept((ChainClient.ReadResult) r))) {
-            then.accept(new ChainClient.ReadResult(false, 0, List.of()));
+    public void readConfiguration(final Consumer<ChainClient.ReadResult> onResult) {
+        if (!eventLoop.read(
+                ConfigurationValidator.DOCUMENT_KEY,
+                SERVICE_TIMEOUT_MICROS,
+                r -> onResult.accept((ChainClient.ReadResult) r))) {
+            onResult.accept(new ChainClient.ReadResult(false, 0, List.of()));
         }
     }
 
     @Override
-    public void word(final Worker worker, final Consumer<Boolean> then) {
+    public void announce(final Worker worker, final Consumer<Boolean> onResult) {
         word(
                 d -> {
                     final boolean left = leaving(d, worker.id());
-                    d.onAnnouncement(worker, 0, EventLoop.now());
-                    return new Taken(d.gossip().workers().containsKey(worker.id()), !left && leaving(d, worker.id()));
+                    d.onAnnouncement(worker, 0, EventLoop.nowMicros());
+                    return new ReportOutcome(
+                            d.gossip().workers().containsKey(worker.id()), !left && leaving(d, worker.id()));
                 },
-                then);
+                onResult);
     }
 
     @Override
-    public void gone(final String worker, final Consumer<Boolean> then) {
+    public void workerLeft(final String workerId, final Consumer<Boolean> onResult) {
         word(
                 d -> {
-                    final boolean known = d.onWorkerGone(worker, EventLoop.now());
-                    return new Taken(known, known);
+                    final boolean known = d.onWorkerGone(workerId, EventLoop.nowMicros());
+                    return new ReportOutcome(known, known);
                 },
-                then);
+                onResult);
     }
 
     /** Takes the seeds that hold from now on. */
-    public void seeds(final List<String> next) {
-        bridge.with(d -> {
-            d.membership().setSeeds(next);
-            d.chainReplica().ifPresent(q -> q.seeds(next));
+    public void updateSeeds(final List<String> newSeeds) {
+        eventLoop.execute(d -> {
+            d.membership().setSeeds(newSeeds);
+            d.chainReplica().ifPresent(q -> q.seeds(newSeeds));
         });
     }
 
     /** A controller of this region that a worker may call from now on, if it is not this one alone that stands there. */
-    public Optional<Member> near(final String zone, final String region) {
-        return nears.stream()
+    public Optional<Member> nearestController(final String zone, final String region) {
+        return readyControllers.stream()
                 .filter(m -> m.zone().equals(zone))
                 .findFirst()
-                .or(() -> nears.stream().filter(m -> m.region().equals(region)).findFirst());
+                .or(() -> readyControllers.stream()
+                        .filter(m -> m.region().equals(region))
+                        .findFirst());
     }
 
-    private record Taken(boolean good, boolean news) {}
+    private record ReportOutcome(boolean isAccepted, boolean startsDraining) {}
 
     /** A leaving that is news goes out with the next beat at the latest, and its reply after that. */
-    private void word(final Function<Node, Taken> what, final Consumer<Boolean> then) {
-        final Taken[] taken = {new Taken(false, false)};
-        if (!bridge.with(d -> taken[0] = what.apply(d), () -> {
-            if (taken[0].news()) {
-                owed.add(() -> then.accept(taken[0].good()));
+    private void word(final Function<Node, ReportOutcome> report, final Consumer<Boolean> onResult) {
+        final ReportOutcome[] outcome = {new ReportOutcome(false, false)};
+        if (!eventLoop.execute(d -> outcome[0] = report.apply(d), () -> {
+            if (outcome[0].startsDraining()) {
+                delayedReplies.add(() -> onResult.accept(outcome[0].isAccepted()));
             } else {
-                then.accept(taken[0].good());
+                onResult.accept(outcome[0].isAccepted());
             }
         })) {
-            then.accept(false);
+            onResult.accept(false);
         }
     }
 
@@ -195,36 +205,36 @@
                 .orElse(false);
     }
 
-    private void wish(final Command w, final long span, final Consumer<CommandResult> then) {
-        if (!bridge.wish(w, span, r -> then.accept((CommandResult) r))) {
-            then.accept(new CommandResult.Rejected(503, List.of("the ring is full"), 0));
+    private void wish(final Command command, final long timeoutMicros, final Consumer<CommandResult> onResult) {
+        if (!eventLoop.submit(command, timeoutMicros, r -> onResult.accept((CommandResult) r))) {
+            onResult.accept(new CommandResult.Rejected(503, List.of("the ring is full"), 0));
         }
     }
 
-    private void frame(final silverlatch.wire.Frame f) {
-        bridge.with(d -> d.onFrame(f, EventLoop.now()));
+    private void frame(final silverlatch.wire.Frame frame) {
+        eventLoop.execute(d -> d.onFrame(frame, EventLoop.nowMicros()));
     }
 
-    private void keep(final Effect.Persist k) {
-        scribe.ifPresent(s -> s.write(k));
+    private void writeLog(final Effect.Persist write) {
+        logWriter.ifPresent(s -> s.write(write));
     }
 
-    private void tell(final Consumer<Node> job, final Runnable then) {
-        while (!bridge.with(job, then)) {
+    private void postUntilAccepted(final Consumer<Node> task, final Runnable afterFlush) {
+        while (!eventLoop.execute(task, afterFlush)) {
             Thread.onSpinWait();
         }
     }
 
-    private void look(final Node d) {
-        final long now = EventLoop.now();
-        final List<Runnable> due = List.copyOf(owed);
-        owed.clear();
+    private void afterTick(final Node d) {
+        final long now = EventLoop.nowMicros();
+        final List<Runnable> due = List.copyOf(delayedReplies);
+        delayedReplies.clear();
         due.forEach(Runnable::run);
-        nears = java.util.stream.Stream.concat(
+        readyControllers = java.util.stream.Stream.concat(
                         java.util.stream.Stream.of(d.membership().self()), d.membership().liveMembers().stream())
                 .filter(m -> !m.isGateway() && m.state().equals("up"))
                 .toList();
-        final Optional<String> why = closing
+        final Optional<String> why = isStopping
                 ? Optional.of("stopping")
                 : d.chainReplica()
                         .map(q -> {
@@ -237,37 +247,37 @@
                         .orElseGet(() -> d.gossip().stateAge(now) < 2_500_000L
                                 ? Optional.empty()
                                 : Optional.of("the books are not confirmed"));
-        if (why.isPresent() != unready.isPresent()) {
-            Logs.write(
+        if (why.isPresent() != unreadyReason.isPresent()) {
+            EventLog.write(
                     why.isPresent() ? Event.UNREADY : Event.READY,
                     settings.name() + why.map(w -> ": " + w).orElse(""));
             d.setReady(why.isEmpty());
         }
-        unready = why;
-        roster.filter(r -> listed != d.gossip().reportsDigest()).ifPresent(r -> {
+        unreadyReason = why;
+        roster.filter(r -> savedRosterRevision != d.gossip().reportsDigest()).ifPresent(r -> {
             if (r.write(d.gossip().activeReports(now))) {
-                listed = d.gossip().reportsDigest();
+                savedRosterRevision = d.gossip().reportsDigest();
             }
         });
         calendars(d, now);
     }
 
     private void calendars(final Node d, final long now) {
-        if (now - calendarAt < 1_000_000L) {
+        if (now - schedulesCheckedAt < 1_000_000L) {
             return;
         }
-        calendarAt = now;
+        schedulesCheckedAt = now;
         d.chainReplica()
                 .ifPresent(q -> q.fencingToken(now)
                         .ifPresent(fence -> calendars
-                                .due(
+                                .dueCommands(
                                         q.stateMachine(),
                                         d.physicalClock().unixNanos()
                                                 + (now - d.physicalClock().monotonicMicros()) * 1000,
                                         fence)
                                 .forEach(w -> {
-                                    Logs.write(Event.CALENDAR, w.id());
-                                    bridge.wish(w, SPAN, v -> {
+                                    EventLog.write(Event.CALENDAR, w.id());
+                                    eventLoop.submit(w, SCHEDULE_TIMEOUT_MICROS, v -> {
                                         if (v instanceof CommandResult.Unknown) {
                                             calendars.forget(w.id());
                                         }
--- a/server/src/main/java/silverlatch/server/controller/Schedules.java
+++ b/server/src/main/java/silverlatch/server/controller/CronScheduler.java
@@ -22,65 +22,66 @@
  * When calendars are due. A change bears the calendar's name and minute as its id, so that a holder of the duty that
  * comes after another asks for the same change again and it takes effect once.
  */
-public final class Schedules {
-    private static final long WINDOW = 90;
+public final class CronScheduler {
+    private static final long WINDOW_SECONDS = 90;
     private final CronParser parser = new CronParser(CronDefinitionBuilder.instanceDefinitionFor(CronType.UNIX));
-    private final Map<String, Long> asked = new LinkedHashMap<>();
+    private final Map<String, Long> submitted = new LinkedHashMap<>();
 
     /** What is wrong with a calendar; one whose time never comes is wrong. */
-    public List<String> faults(final Value.Schedule k) {
-        final List<String> list = new ArrayList<>(TableRules.nameFaults("name", k.name()));
-        final Optional<Cron> cron = parse(k.cron());
+    public List<String> faults(final Value.Schedule schedule) {
+        final List<String> faults = new ArrayList<>(TableRules.nameFaults("name", schedule.name()));
+        final Optional<Cron> cron = parse(schedule.cron());
         if (cron.isEmpty()) {
-            list.add("$.cron: five fields are needed: minute, hour, day, month, weekday; not '" + k.cron() + "'");
+            faults.add(
+                    "$.cron: five fields are needed: minute, hour, day, month, weekday; not '" + schedule.cron() + "'");
         } else if (ExecutionTime.forCron(cron.get())
                 .nextExecution(ZonedDateTime.of(2026, 1, 1, 0, 0, 0, 0, ZoneOffset.UTC))
                 .isEmpty()) {
-            list.add("$.cron: '" + k.cron() + "' never comes");
+            faults.add("$.cron: '" + schedule.cron() + "' never comes");
         }
-        if (k.cells().isEmpty() == k.zone().isEmpty()) {
-            list.add("$: either cells or a zone is needed");
+        if (schedule.cells().isEmpty() == schedule.zone().isEmpty()) {
+            faults.add("$: either cells or a zone is needed");
         }
-        for (int i = 0; i < k.cells().size(); i++) {
-            final Command.Cell c = k.cells().get(i);
-            if (TableRules.withCell(TableRules.defaultRow("*", "any"), c.field(), c.value())
+        for (int i = 0; i < schedule.cells().size(); i++) {
+            final Command.Cell cell = schedule.cells().get(i);
+            if (TableRules.withCell(TableRules.defaultRow("*", "any"), cell.field(), cell.value())
                     instanceof TableRules.CellChange.Invalid bad) {
-                list.add("$.cells[" + i + "]: " + bad.fault());
+                faults.add("$.cells[" + i + "]: " + bad.fault());
             }
         }
-        return list;
+        return faults;
     }
 
     /** The changes that are due now and were not asked for yet. */
-    public List<Command> due(final StateMachine books, final long nanos, final long fence) {
-        final long now = nanos / 1_000_000_000L;
-        final List<Command> list = new ArrayList<>();
-        books.entriesWithPrefix("k/").values().stream()
+    public List<Command> dueCommands(final StateMachine state, final long wallNanos, final long fencingToken) {
+        final long nowSeconds = wallNanos / 1_000_000_000L;
+        final List<Command> commands = new ArrayList<>();
+        state.entriesWithPrefix("k/").values().stream()
                 .filter(e -> !e.isDeleted())
                 .forEach(e -> {
-                    final Value.Schedule k = (Value.Schedule) e.value().get(0);
-                    parse(k.cron())
-                            .flatMap(c -> ExecutionTime.forCron(c).lastExecution(at(now + 1)))
+                    final Value.Schedule schedule = (Value.Schedule) e.value().get(0);
+                    parse(schedule.cron())
+                            .flatMap(c -> ExecutionTime.forCron(c).lastExecution(toUtc(nowSeconds + 1)))
                             .map(ZonedDateTime::toEpochSecond)
-                            .filter(t -> now - t <= WINDOW)
+                            .filter(t -> nowSeconds - t <= WINDOW_SECONDS)
                             .ifPresent(t -> {
-                                final String id = "cal-" + k.name() + "-" + t;
-                                if (!asked.containsKey(id)) {
-                                    asked.put(id, t);
-                                    final Command inner = k.zone().isEmpty()
-                                            ? new Command.PatchTable(id, k.cells(), -1)
-                                            : new Command.SetEvacuation(id, k.zone(), k.evacuate(), -1);
-                                    list.add(new Command.Scheduled(id, fence, inner));
+                                final String id = "cal-" + schedule.name() + "-" + t;
+                                if (!submitted.containsKey(id)) {
+                                    submitted.put(id, t);
+                                    final Command inner = schedule.zone().isEmpty()
+                                            ? new Command.PatchTable(id, schedule.cells(), -1)
+                                            : new Command.SetEvacuation(id, schedule.zone(), schedule.evacuate(), -1);
+                                    commands.add(new Command.Scheduled(id, fencingToken, inner));
                                 }
                             });
                 });
-        asked.values().removeIf(t -> now - t > 2 * WINDOW);
-        return list;
+        submitted.values().removeIf(t -> nowSeconds - t > 2 * WINDOW_SECONDS);
+        return commands;
     }
 
     /** A change was not decided; it is asked for again while its time lasts. */
     public void forget(final String id) {
-        asked.remove(id);
+        submitted.remove(id);
     }
 
     private Optional<Cron> parse(final String text) {
@@ -91,7 +92,7 @@
         }
     }
 
-    private static ZonedDateTime at(final long seconds) {
+    private static ZonedDateTime toUtc(final long seconds) {
         return Instant.ofEpochSecond(seconds).atZone(ZoneOffset.UTC);
     }
 }
--- a/server/src/main/java/silverlatch/server/controller/Rows.java
+++ b/server/src/main/java/silverlatch/server/controller/EntryJson.java
@@ -11,45 +11,45 @@
 import silverlatch.state.Value;
 
 /** Rows, tenants and drains as JSON, both ways. */
-public final class Rows {
-    private Rows() {}
+public final class EntryJson {
+    private EntryJson() {}
 
     /** A row as JSON. */
-    public static Map<String, Object> write(final Value.Row r) {
+    public static Map<String, Object> write(final Value.Row row) {
         final Map<String, Object> map = new LinkedHashMap<>();
-        map.put("tenant", r.tenant());
-        map.put("kind", r.kind());
-        map.put("prefix", r.prefixWeight());
-        map.put("load", r.loadWeight());
-        map.put("cold", r.warmupWeight());
-        map.put("cross", r.localityWeight());
-        map.put("rate", r.requestsPerSecond());
-        map.put("burst", r.burstRequests());
-        map.put("running", r.maxRunning());
-        map.put("queue", r.maxQueued());
-        map.put("hold", r.timeoutMicros());
-        map.put("once", r.atMostOnce());
-        map.put("rank", r.priority());
+        map.put("tenant", row.tenant());
+        map.put("kind", row.kind());
+        map.put("prefix", row.prefixWeight());
+        map.put("load", row.loadWeight());
+        map.put("cold", row.warmupWeight());
+        map.put("cross", row.localityWeight());
+        map.put("rate", row.requestsPerSecond());
+        map.put("burst", row.burstRequests());
+        map.put("running", row.maxRunning());
+        map.put("queue", row.maxQueued());
+        map.put("hold", row.timeoutMicros());
+        map.put("once", row.atMostOnce());
+        map.put("rank", row.priority());
         return map;
     }
 
     /** A row from JSON; what is not said is as in the plain row. */
-    public static Value.Row read(final JsonDocument s) {
-        final Value.Row p = TableRules.defaultRow(s.string("tenant", 64), s.string("kind", 64));
+    public static Value.Row read(final JsonDocument document) {
+        final Value.Row defaults = TableRules.defaultRow(document.string("tenant", 64), document.string("kind", 64));
         return new Value.Row(
-                p.tenant(),
-                p.kind(),
-                s.number("prefix", p.prefixWeight()),
-                s.number("load", p.loadWeight()),
-                s.number("cold", p.warmupWeight()),
-                s.number("cross", p.localityWeight()),
-                s.number("rate", p.requestsPerSecond()),
-                s.number("burst", p.burstRequests()),
-                (int) s.integer("running", 0, Integer.MAX_VALUE, p.maxRunning()),
-                (int) s.integer("queue", 0, Integer.MAX_VALUE, p.maxQueued()),
-                s.integer("hold", 0, Long.MAX_VALUE, p.timeoutMicros()),
-                s.flag("once", p.atMostOnce()),
-                (int) s.integer("rank", 0, Integer.MAX_VALUE, p.priority()));
+                defaults.tenant(),
+                defaults.kind(),
+                document.number("prefix", defaults.prefixWeight()),
+                document.number("load", defaults.loadWeight()),
+                document.number("cold", defaults.warmupWeight()),
+                document.number("cross", defaults.localityWeight()),
+                document.number("rate", defaults.requestsPerSecond()),
+                document.number("burst", defaults.burstRequests()),
+                (int) document.integer("running", 0, Integer.MAX_VALUE, defaults.maxRunning()),
+                (int) document.integer("queue", 0, Integer.MAX_VALUE, defaults.maxQueued()),
+                document.integer("hold", 0, Long.MAX_VALUE, defaults.timeoutMicros()),
+                document.flag("once", defaults.atMostOnce()),
+                (int) document.integer("rank", 0, Integer.MAX_VALUE, defaults.priority()));
     }
 
     /** Entries as a list of JSON objects, gone ones left out, and the newest sequence among all. */
@@ -58,23 +58,31 @@
         entries.stream()
                 .filter(e -> !e.isDeleted())
                 .sorted(Comparator.comparing(Entry::key))
-                .forEach(e -> list.add(one(e)));
+                .forEach(e -> list.add(writeEntry(e)));
         final Map<String, Object> map = new LinkedHashMap<>();
         map.put("sequence", entries.stream().mapToLong(Entry::sequence).max().orElse(0));
         map.put(name, list);
         return map;
     }
 
-    private static String since(final long stamp) {
+    private static String claimedAt(final long stamp) {
         return java.time.Instant.ofEpochSecond(silverlatch.clock.NtpTime.EPOCH_UNIX_SECONDS + (stamp >> 32))
                 .toString();
     }
 
-    private static Map<String, Object> one(final Entry e) {
-        return switch (e.value().get(0)) {
+    private static Map<String, Object> writeEntry(final Entry entry) {
+        return switch (entry.value().get(0)) {
             case Value.Row r -> write(r);
             case Value.Tenant t ->
-                Map.of("name", t.name(), "homes", t.homeRegions(), "share", t.quotaShare(), "sequence", e.sequence());
+                Map.of(
+                        "name",
+                        t.name(),
+                        "homes",
+                        t.homeRegions(),
+                        "share",
+                        t.quotaShare(),
+                        "sequence",
+                        entry.sequence());
             case Value.Evacuation d ->
                 Map.of(
                         "zone",
@@ -84,7 +92,7 @@
                         "stamp",
                         "" + d.stamp().bits(),
                         "sequence",
-                        e.sequence());
+                        entry.sequence());
             case Value.Schedule k ->
                 Map.of(
                         "name",
@@ -100,7 +108,7 @@
                         "empty",
                         k.evacuate(),
                         "sequence",
-                        e.sequence());
+                        entry.sequence());
             case Value.Claim c ->
                 Map.of(
                         "ticket",
@@ -110,18 +118,18 @@
                         "state",
                         c.state(),
                         "since",
-                        since(c.claimedAt()));
+                        claimedAt(c.claimedAt()));
             case Value.Epoch g -> Map.of("turn", g.number());
             case Value.Route r -> ConfigurationJson.write(r);
             case Value.BackendPool p -> ConfigurationJson.write(p);
-            case Value.RoutingConfiguration c -> Map.of("number", c.number(), "sequence", e.sequence());
+            case Value.RoutingConfiguration c -> Map.of("number", c.number(), "sequence", entry.sequence());
             case Value.ConfigurationDocument p -> Map.of("number", p.number(), "paper", p.text());
             case Value.AcceptedConfiguration a ->
-                Map.of("number", a.number(), "match", a.expectedRevision(), "sequence", e.sequence());
+                Map.of("number", a.number(), "match", a.expectedRevision(), "sequence", entry.sequence());
             case Value.CommandOutcome d ->
                 Map.of(
                         "change",
-                        e.key().substring(2),
+                        entry.key().substring(2),
                         "sequence",
                         d.sequence(),
                         "code",
--- a/server/src/main/java/silverlatch/server/controller/LogWriter.java
+++ b/server/src/main/java/silverlatch/server/controller/LogWriter.java
@@ -17,16 +17,16 @@
  * waits, as none of it was promised to anybody, and opens the folder again until the disk takes writes.
  */
 public final class LogWriter {
-    private static final int MOST = 1_024;
-    private static final long HEAVY = 4L << 20;
-    private static final long FIRST_PAUSE_MS = 1_000;
-    private static final long LONGEST_PAUSE_MS = 8_000;
-    private static final long CALM_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final int MAX_BATCH_WRITES = 1_024;
+    private static final long MAX_BATCH_BYTES = 4L << 20;
+    private static final long INITIAL_BACKOFF_MS = 1_000;
+    private static final long MAX_BACKOFF_MS = 8_000;
+    private static final long STABLE_NANOS = TimeUnit.SECONDS.toNanos(30);
     private final BlockingQueue<Effect.Persist> queue = new LinkedBlockingQueue<>(16_384);
     private final Listener listener;
-    private final long firstPauseMs;
+    private final long initialBackoffMs;
     private WriteAheadLog log;
-    private long pauseMs;
+    private long backoffMs;
     private long recoveredAt;
     private volatile boolean overflowed;
 
@@ -44,14 +44,14 @@
 
     /** A writer of a log. */
     public LogWriter(final WriteAheadLog log, final Listener listener) {
-        this(log, listener, FIRST_PAUSE_MS);
+        this(log, listener, INITIAL_BACKOFF_MS);
     }
 
-    LogWriter(final WriteAheadLog log, final Listener listener, final long firstPauseMs) {
+    LogWriter(final WriteAheadLog log, final Listener listener, final long initialBackoffMs) {
         this.log = log;
         this.listener = listener;
-        this.firstPauseMs = firstPauseMs;
-        this.pauseMs = firstPauseMs;
+        this.initialBackoffMs = initialBackoffMs;
+        this.backoffMs = initialBackoffMs;
     }
 
     /** Starts the thread. */
@@ -61,8 +61,8 @@
     }
 
     /** Takes a write. */
-    public void write(final Effect.Persist keep) {
-        if (!queue.offer(keep)) {
+    public void write(final Effect.Persist request) {
+        if (!queue.offer(request)) {
             overflowed = true;
         }
     }
@@ -99,16 +99,18 @@
     private List<Effect.Persist> nextBatch() throws InterruptedException {
         final List<Effect.Persist> batch = new ArrayList<>();
         batch.add(queue.take());
-        long sum = weight(batch.get(0));
-        while (batch.size() < MOST && !queue.isEmpty() && sum + weight(queue.peek()) <= HEAVY) {
-            sum += weight(queue.peek());
+        long batchBytes = sizeOf(batch.get(0));
+        while (batch.size() < MAX_BATCH_WRITES
+                && !queue.isEmpty()
+                && batchBytes + sizeOf(queue.peek()) <= MAX_BATCH_BYTES) {
+            batchBytes += sizeOf(queue.peek());
             batch.add(queue.take());
         }
         return batch;
     }
 
-    private static long weight(final Effect.Persist keep) {
-        return keep.records().stream()
+    private static long sizeOf(final Effect.Persist request) {
+        return request.records().stream()
                 .mapToLong(n -> n instanceof LogRecord.Appended d ? d.entry().estimatedBytes() : 64)
                 .sum();
     }
@@ -119,9 +121,11 @@
         fenced.await();
         queue.clear();
         overflowed = false;
-        pauseMs = System.nanoTime() - recoveredAt > CALM_NANOS ? firstPauseMs : Math.min(LONGEST_PAUSE_MS, 2 * pauseMs);
+        backoffMs = System.nanoTime() - recoveredAt > STABLE_NANOS
+                ? initialBackoffMs
+                : Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
         while (true) {
-            TimeUnit.MILLISECONDS.sleep(pauseMs);
+            TimeUnit.MILLISECONDS.sleep(backoffMs);
             if (log.reopen() instanceof WriteAheadLog.OpenResult.Success good) {
                 log = good.log();
                 recoveredAt = System.nanoTime();
--- a/server/src/main/java/silverlatch/server/controller/WorkerRoster.java
+++ b/server/src/main/java/silverlatch/server/controller/WorkerRoster.java
@@ -10,7 +10,7 @@
 import silverlatch.gossip.WorkerReport;
 import silverlatch.log.WriteAheadLog;
 import silverlatch.node.Event;
-import silverlatch.server.eventloop.Logs;
+import silverlatch.server.eventloop.EventLog;
 import silverlatch.util.Threads;
 import silverlatch.wire.Codec;
 import silverlatch.wire.Message;
@@ -20,10 +20,10 @@
  * worker has called again. It is no promise: what can't be written or read is left out, and a worker's next word goes first.
  */
 final class WorkerRoster {
-    private static final int HEAD = Long.BYTES;
-    private static final int MOST = 4 << 20;
+    private static final int HEADER_BYTES = Long.BYTES;
+    private static final int MAX_FILE_BYTES = 4 << 20;
     private final Path file;
-    private final ArrayBlockingQueue<List<WorkerReport>> ring = new ArrayBlockingQueue<>(1);
+    private final ArrayBlockingQueue<List<WorkerReport>> queue = new ArrayBlockingQueue<>(1);
 
     WorkerRoster(final Path folder) {
         this.file = folder.resolve("workers");
@@ -32,14 +32,17 @@
     /** What was written last, or nothing. */
     List<WorkerReport> read() {
         try {
-            if (!Files.exists(file) || Files.size(file) > MOST) {
+            if (!Files.exists(file) || Files.size(file) > MAX_FILE_BYTES) {
                 return List.of();
             }
-            final byte[] all = Files.readAllBytes(file);
-            if (all.length < HEAD || ByteBuffer.wrap(all).getLong() != sum(all, HEAD)) {
+            final byte[] bytes = Files.readAllBytes(file);
+            if (bytes.length < HEADER_BYTES || ByteBuffer.wrap(bytes).getLong() != checksum(bytes, HEADER_BYTES)) {
                 return List.of();
             }
-            return new Codec().decode(java.util.Arrays.copyOfRange(all, HEAD, all.length), Message.MissingReports.class)
+            return new Codec()
+                                    .decode(
+                                            java.util.Arrays.copyOfRange(bytes, HEADER_BYTES, bytes.length),
+                                            Message.MissingReports.class)
                             instanceof Codec.DecodeResult.Decoded<Message.MissingReports> good
                     ? good.value().reports()
                     : List.of();
@@ -54,37 +57,37 @@
     }
 
     /** Takes the newest words; false when the last ones are still being written. */
-    boolean write(final List<WorkerReport> words) {
-        return ring.offer(words);
+    boolean write(final List<WorkerReport> reports) {
+        return queue.offer(reports);
     }
 
     private void run() {
         final Codec codec = new Codec();
-        boolean told = false;
+        boolean isReported = false;
         while (true) {
             try {
                 final byte[] body =
-                        codec.encode(new Message.MissingReports(0, ring.take(), List.of(), List.of(), List.of()));
-                final byte[] all = ByteBuffer.allocate(HEAD + body.length)
-                        .putLong(sum(body, 0))
+                        codec.encode(new Message.MissingReports(0, queue.take(), List.of(), List.of(), List.of()));
+                final byte[] bytes = ByteBuffer.allocate(HEADER_BYTES + body.length)
+                        .putLong(checksum(body, 0))
                         .put(body)
                         .array();
-                WriteAheadLog.replaceFile(file, all);
-                told = false;
+                WriteAheadLog.replaceFile(file, bytes);
+                isReported = false;
             } catch (final IOException e) {
-                if (!told) {
-                    Logs.write(Event.ROSTER, "" + e.getMessage());
+                if (!isReported) {
+                    EventLog.write(Event.ROSTER, "" + e.getMessage());
                 }
-                told = true;
+                isReported = true;
             } catch (final InterruptedException e) {
                 return;
             }
         }
     }
 
-    private static long sum(final byte[] all, final int from) {
+    private static long checksum(final byte[] bytes, final int from) {
         final CRC32C crc = new CRC32C();
-        crc.update(all, from, all.length - from);
+        crc.update(bytes, from, bytes.length - from);
         return crc.getValue();
     }
 }
--- a/server/src/main/java/silverlatch/server/eventloop/EventLoop.java
+++ b/server/src/main/java/silverlatch/server/eventloop/EventLoop.java
@@ -9,21 +9,21 @@
 
 /** A thread that takes continuations from a bounded ring, and beats at a steady period. */
 public final class EventLoop {
-    private final MpscBlockingConsumerArrayQueue<Runnable> ring;
+    private final MpscBlockingConsumerArrayQueue<Runnable> queue;
     private final Thread thread;
-    private final long period;
-    private final AtomicLong full = new AtomicLong();
-    private volatile boolean over;
+    private final long tickMicros;
+    private final AtomicLong rejectedTasks = new AtomicLong();
+    private volatile boolean stopped;
 
     /** An event loop with a ring of so many places and a beat each so many microseconds. */
-    public EventLoop(final String name, final int size, final long period, final Runnable beat) {
-        this.ring = new MpscBlockingConsumerArrayQueue<>(size);
-        this.period = period;
-        this.thread = Threads.daemon(name, () -> run(beat));
+    public EventLoop(final String name, final int capacity, final long tickMicros, final Runnable onTick) {
+        this.queue = new MpscBlockingConsumerArrayQueue<>(capacity);
+        this.tickMicros = tickMicros;
+        this.thread = Threads.daemon(name, () -> run(onTick));
     }
 
     /** The monotonic clock in whole microseconds. */
-    public static long now() {
+    public static long nowMicros() {
         return System.nanoTime() / 1000;
     }
 
@@ -33,42 +33,43 @@
     }
 
     /** Hands over a continuation; false when the ring is full. */
-    public boolean post(final Runnable next) {
-        if (over || !ring.offer(next)) {
-            full.incrementAndGet();
+    public boolean post(final Runnable task) {
+        if (stopped || !queue.offer(task)) {
+            rejectedTasks.incrementAndGet();
             return false;
         }
         return true;
     }
 
     /** How often the ring was full. */
-    public long full() {
-        return full.get();
+    public long rejectedTasks() {
+        return rejectedTasks.get();
     }
 
     /** Ends the thread. */
     public void stop() {
-        over = true;
+        stopped = true;
         thread.interrupt();
     }
 
-    private void run(final Runnable beat) {
-        long next = now();
-        while (!over) {
+    private void run(final Runnable onTick) {
+        long nextTickAt = nowMicros();
+        while (!stopped) {
             try {
-                final long span = next - now();
-                if (span <= 0) {
-                    next = now() + period;
-                    beat.run();
+                final long untilTick = nextTickAt - nowMicros();
+                if (untilTick <= 0) {
+                    nextTickAt = nowMicros() + tickMicros;
+                    onTick.run();
                     continue;
                 }
-                Optional.ofNullable(ring.poll(span, TimeUnit.MICROSECONDS)).ifPresent(Runnable::run);
+                Optional.ofNullable(queue.poll(untilTick, TimeUnit.MICROSECONDS))
+                        .ifPresent(Runnable::run);
             } catch (final InterruptedException e) {
                 return;
             } catch (final RuntimeException e) {
-                Logs.write(Event.FAULT, thread.getName(), e);
+                EventLog.write(Event.FAULT, thread.getName(), e);
             } catch (final Error e) {
-                Logs.write(Event.FAULT, thread.getName() + " ends the process", e);
+                EventLog.write(Event.FAULT, thread.getName() + " ends the process", e);
                 Runtime.getRuntime().halt(3);
             }
         }
--- a/server/src/main/java/silverlatch/server/eventloop/EventLoopHandle.java
+++ b/server/src/main/java/silverlatch/server/eventloop/EventLoopHandle.java
@@ -15,23 +15,23 @@
     private final Node node;
     private final Consumer<OutgoingFrame> transport;
     private final Consumer<Effect.Persist> logWriter;
-    private final Consumer<Node> after;
+    private final Consumer<Node> afterTick;
     private final EventLoop loop;
     private final AtomicLong tokens = new AtomicLong();
-    private final Map<Long, Consumer<Object>> asked = new ConcurrentHashMap<>();
+    private final Map<Long, Consumer<Object>> pendingReplies = new ConcurrentHashMap<>();
 
     /** A bridge that beats each so many microseconds; the last argument is called after each beat. */
     public EventLoopHandle(
             final Node node,
-            final long beat,
+            final long tickMicros,
             final Consumer<OutgoingFrame> transport,
             final Consumer<Effect.Persist> logWriter,
-            final Consumer<Node> after) {
+            final Consumer<Node> afterTick) {
         this.node = node;
         this.transport = transport;
         this.logWriter = logWriter;
-        this.after = after;
-        this.loop = new EventLoop("node", 16_384, beat, this::beat);
+        this.afterTick = afterTick;
+        this.loop = new EventLoop("node", 16_384, tickMicros, this::tick);
     }
 
     /** Starts the event loop. */
@@ -45,62 +45,63 @@
     }
 
     /** Does something with the node on its event loop; false when the ring is full. */
-    public boolean with(final Consumer<Node> job) {
+    public boolean execute(final Consumer<Node> task) {
         return loop.post(() -> {
-            job.accept(node);
+            task.accept(node);
             flush();
         });
     }
 
     /** Does something with the node on its event loop, and something else when all that came of it is on its way. */
-    public boolean with(final Consumer<Node> job, final Runnable then) {
+    public boolean execute(final Consumer<Node> task, final Runnable afterFlush) {
         return loop.post(() -> {
-            job.accept(node);
+            task.accept(node);
             flush();
-            then.run();
+            afterFlush.run();
         });
     }
 
     /** Sends a command; the result comes back on the event loop before the span is over. False when the ring is full. */
-    public boolean wish(final Command wish, final long span, final Consumer<Object> then) {
+    public boolean submit(final Command command, final long timeoutMicros, final Consumer<Object> onResult) {
         final long token = tokens.incrementAndGet();
-        final long end = EventLoop.now() + span;
-        return with(d -> {
-            asked.put(token, then);
-            d.submit(wish, token, EventLoop.now(), end);
+        final long deadline = EventLoop.nowMicros() + timeoutMicros;
+        return execute(d -> {
+            pendingReplies.put(token, onResult);
+            d.submit(command, token, EventLoop.nowMicros(), deadline);
         });
     }
 
     /** Asks the tail; the page comes back on the event loop before the span is over. False when the ring is full. */
-    public boolean read(final String start, final long span, final Consumer<Object> then) {
+    public boolean read(final String keyPrefix, final long timeoutMicros, final Consumer<Object> onPage) {
         final long token = tokens.incrementAndGet();
-        final long end = EventLoop.now() + span;
-        return with(d -> {
-            asked.put(token, then);
-            d.read(start, token, EventLoop.now(), end);
+        final long deadline = EventLoop.nowMicros() + timeoutMicros;
+        return execute(d -> {
+            pendingReplies.put(token, onPage);
+            d.read(keyPrefix, token, EventLoop.nowMicros(), deadline);
         });
     }
 
     /** The wall clock in nanoseconds. */
-    public static long wall() {
-        final java.time.Instant t = java.time.Instant.now();
-        return t.getEpochSecond() * 1_000_000_000L + t.getNano();
+    public static long wallClockNanos() {
+        final java.time.Instant instant = java.time.Instant.now();
+        return instant.getEpochSecond() * 1_000_000_000L + instant.getNano();
     }
 
-    private void beat() {
-        node.tick(EventLoop.now(), wall());
+    private void tick() {
+        node.tick(EventLoop.nowMicros(), wallClockNanos());
         flush();
-        after.accept(node);
+        afterTick.accept(node);
     }
 
     private void flush() {
         node.drainFrames().forEach(transport);
-        final List<Effect> list = node.drain();
-        for (final Effect e : list) {
-            switch (e) {
+        final List<Effect> effects = node.drain();
+        for (final Effect effect : effects) {
+            switch (effect) {
                 case Effect.Respond a ->
-                    java.util.Optional.ofNullable(asked.remove(a.token())).ifPresent(c -> c.accept(a.response()));
-                case Effect.Log l -> Logs.write(l.event(), l.text());
+                    java.util.Optional.ofNullable(pendingReplies.remove(a.token()))
+                            .ifPresent(c -> c.accept(a.response()));
+                case Effect.Log l -> EventLog.write(l.event(), l.text());
                 case Effect.Persist k -> logWriter.accept(k);
                 case Effect.Send s -> throw new IllegalStateException("a send left the node unstamped");
             }
@@ -108,7 +109,7 @@
         if (node.hasDelayedFrames()) {
             loop.post(() -> {
                 java.util.concurrent.locks.LockSupport.parkNanos(200_000L);
-                node.tick(EventLoop.now(), wall());
+                node.tick(EventLoop.nowMicros(), wallClockNanos());
                 flush();
             });
         }
--- a/server/src/main/java/silverlatch/server/gateway/Gateway.java
+++ b/server/src/main/java/silverlatch/server/gateway/Gateway.java
@@ -27,20 +27,20 @@
 import silverlatch.node.Node;
 import silverlatch.placement.ScorerResult;
 import silverlatch.routing.Router;
+import silverlatch.server.eventloop.EventLog;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.eventloop.EventLoopHandle;
-import silverlatch.server.eventloop.Logs;
 import silverlatch.server.proxy.Fields;
 import silverlatch.server.proxy.ProxyServer;
 import silverlatch.server.proxy.WorkerHttpClient;
-import silverlatch.server.replay.Pages;
 import silverlatch.server.replay.Recorder;
+import silverlatch.server.replay.RecordingFormat;
 import silverlatch.server.settings.Settings;
 import silverlatch.server.transport.Transport;
-import silverlatch.server.web.Call;
-import silverlatch.server.web.Doors;
-import silverlatch.server.web.Web;
-import silverlatch.server.web.Words;
+import silverlatch.server.web.AnnouncementJson;
+import silverlatch.server.web.ApiServer;
+import silverlatch.server.web.HttpExchange;
+import silverlatch.server.web.MultiListenerServer;
 import silverlatch.server.workerclient.Back;
 import silverlatch.server.workerclient.Lines;
 import silverlatch.state.CommandResult;
@@ -57,13 +57,13 @@
     private final Node deck;
     private final Dispatcher carry;
     private final Transport dock;
-    private Optional<Web> web = Optional.empty();
+    private Optional<ApiServer> web = Optional.empty();
     private boolean backed;
     private final Back back;
     private final EventLoopHandle bridge;
     private final Optional<Recorder> book;
     private final EventLoop duty;
-    private final Map<Long, Call> calls = new ConcurrentHashMap<>();
+    private final Map<Long, HttpExchange> calls = new ConcurrentHashMap<>();
     private final AtomicLong tokens = new AtomicLong();
     private final Router passage;
     private volatile Optional<ProxyServer> gate = Optional.empty();
@@ -77,24 +77,24 @@
         this.deck = deck;
         this.carry = carry;
         this.passage = passage;
-        this.duty = new EventLoop("carry", 16_384, settings.rates().carry(), this::beat);
-        this.dock = new Transport(settings.address(), this::frame);
-        this.bridge = new EventLoopHandle(deck, settings.rates().deck(), dock::ship, k -> {}, this::publish);
-        this.back = new Back(settings.line(), settings.worker(), this);
-        this.book = settings.record().map(Recorder::new);
+        this.duty = new EventLoop("carry", 16_384, settings.intervals().dispatchTick(), this::beat);
+        this.dock = new Transport(settings.peerAddress(), this::frame);
+        this.bridge = new EventLoopHandle(deck, settings.intervals().nodeTick(), dock::send, k -> {}, this::publish);
+        this.back = new Back(settings.maxLineBytes(), settings.workerKey(), this);
+        this.book = settings.recordFolder().map(Recorder::new);
     }
 
     /** Starts the duties and opens the door for picks. */
-    public void start() throws IOException, Web.WebFault, WorkerHttpClient.WorkerHttpClientFault {
-        web = Optional.of(new Web(settings.door(), settings.body(), this::route));
+    public void start() throws IOException, ApiServer.HttpServerException, WorkerHttpClient.WorkerHttpClientFault {
+        web = Optional.of(new ApiServer(settings.httpAddress(), settings.maxBodyBytes(), this::route));
         begin();
         web.get().start();
-        if (settings.gate().isPresent()) {
+        if (settings.proxyAddress().isPresent()) {
             final WorkerHttpClient lighter = new WorkerHttpClient(WorkerHttpClient.Setup.PLAIN);
             lighter.start();
-            final Doors doors = new Doors(THREADS);
+            final MultiListenerServer doors = new MultiListenerServer(THREADS);
             final ProxyServer proxy = gate(Fields.PLAIN, lighter);
-            proxy.door(doors.add(settings.gate().get(), HEAD, IDLE, proxy));
+            proxy.door(doors.addListener(settings.proxyAddress().get(), HEAD, IDLE, proxy));
             doors.start();
         }
     }
@@ -105,8 +105,9 @@
         dock.start();
         bridge.start();
         duty.start();
-        Logs.write(
-                Event.STARTED, "gateway " + settings.name() + " at " + settings.address() + " door " + settings.door());
+        EventLog.write(
+                Event.STARTED,
+                "gateway " + settings.name() + " at " + settings.peerAddress() + " door " + settings.httpAddress());
     }
 
     /** Stops in good order: unready at once, streams go on within the grace, what is left is told to be lost. */
@@ -115,24 +116,24 @@
             duty.post(carry::stopAccepting);
             duty.post(passage::startDraining);
             gate.ifPresent(ProxyServer::close);
-            bridge.with(d -> d.setReady(false));
-            final long end = EventLoop.now() + settings.grace();
-            TimeUnit.MICROSECONDS.sleep(gate.isEmpty() ? 200_000L : Math.min(LINGER, settings.grace() / 3));
+            bridge.execute(d -> d.setReady(false));
+            final long end = EventLoop.nowMicros() + settings.shutdownGrace();
+            TimeUnit.MICROSECONDS.sleep(gate.isEmpty() ? 200_000L : Math.min(LINGER, settings.shutdownGrace() / 3));
             duty.post(passage::close);
-            while (EventLoop.now() < end
+            while (EventLoop.nowMicros() < end
                     && carry.openRequests() + gate.map(ProxyServer::open).orElse(0) > 0) {
                 TimeUnit.MILLISECONDS.sleep(20);
             }
-            post(() -> carry.shutdown(EventLoop.now()));
-            post(() -> passage.shutdown(EventLoop.now()));
-            bridge.with(d -> d.leave(EventLoop.now()));
+            post(() -> carry.shutdown(EventLoop.nowMicros()));
+            post(() -> passage.shutdown(EventLoop.nowMicros()));
+            bridge.execute(d -> d.leave(EventLoop.nowMicros()));
             TimeUnit.MILLISECONDS.sleep(150);
-            Logs.write(Event.STOPPED, "gateway " + settings.name());
+            EventLog.write(Event.STOPPED, "gateway " + settings.name());
             if (web.isPresent()) {
                 web.get().stop();
             }
-        } catch (final InterruptedException | Web.WebFault e) {
-            Logs.write(Event.STOPPED, "gateway " + settings.name() + " in haste");
+        } catch (final InterruptedException | ApiServer.HttpServerException e) {
+            EventLog.write(Event.STOPPED, "gateway " + settings.name() + " in haste");
         }
     }
 
@@ -143,16 +144,16 @@
 
     @Override
     public void line(final long job, final StreamRecord line) {
-        post(() -> carry.recordReceived(job, line, EventLoop.now()));
+        post(() -> carry.recordReceived(job, line, EventLoop.nowMicros()));
     }
 
     @Override
     public void failed(final long job, final boolean started, final String why) {
-        post(() -> carry.attemptFailed(job, started, why, EventLoop.now()));
+        post(() -> carry.attemptFailed(job, started, why, EventLoop.nowMicros()));
     }
 
     private void frame(final silverlatch.wire.Frame f) {
-        bridge.with(d -> d.onFrame(f, EventLoop.now()));
+        bridge.execute(d -> d.onFrame(f, EventLoop.nowMicros()));
     }
 
     /** Makes the gate for tickets that come by host and path; where there is one it decides when this gateway is ready. */
@@ -164,7 +165,7 @@
 
     /** Takes the seeds that hold from now on. */
     public void seeds(final List<String> next) {
-        bridge.with(d -> d.membership().setSeeds(next));
+        bridge.execute(d -> d.membership().setSeeds(next));
     }
 
     /** Whether tickets are taken, or why not. */
@@ -183,8 +184,8 @@
                 .filter(Member::ready)
                 .toList();
         post(() -> {
-            carry.clusterSnapshot(facts, EventLoop.now());
-            passage.clusterSnapshot(facts, EventLoop.now());
+            carry.clusterSnapshot(facts, EventLoop.nowMicros());
+            passage.clusterSnapshot(facts, EventLoop.nowMicros());
             gate.ifPresent(g -> passage.limits().ifPresent(g::limits));
         });
     }
@@ -197,15 +198,16 @@
     }
 
     private void beat() {
-        carry.tick(EventLoop.now());
-        passage.tick(EventLoop.now());
+        carry.tick(EventLoop.nowMicros());
+        passage.tick(EventLoop.nowMicros());
         act();
-        final Optional<String> why = gate.isEmpty() ? carry.unreadyReason(EventLoop.now()) : passage.unreadyReason();
+        final Optional<String> why =
+                gate.isEmpty() ? carry.unreadyReason(EventLoop.nowMicros()) : passage.unreadyReason();
         if (why.isPresent() != unready.isPresent()) {
-            Logs.write(
+            EventLog.write(
                     why.isPresent() ? Event.UNREADY : Event.READY,
                     settings.name() + why.map(w -> ": " + w).orElse(""));
-            bridge.with(d -> d.setReady(why.isEmpty()));
+            bridge.execute(d -> d.setReady(why.isEmpty()));
         }
         unready = why;
     }
@@ -244,13 +246,14 @@
                 case DispatchEffect.StartAttempt r -> run(r);
                 case DispatchEffect.CancelAttempt c -> back.cut(c.operationId());
                 case DispatchEffect.SubmitCommand c ->
-                    bridge.wish(
+                    bridge.submit(
                             c.command(),
                             c.timeout(),
-                            v -> post(() -> carry.claimDecided(c.operationId(), (CommandResult) v, EventLoop.now())));
-                case DispatchEffect.PlacementDecided j -> book.ifPresent(b -> b.write(Pages.write(j)));
-                case DispatchEffect.RequestEnded e -> book.ifPresent(b -> b.write(Pages.write(e)));
-                case DispatchEffect.Log l -> Logs.write(l.event(), l.text());
+                            v -> post(() ->
+                                    carry.claimDecided(c.operationId(), (CommandResult) v, EventLoop.nowMicros())));
+                case DispatchEffect.PlacementDecided j -> book.ifPresent(b -> b.write(RecordingFormat.write(j)));
+                case DispatchEffect.RequestEnded e -> book.ifPresent(b -> b.write(RecordingFormat.write(e)));
+                case DispatchEffect.Log l -> EventLog.write(l.event(), l.text());
             }
         }
     }
@@ -263,30 +266,30 @@
             }
             back.run(r);
         } catch (final Back.BackFault e) {
-            Logs.write(Event.FAULT, "no run can be sent", e);
-            post(() -> carry.attemptFailed(r.operationId(), false, "no client", EventLoop.now()));
+            EventLog.write(Event.FAULT, "no run can be sent", e);
+            post(() -> carry.attemptFailed(r.operationId(), false, "no client", EventLoop.nowMicros()));
         }
     }
 
-    private void call(final long token, final java.util.function.Consumer<Call> job) {
+    private void call(final long token, final java.util.function.Consumer<HttpExchange> job) {
         Optional.ofNullable(calls.remove(token)).ifPresent(job);
     }
 
     private void flow(final DispatchEffect.StreamWrite f) {
-        final Optional<Call> call =
+        final Optional<HttpExchange> call =
                 Optional.ofNullable(f.endOfStream() ? calls.remove(f.callId()) : calls.get(f.callId()));
-        call.ifPresent(c -> c.stream(
+        call.ifPresent(c -> c.writeLines(
                 f.records().stream().map(Lines::write).collect(Collectors.joining()),
                 f.endOfStream(),
                 () -> post(() -> carry.readerReady(f.callId())),
                 () -> {
                     calls.remove(f.callId());
-                    post(() -> carry.readerDisconnected(f.callId(), EventLoop.now()));
+                    post(() -> carry.readerDisconnected(f.callId(), EventLoop.nowMicros()));
                 }));
     }
 
     private static void reject(
-            final Call c,
+            final HttpExchange c,
             final int code,
             final String ticket,
             final String why,
@@ -304,7 +307,7 @@
     }
 
     /** Replies to a call at this gateway's own door, for one that opens doors itself. */
-    public void route(final Call c) {
+    public void route(final HttpExchange c) {
         final String at = c.method() + " " + c.path();
         switch (at) {
             case "POST /v1/picks" -> pick(c);
@@ -327,8 +330,8 @@
         }
     }
 
-    private Optional<JsonDocument> sheet(final Call c) {
-        return switch (JsonDocument.parse(c.body(), settings.body())) {
+    private Optional<JsonDocument> sheet(final HttpExchange c) {
+        return switch (JsonDocument.parse(c.body(), settings.maxBodyBytes())) {
             case JsonDocument.ParseResult.Invalid bad -> {
                 c.reply(bad.code(), Map.of("outcome", "rejected", "faults", List.of(bad.reason())));
                 yield Optional.empty();
@@ -337,7 +340,7 @@
         };
     }
 
-    private static boolean faulty(final Call c, final JsonDocument s) {
+    private static boolean faulty(final HttpExchange c, final JsonDocument s) {
         final List<String> faults = s.finish();
         if (!faults.isEmpty()) {
             c.reply(422, Map.of("outcome", "rejected", "faults", faults));
@@ -345,12 +348,12 @@
         return !faults.isEmpty();
     }
 
-    private void begin(final Call c, final java.util.function.LongConsumer job) {
+    private void begin(final HttpExchange c, final java.util.function.LongConsumer job) {
         final long token = tokens.incrementAndGet();
         calls.put(token, c);
-        c.gone(() -> {
+        c.onDisconnect(() -> {
             Optional.ofNullable(calls.remove(token))
-                    .ifPresent(gone -> post(() -> carry.readerDisconnected(token, EventLoop.now())));
+                    .ifPresent(gone -> post(() -> carry.readerDisconnected(token, EventLoop.nowMicros())));
         });
         if (!post(() -> job.accept(token))) {
             calls.remove(token);
@@ -358,10 +361,10 @@
         }
     }
 
-    private void pick(final Call c) {
+    private void pick(final HttpExchange c) {
         sheet(c).ifPresent(s -> {
             final PlacementRequest o = new PlacementRequest(
-                    c.secret(),
+                    c.bearerToken(),
                     s.string("tenant", 64),
                     s.string("kind", 64),
                     s.strings("prefix", 64, 128),
@@ -369,48 +372,48 @@
                     s.string("key", 128, ""),
                     (int) s.integer("tries", 0, 1_000, 0));
             if (!faulty(c, s)) {
-                begin(c, token -> carry.requestPlacement(o, token, EventLoop.now()));
+                begin(c, token -> carry.requestPlacement(o, token, EventLoop.nowMicros()));
             }
         });
     }
 
-    private void ticket(final Call c) {
+    private void ticket(final HttpExchange c) {
         sheet(c).ifPresent(s -> {
             final SubmittedRequest l = new SubmittedRequest(
-                    c.secret(),
+                    c.bearerToken(),
                     s.string("permit", 4096),
                     s.strings("prefix", 64, 128),
-                    s.string("prompt", settings.body()),
+                    s.string("prompt", settings.maxBodyBytes()),
                     s.integer("expiryMs", 1, 3_600_000, 30_000) * 1000);
             if (!faulty(c, s)) {
-                begin(c, token -> carry.submit(l, token, EventLoop.now()));
+                begin(c, token -> carry.submit(l, token, EventLoop.nowMicros()));
             }
         });
     }
 
-    private void attach(final Call c, final String ticket) {
-        final String from = c.query("from").orElse("0");
+    private void attach(final HttpExchange c, final String ticket) {
+        final String from = c.queryParameter("from").orElse("0");
         if (!from.matches("\\d{1,9}")) {
             c.reply(400, Map.of("outcome", "rejected", "faults", List.of("from: a piece's number is needed")));
             return;
         }
-        final String secret = c.secret();
-        begin(c, token -> carry.attach(ticket, secret, Long.parseLong(from), token, EventLoop.now()));
+        final String secret = c.bearerToken();
+        begin(c, token -> carry.attach(ticket, secret, Long.parseLong(from), token, EventLoop.nowMicros()));
     }
 
-    private void announce(final Call c) {
-        if (!PermitSigner.constantTimeEquals(c.secret(), settings.worker())) {
+    private void announce(final HttpExchange c) {
+        if (!PermitSigner.constantTimeEquals(c.bearerToken(), settings.workerKey())) {
             c.reply(401, Map.of("outcome", "rejected", "faults", List.of("the workers' key is needed")));
             return;
         }
         sheet(c).ifPresent(s -> {
-            final Worker w = Words.read(s);
-            final long echo = Words.echo(s);
+            final Worker w = AnnouncementJson.read(s);
+            final long echo = AnnouncementJson.echo(s);
             if (faulty(c, s)) {
                 return;
             }
-            if (!bridge.with(d -> {
-                final long next = d.onAnnouncement(w, echo, EventLoop.now());
+            if (!bridge.execute(d -> {
+                final long next = d.onAnnouncement(w, echo, EventLoop.nowMicros());
                 c.reply(
                         200,
                         Map.of("echo", next, "table", d.gossip().stateMachine().policyRevision()));
@@ -421,15 +424,15 @@
         });
     }
 
-    private boolean operator(final Call c) {
-        final boolean good = PermitSigner.constantTimeEquals(c.secret(), settings.operator());
+    private boolean operator(final HttpExchange c) {
+        final boolean good = PermitSigner.constantTimeEquals(c.bearerToken(), settings.operatorKey());
         if (!good) {
             c.reply(401, Map.of("outcome", "rejected", "faults", List.of("the operator's key is needed")));
         }
         return good;
     }
 
-    private void explain(final Call c, final String ticket) {
+    private void explain(final HttpExchange c, final String ticket) {
         if (operator(c)) {
             post(() -> carry.traces()
                     .get(ticket)
@@ -480,12 +483,12 @@
         return map;
     }
 
-    private void status(final Call c) {
+    private void status(final HttpExchange c) {
         if (!operator(c)) {
             return;
         }
-        bridge.with(d -> {
-            final long now = EventLoop.now();
+        bridge.execute(d -> {
+            final long now = EventLoop.nowMicros();
             final Map<String, Object> map = new TreeMap<>();
             map.put("name", settings.name());
             map.put("ready", unready.isEmpty());
@@ -517,7 +520,7 @@
         });
     }
 
-    private void metrics(final Call c) {
+    private void metrics(final HttpExchange c) {
         post(() -> {
             final Map<String, Object> all = new TreeMap<>();
             carry.counters().forEach((k, v) -> all.put("carry_" + k, v));
@@ -525,7 +528,7 @@
             passage.counters().forEach((k, v) -> all.put("passage_" + k, v));
             all.put("passage_open", passage.openRequests());
             all.put("passage_charter", passage.configurationNumber());
-            bridge.with(d -> {
+            bridge.execute(d -> {
                 final var n = d.processClock().counts();
                 all.put("tide_waits", n.waits());
                 all.put("tide_carries", n.overflows());
@@ -533,9 +536,9 @@
                 all.put("tide_dropped", n.dropped());
                 d.counters().forEach((k, v) -> all.put("deck_" + k, v));
                 all.put("wire_bad", dock.bad());
-                all.put("wire_dropped", dock.dropped());
-                all.put("ring_full", duty.full() + bridge.eventLoop().full());
-                c.text(all.entrySet().stream()
+                all.put("wire_dropped", dock.droppedFrames());
+                all.put("ring_full", duty.rejectedTasks() + bridge.eventLoop().rejectedTasks());
+                c.replyText(all.entrySet().stream()
                                 .map(e -> "silverlatch_" + e.getKey() + " " + e.getValue())
                                 .collect(Collectors.joining("\n"))
                         + "\n");
--- a/server/src/main/java/silverlatch/server/gateway/Main.java
+++ b/server/src/main/java/silverlatch/server/gateway/Main.java
@@ -16,10 +16,10 @@
 import silverlatch.node.Event;
 import silverlatch.node.Node;
 import silverlatch.routing.Router;
+import silverlatch.server.eventloop.EventLog;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.eventloop.EventLoopHandle;
-import silverlatch.server.eventloop.Logs;
-import silverlatch.server.settings.Flags;
+import silverlatch.server.settings.CommandLineFlags;
 import silverlatch.server.settings.Settings;
 
 /** The program gateway. */
@@ -28,16 +28,16 @@
 
     /** Runs a gateway until it is told to stop. */
     public static void main(final String[] args) {
-        switch (Flags.parse("gateway", args, false, System.out, System.err)) {
-            case Flags.Parsed.End end -> System.exit(end.code());
-            case Flags.Parsed.Run run -> {
+        switch (CommandLineFlags.parse("gateway", args, false, System.out, System.err)) {
+            case CommandLineFlags.Parsed.Exit end -> System.exit(end.code());
+            case CommandLineFlags.Parsed.Run run -> {
                 try {
                     final Gateway gateway = build(run.settings());
                     Runtime.getRuntime().addShutdownHook(new Thread(gateway::stop, "stop"));
                     gateway.start();
                     Thread.currentThread().join();
                 } catch (final Exception e) {
-                    Logs.write(Event.FAULT, "gateway can't start", e);
+                    EventLog.write(Event.FAULT, "gateway can't start", e);
                     Runtime.getRuntime().halt(3);
                 }
             }
@@ -78,18 +78,27 @@
         @Provides
         @Singleton
         static Node deck(final Settings s, final SplittableRandom luck) {
-            final long now = EventLoop.now();
-            final long wall = EventLoopHandle.wall();
+            final long now = EventLoop.nowMicros();
+            final long wall = EventLoopHandle.wallClockNanos();
             final Member me = new Member(
-                    s.name(), "gateway", s.zone(), s.region(), s.address(), s.door(), wall / 1000, 0, "up", false);
+                    s.name(),
+                    "gateway",
+                    s.zone(),
+                    s.region(),
+                    s.peerAddress(),
+                    s.httpAddress(),
+                    wall / 1000,
+                    0,
+                    "up",
+                    false);
             return new Node(
                     new Node.Settings(
                             me,
                             s.seeds(),
-                            s.low(),
-                            s.skew(),
-                            s.rates().crew(),
-                            s.rates().rumor()),
+                            s.stampLowBits(),
+                            s.maxClockSkew(),
+                            s.intervals().membership(),
+                            s.intervals().gossip()),
                     Optional.empty(),
                     List.of(),
                     new PhysicalClock(wall, now, 0),
@@ -101,10 +110,10 @@
         @Singleton
         static Dispatcher carry(final Settings s, final Node deck, final SplittableRandom luck) {
             return new Dispatcher(
-                    s.carry(),
-                    new PermitSigner(s.key()),
+                    s.dispatch(),
+                    new PermitSigner(s.clusterKey()),
                     deck.facts(),
-                    () -> deck.localStamp(EventLoop.now()),
+                    () -> deck.localStamp(EventLoop.nowMicros()),
                     luck.split());
         }
 
@@ -112,7 +121,7 @@
         @Singleton
         static Router passage(final Settings s, final Node deck, final SplittableRandom luck) {
             return new Router(
-                    Router.Settings.DEFAULT, deck.facts(), () -> deck.localStamp(EventLoop.now()), luck.split());
+                    Router.Settings.DEFAULT, deck.facts(), () -> deck.localStamp(EventLoop.nowMicros()), luck.split());
         }
     }
 }
--- a/server/src/main/java/silverlatch/server/proxy/ProxiedRequest.java
+++ b/server/src/main/java/silverlatch/server/proxy/ProxiedRequest.java
@@ -77,7 +77,7 @@
         exchange.ifPresent(WorkerExchange::drop);
         exchange = Optional.empty();
         if (ended) {
-            proxy.tell(router -> router.clientDisconnected(token, EventLoop.now()));
+            proxy.tell(router -> router.clientDisconnected(token, EventLoop.nowMicros()));
             return;
         }
         if (committed && lastEventId.isEmpty()) {
@@ -147,7 +147,7 @@
                 length(from, bytes.length);
                 response.write(true, ByteBuffer.wrap(bytes), callback);
             });
-            proxy.tell(router -> router.responseCompleted(job, false, EventLoop.now()));
+            proxy.tell(router -> router.responseCompleted(job, false, EventLoop.nowMicros()));
         });
     }
 
@@ -189,7 +189,7 @@
         if (feeds(from)) {
             write(rest, true, () -> {
                 proxy.done(token);
-                proxy.tell(router -> router.responseCompleted(from.job(), true, EventLoop.now()));
+                proxy.tell(router -> router.responseCompleted(from.job(), true, EventLoop.nowMicros()));
             });
         }
     }
--- a/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
+++ b/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
@@ -18,9 +18,9 @@
 import silverlatch.routing.RoutedRequest;
 import silverlatch.routing.Router;
 import silverlatch.routing.RoutingEffect;
+import silverlatch.server.eventloop.EventLog;
 import silverlatch.server.eventloop.EventLoop;
-import silverlatch.server.eventloop.Logs;
-import silverlatch.server.web.Doors;
+import silverlatch.server.web.MultiListenerServer;
 import silverlatch.state.Value;
 
 /** Where requests come in by host and path: it reads them whole, and does what the router decides. */
@@ -35,7 +35,7 @@
     private final Set<ProxySafeguard> down;
     private final Map<Long, ProxiedRequest> requests = new ConcurrentHashMap<>();
     private final AtomicLong tokens = new AtomicLong();
-    private volatile Optional<Doors.Door> door = Optional.empty();
+    private volatile Optional<MultiListenerServer.Listener> door = Optional.empty();
     private volatile Optional<Value.RoutingConfiguration> limits = Optional.empty();
     private volatile int maxBodyBytes = 4 << 20;
     private volatile boolean closing;
@@ -62,9 +62,9 @@
     }
 
     /** The door at which clients come in; it follows the limits of the configuration in force. */
-    public void door(final Doors.Door at) {
+    public void door(final MultiListenerServer.Listener at) {
         door = Optional.of(at);
-        limits.ifPresent(now -> at.limits(now.maxHeaderBytes(), now.idleTimeoutMicros() / 1000));
+        limits.ifPresent(now -> at.updateLimits(now.maxHeaderBytes(), now.idleTimeoutMicros() / 1000));
     }
 
     /** Takes the limits of the configuration in force, also for connections that rest now. */
@@ -72,7 +72,7 @@
         if (limits.filter(next::equals).isEmpty()) {
             limits = Optional.of(next);
             maxBodyBytes = Math.min(MAX_BODY_BYTES, next.maxBodyBytes());
-            door.ifPresent(at -> at.limits(next.maxHeaderBytes(), next.idleTimeoutMicros() / 1000));
+            door.ifPresent(at -> at.updateLimits(next.maxHeaderBytes(), next.idleTimeoutMicros() / 1000));
         }
     }
 
@@ -121,7 +121,7 @@
             case RoutingEffect.Fail f -> take(f.callId()).ifPresent(p -> p.fail(f));
             case RoutingEffect.ForwardResponse p -> take(p.callId()).ifPresent(r -> r.pass(p.attemptId()));
             case RoutingEffect.CancelAttempt c -> requests.values().forEach(r -> r.cut(c.attemptId()));
-            case RoutingEffect.Log l -> Logs.write(l.event(), l.text());
+            case RoutingEffect.Log l -> EventLog.write(l.event(), l.text());
         }
     }
 
@@ -162,7 +162,7 @@
     }
 
     private void left(final long token) {
-        tell(r -> r.clientDisconnected(token, EventLoop.now()));
+        tell(r -> r.clientDisconnected(token, EventLoop.nowMicros()));
     }
 
     private Optional<ProxiedRequest> find(final long token) {
@@ -184,7 +184,7 @@
         requests.put(token, new ProxiedRequest(this, token, attemptId, request, response, callback, body));
         request.addIdleTimeoutListener(timeout -> false);
         request.addFailureListener(fault -> abandon(token));
-        if (!tell(r -> r.requestArrived(routed, EventLoop.now()))) {
+        if (!tell(r -> r.requestArrived(routed, EventLoop.nowMicros()))) {
             take(token)
                     .ifPresent(r -> r.reject(new RoutingEffect.Reject(
                             token,
--- a/server/src/main/java/silverlatch/server/proxy/WorkerExchange.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerExchange.java
@@ -112,7 +112,7 @@
         }
         if (success() && !over.get() && owner.begin(this, from.getStatus(), from.getHeaders())) {
             final Optional<Router.ReportedLoad> load = load(from);
-            proxy.tell(router -> router.responseStarted(send.attemptId(), load, EventLoop.now()));
+            proxy.tell(router -> router.responseStarted(send.attemptId(), load, EventLoop.nowMicros()));
         }
     }
 
@@ -138,7 +138,7 @@
             more.run();
             return;
         }
-        proxy.tell(router -> router.eventForwarded(send.attemptId(), EventLoop.now()));
+        proxy.tell(router -> router.eventForwarded(send.attemptId(), EventLoop.nowMicros()));
         if (!owner.pass(this, ready, events.last(), more)) {
             more.run();
         }
@@ -168,7 +168,7 @@
         }
         response.ifPresent(from -> {
             final Optional<Router.ReportedLoad> load = load(from);
-            proxy.tell(router -> router.errorResponse(send.attemptId(), from.getStatus(), load, EventLoop.now()));
+            proxy.tell(router -> router.errorResponse(send.attemptId(), from.getStatus(), load, EventLoop.nowMicros()));
         });
     }
 
@@ -179,7 +179,7 @@
     }
 
     private void failed(final FailurePoint point) {
-        proxy.tell(router -> router.attemptFailed(send.attemptId(), point, EventLoop.now()));
+        proxy.tell(router -> router.attemptFailed(send.attemptId(), point, EventLoop.nowMicros()));
     }
 
     private boolean success() {
--- a/server/src/main/java/silverlatch/server/proxy/WorkerHttpClient.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerHttpClient.java
@@ -11,7 +11,7 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
-import silverlatch.server.web.Abrupt;
+import silverlatch.server.web.ResettingClientConnector;
 
 /**
  * The HTTP client towards workers. Its connections are pooled for a short time only. It follows no redirect, answers no
@@ -45,7 +45,7 @@
         pool.setName("worker-http");
         pool.setDaemon(true);
         pool.setReservedThreads(0);
-        final ClientConnector connector = new Abrupt();
+        final ClientConnector connector = new ResettingClientConnector();
         connector.setExecutor(pool);
         connector.setSelectors(1);
         http = new HttpClient(new WorkerTransport(connector, !down.contains(ProxySafeguard.LEFTOVER_BYTES)));
--- a/server/src/main/java/silverlatch/server/replay/Main.java
+++ b/server/src/main/java/silverlatch/server/replay/Main.java
@@ -18,7 +18,7 @@
 import silverlatch.placement.PlacementContext;
 import silverlatch.placement.ScorerResult;
 import silverlatch.placement.WeightedScorers;
-import silverlatch.server.settings.Flags;
+import silverlatch.server.settings.CommandLineFlags;
 import silverlatch.state.Value;
 
 /** The tool replay: judges a recorded day again, under its own table or another one, and shows which picks change and why. */
@@ -61,7 +61,7 @@
             return 2;
         }
         if (help || version) {
-            out.println(version ? "replay " + Flags.VERSION : "replay [flags] RECORDING ...");
+            out.println(version ? "replay " + CommandLineFlags.VERSION : "replay [flags] RECORDING ...");
             if (help) {
                 parser.printUsage(out);
             }
@@ -73,74 +73,86 @@
         }
         final List<String> faults = new ArrayList<>();
         final Optional<Map<String, Value.Row>> rows =
-                table.isEmpty() ? Optional.empty() : Optional.of(Pages.table(Path.of(table), faults));
-        final Pages.Read read = Pages.read(files.stream().map(Path::of).toList());
-        if (read instanceof Pages.Read.Bad bad) {
+                table.isEmpty() ? Optional.empty() : Optional.of(RecordingFormat.readTable(Path.of(table), faults));
+        final RecordingFormat.ReadResult read =
+                RecordingFormat.read(files.stream().map(Path::of).toList());
+        if (read instanceof RecordingFormat.ReadResult.Invalid bad) {
             faults.addAll(bad.faults());
         }
         if (!faults.isEmpty()) {
             faults.forEach(f -> err.println("replay: " + f));
             return 2;
         }
-        replay(((Pages.Read.Good) read).day(), rows, out);
+        replay(((RecordingFormat.ReadResult.Valid) read).recording(), rows, out);
         return 0;
     }
 
-    private void replay(final Pages.Day day, final Optional<Map<String, Value.Row>> rows, final PrintStream out) {
-        final WeightedScorers court = WeightedScorers.allScorers(word);
-        final Map<String, Integer> tally = new TreeMap<>();
-        int same = 0;
-        int shown = 0;
-        for (final DispatchEffect.PlacementDecided j : day.judged()) {
-            final PlacementContext old = j.context();
-            final Optional<Value.Row> row = rows.map(r -> Optional.ofNullable(
-                                    r.get(old.tenant().name() + "/" + old.row().kind()))
-                            .or(() -> Optional.ofNullable(r.get("*/" + old.row().kind()))))
-                    .orElse(Optional.of(old.row()));
+    private void replay(
+            final RecordingFormat.Recording recording,
+            final Optional<Map<String, Value.Row>> rows,
+            final PrintStream out) {
+        final WeightedScorers scorers = WeightedScorers.allScorers(word);
+        final Map<String, Integer> counts = new TreeMap<>();
+        int sameCount = 0;
+        int shownCount = 0;
+        for (final DispatchEffect.PlacementDecided placement : recording.placements()) {
+            final PlacementContext recorded = placement.context();
+            final Optional<Value.Row> row = rows.map(r -> Optional.ofNullable(r.get(recorded.tenant()
+                                            .name() + "/" + recorded.row().kind()))
+                            .or(() -> Optional.ofNullable(
+                                    r.get("*/" + recorded.row().kind()))))
+                    .orElse(Optional.of(recorded.row()));
             if (row.isEmpty()) {
-                tally.merge("kind " + old.row().kind() + " is not in the table", 1, Integer::sum);
+                counts.merge("kind " + recorded.row().kind() + " is not in the table", 1, Integer::sum);
                 continue;
             }
-            final PlacementContext plea = new PlacementContext(
-                    old.requestId(),
-                    old.tenant(),
+            final PlacementContext request = new PlacementContext(
+                    recorded.requestId(),
+                    recorded.tenant(),
                     row.get(),
-                    old.prefixDigests(),
-                    old.gatewayZone(),
-                    old.gatewayRegion(),
-                    old.evacuatingZones());
-            final WeightedScorers.Decision ruling = court.select(plea, j.candidates(), new SplittableRandom(j.seed()));
-            final String now = ruling instanceof WeightedScorers.Decision.Selected p
+                    recorded.prefixDigests(),
+                    recorded.gatewayZone(),
+                    recorded.gatewayRegion(),
+                    recorded.evacuatingZones());
+            final WeightedScorers.Decision decision =
+                    scorers.select(request, placement.candidates(), new SplittableRandom(placement.seed()));
+            final String chosen = decision instanceof WeightedScorers.Decision.Selected p
                     ? p.candidate().worker().id()
                     : "";
-            if (now.equals(j.worker())) {
-                same++;
+            if (chosen.equals(placement.worker())) {
+                sameCount++;
                 continue;
             }
-            tally.merge(old.row().kind() + " changed", 1, Integer::sum);
-            if (shown++ < most) {
-                show(j, ruling, now, day.ends().getOrDefault(old.requestId(), "open"), out);
+            counts.merge(recorded.row().kind() + " changed", 1, Integer::sum);
+            if (shownCount++ < most) {
+                show(
+                        placement,
+                        decision,
+                        chosen,
+                        recording.endStates().getOrDefault(recorded.requestId(), "open"),
+                        out);
             }
         }
-        out.println(day.judged().size() + " picks, " + same + " the same, "
-                + (day.judged().size() - same) + " changed");
-        tally.forEach((k, v) -> out.println("  " + k + ": " + v));
+        out.println(recording.placements().size() + " picks, " + sameCount + " the same, "
+                + (recording.placements().size() - sameCount) + " changed");
+        counts.forEach((k, v) -> out.println("  " + k + ": " + v));
     }
 
     private static void show(
-            final DispatchEffect.PlacementDecided j,
-            final WeightedScorers.Decision ruling,
-            final String now,
-            final String end,
+            final DispatchEffect.PlacementDecided placement,
+            final WeightedScorers.Decision decision,
+            final String chosen,
+            final String endState,
             final PrintStream out) {
-        out.println("ticket " + j.context().requestId() + " "
-                + j.context().tenant().name() + " "
-                + j.context().row().kind() + ": " + name(j.worker()) + " -> " + name(now) + " (page " + j.revision()
-                + ", stamp " + j.timestamp() + ", it ended " + end + ")");
-        final Map<String, String> why = new LinkedHashMap<>();
-        ruling.scores().stream()
-                .filter(o -> o.worker().equals(now) || o.worker().equals(j.worker()))
-                .forEach(o -> why.merge(
+        out.println("ticket " + placement.context().requestId() + " "
+                + placement.context().tenant().name() + " "
+                + placement.context().row().kind() + ": " + name(placement.worker()) + " -> " + name(chosen) + " (page "
+                + placement.revision()
+                + ", stamp " + placement.timestamp() + ", it ended " + endState + ")");
+        final Map<String, String> reasons = new LinkedHashMap<>();
+        decision.scores().stream()
+                .filter(o -> o.worker().equals(chosen) || o.worker().equals(placement.worker()))
+                .forEach(o -> reasons.merge(
                         o.scorer(),
                         o.worker() + " "
                                 + switch (o.result()) {
@@ -149,7 +161,7 @@
                                     case ScorerResult.Deferred l -> "later: " + l.reason();
                                 },
                         (a, b) -> a + ", " + b));
-        why.forEach((k, v) -> out.println("    " + k + ": " + v));
+        reasons.forEach((k, v) -> out.println("    " + k + ": " + v));
     }
 
     private static String name(final String worker) {
--- a/server/src/main/java/silverlatch/server/replay/Recorder.java
+++ b/server/src/main/java/silverlatch/server/replay/Recorder.java
@@ -10,16 +10,16 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.atomic.AtomicLong;
 import silverlatch.node.Event;
-import silverlatch.server.eventloop.Logs;
+import silverlatch.server.eventloop.EventLog;
 import silverlatch.util.Threads;
 
 /** The duty that records a gateway's day: a few files of bounded size, the oldest given up first. */
 public final class Recorder {
-    private static final long MOST = 16L << 20;
-    private static final int FILES = 4;
-    private final BlockingQueue<String> ring = new ArrayBlockingQueue<>(8_192);
+    private static final long MAX_FILE_BYTES = 16L << 20;
+    private static final int MAX_FILES = 4;
+    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(8_192);
     private final Path folder;
-    private final AtomicLong dropped = new AtomicLong();
+    private final AtomicLong droppedLines = new AtomicLong();
 
     /** A recorder into a folder. */
     public Recorder(final String folder) {
@@ -33,48 +33,48 @@
 
     /** Takes a line; it is dropped and counted when the ring is full, for tickets go first. */
     public void write(final String line) {
-        if (!ring.offer(line)) {
-            dropped.incrementAndGet();
+        if (!queue.offer(line)) {
+            droppedLines.incrementAndGet();
         }
     }
 
     /** How many lines were dropped. */
-    public long dropped() {
-        return dropped.get();
+    public long droppedLines() {
+        return droppedLines.get();
     }
 
     private void run() {
         try {
             Files.createDirectories(folder);
             while (true) {
-                turn();
-                fill();
+                rotateFiles();
+                writeFile();
             }
         } catch (final IOException e) {
-            Logs.write(Event.RECORD_BROKEN, folder + " " + e.getMessage());
+            EventLog.write(Event.RECORD_BROKEN, folder + " " + e.getMessage());
         } catch (final InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void turn() throws IOException {
-        for (int i = FILES - 1; i > 0; i--) {
+    private void rotateFiles() throws IOException {
+        for (int i = MAX_FILES - 1; i > 0; i--) {
             if (Files.exists(file(i - 1))) {
                 Files.move(file(i - 1), file(i), StandardCopyOption.REPLACE_EXISTING);
             }
         }
     }
 
-    private void fill() throws IOException, InterruptedException {
-        long size = 0;
+    private void writeFile() throws IOException, InterruptedException {
+        long bytesWritten = 0;
         try (BufferedWriter out = Files.newBufferedWriter(file(0), StandardCharsets.UTF_8)) {
-            out.write(Pages.HEAD + "\n");
-            while (size < MOST) {
-                final String line = ring.take();
+            out.write(RecordingFormat.HEADER + "\n");
+            while (bytesWritten < MAX_FILE_BYTES) {
+                final String line = queue.take();
                 out.write(line);
                 out.write('\n');
-                size += line.length() + 1;
-                if (ring.isEmpty()) {
+                bytesWritten += line.length() + 1;
+                if (queue.isEmpty()) {
                     out.flush();
                 }
             }
--- a/server/src/main/java/silverlatch/server/settings/Flags.java
+++ b/server/src/main/java/silverlatch/server/settings/CommandLineFlags.java
@@ -10,10 +10,10 @@
 import org.kohsuke.args4j.Option;
 import org.kohsuke.args4j.ParserProperties;
 import silverlatch.node.Event;
-import silverlatch.server.eventloop.Logs;
+import silverlatch.server.eventloop.EventLog;
 
 /** The flags of gateway and controller. */
-public final class Flags {
+public final class CommandLineFlags {
     /** The product's version. */
     public static final String VERSION = "0.1.0";
 
@@ -62,17 +62,17 @@
         record Run(Settings settings) implements Parsed {}
 
         /** End with this code; all is said. */
-        record End(int code) implements Parsed {}
+        record Exit(int code) implements Parsed {}
     }
 
     /** Reads a command line and the settings it names. */
     public static Parsed parse(
             final String program,
             final String[] args,
-            final boolean controller,
+            final boolean isController,
             final PrintStream out,
             final PrintStream err) {
-        final Flags flags = new Flags();
+        final CommandLineFlags flags = new CommandLineFlags();
         final CmdLineParser parser =
                 new CmdLineParser(flags, ParserProperties.defaults().withUsageWidth(100));
         try {
@@ -80,46 +80,47 @@
         } catch (final CmdLineException e) {
             err.println(program + ": " + e.getMessage());
             err.println("try " + program + " --help");
-            return new Parsed.End(2);
+            return new Parsed.Exit(2);
         }
         if (flags.help) {
             out.println(program + " [flags]");
             parser.printUsage(out);
-            return new Parsed.End(0);
+            return new Parsed.Exit(0);
         }
         if (flags.version) {
             out.println(program + " " + VERSION);
-            return new Parsed.End(0);
+            return new Parsed.Exit(0);
         }
-        return switch (Settings.read(Optional.of(flags.settings).filter(s -> !s.isEmpty()), flags.over(), controller)) {
-            case Settings.Read.Bad bad -> {
-                Logs.write(Event.SETTINGS, bad.faults().size() + " faults");
+        return switch (Settings.read(
+                Optional.of(flags.settings).filter(s -> !s.isEmpty()), flags.overrides(), isController)) {
+            case Settings.ReadResult.Invalid bad -> {
+                EventLog.write(Event.SETTINGS, bad.faults().size() + " faults");
                 bad.faults().forEach(f -> err.println(program + ": " + f));
-                yield new Parsed.End(2);
+                yield new Parsed.Exit(2);
             }
-            case Settings.Read.Good good -> {
+            case Settings.ReadResult.Valid good -> {
                 if (flags.check) {
                     out.println(program + ": the settings are sound");
-                    yield new Parsed.End(0);
+                    yield new Parsed.Exit(0);
                 }
                 yield new Parsed.Run(good.settings());
             }
         };
     }
 
-    private Map<String, Object> over() {
-        final Map<String, Object> map = new HashMap<>();
+    private Map<String, Object> overrides() {
+        final Map<String, Object> overrides = new HashMap<>();
         final Map<String, String> texts = Map.of(
                 "name", name, "zone", zone, "region", region, "address", address, "door", door, "data", data, "record",
                 record, "gate", gate);
         texts.forEach((k, v) -> {
             if (!v.isEmpty()) {
-                map.put(k, v);
+                overrides.put(k, v);
             }
         });
         if (!seeds.isEmpty()) {
-            map.put("seeds", List.of(seeds.split(",")));
+            overrides.put("seeds", List.of(seeds.split(",")));
         }
-        return map;
+        return overrides;
     }
 }
--- a/server/src/main/java/silverlatch/server/tool/Main.java
+++ b/server/src/main/java/silverlatch/server/tool/Main.java
@@ -27,13 +27,13 @@
 import org.kohsuke.args4j.Option;
 import org.kohsuke.args4j.ParserProperties;
 import silverlatch.json.JsonDocument;
-import silverlatch.server.settings.Flags;
+import silverlatch.server.settings.CommandLineFlags;
 
 /** The operators' command. Exit codes: 0 done, 1 rejected, 2 wrong use, 3 not reached, 4 not known. */
 public final class Main {
-    private static final int LARGEST = 64 << 20;
-    private static final String PAPER = "/v1/charter";
-    private static final String USE = """
+    private static final int MAX_REPLY_BYTES = 64 << 20;
+    private static final String CONFIGURATION_PATH = "/v1/charter";
+    private static final String USAGE = """
             silverlatch [flags] COMMAND
               table get                              show the table
               table put FILE                         put a whole table (JSON with rows)
@@ -79,7 +79,7 @@
     private boolean version;
 
     @Argument(metaVar = "COMMAND")
-    private List<String> words = new ArrayList<>();
+    private List<String> commandWords = new ArrayList<>();
 
     private Main() {}
 
@@ -98,26 +98,28 @@
             return 2;
         }
         if (help) {
-            out.println(USE);
+            out.println(USAGE);
             parser.printUsage(out);
             return 0;
         }
         if (version) {
-            out.println("silverlatch " + Flags.VERSION);
+            out.println("silverlatch " + CommandLineFlags.VERSION);
             return 0;
         }
         try {
-            if (words.size() == 3
-                    && words.get(0).equals("table")
-                    && words.get(1).equals("diff")) {
-                return diff(Files.readAllBytes(Path.of(words.get(2))), out, err);
+            if (commandWords.size() == 3
+                    && commandWords.get(0).equals("table")
+                    && commandWords.get(1).equals("diff")) {
+                return diff(Files.readAllBytes(Path.of(commandWords.get(2))), out, err);
             }
-            if (!words.isEmpty() && words.size() < 3 && words.get(0).equals("claims")) {
-                return claims(words.size() > 1 ? words.get(1) : "running", out, err);
+            if (!commandWords.isEmpty()
+                    && commandWords.size() < 3
+                    && commandWords.get(0).equals("claims")) {
+                return claims(commandWords.size() > 1 ? commandWords.get(1) : "running", out, err);
             }
-            final Optional<Ask> ask = ask();
+            final Optional<ApiRequest> ask = ask();
             if (ask.isEmpty()) {
-                err.println(USE);
+                err.println(USAGE);
                 return 2;
             }
             return send(ask.get(), out, err);
@@ -127,83 +129,87 @@
         }
     }
 
-    private Optional<Ask> ask() throws IOException {
-        final String verb = words.isEmpty() ? "" : words.get(0);
-        final int n = words.size();
-        final String pair = n > 1 ? verb + " " + words.get(1) : verb;
+    private Optional<ApiRequest> ask() throws IOException {
+        final String verb = commandWords.isEmpty() ? "" : commandWords.get(0);
+        final int n = commandWords.size();
+        final String pair = n > 1 ? verb + " " + commandWords.get(1) : verb;
         if (pair.equals("table get") && n == 2) {
             return ask("GET", "/v1/table");
         } else if (pair.equals("table put") && n == 3) {
-            return Optional.of(new Ask("PUT", "/v1/table", Optional.of(Files.readAllBytes(Path.of(words.get(2))))));
+            return Optional.of(
+                    new ApiRequest("PUT", "/v1/table", Optional.of(Files.readAllBytes(Path.of(commandWords.get(2))))));
         } else if (pair.equals("table set") && n == 6) {
-            return Optional.of(new Ask(
+            return Optional.of(new ApiRequest(
                     "PATCH",
                     "/v1/table",
                     body(Map.of(
                             "cells",
                             List.of(Map.of(
                                     "tenant",
-                                    words.get(2),
+                                    commandWords.get(2),
                                     "kind",
-                                    words.get(3),
+                                    commandWords.get(3),
                                     "field",
-                                    words.get(4),
+                                    commandWords.get(4),
                                     "value",
-                                    words.get(5)))))));
+                                    commandWords.get(5)))))));
         } else if (pair.equals("tenant list") && n == 2) {
             return ask("GET", "/v1/tenants");
-        } else if (pair.equals("tenant put") && n >= 5 && words.get(4).matches("\\d+(\\.\\d+)?")) {
-            return Optional.of(new Ask(
+        } else if (pair.equals("tenant put") && n >= 5 && commandWords.get(4).matches("\\d+(\\.\\d+)?")) {
+            return Optional.of(new ApiRequest(
                     "PUT",
-                    "/v1/tenants/" + words.get(2),
+                    "/v1/tenants/" + commandWords.get(2),
                     body(Map.of(
                             "key",
-                            words.get(3),
+                            commandWords.get(3),
                             "share",
-                            Double.parseDouble(words.get(4)),
+                            Double.parseDouble(commandWords.get(4)),
                             "homes",
-                            words.subList(5, n)))));
+                            commandWords.subList(5, n)))));
         } else if (pair.equals("tenant drop") && n == 3) {
-            return ask("DELETE", "/v1/tenants/" + words.get(2));
+            return ask("DELETE", "/v1/tenants/" + commandWords.get(2));
         } else if (pair.equals("charter get") && n == 2) {
-            return ask("GET", PAPER);
+            return ask("GET", CONFIGURATION_PATH);
         } else if (pair.equals("charter rules") && n == 2) {
             return ask("GET", "/v1/rules");
         } else if (pair.equals("charter put")
-                && (n == 3 || n == 4 && words.get(3).matches("\\d{1,18}"))) {
-            match = n == 4 ? words.get(3) : match;
-            return Optional.of(new Ask("PUT", PAPER, Optional.of(Files.readAllBytes(Path.of(words.get(2))))));
+                && (n == 3 || n == 4 && commandWords.get(3).matches("\\d{1,18}"))) {
+            match = n == 4 ? commandWords.get(3) : match;
+            return Optional.of(new ApiRequest(
+                    "PUT", CONFIGURATION_PATH, Optional.of(Files.readAllBytes(Path.of(commandWords.get(2))))));
         } else if ((verb.equals("drain") || verb.equals("undrain")) && n == 2) {
-            return Optional.of(
-                    new Ask("PUT", "/v1/zones/" + words.get(1), body(Map.of("empty", verb.equals("drain")))));
+            return Optional.of(new ApiRequest(
+                    "PUT", "/v1/zones/" + commandWords.get(1), body(Map.of("empty", verb.equals("drain")))));
         } else if (pair.equals("calendar list") && n == 2) {
             return ask("GET", "/v1/calendars");
         } else if (pair.equals("calendar put") && n == 4) {
-            return Optional.of(new Ask(
-                    "PUT", "/v1/calendars/" + words.get(2), Optional.of(Files.readAllBytes(Path.of(words.get(3))))));
+            return Optional.of(new ApiRequest(
+                    "PUT",
+                    "/v1/calendars/" + commandWords.get(2),
+                    Optional.of(Files.readAllBytes(Path.of(commandWords.get(3))))));
         } else if (pair.equals("calendar drop") && n == 3) {
-            return ask("DELETE", "/v1/calendars/" + words.get(2));
+            return ask("DELETE", "/v1/calendars/" + commandWords.get(2));
         } else if (verb.equals("zones") && n == 1) {
             return ask("GET", "/v1/zones");
         } else if (verb.equals("change") && n == 2) {
-            return ask("GET", "/v1/changes/" + words.get(1));
+            return ask("GET", "/v1/changes/" + commandWords.get(1));
         } else if (verb.equals("status") && n == 1) {
             return ask("GET", "/status");
         } else if (verb.equals("explain") && n == 2) {
-            return ask("GET", "/v1/explain/" + words.get(1));
+            return ask("GET", "/v1/explain/" + commandWords.get(1));
         }
         return Optional.empty();
     }
 
-    private static Optional<Ask> ask(final String method, final String path) {
-        return Optional.of(new Ask(method, path, Optional.empty()));
+    private static Optional<ApiRequest> ask(final String method, final String path) {
+        return Optional.of(new ApiRequest(method, path, Optional.empty()));
     }
 
     private static Optional<byte[]> body(final Map<String, ?> map) {
         return Optional.of(JsonDocument.write(map).getBytes(StandardCharsets.UTF_8));
     }
 
-    private int send(final Ask ask, final PrintStream out, final PrintStream err) {
+    private int send(final ApiRequest ask, final PrintStream out, final PrintStream err) {
         final HttpClient http = new HttpClient();
         http.setConnectTimeout(1_000);
         try {
@@ -218,11 +224,12 @@
                                     .put("If-Match", match))
                             .timeout(10, TimeUnit.SECONDS);
                     ask.body().ifPresent(b -> r.body(new BytesRequestContent("application/json", b)));
-                    final ContentResponse reply =
-                            new CompletableResponseListener(r, LARGEST).send().get(10, TimeUnit.SECONDS);
+                    final ContentResponse reply = new CompletableResponseListener(r, MAX_REPLY_BYTES)
+                            .send()
+                            .get(10, TimeUnit.SECONDS);
                     return show(
                             reply,
-                            json || ask.method().equals("GET") && ask.path().equals(PAPER),
+                            json || ask.method().equals("GET") && ask.path().equals(CONFIGURATION_PATH),
                             out,
                             err);
                 } catch (final ExecutionException | TimeoutException e) {
@@ -249,12 +256,14 @@
     }
 
     /** Asks quietly; the reply's sheet, or nothing when it was said already why there is none. */
-    private Optional<JsonDocument> quiet(final String path, final PrintStream err, final int[] code) {
+    private Optional<JsonDocument> fetch(final String path, final PrintStream err, final int[] code) {
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         final boolean was = json;
         json = true;
-        code[0] =
-                send(new Ask("GET", path, Optional.empty()), new PrintStream(bytes, true, StandardCharsets.UTF_8), err);
+        code[0] = send(
+                new ApiRequest("GET", path, Optional.empty()),
+                new PrintStream(bytes, true, StandardCharsets.UTF_8),
+                err);
         json = was;
         if (code[0] == 0
                 && JsonDocument.parse(bytes.toByteArray(), 64 << 20) instanceof JsonDocument.ParseResult.Valid good) {
@@ -266,18 +275,18 @@
 
     private int diff(final byte[] file, final PrintStream out, final PrintStream err) {
         final int[] code = {0};
-        final Optional<JsonDocument> now = quiet("/v1/table", err, code);
+        final Optional<JsonDocument> now = fetch("/v1/table", err, code);
         if (now.isEmpty()) {
             return code[0];
         }
-        return switch (Difference.between(now.get(), file)) {
-            case Difference.Bad bad -> {
+        return switch (TableDifference.between(now.get(), file)) {
+            case TableDifference.Invalid bad -> {
                 bad.faults().forEach(err::println);
                 yield 1;
             }
-            case Difference.Good good -> {
+            case TableDifference.Computed good -> {
                 good.lines().forEach(out::println);
-                out.println(good.lines().size() + " differences from sequence " + good.sequence());
+                out.println(good.lines().size() + " differences from sequence " + good.revision());
                 yield 0;
             }
         };
@@ -291,7 +300,7 @@
         final int[] code = {0};
         int found = 0;
         for (int i = 0; i < 256; i++) {
-            final Optional<JsonDocument> page = quiet(String.format("/v1/claims/%02x", i), err, code);
+            final Optional<JsonDocument> page = fetch(String.format("/v1/claims/%02x", i), err, code);
             if (page.isEmpty()) {
                 return code[0];
             }
@@ -353,5 +362,5 @@
         return v instanceof Double d && d == Math.rint(d) && Math.abs(d) < 1e15 ? "" + d.longValue() : "" + v;
     }
 
-    private record Ask(String method, String path, Optional<byte[]> body) {}
+    private record ApiRequest(String method, String path, Optional<byte[]> body) {}
 }
--- a/server/src/main/java/silverlatch/server/transport/PeerConnection.java
+++ b/server/src/main/java/silverlatch/server/transport/PeerConnection.java
@@ -24,42 +24,43 @@
  * that it hangs. A large frame gets time for its reader: two seconds a megabyte.
  */
 final class PeerConnection {
-    private static final long FIRST = 50_000L;
+    private static final long INITIAL_BACKOFF_MICROS = 50_000L;
     private static final long NEVER = Long.MAX_VALUE;
-    private final String to;
+    private final String address;
     private final CodecPool codecs;
-    private final Times times;
-    private final AtomicLong dropped;
-    private final AtomicLong connects;
-    private final PriorityBlockingQueue<Waiting> queue;
-    private final AtomicLong offered = new AtomicLong();
-    private volatile Optional<Socket> open = Optional.empty();
-    private volatile long unheard = NEVER;
-    private volatile boolean writing;
-    private volatile long grace;
-    private volatile boolean over;
-    private long made;
-    private long pause = FIRST;
+    private final Limits limits;
+    private final AtomicLong droppedFrames;
+    private final AtomicLong connectionsMade;
+    private final PriorityBlockingQueue<QueuedFrame> queue;
+    private final AtomicLong lastSequence = new AtomicLong();
+    private volatile Optional<Socket> openSocket = Optional.empty();
+    private volatile long unacknowledgedSince = NEVER;
+    private volatile boolean isWriting;
+    private volatile long graceUntil;
+    private volatile boolean stopped;
+    private long connectedAt;
+    private long backoff = INITIAL_BACKOFF_MICROS;
 
     /** How many frames may wait; all else in microseconds. */
-    record Times(int queue, long connect, long silent, long stale, long idle, long pause) {
+    record Limits(
+            int maxQueued, long connectTimeout, long ackTimeout, long maxQueueAge, long idleTimeout, long maxBackoff) {
         /** The times that hold when nothing is said. */
-        static final Times PLAIN = new Times(256, 500_000L, 1_500_000L, 1_000_000L, 20_000_000L, 500_000L);
+        static final Limits DEFAULTS = new Limits(256, 500_000L, 1_500_000L, 1_000_000L, 20_000_000L, 500_000L);
     }
 
     PeerConnection(
-            final String to,
+            final String address,
             final CodecPool codecs,
-            final Times times,
-            final AtomicLong dropped,
-            final AtomicLong connects) {
-        this.to = to;
+            final Limits limits,
+            final AtomicLong droppedFrames,
+            final AtomicLong connectionsMade) {
+        this.address = address;
         this.codecs = codecs;
-        this.times = times;
-        this.dropped = dropped;
-        this.connects = connects;
+        this.limits = limits;
+        this.droppedFrames = droppedFrames;
+        this.connectionsMade = connectionsMade;
         this.queue = new PriorityBlockingQueue<>(
-                16, Comparator.comparing(Waiting::bulk).thenComparingLong(Waiting::turn));
+                16, Comparator.comparing(QueuedFrame::isBulk).thenComparingLong(QueuedFrame::sequence));
     }
 
     /** Starts to send. */
@@ -68,92 +69,94 @@
     }
 
     /** Queues a frame, or drops it when the queue is full. */
-    void offer(final Frame f) {
-        final long now = EventLoop.now();
-        if (now - times.silent() > unheard && now > grace) {
-            open.filter(s -> !heard(s)).ifPresent(PeerConnection::close);
+    void offer(final Frame frame) {
+        final long now = EventLoop.nowMicros();
+        if (now - limits.ackTimeout() > unacknowledgedSince && now > graceUntil) {
+            openSocket.filter(s -> !readAcknowledgements(s)).ifPresent(PeerConnection::close);
         }
-        if (queue.size() >= times.queue()) {
-            dropped.incrementAndGet();
+        if (queue.size() >= limits.maxQueued()) {
+            droppedFrames.incrementAndGet();
             return;
         }
-        queue.add(new Waiting(f, now, !Message.urgent(f.body()), offered.incrementAndGet()));
+        queue.add(new QueuedFrame(frame, now, !Message.urgent(frame.body()), lastSequence.incrementAndGet()));
     }
 
     /** Ends. */
     void stop() {
-        over = true;
-        open.ifPresent(PeerConnection::close);
+        stopped = true;
+        openSocket.ifPresent(PeerConnection::close);
     }
 
     private void run() {
-        while (!over) {
+        while (!stopped) {
             try {
-                final Waiting first = queue.take();
-                made = EventLoop.now();
-                if (stale(first)) {
+                final QueuedFrame first = queue.take();
+                connectedAt = EventLoop.nowMicros();
+                if (dropIfStale(first)) {
                     continue;
                 }
-                try (Socket s = new Socket()) {
-                    send(s, first);
+                try (Socket socket = new Socket()) {
+                    send(socket, first);
                 } finally {
-                    open = Optional.empty();
-                    writing = false;
-                    grace = 0;
-                    unheard = NEVER;
+                    openSocket = Optional.empty();
+                    isWriting = false;
+                    graceUntil = 0;
+                    unacknowledgedSince = NEVER;
                 }
             } catch (final IOException | RuntimeException e) {
-                dropped.incrementAndGet();
-                rest();
+                droppedFrames.incrementAndGet();
+                backOff();
             } catch (final InterruptedException e) {
                 return;
             }
         }
     }
 
-    private void send(final Socket s, final Waiting first) throws IOException, InterruptedException {
-        s.setTcpNoDelay(true);
-        probe(s);
-        s.connect(Transport.place(to), (int) (times.connect() / 1000));
-        connects.incrementAndGet();
-        made = EventLoop.now();
-        open = Optional.of(s);
-        final DataOutputStream out = new DataOutputStream(new BufferedOutputStream(s.getOutputStream(), 16 << 10));
-        Optional<Waiting> next = Optional.of(first);
-        while (!over && next.isPresent()) {
-            if (!stale(next.get())) {
-                write(s, out, codecs.encode(next.get().frame()));
+    private void send(final Socket socket, final QueuedFrame first) throws IOException, InterruptedException {
+        socket.setTcpNoDelay(true);
+        enableKeepAlive(socket);
+        socket.connect(Transport.parseAddress(address), (int) (limits.connectTimeout() / 1000));
+        connectionsMade.incrementAndGet();
+        connectedAt = EventLoop.nowMicros();
+        openSocket = Optional.of(socket);
+        final DataOutputStream out = new DataOutputStream(new BufferedOutputStream(socket.getOutputStream(), 16 << 10));
+        Optional<QueuedFrame> next = Optional.of(first);
+        while (!stopped && next.isPresent()) {
+            if (!dropIfStale(next.get())) {
+                write(socket, out, codecs.encode(next.get().frame()));
             }
-            next = Optional.ofNullable(queue.poll(times.idle(), TimeUnit.MICROSECONDS));
+            next = Optional.ofNullable(queue.poll(limits.idleTimeout(), TimeUnit.MICROSECONDS));
         }
     }
 
-    private void write(final Socket s, final DataOutputStream out, final byte[] bytes) throws IOException {
-        heard(s);
-        if (unheard == NEVER) {
-            unheard = EventLoop.now();
+    private void write(final Socket socket, final DataOutputStream out, final byte[] bytes) throws IOException {
+        readAcknowledgements(socket);
+        if (unacknowledgedSince == NEVER) {
+            unacknowledgedSince = EventLoop.nowMicros();
         }
-        writing = true;
-        grace = bytes.length > Transport.PART ? EventLoop.now() + times.silent() + 2L * bytes.length : grace;
+        isWriting = true;
+        graceUntil = bytes.length > Transport.CHUNK_BYTES
+                ? EventLoop.nowMicros() + limits.ackTimeout() + 2L * bytes.length
+                : graceUntil;
         out.writeInt(bytes.length);
         out.write(bytes);
         if (queue.isEmpty()) {
             out.flush();
         }
-        writing = false;
+        isWriting = false;
     }
 
     /** Reads what the peer acknowledged, without waiting; whether there was any. */
-    private synchronized boolean heard(final Socket s) {
+    private synchronized boolean readAcknowledgements(final Socket socket) {
         try {
-            final InputStream in = s.getInputStream();
-            final int count = in.available();
-            if (count == 0) {
+            final InputStream in = socket.getInputStream();
+            final int available = in.available();
+            if (available == 0) {
                 return false;
             }
-            in.skipNBytes(count);
-            unheard = writing ? EventLoop.now() : NEVER;
-            pause = FIRST;
+            in.skipNBytes(available);
+            unacknowledgedSince = isWriting ? EventLoop.nowMicros() : NEVER;
+            backoff = INITIAL_BACKOFF_MICROS;
             return true;
         } catch (final IOException e) {
             return false;
@@ -161,48 +164,49 @@
     }
 
     /** Whether a frame waited too long for a connection; behind a large frame on a connection that gets on, it may wait. */
-    private boolean stale(final Waiting w) {
-        final boolean old = w.at() < made && EventLoop.now() - w.at() > times.stale();
-        if (old) {
-            dropped.incrementAndGet();
+    private boolean dropIfStale(final QueuedFrame queued) {
+        final boolean isStale =
+                queued.queuedAt() < connectedAt && EventLoop.nowMicros() - queued.queuedAt() > limits.maxQueueAge();
+        if (isStale) {
+            droppedFrames.incrementAndGet();
         }
-        return old;
+        return isStale;
     }
 
-    private void rest() {
+    private void backOff() {
         try {
-            TimeUnit.MICROSECONDS.sleep(pause);
+            TimeUnit.MICROSECONDS.sleep(backoff);
         } catch (final InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        pause = Math.min(times.pause(), pause * 2);
+        backoff = Math.min(limits.maxBackoff(), backoff * 2);
     }
 
     /** Lets the system probe an idle connection each second and give it up after three. */
-    static void probe(final Socket s) throws IOException {
-        s.setKeepAlive(true);
-        final Map<SocketOption<Integer>, Integer> wanted = Map.of(
+    static void enableKeepAlive(final Socket socket) throws IOException {
+        socket.setKeepAlive(true);
+        final Map<SocketOption<Integer>, Integer> options = Map.of(
                 ExtendedSocketOptions.TCP_KEEPIDLE,
                 1,
                 ExtendedSocketOptions.TCP_KEEPINTERVAL,
                 1,
                 ExtendedSocketOptions.TCP_KEEPCOUNT,
                 2);
-        for (final Map.Entry<SocketOption<Integer>, Integer> e : wanted.entrySet()) {
-            if (s.supportedOptions().contains(e.getKey())) {
-                s.setOption(e.getKey(), e.getValue());
+        for (final Map.Entry<SocketOption<Integer>, Integer> option : options.entrySet()) {
+            if (socket.supportedOptions().contains(option.getKey())) {
+                socket.setOption(option.getKey(), option.getValue());
             }
         }
     }
 
-    private static void close(final Socket s) {
+    private static void close(final Socket socket) {
         try {
-            s.close();
+            socket.close();
         } catch (final IOException e) {
             Thread.yield();
         }
     }
 
     /** A frame that waits since a time; urgent ones go first, and otherwise those that came first. */
-    private record Waiting(Frame frame, long at, boolean bulk, long turn) {}
+    private record QueuedFrame(Frame frame, long queuedAt, boolean isBulk, long sequence) {}
 }
--- a/server/src/main/java/silverlatch/server/transport/TransportThreads.java
+++ b/server/src/main/java/silverlatch/server/transport/TransportThreads.java
@@ -13,14 +13,14 @@
     /** Bytes of stack of a thread that only reads or writes one socket. */
     private static final long STACK_BYTES = 192L << 10;
 
-    private static final Optional<MethodHandle> VIRTUAL = virtual();
+    private static final Optional<MethodHandle> START_VIRTUAL = findStartVirtual();
 
     private TransportThreads() {}
 
     /** Starts a thread that does not keep the process alive. */
     static void start(final String name, final Runnable task) {
-        if (VIRTUAL.isPresent()) {
-            startVirtual(VIRTUAL.get(), task);
+        if (START_VIRTUAL.isPresent()) {
+            startVirtual(START_VIRTUAL.get(), task);
             return;
         }
         final Thread thread = new Thread(null, task, name, STACK_BYTES);
@@ -39,7 +39,7 @@
         }
     }
 
-    private static Optional<MethodHandle> virtual() {
+    private static Optional<MethodHandle> findStartVirtual() {
         if (Runtime.version().feature() < 21) {
             return Optional.empty();
         }
--- a/server/src/main/java/silverlatch/server/web/Web.java
+++ b/server/src/main/java/silverlatch/server/web/ApiServer.java
@@ -18,29 +18,29 @@
 import silverlatch.server.transport.Transport;
 
 /** The HTTP side of a process, by Jetty; bodies, headers and threads are bounded. */
-public final class Web {
+public final class ApiServer {
     private final Server server;
 
     /** A server at a door that hands whole calls to the router. */
-    public Web(final String door, final int most, final Consumer<Call> router) {
-        final QueuedThreadPool pool = new QueuedThreadPool(24, 4);
-        pool.setName("web");
-        pool.setDaemon(true);
-        server = new Server(pool);
+    public ApiServer(final String address, final int maxBodyBytes, final Consumer<HttpExchange> router) {
+        final QueuedThreadPool threadPool = new QueuedThreadPool(24, 4);
+        threadPool.setName("web");
+        threadPool.setDaemon(true);
+        server = new Server(threadPool);
         final HttpConfiguration config = new HttpConfiguration();
         config.setRequestHeaderSize(8 << 10);
         config.setSendServerVersion(false);
         config.setIdleTimeout(60_000);
         final ServerConnector connector = new ServerConnector(server, 1, 2, new HttpConnectionFactory(config));
-        final InetSocketAddress place = Transport.place(door);
-        connector.setHost(place.getHostString());
-        connector.setPort(place.getPort());
+        final InetSocketAddress socketAddress = Transport.parseAddress(address);
+        connector.setHost(socketAddress.getHostString());
+        connector.setPort(socketAddress.getPort());
         connector.setIdleTimeout(60_000);
         connector.setAcceptQueueSize(512);
         server.addConnector(connector);
-        server.setHandler(new Router(most, router));
+        server.setHandler(new BufferingHandler(maxBodyBytes, router));
         server.setErrorHandler((request, response, callback) -> {
-            new Call(request, response, callback, new byte[0])
+            new HttpExchange(request, response, callback, new byte[0])
                     .reply(
                             response.getStatus() < 400 ? 500 : response.getStatus(),
                             Map.of("outcome", "rejected", "faults", List.of("$: not understood")));
@@ -49,67 +49,71 @@
     }
 
     /** Binds and starts. */
-    public void start() throws WebFault {
+    public void start() throws HttpServerException {
         try {
             server.start();
         } catch (final Exception e) {
-            throw new WebFault("the door can't be opened: " + e.getMessage(), e);
+            throw new HttpServerException("the door can't be opened: " + e.getMessage(), e);
         }
     }
 
     /** Stops. */
-    public void stop() throws WebFault {
+    public void stop() throws HttpServerException {
         try {
             server.stop();
         } catch (final Exception e) {
-            throw new WebFault("the door can't be closed: " + e.getMessage(), e);
+            throw new HttpServerException("the door can't be closed: " + e.getMessage(), e);
         }
     }
 
     /** A fault of the HTTP layer. */
-    public static final class WebFault extends Exception {
+    public static final class HttpServerException extends Exception {
         /** A fault and what caused it. */
-        public WebFault(final String text, final Throwable cause) {
-            super(text, cause);
+        public HttpServerException(final String message, final Throwable cause) {
+            super(message, cause);
         }
     }
 
-    static final class Router extends Handler.Abstract.NonBlocking {
-        private final int most;
-        private final Consumer<Call> router;
+    static final class BufferingHandler extends Handler.Abstract.NonBlocking {
+        private final int maxBodyBytes;
+        private final Consumer<HttpExchange> router;
 
-        Router(final int most, final Consumer<Call> router) {
-            this.most = most;
+        BufferingHandler(final int maxBodyBytes, final Consumer<HttpExchange> router) {
+            this.maxBodyBytes = maxBodyBytes;
             this.router = router;
         }
 
         @Override
         public boolean handle(final Request request, final Response response, final Callback callback) {
             final long size = request.getLength();
-            if (size > most) {
+            if (size > maxBodyBytes) {
                 response.getHeaders().put(HttpHeader.CONNECTION, "close");
-                new Call(request, response, callback, new byte[0])
+                new HttpExchange(request, response, callback, new byte[0])
                         .reply(
                                 413,
-                                Map.of("outcome", "rejected", "faults", List.of("$: larger than " + most + " bytes")));
+                                Map.of(
+                                        "outcome",
+                                        "rejected",
+                                        "faults",
+                                        List.of("$: larger than " + maxBodyBytes + " bytes")));
                 return true;
             }
             if (size == 0 || request.getMethod().equals("GET")) {
-                router.accept(new Call(request, response, callback, new byte[0]));
+                router.accept(new HttpExchange(request, response, callback, new byte[0]));
                 return true;
             }
-            Content.Source.asByteArrayAsync(request, most).whenComplete((bytes, fault) -> {
+            Content.Source.asByteArrayAsync(request, maxBodyBytes).whenComplete((bytes, fault) -> {
                 if (fault != null) {
-                    new Call(request, response, callback, new byte[0])
+                    new HttpExchange(request, response, callback, new byte[0])
                             .reply(
                                     413,
                                     Map.of(
                                             "outcome",
                                             "rejected",
                                             "faults",
-                                            List.of("$: larger than " + most + " bytes, or cut short")));
+                                            List.of("$: larger than " + maxBodyBytes + " bytes, or cut short")));
                 } else {
-                    router.accept(new Call(request, response, callback, bytes));
+                    router.accept(new HttpExchange(request, response, callback, bytes));
                 }
             });
             return true;
--- a/server/src/main/java/silverlatch/server/web/Call.java
+++ b/server/src/main/java/silverlatch/server/web/HttpExchange.java
@@ -14,15 +14,15 @@
 import silverlatch.json.JsonDocument;
 
 /** One HTTP exchange: what was asked, and the one reply to it. */
-public final class Call {
+public final class HttpExchange {
     private final Request request;
     private final Response response;
     private final Callback callback;
     private final byte[] body;
-    private final AtomicBoolean ended = new AtomicBoolean();
-    private final AtomicBoolean begun = new AtomicBoolean();
+    private final AtomicBoolean isReplied = new AtomicBoolean();
+    private final AtomicBoolean isStreaming = new AtomicBoolean();
 
-    Call(final Request request, final Response response, final Callback callback, final byte[] body) {
+    HttpExchange(final Request request, final Response response, final Callback callback, final byte[] body) {
         this.request = request;
         this.response = response;
         this.callback = callback;
@@ -50,7 +50,7 @@
     }
 
     /** The bearer's secret, or empty. */
-    public String secret() {
+    public String bearerToken() {
         return header("Authorization")
                 .filter(h -> h.startsWith("Bearer "))
                 .map(h -> h.substring(7))
@@ -58,75 +58,76 @@
     }
 
     /** A part of the query. */
-    public Optional<String> query(final String name) {
+    public Optional<String> queryParameter(final String name) {
         final Fields fields = Request.extractQueryParameters(request);
         return Optional.ofNullable(fields.getValue(name));
     }
 
     /** Calls back when the other side is gone. */
-    public void gone(final Runnable then) {
-        request.addFailureListener(f -> then.run());
+    public void onDisconnect(final Runnable listener) {
+        request.addFailureListener(failure -> listener.run());
     }
 
     /** Replies with JSON. */
-    public void reply(final int code, final Map<String, ?> value, final Map<String, String> headers) {
-        json(code, JsonDocument.write(value), headers);
+    public void reply(final int status, final Map<String, ?> value, final Map<String, String> headers) {
+        replyJson(status, JsonDocument.write(value), headers);
     }
 
     /** Replies with JSON that stands written already, to the letter. */
-    public void json(final int code, final String text, final Map<String, String> headers) {
-        if (!ended.compareAndSet(false, true)) {
+    public void replyJson(final int status, final String text, final Map<String, String> headers) {
+        if (!isReplied.compareAndSet(false, true)) {
             return;
         }
-        response.setStatus(code);
+        response.setStatus(status);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
         headers.forEach((k, v) -> response.getHeaders().put(k, v));
         response.write(true, ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)), callback);
     }
 
     /** Replies with JSON. */
-    public void reply(final int code, final Map<String, ?> value) {
-        reply(code, value, Map.of());
+    public void reply(final int status, final Map<String, ?> value) {
+        reply(status, value, Map.of());
     }
 
     /** Replies with plain text. */
-    public void text(final String text) {
-        text("text/plain; charset=utf-8", text, Map.of());
+    public void replyText(final String text) {
+        replyText("text/plain; charset=utf-8", text, Map.of());
     }
 
     /** Replies with a text as it is. */
-    public void text(final String type, final String text, final Map<String, String> headers) {
-        if (ended.compareAndSet(false, true)) {
+    public void replyText(final String contentType, final String text, final Map<String, String> headers) {
+        if (isReplied.compareAndSet(false, true)) {
             response.setStatus(200);
-            response.getHeaders().put(HttpHeader.CONTENT_TYPE, type);
+            response.getHeaders().put(HttpHeader.CONTENT_TYPE, contentType);
             headers.forEach((k, v) -> response.getHeaders().put(k, v));
             response.write(true, ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)), callback);
         }
     }
 
     /** Writes a part of a stream of JSON lines; then says whether it could be written. */
-    public void stream(final String lines, final boolean last, final Runnable good, final Runnable bad) {
-        if (begun.compareAndSet(false, true)) {
+    public void writeLines(
+            final String lines, final boolean isLast, final Runnable onWritten, final Runnable onFailed) {
+        if (isStreaming.compareAndSet(false, true)) {
             response.setStatus(200);
             response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/x-ndjson");
         }
-        if (last && !ended.compareAndSet(false, true)) {
+        if (isLast && !isReplied.compareAndSet(false, true)) {
             return;
         }
         response.write(
-                last,
+                isLast,
                 ByteBuffer.wrap(lines.getBytes(StandardCharsets.UTF_8)),
                 Callback.from(
                         () -> {
-                            good.run();
-                            if (last) {
+                            onWritten.run();
+                            if (isLast) {
                                 callback.succeeded();
                             }
                         },
-                        x -> {
-                            bad.run();
-                            if (ended.compareAndSet(false, true) || last) {
-                                callback.failed(x);
+                        failure -> {
+                            onFailed.run();
+                            if (isReplied.compareAndSet(false, true) || isLast) {
+                                callback.failed(failure);
                             }
                         }));
     }
--- a/server/src/main/java/silverlatch/server/web/Doors.java
+++ b/server/src/main/java/silverlatch/server/web/MultiListenerServer.java
@@ -18,22 +18,23 @@
 import silverlatch.server.transport.Transport;
 
 /** Several doors of one process over one small pool of threads; each has a handler of its own. */
-public final class Doors {
+public final class MultiListenerServer {
     private final Server server;
-    private final Map<Connector, Handler> doors = new ConcurrentHashMap<>();
+    private final Map<Connector, Handler> handlers = new ConcurrentHashMap<>();
 
     /** Doors over so many threads at most. */
-    public Doors(final int threads) {
-        final QueuedThreadPool pool = new QueuedThreadPool(threads, 2);
-        pool.setName("doors");
-        pool.setDaemon(true);
-        pool.setReservedThreads(0);
-        server = new Server(pool);
+    public MultiListenerServer(final int maxThreads) {
+        final QueuedThreadPool threadPool = new QueuedThreadPool(maxThreads, 2);
+        threadPool.setName("doors");
+        threadPool.setDaemon(true);
+        threadPool.setReservedThreads(0);
+        server = new Server(threadPool);
         server.setHandler(new Handler.Abstract.NonBlocking() {
             @Override
             public boolean handle(final Request request, final Response response, final Callback callback)
                     throws Exception {
-                return doors.get(request.getConnectionMetaData().getConnector()).handle(request, response, callback);
+                return handlers.get(request.getConnectionMetaData().getConnector())
+                        .handle(request, response, callback);
             }
         });
         server.setErrorHandler((request, response, callback) -> {
@@ -50,17 +51,17 @@
     }
 
     /** A door whose limits can be changed while it is open. */
-    public static final class Door {
+    public static final class Listener {
         private static final int MAX_HEADER_BYTES = 64 << 10;
         private static final long IDLE_SLACK_MS = 1_000;
         private final HttpConfiguration config;
         private final ServerConnector connector;
-        private final int least;
+        private final int minHeaderBytes;
 
-        private Door(final HttpConfiguration config, final ServerConnector connector, final int least) {
+        private Listener(final HttpConfiguration config, final ServerConnector connector, final int minHeaderBytes) {
             this.config = config;
             this.connector = connector;
-            this.least = least;
+            this.minHeaderBytes = minHeaderBytes;
         }
 
         /**
@@ -68,52 +69,57 @@
          * a client may rest in milliseconds, for all connections. A connection is closed a little later than the client may
          * take it up again.
          */
-        public void limits(final int headBytes, final long idleMillis) {
-            config.setRequestHeaderSize(Math.min(MAX_HEADER_BYTES, Math.max(least, headBytes)));
+        public void updateLimits(final int headerBytes, final long idleMillis) {
+            config.setRequestHeaderSize(Math.min(MAX_HEADER_BYTES, Math.max(minHeaderBytes, headerBytes)));
             connector.setIdleTimeout(idleMillis + IDLE_SLACK_MS);
             connector.getConnectedEndPoints().forEach(e -> e.setIdleTimeout(idleMillis + IDLE_SLACK_MS));
         }
     }
 
     /** Adds a door; headers are bounded in bytes, and a connection may be idle for so many milliseconds. */
-    public Door add(final String address, final int head, final long idle, final Handler handler) {
+    public Listener addListener(
+            final String address, final int maxHeaderBytes, final long idleMillis, final Handler handler) {
         final HttpConfiguration config = new HttpConfiguration();
-        config.setRequestHeaderSize(head);
+        config.setRequestHeaderSize(maxHeaderBytes);
         config.setSendServerVersion(false);
         config.setSendDateHeader(false);
         final ServerConnector connector = new ServerConnector(server, 0, 1, new HttpConnectionFactory(config));
-        final InetSocketAddress place = Transport.place(address);
-        connector.setHost(place.getHostString());
-        connector.setPort(place.getPort());
-        connector.setIdleTimeout(idle);
+        final InetSocketAddress socketAddress = Transport.parseAddress(address);
+        connector.setHost(socketAddress.getHostString());
+        connector.setPort(socketAddress.getPort());
+        connector.setIdleTimeout(idleMillis);
         connector.setAcceptQueueSize(512);
-        doors.put(connector, handler);
+        handlers.put(connector, handler);
         server.addConnector(connector);
-        return new Door(config, connector, head);
+        return new Listener(config, connector, maxHeaderBytes);
     }
 
     /** Adds a door for whole calls, with bodies up to a bound. */
-    public void add(
-            final String address, final int head, final long idle, final int most, final Consumer<Call> router) {
-        add(address, head, idle, new Web.Router(most, router));
+    public void addListener(
+            final String address,
+            final int maxHeaderBytes,
+            final long idleMillis,
+            final int maxBodyBytes,
+            final Consumer<HttpExchange> router) {
+        addListener(address, maxHeaderBytes, idleMillis, new ApiServer.BufferingHandler(maxBodyBytes, router));
     }
 
     /** Binds and starts. */
-    public void start() throws Web.WebFault {
+    public void start() throws ApiServer.HttpServerException {
         try {
             server.setStopTimeout(0);
             server.start();
         } catch (final Exception e) {
-            throw new Web.WebFault("a door can't be opened: " + e.getMessage(), e);
+            throw new ApiServer.HttpServerException("a door can't be opened: " + e.getMessage(), e);
         }
     }
 
     /** Stops. */
-    public void stop() throws Web.WebFault {
+    public void stop() throws ApiServer.HttpServerException {
         try {
             server.stop();
         } catch (final Exception e) {
-            throw new Web.WebFault("a door can't be closed: " + e.getMessage(), e);
+            throw new ApiServer.HttpServerException("a door can't be closed: " + e.getMessage(), e);
         }
     }
 }
--- a/server/src/main/java/silverlatch/server/web/Abrupt.java
+++ b/server/src/main/java/silverlatch/server/web/ResettingClientConnector.java
@@ -8,7 +8,7 @@
 import org.eclipse.jetty.util.ssl.SslContextFactory;
 
 /** Plain connections that are reset when they are closed; what only TLS needs is not made ready. */
-public final class Abrupt extends ClientConnector {
+public final class ResettingClientConnector extends ClientConnector {
     @Override
     protected void configure(final SelectableChannel channel) throws IOException {
         super.configure(channel);
@@ -19,10 +19,10 @@
 
     @Override
     protected SslContextFactory.Client newSslContextFactory() {
-        return new None();
+        return new NoTls();
     }
 
-    private static final class None extends SslContextFactory.Client {
+    private static final class NoTls extends SslContextFactory.Client {
         @Override
         protected void doStart() {}
     }
--- a/server/src/main/java/silverlatch/server/workerclient/Back.java
+++ b/server/src/main/java/silverlatch/server/workerclient/Back.java
@@ -16,7 +16,7 @@
 import silverlatch.dispatch.StreamRecord;
 import silverlatch.json.JsonDocument;
 import silverlatch.server.eventloop.EventLoop;
-import silverlatch.server.web.Abrupt;
+import silverlatch.server.web.ResettingClientConnector;
 
 /** Asks workers to run, by Jetty's client. */
 public final class Back {
@@ -43,7 +43,7 @@
         this.line = line;
         this.key = key;
         this.sink = sink;
-        final ClientConnector connector = new Abrupt();
+        final ClientConnector connector = new ResettingClientConnector();
         final QueuedThreadPool pool = new QueuedThreadPool(16, 2);
         pool.setName("back");
         pool.setDaemon(true);
@@ -88,7 +88,7 @@
                 .headers(h -> h.put("Authorization", "Bearer " + key))
                 .body(new StringRequestContent("application/json", body))
                 .onRequestBegin(q -> {
-                    if (EventLoop.now() > r.sendDeadline()) {
+                    if (EventLoop.nowMicros() > r.sendDeadline()) {
                         q.abort(new TimeoutException("it would leave too late"));
                     } else {
                         begun.set(true);
--- a/server/src/test/java/silverlatch/server/controller/ConfigurationJsonTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ConfigurationJsonTest.java
@@ -12,14 +12,14 @@
 import silverlatch.state.Value;
 
 final class ConfigurationJsonTest {
-    private static JsonDocument sheet(final String text) {
+    private static JsonDocument parse(final String text) {
         return ((JsonDocument.ParseResult.Valid) JsonDocument.parse(text.getBytes(StandardCharsets.UTF_8), 1 << 20))
                 .document();
     }
 
     @Test
-    void aCharterIsReadAndItsPartsAreWrittenTheSame() {
-        final Value.Route rule = new Value.Route(
+    void aConfigurationIsReadAndItsPartsAreWrittenTheSame() {
+        final Value.Route route = new Value.Route(
                 "orders",
                 "a.example",
                 "/orders/",
@@ -39,33 +39,33 @@
                 "number",
                 7,
                 "rules",
-                List.of(ConfigurationJson.write(rule)),
+                List.of(ConfigurationJson.write(route)),
                 "pools",
                 List.of(ConfigurationJson.write(pool)),
                 "bounds",
                 Map.of("head", 8_192, "body", 65_536, "slow", 5_000, "idle", 6_000)));
-        final JsonDocument s = sheet(text);
-        final Command.PutConfiguration lay = ConfigurationJson.read(s, text, "id", 6);
-        assertThat(s.finish(), is(List.of()));
+        final JsonDocument document = parse(text);
+        final Command.PutConfiguration command = ConfigurationJson.read(document, text, "id", 6);
+        assertThat(document.finish(), is(List.of()));
         assertThat(
-                lay,
+                command,
                 is(new Command.PutConfiguration(
                         "id",
                         new Value.RoutingConfiguration(7, 8_192, 65_536, 5_000, 6_000),
-                        List.of(rule),
+                        List.of(route),
                         List.of(pool),
                         text,
                         6)));
     }
 
     @Test
-    void whatIsMissingOrNotOursIsNamedWithItsPlace() {
-        final JsonDocument s = sheet(
+    void missingAndUnknownKeysAreNamedWithTheirPath() {
+        final JsonDocument document = parse(
                 "{\"number\":1,\"rules\":[{\"name\":\"r\",\"host\":\"h\",\"path\":\"/\",\"hold\":\"x\",\"lots\":[{\"pool\":\"p\"}],\"colour\":1}],"
                         + "\"bounds\":{\"head\":1,\"body\":1,\"slow\":1}}");
-        ConfigurationJson.read(s, "", "id", 0);
+        ConfigurationJson.read(document, "", "id", 0);
         assertThat(
-                s.finish(),
+                document.finish(),
                 is(List.of(
                         "$.rules[0].hold: a whole number is needed",
                         "$.rules[0].lots[0].weight: missing",
@@ -74,11 +74,12 @@
     }
 
     @Test
-    void aPaperThatCannotBeGivenBackToTheByteIsNone() {
+    void aBodyThatIsNotUtf8HasNoText() {
         assertThat(
-                ConfigurationJson.paper("{\"name\":\"Süd\"}".getBytes(StandardCharsets.UTF_8))
+                ConfigurationJson.decodeText("{\"name\":\"Süd\"}".getBytes(StandardCharsets.UTF_8))
                         .isPresent(),
                 is(true));
-        assertThat(ConfigurationJson.paper(new byte[] {'{', (byte) 0xC3, '}'}).isPresent(), is(false));
+        assertThat(
+                ConfigurationJson.decodeText(new byte[] {'{', (byte) 0xC3, '}'}).isPresent(), is(false));
     }
 }
--- a/server/src/test/java/silverlatch/server/controller/LogWriterTest.java
+++ b/server/src/test/java/silverlatch/server/controller/LogWriterTest.java
@@ -26,59 +26,59 @@
     private Path folder;
 
     /** What the writer told, in order. */
-    private sealed interface Told {
-        record Synced(List<Long> tokens) implements Told {}
+    private sealed interface Notification {
+        record Synced(List<Long> tokens) implements Notification {}
 
-        record Failed(Runnable fenced) implements Told {}
+        record Failed(Runnable fenced) implements Notification {}
 
-        record Recovered(List<LogRecord> records) implements Told {}
+        record Recovered(List<LogRecord> records) implements Notification {}
     }
 
-    private static final class Recorder implements LogWriter.Listener {
-        private final LinkedBlockingQueue<Told> told = new LinkedBlockingQueue<>();
+    private static final class RecordingListener implements LogWriter.Listener {
+        private final LinkedBlockingQueue<Notification> notifications = new LinkedBlockingQueue<>();
 
         @Override
         public void synced(final List<Long> tokens) {
-            told.add(new Told.Synced(tokens));
+            notifications.add(new Notification.Synced(tokens));
         }
 
         @Override
         public void failed(final String why, final Runnable fenced) {
-            told.add(new Told.Failed(fenced));
+            notifications.add(new Notification.Failed(fenced));
         }
 
         @Override
         public void recovered(final List<LogRecord> records) {
-            told.add(new Told.Recovered(records));
+            notifications.add(new Notification.Recovered(records));
         }
 
-        Told next() throws InterruptedException {
-            return java.util.Objects.requireNonNull(told.poll(30, TimeUnit.SECONDS), "nothing was told");
+        Notification next() throws InterruptedException {
+            return java.util.Objects.requireNonNull(notifications.poll(30, TimeUnit.SECONDS), "nothing was told");
         }
     }
 
     @Test
-    void afterAFailedWriteTheLogIsOpenedAgainAndNothingThatWaitedIsToldAsSynced() throws Exception {
+    void afterAFailedWriteTheLogIsReopenedAndNoPendingWriteIsReportedAsSynced() throws Exception {
         final WriteAheadLog log = ((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder)).log();
-        final Recorder recorder = new Recorder();
-        final LogWriter writer = new LogWriter(log, recorder, 5);
+        final RecordingListener listener = new RecordingListener();
+        final LogWriter writer = new LogWriter(log, listener, 5);
         writer.start();
         writer.write(new Effect.Persist(1, List.of(FIRST)));
-        assertThat(recorder.next(), is(new Told.Synced(List.of(1L))));
+        assertThat(listener.next(), is(new Notification.Synced(List.of(1L))));
         final Path inTheWay = folder.resolve("picture-000000000002.part");
         Files.createDirectories(inTheWay.resolve("inside"));
         writer.write(new Effect.Persist(2, List.of(SNAPSHOT)));
-        final Told.Failed failed = (Told.Failed) recorder.next();
+        final Notification.Failed failed = (Notification.Failed) listener.next();
         writer.write(new Effect.Persist(3, List.of(NEVER_SYNCED)));
         failed.fenced().run();
         TimeUnit.MILLISECONDS.sleep(100);
-        assertThat("the disk still refuses", recorder.told.isEmpty(), is(true));
+        assertThat("the disk still refuses", listener.notifications.isEmpty(), is(true));
         Files.delete(inTheWay.resolve("inside"));
-        assertThat(recorder.next(), is(new Told.Recovered(List.of(FIRST))));
+        assertThat(listener.next(), is(new Notification.Recovered(List.of(FIRST))));
         writer.write(new Effect.Persist(4, List.of(SNAPSHOT)));
-        assertThat(recorder.next(), is(new Told.Synced(List.of(4L))));
+        assertThat(listener.next(), is(new Notification.Synced(List.of(4L))));
         writer.write(new Effect.Persist(5, List.of(LAST)));
-        assertThat(recorder.next(), is(new Told.Synced(List.of(5L))));
+        assertThat(listener.next(), is(new Notification.Synced(List.of(5L))));
         assertThat(
                 ((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder)).records(), is(List.of(SNAPSHOT, LAST)));
     }
--- a/server/src/test/java/silverlatch/server/controller/WorkerRosterTest.java
+++ b/server/src/test/java/silverlatch/server/controller/WorkerRosterTest.java
@@ -14,23 +14,23 @@
 import silverlatch.gossip.WorkerReport;
 
 final class WorkerRosterTest {
-    private static final WorkerReport WORD = WorkerReport.of(
+    private static final WorkerReport REPORT = WorkerReport.of(
             new Worker("w", "10.0.0.1:80", "z", "r", 1, 7, 0, 0, 8, List.of(), true, 0, "pool", 1_000, 0));
 
     @TempDir
     private Path folder;
 
     @Test
-    void whatWasWrittenIsReadAgainAndWhatIsTornIsNothing() throws IOException {
+    void writtenReportsAreReadAgainAndATornFileIsEmpty() throws IOException {
         final WorkerRoster one = new WorkerRoster(folder);
         assertThat(one.read(), is(empty()));
         one.start();
-        assertThat(one.write(List.of(WORD)), is(true));
+        assertThat(one.write(List.of(REPORT)), is(true));
         final Path file = folder.resolve("workers");
         while (!Files.exists(file)) {
             Thread.onSpinWait();
         }
-        assertThat(new WorkerRoster(folder).read(), is(List.of(WORD)));
+        assertThat(new WorkerRoster(folder).read(), is(List.of(REPORT)));
         final byte[] all = Files.readAllBytes(file);
         all[all.length - 1]++;
         Files.write(file, all);
--- a/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
@@ -41,8 +41,8 @@
 import silverlatch.routing.Router;
 import silverlatch.routing.RoutingEffect;
 import silverlatch.server.eventloop.EventLoop;
-import silverlatch.server.web.Doors;
-import silverlatch.server.web.Web;
+import silverlatch.server.web.ApiServer;
+import silverlatch.server.web.MultiListenerServer;
 import silverlatch.state.Entry;
 import silverlatch.state.Policy;
 import silverlatch.state.Value;
@@ -57,7 +57,7 @@
     private final AtomicReference<Runnable> third = new AtomicReference<>(() -> {});
     private final AtomicReference<ProxyServer> gate = new AtomicReference<>();
     private WorkerHttpClient lighter;
-    private Doors doors;
+    private MultiListenerServer doors;
     private Router passage;
     private int port;
 
@@ -165,13 +165,13 @@
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             port = s.getLocalPort();
         }
-        doors = new Doors(8);
-        doors.add("127.0.0.1:" + port, 8_192, 5_000, gate.get());
+        doors = new MultiListenerServer(8);
+        doors.addListener("127.0.0.1:" + port, 8_192, 5_000, gate.get());
         doors.start();
     }
 
     @AfterEach
-    void shut() throws Web.WebFault, WorkerHttpClient.WorkerHttpClientFault, IOException {
+    void shut() throws ApiServer.HttpServerException, WorkerHttpClient.WorkerHttpClientFault, IOException {
         doors.stop();
         lighter.stop();
         duty.shutdownNow();
@@ -184,7 +184,7 @@
         final Peer p = new Peer(script);
         peers.add(p);
         final ClusterSnapshot next = facts(peers.size() + 1);
-        duty.execute(() -> passage.clusterSnapshot(next, EventLoop.now()));
+        duty.execute(() -> passage.clusterSnapshot(next, EventLoop.nowMicros()));
         return p;
     }
 
@@ -210,7 +210,7 @@
                                     "pool",
                                     0,
                                     0),
-                            Optional.of(EventLoop.now())));
+                            Optional.of(EventLoop.nowMicros())));
         }
         final List<Entry> all = List.of(
                 new Entry(
@@ -564,8 +564,8 @@
     @Test
     void aWorkersSilenceDoesNotEndTheClientsConnection() throws Exception {
         doors.stop();
-        doors = new Doors(8);
-        doors.add("127.0.0.1:" + port, 8_192, 300, gate.get());
+        doors = new MultiListenerServer(8);
+        doors.addListener("127.0.0.1:" + port, 8_192, 300, gate.get());
         doors.start();
         worker(request -> {
             try {
@@ -581,8 +581,8 @@
     @Test
     void aConnectionMayRestAsLongAsTheLimitInForceAllows() throws Exception {
         doors.stop();
-        doors = new Doors(8);
-        gate.get().door(doors.add("127.0.0.1:" + port, 8_192, 200, gate.get()));
+        doors = new MultiListenerServer(8);
+        gate.get().door(doors.addListener("127.0.0.1:" + port, 8_192, 200, gate.get()));
         doors.start();
         worker(request -> good(request) + "Content-Length: 2\r\n\r\nok");
         try (Socket socket = new Socket("127.0.0.1", port)) {
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
@@ -30,7 +30,7 @@
 import silverlatch.routing.Router;
 import silverlatch.routing.RoutingEffect;
 import silverlatch.server.eventloop.EventLoop;
-import silverlatch.server.web.Doors;
+import silverlatch.server.web.MultiListenerServer;
 import silverlatch.state.Entry;
 import silverlatch.state.Policy;
 import silverlatch.state.Value;
@@ -101,7 +101,7 @@
                 facts(workers),
                 () -> new Stamp(1),
                 new SplittableRandom(seed));
-        router.clusterSnapshot(facts(workers), EventLoop.now());
+        router.clusterSnapshot(facts(workers), EventLoop.nowMicros());
         final AtomicReference<ProxyServer> proxy = new AtomicReference<>();
         final Runnable drain = () -> router.drainEffects().stream()
                 .filter(effect -> !(effect instanceof RoutingEffect.Log))
@@ -119,15 +119,15 @@
                 down));
         loop.scheduleAtFixedRate(
                 () -> {
-                    router.tick(EventLoop.now());
+                    router.tick(EventLoop.nowMicros());
                     drain.run();
                 },
                 10,
                 10,
                 TimeUnit.MILLISECONDS);
         final int port = freePort();
-        final Doors doors = new Doors(16);
-        doors.add("127.0.0.1:" + port, 8_192, 5_000, proxy.get());
+        final MultiListenerServer doors = new MultiListenerServer(16);
+        doors.addListener("127.0.0.1:" + port, 8_192, 5_000, proxy.get());
         doors.start();
         try {
             clients(port, seed, log);
@@ -182,7 +182,7 @@
                                     "pool",
                                     0,
                                     0),
-                            Optional.of(EventLoop.now())));
+                            Optional.of(EventLoop.nowMicros())));
         }
         final List<Entry> entries = new ArrayList<>();
         entries.add(new Entry(
--- a/server/src/test/java/silverlatch/server/settings/SettingsTest.java
+++ b/server/src/test/java/silverlatch/server/settings/SettingsTest.java
@@ -25,56 +25,57 @@
                 file,
                 "{\"name\":\"a b\",\"zone\":\"z\",\"region\":\"r\",\"address\":\"host:70000\",\"door\":\"10.0.0.1:80\","
                         + "\"seeds\":[\"10.0.0.1:1\",\"10.0.0.1:1\",\"10.0.0.1:2\"],\"key\":\"short\",\"operator\":\"long-enough\",\"low\":99,\"colour\":1}");
-        final Settings.Read.Bad bad = (Settings.Read.Bad) Settings.read(Optional.of(file.toString()), Map.of(), true);
+        final Settings.ReadResult.Invalid bad =
+                (Settings.ReadResult.Invalid) Settings.read(Optional.of(file.toString()), Map.of(), true);
         assertThat(
                 bad.faults().stream().map(f -> f.substring(0, f.indexOf(':'))).toList(),
                 containsInAnyOrder("$.low", "$.colour", "$.worker", "worker", "name", "address", "seeds", "key"));
     }
 
     @Test
-    void bothExamplesAreSoundAndFlagsGoBeforeTheFile() {
+    void bothExamplesAreValidAndFlagsOverrideTheFile() {
         for (final String name : List.of("ferry", "telecom")) {
             assertThat(
                     Settings.read(Optional.of("../examples/" + name + "/settings.json"), Map.of(), true),
-                    instanceOf(Settings.Read.Good.class));
+                    instanceOf(Settings.ReadResult.Valid.class));
         }
-        final Settings.Read.Good good = (Settings.Read.Good)
+        final Settings.ReadResult.Valid good = (Settings.ReadResult.Valid)
                 Settings.read(Optional.of("../examples/ferry/settings.json"), Map.of("name", "other"), true);
         assertThat(good.settings().name(), is("other"));
-        assertThat(good.settings().found(), is(true));
-        assertThat(good.settings().copies(), is(2));
-        assertThat(good.settings().voters(), is(3));
+        assertThat(good.settings().mayBootstrap(), is(true));
+        assertThat(good.settings().minInSyncReplicas(), is(2));
+        assertThat(good.settings().voterCount(), is(3));
     }
 
     @Test
-    void aFleetOfFewerOrMoreMachinesIsSound() {
-        final Settings.Read.Good good = (Settings.Read.Good) Settings.read(
+    void aFleetOfFewerOrMoreMachinesIsValid() {
+        final Settings.ReadResult.Valid good = (Settings.ReadResult.Valid) Settings.read(
                 Optional.of("../examples/ferry/settings.json"),
                 Map.of("name", "one", "seeds", List.of("10.0.0.1:7000"), "found", false, "copies", 3, "voters", 6),
                 true);
         assertThat(good.settings().seeds().size(), is(1));
-        assertThat(good.settings().found(), is(false));
-        assertThat(good.settings().copies(), is(3));
-        assertThat(good.settings().voters(), is(6));
-        final Settings.Read.Bad bad = (Settings.Read.Bad)
+        assertThat(good.settings().mayBootstrap(), is(false));
+        assertThat(good.settings().minInSyncReplicas(), is(3));
+        assertThat(good.settings().voterCount(), is(6));
+        final Settings.ReadResult.Invalid bad = (Settings.ReadResult.Invalid)
                 Settings.read(Optional.of("../examples/ferry/settings.json"), Map.of("name", "one", "copies", 4), true);
         assertThat(bad.faults(), is(List.of("copies: more than the voters, of whom there are 3")));
     }
 
     @Test
-    void ratesAreQuietWhereWorkersAnnounceToHarborsAndFaultyOnesAreNamed() {
+    void intervalsSuitALargeFleetWhereWorkersAnnounceToControllersAndFaultyOnesAreNamed() {
         final Optional<String> ferry = Optional.of("../examples/ferry/settings.json");
         assertThat(
-                ((Settings.Read.Good) Settings.read(ferry, Map.of(), false))
+                ((Settings.ReadResult.Valid) Settings.read(ferry, Map.of(), false))
                         .settings()
-                        .rates(),
-                is(Rates.PLAIN));
+                        .intervals(),
+                is(Intervals.DEFAULTS));
         assertThat(
-                ((Settings.Read.Good) Settings.read(ferry, Map.of("announce", "controllers"), false))
+                ((Settings.ReadResult.Valid) Settings.read(ferry, Map.of("announce", "controllers"), false))
                         .settings()
-                        .rates(),
-                is(Rates.QUIET));
-        final Settings.Read.Bad bad = (Settings.Read.Bad) Settings.read(
+                        .intervals(),
+                is(Intervals.LARGE_FLEET));
+        final Settings.ReadResult.Invalid bad = (Settings.ReadResult.Invalid) Settings.read(
                 ferry,
                 Map.of(
                         "announce",
@@ -95,7 +96,8 @@
         assertThat(
                 bad.faults().stream().map(f -> f.substring(0, f.indexOf(':'))).toList(),
                 containsInAnyOrder("$.deck", "miss", "silent"));
-        final Settings.Read.Bad way = (Settings.Read.Bad) Settings.read(ferry, Map.of("announce", "nowhere"), false);
+        final Settings.ReadResult.Invalid way =
+                (Settings.ReadResult.Invalid) Settings.read(ferry, Map.of("announce", "nowhere"), false);
         assertThat(
                 way.faults().stream().map(f -> f.substring(0, f.indexOf(':'))).toList(),
                 containsInAnyOrder("announce"));
--- a/server/src/test/java/silverlatch/server/transport/TransportTest.java
+++ b/server/src/test/java/silverlatch/server/transport/TransportTest.java
@@ -29,10 +29,10 @@
 
 /** Docks on loopback before scripted peers, on shorter times than those in use. */
 final class TransportTest {
-    private static final PeerConnection.Times QUICK =
-            new PeerConnection.Times(256, 200_000L, 300_000L, 200_000L, 400_000L, 100_000L);
+    private static final PeerConnection.Limits SHORT_LIMITS =
+            new PeerConnection.Limits(256, 200_000L, 300_000L, 200_000L, 400_000L, 100_000L);
     private final List<AutoCloseable> open = new ArrayList<>();
-    private final BlockingQueue<Frame> came = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Frame> received = new LinkedBlockingQueue<>();
 
     @AfterEach
     void close() throws Exception {
@@ -41,36 +41,37 @@
         }
     }
 
-    private Transport dock(final int port) throws IOException {
-        final Transport dock = new Transport("127.0.0.1:" + port, came::add, QUICK);
-        dock.start();
-        open.add(dock::stop);
-        return dock;
+    private Transport startTransport(final int port) throws IOException {
+        final Transport transport = new Transport("127.0.0.1:" + port, received::add, SHORT_LIMITS);
+        transport.start();
+        open.add(transport::stop);
+        return transport;
     }
 
-    private static int free() throws IOException {
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return s.getLocalPort();
+    private static int freePort() throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         }
     }
 
-    private static OutgoingFrame ship(final int port, final long number, final String pad) {
-        final Member me =
+    private static OutgoingFrame outgoing(final int port, final long number, final String pad) {
+        final Member sender =
                 new Member("p" + pad, "gateway", "z", "r", "127.0.0.1:1", "127.0.0.1:2", number, 4, "up", true);
         return new OutgoingFrame(
-                "127.0.0.1:" + port, new Frame(new Stamp(number), 5, "p", "127.0.0.1:1", 3, new Message.Heartbeat(me)));
+                "127.0.0.1:" + port,
+                new Frame(new Stamp(number), 5, "p", "127.0.0.1:1", 3, new Message.Heartbeat(sender)));
     }
 
-    private ServerSocket peer(final int port, final BlockingQueue<Socket> taken) throws IOException {
+    private ServerSocket listen(final int port, final BlockingQueue<Socket> accepted) throws IOException {
         final ServerSocket server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         open.add(server);
         TransportThreads.start("test", () -> {
             try {
                 while (true) {
-                    taken.add(server.accept());
+                    accepted.add(server.accept());
                 }
             } catch (final IOException e) {
-                taken.size();
+                accepted.size();
             }
         });
         return server;
@@ -78,105 +79,105 @@
 
     @Test
     void framesThatGoOneWayOnlyKeepOneConnection() throws Exception {
-        final int port = free();
-        dock(port);
-        final Transport from = dock(free());
+        final int port = freePort();
+        startTransport(port);
+        final Transport sender = startTransport(freePort());
         for (int i = 1; i <= 12; i++) {
-            from.ship(ship(port, i, ""));
-            assertThat(came.poll(2, TimeUnit.SECONDS).stamp().bits(), is((long) i));
+            sender.send(outgoing(port, i, ""));
+            assertThat(received.poll(2, TimeUnit.SECONDS).stamp().bits(), is((long) i));
             LockSupport.parkNanos(100_000_000L);
         }
-        assertThat(from.dropped(), is(0L));
-        assertThat(from.connects(), is(1L));
+        assertThat(sender.droppedFrames(), is(0L));
+        assertThat(sender.connectionsMade(), is(1L));
     }
 
     @Test
-    void aPeerThatAcceptsAndNeverReadsIsLeftAndConnectedAnew() throws Exception {
-        final int port = free();
-        final BlockingQueue<Socket> taken = new LinkedBlockingQueue<>();
-        peer(port, taken);
-        final Transport from = dock(free());
-        final long start = EventLoop.now();
+    void aPeerThatAcceptsAndNeverReadsIsDisconnectedAndReconnected() throws Exception {
+        final int port = freePort();
+        final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
+        listen(port, accepted);
+        final Transport sender = startTransport(freePort());
+        final long start = EventLoop.nowMicros();
         final String pad = "x".repeat(60_000);
-        while (taken.size() < 3 && EventLoop.now() - start < 5_000_000L) {
-            from.ship(ship(port, 1, pad));
+        while (accepted.size() < 3 && EventLoop.nowMicros() - start < 5_000_000L) {
+            sender.send(outgoing(port, 1, pad));
             LockSupport.parkNanos(5_000_000L);
         }
-        assertThat(taken.size(), greaterThanOrEqualTo(3));
-        assertThat(EventLoop.now() - start, greaterThan(600_000L));
-        assertThat(from.dropped(), greaterThan(0L));
+        assertThat(accepted.size(), greaterThanOrEqualTo(3));
+        assertThat(EventLoop.nowMicros() - start, greaterThan(600_000L));
+        assertThat(sender.droppedFrames(), greaterThan(0L));
     }
 
     @Test
     void afterAPeerComesBackOnlyYoungFramesArrive() throws Exception {
-        final int port = free();
-        final Transport from = dock(free());
+        final int port = freePort();
+        final Transport sender = startTransport(freePort());
         for (int i = 1; i <= 20; i++) {
-            from.ship(ship(port, i, ""));
+            sender.send(outgoing(port, i, ""));
             LockSupport.parkNanos(20_000_000L);
         }
-        dock(port);
-        final long back = EventLoop.now();
+        startTransport(port);
+        final long returnedAt = EventLoop.nowMicros();
         long number = 20;
-        while (came.isEmpty() && EventLoop.now() - back < 3_000_000L) {
-            from.ship(ship(port, ++number, ""));
+        while (received.isEmpty() && EventLoop.nowMicros() - returnedAt < 3_000_000L) {
+            sender.send(outgoing(port, ++number, ""));
             LockSupport.parkNanos(20_000_000L);
         }
-        final Frame first = came.poll(1, TimeUnit.SECONDS);
-        assertThat(EventLoop.now() - back, lessThan(1_000_000L));
+        final Frame first = received.poll(1, TimeUnit.SECONDS);
+        assertThat(EventLoop.nowMicros() - returnedAt, lessThan(1_000_000L));
         assertThat(first.stamp().bits(), greaterThan(8L));
     }
 
     @Test
-    void anIdleLaneCloses() throws Exception {
-        final int port = free();
-        final BlockingQueue<Socket> taken = new LinkedBlockingQueue<>();
-        peer(port, taken);
-        final Transport from = dock(free());
-        from.ship(ship(port, 1, ""));
-        try (Socket s = taken.poll(2, TimeUnit.SECONDS)) {
-            s.setSoTimeout(3_000);
-            final DataInputStream in = new DataInputStream(s.getInputStream());
+    void anIdleConnectionCloses() throws Exception {
+        final int port = freePort();
+        final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
+        listen(port, accepted);
+        final Transport sender = startTransport(freePort());
+        sender.send(outgoing(port, 1, ""));
+        try (Socket socket = accepted.poll(2, TimeUnit.SECONDS)) {
+            socket.setSoTimeout(3_000);
+            final DataInputStream in = new DataInputStream(socket.getInputStream());
             in.readNBytes(in.readInt());
-            s.getOutputStream().write(1);
+            socket.getOutputStream().write(1);
             assertThat(in.read(), is(-1));
         }
     }
 
     @Test
     void aFullQueueDropsAndCounts() throws Exception {
-        final int port = free();
-        peer(port, new LinkedBlockingQueue<>());
-        final Transport from = dock(free());
+        final int port = freePort();
+        listen(port, new LinkedBlockingQueue<>());
+        final Transport sender = startTransport(freePort());
         final String pad = "x".repeat(60_000);
         for (int i = 0; i < 800; i++) {
-            from.ship(ship(port, 1, pad));
+            sender.send(outgoing(port, 1, pad));
         }
-        assertThat(from.dropped(), greaterThan(0L));
-        assertThat(from.dropped(), lessThanOrEqualTo(800L));
+        assertThat(sender.droppedFrames(), greaterThan(0L));
+        assertThat(sender.droppedFrames(), lessThanOrEqualTo(800L));
     }
 
     @Test
     void aLargeFrameThatGetsOnSlowlyKeepsItsConnectionAndThoseBehindIt() throws Exception {
-        final int port = free();
-        final BlockingQueue<Socket> taken = new LinkedBlockingQueue<>();
-        peer(port, taken).setReceiveBufferSize(32 << 10);
-        final Transport from = dock(free());
-        from.ship(ship(port, 1, "x".repeat(12 << 20)));
-        try (Socket s = taken.poll(2, TimeUnit.SECONDS)) {
-            final DataInputStream in = new DataInputStream(s.getInputStream());
+        final int port = freePort();
+        final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
+        listen(port, accepted).setReceiveBufferSize(32 << 10);
+        final Transport sender = startTransport(freePort());
+        sender.send(outgoing(port, 1, "x".repeat(12 << 20)));
+        try (Socket socket = accepted.poll(2, TimeUnit.SECONDS)) {
+            final DataInputStream in = new DataInputStream(socket.getInputStream());
             final int size = in.readInt();
-            final long start = EventLoop.now();
-            for (int left = size; left > 0; ) {
-                left -= in.readNBytes(Math.min(left, 256 << 10)).length;
-                s.getOutputStream().write(1);
-                from.ship(ship(port, 2, ""));
+            final long start = EventLoop.nowMicros();
+            for (int remaining = size; remaining > 0; ) {
+                remaining -= in.readNBytes(Math.min(remaining, 256 << 10)).length;
+                socket.getOutputStream().write(1);
+                sender.send(outgoing(port, 2, ""));
                 LockSupport.parkNanos(30_000_000L);
             }
-            assertThat(EventLoop.now() - start, greaterThan(1_000_000L));
+            assertThat(EventLoop.nowMicros() - start, greaterThan(1_000_000L));
             in.readNBytes(in.readInt());
-            assertThat(from.connects(), is(1L));
-            assertThat(from.dropped(), is(0L));
+            assertThat(sender.connectionsMade(), is(1L));
+            assertThat(sender.droppedFrames(), is(0L));
         }
     }
 }
--- a/server/src/test/java/silverlatch/server/workerclient/BackTest.java
+++ b/server/src/test/java/silverlatch/server/workerclient/BackTest.java
@@ -16,15 +16,15 @@
 import silverlatch.dispatch.DispatchEffect;
 import silverlatch.dispatch.StreamRecord;
 import silverlatch.server.eventloop.EventLoop;
-import silverlatch.server.web.Call;
-import silverlatch.server.web.Web;
+import silverlatch.server.web.ApiServer;
+import silverlatch.server.web.HttpExchange;
 
 /** The client for workers against a scripted worker on a free port. */
 final class BackTest {
     private final BlockingQueue<String> heard = new ArrayBlockingQueue<>(100);
     private final AtomicInteger calls = new AtomicInteger();
     private String door = "";
-    private Web web;
+    private ApiServer web;
     private Back back;
 
     @BeforeEach
@@ -32,7 +32,7 @@
         try (ServerSocket s = new ServerSocket(0)) {
             door = "127.0.0.1:" + s.getLocalPort();
         }
-        web = new Web(door, 1 << 20, this::worker);
+        web = new ApiServer(door, 1 << 20, this::worker);
         web.start();
         back = new Back(1_024, "the-workers-key", new Back.Sink() {
             @Override
@@ -58,22 +58,23 @@
         web.stop();
     }
 
-    private void worker(final Call c) {
+    private void worker(final HttpExchange c) {
         calls.incrementAndGet();
         final String body = new String(c.body(), java.nio.charset.StandardCharsets.UTF_8);
-        if (!c.secret().equals("the-workers-key")) {
+        if (!c.bearerToken().equals("the-workers-key")) {
             c.reply(401, Map.of());
         } else if (body.contains("deny")) {
             c.reply(503, Map.of(), Map.of("X-Started", "no"));
         } else if (body.contains("trouble")) {
             c.reply(503, Map.of());
         } else if (body.contains("long")) {
-            c.stream("{\"text\":\"" + "x".repeat(2_000) + "\"}\n", true, () -> {}, () -> {});
+            c.writeLines("{\"text\":\"" + "x".repeat(2_000) + "\"}\n", true, () -> {}, () -> {});
         } else {
-            c.stream(
+            c.writeLines(
                     "",
                     false,
-                    () -> c.stream(Lines.write(new StreamRecord.Chunk("t", "t.1", 0, "hi")), true, () -> {}, () -> {}),
+                    () -> c.writeLines(
+                            Lines.write(new StreamRecord.Chunk("t", "t.1", 0, "hi")), true, () -> {}, () -> {}),
                     () -> {});
         }
     }
@@ -88,7 +89,7 @@
 
     @Test
     void aRunIsTakenStreamedAndEnds() throws InterruptedException {
-        run("hello", door, EventLoop.now() + 60_000_000);
+        run("hello", door, EventLoop.nowMicros() + 60_000_000);
         assertThat(next(), is("begun"));
         assertThat(next(), is(new StreamRecord.Chunk("t", "t.1", 0, "hi").toString()));
         assertThat(next(), is("failed true"));
@@ -96,26 +97,26 @@
 
     @Test
     void onlyADenialOrNoConnectionCountsAsNotStarted() throws InterruptedException {
-        run("deny", door, EventLoop.now() + 60_000_000);
+        run("deny", door, EventLoop.nowMicros() + 60_000_000);
         assertThat(next(), is("failed false"));
-        run("trouble", door, EventLoop.now() + 60_000_000);
+        run("trouble", door, EventLoop.nowMicros() + 60_000_000);
         assertThat(next(), is("failed true"));
-        run("hello", "127.0.0.1:1", EventLoop.now() + 60_000_000);
+        run("hello", "127.0.0.1:1", EventLoop.nowMicros() + 60_000_000);
         assertThat(next(), is("failed false"));
     }
 
     @Test
     void aRunThatWouldLeaveTooLateNeverLeaves() throws InterruptedException {
-        run("hello", door, EventLoop.now() - 1);
+        run("hello", door, EventLoop.nowMicros() - 1);
         assertThat(next(), is("failed false"));
-        run("deny", door, EventLoop.now() + 60_000_000);
+        run("deny", door, EventLoop.nowMicros() + 60_000_000);
         assertThat(next(), is("failed false"));
         assertThat(calls.get(), is(1));
     }
 
     @Test
     void aLineBeyondTheBoundIsAFaultOfTheWorker() throws InterruptedException {
-        run("long", door, EventLoop.now() + 60_000_000);
+        run("long", door, EventLoop.nowMicros() + 60_000_000);
         assertThat(next(), is("begun"));
         assertThat(next(), is(new StreamRecord.Lost("", "a line longer than 1024 bytes").toString()));
     }
--- a/simulation/src/main/java/silverlatch/simulation/consumer/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/consumer/Main.java
@@ -93,12 +93,12 @@
                 sorts.add(f);
             }
         }
-        final long begin = EventLoop.now();
+        final long begin = EventLoop.nowMicros();
         double due = 0;
         for (long n = 0; due < seconds * 1e6; n++) {
             final boolean middle = due > seconds * 1e6 / 3 && due < seconds * 2e6 / 3;
             due += 1e6 / rate / (middle ? crowd : 1);
-            final long wait = begin + (long) due - EventLoop.now();
+            final long wait = begin + (long) due - EventLoop.nowMicros();
             if (wait > 0) {
                 TimeUnit.MICROSECONDS.sleep(wait);
             }
@@ -119,8 +119,8 @@
                 new Trip(who[0], who[1], f[0], key, trip.prompt, trip.prefix, luck.nextLong()).go();
             }
         }
-        final long end = EventLoop.now() + 20_000_000;
-        while (open.get() > 0 && EventLoop.now() < end) {
+        final long end = EventLoop.nowMicros() + 20_000_000;
+        while (open.get() > 0 && EventLoop.nowMicros() < end) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
         synchronized (this) {
@@ -158,7 +158,7 @@
         private final List<String> prefix;
         private final SplittableRandom luck;
         private final MessageDigest sum = PermitSigner.newSha256();
-        private final long begin = EventLoop.now();
+        private final long begin = EventLoop.nowMicros();
         private String ticket = "";
         private String worker = "";
         private long table;
@@ -245,7 +245,7 @@
                 case StreamRecord.Chunk p -> {
                     if (next == 0 && fault.isEmpty()) {
                         synchronized (Main.this) {
-                            firsts.add(EventLoop.now() - begin);
+                            firsts.add(EventLoop.nowMicros() - begin);
                         }
                         run = p.attemptId();
                     }
--- a/simulation/src/main/java/silverlatch/simulation/measure/Disks.java
+++ b/simulation/src/main/java/silverlatch/simulation/measure/Disks.java
@@ -27,9 +27,9 @@
             final long[] spans = new long[50];
             for (int i = 0; i < spans.length; i++) {
                 final List<LogRecord> notes = notes(i * batch, batch);
-                final long at = EventLoop.now();
+                final long at = EventLoop.nowMicros();
                 open.log().write(notes);
-                spans[i] = EventLoop.now() - at;
+                spans[i] = EventLoop.nowMicros() - at;
             }
             Arrays.sort(spans);
             System.out.println("| " + batch + " | " + spans[0] + "/" + spans[25] + "/" + spans[49] + " |");
@@ -46,10 +46,10 @@
             open.log().close();
             final long[] spans = new long[5];
             for (int i = 0; i < spans.length; i++) {
-                final long at = EventLoop.now();
+                final long at = EventLoop.nowMicros();
                 final WriteAheadLog.OpenResult.Success again =
                         (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder);
-                spans[i] = (EventLoop.now() - at) / 1000;
+                spans[i] = (EventLoop.nowMicros() - at) / 1000;
                 again.log().close();
             }
             Arrays.sort(spans);
--- a/simulation/src/main/java/silverlatch/simulation/worker/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/worker/Main.java
@@ -24,8 +24,8 @@
 import silverlatch.dispatch.StreamRecord;
 import silverlatch.json.JsonDocument;
 import silverlatch.server.eventloop.EventLoop;
-import silverlatch.server.web.Call;
-import silverlatch.server.web.Web;
+import silverlatch.server.web.ApiServer;
+import silverlatch.server.web.HttpExchange;
 import silverlatch.server.workerclient.Lines;
 
 /** A stand-in worker: reads prompts, keeps prefixes, streams pieces, seals, announces itself, and misbehaves on demand. */
@@ -63,7 +63,7 @@
     private long read = 5_000;
 
     private final long life = System.currentTimeMillis() * 1000;
-    private final long began = EventLoop.now();
+    private final long began = EventLoop.nowMicros();
     private final ScheduledExecutorService work =
             Executors.newSingleThreadScheduledExecutor(task -> silverlatch.util.Threads.daemon("work", task));
     private final HttpClient http = new HttpClient();
@@ -79,7 +79,8 @@
     private Main() {}
 
     /** Runs a stand-in until it is stopped. */
-    public static void main(final String[] args) throws IOException, Web.WebFault, InterruptedException {
+    public static void main(final String[] args)
+            throws IOException, ApiServer.HttpServerException, InterruptedException {
         final Main main = new Main();
         try {
             new CmdLineParser(main).parseArgument(args);
@@ -91,7 +92,7 @@
         Thread.currentThread().join();
     }
 
-    private void start() throws IOException, Web.WebFault {
+    private void start() throws IOException, ApiServer.HttpServerException {
         book = new PrintWriter(
                 Files.newBufferedWriter(
                         Path.of(record),
@@ -104,11 +105,11 @@
         } catch (final Exception e) {
             throw new IOException(e);
         }
-        new Web(door, 4 << 20, this::route).start();
+        new ApiServer(door, 4 << 20, this::route).start();
         work.scheduleAtFixedRate(this::announce, 0, 400, TimeUnit.MILLISECONDS);
     }
 
-    private void route(final Call c) {
+    private void route(final HttpExchange c) {
         switch (c.method() + " " + c.path()) {
             case "POST /v1/runs" -> work.execute(() -> take(c));
             case "POST /faults" ->
@@ -127,8 +128,8 @@
         }
     }
 
-    private void take(final Call c) {
-        if (!c.secret().equals(key)) {
+    private void take(final HttpExchange c) {
+        if (!c.bearerToken().equals(key)) {
             c.reply(401, Map.of("faults", List.of("the workers' key is needed")), Map.of("X-Started", "no"));
             return;
         }
@@ -166,7 +167,7 @@
                 silverlatch.dispatch.permit.PermitSigner.sha256Hex(prompt).substring(0, 12),
                 "at",
                 System.currentTimeMillis()));
-        c.stream("", false, () -> {}, () -> {});
+        c.writeLines("", false, () -> {}, () -> {});
         final Runnable job = () -> {
             running++;
             final long fresh = prefix.stream().filter(p -> !kept.containsKey(p)).count();
@@ -183,7 +184,8 @@
         }
     }
 
-    private void step(final Call c, final String ticket, final String run, final String prompt, final int number) {
+    private void step(
+            final HttpExchange c, final String ticket, final String run, final String prompt, final int number) {
         final int count = Speech.count(prompt);
         if (fault == Faults.DARK) {
             return;
@@ -205,7 +207,8 @@
                     name,
                     "at",
                     System.currentTimeMillis()));
-            c.stream(fault == Faults.NOSEAL || fault == Faults.DROP ? "" : Lines.write(seal), true, () -> {}, () -> {});
+            c.writeLines(
+                    fault == Faults.NOSEAL || fault == Faults.DROP ? "" : Lines.write(seal), true, () -> {}, () -> {});
             end();
             return;
         }
@@ -221,7 +224,7 @@
         if (out.isEmpty()) {
             next.run();
         } else {
-            c.stream(
+            c.writeLines(
                     out,
                     false,
                     next,
@@ -265,7 +268,7 @@
             word.put("slots", slots);
             word.put("kept", list);
             word.put("leaving", leaving);
-            word.put("up", EventLoop.now() - began);
+            word.put("up", EventLoop.nowMicros() - began);
             word.put("echo", echoes.getOrDefault(p, 0L));
             http.newRequest(URI.create("http://" + p + "/v1/announcements"))
                     .method("POST")
--- a/simulation/src/test/java/silverlatch/simulation/fleet/FleetTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/fleet/FleetTest.java
@@ -236,7 +236,7 @@
             for (final byte[] bytes :
                     List.of(new byte[] {0x7f, -1, -1, -1, 1, 2}, new byte[] {0, 0, 0, 4, 99, 98, 97, 96})) {
                 try (java.net.Socket s = new java.net.Socket()) {
-                    s.connect(silverlatch.server.transport.Transport.place(fleet.address(name)));
+                    s.connect(silverlatch.server.transport.Transport.parseAddress(fleet.address(name)));
                     s.getOutputStream().write(bytes);
                     assertThat("the connection ends", s.getInputStream().read(), is(-1));
                 }
