--- a/server/src/main/java/silverlatch/server/gateway/Gateway.java
+++ b/server/src/main/java/silverlatch/server/gateway/Gateway.java
@@ -30,7 +30,7 @@
 import silverlatch.server.eventloop.EventLog;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.eventloop.EventLoopHandle;
-import silverlatch.server.proxy.Fields;
+import silverlatch.server.proxy.ProxyHeaderNames;
 import silverlatch.server.proxy.ProxyServer;
 import silverlatch.server.proxy.WorkerHttpClient;
 import silverlatch.server.replay.Recorder;
@@ -41,70 +41,72 @@
 import silverlatch.server.web.ApiServer;
 import silverlatch.server.web.HttpExchange;
 import silverlatch.server.web.MultiListenerServer;
-import silverlatch.server.workerclient.Back;
-import silverlatch.server.workerclient.Lines;
+import silverlatch.server.workerclient.StreamRecordDecoder;
+import silverlatch.server.workerclient.WorkerRunClient;
 import silverlatch.state.CommandResult;
 
 /** The data plane's process: picks, carries and gossips. */
 @Singleton
-public final class Gateway implements Back.Sink {
-    private static final long MILLION = 1_000_000L;
-    private static final long LINGER = 2_500_000L;
-    private static final int THREADS = 16;
-    private static final int HEAD = 16 << 10;
-    private static final long IDLE = 60_000L;
+public final class Gateway implements WorkerRunClient.Listener {
+    private static final long MICROS_PER_SECOND = 1_000_000L;
+    private static final long MAX_LINGER_MICROS = 2_500_000L;
+    private static final int PROXY_THREADS = 16;
+    private static final int MAX_HEADER_BYTES = 16 << 10;
+    private static final long IDLE_TIMEOUT_MS = 60_000L;
     private final Settings settings;
     private final Node deck;
-    private final Dispatcher carry;
-    private final Transport dock;
-    private Optional<ApiServer> web = Optional.empty();
-    private boolean backed;
-    private final Back back;
-    private final EventLoopHandle bridge;
-    private final Optional<Recorder> book;
-    private final EventLoop duty;
-    private final Map<Long, HttpExchange> calls = new ConcurrentHashMap<>();
-    private final AtomicLong tokens = new AtomicLong();
-    private final Router passage;
-    private volatile Optional<ProxyServer> gate = Optional.empty();
-    private volatile Optional<String> unready = Optional.of("starting");
-    private volatile List<Member> gateways = List.of();
+    private final Dispatcher dispatcher;
+    private final Transport transport;
+    private Optional<ApiServer> apiServer = Optional.empty();
+    private boolean workerClientStarted;
+    private final WorkerRunClient workerClient;
+    private final EventLoopHandle nodeLoop;
+    private final Optional<Recorder> recorder;
+    private final EventLoop dispatchLoop;
+    private final Map<Long, HttpExchange> exchangesByCallId = new ConcurrentHashMap<>();
+    private final AtomicLong lastCallId = new AtomicLong();
+    private final Router router;
+    private volatile Optional<ProxyServer> proxy = Optional.empty();
+    private volatile Optional<String> unreadyReason = Optional.of("starting");
+    private volatile List<Member> readyGateways = List.of();
 
     /** Joins the parts. */
     @Inject
-    public Gateway(final Settings settings, final Node deck, final Dispatcher carry, final Router passage) {
+    public Gateway(final Settings settings, final Node node, final Dispatcher dispatcher, final Router router) {
         this.settings = settings;
-        this.deck = deck;
-        this.carry = carry;
-        this.passage = passage;
-        this.duty = new EventLoop("carry", 16_384, settings.intervals().dispatchTick(), this::beat);
-        this.dock = new Transport(settings.peerAddress(), this::frame);
-        this.bridge = new EventLoopHandle(deck, settings.intervals().nodeTick(), dock::send, k -> {}, this::publish);
-        this.back = new Back(settings.maxLineBytes(), settings.workerKey(), this);
-        this.book = settings.recordFolder().map(Recorder::new);
+        this.deck = node;
+        this.dispatcher = dispatcher;
+        this.router = router;
+        this.dispatchLoop = new EventLoop("carry", 16_384, settings.intervals().dispatchTick(), this::tick);
+        this.transport = new Transport(settings.peerAddress(), this::handleFrame);
+        this.nodeLoop =
+                new EventLoopHandle(node, settings.intervals().nodeTick(), transport::send, k -> {}, this::publish);
+        this.workerClient = new WorkerRunClient(settings.maxLineBytes(), settings.workerKey(), this);
+        this.recorder = settings.recordFolder().map(Recorder::new);
     }
 
     /** Starts the duties and opens the door for picks. */
-    public void start() throws IOException, ApiServer.HttpServerException, WorkerHttpClient.WorkerHttpClientFault {
-        web = Optional.of(new ApiServer(settings.httpAddress(), settings.maxBodyBytes(), this::route));
+    public void start() throws IOException, ApiServer.HttpServerException, WorkerHttpClient.WorkerHttpClientException {
+        apiServer = Optional.of(new ApiServer(settings.httpAddress(), settings.maxBodyBytes(), this::handle));
         begin();
-        web.get().start();
+        apiServer.get().start();
         if (settings.proxyAddress().isPresent()) {
-            final WorkerHttpClient lighter = new WorkerHttpClient(WorkerHttpClient.Setup.PLAIN);
-            lighter.start();
-            final MultiListenerServer doors = new MultiListenerServer(THREADS);
-            final ProxyServer proxy = gate(Fields.PLAIN, lighter);
-            proxy.door(doors.addListener(settings.proxyAddress().get(), HEAD, IDLE, proxy));
-            doors.start();
+            final WorkerHttpClient workerHttpClient = new WorkerHttpClient(WorkerHttpClient.Settings.DEFAULT);
+            workerHttpClient.start();
+            final MultiListenerServer httpServer = new MultiListenerServer(PROXY_THREADS);
+            final ProxyServer server = proxy(ProxyHeaderNames.DEFAULT, workerHttpClient);
+            server.listener(
+                    httpServer.addListener(settings.proxyAddress().get(), MAX_HEADER_BYTES, IDLE_TIMEOUT_MS, server));
+            httpServer.start();
         }
     }
 
     /** Starts the duties; whoever calls opens the doors. */
     public void begin() throws IOException {
-        book.ifPresent(Recorder::start);
-        dock.start();
-        bridge.start();
-        duty.start();
+        recorder.ifPresent(Recorder::start);
+        transport.start();
+        nodeLoop.start();
+        dispatchLoop.start();
         EventLog.write(
                 Event.STARTED,
                 "gateway " + settings.name() + " at " + settings.peerAddress() + " door " + settings.httpAddress());
@@ -113,24 +115,27 @@
     /** Stops in good order: unready at once, streams go on within the grace, what is left is told to be lost. */
     public void stop() {
         try {
-            duty.post(carry::stopAccepting);
-            duty.post(passage::startDraining);
-            gate.ifPresent(ProxyServer::close);
-            bridge.execute(d -> d.setReady(false));
-            final long end = EventLoop.nowMicros() + settings.shutdownGrace();
-            TimeUnit.MICROSECONDS.sleep(gate.isEmpty() ? 200_000L : Math.min(LINGER, settings.shutdownGrace() / 3));
-            duty.post(passage::close);
-            while (EventLoop.nowMicros() < end
-                    && carry.openRequests() + gate.map(ProxyServer::open).orElse(0) > 0) {
+            dispatchLoop.post(dispatcher::stopAccepting);
+            dispatchLoop.post(router::startDraining);
+            proxy.ifPresent(ProxyServer::close);
+            nodeLoop.execute(node -> node.setReady(false));
+            final long deadline = EventLoop.nowMicros() + settings.shutdownGrace();
+            TimeUnit.MICROSECONDS.sleep(
+                    proxy.isEmpty() ? 200_000L : Math.min(MAX_LINGER_MICROS, settings.shutdownGrace() / 3));
+            dispatchLoop.post(router::close);
+            while (EventLoop.nowMicros() < deadline
+                    && dispatcher.openRequests()
+                                    + proxy.map(ProxyServer::openRequests).orElse(0)
+                            > 0) {
                 TimeUnit.MILLISECONDS.sleep(20);
             }
-            post(() -> carry.shutdown(EventLoop.nowMicros()));
-            post(() -> passage.shutdown(EventLoop.nowMicros()));
-            bridge.execute(d -> d.leave(EventLoop.nowMicros()));
+            post(() -> dispatcher.shutdown(EventLoop.nowMicros()));
+            post(() -> router.shutdown(EventLoop.nowMicros()));
+            nodeLoop.execute(node -> node.leave(EventLoop.nowMicros()));
             TimeUnit.MILLISECONDS.sleep(150);
             EventLog.write(Event.STOPPED, "gateway " + settings.name());
-            if (web.isPresent()) {
-                web.get().stop();
+            if (apiServer.isPresent()) {
+                apiServer.get().stop();
             }
         } catch (final InterruptedException | ApiServer.HttpServerException e) {
             EventLog.write(Event.STOPPED, "gateway " + settings.name() + " in haste");
@@ -138,86 +143,88 @@
     }
 
     @Override
-    public void begun(final long job) {
-        post(() -> carry.attemptStarted(job));
+    public void onStarted(final long operationId) {
+        post(() -> dispatcher.attemptStarted(operationId));
     }
 
     @Override
-    public void line(final long job, final StreamRecord line) {
-        post(() -> carry.recordReceived(job, line, EventLoop.nowMicros()));
+    public void onRecord(final long operationId, final StreamRecord record) {
+        post(() -> dispatcher.recordReceived(operationId, record, EventLoop.nowMicros()));
     }
 
     @Override
-    public void failed(final long job, final boolean started, final String why) {
-        post(() -> carry.attemptFailed(job, started, why, EventLoop.nowMicros()));
+    public void onEnded(final long operationId, final boolean started, final String reason) {
+        post(() -> dispatcher.attemptFailed(operationId, started, reason, EventLoop.nowMicros()));
     }
 
-    private void frame(final silverlatch.wire.Frame f) {
-        bridge.execute(d -> d.onFrame(f, EventLoop.nowMicros()));
+    private void handleFrame(final silverlatch.wire.Frame frame) {
+        nodeLoop.execute(node -> node.onFrame(frame, EventLoop.nowMicros()));
     }
 
     /** Makes the gate for tickets that come by host and path; where there is one it decides when this gateway is ready. */
-    public ProxyServer gate(final Fields words, final WorkerHttpClient lighter) {
-        final ProxyServer made = new ProxyServer(words, lighter, job -> post(() -> job.accept(passage)));
-        gate = Optional.of(made);
-        return made;
+    public ProxyServer proxy(final ProxyHeaderNames headerNames, final WorkerHttpClient workerHttpClient) {
+        final ProxyServer server =
+                new ProxyServer(headerNames, workerHttpClient, event -> post(() -> event.accept(router)));
+        proxy = Optional.of(server);
+        return server;
     }
 
     /** Takes the seeds that hold from now on. */
-    public void seeds(final List<String> next) {
-        bridge.execute(d -> d.membership().setSeeds(next));
+    public void setSeeds(final List<String> seeds) {
+        nodeLoop.execute(node -> node.membership().setSeeds(seeds));
     }
 
     /** Whether tickets are taken, or why not. */
-    public Optional<String> unready() {
-        return unready;
+    public Optional<String> unreadyReason() {
+        return unreadyReason;
     }
 
     /** The gateways that take tickets as far as is known here, this one among them. */
-    public List<Member> gateways() {
-        return gateways;
+    public List<Member> readyGateways() {
+        return readyGateways;
     }
 
-    private void publish(final Node d) {
-        final ClusterSnapshot facts = d.facts();
-        gateways = java.util.stream.Stream.concat(java.util.stream.Stream.of(facts.self()), facts.peers().stream())
+    private void publish(final Node node) {
+        final ClusterSnapshot snapshot = node.facts();
+        readyGateways = java.util.stream.Stream.concat(
+                        java.util.stream.Stream.of(snapshot.self()), snapshot.peers().stream())
                 .filter(Member::ready)
                 .toList();
         post(() -> {
-            carry.clusterSnapshot(facts, EventLoop.nowMicros());
-            passage.clusterSnapshot(facts, EventLoop.nowMicros());
-            gate.ifPresent(g -> passage.limits().ifPresent(g::limits));
+            dispatcher.clusterSnapshot(snapshot, EventLoop.nowMicros());
+            router.clusterSnapshot(snapshot, EventLoop.nowMicros());
+            proxy.ifPresent(server -> router.limits().ifPresent(server::limits));
         });
     }
 
-    private boolean post(final Runnable job) {
-        return duty.post(() -> {
-            job.run();
-            act();
+    private boolean post(final Runnable task) {
+        return dispatchLoop.post(() -> {
+            task.run();
+            applyActions();
         });
     }
 
-    private void beat() {
-        carry.tick(EventLoop.nowMicros());
-        passage.tick(EventLoop.nowMicros());
-        act();
-        final Optional<String> why =
-                gate.isEmpty() ? carry.unreadyReason(EventLoop.nowMicros()) : passage.unreadyReason();
-        if (why.isPresent() != unready.isPresent()) {
+    private void tick() {
+        dispatcher.tick(EventLoop.nowMicros());
+        router.tick(EventLoop.nowMicros());
+        applyActions();
+        final Optional<String> reason =
+                proxy.isEmpty() ? dispatcher.unreadyReason(EventLoop.nowMicros()) : router.unreadyReason();
+        if (reason.isPresent() != unreadyReason.isPresent()) {
             EventLog.write(
-                    why.isPresent() ? Event.UNREADY : Event.READY,
-                    settings.name() + why.map(w -> ": " + w).orElse(""));
-            bridge.execute(d -> d.setReady(why.isEmpty()));
+                    reason.isPresent() ? Event.UNREADY : Event.READY,
+                    settings.name() + reason.map(text -> ": " + text).orElse(""));
+            nodeLoop.execute(node -> node.setReady(reason.isEmpty()));
         }
-        unready = why;
+        unreadyReason = reason;
     }
 
-    private void act() {
-        gate.ifPresent(g -> passage.drainEffects().forEach(g::apply));
-        for (final DispatchEffect a : carry.drainEffects()) {
+    private void applyActions() {
+        proxy.ifPresent(g -> router.drainEffects().forEach(g::apply));
+        for (final DispatchEffect a : dispatcher.drainEffects()) {
             switch (a) {
                 case DispatchEffect.Placed p ->
-                    call(
+                    withExchange(
                             p.callId(),
                             c -> c.reply(
                                     200,
@@ -237,308 +244,339 @@
                                             "stamp",
                                             "" + p.timestamp())));
                 case DispatchEffect.Redirected p ->
-                    call(p.callId(), c -> c.reply(200, Map.of("outcome", "pointed", "doors", p.endpoints())));
+                    withExchange(p.callId(), c -> c.reply(200, Map.of("outcome", "pointed", "doors", p.endpoints())));
                 case DispatchEffect.Rejected r ->
-                    call(
+                    withExchange(
                             r.callId(),
                             c -> reject(c, r.statusCode(), r.requestId(), r.reason(), r.retryAfter(), r.claimState()));
-                case DispatchEffect.StreamWrite f -> flow(f);
-                case DispatchEffect.StartAttempt r -> run(r);
-                case DispatchEffect.CancelAttempt c -> back.cut(c.operationId());
+                case DispatchEffect.StreamWrite f -> streamRecords(f);
+                case DispatchEffect.StartAttempt r -> startRun(r);
+                case DispatchEffect.CancelAttempt c -> workerClient.cancel(c.operationId());
                 case DispatchEffect.SubmitCommand c ->
-                    bridge.submit(
+                    nodeLoop.submit(
                             c.command(),
                             c.timeout(),
-                            v -> post(() ->
-                                    carry.claimDecided(c.operationId(), (CommandResult) v, EventLoop.nowMicros())));
-                case DispatchEffect.PlacementDecided j -> book.ifPresent(b -> b.write(RecordingFormat.write(j)));
-                case DispatchEffect.RequestEnded e -> book.ifPresent(b -> b.write(RecordingFormat.write(e)));
+                            v -> post(() -> dispatcher.claimDecided(
+                                    c.operationId(), (CommandResult) v, EventLoop.nowMicros())));
+                case DispatchEffect.PlacementDecided j -> recorder.ifPresent(b -> b.write(RecordingFormat.write(j)));
+                case DispatchEffect.RequestEnded e -> recorder.ifPresent(b -> b.write(RecordingFormat.write(e)));
                 case DispatchEffect.Log l -> EventLog.write(l.event(), l.text());
             }
         }
     }
 
-    private void run(final DispatchEffect.StartAttempt r) {
+    private void startRun(final DispatchEffect.StartAttempt run) {
         try {
-            if (!backed) {
-                back.start();
-                backed = true;
+            if (!workerClientStarted) {
+                workerClient.start();
+                workerClientStarted = true;
             }
-            back.run(r);
-        } catch (final Back.BackFault e) {
+            workerClient.startRun(run);
+        } catch (final WorkerRunClient.WorkerRunClientException e) {
             EventLog.write(Event.FAULT, "no run can be sent", e);
-            post(() -> carry.attemptFailed(r.operationId(), false, "no client", EventLoop.nowMicros()));
+            post(() -> dispatcher.attemptFailed(run.operationId(), false, "no client", EventLoop.nowMicros()));
         }
     }
 
-    private void call(final long token, final java.util.function.Consumer<HttpExchange> job) {
-        Optional.ofNullable(calls.remove(token)).ifPresent(job);
+    private void withExchange(final long callId, final java.util.function.Consumer<HttpExchange> task) {
+        Optional.ofNullable(exchangesByCallId.remove(callId)).ifPresent(task);
     }
 
-    private void flow(final DispatchEffect.StreamWrite f) {
-        final Optional<HttpExchange> call =
-                Optional.ofNullable(f.endOfStream() ? calls.remove(f.callId()) : calls.get(f.callId()));
-        call.ifPresent(c -> c.writeLines(
-                f.records().stream().map(Lines::write).collect(Collectors.joining()),
-                f.endOfStream(),
-                () -> post(() -> carry.readerReady(f.callId())),
+    private void streamRecords(final DispatchEffect.StreamWrite flow) {
+        final Optional<HttpExchange> exchange = Optional.ofNullable(
+                flow.endOfStream() ? exchangesByCallId.remove(flow.callId()) : exchangesByCallId.get(flow.callId()));
+        exchange.ifPresent(c -> c.writeLines(
+                flow.records().stream().map(StreamRecordDecoder::encode).collect(Collectors.joining()),
+                flow.endOfStream(),
+                () -> post(() -> dispatcher.readerReady(flow.callId())),
                 () -> {
-                    calls.remove(f.callId());
-                    post(() -> carry.readerDisconnected(f.callId(), EventLoop.nowMicros()));
+                    exchangesByCallId.remove(flow.callId());
+                    post(() -> dispatcher.readerDisconnected(flow.callId(), EventLoop.nowMicros()));
                 }));
     }
 
     private static void reject(
-            final HttpExchange c,
+            final HttpExchange exchange,
             final int code,
-            final String ticket,
-            final String why,
-            final long after,
-            final String stands) {
-        final Map<String, Object> map = new TreeMap<>(
-                Map.of("outcome", "rejected", "ticket", ticket, "faults", List.of(why), "retryAfterMs", after / 1000));
-        if (!stands.isEmpty()) {
-            map.put("stands", stands);
+            final String requestId,
+            final String reason,
+            final long retryAfterMicros,
+            final String claimState) {
+        final Map<String, Object> body = new TreeMap<>(Map.of(
+                "outcome",
+                "rejected",
+                "ticket",
+                requestId,
+                "faults",
+                List.of(reason),
+                "retryAfterMs",
+                retryAfterMicros / 1000));
+        if (!claimState.isEmpty()) {
+            body.put("stands", claimState);
         }
-        c.reply(
+        exchange.reply(
                 code,
-                map,
-                after > 0 ? Map.of("Retry-After", "" + Math.max(1, (after + MILLION - 1) / MILLION)) : Map.of());
+                body,
+                retryAfterMicros > 0
+                        ? Map.of(
+                                "Retry-After",
+                                "" + Math.max(1, (retryAfterMicros + MICROS_PER_SECOND - 1) / MICROS_PER_SECOND))
+                        : Map.of());
     }
 
     /** Replies to a call at this gateway's own door, for one that opens doors itself. */
-    public void route(final HttpExchange c) {
-        final String at = c.method() + " " + c.path();
-        switch (at) {
-            case "POST /v1/picks" -> pick(c);
-            case "POST /v1/tickets" -> ticket(c);
-            case "POST /v1/announcements" -> announce(c);
-            case "GET /live" -> c.reply(200, Map.of("live", true));
+    public void handle(final HttpExchange exchange) {
+        final String operation = exchange.method() + " " + exchange.path();
+        switch (operation) {
+            case "POST /v1/picks" -> handlePick(exchange);
+            case "POST /v1/tickets" -> handleRequest(exchange);
+            case "POST /v1/announcements" -> handleWorkerReport(exchange);
+            case "GET /live" -> exchange.reply(200, Map.of("live", true));
             case "GET /ready" ->
-                c.reply(unready.isEmpty() ? 200 : 503, Map.of("ready", unready.isEmpty(), "why", unready.orElse("")));
-            case "GET /status" -> status(c);
-            case "GET /metrics" -> metrics(c);
+                exchange.reply(
+                        unreadyReason.isEmpty() ? 200 : 503,
+                        Map.of("ready", unreadyReason.isEmpty(), "why", unreadyReason.orElse("")));
+            case "GET /status" -> handleStatus(exchange);
+            case "GET /metrics" -> handleMetrics(exchange);
             default -> {
-                if (at.startsWith("GET /v1/tickets/")) {
-                    attach(c, c.path().substring("/v1/tickets/".length()));
-                } else if (at.startsWith("GET /v1/explain/")) {
-                    explain(c, c.path().substring("/v1/explain/".length()));
+                if (operation.startsWith("GET /v1/tickets/")) {
+                    handleAttach(exchange, exchange.path().substring("/v1/tickets/".length()));
+                } else if (operation.startsWith("GET /v1/explain/")) {
+                    handleExplain(exchange, exchange.path().substring("/v1/explain/".length()));
                 } else {
-                    c.reply(404, Map.of("outcome", "rejected", "faults", List.of("$: no such page")));
+                    exchange.reply(404, Map.of("outcome", "rejected", "faults", List.of("$: no such page")));
                 }
             }
         }
     }
 
-    private Optional<JsonDocument> sheet(final HttpExchange c) {
-        return switch (JsonDocument.parse(c.body(), settings.maxBodyBytes())) {
+    private Optional<JsonDocument> parseBody(final HttpExchange exchange) {
+        return switch (JsonDocument.parse(exchange.body(), settings.maxBodyBytes())) {
             case JsonDocument.ParseResult.Invalid bad -> {
-                c.reply(bad.code(), Map.of("outcome", "rejected", "faults", List.of(bad.reason())));
+                exchange.reply(bad.code(), Map.of("outcome", "rejected", "faults", List.of(bad.reason())));
                 yield Optional.empty();
             }
             case JsonDocument.ParseResult.Valid good -> Optional.of(good.document());
         };
     }
 
-    private static boolean faulty(final HttpExchange c, final JsonDocument s) {
-        final List<String> faults = s.finish();
+    private static boolean rejectIfInvalid(final HttpExchange exchange, final JsonDocument document) {
+        final List<String> faults = document.finish();
         if (!faults.isEmpty()) {
-            c.reply(422, Map.of("outcome", "rejected", "faults", faults));
+            exchange.reply(422, Map.of("outcome", "rejected", "faults", faults));
         }
         return !faults.isEmpty();
     }
 
-    private void begin(final HttpExchange c, final java.util.function.LongConsumer job) {
-        final long token = tokens.incrementAndGet();
-        calls.put(token, c);
-        c.onDisconnect(() -> {
-            Optional.ofNullable(calls.remove(token))
-                    .ifPresent(gone -> post(() -> carry.readerDisconnected(token, EventLoop.nowMicros())));
+    private void begin(final HttpExchange exchange, final java.util.function.LongConsumer task) {
+        final long callId = lastCallId.incrementAndGet();
+        exchangesByCallId.put(callId, exchange);
+        exchange.onDisconnect(() -> {
+            Optional.ofNullable(exchangesByCallId.remove(callId))
+                    .ifPresent(gone -> post(() -> dispatcher.readerDisconnected(callId, EventLoop.nowMicros())));
         });
-        if (!post(() -> job.accept(token))) {
-            calls.remove(token);
-            reject(c, 503, "", "the ring is full", MILLION, "");
+        if (!post(() -> task.accept(callId))) {
+            exchangesByCallId.remove(callId);
+            reject(exchange, 503, "", "the ring is full", MICROS_PER_SECOND, "");
         }
     }
 
-    private void pick(final HttpExchange c) {
-        sheet(c).ifPresent(s -> {
-            final PlacementRequest o = new PlacementRequest(
-                    c.bearerToken(),
-                    s.string("tenant", 64),
-                    s.string("kind", 64),
-                    s.strings("prefix", 64, 128),
-                    s.integer("size", 0, Integer.MAX_VALUE, 0),
-                    s.string("key", 128, ""),
-                    (int) s.integer("tries", 0, 1_000, 0));
-            if (!faulty(c, s)) {
-                begin(c, token -> carry.requestPlacement(o, token, EventLoop.nowMicros()));
+    private void handlePick(final HttpExchange exchange) {
+        parseBody(exchange).ifPresent(document -> {
+            final PlacementRequest order = new PlacementRequest(
+                    exchange.bearerToken(),
+                    document.string("tenant", 64),
+                    document.string("kind", 64),
+                    document.strings("prefix", 64, 128),
+                    document.integer("size", 0, Integer.MAX_VALUE, 0),
+                    document.string("key", 128, ""),
+                    (int) document.integer("tries", 0, 1_000, 0));
+            if (!rejectIfInvalid(exchange, document)) {
+                begin(exchange, callId -> dispatcher.requestPlacement(order, callId, EventLoop.nowMicros()));
             }
         });
     }
 
-    private void ticket(final HttpExchange c) {
-        sheet(c).ifPresent(s -> {
-            final SubmittedRequest l = new SubmittedRequest(
-                    c.bearerToken(),
-                    s.string("permit", 4096),
-                    s.strings("prefix", 64, 128),
-                    s.string("prompt", settings.maxBodyBytes()),
-                    s.integer("expiryMs", 1, 3_600_000, 30_000) * 1000);
-            if (!faulty(c, s)) {
-                begin(c, token -> carry.submit(l, token, EventLoop.nowMicros()));
+    private void handleRequest(final HttpExchange exchange) {
+        parseBody(exchange).ifPresent(document -> {
+            final SubmittedRequest load = new SubmittedRequest(
+                    exchange.bearerToken(),
+                    document.string("permit", 4096),
+                    document.strings("prefix", 64, 128),
+                    document.string("prompt", settings.maxBodyBytes()),
+                    document.integer("expiryMs", 1, 3_600_000, 30_000) * 1000);
+            if (!rejectIfInvalid(exchange, document)) {
+                begin(exchange, callId -> dispatcher.submit(load, callId, EventLoop.nowMicros()));
             }
         });
     }
 
-    private void attach(final HttpExchange c, final String ticket) {
-        final String from = c.queryParameter("from").orElse("0");
-        if (!from.matches("\\d{1,9}")) {
-            c.reply(400, Map.of("outcome", "rejected", "faults", List.of("from: a piece's number is needed")));
+    private void handleAttach(final HttpExchange exchange, final String requestId) {
+        final String firstIndex = exchange.queryParameter("from").orElse("0");
+        if (!firstIndex.matches("\\d{1,9}")) {
+            exchange.reply(400, Map.of("outcome", "rejected", "faults", List.of("from: a piece's number is needed")));
             return;
         }
-        final String secret = c.bearerToken();
-        begin(c, token -> carry.attach(ticket, secret, Long.parseLong(from), token, EventLoop.nowMicros()));
+        final String secret = exchange.bearerToken();
+        begin(
+                exchange,
+                callId -> dispatcher.attach(
+                        requestId, secret, Long.parseLong(firstIndex), callId, EventLoop.nowMicros()));
     }
 
-    private void announce(final HttpExchange c) {
-        if (!PermitSigner.constantTimeEquals(c.bearerToken(), settings.workerKey())) {
-            c.reply(401, Map.of("outcome", "rejected", "faults", List.of("the workers' key is needed")));
+    private void handleWorkerReport(final HttpExchange exchange) {
+        if (!PermitSigner.constantTimeEquals(exchange.bearerToken(), settings.workerKey())) {
+            exchange.reply(401, Map.of("outcome", "rejected", "faults", List.of("the workers' key is needed")));
             return;
         }
-        sheet(c).ifPresent(s -> {
-            final Worker w = AnnouncementJson.read(s);
-            final long echo = AnnouncementJson.echo(s);
-            if (faulty(c, s)) {
+        parseBody(exchange).ifPresent(document -> {
+            final Worker worker = AnnouncementJson.read(document);
+            final long echo = AnnouncementJson.echo(document);
+            if (rejectIfInvalid(exchange, document)) {
                 return;
             }
-            if (!bridge.execute(d -> {
-                final long next = d.onAnnouncement(w, echo, EventLoop.nowMicros());
-                c.reply(
+            if (!nodeLoop.execute(node -> {
+                final long next = node.onAnnouncement(worker, echo, EventLoop.nowMicros());
+                exchange.reply(
                         200,
-                        Map.of("echo", next, "table", d.gossip().stateMachine().policyRevision()));
-                publish(d);
+                        Map.of(
+                                "echo",
+                                next,
+                                "table",
+                                node.gossip().stateMachine().policyRevision()));
+                publish(node);
             })) {
-                reject(c, 503, "", "the ring is full", MILLION, "");
+                reject(exchange, 503, "", "the ring is full", MICROS_PER_SECOND, "");
             }
         });
     }
 
-    private boolean operator(final HttpExchange c) {
-        final boolean good = PermitSigner.constantTimeEquals(c.bearerToken(), settings.operatorKey());
-        if (!good) {
-            c.reply(401, Map.of("outcome", "rejected", "faults", List.of("the operator's key is needed")));
+    private boolean authorizeOperator(final HttpExchange exchange) {
+        final boolean authorized = PermitSigner.constantTimeEquals(exchange.bearerToken(), settings.operatorKey());
+        if (!authorized) {
+            exchange.reply(401, Map.of("outcome", "rejected", "faults", List.of("the operator's key is needed")));
         }
-        return good;
+        return authorized;
     }
 
-    private void explain(final HttpExchange c, final String ticket) {
-        if (operator(c)) {
-            post(() -> carry.traces()
-                    .get(ticket)
-                    .or(() -> passage.traces().get(ticket))
+    private void handleExplain(final HttpExchange exchange, final String requestId) {
+        if (authorizeOperator(exchange)) {
+            post(() -> dispatcher
+                    .traces()
+                    .get(requestId)
+                    .or(() -> router.traces().get(requestId))
                     .ifPresentOrElse(
-                            t -> c.reply(200, tale(t)),
-                            () -> c.reply(
+                            trace -> exchange.reply(200, traceJson(trace)),
+                            () -> exchange.reply(
                                     404, Map.of("outcome", "rejected", "faults", List.of("no such ticket here")))));
         }
     }
 
-    private static Map<String, Object> tale(final TraceLog.RequestTrace t) {
-        final List<Map<String, Object>> said = new ArrayList<>();
-        t.scores()
-                .forEach(o -> said.add(Map.of(
+    private static Map<String, Object> traceJson(final TraceLog.RequestTrace trace) {
+        final List<Map<String, Object>> opinions = new ArrayList<>();
+        trace.scores()
+                .forEach(opinion -> opinions.add(Map.of(
                         "worker",
-                        o.worker(),
+                        opinion.worker(),
                         "judge",
-                        o.scorer(),
+                        opinion.scorer(),
                         "weight",
-                        o.weight(),
+                        opinion.weight(),
                         "finding",
-                        switch (o.result()) {
-                            case ScorerResult.Score s -> "score " + Math.round(s.value() * 1000) / 1000.0;
-                            case ScorerResult.Veto v -> "veto: " + v.reason();
-                            case ScorerResult.Deferred l -> "later: " + l.reason();
+                        switch (opinion.result()) {
+                            case ScorerResult.Score score -> "score " + Math.round(score.value() * 1000) / 1000.0;
+                            case ScorerResult.Veto veto -> "veto: " + veto.reason();
+                            case ScorerResult.Deferred later -> "later: " + later.reason();
                         })));
-        final Map<String, Object> map = new TreeMap<>(Map.of(
+        final Map<String, Object> body = new TreeMap<>(Map.of(
                 "ticket",
-                t.requestId(),
+                trace.requestId(),
                 "tenant",
-                t.tenant(),
+                trace.tenant(),
                 "kind",
-                t.kind(),
+                trace.kind(),
                 "worker",
-                t.worker(),
+                trace.worker(),
                 "table",
-                t.revision(),
+                trace.revision(),
                 "stamp",
-                "" + t.timestamp(),
+                "" + trace.timestamp(),
                 "state",
-                t.state(),
+                trace.state(),
                 "why",
-                t.reason(),
+                trace.reason(),
                 "tries",
-                t.attempts()));
-        map.put("judges", said);
-        return map;
+                trace.attempts()));
+        body.put("judges", opinions);
+        return body;
     }
 
-    private void status(final HttpExchange c) {
-        if (!operator(c)) {
+    private void handleStatus(final HttpExchange exchange) {
+        if (!authorizeOperator(exchange)) {
             return;
         }
-        bridge.execute(d -> {
+        nodeLoop.execute(node -> {
             final long now = EventLoop.nowMicros();
-            final Map<String, Object> map = new TreeMap<>();
-            map.put("name", settings.name());
-            map.put("ready", unready.isEmpty());
-            map.put("why", unready.orElse(""));
-            map.put("table", d.gossip().stateMachine().policyRevision());
-            map.put(
+            final Map<String, Object> body = new TreeMap<>();
+            body.put("name", settings.name());
+            body.put("ready", unreadyReason.isEmpty());
+            body.put("why", unreadyReason.orElse(""));
+            body.put("table", node.gossip().stateMachine().policyRevision());
+            body.put(
                     "tableAgeMs",
-                    d.gossip().stateAge(now) == Long.MAX_VALUE ? -1 : d.gossip().stateAge(now) / 1000);
-            map.put("stamp", "" + d.processClock().last().bits());
-            map.put("wallJumps", d.physicalClock().jumps());
-            map.put("view", d.view().number());
-            map.put("chain", d.view().chain().stream().map(b -> b.address()).toList());
-            map.put(
+                    node.gossip().stateAge(now) == Long.MAX_VALUE
+                            ? -1
+                            : node.gossip().stateAge(now) / 1000);
+            body.put("stamp", "" + node.processClock().last().bits());
+            body.put("wallJumps", node.physicalClock().jumps());
+            body.put("view", node.view().number());
+            body.put(
+                    "chain",
+                    node.view().chain().stream()
+                            .map(replica -> replica.address())
+                            .toList());
+            body.put(
                     "crew",
-                    d.membership().all().stream()
-                            .map(m -> m.id() + " " + m.role() + " " + m.zone() + " " + m.state()
-                                    + (m.ready() ? " ready" : ""))
+                    node.membership().all().stream()
+                            .map(member -> member.id() + " " + member.role() + " " + member.zone() + " "
+                                    + member.state() + (member.ready() ? " ready" : ""))
                             .toList());
-            map.put(
+            body.put(
                     "workers",
-                    d.gossip().workers().values().stream()
-                            .map(h -> h.worker().id() + " " + h.worker().zone() + " running "
-                                    + h.worker().running() + "/" + h.worker().slots()
-                                    + (h.worker().draining() ? " leaving" : "") + " age "
-                                    + (h.age(now) == Long.MAX_VALUE ? "unknown" : h.age(now) / 1000 + " ms"))
+                    node.gossip().workers().values().stream()
+                            .map(heard -> heard.worker().id() + " "
+                                    + heard.worker().zone() + " running "
+                                    + heard.worker().running() + "/"
+                                    + heard.worker().slots()
+                                    + (heard.worker().draining() ? " leaving" : "") + " age "
+                                    + (heard.age(now) == Long.MAX_VALUE ? "unknown" : heard.age(now) / 1000 + " ms"))
                             .sorted()
                             .toList());
-            c.reply(200, map);
+            exchange.reply(200, body);
         });
     }
 
-    private void metrics(final HttpExchange c) {
+    private void handleMetrics(final HttpExchange exchange) {
         post(() -> {
-            final Map<String, Object> all = new TreeMap<>();
-            carry.counters().forEach((k, v) -> all.put("carry_" + k, v));
-            all.put("carry_open", carry.openRequests());
-            passage.counters().forEach((k, v) -> all.put("passage_" + k, v));
-            all.put("passage_open", passage.openRequests());
-            all.put("passage_charter", passage.configurationNumber());
-            bridge.execute(d -> {
-                final var n = d.processClock().counts();
-                all.put("tide_waits", n.waits());
-                all.put("tide_carries", n.overflows());
-                all.put("tide_far", n.tooFarAhead());
-                all.put("tide_dropped", n.dropped());
-                d.counters().forEach((k, v) -> all.put("deck_" + k, v));
-                all.put("wire_bad", dock.bad());
-                all.put("wire_dropped", dock.droppedFrames());
-                all.put("ring_full", duty.rejectedTasks() + bridge.eventLoop().rejectedTasks());
-                c.replyText(all.entrySet().stream()
+            final Map<String, Object> values = new TreeMap<>();
+            dispatcher.counters().forEach((k, v) -> values.put("carry_" + k, v));
+            values.put("carry_open", dispatcher.openRequests());
+            router.counters().forEach((k, v) -> values.put("passage_" + k, v));
+            values.put("passage_open", router.openRequests());
+            values.put("passage_charter", router.configurationNumber());
+            nodeLoop.execute(node -> {
+                final var clockCounts = node.processClock().counts();
+                values.put("tide_waits", clockCounts.waits());
+                values.put("tide_carries", clockCounts.overflows());
+                values.put("tide_far", clockCounts.tooFarAhead());
+                values.put("tide_dropped", clockCounts.dropped());
+                node.counters().forEach((k, v) -> values.put("deck_" + k, v));
+                values.put("wire_bad", transport.bad());
+                values.put("wire_dropped", transport.droppedFrames());
+                values.put(
+                        "ring_full",
+                        dispatchLoop.rejectedTasks() + nodeLoop.eventLoop().rejectedTasks());
+                exchange.replyText(values.entrySet().stream()
                                 .map(e -> "silverlatch_" + e.getKey() + " " + e.getValue())
                                 .collect(Collectors.joining("\n"))
                         + "\n");
--- a/server/src/main/java/silverlatch/server/gateway/Main.java
+++ b/server/src/main/java/silverlatch/server/gateway/Main.java
@@ -45,8 +45,8 @@
     }
 
     /** Builds a gateway from its settings. */
-    public static Gateway build(final Settings s) {
-        return DaggerMain_Parts.factory().make(s).gateway();
+    public static Gateway build(final Settings settings) {
+        return DaggerMain_Parts.factory().create(settings).gateway();
     }
 
     /** The parts of a gateway. */
@@ -60,7 +60,7 @@
         @Component.Factory
         interface Maker {
             /** From its settings. */
-            Parts make(@BindsInstance Settings settings);
+            Parts create(@BindsInstance Settings settings);
         }
     }
 
@@ -71,57 +71,60 @@
 
         @Provides
         @Singleton
-        static SplittableRandom luck() {
+        static SplittableRandom random() {
             return new SplittableRandom(new SecureRandom().nextLong());
         }
 
         @Provides
         @Singleton
-        static Node deck(final Settings s, final SplittableRandom luck) {
-            final long now = EventLoop.nowMicros();
-            final long wall = EventLoopHandle.wallClockNanos();
-            final Member me = new Member(
-                    s.name(),
+        static Node node(final Settings settings, final SplittableRandom random) {
+            final long nowMicros = EventLoop.nowMicros();
+            final long wallMicros = EventLoopHandle.wallClockNanos();
+            final Member self = new Member(
+                    settings.name(),
                     "gateway",
-                    s.zone(),
-                    s.region(),
-                    s.peerAddress(),
-                    s.httpAddress(),
-                    wall / 1000,
+                    settings.zone(),
+                    settings.region(),
+                    settings.peerAddress(),
+                    settings.httpAddress(),
+                    wallMicros / 1000,
                     0,
                     "up",
                     false);
             return new Node(
                     new Node.Settings(
-                            me,
-                            s.seeds(),
-                            s.stampLowBits(),
-                            s.maxClockSkew(),
-                            s.intervals().membership(),
-                            s.intervals().gossip()),
+                            self,
+                            settings.seeds(),
+                            settings.stampLowBits(),
+                            settings.maxClockSkew(),
+                            settings.intervals().membership(),
+                            settings.intervals().gossip()),
                     Optional.empty(),
                     List.of(),
-                    new PhysicalClock(wall, now, 0),
-                    luck.split(),
-                    now);
+                    new PhysicalClock(wallMicros, nowMicros, 0),
+                    random.split(),
+                    nowMicros);
         }
 
         @Provides
         @Singleton
-        static Dispatcher carry(final Settings s, final Node deck, final SplittableRandom luck) {
+        static Dispatcher dispatcher(final Settings settings, final Node node, final SplittableRandom random) {
             return new Dispatcher(
-                    s.dispatch(),
-                    new PermitSigner(s.clusterKey()),
-                    deck.facts(),
-                    () -> deck.localStamp(EventLoop.nowMicros()),
-                    luck.split());
+                    settings.dispatch(),
+                    new PermitSigner(settings.clusterKey()),
+                    node.facts(),
+                    () -> node.localStamp(EventLoop.nowMicros()),
+                    random.split());
         }
 
         @Provides
         @Singleton
-        static Router passage(final Settings s, final Node deck, final SplittableRandom luck) {
+        static Router router(final Settings settings, final Node node, final SplittableRandom random) {
             return new Router(
-                    Router.Settings.DEFAULT, deck.facts(), () -> deck.localStamp(EventLoop.nowMicros()), luck.split());
+                    Router.Settings.DEFAULT,
+                    node.facts(),
+                    () -> node.localStamp(EventLoop.nowMicros()),
+                    random.split());
         }
     }
 }
--- a/server/src/main/java/silverlatch/server/proxy/EventStreamSplitter.java
+++ b/server/src/main/java/silverlatch/server/proxy/EventStreamSplitter.java
@@ -5,40 +5,40 @@
 
 /** Cuts a stream into whole events, and remembers the id of the last whole one. */
 final class EventStreamSplitter {
-    private final ByteArrayOutputStream part = new ByteArrayOutputStream();
-    private String last = "";
+    private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
+    private String lastEventId = "";
 
     /** Takes bytes of the stream, and gives those that end whole events. */
-    byte[] take(final byte[] bytes) {
-        part.writeBytes(bytes);
-        final byte[] all = part.toByteArray();
-        final int end = end(all);
+    byte[] split(final byte[] bytes) {
+        pending.writeBytes(bytes);
+        final byte[] all = pending.toByteArray();
+        final int end = endOfLastEvent(all);
         if (end == 0) {
             return new byte[0];
         }
-        part.reset();
-        part.write(all, end, all.length - end);
+        pending.reset();
+        pending.write(all, end, all.length - end);
         final String text = new String(all, 0, end, StandardCharsets.ISO_8859_1);
         final int id = Math.max(
                 text.startsWith("id:") ? 0 : -1,
                 text.lastIndexOf("\nid:") + 1 > 0 ? text.lastIndexOf("\nid:") + 1 : -1);
         if (id >= 0) {
-            last = text.substring(id + 3, text.indexOf('\n', id)).strip();
+            lastEventId = text.substring(id + 3, text.indexOf('\n', id)).strip();
         }
         return java.util.Arrays.copyOf(all, end);
     }
 
     /** The id of the last whole event, or empty. */
-    String last() {
-        return last;
+    String lastEventId() {
+        return lastEventId;
     }
 
     /** What is left behind the last whole event. */
-    byte[] rest() {
-        return part.toByteArray();
+    byte[] remainder() {
+        return pending.toByteArray();
     }
 
-    private static int end(final byte[] all) {
+    private static int endOfLastEvent(final byte[] all) {
         for (int i = all.length - 1; i > 0; i--) {
             final boolean plain = all[i] == '\n' && all[i - 1] == '\n';
             final boolean both = i > 2 && all[i] == '\n' && all[i - 1] == '\r' && all[i - 2] == '\n';
--- a/server/src/main/java/silverlatch/server/proxy/ProxiedRequest.java
+++ b/server/src/main/java/silverlatch/server/proxy/ProxiedRequest.java
@@ -24,42 +24,42 @@
  */
 final class ProxiedRequest {
     private final ProxyServer proxy;
-    private final long token;
-    private final String attemptId;
+    private final long callId;
+    private final String requestId;
     private final Request request;
     private final Response response;
     private final Callback callback;
     private final byte[] body;
-    private final Deque<Part> queue = new ArrayDeque<>();
+    private final Deque<PendingWrite> pendingWrites = new ArrayDeque<>();
     private Optional<WorkerExchange> exchange = Optional.empty();
-    private boolean headed;
+    private boolean headSet;
     private boolean committed;
-    private boolean writing;
+    private boolean writeInProgress;
     private boolean ended;
     private String lastEventId = "";
 
     ProxiedRequest(
             final ProxyServer proxy,
-            final long token,
-            final String attemptId,
+            final long callId,
+            final String requestId,
             final Request request,
             final Response response,
             final Callback callback,
             final byte[] body) {
         this.proxy = proxy;
-        this.token = token;
-        this.attemptId = attemptId;
+        this.callId = callId;
+        this.requestId = requestId;
         this.request = request;
         this.response = response;
         this.callback = callback;
         this.body = body;
     }
 
-    private record Part(byte[] bytes, boolean last, Runnable then) {}
+    private record PendingWrite(byte[] bytes, boolean last, Runnable onWritten) {}
 
     /** The id that the client gave this attempt. */
-    String attemptId() {
-        return attemptId;
+    String requestId() {
+        return requestId;
     }
 
     /** The request's method. */
@@ -74,15 +74,15 @@
 
     /** Sends it to a worker, in place of the exchange that there may be. */
     synchronized void send(final RoutingEffect.StartAttempt send) {
-        exchange.ifPresent(WorkerExchange::drop);
+        exchange.ifPresent(WorkerExchange::cancel);
         exchange = Optional.empty();
         if (ended) {
-            proxy.tell(router -> router.clientDisconnected(token, EventLoop.nowMicros()));
+            proxy.postToRouter(router -> router.clientDisconnected(callId, EventLoop.nowMicros()));
             return;
         }
         if (committed && lastEventId.isEmpty()) {
-            proxy.abandon(token);
-            breakOff("the stream cannot be resumed");
+            proxy.abandon(callId);
+            abort("the stream cannot be resumed");
             return;
         }
         clearHead();
@@ -92,9 +92,9 @@
     }
 
     /** Gives up the exchange of this number, if it feeds the response. */
-    synchronized void cut(final long job) {
-        exchange.filter(e -> e.job() == job).ifPresent(e -> {
-            e.drop();
+    synchronized void cancel(final long attemptId) {
+        exchange.filter(current -> current.attemptId() == attemptId).ifPresent(current -> {
+            current.cancel();
             exchange = Optional.empty();
         });
     }
@@ -104,9 +104,9 @@
         if (ended) {
             return;
         }
-        exchange.ifPresent(WorkerExchange::drop);
+        exchange.ifPresent(WorkerExchange::cancel);
         if (committed) {
-            breakOff(reject.reason());
+            abort(reject.reason());
             return;
         }
         ended = true;
@@ -116,7 +116,7 @@
             response.getHeaders()
                     .put(HttpHeader.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", reject.retryAfter() / 1e6));
         }
-        text(reject.reason());
+        writeText(reject.reason());
     }
 
     /** Answers with a failure that promises nothing; a response that has begun is broken off. */
@@ -124,34 +124,35 @@
         if (ended) {
             return;
         }
-        exchange.ifPresent(WorkerExchange::drop);
+        exchange.ifPresent(WorkerExchange::cancel);
         if (committed) {
-            breakOff(fail.reason());
+            abort(fail.reason());
             return;
         }
         ended = true;
         clearHead();
         response.setStatus(fail.statusCode());
-        text(fail.reason());
+        writeText(fail.reason());
     }
 
     /** Passes on a worker's whole failure with its own status and headers. */
-    synchronized void pass(final long job) {
-        exchange.filter(e -> e.job() == job && !ended && !committed).ifPresent(e -> {
-            ended = true;
-            committed = true;
-            clearHead();
-            e.response().ifPresent(from -> {
-                final byte[] bytes = e.failureBody();
-                head(from.getStatus(), from.getHeaders());
-                length(from, bytes.length);
-                response.write(true, ByteBuffer.wrap(bytes), callback);
-            });
-            proxy.tell(router -> router.responseCompleted(job, false, EventLoop.nowMicros()));
-        });
+    synchronized void pass(final long attemptId) {
+        exchange.filter(current -> current.attemptId() == attemptId && !ended && !committed)
+                .ifPresent(current -> {
+                    ended = true;
+                    committed = true;
+                    clearHead();
+                    current.response().ifPresent(from -> {
+                        final byte[] bytes = current.failureBody();
+                        setHead(from.getStatus(), from.getHeaders());
+                        setContentLength(from, bytes.length);
+                        response.write(true, ByteBuffer.wrap(bytes), callback);
+                    });
+                    proxy.postToRouter(router -> router.responseCompleted(attemptId, false, EventLoop.nowMicros()));
+                });
     }
 
-    private void length(final org.eclipse.jetty.client.Response from, final int bytes) {
+    private void setContentLength(final org.eclipse.jetty.client.Response from, final int bytes) {
         if (from.getStatus() == HttpStatus.NOT_MODIFIED_304) {
             response.getHeaders().remove(HttpHeader.CONTENT_LENGTH);
         } else if (!method().equals("HEAD")) {
@@ -161,11 +162,11 @@
 
     /** Takes the head of a success; false if the exchange no longer feeds the response. */
     synchronized boolean begin(final WorkerExchange from, final int status, final HttpFields headers) {
-        if (!feeds(from)) {
+        if (!isCurrent(from)) {
             return false;
         }
-        if (!headed) {
-            head(status, headers);
+        if (!headSet) {
+            setHead(status, headers);
             if (!response.getHeaders().contains(HttpHeader.CONTENT_LENGTH) && status != HttpStatus.NO_CONTENT_204) {
                 response.getHeaders().put(HttpHeader.TRANSFER_ENCODING, "chunked");
             }
@@ -175,51 +176,51 @@
 
     /** Takes a part of a body and the id of its last event; false if the exchange no longer feeds the response. */
     synchronized boolean pass(
-            final WorkerExchange from, final byte[] bytes, final String eventId, final Runnable then) {
-        if (!feeds(from)) {
+            final WorkerExchange from, final byte[] bytes, final String eventId, final Runnable onWritten) {
+        if (!isCurrent(from)) {
             return false;
         }
         lastEventId = eventId.isEmpty() ? lastEventId : eventId;
-        write(bytes, false, then);
+        enqueueWrite(bytes, false, onWritten);
         return true;
     }
 
     /** Takes the end of a whole body, with what is left of it. */
     synchronized void finish(final WorkerExchange from, final byte[] rest) {
-        if (feeds(from)) {
-            write(rest, true, () -> {
-                proxy.done(token);
-                proxy.tell(router -> router.responseCompleted(from.job(), true, EventLoop.nowMicros()));
+        if (isCurrent(from)) {
+            enqueueWrite(rest, true, () -> {
+                proxy.complete(callId);
+                proxy.postToRouter(router -> router.responseCompleted(from.attemptId(), true, EventLoop.nowMicros()));
             });
         }
     }
 
     /** Whether this exchange still feeds the response: it may have been given up while its bytes were on the way here. */
-    private boolean feeds(final WorkerExchange from) {
+    private boolean isCurrent(final WorkerExchange from) {
         return !ended && exchange.filter(e -> e == from).isPresent();
     }
 
     private void clearHead() {
-        if (headed && !committed && !proxy.down().contains(ProxySafeguard.WHOLE_HEAD)) {
+        if (headSet && !committed && !proxy.disabledSafeguards().contains(ProxySafeguard.WHOLE_HEAD)) {
             response.reset();
-            headed = false;
+            headSet = false;
         }
     }
 
-    private void breakOff(final String why) {
+    private void abort(final String reason) {
         ended = true;
-        callback.failed(new CancellationException(why));
+        callback.failed(new CancellationException(reason));
     }
 
-    private void text(final String text) {
+    private void writeText(final String text) {
         committed = true;
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "text/plain");
         closeIfStopping();
         response.write(true, ByteBuffer.wrap((text + "\n").getBytes(StandardCharsets.UTF_8)), callback);
     }
 
-    private void head(final int status, final HttpFields from) {
-        headed = true;
+    private void setHead(final int status, final HttpFields from) {
+        headSet = true;
         response.setStatus(status);
         EndToEndHeaders.copy(from, Set.of(), response.getHeaders());
         final long length = from.getLongField(HttpHeader.CONTENT_LENGTH);
@@ -235,43 +236,43 @@
         }
     }
 
-    private void write(final byte[] bytes, final boolean last, final Runnable then) {
-        queue.add(new Part(bytes, last, then));
-        pump();
+    private void enqueueWrite(final byte[] bytes, final boolean last, final Runnable onWritten) {
+        pendingWrites.add(new PendingWrite(bytes, last, onWritten));
+        writeNext();
     }
 
-    private synchronized void pump() {
-        if (writing || queue.isEmpty() || ended) {
+    private synchronized void writeNext() {
+        if (writeInProgress || pendingWrites.isEmpty() || ended) {
             return;
         }
-        final Part part = queue.poll();
-        writing = true;
+        final PendingWrite write = pendingWrites.poll();
+        writeInProgress = true;
         committed = true;
-        ended = part.last();
+        ended = write.last();
         response.write(
-                part.last(),
-                ByteBuffer.wrap(part.bytes()),
-                Callback.from(() -> written(part), fault -> clientFailed(fault)));
+                write.last(),
+                ByteBuffer.wrap(write.bytes()),
+                Callback.from(() -> written(write), failure -> clientFailed(failure)));
     }
 
-    private void written(final Part part) {
+    private void written(final PendingWrite write) {
         synchronized (this) {
-            writing = false;
+            writeInProgress = false;
         }
-        part.then().run();
-        if (part.last()) {
+        write.onWritten().run();
+        if (write.last()) {
             callback.succeeded();
         } else {
-            pump();
+            writeNext();
         }
     }
 
-    private void clientFailed(final Throwable fault) {
+    private void clientFailed(final Throwable failure) {
         synchronized (this) {
             ended = true;
-            exchange.ifPresent(WorkerExchange::drop);
+            exchange.ifPresent(WorkerExchange::cancel);
         }
-        callback.failed(fault);
-        proxy.abandon(token);
+        callback.failed(failure);
+        proxy.abandon(callId);
     }
 }
--- a/server/src/main/java/silverlatch/server/proxy/ProxySafeguard.java
+++ b/server/src/main/java/silverlatch/server/proxy/ProxySafeguard.java
@@ -23,5 +23,5 @@
     SEAL;
 
     /** The safeguards that are let down in the programs: none. */
-    static final Set<ProxySafeguard> NONE_DOWN = Set.of();
+    static final Set<ProxySafeguard> NONE_DISABLED = Set.of();
 }
--- a/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
+++ b/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
@@ -29,31 +29,34 @@
     private static final long DEFAULT_DEADLINE_MS = 60_000;
     private static final long OVERLOAD_RETRY_MICROS = 500_000;
     private static final int MAX_TOKENS = 10_000_000;
-    private final Fields names;
-    private final WorkerHttpClient workers;
-    private final Predicate<Consumer<Router>> router;
-    private final Set<ProxySafeguard> down;
-    private final Map<Long, ProxiedRequest> requests = new ConcurrentHashMap<>();
-    private final AtomicLong tokens = new AtomicLong();
-    private volatile Optional<MultiListenerServer.Listener> door = Optional.empty();
+    private final ProxyHeaderNames headerNames;
+    private final WorkerHttpClient workerClient;
+    private final Predicate<Consumer<Router>> routerLoop;
+    private final Set<ProxySafeguard> disabledSafeguards;
+    private final Map<Long, ProxiedRequest> requestsByCallId = new ConcurrentHashMap<>();
+    private final AtomicLong lastCallId = new AtomicLong();
+    private volatile Optional<MultiListenerServer.Listener> listener = Optional.empty();
     private volatile Optional<Value.RoutingConfiguration> limits = Optional.empty();
     private volatile int maxBodyBytes = 4 << 20;
     private volatile boolean closing;
 
     /** A proxy under these names; the router's event loop runs what the router is to be told, or says that it is full. */
-    public ProxyServer(final Fields names, final WorkerHttpClient workers, final Predicate<Consumer<Router>> router) {
-        this(names, workers, router, ProxySafeguard.NONE_DOWN);
+    public ProxyServer(
+            final ProxyHeaderNames headerNames,
+            final WorkerHttpClient workerClient,
+            final Predicate<Consumer<Router>> routerLoop) {
+        this(headerNames, workerClient, routerLoop, ProxySafeguard.NONE_DISABLED);
     }
 
     ProxyServer(
-            final Fields names,
-            final WorkerHttpClient workers,
-            final Predicate<Consumer<Router>> router,
-            final Set<ProxySafeguard> down) {
-        this.names = names;
-        this.workers = workers;
-        this.router = router;
-        this.down = Set.copyOf(down);
+            final ProxyHeaderNames headerNames,
+            final WorkerHttpClient workerClient,
+            final Predicate<Consumer<Router>> routerLoop,
+            final Set<ProxySafeguard> disabledSafeguards) {
+        this.headerNames = headerNames;
+        this.workerClient = workerClient;
+        this.routerLoop = routerLoop;
+        this.disabledSafeguards = Set.copyOf(disabledSafeguards);
     }
 
     /** How large a body may be from now on. */
@@ -62,9 +65,9 @@
     }
 
     /** The door at which clients come in; it follows the limits of the configuration in force. */
-    public void door(final MultiListenerServer.Listener at) {
-        door = Optional.of(at);
-        limits.ifPresent(now -> at.updateLimits(now.maxHeaderBytes(), now.idleTimeoutMicros() / 1000));
+    public void listener(final MultiListenerServer.Listener opened) {
+        listener = Optional.of(opened);
+        limits.ifPresent(now -> opened.updateLimits(now.maxHeaderBytes(), now.idleTimeoutMicros() / 1000));
     }
 
     /** Takes the limits of the configuration in force, also for connections that rest now. */
@@ -72,7 +75,7 @@
         if (limits.filter(next::equals).isEmpty()) {
             limits = Optional.of(next);
             maxBodyBytes = Math.min(MAX_BODY_BYTES, next.maxBodyBytes());
-            door.ifPresent(at -> at.updateLimits(next.maxHeaderBytes(), next.idleTimeoutMicros() / 1000));
+            listener.ifPresent(at -> at.updateLimits(next.maxHeaderBytes(), next.idleTimeoutMicros() / 1000));
         }
     }
 
@@ -83,32 +86,32 @@
 
     @Override
     public boolean handle(final Request request, final Response response, final Callback callback) {
-        final long size = request.getLength();
-        final int most = maxBodyBytes;
-        if (size > most) {
-            refuse(response, callback, HttpStatus.PAYLOAD_TOO_LARGE_413, "larger than " + most + " bytes");
-        } else if (size == 0) {
-            enter(request, response, callback, new byte[0]);
+        final long contentLength = request.getLength();
+        final int limitBytes = maxBodyBytes;
+        if (contentLength > limitBytes) {
+            reject(response, callback, HttpStatus.PAYLOAD_TOO_LARGE_413, "larger than " + limitBytes + " bytes");
+        } else if (contentLength == 0) {
+            admit(request, response, callback, new byte[0]);
         } else {
-            Content.Source.asByteArrayAsync(request, most).whenComplete((bytes, fault) -> {
-                if (fault == null) {
-                    enter(request, response, callback, bytes);
+            Content.Source.asByteArrayAsync(request, limitBytes).whenComplete((bytes, failure) -> {
+                if (failure == null) {
+                    admit(request, response, callback, bytes);
                 } else {
-                    unreadable(response, callback, most, fault);
+                    rejectUnreadable(response, callback, limitBytes, failure);
                 }
             });
         }
         return true;
     }
 
-    private static void unreadable(
-            final Response response, final Callback callback, final int most, final Throwable fault) {
-        if (fault instanceof TimeoutException || fault.getCause() instanceof TimeoutException) {
-            refuse(response, callback, HttpStatus.REQUEST_TIMEOUT_408, "it came too slowly");
-        } else if (fault instanceof IllegalStateException) {
-            refuse(response, callback, HttpStatus.PAYLOAD_TOO_LARGE_413, "larger than " + most + " bytes");
+    private static void rejectUnreadable(
+            final Response response, final Callback callback, final int limitBytes, final Throwable failure) {
+        if (failure instanceof TimeoutException || failure.getCause() instanceof TimeoutException) {
+            reject(response, callback, HttpStatus.REQUEST_TIMEOUT_408, "it came too slowly");
+        } else if (failure instanceof IllegalStateException) {
+            reject(response, callback, HttpStatus.PAYLOAD_TOO_LARGE_413, "larger than " + limitBytes + " bytes");
         } else {
-            refuse(response, callback, HttpStatus.BAD_REQUEST_400, "cut short or not understood");
+            reject(response, callback, HttpStatus.BAD_REQUEST_400, "cut short or not understood");
         }
     }
 
@@ -116,100 +119,106 @@
     public void apply(final RoutingEffect effect) {
         switch (effect) {
             case RoutingEffect.StartAttempt s ->
-                find(s.callId()).ifPresentOrElse(r -> r.send(s), () -> left(s.callId()));
-            case RoutingEffect.Reject r -> take(r.callId()).ifPresent(p -> p.reject(r));
-            case RoutingEffect.Fail f -> take(f.callId()).ifPresent(p -> p.fail(f));
-            case RoutingEffect.ForwardResponse p -> take(p.callId()).ifPresent(r -> r.pass(p.attemptId()));
-            case RoutingEffect.CancelAttempt c -> requests.values().forEach(r -> r.cut(c.attemptId()));
+                find(s.callId()).ifPresentOrElse(r -> r.send(s), () -> postClientGone(s.callId()));
+            case RoutingEffect.Reject r -> remove(r.callId()).ifPresent(p -> p.reject(r));
+            case RoutingEffect.Fail f -> remove(f.callId()).ifPresent(p -> p.fail(f));
+            case RoutingEffect.ForwardResponse p -> remove(p.callId()).ifPresent(r -> r.pass(p.attemptId()));
+            case RoutingEffect.CancelAttempt c -> requestsByCallId.values().forEach(r -> r.cancel(c.attemptId()));
             case RoutingEffect.Log l -> EventLog.write(l.event(), l.text());
         }
     }
 
     /** How many requests are under way. */
-    public int open() {
-        return requests.size();
+    public int openRequests() {
+        return requestsByCallId.size();
     }
 
     /** Forgets a request whose client is gone or was broken off. */
-    void abandon(final long token) {
-        take(token).ifPresent(gone -> left(token));
+    void abandon(final long callId) {
+        remove(callId).ifPresent(gone -> postClientGone(callId));
     }
 
     /** Forgets a request whose response was written whole. */
-    void done(final long token) {
-        requests.remove(token);
+    void complete(final long callId) {
+        requestsByCallId.remove(callId);
     }
 
     /** Tells the router; where its event loop is full, the request's deadline ends what would be left over. */
-    boolean tell(final Consumer<Router> event) {
-        return router.test(event);
+    boolean postToRouter(final Consumer<Router> event) {
+        return routerLoop.test(event);
     }
 
-    Set<ProxySafeguard> down() {
-        return down;
+    Set<ProxySafeguard> disabledSafeguards() {
+        return disabledSafeguards;
     }
 
     boolean closing() {
         return closing;
     }
 
-    Fields names() {
-        return names;
+    ProxyHeaderNames headerNames() {
+        return headerNames;
     }
 
-    WorkerHttpClient workers() {
-        return workers;
+    WorkerHttpClient workerClient() {
+        return workerClient;
     }
 
-    private void left(final long token) {
-        tell(r -> r.clientDisconnected(token, EventLoop.nowMicros()));
+    private void postClientGone(final long callId) {
+        postToRouter(r -> r.clientDisconnected(callId, EventLoop.nowMicros()));
     }
 
-    private Optional<ProxiedRequest> find(final long token) {
-        return Optional.ofNullable(requests.get(token));
+    private Optional<ProxiedRequest> find(final long callId) {
+        return Optional.ofNullable(requestsByCallId.get(callId));
     }
 
-    private Optional<ProxiedRequest> take(final long token) {
-        return Optional.ofNullable(requests.remove(token));
+    private Optional<ProxiedRequest> remove(final long callId) {
+        return Optional.ofNullable(requestsByCallId.remove(callId));
     }
 
-    private void enter(final Request request, final Response response, final Callback callback, final byte[] body) {
-        final String attemptId = header(request, names.attemptId()).orElse("");
-        if (attemptId.isEmpty()) {
-            refuse(response, callback, HttpStatus.BAD_REQUEST_400, names.attemptId() + " is missing");
+    private void admit(final Request request, final Response response, final Callback callback, final byte[] body) {
+        final String requestId = header(request, headerNames.requestId()).orElse("");
+        if (requestId.isEmpty()) {
+            reject(response, callback, HttpStatus.BAD_REQUEST_400, headerNames.requestId() + " is missing");
             return;
         }
-        final long token = tokens.incrementAndGet();
-        final RoutedRequest routed = routed(token, attemptId, request);
-        requests.put(token, new ProxiedRequest(this, token, attemptId, request, response, callback, body));
+        final long callId = lastCallId.incrementAndGet();
+        final RoutedRequest routed = toRoutedRequest(callId, requestId, request);
+        requestsByCallId.put(callId, new ProxiedRequest(this, callId, requestId, request, response, callback, body));
         request.addIdleTimeoutListener(timeout -> false);
-        request.addFailureListener(fault -> abandon(token));
-        if (!tell(r -> r.requestArrived(routed, EventLoop.nowMicros()))) {
-            take(token)
+        request.addFailureListener(fault -> abandon(callId));
+        if (!postToRouter(r -> r.requestArrived(routed, EventLoop.nowMicros()))) {
+            remove(callId)
                     .ifPresent(r -> r.reject(new RoutingEffect.Reject(
-                            token,
+                            callId,
                             HttpStatus.SERVICE_UNAVAILABLE_503,
                             OVERLOAD_RETRY_MICROS,
                             "the event loop is full")));
         }
     }
 
-    private RoutedRequest routed(final long token, final String attemptId, final Request request) {
-        final String[] counts = header(request, names.tokens()).orElse("0,0").split(",");
+    private RoutedRequest toRoutedRequest(final long callId, final String requestId, final Request request) {
+        final String[] counts =
+                header(request, headerNames.tokenCounts()).orElse("0,0").split(",");
         return new RoutedRequest(
-                token,
+                callId,
                 header(request, HttpHeader.HOST.asString()).orElse(""),
                 Request.getPathInContext(request),
-                attemptId,
-                header(request, names.deadline()).flatMap(Fields::whole).orElse(DEFAULT_DEADLINE_MS) * 1000,
-                Fields.parts(header(request, names.parts())),
-                count(counts, 0),
-                count(counts, 1));
-    }
-
-    private static int count(final String[] list, final int at) {
-        return at < list.length
-                ? Fields.whole(list[at]).map(n -> (int) Math.min(n, MAX_TOKENS)).orElse(0)
+                requestId,
+                header(request, headerNames.deadline())
+                                .flatMap(ProxyHeaderNames::nonNegativeInteger)
+                                .orElse(DEFAULT_DEADLINE_MS)
+                        * 1000,
+                ProxyHeaderNames.promptParts(header(request, headerNames.promptParts())),
+                tokenCount(counts, 0),
+                tokenCount(counts, 1));
+    }
+
+    private static int tokenCount(final String[] counts, final int index) {
+        return index < counts.length
+                ? ProxyHeaderNames.nonNegativeInteger(counts[index])
+                        .map(n -> (int) Math.min(n, MAX_TOKENS))
+                        .orElse(0)
                 : 0;
     }
 
@@ -217,9 +226,10 @@
         return Optional.ofNullable(request.getHeaders().get(name));
     }
 
-    private static void refuse(final Response response, final Callback callback, final int status, final String why) {
+    private static void reject(
+            final Response response, final Callback callback, final int status, final String reason) {
         response.setStatus(status);
         response.getHeaders().put(HttpHeader.CONNECTION, "close");
-        Content.Sink.write(response, true, why + "\n", callback);
+        Content.Sink.write(response, true, reason + "\n", callback);
     }
 }
--- a/server/src/main/java/silverlatch/server/proxy/WorkerConnection.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerConnection.java
@@ -54,8 +54,8 @@
         @Override
         public boolean messageComplete() {
             final boolean handle = super.messageComplete();
-            final ByteBuffer rest = getResponseBuffer();
-            if (rest != null && rest.hasRemaining()) {
+            final ByteBuffer leftoverBytes = getResponseBuffer();
+            if (leftoverBytes != null && leftoverBytes.hasRemaining()) {
                 ((WorkerConnection) getHttpChannel().getHttpConnection()).leftover = true;
             }
             return handle;
--- a/server/src/main/java/silverlatch/server/proxy/WorkerExchange.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerExchange.java
@@ -27,10 +27,10 @@
     private final ProxyServer proxy;
     private final ProxiedRequest owner;
     private final RoutingEffect.StartAttempt send;
-    private final AtomicBoolean begun = new AtomicBoolean();
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final AtomicBoolean requestStarted = new AtomicBoolean();
+    private final AtomicBoolean finished = new AtomicBoolean();
     private final ByteArrayOutputStream failureBody = new ByteArrayOutputStream();
-    private final EventStreamSplitter events = new EventStreamSplitter();
+    private final EventStreamSplitter eventSplitter = new EventStreamSplitter();
     private final Request request;
     private Optional<Response> response = Optional.empty();
     private WorkerResponseHead head = new WorkerResponseHead.Unusable("no head yet");
@@ -46,48 +46,48 @@
         this.proxy = proxy;
         this.owner = owner;
         this.send = send;
-        final long left = send.timeout() / 1000;
-        request = proxy.workers()
+        final long timeLeftMs = send.timeout() / 1000;
+        request = proxy.workerClient()
                 .newRequest(send.address(), from.getMethod(), from.getHttpURI().getPathQuery())
-                .headers(to -> headers(from.getHeaders(), lastEventId, to))
-                .onRequestBegin(sent -> begun.set(true))
+                .headers(to -> copyHeaders(from.getHeaders(), lastEventId, to))
+                .onRequestBegin(sent -> requestStarted.set(true))
                 .onResponseHeaders(this::head)
-                .onResponseContentAsync(this::content)
-                .timeout(left + TIMEOUT_SLACK_MS, TimeUnit.MILLISECONDS)
-                .idleTimeout(left + TIMEOUT_SLACK_MS, TimeUnit.MILLISECONDS);
-        final HttpFields given = from.getHeaders();
+                .onResponseContentAsync(this::onContent)
+                .timeout(timeLeftMs + TIMEOUT_SLACK_MS, TimeUnit.MILLISECONDS)
+                .idleTimeout(timeLeftMs + TIMEOUT_SLACK_MS, TimeUnit.MILLISECONDS);
+        final HttpFields clientHeaders = from.getHeaders();
         if (body.length > 0
-                || given.contains(HttpHeader.CONTENT_LENGTH)
-                || given.contains(HttpHeader.TRANSFER_ENCODING)) {
-            request.body(new BytesRequestContent(given.get(HttpHeader.CONTENT_TYPE), body));
+                || clientHeaders.contains(HttpHeader.CONTENT_LENGTH)
+                || clientHeaders.contains(HttpHeader.TRANSFER_ENCODING)) {
+            request.body(new BytesRequestContent(clientHeaders.get(HttpHeader.CONTENT_TYPE), body));
         }
     }
 
-    private void headers(final HttpFields from, final String lastEventId, final HttpFields.Mutable to) {
-        final Fields names = proxy.names();
+    private void copyHeaders(final HttpFields from, final String lastEventId, final HttpFields.Mutable to) {
+        final ProxyHeaderNames headerNames = proxy.headerNames();
         to.clear();
-        EndToEndHeaders.copy(from, names.own(), to);
-        to.put(names.deadline(), "" + Math.max(1, send.timeout() / 1000));
-        to.put(names.expectedWorker(), send.worker());
-        to.put(names.rank(), "" + Math.min(MAX_RANK, send.rank()));
+        EndToEndHeaders.copy(from, headerNames.namesSetByProxy(), to);
+        to.put(headerNames.deadline(), "" + Math.max(1, send.timeout() / 1000));
+        to.put(headerNames.expectedWorker(), send.worker());
+        to.put(headerNames.priority(), "" + Math.min(MAX_RANK, send.rank()));
         if (!lastEventId.isEmpty()) {
             to.put("Last-Event-Id", lastEventId);
         }
     }
 
     /** The router's number of this sending. */
-    long job() {
+    long attemptId() {
         return send.attemptId();
     }
 
     /** Sends it. */
     void start() {
-        request.send(result -> complete(result.isSucceeded()));
+        request.send(result -> onComplete(result.isSucceeded()));
     }
 
     /** Gives it up; nothing of it is passed on or told from now on, and its connection is closed. */
-    void drop() {
-        if (over.compareAndSet(false, true)) {
+    void cancel() {
+        if (finished.compareAndSet(false, true)) {
             request.abort(new CancellationException("given up"));
         }
     }
@@ -105,24 +105,29 @@
     private void head(final Response from) {
         response = Optional.of(from);
         head = WorkerResponseHead.read(
-                proxy.down(), proxy.names(), owner.attemptId(), owner.method(), from.getStatus(), from.getHeaders());
+                proxy.disabledSafeguards(),
+                proxy.headerNames(),
+                owner.requestId(),
+                owner.method(),
+                from.getStatus(),
+                from.getHeaders());
         if (head instanceof WorkerResponseHead.Unusable unusable) {
             from.abort(new CancellationException(unusable.reason()));
             return;
         }
-        if (success() && !over.get() && owner.begin(this, from.getStatus(), from.getHeaders())) {
-            final Optional<Router.ReportedLoad> load = load(from);
-            proxy.tell(router -> router.responseStarted(send.attemptId(), load, EventLoop.nowMicros()));
+        if (isSuccess() && !finished.get() && owner.begin(this, from.getStatus(), from.getHeaders())) {
+            final Optional<Router.ReportedLoad> load = parseWorkerLoad(from);
+            proxy.postToRouter(router -> router.responseStarted(send.attemptId(), load, EventLoop.nowMicros()));
         }
     }
 
-    private void content(final Response from, final Content.Chunk chunk, final Runnable more) {
+    private void onContent(final Response from, final Content.Chunk chunk, final Runnable more) {
         final byte[] bytes = new byte[chunk.remaining()];
         chunk.getByteBuffer().get(bytes);
-        if (over.get() || head instanceof WorkerResponseHead.Unusable) {
+        if (finished.get() || head instanceof WorkerResponseHead.Unusable) {
             more.run();
-        } else if (success()) {
-            pass(bytes, more);
+        } else if (isSuccess()) {
+            passContent(bytes, more);
         } else {
             failureBodyTooLarge |= failureBody.size() + bytes.length > MAX_FAILURE_BODY_BYTES;
             if (!failureBodyTooLarge) {
@@ -132,62 +137,64 @@
         }
     }
 
-    private void pass(final byte[] bytes, final Runnable more) {
-        final byte[] ready = send.stream() && !send.once() ? events.take(bytes) : bytes;
+    private void passContent(final byte[] bytes, final Runnable more) {
+        final byte[] ready = send.stream() && !send.once() ? eventSplitter.split(bytes) : bytes;
         if (ready.length == 0) {
             more.run();
             return;
         }
-        proxy.tell(router -> router.eventForwarded(send.attemptId(), EventLoop.nowMicros()));
-        if (!owner.pass(this, ready, events.last(), more)) {
+        proxy.postToRouter(router -> router.eventForwarded(send.attemptId(), EventLoop.nowMicros()));
+        if (!owner.pass(this, ready, eventSplitter.lastEventId(), more)) {
             more.run();
         }
     }
 
-    private void complete(final boolean whole) {
-        if (!over.compareAndSet(false, true)) {
+    private void onComplete(final boolean succeeded) {
+        if (!finished.compareAndSet(false, true)) {
             return;
         }
-        if (!whole) {
-            broken();
+        if (!succeeded) {
+            reportBroken();
             return;
         }
         switch (head) {
-            case WorkerResponseHead.Success success -> owner.finish(this, events.rest());
-            case WorkerResponseHead.NotExecuted notExecuted -> failed(FailurePoint.NOT_RUN);
-            case WorkerResponseHead.Misdirected misdirected -> failed(FailurePoint.STRANGER);
-            case WorkerResponseHead.Failure failure -> failure();
-            case WorkerResponseHead.Unusable unusable -> broken();
+            case WorkerResponseHead.Success success -> owner.finish(this, eventSplitter.remainder());
+            case WorkerResponseHead.NotExecuted notExecuted -> reportFailed(FailurePoint.NOT_RUN);
+            case WorkerResponseHead.Misdirected misdirected -> reportFailed(FailurePoint.STRANGER);
+            case WorkerResponseHead.Failure failure -> reportFailureResponse();
+            case WorkerResponseHead.Unusable unusable -> reportBroken();
         }
     }
 
-    private void failure() {
+    private void reportFailureResponse() {
         if (owner.committed() || failureBodyTooLarge) {
-            broken();
+            reportBroken();
             return;
         }
         response.ifPresent(from -> {
-            final Optional<Router.ReportedLoad> load = load(from);
-            proxy.tell(router -> router.errorResponse(send.attemptId(), from.getStatus(), load, EventLoop.nowMicros()));
+            final Optional<Router.ReportedLoad> load = parseWorkerLoad(from);
+            proxy.postToRouter(
+                    router -> router.errorResponse(send.attemptId(), from.getStatus(), load, EventLoop.nowMicros()));
         });
     }
 
-    private void broken() {
+    private void reportBroken() {
         final FailurePoint sent = owner.committed() ? FailurePoint.BEGUN : FailurePoint.SENT;
-        final boolean known = begun.get() && !proxy.down().contains(ProxySafeguard.SENT_MAY_HAVE_RUN);
-        failed(known ? sent : FailurePoint.UNSENT);
+        final boolean known =
+                requestStarted.get() && !proxy.disabledSafeguards().contains(ProxySafeguard.SENT_MAY_HAVE_RUN);
+        reportFailed(known ? sent : FailurePoint.UNSENT);
     }
 
-    private void failed(final FailurePoint point) {
-        proxy.tell(router -> router.attemptFailed(send.attemptId(), point, EventLoop.nowMicros()));
+    private void reportFailed(final FailurePoint point) {
+        proxy.postToRouter(router -> router.attemptFailed(send.attemptId(), point, EventLoop.nowMicros()));
     }
 
-    private boolean success() {
+    private boolean isSuccess() {
         return head instanceof WorkerResponseHead.Success;
     }
 
-    private Optional<Router.ReportedLoad> load(final Response from) {
-        return Fields.load(
-                Optional.ofNullable(from.getHeaders().get(proxy.names().load())));
+    private Optional<Router.ReportedLoad> parseWorkerLoad(final Response from) {
+        return ProxyHeaderNames.workerLoad(
+                Optional.ofNullable(from.getHeaders().get(proxy.headerNames().workerLoad())));
     }
 }
--- a/server/src/main/java/silverlatch/server/proxy/WorkerHttpClient.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerHttpClient.java
@@ -20,44 +20,45 @@
 public final class WorkerHttpClient {
     private static final int MAX_RESPONSE_HEADER_BYTES = 16 << 10;
     private static final int DESTINATION_IDLE_MS = 20_000;
-    private final HttpClient http;
+    private final HttpClient httpClient;
 
     /**
      * How the client is made.
      *
-     * @param connect how long a new connection may take, in milliseconds
-     * @param idle    how long a pooled connection is kept, in milliseconds
-     * @param lines   how many connections, and how many queued requests, one worker may have at most
+     * @param connectTimeoutMs how long a new connection may take, in milliseconds
+     * @param idleTimeoutMs    how long a pooled connection is kept, in milliseconds
+     * @param maxConnectionsPerWorker   how many connections, and how many queued requests, one worker may have at most
      * @param threads how many threads serve all connections
      */
-    public record Setup(int connect, int idle, int lines, int threads) {
+    public record Settings(int connectTimeoutMs, int idleTimeoutMs, int maxConnectionsPerWorker, int threads) {
         /** What holds when nothing is said. */
-        public static final Setup PLAIN = new Setup(400, 3_000, 64, 8);
+        public static final Settings DEFAULT = new Settings(400, 3_000, 64, 8);
     }
 
     /** A client for workers. */
-    public WorkerHttpClient(final Setup setup) {
-        this(setup, ProxySafeguard.NONE_DOWN);
+    public WorkerHttpClient(final Settings settings) {
+        this(settings, ProxySafeguard.NONE_DISABLED);
     }
 
-    WorkerHttpClient(final Setup setup, final Set<ProxySafeguard> down) {
-        final QueuedThreadPool pool = new QueuedThreadPool(setup.threads(), 2);
+    WorkerHttpClient(final Settings settings, final Set<ProxySafeguard> disabledSafeguards) {
+        final QueuedThreadPool pool = new QueuedThreadPool(settings.threads(), 2);
         pool.setName("worker-http");
         pool.setDaemon(true);
         pool.setReservedThreads(0);
         final ClientConnector connector = new ResettingClientConnector();
         connector.setExecutor(pool);
         connector.setSelectors(1);
-        http = new HttpClient(new WorkerTransport(connector, !down.contains(ProxySafeguard.LEFTOVER_BYTES)));
-        http.setConnectTimeout(setup.connect());
-        http.setAddressResolutionTimeout(setup.connect());
-        http.setMaxConnectionsPerDestination(setup.lines());
-        http.setMaxRequestsQueuedPerDestination(setup.lines());
-        http.setIdleTimeout(setup.idle());
-        http.setDestinationIdleTimeout(DESTINATION_IDLE_MS);
-        http.setFollowRedirects(false);
-        http.setUserAgentField(null);
-        http.setMaxResponseHeadersSize(MAX_RESPONSE_HEADER_BYTES);
+        httpClient = new HttpClient(
+                new WorkerTransport(connector, !disabledSafeguards.contains(ProxySafeguard.LEFTOVER_BYTES)));
+        httpClient.setConnectTimeout(settings.connectTimeoutMs());
+        httpClient.setAddressResolutionTimeout(settings.connectTimeoutMs());
+        httpClient.setMaxConnectionsPerDestination(settings.maxConnectionsPerWorker());
+        httpClient.setMaxRequestsQueuedPerDestination(settings.maxConnectionsPerWorker());
+        httpClient.setIdleTimeout(settings.idleTimeoutMs());
+        httpClient.setDestinationIdleTimeout(DESTINATION_IDLE_MS);
+        httpClient.setFollowRedirects(false);
+        httpClient.setUserAgentField(null);
+        httpClient.setMaxResponseHeadersSize(MAX_RESPONSE_HEADER_BYTES);
     }
 
     /** HTTP/1.1 over connections that are dropped when bytes follow a response. */
@@ -81,34 +82,37 @@
     }
 
     /** Starts the client. */
-    public void start() throws WorkerHttpClientFault {
+    public void start() throws WorkerHttpClientException {
         try {
-            http.start();
-            http.getContentDecoderFactories().clear();
-            http.getProtocolHandlers().clear();
+            httpClient.start();
+            httpClient.getContentDecoderFactories().clear();
+            httpClient.getProtocolHandlers().clear();
         } catch (final Exception e) {
-            throw new WorkerHttpClientFault(e);
+            throw new WorkerHttpClientException(e);
         }
     }
 
     /** Ends the client. */
-    public void stop() throws WorkerHttpClientFault {
+    public void stop() throws WorkerHttpClientException {
         try {
-            http.stop();
+            httpClient.stop();
         } catch (final Exception e) {
-            throw new WorkerHttpClientFault(e);
+            throw new WorkerHttpClientException(e);
         }
     }
 
     /** A request to the worker at this address; nothing is sent yet. */
     Request newRequest(final String address, final String method, final String path) {
-        return http.newRequest(URI.create("http://" + address)).method(method).path(path);
+        return httpClient
+                .newRequest(URI.create("http://" + address))
+                .method(method)
+                .path(path);
     }
 
     /** A fault of the client. */
-    public static final class WorkerHttpClientFault extends Exception {
+    public static final class WorkerHttpClientException extends Exception {
         /** What caused it. */
-        public WorkerHttpClientFault(final Throwable cause) {
+        public WorkerHttpClientException(final Throwable cause) {
             super("the client for workers: " + cause.getMessage(), cause);
         }
     }
--- a/server/src/main/java/silverlatch/server/proxy/WorkerResponseHead.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerResponseHead.java
@@ -27,27 +27,27 @@
     record Unusable(String reason) implements WorkerResponseHead {}
 
     /** The statuses by which a client takes it that the request was not executed. */
-    Set<Integer> PROMISES = Set.of(
+    Set<Integer> RETRYABLE_STATUSES = Set.of(
             HttpStatus.REQUEST_TIMEOUT_408, HttpStatus.TOO_MANY_REQUESTS_429, HttpStatus.SERVICE_UNAVAILABLE_503);
 
     /** Reads the head of a response to a request with this attempt id and method. */
     static WorkerResponseHead read(
-            final Set<ProxySafeguard> down,
-            final Fields names,
-            final String attemptId,
+            final Set<ProxySafeguard> disabledSafeguards,
+            final ProxyHeaderNames headerNames,
+            final String requestId,
             final String method,
             final int status,
             final HttpFields headers) {
-        if (!down.contains(ProxySafeguard.ATTEMPT_ID_ECHO)
-                && !headers.getValuesList(names.attemptId()).equals(List.of(attemptId))) {
+        if (!disabledSafeguards.contains(ProxySafeguard.ATTEMPT_ID_ECHO)
+                && !headers.getValuesList(headerNames.requestId()).equals(List.of(requestId))) {
             return new Unusable("it does not echo the attempt id");
         }
         if (status < HttpStatus.OK_200) {
             return new Unusable("an interim response");
         }
-        final boolean notExecuted = headers.contains(names.notExecuted());
+        final boolean notExecuted = headers.contains(headerNames.notExecuted());
         if (HttpStatus.isSuccess(status)) {
-            return success(down, names, method, status, headers, notExecuted);
+            return readSuccess(disabledSafeguards, headerNames, method, status, headers, notExecuted);
         }
         if (status == HttpStatus.MISDIRECTED_REQUEST_421) {
             return new Misdirected();
@@ -55,14 +55,14 @@
         if (notExecuted && status != HttpStatus.BAD_REQUEST_400) {
             return new NotExecuted();
         }
-        return PROMISES.contains(status) && !down.contains(ProxySafeguard.NOT_EXECUTED_WORD)
+        return RETRYABLE_STATUSES.contains(status) && !disabledSafeguards.contains(ProxySafeguard.NOT_EXECUTED_WORD)
                 ? new Unusable("status " + status + " without the worker's word that it did not execute it")
                 : new Failure();
     }
 
-    private static WorkerResponseHead success(
-            final Set<ProxySafeguard> down,
-            final Fields names,
+    private static WorkerResponseHead readSuccess(
+            final Set<ProxySafeguard> disabledSafeguards,
+            final ProxyHeaderNames headerNames,
             final String method,
             final int status,
             final HttpFields headers,
@@ -70,23 +70,24 @@
         if (notExecuted) {
             return new Unusable("a success that was not executed");
         }
-        if (!down.contains(ProxySafeguard.SEAL)
-                && headers.getValuesList(names.seal()).size() != 1) {
+        if (!disabledSafeguards.contains(ProxySafeguard.SEAL)
+                && headers.getValuesList(headerNames.seal()).size() != 1) {
             return new Unusable("a success without exactly one seal");
         }
         if (headers.contains(HttpHeader.CONTENT_ENCODING)) {
             return new Unusable("an encoded body");
         }
-        return framed(method, status, headers) || down.contains(ProxySafeguard.SELF_DELIMITED_BODY)
+        return isSelfDelimited(method, status, headers)
+                        || disabledSafeguards.contains(ProxySafeguard.SELF_DELIMITED_BODY)
                 ? new Success()
                 : new Unusable("a body whose end cannot be told from a broken connection");
     }
 
     /** Whether a body that ends early can be told from a whole one. */
-    private static boolean framed(final String method, final int status, final HttpFields headers) {
-        final boolean length = headers.contains(HttpHeader.CONTENT_LENGTH);
-        final boolean coding = headers.contains(HttpHeader.TRANSFER_ENCODING);
-        final boolean bodiless = method.equals("HEAD") || status == HttpStatus.NO_CONTENT_204;
-        return length != coding || bodiless && !length;
+    private static boolean isSelfDelimited(final String method, final int status, final HttpFields headers) {
+        final boolean hasContentLength = headers.contains(HttpHeader.CONTENT_LENGTH);
+        final boolean hasTransferEncoding = headers.contains(HttpHeader.TRANSFER_ENCODING);
+        final boolean isBodiless = method.equals("HEAD") || status == HttpStatus.NO_CONTENT_204;
+        return hasContentLength != hasTransferEncoding || isBodiless && !hasContentLength;
     }
 }
--- a/server/src/main/java/silverlatch/server/workerclient/Back.java
+++ b/server/src/main/java/silverlatch/server/workerclient/WorkerRunClient.java
@@ -19,116 +19,118 @@
 import silverlatch.server.web.ResettingClientConnector;
 
 /** Asks workers to run, by Jetty's client. */
-public final class Back {
-    private final HttpClient http;
-    private final int line;
-    private final String key;
-    private final Sink sink;
-    private final Map<Long, Request> jobs = new ConcurrentHashMap<>();
+public final class WorkerRunClient {
+    private final HttpClient httpClient;
+    private final int maxLineBytes;
+    private final String workerKey;
+    private final Listener listener;
+    private final Map<Long, Request> requestsByOperation = new ConcurrentHashMap<>();
 
     /** Where a worker's words go. */
-    public interface Sink {
+    public interface Listener {
         /** The worker said that it starts. */
-        void begun(long job);
+        void onStarted(long operationId);
 
         /** A line came. */
-        void line(long job, StreamRecord line);
+        void onRecord(long operationId, StreamRecord record);
 
         /** The exchange ended; started is false only where it provably did not begin. */
-        void failed(long job, boolean started, String why);
+        void onEnded(long operationId, boolean started, String reason);
     }
 
     /** A client for workers. */
-    public Back(final int line, final String key, final Sink sink) {
-        this.line = line;
-        this.key = key;
-        this.sink = sink;
+    public WorkerRunClient(final int maxLineBytes, final String workerKey, final Listener listener) {
+        this.maxLineBytes = maxLineBytes;
+        this.workerKey = workerKey;
+        this.listener = listener;
         final ClientConnector connector = new ResettingClientConnector();
         final QueuedThreadPool pool = new QueuedThreadPool(16, 2);
         pool.setName("back");
         pool.setDaemon(true);
         connector.setExecutor(pool);
         connector.setSelectors(2);
-        http = new HttpClient(new HttpClientTransportOverHTTP(connector));
-        http.setConnectTimeout(1_000);
-        http.setMaxConnectionsPerDestination(1_024);
-        http.setMaxRequestsQueuedPerDestination(1_024);
-        http.setIdleTimeout(30_000);
-        http.setFollowRedirects(false);
+        httpClient = new HttpClient(new HttpClientTransportOverHTTP(connector));
+        httpClient.setConnectTimeout(1_000);
+        httpClient.setMaxConnectionsPerDestination(1_024);
+        httpClient.setMaxRequestsQueuedPerDestination(1_024);
+        httpClient.setIdleTimeout(30_000);
+        httpClient.setFollowRedirects(false);
     }
 
     /** Starts the client. */
-    public void start() throws BackFault {
+    public void start() throws WorkerRunClientException {
         try {
-            http.start();
+            httpClient.start();
         } catch (final Exception e) {
-            throw new BackFault(e);
+            throw new WorkerRunClientException(e);
         }
     }
 
     /** Starts a run at a worker. */
-    public void run(final DispatchEffect.StartAttempt r) {
+    public void startRun(final DispatchEffect.StartAttempt run) {
         final AtomicBoolean begun = new AtomicBoolean();
-        final Lines lines = new Lines(line, l -> sink.line(r.operationId(), l));
+        final StreamRecordDecoder decoder =
+                new StreamRecordDecoder(maxLineBytes, record -> listener.onRecord(run.operationId(), record));
         final String body = JsonDocument.write(Map.of(
                 "ticket",
-                r.requestId(),
+                run.requestId(),
                 "run",
-                r.attemptId(),
+                run.attemptId(),
                 "tenant",
-                r.tenant(),
+                run.tenant(),
                 "kind",
-                r.kind(),
+                run.kind(),
                 "prefix",
-                r.prefixDigests(),
+                run.prefixDigests(),
                 "prompt",
-                r.prompt()));
-        final Request request = http.newRequest(URI.create("http://" + r.address() + "/v1/runs"))
+                run.prompt()));
+        final Request request = httpClient
+                .newRequest(URI.create("http://" + run.address() + "/v1/runs"))
                 .method("POST")
-                .headers(h -> h.put("Authorization", "Bearer " + key))
+                .headers(headers -> headers.put("Authorization", "Bearer " + workerKey))
                 .body(new StringRequestContent("application/json", body))
-                .onRequestBegin(q -> {
-                    if (EventLoop.nowMicros() > r.sendDeadline()) {
-                        q.abort(new TimeoutException("it would leave too late"));
+                .onRequestBegin(started -> {
+                    if (EventLoop.nowMicros() > run.sendDeadline()) {
+                        started.abort(new TimeoutException("it would leave too late"));
                     } else {
                         begun.set(true);
                     }
                 })
                 .onResponseHeaders(response -> {
                     if (response.getStatus() == 200) {
-                        sink.begun(r.operationId());
+                        listener.onStarted(run.operationId());
                     }
                 })
                 .onResponseContent((response, bytes) -> {
                     if (response.getStatus() == 200) {
-                        lines.take(bytes);
+                        decoder.decode(bytes);
                     }
                 })
                 .timeout(10, TimeUnit.MINUTES);
-        jobs.put(r.operationId(), request);
+        requestsByOperation.put(run.operationId(), request);
         request.send(result -> {
-            jobs.remove(r.operationId());
+            requestsByOperation.remove(run.operationId());
             final int status = result.getResponse().getStatus();
-            final boolean denied = result.getResponseFailure() == null
+            final boolean rejected = result.getResponseFailure() == null
                     && status == 503
                     && "no".equals(result.getResponse().getHeaders().get("X-Started"));
-            sink.failed(
-                    r.operationId(),
-                    begun.get() && !denied,
+            listener.onEnded(
+                    run.operationId(),
+                    begun.get() && !rejected,
                     result.isFailed() ? "" + result.getFailure().getMessage() : "status " + status);
         });
     }
 
     /** Drops a run. */
-    public void cut(final long job) {
-        java.util.Optional.ofNullable(jobs.remove(job))
-                .ifPresent(r -> r.abort(new java.util.concurrent.CancellationException("cut")));
+    public void cancel(final long operationId) {
+        java.util.Optional.ofNullable(requestsByOperation.remove(operationId))
+                .ifPresent(request -> request.abort(new java.util.concurrent.CancellationException("cut")));
     }
 
     /** A fault of the client. */
-    public static final class BackFault extends Exception {
+    public static final class WorkerRunClientException extends Exception {
         /** What caused it. */
-        public BackFault(final Throwable cause) {
+        public WorkerRunClientException(final Throwable cause) {
             super("the client for workers can't start: " + cause.getMessage(), cause);
         }
     }
--- a/server/src/test/java/silverlatch/server/proxy/ExchangeChecker.java
+++ b/server/src/test/java/silverlatch/server/proxy/ExchangeChecker.java
@@ -9,12 +9,12 @@
 
 /** Compares what clients got with what workers ran and sent; every line that it gives is a broken rule. */
 final class ExchangeChecker {
-    private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
+    private static final Set<Integer> RETRYABLE_STATUSES = Set.of(408, 421, 429, 503);
     private static final Pattern EVENT = Pattern.compile("id: (\\d+)\ndata: (\\S+) (\\S+) piece (\\d+)\n\n");
     private static final int LEFTOVERS_FOR_ONE_REUSE = 20;
     private final ExchangeLog log;
     private final int maxAttempts;
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
 
     ExchangeChecker(final ExchangeLog log, final int maxAttempts) {
         this.log = log;
@@ -22,12 +22,14 @@
     }
 
     List<String> check() {
-        broken.addAll(log.violations);
-        log.runs.forEach(this::asked);
-        log.attempts.values().forEach(this::runs);
-        log.responses.forEach(this::response);
-        reuses();
-        return broken.stream().map(b -> b.replaceAll("x{4,}|y{4,}", "...")).toList();
+        violations.addAll(log.violations);
+        log.runs.forEach(this::checkRequested);
+        log.attempts.values().forEach(this::checkRuns);
+        log.responses.forEach(this::checkResponse);
+        checkReuses();
+        return violations.stream()
+                .map(violation -> violation.replaceAll("x{4,}|y{4,}", "..."))
+                .toList();
     }
 
     /**
@@ -35,37 +37,37 @@
      * two, and the rest come after the next request was sent; the attempt id alone keeps them apart then. So one in twenty
      * is allowed here, while what clients get is held to the rules above in each case.
      */
-    private void reuses() {
+    private void checkReuses() {
         final long leftovers =
                 log.runs.stream().filter(run -> run.behaviour().leavesBytes()).count();
         if (log.reuses.size() * LEFTOVERS_FOR_ONE_REUSE > leftovers + LEFTOVERS_FOR_ONE_REUSE) {
-            broken.add("REUSED: " + log.reuses.size() + " of " + leftovers + ": " + log.reuses);
+            violations.add("REUSED: " + log.reuses.size() + " of " + leftovers + ": " + log.reuses);
         }
     }
 
-    private void asked(final ExchangeLog.Run run) {
+    private void checkRequested(final ExchangeLog.Run run) {
         final ExchangeLog.Attempt attempt = log.attempts.get(run.attemptId());
-        if (attempt == null || !attempt.whole()) {
-            broken.add("UNASKED: " + run);
+        if (attempt == null || !attempt.complete()) {
+            violations.add("UNASKED: " + run);
         } else if (!attempt.path().equals(run.path()) || !attempt.body().equals(run.requestBody())) {
-            broken.add("UNASKED: changed " + run + " of " + attempt);
+            violations.add("UNASKED: changed " + run + " of " + attempt);
         }
     }
 
-    private void runs(final ExchangeLog.Attempt attempt) {
+    private void checkRuns(final ExchangeLog.Attempt attempt) {
         final List<ExchangeLog.Run> arrived = log.runs.stream()
-                .filter(r -> r.attemptId().equals(attempt.id()))
+                .filter(run -> run.attemptId().equals(attempt.id()))
                 .toList();
         final long executed = arrived.stream().filter(ExchangeLog.Run::executed).count();
-        if (!attempt.kind().repeatable && executed > 1) {
-            broken.add("TWICE: " + arrived);
+        if (!attempt.kind().idempotent && executed > 1) {
+            violations.add("TWICE: " + arrived);
         }
         if (arrived.size() > maxAttempts) {
-            broken.add("BUDGET: " + arrived);
+            violations.add("BUDGET: " + arrived);
         }
     }
 
-    private void response(final ExchangeLog.Received received) {
+    private void checkResponse(final ExchangeLog.Received received) {
         final HttpResponseReader.Message message = received.message();
         if (message.end() == HttpResponseReader.End.NOTHING) {
             return;
@@ -73,51 +75,52 @@
         if (message.end() == HttpResponseReader.End.GARBAGE
                 || message.raw().contains("FORGED")
                 || message.status() < 200) {
-            broken.add("MIXED: no response " + received);
+            violations.add("MIXED: no response " + received);
             return;
         }
         final List<String> seals = message.values("Silverlatch-Seal");
         final Optional<ExchangeLog.Run> run =
                 seals.size() == 1 ? Optional.ofNullable(log.runsBySeal.get(seals.get(0))) : Optional.empty();
         if (message.status() / 100 == 2 && run.isEmpty()) {
-            broken.add("MIXED: a success without a worker's seal " + received);
+            violations.add("MIXED: a success without a worker's seal " + received);
         } else if (!seals.isEmpty() && run.isEmpty()) {
-            broken.add("MIXED: seals " + seals + " " + received);
+            violations.add("MIXED: seals " + seals + " " + received);
         }
-        run.ifPresent(r -> sealed(received, r));
-        if (PROMISES.contains(message.status()) && !received.attempt().kind().repeatable) {
+        run.ifPresent(sealedRun -> checkSealed(received, sealedRun));
+        if (RETRYABLE_STATUSES.contains(message.status()) && !received.attempt().kind().idempotent) {
             log.runs.stream()
-                    .filter(r -> r.attemptId().equals(received.attempt().id()) && r.executed())
+                    .filter(sealedRun ->
+                            sealedRun.attemptId().equals(received.attempt().id()) && sealedRun.executed())
                     .findFirst()
-                    .ifPresent(r -> broken.add("REFUSED: " + received + " although " + r));
+                    .ifPresent(sealedRun -> violations.add("REFUSED: " + received + " although " + sealedRun));
         }
     }
 
-    private void sealed(final ExchangeLog.Received received, final ExchangeLog.Run run) {
+    private void checkSealed(final ExchangeLog.Received received, final ExchangeLog.Run run) {
         final HttpResponseReader.Message message = received.message();
         if (!run.attemptId().equals(received.attempt().id())) {
-            broken.add("MIXED: another request's response " + received + " of " + run);
+            violations.add("MIXED: another request's response " + received + " of " + run);
         } else if (run.status() != message.status()) {
-            broken.add("MIXED: another status " + received + " than " + run);
+            violations.add("MIXED: another status " + received + " than " + run);
         } else if (message.status() / 100 == 2 && received.attempt().kind() == ExchangeLog.Kind.RESUMABLE) {
-            resumed(received);
+            checkResumed(received);
         } else {
-            whole(received, run);
+            checkBody(received, run);
         }
     }
 
-    private void whole(final ExchangeLog.Received received, final ExchangeLog.Run run) {
+    private void checkBody(final ExchangeLog.Received received, final ExchangeLog.Run run) {
         final HttpResponseReader.Message message = received.message();
         final boolean complete = message.end() == HttpResponseReader.End.COMPLETE;
-        if (complete && (!message.body().equals(run.body()) || !run.whole())) {
-            broken.add("MIXED: not the whole body " + received + " of " + run);
+        if (complete && (!message.body().equals(run.body()) || !run.complete())) {
+            violations.add("MIXED: not the whole body " + received + " of " + run);
         } else if (!run.body().startsWith(message.body())) {
-            broken.add("MIXED: another body " + received + " than " + run);
+            violations.add("MIXED: another body " + received + " than " + run);
         }
     }
 
     /** Pieces come in order, without a gap; those of another run begin where that run was told to go on. */
-    private void resumed(final ExchangeLog.Received received) {
+    private void checkResumed(final ExchangeLog.Received received) {
         final HttpResponseReader.Message message = received.message();
         final String attemptId = received.attempt().id();
         final Matcher events = EVENT.matcher(message.body());
@@ -130,14 +133,14 @@
             final Optional<ExchangeLog.Run> run = Optional.ofNullable(log.runsBySeal.get(events.group(3)));
             final String resumedAt = last == 0 ? "" : "" + last;
             if (piece != last + 1 || !events.group(2).equals(attemptId)) {
-                broken.add("ORDER: piece " + piece + " after " + last + " in " + received);
+                violations.add("ORDER: piece " + piece + " after " + last + " in " + received);
             }
             if (!events.group(3).equals(seal)
                     && run.filter(r -> r.lastEventId().equals(resumedAt)).isEmpty()) {
-                broken.add("ORDER: joined with another run at " + last + " in " + received);
+                violations.add("ORDER: joined with another run at " + last + " in " + received);
             }
             if (last == 0 && !List.of(events.group(3)).equals(message.values("Silverlatch-Seal"))) {
-                broken.add("MIXED: another run's seal over " + received);
+                violations.add("MIXED: another run's seal over " + received);
             }
             seal = events.group(3);
             last = piece;
@@ -146,7 +149,7 @@
         if (complete
                 && (last != ScriptedWorker.pieces(attemptId)
                         || end != message.body().length())) {
-            broken.add("ORDER: complete after piece " + last + " of " + ScriptedWorker.pieces(attemptId) + " in "
+            violations.add("ORDER: complete after piece " + last + " of " + ScriptedWorker.pieces(attemptId) + " in "
                     + received);
         }
     }
--- a/server/src/test/java/silverlatch/server/proxy/ExchangeLog.java
+++ b/server/src/test/java/silverlatch/server/proxy/ExchangeLog.java
@@ -24,18 +24,18 @@
         RESUMABLE("/resume/", true, true);
 
         final String prefix;
-        final boolean repeatable;
+        final boolean idempotent;
         final boolean stream;
 
-        Kind(final String prefix, final boolean repeatable, final boolean stream) {
+        Kind(final String prefix, final boolean idempotent, final boolean stream) {
             this.prefix = prefix;
-            this.repeatable = repeatable;
+            this.idempotent = idempotent;
             this.stream = stream;
         }
     }
 
     /** What a client sends, and whether it sends it whole. */
-    record Attempt(String id, Kind kind, String path, String body, boolean whole) {}
+    record Attempt(String id, Kind kind, String path, String body, boolean complete) {}
 
     /**
      * A request that a worker has read whole.
@@ -44,7 +44,7 @@
      * @param executed whether the worker ran it
      * @param status   the status that the worker gives
      * @param body     the whole body that the worker means to give
-     * @param whole    whether it lets the body get through whole
+     * @param complete    whether it lets the body get through whole
      */
     record Run(
             String worker,
@@ -57,7 +57,7 @@
             boolean executed,
             int status,
             String body,
-            boolean whole) {}
+            boolean complete) {}
 
     /** A response as a client has read it, or why it is none. */
     record Received(Attempt attempt, HttpResponseReader.Message message) {}
--- a/server/src/test/java/silverlatch/server/proxy/HttpResponseReader.java
+++ b/server/src/test/java/silverlatch/server/proxy/HttpResponseReader.java
@@ -18,7 +18,7 @@
         /** By its length or its last chunk. */
         COMPLETE,
         /** Before its end. */
-        CUT,
+        TRUNCATED,
         /** No byte of it came. */
         NOTHING,
         /** It is no response in the protocol. */
@@ -59,7 +59,7 @@
                 headers.add(header);
                 header = line(in, raw);
             }
-            final Message head = new Message(End.CUT, status, headers, "", "");
+            final Message head = new Message(End.TRUNCATED, status, headers, "", "");
             if (status == 204 || status == 304) {
                 return new Message(End.COMPLETE, status, headers, "", text(raw));
             }
@@ -76,7 +76,7 @@
             }
             return new Message(End.COMPLETE, status, headers, text(body), text(raw));
         } catch (final IOException | NumberFormatException e) {
-            return new Message(raw.size() == 0 ? End.NOTHING : End.CUT, status, headers, text(body), text(raw));
+            return new Message(raw.size() == 0 ? End.NOTHING : End.TRUNCATED, status, headers, text(body), text(raw));
         }
     }
 
@@ -101,9 +101,9 @@
 
     private static void rest(final InputStream in, final ByteArrayOutputStream raw, final ByteArrayOutputStream body)
             throws IOException {
-        for (int b = in.read(); b >= 0; b = in.read()) {
-            raw.write(b);
-            body.write(b);
+        for (int next = in.read(); next >= 0; next = in.read()) {
+            raw.write(next);
+            body.write(next);
         }
     }
 
@@ -116,12 +116,12 @@
     }
 
     private static int one(final InputStream in, final ByteArrayOutputStream raw) throws IOException {
-        final int b = in.read();
-        if (b < 0) {
+        final int next = in.read();
+        if (next < 0) {
             throw new EOFException();
         }
-        raw.write(b);
-        return b;
+        raw.write(next);
+        return next;
     }
 
     private static String text(final ByteArrayOutputStream bytes) {
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedClient.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedClient.java
@@ -122,12 +122,12 @@
         return message;
     }
 
-    private ExchangeLog.Attempt attempt(final boolean whole) {
+    private ExchangeLog.Attempt attempt(final boolean complete) {
         final ExchangeLog.Kind[] kinds = ExchangeLog.Kind.values();
         final ExchangeLog.Kind kind = kinds[random.nextInt(kinds.length)];
         final String id = name + "-" + sent++;
         final ExchangeLog.Attempt attempt = new ExchangeLog.Attempt(
-                id, kind, kind.prefix + id + "?q=" + id, "body of " + id + "y".repeat(random.nextInt(300)), whole);
+                id, kind, kind.prefix + id + "?q=" + id, "body of " + id + "y".repeat(random.nextInt(300)), complete);
         log.attempts.put(id, attempt);
         return attempt;
     }
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedWorker.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedWorker.java
@@ -95,7 +95,7 @@
         }
     }
 
-    private record Asked(String method, String path, String head, String body) {
+    private record ReceivedRequest(String method, String path, String head, String body) {
         String header(final String name) {
             return head.lines()
                     .filter(l -> l.toLowerCase(Locale.ROOT).startsWith(name.toLowerCase(Locale.ROOT) + ":"))
@@ -110,20 +110,20 @@
             final InputStream in = new BufferedInputStream(socket.getInputStream());
             String leftover = "";
             while (true) {
-                final Asked asked = read(in);
-                final String attemptId = asked.header("Silverlatch-Ticket");
+                final ReceivedRequest received = read(in);
+                final String attemptId = received.header("Silverlatch-Ticket");
                 if (!leftover.isEmpty()) {
                     log.reuses.add(id + " got " + attemptId + " on a connection after " + leftover);
                 }
                 final Behaviour behaviour = draw(attemptId);
                 leftover = behaviour.leavesBytes()
-                        ? behaviour + " to " + attemptId + " " + asked.path() + " resumed at "
-                                + asked.header("Last-Event-Id") + " chunked " + (attemptId.hashCode() % 2 == 0)
+                        ? behaviour + " to " + attemptId + " " + received.path() + " resumed at "
+                                + received.header("Last-Event-Id") + " chunked " + (attemptId.hashCode() % 2 == 0)
                         : "";
-                if (!answer(socket, asked, behaviour)) {
+                if (!answer(socket, received, behaviour)) {
                     return;
                 }
-                earlier.set(asked.header("Silverlatch-Ticket"));
+                earlier.set(received.header("Silverlatch-Ticket"));
                 if (behaviour == Behaviour.FORGET) {
                     in.mark(1);
                     if (in.read() >= 0) {
@@ -145,23 +145,34 @@
         return random.nextInt(2) == 0 ? Behaviour.GOOD : all[random.nextInt(all.length)];
     }
 
-    private boolean answer(final Socket socket, final Asked asked, final Behaviour behaviour) throws IOException {
-        final String attemptId = asked.header("Silverlatch-Ticket");
+    private boolean answer(final Socket socket, final ReceivedRequest received, final Behaviour behaviour)
+            throws IOException {
+        final String attemptId = received.header("Silverlatch-Ticket");
         final String seal = "seal-" + SEALS.incrementAndGet() + "-";
-        final String after = asked.header("Last-Event-Id");
-        final String body = asked.path().startsWith("/again/")
+        final String after = received.header("Last-Event-Id");
+        final String body = received.path().startsWith("/again/")
                 ? attemptId + " " + seal + " " + "x".repeat(1 + Math.abs(attemptId.hashCode() % 3_000))
                 : events(attemptId, seal, after.isEmpty() ? 0 : Integer.parseInt(after));
         final boolean executed = behaviour != Behaviour.NOT_EXECUTED && behaviour != Behaviour.MISDIRECTED;
         final int status = status(behaviour);
-        final boolean whole = !(behaviour == Behaviour.RESET_MIDWAY
+        final boolean complete = !(behaviour == Behaviour.RESET_MIDWAY
                 || behaviour == Behaviour.END_MIDWAY
                 || behaviour == Behaviour.CLOSE_DELIMITED
                 || behaviour == Behaviour.HEAD_ONLY);
-        final String given = status == 200 ? body : "failure " + seal;
+        final String responseBody = status == 200 ? body : "failure " + seal;
         log.run(new ExchangeLog.Run(
-                id, attemptId, asked.path(), asked.body(), after, seal, behaviour, executed, status, given, whole));
-        return reply(socket, attemptId, seal, given, behaviour);
+                id,
+                attemptId,
+                received.path(),
+                received.body(),
+                after,
+                seal,
+                behaviour,
+                executed,
+                status,
+                responseBody,
+                complete));
+        return reply(socket, attemptId, seal, responseBody, behaviour);
     }
 
     /** The number of pieces in a request's stream. */
@@ -309,25 +320,25 @@
         out.flush();
     }
 
-    private static Asked read(final InputStream in) throws IOException {
+    private static ReceivedRequest read(final InputStream in) throws IOException {
         final ByteArrayOutputStream all = new ByteArrayOutputStream();
         int newlines = 0;
         while (newlines < 2) {
-            final int b = in.read();
-            if (b < 0) {
+            final int next = in.read();
+            if (next < 0) {
                 throw new EOFException();
             }
-            all.write(b);
-            newlines = b == '\n' ? newlines + 1 : b == '\r' ? newlines : 0;
+            all.write(next);
+            newlines = next == '\n' ? newlines + 1 : next == '\r' ? newlines : 0;
         }
         final String head = all.toString(StandardCharsets.ISO_8859_1);
         final String[] first = head.substring(0, head.indexOf('\r')).split(" ");
-        final Asked asked = new Asked(first[0], first[1], head, "");
-        final String size = asked.header("Content-Length");
+        final ReceivedRequest received = new ReceivedRequest(first[0], first[1], head, "");
+        final String size = received.header("Content-Length");
         final byte[] body = in.readNBytes(size.isEmpty() ? 0 : Integer.parseInt(size));
         if (!size.isEmpty() && body.length < Integer.parseInt(size)) {
             throw new EOFException();
         }
-        return new Asked(first[0], first[1], head, new String(body, StandardCharsets.ISO_8859_1));
+        return new ReceivedRequest(first[0], first[1], head, new String(body, StandardCharsets.ISO_8859_1));
     }
 }
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
@@ -53,7 +53,7 @@
     void noResponseReachesAnotherCallerAndNothingRunsTwice() throws Exception {
         final Set<ScriptedWorker.Behaviour> met = EnumSet.noneOf(ScriptedWorker.Behaviour.class);
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
-            final ExchangeLog log = play(seed, ProxySafeguard.NONE_DOWN);
+            final ExchangeLog log = play(seed, ProxySafeguard.NONE_DISABLED);
             assertThat("seed " + seed, new ExchangeChecker(log, MAX_ATTEMPTS).check(), is(empty()));
             assertThat("successes of seed " + seed, successes(log), greaterThan(log.attempts.size() / 5L));
             log.runs.forEach(run -> met.add(run.behaviour()));
@@ -71,7 +71,7 @@
         "WHOLE_HEAD, MIXED",
         "SEAL, MIXED"
     })
-    void theCheckerNoticesASafeguardThatIsLetDown(final ProxySafeguard safeguard, final String rule) throws Exception {
+    void theCheckerDetectsADisabledSafeguard(final ProxySafeguard safeguard, final String rule) throws Exception {
         boolean noticed = false;
         for (int seed = 1; seed <= MUTANT_SEEDS && !noticed; seed++) {
             noticed = new ExchangeChecker(play(seed, Set.of(safeguard)), MAX_ATTEMPTS)
@@ -87,13 +87,13 @@
                 .count();
     }
 
-    private static ExchangeLog play(final long seed, final Set<ProxySafeguard> down) throws Exception {
+    private static ExchangeLog play(final long seed, final Set<ProxySafeguard> disabledSafeguards) throws Exception {
         final ExchangeLog log = new ExchangeLog();
         final List<ScriptedWorker> workers = new ArrayList<>();
         for (int i = 0; i < WORKERS; i++) {
             workers.add(new ScriptedWorker("w" + i, seed, log));
         }
-        final WorkerHttpClient client = new WorkerHttpClient(WorkerHttpClient.Setup.PLAIN, down);
+        final WorkerHttpClient client = new WorkerHttpClient(WorkerHttpClient.Settings.DEFAULT, disabledSafeguards);
         client.start();
         final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
         final Router router = new Router(
@@ -107,7 +107,7 @@
                 .filter(effect -> !(effect instanceof RoutingEffect.Log))
                 .forEach(proxy.get()::apply);
         proxy.set(new ProxyServer(
-                Fields.PLAIN,
+                ProxyHeaderNames.DEFAULT,
                 client,
                 event -> {
                     loop.execute(() -> {
@@ -116,7 +116,7 @@
                     });
                     return true;
                 },
-                down));
+                disabledSafeguards));
         loop.scheduleAtFixedRate(
                 () -> {
                     router.tick(EventLoop.nowMicros());
--- a/simulation/src/main/java/silverlatch/simulation/consumer/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/consumer/Main.java
@@ -26,7 +26,7 @@
 import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.json.JsonDocument;
 import silverlatch.server.eventloop.EventLoop;
-import silverlatch.server.workerclient.Lines;
+import silverlatch.server.workerclient.StreamRecordDecoder;
 import silverlatch.simulation.worker.Speech;
 import silverlatch.util.Lists;
 
@@ -218,7 +218,7 @@
         }
 
         private void hand(final String door, final String permit) {
-            final Lines lines = new Lines(1 << 20, this::line);
+            final StreamRecordDecoder lines = new StreamRecordDecoder(1 << 20, this::line);
             final java.io.ByteArrayOutputStream other = new java.io.ByteArrayOutputStream();
             http.newRequest(URI.create("http://" + door + "/v1/tickets"))
                     .method("POST")
@@ -230,7 +230,7 @@
                     .timeout(18, TimeUnit.SECONDS)
                     .onResponseContent((r, b) -> {
                         if (r.getStatus() == 200) {
-                            lines.take(b);
+                            lines.decode(b);
                         } else {
                             while (b.hasRemaining()) {
                                 other.write(b.get());
--- a/simulation/src/main/java/silverlatch/simulation/worker/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/worker/Main.java
@@ -26,7 +26,7 @@
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.web.ApiServer;
 import silverlatch.server.web.HttpExchange;
-import silverlatch.server.workerclient.Lines;
+import silverlatch.server.workerclient.StreamRecordDecoder;
 
 /** A stand-in worker: reads prompts, keeps prefixes, streams pieces, seals, announces itself, and misbehaves on demand. */
 public final class Main {
@@ -208,14 +208,17 @@
                     "at",
                     System.currentTimeMillis()));
             c.writeLines(
-                    fault == Faults.NOSEAL || fault == Faults.DROP ? "" : Lines.write(seal), true, () -> {}, () -> {});
+                    fault == Faults.NOSEAL || fault == Faults.DROP ? "" : StreamRecordDecoder.encode(seal),
+                    true,
+                    () -> {},
+                    () -> {});
             end();
             return;
         }
         final String owner = fault == Faults.FOREIGN && number == 1 ? ticket + "x" : ticket;
         final String text = fault == Faults.GARBAGE && number == 1
                 ? "{nonsense\n"
-                : Lines.write(new StreamRecord.Chunk(owner, run, number, Speech.piece(prompt, number)));
+                : StreamRecordDecoder.encode(new StreamRecord.Chunk(owner, run, number, Speech.piece(prompt, number)));
         final String out =
                 fault == Faults.GAP && number == 1 ? "" : fault == Faults.REPEAT && number == 1 ? text + text : text;
         final long pause = fault == Faults.SLOW ? piece * 10 : piece;
