--- a/core/src/test/java/silverlatch/replication/MembershipModelTest.java
+++ b/core/src/test/java/silverlatch/replication/MembershipModelTest.java
@@ -54,7 +54,7 @@
 
     private record Put(ReplicaCluster.PendingCall asked, long number) {}
 
-    /** One schedule; the checks after each step are those of {@link #check}. */
+    /** One schedule; the checks after each step are those of {@link #checkPropagation}. */
     private static final class Schedule {
         private final Random random;
         private final int tolerance;
--- a/simulation/src/main/java/silverlatch/simulation/check/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/check/Main.java
@@ -21,22 +21,22 @@
         for (int i = 2; i < args.length; i++) {
             records.add(Path.of(args[i]));
         }
-        final Found found = check(Path.of(args[0]), homes(args[1]), records);
-        found.wrong().forEach(w -> System.out.println("WRONG " + w));
+        final CheckResult found = check(Path.of(args[0]), parseHomes(args[1]), records);
+        found.violations().forEach(w -> System.out.println("WRONG " + w));
         System.out.println("checked " + found.receipts() + " receipts against " + found.runs() + " runs");
-        System.exit(found.wrong().isEmpty() && found.runs() > 0 && found.receipts() > 0 ? 0 : 1);
+        System.exit(found.violations().isEmpty() && found.runs() > 0 && found.receipts() > 0 ? 0 : 1);
     }
 
     /** What a check found. */
-    public record Found(int receipts, int runs, List<String> wrong) {
+    public record CheckResult(int receipts, int runs, List<String> violations) {
         /** Copies the list. */
-        public Found {
-            wrong = List.copyOf(wrong);
+        public CheckResult {
+            violations = List.copyOf(violations);
         }
     }
 
     /** Homes from text. */
-    public static Map<String, List<String>> homes(final String text) {
+    public static Map<String, List<String>> parseHomes(final String text) {
         final Map<String, List<String>> map = new HashMap<>();
         for (final String part : text.split(",")) {
             final int at = part.indexOf('=');
@@ -48,70 +48,71 @@
     }
 
     /** Checks receipts against records. */
-    public static Found check(final Path receipts, final Map<String, List<String>> homes, final List<Path> records)
-            throws IOException {
-        final List<String> wrong = new ArrayList<>();
+    public static CheckResult check(
+            final Path receipts, final Map<String, List<String>> homes, final List<Path> records) throws IOException {
+        final List<String> violations = new ArrayList<>();
         final Map<String, List<JsonDocument>> starts = new HashMap<>();
         int runs = 0;
-        for (final Path p : records) {
+        for (final Path recordFile : records) {
             long left = Long.MAX_VALUE;
-            for (final JsonDocument s : lines(p)) {
-                final String event = s.string("event", 16);
+            for (final JsonDocument start : readRecords(recordFile)) {
+                final String event = start.string("event", 16);
                 if (event.equals("leave")) {
-                    left = s.integer("at", 0, Long.MAX_VALUE);
+                    left = start.integer("at", 0, Long.MAX_VALUE);
                 }
                 if (!event.equals("start")) {
                     continue;
                 }
                 runs++;
-                starts.computeIfAbsent(s.string("ticket", 256), k -> new ArrayList<>())
-                        .add(s);
-                final List<String> allowed = homes.getOrDefault(s.string("tenant", 64), List.of());
-                if (!allowed.isEmpty() && !allowed.contains(s.string("region", 64))) {
-                    wrong.add("ticket " + s.string("ticket", 256) + " ran outside its homes");
+                starts.computeIfAbsent(start.string("ticket", 256), k -> new ArrayList<>())
+                        .add(start);
+                final List<String> allowed = homes.getOrDefault(start.string("tenant", 64), List.of());
+                if (!allowed.isEmpty() && !allowed.contains(start.string("region", 64))) {
+                    violations.add("ticket " + start.string("ticket", 256) + " ran outside its homes");
                 }
-                if (s.integer("at", 0, Long.MAX_VALUE) - left > 3_000) {
-                    wrong.add(
-                            "ticket " + s.string("ticket", 256) + " came to a worker 3 s after it said it was leaving");
+                if (start.integer("at", 0, Long.MAX_VALUE) - left > 3_000) {
+                    violations.add("ticket " + start.string("ticket", 256)
+                            + " came to a worker 3 s after it said it was leaving");
                 }
             }
         }
         final Map<String, String> keys = new HashMap<>();
         int count = 0;
-        for (final JsonDocument r : lines(receipts)) {
+        for (final JsonDocument receipt : readRecords(receipts)) {
             count++;
-            final String ticket = r.string("ticket", 256);
-            final List<JsonDocument> ran = starts.getOrDefault(ticket, List.of());
-            final String outcome = r.string("outcome", 256);
-            if (outcome.startsWith("rejected") && !ran.isEmpty()) {
-                wrong.add("ticket " + ticket + " was rejected and ran");
+            final String ticket = receipt.string("ticket", 256);
+            final List<JsonDocument> attempts = starts.getOrDefault(ticket, List.of());
+            final String outcome = receipt.string("outcome", 256);
+            if (outcome.startsWith("rejected") && !attempts.isEmpty()) {
+                violations.add("ticket " + ticket + " was rejected and ran");
             }
-            if (ran.size() > 1) {
-                wrong.add("ticket " + ticket + " ran " + ran.size() + " times");
+            if (attempts.size() > 1) {
+                violations.add("ticket " + ticket + " ran " + attempts.size() + " times");
             }
             if (outcome.equals("done")
-                    && (ran.size() != 1 || !ran.get(0).string("prompt", 64).equals(r.string("prompt", 64)))) {
-                wrong.add("ticket " + ticket + " is done without its own run");
+                    && (attempts.size() != 1
+                            || !attempts.get(0).string("prompt", 64).equals(receipt.string("prompt", 64)))) {
+                violations.add("ticket " + ticket + " is done without its own run");
             }
-            final String key = r.string("key", 128);
-            if (!key.isEmpty() && !ran.isEmpty()) {
-                Optional.ofNullable(keys.put(r.string("tenant", 64) + "|" + key, ticket))
+            final String key = receipt.string("key", 128);
+            if (!key.isEmpty() && !attempts.isEmpty()) {
+                Optional.ofNullable(keys.put(receipt.string("tenant", 64) + "|" + key, ticket))
                         .filter(o -> !o.equals(ticket))
-                        .ifPresent(o -> wrong.add("key " + key + " ran as " + o + " and as " + ticket));
+                        .ifPresent(o -> violations.add("key " + key + " ran as " + o + " and as " + ticket));
             }
             if (outcome.startsWith("BAD")) {
-                wrong.add("ticket " + ticket + " " + outcome);
+                violations.add("ticket " + ticket + " " + outcome);
             }
         }
-        return new Found(count, runs, wrong);
+        return new CheckResult(count, runs, violations);
     }
 
-    private static List<JsonDocument> lines(final Path p) throws IOException {
+    private static List<JsonDocument> readRecords(final Path path) throws IOException {
         final List<JsonDocument> list = new ArrayList<>();
-        for (final String line : Files.readAllLines(p)) {
+        for (final String line : Files.readAllLines(path)) {
             if (JsonDocument.parse(line.getBytes(StandardCharsets.UTF_8), 1 << 20)
-                    instanceof JsonDocument.ParseResult.Valid g) {
-                list.add(g.document());
+                    instanceof JsonDocument.ParseResult.Valid good) {
+                list.add(good.document());
             }
         }
         return list;
--- a/simulation/src/main/java/silverlatch/simulation/consumer/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/consumer/Main.java
@@ -27,19 +27,19 @@
 import silverlatch.json.JsonDocument;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.workerclient.StreamRecordDecoder;
-import silverlatch.simulation.worker.Speech;
+import silverlatch.simulation.worker.ExpectedResponse;
 import silverlatch.util.Lists;
 
 /** A stand-in for all consumers: an open load of mixed kinds, each reply verified and put down in a file of receipts. */
 public final class Main {
     @Option(name = "--doors", required = true)
-    private String doors = "";
+    private String endpoints = "";
 
     @Option(name = "--seconds")
     private int seconds = 10;
 
     @Option(name = "--rate", usage = "tickets a second")
-    private int rate = 50;
+    private int requestsPerSecond = 50;
 
     @Option(name = "--tenants", required = true, usage = "NAME:KEY,...")
     private String tenants = "";
@@ -54,16 +54,16 @@
     private long seed = 1;
 
     @Option(name = "--crowd", usage = "how many times as many tickets come in the middle third")
-    private int crowd = 1;
+    private int spikeFactor = 1;
 
     @Option(name = "--again", usage = "each so many once-only tickets is sent again under its key")
-    private int again = 10;
+    private int duplicateEvery = 10;
 
-    private final HttpClient http = new HttpClient();
-    private final Map<String, Long> tally = new TreeMap<>();
-    private final List<Long> firsts = new ArrayList<>();
-    private final AtomicLong open = new AtomicLong();
-    private PrintWriter book;
+    private final HttpClient httpClient = new HttpClient();
+    private final Map<String, Long> outcomes = new TreeMap<>();
+    private final List<Long> firstChunkTimes = new ArrayList<>();
+    private final AtomicLong openRequests = new AtomicLong();
+    private PrintWriter receiptWriter;
 
     private Main() {}
 
@@ -72,103 +72,108 @@
         final Main main = new Main();
         try {
             new CmdLineParser(main).parseArgument(args);
-        } catch (final CmdLineException e) {
-            System.err.println(e.getMessage());
+        } catch (final CmdLineException failure) {
+            System.err.println(failure.getMessage());
             System.exit(2);
         }
         System.exit(main.run());
     }
 
     private int run() throws Exception {
-        book = new PrintWriter(Files.newBufferedWriter(Path.of(receipts)), true);
-        http.setMaxConnectionsPerDestination(2_048);
-        http.setConnectTimeout(1_000);
-        http.start();
-        final SplittableRandom luck = new SplittableRandom(seed);
-        final String[] people = tenants.split(",");
-        final List<String[]> sorts = new ArrayList<>();
-        for (final String k : kinds.split(",")) {
-            final String[] f = k.split(":");
-            for (int i = 0; i < Integer.parseInt(f[1]); i++) {
-                sorts.add(f);
+        receiptWriter = new PrintWriter(Files.newBufferedWriter(Path.of(receipts)), true);
+        httpClient.setMaxConnectionsPerDestination(2_048);
+        httpClient.setConnectTimeout(1_000);
+        httpClient.start();
+        final SplittableRandom random = new SplittableRandom(seed);
+        final String[] tenantNames = tenants.split(",");
+        final List<String[]> weightedKinds = new ArrayList<>();
+        for (final String kind : kinds.split(",")) {
+            final String[] fields = kind.split(":");
+            for (int i = 0; i < Integer.parseInt(fields[1]); i++) {
+                weightedKinds.add(fields);
             }
         }
-        final long begin = EventLoop.nowMicros();
-        double due = 0;
-        for (long n = 0; due < seconds * 1e6; n++) {
-            final boolean middle = due > seconds * 1e6 / 3 && due < seconds * 2e6 / 3;
-            due += 1e6 / rate / (middle ? crowd : 1);
-            final long wait = begin + (long) due - EventLoop.nowMicros();
-            if (wait > 0) {
-                TimeUnit.MICROSECONDS.sleep(wait);
+        final long start = EventLoop.nowMicros();
+        double dueMicros = 0;
+        for (long number = 0; dueMicros < seconds * 1e6; number++) {
+            final boolean middle = dueMicros > seconds * 1e6 / 3 && dueMicros < seconds * 2e6 / 3;
+            dueMicros += 1e6 / requestsPerSecond / (middle ? spikeFactor : 1);
+            final long waitMicros = start + (long) dueMicros - EventLoop.nowMicros();
+            if (waitMicros > 0) {
+                TimeUnit.MICROSECONDS.sleep(waitMicros);
             }
-            final String[] f = sorts.get(luck.nextInt(sorts.size()));
-            final String[] who = people[luck.nextInt(people.length)].split(":");
-            final int pieces = Math.max(1, Integer.parseInt(f[2]) / 2 + luck.nextInt(Integer.parseInt(f[2])));
-            final String key = Boolean.parseBoolean(f[4]) ? "k" + seed + "-" + n : "";
-            final Trip trip = new Trip(
-                    who[0],
-                    who[1],
-                    f[0],
+            final String[] fields = weightedKinds.get(random.nextInt(weightedKinds.size()));
+            final String[] tenant = tenantNames[random.nextInt(tenantNames.length)].split(":");
+            final int pieces =
+                    Math.max(1, Integer.parseInt(fields[2]) / 2 + random.nextInt(Integer.parseInt(fields[2])));
+            final String key = Boolean.parseBoolean(fields[4]) ? "k" + seed + "-" + number : "";
+            final TrackedRequest request = new TrackedRequest(
+                    tenant[0],
+                    tenant[1],
+                    fields[0],
                     key,
-                    pieces + " " + who[0] + " asks " + n + " " + seed,
-                    prefix(f, luck),
-                    luck.nextLong());
-            trip.go();
-            if (!key.isEmpty() && luck.nextInt(again) == 0) {
-                new Trip(who[0], who[1], f[0], key, trip.prompt, trip.prefix, luck.nextLong()).go();
+                    pieces + " " + tenant[0] + " asks " + number + " " + seed,
+                    randomPrefix(fields, random),
+                    random.nextLong());
+            request.start();
+            if (!key.isEmpty() && random.nextInt(duplicateEvery) == 0) {
+                new TrackedRequest(
+                                tenant[0], tenant[1], fields[0], key, request.prompt, request.prefix, random.nextLong())
+                        .start();
             }
         }
         final long end = EventLoop.nowMicros() + 20_000_000;
-        while (open.get() > 0 && EventLoop.nowMicros() < end) {
+        while (openRequests.get() > 0 && EventLoop.nowMicros() < end) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
         synchronized (this) {
-            tally.forEach((k, v) -> System.out.println(k + " " + v));
-            firsts.sort(Long::compare);
-            if (!firsts.isEmpty()) {
-                System.out.println("first piece ms min/median/max " + firsts.get(0) / 1000 + "/"
-                        + firsts.get(firsts.size() / 2) / 1000 + "/" + Lists.last(firsts) / 1000);
+            outcomes.forEach((kind, v) -> System.out.println(kind + " " + v));
+            firstChunkTimes.sort(Long::compare);
+            if (!firstChunkTimes.isEmpty()) {
+                System.out.println("first piece ms min/median/max " + firstChunkTimes.get(0) / 1000 + "/"
+                        + firstChunkTimes.get(firstChunkTimes.size() / 2) / 1000 + "/"
+                        + Lists.last(firstChunkTimes) / 1000);
             }
-            System.out.println("open " + open.get());
+            System.out.println("open " + openRequests.get());
         }
-        http.stop();
-        return tally.keySet().stream().anyMatch(k -> k.startsWith("BAD")) || open.get() > 0 ? 1 : 0;
+        httpClient.stop();
+        return outcomes.keySet().stream().anyMatch(kind -> kind.startsWith("BAD")) || openRequests.get() > 0 ? 1 : 0;
     }
 
-    private static List<String> prefix(final String[] f, final SplittableRandom luck) {
+    private static List<String> randomPrefix(final String[] fields, final SplittableRandom random) {
         final List<String> list = new ArrayList<>();
-        final int book = luck.nextInt(6);
-        for (int i = 0; i < Integer.parseInt(f[3]); i++) {
-            list.add(PermitSigner.sha256Hex(f[0] + "/" + book + "/" + i).substring(0, 24));
+        final int conversation = random.nextInt(6);
+        for (int i = 0; i < Integer.parseInt(fields[3]); i++) {
+            list.add(PermitSigner.sha256Hex(fields[0] + "/" + conversation + "/" + i)
+                    .substring(0, 24));
         }
         return list;
     }
 
-    private synchronized void count(final String name) {
-        tally.merge(name, 1L, Long::sum);
+    private synchronized void countOutcome(final String name) {
+        outcomes.merge(name, 1L, Long::sum);
     }
 
-    private final class Trip {
+    private final class TrackedRequest {
         private final String tenant;
         private final String secret;
         private final String kind;
-        private final String key;
+        private final String idempotencyKey;
         private final String prompt;
         private final List<String> prefix;
-        private final SplittableRandom luck;
-        private final MessageDigest sum = PermitSigner.newSha256();
-        private final long begin = EventLoop.nowMicros();
-        private String ticket = "";
+        private final SplittableRandom random;
+        private final MessageDigest digest = PermitSigner.newSha256();
+        private final long startedAt = EventLoop.nowMicros();
+        private String requestId = "";
         private String worker = "";
-        private long table;
-        private long picked;
-        private long next;
-        private String run = "";
-        private String fault = "";
-        private Optional<StreamRecord> last = Optional.empty();
+        private long revision;
+        private long placedAtMillis;
+        private long nextChunk;
+        private String attemptId = "";
+        private String violation = "";
+        private Optional<StreamRecord> lastRecord = Optional.empty();
 
-        Trip(
+        TrackedRequest(
                 final String tenant,
                 final String secret,
                 final String kind,
@@ -179,48 +184,49 @@
             this.tenant = tenant;
             this.secret = secret;
             this.kind = kind;
-            this.key = key;
+            this.idempotencyKey = key;
             this.prompt = prompt;
             this.prefix = prefix;
-            this.luck = new SplittableRandom(seed);
+            this.random = new SplittableRandom(seed);
         }
 
-        void go() {
-            open.incrementAndGet();
-            final String[] all = doors.split(",");
-            pick(all[luck.nextInt(all.length)], 0);
+        void start() {
+            openRequests.incrementAndGet();
+            final String[] allEndpoints = endpoints.split(",");
+            requestPlacement(allEndpoints[random.nextInt(allEndpoints.length)], 0);
         }
 
-        private void pick(final String door, final int hops) {
+        private void requestPlacement(final String endpoint, final int hops) {
             final Map<String, Object> body = new LinkedHashMap<>(
                     Map.of("tenant", tenant, "kind", kind, "prefix", prefix, "size", prompt.length()));
-            if (!key.isEmpty()) {
-                body.put("key", key);
+            if (!idempotencyKey.isEmpty()) {
+                body.put("key", idempotencyKey);
             }
-            post(door, "/v1/picks", body, (code, s) -> {
-                if (code != 200) {
-                    end(code == 0 ? "unreached" : "rejected-" + code, s);
+            post(endpoint, "/v1/picks", body, (status, answer) -> {
+                if (status != 200) {
+                    finish(status == 0 ? "unreached" : "rejected-" + status, answer);
                     return;
                 }
-                if (s.string("outcome", 16).equals("pointed")) {
+                if (answer.string("outcome", 16).equals("pointed")) {
                     if (hops > 3) {
-                        end("rejected-hops", s);
+                        finish("rejected-hops", answer);
                     } else {
-                        pick(s.strings("doors", 8, 64).get(0), hops + 1);
+                        requestPlacement(answer.strings("doors", 8, 64).get(0), hops + 1);
                     }
                     return;
                 }
-                ticket = s.string("ticket", 256);
-                table = s.integer("table", 0, Long.MAX_VALUE);
-                picked = System.currentTimeMillis();
-                hand(s.string("carrier", 64), s.string("permit", 4096));
+                requestId = answer.string("ticket", 256);
+                revision = answer.integer("table", 0, Long.MAX_VALUE);
+                placedAtMillis = System.currentTimeMillis();
+                submit(answer.string("carrier", 64), answer.string("permit", 4096));
             });
         }
 
-        private void hand(final String door, final String permit) {
-            final StreamRecordDecoder lines = new StreamRecordDecoder(1 << 20, this::line);
-            final java.io.ByteArrayOutputStream other = new java.io.ByteArrayOutputStream();
-            http.newRequest(URI.create("http://" + door + "/v1/tickets"))
+        private void submit(final String endpoint, final String permit) {
+            final StreamRecordDecoder decoder = new StreamRecordDecoder(1 << 20, this::verify);
+            final java.io.ByteArrayOutputStream errorBody = new java.io.ByteArrayOutputStream();
+            httpClient
+                    .newRequest(URI.create("http://" + endpoint + "/v1/tickets"))
                     .method("POST")
                     .headers(h -> h.put("Authorization", "Bearer " + secret))
                     .body(new StringRequestContent(
@@ -228,95 +234,114 @@
                             JsonDocument.write(
                                     Map.of("permit", permit, "prefix", prefix, "prompt", prompt, "expiryMs", 15_000))))
                     .timeout(18, TimeUnit.SECONDS)
-                    .onResponseContent((r, b) -> {
-                        if (r.getStatus() == 200) {
-                            lines.decode(b);
+                    .onResponseContent((response, content) -> {
+                        if (response.getStatus() == 200) {
+                            decoder.decode(content);
                         } else {
-                            while (b.hasRemaining()) {
-                                other.write(b.get());
+                            while (content.hasRemaining()) {
+                                errorBody.write(content.get());
                             }
                         }
                     })
-                    .send(result -> over(result, other.toByteArray()));
+                    .send(result -> responseEnded(result, errorBody.toByteArray()));
         }
 
-        private void line(final StreamRecord l) {
-            switch (l) {
-                case StreamRecord.Chunk p -> {
-                    if (next == 0 && fault.isEmpty()) {
+        private void verify(final StreamRecord record) {
+            switch (record) {
+                case StreamRecord.Chunk chunk -> {
+                    if (nextChunk == 0 && violation.isEmpty()) {
                         synchronized (Main.this) {
-                            firsts.add(EventLoop.nowMicros() - begin);
+                            firstChunkTimes.add(EventLoop.nowMicros() - startedAt);
                         }
-                        run = p.attemptId();
+                        attemptId = chunk.attemptId();
                     }
-                    if (last.isPresent()) {
-                        fault = "a piece after the end";
-                    } else if (p.index() != next) {
-                        fault = "piece " + p.index() + " where " + next + " was due";
-                    } else if (!p.requestId().equals(ticket) || !p.attemptId().equals(run)) {
-                        fault = "a piece of another ticket or run";
-                    } else if (!p.text().equals(Speech.piece(prompt, p.index()))) {
-                        fault = "someone else's text";
+                    if (lastRecord.isPresent()) {
+                        violation = "a piece after the end";
+                    } else if (chunk.index() != nextChunk) {
+                        violation = "piece " + chunk.index() + " where " + nextChunk + " was due";
+                    } else if (!chunk.requestId().equals(requestId)
+                            || !chunk.attemptId().equals(attemptId)) {
+                        violation = "a piece of another ticket or run";
+                    } else if (!chunk.text().equals(ExpectedResponse.chunk(prompt, chunk.index()))) {
+                        violation = "someone else's text";
                     }
-                    next++;
-                    sum.update(p.text().getBytes(java.nio.charset.StandardCharsets.UTF_8));
+                    nextChunk++;
+                    digest.update(chunk.text().getBytes(java.nio.charset.StandardCharsets.UTF_8));
                 }
-                case StreamRecord.Trailer s -> {
-                    worker = s.worker();
-                    run = s.attemptId();
-                    if (s.chunkCount() != next
-                            || next != Speech.count(prompt)
-                            || !s.requestId().equals(ticket)
-                            || !s.sha256().equals(HexFormat.of().formatHex(sum.digest()))) {
-                        fault = "a seal that does not fit";
+                case StreamRecord.Trailer trailer -> {
+                    worker = trailer.worker();
+                    attemptId = trailer.attemptId();
+                    if (trailer.chunkCount() != nextChunk
+                            || nextChunk != ExpectedResponse.chunkCount(prompt)
+                            || !trailer.requestId().equals(requestId)
+                            || !trailer.sha256().equals(HexFormat.of().formatHex(digest.digest()))) {
+                        violation = "a seal that does not fit";
                     }
-                    last = Optional.of(l);
+                    lastRecord = Optional.of(record);
                 }
-                case StreamRecord.Lost x -> last = Optional.of(l);
+                case StreamRecord.Lost x -> lastRecord = Optional.of(record);
             }
         }
 
-        private void over(final Result result, final byte[] other) {
-            final int code = result.getResponse().getStatus();
-            if (!fault.isEmpty()) {
-                end("BAD " + fault, JsonDocument.empty());
-            } else if (last.filter(l -> l instanceof StreamRecord.Trailer).isPresent()) {
-                end("done", JsonDocument.empty());
-            } else if (last.isPresent()) {
-                end("lost", JsonDocument.empty());
-            } else if (code >= 400 && result.isSucceeded()) {
-                final JsonDocument s = JsonDocument.parse(other, 1 << 20) instanceof JsonDocument.ParseResult.Valid g
-                        ? g.document()
-                        : JsonDocument.empty();
-                end("rejected-" + code, s);
+        private void responseEnded(final Result result, final byte[] errorBody) {
+            final int status = result.getResponse().getStatus();
+            if (!violation.isEmpty()) {
+                finish("BAD " + violation, JsonDocument.empty());
+            } else if (lastRecord.filter(l -> l instanceof StreamRecord.Trailer).isPresent()) {
+                finish("done", JsonDocument.empty());
+            } else if (lastRecord.isPresent()) {
+                finish("lost", JsonDocument.empty());
+            } else if (status >= 400 && result.isSucceeded()) {
+                final JsonDocument answer =
+                        JsonDocument.parse(errorBody, 1 << 20) instanceof JsonDocument.ParseResult.Valid good
+                                ? good.document()
+                                : JsonDocument.empty();
+                finish("rejected-" + status, answer);
             } else {
-                end(code == 200 || next > 0 ? "cut" : "broken", JsonDocument.empty());
+                finish(status == 200 || nextChunk > 0 ? "cut" : "broken", JsonDocument.empty());
             }
         }
 
-        private void end(final String outcome, final JsonDocument s) {
-            count(kind + " " + outcome);
+        private void finish(final String outcome, final JsonDocument answer) {
+            countOutcome(kind + " " + outcome);
             if (outcome.startsWith("BAD")) {
-                count("BAD");
+                countOutcome("BAD");
             }
             final Map<String, Object> map = new LinkedHashMap<>(Map.of(
-                    "ticket", ticket, "tenant", tenant, "kind", kind, "key", key, "outcome", outcome, "run", run,
-                    "worker", worker, "table", table, "pieces", next));
+                    "ticket",
+                    requestId,
+                    "tenant",
+                    tenant,
+                    "kind",
+                    kind,
+                    "key",
+                    idempotencyKey,
+                    "outcome",
+                    outcome,
+                    "run",
+                    attemptId,
+                    "worker",
+                    worker,
+                    "table",
+                    revision,
+                    "pieces",
+                    nextChunk));
             map.put("prompt", PermitSigner.sha256Hex(prompt).substring(0, 12));
-            map.put("picked", picked);
-            map.put("why", s.has("faults") ? String.join("; ", s.strings("faults", 10, 500)) : "");
+            map.put("picked", placedAtMillis);
+            map.put("why", answer.has("faults") ? String.join("; ", answer.strings("faults", 10, 500)) : "");
             synchronized (Main.this) {
-                book.println(JsonDocument.write(map));
+                receiptWriter.println(JsonDocument.write(map));
             }
-            open.decrementAndGet();
+            openRequests.decrementAndGet();
         }
 
         private void post(
-                final String door,
+                final String endpoint,
                 final String path,
                 final Map<String, Object> body,
                 final java.util.function.BiConsumer<Integer, JsonDocument> then) {
-            http.newRequest(URI.create("http://" + door + path))
+            httpClient
+                    .newRequest(URI.create("http://" + endpoint + path))
                     .method("POST")
                     .headers(h -> h.put("Authorization", "Bearer " + secret))
                     .body(new StringRequestContent("application/json", JsonDocument.write(body)))
@@ -324,13 +349,13 @@
                     .send(new BufferingResponseListener() {
                         @Override
                         public void onComplete(final Result result) {
-                            final JsonDocument s = result.isSucceeded()
+                            final JsonDocument answer = result.isSucceeded()
                                             && JsonDocument.parse(getContent(), 1 << 20)
-                                                    instanceof JsonDocument.ParseResult.Valid g
-                                    ? g.document()
+                                                    instanceof JsonDocument.ParseResult.Valid good
+                                    ? good.document()
                                     : JsonDocument.empty();
                             then.accept(
-                                    result.isSucceeded() ? result.getResponse().getStatus() : 0, s);
+                                    result.isSucceeded() ? result.getResponse().getStatus() : 0, answer);
                         }
                     });
         }
--- a/simulation/src/main/java/silverlatch/simulation/explore/Arguments.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Arguments.java
@@ -10,10 +10,10 @@
 
 /** The arguments of the program, as text until they are checked. */
 final class Arguments {
-    private static final int MOST_THREADS = 64;
-    private static final int MOST_DEPTH = 100;
-    private static final int MOST_STEPS = 100_000;
-    private static final int MOST_MINUTES = 1_440;
+    private static final int MAX_THREADS = 64;
+    private static final int MAX_DEPTH = 100;
+    private static final int MAX_STEPS = 100_000;
+    private static final int MAX_MINUTES = 1_440;
 
     @Option(name = "--seeds", metaVar = "N", usage = "how many random walks")
     private String seeds = "100000";
@@ -51,7 +51,7 @@
     @Option(name = "--out", metaVar = "FOLDER", usage = "where shrunk schedules are written")
     private String out = "target/explore";
 
-    private final List<String> wrong = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
 
     /** The arguments once checked. */
     record Checked(
@@ -65,29 +65,29 @@
             int threads,
             Mutant mutant) {}
 
-    /** Checks all values; {@link #fail()} tells what is wrong with them, each with its name. */
+    /** Checks all values; {@link #attemptFailed()} tells what is wrong with them, each with its name. */
     Checked check() {
         final Checked checked = new Checked(
-                whole("--seeds", seeds, 0, Long.MAX_VALUE / 2),
-                whole("--first-seed", firstSeed, 0, Long.MAX_VALUE / 4),
-                (int) whole("--depth", depth, 0, MOST_DEPTH),
-                (int) whole("--steps", steps, 1, MOST_STEPS),
-                whole("--states", states, 1, Long.MAX_VALUE),
-                (int) whole("--minutes", minutes, 1, MOST_MINUTES),
-                (int) whole("--replicas", replicas, WorldOptions.FEWEST, WorldOptions.MOST),
-                (int) whole("--threads", threads, 1, MOST_THREADS),
-                named());
+                parseNumber("--seeds", seeds, 0, Long.MAX_VALUE / 2),
+                parseNumber("--first-seed", firstSeed, 0, Long.MAX_VALUE / 4),
+                (int) parseNumber("--depth", depth, 0, MAX_DEPTH),
+                (int) parseNumber("--steps", steps, 1, MAX_STEPS),
+                parseNumber("--states", states, 1, Long.MAX_VALUE),
+                (int) parseNumber("--minutes", minutes, 1, MAX_MINUTES),
+                (int) parseNumber("--replicas", replicas, WorldOptions.MIN_REPLICAS, WorldOptions.MAX_REPLICAS),
+                (int) parseNumber("--threads", threads, 1, MAX_THREADS),
+                parseMutant());
         if (!replay.isEmpty() && !Files.isReadable(Path.of(replay))) {
-            wrong.add("--replay: " + replay + " can't be read");
+            errors.add("--replay: " + replay + " can't be read");
         }
         if (mutants && !mutant.equals(Mutant.NONE.name())) {
-            wrong.add("--mutants: not together with --mutant");
+            errors.add("--mutants: not together with --mutant");
         }
         return checked;
     }
 
-    List<String> wrong() {
-        return wrong;
+    List<String> errors() {
+        return errors;
     }
 
     boolean mutants() {
@@ -102,22 +102,22 @@
         return Path.of(out);
     }
 
-    private Mutant named() {
+    private Mutant parseMutant() {
         for (final Mutant one : Mutant.values()) {
             if (one.name().equals(mutant)) {
                 return one;
             }
         }
-        wrong.add("--mutant: there is no " + mutant + "; there are "
+        errors.add("--mutant: there is no " + mutant + "; there are "
                 + Arrays.stream(Mutant.values()).map(Enum::name).collect(Collectors.joining(", ")));
         return Mutant.NONE;
     }
 
-    private long whole(final String name, final String text, final long least, final long most) {
+    private long parseNumber(final String name, final String text, final long least, final long most) {
         if (text.matches("\\d{1,18}") && Long.parseLong(text) >= least && Long.parseLong(text) <= most) {
             return Long.parseLong(text);
         }
-        wrong.add(name + ": " + text + " is not a whole number from " + least + " to " + most);
+        errors.add(name + ": " + text + " is not a whole number from " + least + " to " + most);
         return least;
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/explore/BreadthFirstSearch.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/BreadthFirstSearch.java
@@ -59,7 +59,7 @@
     }
 
     private boolean full(final SearchLimits limits) {
-        return limits.over() || counters.states() >= limits.states();
+        return limits.isReached() || counters.states() >= limits.states();
     }
 
     private void expand(final Node node, final Queue<Node> next) {
--- a/simulation/src/main/java/silverlatch/simulation/explore/Machine.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Machine.java
@@ -76,7 +76,7 @@
     }
 
     /** Whether it runs and handles events. */
-    boolean handles() {
+    boolean isRunning() {
         return process.isPresent() && !frozen;
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/explore/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Main.java
@@ -46,8 +46,8 @@
             return 2;
         }
         final Arguments.Checked checked = arguments.check();
-        if (!arguments.wrong().isEmpty()) {
-            arguments.wrong().forEach(System.err::println);
+        if (!arguments.errors().isEmpty()) {
+            arguments.errors().forEach(System.err::println);
             return 2;
         }
         if (!arguments.replay().isEmpty()) {
--- a/simulation/src/main/java/silverlatch/simulation/explore/MutantTable.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/MutantTable.java
@@ -38,7 +38,7 @@
         final AtomicReference<Optional<Finding>> caught = new AtomicReference<>(Optional.empty());
         Workers.run(each.threads(), () -> {
             long seed = next.getAndIncrement();
-            while (seed < firstSeed + seeds && caught.get().isEmpty() && !each.over()) {
+            while (seed < firstSeed + seeds && caught.get().isEmpty() && !each.isReached()) {
                 catches(mutant, seed)
                         .ifPresent(finding -> caught.compareAndSet(Optional.empty(), Optional.of(finding)));
                 seed = next.getAndIncrement();
@@ -50,7 +50,7 @@
 
     /** What the walk of a seed finds of a mutant, with 3 to 5 machines in turn. */
     Optional<Finding> catches(final Mutant mutant, final long seed) {
-        final int replicas = WorldOptions.FEWEST + (int) (seed % SIZES);
+        final int replicas = WorldOptions.MIN_REPLICAS + (int) (seed % SIZES);
         final WorldOptions options = WorldOptions.of(replicas, mutant);
         final RandomWalk walk = new RandomWalk(options, seed, steps);
         return walk.run(seed % RECOVERY_EVERY == 0)
--- a/simulation/src/main/java/silverlatch/simulation/explore/PropertyMonitor.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/PropertyMonitor.java
@@ -28,7 +28,7 @@
     private final Map<Integer, String> documents = new HashMap<>();
     private final Set<String> refused = new HashSet<>();
     private final Set<String> effective = new HashSet<>();
-    private final Map<Integer, Seen> seen = new HashMap<>();
+    private final Map<Integer, Seen> lastSeen = new HashMap<>();
     private final List<Acknowledgement> newest = new ArrayList<>();
     private long newestView;
     private Optional<Violation> violation = Optional.empty();
@@ -61,7 +61,7 @@
         final boolean level =
                 state.isCaughtUp() && state.view().positionOf(machine.identity().id()) >= 0;
         final Seen next = new Seen(replica, state.view(), state.sequence(), level);
-        final Seen last = seen.put(machine.index(), next);
+        final Seen last = lastSeen.put(machine.index(), next);
         if (next.equals(last)) {
             return;
         }
@@ -71,7 +71,7 @@
         }
         if (level && machine.replaced()) {
             machine.caughtUp();
-            durable();
+            checkDurable();
         }
     }
 
@@ -142,7 +142,7 @@
     }
 
     private boolean appliedNow(final Machine machine) {
-        return Optional.ofNullable(seen.get(machine.index()))
+        return Optional.ofNullable(lastSeen.get(machine.index()))
                 .map(last -> last.sequence()
                         < machine.process()
                                 .orElseThrow()
@@ -161,15 +161,15 @@
                 .orElse(List.of());
         acknowledged.putIfAbsent(
                 sequence, entries.stream().filter(Documents::watched).toList());
-        durable();
+        checkDurable();
     }
 
     /** A disk has other synced records than before. */
     void diskChanged() {
-        durable();
+        checkDurable();
     }
 
-    private void durable() {
+    private void checkDurable() {
         if (acknowledged.isEmpty()) {
             return;
         }
--- a/simulation/src/main/java/silverlatch/simulation/explore/RandomWalk.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/RandomWalk.java
@@ -16,7 +16,7 @@
     private static final int[] SPANS = {20, 50, 100, 300};
     private static final int LONG_JUMP = 700;
     private static final int NO_MATCH = -1;
-    private static final int MOST_OPERATIONS = 40;
+    private static final int MAX_OPERATIONS = 40;
     private final Random random;
     private final World world;
     private final WalkPlan plan;
@@ -38,15 +38,16 @@
 
     /** Walks to the end or to the first violation; every fourth step of the seed also checks that the world recovers. */
     World run(final boolean recovers) {
-        settle();
+        grantLeases();
         for (int step = 0; step < plan.steps() && world.violation().isEmpty(); step++) {
-            if (plan.troubles().contains(step)) {
-                trouble(plan.kinds().get(random.nextInt(plan.kinds().size())));
+            if (plan.faultSteps().contains(step)) {
+                injectFault(
+                        plan.faultKinds().get(random.nextInt(plan.faultKinds().size())));
             }
-            if (plan.work().contains(step)) {
+            if (plan.operationSteps().contains(step)) {
                 operation();
             }
-            proceed();
+            takeNextStep();
         }
         if (recovers && world.violation().isEmpty()) {
             act(Action.of(Action.Kind.RECOVER));
@@ -69,14 +70,14 @@
     }
 
     /** Leases are granted before anything goes wrong. */
-    private void settle() {
+    private void grantLeases() {
         act(Action.tick(SPANS[0]));
         for (int i = 0; i < 3; i++) {
             act(Action.of(Action.Kind.ROUND));
         }
     }
 
-    private void proceed() {
+    private void takeNextStep() {
         int best = LOWEST;
         int chosen = -1;
         for (int i = 0; i < priorities.length; i++) {
@@ -97,13 +98,13 @@
     private boolean runnable(final int source) {
         if (source >= size * size) {
             final Machine machine = world.machines().get(source - size * size);
-            return machine.handles() && !machine.pending().isEmpty();
+            return machine.isRunning() && !machine.pending().isEmpty();
         }
         return !world.network().channel(source / size, source % size).isEmpty()
                 && !world.machines().get(source % size).frozen();
     }
 
-    private void trouble(final WalkPlan.Trouble kind) {
+    private void injectFault(final WalkPlan.FaultKind kind) {
         final int machine = random.nextInt(size);
         switch (kind) {
             case DELAY -> priorities[random.nextInt(priorities.length)] = LOWEST;
@@ -173,7 +174,7 @@
 
     private void operation() {
         final int machine = random.nextInt(size);
-        if (world.history().operations().size() >= MOST_OPERATIONS) {
+        if (world.history().operations().size() >= MAX_OPERATIONS) {
             return;
         }
         switch (random.nextInt(10)) {
@@ -188,7 +189,7 @@
 
     /** A put on top of what was acknowledged last, on something older, or on anything. */
     private void put(final int machine) {
-        final int known = known();
+        final int known = newestAcknowledged();
         final int match = switch (random.nextInt(4)) {
             case 0 -> NO_MATCH;
             case 1 -> random.nextInt(known + 1);
@@ -199,8 +200,8 @@
 
     /** Two operators put different documents under one number, each at another machine. */
     private void race(final int machine) {
-        final int number = Math.max(nextNumber++, known() + 1);
-        act(new Action(Action.Kind.PUT, machine, number, known()));
+        final int number = Math.max(nextNumber++, newestAcknowledged() + 1);
+        act(new Action(Action.Kind.PUT, machine, number, newestAcknowledged()));
         act(new Action(Action.Kind.PUT, random.nextInt(size), number, NO_MATCH));
     }
 
@@ -211,7 +212,7 @@
         }
     }
 
-    private int known() {
+    private int newestAcknowledged() {
         return world.history().puts().stream()
                 .filter(put -> put.outcome()
                         .map(outcome -> outcome instanceof Operation.Outcome.Acknowledged)
--- a/simulation/src/main/java/silverlatch/simulation/explore/Recovery.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Recovery.java
@@ -3,7 +3,7 @@
 /** The end of a walk: all faults are over, and within a bound of time a put must be acknowledged at every machine. */
 final class Recovery {
     /** How long the machines may take after the last fault, in milliseconds. */
-    static final int BOUND = 40_000;
+    static final int BOUND_MILLISECONDS = 40_000;
 
     private static final int SPAN = 100;
     private static final int ROUNDS = 3;
@@ -18,8 +18,8 @@
     /** Ends all faults and waits; true, as it always can be done. */
     static boolean run(final World world) {
         final Recovery recovery = new Recovery(world);
-        recovery.mend();
-        recovery.wait(BOUND);
+        recovery.endFaults();
+        recovery.awaitRecovery(BOUND_MILLISECONDS);
         return true;
     }
 
@@ -27,7 +27,7 @@
         world.apply(action);
     }
 
-    private void mend() {
+    private void endFaults() {
         act(Action.of(Action.Kind.HEAL));
         for (int i = 0; i < world.machines().size(); i++) {
             act(Action.of(Action.Kind.THAW, i));
@@ -35,7 +35,7 @@
         }
     }
 
-    private void wait(final int bound) {
+    private void awaitRecovery(final int bound) {
         final int number = 1
                 + world.history().puts().stream()
                         .mapToInt(Operation::number)
@@ -51,14 +51,14 @@
             for (int i = 0; i < ROUNDS; i++) {
                 act(Action.of(Action.Kind.ROUND));
             }
-            if (world.violation().isPresent() || whole() && acknowledged(number)) {
+            if (world.violation().isPresent() || isChainComplete() && acknowledged(number)) {
                 return;
             }
         }
         world.notRecovered();
     }
 
-    private boolean whole() {
+    private boolean isChainComplete() {
         return world.machines().stream().allMatch(machine -> {
             final silverlatch.replication.ChainReplica.ReplicaStatus state =
                     machine.process().orElseThrow().replica().status(machine.clock(world.now()));
--- a/simulation/src/main/java/silverlatch/simulation/explore/SearchLimits.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/SearchLimits.java
@@ -16,7 +16,7 @@
     }
 
     /** Whether the time is over. */
-    boolean over() {
+    boolean isReached() {
         return System.nanoTime() - deadline >= 0;
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/explore/WalkPlan.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/WalkPlan.java
@@ -11,13 +11,13 @@
  * some of the kinds), and operations at others.
  *
  * @param steps    how many steps the walk has
- * @param troubles the steps at which something goes wrong or is mended
- * @param work     the steps at which an operation begins
- * @param kinds    the kinds of trouble this walk has
+ * @param faultSteps the steps at which something goes wrong or is mended
+ * @param operationSteps     the steps at which an operation begins
+ * @param faultKinds    the kinds of trouble this walk has
  */
-record WalkPlan(int steps, Set<Integer> troubles, Set<Integer> work, List<Trouble> kinds) {
+record WalkPlan(int steps, Set<Integer> faultSteps, Set<Integer> operationSteps, List<FaultKind> faultKinds) {
     /** The kinds of trouble of a walk. */
-    enum Trouble {
+    enum FaultKind {
         /** A channel or a disk falls behind everything else, the clock too. */
         DELAY,
         /** Whatever fell behind is at work again. */
@@ -47,31 +47,31 @@
     }
 
     /** What makes several machines propose different views at once, and forget. */
-    private static final Set<Trouble> ELECTION =
-            EnumSet.of(Trouble.CUT_LINK, Trouble.CRASH_UNSYNCED, Trouble.DELAY, Trouble.JUMP, Trouble.RELEASE);
+    private static final Set<FaultKind> ELECTION = EnumSet.of(
+            FaultKind.CUT_LINK, FaultKind.CRASH_UNSYNCED, FaultKind.DELAY, FaultKind.JUMP, FaultKind.RELEASE);
 
     private static final int ELECTION_WALKS = 4;
-    private static final int MOST_TROUBLES = 14;
-    private static final int MOST_OPERATIONS = 16;
-    private static final int FEWEST_OPERATIONS = 4;
+    private static final int MAX_FAULTS = 14;
+    private static final int MAX_OPERATIONS = 16;
+    private static final int MIN_OPERATIONS = 4;
 
     /** Copies the list. */
     WalkPlan {
-        kinds = List.copyOf(kinds);
+        faultKinds = List.copyOf(faultKinds);
     }
 
     /** Draws a plan of so many steps. */
     static WalkPlan draw(final Random random, final int steps) {
-        final Set<Trouble> kinds = random.nextInt(ELECTION_WALKS) == 0 ? ELECTION : some(random);
-        final Set<Integer> troubles = places(random, steps, 1 + random.nextInt(MOST_TROUBLES));
+        final Set<FaultKind> kinds = random.nextInt(ELECTION_WALKS) == 0 ? ELECTION : randomKinds(random);
+        final Set<Integer> troubles = randomSteps(random, steps, 1 + random.nextInt(MAX_FAULTS));
         final Set<Integer> work =
-                places(random, steps, FEWEST_OPERATIONS + random.nextInt(MOST_OPERATIONS - FEWEST_OPERATIONS));
+                randomSteps(random, steps, MIN_OPERATIONS + random.nextInt(MAX_OPERATIONS - MIN_OPERATIONS));
         return new WalkPlan(steps, troubles, work, new ArrayList<>(kinds));
     }
 
-    private static Set<Trouble> some(final Random random) {
-        final Set<Trouble> kinds = EnumSet.of(Trouble.RELEASE);
-        for (final Trouble kind : Trouble.values()) {
+    private static Set<FaultKind> randomKinds(final Random random) {
+        final Set<FaultKind> kinds = EnumSet.of(FaultKind.RELEASE);
+        for (final FaultKind kind : FaultKind.values()) {
             if (random.nextInt(2) == 0) {
                 kinds.add(kind);
             }
@@ -79,7 +79,7 @@
         return kinds;
     }
 
-    private static Set<Integer> places(final Random random, final int steps, final int count) {
+    private static Set<Integer> randomSteps(final Random random, final int steps, final int count) {
         final Set<Integer> places = new java.util.HashSet<>();
         for (int i = 0; i < count; i++) {
             places.add(random.nextInt(steps));
--- a/simulation/src/main/java/silverlatch/simulation/explore/WalkSearch.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/WalkSearch.java
@@ -22,7 +22,7 @@
         final AtomicLong next = new AtomicLong(firstSeed);
         Workers.run(limits.threads(), () -> {
             long seed = next.getAndIncrement();
-            while (seed < firstSeed + count && !limits.over()) {
+            while (seed < firstSeed + count && !limits.isReached()) {
                 walk(seed);
                 seed = next.getAndIncrement();
             }
--- a/simulation/src/main/java/silverlatch/simulation/explore/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/World.java
@@ -87,7 +87,7 @@
 
     /** Whether something stands in the way of the machines: one is down or frozen, or a link is cut. */
     boolean disturbed() {
-        return network.anyCut() || machines.stream().anyMatch(machine -> !machine.handles());
+        return network.anyCut() || machines.stream().anyMatch(machine -> !machine.isRunning());
     }
 
     /** Checks that the history so far is linearizable. */
@@ -100,25 +100,25 @@
         final List<ChainReplica.ReplicaStatus> states = machines.stream()
                 .map(machine -> machine.process().orElseThrow().replica().status(machine.clock(now)))
                 .toList();
-        monitor.broken(Property.RECOVERS, "not within " + Recovery.BOUND + " ms: " + states);
+        monitor.broken(Property.RECOVERS, "not within " + Recovery.BOUND_MILLISECONDS + " ms: " + states);
     }
 
     /** Takes one step; whether the action was possible. */
     boolean apply(final Action action) {
         step++;
         try {
-            return taken(action);
+            return dispatch(action);
         } catch (final IllegalStateException | IllegalArgumentException | IndexOutOfBoundsException failure) {
             monitor.broken(Property.NO_EXCEPTION, failure.toString());
             return true;
         }
     }
 
-    private boolean taken(final Action action) {
+    private boolean dispatch(final Action action) {
         final Machine machine = machines.get(action.first());
         return switch (action.kind()) {
             case DELIVER -> deliver(action.first(), action.second(), action.third());
-            case DROP -> removed(action).isPresent();
+            case DROP -> removeMessage(action).isPresent();
             case DUPLICATE -> duplicate(action);
             case SYNC -> sync(machine);
             case TICK -> tick(action.second() * MILLISECOND);
@@ -152,7 +152,7 @@
         flush(machine);
     }
 
-    private Optional<Message> removed(final Action action) {
+    private Optional<Message> removeMessage(final Action action) {
         final List<Message> channel = network.channel(action.first(), action.second());
         return action.third() < channel.size() ? Optional.of(channel.remove(action.third())) : Optional.empty();
     }
@@ -170,13 +170,13 @@
         }
         final Message message = channel.remove(position);
         if (machine.process().isPresent()) {
-            hand(machine, message, Machine.address(from));
+            handle(machine, message, Machine.address(from));
             flush(machine);
         }
         return true;
     }
 
-    private void hand(final Machine machine, final Message message, final String sender) {
+    private void handle(final Machine machine, final Message message, final String sender) {
         final Machine.Process process = machine.process().orElseThrow();
         if (message instanceof Message.WriteReply || message instanceof Message.ReadReply) {
             process.client().onMessage(message, machine.clock(now));
@@ -186,7 +186,7 @@
     }
 
     private boolean sync(final Machine machine) {
-        if (machine.pending().isEmpty() || !machine.handles()) {
+        if (machine.pending().isEmpty() || !machine.isRunning()) {
             return false;
         }
         final Effect.Persist write = machine.pending().poll();
@@ -199,10 +199,10 @@
         return true;
     }
 
-    private boolean tick(final long span) {
-        now += span;
+    private boolean tick(final long duration) {
+        now += duration;
         for (final Machine machine : machines) {
-            if (machine.handles()) {
+            if (machine.isRunning()) {
                 final Machine.Process process = machine.process().orElseThrow();
                 process.replica().tick(machine.clock(now));
                 process.client().tick(machine.clock(now));
@@ -219,22 +219,22 @@
         for (int channel = 0; channel < counts.length; channel++) {
             counts[channel] = network.channel(channel / size, channel % size).size();
         }
-        boolean any = false;
+        boolean changed = false;
         for (int channel = 0; channel < counts.length; channel++) {
             for (int i = 0; i < counts[channel]; i++) {
-                any |= deliver(channel / size, channel % size, 0);
+                changed |= deliver(channel / size, channel % size, 0);
             }
         }
         for (final Machine machine : machines) {
             for (int left = machine.pending().size(); left > 0; left--) {
-                any |= sync(machine);
+                changed |= sync(machine);
             }
         }
-        return any;
+        return changed;
     }
 
-    private boolean period(final long span) {
-        tick(span);
+    private boolean period(final long duration) {
+        tick(duration);
         for (int i = 0; i < ROUNDS_OF_PERIOD; i++) {
             round();
         }
@@ -267,42 +267,42 @@
         return true;
     }
 
-    private boolean freeze(final Machine machine, final boolean on) {
-        if (machine.frozen() == on || machine.process().isEmpty()) {
+    private boolean freeze(final Machine machine, final boolean freeze) {
+        if (machine.frozen() == freeze || machine.process().isEmpty()) {
             return false;
         }
-        machine.freeze(on);
+        machine.freeze(freeze);
         return true;
     }
 
-    private boolean isolate(final int who, final int directions) {
+    private boolean isolate(final int machine, final int directions) {
         for (int other = 0; other < machines.size(); other++) {
-            if (other != who && (directions & INBOUND) != 0) {
-                network.cut(other, who);
+            if (other != machine && (directions & INBOUND) != 0) {
+                network.cut(other, machine);
             }
-            if (other != who && (directions & OUTBOUND) != 0) {
-                network.cut(who, other);
+            if (other != machine && (directions & OUTBOUND) != 0) {
+                network.cut(machine, other);
             }
         }
         return true;
     }
 
     private boolean cut(final int from, final int to) {
-        final boolean whole = from != to && !network.isCut(from, to);
-        if (whole) {
+        final boolean wasConnected = from != to && !network.isCut(from, to);
+        if (wasConnected) {
             network.cut(from, to);
         }
-        return whole;
+        return wasConnected;
     }
 
     private boolean heal() {
-        final boolean any = network.anyCut();
+        final boolean wasCut = network.anyCut();
         network.heal();
-        return any;
+        return wasCut;
     }
 
     private boolean put(final Machine machine, final int number, final int match) {
-        return machine.handles()
+        return machine.isRunning()
                 && write(machine, new Operation(Action.Kind.PUT, number, match, step, Optional.empty()));
     }
 
@@ -313,7 +313,7 @@
     }
 
     private boolean evacuate(final Machine machine, final Action.Kind kind) {
-        return machine.handles() && write(machine, new Operation(kind, 0, -1, step, Optional.empty()));
+        return machine.isRunning() && write(machine, new Operation(kind, 0, -1, step, Optional.empty()));
     }
 
     private boolean write(final Machine machine, final Operation operation) {
@@ -332,7 +332,7 @@
     }
 
     private boolean read(final Machine machine, final Action.Kind kind) {
-        if (!machine.handles()) {
+        if (!machine.isRunning()) {
             return false;
         }
         final long token = history.begin(new Operation(kind, 0, -1, step, Optional.empty()));
@@ -375,7 +375,7 @@
     private void send(final Machine machine, final Effect.Send send) {
         monitor.replied(machine, send.message());
         if (send.to().equals(machine.address())) {
-            hand(machine, send.message(), machine.address());
+            handle(machine, send.message(), machine.address());
         } else {
             network.send(machine.index(), Machine.index(send.to()), send.message());
         }
--- a/simulation/src/main/java/silverlatch/simulation/explore/WorldOptions.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/WorldOptions.java
@@ -10,15 +10,15 @@
  */
 public record WorldOptions(int replicas, int copies, int drift, Mutant mutant) {
     /** The fewest machines of a world. */
-    public static final int FEWEST = 3;
+    public static final int MIN_REPLICAS = 3;
     /** The most machines of a world. */
-    public static final int MOST = 6;
+    public static final int MAX_REPLICAS = 6;
 
-    private static final int LARGE = 5;
+    private static final int LARGE_REPLICAS = 5;
     private static final int DRIFT_PERCENT = 3;
 
     /** The options for a count of machines: two copies, or three where there are five machines or more. */
     public static WorldOptions of(final int replicas, final Mutant mutant) {
-        return new WorldOptions(replicas, replicas < LARGE ? 2 : 3, DRIFT_PERCENT, mutant);
+        return new WorldOptions(replicas, replicas < LARGE_REPLICAS ? 2 : 3, DRIFT_PERCENT, mutant);
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/fleet/Fleet.java
+++ b/simulation/src/main/java/silverlatch/simulation/fleet/Fleet.java
@@ -21,122 +21,127 @@
 /** A whole fleet of processes on this machine, for drills and tests; it ends what it started. */
 public final class Fleet implements AutoCloseable {
     /** The operator's key of a drill. */
-    public static final String OPERATOR = "simulation-operator-key";
+    public static final String OPERATOR_KEY = "simulation-operator-key";
 
-    private static final String WORKERS = "simulation-workers-key";
+    private static final String WORKER_KEY = "simulation-workers-key";
     private final Path folder;
     private final Plan plan;
-    private final String classes;
+    private final String classPath;
     private final List<String> seeds;
-    private final Map<String, Part> parts = new LinkedHashMap<>();
-    private final HttpClient http =
+    private final Map<String, ManagedProcess> processes = new LinkedHashMap<>();
+    private final HttpClient httpClient =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(1)).build();
-    private final List<ServerSocket> held = new ArrayList<>();
+    private final List<ServerSocket> reservedPorts = new ArrayList<>();
 
     /** A process: its program, its arguments, where it listens, and itself while it runs. */
-    private record Part(
-            String name, String main, List<String> args, String address, String door, List<Process> process) {}
+    private record ManagedProcess(
+            String name,
+            String mainClass,
+            List<String> arguments,
+            String address,
+            String endpoint,
+            List<Process> running) {}
 
     /** A fleet of a plan in a folder of its own. */
     public Fleet(final Plan plan, final Path folder, final String classes) throws IOException {
         this.plan = plan;
         this.folder = folder;
-        this.classes = classes;
+        this.classPath = classes;
         Files.createDirectories(folder);
         final List<String> seeds = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            seeds.add(free());
+            seeds.add(reservePort());
         }
         this.seeds = List.copyOf(seeds);
-        settings(Map.of("grace", 3_000_000));
-        int n = 0;
-        for (final Plan.Region r : plan.regions()) {
-            n++;
-            daemon(
-                    "controller-" + n,
+        writeSettings(Map.of("grace", 3_000_000));
+        int number = 0;
+        for (final Plan.Region region : plan.regions()) {
+            number++;
+            addNode(
+                    "controller-" + number,
                     "silverlatch.server.controller.Main",
-                    r,
-                    seeds.get(n - 1),
-                    folder.resolve("data-" + n));
+                    region,
+                    seeds.get(number - 1),
+                    folder.resolve("data-" + number));
         }
-        n = 0;
-        for (final Plan.Region r : plan.regions()) {
-            for (int i = 0; i < r.gateways(); i++) {
-                daemon("gateway-" + ++n, "silverlatch.server.gateway.Main", r, free(), Path.of(""));
+        number = 0;
+        for (final Plan.Region region : plan.regions()) {
+            for (int i = 0; i < region.gateways(); i++) {
+                addNode("gateway-" + ++number, "silverlatch.server.gateway.Main", region, reservePort(), Path.of(""));
             }
         }
-        n = 0;
-        int at = 0;
-        for (final Plan.Region r : plan.regions()) {
-            final List<String> near = new ArrayList<>();
-            for (int i = 0; i < r.gateways(); i++) {
-                near.add(door("gateway-" + ++at));
+        number = 0;
+        int gatewayNumber = 0;
+        for (final Plan.Region region : plan.regions()) {
+            final List<String> nearbyEndpoints = new ArrayList<>();
+            for (int i = 0; i < region.gateways(); i++) {
+                nearbyEndpoints.add(endpoint("gateway-" + ++gatewayNumber));
             }
-            for (int i = 0; i < r.workers(); i++) {
-                final String door = free();
-                final String name = "worker-" + ++n;
-                parts.put(
+            for (int i = 0; i < region.workers(); i++) {
+                final String endpoint = reservePort();
+                final String name = "worker-" + ++number;
+                processes.put(
                         name,
-                        new Part(
+                        new ManagedProcess(
                                 name,
                                 "silverlatch.simulation.worker.Main",
                                 List.of(
                                         "--name",
                                         name,
                                         "--zone",
-                                        r.zone(),
+                                        region.zone(),
                                         "--region",
-                                        r.region(),
+                                        region.region(),
                                         "--door",
-                                        door,
+                                        endpoint,
                                         "--gateways",
-                                        String.join(",", near),
+                                        String.join(",", nearbyEndpoints),
                                         "--key",
-                                        WORKERS,
+                                        WORKER_KEY,
                                         "--record",
                                         folder.resolve(name + ".runs").toString()),
                                 "",
-                                door,
+                                endpoint,
                                 new ArrayList<>()));
             }
         }
     }
 
     /** Writes the settings that all daemons read at their next start. */
-    public void settings(final Map<String, Object> more) throws IOException {
-        final Map<String, Object> all = new LinkedHashMap<>(Map.of(
+    public void writeSettings(final Map<String, Object> overrides) throws IOException {
+        final Map<String, Object> settings = new LinkedHashMap<>(Map.of(
                 "seeds",
                 seeds,
                 "key",
                 "simulation-cluster-key-of-this-fleet",
                 "operator",
-                OPERATOR,
+                OPERATOR_KEY,
                 "worker",
-                WORKERS));
-        all.putAll(more);
-        Files.writeString(folder.resolve("settings.json"), JsonDocument.write(all));
+                WORKER_KEY));
+        settings.putAll(overrides);
+        Files.writeString(folder.resolve("settings.json"), JsonDocument.write(settings));
     }
 
     /** Adds a controller at a new address, with an empty data folder or with none. */
-    public void controller(final String name, final Plan.Region region, final boolean disk) throws IOException {
-        daemon(
+    public void addController(final String name, final Plan.Region region, final boolean disk) throws IOException {
+        addNode(
                 name,
                 "silverlatch.server.controller.Main",
                 region,
-                free(),
+                reservePort(),
                 disk ? folder.resolve("data-" + name) : Path.of(""));
     }
 
     /** The processes that stand in a region. */
-    public List<String> places(final String region) {
-        return parts.values().stream()
-                .filter(p -> p.args().contains(region))
-                .map(Part::name)
+    public List<String> namesInRegion(final String region) {
+        return processes.values().stream()
+                .filter(p -> p.arguments().contains(region))
+                .map(ManagedProcess::name)
                 .toList();
     }
 
     /** Starts a process that can't write a file beyond so many KiB, as on a disk that fills up. */
-    public void cramped(final String name, final int kib) throws IOException {
+    public void startWithFileLimit(final String name, final int kib) throws IOException {
         start(name, List.of("bash", "-c", "ulimit -f " + kib + "; exec \"$@\"", "cramped"));
     }
 
@@ -145,22 +150,22 @@
         start(name, List.of());
     }
 
-    private void start(final String name, final List<String> before) throws IOException {
-        release();
-        final Part p = parts.get(name);
-        final List<String> words = new ArrayList<>(before);
-        words.addAll(List.of(
+    private void start(final String name, final List<String> wrapper) throws IOException {
+        releasePorts();
+        final ManagedProcess managed = processes.get(name);
+        final List<String> command = new ArrayList<>(wrapper);
+        command.addAll(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xmx160m",
                 "-Xss512k",
                 "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1"));
-        words.addAll(ChildJvm.options());
-        words.addAll(List.of("-cp", classes, p.main()));
-        words.addAll(p.args());
-        p.process().clear();
-        p.process()
-                .add(new ProcessBuilder(words)
+        command.addAll(ChildJvm.options());
+        command.addAll(List.of("-cp", classPath, managed.mainClass()));
+        command.addAll(managed.arguments());
+        managed.running().clear();
+        managed.running()
+                .add(new ProcessBuilder(command)
                         .redirectErrorStream(true)
                         .redirectOutput(ProcessBuilder.Redirect.appendTo(
                                 folder.resolve(name + ".log").toFile()))
@@ -168,92 +173,94 @@
     }
 
     /** Starts all processes whose names start so. */
-    public void all(final String start) throws IOException {
-        for (final String name : names(start)) {
+    public void startAll(final String prefix) throws IOException {
+        for (final String name : names(prefix)) {
             start(name);
         }
     }
 
     /** The names that start so. */
-    public List<String> names(final String start) {
-        return parts.keySet().stream().filter(n -> n.startsWith(start)).toList();
+    public List<String> names(final String prefix) {
+        return processes.keySet().stream().filter(n -> n.startsWith(prefix)).toList();
     }
 
     /** A process's door. */
-    public String door(final String name) {
-        return parts.get(name).door();
+    public String endpoint(final String name) {
+        return processes.get(name).endpoint();
     }
 
     /** Where a daemon takes frames. */
     public String address(final String name) {
-        return parts.get(name).address();
+        return processes.get(name).address();
     }
 
     /** The doors of all whose names start so. */
-    public String doors(final String start) {
-        return String.join(",", names(start).stream().map(this::door).toList());
+    public String endpoints(final String prefix) {
+        return String.join(",", names(prefix).stream().map(this::endpoint).toList());
     }
 
     /** Kills a process at once. */
     public void kill(final String name) throws InterruptedException {
-        for (final Process p : parts.get(name).process()) {
-            p.destroyForcibly();
-            p.waitFor(5, TimeUnit.SECONDS);
+        for (final Process process : processes.get(name).running()) {
+            process.destroyForcibly();
+            process.waitFor(5, TimeUnit.SECONDS);
         }
     }
 
     /** Asks a process to stop, and gives its exit code. */
     public int stop(final String name) throws InterruptedException {
-        final Process p = parts.get(name).process().get(0);
-        p.destroy();
-        if (!p.waitFor(15, TimeUnit.SECONDS)) {
-            p.destroyForcibly();
+        final Process process = processes.get(name).running().get(0);
+        process.destroy();
+        if (!process.waitFor(15, TimeUnit.SECONDS)) {
+            process.destroyForcibly();
             return -1;
         }
-        return p.exitValue();
+        return process.exitValue();
     }
 
     /** Freezes a process, or lets it go on. */
-    public void freeze(final String name, final boolean on) throws IOException, InterruptedException {
-        final long id = parts.get(name).process().get(0).pid();
-        new ProcessBuilder("kill", on ? "-STOP" : "-CONT", "" + id).start().waitFor();
+    public void freeze(final String name, final boolean frozen) throws IOException, InterruptedException {
+        final long id = processes.get(name).running().get(0).pid();
+        new ProcessBuilder("kill", frozen ? "-STOP" : "-CONT", "" + id).start().waitFor();
     }
 
     /** Takes a controller's data folder away. */
-    public void wipe(final String controller) throws IOException {
+    public void deleteDataFolder(final String controller) throws IOException {
         final Path data = folder.resolve("data-" + controller.substring(controller.indexOf('-') + 1));
         if (Files.exists(data)) {
             try (Stream<Path> files = Files.walk(data)) {
-                for (final Path f :
+                for (final Path file :
                         files.sorted(java.util.Comparator.reverseOrder()).toList()) {
-                    Files.delete(f);
+                    Files.delete(file);
                 }
             }
         }
     }
 
     /** The reply of a daemon's door to the operator. */
-    public HttpResponse<String> ask(final String name, final String method, final String path, final String body)
+    public HttpResponse<String> callAsOperator(
+            final String name, final String method, final String path, final String body)
             throws IOException, InterruptedException {
-        return as(OPERATOR, name, method, path, body);
+        return callAs(OPERATOR_KEY, name, method, path, body);
     }
 
     /** The reply of a daemon's door to the bearer of a key. */
-    public HttpResponse<String> as(
+    public HttpResponse<String> callAs(
             final String key, final String name, final String method, final String path, final String body)
             throws IOException, InterruptedException {
         return call(key, name, method, path, body, 10);
     }
 
     /** Posts, and hands over each line of the reply as it comes, for up to a minute. */
-    public void lines(
+    public void streamLines(
             final String key,
             final String name,
             final String path,
             final String body,
             final java.util.function.Consumer<String> line)
             throws IOException, InterruptedException {
-        http.send(request(key, name, "POST", path, body, 60), HttpResponse.BodyHandlers.ofLines())
+        httpClient
+                .send(request(key, name, "POST", path, body, 60), HttpResponse.BodyHandlers.ofLines())
                 .body()
                 .forEach(line);
     }
@@ -266,7 +273,7 @@
             final String body,
             final int seconds)
             throws IOException, InterruptedException {
-        return http.send(request(key, name, method, path, body, seconds), HttpResponse.BodyHandlers.ofString());
+        return httpClient.send(request(key, name, method, path, body, seconds), HttpResponse.BodyHandlers.ofString());
     }
 
     private HttpRequest request(
@@ -276,7 +283,7 @@
             final String path,
             final String body,
             final int seconds) {
-        return HttpRequest.newBuilder(URI.create("http://" + door(name) + path))
+        return HttpRequest.newBuilder(URI.create("http://" + endpoint(name) + path))
                 .timeout(Duration.ofSeconds(seconds))
                 .header("Authorization", "Bearer " + key)
                 .header("Content-Type", "application/json")
@@ -289,15 +296,16 @@
     }
 
     /** Waits until all whose names start so say that they are ready; false when they don't in time. */
-    public boolean ready(final String start, final int seconds) throws InterruptedException {
-        return until(() -> names(start).stream().allMatch(this::isReady), seconds);
+    public boolean awaitReady(final String prefix, final int seconds) throws InterruptedException {
+        return await(() -> names(prefix).stream().allMatch(this::isReady), seconds);
     }
 
     /** Waits until something holds; false when it does not in time. */
-    public boolean until(final java.util.function.BooleanSupplier what, final int seconds) throws InterruptedException {
+    public boolean await(final java.util.function.BooleanSupplier condition, final int seconds)
+            throws InterruptedException {
         final long end = System.nanoTime() + seconds * 1_000_000_000L;
         while (System.nanoTime() < end) {
-            if (what.getAsBoolean()) {
+            if (condition.getAsBoolean()) {
                 return true;
             }
             TimeUnit.MILLISECONDS.sleep(100);
@@ -308,50 +316,54 @@
     /** Whether one says that it is ready. */
     public boolean isReady(final String name) {
         try {
-            return ask(name, "GET", "/ready", "").statusCode() == 200;
-        } catch (final IOException e) {
+            return callAsOperator(name, "GET", "/ready", "").statusCode() == 200;
+        } catch (final IOException failure) {
             return false;
-        } catch (final InterruptedException e) {
+        } catch (final InterruptedException failure) {
             Thread.currentThread().interrupt();
             return false;
         }
     }
 
     /** Runs a program of ours to its end, its output into a file; gives the exit code. */
-    public int run(final String main, final Path out, final List<String> args)
+    public int runProgram(final String mainClass, final Path output, final List<String> args)
             throws IOException, InterruptedException {
-        return begin(main, out, args).waitFor();
+        return startProgram(mainClass, output, args).waitFor();
     }
 
     /** Starts a program of ours, its output into a file. */
-    public Process begin(final String main, final Path out, final List<String> args) throws IOException {
-        final List<String> words = new ArrayList<>(List.of(
+    public Process startProgram(final String mainClass, final Path output, final List<String> args) throws IOException {
+        final List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx512m", "-XX:+UseSerialGC"));
-        words.addAll(ChildJvm.options());
-        words.addAll(List.of("-cp", classes, main));
-        words.addAll(args);
-        final Process p = new ProcessBuilder(words)
+        command.addAll(ChildJvm.options());
+        command.addAll(List.of("-cp", classPath, mainClass));
+        command.addAll(args);
+        final Process process = new ProcessBuilder(command)
                 .redirectErrorStream(true)
-                .redirectOutput(out.toFile())
+                .redirectOutput(output.toFile())
                 .start();
-        parts.computeIfAbsent("run " + main + " " + out, k -> new Part(k, main, args, "", "", new ArrayList<>()))
-                .process()
-                .add(p);
-        return p;
+        processes
+                .computeIfAbsent(
+                        "run " + mainClass + " " + output,
+                        k -> new ManagedProcess(k, mainClass, args, "", "", new ArrayList<>()))
+                .running()
+                .add(process);
+        return process;
     }
 
     /** Gives the fleet its tenants and its table; the replies' codes. */
-    public List<Integer> load() throws IOException, InterruptedException {
+    public List<Integer> loadTenantsAndTable() throws IOException, InterruptedException {
         final List<Integer> codes = new ArrayList<>();
-        for (final Plan.Tenant t : plan.tenants()) {
-            codes.add(ask(
+        for (final Plan.Tenant tenant : plan.tenants()) {
+            codes.add(callAsOperator(
                             "controller-1",
                             "PUT",
-                            "/v1/tenants/" + t.name(),
-                            JsonDocument.write(Map.of("key", t.key(), "share", t.share(), "homes", t.homes())))
+                            "/v1/tenants/" + tenant.name(),
+                            JsonDocument.write(Map.of(
+                                    "key", tenant.key(), "share", tenant.share(), "homes", tenant.homeRegions())))
                     .statusCode());
         }
-        codes.add(ask("controller-1", "PUT", "/v1/table", Files.readString(plan.table()))
+        codes.add(callAsOperator("controller-1", "PUT", "/v1/table", Files.readString(plan.table()))
                 .statusCode());
         return codes;
     }
@@ -368,48 +380,52 @@
 
     @Override
     public void close() {
-        for (final Part p : parts.values()) {
-            p.process().forEach(Process::destroyForcibly);
+        for (final ManagedProcess process : processes.values()) {
+            process.running().forEach(Process::destroyForcibly);
         }
     }
 
-    private void daemon(
-            final String name, final String main, final Plan.Region r, final String address, final Path data)
+    private void addNode(
+            final String name,
+            final String mainClass,
+            final Plan.Region region,
+            final String address,
+            final Path dataFolder)
             throws IOException {
-        final String door = free();
+        final String endpoint = reservePort();
         final List<String> args = new ArrayList<>(List.of(
                 "--settings",
                 folder.resolve("settings.json").toString(),
                 "--name",
                 name,
                 "--zone",
-                r.zone(),
+                region.zone(),
                 "--region",
-                r.region(),
+                region.region(),
                 "--address",
                 address,
                 "--door",
-                door));
-        if (!data.toString().isEmpty()) {
-            args.addAll(List.of("--data", data.toString()));
+                endpoint));
+        if (!dataFolder.toString().isEmpty()) {
+            args.addAll(List.of("--data", dataFolder.toString()));
         } else if (name.startsWith("gateway")) {
             args.addAll(List.of("--record", folder.resolve(name + ".day").toString()));
         }
-        parts.put(name, new Part(name, main, args, address, door, new ArrayList<>()));
+        processes.put(name, new ManagedProcess(name, mainClass, args, address, endpoint, new ArrayList<>()));
     }
 
-    private String free() throws IOException {
-        final ServerSocket s = new ServerSocket();
-        s.setReuseAddress(true);
-        s.bind(new java.net.InetSocketAddress("127.0.0.1", 0));
-        held.add(s);
-        return "127.0.0.1:" + s.getLocalPort();
+    private String reservePort() throws IOException {
+        final ServerSocket socket = new ServerSocket();
+        socket.setReuseAddress(true);
+        socket.bind(new java.net.InetSocketAddress("127.0.0.1", 0));
+        reservedPorts.add(socket);
+        return "127.0.0.1:" + socket.getLocalPort();
     }
 
-    private void release() throws IOException {
-        for (final ServerSocket s : held) {
-            s.close();
+    private void releasePorts() throws IOException {
+        for (final ServerSocket socket : reservedPorts) {
+            socket.close();
         }
-        held.clear();
+        reservedPorts.clear();
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/fleet/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/fleet/Main.java
@@ -17,26 +17,27 @@
         final String rate = args.length > 2 ? args[2] : "60";
         int code = 1;
         try (Fleet fleet = new Fleet(Plan.read(Path.of(args[0])), folder, System.getProperty("java.class.path"))) {
-            code = drive(fleet, seconds, rate);
+            code = runScenario(fleet, seconds, rate);
         }
         System.out.println("logs, receipts and records are in " + folder);
         System.exit(code);
     }
 
-    private static boolean obeyed(final Path receipts, final String changed, final long acked) throws Exception {
+    private static boolean checkAcknowledgedTable(final Path receipts, final String changed, final long acked)
+            throws Exception {
         final long sequence = JsonDocument.parse(changed.getBytes(java.nio.charset.StandardCharsets.UTF_8), 4096)
-                        instanceof JsonDocument.ParseResult.Valid g
-                ? g.document().integer("sequence", 1, Long.MAX_VALUE)
+                        instanceof JsonDocument.ParseResult.Valid good
+                ? good.document().integer("sequence", 1, Long.MAX_VALUE)
                 : Long.MAX_VALUE;
         long under = 0;
         long late = 0;
         long first = Long.MAX_VALUE;
         for (final String line : Files.readAllLines(receipts)) {
             if (JsonDocument.parse(line.getBytes(java.nio.charset.StandardCharsets.UTF_8), 1 << 20)
-                            instanceof JsonDocument.ParseResult.Valid r
-                    && r.document().integer("picked", 0, Long.MAX_VALUE) > 0) {
-                final long at = r.document().integer("picked", 0, Long.MAX_VALUE);
-                final boolean fresh = r.document().integer("table", 0, Long.MAX_VALUE) >= sequence;
+                            instanceof JsonDocument.ParseResult.Valid receipt
+                    && receipt.document().integer("picked", 0, Long.MAX_VALUE) > 0) {
+                final long at = receipt.document().integer("picked", 0, Long.MAX_VALUE);
+                final boolean fresh = receipt.document().integer("table", 0, Long.MAX_VALUE) >= sequence;
                 under += fresh ? 1 : 0;
                 late += !fresh && at > acked + 3_000 ? 1 : 0;
                 first = fresh ? Math.min(first, at - acked) : first;
@@ -47,35 +48,35 @@
         return under > 0 && late == 0;
     }
 
-    private static int drive(final Fleet fleet, final int seconds, final String rate) throws Exception {
-        fleet.all("controller");
-        fleet.all("gateway");
-        fleet.all("worker");
-        System.out.println("controllers ready: " + fleet.ready("controller", 40));
-        System.out.println("tenants and table: " + fleet.load());
-        System.out.println("gateways ready: " + fleet.ready("gateway", 40));
+    private static int runScenario(final Fleet fleet, final int seconds, final String rate) throws Exception {
+        fleet.startAll("controller");
+        fleet.startAll("gateway");
+        fleet.startAll("worker");
+        System.out.println("controllers ready: " + fleet.awaitReady("controller", 40));
+        System.out.println("tenants and table: " + fleet.loadTenantsAndTable());
+        System.out.println("gateways ready: " + fleet.awaitReady("gateway", 40));
         Thread.sleep(2_000);
         final Path receipts = fleet.folder().resolve("receipts");
         final Path out = fleet.folder().resolve("consumer.out");
-        final Process load = fleet.begin(
+        final Process load = fleet.startProgram(
                 "silverlatch.simulation.consumer.Main",
                 out,
                 List.of(
                         "--doors",
-                        fleet.doors("gateway"),
+                        fleet.endpoints("gateway"),
                         "--seconds",
                         "" + seconds,
                         "--rate",
                         rate,
                         "--tenants",
-                        fleet.plan().people(),
+                        fleet.plan().tenantArguments(),
                         "--kinds",
-                        fleet.plan().sorts(),
+                        fleet.plan().kindArguments(),
                         "--receipts",
                         receipts.toString()));
         Thread.sleep(seconds * 500L);
         final String kind = fleet.plan().kinds().get(0).kind();
-        final String changed = fleet.ask(
+        final String changed = fleet.callAsOperator(
                         "controller-2",
                         "PATCH",
                         "/v1/table",
@@ -86,13 +87,13 @@
         final int served = load.waitFor();
         System.out.print(Files.readString(out));
         final List<String> words =
-                new ArrayList<>(List.of(receipts.toString(), fleet.plan().homes()));
+                new ArrayList<>(List.of(receipts.toString(), fleet.plan().homeArguments()));
         fleet.names("worker")
                 .forEach(w -> words.add(fleet.folder().resolve(w + ".runs").toString()));
         final Path checked = fleet.folder().resolve("check.out");
-        final int right = fleet.run("silverlatch.simulation.check.Main", checked, words);
+        final int right = fleet.runProgram("silverlatch.simulation.check.Main", checked, words);
         System.out.print(Files.readString(checked));
-        final boolean obeyed = obeyed(receipts, changed, acked);
+        final boolean obeyed = checkAcknowledgedTable(receipts, changed, acked);
         return served == 0 && right == 0 && obeyed ? 0 : 1;
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/fleet/Plan.java
+++ b/simulation/src/main/java/silverlatch/simulation/fleet/Plan.java
@@ -20,13 +20,13 @@
     public record Region(String region, String zone, int gateways, int workers) {}
 
     /** A kind of ticket, and how often and how long it comes. */
-    public record Kind(String kind, int weight, int pieces, int prefix, boolean once) {}
+    public record Kind(String kind, int weight, int chunks, int prefixParts, boolean atMostOnce) {}
 
     /** A tenant. */
-    public record Tenant(String name, String key, double share, List<String> homes) {
+    public record Tenant(String name, String key, double share, List<String> homeRegions) {
         /** Copies the homes. */
         public Tenant {
-            homes = List.copyOf(homes);
+            homeRegions = List.copyOf(homeRegions);
         }
     }
 
@@ -36,25 +36,27 @@
                 instanceof JsonDocument.ParseResult.Valid good)) {
             throw new IOException("the plan is not JSON");
         }
-        final JsonDocument s = good.document();
+        final JsonDocument document = good.document();
         final List<Region> regions = new ArrayList<>();
-        s.objects("regions", 16)
-                .forEach(r -> regions.add(new Region(
-                        r.string("region", 64), r.string("zone", 64), (int) r.integer("gateways", 0, 64), (int)
-                                r.integer("workers", 0, 64))));
+        document.objects("regions", 16)
+                .forEach(region -> regions.add(new Region(
+                        region.string("region", 64),
+                        region.string("zone", 64),
+                        (int) region.integer("gateways", 0, 64),
+                        (int) region.integer("workers", 0, 64))));
         final List<Kind> kinds = new ArrayList<>();
-        s.objects("kinds", 16)
-                .forEach(k -> kinds.add(new Kind(
-                        k.string("kind", 64),
-                        (int) k.integer("weight", 0, 100),
-                        (int) k.integer("pieces", 1, 1000),
-                        (int) k.integer("prefix", 0, 64),
-                        k.flag("once", false))));
+        document.objects("kinds", 16)
+                .forEach(kind -> kinds.add(new Kind(
+                        kind.string("kind", 64),
+                        (int) kind.integer("weight", 0, 100),
+                        (int) kind.integer("pieces", 1, 1000),
+                        (int) kind.integer("prefix", 0, 64),
+                        kind.flag("once", false))));
         final List<Tenant> tenants = new ArrayList<>();
-        s.objects("tenants", 1000)
+        document.objects("tenants", 1000)
                 .forEach(t -> tenants.add(new Tenant(
                         t.string("name", 64), t.string("key", 64), t.number("share", 1), t.strings("homes", 16, 64))));
-        final List<String> faults = s.finish();
+        final List<String> faults = document.finish();
         if (!faults.isEmpty()) {
             throw new IOException(String.join("; ", faults));
         }
@@ -62,27 +64,28 @@
     }
 
     /** The consumer stand-in's words for tenants. */
-    public String people() {
+    public String tenantArguments() {
         return String.join(
                 ",", tenants.stream().map(t -> t.name() + ":" + t.key()).toList());
     }
 
     /** The consumer stand-in's words for kinds. */
-    public String sorts() {
+    public String kindArguments() {
         return String.join(
                 ",",
                 kinds.stream()
-                        .map(k -> k.kind() + ":" + k.weight() + ":" + k.pieces() + ":" + k.prefix() + ":" + k.once())
+                        .map(k -> k.kind() + ":" + k.weight() + ":" + k.chunks() + ":" + k.prefixParts() + ":"
+                                + k.atMostOnce())
                         .toList());
     }
 
     /** The check's words for homes. */
-    public String homes() {
+    public String homeArguments() {
         return String.join(
                 ",",
                 tenants.stream()
-                        .filter(t -> !t.homes().isEmpty())
-                        .map(t -> t.name() + "=" + String.join("+", t.homes()))
+                        .filter(t -> !t.homeRegions().isEmpty())
+                        .map(t -> t.name() + "=" + String.join("+", t.homeRegions()))
                         .toList());
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/hollow/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/hollow/Main.java
@@ -10,35 +10,36 @@
 
 /** Takes the figures of docs/CAPACITY.md with daemons that share a process. */
 public final class Main {
-    private static final int DAEMONS = 400;
-    private static final int WORKERS = 1_200;
+    private static final int MAX_NODES = 400;
+    private static final int MAX_WORKERS = 1_200;
     private static final int TRIALS = 20;
-    private static final int SPAN = 20;
+    private static final int MEASURED_SECONDS = 20;
 
     /** What the arguments ask for, or why they are rejected. */
-    record Ask(int daemons, int workers, long seed, Optional<String> fault) {
+    record Arguments(int nodes, int workers, long seed, Optional<String> error) {
         private static final String USAGE = "usage: bin/measure hollow DAEMONS WORKERS [--seed S]";
 
-        static Ask of(final String... args) {
+        static Arguments of(final String... args) {
             final boolean seeded = args.length == 4 && args[2].equals("--seed");
             if (args.length != 2 && !seeded
                     || !Arrays.stream(args).filter(a -> !a.equals("--seed")).allMatch(a -> a.matches("\\d{1,9}"))) {
-                return no(USAGE);
+                return invalid(USAGE);
             }
             final int daemons = Integer.parseInt(args[0]);
             final int workers = Integer.parseInt(args[1]);
-            if (daemons <= Hollow.HARBORS || daemons > DAEMONS) {
-                return no("daemons: " + daemons + " are not within " + (Hollow.HARBORS + 1) + " and " + DAEMONS
-                        + ", the bounds of this machine");
+            if (daemons <= HollowCluster.CONTROLLERS || daemons > MAX_NODES) {
+                return invalid("daemons: " + daemons + " are not within " + (HollowCluster.CONTROLLERS + 1) + " and "
+                        + MAX_NODES + ", the bounds of this machine");
             }
-            if (workers < 1 || workers > WORKERS) {
-                return no("workers: " + workers + " are not within 1 and " + WORKERS + ", the bounds of this machine");
+            if (workers < 1 || workers > MAX_WORKERS) {
+                return invalid("workers: " + workers + " are not within 1 and " + MAX_WORKERS
+                        + ", the bounds of this machine");
             }
-            return new Ask(daemons, workers, seeded ? Long.parseLong(args[3]) : 1, Optional.empty());
+            return new Arguments(daemons, workers, seeded ? Long.parseLong(args[3]) : 1, Optional.empty());
         }
 
-        private static Ask no(final String why) {
-            return new Ask(0, 0, 0, Optional.of(why));
+        private static Arguments invalid(final String why) {
+            return new Arguments(0, 0, 0, Optional.of(why));
         }
     }
 
@@ -46,64 +47,69 @@
 
     /** Arguments: daemons, workers, and a seed. */
     public static void main(final String[] args) {
-        final Ask ask = Ask.of(args);
-        if (ask.fault().isPresent()) {
-            System.err.println(ask.fault().get());
+        final Arguments arguments = Arguments.of(args);
+        if (arguments.error().isPresent()) {
+            System.err.println(arguments.error().get());
             System.exit(2);
         }
-        final Hollow fleet = new Hollow(ask.daemons(), ask.workers(), ask.seed());
-        System.out.println("hollow " + ask.daemons() + " daemons, " + ask.workers() + " workers, seed " + ask.seed());
-        fleet.pass(8 * Hollow.SECOND);
-        fleet.rule(new Command.PutTable("table", List.of(TableRules.defaultRow("*", "chat")), -1), 5 * Hollow.SECOND);
-        fleet.pass(12 * Hollow.SECOND);
-        show("start", fleet);
-        System.out.println("settled after 20 s: " + fleet.settled());
+        final HollowCluster fleet = new HollowCluster(arguments.nodes(), arguments.workers(), arguments.seed());
+        System.out.println("hollow " + arguments.nodes() + " daemons, " + arguments.workers() + " workers, seed "
+                + arguments.seed());
+        fleet.advance(8 * HollowCluster.SECOND);
+        fleet.propagateTableChange(
+                new Command.PutTable("table", List.of(TableRules.defaultRow("*", "chat")), -1),
+                5 * HollowCluster.SECOND);
+        fleet.advance(12 * HollowCluster.SECOND);
+        printUsage("start", fleet);
+        System.out.println("settled after 20 s: " + fleet.isConverged());
         System.gc();
-        final Runtime r = Runtime.getRuntime();
-        System.out.println("heap for each daemon, KB: " + (r.totalMemory() - r.freeMemory()) / 1024 / ask.daemons());
-        fleet.clear();
-        fleet.pass(SPAN * Hollow.SECOND);
-        show("at rest", fleet);
-        System.out.println("unsure at rest: " + fleet.unsure());
-        fleet.clear();
-        final List<Long> words = new ArrayList<>();
-        final List<Long> rules = new ArrayList<>();
+        final Runtime runtime = Runtime.getRuntime();
+        System.out.println("heap for each daemon, KB: "
+                + (runtime.totalMemory() - runtime.freeMemory()) / 1024 / arguments.nodes());
+        fleet.resetUsage();
+        fleet.advance(MEASURED_SECONDS * HollowCluster.SECOND);
+        printUsage("at rest", fleet);
+        System.out.println("unsure at rest: " + fleet.staleNodes());
+        fleet.resetUsage();
+        final List<Long> workerTimes = new ArrayList<>();
+        final List<Long> tableTimes = new ArrayList<>();
         for (int i = 0; i < TRIALS; i++) {
-            words.add(second(fleet, fleet.change(Hollow.SECOND)));
-            rules.add(second(
+            workerTimes.add(finishSecond(fleet, fleet.propagateWorkerChange(HollowCluster.SECOND)));
+            tableTimes.add(finishSecond(
                     fleet,
-                    fleet.rule(
+                    fleet.propagateTableChange(
                             new Command.PatchTable(
                                     "rule-" + i, List.of(new Command.Cell("*", "chat", "rate", "" + (500 + i))), -1),
-                            Hollow.SECOND)));
+                            HollowCluster.SECOND)));
         }
-        show("under change, a worker's and a rule's in turn, some 0.8 a second", fleet);
-        System.out.println("unsure under change: " + fleet.unsure());
-        tell("a worker's change known to all", words);
-        tell("a rule's change followed by all", rules);
+        printUsage("under change, a worker's and a rule's in turn, some 0.8 a second", fleet);
+        System.out.println("unsure under change: " + fleet.staleNodes());
+        printTimes("a worker's change known to all", workerTimes);
+        printTimes("a rule's change followed by all", tableTimes);
     }
 
-    private static long second(final Hollow fleet, final long time) {
-        fleet.pass(Hollow.SECOND - (time < 0 ? Hollow.SECOND : (time + 9_999) / 10_000 * 10_000));
-        fleet.drift();
-        return time;
+    private static long finishSecond(final HollowCluster fleet, final long elapsed) {
+        fleet.advance(
+                HollowCluster.SECOND - (elapsed < 0 ? HollowCluster.SECOND : (elapsed + 9_999) / 10_000 * 10_000));
+        fleet.advanceRandomly();
+        return elapsed;
     }
 
-    private static void show(final String phase, final Hollow fleet) {
+    private static void printUsage(final String phase, final HollowCluster fleet) {
         for (final boolean controller : new boolean[] {false, true}) {
-            final Hollow.Tally t = fleet.tally(controller);
-            final double each = (double) t.daemons() * fleet.counted() / Hollow.SECOND;
+            final HollowCluster.ResourceUsage usage = fleet.usage(controller);
+            final double each = (double) usage.nodes() * fleet.countedMicros() / HollowCluster.SECOND;
             System.out.printf(
                     "%s: each %s sends %.1f frames/s, %.0f bytes/s, works %.2f ms/s%n",
                     phase,
                     controller ? "controller" : "gateway",
-                    t.frames() / each,
-                    t.bytes() / each,
-                    t.nanos() / 1e6 / each);
+                    usage.frames() / each,
+                    usage.bytes() / each,
+                    usage.cpuNanos() / 1e6 / each);
         }
     }
 
-    private static void tell(final String what, final List<Long> times) {
+    private static void printTimes(final String what, final List<Long> times) {
         final List<Long> known = times.stream().filter(t -> t >= 0).sorted().toList();
         System.out.println(what + ", ms min/median/max: "
                 + (known.isEmpty()
--- a/simulation/src/main/java/silverlatch/simulation/measure/Disks.java
+++ b/simulation/src/main/java/silverlatch/simulation/measure/DiskLatency.java
@@ -15,49 +15,51 @@
 import silverlatch.state.Value;
 
 /** How long the ledger takes on this machine's disk: to write and sync batches, and to be read again. */
-final class Disks {
-    private Disks() {}
+final class DiskLatency {
+    private DiskLatency() {}
 
     static void run() throws IOException {
         System.out.println("| batch | sync us min/median/max of 50 |");
         System.out.println("| --- | --- |");
         for (final int batch : new int[] {1, 16, 256}) {
             final Path folder = Files.createTempDirectory("silverlatch-disk");
-            final WriteAheadLog.OpenResult.Success open = (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder);
-            final long[] spans = new long[50];
-            for (int i = 0; i < spans.length; i++) {
-                final List<LogRecord> notes = notes(i * batch, batch);
-                final long at = EventLoop.nowMicros();
-                open.log().write(notes);
-                spans[i] = EventLoop.nowMicros() - at;
+            final WriteAheadLog.OpenResult.Success opened =
+                    (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder);
+            final long[] durations = new long[50];
+            for (int i = 0; i < durations.length; i++) {
+                final List<LogRecord> records = records(i * batch, batch);
+                final long start = EventLoop.nowMicros();
+                opened.log().write(records);
+                durations[i] = EventLoop.nowMicros() - start;
             }
-            Arrays.sort(spans);
-            System.out.println("| " + batch + " | " + spans[0] + "/" + spans[25] + "/" + spans[49] + " |");
-            open.log().close();
+            Arrays.sort(durations);
+            System.out.println("| " + batch + " | " + durations[0] + "/" + durations[25] + "/" + durations[49] + " |");
+            opened.log().close();
         }
         System.out.println("| changes in the log | open ms min/median/max of 5 |");
         System.out.println("| --- | --- |");
         for (final int count : new int[] {1_000, 10_000, 100_000}) {
             final Path folder = Files.createTempDirectory("silverlatch-disk");
-            final WriteAheadLog.OpenResult.Success open = (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder);
+            final WriteAheadLog.OpenResult.Success opened =
+                    (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder);
             for (int i = 0; i < count; i += 500) {
-                open.log().write(notes(i, 500));
+                opened.log().write(records(i, 500));
             }
-            open.log().close();
-            final long[] spans = new long[5];
-            for (int i = 0; i < spans.length; i++) {
-                final long at = EventLoop.nowMicros();
-                final WriteAheadLog.OpenResult.Success again =
+            opened.log().close();
+            final long[] durations = new long[5];
+            for (int i = 0; i < durations.length; i++) {
+                final long start = EventLoop.nowMicros();
+                final WriteAheadLog.OpenResult.Success reopened =
                         (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder);
-                spans[i] = (EventLoop.nowMicros() - at) / 1000;
-                again.log().close();
+                durations[i] = (EventLoop.nowMicros() - start) / 1000;
+                reopened.log().close();
             }
-            Arrays.sort(spans);
-            System.out.println("| " + count + " | " + spans[0] + "/" + spans[2] + "/" + spans[4] + " |");
+            Arrays.sort(durations);
+            System.out.println("| " + count + " | " + durations[0] + "/" + durations[2] + "/" + durations[4] + " |");
         }
     }
 
-    private static List<LogRecord> notes(final int first, final int count) {
+    private static List<LogRecord> records(final int first, final int count) {
         final List<LogRecord> list = new ArrayList<>();
         for (int i = first; i < first + count; i++) {
             list.add(new LogRecord.Appended(new LogEntry(
--- a/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationHistory.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationHistory.java
@@ -11,15 +11,15 @@
  * one a version built on, an answer that never turns, and reads no older than any acknowledgement that came before them.
  */
 final class ConfigurationHistory {
-    private final Watch watch;
+    private final Observer observer;
     private final Map<Long, String> byRevision = new HashMap<>();
     private final Map<Long, String> byMatch = new HashMap<>();
     private final Set<String> acknowledged = new HashSet<>();
     private final Set<String> refused = new HashSet<>();
     private long newest;
 
-    ConfigurationHistory(final Watch watch) {
-        this.watch = watch;
+    ConfigurationHistory(final Observer watch) {
+        this.observer = watch;
     }
 
     /** The highest revision that was acknowledged. */
@@ -34,47 +34,49 @@
 
     /** A document was acknowledged under its revision, on top of the version that it matched. */
     void acknowledge(final String document, final long revision, final long match) {
-        watch.count("configurations-acknowledged");
+        observer.count("configurations-acknowledged");
         if (!acknowledged.add(document)) {
-            watch.count("configurations-acknowledged-again");
+            observer.count("configurations-acknowledged-again");
         }
         newest = Math.max(newest, revision);
-        only(byRevision, revision, document, "under revision ");
-        only(byMatch, match, document, "on top of revision ");
+        requireSingle(byRevision, revision, document, "under revision ");
+        requireSingle(byMatch, match, document, "on top of revision ");
         if (refused.contains(document)) {
-            watch.fault(Mark.LOSER, document + " was refused, and acknowledged when it was sent again");
+            observer.violated(Invariant.LOSER, document + " was refused, and acknowledged when it was sent again");
         }
     }
 
     /** A document was refused. */
     void refuse(final String document) {
-        watch.count("configurations-refused");
-        watch.probe(Mark.LOSER);
+        observer.count("configurations-refused");
+        observer.exercise(Invariant.LOSER);
         refused.add(document);
         if (acknowledged.contains(document)) {
-            watch.fault(Mark.LOSER, document + " was acknowledged, and refused when it was sent again");
+            observer.violated(Invariant.LOSER, document + " was acknowledged, and refused when it was sent again");
         }
     }
 
     /** A document was read back; the read began when {@code before} was the highest revision acknowledged. */
     void read(final String document, final long revision, final long before) {
-        watch.count("configurations-read");
+        observer.count("configurations-read");
         if (revision < before) {
-            watch.fault(Mark.READ, document + " was read back after revision " + before + " was acknowledged");
+            observer.violated(
+                    Invariant.READ, document + " was read back after revision " + before + " was acknowledged");
         }
         if (refused.contains(document)) {
-            watch.fault(Mark.LOSER, document + " was refused and is in force");
+            observer.violated(Invariant.LOSER, document + " was refused and is in force");
         }
         Optional.ofNullable(byRevision.get(revision))
                 .filter(d -> !d.equals(document))
-                .ifPresent(d -> watch.fault(Mark.LOSER, d + " was acknowledged, but " + document + " is in force"));
+                .ifPresent(d ->
+                        observer.violated(Invariant.LOSER, d + " was acknowledged, but " + document + " is in force"));
     }
 
-    private void only(final Map<Long, String> held, final long key, final String document, final String what) {
+    private void requireSingle(final Map<Long, String> held, final long key, final String document, final String what) {
         final String old = held.getOrDefault(key, document);
         held.putIfAbsent(key, document);
         if (!old.equals(document)) {
-            watch.fault(Mark.LOSER, old + " and " + document + " were both acknowledged " + what + key);
+            observer.violated(Invariant.LOSER, old + " and " + document + " were both acknowledged " + what + key);
         }
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationOperators.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationOperators.java
@@ -17,26 +17,26 @@
     private static final long SECOND = 1_000_000L;
     private static final long CALL_TIMEOUT = 900_000L;
     private static final long START_INTERVAL = 100_000L;
-    private static final int UNDER_WAY = 8;
-    private static final int CALLS = 10;
+    private static final int MAX_IN_FLIGHT = 8;
+    private static final int MAX_CALLS = 10;
     private final World world;
     private final ConfigurationHistory history;
-    private int underWay;
-    private long documents;
-    private long calls;
-    private long end;
+    private int inFlight;
+    private long nextDocument;
+    private long nextCall;
+    private long endTime;
 
     ConfigurationOperators(final World world) {
         this.world = world;
-        this.history = new ConfigurationHistory(world.watch());
+        this.history = new ConfigurationHistory(world.observer());
     }
 
-    private record Order(String document, long revision, long match, boolean valid) {}
+    private record ConfigurationOrder(String document, long revision, long match, boolean valid) {}
 
     /** Starts orders for a span from now on. */
-    void run(final long span) {
-        final boolean idle = end <= world.engine().now();
-        end = Math.max(end, world.engine().now() + span);
+    void run(final long duration) {
+        final boolean idle = endTime <= world.scheduler().now();
+        endTime = Math.max(endTime, world.scheduler().now() + duration);
         if (idle) {
             start();
         }
@@ -44,102 +44,104 @@
 
     /** Reads the newest configuration back through every controller that is up. */
     void readBack() {
-        world.controllers().stream().filter(SimulatedNode::alive).forEach(this::read);
+        world.controllers().stream().filter(SimulatedNode::isAlive).forEach(this::read);
     }
 
     private void start() {
-        if (world.engine().now() >= end) {
+        if (world.scheduler().now() >= endTime) {
             return;
         }
-        if (underWay < UNDER_WAY) {
+        if (inFlight < MAX_IN_FLIGHT) {
             final long match = history.newest();
-            final long revision = match + 1 + chance(3);
-            send(order(revision, match, chance(10) > 0));
-            if (chance(3) == 0 && underWay < UNDER_WAY) {
-                send(order(revision + chance(2), match, true));
+            final long revision = match + 1 + randomBelow(3);
+            send(order(revision, match, randomBelow(10) > 0));
+            if (randomBelow(3) == 0 && inFlight < MAX_IN_FLIGHT) {
+                send(order(revision + randomBelow(2), match, true));
             }
         }
-        if (chance(5) == 0) {
+        if (randomBelow(5) == 0) {
             controller().ifPresent(this::read);
         }
-        world.engine().in(START_INTERVAL, this::start);
+        world.scheduler().schedule(START_INTERVAL, this::start);
     }
 
-    private Order order(final long revision, final long match, final boolean valid) {
-        return new Order("document-" + ++documents, revision, match, valid);
+    private ConfigurationOrder order(final long revision, final long match, final boolean valid) {
+        return new ConfigurationOrder("document-" + ++nextDocument, revision, match, valid);
     }
 
-    private void send(final Order order) {
-        underWay++;
-        call(order, CALLS, () -> underWay--);
+    private void send(final ConfigurationOrder order) {
+        inFlight++;
+        call(order, MAX_CALLS, () -> inFlight--);
     }
 
     /** Calls some controller; where no answer comes, or it is lost, the same order goes to any controller again. */
-    private void call(final Order order, final int left, final Runnable then) {
-        final boolean[] over = {false};
-        final Consumer<Boolean> done = clear -> {
-            if (!over[0]) {
-                over[0] = true;
-                if (clear || left == 1) {
-                    then.run();
-                    late(order);
+    private void call(final ConfigurationOrder order, final int callsLeft, final Runnable whenDone) {
+        final boolean[] ended = {false};
+        final Consumer<Boolean> done = decided -> {
+            if (!ended[0]) {
+                ended[0] = true;
+                if (decided || callsLeft == 1) {
+                    whenDone.run();
+                    resendLater(order);
                 } else {
-                    world.engine().in(SECOND / 5 + chance(SECOND), () -> call(order, left - 1, then));
+                    world.scheduler()
+                            .schedule(SECOND / 5 + randomBelow(SECOND), () -> call(order, callsLeft - 1, whenDone));
                 }
             }
         };
-        world.engine().in(SECOND, () -> done.accept(false));
+        world.scheduler().schedule(SECOND, () -> done.accept(false));
         controller()
-                .ifPresent(c -> c.wish(command(order), CALL_TIMEOUT, r -> {
-                    final boolean clear = note(order, (CommandResult) r);
-                    if (chance(10) >= 7) {
-                        done.accept(clear);
+                .ifPresent(controller -> controller.submit(command(order), CALL_TIMEOUT, result -> {
+                    final boolean decided = recordResult(order, (CommandResult) result);
+                    if (randomBelow(10) >= 7) {
+                        done.accept(decided);
                     }
                 }));
     }
 
-    private void late(final Order order) {
-        if (history.acknowledged(order.document()) && chance(4) == 0) {
-            world.engine().in(2 * SECOND + chance(18 * SECOND), () -> call(order, 1, () -> {}));
+    private void resendLater(final ConfigurationOrder order) {
+        if (history.acknowledged(order.document()) && randomBelow(4) == 0) {
+            world.scheduler().schedule(2 * SECOND + randomBelow(18 * SECOND), () -> call(order, 1, () -> {}));
         }
     }
 
-    private boolean note(final Order order, final CommandResult result) {
+    private boolean recordResult(final ConfigurationOrder order, final CommandResult result) {
         return switch (result) {
-            case CommandResult.Applied a -> {
+            case CommandResult.Applied applied -> {
                 history.acknowledge(order.document(), order.revision(), order.match());
                 if (!order.valid()) {
-                    world.watch().fault(Mark.LOSER, order.document() + " is invalid and was acknowledged");
+                    world.observer().violated(Invariant.LOSER, order.document() + " is invalid and was acknowledged");
                 }
                 yield true;
             }
-            case CommandResult.Rejected r -> {
-                if (r.code() != 503) {
+            case CommandResult.Rejected rejected -> {
+                if (rejected.code() != 503) {
                     history.refuse(order.document());
                 }
-                yield r.code() != 503;
+                yield rejected.code() != 503;
             }
-            case CommandResult.AlreadyClaimed a -> false;
+            case CommandResult.AlreadyClaimed applied -> false;
             case CommandResult.Unknown u -> false;
         };
     }
 
     private void read(final SimulatedNode controller) {
-        final long before = history.newest();
-        controller.read(ConfigurationValidator.DOCUMENT_KEY, CALL_TIMEOUT, r -> {
-            if (r instanceof ChainClient.ReadResult p && p.answered()) {
-                p.entries().stream()
+        final long newestBefore = history.newest();
+        controller.read(ConfigurationValidator.DOCUMENT_KEY, CALL_TIMEOUT, reply -> {
+            if (reply instanceof ChainClient.ReadResult answer && answer.answered()) {
+                answer.entries().stream()
                         .filter(e -> !e.isDeleted())
                         .map(e -> (Value.ConfigurationDocument) e.value().get(0))
                         .findFirst()
                         .ifPresentOrElse(
-                                d -> history.read(d.text(), d.number(), before), () -> history.read("none", 0, before));
+                                d -> history.read(d.text(), d.number(), newestBefore),
+                                () -> history.read("none", 0, newestBefore));
             }
         });
     }
 
     /** Each call bears an id of its own, as one over HTTP does. */
-    private Command command(final Order order) {
+    private Command command(final ConfigurationOrder order) {
         final Value.BackendPool pool = new Value.BackendPool("pool", "/", 1, 0, 1, 1, 0, 1);
         final Value.Route route = new Value.Route(
                 "route",
@@ -157,7 +159,7 @@
                 List.of(),
                 List.of(new Value.WeightedBackend(order.valid() ? "pool" : "unknown", 1)));
         return new Command.PutConfiguration(
-                "configuration-" + ++calls,
+                "configuration-" + ++nextCall,
                 new Value.RoutingConfiguration(order.revision(), 1, 1, 1, 1),
                 List.of(route),
                 List.of(pool),
@@ -167,11 +169,11 @@
 
     private Optional<SimulatedNode> controller() {
         final List<SimulatedNode> up =
-                world.controllers().stream().filter(SimulatedNode::alive).toList();
-        return up.isEmpty() ? Optional.empty() : Optional.of(world.some(up));
+                world.controllers().stream().filter(SimulatedNode::isAlive).toList();
+        return up.isEmpty() ? Optional.empty() : Optional.of(world.randomOf(up));
     }
 
-    private long chance(final long bound) {
-        return world.engine().luck().nextLong(bound);
+    private long randomBelow(final long bound) {
+        return world.scheduler().random().nextLong(bound);
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/Fault.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Fault.java
@@ -3,129 +3,129 @@
 /** Everything of the brief's "what fails", each as something that can be done to a world and is healed after a time. */
 public enum Fault {
     /** A gateway is killed and comes back. */
-    PURSER_KILLED(Blows::gatewayKilled),
+    PURSER_KILLED(ProcessFaults::gatewayKilled),
     /** Half of the gateways are killed at once. */
-    PURSERS_KILLED(Blows::gatewaysKilled),
+    PURSERS_KILLED(ProcessFaults::gatewaysKilled),
     /** A gateway freezes and wakes. */
-    PURSER_FROZEN(Blows::gatewayFrozen),
+    PURSER_FROZEN(ProcessFaults::gatewayFrozen),
     /** A gateway is asked to stop, and comes back. */
-    PURSER_STOPPED(Blows::gatewayStopped),
+    PURSER_STOPPED(ProcessFaults::gatewayStopped),
     /** A worker crashes and comes back cold. */
-    WORKER_CRASHED(Loads::workerCrashed),
+    WORKER_CRASHED(WorkloadFaults::workerCrashed),
     /** A worker goes dark: it takes connections and says nothing; its announcements don't come through. */
-    WORKER_DARK(Loads::workerDark),
+    WORKER_DARK(WorkloadFaults::workerUnresponsive),
     /** A worker says that it leaves, and is gone a little later; a new one comes. */
-    WORKER_LEAVES(Loads::workerLeaves),
+    WORKER_LEAVES(WorkloadFaults::workerDrains),
     /** All workers of a region are replaced one by one at short notice. */
-    WORKERS_REPLACED(Loads::workersReplaced),
+    WORKERS_REPLACED(WorkloadFaults::workersReplaced),
     /** Workers break the rules of the stream, or limp, or deny, each in its own way. */
-    WORKER_BREAKS(Loads::workerBreaks),
+    WORKER_BREAKS(WorkloadFaults::workersMisbehave),
     /** Consumers move between zones and come back to their streams. */
-    CONSUMERS_MOVE(Loads::consumersMove),
+    CONSUMERS_MOVE(WorkloadFaults::clientsMove),
     /** A crowd arrives, and the mix swings. */
-    CROWD(Loads::crowd),
+    CROWD(WorkloadFaults::loadSpike),
     /** A controller loses its power, perhaps just after it said yes. */
-    HARBOR_KILLED(Blows::controllerKilled),
+    HARBOR_KILLED(ProcessFaults::controllerKilled),
     /** A controller is asked to stop, and comes back. */
-    HARBOR_STOPPED(Blows::controllerStopped),
+    HARBOR_STOPPED(ProcessFaults::controllerStopped),
     /** Everything is asked to stop, one after another, and comes back. */
-    ALL_STOPPED(Blows::allStopped),
+    ALL_STOPPED(ProcessFaults::allRestartedInTurn),
     /** A controller loses its power and its disk, and starts with an empty one. */
-    HARBOR_WIPED(Blows::controllerWiped),
+    HARBOR_WIPED(ProcessFaults::controllerWiped),
     /** A controller freezes and wakes. */
-    HARBOR_FROZEN(Blows::controllerFrozen),
+    HARBOR_FROZEN(ProcessFaults::controllerFrozen),
     /** A controller's disk stalls. */
-    DISK_STALLED(Blows::diskStalled),
+    DISK_STALLED(ProcessFaults::diskStalled),
     /** A controller's disk is full; the machine is restarted when there is space again. */
-    DISK_FULL(Blows::diskFull),
+    DISK_FULL(ProcessFaults::diskFull),
     /** A controller's disk limps. */
-    DISK_LIMPS(Blows::diskLimps),
+    DISK_LIMPS(ProcessFaults::diskSlow),
     /** A controller is replaced by an empty machine at a new address. */
-    HARBOR_SWAPPED(Blows::controllerSwapped),
+    HARBOR_SWAPPED(ProcessFaults::controllerReplaced),
     /** All controllers are swapped for others, one after another, each when the chain is whole again. */
-    HARBORS_SWAPPED(Blows::controllersSwapped),
+    HARBORS_SWAPPED(ProcessFaults::controllersReplaced),
     /** One controller is cut off from the others. */
-    CORE_SPLIT(Ways::coreSplit),
+    CORE_SPLIT(NetworkFaults::controllerPartitioned),
     /** All controllers are cut off from the gateways. */
-    CORE_CUT(Ways::coreCut),
+    CORE_CUT(NetworkFaults::controllersPartitioned),
     /** A region is cut off. */
-    REGION_CUT(Ways::regionCut),
+    REGION_CUT(NetworkFaults::regionPartitioned),
     /** The region of the chain's last controller is cut off for long, while operators on both sides read and write. */
-    TAIL_CUT(Ways::tailCut),
+    TAIL_CUT(NetworkFaults::tailRegionPartitioned),
     /** A region is lost and comes back cold. */
-    REGION_LOST(Blows::regionLost),
+    REGION_LOST(ProcessFaults::regionLost),
     /** All workers of a region are lost and come back cold, while its gateways stay. */
-    REGION_COLD(Loads::regionCold),
+    REGION_COLD(WorkloadFaults::regionWorkersLost),
     /** Everything is killed at once and started again. */
-    ALL_KILLED(Blows::allKilled),
+    ALL_KILLED(ProcessFaults::allKilled),
     /** The wall clock of a machine jumps while it runs. */
-    CLOCK_JUMPS(Ways::clockJumps),
+    CLOCK_JUMPS(NetworkFaults::clockJumps),
     /** A machine starts with its clock far off. */
-    CLOCK_OFF(Ways::clockOff),
+    CLOCK_OFF(NetworkFaults::clockSkewed),
     /** Frames are lost and overtake each other. */
-    NET_ROUGH(Ways::netRough),
+    NET_ROUGH(NetworkFaults::lossyNetwork),
     /** A zone is emptied and given back. */
-    ZONE_DRAINED(Orders::zoneDrained),
+    ZONE_DRAINED(OperatorFaults::zoneDrained),
     /** One gateway is cut off from all other daemons while workers and consumers still reach it; a worker leaves meanwhile. */
-    NEWS_CUT(Ways::newsCut),
+    NEWS_CUT(NetworkFaults::gatewayPartitionedFromNodes),
     /** Most workers deny for a while, and each ticket would be tried again. */
-    WORKERS_DENY(Loads::workersDeny),
+    WORKERS_DENY(WorkloadFaults::workersReject),
     /** Most machines start with their clocks off, some by the same, some each by its own. */
-    CLOCKS_OFF(Ways::clocksOff),
+    CLOCKS_OFF(NetworkFaults::clocksSkewed),
     /** A daemon is flooded with copies of frames of one whose clock runs ahead within the skew. */
-    OVERFLOW_STORM(Ways::overflowStorm),
+    OVERFLOW_STORM(NetworkFaults::overflowStorm),
     /** A region hears the others and is not heard, or the other way round. */
-    ONE_WAY_CUT(Ways::oneWayCut),
+    ONE_WAY_CUT(NetworkFaults::oneWayPartition),
     /** The links between regions take several times the skew that clocks are allowed. */
-    LINKS_SLOW(Ways::linksSlow),
+    LINKS_SLOW(NetworkFaults::slowLinks),
     /** A worker limps while a crowd is here. */
-    WORKER_LIMPS(Loads::workerLimps),
+    WORKER_LIMPS(WorkloadFaults::workerSlowUnderLoad),
     /** At full load the mix swings from long prompts to long replies and back. */
-    MIX_SWINGS(Loads::mixSwings),
+    MIX_SWINGS(WorkloadFaults::mixSwings),
     /** Two operators race on a zone, again and again. */
-    OPERATORS_RACE(Orders::operatorsRace),
+    OPERATORS_RACE(OperatorFaults::operatorsRace),
     /** Operators race on configurations, eight orders under way at once, answers lost, orders sent again late. */
-    CONFIGURATIONS_RACE(Orders::configurationsRace),
+    CONFIGURATIONS_RACE(OperatorFaults::configurationsRace),
     /** Tenants' homes change, and a tenant is taken away, while tickets queue, run and are kept; then it is as before. */
-    TENANTS_MOVE(Orders::tenantsMove),
+    TENANTS_MOVE(OperatorFaults::tenantHomesChange),
     /** The table grows by thousands of rows. */
-    TABLE_GROWS(Orders::tableGrows),
+    TABLE_GROWS(OperatorFaults::tableGrows),
     /** A gateway freezes between a pick and the hand-over of its ticket. */
-    FROZEN_AT_PICK(Aims::frozenAtPick),
+    FROZEN_AT_PICK(TargetedFaults::frozenAtPlacement),
     /** A gateway freezes as it claims a key. */
-    FROZEN_AT_CLAIM(Aims::frozenAtClaim),
+    FROZEN_AT_CLAIM(TargetedFaults::frozenAtClaim),
     /** A gateway freezes between its last look and the first byte to the worker; the zone is drained and the worker leaves meanwhile. */
-    FROZEN_AT_ASK(Aims::frozenAtAsk),
+    FROZEN_AT_ASK(TargetedFaults::frozenAtSend),
     /** A gateway freezes in the middle of a stream. */
-    FROZEN_AT_PIECE(Aims::frozenAtPiece),
+    FROZEN_AT_PIECE(TargetedFaults::frozenAtChunk),
     /** The head freezes between its sync and passing on. */
-    FROZEN_AT_HEAD(Aims::frozenAtHead),
+    FROZEN_AT_HEAD(TargetedFaults::frozenAtHead),
     /** The tail freezes between its sync and the acknowledgement. */
-    FROZEN_AT_TAIL(Aims::frozenAtTail),
+    FROZEN_AT_TAIL(TargetedFaults::frozenAtTail),
     /** Gateways are killed at each step of a ticket. */
-    KILLED_AT_STEPS(Aims::killedAtSteps),
+    KILLED_AT_STEPS(TargetedFaults::killedAtSteps),
     /** The head and then the tail lose their power just after a sync. */
-    KILLED_AT_SYNC(Aims::killedAtSync),
+    KILLED_AT_SYNC(TargetedFaults::killedAtSync),
     /** Two of the three controllers lose their disks while the third is cut off, and try to found anew. */
-    REFOUNDING(Blows::refounding);
+    REFOUNDING(ProcessFaults::rebootstrap);
 
-    private final Hit hit;
+    private final Injection injection;
 
-    Fault(final Hit hit) {
-        this.hit = hit;
+    Fault(final Injection hit) {
+        this.injection = hit;
     }
 
-    void hit(final World w, final long span) {
-        hit.at(w, span);
+    void injection(final World world, final long duration) {
+        injection.inject(world, duration);
     }
 
     /** Whether it takes a disk away for good; the core bears one such loss at a time. */
-    boolean loss() {
+    boolean losesDisk() {
         return this == HARBOR_WIPED || this == HARBOR_SWAPPED || this == HARBORS_SWAPPED || this == REFOUNDING;
     }
 
     /** What is done to a world, for so many microseconds. */
-    private interface Hit {
-        void at(World w, long span);
+    private interface Injection {
+        void inject(World world, long duration);
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/Step.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/InjectionPoint.java
@@ -1,17 +1,17 @@
 package silverlatch.simulation.sim;
 
 /** The steps of a ticket and of a change at which a fault can be aimed. */
-public enum Step {
+public enum InjectionPoint {
     /** A gateway made a pick; its ticket is not handed over yet. */
-    PICKED,
+    PLACED,
     /** A gateway is about to claim a key. */
-    CLAIMS,
+    CLAIMING,
     /** A gateway had its last look; no byte went to the worker yet. */
-    ASKS,
+    SENDING,
     /** A gateway passes a piece on. */
-    PIECE,
+    STREAMING,
     /** The head synced a change that it has not passed on. */
-    HEAD,
+    HEAD_SYNCED,
     /** The tail synced a change that it has not acknowledged. */
-    TAIL
+    TAIL_SYNCED
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/Mark.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Invariant.java
@@ -1,7 +1,7 @@
 package silverlatch.simulation.sim;
 
 /** What the observer holds a day against: one mark for each harm, so that one check can't stand in for another. */
-public enum Mark {
+public enum Invariant {
     /** A ticket or a key runs twice. */
     TWICE,
     /** A ticket that was told to be rejected ran or runs. */
--- a/simulation/src/main/java/silverlatch/simulation/sim/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Main.java
@@ -24,13 +24,13 @@
 
 /** Runs many days. Ends with 0 when all are right, 1 when a day is wrong or a check was put to no test, 2 on wrong use. */
 public final class Main {
-    private static final int MANY = 100;
+    private static final int MIN_SCENARIOS_FOR_COVERAGE = 100;
 
     @Argument(index = 0, metaVar = "PLAN-FOLDER", required = true, usage = "folder with a plan.json")
     private String plan = "";
 
     @Argument(index = 1, metaVar = "FIRST-SEED", required = true, usage = "a whole number")
-    private String first = "";
+    private String firstSeed = "";
 
     @Argument(index = 2, metaVar = "COUNT", required = true, usage = "how many seeds, 1 to 100000")
     private String count = "";
@@ -42,15 +42,15 @@
     private String rate = "60";
 
     @Option(name = "--down", metaVar = "GUARDS", usage = "guards to let down, joined by commas")
-    private String down = "";
+    private String disabledSafeguards = "";
 
     @Option(name = "--loud", usage = "print the story and the daemons' logs; one day at a time")
-    private boolean loud;
+    private boolean verbose;
 
     @Option(name = "--shrink", usage = "cut each wrong day down to the fewest faults that still show it")
     private boolean shrink;
 
-    private final List<String> wrongs = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
 
     private Main() {}
 
@@ -60,7 +60,7 @@
     }
 
     /** What wrong words end with. */
-    static int wrong(final String[] args) throws Exception {
+    static int exitCode(final String[] args) throws Exception {
         return new Main().run(args);
     }
 
@@ -69,135 +69,138 @@
         final CmdLineParser parser = new CmdLineParser(this);
         try {
             parser.parseArgument(args);
-        } catch (final CmdLineException e) {
-            System.err.println(e.getMessage());
+        } catch (final CmdLineException failure) {
+            System.err.println(failure.getMessage());
             System.err.print("usage: days");
             parser.printSingleLineUsage(System.err);
             System.err.println();
             return 2;
         }
-        final long seed = whole("FIRST-SEED", first, 0, Long.MAX_VALUE / 8192);
-        final long days = whole("COUNT", count, 1, 100_000);
-        final long load = whole("--rate", rate, 1, 5_000);
+        final long seed = parseNumber("FIRST-SEED", firstSeed, 0, Long.MAX_VALUE / 8192);
+        final long days = parseNumber("COUNT", count, 1, 100_000);
+        final long requestsPerSecond = parseNumber("--rate", rate, 1, 5_000);
         final List<Fault> named =
-                faults.equals("drawn") || faults.equals("each") ? List.of() : named("FAULTS", faults, Fault.class);
-        final Safeguards guards =
-                new Safeguards(Set.copyOf(down.isEmpty() ? List.of() : named("--down", down, Safeguard.class)));
-        final List<Plan> read = new ArrayList<>();
+                faults.equals("drawn") || faults.equals("each") ? List.of() : parseNames("FAULTS", faults, Fault.class);
+        final Safeguards safeguards = new Safeguards(Set.copyOf(
+                disabledSafeguards.isEmpty() ? List.of() : parseNames("--down", disabledSafeguards, Safeguard.class)));
+        final List<Plan> plans = new ArrayList<>();
         try {
             if (Files.isRegularFile(Path.of(plan, "plan.json"))) {
-                read.add(Plan.read(Path.of(plan)));
+                plans.add(Plan.read(Path.of(plan)));
             } else {
-                wrongs.add("PLAN-FOLDER: there is no plan.json in " + plan);
+                errors.add("PLAN-FOLDER: there is no plan.json in " + plan);
             }
-        } catch (final IOException e) {
-            wrongs.add("PLAN-FOLDER: " + plan + "/plan.json: " + e.getMessage());
+        } catch (final IOException failure) {
+            errors.add("PLAN-FOLDER: " + plan + "/plan.json: " + failure.getMessage());
         }
-        if (!wrongs.isEmpty()) {
-            wrongs.forEach(System.err::println);
+        if (!errors.isEmpty()) {
+            errors.forEach(System.err::println);
             return 2;
         }
-        final List<Day.Script> scripts = new ArrayList<>();
-        for (long s = seed; s < seed + days; s++) {
-            final long mine = s;
+        final List<Day.Scenario> scenarios = new ArrayList<>();
+        for (long currentSeed = seed; currentSeed < seed + days; currentSeed++) {
+            final long scenarioSeed = currentSeed;
             switch (faults) {
-                case "drawn" -> scripts.add(Day.Script.drawn(mine, load));
+                case "drawn" -> scenarios.add(Day.Scenario.drawn(scenarioSeed, requestsPerSecond));
                 case "each" ->
-                    Arrays.stream(Fault.values()).forEach(f -> scripts.add(Day.Script.of(mine, List.of(f), load)));
-                default -> scripts.add(Day.Script.of(mine, named, load));
+                    Arrays.stream(Fault.values())
+                            .forEach(f -> scenarios.add(Day.Scenario.of(scenarioSeed, List.of(f), requestsPerSecond)));
+                default -> scenarios.add(Day.Scenario.of(scenarioSeed, named, requestsPerSecond));
             }
         }
-        return sweep(read.get(0), scripts, guards);
+        return sweep(plans.get(0), scenarios, safeguards);
     }
 
-    private int sweep(final Plan what, final List<Day.Script> scripts, final Safeguards guards) throws Exception {
+    private int sweep(final Plan plan, final List<Day.Scenario> scenarios, final Safeguards safeguards)
+            throws Exception {
         final ExecutorService pool =
-                Executors.newFixedThreadPool(loud ? 1 : Runtime.getRuntime().availableProcessors(), r -> {
-                    final Thread t = new Thread(r, "days");
-                    t.setDaemon(true);
-                    return t;
+                Executors.newFixedThreadPool(verbose ? 1 : Runtime.getRuntime().availableProcessors(), task -> {
+                    final Thread thread = new Thread(task, "days");
+                    thread.setDaemon(true);
+                    return thread;
                 });
-        final List<Future<Day.Came>> days = scripts.stream()
-                .map(s -> pool.submit(() -> Day.run(what, s, guards, loud)))
+        final List<Future<Day.Result>> days = scenarios.stream()
+                .map(s -> pool.submit(() -> Day.run(plan, s, safeguards, verbose)))
                 .toList();
-        int wrong = 0;
-        final Map<String, Long> sum = new TreeMap<>();
-        for (final Future<Day.Came> day : days) {
-            final Day.Came came = day.get();
-            add(sum, came.tally());
-            if (!came.wrong().isEmpty()) {
-                wrong++;
-                System.out.println(
-                        "seed " + came.script().seed() + " " + came.script().faults());
-                came.story().forEach(s -> System.out.println("    " + s));
-                came.wrong().stream().limit(6).forEach(s -> System.out.println("  WRONG " + s));
+        int wrongDays = 0;
+        final Map<String, Long> totals = new TreeMap<>();
+        for (final Future<Day.Result> day : days) {
+            final Day.Result result = day.get();
+            accumulate(totals, result.counters());
+            if (!result.violations().isEmpty()) {
+                wrongDays++;
+                System.out.println("seed " + result.scenario().seed() + " "
+                        + result.scenario().faults());
+                result.timeline().forEach(s -> System.out.println("    " + s));
+                result.violations().stream().limit(6).forEach(s -> System.out.println("  WRONG " + s));
                 if (shrink) {
-                    System.out.println(
-                            "  fewest faults: " + fewest(what, came, guards).faults());
+                    System.out.println("  fewest faults: "
+                            + shrinkScenario(plan, result, safeguards).faults());
                 }
             }
         }
         pool.shutdown();
-        sum.forEach((k, v) -> System.out.println("  " + k + " " + v));
-        final List<Mark> untried = scripts.size() < MANY
+        totals.forEach((k, v) -> System.out.println("  " + k + " " + v));
+        final List<Invariant> notExercised = scenarios.size() < MIN_SCENARIOS_FOR_COVERAGE
                 ? List.of()
-                : Arrays.stream(Mark.values())
-                        .filter(m -> !sum.containsKey("test-" + m))
+                : Arrays.stream(Invariant.values())
+                        .filter(m -> !totals.containsKey("test-" + m))
                         .toList();
-        if (!untried.isEmpty()) {
-            System.out.println("put to no test: " + untried);
+        if (!notExercised.isEmpty()) {
+            System.out.println("put to no test: " + notExercised);
         }
-        System.out.println(days.size() + " days, " + wrong + " wrong");
-        return wrong == 0 && untried.isEmpty() ? 0 : 1;
+        System.out.println(days.size() + " days, " + wrongDays + " wrong");
+        return wrongDays == 0 && notExercised.isEmpty() ? 0 : 1;
     }
 
     /** The day without each fault that is not needed for the mark it shows. */
-    static Day.Script fewest(final Plan what, final Day.Came came, final Safeguards guards) {
-        final String mark = came.wrong().get(0).split(" ")[0];
-        Day.Script best = came.script();
+    static Day.Scenario shrinkScenario(final Plan plan, final Day.Result result, final Safeguards safeguards) {
+        final String invariant = result.violations().get(0).split(" ")[0];
+        Day.Scenario best = result.scenario();
         for (int i = best.faults().size() - 1; i >= 0; i--) {
-            final List<Fault> less = new ArrayList<>(best.faults());
-            less.remove(i);
-            final Day.Script next = new Day.Script(best.seed(), less, best.rate(), best.lying());
-            if (Day.run(what, next, guards, false).wrong().stream().anyMatch(w -> w.startsWith(mark + " "))) {
-                best = next;
+            final List<Fault> fewerFaults = new ArrayList<>(best.faults());
+            fewerFaults.remove(i);
+            final Day.Scenario candidate = new Day.Scenario(best.seed(), fewerFaults, best.rate(), best.lyingDisks());
+            if (Day.run(plan, candidate, safeguards, false).violations().stream()
+                    .anyMatch(w -> w.startsWith(invariant + " "))) {
+                best = candidate;
             }
         }
         return best;
     }
 
     /** Adds a day's counts to those of a sweep: the largest of what is a largest, the sum of all else. */
-    static void add(final Map<String, Long> sum, final Map<String, Long> day) {
-        day.forEach((k, v) -> sum.merge(k, v, k.startsWith("most-") ? Math::max : Long::sum));
+    static void accumulate(final Map<String, Long> totals, final Map<String, Long> dayCounters) {
+        dayCounters.forEach((k, v) -> totals.merge(k, v, k.startsWith("most-") ? Math::max : Long::sum));
     }
 
-    private long whole(final String place, final String text, final long low, final long high) {
+    private long parseNumber(final String argument, final String text, final long least, final long most) {
         try {
-            final long n = Long.parseLong(text);
-            if (n >= low && n <= high) {
-                return n;
+            final long number = Long.parseLong(text);
+            if (number >= least && number <= most) {
+                return number;
             }
-        } catch (final NumberFormatException e) {
-            wrongs.add(place + ": not a whole number: " + text);
-            return low;
+        } catch (final NumberFormatException failure) {
+            errors.add(argument + ": not a whole number: " + text);
+            return least;
         }
-        wrongs.add(place + ": " + text + " is not within " + low + " and " + high);
-        return low;
+        errors.add(argument + ": " + text + " is not within " + least + " and " + most);
+        return least;
     }
 
-    private <E extends Enum<E>> List<E> named(final String place, final String text, final Class<E> type) {
-        final Map<String, E> all =
+    private <E extends Enum<E>> List<E> parseNames(final String argument, final String text, final Class<E> type) {
+        final Map<String, E> byName =
                 EnumSet.allOf(type).stream().collect(Collectors.toMap(Enum::name, e -> e, (a, b) -> a, TreeMap::new));
-        final List<E> list = new ArrayList<>();
+        final List<E> parsed = new ArrayList<>();
         final String[] names = text.split(",", -1);
         for (int i = 0; i < names.length; i++) {
-            if (all.containsKey(names[i])) {
-                list.add(all.get(names[i]));
+            if (byName.containsKey(names[i])) {
+                parsed.add(byName.get(names[i]));
             } else {
-                wrongs.add(place + "[" + i + "]: no " + type.getSimpleName().toLowerCase(java.util.Locale.ROOT) + " "
-                        + names[i] + "; there are " + all.keySet());
+                errors.add(argument + "[" + i + "]: no " + type.getSimpleName().toLowerCase(java.util.Locale.ROOT) + " "
+                        + names[i] + "; there are " + byName.keySet());
             }
         }
-        return list;
+        return parsed;
     }
 }
--- /dev/null
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Observer.java
@@ -0,0 +1,259 @@
+package silverlatch.simulation.sim;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.EnumMap;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * The observer: it sees what workers ran, what consumers and operators were told, and nothing of what the daemons say
+ * of themselves. Times are true time. For each mark it counts how often it was put to the test.
+ */
+public final class Observer {
+    private static final long SECOND = 1_000_000L;
+    private static final long WINDOW = 10 * SECOND;
+    private final java.util.function.LongSupplier trueTime;
+    private final List<String> violations = new ArrayList<>();
+    private final Map<String, Long> counters = new TreeMap<>();
+    private final Map<Invariant, Long> exercised = new EnumMap<>(Invariant.class);
+    private final Map<String, Integer> startsByRequest = new HashMap<>();
+    private final Map<String, String> requestByKey = new HashMap<>();
+    private final Map<String, String> outcomes = new HashMap<>();
+    private final Map<String, Long> leaves = new HashMap<>();
+    private final Map<String, Long> coldSince = new HashMap<>();
+    private final Map<String, Map<String, Boolean>> keysByTenant = new HashMap<>();
+    private final OperatorHistory operatorHistory = new OperatorHistory(this);
+    private final List<CompletedRequest> completed = new ArrayList<>();
+    private final Deque<Attempt> attempts = new ArrayDeque<>();
+    private final Map<String, Long> outcomesByKind = new TreeMap<>();
+    private final Map<String, List<Long>> firstChunkTimes = new TreeMap<>();
+    private int extraAttempts;
+
+    private record CompletedRequest(String tenant, long time) {}
+
+    private record Attempt(long time, boolean extra) {}
+
+    /** An observer who reads true time off the clock. */
+    public Observer(final java.util.function.LongSupplier clock) {
+        this.trueTime = clock;
+    }
+
+    long now() {
+        return trueTime.getAsLong();
+    }
+
+    /** A run as the worker and the consumer know it. */
+    public record Run(
+            String requestId,
+            String tenant,
+            String kind,
+            String idempotencyKey,
+            String worker,
+            String zone,
+            String region,
+            String gateway,
+            String gatewayRegion,
+            long revision) {}
+
+    /** What operators were told, held against what came of it. */
+    public OperatorHistory operatorHistory() {
+        return operatorHistory;
+    }
+
+    /** All that was found wrong. */
+    public List<String> violations() {
+        return List.copyOf(violations);
+    }
+
+    /** Counts of what happened. */
+    public Map<String, Long> counters() {
+        final Map<String, Long> all = new TreeMap<>(counters);
+        exercised.forEach((m, n) -> all.put("test-" + m, n));
+        return all;
+    }
+
+    /** Counts one thing. */
+    public void count(final String what) {
+        counters.merge(what, 1L, Long::sum);
+    }
+
+    /** Keeps the largest of a thing. */
+    public void recordMaximum(final String what, final long value) {
+        counters.merge("most-" + what, value, Math::max);
+    }
+
+    /** A mark was put to the test. */
+    public void exercise(final Invariant invariant) {
+        exercised.merge(invariant, 1L, Long::sum);
+    }
+
+    /** A mark was hit. */
+    public void violated(final Invariant invariant, final String text) {
+        if (violations.size() < 50) {
+            violations.add(invariant + " " + text);
+        }
+    }
+
+    /** A worker started a run. */
+    public void runStarted(final Run run, final long now) {
+        count("runs");
+        if (!run.gatewayRegion().equals(run.region())) {
+            count("crossings");
+        }
+        if (startsByRequest.merge(run.requestId(), 1, Integer::sum) > 1) {
+            violated(
+                    Invariant.TWICE,
+                    "ticket " + run.requestId() + " ran " + startsByRequest.get(run.requestId()) + " times");
+        }
+        if (!run.idempotencyKey().isEmpty()) {
+            final String name = run.tenant() + "|" + run.idempotencyKey();
+            final String earlier = requestByKey.getOrDefault(name, run.requestId());
+            requestByKey.putIfAbsent(name, run.requestId());
+            if (!earlier.equals(run.requestId())) {
+                violated(
+                        Invariant.TWICE,
+                        "key " + run.idempotencyKey() + " ran as " + earlier + " and as " + run.requestId());
+            }
+        }
+        if (outcomes.getOrDefault(run.requestId(), "").equals("rejected")) {
+            violated(Invariant.REJECTED, "ticket " + run.requestId() + " runs after it was rejected");
+        }
+        final long drainStart = leaves.getOrDefault(run.worker(), Long.MAX_VALUE / 2);
+        leaves.values().stream()
+                .filter(t -> now - t > 3 * SECOND && now - t < 8 * SECOND)
+                .findFirst()
+                .ifPresent(t -> exercise(Invariant.LEAVE));
+        if (now > drainStart) {
+            recordMaximum("leaveMs", (now - drainStart) / 1000);
+        }
+        if (now - drainStart > 3 * SECOND) {
+            violated(
+                    Invariant.LEAVE,
+                    "worker " + run.worker() + " got ticket " + run.requestId() + " " + (now - drainStart) / 1000
+                            + " ms after it said it leaves");
+        }
+        operatorHistory.runStarted(run, now);
+    }
+
+    /** A run was sent to a worker: a first one, or one more. */
+    public void attemptSent(final String tenant, final String idempotencyKey, final boolean isRetry, final long now) {
+        final boolean keySeen = !idempotencyKey.isEmpty()
+                && keysByTenant.computeIfAbsent(tenant, k -> new HashMap<>()).putIfAbsent(idempotencyKey, true) != null;
+        final boolean isExtra = isRetry || keySeen;
+        attempts.add(new Attempt(now, isExtra));
+        extraAttempts += isExtra ? 1 : 0;
+        while (attempts.peek().time() < now - WINDOW) {
+            extraAttempts -= attempts.poll().extra() ? 1 : 0;
+        }
+        if (isExtra) {
+            count("extras");
+        }
+        if (attempts.size() >= 200) {
+            if (extraAttempts > 0) {
+                exercise(Invariant.TRIES);
+            }
+            recordMaximum("extrasPerMille", 1000L * extraAttempts / attempts.size());
+            if (extraAttempts > 0.2 * attempts.size() + 2) {
+                violated(
+                        Invariant.TRIES,
+                        extraAttempts + " of " + attempts.size() + " runs of ten seconds were extra tries");
+            }
+        }
+    }
+
+    /** A consumer was told how its ticket ended. */
+    public void requestEnded(final String requestId, final String tenant, final String outcome, final long now) {
+        count(outcome);
+        outcomes.put(requestId, outcome);
+        if (outcome.equals("done")) {
+            completed.add(new CompletedRequest(tenant, now));
+        }
+        if (outcome.equals("rejected") && startsByRequest.containsKey(requestId)) {
+            violated(Invariant.REJECTED, "ticket " + requestId + " was rejected and had run");
+        }
+        if (outcome.equals("done") && !startsByRequest.containsKey(requestId)) {
+            violated(Invariant.FOREIGN, "ticket " + requestId + " is done and never ran");
+        }
+    }
+
+    /** A late copy of a ticket was handed over. */
+    public void duplicateSent(final String requestId) {
+        count("twins");
+        exercise(Invariant.TWICE);
+        if (outcomes.getOrDefault(requestId, "").equals("rejected")) {
+            exercise(Invariant.REJECTED);
+        }
+    }
+
+    /** A worker says that it leaves, or comes anew. */
+    public void leaves(final String worker, final boolean draining, final long now) {
+        if (draining) {
+            leaves.putIfAbsent(worker, now);
+        } else {
+            leaves.remove(worker);
+        }
+    }
+
+    /** A worker came back cold. */
+    public void workerRestarted(final String worker, final long now) {
+        coldSince.put(worker, now);
+    }
+
+    /**
+     * How many runs a worker has at once. A worker that is warm by a part can read and write for that part of its slots;
+     * what is above only waits, but each gateway may send one that the worker's last word did not count yet. More is a flood.
+     */
+    public void workerLoad(
+            final String worker, final int running, final int slots, final int gateways, final long now) {
+        final long warmingFor = now - coldSince.getOrDefault(worker, -60 * SECOND);
+        if (warmingFor < 6 * SECOND) {
+            final double warmShare = Math.min(1, 0.1 + 0.9 * warmingFor / (6.0 * SECOND));
+            final double allowed = slots * warmShare + gateways;
+            count("coldRuns");
+            exercise(Invariant.COLD);
+            recordMaximum("coldPerMille", Math.round(1000 * running / allowed));
+            if (running > allowed) {
+                violated(
+                        Invariant.COLD,
+                        "worker " + worker + " has " + running + " runs " + warmingFor / 1000
+                                + " ms after it came back cold");
+            }
+        }
+    }
+
+    /** How a ticket of a kind and tenant ended, and when its first piece came. */
+    public void requestOutcome(
+            final String kind, final String tenant, final String outcome, final long firstChunkMicros) {
+        outcomesByKind.merge(kind + " " + outcome, 1L, Long::sum);
+        outcomesByKind.merge("tenant " + tenant + " " + outcome, 1L, Long::sum);
+        if (outcome.equals("done")) {
+            firstChunkTimes.computeIfAbsent(kind, k -> new ArrayList<>()).add(firstChunkMicros);
+        }
+    }
+
+    /** Ends by kind and by tenant. */
+    public Map<String, Long> outcomesByKind() {
+        return Map.copyOf(outcomesByKind);
+    }
+
+    /** Microseconds to the first piece, of a kind's tickets that were done, in order. */
+    public List<Long> firstChunkTimes(final String kind) {
+        return firstChunkTimes.getOrDefault(kind, List.of()).stream().sorted().toList();
+    }
+
+    /** How many tickets were done between two times. */
+    public long completedBetween(final long from, final long to) {
+        return completed.stream().filter(d -> d.time() >= from && d.time() < to).count();
+    }
+
+    /** How many tickets of a tenant were done between two times. */
+    public long completedBetween(final String tenant, final long from, final long to) {
+        return completed.stream()
+                .filter(d -> d.time() >= from && d.time() < to && d.tenant().equals(tenant))
+                .count();
+    }
+}
--- /dev/null
+++ b/simulation/src/main/java/silverlatch/simulation/sim/OperatorFaults.java
@@ -0,0 +1,48 @@
+package silverlatch.simulation.sim;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** What operators do to each other and to tickets under way. */
+final class OperatorFaults {
+    private OperatorFaults() {}
+
+    static void zoneDrained(final World world, final long duration) {
+        final String zone = world.randomOf(world.plan().regions()).zone();
+        world.operators().drain(zone, true);
+        world.disturbLater(duration + 6_000_000, () -> world.operators().drain(zone, false));
+    }
+
+    static void operatorsRace(final World world, final long duration) {
+        final String zone = world.randomOf(world.plan().regions()).zone();
+        for (int i = 0; i < 4; i++) {
+            world.disturbLater(i * 700_000L, () -> world.operators().raceOnZone(zone));
+        }
+        world.disturbLater(duration + 10_000_000, () -> world.operators().drain(zone, false));
+    }
+
+    static void tenantHomesChange(final World world, final long duration) {
+        final List<World.Tenant> tenants = new ArrayList<>(world.tenants());
+        final World.Tenant moved = tenants.remove(world.scheduler().random().nextInt(tenants.size()));
+        final World.Tenant removed = world.randomOf(tenants);
+        final String region = world.randomOf(world.plan().regions()).region();
+        world.setClientsMoving(true);
+        world.operators().changeHomes(moved, List.of(region));
+        world.disturbLater(500_000, () -> world.operators().removeTenant(removed));
+        world.disturbLater(duration + 6_000_000, () -> {
+            world.operators().changeHomes(moved, moved.homeRegions());
+            world.operators().changeHomes(removed, removed.homeRegions());
+            world.setClientsMoving(false);
+        });
+    }
+
+    /** Some three hundred configurations, with whatever else goes on. */
+    static void configurationsRace(final World world, final long duration) {
+        world.record("operators race on configurations");
+        world.operators().configurations().run(duration + 20_000_000);
+    }
+
+    static void tableGrows(final World world, final long duration) {
+        world.operators().growTable(3_000);
+    }
+}
--- /dev/null
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ProcessFaults.java
@@ -0,0 +1,182 @@
+package silverlatch.simulation.sim;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import silverlatch.simulation.fleet.Plan;
+
+/** What happens to daemons and their disks, alone, in a region, or all at once. */
+final class ProcessFaults {
+    private ProcessFaults() {}
+
+    static void gatewayKilled(final World world, final long duration) {
+        final SimulatedNode node = world.randomOf(world.gateways());
+        world.record("kill " + node.name());
+        node.kill();
+        world.disturbLater(duration, node::start);
+    }
+
+    static void gatewaysKilled(final World world, final long duration) {
+        final List<SimulatedNode> killed = randomSubset(world, world.gateways());
+        world.record("kill " + killed.stream().map(SimulatedNode::name).toList());
+        killed.forEach(SimulatedNode::kill);
+        killed.forEach(n ->
+                world.disturbLater(duration / 2 + world.scheduler().random().nextLong(duration), n::start));
+    }
+
+    static void gatewayFrozen(final World world, final long duration) {
+        final SimulatedNode node = world.randomOf(world.gateways());
+        world.record("freeze " + node.name());
+        node.freeze(true);
+        world.disturbLater(duration, () -> node.freeze(false));
+    }
+
+    static void gatewayStopped(final World world, final long duration) {
+        final SimulatedNode node = world.randomOf(world.gateways());
+        world.record("stop " + node.name());
+        node.stop();
+        world.disturbLater(duration + 5_000_000, node::start);
+    }
+
+    static void controllerKilled(final World world, final long duration) {
+        final SimulatedNode node = world.randomOf(world.controllers());
+        world.record("kill " + node.name());
+        node.kill();
+        world.disturbLater(duration, node::start);
+    }
+
+    static void controllerStopped(final World world, final long duration) {
+        final SimulatedNode node = world.randomOf(world.controllers());
+        world.record("stop " + node.name());
+        node.stop();
+        world.disturbLater(duration + 5_000_000, node::start);
+    }
+
+    static void allRestartedInTurn(final World world, final long duration) {
+        world.record("stop every daemon");
+        final List<SimulatedNode> nodes = new ArrayList<>(world.controllers());
+        nodes.addAll(world.gateways());
+        long delay = 0;
+        for (final SimulatedNode node : nodes) {
+            world.disturbLater(delay, node::stop);
+            world.disturbLater(delay + 20_000_000, node::start);
+            delay += 1_000_000;
+        }
+        world.disturbLater(delay + 20_000_000, () -> world.recovered(""));
+    }
+
+    static void controllerWiped(final World world, final long duration) {
+        final SimulatedNode node = world.randomOf(world.controllers());
+        world.record("wipe " + node.name());
+        node.kill();
+        node.disk().ifPresent(SimulatedDisk::wipe);
+        world.disturbLater(duration, node::start);
+    }
+
+    static void controllerFrozen(final World world, final long duration) {
+        final SimulatedNode node = world.randomOf(world.controllers());
+        world.record("freeze " + node.name());
+        node.freeze(true);
+        world.disturbLater(duration, () -> node.freeze(false));
+    }
+
+    static void diskStalled(final World world, final long duration) {
+        final SimulatedNode node = world.randomOf(world.controllers());
+        world.record("stall " + node.name());
+        node.disk().ifPresent(d -> d.stall(true));
+        world.disturbLater(duration, () -> node.disk().ifPresent(d -> d.stall(false)));
+    }
+
+    static void diskFull(final World world, final long duration) {
+        final SimulatedNode node = world.randomOf(world.controllers());
+        world.record("full " + node.name());
+        node.disk().ifPresent(d -> d.full(true));
+        world.disturbLater(duration, () -> node.disk().ifPresent(d -> d.full(false)));
+    }
+
+    static void diskSlow(final World world, final long duration) {
+        final SimulatedNode node = world.randomOf(world.controllers());
+        world.record("limp " + node.name());
+        node.disk().ifPresent(d -> d.slowDown(60));
+        world.disturbLater(duration, () -> node.disk().ifPresent(d -> d.slowDown(1)));
+    }
+
+    static void controllerReplaced(final World world, final long duration) {
+        final SimulatedNode node = world.randomOf(world.controllers());
+        world.record(
+                "swap " + node.name() + " for " + world.replaceController(node).name());
+    }
+
+    static void controllersReplaced(final World world, final long duration) {
+        replaceOneByOne(world, new ArrayList<>(world.controllers()));
+    }
+
+    static void regionLost(final World world, final long duration) {
+        final Plan.Region region = world.randomOf(world.plan().regions());
+        world.record("lose " + region.region());
+        loseRegion(world, region.region());
+        world.disturbLater(duration, () -> restoreRegion(world, region.region()));
+    }
+
+    static void allKilled(final World world, final long duration) {
+        world.record("kill every daemon");
+        final List<SimulatedNode> nodes = new ArrayList<>(world.gateways());
+        nodes.addAll(world.controllers());
+        nodes.forEach(SimulatedNode::kill);
+        nodes.forEach(
+                n -> world.disturbLater(200_000 + world.scheduler().random().nextLong(duration), n::start));
+        world.disturbLater(200_000 + duration, () -> world.recovered(""));
+    }
+
+    static void rebootstrap(final World world, final long duration) {
+        final List<SimulatedNode> wiped =
+                world.controllers().subList(1, world.controllers().size());
+        final SimulatedNode survivor = world.controllers().get(0);
+        world.record(
+                "wipe " + wiped.stream().map(SimulatedNode::name).toList() + " with " + survivor.name() + " cut off");
+        final Runnable heal = world.network().isolate(Set.of(survivor.name()));
+        wiped.forEach(node -> {
+            node.kill();
+            node.disk().ifPresent(SimulatedDisk::wipe);
+            node.start();
+        });
+        world.disturbLater(duration, heal);
+    }
+
+    static void loseRegion(final World world, final String region) {
+        world.gateways().stream().filter(n -> n.region().equals(region)).forEach(SimulatedNode::kill);
+        world.controllers().stream().filter(n -> n.region().equals(region)).forEach(SimulatedNode::kill);
+        world.workers().stream().filter(m -> m.region().equals(region)).forEach(SimulatedWorker::kill);
+    }
+
+    static void restoreRegion(final World world, final String region) {
+        world.recovered(region);
+        world.record("back " + region);
+        world.gateways().stream().filter(n -> n.region().equals(region)).forEach(SimulatedNode::start);
+        world.controllers().stream().filter(n -> n.region().equals(region)).forEach(SimulatedNode::start);
+        world.workers().stream().filter(m -> m.region().equals(region)).forEach(SimulatedWorker::start);
+    }
+
+    static void replaceOneByOne(final World world, final List<SimulatedNode> remaining) {
+        world.losingDisksUntil(remaining.isEmpty() ? 0 : 60_000_000);
+        if (remaining.isEmpty()) {
+            return;
+        }
+        if (world.isChainComplete()) {
+            final SimulatedNode node = remaining.remove(0);
+            world.record("swap " + node.name() + " for "
+                    + world.replaceController(node).name());
+        }
+        world.disturbLater(3_000_000, () -> replaceOneByOne(world, remaining));
+    }
+
+    static List<SimulatedNode> randomSubset(final World world, final List<SimulatedNode> nodes) {
+        final List<SimulatedNode> chosen = new ArrayList<>();
+        for (final SimulatedNode node : nodes) {
+            if (world.scheduler().random().nextBoolean()) {
+                chosen.add(node);
+            }
+        }
+        return chosen;
+    }
+}
