--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
@@ -33,38 +33,38 @@
 
 /** A daemon in the simulator: the shipping deck and, for a gateway, the shipping carry, with fakes for the world around. */
 final class SimulatedNode {
-    private static final long BEAT = 20_000L;
-    private static final long SKEW = 50_000L;
-    private static final long DRAGGED = 80_000L;
-    private static final long EPOCH = 1_790_000_000_000_000L;
+    private static final long TICK_INTERVAL = 20_000L;
+    private static final long MAX_CLOCK_SKEW = 50_000L;
+    private static final long MAX_CLOCK_LEAD = 80_000L;
+    private static final long WALL_CLOCK_START = 1_790_000_000_000_000L;
     private final World world;
     private final String name;
     private final String zone;
     private final String region;
     private final String address;
     private final List<String> seeds;
-    private final Optional<Disk> disk;
+    private final Optional<SimulatedDisk> disk;
     private boolean recovering;
     private final long skew;
-    private final Map<Long, Consumer<Object>> asked = new HashMap<>();
-    private final Map<Long, Consumer<DispatchEffect>> calls = new HashMap<>();
-    private final Map<Long, Consumer<String>> jobs = new HashMap<>();
-    private final List<Runnable> frozen = new ArrayList<>();
-    private final Map<Event, Long> logs = new HashMap<>();
-    private Optional<Node> deck = Optional.empty();
-    private Optional<Dispatcher> carry = Optional.empty();
-    private Optional<ClusterSnapshot> facts = Optional.empty();
-    private long epoch;
-    private long base;
-    private double rate = 1;
+    private final Map<Long, Consumer<Object>> pendingAnswers = new HashMap<>();
+    private final Map<Long, Consumer<DispatchEffect>> openCalls = new HashMap<>();
+    private final Map<Long, Consumer<String>> openRuns = new HashMap<>();
+    private final List<Runnable> deferredTasks = new ArrayList<>();
+    private final Map<Event, Long> loggedEvents = new HashMap<>();
+    private Optional<Node> process = Optional.empty();
+    private Optional<Dispatcher> dispatcher = Optional.empty();
+    private Optional<ClusterSnapshot> clusterSnapshot = Optional.empty();
+    private long generation;
+    private long clockBase;
+    private double clockRate = 1;
     private long wall;
-    private boolean cold;
-    private long token;
+    private boolean frozen;
+    private long nextToken;
     private boolean ready;
-    private long top;
-    private long said;
-    private long life;
-    private long reset;
+    private long highestHeard;
+    private long highestSent;
+    private long incarnation;
+    private long clockResetAt;
 
     SimulatedNode(
             final World world,
@@ -80,8 +80,8 @@
         this.region = region;
         this.address = address;
         this.seeds = seeds;
-        this.skew = world.engine().luck().nextLong(30_000) - 15_000;
-        this.disk = disk ? Optional.of(new Disk(world.engine())) : Optional.empty();
+        this.skew = world.scheduler().random().nextLong(30_000) - 15_000;
+        this.disk = disk ? Optional.of(new SimulatedDisk(world.scheduler())) : Optional.empty();
     }
 
     String name() {
@@ -100,72 +100,72 @@
         return address;
     }
 
-    boolean controller() {
+    boolean isController() {
         return name.startsWith("controller");
     }
 
-    Optional<Disk> disk() {
+    Optional<SimulatedDisk> disk() {
         return disk;
     }
 
-    Optional<Node> deck() {
-        return deck;
+    Optional<Node> process() {
+        return process;
     }
 
-    Optional<Dispatcher> carry() {
-        return carry;
+    Optional<Dispatcher> dispatcher() {
+        return dispatcher;
     }
 
-    Optional<ClusterSnapshot> facts() {
-        return facts;
+    Optional<ClusterSnapshot> clusterSnapshot() {
+        return clusterSnapshot;
     }
 
-    boolean alive() {
-        return deck.isPresent();
+    boolean isAlive() {
+        return process.isPresent();
     }
 
     boolean ready() {
-        return ready && alive() && !cold;
+        return ready && isAlive() && !frozen;
     }
 
-    long logged(final Event e) {
-        return logs.getOrDefault(e, 0L);
+    long loggedCount(final Event event) {
+        return loggedEvents.getOrDefault(event, 0L);
     }
 
-    long epoch() {
-        return epoch;
+    long generation() {
+        return generation;
     }
 
     long now() {
-        return base + (long) (world.engine().now() * rate);
+        return clockBase + (long) (world.scheduler().now() * clockRate);
     }
 
     private long wall() {
-        return EPOCH * 1000 + (world.engine().now() + wall + skew) * 1000;
+        return WALL_CLOCK_START * 1000 + (world.scheduler().now() + wall + skew) * 1000;
     }
 
     /** The wall clock is off by so many microseconds from now on. */
-    void clock(final long off) {
-        wall = off;
+    void clock(final long offset) {
+        wall = offset;
     }
 
     void start() {
-        if (alive()) {
+        if (isAlive()) {
             return;
         }
-        epoch++;
-        top = 0;
-        said = 0;
-        reset = world.engine().now();
-        base = world.engine().luck().nextLong(1_000_000_000_000L);
-        rate = 1 + (world.engine().luck().nextDouble() - 0.5) * 1e-4;
-        asked.clear();
-        final List<String> around =
+        generation++;
+        highestHeard = 0;
+        highestSent = 0;
+        clockResetAt = world.scheduler().now();
+        clockBase = world.scheduler().random().nextLong(1_000_000_000_000L);
+        clockRate = 1 + (world.scheduler().random().nextDouble() - 0.5) * 1e-4;
+        pendingAnswers.clear();
+        final List<String> controllers =
                 world.controllers().stream().map(SimulatedNode::address).toList();
-        final List<String> seeds = around.stream().anyMatch(this.seeds::contains) ? this.seeds : around;
-        final Member me = new Member(
+        final List<String> seeds = controllers.stream().anyMatch(this.seeds::contains) ? this.seeds : controllers;
+        final Member member = new Member(
                 name,
-                controller() ? "controller" : "gateway",
+                isController() ? "controller" : "gateway",
                 zone,
                 region,
                 address,
@@ -174,226 +174,232 @@
                 0,
                 "up",
                 false);
-        final Optional<ChainReplica.ReplicaSettings> chain = disk.map(d -> {
-            return ChainReplica.ReplicaSettings.of(new Replica(d.identity(), address), seeds);
+        final Optional<ChainReplica.ReplicaSettings> chain = disk.map(simulatedDisk -> {
+            return ChainReplica.ReplicaSettings.of(new Replica(simulatedDisk.identity(), address), seeds);
         });
-        final Node made = new Node(
+        final Node started = new Node(
                 new Node.Settings(
-                        me, seeds, 7, 50_000, Membership.Settings.DEFAULTS, Gossip.Settings.DEFAULTS, world.guards()),
+                        member,
+                        seeds,
+                        7,
+                        50_000,
+                        Membership.Settings.DEFAULTS,
+                        Gossip.Settings.DEFAULTS,
+                        world.safeguards()),
                 chain,
-                disk.map(Disk::notes).orElse(List.of()),
+                disk.map(SimulatedDisk::records).orElse(List.of()),
                 new PhysicalClock(wall(), now(), 0),
-                world.engine().luck().split(),
+                world.scheduler().random().split(),
                 now());
-        deck = Optional.of(made);
-        if (!controller()) {
-            facts = Optional.of(made.facts());
-            carry = Optional.of(new Dispatcher(
-                    Dispatcher.Settings.DEFAULT.withSafeguards(world.guards()),
+        process = Optional.of(started);
+        if (!isController()) {
+            clusterSnapshot = Optional.of(started.facts());
+            dispatcher = Optional.of(new Dispatcher(
+                    Dispatcher.Settings.DEFAULT.withSafeguards(world.safeguards()),
                     new PermitSigner("simulated-cluster-key"),
-                    made.facts(),
-                    () -> made.localStamp(now()),
-                    world.engine().luck().split()));
+                    started.facts(),
+                    () -> started.localStamp(now()),
+                    world.scheduler().random().split()));
         }
-        beat(epoch);
+        scheduleTick(generation);
     }
 
     /** The process ends at once; with the power also what was not synced is gone. */
     void kill() {
-        if (!alive()) {
+        if (!isAlive()) {
             return;
         }
-        epoch++;
+        generation++;
         recovering = false;
-        deck = Optional.empty();
-        carry = Optional.empty();
+        process = Optional.empty();
+        dispatcher = Optional.empty();
         ready = false;
-        cold = false;
-        frozen.clear();
-        disk.ifPresent(Disk::power);
-        final List<Consumer<DispatchEffect>> open = List.copyOf(calls.values());
-        calls.clear();
-        open.forEach(c -> c.accept(new DispatchEffect.Rejected(0, 0, "", "the connection broke", 0, "")));
-        final List<Consumer<String>> runs = List.copyOf(jobs.values());
-        jobs.clear();
-        runs.forEach(r -> r.accept("cut"));
+        frozen = false;
+        deferredTasks.clear();
+        disk.ifPresent(SimulatedDisk::losePower);
+        final List<Consumer<DispatchEffect>> brokenCalls = List.copyOf(openCalls.values());
+        openCalls.clear();
+        brokenCalls.forEach(c -> c.accept(new DispatchEffect.Rejected(0, 0, "", "the connection broke", 0, "")));
+        final List<Consumer<String>> brokenRuns = List.copyOf(openRuns.values());
+        openRuns.clear();
+        brokenRuns.forEach(r -> r.accept("cut"));
     }
 
     /** Stops in good order, as a process does when it is asked to. */
     void stop() {
-        carry.ifPresent(Dispatcher::stopAccepting);
-        post(() -> {
-            deck.ifPresent(d -> d.setReady(false));
+        dispatcher.ifPresent(Dispatcher::stopAccepting);
+        execute(() -> {
+            process.ifPresent(d -> d.setReady(false));
             flush();
         });
-        world.engine()
-                .in(
+        world.scheduler()
+                .schedule(
                         3_000_000,
-                        () -> post(() -> {
-                            carry.ifPresent(c -> c.shutdown(now()));
-                            deck.ifPresent(d -> d.leave(now()));
+                        () -> execute(() -> {
+                            dispatcher.ifPresent(c -> c.shutdown(now()));
+                            process.ifPresent(d -> d.leave(now()));
                             flush();
                         }));
-        final long mine = epoch;
-        world.engine().in(4_500_000, () -> {
-            if (mine == epoch) {
+        final long stoppingIn = generation;
+        world.scheduler().schedule(4_500_000, () -> {
+            if (stoppingIn == generation) {
                 kill();
             }
         });
     }
 
     /** The process freezes or wakes. */
-    void freeze(final boolean on) {
-        if (!alive()) {
+    void freeze(final boolean freeze) {
+        if (!isAlive()) {
             return;
         }
-        cold = on;
-        if (!on) {
-            final List<Runnable> all = List.copyOf(frozen);
-            frozen.clear();
-            all.forEach(Runnable::run);
+        frozen = freeze;
+        if (!freeze) {
+            final List<Runnable> deferred = List.copyOf(deferredTasks);
+            deferredTasks.clear();
+            deferred.forEach(Runnable::run);
         }
     }
 
     /** Does something in this process, unless it has ended since; when it is frozen, once it wakes. */
-    void post(final Runnable job) {
-        if (!alive()) {
+    void execute(final Runnable task) {
+        if (!isAlive()) {
             return;
         }
-        final long mine = epoch;
-        final Runnable guarded = () -> {
-            if (mine == epoch) {
-                job.run();
+        final long postedIn = generation;
+        final Runnable guardedTask = () -> {
+            if (postedIn == generation) {
+                task.run();
             }
         };
-        if (cold) {
-            frozen.add(guarded);
+        if (frozen) {
+            deferredTasks.add(guardedTask);
         } else {
-            guarded.run();
+            guardedTask.run();
         }
     }
 
-    void frame(final Frame f) {
-        post(() -> {
-            deck.ifPresent(d -> {
-                d.onFrame(f, now());
-                heard(f, d);
+    void frameReceived(final Frame received) {
+        execute(() -> {
+            process.ifPresent(node -> {
+                node.onFrame(received, now());
+                recordHeardStamp(received, node);
             });
             flush();
         });
     }
 
-    void wish(final Command w, final long span, final Consumer<Object> then) {
-        post(() -> {
-            token++;
-            asked.put(token, then);
-            deck.ifPresent(d -> d.submit(w, token, now(), now() + span));
+    void submit(final Command command, final long timeout, final Consumer<Object> whenAnswered) {
+        execute(() -> {
+            nextToken++;
+            pendingAnswers.put(nextToken, whenAnswered);
+            process.ifPresent(d -> d.submit(command, nextToken, now(), now() + timeout));
             flush();
         });
     }
 
-    void read(final String start, final long span, final Consumer<Object> then) {
-        post(() -> {
-            token++;
-            asked.put(token, then);
-            deck.ifPresent(d -> d.read(start, token, now(), now() + span));
+    void read(final String start, final long timeout, final Consumer<Object> whenAnswered) {
+        execute(() -> {
+            nextToken++;
+            pendingAnswers.put(nextToken, whenAnswered);
+            process.ifPresent(d -> d.read(start, nextToken, now(), now() + timeout));
             flush();
         });
     }
 
-    void announced(final Worker w, final long echo, final Consumer<Long> then) {
-        post(() -> {
-            deck.ifPresent(d -> then.accept(d.onAnnouncement(w, echo, now())));
+    void announce(final Worker report, final long echo, final Consumer<Long> whenEchoed) {
+        execute(() -> {
+            process.ifPresent(d -> whenEchoed.accept(d.onAnnouncement(report, echo, now())));
             flush();
         });
     }
 
     /** A consumer's call: the job gets the token and the carry; the acts for the token come back. */
     void call(
-            final java.util.function.ObjLongConsumer<Dispatcher> job,
-            final Consumer<DispatchEffect> back,
-            final Consumer<Long> number) {
-        post(() -> {
-            token++;
-            calls.put(token, back);
-            number.accept(token);
-            carry.ifPresent(c -> job.accept(c, token));
+            final java.util.function.ObjLongConsumer<Dispatcher> call,
+            final Consumer<DispatchEffect> onAction,
+            final Consumer<Long> callToken) {
+        execute(() -> {
+            nextToken++;
+            openCalls.put(nextToken, onAction);
+            callToken.accept(nextToken);
+            dispatcher.ifPresent(c -> call.accept(c, nextToken));
             flush();
         });
     }
 
-    void carrying(final Consumer<Dispatcher> job) {
-        post(() -> {
-            carry.ifPresent(job);
+    void withDispatcher(final Consumer<Dispatcher> task) {
+        execute(() -> {
+            dispatcher.ifPresent(task);
             flush();
         });
     }
 
-    void hangUp(final long number) {
-        post(() -> {
-            calls.remove(number);
-            carry.ifPresent(c -> c.readerDisconnected(number, now()));
+    void hangUp(final long callToken) {
+        execute(() -> {
+            openCalls.remove(callToken);
+            dispatcher.ifPresent(c -> c.readerDisconnected(callToken, now()));
             flush();
         });
     }
 
-    private void beat(final long mine) {
-        if (mine != epoch) {
+    private void scheduleTick(final long startedIn) {
+        if (startedIn != generation) {
             return;
         }
-        post(() -> {
-            deck.ifPresent(d -> d.tick(now(), wall()));
+        execute(() -> {
+            process.ifPresent(d -> d.tick(now(), wall()));
             flush();
-            deck.ifPresent(this::look);
+            process.ifPresent(this::updateReadiness);
         });
-        world.engine().in(BEAT, () -> beat(mine));
+        world.scheduler().schedule(TICK_INTERVAL, () -> scheduleTick(startedIn));
     }
 
-    private void look(final Node d) {
-        if (controller()) {
-            ready = d.chainReplica()
-                    .map(q -> {
-                        final ChainReplica.ReplicaStatus s = q.status(now());
-                        return s.state().equals("chained") && s.isCaughtUp() && s.isLeased();
+    private void updateReadiness(final Node node) {
+        if (isController()) {
+            ready = node.chainReplica()
+                    .map(replica -> {
+                        final ChainReplica.ReplicaStatus state = replica.status(now());
+                        return state.state().equals("chained") && state.isCaughtUp() && state.isLeased();
                     })
-                    .orElse(d.gossip().stateAge(now()) < 2_500_000L);
+                    .orElse(node.gossip().stateAge(now()) < 2_500_000L);
         } else {
-            carry.ifPresent(c -> {
-                c.tick(now());
-                ready = c.unreadyReason(now()).isEmpty();
+            dispatcher.ifPresent(running -> {
+                running.tick(now());
+                ready = running.unreadyReason(now()).isEmpty();
             });
         }
-        d.setReady(ready);
+        node.setReady(ready);
         flush();
     }
 
     private void flush() {
-        if (deck.isEmpty()) {
+        if (process.isEmpty()) {
             return;
         }
-        final Node d = deck.get();
-        boolean more = true;
-        while (more && alive()) {
-            carry.ifPresent(c -> {
-                final ClusterSnapshot f = d.facts();
-                facts = Optional.of(f);
-                c.clusterSnapshot(f, now());
+        final Node node = process.get();
+        boolean hasMore = true;
+        while (hasMore && isAlive()) {
+            dispatcher.ifPresent(running -> {
+                final ClusterSnapshot snapshot = node.facts();
+                clusterSnapshot = Optional.of(snapshot);
+                running.clusterSnapshot(snapshot, now());
             });
-            final List<OutgoingFrame> ships = d.drainFrames();
-            ships.forEach(s -> world.ship(this, s));
-            final List<Effect> effects = d.drain();
-            effects.forEach(this::effect);
-            final List<DispatchEffect> acts =
-                    carry.map(Dispatcher::drainEffects).orElse(List.of());
-            acts.forEach(this::act);
-            more = !effects.isEmpty() || !acts.isEmpty();
+            final List<OutgoingFrame> frames = node.drainFrames();
+            frames.forEach(s -> world.send(this, s));
+            final List<Effect> effects = node.drain();
+            effects.forEach(this::perform);
+            final List<DispatchEffect> actions =
+                    dispatcher.map(Dispatcher::drainEffects).orElse(List.of());
+            actions.forEach(this::performAction);
+            hasMore = !effects.isEmpty() || !actions.isEmpty();
         }
-        if (alive() && d.hasDelayedFrames()) {
-            final long mine = epoch;
-            world.engine().in(500, () -> {
-                if (mine == epoch) {
-                    post(() -> {
-                        deck.ifPresent(x -> x.tick(now(), wall()));
+        if (isAlive() && node.hasDelayedFrames()) {
+            final long parkedIn = generation;
+            world.scheduler().schedule(500, () -> {
+                if (parkedIn == generation) {
+                    execute(() -> {
+                        process.ifPresent(x -> x.tick(now(), wall()));
                         flush();
                     });
                 }
@@ -402,184 +408,189 @@
     }
 
     /** What the observer knows of stamps: a frame said must be above all that was heard in bounds, and said, before. */
-    void spoke(final Frame f) {
-        final Stamp stamp = f.stamp();
-        world.watch().probe(Mark.STAMP);
-        if (f.incarnation() != life) {
-            life = f.incarnation();
-            said = 0;
-            top = deck.filter(d -> !bound(top, d)).isPresent() ? 0 : top;
+    void checkSentStamp(final Frame sent) {
+        final Stamp stamp = sent.stamp();
+        world.observer().exercise(Invariant.STAMP);
+        if (sent.incarnation() != incarnation) {
+            incarnation = sent.incarnation();
+            highestSent = 0;
+            highestHeard = process.filter(d -> !isWithinSkew(highestHeard, d)).isPresent() ? 0 : highestHeard;
         }
-        if (stamp.bits() <= Math.max(said, top)) {
-            world.watch()
-                    .fault(Mark.STAMP, name + " said " + stamp.bits() + " after it heard " + top + " and said " + said);
+        if (stamp.bits() <= Math.max(highestSent, highestHeard)) {
+            world.observer()
+                    .violated(
+                            Invariant.STAMP,
+                            name + " said " + stamp.bits() + " after it heard " + highestHeard + " and said "
+                                    + highestSent);
         }
-        said = Math.max(said, stamp.bits());
-        if (world.dragging() && wall == 0 && world.engine().now() - reset > 10_000_000L) {
-            world.watch().probe(Mark.DRAG);
+        highestSent = Math.max(highestSent, stamp.bits());
+        if (world.isClockSkewRecent() && wall == 0 && world.scheduler().now() - clockResetAt > 10_000_000L) {
+            world.observer().exercise(Invariant.DRAG);
             final long ahead = NtpTime.toMicros(Math.max(0, stamp.bits() - clock()));
-            if (ahead > DRAGGED) {
-                world.watch().fault(Mark.DRAG, name + " is " + ahead / 1000 + " ms ahead of true time");
+            if (ahead > MAX_CLOCK_LEAD) {
+                world.observer().violated(Invariant.DRAG, name + " is " + ahead / 1000 + " ms ahead of true time");
             }
         }
     }
 
-    private void heard(final Frame f, final Node d) {
-        if (!d.hasDelayedFrames() && bound(f.stamp().bits(), d)) {
-            top = Math.max(top, f.stamp().bits());
+    private void recordHeardStamp(final Frame received, final Node node) {
+        if (!node.hasDelayedFrames() && isWithinSkew(received.stamp().bits(), node)) {
+            highestHeard = Math.max(highestHeard, received.stamp().bits());
         }
     }
 
     /** Whether a stamp is one that this daemon may believe by its physical clock as it is now. */
-    private boolean bound(final long bits, final Node d) {
-        return bits - d.physicalClock().physicalTime(now()) <= NtpTime.fromMicros(SKEW);
+    private boolean isWithinSkew(final long stampBits, final Node node) {
+        return stampBits - node.physicalClock().physicalTime(now()) <= NtpTime.fromMicros(MAX_CLOCK_SKEW);
     }
 
     private long clock() {
-        return NtpTime.fromUnixNanos((EPOCH + world.engine().now()) * 1000);
+        return NtpTime.fromUnixNanos((WALL_CLOCK_START + world.scheduler().now()) * 1000);
     }
 
-    private void effect(final Effect e) {
-        if (cold) {
-            post(() -> effect(e));
+    private void perform(final Effect effect) {
+        if (frozen) {
+            execute(() -> perform(effect));
             return;
         }
-        world.listener().effect(world.engine().now(), name, e);
-        switch (e) {
+        world.listener().effect(world.scheduler().now(), name, effect);
+        switch (effect) {
             case Effect.Respond a ->
-                Optional.ofNullable(asked.remove(a.token())).ifPresent(c -> c.accept(a.response()));
-            case Effect.Persist k -> {
-                final long mine = epoch;
-                disk.ifPresent(x -> x.write(
-                        k,
-                        t -> {
-                            if (mine == epoch) {
-                                if (k.records().stream().anyMatch(LogRecord.Appended.class::isInstance)) {
-                                    deck.ifPresent(this::synced);
+                Optional.ofNullable(pendingAnswers.remove(a.token())).ifPresent(c -> c.accept(a.response()));
+            case Effect.Persist write -> {
+                final long writtenIn = generation;
+                disk.ifPresent(simulatedDisk -> simulatedDisk.write(
+                        write,
+                        token -> {
+                            if (writtenIn == generation) {
+                                if (write.records().stream().anyMatch(LogRecord.Appended.class::isInstance)) {
+                                    process.ifPresent(this::reportSync);
                                 }
-                                post(() -> {
-                                    deck.ifPresent(d -> d.onPersisted(t, now()));
+                                execute(() -> {
+                                    process.ifPresent(d -> d.onPersisted(token, now()));
                                     flush();
                                 });
                             }
                         },
-                        why -> post(() -> {
-                            deck.ifPresent(d -> d.onDiskFailed(why, now()));
+                        why -> execute(() -> {
+                            process.ifPresent(d -> d.onDiskFailed(why, now()));
                             flush();
-                            recover(mine);
+                            reopenLogLater(writtenIn);
                         })));
             }
-            case Effect.Log l -> {
-                logs.merge(l.event(), 1L, Long::sum);
-                world.watch().count("log-" + l.event());
-                reset = l.event() == Event.REJOIN ? world.engine().now() : reset;
-                world.log(this, l);
+            case Effect.Log log -> {
+                loggedEvents.merge(log.event(), 1L, Long::sum);
+                world.observer().count("log-" + log.event());
+                clockResetAt = log.event() == Event.REJOIN ? world.scheduler().now() : clockResetAt;
+                world.log(this, log);
             }
             case Effect.Send s -> throw new IllegalStateException("a send left the deck unstamped");
         }
     }
 
     /** Opens the log again each second after a failed write, until the disk takes writes. */
-    private void recover(final long life) {
+    private void reopenLogLater(final long failedIn) {
         if (recovering) {
             return;
         }
         recovering = true;
-        world.engine().in(1_000_000, () -> {
+        world.scheduler().schedule(1_000_000, () -> {
             recovering = false;
-            if (life != epoch) {
+            if (failedIn != generation) {
                 return;
             }
-            if (disk.map(Disk::full).orElse(true)) {
-                recover(life);
+            if (disk.map(SimulatedDisk::full).orElse(true)) {
+                reopenLogLater(failedIn);
                 return;
             }
             final List<LogRecord> records = disk.get().reopen();
-            post(() -> {
-                deck.ifPresent(d -> d.onDiskRecovered(records, now()));
+            execute(() -> {
+                process.ifPresent(d -> d.onDiskRecovered(records, now()));
                 flush();
             });
         });
     }
 
-    private void synced(final Node d) {
-        final String id = disk.map(Disk::identity).orElse("");
-        if (d.view().head().map(b -> b.id().equals(id)).orElse(false)) {
-            world.step(Step.HEAD, this);
-        } else if (d.view().tail().map(b -> b.id().equals(id)).orElse(false)) {
-            world.step(Step.TAIL, this);
+    private void reportSync(final Node node) {
+        final String id = disk.map(SimulatedDisk::identity).orElse("");
+        if (node.view().head().map(b -> b.id().equals(id)).orElse(false)) {
+            world.reached(InjectionPoint.HEAD_SYNCED, this);
+        } else if (node.view().tail().map(b -> b.id().equals(id)).orElse(false)) {
+            world.reached(InjectionPoint.TAIL_SYNCED, this);
         }
     }
 
-    private void aimed(final DispatchEffect a) {
-        switch (a) {
-            case DispatchEffect.Placed p -> world.step(Step.PICKED, this);
-            case DispatchEffect.SubmitCommand c -> {
-                if (c.command() instanceof Command.Claim) {
-                    world.step(Step.CLAIMS, this);
+    private void reportInjectionPoint(final DispatchEffect action) {
+        switch (action) {
+            case DispatchEffect.Placed p -> world.reached(InjectionPoint.PLACED, this);
+            case DispatchEffect.SubmitCommand claim -> {
+                if (claim.command() instanceof Command.Claim) {
+                    world.reached(InjectionPoint.CLAIMING, this);
                 }
             }
-            case DispatchEffect.StartAttempt r -> world.step(Step.ASKS, this);
+            case DispatchEffect.StartAttempt r -> world.reached(InjectionPoint.SENDING, this);
             default -> {}
         }
     }
 
-    private void act(final DispatchEffect a) {
-        if (!alive()) {
+    private void performAction(final DispatchEffect action) {
+        if (!isAlive()) {
             return;
         }
-        if (!(a instanceof DispatchEffect.Placed)) {
-            aimed(a);
+        if (!(action instanceof DispatchEffect.Placed)) {
+            reportInjectionPoint(action);
         }
-        if (cold) {
-            post(() -> act(a));
+        if (frozen) {
+            execute(() -> performAction(action));
             return;
         }
-        world.listener().action(world.engine().now(), name, a);
-        switch (a) {
-            case DispatchEffect.Placed p -> {
-                call(p.callId(), a, true);
-                aimed(a);
+        world.listener().action(world.scheduler().now(), name, action);
+        switch (action) {
+            case DispatchEffect.Placed placed -> {
+                call(placed.callId(), action, true);
+                reportInjectionPoint(action);
             }
-            case DispatchEffect.Redirected p -> call(p.callId(), a, true);
-            case DispatchEffect.Rejected r -> call(r.callId(), a, true);
-            case DispatchEffect.StreamWrite f -> call(f.callId(), a, f.endOfStream());
-            case DispatchEffect.StartAttempt r -> {
-                if (now() > r.sendDeadline()) {
-                    carry.ifPresent(c -> c.attemptFailed(r.operationId(), false, "it was not sent in time", now()));
+            case DispatchEffect.Redirected placed -> call(placed.callId(), action, true);
+            case DispatchEffect.Rejected run -> call(run.callId(), action, true);
+            case DispatchEffect.StreamWrite f -> call(f.callId(), action, f.endOfStream());
+            case DispatchEffect.StartAttempt run -> {
+                if (now() > run.sendDeadline()) {
+                    dispatcher.ifPresent(
+                            claim -> claim.attemptFailed(run.operationId(), false, "it was not sent in time", now()));
                 } else {
-                    world.run(this, r, jobs);
+                    world.startRun(this, run, openRuns);
                 }
             }
-            case DispatchEffect.CancelAttempt c ->
-                Optional.ofNullable(jobs.remove(c.operationId())).ifPresent(j -> j.accept("cut"));
-            case DispatchEffect.SubmitCommand c -> {
-                wish(
-                        c.command(),
-                        c.timeout(),
-                        v -> carry.ifPresent(x -> x.claimDecided(c.operationId(), (CommandResult) v, now())));
+            case DispatchEffect.CancelAttempt claim ->
+                Optional.ofNullable(openRuns.remove(claim.operationId())).ifPresent(j -> j.accept("cut"));
+            case DispatchEffect.SubmitCommand claim -> {
+                submit(
+                        claim.command(),
+                        claim.timeout(),
+                        v -> dispatcher.ifPresent(x -> x.claimDecided(claim.operationId(), (CommandResult) v, now())));
             }
-            case DispatchEffect.PlacementDecided j -> world.watch().count("judged");
-            case DispatchEffect.RequestEnded e -> world.watch().count("ended-" + e.state());
-            case DispatchEffect.Log l -> {
-                logs.merge(l.event(), 1L, Long::sum);
-                world.log(this, new Effect.Log(l.event(), l.text()));
+            case DispatchEffect.PlacementDecided j -> world.observer().count("judged");
+            case DispatchEffect.RequestEnded e -> world.observer().count("ended-" + e.state());
+            case DispatchEffect.Log log -> {
+                loggedEvents.merge(log.event(), 1L, Long::sum);
+                world.log(this, new Effect.Log(log.event(), log.text()));
             }
         }
     }
 
-    private void call(final long number, final DispatchEffect a, final boolean last) {
-        Optional.ofNullable(last ? calls.remove(number) : calls.get(number)).ifPresent(c -> c.accept(a));
+    private void call(final long callToken, final DispatchEffect action, final boolean last) {
+        Optional.ofNullable(last ? openCalls.remove(callToken) : openCalls.get(callToken))
+                .ifPresent(c -> c.accept(action));
     }
 
     /** The values of the marked cells that this daemon goes by. */
-    Set<String> values() {
-        final Set<String> set = new HashSet<>();
-        facts.ifPresent(f -> f.policy().values().forEach(l -> {
-            if (l instanceof Value.Row r) {
-                set.add(Office.value(r.requestsPerSecond()));
+    Set<String> followedValues() {
+        final Set<String> values = new HashSet<>();
+        clusterSnapshot.ifPresent(snapshot -> snapshot.policy().values().forEach(value -> {
+            if (value instanceof Value.Row row) {
+                values.add(Operators.cellValue(row.requestsPerSecond()));
             }
         }));
-        return set;
+        return values;
     }
 }
--- /dev/null
+++ b/simulation/src/main/java/silverlatch/simulation/sim/WorkloadFaults.java
@@ -0,0 +1,131 @@
+package silverlatch.simulation.sim;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import silverlatch.simulation.worker.WorkerFault;
+
+/** What workers and consumers do: crashes, limping, broken streams, crowds, swings. */
+final class WorkloadFaults {
+    private WorkloadFaults() {}
+
+    static void workerCrashed(final World world, final long duration) {
+        final SimulatedWorker worker = world.randomOf(world.workers());
+        world.record("crash " + worker.name());
+        worker.kill();
+        world.disturbLater(duration, worker::start);
+    }
+
+    static void workerUnresponsive(final World world, final long duration) {
+        final SimulatedWorker worker = world.randomOf(world.workers());
+        world.record("dark " + worker.name());
+        worker.fault(WorkerFault.DARK);
+        final Runnable heal = world.network().isolate(Set.of(worker.name()));
+        world.disturbLater(duration, () -> {
+            heal.run();
+            worker.fault(WorkerFault.NONE);
+        });
+    }
+
+    static void workerDrains(final World world, final long duration) {
+        final SimulatedWorker worker = world.randomOf(world.workers());
+        world.record("leave " + worker.name());
+        worker.drain();
+        world.disturbLater(duration + 4_000_000, worker::kill);
+        world.disturbLater(duration + 6_000_000, worker::start);
+    }
+
+    static void workersReplaced(final World world, final long duration) {
+        final String region = world.randomOf(world.plan().regions()).region();
+        world.record("replace workers of " + region);
+        long delay = 0;
+        for (final SimulatedWorker worker : world.workers()) {
+            if (worker.region().equals(region)) {
+                world.disturbLater(delay, worker::drain);
+                world.disturbLater(delay + 1_500_000, worker::kill);
+                world.disturbLater(delay + 2_500_000, worker::start);
+                delay += 3_000_000;
+            }
+        }
+    }
+
+    static void workersMisbehave(final World world, final long duration) {
+        final List<WorkerFault> faults = new ArrayList<>(List.of(
+                WorkerFault.GAP,
+                WorkerFault.REPEAT,
+                WorkerFault.FOREIGN,
+                WorkerFault.NOSEAL,
+                WorkerFault.WRONGSEAL,
+                WorkerFault.DENY,
+                WorkerFault.SLOW,
+                WorkerFault.DROP));
+        for (int round = 0; round < 2; round++) {
+            world.disturbLater(round * duration, () -> {
+                final List<SimulatedWorker> candidates = new ArrayList<>(world.workers());
+                for (int i = 0; i < 4; i++) {
+                    final SimulatedWorker worker =
+                            candidates.remove(world.scheduler().random().nextInt(candidates.size()));
+                    final WorkerFault fault =
+                            faults.remove(world.scheduler().random().nextInt(faults.size()));
+                    world.record(fault + " " + worker.name());
+                    worker.fault(fault);
+                    world.disturbLater(duration - 1, () -> worker.fault(WorkerFault.NONE));
+                }
+            });
+        }
+    }
+
+    static void clientsMove(final World world, final long duration) {
+        world.record("consumers move");
+        world.setClientsMoving(true);
+        world.disturbLater(duration * 2, () -> world.setClientsMoving(false));
+    }
+
+    static void loadSpike(final World world, final long duration) {
+        final long usualRate = world.requestsPerSecond();
+        final int lengthBias = world.scheduler().random().nextInt(3) - 1;
+        world.record("crowd, leaning " + lengthBias);
+        world.setLoad(usualRate * 4, lengthBias);
+        world.disturbLater(Math.min(duration, 6_000_000), () -> world.setLoad(usualRate, 0));
+    }
+
+    static void regionWorkersLost(final World world, final long duration) {
+        final String region = world.randomOf(world.plan().regions()).region();
+        world.record("lose the workers of " + region);
+        final List<SimulatedWorker> lost =
+                world.workers().stream().filter(m -> m.region().equals(region)).toList();
+        lost.forEach(SimulatedWorker::kill);
+        world.disturbLater(duration, () -> {
+            lost.forEach(SimulatedWorker::start);
+            world.recovered(region);
+        });
+    }
+
+    static void workersReject(final World world, final long duration) {
+        world.record("most workers deny");
+        world.workers().stream().skip(world.workers().size() / 3).forEach(m -> m.fault(WorkerFault.DENY));
+        world.disturbLater(duration + 20_000_000, () -> world.workers().forEach(m -> m.fault(WorkerFault.NONE)));
+    }
+
+    static void workerSlowUnderLoad(final World world, final long duration) {
+        final SimulatedWorker worker = world.randomOf(world.workers());
+        final long usualRate = world.requestsPerSecond();
+        world.record("crowd, and " + worker.name() + " limps");
+        worker.fault(WorkerFault.SLOW);
+        world.setLoad(usualRate * 4, 0);
+        world.disturbLater(Math.min(duration, 5_000_000), () -> {
+            world.setLoad(usualRate, 0);
+            worker.fault(WorkerFault.NONE);
+        });
+    }
+
+    static void mixSwings(final World world, final long duration) {
+        final long usualRate = world.requestsPerSecond();
+        world.record("the mix swings");
+        for (int i = 0; i < 6; i++) {
+            final int lengthBias = i % 2 == 0 ? 1 : -1;
+            world.disturbLater(i * 1_000_000L, () -> world.setLoad(usualRate * 4, lengthBias));
+        }
+        world.disturbLater(6_000_000, () -> world.setLoad(usualRate, 0));
+    }
+}
--- a/simulation/src/main/java/silverlatch/simulation/sim/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/World.java
@@ -21,121 +21,142 @@
 /** A whole deployment on one fake clock: daemons of the shipping code, workers, consumers, operators, and the observer. */
 public final class World {
     private static final long SECOND = 1_000_000L;
-    private final Engine engine;
-    private final Net net;
-    private final Watch watch;
-    private final Office office;
+    private final EventScheduler scheduler;
+    private final SimulatedNetwork network;
+    private final Observer observer;
+    private final Operators operators;
     private final Plan plan;
-    private final Safeguards guards;
+    private final Safeguards safeguards;
     private final Map<String, SimulatedNode> nodes = new LinkedHashMap<>();
-    private final Map<String, Mill> mills = new LinkedHashMap<>();
-    private final Map<String, Known> known = new HashMap<>();
-    private final Map<String, Frame> newest = new HashMap<>();
-    private final Map<String, String> sources = new HashMap<>();
-    private final Map<Step, Consumer<SimulatedNode>> aims = new EnumMap<>(Step.class);
-    private final List<Person> people = new ArrayList<>();
-    private final List<Sort> sorts = new ArrayList<>();
-    private final List<String> story = new ArrayList<>();
+    private final Map<String, SimulatedWorker> workers = new LinkedHashMap<>();
+    private final Map<String, IssuedRequest> issuedRequests = new HashMap<>();
+    private final Map<String, Frame> newestFrames = new HashMap<>();
+    private final Map<String, String> regionByRun = new HashMap<>();
+    private final Map<InjectionPoint, Consumer<SimulatedNode>> armedInjections = new EnumMap<>(InjectionPoint.class);
+    private final List<Tenant> tenants = new ArrayList<>();
+    private final List<RequestKind> kinds = new ArrayList<>();
+    private final List<String> timeline = new ArrayList<>();
     private final Codec codec = new Codec();
-    private final boolean loud;
+    private final boolean verbose;
     private final WorldListener listener;
     private long arrivals;
-    private long turns;
-    private long rate;
-    private int tilt;
-    private boolean roam;
-    private boolean quiet;
-    private long losing;
-    private final List<Back> backs = new ArrayList<>();
-    private long stirred;
-    private long due;
-    private long dragged = Long.MIN_VALUE / 2;
-
-    record Person(String name, String secret, double share, List<String> homes) {}
+    private long nextSerial;
+    private long requestsPerSecond;
+    private int lengthBias;
+    private boolean clientsMoving;
+    private boolean stopped;
+    private long losingDisksUntil;
+    private final List<Recovery> recoveries = new ArrayList<>();
+    private long disturbedAt;
+    private long pendingHeals;
+    private long clockSkewedAt = Long.MIN_VALUE / 2;
+
+    record Tenant(String name, String key, double share, List<String> homeRegions) {}
 
     /** Something came back: a region, or all when the name is empty. */
-    record Back(String region, long at) {}
+    record Recovery(String region, long time) {}
 
-    record Sort(String kind, int weight, int pieces, int prefix, boolean once) {}
+    record RequestKind(String kind, int weight, int chunks, int prefixParts, boolean atMostOnce) {}
 
-    private record Known(Person person, String key, int tries) {}
+    private record IssuedRequest(Tenant tenant, String idempotencyKey, int previousAttempts) {}
 
     /** A world of a plan, driven by a seed, with so many tickets a second. */
-    public World(final Plan plan, final long seed, final long rate, final Safeguards guards, final boolean loud) {
-        this(plan, seed, rate, guards, loud, WorldListener.NONE);
+    public World(
+            final Plan plan,
+            final long seed,
+            final long requestsPerSecond,
+            final Safeguards safeguards,
+            final boolean verbose) {
+        this(plan, seed, requestsPerSecond, safeguards, verbose, WorldListener.NONE);
     }
 
     /** A world whose listener is told of all that its processes do. */
     World(
             final Plan plan,
             final long seed,
-            final long rate,
-            final Safeguards guards,
-            final boolean loud,
+            final long requestsPerSecond,
+            final Safeguards safeguards,
+            final boolean verbose,
             final WorldListener listener) {
-        this.engine = new Engine(seed);
-        this.net = new Net(engine);
-        this.watch = new Watch(engine::now);
+        this.scheduler = new EventScheduler(seed);
+        this.network = new SimulatedNetwork(scheduler);
+        this.observer = new Observer(scheduler::now);
         this.plan = plan;
-        this.rate = rate;
-        this.guards = guards;
-        this.loud = loud;
+        this.requestsPerSecond = requestsPerSecond;
+        this.safeguards = safeguards;
+        this.verbose = verbose;
         this.listener = listener;
         final List<String> seeds = new ArrayList<>();
         for (int i = 1; i <= plan.regions().size(); i++) {
             seeds.add("controller-" + i);
         }
-        int h = 0;
-        int p = 0;
-        int w = 0;
-        for (final Plan.Region r : plan.regions()) {
-            h++;
-            add(new SimulatedNode(this, "controller-" + h, r.zone(), r.region(), "controller-" + h, seeds, true));
-            final List<SimulatedNode> near = new ArrayList<>();
-            for (int i = 0; i < r.gateways(); i++) {
-                p++;
-                near.add(add(
-                        new SimulatedNode(this, "gateway-" + p, r.zone(), r.region(), "gateway-" + p, seeds, false)));
+        int controllerNumber = 0;
+        int gatewayNumber = 0;
+        int workerNumber = 0;
+        for (final Plan.Region region : plan.regions()) {
+            controllerNumber++;
+            register(new SimulatedNode(
+                    this,
+                    "controller-" + controllerNumber,
+                    region.zone(),
+                    region.region(),
+                    "controller-" + controllerNumber,
+                    seeds,
+                    true));
+            final List<SimulatedNode> nearbyGateways = new ArrayList<>();
+            for (int i = 0; i < region.gateways(); i++) {
+                gatewayNumber++;
+                nearbyGateways.add(register(new SimulatedNode(
+                        this,
+                        "gateway-" + gatewayNumber,
+                        region.zone(),
+                        region.region(),
+                        "gateway-" + gatewayNumber,
+                        seeds,
+                        false)));
             }
-            for (int i = 0; i < r.workers(); i++) {
-                w++;
-                final Mill m = new Mill(this, "worker-" + w, r.zone(), r.region(), near, 12);
-                mills.put(m.name(), m);
-                net.put(m.name(), r.region());
+            for (int i = 0; i < region.workers(); i++) {
+                workerNumber++;
+                final SimulatedWorker worker = new SimulatedWorker(
+                        this, "worker-" + workerNumber, region.zone(), region.region(), nearbyGateways, 12);
+                workers.put(worker.name(), worker);
+                network.place(worker.name(), region.region());
             }
-            net.put("consumers-" + r.region(), r.region());
+            network.place("consumers-" + region.region(), region.region());
         }
-        plan.tenants().forEach(t -> people.add(new Person(t.name(), t.key(), t.share(), t.homes())));
-        plan.kinds().forEach(k -> sorts.add(new Sort(k.kind(), k.weight(), k.pieces(), k.prefix(), k.once())));
-        this.office = new Office(this);
+        plan.tenants().forEach(t -> tenants.add(new Tenant(t.name(), t.key(), t.share(), t.homeRegions())));
+        plan.kinds()
+                .forEach(k ->
+                        kinds.add(new RequestKind(k.kind(), k.weight(), k.chunks(), k.prefixParts(), k.atMostOnce())));
+        this.operators = new Operators(this);
     }
 
     /** The engine. */
-    public Engine engine() {
-        return engine;
+    public EventScheduler scheduler() {
+        return scheduler;
     }
 
     /** The network. */
-    public Net net() {
-        return net;
+    public SimulatedNetwork network() {
+        return network;
     }
 
     /** The observer. */
-    public Watch watch() {
-        return watch;
+    public Observer observer() {
+        return observer;
     }
 
     /** What was done to this world, in order. */
-    public List<String> story() {
-        return List.copyOf(story);
+    public List<String> timeline() {
+        return List.copyOf(timeline);
     }
 
     WorldListener listener() {
         return listener;
     }
 
-    Safeguards guards() {
-        return guards;
+    Safeguards safeguards() {
+        return safeguards;
     }
 
     Plan plan() {
@@ -143,420 +164,459 @@
     }
 
     /** Waits until the controllers stand in one chain again, so that a machine may be lost for good. */
-    void settle() {
-        for (int i = 0; i < 90 && (engine.now() < losing || !settled()); i++) {
-            engine.run(engine.now() + SECOND);
+    void waitForFullChain() {
+        for (int i = 0; i < 90 && (scheduler.now() < losingDisksUntil || !isChainComplete()); i++) {
+            scheduler.runUntil(scheduler.now() + SECOND);
         }
     }
 
     /** Whether all controllers stand in one chain. */
-    boolean settled() {
+    boolean isChainComplete() {
         return controllers().stream()
-                .allMatch(n -> n.ready()
-                        && n.deck()
+                .allMatch(node -> node.ready()
+                        && node.process()
                                 .map(d -> d.view().chain().size()
                                         == plan.regions().size())
                                 .orElse(false));
     }
 
     /** Machines go on being lost until then. */
-    void losing(final long span) {
-        losing = engine.now() + span;
+    void losingDisksUntil(final long duration) {
+        losingDisksUntil = scheduler.now() + duration;
     }
 
     /** What came back, and when. */
-    List<Back> backs() {
-        return List.copyOf(backs);
+    List<Recovery> recoveries() {
+        return List.copyOf(recoveries);
     }
 
     /** A region came back, or all when the name is empty. */
-    void back(final String region) {
-        backs.add(new Back(region, engine.now()));
-        stir();
+    void recovered(final String region) {
+        recoveries.add(new Recovery(region, scheduler.now()));
+        disturbed();
     }
 
     /** Something is done to the world or is healed at this moment. */
-    void stir() {
-        stirred = engine.now();
+    void disturbed() {
+        disturbedAt = scheduler.now();
     }
 
     /** When something was last done to the world. */
-    long stirred() {
-        return stirred;
+    long disturbedAt() {
+        return disturbedAt;
     }
 
     /** Does something later that stirs the world. */
-    void later(final long span, final Runnable job) {
-        due++;
-        engine.in(span, () -> {
-            due--;
-            stir();
-            job.run();
+    void disturbLater(final long delay, final Runnable task) {
+        pendingHeals++;
+        scheduler.schedule(delay, () -> {
+            pendingHeals--;
+            disturbed();
+            task.run();
         });
     }
 
     /** Whether nothing that was done to the world waits to be healed. */
-    boolean calm() {
-        return due == 0;
+    boolean isHealed() {
+        return pendingHeals == 0;
     }
 
     /** The next daemon that comes to a step is hit there. */
-    void aim(final Step step, final Consumer<SimulatedNode> hit) {
-        aims.put(step, hit);
+    void arm(final InjectionPoint point, final Consumer<SimulatedNode> injection) {
+        armedInjections.put(point, injection);
     }
 
     /** A daemon comes to a step. */
-    void step(final Step step, final SimulatedNode n) {
-        Optional.ofNullable(aims.remove(step)).ifPresent(h -> {
-            watch.count("aimed-" + step);
-            stir();
-            h.accept(n);
+    void reached(final InjectionPoint point, final SimulatedNode node) {
+        Optional.ofNullable(armedInjections.remove(point)).ifPresent(injection -> {
+            observer.count("aimed-" + point);
+            disturbed();
+            injection.accept(node);
         });
     }
 
     /** A clock is off from now on: stamps are looked at closely. */
-    void drags() {
-        dragged = engine.now();
+    void clockSkewed() {
+        clockSkewedAt = scheduler.now();
     }
 
-    boolean dragging() {
-        return engine.now() - dragged < 20 * SECOND;
+    boolean isClockSkewRecent() {
+        return scheduler.now() - clockSkewedAt < 20 * SECOND;
     }
 
-    Office office() {
-        return office;
+    Operators operators() {
+        return operators;
     }
 
-    List<Person> people() {
-        return people.stream().distinct().toList();
+    List<Tenant> tenants() {
+        return tenants.stream().distinct().toList();
     }
 
-    List<Sort> sorts() {
-        return sorts;
+    List<RequestKind> kinds() {
+        return kinds;
     }
 
     List<SimulatedNode> gateways() {
-        return nodes.values().stream().filter(n -> !n.controller()).toList();
+        return nodes.values().stream().filter(n -> !n.isController()).toList();
     }
 
     List<SimulatedNode> controllers() {
-        return nodes.values().stream().filter(SimulatedNode::controller).toList();
+        return nodes.values().stream().filter(SimulatedNode::isController).toList();
     }
 
-    List<Mill> mills() {
-        return List.copyOf(mills.values());
+    List<SimulatedWorker> workers() {
+        return List.copyOf(workers.values());
     }
 
     Optional<SimulatedNode> node(final String name) {
         return Optional.ofNullable(nodes.get(name));
     }
 
-    <T> T some(final List<T> list) {
-        return list.get(engine.luck().nextInt(list.size()));
+    <T> T randomOf(final List<T> list) {
+        return list.get(scheduler.random().nextInt(list.size()));
     }
 
-    void tell(final String what) {
-        story.add(engine.now() / 1000 + " ms " + what);
-        if (loud) {
-            System.out.println(engine.now() / 1000 + " ms " + what);
+    void record(final String event) {
+        timeline.add(scheduler.now() / 1000 + " ms " + event);
+        if (verbose) {
+            System.out.println(scheduler.now() / 1000 + " ms " + event);
         }
     }
 
-    void log(final SimulatedNode n, final Effect.Log l) {
-        if (loud) {
-            System.out.println(engine.now() / 1000 + " ms " + n.name() + " " + l.event() + " " + l.text());
+    void log(final SimulatedNode node, final Effect.Log log) {
+        if (verbose) {
+            System.out.println(scheduler.now() / 1000 + " ms " + node.name() + " " + log.event() + " " + log.text());
         }
     }
 
     /** Replaces a controller by an empty machine at a new address. */
-    SimulatedNode swap(final SimulatedNode old) {
-        old.kill();
-        nodes.remove(old.name());
-        final String fresh =
-                "controller-" + (char) ('a' + nodes.size() % 26) + engine.luck().nextInt(1_000);
+    SimulatedNode replaceController(final SimulatedNode replaced) {
+        replaced.kill();
+        nodes.remove(replaced.name());
+        final String name = "controller-" + (char) ('a' + nodes.size() % 26)
+                + scheduler.random().nextInt(1_000);
         final List<String> seeds = controllers().stream()
                 .map(SimulatedNode::address)
                 .limit(2)
                 .collect(java.util.stream.Collectors.toCollection(ArrayList::new));
-        seeds.add(old.address());
-        final SimulatedNode n = add(new SimulatedNode(this, fresh, old.zone(), old.region(), fresh, seeds, true));
-        n.start();
-        return n;
+        seeds.add(replaced.address());
+        final SimulatedNode replacement =
+                register(new SimulatedNode(this, name, replaced.zone(), replaced.region(), name, seeds, true));
+        replacement.start();
+        return replacement;
     }
 
     /** Starts everything, waits until it stands, and gives it its tenants and its table. */
-    public void open() {
+    public void start() {
         nodes.values().forEach(SimulatedNode::start);
-        mills.values().forEach(Mill::start);
+        workers.values().forEach(SimulatedWorker::start);
         for (int i = 0; i < 200 && !controllers().stream().allMatch(SimulatedNode::ready); i++) {
-            engine.run(engine.now() + 100_000);
+            scheduler.runUntil(scheduler.now() + 100_000);
         }
-        office.load();
+        operators.loadTenantsAndTable();
         for (int i = 0;
                 i < 300
                         && !gateways().stream()
-                                .allMatch(n -> n.ready()
-                                        && n.facts()
-                                                .map(f -> f.row(
+                                .allMatch(node -> node.ready()
+                                        && node.clusterSnapshot()
+                                                .map(snapshot -> snapshot.row(
                                                                 "*",
-                                                                sorts.get(0).kind())
+                                                                kinds.get(0).kind())
                                                         .isPresent())
                                                 .orElse(false));
                 i++) {
-            engine.run(engine.now() + 100_000);
+            scheduler.runUntil(scheduler.now() + 100_000);
         }
         if (!gateways().stream().allMatch(SimulatedNode::ready)) {
-            watch.fault(Mark.DEAD, "the fleet did not stand up");
+            observer.violated(Invariant.DEAD, "the fleet did not stand up");
         }
-        engine.run(engine.now() + 2 * SECOND);
-        arrive();
-        office.open();
-        gaze();
+        scheduler.runUntil(scheduler.now() + 2 * SECOND);
+        scheduleArrival();
+        operators.open();
+        observeFollowedValues();
     }
 
     /** No new ticket and no new order from now on. */
-    public void hush() {
-        quiet = true;
-        office.hush();
+    public void stopLoad() {
+        stopped = true;
+        operators.stop();
     }
 
     /** Sets the tickets a second, and how far the mix leans to long prompts (or, below 0, to long replies). */
-    void crowd(final long more, final int lean) {
-        rate = more;
-        tilt = lean;
+    void setLoad(final long newRate, final int newLengthBias) {
+        requestsPerSecond = newRate;
+        lengthBias = newLengthBias;
     }
 
-    void roaming(final boolean on) {
-        roam = on;
+    void setClientsMoving(final boolean moving) {
+        clientsMoving = moving;
     }
 
-    boolean roams() {
-        return roam;
+    boolean areClientsMoving() {
+        return clientsMoving;
     }
 
-    long rate() {
-        return rate;
+    long requestsPerSecond() {
+        return requestsPerSecond;
     }
 
-    void travel(final Traveller t) {
-        t.go();
+    void startRequest(final ClientRequest request) {
+        request.start();
     }
 
-    void known(final Traveller t, final String ticket, final Person person, final String key, final int tries) {
-        known.put(ticket, new Known(person, key, tries));
+    void issuedRequests(
+            final ClientRequest request,
+            final String requestId,
+            final Tenant tenant,
+            final String idempotencyKey,
+            final int previousAttempts) {
+        issuedRequests.put(requestId, new IssuedRequest(tenant, idempotencyKey, previousAttempts));
     }
 
-    void ship(final SimulatedNode from, final OutgoingFrame s) {
-        listener.frameSent(engine.now(), from.name(), s);
-        from.spoke(s.frame());
-        final Optional<SimulatedNode> to =
-                nodes.values().stream().filter(n -> n.address().equals(s.to())).findFirst();
-        to.ifPresent(t -> {
-            final long life = t.epoch();
-            final Frame f = engine.luck().nextInt(50) == 0 ? again(s.frame()) : s.frame();
-            net.frame(from.name(), t.name(), () -> {
-                if (life == t.epoch()) {
-                    if (Optional.ofNullable(newest.get(t.name()))
-                            .map(o -> o.stamp().isBefore(f.stamp()))
+    void send(final SimulatedNode sender, final OutgoingFrame outgoing) {
+        listener.frameSent(scheduler.now(), sender.name(), outgoing);
+        sender.checkSentStamp(outgoing.frame());
+        final Optional<SimulatedNode> target = nodes.values().stream()
+                .filter(n -> n.address().equals(outgoing.to()))
+                .findFirst();
+        target.ifPresent(receiver -> {
+            final long sentTo = receiver.generation();
+            final Frame delivered =
+                    scheduler.random().nextInt(50) == 0 ? reencoded(outgoing.frame()) : outgoing.frame();
+            network.sendFrame(sender.name(), receiver.name(), () -> {
+                if (sentTo == receiver.generation()) {
+                    if (Optional.ofNullable(newestFrames.get(receiver.name()))
+                            .map(o -> o.stamp().isBefore(delivered.stamp()))
                             .orElse(true)) {
-                        newest.put(t.name(), f);
+                        newestFrames.put(receiver.name(), delivered);
                     }
-                    t.frame(f);
+                    receiver.frameReceived(delivered);
                 }
             });
         });
     }
 
     /** A daemon gets so many copies of the newest frame that another region sent it. */
-    void flood(final SimulatedNode n, final int times) {
-        Optional.ofNullable(newest.get(n.name())).ifPresent(f -> {
+    void replayNewestFrame(final SimulatedNode node, final int times) {
+        Optional.ofNullable(newestFrames.get(node.name())).ifPresent(frame -> {
             for (int i = 0; i < times; i++) {
-                n.frame(f);
+                node.frameReceived(frame);
             }
         });
     }
 
-    private Frame again(final Frame f) {
-        return codec.decode(codec.encode(f), Frame.class) instanceof Codec.DecodeResult.Decoded<Frame> good
+    private Frame reencoded(final Frame frame) {
+        return codec.decode(codec.encode(frame), Frame.class) instanceof Codec.DecodeResult.Decoded<Frame> good
                 ? good.value()
-                : f;
-    }
-
-    void run(final SimulatedNode n, final DispatchEffect.StartAttempt r, final Map<Long, Consumer<String>> jobs) {
-        final Mill m = mills.get(r.worker());
-        final long page = n.facts().map(f -> f.revision()).orElse(0L);
-        final Known who = known.getOrDefault(r.requestId(), new Known(people.get(0), "", 0));
-        watch.tried(r.tenant(), who.key(), !r.attemptId().endsWith(".1") || who.tries() > 0, engine.now());
-        if (r.kind().equals(Office.GATE)) {
-            watch.rules().passed(n.name(), true, "ticket " + r.requestId() + " was sent", engine.now());
+                : frame;
+    }
+
+    void startRun(
+            final SimulatedNode gateway,
+            final DispatchEffect.StartAttempt run,
+            final Map<Long, Consumer<String>> openRuns) {
+        final SimulatedWorker worker = workers.get(run.worker());
+        final long revision = gateway.clusterSnapshot().map(f -> f.revision()).orElse(0L);
+        final IssuedRequest issued =
+                issuedRequests.getOrDefault(run.requestId(), new IssuedRequest(tenants.get(0), "", 0));
+        observer.attemptSent(
+                run.tenant(),
+                issued.idempotencyKey(),
+                !run.attemptId().endsWith(".1") || issued.previousAttempts() > 0,
+                scheduler.now());
+        if (run.kind().equals(Operators.GATE_KIND)) {
+            observer.operatorHistory()
+                    .gateObserved(gateway.name(), true, "ticket " + run.requestId() + " was sent", scheduler.now());
         }
-        if (!net.open(n.name(), m.name())) {
-            engine.in(SECOND, () -> fail(n, r.operationId(), false, "no connection in time"));
+        if (!network.isReachable(gateway.name(), worker.name())) {
+            scheduler.schedule(SECOND, () -> attemptFailed(gateway, run.operationId(), false, "no connection in time"));
             return;
         }
         final long[] exchange = {0};
-        final boolean[] over = {false};
-        jobs.put(r.operationId(), why -> {
-            over[0] = true;
-            m.hang(exchange[0]);
+        final boolean[] ended = {false};
+        openRuns.put(run.operationId(), reason -> {
+            ended[0] = true;
+            worker.cancel(exchange[0]);
         });
-        final String lane = n.name() + ">" + m.name() + "/" + r.attemptId();
-        final long life = n.epoch();
-        net.bytes(lane, n.name(), m.name(), () -> {
-            if (over[0]) {
+        final String connection = gateway.name() + ">" + worker.name() + "/" + run.attemptId();
+        final long startedIn = gateway.generation();
+        network.sendBytes(connection, gateway.name(), worker.name(), () -> {
+            if (ended[0]) {
                 return;
             }
-            if (!m.alive()) {
-                fail(n, r.operationId(), false, "connection refused");
+            if (!worker.isAlive()) {
+                attemptFailed(gateway, run.operationId(), false, "connection refused");
                 return;
             }
-            final BiConsumer<StreamRecord, Boolean> out =
-                    (line, last) -> net.bytes(lane + "<", m.name(), n.name(), () -> {
-                        if (over[0] || life != n.epoch()) {
+            final BiConsumer<StreamRecord, Boolean> output =
+                    (line, last) -> network.sendBytes(connection + "<", worker.name(), gateway.name(), () -> {
+                        if (ended[0] || startedIn != gateway.generation()) {
                             return;
                         }
                         if (last) {
-                            fail(n, r.operationId(), true, "the connection ended");
+                            attemptFailed(gateway, run.operationId(), true, "the connection ended");
                         } else {
-                            step(Step.PIECE, n);
-                            n.carrying(c -> c.recordReceived(r.operationId(), line, n.now()));
+                            reached(InjectionPoint.STREAMING, gateway);
+                            gateway.withDispatcher(c -> c.recordReceived(run.operationId(), line, gateway.now()));
                         }
                     });
-            exchange[0] = m.take(r, out);
+            exchange[0] = worker.startRun(run, output);
             if (exchange[0] < 0) {
-                net.bytes(lane + "<", m.name(), n.name(), () -> fail(n, r.operationId(), false, "not started"));
+                network.sendBytes(
+                        connection + "<",
+                        worker.name(),
+                        gateway.name(),
+                        () -> attemptFailed(gateway, run.operationId(), false, "not started"));
                 return;
             }
-            net.bytes(lane + "<", m.name(), n.name(), () -> n.carrying(c -> c.attemptStarted(r.operationId())));
-            sources.put(r.attemptId(), m.region());
-            watch.started(
-                    new Watch.Run(
-                            r.requestId(),
-                            r.tenant(),
-                            r.kind(),
-                            who.key(),
-                            m.name(),
-                            m.zone(),
-                            m.region(),
-                            n.name(),
-                            n.region(),
-                            page),
-                    engine.now());
-            if (r.kind().equals(Office.GATE)) {
-                watch.rules().obeyed(n.name(), true, "ticket " + r.requestId() + " ran", engine.now());
+            network.sendBytes(
+                    connection + "<",
+                    worker.name(),
+                    gateway.name(),
+                    () -> gateway.withDispatcher(c -> c.attemptStarted(run.operationId())));
+            regionByRun.put(run.attemptId(), worker.region());
+            observer.runStarted(
+                    new Observer.Run(
+                            run.requestId(),
+                            run.tenant(),
+                            run.kind(),
+                            issued.idempotencyKey(),
+                            worker.name(),
+                            worker.zone(),
+                            worker.region(),
+                            gateway.name(),
+                            gateway.region(),
+                            revision),
+                    scheduler.now());
+            if (run.kind().equals(Operators.GATE_KIND)) {
+                observer.operatorHistory()
+                        .obeyed(gateway.name(), true, "ticket " + run.requestId() + " ran", scheduler.now());
             }
-            follow(n, m, r, over, life);
+            watchWorker(gateway, worker, run, ended, startedIn);
         });
     }
 
     /** The region of the worker that had a run. */
-    String source(final String run) {
-        return sources.getOrDefault(run, "");
-    }
-
-    private void follow(
-            final SimulatedNode n,
-            final Mill m,
-            final DispatchEffect.StartAttempt r,
-            final boolean[] over,
-            final long life) {
-        engine.in(200_000, () -> {
-            if (over[0] || life != n.epoch()) {
+    String regionOfRun(final String attemptId) {
+        return regionByRun.getOrDefault(attemptId, "");
+    }
+
+    private void watchWorker(
+            final SimulatedNode gateway,
+            final SimulatedWorker worker,
+            final DispatchEffect.StartAttempt run,
+            final boolean[] ended,
+            final long startedIn) {
+        scheduler.schedule(200_000, () -> {
+            if (ended[0] || startedIn != gateway.generation()) {
                 return;
             }
-            if (!m.alive()) {
-                over[0] = true;
-                fail(n, r.operationId(), true, "the connection broke");
+            if (!worker.isAlive()) {
+                ended[0] = true;
+                attemptFailed(gateway, run.operationId(), true, "the connection broke");
             } else {
-                follow(n, m, r, over, life);
+                watchWorker(gateway, worker, run, ended, startedIn);
             }
         });
     }
 
-    private void fail(final SimulatedNode n, final long job, final boolean started, final String why) {
-        final long life = n.epoch();
-        n.carrying(c -> {
-            if (life == n.epoch()) {
-                c.attemptFailed(job, started, why, n.now());
+    private void attemptFailed(
+            final SimulatedNode gateway, final long operationId, final boolean started, final String reason) {
+        final long failedIn = gateway.generation();
+        gateway.withDispatcher(dispatcher -> {
+            if (failedIn == gateway.generation()) {
+                dispatcher.attemptFailed(operationId, started, reason, gateway.now());
             }
         });
     }
 
-    private SimulatedNode add(final SimulatedNode n) {
-        nodes.put(n.name(), n);
-        net.put(n.name(), n.region());
-        return n;
+    private SimulatedNode register(final SimulatedNode node) {
+        nodes.put(node.name(), node);
+        network.place(node.name(), node.region());
+        return node;
     }
 
     /** A number for each traveller. */
-    long turn() {
-        return ++turns;
+    long nextSerialNumber() {
+        return ++nextSerial;
     }
 
     /** One tenant sends so many times as much as each other. */
-    void greedy(final int times) {
+    void multiplyFirstTenant(final int times) {
         for (int i = 1; i < times; i++) {
-            people.add(people.get(0));
+            tenants.add(tenants.get(0));
         }
     }
 
-    private void arrive() {
-        if (quiet) {
+    private void scheduleArrival() {
+        if (stopped) {
             return;
         }
-        final Person who = some(people);
-        int pick = engine.luck().nextInt(sorts.stream().mapToInt(Sort::weight).sum());
-        Sort sort = sorts.get(0);
-        for (final Sort s : sorts) {
-            pick -= s.weight();
-            if (pick < 0) {
-                sort = s;
+        final Tenant tenant = randomOf(tenants);
+        int weightLeft = scheduler
+                .random()
+                .nextInt(kinds.stream().mapToInt(RequestKind::weight).sum());
+        RequestKind kind = kinds.get(0);
+        for (final RequestKind candidate : kinds) {
+            weightLeft -= candidate.weight();
+            if (weightLeft < 0) {
+                kind = candidate;
                 break;
             }
         }
         arrivals++;
-        final String key = sort.once() ? "key-" + arrivals : "";
-        final int pieces = 1 + engine.luck().nextInt(sort.pieces() * (tilt < 0 ? 3 : 1));
+        final String idempotencyKey = kind.atMostOnce() ? "key-" + arrivals : "";
+        final int chunks = 1 + scheduler.random().nextInt(kind.chunks() * (lengthBias < 0 ? 3 : 1));
         final List<String> prefix = new ArrayList<>();
-        final int book = engine.luck().nextInt(tilt > 0 ? 60 : 5);
-        for (int i = 0; i < sort.prefix() * (tilt > 0 ? 2 : 1); i++) {
-            prefix.add(sort.kind() + book + "/" + i);
+        final int conversation = scheduler.random().nextInt(lengthBias > 0 ? 60 : 5);
+        for (int i = 0; i < kind.prefixParts() * (lengthBias > 0 ? 2 : 1); i++) {
+            prefix.add(kind.kind() + conversation + "/" + i);
         }
-        final String prompt = pieces + " " + who.name() + " " + arrivals;
-        final String place = "consumers-" + some(plan.regions()).region();
-        travel(new Traveller(
+        final String prompt = chunks + " " + tenant.name() + " " + arrivals;
+        final String endpoint = "consumers-" + randomOf(plan.regions()).region();
+        startRequest(new ClientRequest(
                 this,
-                who,
-                sort,
-                key,
-                place,
+                tenant,
+                kind,
+                idempotencyKey,
+                endpoint,
                 0,
                 prompt,
                 prefix,
-                roam && engine.luck().nextInt(3) == 0));
-        if (sort.once() && engine.luck().nextInt(5) == 0) {
-            travel(new Traveller(this, who, sort, key, place, engine.luck().nextInt(2), prompt, prefix, false));
-            watch.probe(Mark.TWICE);
+                clientsMoving && scheduler.random().nextInt(3) == 0));
+        if (kind.atMostOnce() && scheduler.random().nextInt(5) == 0) {
+            startRequest(new ClientRequest(
+                    this,
+                    tenant,
+                    kind,
+                    idempotencyKey,
+                    endpoint,
+                    scheduler.random().nextInt(2),
+                    prompt,
+                    prefix,
+                    false));
+            observer.exercise(Invariant.TWICE);
         }
-        if (engine.luck().nextInt(6) == 0) {
-            travel(new Traveller(
+        if (scheduler.random().nextInt(6) == 0) {
+            startRequest(new ClientRequest(
                     this,
-                    who,
-                    new Sort(Office.GATE, 0, 3, 1, false),
+                    tenant,
+                    new RequestKind(Operators.GATE_KIND, 0, 3, 1, false),
                     "",
-                    place,
+                    endpoint,
                     0,
-                    "2 " + who.name() + " t" + arrivals,
+                    "2 " + tenant.name() + " t" + arrivals,
                     List.of("trial"),
                     false));
         }
-        engine.in(1 + engine.luck().nextLong(2 * SECOND / rate), this::arrive);
+        scheduler.schedule(1 + scheduler.random().nextLong(2 * SECOND / requestsPerSecond), this::scheduleArrival);
     }
 
-    private void gaze() {
+    private void observeFollowedValues() {
         gateways().stream()
                 .filter(SimulatedNode::ready)
-                .forEach(n -> watch.rules().values(n.values(), "is followed by " + n.name()));
-        engine.in(SECOND / 4, this::gaze);
+                .forEach(n ->
+                        observer.operatorHistory().valuesObserved(n.followedValues(), "is followed by " + n.name()));
+        scheduler.schedule(SECOND / 4, this::observeFollowedValues);
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/worker/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/worker/Main.java
@@ -30,7 +30,7 @@
 
 /** A stand-in worker: reads prompts, keeps prefixes, streams pieces, seals, announces itself, and misbehaves on demand. */
 public final class Main {
-    private static final int KEPT = 256;
+    private static final int PREFIX_CACHE_SIZE = 256;
 
     @Option(name = "--name", required = true)
     private String name = "";
@@ -42,39 +42,39 @@
     private String region = "";
 
     @Option(name = "--door", required = true)
-    private String door = "";
+    private String endpoint = "";
 
     @Option(name = "--gateways", required = true, usage = "doors to announce to, by commas")
     private String gateways = "";
 
     @Option(name = "--record", required = true, usage = "the file of runs")
-    private String record = "";
+    private String recordFile = "";
 
     @Option(name = "--key", required = true, usage = "the workers' key")
-    private String key = "";
+    private String workerKey = "";
 
     @Option(name = "--slots")
     private int slots = 16;
 
     @Option(name = "--piece", usage = "microseconds for a piece")
-    private long piece = 10_000;
+    private long chunkMicros = 10_000;
 
     @Option(name = "--read", usage = "microseconds for a part of a prefix that is not kept")
-    private long read = 5_000;
+    private long prefillMicros = 5_000;
 
-    private final long life = System.currentTimeMillis() * 1000;
-    private final long began = EventLoop.nowMicros();
-    private final ScheduledExecutorService work =
+    private final long incarnation = System.currentTimeMillis() * 1000;
+    private final long startedAt = EventLoop.nowMicros();
+    private final ScheduledExecutorService executor =
             Executors.newSingleThreadScheduledExecutor(task -> silverlatch.util.Threads.daemon("work", task));
-    private final HttpClient http = new HttpClient();
-    private final LinkedHashMap<Long, Boolean> kept = new LinkedHashMap<>(16, 0.75f, true);
-    private final Deque<Runnable> line = new ArrayDeque<>();
+    private final HttpClient httpClient = new HttpClient();
+    private final LinkedHashMap<Long, Boolean> prefixCache = new LinkedHashMap<>(16, 0.75f, true);
+    private final Deque<Runnable> queue = new ArrayDeque<>();
     private final Map<String, Long> echoes = new ConcurrentHashMap<>();
     private int running;
     private long sequence;
-    private boolean leaving;
-    private Faults fault = Faults.NONE;
-    private PrintWriter book;
+    private boolean draining;
+    private WorkerFault fault = WorkerFault.NONE;
+    private PrintWriter recordWriter;
 
     private Main() {}
 
@@ -84,8 +84,8 @@
         final Main main = new Main();
         try {
             new CmdLineParser(main).parseArgument(args);
-        } catch (final CmdLineException e) {
-            System.err.println(e.getMessage());
+        } catch (final CmdLineException failure) {
+            System.err.println(failure.getMessage());
             System.exit(2);
         }
         main.start();
@@ -93,68 +93,68 @@
     }
 
     private void start() throws IOException, ApiServer.HttpServerException {
-        book = new PrintWriter(
+        recordWriter = new PrintWriter(
                 Files.newBufferedWriter(
-                        Path.of(record),
+                        Path.of(recordFile),
                         java.nio.file.StandardOpenOption.CREATE,
                         java.nio.file.StandardOpenOption.APPEND),
                 true);
         try {
-            http.setMaxConnectionsPerDestination(4);
-            http.start();
-        } catch (final Exception e) {
-            throw new IOException(e);
+            httpClient.setMaxConnectionsPerDestination(4);
+            httpClient.start();
+        } catch (final Exception failure) {
+            throw new IOException(failure);
         }
-        new ApiServer(door, 4 << 20, this::route).start();
-        work.scheduleAtFixedRate(this::announce, 0, 400, TimeUnit.MILLISECONDS);
+        new ApiServer(endpoint, 4 << 20, this::handle).start();
+        executor.scheduleAtFixedRate(this::announce, 0, 400, TimeUnit.MILLISECONDS);
     }
 
-    private void route(final HttpExchange c) {
-        switch (c.method() + " " + c.path()) {
-            case "POST /v1/runs" -> work.execute(() -> take(c));
+    private void handle(final HttpExchange exchange) {
+        switch (exchange.method() + " " + exchange.path()) {
+            case "POST /v1/runs" -> executor.execute(() -> startRun(exchange));
             case "POST /faults" ->
-                work.execute(() -> {
-                    fault = Faults.valueOf(new String(c.body(), StandardCharsets.UTF_8).strip());
-                    c.reply(200, Map.of("fault", fault.name()));
+                executor.execute(() -> {
+                    fault = WorkerFault.valueOf(new String(exchange.body(), StandardCharsets.UTF_8).strip());
+                    exchange.reply(200, Map.of("fault", fault.name()));
                 });
             case "POST /leave" ->
-                work.execute(() -> {
-                    leaving = true;
-                    note(Map.of("event", "leave", "at", System.currentTimeMillis()));
+                executor.execute(() -> {
+                    draining = true;
+                    writeRecord(Map.of("event", "leave", "at", System.currentTimeMillis()));
                     announce();
-                    c.reply(200, Map.of("leaving", true));
+                    exchange.reply(200, Map.of("leaving", true));
                 });
-            default -> c.reply(404, Map.of("faults", List.of("no such page")));
+            default -> exchange.reply(404, Map.of("faults", List.of("no such page")));
         }
     }
 
-    private void take(final HttpExchange c) {
-        if (!c.bearerToken().equals(key)) {
-            c.reply(401, Map.of("faults", List.of("the workers' key is needed")), Map.of("X-Started", "no"));
+    private void startRun(final HttpExchange exchange) {
+        if (!exchange.bearerToken().equals(workerKey)) {
+            exchange.reply(401, Map.of("faults", List.of("the workers' key is needed")), Map.of("X-Started", "no"));
             return;
         }
-        if (!(JsonDocument.parse(c.body(), 4 << 20) instanceof JsonDocument.ParseResult.Valid good)) {
-            c.reply(400, Map.of("faults", List.of("not JSON")), Map.of("X-Started", "no"));
+        if (!(JsonDocument.parse(exchange.body(), 4 << 20) instanceof JsonDocument.ParseResult.Valid good)) {
+            exchange.reply(400, Map.of("faults", List.of("not JSON")), Map.of("X-Started", "no"));
             return;
         }
-        if (fault == Faults.DENY || line.size() >= slots) {
-            c.reply(503, Map.of("started", false), Map.of("X-Started", "no"));
+        if (fault == WorkerFault.DENY || queue.size() >= slots) {
+            exchange.reply(503, Map.of("started", false), Map.of("X-Started", "no"));
             return;
         }
-        final JsonDocument s = good.document();
-        final String ticket = s.string("ticket", 256);
-        final String run = s.string("run", 256);
-        final String tenant = s.string("tenant", 64);
-        final String kind = s.string("kind", 64);
-        final String prompt = s.string("prompt", 4 << 20);
-        final List<Long> prefix = s.integers("prefix", 64);
-        note(Map.of(
+        final JsonDocument document = good.document();
+        final String requestId = document.string("ticket", 256);
+        final String attemptId = document.string("run", 256);
+        final String tenant = document.string("tenant", 64);
+        final String kind = document.string("kind", 64);
+        final String prompt = document.string("prompt", 4 << 20);
+        final List<Long> prefix = document.integers("prefix", 64);
+        writeRecord(Map.of(
                 "event",
                 "start",
                 "ticket",
-                ticket,
+                requestId,
                 "run",
-                run,
+                attemptId,
                 "tenant",
                 tenant,
                 "kind",
@@ -167,131 +167,143 @@
                 silverlatch.dispatch.permit.PermitSigner.sha256Hex(prompt).substring(0, 12),
                 "at",
                 System.currentTimeMillis()));
-        c.writeLines("", false, () -> {}, () -> {});
-        final Runnable job = () -> {
+        exchange.writeLines("", false, () -> {}, () -> {});
+        final Runnable start = () -> {
             running++;
-            final long fresh = prefix.stream().filter(p -> !kept.containsKey(p)).count();
-            prefix.forEach(p -> kept.put(p, true));
-            while (kept.size() > KEPT) {
-                kept.remove(kept.keySet().iterator().next());
+            final long uncachedParts =
+                    prefix.stream().filter(p -> !prefixCache.containsKey(p)).count();
+            prefix.forEach(p -> prefixCache.put(p, true));
+            while (prefixCache.size() > PREFIX_CACHE_SIZE) {
+                prefixCache.remove(prefixCache.keySet().iterator().next());
             }
-            work.schedule(() -> step(c, ticket, run, prompt, 0), fresh * read, TimeUnit.MICROSECONDS);
+            executor.schedule(
+                    () -> streamNext(exchange, requestId, attemptId, prompt, 0),
+                    uncachedParts * prefillMicros,
+                    TimeUnit.MICROSECONDS);
         };
         if (running < slots) {
-            job.run();
+            start.run();
         } else {
-            line.add(job);
+            queue.add(start);
         }
     }
 
-    private void step(
-            final HttpExchange c, final String ticket, final String run, final String prompt, final int number) {
-        final int count = Speech.count(prompt);
-        if (fault == Faults.DARK) {
+    private void streamNext(
+            final HttpExchange exchange,
+            final String requestId,
+            final String attemptId,
+            final String prompt,
+            final int number) {
+        final int count = ExpectedResponse.chunkCount(prompt);
+        if (fault == WorkerFault.DARK) {
             return;
         }
-        if (number == count || fault == Faults.DROP && number == 2) {
-            final String sha =
-                    fault == Faults.WRONGSEAL ? Speech.sha(prompt, Math.max(0, count - 1)) : Speech.sha(prompt, count);
-            final StreamRecord seal = new StreamRecord.Trailer(name, ticket, run, count, sha);
-            note(Map.of(
+        if (number == count || fault == WorkerFault.DROP && number == 2) {
+            final String sha256 = fault == WorkerFault.WRONGSEAL
+                    ? ExpectedResponse.sha256(prompt, Math.max(0, count - 1))
+                    : ExpectedResponse.sha256(prompt, count);
+            final StreamRecord trailer = new StreamRecord.Trailer(name, requestId, attemptId, count, sha256);
+            writeRecord(Map.of(
                     "event",
                     "seal",
                     "ticket",
-                    ticket,
+                    requestId,
                     "run",
-                    run,
+                    attemptId,
                     "count",
                     count,
                     "worker",
                     name,
                     "at",
                     System.currentTimeMillis()));
-            c.writeLines(
-                    fault == Faults.NOSEAL || fault == Faults.DROP ? "" : StreamRecordDecoder.encode(seal),
+            exchange.writeLines(
+                    fault == WorkerFault.NOSEAL || fault == WorkerFault.DROP ? "" : StreamRecordDecoder.encode(trailer),
                     true,
                     () -> {},
                     () -> {});
-            end();
+            finishRun();
             return;
         }
-        final String owner = fault == Faults.FOREIGN && number == 1 ? ticket + "x" : ticket;
-        final String text = fault == Faults.GARBAGE && number == 1
+        final String chunkRequestId = fault == WorkerFault.FOREIGN && number == 1 ? requestId + "x" : requestId;
+        final String text = fault == WorkerFault.GARBAGE && number == 1
                 ? "{nonsense\n"
-                : StreamRecordDecoder.encode(new StreamRecord.Chunk(owner, run, number, Speech.piece(prompt, number)));
-        final String out =
-                fault == Faults.GAP && number == 1 ? "" : fault == Faults.REPEAT && number == 1 ? text + text : text;
-        final long pause = fault == Faults.SLOW ? piece * 10 : piece;
-        final Runnable next =
-                () -> work.schedule(() -> step(c, ticket, run, prompt, number + 1), pause, TimeUnit.MICROSECONDS);
-        if (out.isEmpty()) {
+                : StreamRecordDecoder.encode(new StreamRecord.Chunk(
+                        chunkRequestId, attemptId, number, ExpectedResponse.chunk(prompt, number)));
+        final String output = fault == WorkerFault.GAP && number == 1
+                ? ""
+                : fault == WorkerFault.REPEAT && number == 1 ? text + text : text;
+        final long pause = fault == WorkerFault.SLOW ? chunkMicros * 10 : chunkMicros;
+        final Runnable next = () -> executor.schedule(
+                () -> streamNext(exchange, requestId, attemptId, prompt, number + 1), pause, TimeUnit.MICROSECONDS);
+        if (output.isEmpty()) {
             next.run();
         } else {
-            c.writeLines(
-                    out,
+            exchange.writeLines(
+                    output,
                     false,
                     next,
-                    () -> work.execute(() -> {
-                        note(Map.of(
+                    () -> executor.execute(() -> {
+                        writeRecord(Map.of(
                                 "event",
                                 "cut",
                                 "ticket",
-                                ticket,
+                                requestId,
                                 "run",
-                                run,
+                                attemptId,
                                 "worker",
                                 name,
                                 "at",
                                 System.currentTimeMillis()));
-                        end();
+                        finishRun();
                     }));
         }
     }
 
-    private void end() {
+    private void finishRun() {
         running--;
-        if (!line.isEmpty()) {
-            line.poll().run();
+        if (!queue.isEmpty()) {
+            queue.poll().run();
         }
     }
 
     private void announce() {
         sequence++;
-        for (final String p : gateways.split(",")) {
-            final List<Long> list = new ArrayList<>(kept.keySet());
-            final Map<String, Object> word = new LinkedHashMap<>();
-            word.put("worker", name);
-            word.put("address", door);
-            word.put("zone", zone);
-            word.put("region", region);
-            word.put("life", life);
-            word.put("sequence", sequence);
-            word.put("running", running);
-            word.put("queued", line.size());
-            word.put("slots", slots);
-            word.put("kept", list);
-            word.put("leaving", leaving);
-            word.put("up", EventLoop.nowMicros() - began);
-            word.put("echo", echoes.getOrDefault(p, 0L));
-            http.newRequest(URI.create("http://" + p + "/v1/announcements"))
+        for (final String gateway : gateways.split(",")) {
+            final List<Long> cachedPrefixes = new ArrayList<>(prefixCache.keySet());
+            final Map<String, Object> report = new LinkedHashMap<>();
+            report.put("worker", name);
+            report.put("address", endpoint);
+            report.put("zone", zone);
+            report.put("region", region);
+            report.put("life", incarnation);
+            report.put("sequence", sequence);
+            report.put("running", running);
+            report.put("queued", queue.size());
+            report.put("slots", slots);
+            report.put("kept", cachedPrefixes);
+            report.put("leaving", draining);
+            report.put("up", EventLoop.nowMicros() - startedAt);
+            report.put("echo", echoes.getOrDefault(gateway, 0L));
+            httpClient
+                    .newRequest(URI.create("http://" + gateway + "/v1/announcements"))
                     .method("POST")
-                    .headers(h -> h.put("Authorization", "Bearer " + key))
-                    .body(new StringRequestContent("application/json", JsonDocument.write(word)))
+                    .headers(h -> h.put("Authorization", "Bearer " + workerKey))
+                    .body(new StringRequestContent("application/json", JsonDocument.write(report)))
                     .timeout(2, TimeUnit.SECONDS)
                     .send(new org.eclipse.jetty.client.BufferingResponseListener() {
                         @Override
                         public void onComplete(final org.eclipse.jetty.client.Result result) {
                             if (result.isSucceeded()
                                     && JsonDocument.parse(getContent(), 4096)
-                                            instanceof JsonDocument.ParseResult.Valid g) {
-                                echoes.put(p, g.document().integer("echo", 0, Long.MAX_VALUE, 0));
+                                            instanceof JsonDocument.ParseResult.Valid good) {
+                                echoes.put(gateway, good.document().integer("echo", 0, Long.MAX_VALUE, 0));
                             }
                         }
                     });
         }
     }
 
-    private void note(final Map<String, Object> fields) {
-        book.println(JsonDocument.write(fields));
+    private void writeRecord(final Map<String, Object> fields) {
+        recordWriter.println(JsonDocument.write(fields));
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/worker/Faults.java
+++ b/simulation/src/main/java/silverlatch/simulation/worker/WorkerFault.java
@@ -1,7 +1,7 @@
 package silverlatch.simulation.worker;
 
 /** What a stand-in worker can be told to do wrong. */
-public enum Faults {
+public enum WorkerFault {
     /** Nothing. */
     NONE,
     /** Leaves a piece out. */
--- a/simulation/src/test/java/silverlatch/simulation/fleet/FleetTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/fleet/FleetTest.java
@@ -18,40 +18,41 @@
     @TempDir
     private Path folder;
 
-    private Process load(final Fleet fleet, final Path receipts, final int seconds, final long seed) throws Exception {
-        return fleet.begin(
+    private Process startLoad(final Fleet fleet, final Path receipts, final int seconds, final long seed)
+            throws Exception {
+        return fleet.startProgram(
                 "silverlatch.simulation.consumer.Main",
                 folder.resolve("consumer.out"),
                 List.of(
                         "--doors",
-                        fleet.doors("gateway"),
+                        fleet.endpoints("gateway"),
                         "--seconds",
                         "" + seconds,
                         "--rate",
                         "30",
                         "--tenants",
-                        fleet.plan().people(),
+                        fleet.plan().tenantArguments(),
                         "--kinds",
-                        fleet.plan().sorts(),
+                        fleet.plan().kindArguments(),
                         "--receipts",
                         receipts.toString(),
                         "--seed",
                         "" + seed));
     }
 
-    private static long lines(final Path file) {
+    private static long countLines(final Path file) {
         try (java.util.stream.Stream<String> all =
                 Files.exists(file) ? Files.lines(file) : java.util.stream.Stream.<String>of()) {
             return all.count();
-        } catch (final java.io.IOException e) {
+        } catch (final java.io.IOException failure) {
             return 0;
         }
     }
 
-    private Main.Found check(final Fleet fleet, final Path receipts) throws Exception {
+    private Main.CheckResult check(final Fleet fleet, final Path receipts) throws Exception {
         return Main.check(
                 receipts,
-                Main.homes(fleet.plan().homes()),
+                Main.parseHomes(fleet.plan().homeArguments()),
                 fleet.names("worker").stream()
                         .map(w -> fleet.folder().resolve(w + ".runs"))
                         .toList());
@@ -61,24 +62,24 @@
     void aFleetServesObeysAndSurvivesKillsAndALostDisk() throws Exception {
         try (Fleet fleet =
                 new Fleet(Plan.read(Path.of("../examples/ferry")), folder, System.getProperty("java.class.path"))) {
-            fleet.all("controller");
-            fleet.all("gateway");
-            fleet.all("worker");
-            assertThat("controllers", fleet.ready("controller", 90), is(true));
-            assertThat(fleet.load(), everyItem(is(200)));
-            assertThat("gateways", fleet.ready("gateway", 90), is(true));
-            says(
+            fleet.startAll("controller");
+            fleet.startAll("gateway");
+            fleet.startAll("worker");
+            assertThat("controllers", fleet.awaitReady("controller", 90), is(true));
+            assertThat(fleet.loadTenantsAndTable(), everyItem(is(200)));
+            assertThat("gateways", fleet.awaitReady("gateway", 90), is(true));
+            assertAnswer(
                     fleet,
-                    () -> fleet.ask(
+                    () -> fleet.callAsOperator(
                             "controller-1",
                             "PUT",
                             "/v1/calendars/minute",
                             "{\"cron\":\"0 0 31 2 *\",\"zone\":\"syros\"}"),
                     422,
                     "never comes");
-            says(
+            assertAnswer(
                     fleet,
-                    () -> fleet.ask(
+                    () -> fleet.callAsOperator(
                             "controller-1",
                             "PUT",
                             "/v1/calendars/minute",
@@ -87,83 +88,87 @@
                     200,
                     "kept");
             final Path receipts = folder.resolve("receipts");
-            final Process load = load(fleet, receipts, 12, 5);
-            assertThat(fleet.until(() -> lines(receipts) > 60, 60), is(true));
+            final Process load = startLoad(fleet, receipts, 12, 5);
+            assertThat(fleet.await(() -> countLines(receipts) > 60, 60), is(true));
             fleet.kill("gateway-2");
             fleet.freeze("gateway-3", true);
-            final long seen = lines(receipts);
-            assertThat(fleet.until(() -> lines(receipts) > seen + 40, 60), is(true));
+            final long seen = countLines(receipts);
+            assertThat(fleet.await(() -> countLines(receipts) > seen + 40, 60), is(true));
             fleet.freeze("gateway-3", false);
             fleet.kill("controller-2");
-            fleet.wipe("controller-2");
+            fleet.deleteDataFolder("controller-2");
             fleet.start("controller-2");
             fleet.start("gateway-2");
             fleet.kill("worker-5");
             load.waitFor();
             assertThat(Files.readString(folder.resolve("consumer.out")), containsString("open 0"));
-            final Main.Found found = check(fleet, receipts);
-            assertThat(found.wrong(), is(List.of()));
+            final Main.CheckResult found = check(fleet, receipts);
+            assertThat(found.violations(), is(List.of()));
             assertThat("something ran", found.runs() > 50, is(true));
-            assertThat("the wiped controller is back", fleet.ready("controller", 90), is(true));
-            assertThat("the killed gateway is back", fleet.ready("gateway", 90), is(true));
+            assertThat("the wiped controller is back", fleet.awaitReady("controller", 90), is(true));
+            assertThat("the killed gateway is back", fleet.awaitReady("gateway", 90), is(true));
             assertThat(
-                    fleet.ask(
+                    fleet.callAsOperator(
                                     "controller-2",
                                     "PATCH",
                                     "/v1/table",
                                     "{\"cells\":[{\"tenant\":\"*\",\"kind\":\"fare\",\"field\":\"load\",\"value\":3}]}")
                             .statusCode(),
                     is(200));
-            assertThat(fleet.ask("controller-3", "GET", "/v1/table", "").body(), containsString("\"load\":3"));
-            book(fleet);
-            reads(fleet);
-            garbles(fleet);
-            rejects(fleet);
-            large(fleet);
-            tool(fleet);
+            assertThat(
+                    fleet.callAsOperator("controller-3", "GET", "/v1/table", "").body(), containsString("\"load\":3"));
+            checksClaims(fleet);
+            readsBack(fleet);
+            sendsGarbage(fleet);
+            rejectsBadInput(fleet);
+            putsLargeTable(fleet);
+            usesOperatorTool(fleet);
             assertThat(fleet.stop("gateway-1"), is(143));
             assertThat(fleet.stop("controller-1"), is(143));
             assertThat(
                     "the chain goes on without the stopped controller",
-                    fleet.until(() -> body(fleet, "controller-2", "/status").contains("\"leased\":true"), 30),
+                    fleet.await(() -> body(fleet, "controller-2", "/status").contains("\"leased\":true"), 30),
                     is(true));
             assertThat(
-                    fleet.ask("controller-2", "PUT", "/v1/zones/syros", "{\"empty\":true}")
+                    fleet.callAsOperator("controller-2", "PUT", "/v1/zones/syros", "{\"empty\":true}")
                             .statusCode(),
                     is(200));
             assertThat(
                     "the calendar's minute came",
-                    fleet.until(() -> body(fleet, "controller-3", "/v1/table").contains("\"burst\":777"), 150),
+                    fleet.await(() -> body(fleet, "controller-3", "/v1/table").contains("\"burst\":777"), 150),
                     is(true));
             for (final String name : fleet.names("")) {
                 fleet.kill(name);
             }
-            fleet.all("controller");
-            fleet.all("gateway");
+            fleet.startAll("controller");
+            fleet.startAll("gateway");
             assertThat(
                     "all are back after all were killed",
-                    fleet.ready("controller", 90) && fleet.ready("gateway", 90),
+                    fleet.awaitReady("controller", 90) && fleet.awaitReady("gateway", 90),
                     is(true));
-            assertThat(fleet.ask("controller-1", "GET", "/v1/table", "").body(), containsString("\"load\":3"));
-            assertThat(fleet.ask("controller-1", "GET", "/v1/zones", "").body(), containsString("\"empty\":true"));
+            assertThat(
+                    fleet.callAsOperator("controller-1", "GET", "/v1/table", "").body(), containsString("\"load\":3"));
+            assertThat(
+                    fleet.callAsOperator("controller-1", "GET", "/v1/zones", "").body(),
+                    containsString("\"empty\":true"));
         }
     }
 
     private static String body(final Fleet fleet, final String name, final String path) {
         try {
-            return fleet.ask(name, "GET", path, "").body();
-        } catch (final java.io.IOException e) {
+            return fleet.callAsOperator(name, "GET", path, "").body();
+        } catch (final java.io.IOException failure) {
             return "";
-        } catch (final InterruptedException e) {
+        } catch (final InterruptedException failure) {
             Thread.currentThread().interrupt();
             return "";
         }
     }
 
-    private void book(final Fleet fleet) throws Exception {
+    private void checksClaims(final Fleet fleet) throws Exception {
         final Path out = folder.resolve("replay.out");
         final Path day = fleet.folder().resolve("gateway-1.day").resolve("day-0.jsonl");
-        assertThat(fleet.run("silverlatch.server.replay.Main", out, List.of(day.toString())), is(0));
+        assertThat(fleet.runProgram("silverlatch.server.replay.Main", out, List.of(day.toString())), is(0));
         assertThat(Files.readString(out), containsString(", 0 changed"));
         final Path other = folder.resolve("other.json");
         Files.writeString(
@@ -172,14 +177,15 @@
                         .replaceAll("\"load\": [0-9.]+", "\"load\": 0")
                         .replaceAll("\"cross\": [0-9.]+", "\"cross\": 900"));
         assertThat(
-                fleet.run("silverlatch.server.replay.Main", out, List.of("--table", other.toString(), day.toString())),
+                fleet.runProgram(
+                        "silverlatch.server.replay.Main", out, List.of("--table", other.toString(), day.toString())),
                 is(0));
         assertThat(Files.readString(out), containsString(" -> "));
         Files.writeString(other, Files.readString(day) + "{\"pick\":{\"ticket\":7}}\n{odd\n");
-        assertThat(fleet.run("silverlatch.server.replay.Main", out, List.of(other.toString())), is(2));
+        assertThat(fleet.runProgram("silverlatch.server.replay.Main", out, List.of(other.toString())), is(2));
         assertThat(Files.readString(out), containsString("$.pick.ticket: a text is needed"));
         assertThat(
-                fleet.run(
+                fleet.runProgram(
                         "silverlatch.server.replay.Main",
                         out,
                         List.of(fleet.plan().table().toString())),
@@ -192,20 +198,21 @@
                 + "\",\"prompt\":\"6 pieces please\"}";
     }
 
-    private static void reads(final Fleet fleet) throws Exception {
+    private static void readsBack(final Fleet fleet) throws Exception {
         final List<String> picks = new java.util.ArrayList<>();
         final List<java.net.http.HttpResponse<String>> wholes = new java.util.ArrayList<>();
-        says(
+        assertAnswer(
                 fleet,
                 () -> {
-                    picks.add(fleet.as(
+                    picks.add(fleet.callAs(
                                     "key-travellers",
                                     "gateway-1",
                                     "POST",
                                     "/v1/picks",
                                     "{\"tenant\":\"travellers\",\"kind\":\"fare\"}")
                             .body());
-                    wholes.add(fleet.as("key-travellers", "gateway-1", "POST", "/v1/tickets", body(Lists.last(picks))));
+                    wholes.add(fleet.callAs(
+                            "key-travellers", "gateway-1", "POST", "/v1/tickets", body(Lists.last(picks))));
                     return Lists.last(wholes);
                 },
                 200,
@@ -217,28 +224,28 @@
         assertThat(lines.size(), is(7));
         assertThat(Lists.last(lines), containsString("\"seal\""));
         final java.net.http.HttpResponse<String> rest =
-                fleet.as("key-travellers", "gateway-1", "GET", "/v1/tickets/" + ticket + "?from=2", "");
+                fleet.callAs("key-travellers", "gateway-1", "GET", "/v1/tickets/" + ticket + "?from=2", "");
         assertThat(rest.body().lines().toList(), is(lines.subList(2, 7)));
-        says(
+        assertAnswer(
                 fleet,
-                () -> fleet.as("key-clerks", "gateway-1", "GET", "/v1/tickets/" + ticket + "?from=2", ""),
+                () -> fleet.callAs("key-clerks", "gateway-1", "GET", "/v1/tickets/" + ticket + "?from=2", ""),
                 404,
                 "no such ticket");
-        says(
+        assertAnswer(
                 fleet,
-                () -> fleet.as("key-travellers", "gateway-1", "POST", "/v1/tickets", body),
+                () -> fleet.callAs("key-travellers", "gateway-1", "POST", "/v1/tickets", body),
                 409,
                 "handed over before");
     }
 
-    private static void garbles(final Fleet fleet) throws Exception {
+    private static void sendsGarbage(final Fleet fleet) throws Exception {
         for (final String name : List.of("gateway-1", "controller-1")) {
             for (final byte[] bytes :
                     List.of(new byte[] {0x7f, -1, -1, -1, 1, 2}, new byte[] {0, 0, 0, 4, 99, 98, 97, 96})) {
-                try (java.net.Socket s = new java.net.Socket()) {
-                    s.connect(silverlatch.server.transport.Transport.parseAddress(fleet.address(name)));
-                    s.getOutputStream().write(bytes);
-                    assertThat("the connection ends", s.getInputStream().read(), is(-1));
+                try (java.net.Socket socket = new java.net.Socket()) {
+                    socket.connect(silverlatch.server.transport.Transport.parseAddress(fleet.address(name)));
+                    socket.getOutputStream().write(bytes);
+                    assertThat("the connection ends", socket.getInputStream().read(), is(-1));
                 }
             }
             assertThat(body(fleet, name, "/metrics"), containsString("silverlatch_wire_bad 2"));
@@ -247,20 +254,21 @@
         }
     }
 
-    private static void large(final Fleet fleet) throws Exception {
-        final String was = fleet.ask("controller-1", "GET", "/v1/table", "").body();
+    private static void putsLargeTable(final Fleet fleet) throws Exception {
+        final String was =
+                fleet.callAsOperator("controller-1", "GET", "/v1/table", "").body();
         final StringBuilder rows = new StringBuilder(was.substring(0, was.lastIndexOf(']')));
         for (int i = 0; i < 15_000; i++) {
             rows.append(",{\"tenant\":\"*\",\"kind\":\"kind-").append(i).append("\"}");
         }
-        says(fleet, () -> fleet.ask("controller-2", "PUT", "/v1/table", rows + "]}"), 200, "kept");
-        final java.net.http.HttpResponse<String> back = fleet.ask("controller-3", "GET", "/v1/table", "");
+        assertAnswer(fleet, () -> fleet.callAsOperator("controller-2", "PUT", "/v1/table", rows + "]}"), 200, "kept");
+        final java.net.http.HttpResponse<String> back = fleet.callAsOperator("controller-3", "GET", "/v1/table", "");
         assertThat(back.body().split("\"kind\":").length, is(15_000 + 3 + 1));
         assertThat(
                 "the gateways know the large table",
-                fleet.until(
+                fleet.await(
                         () -> fleet.names("gateway").stream()
-                                .allMatch(p -> body(fleet, p, "/status")
+                                .allMatch(permit -> body(fleet, permit, "/status")
                                         .contains("\"table\":"
                                                 + back.headers()
                                                         .firstValue("ETag")
@@ -268,9 +276,9 @@
                                                         .replace("\"", "") + ",")),
                         60),
                 is(true));
-        says(
+        assertAnswer(
                 fleet,
-                () -> fleet.as(
+                () -> fleet.callAs(
                         "key-travellers",
                         "gateway-1",
                         "POST",
@@ -281,23 +289,28 @@
         for (int i = 0; i < 6_000; i++) {
             rows.append(",{\"tenant\":\"*\",\"kind\":\"more-").append(i).append("\"}");
         }
-        says(fleet, () -> fleet.ask("controller-2", "PUT", "/v1/table", rows + "]}"), 422, "$.rows: at most");
-        says(fleet, () -> fleet.ask("controller-2", "PUT", "/v1/table", was), 200, "kept");
+        assertAnswer(
+                fleet,
+                () -> fleet.callAsOperator("controller-2", "PUT", "/v1/table", rows + "]}"),
+                422,
+                "$.rows: at most");
+        assertAnswer(fleet, () -> fleet.callAsOperator("controller-2", "PUT", "/v1/table", was), 200, "kept");
     }
 
-    private interface Ask {
-        java.net.http.HttpResponse<String> go() throws Exception;
+    private interface ApiCall {
+        java.net.http.HttpResponse<String> send() throws Exception;
     }
 
-    private static void says(final Fleet fleet, final Ask ask, final int code, final String text) throws Exception {
+    private static void assertAnswer(final Fleet fleet, final ApiCall ask, final int code, final String text)
+            throws Exception {
         final List<java.net.http.HttpResponse<String>> replies = new java.util.ArrayList<>();
-        fleet.until(
+        fleet.await(
                 () -> {
                     try {
-                        replies.add(ask.go());
+                        replies.add(ask.send());
                         return Lists.last(replies).statusCode() == code
                                 && Lists.last(replies).body().contains(text);
-                    } catch (final Exception e) {
+                    } catch (final Exception failure) {
                         return false;
                     }
                 },
@@ -306,40 +319,47 @@
         assertThat(Lists.last(replies).body(), containsString(text));
     }
 
-    private static void rejects(final Fleet fleet) throws Exception {
+    private static void rejectsBadInput(final Fleet fleet) throws Exception {
         final String pick = "{\"tenant\":\"travellers\",\"kind\":\"fare\"}";
-        says(fleet, () -> fleet.ask("gateway-1", "POST", "/v1/picks", "{nonsense"), 400, "$: not JSON");
-        says(
+        assertAnswer(
+                fleet, () -> fleet.callAsOperator("gateway-1", "POST", "/v1/picks", "{nonsense"), 400, "$: not JSON");
+        assertAnswer(
                 fleet,
-                () -> fleet.ask("gateway-1", "POST", "/v1/picks", "[".repeat(40) + "]".repeat(40)),
+                () -> fleet.callAsOperator("gateway-1", "POST", "/v1/picks", "[".repeat(40) + "]".repeat(40)),
                 422,
                 "$: deeper than");
-        says(
+        assertAnswer(
                 fleet,
-                () -> fleet.ask(
+                () -> fleet.callAsOperator(
                         "gateway-1", "POST", "/v1/picks", "{\"tenant\":7,\"kind\":\"fare\",\"prefix\":[1],\"odd\":1}"),
                 422,
                 "$.tenant: a text is needed");
-        says(
+        assertAnswer(
                 fleet,
-                () -> fleet.ask("gateway-1", "POST", "/v1/picks", "{\"tenant\":\"t\",\"kind\":\"fare\",\"odd\":1}"),
+                () -> fleet.callAsOperator(
+                        "gateway-1", "POST", "/v1/picks", "{\"tenant\":\"t\",\"kind\":\"fare\",\"odd\":1}"),
                 422,
                 "$.odd: unknown key");
-        says(fleet, () -> fleet.ask("gateway-1", "POST", "/v1/picks", pick), 401, "the tenant or its key is not known");
-        says(
+        assertAnswer(
+                fleet,
+                () -> fleet.callAsOperator("gateway-1", "POST", "/v1/picks", pick),
+                401,
+                "the tenant or its key is not known");
+        assertAnswer(
                 fleet,
-                () -> fleet.as("key-travellers", "gateway-1", "POST", "/v1/picks", pick.replace("fare", "nothing")),
+                () -> fleet.callAs("key-travellers", "gateway-1", "POST", "/v1/picks", pick.replace("fare", "nothing")),
                 422,
                 "$.kind: no kind nothing");
-        says(
+        assertAnswer(
                 fleet,
-                () -> fleet.as("key-travellers", "gateway-1", "POST", "/v1/picks", pick.replace("fare", "ruling")),
+                () -> fleet.callAs("key-travellers", "gateway-1", "POST", "/v1/picks", pick.replace("fare", "ruling")),
                 422,
                 "$.key");
-        says(fleet, () -> fleet.as("key-travellers", "gateway-1", "POST", "/v1/picks", pick), 200, "picked");
-        says(
+        assertAnswer(
+                fleet, () -> fleet.callAs("key-travellers", "gateway-1", "POST", "/v1/picks", pick), 200, "picked");
+        assertAnswer(
                 fleet,
-                () -> fleet.as(
+                () -> fleet.callAs(
                         "key-travellers",
                         "gateway-1",
                         "POST",
@@ -347,14 +367,14 @@
                         "{\"permit\":\"forged.forged\",\"prompt\":\"x\"}"),
                 403,
                 "no seal of ours");
-        says(
+        assertAnswer(
                 fleet,
-                () -> fleet.as("key-travellers", "gateway-1", "GET", "/v1/tickets/someone-elses", ""),
+                () -> fleet.callAs("key-travellers", "gateway-1", "GET", "/v1/tickets/someone-elses", ""),
                 404,
                 "no such ticket");
-        says(
+        assertAnswer(
                 fleet,
-                () -> fleet.as(
+                () -> fleet.callAs(
                         "key-travellers",
                         "gateway-1",
                         "POST",
@@ -362,18 +382,22 @@
                         "{\"prompt\":\"" + "x".repeat(5 << 20) + "\"}"),
                 413,
                 "larger than");
-        says(
+        assertAnswer(
                 fleet,
-                () -> fleet.as(
+                () -> fleet.callAs(
                         "key-kiosks", "gateway-1", "POST", "/v1/picks", pick.replace("travellers", "kiosks-rhodes")),
                 200,
                 "pointed");
-        says(fleet, () -> fleet.as("wrong", "gateway-1", "POST", "/v1/announcements", "{}"), 401, "workers' key");
-        says(fleet, () -> fleet.as("wrong", "gateway-1", "GET", "/status", ""), 401, "operator's key");
-        says(fleet, () -> fleet.as("wrong", "controller-1", "GET", "/v1/table", ""), 401, "operator's key");
-        says(
+        assertAnswer(
+                fleet,
+                () -> fleet.callAs("wrong", "gateway-1", "POST", "/v1/announcements", "{}"),
+                401,
+                "workers' key");
+        assertAnswer(fleet, () -> fleet.callAs("wrong", "gateway-1", "GET", "/status", ""), 401, "operator's key");
+        assertAnswer(fleet, () -> fleet.callAs("wrong", "controller-1", "GET", "/v1/table", ""), 401, "operator's key");
+        assertAnswer(
                 fleet,
-                () -> fleet.ask(
+                () -> fleet.callAsOperator(
                         "controller-1",
                         "PATCH",
                         "/v1/table",
@@ -381,40 +405,46 @@
                                 + "{\"tenant\":\"nobody\",\"kind\":\"fare\",\"field\":\"load\",\"value\":1}]}"),
                 422,
                 "$.cells[0]: rate takes a number, not fast");
-        says(
+        assertAnswer(
                 fleet,
-                () -> fleet.ask(
+                () -> fleet.callAsOperator(
                         "controller-1",
                         "PUT",
                         "/v1/table",
                         "{\"rows\":[{\"tenant\":\"*\",\"kind\":\"fare\",\"rate\":-1,\"colour\":2}]}"),
                 422,
                 "$.rows[0].colour: unknown key");
-        says(fleet, () -> fleet.ask("controller-1", "PUT", "/v1/zones/syros", "{}"), 422, "$.empty: missing");
-        says(fleet, () -> fleet.ask("controller-1", "GET", "/v1/changes/none-such", ""), 404, "absent");
+        assertAnswer(
+                fleet,
+                () -> fleet.callAsOperator("controller-1", "PUT", "/v1/zones/syros", "{}"),
+                422,
+                "$.empty: missing");
+        assertAnswer(
+                fleet, () -> fleet.callAsOperator("controller-1", "GET", "/v1/changes/none-such", ""), 404, "absent");
     }
 
-    private void tool(final Fleet fleet) throws Exception {
+    private void usesOperatorTool(final Fleet fleet) throws Exception {
         final Path out = folder.resolve("tool.out");
-        final String door = fleet.doors("controller");
-        final List<String> start = List.of("--door", door, "--key", Fleet.OPERATOR);
-        assertThat(run(fleet, out, start, "table", "set", "*", "fare", "cross", "0.75"), is(0));
-        assertThat(run(fleet, out, start, "table", "get"), is(0));
+        final String door = fleet.endpoints("controller");
+        final List<String> start = List.of("--door", door, "--key", Fleet.OPERATOR_KEY);
+        assertThat(runTool(fleet, out, start, "table", "set", "*", "fare", "cross", "0.75"), is(0));
+        assertThat(runTool(fleet, out, start, "table", "get"), is(0));
         assertThat(Files.readString(out), containsString("cross=0.75"));
         final Path file = folder.resolve("next.json");
-        final String was = fleet.ask("controller-1", "GET", "/v1/table", "").body();
+        final String was =
+                fleet.callAsOperator("controller-1", "GET", "/v1/table", "").body();
         Files.writeString(file, was.replace("\"cross\":0.75", "\"cross\":0.25"));
-        assertThat(run(fleet, out, start, "table", "diff", file.toString()), is(0));
+        assertThat(runTool(fleet, out, start, "table", "diff", file.toString()), is(0));
         assertThat(Files.readString(out), containsString("* fare cross: 0.75 -> 0.25"));
         assertThat(Files.readString(out), containsString("1 differences from sequence"));
-        assertThat(fleet.ask("controller-1", "GET", "/v1/table", "").body(), is(was));
+        assertThat(fleet.callAsOperator("controller-1", "GET", "/v1/table", "").body(), is(was));
         Files.writeString(file, was.replace("\"cross\":0.75", "\"cross\":-4"));
-        assertThat(run(fleet, out, start, "table", "diff", file.toString()), is(1));
+        assertThat(runTool(fleet, out, start, "table", "diff", file.toString()), is(1));
         assertThat(Files.readString(out), containsString("].cross: -4"));
-        assertThat(run(fleet, out, start, "claims", "done"), is(0));
+        assertThat(runTool(fleet, out, start, "claims", "done"), is(0));
         assertThat(Files.readString(out), containsString("carrier=gateway-"));
-        assertThat(run(fleet, out, start, "claims", "odd"), is(2));
-        assertThat(run(fleet, out, start, "--match", "1", "table", "set", "*", "fare", "cross", "0.5"), is(1));
+        assertThat(runTool(fleet, out, start, "claims", "odd"), is(2));
+        assertThat(runTool(fleet, out, start, "--match", "1", "table", "set", "*", "fare", "cross", "0.5"), is(1));
         assertThat(Files.readString(out), containsString("409"));
         final String ticket = Files.readAllLines(folder.resolve("receipts")).stream()
                 .filter(r -> r.contains("\"done\"") && r.contains("\"gateway-1-"))
@@ -422,19 +452,24 @@
                 .findFirst()
                 .orElseThrow();
         assertThat(
-                run(fleet, out, List.of("--door", fleet.door("gateway-1"), "--key", Fleet.OPERATOR), "explain", ticket),
+                runTool(
+                        fleet,
+                        out,
+                        List.of("--door", fleet.endpoint("gateway-1"), "--key", Fleet.OPERATOR_KEY),
+                        "explain",
+                        ticket),
                 is(0));
         assertThat(Files.readString(out), containsString("judge=prefix"));
         assertThat(Files.readString(out), containsString("state: done"));
-        assertThat(run(fleet, out, start, "status"), is(0));
+        assertThat(runTool(fleet, out, start, "status"), is(0));
         assertThat(Files.readString(out), containsString("leased: true"));
-        assertThat(run(fleet, out, start, "table", "twist"), is(2));
-        assertThat(run(fleet, out, List.of("--door", "127.0.0.1:1", "--key", "x"), "table", "get"), is(3));
-        assertThat(run(fleet, out, List.of("--help")), is(0));
-        assertThat(run(fleet, out, start, "drain", "syros"), is(0));
-        assertThat(run(fleet, out, start, "undrain", "syros"), is(0));
+        assertThat(runTool(fleet, out, start, "table", "twist"), is(2));
+        assertThat(runTool(fleet, out, List.of("--door", "127.0.0.1:1", "--key", "x"), "table", "get"), is(3));
+        assertThat(runTool(fleet, out, List.of("--help")), is(0));
+        assertThat(runTool(fleet, out, start, "drain", "syros"), is(0));
+        assertThat(runTool(fleet, out, start, "undrain", "syros"), is(0));
         assertThat(
-                fleet.run(
+                fleet.runProgram(
                         "silverlatch.server.gateway.Main",
                         out,
                         List.of("--name", "p", "--address", "nowhere", "--check")),
@@ -442,18 +477,18 @@
         assertThat(Files.readString(out), containsString("address: an IP number and a port are needed"));
         assertThat(Files.readString(out), containsString("key: at least 16 characters"));
         assertThat(
-                fleet.run(
+                fleet.runProgram(
                         "silverlatch.server.controller.Main",
                         out,
                         List.of("--settings", "../examples/ferry/settings.json", "--check")),
                 is(0));
-        assertThat(fleet.run("silverlatch.server.controller.Main", out, List.of("--version")), is(0));
+        assertThat(fleet.runProgram("silverlatch.server.controller.Main", out, List.of("--version")), is(0));
     }
 
-    private static int run(final Fleet fleet, final Path out, final List<String> start, final String... words)
+    private static int runTool(final Fleet fleet, final Path out, final List<String> start, final String... words)
             throws Exception {
         final List<String> all = new java.util.ArrayList<>(start);
         all.addAll(List.of(words));
-        return fleet.run("silverlatch.server.tool.Main", out, all);
+        return fleet.runProgram("silverlatch.server.tool.Main", out, all);
     }
 }
--- a/simulation/src/test/java/silverlatch/simulation/hollow/HollowTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/hollow/HollowTest.java
@@ -14,33 +14,35 @@
 final class HollowTest {
     @Test
     void aPlanOutsideTheBoundsIsRejectedWithTheReason() {
-        assertThat(Main.Ask.of("401", "10").fault().orElseThrow(), containsString("daemons: 401"));
-        assertThat(Main.Ask.of("10", "1201").fault().orElseThrow(), containsString("workers: 1201"));
-        assertThat(Main.Ask.of("6", "10").fault().orElseThrow(), containsString("daemons: 6"));
-        assertThat(Main.Ask.of("ten", "10").fault().orElseThrow(), containsString("usage"));
-        assertThat(Main.Ask.of("400", "1200", "--seed", "7"), is(new Main.Ask(400, 1_200, 7, Optional.empty())));
+        assertThat(Main.Arguments.of("401", "10").error().orElseThrow(), containsString("daemons: 401"));
+        assertThat(Main.Arguments.of("10", "1201").error().orElseThrow(), containsString("workers: 1201"));
+        assertThat(Main.Arguments.of("6", "10").error().orElseThrow(), containsString("daemons: 6"));
+        assertThat(Main.Arguments.of("ten", "10").error().orElseThrow(), containsString("usage"));
+        assertThat(
+                Main.Arguments.of("400", "1200", "--seed", "7"),
+                is(new Main.Arguments(400, 1_200, 7, Optional.empty())));
     }
 
     @Test
     void aFleetSettlesAndItsChangesReachAllWithinASecond() {
-        final Hollow fleet = new Hollow(30, 40, 3);
-        fleet.pass(8 * Hollow.SECOND);
+        final HollowCluster fleet = new HollowCluster(30, 40, 3);
+        fleet.advance(8 * HollowCluster.SECOND);
         assertThat(
-                fleet.rule(
+                fleet.propagateTableChange(
                         new Command.PutTable("table", List.of(TableRules.defaultRow("*", "chat")), -1),
-                        5 * Hollow.SECOND),
+                        5 * HollowCluster.SECOND),
                 greaterThanOrEqualTo(0L));
-        fleet.pass(12 * Hollow.SECOND);
-        assertThat(fleet.settled(), is(true));
+        fleet.advance(12 * HollowCluster.SECOND);
+        assertThat(fleet.isConverged(), is(true));
         for (int i = 0; i < 5; i++) {
-            assertThat(fleet.change(Hollow.SECOND), greaterThanOrEqualTo(0L));
+            assertThat(fleet.propagateWorkerChange(HollowCluster.SECOND), greaterThanOrEqualTo(0L));
             assertThat(
-                    fleet.rule(
+                    fleet.propagateTableChange(
                             new Command.PatchTable(
                                     "rule-" + i, List.of(new Command.Cell("*", "chat", "rate", "" + (500 + i))), -1),
-                            Hollow.SECOND),
+                            HollowCluster.SECOND),
                     greaterThanOrEqualTo(0L));
         }
-        assertThat(fleet.unsure(), is(0L));
+        assertThat(fleet.staleNodes(), is(0L));
     }
 }
--- a/simulation/src/test/java/silverlatch/simulation/sim/BriefTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/BriefTest.java
@@ -23,11 +23,11 @@
 final class BriefTest {
     private static final Path ROOT = Path.of("..");
 
-    private static Set<String> named(final String text, final String regex) {
+    private static Set<String> namesIn(final String text, final String regex) {
         final Set<String> found = new TreeSet<>();
-        final Matcher m = Pattern.compile(regex).matcher(text);
-        while (m.find()) {
-            found.add(m.group(1));
+        final Matcher matcher = Pattern.compile(regex).matcher(text);
+        while (matcher.find()) {
+            found.add(matcher.group(1));
         }
         return found;
     }
@@ -38,8 +38,8 @@
 
     private static List<Path> sources(final String... folders) throws IOException {
         final List<Path> list = new ArrayList<>();
-        for (final String f : folders) {
-            try (Stream<Path> files = Files.walk(ROOT.resolve(f))) {
+        for (final String folder : folders) {
+            try (Stream<Path> files = Files.walk(ROOT.resolve(folder))) {
                 files.filter(p -> p.toString().endsWith(".java")).forEach(list::add);
             }
         }
@@ -49,31 +49,31 @@
     @Test
     void theBriefsPageNamesEveryFaultGuardAndMarkAndNothingElse() throws IOException {
         final String page = Files.readString(ROOT.resolve("docs/brief.md"));
-        assertThat(named(page, "`Fault\\.([A-Z_]+)`"), is(names(Fault.values())));
-        assertThat(named(page, "`Safeguard\\.([A-Z_]+)`"), is(names(Safeguard.values())));
-        assertThat(named(page, "`Mark\\.([A-Z_]+)`"), is(names(Mark.values())));
+        assertThat(namesIn(page, "`Fault\\.([A-Z_]+)`"), is(names(Fault.values())));
+        assertThat(namesIn(page, "`Safeguard\\.([A-Z_]+)`"), is(names(Safeguard.values())));
+        assertThat(namesIn(page, "`Mark\\.([A-Z_]+)`"), is(names(Invariant.values())));
     }
 
     @Test
     void theBriefsPageNamesTestsThatExist() throws IOException {
         final String page = Files.readString(ROOT.resolve("docs/brief.md"));
-        final Set<String> there = new TreeSet<>();
-        for (final Path p : sources("core/src/test", "server/src/test", "simulation/src/test")) {
-            final String name = p.getFileName().toString().replace(".java", "");
-            there.add(name);
-            named(Files.readString(p), "void (\\w+)\\(").forEach(m -> there.add(name + "." + m));
+        final Set<String> existing = new TreeSet<>();
+        for (final Path source : sources("core/src/test", "server/src/test", "simulation/src/test")) {
+            final String name = source.getFileName().toString().replace(".java", "");
+            existing.add(name);
+            namesIn(Files.readString(source), "void (\\w+)\\(").forEach(m -> existing.add(name + "." + m));
         }
-        final Set<String> told = named(page, "`(\\w+Test(?:\\.\\w+)?)`");
-        told.removeAll(there);
-        assertThat(told, is(empty()));
+        final Set<String> named = namesIn(page, "`(\\w+Test(?:\\.\\w+)?)`");
+        named.removeAll(existing);
+        assertThat(named, is(empty()));
     }
 
     @Test
     void theProgramsDisableNoSafeguard() throws IOException {
         final List<String> found = new ArrayList<>();
-        for (final Path p : sources("core/src/main", "server/src/main", "platform/src/main")) {
-            if (Files.readString(p).contains("new Safeguards(") && !p.endsWith("safeguard/Safeguards.java")) {
-                found.add(p.toString());
+        for (final Path source : sources("core/src/main", "server/src/main", "platform/src/main")) {
+            if (Files.readString(source).contains("new Safeguards(") && !source.endsWith("safeguard/Safeguards.java")) {
+                found.add(source.toString());
             }
         }
         assertThat(found, is(empty()));
--- a/simulation/src/test/java/silverlatch/simulation/sim/ConfigurationHistoryTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/ConfigurationHistoryTest.java
@@ -9,8 +9,8 @@
 
 /** The observer of configurations notices each answer that another one forbids. */
 final class ConfigurationHistoryTest {
-    private final Watch watch = new Watch(() -> 0L);
-    private final ConfigurationHistory history = new ConfigurationHistory(watch);
+    private final Observer observer = new Observer(() -> 0L);
+    private final ConfigurationHistory history = new ConfigurationHistory(observer);
 
     @Test
     void anOrderAcknowledgedAgainAndALoserThatStaysRefusedAreInOrder() {
@@ -20,28 +20,31 @@
         history.acknowledge("a", 1, 0);
         history.refuse("b");
         history.read("c", 3, 3);
-        assertThat(watch.wrong(), empty());
+        assertThat(observer.violations(), empty());
     }
 
     @Test
     void twoDocumentsUnderOneRevisionAreNoticed() {
         history.acknowledge("a", 2, 0);
         history.acknowledge("b", 2, 1);
-        assertThat(watch.wrong(), contains(startsWith("LOSER a and b were both acknowledged under revision 2")));
+        assertThat(
+                observer.violations(), contains(startsWith("LOSER a and b were both acknowledged under revision 2")));
     }
 
     @Test
     void twoDocumentsOnTopOfOneVersionAreNoticed() {
         history.acknowledge("a", 2, 1);
         history.acknowledge("b", 3, 1);
-        assertThat(watch.wrong(), contains(startsWith("LOSER a and b were both acknowledged on top of revision 1")));
+        assertThat(
+                observer.violations(),
+                contains(startsWith("LOSER a and b were both acknowledged on top of revision 1")));
     }
 
     @Test
     void anOrderThatIsRefusedWhenItIsSentAgainIsNoticed() {
         history.acknowledge("a", 1, 0);
         history.refuse("a");
-        assertThat(watch.wrong(), contains(startsWith("LOSER a was acknowledged, and refused")));
+        assertThat(observer.violations(), contains(startsWith("LOSER a was acknowledged, and refused")));
     }
 
     @Test
@@ -50,7 +53,7 @@
         history.acknowledge("a", 1, 0);
         history.read("a", 1, 0);
         assertThat(
-                watch.wrong(),
+                observer.violations(),
                 contains(
                         startsWith("LOSER a was refused, and acknowledged"), startsWith("LOSER a was refused and is")));
     }
@@ -61,7 +64,7 @@
         history.read("b", 4, 4);
         history.read("b", 3, 4);
         assertThat(
-                watch.wrong(),
+                observer.violations(),
                 contains(startsWith("LOSER a was acknowledged, but b"), startsWith("READ b was read back")));
     }
 }
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayDigest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayDigest.java
@@ -26,9 +26,9 @@
     private long events;
 
     /** The number of events, the digest of the day's course and counts, and the digest of all frames' bytes. */
-    String of(final Day.Came day) {
-        number(day.wrong().size());
-        day.tally().values().stream().sorted().forEach(this::number);
+    String of(final Day.Result day) {
+        number(day.violations().size());
+        day.counters().values().stream().sorted().forEach(this::number);
         return events + " " + HexFormat.of().formatHex(course.digest()) + " "
                 + HexFormat.of().formatHex(bytes.digest());
     }
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayDigestTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayDigestTest.java
@@ -26,9 +26,9 @@
     private static String line(final String plan, final long seed) {
         try {
             final DayDigest digest = new DayDigest();
-            final Day.Came day = Day.run(
+            final Day.Result day = Day.run(
                     Plan.read(Path.of("../examples/" + plan)),
-                    Day.Script.drawn(seed, RATE),
+                    Day.Scenario.drawn(seed, RATE),
                     Safeguards.ALL,
                     false,
                     digest);
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayTest.java
@@ -37,14 +37,14 @@
      * What {@code OrdersTest.theCheckerNoticesASafeguardLetDown} lets down: the operators of these days send no order
      * again under another id, so nothing here depends on them.
      */
-    private static final Set<Safeguard> IN_STORMS_OF_ORDERS =
+    private static final Set<Safeguard> DISABLED_IN_ORDERS_TEST =
             Set.of(Safeguard.TAKEN, Safeguard.SETTLED, Safeguard.NEWEST);
 
     /** What {@code MembershipModelTest} and {@code MembershipTest} let down. */
-    private static final Set<Safeguard> IN_MEMBERSHIP_TESTS = Set.of(Safeguard.DEAD_VOTES, Safeguard.HANDOVER);
+    private static final Set<Safeguard> DISABLED_IN_MEMBERSHIP_TESTS = Set.of(Safeguard.DEAD_VOTES, Safeguard.HANDOVER);
 
     /** What {@code MutantTest} lets down: the explorer's mutants bear the names of their safeguards. */
-    private static Set<Safeguard> inExplorer() {
+    private static Set<Safeguard> disabledInExplorer() {
         final Set<String> mutants =
                 Arrays.stream(Mutant.values()).map(Mutant::name).collect(Collectors.toSet());
         return Arrays.stream(Safeguard.values())
@@ -56,47 +56,49 @@
         return Plan.read(Path.of("../examples/" + name));
     }
 
-    private static List<String> wrong(final List<Day.Came> days) {
-        return days.stream()
-                .flatMap(c -> c.wrong().stream().map(w -> "seed " + c.script().seed() + " " + c.story() + ": " + w))
+    private static List<String> violations(final List<Day.Result> results) {
+        return results.stream()
+                .flatMap(c ->
+                        c.violations().stream().map(w -> "seed " + c.scenario().seed() + " " + c.timeline() + ": " + w))
                 .toList();
     }
 
-    private static List<Day.Came> all(final Plan plan, final List<Day.Script> scripts, final Safeguards guards) {
-        return scripts.parallelStream()
-                .map(s -> Day.run(plan, s, guards, false))
+    private static List<Day.Result> runAll(
+            final Plan plan, final List<Day.Scenario> scenarios, final Safeguards safeguards) {
+        return scenarios.parallelStream()
+                .map(s -> Day.run(plan, s, safeguards, false))
                 .toList();
     }
 
-    private static Set<Mark> tried(final List<Day.Came> days) {
-        final Map<String, Long> sum = new TreeMap<>();
-        days.forEach(d -> Main.add(sum, d.tally()));
-        final Set<Mark> left = EnumSet.allOf(Mark.class);
-        left.removeIf(m -> sum.containsKey("test-" + m));
-        return left;
+    private static Set<Invariant> notExercised(final List<Day.Result> days) {
+        final Map<String, Long> counters = new TreeMap<>();
+        days.forEach(d -> Main.accumulate(counters, d.counters()));
+        final Set<Invariant> unexercised = EnumSet.allOf(Invariant.class);
+        unexercised.removeIf(m -> counters.containsKey("test-" + m));
+        return unexercised;
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"ferry", "telecom"})
     void eachFaultOfTheBriefIsBorneAndEveryCheckIsPutToTheTest(final String name) throws IOException {
-        final List<Day.Came> days = all(
+        final List<Day.Result> days = runAll(
                 plan(name),
                 Arrays.stream(Fault.values())
-                        .map(f -> Day.Script.of(11, List.of(f), RATE))
+                        .map(f -> Day.Scenario.of(11, List.of(f), RATE))
                         .toList(),
                 Safeguards.ALL);
-        assertThat(wrong(days), is(List.of()));
-        assertThat("put to no test", tried(days), is(empty()));
+        assertThat(violations(days), is(List.of()));
+        assertThat("put to no test", notExercised(days), is(empty()));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"ferry", "telecom"})
     void daysOfSeveralFaultsAreBorne(final String name) throws IOException {
         assertThat(
-                wrong(all(
+                violations(runAll(
                         plan(name),
                         LongStream.range(100, 116)
-                                .mapToObj(s -> Day.Script.drawn(s, RATE))
+                                .mapToObj(s -> Day.Scenario.drawn(s, RATE))
                                 .toList(),
                         Safeguards.ALL)),
                 is(List.of()));
@@ -118,75 +120,78 @@
                             .toList()));
         }
         final Plan plan = new Plan("many", few.regions(), few.kinds(), many, few.table());
-        final List<Day.Came> days = all(
-                plan, List.of(Day.Script.of(1, List.of(Fault.TENANTS_MOVE, Fault.REGION_LOST), RATE)), Safeguards.ALL);
-        assertThat(wrong(days), is(List.of()));
+        final List<Day.Result> days = runAll(
+                plan,
+                List.of(Day.Scenario.of(1, List.of(Fault.TENANTS_MOVE, Fault.REGION_LOST), RATE)),
+                Safeguards.ALL);
+        assertThat(violations(days), is(List.of()));
     }
 
     @Test
     void theSameSeedGivesTheSameDay() throws IOException {
         final Plan plan = plan("ferry");
-        final Day.Script day = Day.Script.of(5, List.of(Fault.PURSERS_KILLED, Fault.HARBOR_KILLED), RATE);
-        final Map<String, Long> once = Day.run(plan, day, Safeguards.ALL, false).tally();
-        assertThat(Day.run(plan, day, Safeguards.ALL, false).tally(), is(once));
+        final Day.Scenario day = Day.Scenario.of(5, List.of(Fault.PURSERS_KILLED, Fault.HARBOR_KILLED), RATE);
+        final Map<String, Long> once = Day.run(plan, day, Safeguards.ALL, false).counters();
+        assertThat(Day.run(plan, day, Safeguards.ALL, false).counters(), is(once));
     }
 
     /** A check, the guards let down, the fault under which the check must trip, tickets a second, seeds. */
-    private record Trip(Mark mark, Set<Safeguard> down, Fault fault, long rate, long seeds) {}
+    private record DisabledSafeguards(
+            Invariant invariant, Set<Safeguard> disabled, Fault fault, long rate, long seeds) {}
 
-    private static Stream<Trip> trips() {
+    private static Stream<DisabledSafeguards> disabledSafeguards() {
         return Stream.of(
-                new Trip(Mark.TWICE, Set.of(Safeguard.CLAIM), Fault.CONSUMERS_MOVE, 60, 2),
-                new Trip(Mark.TWICE, Set.of(Safeguard.SPENT), Fault.CONSUMERS_MOVE, 60, 2),
-                new Trip(Mark.TWICE, Set.of(Safeguard.LIFE), Fault.KILLED_AT_STEPS, 60, 24),
-                new Trip(Mark.TWICE, Set.of(Safeguard.BEGUN), Fault.WORKER_BREAKS, 60, 4),
-                new Trip(Mark.REJECTED, Set.of(Safeguard.BEGUN), Fault.WORKER_BREAKS, 60, 8),
-                new Trip(Mark.FOREIGN, Set.of(Safeguard.LINE), Fault.WORKER_BREAKS, 60, 8),
-                new Trip(Mark.CUT, Set.of(Safeguard.SEAL), Fault.WORKER_BREAKS, 60, 8),
-                new Trip(Mark.PIECE, Set.of(Safeguard.PIECE), Fault.WORKER_BREAKS, 60, 8),
-                new Trip(
-                        Mark.JOIN,
+                new DisabledSafeguards(Invariant.TWICE, Set.of(Safeguard.CLAIM), Fault.CONSUMERS_MOVE, 60, 2),
+                new DisabledSafeguards(Invariant.TWICE, Set.of(Safeguard.SPENT), Fault.CONSUMERS_MOVE, 60, 2),
+                new DisabledSafeguards(Invariant.TWICE, Set.of(Safeguard.LIFE), Fault.KILLED_AT_STEPS, 60, 24),
+                new DisabledSafeguards(Invariant.TWICE, Set.of(Safeguard.BEGUN), Fault.WORKER_BREAKS, 60, 4),
+                new DisabledSafeguards(Invariant.REJECTED, Set.of(Safeguard.BEGUN), Fault.WORKER_BREAKS, 60, 8),
+                new DisabledSafeguards(Invariant.FOREIGN, Set.of(Safeguard.LINE), Fault.WORKER_BREAKS, 60, 8),
+                new DisabledSafeguards(Invariant.CUT, Set.of(Safeguard.SEAL), Fault.WORKER_BREAKS, 60, 8),
+                new DisabledSafeguards(Invariant.PIECE, Set.of(Safeguard.PIECE), Fault.WORKER_BREAKS, 60, 8),
+                new DisabledSafeguards(
+                        Invariant.JOIN,
                         Set.of(Safeguard.BEGUN, Safeguard.LINE, Safeguard.PIECE),
                         Fault.WORKER_BREAKS,
                         60,
                         8),
-                new Trip(Mark.SERVED, Set.of(Safeguard.SERVED), Fault.CONSUMERS_MOVE, 60, 2),
-                new Trip(Mark.SENT, Set.of(Safeguard.SENT), Fault.CONSUMERS_MOVE, 60, 2),
-                new Trip(Mark.KEPT, Set.of(Safeguard.KEPT), Fault.TENANTS_MOVE, 60, 4),
-                new Trip(Mark.LEAVE, Set.of(Safeguard.WORD, Safeguard.SURE), Fault.NEWS_CUT, 60, 8),
-                new Trip(Mark.TABLE, Set.of(Safeguard.SURE), Fault.NEWS_CUT, 60, 4),
-                new Trip(Mark.BACK, Set.of(Safeguard.PAGE), Fault.NEWS_CUT, 60, 8),
-                new Trip(Mark.LOSER, Set.of(Safeguard.MATCH), Fault.CONSUMERS_MOVE, 60, 2),
-                new Trip(Mark.LOSER, Set.of(Safeguard.MATCH), Fault.CONFIGURATIONS_RACE, 60, 2),
-                new Trip(Mark.READ, Set.of(Safeguard.LEASE), Fault.TAIL_CUT, 60, 4),
-                new Trip(Mark.DRAIN, Set.of(Safeguard.ZONE), Fault.ZONE_DRAINED, 60, 2),
-                new Trip(Mark.TRIES, Set.of(Safeguard.TRIES), Fault.WORKERS_DENY, 60, 2),
-                new Trip(Mark.COLD, Set.of(Safeguard.RAMP), Fault.REGION_LOST, 400, 2),
-                new Trip(Mark.RETURN, Set.of(Safeguard.WARM), Fault.REGION_COLD, 60, 4),
-                new Trip(Mark.DEAD, Set.of(Safeguard.MEND), Fault.HARBOR_SWAPPED, 60, 4),
-                new Trip(Mark.STAMP, Set.of(Safeguard.ABOVE), Fault.CONSUMERS_MOVE, 60, 2),
-                new Trip(Mark.DRAG, Set.of(Safeguard.FAR), Fault.CLOCK_OFF, 60, 4));
+                new DisabledSafeguards(Invariant.SERVED, Set.of(Safeguard.SERVED), Fault.CONSUMERS_MOVE, 60, 2),
+                new DisabledSafeguards(Invariant.SENT, Set.of(Safeguard.SENT), Fault.CONSUMERS_MOVE, 60, 2),
+                new DisabledSafeguards(Invariant.KEPT, Set.of(Safeguard.KEPT), Fault.TENANTS_MOVE, 60, 4),
+                new DisabledSafeguards(Invariant.LEAVE, Set.of(Safeguard.WORD, Safeguard.SURE), Fault.NEWS_CUT, 60, 8),
+                new DisabledSafeguards(Invariant.TABLE, Set.of(Safeguard.SURE), Fault.NEWS_CUT, 60, 4),
+                new DisabledSafeguards(Invariant.BACK, Set.of(Safeguard.PAGE), Fault.NEWS_CUT, 60, 8),
+                new DisabledSafeguards(Invariant.LOSER, Set.of(Safeguard.MATCH), Fault.CONSUMERS_MOVE, 60, 2),
+                new DisabledSafeguards(Invariant.LOSER, Set.of(Safeguard.MATCH), Fault.CONFIGURATIONS_RACE, 60, 2),
+                new DisabledSafeguards(Invariant.READ, Set.of(Safeguard.LEASE), Fault.TAIL_CUT, 60, 4),
+                new DisabledSafeguards(Invariant.DRAIN, Set.of(Safeguard.ZONE), Fault.ZONE_DRAINED, 60, 2),
+                new DisabledSafeguards(Invariant.TRIES, Set.of(Safeguard.TRIES), Fault.WORKERS_DENY, 60, 2),
+                new DisabledSafeguards(Invariant.COLD, Set.of(Safeguard.RAMP), Fault.REGION_LOST, 400, 2),
+                new DisabledSafeguards(Invariant.RETURN, Set.of(Safeguard.WARM), Fault.REGION_COLD, 60, 4),
+                new DisabledSafeguards(Invariant.DEAD, Set.of(Safeguard.MEND), Fault.HARBOR_SWAPPED, 60, 4),
+                new DisabledSafeguards(Invariant.STAMP, Set.of(Safeguard.ABOVE), Fault.CONSUMERS_MOVE, 60, 2),
+                new DisabledSafeguards(Invariant.DRAG, Set.of(Safeguard.FAR), Fault.CLOCK_OFF, 60, 4));
     }
 
     @ParameterizedTest
     @MethodSource("trips")
-    void theObserverNoticesWhenAGuardIsDown(final Trip t) throws IOException {
-        final List<Day.Script> days = LongStream.range(1, 1 + t.seeds())
-                .mapToObj(s -> Day.Script.of(s, List.of(t.fault()), t.rate()))
+    void theObserverNoticesWhenAGuardIsDown(final DisabledSafeguards disabled) throws IOException {
+        final List<Day.Scenario> days = LongStream.range(1, 1 + disabled.seeds())
+                .mapToObj(s -> Day.Scenario.of(s, List.of(disabled.fault()), disabled.rate()))
                 .toList();
-        final List<String> found = all(plan("ferry"), days, new Safeguards(t.down())).stream()
-                .flatMap(d -> d.wrong().stream())
+        final List<String> found = runAll(plan("ferry"), days, new Safeguards(disabled.disabled())).stream()
+                .flatMap(d -> d.violations().stream())
                 .toList();
-        assertThat(found, hasItem(startsWith(t.mark() + " ")));
+        assertThat(found, hasItem(startsWith(disabled.invariant() + " ")));
     }
 
     @Test
     void aDiskThatLiesAboutItsSyncIsNoticed() throws IOException {
-        final List<Day.Script> days = LongStream.range(1, 5)
-                .mapToObj(s -> new Day.Script(s, List.of(Fault.ALL_KILLED), 60, true))
+        final List<Day.Scenario> days = LongStream.range(1, 5)
+                .mapToObj(s -> new Day.Scenario(s, List.of(Fault.ALL_KILLED), 60, true))
                 .toList();
-        final List<String> found = all(plan("ferry"), days, Safeguards.ALL).stream()
-                .flatMap(d -> d.wrong().stream())
+        final List<String> found = runAll(plan("ferry"), days, Safeguards.ALL).stream()
+                .flatMap(d -> d.violations().stream())
                 .toList();
         assertThat(found, hasItem(startsWith("READ ")));
     }
@@ -202,22 +207,22 @@
                 ferry.kinds(),
                 ferry.tenants(),
                 ferry.table());
-        final List<Day.Came> days = all(idle, List.of(Day.Script.of(1, List.of(), RATE)), Safeguards.ALL);
-        assertThat(days.get(0).wrong(), hasItem(startsWith("IDLE ")));
-        assertThat(tried(days), is(not(empty())));
+        final List<Day.Result> days = runAll(idle, List.of(Day.Scenario.of(1, List.of(), RATE)), Safeguards.ALL);
+        assertThat(days.get(0).violations(), hasItem(startsWith("IDLE ")));
+        assertThat(notExercised(days), is(not(empty())));
     }
 
     @Test
     void everyMarkHasAGuardThatTripsIt() {
-        final Set<Mark> left = EnumSet.complementOf(EnumSet.of(Mark.IDLE));
-        trips().forEach(t -> left.remove(t.mark()));
+        final Set<Invariant> left = EnumSet.complementOf(EnumSet.of(Invariant.IDLE));
+        disabledSafeguards().forEach(t -> left.remove(t.invariant()));
         assertThat(left, is(empty()));
-        final Set<Safeguard> elsewhere = new HashSet<>(IN_STORMS_OF_ORDERS);
-        elsewhere.addAll(IN_MEMBERSHIP_TESTS);
-        elsewhere.addAll(inExplorer());
+        final Set<Safeguard> elsewhere = new HashSet<>(DISABLED_IN_ORDERS_TEST);
+        elsewhere.addAll(DISABLED_IN_MEMBERSHIP_TESTS);
+        elsewhere.addAll(disabledInExplorer());
         final Set<Safeguard> untripped = EnumSet.allOf(Safeguard.class);
-        trips().forEach(t -> untripped.removeAll(t.down()));
-        trips().forEach(t -> elsewhere.removeAll(t.down()));
+        disabledSafeguards().forEach(t -> untripped.removeAll(t.disabled()));
+        disabledSafeguards().forEach(t -> elsewhere.removeAll(t.disabled()));
         assertThat(untripped, is(elsewhere));
     }
 
@@ -225,9 +230,9 @@
     void aWrongDayIsCutDownToTheFaultsThatShowIt() throws IOException {
         final Plan plan = plan("ferry");
         final Safeguards guards = new Safeguards(Set.of(Safeguard.ZONE));
-        final Day.Came came =
-                Day.run(plan, Day.Script.of(3, List.of(Fault.DISK_LIMPS, Fault.ZONE_DRAINED), RATE), guards, false);
-        assertThat(Main.fewest(plan, came, guards).faults(), is(List.of(Fault.ZONE_DRAINED)));
+        final Day.Result came =
+                Day.run(plan, Day.Scenario.of(3, List.of(Fault.DISK_LIMPS, Fault.ZONE_DRAINED), RATE), guards, false);
+        assertThat(Main.shrinkScenario(plan, came, guards).faults(), is(List.of(Fault.ZONE_DRAINED)));
     }
 
     @ParameterizedTest
@@ -242,8 +247,8 @@
                 "../examples/ferry 1",
                 "../examples/ferry 1 1 drawn --fast"
             })
-    void wrongWordsOnTheDrillsCommandLineEndWithTwo(final String words) throws Exception {
-        assertThat(Main.wrong(words.split(" ")), is(2));
+    void wrongWordsOnTheDrillsCommandLineEndWithTwo(final String arguments) throws Exception {
+        assertThat(Main.exitCode(arguments.split(" ")), is(2));
     }
 
     @Test
@@ -257,6 +262,6 @@
         for (final String place : List.of("$.regions[0].region", "$.regions[0].gateways", "$.odd")) {
             assertThat(told.getMessage(), org.hamcrest.Matchers.containsString(place));
         }
-        assertThat(Main.wrong(new String[] {folder.toString(), "1", "1"}), is(2));
+        assertThat(Main.exitCode(new String[] {folder.toString(), "1", "1"}), is(2));
     }
 }
