--- a/simulation/src/test/java/silverlatch/simulation/sim/BriefTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/BriefTest.java
@@ -51,7 +51,7 @@
         final String page = Files.readString(ROOT.resolve("docs/brief.md"));
         assertThat(namesIn(page, "`Fault\\.([A-Z_]+)`"), is(names(Fault.values())));
         assertThat(namesIn(page, "`Safeguard\\.([A-Z_]+)`"), is(names(Safeguard.values())));
-        assertThat(namesIn(page, "`Mark\\.([A-Z_]+)`"), is(names(Invariant.values())));
+        assertThat(namesIn(page, "`Invariant\\.([A-Z_]+)`"), is(names(Invariant.values())));
     }
 
     @Test
