--- a/server/src/main/java/silverlatch/server/replay/Main.java
+++ b/server/src/main/java/silverlatch/server/replay/Main.java
@@ -7,22 +7,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.OptionalInt;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.kohsuke.args4j.Argument;
-import org.kohsuke.args4j.CmdLineException;
-import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
-import org.kohsuke.args4j.ParserProperties;
 import silverlatch.dispatch.DispatchEffect;
 import silverlatch.placement.PlacementContext;
 import silverlatch.placement.ScorerResult;
 import silverlatch.placement.WeightedScorers;
-import silverlatch.server.settings.CommandLineFlags;
+import silverlatch.server.settings.ProgramOptions;
 import silverlatch.state.Value;
 
 /** The tool replay: judges a recorded day again, under its own table or another one, and shows which picks change and why. */
-public final class Main {
+public final class Main extends ProgramOptions {
     @Option(
             name = "--table",
             metaVar = "FILE",
@@ -35,16 +33,12 @@
     @Option(name = "--word", metaVar = "MICROSECONDS", usage = "the setting word of the day")
     private long word = 2_000_000;
 
-    @Option(name = "--help", help = true, usage = "show this text and end")
-    private boolean help;
-
-    @Option(name = "--version", help = true, usage = "show the version and end")
-    private boolean version;
-
     @Argument(metaVar = "RECORDING")
     private List<String> files = new ArrayList<>();
 
-    private Main() {}
+    private Main() {
+        super("replay", "replay [flags] RECORDING ...");
+    }
 
     /** Runs the tool: 0 done, 2 wrong use or a fault in a file. */
     public static void main(final String[] args) {
@@ -52,20 +46,9 @@
     }
 
     private int run(final String[] args, final PrintStream out, final PrintStream err) {
-        final CmdLineParser parser =
-                new CmdLineParser(this, ParserProperties.defaults().withUsageWidth(100));
-        try {
-            parser.parseArgument(args);
-        } catch (final CmdLineException e) {
-            err.println("replay: " + e.getMessage());
-            return 2;
-        }
-        if (help || version) {
-            out.println(version ? "replay " + CommandLineFlags.VERSION : "replay [flags] RECORDING ...");
-            if (help) {
-                parser.printUsage(out);
-            }
-            return 0;
+        final OptionalInt ended = parse(args, out, err);
+        if (ended.isPresent()) {
+            return ended.getAsInt();
         }
         if (files.isEmpty()) {
             err.println("replay: a recording is needed; try replay --help");
--- a/server/src/main/java/silverlatch/server/settings/CommandLineFlags.java
+++ b/server/src/main/java/silverlatch/server/settings/CommandLineFlags.java
@@ -5,18 +5,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.kohsuke.args4j.CmdLineException;
-import org.kohsuke.args4j.CmdLineParser;
+import java.util.OptionalInt;
 import org.kohsuke.args4j.Option;
-import org.kohsuke.args4j.ParserProperties;
 import silverlatch.node.Event;
 import silverlatch.server.eventloop.EventLog;
 
-/** The flags of gateway and controller. */
-public final class CommandLineFlags {
-    /** The product's version. */
-    public static final String VERSION = "0.1.0";
-
+/** The flags of the programs gateway and controller, most of which override a key of the settings file. */
+public final class CommandLineFlags extends ProgramOptions {
     @Option(name = "--settings", metaVar = "FILE", usage = "the settings file (JSON); flags go before it")
     private String settings = "";
 
@@ -50,60 +45,55 @@
     @Option(name = "--check", usage = "check the settings and end")
     private boolean check;
 
-    @Option(name = "--help", help = true, usage = "show this text and end")
-    private boolean help;
-
-    @Option(name = "--version", help = true, usage = "show the version and end")
-    private boolean version;
-
     /** What the command line came to. */
     public sealed interface Parsed {
         /** Run with these settings. */
         record Run(Settings settings) implements Parsed {}
 
-        /** End with this code; all is said. */
+        /** End with this exit code; what is to be said is printed. */
         record Exit(int code) implements Parsed {}
     }
 
-    /** Reads a command line and the settings it names. */
+    private CommandLineFlags(final String program) {
+        super(program, program + " [flags]");
+    }
+
+    /**
+     * Reads a program's command line and the settings that it names, and prints what is wrong with them.
+     *
+     * @param isController whether the settings are those of a controller, else of a gateway
+     */
     public static Parsed parse(
             final String program,
             final String[] args,
             final boolean isController,
             final PrintStream out,
             final PrintStream err) {
-        final CommandLineFlags flags = new CommandLineFlags();
-        final CmdLineParser parser =
-                new CmdLineParser(flags, ParserProperties.defaults().withUsageWidth(100));
-        try {
-            parser.parseArgument(args);
-        } catch (final CmdLineException e) {
-            err.println(program + ": " + e.getMessage());
-            err.println("try " + program + " --help");
-            return new Parsed.Exit(2);
-        }
-        if (flags.help) {
-            out.println(program + " [flags]");
-            parser.printUsage(out);
-            return new Parsed.Exit(0);
+        final CommandLineFlags flags = new CommandLineFlags(program);
+        final OptionalInt ended = flags.parse(args, out, err);
+        if (ended.isEmpty()) {
+            return flags.readSettings(isController, out, err);
         }
-        if (flags.version) {
-            out.println(program + " " + VERSION);
-            return new Parsed.Exit(0);
+        if (ended.getAsInt() == WRONG_USE) {
+            err.println("try " + program + " --help");
         }
-        return switch (Settings.read(
-                Optional.of(flags.settings).filter(s -> !s.isEmpty()), flags.overrides(), isController)) {
-            case Settings.ReadResult.Invalid bad -> {
-                EventLog.write(Event.SETTINGS, bad.faults().size() + " faults");
-                bad.faults().forEach(f -> err.println(program + ": " + f));
-                yield new Parsed.Exit(2);
+        return new Parsed.Exit(ended.getAsInt());
+    }
+
+    private Parsed readSettings(final boolean isController, final PrintStream out, final PrintStream err) {
+        final Optional<String> file = Optional.of(settings).filter(path -> !path.isEmpty());
+        return switch (Settings.read(file, overrides(), isController)) {
+            case Settings.ReadResult.Invalid invalid -> {
+                EventLog.write(Event.SETTINGS, invalid.faults().size() + " faults");
+                invalid.faults().forEach(fault -> err.println(program() + ": " + fault));
+                yield new Parsed.Exit(WRONG_USE);
             }
-            case Settings.ReadResult.Valid good -> {
-                if (flags.check) {
-                    out.println(program + ": the settings are sound");
+            case Settings.ReadResult.Valid valid -> {
+                if (check) {
+                    out.println(program() + ": the settings are sound");
                     yield new Parsed.Exit(0);
                 }
-                yield new Parsed.Run(good.settings());
+                yield new Parsed.Run(valid.settings());
             }
         };
     }
@@ -113,9 +103,9 @@
         final Map<String, String> texts = Map.of(
                 "name", name, "zone", zone, "region", region, "address", address, "door", door, "data", data, "record",
                 record, "gate", gate);
-        texts.forEach((k, v) -> {
-            if (!v.isEmpty()) {
-                overrides.put(k, v);
+        texts.forEach((key, value) -> {
+            if (!value.isEmpty()) {
+                overrides.put(key, value);
             }
         });
         if (!seeds.isEmpty()) {
--- /dev/null
+++ b/server/src/main/java/silverlatch/server/tool/CommandParser.java
@@ -0,0 +1,118 @@
+package silverlatch.server.tool;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+
+/** Reads the words of a command line into a command. */
+final class CommandParser {
+    private static final String TABLE = "/v1/table";
+    private static final String TENANTS = "/v1/tenants/";
+    private static final String CONFIGURATION = "/v1/charter";
+    private static final String SCHEDULES = "/v1/calendars/";
+    private static final String DEFAULT_CLAIM_STATE = "running";
+
+    /** Words that name a command only together with the next one. */
+    private static final Set<String> GROUPS = Set.of("table", "tenant", "charter", "calendar");
+
+    private final String name;
+    private final List<String> arguments;
+
+    private CommandParser(final String name, final List<String> arguments) {
+        this.name = name;
+        this.arguments = List.copyOf(arguments);
+    }
+
+    /**
+     * The command that the words name, or empty where they name none.
+     *
+     * @throws IOException if a file that the words name can't be read
+     */
+    static Optional<ToolCommand> parse(final List<String> words) throws IOException {
+        if (words.isEmpty()) {
+            return Optional.empty();
+        }
+        final int nameLength = GROUPS.contains(words.get(0)) ? Math.min(2, words.size()) : 1;
+        final String name = String.join(" ", words.subList(0, nameLength));
+        return new CommandParser(name, words.subList(nameLength, words.size())).parse();
+    }
+
+    /** By the command's name and how many arguments it has. */
+    private Optional<ToolCommand> parse() throws IOException {
+        return switch (name + "/" + arguments.size()) {
+            case "table get/0" -> request(ApiRequest.get(TABLE));
+            case "table put/1" -> request(ApiRequest.put(TABLE, file(0)));
+            case "table diff/1" -> Optional.of(new TableDiffCommand(file(0)));
+            case "table set/4" -> request(ApiRequest.patch(TABLE, cell()));
+            case "tenant list/0" -> request(ApiRequest.get("/v1/tenants"));
+            case "tenant drop/1" -> request(ApiRequest.delete(TENANTS + arguments.get(0)));
+            case "charter get/0" -> Optional.of(new RequestCommand(ApiRequest.get(CONFIGURATION), true));
+            case "charter rules/0" -> request(ApiRequest.get("/v1/rules"));
+            case "charter put/1" -> request(ApiRequest.put(CONFIGURATION, file(0)));
+            case "charter put/2" -> putConfigurationAfter(arguments.get(1));
+            case "drain/1" -> evacuate(true);
+            case "undrain/1" -> evacuate(false);
+            case "zones/0" -> request(ApiRequest.get("/v1/zones"));
+            case "calendar list/0" -> request(ApiRequest.get("/v1/calendars"));
+            case "calendar put/2" -> request(ApiRequest.put(SCHEDULES + arguments.get(0), file(1)));
+            case "calendar drop/1" -> request(ApiRequest.delete(SCHEDULES + arguments.get(0)));
+            case "change/1" -> request(ApiRequest.get("/v1/changes/" + arguments.get(0)));
+            case "claims/0" -> Optional.of(new ClaimsCommand(DEFAULT_CLAIM_STATE));
+            case "claims/1" -> Optional.of(new ClaimsCommand(arguments.get(0)));
+            case "status/0" -> request(ApiRequest.get("/status"));
+            case "explain/1" -> request(ApiRequest.get("/v1/explain/" + arguments.get(0)));
+            default -> name.equals("tenant put") ? putTenant() : Optional.empty();
+        };
+    }
+
+    private Optional<ToolCommand> putTenant() {
+        if (arguments.size() < 3 || !arguments.get(2).matches("\\d+(\\.\\d+)?")) {
+            return Optional.empty();
+        }
+        return request(ApiRequest.put(
+                TENANTS + arguments.get(0),
+                Map.of(
+                        "key",
+                        arguments.get(1),
+                        "share",
+                        Double.parseDouble(arguments.get(2)),
+                        "homes",
+                        arguments.subList(3, arguments.size()))));
+    }
+
+    private Optional<ToolCommand> putConfigurationAfter(final String number) throws IOException {
+        return number.matches("\\d{1,18}")
+                ? request(ApiRequest.put(CONFIGURATION, file(0)).expecting(number))
+                : Optional.empty();
+    }
+
+    private Optional<ToolCommand> evacuate(final boolean isEvacuated) {
+        return request(ApiRequest.put("/v1/zones/" + arguments.get(0), Map.of("empty", isEvacuated)));
+    }
+
+    private Map<String, Object> cell() {
+        return Map.of(
+                "cells",
+                List.of(Map.of(
+                        "tenant",
+                        arguments.get(0),
+                        "kind",
+                        arguments.get(1),
+                        "field",
+                        arguments.get(2),
+                        "value",
+                        arguments.get(3))));
+    }
+
+    private byte[] file(final int argument) throws IOException {
+        return Files.readAllBytes(Path.of(arguments.get(argument)));
+    }
+
+    private static Optional<ToolCommand> request(final ApiRequest request) {
+        return Optional.of(new RequestCommand(request));
+    }
+}
