--- a/core/src/main/java/silverlatch/gossip/VersionDigests.java
+++ b/core/src/main/java/silverlatch/gossip/VersionDigests.java
@@ -1,5 +1,6 @@
 package silverlatch.gossip;
 
+import silverlatch.util.Fnv1a;
 import silverlatch.wire.Message;
 
 /** Digests over marks: one over all, and one for each range of names. Order plays no part. */
@@ -11,7 +12,7 @@
     private long total;
 
     static int rangeOf(final String id) {
-        return (int) (mix(nameHash(id)) >>> 58);
+        return (int) (mix(Fnv1a.hash(id)) >>> 58);
     }
 
     void add(final Message.ReportVersion version) {
@@ -49,17 +50,10 @@
     }
 
     private static long hashOf(final Message.ReportVersion version) {
-        return mix(mix(nameHash(version.id()) + version.incarnation()) + version.sequence());
-    }
-
-    private static long nameHash(final String id) {
-        long hash = 0xCBF29CE484222325L;
-        for (int i = 0; i < id.length(); i++) {
-            hash = (hash ^ id.charAt(i)) * 0x100000001B3L;
-        }
-        return hash;
+        return mix(mix(Fnv1a.hash(version.id()) + version.incarnation()) + version.sequence());
     }
 
+    /** The finalizer of MurmurHash3: each bit of the result depends on each bit of the value. */
     private static long mix(final long value) {
         final long first = (value ^ value >>> 33) * 0xFF51AFD7ED558CCDL;
         final long second = (first ^ first >>> 33) * 0xC4CEB9FE1A85EC53L;
--- a/core/src/main/java/silverlatch/state/StateMachine.java
+++ b/core/src/main/java/silverlatch/state/StateMachine.java
@@ -109,7 +109,7 @@
 
     /** Replaces all keys of one range of digests by the given ones. */
     public void replaceRange(final int range, final int rangeCount, final Collection<Entry> rangeEntries) {
-        entries.values().removeIf(e -> rangeOf(e.key(), rangeCount) == range);
+        entries.values().removeIf(e -> EntryDigests.rangeOf(e.key(), rangeCount) == range);
         rangeEntries.forEach(e -> entries.put(e.key(), e));
     }
 
@@ -136,18 +136,13 @@
 
     /** One digest for each range of keys. */
     public long[] digests(final int rangeCount) {
-        final long[] digests = new long[rangeCount];
-        for (final Entry entry : entries.values()) {
-            digests[rangeOf(entry.key(), rangeCount)] +=
-                    mix(hashKey(entry.key()) + entry.sequence() * 0x9E3779B97F4A7C15L);
-        }
-        return digests;
+        return EntryDigests.of(entries.values(), rangeCount);
     }
 
     /** The entries of one range. */
     public List<Entry> entriesInRange(final int range, final int rangeCount) {
         return entries.values().stream()
-                .filter(e -> rangeOf(e.key(), rangeCount) == range)
+                .filter(e -> EntryDigests.rangeOf(e.key(), rangeCount) == range)
                 .toList();
     }
 
@@ -554,24 +549,6 @@
         return new Evaluation.Write(writes);
     }
 
-    private static int rangeOf(final String key, final int rangeCount) {
-        return Math.floorMod(key.hashCode() * 0x9E3779B9, rangeCount);
-    }
-
-    private static long hashKey(final String key) {
-        long hash = 0xCBF29CE484222325L;
-        for (int i = 0; i < key.length(); i++) {
-            hash = (hash ^ key.charAt(i)) * 0x100000001B3L;
-        }
-        return hash;
-    }
-
-    private static long mix(final long seed) {
-        final long firstPass = (seed ^ seed >>> 30) * 0xBF58476D1CE4E5B9L;
-        final long secondPass = (firstPass ^ firstPass >>> 27) * 0x94D049BB133111EBL;
-        return secondPass ^ secondPass >>> 31;
-    }
-
     /** What judging a wish gives. */
     public sealed interface Evaluation {
         /** It is let in and writes these entries. */
