--- /dev/null
+++ b/core/src/main/java/silverlatch/state/EntryKeys.java
@@ -0,0 +1,27 @@
+package silverlatch.state;
+
+/**
+ * How the keys of entries begin, or are, by what the entry holds. Keys are stored in data folders, sent between
+ * processes and part of the range digests: none may change. Those of a routing configuration are in
+ * {@link ConfigurationValidator}, those of accepted configurations in {@link AcceptedConfigurations}.
+ */
+final class EntryKeys {
+    /** Tenants, by name. */
+    static final String TENANTS = "t/";
+    /** Rows of the table, by tenant and kind. */
+    static final String ROWS = "r/";
+    /** Evacuations, by zone. */
+    static final String EVACUATIONS = "z/";
+    /** Schedules, by name. */
+    static final String SCHEDULES = "k/";
+    /** Claims, by the client's key. */
+    static final String CLAIMS = "c/";
+    /** Outcomes of commands, by the command's id. */
+    static final String OUTCOMES = "o/";
+    /** The epoch. */
+    static final String EPOCH = "h/glass";
+    /** The routing configuration in force, without its routes and pools. */
+    static final String CONFIGURATION_PREFIX = "p/";
+
+    private EntryKeys() {}
+}
--- a/core/src/main/java/silverlatch/state/StateMachine.java
+++ b/core/src/main/java/silverlatch/state/StateMachine.java
@@ -11,7 +11,6 @@
 import java.util.Set;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import java.util.TreeSet;
 import silverlatch.clock.Stamp;
 import silverlatch.safeguard.Safeguard;
 import silverlatch.safeguard.Safeguards;
@@ -30,14 +29,8 @@
     private static final String RUNNING = "running";
     private static final String REJECTED = "rejected";
     private static final int MAX_OUTCOMES = 1_000;
-    private final TreeMap<String, Entry> entries = new TreeMap<>();
-    private final TreeSet<Entry> policyBySequence =
-            new TreeSet<>(Comparator.comparingLong(Entry::sequence).thenComparing(Entry::key));
+    private final EntryTable entries = new EntryTable();
     private final Safeguards safeguards;
-    private long sequence;
-    private long policyRevision;
-    private long table;
-    private int claimCount;
 
     /** Empty books. */
     public StateMachine() {
@@ -51,109 +44,62 @@
 
     /** The newest sequence applied. */
     public long sequence() {
-        return sequence;
+        return entries.sequence();
     }
 
     /** The newest sequence that changed what the data plane follows. */
     public long policyRevision() {
-        return policyRevision;
+        return entries.policyRevision();
     }
 
-    /** Applies the entries of one change. */
+    /** Applies the entries of one committed change. */
     public void apply(final long newSequence, final Collection<Entry> writes) {
-        sequence = Math.max(sequence, newSequence);
-        for (final Entry write : writes) {
-            if (write.isPolicy()) {
-                policyRevision = Math.max(policyRevision, write.sequence());
-            }
-            if (write.isDeleted() && !write.isPolicy()) {
-                Optional.ofNullable(entries.remove(write.key())).ifPresent(this::removeFromIndex);
-            } else {
-                final Optional<Entry> old = Optional.ofNullable(entries.get(write.key()));
-                if (old.map(o -> write.sequence() >= o.sequence()).orElse(true)) {
-                    old.ifPresent(this::removeFromIndex);
-                    entries.put(write.key(), write);
-                    addToIndex(write);
-                }
-            }
-        }
-    }
-
-    private void addToIndex(final Entry entry) {
-        claimCount += entry.key().startsWith("c/") ? 1 : 0;
-        if (entry.isPolicy()) {
-            policyBySequence.add(entry);
-            if (entry.key().startsWith("r/")) {
-                table = Math.max(table, entry.sequence());
-            }
-        }
-    }
-
-    private void removeFromIndex(final Entry entry) {
-        claimCount -= entry.key().startsWith("c/") ? 1 : 0;
-        if (entry.isPolicy()) {
-            policyBySequence.remove(entry);
-        }
+        entries.apply(newSequence, writes);
     }
 
-    /** Replaces everything, as a repair or a picture does. */
+    /** Replaces everything, as a snapshot does. */
     public void reset(final long newSequence, final Collection<Entry> newEntries) {
-        entries.clear();
-        policyBySequence.clear();
-        sequence = 0;
-        policyRevision = 0;
-        table = 0;
-        claimCount = 0;
-        apply(newSequence, newEntries);
+        entries.reset(newSequence, newEntries);
     }
 
-    /** Replaces all keys of one range of digests by the given ones. */
+    /** Replaces the entries of one range of digests; {@link #completeRepair} must follow once all ranges are in. */
     public void replaceRange(final int range, final int rangeCount, final Collection<Entry> rangeEntries) {
-        entries.values().removeIf(e -> EntryDigests.rangeOf(e.key(), rangeCount) == range);
-        rangeEntries.forEach(e -> entries.put(e.key(), e));
+        entries.replaceRange(range, rangeCount, rangeEntries);
     }
 
-    /** Sets the sequences after a repair. */
+    /** Ends a repair: the entries are now those of this sequence. */
     public void completeRepair(final long newSequence) {
-        sequence = newSequence;
-        policyBySequence.clear();
-        table = 0;
-        claimCount = 0;
-        entries.values().forEach(this::addToIndex);
-        policyRevision =
-                policyBySequence.isEmpty() ? 0 : policyBySequence.last().sequence();
+        entries.completeRepair(newSequence);
     }
 
-    /** Everything. */
+    /** All entries, in the order of their keys. */
     public List<Entry> allEntries() {
-        return List.copyOf(entries.values());
+        return entries.all();
     }
 
-    /** What the data plane follows and was written after the given page. */
+    /** What the data plane follows and was written after the given revision, oldest first. */
     public List<Entry> policySince(final long revision) {
-        return List.copyOf(policyBySequence.tailSet(new Entry("", revision + 1, List.of())));
+        return entries.policySince(revision);
     }
 
     /** One digest for each range of keys. */
     public long[] digests(final int rangeCount) {
-        return EntryDigests.of(entries.values(), rangeCount);
+        return entries.digests(rangeCount);
     }
 
     /** The entries of one range. */
     public List<Entry> entriesInRange(final int range, final int rangeCount) {
-        return entries.values().stream()
-                .filter(e -> EntryDigests.rangeOf(e.key(), rangeCount) == range)
-                .toList();
+        return entries.inRange(range, rangeCount);
     }
 
-    /** The entry of a key, if it is held and not gone. */
+    /** The entry of a key, if it is there and not deleted. */
     public Optional<Entry> get(final String key) {
-        return Optional.ofNullable(entries.get(key)).filter(e -> !e.isDeleted());
+        return entries.find(key).filter(entry -> !entry.isDeleted());
     }
 
-    /** All entries whose key starts so. */
+    /** All entries whose keys start so, deleted ones of policy too; a view of this state. */
     public SortedMap<String, Entry> entriesWithPrefix(final String prefix) {
-        return entries.subMap(prefix, prefix + Character.MAX_VALUE);
+        return entries.withPrefix(prefix);
     }
 
     /** The key of a row. */
@@ -354,8 +300,8 @@
         if (existing.isPresent() && !canReclaim(existing.get(), command)) {
             return new Evaluation.Reply(new CommandResult.AlreadyClaimed(existing.get()));
         }
-        if (existing.isEmpty() && claimCount + view.overlayCount("c/") >= MAX_CLAIMS) {
-            return reject(507, "the space for claims is full", sequence);
+        if (existing.isEmpty() && entries.claimCount() + view.overlayCount("c/") >= MAX_CLAIMS) {
+            return reject(507, "the space for claims is full", entries.sequence());
         }
         return writeClaim(
                 command.key(),
@@ -386,7 +332,7 @@
                             view.epoch()));
         }
         if (existing.isEmpty() || !existing.get().requestId().equals(command.requestId())) {
-            return reject(409, "the claim is not this ticket's", sequence);
+            return reject(409, "the claim is not this ticket's", entries.sequence());
         }
         if (!existing.get().state().equals(RUNNING)) {
             return new Evaluation.Reply(new CommandResult.Applied(view.sequenceOf("c/" + command.key())));
@@ -539,7 +485,7 @@
         }
         final List<Entry> writes = new ArrayList<>(
                 List.of(new Entry(EPOCH_KEY, writeSequence, List.of(new Value.Epoch(command.epoch())))));
-        entriesWithPrefix("c/").values().stream()
+        entries.withPrefix("c/").values().stream()
                 .map(e -> view.find(e.key()))
                 .flatMap(Optional::stream)
                 .filter(e -> e.value().get(0) instanceof Value.Claim c
@@ -567,19 +513,19 @@
 
         Optional<Entry> find(final String key) {
             return Optional.ofNullable(overlay.get(key))
-                    .or(() -> Optional.ofNullable(entries.get(key)))
+                    .or(() -> entries.find(key))
                     .filter(e -> !e.isDeleted());
         }
 
         long sequenceOf(final String key) {
             return Optional.ofNullable(overlay.get(key))
-                    .or(() -> Optional.ofNullable(entries.get(key)))
+                    .or(() -> entries.find(key))
                     .map(Entry::sequence)
                     .orElse(0L);
         }
 
         long tableRevision() {
-            long newest = table;
+            long newest = entries.tableRevision();
             for (final Entry entry : overlay.values()) {
                 newest = entry.key().startsWith("r/") ? Math.max(newest, entry.sequence()) : newest;
             }
@@ -597,7 +543,7 @@
         }
 
         Map<String, Entry> liveWithPrefix(final String prefix) {
-            final Map<String, Entry> live = new HashMap<>(entriesWithPrefix(prefix));
+            final Map<String, Entry> live = new HashMap<>(entries.withPrefix(prefix));
             overlay.values().stream().filter(e -> e.key().startsWith(prefix)).forEach(e -> live.put(e.key(), e));
             live.values().removeIf(Entry::isDeleted);
             return live;
