--- /dev/null
+++ b/core/src/main/java/silverlatch/state/EpochManager.java
@@ -0,0 +1,24 @@
+package silverlatch.state;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Evaluates advances of the epoch, the fleet's count of time by monotonic clocks: each goes on by one, and deletes the
+ * claims that have expired with it.
+ */
+final class EpochManager {
+    StateMachine.Evaluation advance(final Command.AdvanceEpoch command, final EvaluationContext context) {
+        final long current = context.epoch();
+        if (command.epoch() <= current) {
+            return new StateMachine.Evaluation.Reply(new CommandResult.Applied(context.revisionOf(EntryKeys.EPOCH)));
+        }
+        if (command.epoch() != current + 1) {
+            return RejectionCause.CONFLICT.reply("the glass was turned " + current + " times", current);
+        }
+        final List<Entry> writes = new ArrayList<>();
+        writes.add(context.write(EntryKeys.EPOCH, new Value.Epoch(command.epoch())));
+        writes.addAll(ClaimManager.expired(command.epoch(), context));
+        return new StateMachine.Evaluation.Write(writes);
+    }
+}
--- /dev/null
+++ b/core/src/main/java/silverlatch/state/RoutingConfigurationManager.java
@@ -0,0 +1,124 @@
+package silverlatch.state;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import silverlatch.safeguard.Safeguard;
+import silverlatch.safeguard.Safeguards;
+
+/**
+ * Evaluates routing configurations. Each has a number of the operators' own, which only rises; the expected revision of
+ * a command is the number it builds on. A command that is sent again, under whatever id, gets the result of its first
+ * acceptance or refusal; where neither is remembered any more, the result is unknown.
+ */
+final class RoutingConfigurationManager {
+    private final CompareAndSet compareAndSet;
+    private final Safeguards safeguards;
+
+    RoutingConfigurationManager(final CompareAndSet compareAndSet, final Safeguards safeguards) {
+        this.compareAndSet = compareAndSet;
+        this.safeguards = safeguards;
+    }
+
+    StateMachine.Evaluation put(final Command.PutConfiguration command, final EvaluationContext context) {
+        final long currentNumber = currentNumber(context);
+        final Optional<CommandResult> earlier = earlierResult(command, context, currentNumber);
+        if (earlier.isPresent()) {
+            return new StateMachine.Evaluation.Reply(earlier.get());
+        }
+        final Map<String, Entry> remembered = context.withPrefix(AcceptedConfigurations.KEY_PREFIX);
+        if (mayBeForgotten(command, remembered, currentNumber)) {
+            return new StateMachine.Evaluation.Reply(new CommandResult.Unknown(command.id()));
+        }
+        if (compareAndSet.isConflict(command.expectedRevision(), currentNumber)) {
+            return rejectConflict(command, context, currentNumber);
+        }
+        final List<String> faults = ConfigurationValidator.faults(command, currentNumber);
+        if (!faults.isEmpty()) {
+            return RejectionCause.INVALID.reply(faults, currentNumber);
+        }
+        final Map<String, Entry> current = context.withPrefix(ConfigurationValidator.ROUTE_PREFIX);
+        current.putAll(context.withPrefix(ConfigurationValidator.POOL_PREFIX));
+        final List<Entry> writes = new ArrayList<>();
+        writes.addAll(ConfigurationValidator.writes(command, current, context.writeSequence()));
+        writes.addAll(AcceptedConfigurations.writes(command, remembered, currentNumber, context.writeSequence()));
+        return CommandOutcomes.accept(context, writes, command.id());
+    }
+
+    /** The number in force, 0 where there is none. */
+    private static long currentNumber(final EvaluationContext context) {
+        return context.value(ConfigurationValidator.CONFIGURATION_KEY, Value.RoutingConfiguration.class)
+                .map(Value.RoutingConfiguration::number)
+                .orElse(0L);
+    }
+
+    /** The result of an earlier copy of the command, if one is remembered. */
+    private Optional<CommandResult> earlierResult(
+            final Command.PutConfiguration command, final EvaluationContext context, final long currentNumber) {
+        return firstAcceptance(command, context, currentNumber)
+                .map(entry -> (CommandResult) new CommandResult.Applied(entry.sequence()))
+                .or(() -> refusal(command, context));
+    }
+
+    /**
+     * The entry of a command's first acceptance, if it was accepted. The configuration in force is known by its own text
+     * where a folder of an older version does not remember it.
+     */
+    private Optional<Entry> firstAcceptance(
+            final Command.PutConfiguration command, final EvaluationContext context, final long currentNumber) {
+        final long number = command.configuration().number();
+        final Optional<Entry> remembered = safeguards.isEnabled(Safeguard.TAKEN)
+                ? context.find(AcceptedConfigurations.key(number))
+                : Optional.empty();
+        if (remembered.isPresent()) {
+            return remembered.filter(
+                    entry -> AcceptedConfigurations.isSame(AcceptedConfigurations.value(entry), command));
+        }
+        final boolean mayBeInForce = number == currentNumber && command.expectedRevision() < currentNumber;
+        return mayBeInForce && isDocumentInForce(command.document(), context)
+                ? context.find(ConfigurationValidator.CONFIGURATION_KEY)
+                : Optional.empty();
+    }
+
+    private static boolean isDocumentInForce(final String document, final EvaluationContext context) {
+        return context.value(ConfigurationValidator.DOCUMENT_KEY, Value.ConfigurationDocument.class)
+                .filter(current -> current.text().equals(document))
+                .isPresent();
+    }
+
+    /** The refusal that was written for a copy of the command. */
+    private static Optional<CommandResult> refusal(
+            final Command.PutConfiguration command, final EvaluationContext context) {
+        return context.value(AcceptedConfigurations.refusalKey(command), Value.CommandOutcome.class)
+                .map(outcome -> new CommandResult.Rejected(outcome.code(), outcome.faults(), outcome.sequence()));
+    }
+
+    /** Whether a command that isn't remembered may have been accepted, so that a refusal could be wrong. */
+    private boolean mayBeForgotten(
+            final Command.PutConfiguration command, final Map<String, Entry> remembered, final long currentNumber) {
+        final long number = command.configuration().number();
+        return safeguards.isEnabled(Safeguard.TAKEN)
+                && command.expectedRevision() < number
+                && number <= AcceptedConfigurations.highestForgotten(new TreeMap<>(remembered), currentNumber)
+                && ConfigurationValidator.faults(command, 0).isEmpty();
+    }
+
+    /**
+     * Rejects a command that builds on another number than the one in force. A conflict with a higher number is final,
+     * as numbers only rise. A command on top of a number that isn't in force yet could be accepted later, so its refusal
+     * is written, and each copy of it finds that.
+     */
+    private static StateMachine.Evaluation rejectConflict(
+            final Command.PutConfiguration command, final EvaluationContext context, final long currentNumber) {
+        final String fault = "the charter in force is number " + currentNumber;
+        if (command.expectedRevision() < currentNumber) {
+            return RejectionCause.CONFLICT.reply(fault, currentNumber);
+        }
+        final Value.CommandOutcome refusal =
+                new Value.CommandOutcome(currentNumber, RejectionCause.CONFLICT.code(), List.of(fault));
+        final Entry write = context.write(AcceptedConfigurations.refusalKey(command), refusal);
+        return CommandOutcomes.write(context, List.of(write), command.id(), refusal);
+    }
+}
--- a/core/src/main/java/silverlatch/state/TableRules.java
+++ b/core/src/main/java/silverlatch/state/TableRules.java
@@ -10,6 +10,9 @@
     public static final List<String> FIELDS =
             List.of("prefix", "load", "cold", "cross", "rate", "burst", "running", "queue", "hold", "once", "rank");
 
+    /** The tenant of a row that holds for all tenants without a row of their own. */
+    static final String ALL_TENANTS = "*";
+
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
 
     private TableRules() {}
@@ -164,7 +167,7 @@
     /** What is wrong with a row. */
     public static List<String> faults(final Value.Row row) {
         final List<String> faults = new ArrayList<>();
-        if (!row.tenant().equals("*")) {
+        if (!row.tenant().equals(ALL_TENANTS)) {
             faults.addAll(nameFaults("tenant", row.tenant()));
         }
         faults.addAll(nameFaults("kind", row.kind()));
--- a/core/src/main/java/silverlatch/state/Value.java
+++ b/core/src/main/java/silverlatch/state/Value.java
@@ -44,7 +44,17 @@
     }
 
     /** A consumer's key, bound to the one ticket that may run under it; the stamp it came with, and the turn of the glass then. */
-    record Claim(String requestId, String gatewayId, String state, long claimedAt, long epoch) implements Value {}
+    record Claim(String requestId, String gatewayId, String state, long claimedAt, long epoch) implements Value {
+        /** The state of a claim whose request may run. */
+        public static final String RUNNING = "running";
+        /** The state of a claim whose request never ran. */
+        public static final String REJECTED = "rejected";
+
+        /** The same claim in another state. */
+        Claim withState(final String newState) {
+            return new Claim(requestId, gatewayId, newState, claimedAt, epoch);
+        }
+    }
 
     /** How often the glass was turned: the fleet's own count of time, by monotonic clocks only. */
     record Epoch(long number) implements Value {}
