--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -1211,6 +1211,8 @@
                         predecessor.address(),
                         new Message.ReplicateAck(view.number(), settings.self().id(), lastSequence + fresh.size())));
         if (!fresh.isEmpty()) {
+            // The log catches up; a repair beside it would bring the same entries again, in one frame.
+            catchUpStartedAt = now;
             appendEntries(fresh);
         } else if (isTail() && caughtUp) {
             notifyCommitted();
--- /dev/null
+++ b/core/src/test/java/silverlatch/replication/RepairBesideLogTest.java
@@ -0,0 +1,88 @@
+package silverlatch.replication;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.greaterThan;
+import static org.hamcrest.Matchers.is;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import silverlatch.clock.Stamp;
+import silverlatch.log.LogRecord;
+import silverlatch.node.Effect;
+import silverlatch.state.Entry;
+import silverlatch.state.Value;
+import silverlatch.wire.Message;
+
+/** A replica in the chain that hasn't caught up asks for a repair only while no new entry comes by the log. */
+final class RepairBesideLogTest {
+    private static final Replica PREDECESSOR = new Replica("id-a", "a");
+    private static final Replica FOLLOWER = new Replica("id-b", "b");
+    private static final Replica VOTER = new Replica("id-c", "c");
+    private static final View VIEW =
+            new View(2, 7, List.of(PREDECESSOR, FOLLOWER, VOTER), List.of(PREDECESSOR, FOLLOWER), PREDECESSOR.id());
+    private static final long START = 1_000_000;
+    private static final long SECOND = 1_000_000;
+    private static final long TICK = 50_000;
+
+    private final ChainReplica follower = new ChainReplica(
+            ChainReplica.ReplicaSettings.of(FOLLOWER, List.of("a", "b", "c")),
+            List.of(new LogRecord.ViewInstalled(VIEW, false)),
+            () -> new Stamp(START),
+            START);
+    private final List<Message> sent = new ArrayList<>();
+    private long now = START;
+
+    @Test
+    void noRepairIsAskedForWhileNewEntriesComeByTheLog() {
+        for (int sequence = 1; sequence <= 5; sequence++) {
+            receive(sequence);
+            pass(SECOND);
+        }
+        assertThat("repairs asked for while a new entry came each second", repairsAskedFor(), is(0L));
+    }
+
+    @Test
+    void aRepairIsAskedForWhenNoEntryOrOnlyKnownOnesCome() {
+        receive(1);
+        for (int i = 0; i < 3; i++) {
+            pass(SECOND);
+            receive(1);
+        }
+        assertThat("repairs asked for in three seconds without a new entry", repairsAskedFor(), greaterThan(0L));
+    }
+
+    private long repairsAskedFor() {
+        return sent.stream().filter(Message.CompareDigests.class::isInstance).count();
+    }
+
+    private void receive(final long sequence) {
+        final Entry entry = new Entry(
+                "z/hall-" + sequence,
+                sequence,
+                List.of(new Value.Evacuation("hall-" + sequence, true, new Stamp(sequence))));
+        final LogEntry change = new LogEntry(sequence, VIEW.number(), new Stamp(sequence), List.of(entry));
+        follower.onMessage(new Message.Replicate(VIEW.number(), List.of(change)), PREDECESSOR.address(), now);
+        perform();
+    }
+
+    private void pass(final long span) {
+        for (final long end = now + span; now < end; now += TICK) {
+            follower.tick(now);
+            perform();
+        }
+    }
+
+    /** Takes down what is sent, and syncs what is written at once. */
+    private void perform() {
+        for (List<Effect> effects = follower.drain(); !effects.isEmpty(); effects = follower.drain()) {
+            for (final Effect effect : effects) {
+                if (effect instanceof Effect.Send send) {
+                    sent.add(send.message());
+                } else if (effect instanceof Effect.Persist keep) {
+                    follower.synced(keep.token(), now);
+                }
+            }
+        }
+    }
+}
