--- a/core/src/main/java/silverlatch/state/TableRules.java
+++ b/core/src/main/java/silverlatch/state/TableRules.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** The rules for tenants and rows of the table, cell by cell. */
+/** What tenants and rows of the table may hold, and rows changed cell by cell. */
 public final class TableRules {
-    /** The fields of a row that hold a weight or a limit, in the order of the sheet. */
+    /** The fields of a row that hold a weight or a limit, as they are called in cells and documents, in their order. */
     public static final List<String> FIELDS =
             List.of("prefix", "load", "cold", "cross", "rate", "burst", "running", "queue", "hold", "once", "rank");
 
@@ -14,6 +14,8 @@
     static final String ALL_TENANTS = "*";
 
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
+    private static final Pattern KEY_HASH = Pattern.compile("[0-9a-f]{64}");
+    private static final int MAX_HOME_REGIONS = 64;
 
     private TableRules() {}
 
@@ -24,126 +26,17 @@
 
     /** The same row under another tenant. */
     public static Value.Row withTenant(final Value.Row row, final String tenant) {
-        return new Value.Row(
-                tenant,
-                row.kind(),
-                row.prefixWeight(),
-                row.loadWeight(),
-                row.warmupWeight(),
-                row.localityWeight(),
-                row.requestsPerSecond(),
-                row.burstRequests(),
-                row.maxRunning(),
-                row.maxQueued(),
-                row.timeoutMicros(),
-                row.atMostOnce(),
-                row.priority());
+        return new RowBuilder(row).tenant(tenant).build();
     }
 
-    /** The row with one cell changed. */
+    /** The row with one cell changed, or why it can't be; the new value is not checked against its bounds. */
     public static CellChange withCell(final Value.Row row, final String field, final String value) {
         try {
-            return switch (field) {
-                case "prefix" ->
-                    changed(with(
-                            row,
-                            Double.parseDouble(value),
-                            row.loadWeight(),
-                            row.warmupWeight(),
-                            row.localityWeight(),
-                            row.requestsPerSecond(),
-                            row.burstRequests()));
-                case "load" ->
-                    changed(with(
-                            row,
-                            row.prefixWeight(),
-                            Double.parseDouble(value),
-                            row.warmupWeight(),
-                            row.localityWeight(),
-                            row.requestsPerSecond(),
-                            row.burstRequests()));
-                case "cold" ->
-                    changed(with(
-                            row,
-                            row.prefixWeight(),
-                            row.loadWeight(),
-                            Double.parseDouble(value),
-                            row.localityWeight(),
-                            row.requestsPerSecond(),
-                            row.burstRequests()));
-                case "cross" ->
-                    changed(with(
-                            row,
-                            row.prefixWeight(),
-                            row.loadWeight(),
-                            row.warmupWeight(),
-                            Double.parseDouble(value),
-                            row.requestsPerSecond(),
-                            row.burstRequests()));
-                case "rate" ->
-                    changed(with(
-                            row,
-                            row.prefixWeight(),
-                            row.loadWeight(),
-                            row.warmupWeight(),
-                            row.localityWeight(),
-                            Double.parseDouble(value),
-                            row.burstRequests()));
-                case "burst" ->
-                    changed(with(
-                            row,
-                            row.prefixWeight(),
-                            row.loadWeight(),
-                            row.warmupWeight(),
-                            row.localityWeight(),
-                            row.requestsPerSecond(),
-                            Double.parseDouble(value)));
-                case "running" ->
-                    changed(with(
-                            row,
-                            Integer.parseInt(value),
-                            row.maxQueued(),
-                            row.timeoutMicros(),
-                            row.atMostOnce(),
-                            row.priority()));
-                case "queue" ->
-                    changed(with(
-                            row,
-                            row.maxRunning(),
-                            Integer.parseInt(value),
-                            row.timeoutMicros(),
-                            row.atMostOnce(),
-                            row.priority()));
-                case "hold" ->
-                    changed(with(
-                            row,
-                            row.maxRunning(),
-                            row.maxQueued(),
-                            Long.parseLong(value),
-                            row.atMostOnce(),
-                            row.priority()));
-                case "rank" ->
-                    changed(with(
-                            row,
-                            row.maxRunning(),
-                            row.maxQueued(),
-                            row.timeoutMicros(),
-                            row.atMostOnce(),
-                            Integer.parseInt(value)));
-                case "once" ->
-                    value.equals("true") || value.equals("false")
-                            ? changed(with(
-                                    row,
-                                    row.maxRunning(),
-                                    row.maxQueued(),
-                                    row.timeoutMicros(),
-                                    value.equals("true"),
-                                    row.priority()))
-                            : new CellChange.Invalid("once is true or false, not " + value);
-                default -> new CellChange.Invalid("no field " + field + "; there are " + String.join(", ", FIELDS));
-            };
+            return new CellChange.Changed(new RowBuilder(row).cell(field, value).build());
         } catch (final NumberFormatException e) {
             return new CellChange.Invalid(field + " takes a number, not " + value);
+        } catch (final IllegalArgumentException e) {
+            return new CellChange.Invalid(e.getMessage());
         }
     }
 
@@ -164,7 +57,7 @@
         };
     }
 
-    /** What is wrong with a row. */
+    /** What is wrong with a row; each fault begins with the name of its field. */
     public static List<String> faults(final Value.Row row) {
         final List<String> faults = new ArrayList<>();
         if (!row.tenant().equals(ALL_TENANTS)) {
@@ -184,21 +77,21 @@
         return faults;
     }
 
-    /** What is wrong with a tenant. */
+    /** What is wrong with a tenant; each fault begins with the name of its field. */
     public static List<String> faults(final Value.Tenant tenant) {
         final List<String> faults = new ArrayList<>(nameFaults("name", tenant.name()));
-        if (tenant.homeRegions().size() > 64) {
-            faults.add("homes: at most 64");
+        if (tenant.homeRegions().size() > MAX_HOME_REGIONS) {
+            faults.add("homes: at most " + MAX_HOME_REGIONS);
         }
-        tenant.homeRegions().forEach(h -> faults.addAll(nameFaults("homes", h)));
+        tenant.homeRegions().forEach(region -> faults.addAll(nameFaults("homes", region)));
         checkRange(faults, "share", tenant.quotaShare(), 0.001, 1000);
-        if (!tenant.keyHash().matches("[0-9a-f]{64}")) {
+        if (!KEY_HASH.matcher(tenant.keyHash()).matches()) {
             faults.add("hash: 64 hexadecimal digits are needed");
         }
         return faults;
     }
 
-    /** What is wrong with a name. */
+    /** What is wrong with a name: of a tenant, a kind, a region, a zone, a schedule or a process. */
     public static List<String> nameFaults(final String field, final String text) {
         return NAME.matcher(text).matches()
                 ? List.of()
@@ -216,57 +109,6 @@
         }
     }
 
-    private static CellChange changed(final Value.Row row) {
-        return new CellChange.Changed(row);
-    }
-
-    private static Value.Row with(
-            final Value.Row row,
-            final double prefix,
-            final double load,
-            final double cold,
-            final double cross,
-            final double rate,
-            final double burst) {
-        return new Value.Row(
-                row.tenant(),
-                row.kind(),
-                prefix,
-                load,
-                cold,
-                cross,
-                rate,
-                burst,
-                row.maxRunning(),
-                row.maxQueued(),
-                row.timeoutMicros(),
-                row.atMostOnce(),
-                row.priority());
-    }
-
-    private static Value.Row with(
-            final Value.Row row,
-            final int running,
-            final int queue,
-            final long hold,
-            final boolean once,
-            final int rank) {
-        return new Value.Row(
-                row.tenant(),
-                row.kind(),
-                row.prefixWeight(),
-                row.loadWeight(),
-                row.warmupWeight(),
-                row.localityWeight(),
-                row.requestsPerSecond(),
-                row.burstRequests(),
-                running,
-                queue,
-                hold,
-                once,
-                rank);
-    }
-
     /** A row with a cell set, or why not. */
     public sealed interface CellChange {
         /** The new row. */
