--- a/core/src/main/java/silverlatch/gossip/AntiEntropy.java
+++ b/core/src/main/java/silverlatch/gossip/AntiEntropy.java
@@ -2,54 +2,75 @@
 
 import java.util.List;
 import java.util.Optional;
+import java.util.function.ToLongFunction;
 import silverlatch.membership.Membership;
 import silverlatch.wire.Message;
 
-/** What is said in a pull where workers announce to controllers: digests first, then marks, then bodies that differ. */
+/**
+ * Brings the reports on workers and the members of two nodes to the same state, where workers announce to controllers.
+ *
+ * <p>One exchange takes up to four steps, each answered only if something is left to do: the pulled node compares the
+ * digests of a pull with its own and sends those of all ranges; the puller sends the versions of what it holds in the ranges
+ * that differ; the pulled node sends what is newer there and names what it lacks; the puller sends that. The exchange is
+ * complete for the puller once nothing differed or the missing reports came; only then it counts for freshness. One exchange
+ * at a time is open: a later one replaces it. The node's event loop alone calls this class.
+ */
 final class AntiEntropy {
+    /** The age in a message that stands for "never confirmed", and the pull time of reports that answer no pull. */
+    private static final long UNKNOWN_AGE = -1;
+
+    private static final long NO_PULL = 0;
+    private static final long[] EQUAL_RANGES = {};
+
     private final WorkerReports reports;
     private final PeerSelector peerSelector;
+    private final MemberVersions memberVersions;
     private final Membership membership;
     private Optional<PendingPull> pendingPull = Optional.empty();
 
-    AntiEntropy(final WorkerReports reports, final PeerSelector peerSelector, final Membership membership) {
+    AntiEntropy(
+            final WorkerReports reports,
+            final PeerSelector peerSelector,
+            final MemberVersions memberVersions,
+            final Membership membership) {
         this.reports = reports;
         this.peerSelector = peerSelector;
+        this.memberVersions = memberVersions;
         this.membership = membership;
     }
 
-    /** What the asked says of workers and members; the age is that of its own words. */
+    /**
+     * Returns the answer to a pull.
+     *
+     * @param reportsAge how long ago the reports here were surely the newest, in microseconds, or the largest long
+     */
     Message.PullContent.DigestContent digestContent(
-            final Message.GossipPull pull, final String sender, final long age, final long now) {
+            final Message.GossipPull pull, final String sender, final long reportsAge, final long now) {
         final boolean reportsDiffer = pull.reportsDigest() != reports.digests().total();
         final boolean membersDiffer =
-                pull.membershipDigest() != peerSelector.memberDigests().total();
+                pull.membershipDigest() != memberVersions.digests().total();
         final Message.RangeDigests ranges = new Message.RangeDigests(
-                reportsDiffer ? reports.digests().ranges() : new long[0],
-                membersDiffer ? peerSelector.memberDigests().ranges() : new long[0]);
+                reportsDiffer ? reports.digests().ranges() : EQUAL_RANGES,
+                membersDiffer ? memberVersions.digests().ranges() : EQUAL_RANGES);
         return new Message.PullContent.DigestContent(
-                age == Long.MAX_VALUE ? -1 : age,
+                reportsAge == Long.MAX_VALUE ? UNKNOWN_AGE : reportsAge,
                 reportsDiffer || membersDiffer ? List.of(ranges) : List.of(),
-                peerSelector.isController() && peerSelector.isController(sender)
+                peerSelector.isController() && peerSelector.isOtherController(sender)
                         ? List.of(reports.heartbeatAges(now))
                         : List.of());
     }
 
-    /** What the asker says to that: nothing where all is equal. */
+    /** Takes the answer to a pull; returns the versions held in the ranges that differ, or nothing where all are equal. */
     Optional<Message.ReportVersions> onDigestContent(
             final Message.PullContent.DigestContent content, final long askedAt, final String sender) {
         if (peerSelector.isController()) {
-            content.heartbeats().forEach(x -> reports.heartbeatAges(x, sender, askedAt));
+            content.heartbeats().forEach(ages -> reports.onHeartbeatAges(ages, sender, askedAt));
         }
         final PendingPull pull = new PendingPull(sender, askedAt, content.age());
-        final long reportRanges = content.ranges().stream()
-                .mapToLong(r -> reports.digests().differingRanges(r.reports()))
-                .findFirst()
-                .orElse(0);
-        final long memberRanges = content.ranges().stream()
-                .mapToLong(r -> peerSelector.memberDigests().differingRanges(r.members()))
-                .findFirst()
-                .orElse(0);
+        final long reportRanges =
+                firstOrZero(content, ranges -> reports.digests().differingRanges(ranges.reports()));
+        final long memberRanges =
+                firstOrZero(content, ranges -> memberVersions.digests().differingRanges(ranges.members()));
         if (reportRanges == 0 && memberRanges == 0) {
             complete(pull);
             return Optional.empty();
@@ -60,53 +81,64 @@
                 reportRanges,
                 memberRanges,
                 reports.versions(reportRanges),
-                peerSelector.memberVersions(memberRanges)));
+                memberVersions.versions(memberRanges)));
     }
 
-    /** What the asked holds that the asker lacks, and what it lacks itself. */
+    /** Returns what the puller lacks in the ranges that differ, and the names of what it has newer. */
     Message.MissingReports missingReports(final Message.ReportVersions versions, final long now) {
         return new Message.MissingReports(
                 versions.askedAt(),
                 reports.reportsNewerThan(versions.reportRanges(), versions.workers(), now),
-                peerSelector.membersNewerThan(versions.memberRanges(), versions.members()),
+                memberVersions.membersNewerThan(versions.memberRanges(), versions.members()),
                 reports.outdatedWorkers(versions.workers()),
-                peerSelector.outdatedMembers(versions.members()));
+                memberVersions.outdatedMembers(versions.members()));
     }
 
-    /** Takes bodies, and gives those that the other lacks. */
+    /** Takes what was missing here; returns what the sender named as missing there, or nothing where it named nothing. */
     Optional<Message.MissingReports> onMissingReports(
             final Message.MissingReports missing, final String sender, final long now) {
-        missing.members().forEach(x -> membership.learnWithoutForwarding(x, now));
-        missing.reports().forEach(x -> reports.merge(x, false, now));
+        missing.members().forEach(member -> membership.learnWithoutForwarding(member, now));
+        missing.reports().forEach(report -> reports.merge(report, false, now));
         pendingPull
-                .filter(p -> p.askedAt() == missing.askedAt() && p.address().equals(sender))
+                .filter(pull ->
+                        pull.askedAt() == missing.askedAt() && pull.address().equals(sender))
                 .ifPresent(this::complete);
         return missing.newerWorkers().isEmpty() && missing.newerDaemons().isEmpty()
                 ? Optional.empty()
-                : Optional.of(new Message.MissingReports(
-                        0,
-                        reports.reportsOf(missing.newerWorkers(), now),
-                        missing.newerDaemons().stream()
-                                .flatMap(id -> membership.get(id).stream())
-                                .toList(),
-                        List.of(),
-                        List.of()));
+                : Optional.of(reportsNamed(missing, now));
     }
 
-    /** Forgets a pull under way. */
+    /** Forgets the open exchange. */
     void reset() {
         pendingPull = Optional.empty();
     }
 
+    private Message.MissingReports reportsNamed(final Message.MissingReports missing, final long now) {
+        return new Message.MissingReports(
+                NO_PULL,
+                reports.reportsOf(missing.newerWorkers(), now),
+                missing.newerDaemons().stream()
+                        .flatMap(id -> membership.get(id).stream())
+                        .toList(),
+                List.of(),
+                List.of());
+    }
+
     private void complete(final PendingPull pull) {
         pendingPull = Optional.empty();
-        if (peerSelector.isController(pull.address())) {
+        if (peerSelector.isOtherController(pull.address())) {
             reports.markSynced(pull.address(), pull.askedAt());
         }
         if (pull.age() >= 0) {
-            reports.confirmedAt(pull.askedAt() - pull.age());
+            reports.confirm(pull.askedAt() - pull.age());
         }
     }
 
+    private static long firstOrZero(
+            final Message.PullContent.DigestContent content, final ToLongFunction<Message.RangeDigests> differing) {
+        return content.ranges().stream().mapToLong(differing).findFirst().orElse(0);
+    }
+
+    /** An exchange whose missing reports haven't come yet: whom was asked when, and how old its reports were. */
     private record PendingPull(String address, long askedAt, long age) {}
 }
--- a/core/src/main/java/silverlatch/gossip/Gossip.java
+++ b/core/src/main/java/silverlatch/gossip/Gossip.java
@@ -10,7 +10,6 @@
 import silverlatch.membership.Member;
 import silverlatch.membership.Membership;
 import silverlatch.node.Effect;
-import silverlatch.node.Event;
 import silverlatch.replication.View;
 import silverlatch.safeguard.Safeguard;
 import silverlatch.safeguard.Safeguards;
@@ -31,6 +30,7 @@
     private final Safeguards safeguards;
     private final RandomGenerator random;
     private final PeerSelector peerSelector;
+    private final MemberVersions memberVersions;
     private final StateMachine stateMachine = new StateMachine();
     private final Map<String, ObservedWorker> workers = new TreeMap<>();
     private final Map<String, AnnouncementEcho> echoes = new HashMap<>();
@@ -100,12 +100,13 @@
         this.membership = membership;
         this.random = random;
         this.peerSelector = new PeerSelector(membership, random);
+        this.memberVersions = new MemberVersions(membership);
         this.settings = settings;
         this.safeguards = safeguards;
         this.reports = settings.reporting() instanceof WorkerReporting.ToControllers h
                 ? Optional.of(new WorkerReports(h))
                 : Optional.empty();
-        this.antiEntropy = reports.map(w -> new AntiEntropy(w, peerSelector, membership));
+        this.antiEntropy = reports.map(w -> new AntiEntropy(w, peerSelector, memberVersions, membership));
     }
 
     /** The copy of the books held here; the caller does not change it. */
@@ -333,20 +334,10 @@
                                         h.worker().incarnation(),
                                         h.worker().sequence()))
                                 .toList(),
-                reports.isPresent() ? peerSelector.memberDigests().total() : membershipDigest(),
+                reports.isPresent() ? memberVersions.digests().total() : memberVersions.plainDigest(),
                 reports.map(w -> w.digests().total()).orElse(0L));
     }
 
-    private long membershipDigest() {
-        return membership.all().stream()
-                .mapToLong(m -> (m.id().hashCode() * 31L
-                                + m.incarnation() * 17
-                                + m.sequence() * 7
-                                + m.state().hashCode())
-                        * 0x9E3779B97F4A7C15L)
-                .sum();
-    }
-
     private void answerPull(final Message.GossipPull pull, final String sender, final long now) {
         final long age = stateAge(now);
         effects.add(new Effect.Send(
@@ -393,7 +384,9 @@
             }
         }
         return new Message.PullContent.FullContent(
-                ages, newerWorkers, pull.membershipDigest() == membershipDigest() ? List.of() : membership.all());
+                ages,
+                newerWorkers,
+                pull.membershipDigest() == memberVersions.plainDigest() ? List.of() : membership.all());
     }
 
     private void onPullReply(final Message.GossipPullReply reply, final String sender, final long now) {
@@ -465,11 +458,10 @@
             store(new ObservedWorker(
                     worker, asOf.or(() -> old.filter(h -> sameIncarnation).flatMap(ObservedWorker::asOf))));
             if (old.isEmpty()) {
-                effects.add(new Effect.Log(
-                        Event.WORKER_KNOWN, worker.id() + " " + worker.address() + " zone " + worker.zone()));
+                effects.add(WorkerEvents.known(worker));
             }
             if (worker.draining() && !wasDraining) {
-                effects.add(new Effect.Log(Event.WORKER_LEAVING, worker.id()));
+                effects.add(WorkerEvents.draining(worker));
                 newlyDraining.add(worker);
             }
         }
--- /dev/null
+++ b/core/src/main/java/silverlatch/gossip/MemberVersions.java
@@ -0,0 +1,78 @@
+package silverlatch.gossip;
+
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import silverlatch.membership.Member;
+import silverlatch.membership.Membership;
+import silverlatch.wire.Message;
+
+/** The versions of the members that a node knows, and digests over them, by which two nodes find what one of them lacks. */
+final class MemberVersions {
+    private static final long UNORDERED_HASH_FACTOR = 0x9E3779B97F4A7C15L;
+
+    private final Membership membership;
+    private VersionDigests digests = new VersionDigests();
+    private long digestedVersion = -1;
+
+    MemberVersions(final Membership membership) {
+        this.membership = membership;
+    }
+
+    /** Returns the digests over the versions of all members; the caller doesn't change them. */
+    VersionDigests digests() {
+        if (digestedVersion != membership.version()) {
+            digestedVersion = membership.version();
+            digests = new VersionDigests();
+            membership.all().forEach(m -> digests.add(versionOf(m)));
+        }
+        return digests;
+    }
+
+    /** Returns the one digest that nodes exchange where workers announce to any node; it is part of the wire format. */
+    long plainDigest() {
+        return membership.all().stream().mapToLong(MemberVersions::plainHash).sum();
+    }
+
+    /** Returns the versions of the members in some ranges. */
+    List<Message.ReportVersion> versions(final long rangeBits) {
+        return membership.all().stream()
+                .filter(m -> VersionDigests.isInRanges(rangeBits, m.id()))
+                .map(MemberVersions::versionOf)
+                .toList();
+    }
+
+    /** Returns the members in some ranges that are newer here than at another node; it knows no others there. */
+    List<Member> membersNewerThan(final long rangeBits, final List<Message.ReportVersion> known) {
+        final Map<String, Message.ReportVersion> knownById = Versions.byId(known);
+        return membership.all().stream()
+                .filter(m -> VersionDigests.isInRanges(rangeBits, m.id()))
+                .filter(m -> Optional.ofNullable(knownById.get(m.id()))
+                        .map(version -> Versions.isNewer(versionOf(m), version))
+                        .orElse(true))
+                .toList();
+    }
+
+    /** Returns the names of the members of whom another node has newer versions. */
+    List<String> outdatedMembers(final List<Message.ReportVersion> known) {
+        return known.stream()
+                .filter(version -> membership
+                        .get(version.id())
+                        .map(m -> Versions.isNewer(version, versionOf(m)))
+                        .orElse(true))
+                .map(Message.ReportVersion::id)
+                .toList();
+    }
+
+    private static Message.ReportVersion versionOf(final Member member) {
+        return new Message.ReportVersion(member.id(), member.incarnation(), member.precedence());
+    }
+
+    private static long plainHash(final Member member) {
+        return (member.id().hashCode() * 31L
+                        + member.incarnation() * 17
+                        + member.sequence() * 7
+                        + member.state().hashCode())
+                * UNORDERED_HASH_FACTOR;
+    }
+}
--- a/core/src/main/java/silverlatch/gossip/PeerSelector.java
+++ b/core/src/main/java/silverlatch/gossip/PeerSelector.java
@@ -1,55 +1,48 @@
 package silverlatch.gossip;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Optional;
 import java.util.random.RandomGenerator;
 import silverlatch.membership.Member;
 import silverlatch.membership.Membership;
+import silverlatch.replication.Replica;
 import silverlatch.replication.View;
-import silverlatch.wire.Message;
 
-/** Whom to ask and whom to tell, and the crew in short. */
+/** Chooses the members from which a node pulls and to which it pushes, and says how often it pulls from controllers. */
 final class PeerSelector {
-    private static final long SECOND = 1_000_000L;
+    private static final long MICROS_PER_SECOND = 1_000_000L;
+    private static final int SMALL_FLEET = 32;
+    private static final int MEDIUM_FLEET = 128;
+
     private final Membership membership;
     private final RandomGenerator random;
-    private VersionDigests memberDigests = new VersionDigests();
     private List<Member> otherControllers = List.of();
     private long indexedVersion = -1;
     private long liveGatewayCount;
-    private int nextInTurn;
+    private int turn;
 
     PeerSelector(final Membership membership, final RandomGenerator random) {
         this.membership = membership;
         this.random = random;
     }
 
-    /** Whether this daemon is a controller. */
+    /** Returns whether this node is a controller. */
     boolean isController() {
         return !membership.self().isGateway();
     }
 
-    /** The other controllers, also those thought dead; not those that left. */
+    /** Returns the other controllers, also those thought dead; not those that left. */
     List<Member> otherControllers() {
         refresh();
         return otherControllers;
     }
 
-    /** Whether another controller takes frames at this address. */
-    boolean isController(final String address) {
+    /** Returns whether another controller takes frames at an address. */
+    boolean isOtherController(final String address) {
         return otherControllers().stream().anyMatch(m -> m.address().equals(address));
     }
 
-    /** Digests over the crew. */
-    VersionDigests memberDigests() {
-        refresh();
-        return memberDigests;
-    }
-
-    /** So many of these, drawn. */
+    /** Returns so many of the candidates, drawn at random; all where there are no more. */
     <T> List<T> sample(final List<T> candidates, final int count) {
         final List<T> remaining = new ArrayList<>(candidates);
         final List<T> chosen = new ArrayList<>();
@@ -59,109 +52,67 @@
         return chosen;
     }
 
-    /** So many of these, each in its turn. */
+    /** Returns so many of the candidates, round robin over all calls. */
     List<Member> nextInTurn(final List<Member> candidates, final int count) {
         final List<Member> chosen = new ArrayList<>();
         for (int i = 0; i < Math.min(count, candidates.size()); i++) {
-            chosen.add(candidates.get(nextInTurn++ % candidates.size()));
+            chosen.add(candidates.get(turn++ % candidates.size()));
         }
         return chosen;
     }
 
-    /** How often to ask a controller: less often where gateways are many. */
+    /** Returns the microseconds between two pulls from controllers, more where there are many gateways per controller. */
     long controllerPullInterval(final Gossip.Settings settings) {
         refresh();
-        return settings.reporting() instanceof WorkerReporting.ToControllers reporting && !isController()
-                ? Math.max(
-                        settings.controllerPullInterval(),
-                        Math.min(
-                                SECOND,
-                                liveGatewayCount
-                                        * SECOND
-                                        / Math.max(1, (long) otherControllers.size() * reporting.maxPullsPerSecond())))
-                : settings.controllerPullInterval();
+        if (!(settings.reporting() instanceof WorkerReporting.ToControllers reporting) || isController()) {
+            return settings.controllerPullInterval();
+        }
+        final long pullsPerSecond = Math.max(1, (long) otherControllers.size() * reporting.maxPullsPerSecond());
+        final long fairInterval = liveGatewayCount * MICROS_PER_SECOND / pullsPerSecond;
+        return Math.max(settings.controllerPullInterval(), Math.min(MICROS_PER_SECOND, fairInterval));
     }
 
-    /** Some to pass news on to, more in a large fleet: one from anywhere, the others from this region. */
+    /** Returns the members to push to, more in a large fleet: one from anywhere, the others from this region. */
     List<Member> pushTargets() {
         final List<Member> live = membership.liveMembers();
-        final int count = live.size() < 32 ? 3 : live.size() < 128 ? 5 : 7;
-        final List<Member> targets = sample(preferOwnRegion(live), count - 1);
-        targets.addAll(sample(live.stream().filter(m -> !targets.contains(m)).toList(), count - targets.size()));
+        final int fanout = live.size() < SMALL_FLEET ? 3 : live.size() < MEDIUM_FLEET ? 5 : 7;
+        final List<Member> targets = sample(preferOwnRegion(live), fanout - 1);
+        final List<Member> others =
+                live.stream().filter(m -> !targets.contains(m)).toList();
+        targets.addAll(sample(others, fanout - targets.size()));
         return targets;
     }
 
-    /** Live controllers to ask: those of the chain, or all. */
+    /** Returns the live controllers: those of the chain, or all where the chain isn't known. */
     List<Member> liveControllers(final View view, final boolean includeOutsideChain) {
-        final List<String> chain = view.chain().stream().map(b -> b.address()).toList();
+        final List<String> chain = view.chain().stream().map(Replica::address).toList();
         return membership.liveMembers().stream()
                 .filter(m -> !m.isGateway())
                 .filter(m -> includeOutsideChain || chain.isEmpty() || chain.contains(m.address()))
                 .toList();
     }
 
-    /** Those of this region, or all where there are none. */
+    /** Returns the candidates of this node's region, or all where there are none. */
     List<Member> preferOwnRegion(final List<Member> candidates) {
-        final List<Member> near = candidates.stream()
+        final List<Member> sameRegion = candidates.stream()
                 .filter(m -> m.region().equals(membership.self().region()))
                 .toList();
-        return near.isEmpty() ? candidates : near;
-    }
-
-    /** What is known of the crew in these ranges. */
-    List<Message.ReportVersion> memberVersions(final long rangeBits) {
-        return membership.all().stream()
-                .filter(m -> VersionDigests.isInRanges(rangeBits, m.id()))
-                .map(PeerSelector::versionOf)
-                .toList();
-    }
-
-    /** Who is known better here than by these marks, which are all that another holds in these ranges. */
-    List<Member> membersNewerThan(final long rangeBits, final List<Message.ReportVersion> versions) {
-        final Map<String, Message.ReportVersion> versionById = new HashMap<>();
-        versions.forEach(k -> versionById.put(k.id(), k));
-        return membership.all().stream()
-                .filter(m -> VersionDigests.isInRanges(rangeBits, m.id()))
-                .filter(m -> Optional.ofNullable(versionById.get(m.id()))
-                        .map(k -> isNewer(versionOf(m), k))
-                        .orElse(true))
-                .toList();
-    }
-
-    /** Who is known worse here than by these marks. */
-    List<String> outdatedMembers(final List<Message.ReportVersion> versions) {
-        return versions.stream()
-                .filter(k -> membership
-                        .get(k.id())
-                        .map(m -> isNewer(k, versionOf(m)))
-                        .orElse(true))
-                .map(Message.ReportVersion::id)
-                .toList();
-    }
-
-    private static boolean isNewer(final Message.ReportVersion first, final Message.ReportVersion second) {
-        return first.incarnation() != second.incarnation()
-                ? first.incarnation() > second.incarnation()
-                : first.sequence() > second.sequence();
-    }
-
-    private static Message.ReportVersion versionOf(final Member member) {
-        return new Message.ReportVersion(member.id(), member.incarnation(), member.precedence());
+        return sameRegion.isEmpty() ? candidates : sameRegion;
     }
 
     private void refresh() {
-        if (indexedVersion != membership.version()) {
-            indexedVersion = membership.version();
-            final List<Member> all = membership.all();
-            otherControllers = all.stream()
-                    .filter(m -> !m.isGateway()
-                            && !m.state().equals("left")
-                            && !m.id().equals(membership.self().id()))
-                    .toList();
-            liveGatewayCount =
-                    all.stream().filter(m -> m.isGateway() && m.isLive()).count();
-            memberDigests = new VersionDigests();
-            all.forEach(m -> memberDigests.add(versionOf(m)));
+        if (indexedVersion == membership.version()) {
+            return;
         }
+        indexedVersion = membership.version();
+        final List<Member> all = membership.all();
+        otherControllers = all.stream().filter(this::isOtherController).toList();
+        liveGatewayCount = all.stream().filter(m -> m.isGateway() && m.isLive()).count();
+    }
+
+    private boolean isOtherController(final Member member) {
+        return !member.isGateway()
+                && !member.state().equals("left")
+                && !member.id().equals(membership.self().id());
     }
 }
--- a/core/src/main/java/silverlatch/gossip/VersionDigests.java
+++ b/core/src/main/java/silverlatch/gossip/VersionDigests.java
@@ -3,35 +3,51 @@
 import silverlatch.util.Fnv1a;
 import silverlatch.wire.Message;
 
-/** Digests over marks: one over all, and one for each range of names. Order plays no part. */
+/**
+ * Digests over a set of versions: one over all, and one for each of 64 ranges of names. A digest is a sum of hashes, so it
+ * doesn't depend on the order of additions, and removing a version undoes its addition. Two nodes whose digests are equal
+ * hold the same versions but for a collision of 64-bit hashes.
+ */
 final class VersionDigests {
-    /** How many ranges; one bit of a long for each. */
+    /** The number of ranges; a set of ranges is a long with one bit for each. */
     static final int RANGE_COUNT = Long.SIZE;
 
+    /** The top bits of a hash that number the range. */
+    private static final int RANGE_SHIFT = Long.SIZE - 6;
+
     private final long[] ranges = new long[RANGE_COUNT];
     private long total;
 
+    /** Returns the number of the range that a name belongs to. */
     static int rangeOf(final String id) {
-        return (int) (mix(Fnv1a.hash(id)) >>> 58);
+        return (int) (mix(Fnv1a.hash(id)) >>> RANGE_SHIFT);
+    }
+
+    /** Returns whether a name belongs to one of a set of ranges. */
+    static boolean isInRanges(final long rangeBits, final String id) {
+        return (rangeBits >>> rangeOf(id) & 1) == 1;
     }
 
     void add(final Message.ReportVersion version) {
         accumulate(version.id(), hashOf(version));
     }
 
+    /** Removes a version that was added before. */
     void remove(final Message.ReportVersion version) {
         accumulate(version.id(), -hashOf(version));
     }
 
+    /** Returns the digest over all versions. */
     long total() {
         return total;
     }
 
+    /** Returns the digests of the ranges, a copy. */
     long[] ranges() {
         return ranges.clone();
     }
 
-    /** A bit for each range that differs; none when the other's digests are not given. */
+    /** Returns the set of ranges that differ from another node's; empty when the other's digests are not given. */
     long differingRanges(final long[] other) {
         long differing = 0;
         for (int i = 0; i < Math.min(RANGE_COUNT, other.length); i++) {
@@ -40,10 +56,6 @@
         return differing;
     }
 
-    static boolean isInRanges(final long rangeBits, final String id) {
-        return (rangeBits >>> rangeOf(id) & 1) == 1;
-    }
-
     private void accumulate(final String id, final long change) {
         ranges[rangeOf(id)] += change;
         total += change;
--- a/core/src/main/java/silverlatch/gossip/Worker.java
+++ b/core/src/main/java/silverlatch/gossip/Worker.java
@@ -3,23 +3,24 @@
 import java.util.List;
 
 /**
- * What a worker said of itself.
+ * A worker as it announced itself. Within an incarnation a higher sequence is newer; a worker that restarts takes a larger
+ * incarnation.
  *
- * @param id       its name
- * @param address  where it takes runs
- * @param zone     its zone
- * @param region   its region
- * @param incarnation     its start; a larger one for each
- * @param sequence the number of the word, rising within a life
- * @param running  runs under way
- * @param queued   runs waiting
- * @param slots    runs it takes at once
- * @param cachedPrefixes     the salted digests of prefixes in its cache
- * @param draining  whether it takes no new work
- * @param uptime       microseconds since it started
- * @param pool     the pool it belongs to, or empty
- * @param warmupRemaining     how long it stays cold yet by its own word, in microseconds
- * @param lifetimeRemaining     how long it is there yet by its own word, in microseconds; 0 when it says nothing of its end
+ * @param id                its name
+ * @param address           host and port at which it takes requests
+ * @param zone              its zone
+ * @param region            its region
+ * @param incarnation       a number that is larger for each start of the worker
+ * @param sequence          the number of the announcement, rising within an incarnation
+ * @param running           requests being served
+ * @param queued            requests waiting
+ * @param slots             requests it serves at once
+ * @param cachedPrefixes    the salted digests of the prefixes in its cache
+ * @param draining          whether it takes no new requests
+ * @param uptime            microseconds since it started
+ * @param pool              the backend pool it belongs to, or empty
+ * @param warmupRemaining   microseconds for which it is still warming up, by its own account
+ * @param lifetimeRemaining microseconds after which it will be gone, by its own account; 0 when it announces no end
  */
 public record Worker(
         String id,
@@ -42,7 +43,7 @@
         cachedPrefixes = List.copyOf(cachedPrefixes);
     }
 
-    /** A worker of no pool. */
+    /** Makes a worker of no pool that isn't warming up and announces no end. */
     public Worker(
             final String id,
             final String address,
@@ -74,90 +75,58 @@
                 0);
     }
 
-    /** Whether this word is newer than the other. */
+    /** Returns whether this announcement is newer than another of the same worker. */
     public boolean isNewerThan(final Worker other) {
         return incarnation != other.incarnation ? incarnation > other.incarnation : sequence > other.sequence;
     }
 
-    /** The same worker, leaving. */
+    /** Returns whether this is the same announcement of the same worker as another. */
+    public boolean isSameAnnouncement(final Worker other) {
+        return incarnation == other.incarnation && sequence == other.sequence;
+    }
+
+    /** Returns the same announcement of a worker that is draining. */
     public Worker asDraining() {
-        return new Worker(
-                id,
-                address,
-                zone,
-                region,
-                incarnation,
-                sequence,
-                running,
-                queued,
-                slots,
-                cachedPrefixes,
-                true,
-                uptime,
-                pool,
-                warmupRemaining,
-                lifetimeRemaining);
+        return copy(sequence, true, warmupRemaining, lifetimeRemaining);
     }
 
-    /** The same word so much later: what it stays cold and what it rests grow shorter. */
+    /** Returns the same announcement so many microseconds later: the remaining times are shorter, an end still announced. */
     public Worker agedBy(final long elapsed) {
-        return elapsed <= 0 || warmupRemaining == 0 && lifetimeRemaining == 0
-                ? this
-                : new Worker(
-                        id,
-                        address,
-                        zone,
-                        region,
-                        incarnation,
-                        sequence,
-                        running,
-                        queued,
-                        slots,
-                        cachedPrefixes,
-                        draining,
-                        uptime,
-                        pool,
-                        Math.max(0, warmupRemaining - elapsed),
-                        lifetimeRemaining == 0 ? 0 : Math.max(1, lifetimeRemaining - elapsed));
+        if (elapsed <= 0 || warmupRemaining == 0 && lifetimeRemaining == 0) {
+            return this;
+        }
+        final long warmupLeft = Math.max(0, warmupRemaining - elapsed);
+        final long lifetimeLeft = lifetimeRemaining == 0 ? 0 : Math.max(1, lifetimeRemaining - elapsed);
+        return copy(sequence, draining, warmupLeft, lifetimeLeft);
     }
 
-    /** The same word under another sequence. */
-    public Worker withSequence(final long next) {
-        return new Worker(
-                id,
-                address,
-                zone,
-                region,
-                incarnation,
-                next,
-                running,
-                queued,
-                slots,
-                cachedPrefixes,
-                draining,
-                uptime,
-                pool,
-                warmupRemaining,
-                lifetimeRemaining);
+    /** Returns the same announcement under another sequence. */
+    public Worker withSequence(final long newSequence) {
+        return copy(newSequence, draining, warmupRemaining, lifetimeRemaining);
     }
 
-    /** The same, said once more. */
+    /** Returns the same announcement under the next sequence. */
     public Worker withNextSequence() {
+        return withSequence(sequence + 1);
+    }
+
+    private Worker copy(
+            final long newSequence, final boolean isDraining, final long warmupLeft, final long lifetimeLeft) {
         return new Worker(
                 id,
                 address,
                 zone,
                 region,
                 incarnation,
-                sequence + 1,
+                newSequence,
                 running,
                 queued,
                 slots,
                 cachedPrefixes,
-                draining,
+                isDraining,
                 uptime,
                 pool,
-                warmupRemaining,
-                lifetimeRemaining);
+                warmupLeft,
+                lifetimeLeft);
     }
 }
--- a/core/src/main/java/silverlatch/gossip/WorkerReport.java
+++ b/core/src/main/java/silverlatch/gossip/WorkerReport.java
@@ -4,15 +4,21 @@
 import silverlatch.wire.Message;
 
 /**
- * A word on a worker as it travels between daemons; its spans are those of the moment at which it is sent.
+ * A report on a worker as it travels between nodes. Remaining times and the age are those of the moment at which it is sent.
  *
- * @param worker what it said of itself when it last changed
- * @param silent whether no controller has heard from it for long
- * @param gone   whether this life of it is over
- * @param age    how long it has been silent or gone, in microseconds
+ * <p>Of all reports on a worker the one of the latest incarnation counts, and within that the one of the highest
+ * {@link #precedence}.
+ *
+ * @param worker the worker as it announced itself when something about it last changed
+ * @param silent whether no controller has heard from it for the silence time-out
+ * @param gone   whether this incarnation of it is over; it doesn't come back
+ * @param age    how long it has been silent or gone, in microseconds; 0 while it is neither
  */
 public record WorkerReport(Worker worker, boolean silent, boolean gone, long age) {
-    /** A worker's own word; what it repeats with each call stays behind. */
+    /** Sequences above this share one precedence, so that doubling them doesn't overflow. */
+    private static final long MAX_SEQUENCE = Long.MAX_VALUE / 4;
+
+    /** Returns the report for an announcement, without what changes with each: load, queue and cached prefixes. */
     public static WorkerReport of(final Worker worker) {
         return new WorkerReport(
                 new Worker(
@@ -36,37 +42,46 @@
                 0);
     }
 
-    /** The worker's name. */
+    /** Returns the worker's name. */
     public String id() {
         return worker.id();
     }
 
-    /** The place of this word among those of one life: the end goes before all, silence before the word it follows. */
+    /** Returns whether the worker is neither silent nor gone. */
+    public boolean isActive() {
+        return !silent && !gone;
+    }
+
+    /**
+     * Returns the rank of this report among those of one incarnation: the end comes after everything, silence right after
+     * the announcement that it follows.
+     */
     public long precedence() {
-        return gone ? Long.MAX_VALUE : Math.min(worker.sequence(), Long.MAX_VALUE / 4) * 2 + (silent ? 1 : 0);
+        return gone ? Long.MAX_VALUE : Math.min(worker.sequence(), MAX_SEQUENCE) * 2 + (silent ? 1 : 0);
     }
 
-    /** Whether this word goes before the other. */
+    /** Returns whether this report supersedes another on the same worker. */
     public boolean isNewerThan(final WorkerReport other) {
-        return worker.incarnation() != other.worker.incarnation()
-                ? worker.incarnation() > other.worker.incarnation()
-                : precedence() > other.precedence();
+        return isNewerThan(other.version());
     }
 
-    /** Whether this word goes before a mark. */
-    public boolean isNewerThan(final Message.ReportVersion version) {
-        return worker.incarnation() != version.incarnation()
-                ? worker.incarnation() > version.incarnation()
-                : precedence() > version.sequence();
+    /** Returns whether this report supersedes one of the given version. */
+    public boolean isNewerThan(final Message.ReportVersion other) {
+        return Versions.isNewer(version(), other);
     }
 
-    /** What is held of it, in short. */
+    /** Returns the version of this report: incarnation and precedence. */
     public Message.ReportVersion version() {
         return new Message.ReportVersion(id(), worker.incarnation(), precedence());
     }
 
-    /** The same word so much later. */
+    /** Returns this report so many microseconds later. */
     public WorkerReport agedBy(final long elapsed) {
-        return new WorkerReport(worker.agedBy(elapsed), silent, gone, silent || gone ? age + elapsed : 0);
+        return new WorkerReport(worker.agedBy(elapsed), silent, gone, isActive() ? 0 : age + elapsed);
+    }
+
+    /** Returns an active report under a later sequence, which supersedes this report of silence. */
+    WorkerReport refutedAt(final long sequence) {
+        return new WorkerReport(worker.withSequence(sequence), false, false, 0);
     }
 }
--- a/core/src/main/java/silverlatch/gossip/WorkerReporting.java
+++ b/core/src/main/java/silverlatch/gossip/WorkerReporting.java
@@ -1,19 +1,20 @@
 package silverlatch.gossip;
 
-/** How words of workers spread. */
+/** To whom workers announce themselves, and how their reports spread from there. */
 public sealed interface WorkerReporting {
-    /** Workers announce to any daemon; pulls renew the age of each word everywhere. */
+    /** Workers announce themselves to any node; pulls renew the age of each report everywhere. */
     record ToAnyNode() implements WorkerReporting {}
 
     /**
-     * Workers announce to controllers; only what changes travels.
+     * Workers announce themselves to controllers; only changed reports travel.
      *
-     * @param silenceTimeout after so long without a word a worker is told as silent
-     * @param retention after so long a silent or gone worker is forgotten
-     * @param maxPullsPerSecond   how many pulls a second gateways leave to each controller; beyond that each asks less often, to once a second
+     * @param silenceTimeout    microseconds without an announcement after which a worker is reported as silent
+     * @param retention         microseconds after which a silent or gone worker is forgotten
+     * @param maxPullsPerSecond how many pulls a second the gateways together send to each controller; where that would be
+     *                          exceeded each gateway pulls less often, down to once a second
      */
     record ToControllers(long silenceTimeout, long retention, int maxPullsPerSecond) implements WorkerReporting {
-        /** The times that hold when nothing is said. */
+        /** The values that hold when the settings name none. */
         public static final ToControllers DEFAULTS = new ToControllers(5_000_000L, 60_000_000L, 40);
     }
 }
