--- a/core/src/main/java/silverlatch/dispatch/Dispatcher.java
+++ b/core/src/main/java/silverlatch/dispatch/Dispatcher.java
@@ -27,7 +27,6 @@
 import silverlatch.placement.PlacementInput;
 import silverlatch.placement.WeightedScorers;
 import silverlatch.safeguard.Safeguard;
-import silverlatch.safeguard.Safeguards;
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
 import silverlatch.state.Value;
@@ -40,7 +39,7 @@
 public final class Dispatcher {
     private static final long SECOND = 1_000_000L;
     private static final int MAX_RECORDS_PER_WRITE = 256;
-    private final Settings settings;
+    private final DispatcherSettings settings;
     private final PermitSigner signer;
     private final Supplier<Stamp> timestamps;
     private final RandomGenerator random;
@@ -70,94 +69,9 @@
     private int queuedRequests;
     private boolean closing;
 
-    /** Settings; times in microseconds. */
-    public record Settings(
-            int maxOpenRequests,
-            int maxQueuedRequests,
-            long permitLifetime,
-            long maxReportAge,
-            long maxConfirmationAge,
-            long claimTimeout,
-            long endedRetention,
-            int maxResponseBytes,
-            double retryRatio,
-            long ejectionTime,
-            long readerAbsenceTimeout,
-            long permitRetention,
-            long startTimeout,
-            Safeguards safeguards) {
-        /** What holds when nothing is said. */
-        public static final Settings DEFAULT = new Settings(
-                4_096,
-                2_048,
-                2 * SECOND,
-                2 * SECOND,
-                2 * SECOND,
-                SECOND,
-                20 * SECOND,
-                4 << 20,
-                0.1,
-                SECOND,
-                5 * SECOND,
-                30 * SECOND,
-                SECOND,
-                Safeguards.ALL);
-
-        /** Settings as operators give them: all guards stand. */
-        public Settings(
-                final int maxOpenRequests,
-                final int maxQueuedRequests,
-                final long permitLifetime,
-                final long maxReportAge,
-                final long maxConfirmationAge,
-                final long claimTimeout,
-                final long endedRetention,
-                final int maxResponseBytes,
-                final double retryRatio,
-                final long ejectionTime,
-                final long readerAbsenceTimeout,
-                final long permitRetention,
-                final long startTimeout) {
-            this(
-                    maxOpenRequests,
-                    maxQueuedRequests,
-                    permitLifetime,
-                    maxReportAge,
-                    maxConfirmationAge,
-                    claimTimeout,
-                    endedRetention,
-                    maxResponseBytes,
-                    retryRatio,
-                    ejectionTime,
-                    readerAbsenceTimeout,
-                    permitRetention,
-                    startTimeout,
-                    Safeguards.ALL);
-        }
-
-        /** The same under the guards that stand. */
-        public Settings withSafeguards(final Safeguards enabledSafeguards) {
-            return new Settings(
-                    maxOpenRequests,
-                    maxQueuedRequests,
-                    permitLifetime,
-                    maxReportAge,
-                    maxConfirmationAge,
-                    claimTimeout,
-                    endedRetention,
-                    maxResponseBytes,
-                    retryRatio,
-                    ejectionTime,
-                    readerAbsenceTimeout,
-                    permitRetention,
-                    startTimeout,
-                    enabledSafeguards);
-        }
-    }
-
     /** A gateway that carries nothing yet. */
     public Dispatcher(
-            final Settings settings,
+            final DispatcherSettings settings,
             final PermitSigner signer,
             final ClusterSnapshot clusterSnapshot,
             final Supplier<Stamp> timestamps,
--- a/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
@@ -46,7 +46,7 @@
         row(TableRules.defaultRow("*", "ask"));
         worker("w1", "z1", "r1", 4);
         return new Dispatcher(
-                Dispatcher.Settings.DEFAULT,
+                DispatcherSettings.DEFAULT,
                 SIGNER,
                 clusterSnapshot(self),
                 () -> new Stamp(++timestamp),
--- a/server/src/main/java/silverlatch/server/settings/Settings.java
+++ b/server/src/main/java/silverlatch/server/settings/Settings.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import silverlatch.dispatch.Dispatcher;
+import silverlatch.dispatch.DispatcherSettings;
 import silverlatch.json.JsonDocument;
 import silverlatch.state.TableRules;
 
@@ -34,7 +34,7 @@
         int stampLowBits,
         long maxClockSkew,
         long shutdownGrace,
-        Dispatcher.Settings dispatch,
+        DispatcherSettings dispatch,
         int maxBodyBytes,
         int maxLineBytes,
         boolean mayBootstrap,
@@ -83,7 +83,6 @@
 
     private static ReadResult check(final JsonDocument document, final boolean isController) {
         final List<String> faults = new ArrayList<>();
-        final Dispatcher.Settings defaults = Dispatcher.Settings.DEFAULT;
         final String dataFolder = document.string("data", 4096, "");
         final Settings settings = new Settings(
                 document.string("name", 64),
@@ -100,20 +99,7 @@
                 (int) document.integer("low", 1, 30, 7),
                 document.integer("skew", 0, 10_000_000L, 50_000L),
                 document.integer("grace", 0, 600_000_000L, 5_000_000L),
-                new Dispatcher.Settings(
-                        (int) document.integer("slab", 1, 1_000_000, defaults.maxOpenRequests()),
-                        (int) document.integer("queue", 1, 1_000_000, defaults.maxQueuedRequests()),
-                        document.integer("permit", 100_000, 10_000_000, defaults.permitLifetime()),
-                        document.integer("word", 500_000, 2_500_000, defaults.maxReportAge()),
-                        document.integer("sure", 500_000, 2_500_000, defaults.maxConfirmationAge()),
-                        document.integer("claim", 100_000, 10_000_000, defaults.claimTimeout()),
-                        document.integer("keep", 0, 600_000_000L, defaults.endedRetention()),
-                        (int) document.integer("buffer", 1_024, 64 << 20, defaults.maxResponseBytes()),
-                        document.number("tries", defaults.retryRatio()),
-                        document.integer("shun", 0, 60_000_000L, defaults.ejectionTime()),
-                        document.integer("patience", 0, 600_000_000L, defaults.readerAbsenceTimeout()),
-                        document.integer("memory", 10_000_000L, 600_000_000L, defaults.permitRetention()),
-                        document.integer("start", 100_000L, 60_000_000L, defaults.startTimeout())),
+                dispatcherSettings(document),
                 (int) document.integer("body", 1_024, 16 << 20, 4 << 20),
                 (int) document.integer("line", 1_024, 4 << 20, 256 << 10),
                 document.flag("found", true),
@@ -163,6 +149,25 @@
                 : new ReadResult.Invalid(faults.stream().distinct().toList());
     }
 
+    private static DispatcherSettings dispatcherSettings(final JsonDocument document) {
+        final DispatcherSettings defaults = DispatcherSettings.DEFAULT;
+        return DispatcherSettings.builder()
+                .maxOpenRequests((int) document.integer("slab", 1, 1_000_000, defaults.maxOpenRequests()))
+                .maxQueuedRequests((int) document.integer("queue", 1, 1_000_000, defaults.maxQueuedRequests()))
+                .permitLifetime(document.integer("permit", 100_000, 10_000_000, defaults.permitLifetime()))
+                .maxReportAge(document.integer("word", 500_000, 2_500_000, defaults.maxReportAge()))
+                .maxConfirmationAge(document.integer("sure", 500_000, 2_500_000, defaults.maxConfirmationAge()))
+                .claimTimeout(document.integer("claim", 100_000, 10_000_000, defaults.claimTimeout()))
+                .endedRetention(document.integer("keep", 0, 600_000_000L, defaults.endedRetention()))
+                .maxResponseBytes((int) document.integer("buffer", 1_024, 64 << 20, defaults.maxResponseBytes()))
+                .retryRatio(document.number("tries", defaults.retryRatio()))
+                .ejectionTime(document.integer("shun", 0, 60_000_000L, defaults.ejectionTime()))
+                .readerAbsenceTimeout(document.integer("patience", 0, 600_000_000L, defaults.readerAbsenceTimeout()))
+                .permitRetention(document.integer("memory", 10_000_000L, 600_000_000L, defaults.permitRetention()))
+                .startTimeout(document.integer("start", 100_000L, 60_000_000L, defaults.startTimeout()))
+                .build();
+    }
+
     private static void checkAddress(final List<String> faults, final String field, final String text) {
         final int colon = text.lastIndexOf(':');
         final String port = colon < 0 ? "" : text.substring(colon + 1);
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
@@ -14,6 +14,7 @@
 import silverlatch.dispatch.ClusterSnapshot;
 import silverlatch.dispatch.DispatchEffect;
 import silverlatch.dispatch.Dispatcher;
+import silverlatch.dispatch.DispatcherSettings;
 import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.gossip.Gossip;
 import silverlatch.gossip.Worker;
@@ -195,7 +196,7 @@
         if (!isController()) {
             clusterSnapshot = Optional.of(started.facts());
             dispatcher = Optional.of(new Dispatcher(
-                    Dispatcher.Settings.DEFAULT.withSafeguards(world.safeguards()),
+                    DispatcherSettings.DEFAULT.withSafeguards(world.safeguards()),
                     new PermitSigner("simulated-cluster-key"),
                     started.facts(),
                     () -> started.localStamp(now()),
