--- a/core/src/main/java/silverlatch/dispatch/DispatchedRequest.java
+++ b/core/src/main/java/silverlatch/dispatch/DispatchedRequest.java
@@ -20,7 +20,7 @@
     final MessageDigest responseDigest = PermitSigner.newSha256();
     final List<StreamRecord> records = new ArrayList<>();
     String prompt;
-    String state;
+    RequestState state = RequestState.NEW;
     String reason = "";
     String worker = "";
     String attemptId = "";
@@ -46,8 +46,7 @@
             final String prompt,
             final long deadline,
             final long queueDeadline,
-            final long readerCallId,
-            final String state) {
+            final long readerCallId) {
         this.permit = permit;
         this.tenant = tenant;
         this.row = row;
@@ -57,7 +56,6 @@
         this.queueDeadline = queueDeadline;
         this.permitExpiry = permit.expiry();
         this.readerCallId = Optional.of(readerCallId);
-        this.state = state;
     }
 
     double cost() {
--- a/core/src/main/java/silverlatch/dispatch/Dispatcher.java
+++ b/core/src/main/java/silverlatch/dispatch/Dispatcher.java
@@ -30,7 +30,6 @@
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
 import silverlatch.state.Value;
-import silverlatch.statemachine.TransitionTable;
 
 /**
  * Picks and carries the tickets of one gateway. It does no input or output: events go in, acts come out.
@@ -45,7 +44,6 @@
     private final RandomGenerator random;
     private final WeightedScorers scorers;
     private final WeightedScorers constraints;
-    private final TransitionTable transitions = TransitionTable.load("ticket");
     private final Slab<DispatchedRequest> requests;
     private final Map<String, Long> openRequests = new HashMap<>();
     private final Map<Long, Long> handlesByOperation = new HashMap<>();
@@ -160,13 +158,13 @@
 
     private void revoke(final DispatchedRequest request, final String reason, final long now) {
         switch (request.state) {
-            case "queued" -> reject(request, 503, reason, SECOND);
-            case "claiming" -> {
+            case QUEUED -> reject(request, 503, reason, SECOND);
+            case CLAIMING -> {
                 releaseWorkerSlot(request);
                 request.mayHoldClaim = true;
                 reject(request, 503, reason, SECOND);
             }
-            case "asking", "running" -> {
+            case STARTING, RUNNING -> {
                 effects.add(new DispatchEffect.CancelAttempt(request.operationId));
                 lose(request, reason, now);
             }
@@ -393,8 +391,7 @@
                 submitted.prompt(),
                 now + submitted.timeout(),
                 now + Math.min(row.get().timeoutMicros(), submitted.timeout()),
-                callId,
-                transitions.initialState());
+                callId);
         final Optional<Long> handle = requests.insert(request);
         if (handle.isEmpty()) {
             rejectSubmission(callId, permit.requestId(), 503, "the slab is full");
@@ -403,7 +400,7 @@
         request.handle = handle.get();
         openRequests.put(permit.requestId(), request.handle);
         readers.put(callId, request.handle);
-        transition(request, "queue");
+        transition(request, RequestEvent.ENQUEUE);
         enqueue(queue, request, false);
         final boolean stale = permit.revision() < clusterSnapshot.revision()
                 || clusterSnapshot.workers().containsKey(permit.worker())
@@ -452,7 +449,7 @@
             return;
         }
         final DispatchedRequest request = found.get();
-        if (request.state.equals("rejected")) {
+        if (request.state == RequestState.REJECTED) {
             sendRejection(callId, 503, requestId, request.reason, SECOND, "");
             return;
         }
@@ -487,7 +484,7 @@
                 .ifPresent(request -> {
                     request.readerCallId = Optional.empty();
                     request.readerLeftAt = Optional.of(now);
-                    if (request.state.equals("queued")) {
+                    if (request.state == RequestState.QUEUED) {
                         reject(request, 503, "the consumer went away", 0);
                     }
                 });
@@ -496,7 +493,7 @@
     /** A verdict of the chain on a job's wish. */
     public void claimDecided(final long operationId, final CommandResult result, final long now) {
         operation(operationId)
-                .filter(request -> request.state.equals("claiming"))
+                .filter(request -> request.state == RequestState.CLAIMING)
                 .ifPresent(request -> {
                     switch (result) {
                         case CommandResult.Applied applied -> {
@@ -510,7 +507,7 @@
                                 return;
                             }
                             request.reason = "the key is taken";
-                            finish(request, "reject");
+                            finish(request, RequestEvent.REJECT);
                             sendRejection(
                                     request,
                                     409,
@@ -541,15 +538,15 @@
     /** The worker said that it starts. */
     public void attemptStarted(final long operationId) {
         operation(operationId)
-                .filter(request -> request.state.equals("asking"))
-                .ifPresent(request -> transition(request, "start"));
+                .filter(request -> request.state == RequestState.STARTING)
+                .ifPresent(request -> transition(request, RequestEvent.RUN));
     }
 
     /** The worker sent a line. */
     public void recordReceived(final long operationId, final StreamRecord received, final long now) {
         operation(operationId).ifPresent(request -> {
-            if (request.state.equals("asking")) {
-                transition(request, "start");
+            if (request.state == RequestState.STARTING) {
+                transition(request, RequestEvent.RUN);
             }
             final Optional<String> violation = protocolViolation(request, received);
             if (violation.isPresent()) {
@@ -573,7 +570,7 @@
                 writeToReader(request);
             } else {
                 releaseWorkerSlot(request);
-                finish(request, "seal");
+                finish(request, RequestEvent.COMPLETE);
                 writeToReader(request);
                 dispatchQueued(now);
             }
@@ -583,12 +580,12 @@
     /** The exchange with the worker ended without a seal; started is false only where it provably did not begin. */
     public void attemptFailed(final long operationId, final boolean started, final String reason, final long now) {
         operation(operationId).ifPresent(request -> {
-            if ((started || request.state.equals("running")) && isEnabled(Safeguard.BEGUN)) {
+            if ((started || request.state == RequestState.RUNNING) && isEnabled(Safeguard.BEGUN)) {
                 lose(request, reason, now);
                 return;
             }
-            if (request.state.equals("running")) {
-                request.state = "asking";
+            if (request.state == RequestState.RUNNING) {
+                request.state = RequestState.STARTING;
             }
             eject(request.worker, now);
             releaseWorkerSlot(request);
@@ -596,7 +593,7 @@
                     && request.attempts < 2
                     && (retryBudget.tryAcquire(now) || !isEnabled(Safeguard.TRIES))) {
                 count("again");
-                transition(request, "again");
+                transition(request, RequestEvent.RETRY);
                 request.preferredWorker = Optional.empty();
                 enqueue(queueOf(request.permit.tenant(), request.permit.kind()), request, true);
             } else {
@@ -632,12 +629,12 @@
         }
         for (final long handle : List.copyOf(openRequests.values())) {
             requests.get(handle)
-                    .filter(request -> request.state.equals("running") || request.state.equals("asking"))
+                    .filter(request -> request.state == RequestState.RUNNING || request.state == RequestState.STARTING)
                     .ifPresent(request -> {
                         final boolean isAbandoned = request.readerLeftAt
                                 .map(at -> now - at > settings.readerAbsenceTimeout())
                                 .orElse(false);
-                        final boolean isSilent = request.state.equals("asking")
+                        final boolean isSilent = request.state == RequestState.STARTING
                                 && now - request.attemptStartedAt > settings.startTimeout();
                         if (now >= request.deadline || isAbandoned || isSilent) {
                             effects.add(new DispatchEffect.CancelAttempt(request.operationId));
@@ -811,7 +808,7 @@
                     selected.candidate().worker().id(),
                     clusterSnapshot.revision(),
                     timestamp,
-                    request.state,
+                    request.state.label(),
                     "",
                     request.attempts,
                     decision.scores()));
@@ -839,7 +836,7 @@
     }
 
     private void claim(final DispatchedRequest request) {
-        transition(request, "claim");
+        transition(request, RequestEvent.CLAIM);
         operation(request);
         request.claimTimestamp = timestamps.get().bits();
         effects.add(new DispatchEffect.SubmitCommand(
@@ -870,7 +867,7 @@
             reject(request, 503, "the pick grew stale before it was sent", SECOND / 2);
             return;
         }
-        transition(request, "ask");
+        transition(request, RequestEvent.START_ATTEMPT);
         operation(request);
         request.attempts++;
         request.attemptStartedAt = now;
@@ -953,10 +950,10 @@
     }
 
     private void writeToReader(final DispatchedRequest request) {
-        final boolean isEnded = transitions.isFinal(request.state);
+        final boolean isEnded = request.state.isFinal();
         if (request.readerCallId.isEmpty()
                 || !request.readerReady
-                || request.state.equals("rejected")
+                || request.state == RequestState.REJECTED
                 || request.records.size() == request.recordsSent && !isEnded) {
             return;
         }
@@ -977,10 +974,10 @@
         request.reason = reason;
         request.records.add(new StreamRecord.Lost(request.permit.requestId(), reason));
         effects.add(new DispatchEffect.Log(Event.TICKET_LOST, request.permit.requestId() + " " + reason));
-        if (request.state.equals("asking")) {
+        if (request.state == RequestState.STARTING) {
             eject(request.worker, now);
         }
-        finish(request, "lose");
+        finish(request, RequestEvent.LOSE);
         writeToReader(request);
         dispatchQueued(now);
     }
@@ -989,7 +986,7 @@
             final DispatchedRequest request, final int statusCode, final String reason, final long retryAfter) {
         dequeue(queueOf(request.permit.tenant(), request.permit.kind()), request);
         request.reason = reason;
-        finish(request, "reject");
+        finish(request, RequestEvent.REJECT);
         sendRejection(request, statusCode, reason, retryAfter, "");
     }
 
@@ -1006,21 +1003,21 @@
         request.readerCallId = Optional.empty();
     }
 
-    private void finish(final DispatchedRequest request, final String event) {
+    private void finish(final DispatchedRequest request, final RequestEvent event) {
         transition(request, event);
-        count(request.state);
-        effects.add(new DispatchEffect.RequestEnded(request.permit.requestId(), request.state, request.reason));
+        count(request.state.label());
+        effects.add(new DispatchEffect.RequestEnded(request.permit.requestId(), request.state.label(), request.reason));
         handlesByOperation.remove(request.operationId);
         openRequests.remove(request.permit.requestId());
         if (request.mayHoldClaim) {
             effects.add(new DispatchEffect.SubmitCommand(
                     0,
                     new Command.CompleteClaim(
-                            request.attemptId + "/" + request.state,
+                            request.attemptId + "/" + request.state.label(),
                             request.claimKey(),
                             request.permit.requestId(),
                             clusterSnapshot.self().id(),
-                            request.state,
+                            request.state.label(),
                             request.claimTimestamp),
                     30 * SECOND));
         }
@@ -1063,9 +1060,9 @@
                 claimState));
     }
 
-    private void transition(final DispatchedRequest request, final String event) {
-        request.state = transitions.transition(request.state, event);
-        traces.recordState(request.permit.requestId(), request.state, request.reason);
+    private void transition(final DispatchedRequest request, final RequestEvent event) {
+        request.state = request.state.after(event);
+        traces.recordState(request.permit.requestId(), request.state.label(), request.reason);
     }
 
     private void releaseWorkerSlot(final DispatchedRequest request) {
--- /dev/null
+++ b/core/src/test/java/silverlatch/dispatch/RequestStateTest.java
@@ -0,0 +1,65 @@
+package silverlatch.dispatch;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.containsString;
+import static org.hamcrest.Matchers.is;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.util.EnumSet;
+import java.util.Set;
+import java.util.TreeSet;
+import org.junit.jupiter.api.Test;
+
+/** Holds the legal transitions of a request to a list of their own, and the names of states to the API's. */
+final class RequestStateTest {
+    private static final Set<String> LEGAL = Set.of(
+            "new ENQUEUE queued",
+            "new REJECT rejected",
+            "queued CLAIM claiming",
+            "queued START_ATTEMPT asking",
+            "queued REJECT rejected",
+            "claiming START_ATTEMPT asking",
+            "claiming REJECT rejected",
+            "asking RETRY queued",
+            "asking RUN running",
+            "asking REJECT rejected",
+            "asking LOSE lost",
+            "running COMPLETE done",
+            "running LOSE lost");
+
+    @Test
+    void onlyTheListedTransitionsAreLegal() {
+        final Set<String> legal = new TreeSet<>();
+        int refused = 0;
+        for (final RequestState state : RequestState.values()) {
+            for (final RequestEvent event : RequestEvent.values()) {
+                try {
+                    legal.add(state.label() + " " + event + " "
+                            + state.after(event).label());
+                } catch (final IllegalRequestTransitionException e) {
+                    refused++;
+                }
+            }
+        }
+        assertThat(legal, is(new TreeSet<>(LEGAL)));
+        assertThat(refused, is(RequestState.values().length * RequestEvent.values().length - LEGAL.size()));
+    }
+
+    @Test
+    void doneRejectedAndLostAreFinalAndNoOtherStateIs() {
+        final Set<RequestState> finals = EnumSet.noneOf(RequestState.class);
+        for (final RequestState state : RequestState.values()) {
+            if (state.isFinal()) {
+                finals.add(state);
+            }
+        }
+        assertThat(finals, is(EnumSet.of(RequestState.DONE, RequestState.REJECTED, RequestState.LOST)));
+    }
+
+    @Test
+    void aRequestThatRunsIsNeverRejected() {
+        final IllegalRequestTransitionException refused = assertThrows(
+                IllegalRequestTransitionException.class, () -> RequestState.RUNNING.after(RequestEvent.REJECT));
+        assertThat(refused.getMessage(), containsString("RUNNING does not take event REJECT"));
+    }
+}
