--- a/simulation/src/test/java/silverlatch/simulation/sim/DayTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayTest.java
@@ -174,7 +174,7 @@
     }
 
     @ParameterizedTest
-    @MethodSource("trips")
+    @MethodSource("disabledSafeguards")
     void theObserverNoticesWhenAGuardIsDown(final DisabledSafeguards disabled) throws IOException {
         final List<Day.Scenario> days = LongStream.range(1, 1 + disabled.seeds())
                 .mapToObj(s -> Day.Scenario.of(s, List.of(disabled.fault()), disabled.rate()))
