--- a/simulation/src/main/java/silverlatch/simulation/sim/Day.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Day.java
@@ -13,6 +13,16 @@
     private static final long RECOVERY_TIME = 12 * SECOND;
     private static final long WINDOW = 3 * SECOND;
 
+    /** What a day of an even seed may end with. */
+    private static final List<Fault> CLOSING_FAULTS = List.of(
+            Fault.PURSERS_KILLED,
+            Fault.ALL_KILLED,
+            Fault.REGION_LOST,
+            Fault.HARBOR_KILLED,
+            Fault.PURSER_FROZEN,
+            Fault.KILLED_AT_STEPS,
+            Fault.DISK_LOST_ALL_KILLED);
+
     private Day() {}
 
     /** What a day is made of. */
@@ -62,6 +72,7 @@
         final long start = world.scheduler().now();
         world.scheduler().runUntil(start + 5 * SECOND);
         final Baseline baseline = new Baseline(world, start + SECOND, start + 5 * SECOND);
+        final boolean founded = !scenario.faults().contains(Fault.REFOUNDING);
         for (final Fault fault : scenario.faults()) {
             inject(world, fault);
             final long pause = switch (world.scheduler().random().nextInt(4)) {
@@ -71,38 +82,53 @@
             };
             baseline.advance(pause);
         }
+        healAndJudge(world, baseline, founded);
+        if (scenario.seed() % 2 == 0 && founded) {
+            injectClosingFault(world, baseline, scenario.seed());
+        }
+        world.stopLoad();
+        world.scheduler().runUntil(world.scheduler().now() + 15 * SECOND);
+        return result(world, baseline, scenario);
+    }
+
+    private static void healAndJudge(final World world, final Baseline baseline, final boolean founded) {
         baseline.advance(35 * SECOND);
         world.controllers().forEach(SimulatedNode::start);
         world.gateways().forEach(SimulatedNode::start);
         world.workers().forEach(SimulatedWorker::start);
         baseline.advance(10 * SECOND);
-        final long end = world.scheduler().now();
-        world.scheduler().runUntil(end + WINDOW);
-        world.operators().readBackAndChange();
-        final boolean founded = !scenario.faults().contains(Fault.REFOUNDING);
-        baseline.judgeService(end, founded);
-        if (scenario.seed() % 2 == 0 && founded) {
-            final List<Fault> lastFaults = List.of(
-                    Fault.PURSERS_KILLED,
-                    Fault.ALL_KILLED,
-                    Fault.REGION_LOST,
-                    Fault.HARBOR_KILLED,
-                    Fault.PURSER_FROZEN,
-                    Fault.KILLED_AT_STEPS);
-            inject(world, lastFaults.get((int) (scenario.seed() / 2 % lastFaults.size())));
-            world.observer().count("lastFaults");
-            world.scheduler().runUntil(world.scheduler().now() + 2 * SECOND);
+        judgeService(world, baseline, founded, "last");
+    }
+
+    private static void judgeService(
+            final World world, final Baseline baseline, final boolean founded, final String commandId) {
+        final long start = world.scheduler().now();
+        world.scheduler().runUntil(start + WINDOW);
+        world.operators().readBackAndChange(commandId);
+        baseline.judgeService(start, founded);
+    }
+
+    /** After a fault that takes a disk away, what was acknowledged is read back, and the fleet must serve again. */
+    private static void injectClosingFault(final World world, final Baseline baseline, final long seed) {
+        final Fault fault = CLOSING_FAULTS.get((int) (seed / 2 % CLOSING_FAULTS.size()));
+        inject(world, fault);
+        world.observer().count("lastFaults");
+        if (fault.losesDisk()) {
+            world.waitForFullChain();
+            world.scheduler().runUntil(world.scheduler().now() + RECOVERY_TIME);
+            judgeService(world, baseline, true, "after-closing-fault");
         }
-        world.stopLoad();
-        world.scheduler().runUntil(world.scheduler().now() + 15 * SECOND);
-        world.observer().exercise(Invariant.IDLE);
-        if (baseline.completed() == 0 || world.observer().counters().getOrDefault("runs", 0L) < 20) {
-            world.observer().violated(Invariant.IDLE, "nothing was exercised");
+        world.scheduler().runUntil(world.scheduler().now() + 2 * SECOND);
+    }
+
+    private static Result result(final World world, final Baseline baseline, final Scenario scenario) {
+        final Observer observer = world.observer();
+        observer.exercise(Invariant.IDLE);
+        if (baseline.completed() == 0 || observer.counters().getOrDefault("runs", 0L) < 20) {
+            observer.violated(Invariant.IDLE, "nothing was exercised");
         }
-        world.controllers()
-                .forEach(n -> n.disk().ifPresent(d -> world.observer().recordMaximum("torn", d.tornWrites())));
-        return new Result(
-                scenario, world.observer().violations(), world.observer().counters(), world.timeline());
+        world.controllers().forEach(n -> n.disk().ifPresent(d -> observer.recordMaximum("torn", d.tornWrites())));
+        return new Result(scenario, observer.violations(), observer.counters(), world.timeline());
     }
 
     private static void inject(final World world, final Fault fault) {
@@ -114,11 +140,14 @@
         fault.injection(world, duration);
     }
 
-    /** A day's faults drawn by a seed; some come on top of each other. */
+    /**
+     * A day's faults drawn by a seed; some come on top of each other. Left out is what has an end of its own (a new
+     * founding) and what comes at the end of a day alone.
+     */
     public static List<Fault> drawFaults(final long seed) {
         final SplittableRandom random = new SplittableRandom(seed * 7919);
         final List<Fault> candidates = new ArrayList<>(List.of(Fault.values()));
-        candidates.remove(Fault.REFOUNDING);
+        candidates.removeAll(List.of(Fault.REFOUNDING, Fault.DISK_LOST_ALL_KILLED));
         final List<Fault> list = new ArrayList<>();
         final int count = 3 + random.nextInt(4);
         for (int i = 0; i < count; i++) {
@@ -201,7 +230,7 @@
                                 "after all was healed " + completedAfter + " replies come where " + completed
                                         + " came before");
             }
-            if (keepsState && world.observer().counters().getOrDefault("lastReads", 0L) == 0) {
+            if (keepsState && world.operators().lastReadsAnswered() == 0) {
                 world.observer().violated(Invariant.DEAD, "the table can't be read back after all was healed");
             }
             if (keepsState && !world.operators().lastChangeApplied()) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/Fault.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Fault.java
@@ -58,6 +58,11 @@
     REGION_COLD(WorkloadFaults::regionWorkersLost),
     /** Everything is killed at once and started again. */
     ALL_KILLED(ProcessFaults::allKilled),
+    /**
+     * Right after an acknowledgement a controller loses its disk, and at the same moment all other machines lose their
+     * power, also those that don't count: the gateways, and a controller without a vote.
+     */
+    DISK_LOST_ALL_KILLED(ProcessFaults::diskLostAllKilled),
     /** The wall clock of a machine jumps while it runs. */
     CLOCK_JUMPS(NetworkFaults::clockJumps),
     /** A machine starts with its clock far off. */
@@ -121,7 +126,10 @@
 
     /** Whether it takes a disk away for good; the core bears one such loss at a time. */
     boolean losesDisk() {
-        return this == HARBOR_WIPED || this == HARBOR_SWAPPED || this == HARBORS_SWAPPED || this == REFOUNDING;
+        return switch (this) {
+            case HARBOR_WIPED, HARBOR_SWAPPED, HARBORS_SWAPPED, DISK_LOST_ALL_KILLED, REFOUNDING -> true;
+            default -> false;
+        };
     }
 
     /** What is done to a world, for so many microseconds. */
--- a/simulation/src/main/java/silverlatch/simulation/sim/Operators.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Operators.java
@@ -35,6 +35,8 @@
     private boolean open = true;
     private boolean stopped;
     private boolean lastChangeApplied;
+    private int lastReadsAnswered;
+    private Optional<Runnable> afterAcknowledgement = Optional.empty();
 
     Operators(final World world) {
         this.world = world;
@@ -156,8 +158,12 @@
     private void recordOutcome(final double value, final Object result, final long match) {
         final long now = world.scheduler().now();
         switch ((CommandResult) result) {
-            case CommandResult.Applied k ->
-                observer.operatorHistory().changeEnded(cellValue(value), "kept", k.sequence(), match, now);
+            case CommandResult.Applied applied -> {
+                observer.operatorHistory().changeEnded(cellValue(value), "kept", applied.sequence(), match, now);
+                final Optional<Runnable> task = afterAcknowledgement;
+                afterAcknowledgement = Optional.empty();
+                task.ifPresent(t -> world.scheduler().schedule(0, t));
+            }
             case CommandResult.Rejected x ->
                 observer.operatorHistory().changeEnded(cellValue(value), "rejected", x.sequence(), match, now);
             case CommandResult.Unknown u ->
@@ -167,6 +173,11 @@
         }
     }
 
+    /** Does something at the moment at which the next change of the table is acknowledged to an operator. */
+    void afterAcknowledgement(final Runnable task) {
+        afterAcknowledgement = Optional.of(task);
+    }
+
     /** The gate is turned; the next turn comes when this one is acknowledged and a while has passed. */
     private void toggleGate() {
         if (stopped) {
@@ -329,20 +340,27 @@
         }
     }
 
-    /** Reads the table back through every controller that is up, and changes it once more, at the end of a day. */
-    void readBackAndChange() {
+    /**
+     * Reads the table back through every controller that is up, and changes it once more, at the end of a day.
+     *
+     * @param commandId the id of the change; a second change of a day needs another
+     */
+    void readBackAndChange(final String commandId) {
+        lastChangeApplied = false;
+        lastReadsAnswered = 0;
         final long newestBefore = observer.operatorHistory().newestAcknowledged();
         configurations.readBack();
         world.controllers().stream()
                 .filter(SimulatedNode::isAlive)
                 .forEach(controller -> readTable(controller, "r/", page -> {
                     observer.count("lastReads");
+                    lastReadsAnswered++;
                     observer.operatorHistory().tableRead(newestBefore, page.sequence(), Set.of(), false);
                 }));
         randomController()
                 .ifPresent(controller -> controller.submit(
                         new Command.PatchTable(
-                                "last",
+                                commandId,
                                 List.of(new Command.Cell(
                                         "*", world.kinds().get(0).kind(), "rate", cellValue(950))),
                                 -1),
@@ -351,6 +369,11 @@
         world.scheduler().runUntil(world.scheduler().now() + 5 * SECOND);
     }
 
+    /** How many controllers answered when the table was last read back. */
+    int lastReadsAnswered() {
+        return lastReadsAnswered;
+    }
+
     /** Whether the last change was acknowledged. */
     boolean lastChangeApplied() {
         return lastChangeApplied;
--- a/simulation/src/main/java/silverlatch/simulation/sim/ProcessFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ProcessFaults.java
@@ -7,6 +7,11 @@
 
 /** What happens to daemons and their disks, alone, in a region, or all at once. */
 final class ProcessFaults {
+    private static final long SECOND = 1_000_000L;
+    private static final long CONTROLLER_START = 3 * SECOND;
+    private static final long MAX_WAIT_FOR_ACKNOWLEDGEMENT = 20 * SECOND;
+    private static final long MIN_RESTART_DELAY = SECOND / 5;
+
     private ProcessFaults() {}
 
     static void gatewayKilled(final World world, final long duration) {
@@ -120,12 +125,42 @@
 
     static void allKilled(final World world, final long duration) {
         world.record("kill every daemon");
+        killAndRestartAll(world, duration, () -> {});
+    }
+
+    /** Beside the voters and gateways a controller without a vote runs by then; each fault of this kind adds one. */
+    static void diskLostAllKilled(final World world, final long duration) {
+        world.addControllerWithoutVote();
+        world.losingDisksUntil(MAX_WAIT_FOR_ACKNOWLEDGEMENT + duration);
+        world.disturbLater(
+                CONTROLLER_START,
+                () -> world.operators().afterAcknowledgement(() -> loseDiskAndKillAll(world, duration)));
+    }
+
+    /** Waits for another acknowledgement while a controller is missing: the core bears the loss of one disk at a time. */
+    private static void loseDiskAndKillAll(final World world, final long duration) {
+        if (!world.isChainComplete()) {
+            world.operators().afterAcknowledgement(() -> loseDiskAndKillAll(world, duration));
+            return;
+        }
+        final List<SimulatedNode> voters = world.controllers().stream()
+                .filter(node -> node.disk().isPresent())
+                .toList();
+        final SimulatedNode diskLost = world.randomOf(voters);
+        world.record("kill every daemon, and " + diskLost.name() + " loses its disk");
+        world.observer().count("disksLostWithAllKilled");
+        world.losingDisksUntil(MIN_RESTART_DELAY + duration);
+        killAndRestartAll(world, duration, () -> diskLost.disk().ifPresent(SimulatedDisk::wipe));
+    }
+
+    private static void killAndRestartAll(final World world, final long duration, final Runnable beforeRestart) {
         final List<SimulatedNode> nodes = new ArrayList<>(world.gateways());
         nodes.addAll(world.controllers());
         nodes.forEach(SimulatedNode::kill);
-        nodes.forEach(
-                n -> world.disturbLater(200_000 + world.scheduler().random().nextLong(duration), n::start));
-        world.disturbLater(200_000 + duration, () -> world.recovered(""));
+        beforeRestart.run();
+        nodes.forEach(node -> world.disturbLater(
+                MIN_RESTART_DELAY + world.scheduler().random().nextLong(duration), node::start));
+        world.disturbLater(MIN_RESTART_DELAY + duration, () -> world.recovered(""));
     }
 
     static void rebootstrap(final World world, final long duration) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/World.java
@@ -306,6 +306,16 @@
         return replacement;
     }
 
+    /** Adds a controller without a data folder, and hence without a vote. */
+    void addControllerWithoutVote() {
+        final Plan.Region region = randomOf(plan.regions());
+        final String name = "controller-without-vote-" + nextSerialNumber();
+        final List<String> seeds =
+                controllers().stream().map(SimulatedNode::address).toList();
+        register(new SimulatedNode(this, name, region.zone(), region.region(), name, seeds, false))
+                .start();
+    }
+
     /** Starts everything, waits until it stands, and gives it its tenants and its table. */
     public void start() {
         nodes.values().forEach(SimulatedNode::start);
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayTest.java
@@ -196,6 +196,30 @@
         assertThat(found, hasItem(startsWith("READ ")));
     }
 
+    /** Scenarios whose closing fault is the loss of a disk while all other machines lose their power. */
+    private static List<Day.Scenario> endingWithADiskLost(final boolean lyingDisks) {
+        return Stream.of(12L, 26L, 40L, 54L)
+                .map(seed -> new Day.Scenario(seed, List.of(), 60, lyingDisks))
+                .toList();
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"ferry", "telecom"})
+    void aDiskLostWhileAllOtherMachinesLosePowerAtTheEndOfADayLosesNothingAcknowledged(final String name)
+            throws IOException {
+        final List<Day.Result> days = runAll(plan(name), endingWithADiskLost(false), Safeguards.ALL);
+        assertThat(violations(days), is(List.of()));
+        days.forEach(day -> assertThat(day.counters().get("disksLostWithAllKilled"), is(1L)));
+    }
+
+    @Test
+    void whatIsLostWithADiskAtTheEndOfADayIsNoticed() throws IOException {
+        final List<String> found = runAll(plan("ferry"), endingWithADiskLost(true), Safeguards.ALL).stream()
+                .flatMap(day -> day.violations().stream())
+                .toList();
+        assertThat(found, hasItem(startsWith("READ ")));
+    }
+
     @Test
     void aDayThatPutsNothingToTheTestIsNoticed() throws IOException {
         final Plan ferry = plan("ferry");
