--- a/server/src/main/java/silverlatch/server/controller/Controller.java
+++ b/server/src/main/java/silverlatch/server/controller/Controller.java
@@ -78,7 +78,7 @@
                 node, settings.intervals().nodeTick(), transport::send, this::writeLog, this::afterTick);
         this.apiServer = new ApiServer(
                 settings.httpAddress(),
-                Math.max(settings.maxBodyBytes(), 8 << 20),
+                ApiRouter.maxBodyBytes(settings),
                 new ApiRouter(settings, eventLoop, transport, calendars, () -> unreadyReason)::route);
     }
 
--- /dev/null
+++ b/server/src/main/java/silverlatch/server/controller/StatusResource.java
@@ -0,0 +1,103 @@
+package silverlatch.server.controller;
+
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import java.util.function.Supplier;
+import silverlatch.gossip.Worker;
+import silverlatch.membership.Member;
+import silverlatch.node.Node;
+import silverlatch.replication.ChainReplica;
+import silverlatch.replication.Replica;
+import silverlatch.replication.View;
+import silverlatch.server.eventloop.EventLoop;
+import silverlatch.server.eventloop.EventLoopHandle;
+import silverlatch.server.web.HttpExchange;
+
+/** Whether the controller lives and is ready, and what it knows of the cluster ({@code /live, /ready, /status}). */
+final class StatusResource {
+    private final String name;
+    private final EventLoopHandle eventLoop;
+    private final Supplier<Optional<String>> unreadyReason;
+
+    /** The reason is empty while the controller is ready; it is read by any thread. */
+    StatusResource(final String name, final EventLoopHandle eventLoop, final Supplier<Optional<String>> unreadyReason) {
+        this.name = name;
+        this.eventLoop = eventLoop;
+        this.unreadyReason = unreadyReason;
+    }
+
+    /** Replies that the process lives. */
+    void live(final HttpExchange exchange) {
+        exchange.reply(ApiReplies.OK, Map.of("live", true));
+    }
+
+    /** Replies whether the controller takes writes, and why not. */
+    void ready(final HttpExchange exchange) {
+        final Optional<String> reason = unreadyReason.get();
+        exchange.reply(
+                reason.isEmpty() ? ApiReplies.OK : ApiReplies.SERVICE_UNAVAILABLE,
+                Map.of("ready", reason.isEmpty(), "why", reason.orElse("")));
+    }
+
+    /** Replies with what the node knows. */
+    void status(final HttpExchange exchange) {
+        eventLoop.execute(node -> exchange.reply(ApiReplies.OK, body(node)));
+    }
+
+    private Map<String, Object> body(final Node node) {
+        final Map<String, Object> body = new TreeMap<>();
+        body.put("name", name);
+        body.put("ready", unreadyReason.get().isEmpty());
+        body.put("why", unreadyReason.get().orElse(""));
+        putView(body, node.view());
+        node.chainReplica().ifPresent(replica -> putReplica(body, replica.status(EventLoop.nowMicros())));
+        body.put("table", node.gossip().stateMachine().policyRevision());
+        body.put("stamp", "" + node.processClock().last().bits());
+        body.put("crew", members(node));
+        body.put("workers", workers(node));
+        return body;
+    }
+
+    private static void putView(final Map<String, Object> body, final View view) {
+        body.put("fleet", Long.toHexString(view.fleet()));
+        body.put("view", view.number());
+        body.put("holder", view.singletonOwner());
+        body.put(
+                "voters",
+                view.voters().stream()
+                        .map(voter -> voter.id() + " " + voter.address())
+                        .toList());
+        body.put("chain", view.chain().stream().map(Replica::address).toList());
+    }
+
+    private static void putReplica(final Map<String, Object> body, final ChainReplica.ReplicaStatus replica) {
+        body.put("state", replica.state());
+        body.put("level", replica.isCaughtUp());
+        body.put("leased", replica.isLeased());
+        body.put("sequence", replica.sequence());
+        body.put("pending", replica.pendingEntries());
+    }
+
+    private static List<String> members(final Node node) {
+        return node.membership().all().stream().map(StatusResource::line).toList();
+    }
+
+    private static List<String> workers(final Node node) {
+        return node.gossip().workers().values().stream()
+                .map(observed -> line(observed.worker()))
+                .sorted()
+                .toList();
+    }
+
+    private static String line(final Member member) {
+        return member.id() + " " + member.role() + " " + member.zone() + " " + member.region() + " "
+                + member.httpAddress() + " " + member.state() + (member.ready() ? " ready" : "");
+    }
+
+    private static String line(final Worker worker) {
+        return worker.id() + " " + worker.zone() + " running " + worker.running() + "/" + worker.slots()
+                + (worker.draining() ? " leaving" : "");
+    }
+}
--- /dev/null
+++ b/server/src/main/java/silverlatch/server/metrics/NodeMetrics.java
@@ -0,0 +1,22 @@
+package silverlatch.server.metrics;
+
+import silverlatch.clock.ProcessClock;
+import silverlatch.node.Node;
+import silverlatch.server.transport.Transport;
+
+/** The metrics that every process of a cluster has: of its clock, its node and its transport. */
+public final class NodeMetrics {
+    private NodeMetrics() {}
+
+    /** Adds the metrics; to be called on the node's event loop. */
+    public static void add(final MetricsPage page, final Node node, final Transport transport) {
+        final ProcessClock.Counts clock = node.processClock().counts();
+        page.put("tide_waits", clock.waits());
+        page.put("tide_carries", clock.overflows());
+        page.put("tide_far", clock.tooFarAhead());
+        page.put("tide_dropped", clock.dropped());
+        page.putAll("deck_", node.counters());
+        page.put("wire_bad", transport.bad());
+        page.put("wire_dropped", transport.droppedFrames());
+    }
+}
--- a/server/src/main/java/silverlatch/server/replay/RecordingFormat.java
+++ b/server/src/main/java/silverlatch/server/replay/RecordingFormat.java
@@ -15,7 +15,7 @@
 import silverlatch.json.JsonDocument;
 import silverlatch.placement.PlacementContext;
 import silverlatch.placement.PlacementInput;
-import silverlatch.server.controller.EntryJson;
+import silverlatch.server.controller.TableJson;
 import silverlatch.state.TableRules;
 import silverlatch.state.Value;
 import silverlatch.util.Numbers;
@@ -85,7 +85,7 @@
         map.put("ticket", request.requestId());
         map.put("tenant", request.tenant().name());
         map.put("homes", request.tenant().homeRegions());
-        map.put("row", EntryJson.write(request.row()));
+        map.put("row", TableJson.write(request.row()));
         map.put("prefix", request.prefixDigests());
         map.put("zone", request.gatewayZone());
         map.put("region", request.gatewayRegion());
@@ -156,7 +156,7 @@
 
     private static DispatchEffect.PlacementDecided readPlacement(final JsonDocument document) {
         final JsonDocument rowDocument = document.object("row");
-        final Value.Row row = EntryJson.read(rowDocument);
+        final Value.Row row = TableJson.read(rowDocument);
         rowDocument.finish();
         final List<PlacementInput> inputs = new ArrayList<>();
         document.objects("sights", 10_000).forEach(input -> {
@@ -216,7 +216,7 @@
                     document.integer("sequence", 0, Long.MAX_VALUE, 0);
                     final List<JsonDocument> list = document.objects("rows", 20_000);
                     for (int i = 0; i < list.size(); i++) {
-                        final Value.Row row = EntryJson.read(list.get(i));
+                        final Value.Row row = TableJson.read(list.get(i));
                         list.get(i).finish();
                         final String location = file + ": $.rows[" + i + "].";
                         TableRules.faults(row).forEach(f -> faults.add(location + f));
--- a/server/src/main/java/silverlatch/server/tool/TableDifference.java
+++ b/server/src/main/java/silverlatch/server/tool/TableDifference.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import silverlatch.json.JsonDocument;
-import silverlatch.server.controller.EntryJson;
+import silverlatch.server.controller.TableJson;
 import silverlatch.state.StateMachine;
 import silverlatch.state.TableRules;
 import silverlatch.state.Value;
@@ -65,7 +65,7 @@
         final Map<String, Value.Row> rows = new TreeMap<>();
         final List<JsonDocument> rowDocuments = document.objects("rows", StateMachine.MAX_ROWS + 1);
         for (int i = 0; i < rowDocuments.size(); i++) {
-            final Value.Row row = EntryJson.read(rowDocuments.get(i));
+            final Value.Row row = TableJson.read(rowDocuments.get(i));
             rowDocuments.get(i).finish();
             final String location = "$.rows[" + i + "].";
             TableRules.faults(row).forEach(f -> faults.add(location + f));
