--- a/server/src/main/java/silverlatch/server/controller/MetricsResource.java
+++ b/server/src/main/java/silverlatch/server/controller/MetricsResource.java
@@ -22,8 +22,10 @@
             final MetricsPage page = new MetricsPage();
             NodeMetrics.add(page, node, transport);
             node.chainReplica()
-                    .ifPresent(replica ->
-                            page.put("quay_sequence", replica.stateMachine().sequence()));
+                    .ifPresent(replica -> page.put(
+                            "replication_sequence",
+                            "quay_sequence",
+                            replica.stateMachine().sequence()));
             exchange.replyText(page.text());
         });
     }
--- a/server/src/main/java/silverlatch/server/metrics/MetricsPage.java
+++ b/server/src/main/java/silverlatch/server/metrics/MetricsPage.java
@@ -6,6 +6,8 @@
 
 /**
  * The text of a process's metrics: a line {@code silverlatch_NAME VALUE} each, ordered by name. For one thread at a time.
+ *
+ * <p>A metric that was renamed stands there under its former name too, for one version, so that dashboards can follow.
  */
 public final class MetricsPage {
     private static final String PREFIX = "silverlatch_";
@@ -16,9 +18,15 @@
         values.put(name, value);
     }
 
-    /** Adds counters by name under a prefix. */
-    public void putAll(final String prefix, final Map<String, Long> counters) {
-        counters.forEach((name, value) -> put(prefix + name, value));
+    /** Adds a metric under its name and under the one it had in the version before. */
+    public void put(final String name, final String formerName, final long value) {
+        put(name, value);
+        put(formerName, value);
+    }
+
+    /** Adds counters by name under a prefix and under the one they had in the version before. */
+    public void putAll(final String prefix, final String formerPrefix, final Map<String, Long> counters) {
+        counters.forEach((name, value) -> put(prefix + name, formerPrefix + name, value));
     }
 
     /** All lines. */
--- a/server/src/main/java/silverlatch/server/metrics/NodeMetrics.java
+++ b/server/src/main/java/silverlatch/server/metrics/NodeMetrics.java
@@ -11,11 +11,11 @@
     /** Adds the metrics; to be called on the node's event loop. */
     public static void add(final MetricsPage page, final Node node, final Transport transport) {
         final ProcessClock.Counts clock = node.processClock().counts();
-        page.put("tide_waits", clock.waits());
-        page.put("tide_carries", clock.overflows());
-        page.put("tide_far", clock.tooFarAhead());
-        page.put("tide_dropped", clock.dropped());
-        page.putAll("deck_", node.counters());
+        page.put("clock_waits", "tide_waits", clock.waits());
+        page.put("clock_overflows", "tide_carries", clock.overflows());
+        page.put("clock_too_far_ahead", "tide_far", clock.tooFarAhead());
+        page.put("clock_dropped", "tide_dropped", clock.dropped());
+        page.putAll("node_", "deck_", node.counters());
         page.put("wire_bad", transport.bad());
         page.put("wire_dropped", transport.droppedFrames());
     }
--- a/server/src/test/java/silverlatch/server/controller/ControllerTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ControllerTest.java
@@ -1,9 +1,13 @@
 package silverlatch.server.controller;
 
 import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.allOf;
+import static org.hamcrest.Matchers.containsString;
+import static org.hamcrest.Matchers.hasItems;
 import static org.hamcrest.Matchers.instanceOf;
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.lessThan;
+import static org.hamcrest.Matchers.startsWith;
 
 import java.io.IOException;
 import java.net.ServerSocket;
@@ -233,4 +237,71 @@
                 is(false));
         controller.stop();
     }
+
+    private String body(final String method, final String path, final String body) throws Exception {
+        final HttpResponse<String> response = request(method, path, body, "operator-key", "*");
+        return response.statusCode() + " " + response.body();
+    }
+
+    private Map<String, Long> metrics() throws Exception {
+        final Map<String, Long> values = new java.util.TreeMap<>();
+        for (final String line : request("GET", "/metrics", "", "", "*").body().split("\n")) {
+            values.put(line.substring(0, line.indexOf(' ')), Long.parseLong(line.substring(line.indexOf(' ') + 1)));
+        }
+        return values;
+    }
+
+    @Test
+    void renamedMetricsStandBesideTheirFormerNames() throws Exception {
+        final Controller controller = startController(List.of());
+        awaitReady();
+        final Map<String, Long> values = metrics();
+        for (final List<String> names : List.of(
+                List.of("clock_waits", "tide_waits"),
+                List.of("clock_overflows", "tide_carries"),
+                List.of("clock_too_far_ahead", "tide_far"),
+                List.of("clock_dropped", "tide_dropped"),
+                List.of("replication_sequence", "quay_sequence"))) {
+            assertThat(values.keySet(), hasItems("silverlatch_" + names.get(0), "silverlatch_" + names.get(1)));
+            assertThat(
+                    names.get(0),
+                    values.get("silverlatch_" + names.get(0)),
+                    is(values.get("silverlatch_" + names.get(1))));
+        }
+        assertThat(values.keySet(), hasItems("silverlatch_wire_bad", "silverlatch_wire_dropped"));
+        controller.stop();
+    }
+
+    @Test
+    void everyResourceOfTheApiRepliesUnderItsPath() throws Exception {
+        final Controller controller = startController(List.of());
+        awaitReady();
+        final String row = "{\"tenant\":\"*\",\"kind\":\"fare\",\"rate\":2}";
+        assertThat(body("PUT", "/v1/table", "{\"rows\":[" + row + "]}"), startsWith("200 "));
+        final String cell = "{\"tenant\":\"*\",\"kind\":\"fare\",\"field\":\"rate\",\"value\":\"3\"}";
+        assertThat(body("PATCH", "/v1/table", "{\"cells\":[" + cell + "]}"), startsWith("200 "));
+        assertThat(body("GET", "/v1/table", ""), containsString("\"kind\":\"fare\""));
+        assertThat(body("PUT", "/v1/tenants/ferry", "{\"key\":\"a key\",\"homes\":[\"r\"]}"), startsWith("200 "));
+        assertThat(body("GET", "/v1/tenants", ""), containsString("\"name\":\"ferry\""));
+        assertThat(body("DELETE", "/v1/tenants/ferry", ""), startsWith("200 "));
+        assertThat(body("PUT", "/v1/zones/syros", "{\"empty\":true}"), startsWith("200 "));
+        assertThat(
+                body("PUT", "/v1/zones/syros", "{}"),
+                allOf(startsWith("422 "), containsString("[\"$.empty: missing\"]")));
+        assertThat(body("GET", "/v1/zones", ""), containsString("\"zone\":\"syros\""));
+        final String schedule = "{\"cron\":\"30 2 * * *\",\"zone\":\"syros\",\"empty\":true}";
+        assertThat(body("PUT", "/v1/calendars/night", schedule), startsWith("200 "));
+        assertThat(body("PUT", "/v1/calendars/night", schedule.replace("30", "99")), startsWith("422 "));
+        assertThat(body("GET", "/v1/calendars", ""), containsString("\"name\":\"night\""));
+        assertThat(body("DELETE", "/v1/calendars/night", ""), startsWith("200 "));
+        assertThat(body("GET", "/v1/claims/0a", ""), startsWith("200 "));
+        assertThat(body("GET", "/v1/claims/0x", ""), startsWith("404 "));
+        assertThat(body("GET", "/v1/changes/none-of-this-id", ""), startsWith("404 "));
+        assertThat(body("GET", "/v1/tenants/ferry/more", ""), startsWith("404 "));
+        assertThat(body("GET", "/live", ""), is("200 {\"live\":true}"));
+        assertThat(request("GET", "/v1/none", "", "", "*").statusCode(), is(401));
+        assertThat(
+                request("DELETE", "/v1/tenants/ferry", "", "operator-key", "x").statusCode(), is(400));
+        controller.stop();
+    }
 }
