--- a/server/src/main/java/silverlatch/server/controller/ApiReplies.java
+++ b/server/src/main/java/silverlatch/server/controller/ApiReplies.java
@@ -17,6 +17,9 @@
     static final int SERVICE_UNAVAILABLE = 503;
     static final int GATEWAY_TIMEOUT = 504;
 
+    /** Why a request is rejected that the event loop has no room for. */
+    static final String OVERLOADED = "the ring is full";
+
     private static final int MAX_REPORTED_FAULTS = 100;
 
     private ApiReplies() {}
@@ -28,7 +31,7 @@
 
     /** Rejects a request because the event loop can take no more for now. */
     static void rejectOverload(final HttpExchange exchange) {
-        reject(exchange, SERVICE_UNAVAILABLE, "the ring is full");
+        reject(exchange, SERVICE_UNAVAILABLE, OVERLOADED);
     }
 
     /** Rejects a body that was read and has these faults. */
--- /dev/null
+++ b/server/src/main/java/silverlatch/server/controller/LogEvents.java
@@ -0,0 +1,41 @@
+package silverlatch.server.controller;
+
+import java.util.List;
+import java.util.function.Consumer;
+import silverlatch.log.LogRecord;
+import silverlatch.node.Event;
+import silverlatch.node.Node;
+import silverlatch.server.eventloop.EventLog;
+import silverlatch.server.eventloop.EventLoop;
+import silverlatch.server.eventloop.EventLoopHandle;
+
+/** Carries what the log writer reports to the node. Called on the writer's thread, which waits where the event loop is full. */
+final class LogEvents implements LogWriter.Listener {
+    private final EventLoopHandle eventLoop;
+
+    LogEvents(final EventLoopHandle eventLoop) {
+        this.eventLoop = eventLoop;
+    }
+
+    @Override
+    public void synced(final List<Long> tokens) {
+        post(node -> tokens.forEach(token -> node.onPersisted(token, EventLoop.nowMicros())), () -> {});
+    }
+
+    @Override
+    public void failed(final String why, final Runnable fenced) {
+        post(node -> node.onDiskFailed(why, EventLoop.nowMicros()), fenced);
+    }
+
+    @Override
+    public void recovered(final List<LogRecord> records) {
+        EventLog.write(Event.RECOVERED, records.size() + " records, after the disk had failed");
+        post(node -> node.onDiskRecovered(records, EventLoop.nowMicros()), () -> {});
+    }
+
+    private void post(final Consumer<Node> task, final Runnable afterFlush) {
+        while (!eventLoop.execute(task, afterFlush)) {
+            Thread.onSpinWait();
+        }
+    }
+}
--- /dev/null
+++ b/server/src/main/java/silverlatch/server/controller/LogOpener.java
@@ -0,0 +1,82 @@
+package silverlatch.server.controller;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.Optional;
+import java.util.concurrent.locks.LockSupport;
+import silverlatch.log.WriteAheadLog;
+import silverlatch.node.Event;
+import silverlatch.server.eventloop.EventLog;
+import silverlatch.server.settings.Settings;
+
+/** Opens a controller's log at the start of its process, on the main thread. */
+public final class LogOpener {
+    private static final long RETRY_PAUSE_NANOS = 200_000_000L;
+    private static final int EXIT_UNUSABLE_LOG = 4;
+    private final Path folder;
+    private final boolean mayBootstrap;
+    private final boolean movesDamagedAside;
+    private boolean isUnavailableReported;
+
+    private LogOpener(final Path folder, final boolean mayBootstrap, final boolean movesDamagedAside) {
+        this.folder = folder;
+        this.mayBootstrap = mayBootstrap;
+        this.movesDamagedAside = movesDamagedAside;
+    }
+
+    /**
+     * Opens the log in the data folder, if the settings name one, as soon as the disk lets it. One that is damaged or of
+     * another format ends the process with 4.
+     *
+     * @param movesDamagedAside whether a damaged log is moved aside instead, and the machine starts with an empty one under a
+     *     new identity
+     */
+    public static Optional<WriteAheadLog.OpenResult.Success> open(
+            final Settings settings, final boolean movesDamagedAside) {
+        return settings.dataFolder()
+                .map(folder -> new LogOpener(Path.of(folder), settings.mayBootstrap(), movesDamagedAside).open());
+    }
+
+    private WriteAheadLog.OpenResult.Success open() {
+        while (true) {
+            switch (WriteAheadLog.open(folder, mayBootstrap)) {
+                case WriteAheadLog.OpenResult.Unavailable unavailable -> awaitDisk(unavailable.reason());
+                case WriteAheadLog.OpenResult.Damaged damaged -> {
+                    EventLog.write(Event.DAMAGED, damaged.reason());
+                    if (!movesDamagedAside || !moveAside()) {
+                        System.exit(EXIT_UNUSABLE_LOG);
+                    }
+                }
+                case WriteAheadLog.OpenResult.Unsupported unsupported -> {
+                    EventLog.write(Event.LOG_FORMAT, unsupported.reason());
+                    System.exit(EXIT_UNUSABLE_LOG);
+                }
+                case WriteAheadLog.OpenResult.Success opened -> {
+                    EventLog.write(
+                            Event.RECOVERED,
+                            opened.records().size() + " records, " + opened.tornBytes()
+                                    + " bytes of an incomplete last write cut off");
+                    return opened;
+                }
+            }
+        }
+    }
+
+    private void awaitDisk(final String reason) {
+        if (!isUnavailableReported) {
+            EventLog.write(Event.BARRED, reason);
+        }
+        isUnavailableReported = true;
+        LockSupport.parkNanos(RETRY_PAUSE_NANOS);
+    }
+
+    private boolean moveAside() {
+        try {
+            WriteAheadLog.moveAside(folder);
+            return true;
+        } catch (final IOException e) {
+            EventLog.write(Event.BARRED, "" + e.getMessage());
+            return false;
+        }
+    }
+}
--- a/server/src/main/java/silverlatch/server/controller/LogWriter.java
+++ b/server/src/main/java/silverlatch/server/controller/LogWriter.java
@@ -57,7 +57,7 @@
     /** Starts the thread. */
     public void start() {
         recoveredAt = System.nanoTime();
-        Threads.startDaemon("scribe", this::run);
+        Threads.startDaemon("log-writer", this::run);
     }
 
     /** Takes a write. */
--- a/server/src/main/java/silverlatch/server/settings/Settings.java
+++ b/server/src/main/java/silverlatch/server/settings/Settings.java
@@ -9,6 +9,8 @@
 import java.util.Optional;
 import silverlatch.dispatch.DispatcherSettings;
 import silverlatch.json.JsonDocument;
+import silverlatch.membership.Member;
+import silverlatch.node.Node;
 import silverlatch.state.TableRules;
 
 /**
@@ -81,6 +83,13 @@
         };
     }
 
+    /** The settings of the node of a process in this role, {@code controller} or {@code gateway}, that starts at a wall time. */
+    public Node.Settings nodeSettings(final String role, final long wallNanos) {
+        final Member self =
+                new Member(name, role, zone, region, peerAddress, httpAddress, wallNanos / 1000, 0, "up", false);
+        return new Node.Settings(self, seeds, stampLowBits, maxClockSkew, intervals.membership(), intervals.gossip());
+    }
+
     private static ReadResult check(final JsonDocument document, final boolean isController) {
         final List<String> faults = new ArrayList<>();
         final String dataFolder = document.string("data", 4096, "");
--- a/server/src/test/java/silverlatch/server/controller/ControllerTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ControllerTest.java
@@ -103,10 +103,8 @@
                 settings.voterCount(),
                 silverlatch.server.settings.Intervals.DEFAULTS,
                 Optional.empty());
-        final Controller controller = DaggerMain_Parts.factory()
-                .make(oneReplica, Optional.of((WriteAheadLog.OpenResult.Success)
-                        WriteAheadLog.open(Path.of(settings.dataFolder().get()))))
-                .controller();
+        final Controller controller = Main.build(oneReplica, Optional.of((WriteAheadLog.OpenResult.Success)
+                WriteAheadLog.open(Path.of(settings.dataFolder().get()))));
         controller.start();
         return controller;
     }
