--- a/core/src/main/java/silverlatch/node/Node.java
+++ b/core/src/main/java/silverlatch/node/Node.java
@@ -22,6 +22,7 @@
 import silverlatch.membership.Membership;
 import silverlatch.replication.ChainClient;
 import silverlatch.replication.ChainReplica;
+import silverlatch.replication.ReplicaSettings;
 import silverlatch.replication.View;
 import silverlatch.safeguard.Safeguards;
 import silverlatch.state.Command;
@@ -89,7 +90,7 @@
     /** A daemon as it starts: its anchor, and for a controller with a data folder its chain setup and what the ledger held. */
     public Node(
             final Settings settings,
-            final Optional<ChainReplica.ReplicaSettings> chainSettings,
+            final Optional<ReplicaSettings> chainSettings,
             final List<LogRecord> records,
             final PhysicalClock physicalClock,
             final RandomGenerator random,
--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -20,13 +20,11 @@
 import silverlatch.node.Effect;
 import silverlatch.node.Event;
 import silverlatch.safeguard.Safeguard;
-import silverlatch.safeguard.Safeguards;
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
 import silverlatch.state.Entry;
 import silverlatch.state.StateMachine;
 import silverlatch.state.Value;
-import silverlatch.statemachine.TransitionTable;
 import silverlatch.wire.Message;
 
 /**
@@ -47,11 +45,9 @@
     private static final long REPAIR_RETRY_MICROS = 900_000L;
     private static final int MAX_PENDING_ENTRIES = 4_096;
     private static final int MAX_UNLEASED_WRITES = 64;
-    private static final long RETRY_MICROS = 300_000L;
     private static final long EPOCH_MICROS = 600_000_000L;
     private final ReplicaSettings settings;
     private final Supplier<Stamp> stamps;
-    private final TransitionTable transitions = TransitionTable.load("controller");
     private final StateMachine stateMachine;
     private final List<Effect> effects = new ArrayList<>();
     private final Deque<LogEntry> pendingEntries = new ArrayDeque<>();
@@ -72,7 +68,7 @@
     private Optional<RepairProgress> repairProgress = Optional.empty();
     private long repairRequestedAt;
     private List<String> seeds;
-    private String replicaState;
+    private ReplicaState replicaState = ReplicaState.EMPTY;
     private View view = View.NONE;
     private boolean caughtUp;
     private boolean grantsSuspended;
@@ -127,14 +123,13 @@
         this.stamps = stamps;
         this.seeds = settings.seeds();
         this.stateMachine = new StateMachine(settings.safeguards());
-        this.replicaState = transitions.initialState();
         records.forEach(this::replay);
         earlierGrantsExpireAt = now + settings.leaseMicros();
         currentTime = now;
         epochAdvancedAt = now;
         if (view.number() > 0) {
             final boolean inChain = view.positionOf(settings.self().id()) >= 0;
-            replicaState = transitions.transition(replicaState, inChain ? "chain" : "learn");
+            replicaState = replicaState.afterView(inChain);
             if (!inChain) {
                 dropPendingEntries();
             }
@@ -146,91 +141,6 @@
         }
     }
 
-    /**
-     * What this machine is made with; times in microseconds.
-     *
-     * @param minInSyncReplicas how many synced copies there are before an acknowledgement
-     * @param maxVoters   how many machines vote where so many are there
-     * @param mayBootstrap  whether this machine may take part in a first founding
-     */
-    public record ReplicaSettings(
-            Replica self,
-            List<String> seeds,
-            long leaseMicros,
-            long leaseRequestMicros,
-            long suspicionMicros,
-            long diskStallMicros,
-            int minInSyncReplicas,
-            int maxVoters,
-            boolean mayBootstrap,
-            Safeguards safeguards) {
-        /** Copies the seats. */
-        public ReplicaSettings {
-            seeds = List.copyOf(seeds);
-        }
-
-        /** The times that hold when nothing is said. */
-        public static ReplicaSettings of(final Replica self, final List<String> seeds) {
-            return new ReplicaSettings(
-                    self, seeds, 600_000L, 120_000L, 800_000L, 1_000_000L, 2, 3, true, Safeguards.ALL);
-        }
-
-        /** The same under the guards that stand. */
-        public ReplicaSettings withSafeguards(final Safeguards standing) {
-            return new ReplicaSettings(
-                    self,
-                    seeds,
-                    leaseMicros,
-                    leaseRequestMicros,
-                    suspicionMicros,
-                    diskStallMicros,
-                    minInSyncReplicas,
-                    maxVoters,
-                    mayBootstrap,
-                    standing);
-        }
-
-        /** The same with other counts of copies and of voters. */
-        public ReplicaSettings withCounts(final int inSyncReplicas, final int voters) {
-            return new ReplicaSettings(
-                    self,
-                    seeds,
-                    leaseMicros,
-                    leaseRequestMicros,
-                    suspicionMicros,
-                    diskStallMicros,
-                    inSyncReplicas,
-                    voters,
-                    mayBootstrap,
-                    safeguards);
-        }
-
-        /** The same, where a first founding is allowed or not. */
-        public ReplicaSettings withBootstrap(final boolean allowed) {
-            return new ReplicaSettings(
-                    self,
-                    seeds,
-                    leaseMicros,
-                    leaseRequestMicros,
-                    suspicionMicros,
-                    diskStallMicros,
-                    minInSyncReplicas,
-                    maxVoters,
-                    allowed,
-                    safeguards);
-        }
-    }
-
-    /** What the log and the status show. */
-    public record ReplicaStatus(
-            String state,
-            boolean isCaughtUp,
-            View view,
-            long sequence,
-            long revision,
-            int pendingEntries,
-            boolean isLeased) {}
-
     /** What is to be done in the world; it is handed over once. */
     public List<Effect> drain() {
         final List<Effect> drained = List.copyOf(effects);
@@ -333,7 +243,7 @@
     /** The disk failed: this machine takes no part until it has recovered. */
     public void diskFailed(final String reason) {
         if (!isDiskFailed()) {
-            replicaState = transitions.transition(replicaState, "break");
+            replicaState = replicaState.afterDiskFailure();
             log(Event.DISK_BROKEN, reason);
             unsyncedWrites.clear();
             abandonWaitingWrites();
@@ -401,7 +311,9 @@
             return;
         }
         if (now - leaseRequestedAt
-                        >= (view.isVoter(settings.self().id()) ? settings.leaseRequestMicros() : RETRY_MICROS)
+                        >= (view.isVoter(settings.self().id())
+                                ? settings.leaseRequestMicros()
+                                : ReplicaSettings.RETRY_MICROS)
                 && !stalled) {
             requestLease(now);
         }
@@ -411,7 +323,8 @@
             if (!stalled) {
                 proposeNextView(now);
             }
-        } else if (now - lastDiscoveryAt >= (joining ? 5 * RETRY_MICROS : RETRY_MICROS) && !stalled) {
+        } else if (now - lastDiscoveryAt >= (joining ? 5 * ReplicaSettings.RETRY_MICROS : ReplicaSettings.RETRY_MICROS)
+                && !stalled) {
             lastDiscoveryAt = now;
             view.tail().ifPresent(tail -> requestRepair(tail.address(), now));
             seeds.forEach(seed -> send(
@@ -516,7 +429,7 @@
     }
 
     private void discoverPeers(final long now) {
-        if (now - lastDiscoveryAt < RETRY_MICROS) {
+        if (now - lastDiscoveryAt < ReplicaSettings.RETRY_MICROS) {
             return;
         }
         lastDiscoveryAt = now;
@@ -644,7 +557,7 @@
                 heardAt.put(voter.id(), now);
             }
         });
-        replicaState = transitions.transition(replicaState, inChain ? "chain" : "learn");
+        replicaState = replicaState.afterView(inChain);
         persist(List.of(new LogRecord.ViewInstalled(view, caughtUp)), t -> {});
         log(
                 Event.VIEW,
@@ -737,7 +650,7 @@
 
     /** Asks under the view before this one: the reply is the view as it is now, and the asker counts as silent. */
     private void requestLaterView(final long now) {
-        if (now - lastDiscoveryAt >= RETRY_MICROS) {
+        if (now - lastDiscoveryAt >= ReplicaSettings.RETRY_MICROS) {
             lastDiscoveryAt = now;
             view.voters()
                     .forEach(voter -> send(
@@ -969,7 +882,7 @@
     }
 
     private void retryReplication(final long now) {
-        if (now - lastRetryAt < RETRY_MICROS) {
+        if (now - lastRetryAt < ReplicaSettings.RETRY_MICROS) {
             return;
         }
         lastRetryAt = now;
@@ -984,7 +897,7 @@
         });
         if (!caughtUp) {
             view.predecessorOf(settings.self().id()).ifPresent(neighbor -> {
-                if (now - catchUpStartedAt > 4 * RETRY_MICROS) {
+                if (now - catchUpStartedAt > 4 * ReplicaSettings.RETRY_MICROS) {
                     requestRepair(neighbor.address(), now);
                 } else {
                     send(
@@ -1503,11 +1416,11 @@
     }
 
     private boolean isInChain() {
-        return replicaState.equals("chained");
+        return replicaState == ReplicaState.IN_CHAIN;
     }
 
     private boolean isDiskFailed() {
-        return replicaState.equals("broken");
+        return replicaState == ReplicaState.DISK_FAILED;
     }
 
     private void persist(final List<LogRecord> records, final LongConsumer onSynced) {
--- a/core/src/main/java/silverlatch/replication/ViewPlanner.java
+++ b/core/src/main/java/silverlatch/replication/ViewPlanner.java
@@ -14,14 +14,14 @@
 
 /** Which view should come after the one that stands, as one machine sees it. */
 final class ViewPlanner {
-    private final ChainReplica.ReplicaSettings settings;
+    private final ReplicaSettings settings;
     private final View view;
     private final ToLongFunction<String> microsSinceHeard;
     private final Set<String> caughtUpMembers;
 
     /** How long each voter or newcomer was silent, in microseconds, and which members of the chain hold all that it has. */
     ViewPlanner(
-            final ChainReplica.ReplicaSettings settings,
+            final ReplicaSettings settings,
             final View view,
             final ToLongFunction<String> microsSinceHeard,
             final Set<String> caughtUpMembers) {
--- a/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
+++ b/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
@@ -19,6 +19,7 @@
 import silverlatch.node.Effect;
 import silverlatch.replication.ChainReplica;
 import silverlatch.replication.Replica;
+import silverlatch.replication.ReplicaSettings;
 import silverlatch.replication.View;
 import silverlatch.state.Entry;
 import silverlatch.state.StateMachine;
@@ -153,8 +154,8 @@
     }
 
     private static ChainReplica recover(final String name, final List<LogRecord> records) {
-        final ChainReplica.ReplicaSettings setup =
-                ChainReplica.ReplicaSettings.of(DataFolderGenerator.replica(name), DataFolderGenerator.ADDRESSES);
+        final ReplicaSettings setup =
+                ReplicaSettings.of(DataFolderGenerator.replica(name), DataFolderGenerator.ADDRESSES);
         return new ChainReplica(setup, records, () -> new Stamp(2_000), 0);
     }
 
--- a/core/src/test/java/silverlatch/log/DataFolderGenerator.java
+++ b/core/src/test/java/silverlatch/log/DataFolderGenerator.java
@@ -16,6 +16,7 @@
 import silverlatch.node.Effect;
 import silverlatch.replication.ChainReplica;
 import silverlatch.replication.Replica;
+import silverlatch.replication.ReplicaSettings;
 import silverlatch.state.Command;
 import silverlatch.state.Value;
 import silverlatch.wire.Message;
@@ -174,7 +175,7 @@
         }
         final WriteAheadLog.OpenResult.Success opened = (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder);
         final ChainReplica replica = new ChainReplica(
-                ChainReplica.ReplicaSettings.of(replica(name), ADDRESSES).withBootstrap(opened.mayFound()),
+                ReplicaSettings.of(replica(name), ADDRESSES).withBootstrap(opened.mayFound()),
                 opened.records(),
                 () -> new Stamp(++stamp),
                 nowMicros);
--- a/core/src/test/java/silverlatch/node/NodeCluster.java
+++ b/core/src/test/java/silverlatch/node/NodeCluster.java
@@ -18,8 +18,8 @@
 import silverlatch.log.LogRecord;
 import silverlatch.membership.Member;
 import silverlatch.membership.Membership;
-import silverlatch.replication.ChainReplica;
 import silverlatch.replication.Replica;
+import silverlatch.replication.ReplicaSettings;
 import silverlatch.routing.Router;
 import silverlatch.safeguard.Safeguards;
 import silverlatch.state.Command;
@@ -332,8 +332,8 @@
                     0,
                     "up",
                     false);
-            final Optional<ChainReplica.ReplicaSettings> chain = isController()
-                    ? Optional.of(ChainReplica.ReplicaSettings.of(new Replica(identity, name), seeds)
+            final Optional<ReplicaSettings> chain = isController()
+                    ? Optional.of(ReplicaSettings.of(new Replica(identity, name), seeds)
                             .withBootstrap(isFirstStart))
                     : Optional.empty();
             isFirstStart = false;
--- a/core/src/test/java/silverlatch/replication/CatchUpTest.java
+++ b/core/src/test/java/silverlatch/replication/CatchUpTest.java
@@ -37,7 +37,7 @@
     private static boolean isChainComplete(final ReplicaCluster cluster, final int members) {
         return cluster.running().size() == members
                 && cluster.running().stream().allMatch(s -> {
-                    final ChainReplica.ReplicaStatus state = cluster.replica(s).status(cluster.now());
+                    final ReplicaStatus state = cluster.replica(s).status(cluster.now());
                     return state.isCaughtUp()
                             && state.isLeased()
                             && state.view().chain().size() == members;
--- a/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
@@ -41,7 +41,7 @@
         replicas.put(
                 address,
                 new ChainReplica(
-                        ChainReplica.ReplicaSettings.of(new Replica(id, address), SEEDS),
+                        ReplicaSettings.of(new Replica(id, address), SEEDS),
                         List.copyOf(disks.get(address)),
                         () -> new Stamp(++stamp),
                         now));
--- a/core/src/test/java/silverlatch/replication/DiskFailureTest.java
+++ b/core/src/test/java/silverlatch/replication/DiskFailureTest.java
@@ -32,7 +32,7 @@
     private boolean isChainComplete() {
         return cluster.running().size() == 3
                 && cluster.running().stream().allMatch(s -> {
-                    final ChainReplica.ReplicaStatus state = cluster.replica(s).status(cluster.now());
+                    final ReplicaStatus state = cluster.replica(s).status(cluster.now());
                     return state.isCaughtUp()
                             && state.isLeased()
                             && state.view().chain().size() == 3;
--- a/core/src/test/java/silverlatch/replication/MembershipModelTest.java
+++ b/core/src/test/java/silverlatch/replication/MembershipModelTest.java
@@ -434,8 +434,7 @@
                     && cluster.now() - cappedAt > DETECTION
                     && cluster.running().contains(loss.address)
                     && lost() <= tolerance) {
-                final ChainReplica.ReplicaStatus state =
-                        cluster.replica(loss.address).status(cluster.now());
+                final ReplicaStatus state = cluster.replica(loss.address).status(cluster.now());
                 require(
                         loss.address + " is a full member",
                         state.isCaughtUp()
--- a/core/src/test/java/silverlatch/replication/RepairBesideLogTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairBesideLogTest.java
@@ -26,7 +26,7 @@
     private static final long TICK = 50_000;
 
     private final ChainReplica follower = new ChainReplica(
-            ChainReplica.ReplicaSettings.of(FOLLOWER, List.of("a", "b", "c")),
+            ReplicaSettings.of(FOLLOWER, List.of("a", "b", "c")),
             List.of(new LogRecord.ViewInstalled(VIEW, false)),
             () -> new Stamp(START),
             START);
--- a/core/src/test/java/silverlatch/replication/RepairOfPendingTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairOfPendingTest.java
@@ -81,8 +81,8 @@
     private ChainReplica replica(final Replica me, final View view, final boolean level, final Safeguards standing) {
         final List<LogRecord> records =
                 List.of(new LogRecord.ViewInstalled(view, level), new LogRecord.Appended(acknowledged));
-        final ChainReplica.ReplicaSettings setup =
-                ChainReplica.ReplicaSettings.of(me, List.of("a", "b", "c")).withSafeguards(standing);
+        final ReplicaSettings setup =
+                ReplicaSettings.of(me, List.of("a", "b", "c")).withSafeguards(standing);
         return new ChainReplica(setup, records, () -> new Stamp(START), START);
     }
 
--- a/core/src/test/java/silverlatch/replication/ReplicaCluster.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaCluster.java
@@ -27,7 +27,7 @@
     static final long TICK_MICROS = 20_000;
     private List<String> seeds;
     private final long linkDelay;
-    private final UnaryOperator<ChainReplica.ReplicaSettings> settings;
+    private final UnaryOperator<ReplicaSettings> settings;
     private final Map<String, ChainReplica> replicas = new TreeMap<>();
     private final Map<String, ChainClient> clients = new HashMap<>();
     private final Map<String, List<LogRecord>> disks = new TreeMap<>();
@@ -50,10 +50,7 @@
     private long stamp = 1_000;
     private long token;
 
-    ReplicaCluster(
-            final List<String> seeds,
-            final long linkDelay,
-            final UnaryOperator<ChainReplica.ReplicaSettings> settings) {
+    ReplicaCluster(final List<String> seeds, final long linkDelay, final UnaryOperator<ReplicaSettings> settings) {
         this.seeds = seeds;
         this.linkDelay = linkDelay;
         this.settings = settings;
@@ -122,8 +119,8 @@
     public String toString() {
         return replicas.entrySet().stream()
                 .map(e -> {
-                    final ChainReplica.ReplicaStatus status = e.getValue().status(now);
-                    return "\n" + e.getKey() + " " + status.state() + (status.isCaughtUp() ? " level" : "")
+                    final ReplicaStatus status = e.getValue().status(now);
+                    return "\n" + e.getKey() + " " + status.state().label() + (status.isCaughtUp() ? " level" : "")
                             + (status.isLeased() ? " leased" : "") + " sequence " + status.sequence()
                             + " pending " + status.pendingEntries() + " view "
                             + status.view().number() + " voters "
@@ -153,7 +150,7 @@
         diskModel.ifPresent(model -> simulatedDisks.computeIfAbsent(address, s -> model.get()));
         final String identity = identities.computeIfAbsent(address, s -> "id-" + s + "-" + ++lastOrder);
         final ChainReplica replica = new ChainReplica(
-                settings.apply(ChainReplica.ReplicaSettings.of(new Replica(identity, address), seeds))
+                settings.apply(ReplicaSettings.of(new Replica(identity, address), seeds))
                         .withBootstrap(mayBootstrap),
                 List.copyOf(disk),
                 () -> new Stamp(++stamp),
--- a/core/src/test/java/silverlatch/replication/StormTest.java
+++ b/core/src/test/java/silverlatch/replication/StormTest.java
@@ -72,8 +72,7 @@
         private boolean isChainComplete() {
             return cluster.running().size() == 6
                     && SIX.stream().allMatch(s -> {
-                        final ChainReplica.ReplicaStatus status =
-                                cluster.replica(s).status(cluster.now());
+                        final ReplicaStatus status = cluster.replica(s).status(cluster.now());
                         return status.isCaughtUp() && status.view().chain().size() == 6;
                     });
         }
--- a/core/src/test/java/silverlatch/replication/ViewPlannerTest.java
+++ b/core/src/test/java/silverlatch/replication/ViewPlannerTest.java
@@ -29,8 +29,7 @@
     }
 
     private static ViewPlanner planner(final View view, final ToLongFunction<String> silent, final int copies) {
-        final ChainReplica.ReplicaSettings setup =
-                ChainReplica.ReplicaSettings.of(replica(0), List.of()).withCounts(copies, 7);
+        final ReplicaSettings setup = ReplicaSettings.of(replica(0), List.of()).withCounts(copies, 7);
         final Set<String> level = new HashSet<>();
         view.chain().forEach(r -> level.add(r.id()));
         return new ViewPlanner(setup, view, silent, level);
--- a/core/src/test/java/silverlatch/replication/VotersTest.java
+++ b/core/src/test/java/silverlatch/replication/VotersTest.java
@@ -304,7 +304,7 @@
             final long old = view(cluster).number();
             final long took = cluster.advanceUntil(5 * SECOND, () -> {
                 final boolean moved = view(cluster).number() > old;
-                final ChainReplica.ReplicaStatus tail = cluster.replica("c").status(cluster.now());
+                final ReplicaStatus tail = cluster.replica("c").status(cluster.now());
                 assertThat("both answer", moved && tail.view().number() == old && tail.isLeased(), is(false));
                 return moved && tail.view().number() > old;
             });
--- a/server/src/main/java/silverlatch/server/controller/ControllerModule.java
+++ b/server/src/main/java/silverlatch/server/controller/ControllerModule.java
@@ -10,8 +10,8 @@
 import silverlatch.clock.PhysicalClock;
 import silverlatch.log.WriteAheadLog;
 import silverlatch.node.Node;
-import silverlatch.replication.ChainReplica;
 import silverlatch.replication.Replica;
+import silverlatch.replication.ReplicaSettings;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.eventloop.EventLoopHandle;
 import silverlatch.server.settings.Settings;
@@ -41,10 +41,10 @@
                 now);
     }
 
-    private static ChainReplica.ReplicaSettings replicaSettings(
+    private static ReplicaSettings replicaSettings(
             final Settings settings, final WriteAheadLog.OpenResult.Success opened) {
         final Replica self = new Replica(opened.identity(), settings.peerAddress());
-        return ChainReplica.ReplicaSettings.of(self, settings.seeds())
+        return ReplicaSettings.of(self, settings.seeds())
                 .withCounts(settings.minInSyncReplicas(), settings.voterCount())
                 .withBootstrap(settings.mayBootstrap() || opened.mayFound());
     }
--- a/server/src/main/java/silverlatch/server/controller/Readiness.java
+++ b/server/src/main/java/silverlatch/server/controller/Readiness.java
@@ -3,7 +3,8 @@
 import java.util.Optional;
 import silverlatch.node.Event;
 import silverlatch.node.Node;
-import silverlatch.replication.ChainReplica;
+import silverlatch.replication.ReplicaState;
+import silverlatch.replication.ReplicaStatus;
 import silverlatch.server.eventloop.EventLog;
 
 /**
@@ -68,9 +69,9 @@
                         : Optional.of("the state held here is not confirmed"));
     }
 
-    private static Optional<String> reason(final ChainReplica.ReplicaStatus status) {
-        return status.state().equals("chained") && status.isCaughtUp() && status.isLeased()
+    private static Optional<String> reason(final ReplicaStatus status) {
+        return status.state() == ReplicaState.IN_CHAIN && status.isCaughtUp() && status.isLeased()
                 ? Optional.empty()
-                : Optional.of("the chain: " + status.state() + (status.isLeased() ? "" : ", no lease"));
+                : Optional.of("the chain: " + status.state().label() + (status.isLeased() ? "" : ", no lease"));
     }
 }
--- a/server/src/main/java/silverlatch/server/controller/StatusResource.java
+++ b/server/src/main/java/silverlatch/server/controller/StatusResource.java
@@ -8,8 +8,8 @@
 import silverlatch.gossip.Worker;
 import silverlatch.membership.Member;
 import silverlatch.node.Node;
-import silverlatch.replication.ChainReplica;
 import silverlatch.replication.Replica;
+import silverlatch.replication.ReplicaStatus;
 import silverlatch.replication.View;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.eventloop.EventLoopHandle;
@@ -72,8 +72,8 @@
         body.put("chain", view.chain().stream().map(Replica::address).toList());
     }
 
-    private static void putReplica(final Map<String, Object> body, final ChainReplica.ReplicaStatus replica) {
-        body.put("state", replica.state());
+    private static void putReplica(final Map<String, Object> body, final ReplicaStatus replica) {
+        body.put("state", replica.state().label());
         body.put("level", replica.isCaughtUp());
         body.put("leased", replica.isLeased());
         body.put("sequence", replica.sequence());
--- a/simulation/src/main/java/silverlatch/simulation/explore/PropertyMonitor.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/PropertyMonitor.java
@@ -10,6 +10,7 @@
 import java.util.TreeMap;
 import silverlatch.log.LogRecord;
 import silverlatch.replication.ChainReplica;
+import silverlatch.replication.ReplicaStatus;
 import silverlatch.replication.View;
 import silverlatch.state.CommandResult;
 import silverlatch.state.ConfigurationValidator;
@@ -57,7 +58,7 @@
     /** A replica may have taken another view, applied something, or caught up. */
     void replicaChanged(final Machine machine, final long now) {
         final ChainReplica replica = machine.process().orElseThrow().replica();
-        final ChainReplica.ReplicaStatus state = replica.status(machine.clock(now));
+        final ReplicaStatus state = replica.status(machine.clock(now));
         final boolean level =
                 state.isCaughtUp() && state.view().positionOf(machine.identity().id()) >= 0;
         final Seen next = new Seen(replica, state.view(), state.sequence(), level);
--- a/simulation/src/main/java/silverlatch/simulation/explore/Recovery.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Recovery.java
@@ -1,5 +1,7 @@
 package silverlatch.simulation.explore;
 
+import silverlatch.replication.ReplicaStatus;
+
 /** The end of a walk: all faults are over, and within a bound of time a put must be acknowledged at every machine. */
 final class Recovery {
     /** How long the machines may take after the last fault, in milliseconds. */
@@ -60,7 +62,7 @@
 
     private boolean isChainComplete() {
         return world.machines().stream().allMatch(machine -> {
-            final silverlatch.replication.ChainReplica.ReplicaStatus state =
+            final ReplicaStatus state =
                     machine.process().orElseThrow().replica().status(machine.clock(world.now()));
             return state.isCaughtUp()
                     && state.view().positionOf(machine.identity().id()) >= 0;
--- a/simulation/src/main/java/silverlatch/simulation/explore/StateDigest.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/StateDigest.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
-import silverlatch.replication.ChainClient;
 import silverlatch.replication.ChainReplica;
+import silverlatch.replication.ReplicaSettings;
 
 /**
  * A 64-bit digest of everything in a {@link World} that can make a difference later: the fields of each replica and client
@@ -123,7 +123,7 @@
         }
     }
 
-    /** The fields that count: none of functions, and of a replica or client none that never changes. */
+    /** The fields that count: none of functions, and of a replica none that never changes. */
     private static List<Field> fields(final Class<?> type) {
         final List<Field> fields = new ArrayList<>();
         final boolean own = type.getName().startsWith("silverlatch.") && !type.isHidden() && !type.isSynthetic();
@@ -139,10 +139,7 @@
     }
 
     private static boolean constant(final Class<?> type, final Field field) {
-        final boolean part = type == ChainReplica.class || type == ChainClient.class;
-        return part
-                && (field.getType() == ChainReplica.ReplicaSettings.class
-                        || field.getType().getName().contains("TransitionTable"));
+        return type == ChainReplica.class && field.getType() == ReplicaSettings.class;
     }
 
     private static long mix(final long seed) {
--- a/simulation/src/main/java/silverlatch/simulation/explore/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/World.java
@@ -9,6 +9,8 @@
 import silverlatch.replication.ChainClient;
 import silverlatch.replication.ChainReplica;
 import silverlatch.replication.Replica;
+import silverlatch.replication.ReplicaSettings;
+import silverlatch.replication.ReplicaStatus;
 import silverlatch.replication.View;
 import silverlatch.state.Command;
 import silverlatch.state.ConfigurationValidator;
@@ -97,7 +99,7 @@
 
     /** The machines didn't recover in time after the last fault. */
     void notRecovered() {
-        final List<ChainReplica.ReplicaStatus> states = machines.stream()
+        final List<ReplicaStatus> states = machines.stream()
                 .map(machine -> machine.process().orElseThrow().replica().status(machine.clock(now)))
                 .toList();
         monitor.broken(Property.RECOVERS, "not within " + Recovery.BOUND_MILLISECONDS + " ms: " + states);
@@ -142,7 +144,7 @@
 
     private void start(final Machine machine) {
         starts++;
-        final ChainReplica.ReplicaSettings setup = ChainReplica.ReplicaSettings.of(machine.identity(), addresses)
+        final ReplicaSettings setup = ReplicaSettings.of(machine.identity(), addresses)
                 .withCounts(options.copies(), options.replicas())
                 .withBootstrap(false)
                 .withSafeguards(options.mutant().safeguards());
--- a/simulation/src/main/java/silverlatch/simulation/hollow/HollowCluster.java
+++ b/simulation/src/main/java/silverlatch/simulation/hollow/HollowCluster.java
@@ -20,8 +20,8 @@
 import silverlatch.membership.Membership;
 import silverlatch.node.Effect;
 import silverlatch.node.Node;
-import silverlatch.replication.ChainReplica;
 import silverlatch.replication.Replica;
+import silverlatch.replication.ReplicaSettings;
 import silverlatch.state.Command;
 import silverlatch.util.Numbers;
 import silverlatch.wire.Codec;
@@ -101,8 +101,8 @@
                     0,
                     "up",
                     true);
-            final Optional<ChainReplica.ReplicaSettings> chain = i < CHAIN_MEMBERS
-                    ? Optional.of(ChainReplica.ReplicaSettings.of(new Replica("disk-" + i, address(i)), seeds))
+            final Optional<ReplicaSettings> chain = i < CHAIN_MEMBERS
+                    ? Optional.of(ReplicaSettings.of(new Replica("disk-" + i, address(i)), seeds))
                     : Optional.empty();
             final HollowNode node = new HollowNode(
                     me,
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
@@ -25,8 +25,10 @@
 import silverlatch.node.Event;
 import silverlatch.node.Node;
 import silverlatch.node.OutgoingFrame;
-import silverlatch.replication.ChainReplica;
 import silverlatch.replication.Replica;
+import silverlatch.replication.ReplicaSettings;
+import silverlatch.replication.ReplicaState;
+import silverlatch.replication.ReplicaStatus;
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
 import silverlatch.state.Value;
@@ -175,8 +177,8 @@
                 0,
                 "up",
                 false);
-        final Optional<ChainReplica.ReplicaSettings> chain = disk.map(simulatedDisk -> {
-            return ChainReplica.ReplicaSettings.of(new Replica(simulatedDisk.identity(), address), seeds);
+        final Optional<ReplicaSettings> chain = disk.map(simulatedDisk -> {
+            return ReplicaSettings.of(new Replica(simulatedDisk.identity(), address), seeds);
         });
         final Node started = new Node(
                 new Node.Settings(
@@ -360,8 +362,8 @@
         if (isController()) {
             ready = node.chainReplica()
                     .map(replica -> {
-                        final ChainReplica.ReplicaStatus state = replica.status(now());
-                        return state.state().equals("chained") && state.isCaughtUp() && state.isLeased();
+                        final ReplicaStatus state = replica.status(now());
+                        return state.state() == ReplicaState.IN_CHAIN && state.isCaughtUp() && state.isLeased();
                     })
                     .orElse(node.gossip().stateAge(now()) < 2_500_000L);
         } else {
