--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -6,7 +6,6 @@
 import java.util.Deque;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -49,11 +48,10 @@
     private final ReplicaSettings settings;
     private final Supplier<Stamp> stamps;
     private final StateMachine stateMachine;
-    private final List<Effect> effects = new ArrayList<>();
+    private final EffectQueue effects;
     private final Deque<LogEntry> pendingEntries = new ArrayDeque<>();
     private final Deque<LogEntry> recentEntries = new ArrayDeque<>();
     private final Map<String, Entry> pendingValues = new HashMap<>();
-    private final Map<Long, UnsyncedWrite> unsyncedWrites = new LinkedHashMap<>();
     private final Map<String, Long> grantTimes = new HashMap<>();
     private final Map<String, Long> heardAt = new HashMap<>();
     private final Map<String, Long> received = new HashMap<>();
@@ -83,7 +81,6 @@
     private long highestRound;
     private long lastSequence;
     private long synced;
-    private long lastToken;
     private long recentBytes;
     private long bytesSinceSnapshot;
     private int entriesSinceSnapshot;
@@ -117,8 +114,8 @@
             final List<LogRecord> records,
             final Supplier<Stamp> stamps,
             final long now,
-            final long token) {
-        this.lastToken = token;
+            final long lastToken) {
+        this.effects = new EffectQueue(settings.safeguards(), lastToken);
         this.settings = settings;
         this.stamps = stamps;
         this.seeds = settings.seeds();
@@ -143,9 +140,7 @@
 
     /** What is to be done in the world; it is handed over once. */
     public List<Effect> drain() {
-        final List<Effect> drained = List.copyOf(effects);
-        effects.clear();
-        return drained;
+        return effects.drain();
     }
 
     /** The committed books; the caller does not change them. */
@@ -225,8 +220,7 @@
     /** A write to the ledger was synced. */
     public void synced(final long token, final long now) {
         currentTime = now;
-        Optional.ofNullable(unsyncedWrites.remove(token))
-                .ifPresent(write -> write.onSynced().accept(now));
+        effects.synced(token, now);
     }
 
     /**
@@ -234,7 +228,7 @@
      * holds. Tokens of writes go on from the old ones, so that no late word of an old write is taken for a new one's.
      */
     public ChainReplica recovered(final List<LogRecord> records, final long now) {
-        final ChainReplica next = new ChainReplica(settings, records, stamps, now, lastToken);
+        final ChainReplica next = new ChainReplica(settings, records, stamps, now, effects.lastToken());
         next.seeds = seeds;
         next.leaving = leaving;
         return next;
@@ -244,8 +238,8 @@
     public void diskFailed(final String reason) {
         if (!isDiskFailed()) {
             replicaState = replicaState.afterDiskFailure();
-            log(Event.DISK_BROKEN, reason);
-            unsyncedWrites.clear();
+            effects.log(Event.DISK_BROKEN, reason);
+            effects.abandonWrites();
             abandonWaitingWrites();
         }
     }
@@ -286,15 +280,12 @@
         if (isDiskFailed()) {
             return;
         }
-        final boolean stalled = unsyncedWrites.values().stream()
-                .findFirst()
-                .map(write -> now - write.startedAt() > settings.diskStallMicros())
-                .orElse(false);
+        final boolean stalled = effects.isStalled(settings.diskStallMicros(), now);
         for (final DelayedAccept accept : List.copyOf(delayedAccepts)) {
             if (accept.sendAt() <= now) {
                 delayedAccepts.remove(accept);
                 if (accept.number() == view.number() + 1) {
-                    send(accept.to(), accept.reply());
+                    effects.send(accept.to(), accept.reply());
                 }
             }
         }
@@ -327,7 +318,7 @@
                 && !stalled) {
             lastDiscoveryAt = now;
             view.tail().ifPresent(tail -> requestRepair(tail.address(), now));
-            seeds.forEach(seed -> send(
+            seeds.forEach(seed -> effects.send(
                     seed, new Message.LeaseRequest(view.number(), now, settings.self(), false, hearsMajority(now))));
         }
     }
@@ -342,8 +333,8 @@
         }
         leaseRequestedAt = now;
         view.voters().forEach(voter -> {
-            send(voter.address(), new Message.ViewDecided(view));
-            send(voter.address(), new Message.Prepare(view.number(), 0));
+            effects.send(voter.address(), new Message.ViewDecided(view));
+            effects.send(voter.address(), new Message.Prepare(view.number(), 0));
         });
     }
 
@@ -362,7 +353,7 @@
     private void requestLease(final long now) {
         leaseRequestedAt = now;
         view.voters()
-                .forEach(voter -> send(
+                .forEach(voter -> effects.send(
                         voter.address(),
                         new Message.LeaseRequest(
                                 view.number(), now, settings.self(), isInChain() && caughtUp, hearsMajority(now))));
@@ -438,11 +429,11 @@
                 settings.self(),
                 foundingView.isEmpty() && settings.mayBootstrap(),
                 discoveries.values().stream().map(s -> s.request().sender()).toList());
-        seeds.forEach(s -> send(s, request));
+        seeds.forEach(s -> effects.send(s, request));
         foundingView
                 .filter(founding -> lowestId(founding).equals(settings.self()))
-                .ifPresent(founding ->
-                        founding.voters().forEach(voter -> send(voter.address(), new Message.Bootstrap(founding))));
+                .ifPresent(founding -> founding.voters()
+                        .forEach(voter -> effects.send(voter.address(), new Message.Bootstrap(founding))));
     }
 
     private static Replica lowestId(final View view) {
@@ -453,7 +444,7 @@
 
     private void handleDiscover(final Message.Discover request, final long now) {
         if (view.number() > 0) {
-            send(request.sender().address(), new Message.ViewDecided(view));
+            effects.send(request.sender().address(), new Message.ViewDecided(view));
             return;
         }
         if (!request.empty()
@@ -481,7 +472,7 @@
                     .toList();
             final long fleet = Math.max(1, order.hashCode() * 0x9E3779B97F4A7C15L & Long.MAX_VALUE);
             final View founding = new View(1, fleet, order, order, order.get(0).id());
-            order.forEach(replica -> send(replica.address(), new Message.Bootstrap(founding)));
+            order.forEach(replica -> effects.send(replica.address(), new Message.Bootstrap(founding)));
         }
     }
 
@@ -493,12 +484,13 @@
                 && request.view().isVoter(settings.self().id())
                 && request.view().voters().stream().allMatch(voter -> discoveries.containsKey(voter.id()));
         if (known) {
-            send(sender, new Message.BootstrapAgreed(request.view().fleet(), settings.self()));
+            effects.send(sender, new Message.BootstrapAgreed(request.view().fleet(), settings.self()));
         } else if (acceptable) {
             foundingView = Optional.of(request.view());
-            persist(
+            effects.persist(
                     List.of(new LogRecord.Founding(request.view())),
-                    syncedAt -> send(
+                    currentTime,
+                    syncedAt -> effects.send(
                             sender, new Message.BootstrapAgreed(request.view().fleet(), settings.self())));
         }
     }
@@ -507,8 +499,8 @@
         foundingView.filter(founding -> founding.fleet() == message.fleet()).ifPresent(founding -> {
             bootstrapAgreed.add(message.sender().id());
             if (founding.voters().stream().allMatch(voter -> bootstrapAgreed.contains(voter.id()))) {
-                log(Event.FOUNDED, "fleet " + Long.toHexString(founding.fleet()));
-                founding.voters().forEach(voter -> send(voter.address(), new Message.ViewDecided(founding)));
+                effects.log(Event.FOUNDED, "fleet " + Long.toHexString(founding.fleet()));
+                founding.voters().forEach(voter -> effects.send(voter.address(), new Message.ViewDecided(founding)));
                 installView(founding, now);
             }
         });
@@ -558,8 +550,8 @@
             }
         });
         replicaState = replicaState.afterView(inChain);
-        persist(List.of(new LogRecord.ViewInstalled(view, caughtUp)), t -> {});
-        log(
+        effects.persist(List.of(new LogRecord.ViewInstalled(view, caughtUp)), now);
+        effects.log(
                 Event.VIEW,
                 "view " + view.number() + " chain "
                         + view.chain().stream().map(Replica::address).toList());
@@ -587,7 +579,7 @@
             return;
         }
         if (request.view() < view.number()) {
-            send(request.sender().address(), new Message.ViewDecided(view));
+            effects.send(request.sender().address(), new Message.ViewDecided(view));
         } else if (request.view() == view.number()
                 && view.isVoter(settings.self().id())) {
             if (joinRequests.containsKey(request.sender().id())) {
@@ -606,7 +598,7 @@
             }
             if (!grantsSuspended && view.positionOf(request.sender().id()) >= 0) {
                 grantExpiries.put(request.sender().id(), now + settings.leaseMicros());
-                send(
+                effects.send(
                         request.sender().address(),
                         new Message.LeaseGrant(
                                 view.number(),
@@ -639,7 +631,7 @@
      * not the one that it had. It neither asks, grants nor votes until a later view, in which it is repaired.
      */
     private void fenceOutdatedLog(final Message.LeaseGrant grant) {
-        log(
+        effects.log(
                 Event.LOG_OUTDATED,
                 "the log ends at " + lastSequence + ", but " + grant.committed() + " was acknowledged with it");
         logOutdated = true;
@@ -653,7 +645,7 @@
         if (now - lastDiscoveryAt >= ReplicaSettings.RETRY_MICROS) {
             lastDiscoveryAt = now;
             view.voters()
-                    .forEach(voter -> send(
+                    .forEach(voter -> effects.send(
                             voter.address(),
                             new Message.LeaseRequest(view.number() - 1, now, settings.self(), false, false)));
         }
@@ -668,7 +660,7 @@
 
     private void handlePrepare(final Message.Prepare request, final String sender) {
         if (request.number() <= view.number()) {
-            send(sender, new Message.ViewDecided(view));
+            effects.send(sender, new Message.ViewDecided(view));
         } else if (request.number() == view.number() + 1
                 && view.isVoter(settings.self().id())) {
             if (request.ballot() > promisedBallot) {
@@ -680,9 +672,12 @@
                         settings.self().id(),
                         acceptedBallot,
                         acceptedView.stream().toList());
-                persist(List.of(new LogRecord.Promised(request.number(), request.ballot())), t -> send(sender, reply));
+                effects.persist(
+                        List.of(new LogRecord.Promised(request.number(), request.ballot())),
+                        currentTime,
+                        t -> effects.send(sender, reply));
             } else if (request.ballot() < promisedBallot) {
-                send(sender, new Message.Preempted(request.number(), promisedBallot));
+                effects.send(sender, new Message.Preempted(request.number(), promisedBallot));
             }
         }
     }
@@ -693,7 +688,7 @@
             return;
         }
         if (request.ballot() < promisedBallot) {
-            send(sender, new Message.Preempted(request.number(), promisedBallot));
+            effects.send(sender, new Message.Preempted(request.number(), promisedBallot));
             return;
         }
         promisedBallot = request.ballot();
@@ -702,14 +697,17 @@
         grantsSuspended = true;
         final Message.Accepted reply = new Message.Accepted(
                 request.number(), request.ballot(), settings.self().id());
-        persist(List.of(new LogRecord.Accepted(request.number(), request.ballot(), request.view())), syncedAt -> {
-            final long sendAt = removedGrantsExpireAt(request.view());
-            if (syncedAt >= sendAt) {
-                send(sender, reply);
-            } else {
-                delayedAccepts.add(new DelayedAccept(sendAt, request.number(), sender, reply));
-            }
-        });
+        effects.persist(
+                List.of(new LogRecord.Accepted(request.number(), request.ballot(), request.view())),
+                currentTime,
+                syncedAt -> {
+                    final long sendAt = removedGrantsExpireAt(request.view());
+                    if (syncedAt >= sendAt) {
+                        effects.send(sender, reply);
+                    } else {
+                        delayedAccepts.add(new DelayedAccept(sendAt, request.number(), sender, reply));
+                    }
+                });
     }
 
     /**
@@ -746,7 +744,7 @@
                         final Proposal chosen = isUnbound(best) ? best.withView(0, withPromised(best)) : best;
                         proposal = Optional.of(chosen.toAccept());
                         view.voters()
-                                .forEach(voter -> send(
+                                .forEach(voter -> effects.send(
                                         voter.address(),
                                         new Message.Accept(chosen.number(), chosen.ballot(), chosen.view())));
                     }
@@ -777,7 +775,7 @@
                                 .filter(recipient -> !recipient.equals(settings.self()))
                                 .sorted(java.util.Comparator.comparing(Replica::id))
                                 .forEach(recipient ->
-                                        send(recipient.address(), new Message.ViewDecided(current.view())));
+                                        effects.send(recipient.address(), new Message.ViewDecided(current.view())));
                         installView(current.view(), now);
                     }
                 });
@@ -809,7 +807,7 @@
         }
         if (suspectedSince == 0) {
             suspectedSince = now;
-            planner.suspected().forEach(replica -> log(Event.CHAIN_SUSPECT, replica.address()));
+            planner.suspected().forEach(replica -> effects.log(Event.CHAIN_SUSPECT, replica.address()));
         }
         final List<Replica> reachable = planner.reachableVoters();
         final int rank = leaving && planner.suspected().isEmpty() ? 0 : proposalRank(reachable);
@@ -834,11 +832,12 @@
                 new HashSet<>(),
                 now);
         proposal = Optional.of(own);
-        log(
+        effects.log(
                 Event.PROPOSED,
                 "view " + own.number() + " chain "
                         + own.view().chain().stream().map(Replica::address).toList());
-        view.voters().forEach(replica -> send(replica.address(), new Message.Prepare(own.number(), own.ballot())));
+        view.voters()
+                .forEach(replica -> effects.send(replica.address(), new Message.Prepare(own.number(), own.ballot())));
     }
 
     /** This machine's place among the members that are heard: those with a higher one let the others propose first. */
@@ -857,7 +856,7 @@
             epochAdvancedAt = now;
             final long nextEpoch = stateMachine.epoch() + 1;
             view.head()
-                    .ifPresent(head -> send(
+                    .ifPresent(head -> effects.send(
                             head.address(),
                             new Message.WriteRequest(
                                     0,
@@ -888,7 +887,7 @@
         lastRetryAt = now;
         view.successorOf(settings.self().id()).ifPresent(neighbor -> {
             if (caughtUp) {
-                send(neighbor.address(), new Message.CatchUpTarget(view.number(), lastSequence));
+                effects.send(neighbor.address(), new Message.CatchUpTarget(view.number(), lastSequence));
             }
             if (!pendingEntries.isEmpty() && pendingEntries.peek().sequence() <= synced && window.isRetryDue(now)) {
                 window.restart(stateMachine.sequence(), now);
@@ -900,7 +899,7 @@
                 if (now - catchUpStartedAt > 4 * ReplicaSettings.RETRY_MICROS) {
                     requestRepair(neighbor.address(), now);
                 } else {
-                    send(
+                    effects.send(
                             neighbor.address(),
                             new Message.FetchEntries(
                                     view.number(), settings.self().id(), lastSequence));
@@ -920,8 +919,8 @@
     private void notifyCommitted() {
         view.chain().stream()
                 .filter(member -> !member.id().equals(settings.self().id()))
-                .forEach(member ->
-                        send(member.address(), new Message.CommitNotice(view.number(), stateMachine.sequence())));
+                .forEach(member -> effects.send(
+                        member.address(), new Message.CommitNotice(view.number(), stateMachine.sequence())));
     }
 
     private void commitAsTail(final long now) {
@@ -1025,13 +1024,13 @@
 
     private void reply(final Message.WriteRequest request, final CommandResult result) {
         if (result instanceof CommandResult.Rejected r) {
-            log(Event.CHANGE_REJECTED, request.command().id() + " " + r.code());
+            effects.log(Event.CHANGE_REJECTED, request.command().id() + " " + r.code());
         }
-        send(request.replyTo(), new Message.WriteReply(request.requestId(), result));
+        effects.send(request.replyTo(), new Message.WriteReply(request.requestId(), result));
     }
 
     private void reject(final Message.WriteRequest request, final int code, final String reason) {
-        send(
+        effects.send(
                 request.replyTo(),
                 new Message.WriteReply(
                         request.requestId(),
@@ -1049,10 +1048,11 @@
         entries.forEach(this::addPending);
         final long lastAppended = lastSequence;
         final long generation = logGeneration;
-        persist(
+        effects.persist(
                 entries.stream()
                         .map(entry -> (LogRecord) new LogRecord.Appended(entry))
                         .toList(),
+                currentTime,
                 syncedAt -> {
                     if (generation == logGeneration && isInChain()) {
                         synced = Math.max(synced, lastAppended);
@@ -1084,7 +1084,7 @@
             entries.add(entry);
         }
         if (!entries.isEmpty()) {
-            send(successor.get().address(), new Message.Replicate(view.number(), entries));
+            effects.send(successor.get().address(), new Message.Replicate(view.number(), entries));
         }
     }
 
@@ -1112,7 +1112,7 @@
                 lastReceived++;
             } else if (entry.sequence() > lastReceived + 1) {
                 view.predecessorOf(settings.self().id())
-                        .ifPresent(predecessor -> send(
+                        .ifPresent(predecessor -> effects.send(
                                 predecessor.address(),
                                 new Message.FetchEntries(
                                         view.number(), settings.self().id(), lastSequence)));
@@ -1120,7 +1120,7 @@
             }
         }
         view.predecessorOf(settings.self().id())
-                .ifPresent(predecessor -> send(
+                .ifPresent(predecessor -> effects.send(
                         predecessor.address(),
                         new Message.ReplicateAck(view.number(), settings.self().id(), lastSequence + fresh.size())));
         if (!fresh.isEmpty()) {
@@ -1149,7 +1149,7 @@
     private void finishCatchUp(final long now) {
         if (!caughtUp && catchUpTarget.map(target -> synced >= target).orElse(false)) {
             caughtUp = true;
-            persist(List.of(new LogRecord.ViewInstalled(view, true)), t -> {});
+            effects.persist(List.of(new LogRecord.ViewInstalled(view, true)), now);
         }
     }
 
@@ -1157,7 +1157,7 @@
         if (request.view() != view.number() || !isInChain() || !caughtUp) {
             return;
         }
-        send(sender, new Message.CatchUpTarget(view.number(), lastSequence));
+        effects.send(sender, new Message.CatchUpTarget(view.number(), lastSequence));
         if (request.sequence() < window.acknowledgedSequence() || request.sequence() > window.sentSequence()) {
             window.restart(request.sequence(), currentTime);
         } else {
@@ -1173,7 +1173,7 @@
             entry.puts().forEach(e -> pendingValues.remove(e.key(), e));
             retainRecent(entry);
             if (entry.puts().stream().anyMatch(Entry::isPolicy)) {
-                log(
+                effects.log(
                         Event.CHANGED,
                         "sequence " + entry.sequence() + " view " + entry.view() + " stamp "
                                 + entry.stamp().bits());
@@ -1230,8 +1230,8 @@
                 stateMachine.allEntries()));
         pendingEntries.forEach(entry -> records.add(new LogRecord.Appended(entry)));
         final long sequence = stateMachine.sequence();
-        persist(records, syncedAt -> {
-            log(Event.PICTURE, "sequence " + sequence);
+        effects.persist(records, currentTime, syncedAt -> {
+            effects.log(Event.PICTURE, "sequence " + sequence);
             onSynced.accept(syncedAt);
         });
     }
@@ -1274,7 +1274,7 @@
             return;
         }
         final int pieces = source.get().pieces().size();
-        send(
+        effects.send(
                 request.sender().address(),
                 new Message.RepairRanges(
                         view.number(),
@@ -1304,10 +1304,10 @@
         repairRequestedAt = now;
         if (lost) {
             repairProgress = Optional.empty();
-            send(source, digestRequest());
+            effects.send(source, digestRequest());
         } else {
             repairProgress.ifPresent(
-                    progress -> send(progress.source(), progress.nextRequest(view.number(), settings.self())));
+                    progress -> effects.send(progress.source(), progress.nextRequest(view.number(), settings.self())));
         }
     }
 
@@ -1318,7 +1318,7 @@
             return;
         }
         if (joining
-                && unsyncedWrites.isEmpty()
+                && effects.isAllSynced()
                 && message.pieces() == 1
                 && message.ranges().isEmpty()
                 && message.sequence() == stateMachine.sequence()
@@ -1336,7 +1336,7 @@
         }
         final RepairProgress complete = repairProgress.get();
         if (!complete.isComplete()) {
-            send(sender, complete.nextRequest(view.number(), settings.self()));
+            effects.send(sender, complete.nextRequest(view.number(), settings.self()));
             return;
         }
         repairProgress = Optional.empty();
@@ -1370,7 +1370,7 @@
                 finishCatchUp(syncedAt);
                 commitAsTail(syncedAt);
             } else if (number == view.number()) {
-                log(Event.MENDED, "sequence " + message.sequence());
+                effects.log(Event.MENDED, "sequence " + message.sequence());
                 requestJoin();
             }
         });
@@ -1390,7 +1390,7 @@
             return;
         }
         view.voters()
-                .forEach(voter -> send(
+                .forEach(voter -> effects.send(
                         voter.address(),
                         new Message.JoinRequest(view.number(), settings.self(), stateMachine.sequence())));
     }
@@ -1402,7 +1402,7 @@
                 && caughtUp
                 && !mayMissAcknowledged
                 && (isLeased(now) || !settings.safeguards().isEnabled(Safeguard.LEASE));
-        send(
+        effects.send(
                 request.replyTo(),
                 new Message.ReadReply(
                         request.requestId(),
@@ -1423,27 +1423,6 @@
         return replicaState == ReplicaState.DISK_FAILED;
     }
 
-    private void persist(final List<LogRecord> records, final LongConsumer onSynced) {
-        lastToken++;
-        final boolean reportedEarly = !settings.safeguards().isEnabled(Safeguard.PROMISE)
-                && (records.get(0) instanceof LogRecord.Promised || records.get(0) instanceof LogRecord.Accepted);
-        if (reportedEarly) {
-            onSynced.accept(currentTime);
-        }
-        unsyncedWrites.put(lastToken, new UnsyncedWrite(currentTime, reportedEarly ? t -> {} : onSynced));
-        effects.add(new Effect.Persist(lastToken, records));
-    }
-
-    private void send(final String to, final Message body) {
-        effects.add(new Effect.Send(to, body));
-    }
-
-    private void log(final Event event, final String text) {
-        effects.add(new Effect.Log(event, text));
-    }
-
-    private record UnsyncedWrite(long startedAt, LongConsumer onSynced) {}
-
     /** A write whose answer waits for a change to be committed; the refusal is there where that will be the answer. */
     private record WaitingWrite(Message.WriteRequest request, Optional<CommandResult> refusal) {}
 
