--- a/core/src/main/java/silverlatch/gossip/Gossip.java
+++ b/core/src/main/java/silverlatch/gossip/Gossip.java
@@ -1,480 +1,344 @@
 package silverlatch.gossip;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 import silverlatch.membership.Member;
 import silverlatch.membership.Membership;
 import silverlatch.node.Effect;
 import silverlatch.replication.View;
-import silverlatch.safeguard.Safeguard;
 import silverlatch.safeguard.Safeguards;
 import silverlatch.state.StateMachine;
 import silverlatch.wire.Message;
 
 /**
- * News of one daemon. Restrictions travel by push and hold at once; freshness is renewed only by pull and is aged
- * from the moment the asker sent its question.
+ * Spreads the replicated state, the reports on workers and the membership among all nodes.
+ *
+ * <p>What restricts (a worker that drains, falls silent or is gone; a member that is suspected; a higher revision) is pushed
+ * at once to a few members, who push it on. How fresh things are is renewed by pulls only, and dated from the moment at which
+ * the puller sent its request. This class takes messages apart, builds them and says to whom they go; what it knows is in
+ * {@link StateCopy}, {@link AnnouncedWorkers} and {@link WorkerReports}.
+ *
+ * <p>It does no input or output: what is to be sent and logged is collected for {@link #drain}. The node's event loop alone
+ * calls it. All times are microseconds of the node's monotonic clock.
  */
 public final class Gossip {
     private static final int PUSH_FANOUT = 3;
-    private static final int MAX_WORKERS = 4_096;
-    private static final long WORKER_RETENTION = 60_000_000L;
-    private static final long STALE_AGE = 1_000_000L;
-    private final Settings settings;
+    private static final long STALE_AGE_MICROS = 1_000_000L;
+    private static final long UNKNOWN_AGE = -1;
+
     private final Membership membership;
-    private final Safeguards safeguards;
-    private final RandomGenerator random;
     private final PeerSelector peerSelector;
     private final MemberVersions memberVersions;
-    private final StateMachine stateMachine = new StateMachine();
-    private final Map<String, ObservedWorker> workers = new TreeMap<>();
-    private final Map<String, AnnouncementEcho> echoes = new HashMap<>();
-    private final List<Effect> effects = new ArrayList<>();
-    private Map<String, ObservedWorker> workersSnapshot = Map.of();
-    private final List<Worker> newlyDraining = new ArrayList<>();
-    private Optional<Long> reportsAge = Optional.empty();
-    private long highestRevision;
-    private long fleet;
-    private long onPullReply;
-    private View view = View.NONE;
-    private long lastGatewayPull;
-    private long lastControllerPull;
+    private final PullSchedule pullSchedule;
+    private final StateCopy state;
+    private final AnnouncedWorkers announcedWorkers;
     private final Optional<WorkerReports> reports;
     private final Optional<AntiEntropy> antiEntropy;
+    private final List<Effect> effects = new ArrayList<>();
 
-    /** How often to pull from gateways and from controllers, in microseconds, and how words of workers spread. */
+    /**
+     * How often a node pulls, and how reports on workers spread.
+     *
+     * @param gatewayPullInterval    microseconds between two pulls from gateways
+     * @param controllerPullInterval microseconds between two pulls from controllers
+     * @param reporting              to whom workers announce themselves
+     */
     public record Settings(long gatewayPullInterval, long controllerPullInterval, WorkerReporting reporting) {
-        /** The times that hold when nothing is said. */
+        /** The values that hold when the settings name none. */
         public static final Settings DEFAULTS = new Settings(250_000L, 400_000L);
-        /** Times for a large fleet whose workers announce to controllers. */
+
+        /** Values for a large fleet whose workers announce to controllers. */
         public static final Settings LARGE_FLEET =
                 new Settings(1_000_000L, 400_000L, WorkerReporting.ToControllers.DEFAULTS);
 
-        /** Times where words spread everywhere. */
+        /** Makes settings where workers announce to any node. */
         public Settings(final long gatewayPullInterval, final long controllerPullInterval) {
             this(gatewayPullInterval, controllerPullInterval, new WorkerReporting.ToAnyNode());
         }
     }
 
     /**
-     * A worker's word, by this daemon's monotonic clock.
+     * A worker as this node knows it. Times are microseconds of this node's monotonic clock.
      *
-     * @param worker what it said of itself
-     * @param asOf   the moment up to which it is surely true
-     * @param silent whether no controller has heard from it for long
-     * @param measuredAt     the moment from which the spans it told run
+     * @param worker     what it announced
+     * @param asOf       the moment as of which that is surely true; empty when it was never renewed here
+     * @param silent     whether no controller has heard from it for the silence time-out
+     * @param measuredAt the moment as of which its remaining warm-up and lifetime are given
      */
     public record ObservedWorker(Worker worker, Optional<Long> asOf, boolean silent, long measuredAt) {
-        /** A worker that isn't silent; its spans run from the moment up to which its word is true. */
+        /** Makes a worker that isn't silent, whose remaining times are those as of which it is true. */
         public ObservedWorker(final Worker worker, final Optional<Long> asOf) {
             this(worker, asOf, false, asOf.orElse(0L));
         }
 
-        /** How long it stays cold yet. */
+        /** Returns for how many microseconds from now it is still warming up. */
         public long warmupRemaining(final long now) {
             return worker.agedBy(now - measuredAt).warmupRemaining();
         }
 
-        /** How long it is there yet by its own word; 0 when it says nothing of its end. */
+        /** Returns in how many microseconds from now it will be gone; 0 when it announced no end. */
         public long lifetimeRemaining(final long now) {
             return worker.agedBy(now - measuredAt).lifetimeRemaining();
         }
 
-        /** How old the word is; the largest number when it was never renewed here. */
+        /** Returns how many microseconds ago this was surely true; the largest long when it was never renewed here. */
         public long age(final long now) {
-            return asOf.map(t -> now - t).orElse(Long.MAX_VALUE);
+            return asOf.map(time -> now - time).orElse(Long.MAX_VALUE);
         }
     }
 
-    /** News for a daemon of the crew. */
+    /** Makes the gossip of a node that knows nothing yet. */
     public Gossip(
             final Membership membership,
             final RandomGenerator random,
             final Settings settings,
             final Safeguards safeguards) {
         this.membership = membership;
-        this.random = random;
         this.peerSelector = new PeerSelector(membership, random);
         this.memberVersions = new MemberVersions(membership);
-        this.settings = settings;
-        this.safeguards = safeguards;
-        this.reports = settings.reporting() instanceof WorkerReporting.ToControllers h
-                ? Optional.of(new WorkerReports(h))
+        this.pullSchedule = new PullSchedule(settings, membership, peerSelector);
+        this.state = new StateCopy(safeguards);
+        this.announcedWorkers = new AnnouncedWorkers(random, effects::add);
+        this.reports = settings.reporting() instanceof WorkerReporting.ToControllers reporting
+                ? Optional.of(new WorkerReports(reporting))
                 : Optional.empty();
-        this.antiEntropy = reports.map(w -> new AntiEntropy(w, peerSelector, memberVersions, membership));
+        this.antiEntropy = reports.map(r -> new AntiEntropy(r, peerSelector, memberVersions, membership));
     }
 
-    /** The copy of the books held here; the caller does not change it. */
+    /** Returns this node's copy of the replicated state; the caller doesn't change it. */
     public StateMachine stateMachine() {
-        return stateMachine;
+        return state.stateMachine();
     }
 
-    /** The view heard of. */
+    /** Returns the newest view heard of. */
     public View view() {
-        return view;
+        return state.view();
     }
 
-    /** The fleet's number, or 0. */
+    /** Returns the fleet's number, or 0 before it is known. */
     public long fleet() {
-        return fleet;
+        return state.fleet();
     }
 
-    /** The highest page heard of, held or not. */
+    /** Returns the highest revision heard of, held or not. */
     public long highestRevision() {
-        return Math.max(highestRevision, stateMachine.policyRevision());
+        return state.highestRevision();
     }
 
-    /** How long ago the books here were surely the newest. */
+    /** Returns how many microseconds ago the state here was surely the newest; the largest long where that isn't known. */
     public long stateAge(final long now) {
-        return highestRevision > stateMachine.policyRevision()
-                ? Long.MAX_VALUE
-                : reportsAge.map(t -> now - t).orElse(Long.MAX_VALUE);
+        return state.age(now);
     }
 
-    /** Whether the books here were surely the newest at some moment since this one. */
+    /** Returns whether the state here was surely the newest at some moment at or after the given one. */
     public boolean confirmedSince(final long since) {
-        return reportsAge.filter(at -> at >= since).isPresent();
+        return state.confirmedSince(since);
     }
 
-    /** The workers heard of. */
+    /** Returns the workers known, by name. */
     public Map<String, ObservedWorker> workers() {
-        if (reports.isPresent()) {
-            return reports.get().workers(peerSelector.isController());
-        }
-        if (workersSnapshot.size() != workers.size()) {
-            workersSnapshot = Map.copyOf(workers);
-        }
-        return workersSnapshot;
+        return reports.map(r -> r.workers(peerSelector.isController())).orElseGet(announcedWorkers::snapshot);
     }
 
-    /** How long ago the words on workers here were surely the newest. */
+    /**
+     * Returns how many microseconds ago the reports here were surely the newest; the largest long where that isn't known,
+     * which is always so where workers announce to any node.
+     */
     public long reportsAge(final long now) {
-        return reports.flatMap(w -> w.confirmedAt(
-                        peerSelector.isController(),
-                        peerSelector.otherControllers().size() + 1,
-                        now))
-                .map(t -> Math.max(0, now - t))
+        final int controllerCount = peerSelector.otherControllers().size() + 1;
+        return reports.flatMap(r -> r.confirmedAt(peerSelector.isController(), controllerCount, now))
+                .map(time -> Math.max(0, now - time))
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** Forgets what makes this daemon sure, as a rejoin does. */
+    /** Returns a digest over the reports of workers that announce to controllers; it changes when one of them does. */
+    public long reportsDigest() {
+        return reports.map(r -> r.digests().total()).orElse(0L);
+    }
+
+    /** Returns the reports that are to survive a restart of this node, as of now. */
+    public List<WorkerReport> activeReports(final long now) {
+        return reports.map(r -> r.activeReports(now)).orElse(List.of());
+    }
+
+    /** Takes the reports that survived a restart; newer ones, known or to come, supersede them. */
+    public void restoreReports(final List<WorkerReport> restored, final long now) {
+        reports.ifPresent(r -> restored.forEach(report -> r.merge(report, false, now)));
+    }
+
+    /** Forgets how fresh everything is, as a rejoin does; what is known stays. */
     public void resetFreshness() {
         reports.ifPresent(WorkerReports::resetFreshness);
         antiEntropy.ifPresent(AntiEntropy::reset);
-        reportsAge = Optional.empty();
-        workers.replaceAll((k, h) -> new ObservedWorker(h.worker(), Optional.empty()));
-        workersSnapshot = Map.of();
+        state.resetFreshness();
+        announcedWorkers.resetFreshness();
     }
 
-    /** What a controller knows for itself. */
+    /**
+     * Takes what the replica on this node holds.
+     *
+     * @param isConfirmed whether that was surely the newest at {@code confirmedAt}; if not only the view is taken
+     */
     public void adoptReplicaState(
             final StateMachine replicaState,
             final View replicaView,
             final boolean isConfirmed,
             final long confirmedAt) {
-        if (replicaView.number() > view.number()) {
-            view = replicaView;
-            fleet = replicaView.fleet();
-        }
-        if (isConfirmed) {
-            if (replicaState.policyRevision() > stateMachine.policyRevision()) {
-                stateMachine.apply(
-                        replicaState.policyRevision(), replicaState.policySince(stateMachine.policyRevision()));
-                pushRevision();
-            }
-            reportsAge = Optional.of(confirmedAt);
+        if (state.adopt(replicaState, replicaView, isConfirmed, confirmedAt)) {
+            pushRevision();
         }
     }
 
-    /** A worker announced itself here; the echo proves how old its word can be. Gives the echo to hand back. */
+    /**
+     * Takes an announcement that a worker made to this node.
+     *
+     * @param echo the token that this node returned for the worker's last announcement here; it proves how old this one is
+     * @return the token that the worker is to hand back; 0 where workers announce to controllers
+     */
     public long onAnnouncement(final Worker worker, final long echo, final long now) {
-        if (reports.isPresent()) {
-            reports.get().announce(worker, now);
-            pushChanges(now);
-            return 0;
+        if (reports.isEmpty()) {
+            return announcedWorkers.announce(worker, echo, now);
         }
-        final Optional<Long> asOf = Optional.ofNullable(echoes.get(worker.id()))
-                .filter(e -> e.incarnation() == worker.incarnation() && e.token() == echo)
-                .map(AnnouncementEcho::issuedAt);
-        merge(worker, asOf, now);
-        final long token = random.nextLong() >>> 11;
-        echoes.put(worker.id(), new AnnouncementEcho(worker.incarnation(), token, now));
-        return token;
-    }
-
-    /** A digest over the words of workers that announce to controllers; it changes when one of them does. */
-    public long reportsDigest() {
-        return reports.map(w -> w.digests().total()).orElse(0L);
-    }
-
-    /** The words to be kept over a restart. */
-    public List<WorkerReport> activeReports(final long now) {
-        return reports.map(w -> w.activeReports(now)).orElse(List.of());
-    }
-
-    /** Takes words kept over a restart; what is known already or comes later goes before them. */
-    public void restoreReports(final List<WorkerReport> restored, final long now) {
-        reports.ifPresent(w -> restored.forEach(k -> w.merge(k, false, now)));
+        reports.get().announce(worker, now);
+        pushChanges(now);
+        return 0;
     }
 
-    /** A worker's life is over; false when it isn't known here. */
+    /** Ends a worker's incarnation; returns false when it isn't known here. */
     public boolean onWorkerGone(final String id, final long now) {
-        final boolean known = reports.map(w -> w.markGone(id, now)).orElseGet(() -> {
-            final Optional<Worker> last =
-                    Optional.ofNullable(workers.get(id)).map(h -> h.worker().asDraining());
-            last.filter(w -> !workers.get(id).worker().draining())
-                    .ifPresent(w -> merge(w.withNextSequence(), Optional.empty(), now));
-            return last.isPresent();
-        });
+        final boolean isKnown = reports.map(r -> r.markGone(id, now)).orElseGet(() -> announcedWorkers.markGone(id));
         pushChanges(now);
-        return known;
+        return isKnown;
     }
 
-    /** Takes a message. */
-    public void on(final Message message, final String sender, final long now) {
+    /** Takes a message of the gossip protocol; any other is ignored. */
+    public void onMessage(final Message message, final String sender, final long now) {
         switch (message) {
-            case Message.GossipPull m -> answerPull(m, sender, now);
-            case Message.GossipPullReply m -> onPullReply(m, sender, now);
-            case Message.ReportVersions m ->
-                antiEntropy.ifPresent(p -> effects.add(new Effect.Send(sender, p.missingReports(m, now))));
-            case Message.MissingReports m ->
+            case Message.GossipPull pull -> send(sender, pullReply(pull, sender, now));
+            case Message.GossipPullReply reply -> onPullReply(reply, sender, now);
+            case Message.ReportVersions versions ->
+                antiEntropy.ifPresent(a -> send(sender, a.missingReports(versions, now)));
+            case Message.MissingReports missing ->
                 antiEntropy
-                        .flatMap(p -> p.onMissingReports(m, sender, now))
-                        .ifPresent(b -> effects.add(new Effect.Send(sender, b)));
-            case Message.GossipPush m -> {
-                reports.ifPresent(w -> m.reports().forEach(x -> w.merge(x, true, now)));
-                m.members().forEach(x -> membership.learn(x, now));
-                m.workers().forEach(w -> merge(w, Optional.empty(), now));
-                if (m.revision() > highestRevision) {
-                    highestRevision = m.revision();
-                    effects.add(new Effect.Send(sender, pullRequest(now)));
-                }
-            }
+                        .flatMap(a -> a.onMissingReports(missing, sender, now))
+                        .ifPresent(answer -> send(sender, answer));
+            case Message.GossipPush push -> onPush(push, sender, now);
             default -> {}
         }
     }
 
-    /** A clock event. */
+    /** Pushes what has changed and pulls where that is due; called some twenty times a second. */
     public void tick(final long now) {
-        reports.ifPresent(w -> w.tick(peerSelector.isController(), peerSelector.otherControllers(), now));
+        reports.ifPresent(r -> r.tick(peerSelector.isController(), peerSelector.otherControllers(), now));
         pushChanges(now);
-        if (now - lastGatewayPull >= settings.gatewayPullInterval()
-                && !(reports.isPresent() && peerSelector.isController())) {
-            lastGatewayPull = now;
-            peerSelector
-                    .sample(
-                            membership.liveMembers().stream()
-                                    .filter(Member::isGateway)
-                                    .toList(),
-                            reports.isPresent() ? 1 : 2)
-                    .forEach(m -> effects.add(new Effect.Send(m.address(), pullRequest(now))));
-        }
-        if (now - lastControllerPull >= peerSelector.controllerPullInterval(settings)) {
-            lastControllerPull = now;
-            controllersToPull(now).forEach(m -> effects.add(new Effect.Send(m.address(), pullRequest(now))));
-        }
-        if (workers.values()
-                .removeIf(h -> h.age(now) > WORKER_RETENTION && h.asOf().isPresent())) {
-            workersSnapshot = Map.of();
-        }
-        echoes.keySet().retainAll(workers.keySet());
+        pullSchedule.gatewaysToPull(now).forEach(m -> send(m.address(), pullRequest(now)));
+        pullSchedule
+                .controllersToPull(state.view(), () -> isStale(now), now)
+                .forEach(m -> send(m.address(), pullRequest(now)));
+        announcedWorkers.expire(now);
     }
 
-    /** What is to be done; it is handed over once. */
+    /** Returns what is to be sent and logged; each effect is handed out once. */
     public List<Effect> drain() {
-        final List<Effect> list = List.copyOf(effects);
+        final List<Effect> drained = List.copyOf(effects);
         effects.clear();
-        return list;
+        return drained;
+    }
+
+    private boolean isStale(final long now) {
+        return stateAge(now) > STALE_AGE_MICROS || reportsAge(now) > STALE_AGE_MICROS;
     }
 
-    private List<Member> controllersToPull(final long now) {
-        final List<Member> roots = peerSelector.liveControllers(view, reports.isPresent());
-        return reports.isEmpty()
-                ? peerSelector.sample(roots, 2)
-                : peerSelector.isController()
-                        ? peerSelector.nextInTurn(roots, 3)
-                        : peerSelector.sample(
-                                stateAge(now) > STALE_AGE || reportsAge(now) > STALE_AGE
-                                        ? roots
-                                        : peerSelector.preferOwnRegion(roots),
-                                1);
+    private void send(final String address, final Message message) {
+        effects.add(new Effect.Send(address, message));
     }
 
     private void pushChanges(final long now) {
-        final List<Member> changedMembers = membership.drainUpdates();
+        final List<Member> members = membership.drainUpdates();
         final List<WorkerReport> changedReports =
-                reports.map(w -> w.drainChanged(now)).orElse(List.of());
-        reports.ifPresent(w -> effects.addAll(w.drain()));
-        if (!changedMembers.isEmpty() || !newlyDraining.isEmpty() || !changedReports.isEmpty()) {
-            push(new Message.GossipPush(changedMembers, List.copyOf(newlyDraining), changedReports, highestRevision()));
-            newlyDraining.clear();
+                reports.map(r -> r.drainChanged(now)).orElse(List.of());
+        reports.ifPresent(r -> effects.addAll(r.drain()));
+        final List<Worker> draining = announcedWorkers.drainNewlyDraining();
+        if (!members.isEmpty() || !draining.isEmpty() || !changedReports.isEmpty()) {
+            push(new Message.GossipPush(members, draining, changedReports, highestRevision()));
         }
     }
 
+    private void pushRevision() {
+        state.drainUnannouncedRevision()
+                .ifPresent(revision -> push(new Message.GossipPush(List.of(), List.of(), revision)));
+    }
+
     private void push(final Message.GossipPush message) {
-        (reports.isEmpty() ? peerSelector.sample(membership.liveMembers(), PUSH_FANOUT) : peerSelector.pushTargets())
-                .forEach(m -> effects.add(new Effect.Send(m.address(), message)));
+        final List<Member> targets = reports.isPresent()
+                ? peerSelector.pushTargets()
+                : peerSelector.sample(membership.liveMembers(), PUSH_FANOUT);
+        targets.forEach(m -> send(m.address(), message));
+    }
+
+    private void onPush(final Message.GossipPush push, final String sender, final long now) {
+        reports.ifPresent(r -> push.reports().forEach(report -> r.merge(report, true, now)));
+        push.members().forEach(member -> membership.learn(member, now));
+        push.workers().forEach(announcedWorkers::merge);
+        if (state.hearOf(push.revision())) {
+            send(sender, pullRequest(now));
+        }
     }
 
     private Message.GossipPull pullRequest(final long now) {
         return new Message.GossipPull(
                 now,
-                stateMachine.policyRevision(),
-                view.number(),
-                reports.isPresent()
-                        ? List.of()
-                        : workers.values().stream()
-                                .map(h -> new Message.ReportVersion(
-                                        h.worker().id(),
-                                        h.worker().incarnation(),
-                                        h.worker().sequence()))
-                                .toList(),
+                state.revision(),
+                state.view().number(),
+                reports.isPresent() ? List.of() : announcedWorkers.versions(),
                 reports.isPresent() ? memberVersions.digests().total() : memberVersions.plainDigest(),
-                reports.map(w -> w.digests().total()).orElse(0L));
+                reportsDigest());
     }
 
-    private void answerPull(final Message.GossipPull pull, final String sender, final long now) {
+    private Message.GossipPullReply pullReply(final Message.GossipPull pull, final String sender, final long now) {
         final long age = stateAge(now);
-        effects.add(new Effect.Send(
-                sender,
-                new Message.GossipPullReply(
-                        pull.askedAt(),
-                        stateMachine.policyRevision(),
-                        age == Long.MAX_VALUE ? -1 : Math.max(0, age),
-                        fleet,
-                        pull.revision() < stateMachine.policyRevision()
-                                ? stateMachine.policySince(pull.revision())
-                                : safeguards.isEnabled(Safeguard.PAGE) ? List.of() : stateMachine.policySince(0),
-                        pull.view() < view.number() ? List.of(view) : List.of(),
-                        antiEntropy
-                                .<Message.PullContent>map(p -> p.digestContent(pull, sender, reportsAge(now), now))
-                                .orElseGet(() -> fullContent(pull, now)))));
+        return new Message.GossipPullReply(
+                pull.askedAt(),
+                state.revision(),
+                age == Long.MAX_VALUE ? UNKNOWN_AGE : Math.max(0, age),
+                state.fleet(),
+                state.entriesFor(pull.revision()),
+                state.viewFor(pull.view()),
+                antiEntropy
+                        .<Message.PullContent>map(a -> a.digestContent(pull, sender, reportsAge(now), now))
+                        .orElseGet(() -> fullContent(pull, now)));
     }
 
     private Message.PullContent.FullContent fullContent(final Message.GossipPull pull, final long now) {
-        final Map<String, Message.ReportVersion> knownVersions = new HashMap<>();
-        pull.versions().forEach(k -> knownVersions.put(k.id(), k));
-        final List<Message.ReportAge> ages = new ArrayList<>();
-        final List<Worker> newerWorkers = new ArrayList<>();
-        for (final ObservedWorker observed : workers.values()) {
-            final Worker worker = observed.worker();
-            final Optional<Message.ReportVersion> knownVersion = Optional.ofNullable(knownVersions.get(worker.id()));
-            final boolean newer = knownVersion
-                    .map(k -> worker.incarnation() != k.incarnation()
-                            ? worker.incarnation() > k.incarnation()
-                            : worker.sequence() > k.sequence())
-                    .orElse(true);
-            final boolean same = knownVersion
-                    .map(k -> worker.incarnation() == k.incarnation() && worker.sequence() == k.sequence())
-                    .orElse(false);
-            if (newer) {
-                newerWorkers.add(worker);
-            }
-            if (newer || same) {
-                ages.add(new Message.ReportAge(
-                        worker.id(),
-                        worker.incarnation(),
-                        worker.sequence(),
-                        observed.asOf().map(t -> Math.max(0, now - t)).orElse(-1L)));
-            }
-        }
+        final boolean membersDiffer = pull.membershipDigest() != memberVersions.plainDigest();
         return new Message.PullContent.FullContent(
-                ages,
-                newerWorkers,
-                pull.membershipDigest() == memberVersions.plainDigest() ? List.of() : membership.all());
+                announcedWorkers.agesFor(pull.versions(), now),
+                announcedWorkers.newerThan(pull.versions()),
+                membersDiffer ? membership.all() : List.of());
     }
 
     private void onPullReply(final Message.GossipPullReply reply, final String sender, final long now) {
-        if (reply.askedAt() > now || fleet != 0 && reply.fleet() != 0 && reply.fleet() != fleet) {
+        if (reply.askedAt() > now || !state.acceptsFleet(reply.fleet())) {
             return;
         }
-        if (fleet == 0) {
-            fleet = reply.fleet();
-        }
         switch (reply.content()) {
-            case Message.PullContent.FullContent content -> onPullReply(content, reply.askedAt(), now);
-            case Message.PullContent.DigestContent b ->
+            case Message.PullContent.FullContent content -> onFullContent(content, reply.askedAt(), now);
+            case Message.PullContent.DigestContent content ->
                 antiEntropy
-                        .flatMap(p -> p.onDigestContent(b, reply.askedAt(), sender))
-                        .ifPresent(x -> effects.add(new Effect.Send(sender, x)));
+                        .flatMap(a -> a.onDigestContent(content, reply.askedAt(), sender))
+                        .ifPresent(versions -> send(sender, versions));
         }
-        reply.view().stream()
-                .filter(v -> v.number() > view.number() && v.fleet() == fleet)
-                .forEach(v -> view = v);
-        if (reply.revision() > stateMachine.policyRevision()) {
-            stateMachine.apply(reply.revision(), reply.entries());
+        if (state.onPullReply(reply)) {
             pushRevision();
-        } else if (reply.revision() > 0
-                && reply.revision() < stateMachine.policyRevision()
-                && !safeguards.isEnabled(Safeguard.PAGE)) {
-            stateMachine.reset(reply.revision(), reply.entries());
-            highestRevision = reply.revision();
-        }
-        if (reply.revision() == stateMachine.policyRevision() && reply.age() >= 0) {
-            reportsAge = Optional.of(Math.max(reportsAge.orElse(Long.MIN_VALUE), reply.askedAt() - reply.age()));
         }
     }
 
-    private void onPullReply(final Message.PullContent.FullContent content, final long askedAt, final long now) {
-        content.members().forEach(x -> membership.learn(x, now));
-        content.workers().forEach(w -> merge(w, Optional.empty(), now));
-        for (final Message.ReportAge reported : content.ages()) {
-            Optional.ofNullable(workers.get(reported.id()))
-                    .filter(h -> reported.age() >= 0
-                            && h.worker().incarnation() == reported.incarnation()
-                            && h.worker().sequence() == reported.sequence())
-                    .ifPresent(h -> renew(h, askedAt - reported.age()));
-        }
-    }
-
-    private void pushRevision() {
-        highestRevision = Math.max(highestRevision, stateMachine.policyRevision());
-        if (stateMachine.policyRevision() > onPullReply) {
-            onPullReply = stateMachine.policyRevision();
-            push(new Message.GossipPush(List.of(), List.of(), onPullReply));
-        }
-    }
-
-    private void renew(final ObservedWorker observed, final long asOf) {
-        if (observed.asOf().map(t -> t < asOf).orElse(true)) {
-            store(new ObservedWorker(observed.worker(), Optional.of(asOf)));
-        }
+    private void onFullContent(final Message.PullContent.FullContent content, final long askedAt, final long now) {
+        content.members().forEach(member -> membership.learn(member, now));
+        content.workers().forEach(announcedWorkers::merge);
+        announcedWorkers.onAges(content.ages(), askedAt);
     }
-
-    private void merge(final Worker worker, final Optional<Long> asOf, final long now) {
-        final Optional<ObservedWorker> old = Optional.ofNullable(workers.get(worker.id()));
-        if (old.isEmpty() && workers.size() >= MAX_WORKERS) {
-            return;
-        }
-        if (old.map(h -> worker.isNewerThan(h.worker())).orElse(true)) {
-            final boolean sameIncarnation = old.map(h -> h.worker().incarnation() == worker.incarnation())
-                    .orElse(false);
-            final boolean wasDraining = old.map(h -> h.worker().draining()).orElse(false) && sameIncarnation;
-            store(new ObservedWorker(
-                    worker, asOf.or(() -> old.filter(h -> sameIncarnation).flatMap(ObservedWorker::asOf))));
-            if (old.isEmpty()) {
-                effects.add(WorkerEvents.known(worker));
-            }
-            if (worker.draining() && !wasDraining) {
-                effects.add(WorkerEvents.draining(worker));
-                newlyDraining.add(worker);
-            }
-        }
-        asOf.ifPresent(t -> Optional.ofNullable(workers.get(worker.id()))
-                .filter(h -> h.worker().incarnation() == worker.incarnation()
-                        && h.worker().sequence() == worker.sequence())
-                .ifPresent(h -> renew(h, t)));
-    }
-
-    private void store(final ObservedWorker observed) {
-        workers.put(observed.worker().id(), observed);
-        workersSnapshot = Map.of();
-    }
-
-    private record AnnouncementEcho(long incarnation, long token, long issuedAt) {}
 }
--- /dev/null
+++ b/core/src/main/java/silverlatch/gossip/PullSchedule.java
@@ -0,0 +1,56 @@
+package silverlatch.gossip;
+
+import java.util.List;
+import java.util.function.BooleanSupplier;
+import silverlatch.membership.Member;
+import silverlatch.membership.Membership;
+import silverlatch.replication.View;
+
+/** When a node pulls, and from whom. Each call that returns members counts as a pull from them. */
+final class PullSchedule {
+    private final Gossip.Settings settings;
+    private final Membership membership;
+    private final PeerSelector peerSelector;
+    private final boolean workersAnnounceToControllers;
+    private long lastGatewayPull;
+    private long lastControllerPull;
+
+    PullSchedule(final Gossip.Settings settings, final Membership membership, final PeerSelector peerSelector) {
+        this.settings = settings;
+        this.membership = membership;
+        this.peerSelector = peerSelector;
+        this.workersAnnounceToControllers = settings.reporting() instanceof WorkerReporting.ToControllers;
+    }
+
+    /** Returns the gateways to pull from now; none where no pull is due. */
+    List<Member> gatewaysToPull(final long now) {
+        final boolean isDue = now - lastGatewayPull >= settings.gatewayPullInterval();
+        if (!isDue || workersAnnounceToControllers && peerSelector.isController()) {
+            return List.of();
+        }
+        lastGatewayPull = now;
+        final List<Member> gateways =
+                membership.liveMembers().stream().filter(Member::isGateway).toList();
+        return peerSelector.sample(gateways, workersAnnounceToControllers ? 1 : 2);
+    }
+
+    /**
+     * Returns the controllers to pull from now; none where no pull is due.
+     *
+     * @param isStale whether this node's state or reports are old, so that controllers of other regions are asked as well
+     */
+    List<Member> controllersToPull(final View view, final BooleanSupplier isStale, final long now) {
+        if (now - lastControllerPull < peerSelector.controllerPullInterval(settings)) {
+            return List.of();
+        }
+        lastControllerPull = now;
+        final List<Member> controllers = peerSelector.liveControllers(view, workersAnnounceToControllers);
+        if (!workersAnnounceToControllers) {
+            return peerSelector.sample(controllers, 2);
+        }
+        if (peerSelector.isController()) {
+            return peerSelector.nextInTurn(controllers, 3);
+        }
+        return peerSelector.sample(isStale.getAsBoolean() ? controllers : peerSelector.preferOwnRegion(controllers), 1);
+    }
+}
--- a/core/src/main/java/silverlatch/node/Node.java
+++ b/core/src/main/java/silverlatch/node/Node.java
@@ -375,15 +375,15 @@
             }
             case Message.LivenessHeartbeat m -> membership.on(m, now, physicalTime, processClock.last());
             case Message.Heartbeat m -> membership.on(m, now, physicalTime, processClock.last());
-            case Message.GossipPush m -> gossip.on(m, sender, now);
+            case Message.GossipPush m -> gossip.onMessage(m, sender, now);
             case Message.GossipPull m -> {
                 chainReplica.ifPresent(
                         q -> gossip.adoptReplicaState(q.stateMachine(), q.view(), q.isUpToDate(now), now));
-                gossip.on(m, sender, now);
+                gossip.onMessage(m, sender, now);
             }
-            case Message.GossipPullReply m -> gossip.on(m, sender, now);
-            case Message.ReportVersions m -> gossip.on(m, sender, now);
-            case Message.MissingReports m -> gossip.on(m, sender, now);
+            case Message.GossipPullReply m -> gossip.onMessage(m, sender, now);
+            case Message.ReportVersions m -> gossip.onMessage(m, sender, now);
+            case Message.MissingReports m -> gossip.onMessage(m, sender, now);
             case Message.WriteReply m -> chainClient.onMessage(m, now);
             case Message.ReadReply m -> chainClient.onMessage(m, now);
             case Message.StampRejected m -> {
--- a/core/src/test/java/silverlatch/gossip/ControllerReportsTest.java
+++ b/core/src/test/java/silverlatch/gossip/ControllerReportsTest.java
@@ -72,7 +72,7 @@
             while (!inFlight.isEmpty() && inFlight.peek().deliverAt() <= now) {
                 final InFlightMessage next = inFlight.poll();
                 if (!dead.contains(next.to()) && partitioned.contains(next.from()) == partitioned.contains(next.to())) {
-                    nodes.get(next.to()).on(next.message(), next.from(), now);
+                    nodes.get(next.to()).onMessage(next.message(), next.from(), now);
                     deliverEffects(next.to());
                 }
             }
@@ -255,7 +255,7 @@
         sendHeartbeats("h0", 1, 3);
         final WorkerReport wrongReport =
                 new WorkerReport(WorkerReport.of(worker(1, 1, false, 0)).worker(), true, false, 5 * SECOND);
-        nodes.get("p4").on(new Message.GossipPush(List.of(), List.of(), List.of(wrongReport), 0), "h1", now);
+        nodes.get("p4").onMessage(new Message.GossipPush(List.of(), List.of(), List.of(wrongReport), 0), "h1", now);
         advance(SECOND);
         nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(false)));
     }
