--- /dev/null
+++ b/core/src/main/java/silverlatch/dispatch/PlacementHandler.java
@@ -0,0 +1,221 @@
+package silverlatch.dispatch;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Optional;
+import java.util.Random;
+import java.util.function.Supplier;
+import java.util.random.RandomGenerator;
+import silverlatch.clock.Stamp;
+import silverlatch.dispatch.permit.Permit;
+import silverlatch.dispatch.permit.PermitSigner;
+import silverlatch.placement.PlacementContext;
+import silverlatch.placement.WeightedScorers;
+import silverlatch.safeguard.Safeguard;
+import silverlatch.state.Value;
+
+/**
+ * Answers a client that asks where to submit a request: with a permit for this gateway and the worker that is best now,
+ * with the addresses of other gateways, or with a refusal. Owned by the dispatch event loop.
+ */
+final class PlacementHandler {
+    private static final int MAX_REDIRECT_ENDPOINTS = 3;
+    private final DispatcherSettings settings;
+    private final ClusterView cluster;
+    private final GatewayReadiness readiness;
+    private final FairQueues queues;
+    private final PlacementDecider decider;
+    private final RetryBudget retryBudget;
+    private final PermitSigner signer;
+    private final Supplier<Stamp> timestamps;
+    private final RandomGenerator random;
+    private final DispatchOutput output;
+    private long requestSerial;
+
+    PlacementHandler(
+            final DispatcherSettings settings,
+            final ClusterView cluster,
+            final GatewayReadiness readiness,
+            final FairQueues queues,
+            final PlacementDecider decider,
+            final RetryBudget retryBudget,
+            final PermitSigner signer,
+            final Supplier<Stamp> timestamps,
+            final RandomGenerator random,
+            final DispatchOutput output) {
+        this.settings = settings;
+        this.cluster = cluster;
+        this.readiness = readiness;
+        this.queues = queues;
+        this.decider = decider;
+        this.retryBudget = retryBudget;
+        this.signer = signer;
+        this.timestamps = timestamps;
+        this.random = random;
+        this.output = output;
+    }
+
+    /** Answers a call that asks for a placement. */
+    void handle(final PlacementRequest placement, final long callId, final long now) {
+        output.count("picks");
+        final Optional<Value.Tenant> tenant = cluster.snapshot()
+                .tenant(placement.tenant())
+                .filter(known ->
+                        PermitSigner.constantTimeEquals(PermitSigner.sha256Hex(placement.secret()), known.keyHash()));
+        if (tenant.isEmpty()) {
+            output.reject(callId, "", unknownTenant(now));
+            return;
+        }
+        if (!cluster.servesTenant(tenant.get())
+                || cluster.isZoneEvacuating()
+                || readiness.unreadyReason(now).isPresent()) {
+            redirect(callId, tenant.get(), now);
+            return;
+        }
+        final Optional<Value.Row> row = cluster.snapshot().row(placement.tenant(), placement.kind());
+        if (row.isEmpty()) {
+            output.reject(
+                    callId, "", Rejection.permanent(Rejection.UNPROCESSABLE, "$.kind: no kind " + placement.kind()));
+            return;
+        }
+        final Optional<Rejection> refusal = refusal(placement, tenant.get(), row.get(), now);
+        if (refusal.isPresent()) {
+            output.reject(callId, "", refusal.get());
+        } else {
+            place(placement, tenant.get(), row.get(), callId, now);
+        }
+    }
+
+    /** A gateway that isn't ready may not know a new tenant or key yet. */
+    private Rejection unknownTenant(final long now) {
+        return readiness
+                .unreadyReason(now)
+                .map(Rejection::unavailable)
+                .orElseGet(() -> Rejection.permanent(Rejection.UNAUTHORIZED, "the tenant or its key is not known"));
+    }
+
+    /** Names a few other gateways that may serve the tenant. */
+    private void redirect(final long callId, final Value.Tenant tenant, final long now) {
+        final List<String> endpoints = new ArrayList<>(cluster.endpointsFor(tenant));
+        if (endpoints.isEmpty()) {
+            final String reason = readiness
+                    .unreadyReason(now)
+                    .orElse(
+                            cluster.servesTenant(tenant)
+                                    ? "this zone is being emptied"
+                                    : "no gateway in the homes is ready");
+            output.reject(callId, "", Rejection.unavailable(reason));
+            return;
+        }
+        Collections.shuffle(endpoints, new Random(random.nextLong()));
+        output.count("pointed");
+        output.add(new DispatchEffect.Redirected(
+                callId, endpoints.subList(0, Math.min(MAX_REDIRECT_ENDPOINTS, endpoints.size()))));
+    }
+
+    private Optional<Rejection> refusal(
+            final PlacementRequest placement, final Value.Tenant tenant, final Value.Row row, final long now) {
+        if (row.atMostOnce() && placement.idempotencyKey().isEmpty()) {
+            return Optional.of(Rejection.permanent(
+                    Rejection.UNPROCESSABLE, "$.key: kind " + placement.kind() + " runs once only and needs a key"));
+        }
+        final int gatewayCount = cluster.gatewayCount(tenant);
+        final double rate = row.requestsPerSecond() / gatewayCount;
+        final double burst = Math.max(1, row.burstRequests() / gatewayCount);
+        if (!queues.queueOf(placement.tenant(), placement.kind()).tryAcquireRateToken(rate, burst, now)) {
+            return Optional.of(Rejection.retryable(
+                    Rejection.TOO_MANY_REQUESTS,
+                    "over the rate of " + row.requestsPerSecond() + " a second",
+                    Rejection.SECOND));
+        }
+        if (placement.previousAttempts() > 0
+                && !retryBudget.tryAcquire(now)
+                && settings.safeguards().isEnabled(Safeguard.TRIES)) {
+            return Optional.of(Rejection.retryable(
+                    Rejection.TOO_MANY_REQUESTS, "too many tickets are tried again", 2 * Rejection.SECOND));
+        }
+        return Optional.empty();
+    }
+
+    /** Chooses a worker and signs a permit; where all are busy now, the permit names none. */
+    private void place(
+            final PlacementRequest placement,
+            final Value.Tenant tenant,
+            final Value.Row row,
+            final long callId,
+            final long now) {
+        final String requestId = nextRequestId();
+        final PlacementContext context = cluster.placementContext(
+                requestId, tenant, row, PermitSigner.saltedDigests(tenant.keySalt(), placement.prefixDigests()));
+        final Stamp timestamp = timestamps.get();
+        final WeightedScorers.Decision decision = decider.decide(context, decider.candidates(now), timestamp.bits());
+        if (decision instanceof WeightedScorers.Decision.NoneAllowed) {
+            final Rejection rejection = Rejection.unavailable("no worker is allowed");
+            trace(placement, requestId, timestamp, decision, RequestState.REJECTED.label(), rejection.reason());
+            output.reject(callId, requestId, rejection);
+            return;
+        }
+        trace(placement, requestId, timestamp, decision, "picked", "");
+        output.add(placed(placement, requestId, timestamp, decision, callId, now));
+    }
+
+    private String nextRequestId() {
+        requestSerial++;
+        return cluster.snapshot().self().id()
+                + "-" + Long.toString(cluster.snapshot().self().incarnation(), Character.MAX_RADIX)
+                + "-" + Long.toString(requestSerial, Character.MAX_RADIX)
+                + Long.toString(random.nextLong() >>> 20, Character.MAX_RADIX);
+    }
+
+    private DispatchEffect.Placed placed(
+            final PlacementRequest placement,
+            final String requestId,
+            final Stamp timestamp,
+            final WeightedScorers.Decision decision,
+            final long callId,
+            final long now) {
+        final ClusterSnapshot snapshot = cluster.snapshot();
+        final String worker = PlacementDecider.chosenWorker(decision);
+        final Permit permit = new Permit(
+                requestId,
+                placement.tenant(),
+                placement.kind(),
+                worker,
+                snapshot.self().id(),
+                snapshot.self().incarnation(),
+                snapshot.revision(),
+                timestamp,
+                now + settings.permitLifetime(),
+                placement.idempotencyKey());
+        return new DispatchEffect.Placed(
+                callId,
+                requestId,
+                snapshot.self().httpAddress(),
+                signer.sign(permit),
+                worker,
+                snapshot.revision(),
+                timestamp.bits());
+    }
+
+    private void trace(
+            final PlacementRequest placement,
+            final String requestId,
+            final Stamp timestamp,
+            final WeightedScorers.Decision decision,
+            final String state,
+            final String reason) {
+        output.traces()
+                .put(new TraceLog.RequestTrace(
+                        requestId,
+                        placement.tenant(),
+                        placement.kind(),
+                        PlacementDecider.chosenWorker(decision),
+                        cluster.snapshot().revision(),
+                        timestamp.bits(),
+                        state,
+                        reason,
+                        0,
+                        decision.scores()));
+    }
+}
--- /dev/null
+++ b/core/src/main/java/silverlatch/dispatch/Rejection.java
@@ -0,0 +1,48 @@
+package silverlatch.dispatch;
+
+/**
+ * Why a request is refused: it did not run and never will.
+ *
+ * @param statusCode the HTTP status code of the answer
+ * @param reason     the reason, for the client and the log
+ * @param retryAfter the shortest time after which the client may try again, in microseconds; 0 when it should not
+ * @param claimState how the claim that holds the idempotency key stands, or empty
+ */
+record Rejection(int statusCode, String reason, long retryAfter, String claimState) {
+    static final int UNAUTHORIZED = 401;
+    static final int FORBIDDEN = 403;
+    static final int NOT_FOUND = 404;
+    static final int CONFLICT = 409;
+    static final int GONE = 410;
+    static final int UNPROCESSABLE = 422;
+    static final int TOO_EARLY = 425;
+    static final int TOO_MANY_REQUESTS = 429;
+    static final int UNAVAILABLE = 503;
+    static final int INSUFFICIENT_STORAGE = 507;
+    static final long SECOND = 1_000_000L;
+
+    /** A refusal that trying again doesn't change. */
+    static Rejection permanent(final int statusCode, final String reason) {
+        return new Rejection(statusCode, reason, 0, "");
+    }
+
+    /** A refusal that may be gone after the given microseconds. */
+    static Rejection retryable(final int statusCode, final String reason, final long retryAfter) {
+        return new Rejection(statusCode, reason, retryAfter, "");
+    }
+
+    /** 503, to be tried again in about a second. */
+    static Rejection unavailable(final String reason) {
+        return retryable(UNAVAILABLE, reason, SECOND);
+    }
+
+    /** 503, to be tried again in about half a second. */
+    static Rejection brieflyUnavailable(final String reason) {
+        return retryable(UNAVAILABLE, reason, SECOND / 2);
+    }
+
+    /** 409: another request holds the idempotency key. */
+    static Rejection keyTaken(final String reason, final String claimState) {
+        return new Rejection(CONFLICT, reason, 0, claimState);
+    }
+}
--- /dev/null
+++ b/core/src/main/java/silverlatch/dispatch/ResponseChecker.java
@@ -0,0 +1,56 @@
+package silverlatch.dispatch;
+
+import java.util.Optional;
+import silverlatch.safeguard.Safeguard;
+import silverlatch.safeguard.Safeguards;
+
+/**
+ * Holds what a worker sends to the protocol: chunks of this request and attempt, numbered without a gap or a repeat, and
+ * a trailer that fits all of them.
+ */
+final class ResponseChecker {
+    private final Safeguards safeguards;
+
+    ResponseChecker(final Safeguards safeguards) {
+        this.safeguards = safeguards;
+    }
+
+    /** What is wrong with a record as the next one of a request's response, or nothing. */
+    Optional<String> violation(final DispatchedRequest request, final StreamRecord received) {
+        return switch (received) {
+            case StreamRecord.Chunk chunk -> violation(request, chunk);
+            case StreamRecord.Trailer trailer ->
+                safeguards.isEnabled(Safeguard.SEAL) ? violation(request, trailer) : Optional.empty();
+            case StreamRecord.Lost lost -> Optional.of(lost.reason());
+        };
+    }
+
+    private Optional<String> violation(final DispatchedRequest request, final StreamRecord.Chunk chunk) {
+        if (safeguards.isEnabled(Safeguard.LINE) && !chunk.requestId().equals(request.id())) {
+            return Optional.of("a piece of another ticket");
+        }
+        if (safeguards.isEnabled(Safeguard.LINE) && !chunk.attemptId().equals(request.attemptId())) {
+            return Optional.of("a piece of another run");
+        }
+        final int due = request.response().size();
+        if (safeguards.isEnabled(Safeguard.PIECE) && chunk.index() != due) {
+            return Optional.of("piece " + chunk.index() + " where " + due + " was due");
+        }
+        return Optional.empty();
+    }
+
+    private static Optional<String> violation(final DispatchedRequest request, final StreamRecord.Trailer trailer) {
+        if (!trailer.requestId().equals(request.id())
+                || !trailer.attemptId().equals(request.attemptId())
+                || !trailer.worker().equals(request.worker())) {
+            return Optional.of("a seal of another ticket, run or worker");
+        }
+        final int chunks = request.response().size();
+        if (trailer.chunkCount() != chunks) {
+            return Optional.of("a seal over " + trailer.chunkCount() + " pieces where " + chunks + " came");
+        }
+        return trailer.sha256().equals(request.response().sha256())
+                ? Optional.empty()
+                : Optional.of("a seal that does not fit");
+    }
+}
--- /dev/null
+++ b/core/src/main/java/silverlatch/dispatch/StreamDelivery.java
@@ -0,0 +1,98 @@
+package silverlatch.dispatch;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+
+/**
+ * Writes responses to the calls that read them, one write of bounded size for each time that a transport says it can take
+ * more. Owned by the dispatch event loop.
+ */
+final class StreamDelivery {
+    private static final int MAX_RECORDS_PER_WRITE = 256;
+    private final RequestTable requests;
+    private final DispatchOutput output;
+    private final Map<Long, Long> handlesByCall = new HashMap<>();
+
+    StreamDelivery(final RequestTable requests, final DispatchOutput output) {
+        this.requests = requests;
+        this.output = output;
+    }
+
+    /** The call that submitted a request reads its response. */
+    void open(final DispatchedRequest request, final long callId) {
+        handlesByCall.put(callId, request.handle());
+    }
+
+    /** A call reads a response from a record on; the one that read it before, if another, is ended. */
+    void attach(final DispatchedRequest request, final long callId, final int firstRecord) {
+        request.reader().callId().filter(previous -> previous != callId).ifPresent(this::endCall);
+        request.reader().attach(callId, firstRecord);
+        handlesByCall.put(callId, request.handle());
+        write(request);
+    }
+
+    /** The transport of a call can take more. */
+    void readerReady(final long callId) {
+        Optional.ofNullable(handlesByCall.get(callId))
+                .flatMap(requests::byHandle)
+                .filter(request -> request.reader().isCall(callId))
+                .ifPresent(request -> {
+                    request.reader().markReady();
+                    write(request);
+                });
+    }
+
+    /** The connection of a call went away; gives the request that it read. */
+    Optional<DispatchedRequest> readerDisconnected(final long callId, final long now) {
+        final Optional<DispatchedRequest> read = Optional.ofNullable(handlesByCall.remove(callId))
+                .flatMap(requests::byHandle)
+                .filter(request -> request.reader().isCall(callId));
+        read.ifPresent(request -> request.reader().disconnected(now));
+        return read;
+    }
+
+    /** Sends what the reader has not got yet, if it is ready. */
+    void write(final DispatchedRequest request) {
+        final StreamReader reader = request.reader();
+        final int size = request.response().size();
+        final boolean isEnded = request.state().isFinal();
+        if (!reader.isReady() || request.state() == RequestState.REJECTED || size == reader.recordsSent() && !isEnded) {
+            return;
+        }
+        final int end = Math.min(size, reader.recordsSent() + MAX_RECORDS_PER_WRITE);
+        final boolean endOfStream = isEnded && end == size;
+        final long callId = reader.callId().orElseThrow();
+        output.add(new DispatchEffect.StreamWrite(
+                callId, request.response().records(reader.recordsSent(), end), endOfStream));
+        reader.sentUpTo(end);
+        if (endOfStream) {
+            forgetReader(request, callId);
+        }
+    }
+
+    /** Answers the reader, if there is one, with a refusal instead of a stream. */
+    void reject(final DispatchedRequest request, final Rejection rejection) {
+        request.reader().callId().ifPresent(callId -> {
+            handlesByCall.remove(callId);
+            output.reject(callId, request.id(), rejection);
+        });
+        request.reader().detach();
+    }
+
+    /** Ends the reader's stream, if there is one, without a further record. */
+    void close(final DispatchedRequest request) {
+        request.reader().callId().ifPresent(this::endCall);
+    }
+
+    private void endCall(final long callId) {
+        handlesByCall.remove(callId);
+        output.add(new DispatchEffect.StreamWrite(callId, List.of(), true));
+    }
+
+    private void forgetReader(final DispatchedRequest request, final long callId) {
+        handlesByCall.remove(callId);
+        request.reader().detach();
+    }
+}
--- /dev/null
+++ b/core/src/main/java/silverlatch/dispatch/SubmissionHandler.java
@@ -0,0 +1,193 @@
+package silverlatch.dispatch;
+
+import java.util.List;
+import java.util.Optional;
+import silverlatch.dispatch.permit.Permit;
+import silverlatch.dispatch.permit.PermitSigner;
+import silverlatch.gossip.Gossip;
+import silverlatch.safeguard.Safeguard;
+import silverlatch.state.Value;
+
+/**
+ * Admits a request that is submitted with a permit: the permit is checked and spent, the request is queued, and where
+ * there is no capacity one of lower priority is shed for it. Owned by the dispatch event loop.
+ */
+final class SubmissionHandler {
+    private final DispatcherSettings settings;
+    private final ClusterView cluster;
+    private final GatewayReadiness readiness;
+    private final RequestTable requests;
+    private final FairQueues queues;
+    private final SpentPermits spentPermits;
+    private final RequestLifecycle lifecycle;
+    private final StreamDelivery delivery;
+    private final PermitSigner signer;
+    private final DispatchOutput output;
+
+    SubmissionHandler(
+            final DispatcherSettings settings,
+            final ClusterView cluster,
+            final GatewayReadiness readiness,
+            final RequestTable requests,
+            final FairQueues queues,
+            final SpentPermits spentPermits,
+            final RequestLifecycle lifecycle,
+            final StreamDelivery delivery,
+            final PermitSigner signer,
+            final DispatchOutput output) {
+        this.settings = settings;
+        this.cluster = cluster;
+        this.readiness = readiness;
+        this.requests = requests;
+        this.queues = queues;
+        this.spentPermits = spentPermits;
+        this.lifecycle = lifecycle;
+        this.delivery = delivery;
+        this.signer = signer;
+        this.output = output;
+    }
+
+    /** Takes a submitted request; true when it was queued. */
+    boolean handle(final SubmittedRequest submitted, final long callId, final long now) {
+        output.count("tickets");
+        final Optional<Permit> verified = signer.verify(submitted.permit());
+        if (verified.isEmpty()) {
+            output.reject(callId, "", Rejection.permanent(Rejection.FORBIDDEN, "the permit bears no seal of ours"));
+            return false;
+        }
+        final Permit permit = verified.get();
+        final Optional<Value.Tenant> tenant = cluster.snapshot()
+                .tenant(permit.tenant())
+                .filter(known ->
+                        PermitSigner.constantTimeEquals(known.keyHash(), PermitSigner.sha256Hex(submitted.secret())));
+        if (tenant.isEmpty()) {
+            output.reject(
+                    callId, "", Rejection.permanent(Rejection.UNAUTHORIZED, "the tenant or its key is not known"));
+            return false;
+        }
+        final Optional<Rejection> permitRefusal = permitRefusal(permit, now);
+        if (permitRefusal.isPresent()) {
+            output.reject(callId, permit.requestId(), permitRefusal.get());
+            return false;
+        }
+        spentPermits.add(permit.requestId(), permit.expiry());
+        return admit(permit, tenant.get(), submitted, callId, now);
+    }
+
+    private Optional<Rejection> permitRefusal(final Permit permit, final long now) {
+        if (spentPermits.contains(permit.requestId()) && isEnabled(Safeguard.SPENT)) {
+            return Optional.of(Rejection.permanent(Rejection.CONFLICT, "the ticket was handed over before"));
+        }
+        if (!permit.gateway().equals(cluster.snapshot().self().id())
+                || isEnabled(Safeguard.LIFE) && isOfAnotherTime(permit, now)) {
+            return Optional.of(Rejection.permanent(
+                    Rejection.GONE, "the permit is of another time; whether its ticket ran is not known here"));
+        }
+        return now >= permit.expiry() && isEnabled(Safeguard.LIFE)
+                ? Optional.of(Rejection.brieflyUnavailable("the permit is stale"))
+                : Optional.empty();
+    }
+
+    /** Whether the permit is older than the memory of spent permits, so that it may have been used. */
+    private boolean isOfAnotherTime(final Permit permit, final long now) {
+        return permit.incarnation() != cluster.snapshot().self().incarnation()
+                || now - permit.expiry() > settings.permitRetention();
+    }
+
+    private boolean admit(
+            final Permit permit,
+            final Value.Tenant tenant,
+            final SubmittedRequest submitted,
+            final long callId,
+            final long now) {
+        final Optional<Value.Row> row = cluster.snapshot().row(permit.tenant(), permit.kind());
+        final Optional<Rejection> refusal = admissionRefusal(permit, tenant, row, now);
+        if (refusal.isPresent()) {
+            reject(callId, permit, refusal.get());
+            return false;
+        }
+        final List<Long> prefixDigests = PermitSigner.saltedDigests(tenant.keySalt(), submitted.prefixDigests());
+        final DispatchedRequest request =
+                new DispatchedRequest(permit, tenant, row.orElseThrow(), submitted, prefixDigests, callId, now);
+        if (!requests.add(request)) {
+            reject(callId, permit, Rejection.unavailable("the slab is full"));
+            return false;
+        }
+        delivery.open(request, callId);
+        lifecycle.transition(request, RequestEvent.ENQUEUE);
+        queues.addLast(request);
+        request.setPreferredWorker(preferredWorker(permit));
+        return true;
+    }
+
+    private Optional<Rejection> admissionRefusal(
+            final Permit permit, final Value.Tenant tenant, final Optional<Value.Row> row, final long now) {
+        final Optional<String> unreadyReason = readiness.unreadyReason(now);
+        if (unreadyReason.isPresent()) {
+            return unreadyReason.map(Rejection::unavailable);
+        }
+        if (row.isEmpty()) {
+            return refusal(Rejection.UNPROCESSABLE, "no kind " + permit.kind() + " any more");
+        }
+        if (row.get().atMostOnce() && !permit.hasIdempotencyKey()) {
+            return refusal(Rejection.UNPROCESSABLE, "kind " + permit.kind() + " runs once only by now and needs a key");
+        }
+        if (!cluster.servesTenant(tenant)) {
+            return refusal(Rejection.UNAVAILABLE, "this region is no home");
+        }
+        if (cluster.isZoneEvacuating()) {
+            return refusal(Rejection.UNAVAILABLE, "this zone is being emptied");
+        }
+        return hasCapacity(permit, tenant, row.get())
+                ? Optional.empty()
+                : refusal(Rejection.TOO_MANY_REQUESTS, "the queue is full");
+    }
+
+    private static Optional<Rejection> refusal(final int statusCode, final String reason) {
+        return Optional.of(Rejection.retryable(statusCode, reason, Rejection.SECOND));
+    }
+
+    /** Whether the queue has capacity, if need be after a request of lower priority was shed. */
+    private boolean hasCapacity(final Permit permit, final Value.Tenant tenant, final Value.Row row) {
+        final int maxQueued = Math.max(1, row.maxQueued() / cluster.gatewayCount(tenant));
+        return queues.queueOf(permit.tenant(), permit.kind()).size() < maxQueued && makeRoom(row.priority());
+    }
+
+    private boolean makeRoom(final int priority) {
+        if (queues.size() < settings.maxQueuedRequests() && !requests.isFull()) {
+            return true;
+        }
+        final Optional<DispatchedRequest> shed =
+                queues.lowestPriority().filter(request -> request.row().priority() < priority);
+        shed.ifPresent(request -> {
+            lifecycle.reject(request, Rejection.unavailable("shed for a kind that goes before"));
+            lifecycle.discard(request);
+        });
+        return shed.isPresent();
+    }
+
+    /** The worker that the permit names, unless what its choice rested on has changed since. */
+    private Optional<String> preferredWorker(final Permit permit) {
+        final ClusterSnapshot snapshot = cluster.snapshot();
+        final boolean isEvacuated = Optional.ofNullable(snapshot.workers().get(permit.worker()))
+                .map(Gossip.ObservedWorker::worker)
+                .filter(worker -> snapshot.isPlacedBeforeEvacuation(worker.zone(), permit.timestamp()))
+                .isPresent();
+        if (permit.revision() < snapshot.revision() || isEvacuated) {
+            output.count("stale");
+            return Optional.empty();
+        }
+        return Optional.of(permit.worker()).filter(worker -> !worker.isEmpty());
+    }
+
+    /** Refuses a request whose permit is spent by now. */
+    private void reject(final long callId, final Permit permit, final Rejection rejection) {
+        output.traces().recordState(permit.requestId(), RequestState.REJECTED.label(), rejection.reason());
+        output.count(RequestState.REJECTED.label());
+        output.reject(callId, permit.requestId(), rejection);
+    }
+
+    private boolean isEnabled(final Safeguard safeguard) {
+        return settings.safeguards().isEnabled(safeguard);
+    }
+}
--- a/core/src/main/java/silverlatch/dispatch/WorkerUsage.java
+++ b/core/src/main/java/silverlatch/dispatch/WorkerUsage.java
@@ -5,28 +5,35 @@
 import silverlatch.gossip.Gossip;
 import silverlatch.placement.PlacementInput;
 
-/** What this gateway knows of its own runs at a worker. One duty owns it. */
+/**
+ * What this gateway knows of its own attempts at one worker, beside the worker's reports. A report counts the attempts that
+ * were sent before it was made; those sent since are counted here. Owned by the dispatch event loop; times in microseconds.
+ */
 final class WorkerUsage {
-    private static final long SECOND = 1_000_000L;
-    final Deque<Long> sendTimes = new ArrayDeque<>();
-    long incarnation;
-    int inFlight;
-    int endedSinceReport;
-    long ejectedUntil;
-    long newestReportAt = Long.MIN_VALUE;
-    long returnedAt = Long.MIN_VALUE / 2;
+    /** A worker whose reports were further apart than this counts as returned and starts slowly again. */
+    private static final long SILENCE_MICROS = 3_000_000L;
 
+    private final Deque<Long> sendTimes = new ArrayDeque<>();
+    private long incarnation;
+    private int inFlight;
+    private int endedSinceReport;
+    private long ejectedUntil;
+    private long newestReportAt = Long.MIN_VALUE;
+    private long returnedAt = Long.MIN_VALUE / 2;
+
+    /** No attempts yet at a worker of this incarnation. */
     WorkerUsage(final long incarnation) {
         this.incarnation = incarnation;
     }
 
+    /** Takes a report of the worker. */
     void observe(final Gossip.ObservedWorker report, final long now) {
         if (report.worker().incarnation() != incarnation) {
             incarnation = report.worker().incarnation();
             returnedAt = now;
         }
         report.asOf().ifPresent(reportedAt -> {
-            if (newestReportAt != Long.MIN_VALUE && reportedAt - newestReportAt > 3 * SECOND) {
+            if (newestReportAt != Long.MIN_VALUE && reportedAt - newestReportAt > SILENCE_MICROS) {
                 returnedAt = now;
             }
             if (reportedAt > newestReportAt) {
@@ -39,16 +46,29 @@
         });
     }
 
+    /** An attempt takes a slot there. */
     void attemptStarted(final long now) {
         inFlight++;
         sendTimes.add(now);
     }
 
+    /** An attempt gives its slot back. */
     void attemptEnded() {
         inFlight--;
         endedSinceReport++;
     }
 
+    /** Nothing new goes there until this time. */
+    void ejectUntil(final long time) {
+        ejectedUntil = time;
+    }
+
+    /** Whether no attempt holds a slot there. */
+    boolean isUnused() {
+        return inFlight == 0;
+    }
+
+    /** The worker as the scorers see it. */
     PlacementInput placementInput(final Gossip.ObservedWorker report, final long now, final int gatewayCount) {
         return new PlacementInput(
                 report.worker(),
--- a/core/src/main/java/silverlatch/dispatch/permit/Permit.java
+++ b/core/src/main/java/silverlatch/dispatch/permit/Permit.java
@@ -26,4 +26,9 @@
         long revision,
         Stamp timestamp,
         long expiry,
-        String idempotencyKey) {}
+        String idempotencyKey) {
+    /** Whether the client named a key under which the request runs once only. */
+    public boolean hasIdempotencyKey() {
+        return !idempotencyKey.isEmpty();
+    }
+}
--- a/core/src/main/java/silverlatch/dispatch/permit/PermitSigner.java
+++ b/core/src/main/java/silverlatch/dispatch/permit/PermitSigner.java
@@ -5,6 +5,7 @@
 import java.security.MessageDigest;
 import java.util.Base64;
 import java.util.HexFormat;
+import java.util.List;
 import java.util.Optional;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
@@ -84,6 +85,11 @@
         return Long.parseUnsignedLong(sha256Hex(salt + SEPARATOR + text).substring(0, 12), 16);
     }
 
+    /** Prefix digests salted for their tenant, in the same order. */
+    public static List<Long> saltedDigests(final String salt, final List<String> texts) {
+        return texts.stream().map(text -> saltedDigest(salt, text)).toList();
+    }
+
     /** A fresh SHA-256. */
     public static MessageDigest newSha256() {
         try {
--- a/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
@@ -83,7 +83,7 @@
 
     private void refreshReports() {
         workers.replaceAll((k, h) -> new Gossip.ObservedWorker(h.worker(), Optional.of(now)));
-        dispatcher.clusterSnapshot(clusterSnapshot(SELF), now);
+        dispatcher.update(clusterSnapshot(SELF), now);
         collectEffects();
     }
 
@@ -205,7 +205,7 @@
                 "z/" + zone,
                 new Entry("z/" + zone, ++revision, List.of(new Value.Evacuation(zone, true, new Stamp(++timestamp)))));
         if (zone.equals("z1")) {
-            dispatcher.clusterSnapshot(
+            dispatcher.update(
                     new ClusterSnapshot(
                             SELF,
                             revision,
@@ -361,7 +361,7 @@
     @Test
     void aRequestWithoutAWorkerIsRejectedAtOnceWithRetryAfter() {
         workers.clear();
-        dispatcher.clusterSnapshot(clusterSnapshot(SELF), now);
+        dispatcher.update(clusterSnapshot(SELF), now);
         dispatcher.requestPlacement(
                 new PlacementRequest("key-one", "one", "ask", List.of(), 1, "", 0), ++lastCallId, now);
         collectEffects();
--- a/server/src/main/java/silverlatch/server/gateway/Gateway.java
+++ b/server/src/main/java/silverlatch/server/gateway/Gateway.java
@@ -191,7 +191,7 @@
                 .filter(Member::ready)
                 .toList();
         post(() -> {
-            dispatcher.clusterSnapshot(snapshot, EventLoop.nowMicros());
+            dispatcher.update(snapshot, EventLoop.nowMicros());
             router.clusterSnapshot(snapshot, EventLoop.nowMicros());
             proxy.ifPresent(server -> router.limits().ifPresent(server::limits));
         });
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
@@ -386,7 +386,7 @@
             dispatcher.ifPresent(running -> {
                 final ClusterSnapshot snapshot = node.facts();
                 clusterSnapshot = Optional.of(snapshot);
-                running.clusterSnapshot(snapshot, now());
+                running.update(snapshot, now());
             });
             final List<OutgoingFrame> frames = node.drainFrames();
             frames.forEach(s -> world.send(this, s));
