--- a/server/src/main/java/silverlatch/server/controller/ConfigurationJson.java
+++ b/server/src/main/java/silverlatch/server/controller/ConfigurationJson.java
@@ -1,6 +1,7 @@
 package silverlatch.server.controller;
 
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -10,17 +11,27 @@
 import silverlatch.state.ConfigurationValidator;
 import silverlatch.state.Value;
 
-/** Charters, their rules and their pools as JSON, both ways. */
+/** Routing configurations, their routes and their backend pools as JSON, both ways. Times are in microseconds. */
 public final class ConfigurationJson {
-    private static final long LONG = Long.MAX_VALUE;
-    private static final int INT = Integer.MAX_VALUE;
+    private static final long MAX_LONG = Long.MAX_VALUE;
+    private static final int MAX_INT = Integer.MAX_VALUE;
+    private static final int MAX_NAME_LENGTH = 256;
+    private static final int MAX_PATH_LENGTH = 1_024;
+    private static final int MAX_REGIONS = 64;
+    private static final int MAX_REGION_LENGTH = 64;
+    private static final int MAX_BACKENDS = 1_000;
 
     private ConfigurationJson() {}
 
-    /** Reads a charter; what is wrong with it is noted in the sheet. */
+    /**
+     * Reads a configuration; faults are noted in the document.
+     *
+     * @param text             the document as it came, which is stored beside what was read
+     * @param expectedRevision the number of the configuration that it builds on; negative for any
+     */
     public static Command.PutConfiguration read(
             final JsonDocument document, final String text, final String id, final long expectedRevision) {
-        final long number = document.integer("number", 1, LONG);
+        final long number = document.integer("number", 1, MAX_LONG);
         final List<Value.Route> routes = document.objects("rules", ConfigurationValidator.MAX_ROUTES + 1).stream()
                 .map(ConfigurationJson::readRoute)
                 .toList();
@@ -30,76 +41,74 @@
         final JsonDocument bounds = document.object("bounds");
         final Value.RoutingConfiguration configuration = new Value.RoutingConfiguration(
                 number,
-                (int) bounds.integer("head", 0, INT),
-                (int) bounds.integer("body", 0, INT),
-                bounds.integer("slow", 0, LONG),
-                bounds.integer("idle", 0, LONG));
+                (int) bounds.integer("head", 0, MAX_INT),
+                (int) bounds.integer("body", 0, MAX_INT),
+                bounds.integer("slow", 0, MAX_LONG),
+                bounds.integer("idle", 0, MAX_LONG));
         bounds.finish();
         return new Command.PutConfiguration(id, configuration, routes, pools, text, expectedRevision);
     }
 
-    /** A body as text, if it can be given back to the byte. */
+    /** A body as text; empty where it is not UTF-8 and so could not be given back to the byte. */
     public static Optional<String> decodeText(final byte[] body) {
         final String text = new String(body, StandardCharsets.UTF_8);
-        return java.util.Arrays.equals(text.getBytes(StandardCharsets.UTF_8), body)
-                ? Optional.of(text)
-                : Optional.empty();
+        return Arrays.equals(text.getBytes(StandardCharsets.UTF_8), body) ? Optional.of(text) : Optional.empty();
     }
 
-    /** A rule as JSON. */
+    /** A route as JSON. */
     public static Map<String, Object> write(final Value.Route route) {
-        final Map<String, Object> map = new LinkedHashMap<>();
-        map.put("name", route.name());
-        map.put("host", route.host());
-        map.put("path", route.pathPrefix());
-        map.put("once", route.atMostOnce());
-        map.put("stream", route.streaming());
-        map.put("resume", route.resumable());
-        map.put("kept", route.prefixCached());
-        map.put("hold", route.timeoutMicros());
-        map.put("aim", route.latencyTargetMicros());
-        map.put("gap", route.maxEventGapMicros());
-        map.put("rank", route.priority());
-        map.put("tries", route.maxAttempts());
-        map.put("homes", route.homeRegions());
-        map.put(
+        final Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("name", route.name());
+        fields.put("host", route.host());
+        fields.put("path", route.pathPrefix());
+        fields.put("once", route.atMostOnce());
+        fields.put("stream", route.streaming());
+        fields.put("resume", route.resumable());
+        fields.put("kept", route.prefixCached());
+        fields.put("hold", route.timeoutMicros());
+        fields.put("aim", route.latencyTargetMicros());
+        fields.put("gap", route.maxEventGapMicros());
+        fields.put("rank", route.priority());
+        fields.put("tries", route.maxAttempts());
+        fields.put("homes", route.homeRegions());
+        fields.put(
                 "lots",
                 route.backends().stream()
-                        .map(l -> Map.of("pool", l.pool(), "weight", l.weight()))
+                        .map(backend -> Map.of("pool", backend.pool(), "weight", backend.weight()))
                         .toList());
-        return map;
+        return fields;
     }
 
-    /** A pool as JSON. */
+    /** A backend pool as JSON. */
     public static Map<String, Object> write(final Value.BackendPool pool) {
-        final Map<String, Object> map = new LinkedHashMap<>();
-        map.put("name", pool.name());
-        map.put("health", pool.healthPath());
-        map.put("lines", pool.maxConnections());
-        map.put("cold", pool.warmupMicros());
-        map.put("rate", pool.warmupRequestsPerSecond());
-        map.put("slots", pool.slots());
-        map.put("memory", pool.cacheTokens());
-        map.put("stride", pool.tokensPerEvent());
-        return map;
+        final Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("name", pool.name());
+        fields.put("health", pool.healthPath());
+        fields.put("lines", pool.maxConnections());
+        fields.put("cold", pool.warmupMicros());
+        fields.put("rate", pool.warmupRequestsPerSecond());
+        fields.put("slots", pool.slots());
+        fields.put("memory", pool.cacheTokens());
+        fields.put("stride", pool.tokensPerEvent());
+        return fields;
     }
 
     private static Value.Route readRoute(final JsonDocument document) {
         final Value.Route route = new Value.Route(
-                document.string("name", 256),
-                document.string("host", 256),
-                document.string("path", 1_024),
+                document.string("name", MAX_NAME_LENGTH),
+                document.string("host", MAX_NAME_LENGTH),
+                document.string("path", MAX_PATH_LENGTH),
                 document.flag("once", false),
                 document.flag("stream", false),
                 document.flag("resume", false),
                 document.flag("kept", false),
-                document.integer("hold", 0, LONG),
-                document.integer("aim", 0, LONG, 0),
-                document.integer("gap", 0, LONG, 0),
-                (int) document.integer("rank", 0, INT, 0),
-                (int) document.integer("tries", 0, INT, 1),
-                document.strings("homes", 64, 64),
-                document.objects("lots", 1_000).stream()
+                document.integer("hold", 0, MAX_LONG),
+                document.integer("aim", 0, MAX_LONG, 0),
+                document.integer("gap", 0, MAX_LONG, 0),
+                (int) document.integer("rank", 0, MAX_INT, 0),
+                (int) document.integer("tries", 0, MAX_INT, 1),
+                document.strings("homes", MAX_REGIONS, MAX_REGION_LENGTH),
+                document.objects("lots", MAX_BACKENDS).stream()
                         .map(ConfigurationJson::readWeightedBackend)
                         .toList());
         document.finish();
@@ -107,22 +116,22 @@
     }
 
     private static Value.WeightedBackend readWeightedBackend(final JsonDocument document) {
-        final Value.WeightedBackend backend =
-                new Value.WeightedBackend(document.string("pool", 256), (int) document.integer("weight", 0, INT));
+        final Value.WeightedBackend backend = new Value.WeightedBackend(
+                document.string("pool", MAX_NAME_LENGTH), (int) document.integer("weight", 0, MAX_INT));
         document.finish();
         return backend;
     }
 
     private static Value.BackendPool readPool(final JsonDocument document) {
         final Value.BackendPool pool = new Value.BackendPool(
-                document.string("name", 256),
-                document.string("health", 1_024, ""),
-                (int) document.integer("lines", 0, INT, 0),
-                document.integer("cold", 0, LONG, 0),
+                document.string("name", MAX_NAME_LENGTH),
+                document.string("health", MAX_PATH_LENGTH, ""),
+                (int) document.integer("lines", 0, MAX_INT, 0),
+                document.integer("cold", 0, MAX_LONG, 0),
                 document.number("rate", 0),
-                (int) document.integer("slots", 0, INT),
-                (int) document.integer("memory", 0, INT, 0),
-                (int) document.integer("stride", 0, INT, 0));
+                (int) document.integer("slots", 0, MAX_INT),
+                (int) document.integer("memory", 0, MAX_INT, 0),
+                (int) document.integer("stride", 0, MAX_INT, 0));
         document.finish();
         return pool;
     }
--- a/server/src/main/java/silverlatch/server/controller/ControlService.java
+++ b/server/src/main/java/silverlatch/server/controller/ControlService.java
@@ -7,29 +7,32 @@
 import silverlatch.state.CommandResult;
 
 /**
- * What a controller does for operators and workers, whatever door they came by. Replies come on the controller's own duty, those
- * that wait for the chain at the latest 900 ms after the call; where the duty can take no more, a rejection comes at once
- * on the caller's own thread.
+ * What a controller does for operators and workers, whatever API they came by. Callable from any thread. Results come on the
+ * controller's event loop, those that wait for the chain at most 900 ms after the call; where the event loop has no room, a
+ * rejection comes at once on the caller's own thread.
  */
 public interface ControlService {
     /**
-     * Lays down a charter; what is not decided in time is told as unknown. One that was taken is acknowledged again
-     * however late it is sent again, and a rejection rests on acknowledged changes only.
+     * Puts a routing configuration. One that was applied is acknowledged again whenever the same document is put again, and a
+     * rejection rests on acknowledged configurations only. What isn't committed in time is reported as unknown.
      */
     void putConfiguration(Command.PutConfiguration command, Consumer<CommandResult> onResult);
 
-    /** Asks for the newest acknowledged charter's paper; no entry where there is none, not ok where none can tell it now. */
+    /**
+     * Reads the document of the newest acknowledged configuration: without an entry where there is none, unanswered where no
+     * replica can tell.
+     */
     void readConfiguration(Consumer<ChainClient.ReadResult> onResult);
 
     /**
-     * Empties a zone, or gives it back; what is not decided in time is told as unknown. It takes effect while the call
-     * lasts, or on top of no other order for the zone.
+     * Starts or ends the evacuation of a zone; the latest order wins. What isn't committed in time is reported as unknown: it
+     * takes effect while the call lasts, or only where no other order for the zone came after it.
      */
     void setEvacuation(String zone, boolean isEvacuated, Consumer<CommandResult> onResult);
 
-    /** Takes a worker's word on itself; true when it is taken and on its way to the others. */
+    /** Takes a worker's report on itself; true once it is accepted and on its way to the other nodes. */
     void announce(Worker worker, Consumer<Boolean> onResult);
 
-    /** A worker said that it is gone; true when its leaving is on its way to the others, false when it isn't known here. */
+    /** Takes note that a worker is gone; true once that is on its way to the other nodes, false where it isn't known here. */
     void workerLeft(String workerId, Consumer<Boolean> onResult);
 }
--- a/server/src/main/java/silverlatch/server/controller/CronScheduler.java
+++ b/server/src/main/java/silverlatch/server/controller/CronScheduler.java
@@ -19,71 +19,93 @@
 import silverlatch.state.Value;
 
 /**
- * When calendars are due. A change bears the calendar's name and minute as its id, so that a holder of the duty that
- * comes after another asks for the same change again and it takes effect once.
+ * Checks schedules, and finds those that are due. The id of a scheduled command is made of the schedule's name and minute, so
+ * that the next owner of the singleton role submits the same command again and it takes effect once.
+ *
+ * <p>{@link #faults} may be called from any thread, the other methods on the event loop only.
  */
 public final class CronScheduler {
+    /** How long after its minute a schedule is still due. */
     private static final long WINDOW_SECONDS = 90;
+
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final long ANY_REVISION = -1;
+    private static final String KEY_PREFIX = "k/";
+
+    /** From here on a schedule must come due at some time. */
+    private static final ZonedDateTime EPOCH = ZonedDateTime.of(2026, 1, 1, 0, 0, 0, 0, ZoneOffset.UTC);
+
     private final CronParser parser = new CronParser(CronDefinitionBuilder.instanceDefinitionFor(CronType.UNIX));
+
+    /** The ids of commands that were submitted, and their minutes as Unix seconds. */
     private final Map<String, Long> submitted = new LinkedHashMap<>();
 
-    /** What is wrong with a calendar; one whose time never comes is wrong. */
+    /** What is wrong with a schedule, each fault with its path; one that never comes due is wrong. */
     public List<String> faults(final Value.Schedule schedule) {
         final List<String> faults = new ArrayList<>(TableRules.nameFaults("name", schedule.name()));
-        final Optional<Cron> cron = parse(schedule.cron());
-        if (cron.isEmpty()) {
-            faults.add(
-                    "$.cron: five fields are needed: minute, hour, day, month, weekday; not '" + schedule.cron() + "'");
-        } else if (ExecutionTime.forCron(cron.get())
-                .nextExecution(ZonedDateTime.of(2026, 1, 1, 0, 0, 0, 0, ZoneOffset.UTC))
-                .isEmpty()) {
-            faults.add("$.cron: '" + schedule.cron() + "' never comes");
-        }
+        addCronFaults(schedule.cron(), faults);
         if (schedule.cells().isEmpty() == schedule.zone().isEmpty()) {
             faults.add("$: either cells or a zone is needed");
         }
         for (int i = 0; i < schedule.cells().size(); i++) {
             final Command.Cell cell = schedule.cells().get(i);
             if (TableRules.withCell(TableRules.defaultRow("*", "any"), cell.field(), cell.value())
-                    instanceof TableRules.CellChange.Invalid bad) {
-                faults.add("$.cells[" + i + "]: " + bad.fault());
+                    instanceof TableRules.CellChange.Invalid invalid) {
+                faults.add("$.cells[" + i + "]: " + invalid.fault());
             }
         }
         return faults;
     }
 
-    /** The changes that are due now and were not asked for yet. */
+    /** The commands of the schedules that are due at a wall time and were not submitted yet, under a fencing token. */
     public List<Command> dueCommands(final StateMachine state, final long wallNanos, final long fencingToken) {
-        final long nowSeconds = wallNanos / 1_000_000_000L;
-        final List<Command> commands = new ArrayList<>();
-        state.entriesWithPrefix("k/").values().stream()
-                .filter(e -> !e.isDeleted())
-                .forEach(e -> {
-                    final Value.Schedule schedule = (Value.Schedule) e.value().get(0);
-                    parse(schedule.cron())
-                            .flatMap(c -> ExecutionTime.forCron(c).lastExecution(toUtc(nowSeconds + 1)))
-                            .map(ZonedDateTime::toEpochSecond)
-                            .filter(t -> nowSeconds - t <= WINDOW_SECONDS)
-                            .ifPresent(t -> {
-                                final String id = "cal-" + schedule.name() + "-" + t;
-                                if (!submitted.containsKey(id)) {
-                                    submitted.put(id, t);
-                                    final Command inner = schedule.zone().isEmpty()
-                                            ? new Command.PatchTable(id, schedule.cells(), -1)
-                                            : new Command.SetEvacuation(id, schedule.zone(), schedule.evacuate(), -1);
-                                    commands.add(new Command.Scheduled(id, fencingToken, inner));
-                                }
-                            });
-                });
-        submitted.values().removeIf(t -> nowSeconds - t > 2 * WINDOW_SECONDS);
+        final long nowSeconds = wallNanos / NANOS_PER_SECOND;
+        final List<Command> commands = state.entriesWithPrefix(KEY_PREFIX).values().stream()
+                .filter(entry -> !entry.isDeleted())
+                .map(entry -> (Value.Schedule) entry.value().get(0))
+                .flatMap(schedule -> dueCommand(schedule, nowSeconds, fencingToken).stream())
+                .toList();
+        submitted.values().removeIf(dueAt -> nowSeconds - dueAt > 2 * WINDOW_SECONDS);
         return commands;
     }
 
-    /** A change was not decided; it is asked for again while its time lasts. */
+    /** Forgets that a command was submitted, as its outcome isn't known; it is due again while its time lasts. */
     public void forget(final String id) {
         submitted.remove(id);
     }
 
+    private void addCronFaults(final String text, final List<String> faults) {
+        final Optional<Cron> cron = parse(text);
+        if (cron.isEmpty()) {
+            faults.add("$.cron: five fields are needed: minute, hour, day, month, weekday; not '" + text + "'");
+        } else if (ExecutionTime.forCron(cron.get()).nextExecution(EPOCH).isEmpty()) {
+            faults.add("$.cron: '" + text + "' never comes");
+        }
+    }
+
+    private Optional<Command> dueCommand(
+            final Value.Schedule schedule, final long nowSeconds, final long fencingToken) {
+        final Optional<Long> dueAt = parse(schedule.cron())
+                .flatMap(cron -> ExecutionTime.forCron(cron).lastExecution(toUtc(nowSeconds + 1)))
+                .map(ZonedDateTime::toEpochSecond)
+                .filter(second -> nowSeconds - second <= WINDOW_SECONDS);
+        if (dueAt.isEmpty()) {
+            return Optional.empty();
+        }
+        final String id = "cal-" + schedule.name() + "-" + dueAt.get();
+        if (submitted.containsKey(id)) {
+            return Optional.empty();
+        }
+        submitted.put(id, dueAt.get());
+        return Optional.of(new Command.Scheduled(id, fencingToken, command(id, schedule)));
+    }
+
+    private static Command command(final String id, final Value.Schedule schedule) {
+        return schedule.zone().isEmpty()
+                ? new Command.PatchTable(id, schedule.cells(), ANY_REVISION)
+                : new Command.SetEvacuation(id, schedule.zone(), schedule.evacuate(), ANY_REVISION);
+    }
+
     private Optional<Cron> parse(final String text) {
         try {
             return Optional.of(parser.parse(text));
@@ -92,7 +114,7 @@
         }
     }
 
-    private static ZonedDateTime toUtc(final long seconds) {
-        return Instant.ofEpochSecond(seconds).atZone(ZoneOffset.UTC);
+    private static ZonedDateTime toUtc(final long unixSeconds) {
+        return Instant.ofEpochSecond(unixSeconds).atZone(ZoneOffset.UTC);
     }
 }
--- a/server/src/main/java/silverlatch/server/controller/LogWriter.java
+++ b/server/src/main/java/silverlatch/server/controller/LogWriter.java
@@ -13,16 +13,24 @@
 import silverlatch.util.Threads;
 
 /**
- * The thread that writes the log: all that waits goes in one batch with one sync. After a failed write it drops what
- * waits, as none of it was promised to anybody, and opens the folder again until the disk takes writes.
+ * Writes the log on a thread of its own: all pending writes go in one batch with one sync. After a failed write it drops the
+ * pending ones, of which none was acknowledged, and reopens the folder with a growing backoff until the disk takes writes.
  */
 public final class LogWriter {
     private static final int MAX_BATCH_WRITES = 1_024;
     private static final long MAX_BATCH_BYTES = 4L << 20;
     private static final long INITIAL_BACKOFF_MS = 1_000;
     private static final long MAX_BACKOFF_MS = 8_000;
+
+    /** A disk that took writes for so long starts over with the initial backoff. */
     private static final long STABLE_NANOS = TimeUnit.SECONDS.toNanos(30);
-    private final BlockingQueue<Effect.Persist> queue = new LinkedBlockingQueue<>(16_384);
+
+    private static final int MAX_PENDING_WRITES = 16_384;
+
+    /** What a record other than an entry weighs in a batch. */
+    private static final long SMALL_RECORD_BYTES = 64;
+
+    private final BlockingQueue<Effect.Persist> queue = new LinkedBlockingQueue<>(MAX_PENDING_WRITES);
     private final Listener listener;
     private final long initialBackoffMs;
     private WriteAheadLog log;
@@ -30,19 +38,19 @@
     private long recoveredAt;
     private volatile boolean overflowed;
 
-    /** Who is told; all calls but that of an overflow come from the writer's thread. */
+    /** Is notified of what became of writes, on the writer's thread. */
     public interface Listener {
-        /** These tokens are synced. */
+        /** The writes of these tokens are on disk. */
         void synced(List<Long> tokens);
 
-        /** The disk failed; {@code fenced} is to be run once no more writes come that were made before. */
+        /** The disk failed; {@code fenced} is to be run once no more writes come that were submitted before. */
         void failed(String why, Runnable fenced);
 
-        /** The disk takes writes again, and this is what the log holds; writes made from now on are taken. */
+        /** The disk takes writes again, and this is what the log holds; writes submitted from now on are taken. */
         void recovered(List<LogRecord> records);
     }
 
-    /** A writer of a log. */
+    /** A writer of an open log, of which it is the only one. */
     public LogWriter(final WriteAheadLog log, final Listener listener) {
         this(log, listener, INITIAL_BACKOFF_MS);
     }
@@ -60,7 +68,7 @@
         Threads.startDaemon("log-writer", this::run);
     }
 
-    /** Takes a write. */
+    /** Submits a write; one too many counts as a failure of the disk. Callable from any thread. */
     public void write(final Effect.Persist request) {
         if (!queue.offer(request)) {
             overflowed = true;
@@ -87,7 +95,7 @@
         while (true) {
             final List<Effect.Persist> batch = nextBatch();
             final List<LogRecord> records = new ArrayList<>();
-            batch.forEach(k -> records.addAll(k.records()));
+            batch.forEach(write -> records.addAll(write.records()));
             log.write(records);
             if (overflowed) {
                 throw new IOException("too many writes wait");
@@ -111,7 +119,9 @@
 
     private static long sizeOf(final Effect.Persist request) {
         return request.records().stream()
-                .mapToLong(n -> n instanceof LogRecord.Appended d ? d.entry().estimatedBytes() : 64)
+                .mapToLong(record -> record instanceof LogRecord.Appended appended
+                        ? appended.entry().estimatedBytes()
+                        : SMALL_RECORD_BYTES)
                 .sum();
     }
 
@@ -126,10 +136,10 @@
                 : Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
         while (true) {
             TimeUnit.MILLISECONDS.sleep(backoffMs);
-            if (log.reopen() instanceof WriteAheadLog.OpenResult.Success good) {
-                log = good.log();
+            if (log.reopen() instanceof WriteAheadLog.OpenResult.Success opened) {
+                log = opened.log();
                 recoveredAt = System.nanoTime();
-                listener.recovered(good.records());
+                listener.recovered(opened.records());
                 return;
             }
         }
