--- a/server/src/main/java/silverlatch/server/web/ApiServer.java
+++ b/server/src/main/java/silverlatch/server/web/ApiServer.java
@@ -1,122 +1,88 @@
 package silverlatch.server.web;
 
-import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.eclipse.jetty.http.HttpHeader;
-import org.eclipse.jetty.io.Content;
-import org.eclipse.jetty.server.Handler;
 import org.eclipse.jetty.server.HttpConfiguration;
-import org.eclipse.jetty.server.HttpConnectionFactory;
 import org.eclipse.jetty.server.Request;
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.server.Server;
-import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
-import silverlatch.server.transport.Transport;
 
-/** The HTTP side of a process, by Jetty; bodies, headers and threads are bounded. */
+/** Serves the HTTP API of a process on one address, by Jetty; bodies, headers and threads are bounded. */
 public final class ApiServer {
+    private static final int MAX_THREADS = 24;
+    private static final int MIN_THREADS = 4;
+    private static final int ACCEPTORS = 1;
+    private static final int SELECTORS = 2;
+    private static final int MAX_HEADER_BYTES = 8 << 10;
+    private static final long IDLE_TIMEOUT_MS = 60_000;
+    private static final int FIRST_ERROR_STATUS = 400;
+    private static final int INTERNAL_SERVER_ERROR = 500;
     private final Server server;
 
-    /** A server at a door that hands whole calls to the router. */
+    /**
+     * A server that isn't started yet.
+     *
+     * @param address      IP:PORT to listen at
+     * @param maxBodyBytes how long a request's body may be
+     * @param router       gets each exchange with its body, on a thread of the server
+     */
     public ApiServer(final String address, final int maxBodyBytes, final Consumer<HttpExchange> router) {
-        final QueuedThreadPool threadPool = new QueuedThreadPool(24, 4);
-        threadPool.setName("web");
+        final QueuedThreadPool threadPool = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
+        threadPool.setName("http-api");
         threadPool.setDaemon(true);
         server = new Server(threadPool);
         final HttpConfiguration config = new HttpConfiguration();
-        config.setRequestHeaderSize(8 << 10);
+        config.setRequestHeaderSize(MAX_HEADER_BYTES);
         config.setSendServerVersion(false);
-        config.setIdleTimeout(60_000);
-        final ServerConnector connector = new ServerConnector(server, 1, 2, new HttpConnectionFactory(config));
-        final InetSocketAddress socketAddress = Transport.parseAddress(address);
-        connector.setHost(socketAddress.getHostString());
-        connector.setPort(socketAddress.getPort());
-        connector.setIdleTimeout(60_000);
-        connector.setAcceptQueueSize(512);
-        server.addConnector(connector);
+        config.setIdleTimeout(IDLE_TIMEOUT_MS);
+        server.addConnector(Connectors.create(server, ACCEPTORS, SELECTORS, config, address, IDLE_TIMEOUT_MS));
         server.setHandler(new BufferingHandler(maxBodyBytes, router));
-        server.setErrorHandler((request, response, callback) -> {
-            new HttpExchange(request, response, callback, new byte[0])
-                    .reply(
-                            response.getStatus() < 400 ? 500 : response.getStatus(),
-                            Map.of("outcome", "rejected", "faults", List.of("$: not understood")));
-            return true;
-        });
+        server.setErrorHandler(ApiServer::replyToError);
     }
 
-    /** Binds and starts. */
+    /**
+     * Binds the address and starts to serve.
+     *
+     * @throws HttpServerException if the address can't be bound
+     */
     public void start() throws HttpServerException {
         try {
             server.start();
         } catch (final Exception e) {
-            throw new HttpServerException("the door can't be opened: " + e.getMessage(), e);
+            throw new HttpServerException("the HTTP address can't be opened: " + e.getMessage(), e);
         }
     }
 
-    /** Stops. */
+    /**
+     * Stops to serve and closes all connections.
+     *
+     * @throws HttpServerException if a part of the server fails to stop
+     */
     public void stop() throws HttpServerException {
         try {
             server.stop();
         } catch (final Exception e) {
-            throw new HttpServerException("the door can't be closed: " + e.getMessage(), e);
+            throw new HttpServerException("the HTTP address can't be closed: " + e.getMessage(), e);
         }
     }
 
-    /** A fault of the HTTP layer. */
+    /** A server that can't be started or stopped. */
     public static final class HttpServerException extends Exception {
-        /** A fault and what caused it. */
+        /** What failed, and what caused it. */
         public HttpServerException(final String message, final Throwable cause) {
             super(message, cause);
         }
     }
 
-    static final class BufferingHandler extends Handler.Abstract.NonBlocking {
-        private final int maxBodyBytes;
-        private final Consumer<HttpExchange> router;
-
-        BufferingHandler(final int maxBodyBytes, final Consumer<HttpExchange> router) {
-            this.maxBodyBytes = maxBodyBytes;
-            this.router = router;
-        }
-
-        @Override
-        public boolean handle(final Request request, final Response response, final Callback callback) {
-            final long size = request.getLength();
-            if (size > maxBodyBytes) {
-                response.getHeaders().put(HttpHeader.CONNECTION, "close");
-                new HttpExchange(request, response, callback, new byte[0])
-                        .reply(
-                                413,
-                                Map.of(
-                                        "outcome",
-                                        "rejected",
-                                        "faults",
-                                        List.of("$: larger than " + maxBodyBytes + " bytes")));
-                return true;
-            }
-            if (size == 0 || request.getMethod().equals("GET")) {
-                router.accept(new HttpExchange(request, response, callback, new byte[0]));
-                return true;
-            }
-            Content.Source.asByteArrayAsync(request, maxBodyBytes).whenComplete((bytes, fault) -> {
-                if (fault != null) {
-                    new HttpExchange(request, response, callback, new byte[0])
-                            .reply(
-                                    413,
-                                    Map.of(
-                                            "outcome",
-                                            "rejected",
-                                            "faults",
-                                            List.of("$: larger than " + maxBodyBytes + " bytes, or cut short")));
-                } else {
-                    router.accept(new HttpExchange(request, response, callback, bytes));
-                }
-            });
-            return true;
-        }
+    private static boolean replyToError(final Request request, final Response response, final Callback callback) {
+        final int status = response.getStatus();
+        new HttpExchange(request, response, callback, new byte[0])
+                .reply(
+                        status < FIRST_ERROR_STATUS ? INTERNAL_SERVER_ERROR : status,
+                        Map.of("outcome", "rejected", "faults", List.of("$: not understood")));
+        return true;
     }
 }
--- /dev/null
+++ b/server/src/main/java/silverlatch/server/web/Connectors.java
@@ -0,0 +1,33 @@
+package silverlatch.server.web;
+
+import java.net.InetSocketAddress;
+import org.eclipse.jetty.server.HttpConfiguration;
+import org.eclipse.jetty.server.HttpConnectionFactory;
+import org.eclipse.jetty.server.Server;
+import org.eclipse.jetty.server.ServerConnector;
+import silverlatch.server.transport.Transport;
+
+/** Makes Jetty's connectors, which listen on an address each. */
+final class Connectors {
+    private static final int ACCEPT_QUEUE_SIZE = 512;
+
+    private Connectors() {}
+
+    /** A connector that listens at IP:PORT once its server starts; connections may be idle for so many milliseconds. */
+    static ServerConnector create(
+            final Server server,
+            final int acceptors,
+            final int selectors,
+            final HttpConfiguration config,
+            final String address,
+            final long idleTimeoutMillis) {
+        final ServerConnector connector =
+                new ServerConnector(server, acceptors, selectors, new HttpConnectionFactory(config));
+        final InetSocketAddress socketAddress = Transport.parseAddress(address);
+        connector.setHost(socketAddress.getHostString());
+        connector.setPort(socketAddress.getPort());
+        connector.setIdleTimeout(idleTimeoutMillis);
+        connector.setAcceptQueueSize(ACCEPT_QUEUE_SIZE);
+        return connector;
+    }
+}
--- a/server/src/main/java/silverlatch/server/web/HttpExchange.java
+++ b/server/src/main/java/silverlatch/server/web/HttpExchange.java
@@ -6,15 +6,21 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.eclipse.jetty.http.HttpHeader;
-import org.eclipse.jetty.io.Content;
 import org.eclipse.jetty.server.Request;
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.Fields;
 import silverlatch.json.JsonDocument;
 
-/** One HTTP exchange: what was asked, and the one reply to it. */
+/**
+ * An HTTP request with its body, and the one reply to it: of several replies the first is sent and the others are dropped. May be
+ * replied to from any thread.
+ */
 public final class HttpExchange {
+    private static final int OK = 200;
+    private static final String BEARER = "Bearer ";
+    private static final String JSON = "application/json";
+    private static final String JSON_LINES = "application/x-ndjson";
     private final Request request;
     private final Response response;
     private final Callback callback;
@@ -29,64 +35,58 @@
         this.body = body;
     }
 
-    /** The method. */
+    /** The request's method, in upper case. */
     public String method() {
         return request.getMethod();
     }
 
-    /** The path. */
+    /** The request's path, without the query. */
     public String path() {
         return Request.getPathInContext(request);
     }
 
-    /** The body. */
+    /** A copy of the request's body; empty where there is none. */
     public byte[] body() {
         return body.clone();
     }
 
-    /** A header's value. */
+    /** The first value of a request header. */
     public Optional<String> header(final String name) {
         return Optional.ofNullable(request.getHeaders().get(name));
     }
 
-    /** The bearer's secret, or empty. */
+    /** The bearer token of the header Authorization; empty where there is none. */
     public String bearerToken() {
         return header("Authorization")
-                .filter(h -> h.startsWith("Bearer "))
-                .map(h -> h.substring(7))
+                .filter(value -> value.startsWith(BEARER))
+                .map(value -> value.substring(BEARER.length()))
                 .orElse("");
     }
 
-    /** A part of the query. */
+    /** The first value of a parameter of the query. */
     public Optional<String> queryParameter(final String name) {
         final Fields fields = Request.extractQueryParameters(request);
         return Optional.ofNullable(fields.getValue(name));
     }
 
-    /** Calls back when the other side is gone. */
+    /** Calls the listener when the connection fails before the reply is complete, on a thread of the server. */
     public void onDisconnect(final Runnable listener) {
         request.addFailureListener(failure -> listener.run());
     }
 
-    /** Replies with JSON. */
+    /** Replies with a value as JSON. */
+    public void reply(final int status, final Map<String, ?> value) {
+        reply(status, value, Map.of());
+    }
+
+    /** Replies with a value as JSON, and headers. */
     public void reply(final int status, final Map<String, ?> value, final Map<String, String> headers) {
         replyJson(status, JsonDocument.write(value), headers);
     }
 
-    /** Replies with JSON that stands written already, to the letter. */
+    /** Replies with JSON that is encoded already. */
     public void replyJson(final int status, final String text, final Map<String, String> headers) {
-        if (!isReplied.compareAndSet(false, true)) {
-            return;
-        }
-        response.setStatus(status);
-        response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
-        headers.forEach((k, v) -> response.getHeaders().put(k, v));
-        response.write(true, ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)), callback);
-    }
-
-    /** Replies with JSON. */
-    public void reply(final int status, final Map<String, ?> value) {
-        reply(status, value, Map.of());
+        send(status, JSON, text, headers);
     }
 
     /** Replies with plain text. */
@@ -94,29 +94,28 @@
         replyText("text/plain; charset=utf-8", text, Map.of());
     }
 
-    /** Replies with a text as it is. */
+    /** Replies with a text of a content type, and headers. */
     public void replyText(final String contentType, final String text, final Map<String, String> headers) {
-        if (isReplied.compareAndSet(false, true)) {
-            response.setStatus(200);
-            response.getHeaders().put(HttpHeader.CONTENT_TYPE, contentType);
-            headers.forEach((k, v) -> response.getHeaders().put(k, v));
-            response.write(true, ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)), callback);
-        }
+        send(OK, contentType, text, headers);
     }
 
-    /** Writes a part of a stream of JSON lines; then says whether it could be written. */
+    /**
+     * Writes a part of a reply that is a stream of JSON lines; then calls one of the callbacks, on a thread of the server.
+     *
+     * @param isLast whether the reply is complete with it
+     */
     public void writeLines(
             final String lines, final boolean isLast, final Runnable onWritten, final Runnable onFailed) {
         if (isStreaming.compareAndSet(false, true)) {
-            response.setStatus(200);
-            response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/x-ndjson");
+            response.setStatus(OK);
+            response.getHeaders().put(HttpHeader.CONTENT_TYPE, JSON_LINES);
         }
         if (isLast && !isReplied.compareAndSet(false, true)) {
             return;
         }
         response.write(
                 isLast,
-                ByteBuffer.wrap(lines.getBytes(StandardCharsets.UTF_8)),
+                encode(lines),
                 Callback.from(
                         () -> {
                             onWritten.run();
@@ -132,7 +131,18 @@
                         }));
     }
 
-    static Content.Source source(final Request request) {
-        return request;
+    private void send(
+            final int status, final String contentType, final String text, final Map<String, String> headers) {
+        if (!isReplied.compareAndSet(false, true)) {
+            return;
+        }
+        response.setStatus(status);
+        response.getHeaders().put(HttpHeader.CONTENT_TYPE, contentType);
+        headers.forEach((name, value) -> response.getHeaders().put(name, value));
+        response.write(true, encode(text), callback);
+    }
+
+    private static ByteBuffer encode(final String text) {
+        return ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/server/src/main/java/silverlatch/server/web/MultiListenerServer.java
+++ b/server/src/main/java/silverlatch/server/web/MultiListenerServer.java
@@ -1,6 +1,7 @@
 package silverlatch.server.web;
 
-import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
@@ -8,52 +9,41 @@
 import org.eclipse.jetty.server.Connector;
 import org.eclipse.jetty.server.Handler;
 import org.eclipse.jetty.server.HttpConfiguration;
-import org.eclipse.jetty.server.HttpConnectionFactory;
 import org.eclipse.jetty.server.Request;
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.server.Server;
 import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
-import silverlatch.server.transport.Transport;
 
-/** Several doors of one process over one small pool of threads; each has a handler of its own. */
+/** Serves HTTP on several addresses over one small pool of threads, with a handler for each address. */
 public final class MultiListenerServer {
+    private static final int MIN_THREADS = 2;
+    private static final int ACCEPTORS = 0;
+    private static final int SELECTORS = 1;
+    private static final int FIRST_ERROR_STATUS = 400;
+    private static final int INTERNAL_SERVER_ERROR = 500;
     private final Server server;
     private final Map<Connector, Handler> handlers = new ConcurrentHashMap<>();
 
-    /** Doors over so many threads at most. */
+    /** A server of at most so many threads that isn't started yet. */
     public MultiListenerServer(final int maxThreads) {
-        final QueuedThreadPool threadPool = new QueuedThreadPool(maxThreads, 2);
-        threadPool.setName("doors");
+        final QueuedThreadPool threadPool = new QueuedThreadPool(maxThreads, MIN_THREADS);
+        threadPool.setName("http-listeners");
         threadPool.setDaemon(true);
         threadPool.setReservedThreads(0);
         server = new Server(threadPool);
-        server.setHandler(new Handler.Abstract.NonBlocking() {
-            @Override
-            public boolean handle(final Request request, final Response response, final Callback callback)
-                    throws Exception {
-                return handlers.get(request.getConnectionMetaData().getConnector())
-                        .handle(request, response, callback);
-            }
-        });
-        server.setErrorHandler((request, response, callback) -> {
-            if (response.getStatus() < 400) {
-                response.setStatus(500);
-            }
-            response.getHeaders().put(HttpHeader.CONNECTION, "close");
-            response.write(
-                    true,
-                    java.nio.ByteBuffer.wrap("not understood\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII)),
-                    callback);
-            return true;
-        });
+        server.setHandler(new HandlerByConnector());
+        server.setErrorHandler(MultiListenerServer::replyToError);
     }
 
-    /** A door whose limits can be changed while it is open. */
+    /** An address that is served, whose limits can be changed while it is. Callable from any thread. */
     public static final class Listener {
         private static final int MAX_HEADER_BYTES = 64 << 10;
+
+        /** A connection is closed this long after the client may last reuse it. */
         private static final long IDLE_SLACK_MS = 1_000;
+
         private final HttpConfiguration config;
         private final ServerConnector connector;
         private final int minHeaderBytes;
@@ -65,61 +55,81 @@
         }
 
         /**
-         * Takes the limits that hold from now on: the size of a request's head in bytes, for new connections, and how long
-         * a client may rest in milliseconds, for all connections. A connection is closed a little later than the client may
-         * take it up again.
+         * Replaces the limits: of the size of a request's header in bytes, for new connections, and of the time for which a
+         * client may leave a connection idle in milliseconds, for all connections.
          */
         public void updateLimits(final int headerBytes, final long idleMillis) {
             config.setRequestHeaderSize(Math.min(MAX_HEADER_BYTES, Math.max(minHeaderBytes, headerBytes)));
             connector.setIdleTimeout(idleMillis + IDLE_SLACK_MS);
-            connector.getConnectedEndPoints().forEach(e -> e.setIdleTimeout(idleMillis + IDLE_SLACK_MS));
+            connector.getConnectedEndPoints().forEach(endPoint -> endPoint.setIdleTimeout(idleMillis + IDLE_SLACK_MS));
         }
     }
 
-    /** Adds a door; headers are bounded in bytes, and a connection may be idle for so many milliseconds. */
+    /** Adds an address IP:PORT; request headers are bounded in bytes, and idle connections in milliseconds. */
     public Listener addListener(
             final String address, final int maxHeaderBytes, final long idleMillis, final Handler handler) {
         final HttpConfiguration config = new HttpConfiguration();
         config.setRequestHeaderSize(maxHeaderBytes);
         config.setSendServerVersion(false);
         config.setSendDateHeader(false);
-        final ServerConnector connector = new ServerConnector(server, 0, 1, new HttpConnectionFactory(config));
-        final InetSocketAddress socketAddress = Transport.parseAddress(address);
-        connector.setHost(socketAddress.getHostString());
-        connector.setPort(socketAddress.getPort());
-        connector.setIdleTimeout(idleMillis);
-        connector.setAcceptQueueSize(512);
+        final ServerConnector connector = Connectors.create(server, ACCEPTORS, SELECTORS, config, address, idleMillis);
         handlers.put(connector, handler);
         server.addConnector(connector);
         return new Listener(config, connector, maxHeaderBytes);
     }
 
-    /** Adds a door for whole calls, with bodies up to a bound. */
+    /** Adds an address whose router gets exchanges with their bodies, up to a limit in bytes. */
     public void addListener(
             final String address,
             final int maxHeaderBytes,
             final long idleMillis,
             final int maxBodyBytes,
             final Consumer<HttpExchange> router) {
-        addListener(address, maxHeaderBytes, idleMillis, new ApiServer.BufferingHandler(maxBodyBytes, router));
+        addListener(address, maxHeaderBytes, idleMillis, new BufferingHandler(maxBodyBytes, router));
     }
 
-    /** Binds and starts. */
+    /**
+     * Binds all addresses and starts to serve.
+     *
+     * @throws ApiServer.HttpServerException if an address can't be bound
+     */
     public void start() throws ApiServer.HttpServerException {
         try {
             server.setStopTimeout(0);
             server.start();
         } catch (final Exception e) {
-            throw new ApiServer.HttpServerException("a door can't be opened: " + e.getMessage(), e);
+            throw new ApiServer.HttpServerException("an HTTP address can't be opened: " + e.getMessage(), e);
         }
     }
 
-    /** Stops. */
+    /**
+     * Stops to serve and closes all connections at once.
+     *
+     * @throws ApiServer.HttpServerException if a part of the server fails to stop
+     */
     public void stop() throws ApiServer.HttpServerException {
         try {
             server.stop();
         } catch (final Exception e) {
-            throw new ApiServer.HttpServerException("a door can't be closed: " + e.getMessage(), e);
+            throw new ApiServer.HttpServerException("an HTTP address can't be closed: " + e.getMessage(), e);
+        }
+    }
+
+    private static boolean replyToError(final Request request, final Response response, final Callback callback) {
+        if (response.getStatus() < FIRST_ERROR_STATUS) {
+            response.setStatus(INTERNAL_SERVER_ERROR);
+        }
+        response.getHeaders().put(HttpHeader.CONNECTION, "close");
+        response.write(true, ByteBuffer.wrap("not understood\n".getBytes(StandardCharsets.US_ASCII)), callback);
+        return true;
+    }
+
+    /** Hands a request to the handler of the address that it came by. */
+    private final class HandlerByConnector extends Handler.Abstract.NonBlocking {
+        @Override
+        public boolean handle(final Request request, final Response response, final Callback callback)
+                throws Exception {
+            return handlers.get(request.getConnectionMetaData().getConnector()).handle(request, response, callback);
         }
     }
 }
--- a/server/src/main/java/silverlatch/server/web/ResettingClientConnector.java
+++ b/server/src/main/java/silverlatch/server/web/ResettingClientConnector.java
@@ -7,7 +7,7 @@
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.ssl.SslContextFactory;
 
-/** Plain connections that are reset when they are closed; what only TLS needs is not made ready. */
+/** Opens plain TCP connections that are reset, not shut down, when they are closed; TLS is left out. */
 public final class ResettingClientConnector extends ClientConnector {
     @Override
     protected void configure(final SelectableChannel channel) throws IOException {
