--- a/core/src/main/java/silverlatch/dispatch/PlacementHandler.java
+++ b/core/src/main/java/silverlatch/dispatch/PlacementHandler.java
@@ -147,7 +147,7 @@
             final long now) {
         final String requestId = nextRequestId();
         final PlacementContext context = cluster.placementContext(
-                requestId, tenant, row, PermitSigner.saltedDigests(tenant.keySalt(), placement.prefixDigests()));
+                requestId, tenant, row, PermitSigner.saltedDigests(tenant.prefixSalt(), placement.prefixDigests()));
         final Stamp timestamp = timestamps.get();
         final WeightedScorers.Decision decision = decider.decide(context, decider.candidates(now), timestamp.bits());
         if (decision instanceof WeightedScorers.Decision.NoneAllowed) {
--- a/core/src/main/java/silverlatch/dispatch/SubmissionHandler.java
+++ b/core/src/main/java/silverlatch/dispatch/SubmissionHandler.java
@@ -106,7 +106,7 @@
             reject(callId, permit, refusal.get());
             return false;
         }
-        final List<Long> prefixDigests = PermitSigner.saltedDigests(tenant.keySalt(), submitted.prefixDigests());
+        final List<Long> prefixDigests = PermitSigner.saltedDigests(tenant.prefixSalt(), submitted.prefixDigests());
         final DispatchedRequest request =
                 new DispatchedRequest(permit, tenant, row.orElseThrow(), submitted, prefixDigests, callId, now);
         if (!requests.add(request)) {
--- a/core/src/main/java/silverlatch/replication/ChainClient.java
+++ b/core/src/main/java/silverlatch/replication/ChainClient.java
@@ -51,7 +51,7 @@
         lastRequestId++;
         final boolean onLatest = command instanceof Command.SetEvacuation order
                 && order.expectedRevision() == Command.SetEvacuation.LATEST;
-        final Command firstAttempt = onLatest ? ((Command.SetEvacuation) command).active(NO_REVISION) : command;
+        final Command firstAttempt = onLatest ? ((Command.SetEvacuation) command).expecting(NO_REVISION) : command;
         open(
                 lastRequestId,
                 new PendingCall(
@@ -107,7 +107,7 @@
                 && call.request() instanceof Message.WriteRequest w
                 && w.command() instanceof Command.SetEvacuation order) {
             lastRequestId++;
-            final Message retry = new Message.WriteRequest(lastRequestId, address, order.active(r.sequence()));
+            final Message retry = new Message.WriteRequest(lastRequestId, address, order.expecting(r.sequence()));
             open(lastRequestId, new PendingCall(retry, true, call.token(), now, call.deadline(), true, 0), now);
         } else {
             effects.add(new Effect.Respond(call.token(), result));
--- a/core/src/main/java/silverlatch/state/AcceptedConfigurations.java
+++ b/core/src/main/java/silverlatch/state/AcceptedConfigurations.java
@@ -11,21 +11,21 @@
 import java.util.TreeMap;
 
 /**
- * The replicated memory of accepted configurations, by which an order that is sent again is known however many have
- * followed it. It holds one {@link Value.AcceptedConfiguration} a number, as entries of the state machine: so it is in
- * snapshots, in repairs by range and in every replica's log. It is no policy, and gateways don't have it.
+ * The replicated history of accepted routing configurations, by which a command that is sent again is known however many
+ * have followed it. It holds one {@link Value.AcceptedConfiguration} a number, as entries of the state machine: so it is
+ * in snapshots, in repairs by range and in every replica's log. It is no policy, and gateways don't have it.
  */
 final class AcceptedConfigurations {
     /** How the keys begin; the number follows in decimal with leading zeros, so that keys sort as numbers do. */
     static final String KEY_PREFIX = "a/";
 
     /**
-     * How many are remembered, the oldest being forgotten. A day holds hundreds of changes and an order is sent again
+     * How many are remembered, the oldest being forgotten. A day holds hundreds of changes and a command is sent again
      * within the day, so 4,096 are several days'; at about 100 bytes each they take 0.4 MB of a disk of 64.
      */
     static final int MAX_REMEMBERED = 4_096;
 
-    private static final String REFUSAL_PREFIX = "o/refused/";
+    private static final String REFUSAL_PREFIX = EntryKeys.OUTCOMES + "refused/";
 
     private AcceptedConfigurations() {}
 
@@ -34,15 +34,15 @@
         return KEY_PREFIX + String.format("%019d", number);
     }
 
-    /** The key under which the refusal of an order is kept, whatever id it comes with. */
+    /** The key under which the refusal of a command is kept, whatever id it comes with. */
     static String refusalKey(final Command.PutConfiguration command) {
         return REFUSAL_PREFIX + command.expectedRevision() + "-"
                 + command.configuration().number() + "-" + digest(command.document());
     }
 
     /**
-     * Whether an order is the one that was accepted: the same text, on top of the same number. The same text on top of
-     * another number is another order. One that asks for no comparison is known by its text.
+     * Whether a command is the one that was accepted: the same document, on top of the same number. The same document on
+     * top of another number is another command. One that asks for no comparison is known by its document.
      */
     static boolean isSame(final Value.AcceptedConfiguration accepted, final Command.PutConfiguration command) {
         return (command.expectedRevision() < 0 || command.expectedRevision() == accepted.expectedRevision())
@@ -61,7 +61,7 @@
                 : value(remembered.get(remembered.firstKey())).previousNumber();
     }
 
-    /** What accepting an order writes: its own entry, and the end of those beyond the bound. */
+    /** What accepting a command writes: its own entry, and the deletion of those beyond the bound. */
     static List<Entry> writes(
             final Command.PutConfiguration command,
             final Map<String, Entry> remembered,
@@ -71,7 +71,7 @@
         final List<Entry> writes = new ArrayList<>();
         byNumber.keySet().stream()
                 .limit(Math.max(0, byNumber.size() + 1 - MAX_REMEMBERED))
-                .forEach(k -> writes.add(new Entry(k, sequence, List.of())));
+                .forEach(key -> writes.add(new Entry(key, sequence, List.of())));
         final Value.AcceptedConfiguration accepted = new Value.AcceptedConfiguration(
                 command.configuration().number(),
                 command.expectedRevision(),
--- a/core/src/main/java/silverlatch/state/Command.java
+++ b/core/src/main/java/silverlatch/state/Command.java
@@ -2,12 +2,19 @@
 
 import java.util.List;
 
-/** A change someone asks for. A match of -1 asks for no comparison. */
+/**
+ * A change of the state that a client asks for. It is sent to the head of the chain; the same command may come several
+ * times and takes effect once, by its id.
+ *
+ * <p>Commands with an expected revision take effect only while it is the current one (optimistic concurrency control):
+ * that of the table for {@link PatchTable} and {@link PutTable}, the number in force for {@link PutConfiguration}, else
+ * the sequence that last wrote the entry. -1 asks for no comparison.
+ */
 public sealed interface Command {
-    /** The name by which the outcome can be asked for later. */
+    /** The id by which duplicates are known and the outcome can be asked for later. */
     String id();
 
-    /** Some cells of the table: row key, field, new value. */
+    /** Sets some cells of the table. */
     record PatchTable(String id, List<Cell> cells, long expectedRevision) implements Command {
         /** Copies the cells. */
         public PatchTable {
@@ -15,7 +22,7 @@
         }
     }
 
-    /** A whole new table. */
+    /** Replaces all rows of the table. */
     record PutTable(String id, List<Value.Row> rows, long expectedRevision) implements Command {
         /** Copies the rows. */
         public PutTable {
@@ -23,49 +30,56 @@
         }
     }
 
-    /** A tenant, new or changed. */
+    /** Writes a tenant, new or changed. */
     record PutTenant(String id, Value.Tenant tenant, long expectedRevision) implements Command {}
 
-    /** A tenant to be taken away. */
+    /** Deletes a tenant. */
     record RemoveTenant(String id, String tenant, long expectedRevision) implements Command {}
 
-    /** A zone to be emptied or given back. */
+    /** Begins or ends the evacuation of a zone. */
     record SetEvacuation(String id, String zone, boolean active, long expectedRevision) implements Command {
         /**
-         * The match of an order that is to take effect on top of the newest change of its zone. The client that carries
-         * it learns that change's sequence while the call lasts, so a copy that comes after the call, when another order
-         * has taken effect, does nothing.
+         * The expected revision of a command that is to take effect on top of the newest change of its zone. The client
+         * that sends it learns that change's sequence while the call lasts, so a duplicate that comes after the call,
+         * when another command has taken effect, does nothing.
          */
         public static final long LATEST = -2;
 
-        /** The same order on top of a change. */
-        public SetEvacuation active(final long sequence) {
-            return new SetEvacuation(id, zone, active, sequence);
+        /** The same command with another expected revision. */
+        public SetEvacuation expecting(final long revision) {
+            return new SetEvacuation(id, zone, active, revision);
         }
     }
 
-    /** A key to be bound to a ticket. */
+    /** Binds a client's idempotency key to a request; the time is the bits of the stamp that the request came with. */
     record Claim(String id, String key, String requestId, String gatewayId, long claimedAt) implements Command {}
 
-    /** How a claimed ticket ended. */
+    /** Ends the claim of a request in a state; the time is the one of its claim. */
     record CompleteClaim(String id, String key, String requestId, String gatewayId, String state, long claimedAt)
             implements Command {}
 
-    /** Another turn of the glass: claims that have seen enough turns are let go; a duty, fenced by the view's number. */
+    /**
+     * Advances the epoch by one and deletes expired claims. The singleton role's owner sends it; its fencing token is the
+     * number of the view.
+     */
     record AdvanceEpoch(String id, long epoch, long fencingToken) implements Command {}
 
-    /** A calendar, new or changed. */
+    /** Writes a schedule, new or changed. */
     record PutSchedule(String id, Value.Schedule schedule, long expectedRevision) implements Command {}
 
-    /** A calendar to be taken away. */
+    /** Deletes a schedule. */
     record RemoveSchedule(String id, String name, long expectedRevision) implements Command {}
 
-    /** What a calendar asks for; a duty, fenced by the view's number. */
+    /**
+     * A command that is due by a schedule. The singleton role's owner sends it; its fencing token is the number of the
+     * view.
+     */
     record Scheduled(String id, long fencingToken, Command command) implements Command {}
 
     /**
-     * A whole new charter: rules, pools and bounds, and the operator's own paper. The match is the number of the charter
-     * it builds on, 0 where there is none; a lost race is told with the number in force in place of a sequence.
+     * Replaces the routing configuration: routes, pools and limits, and the document that the operator wrote. The expected
+     * revision is the number that it builds on, 0 where there is none; a conflict is replied to with the number in force
+     * in place of a sequence.
      */
     record PutConfiguration(
             String id,
@@ -82,6 +96,6 @@
         }
     }
 
-    /** One cell of the table. */
+    /** The new value of one cell of the table, as text. */
     record Cell(String tenant, String kind, String field, String value) {}
 }
--- a/core/src/main/java/silverlatch/state/CommandResult.java
+++ b/core/src/main/java/silverlatch/state/CommandResult.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** What came of a wish. */
+/** The result of a command. */
 public sealed interface CommandResult {
     /** It took effect at this sequence. */
     record Applied(long sequence) implements CommandResult {}
 
-    /** It never takes effect: the HTTP-like code, the faults, and the present sequence. */
+    /** It never takes effect. The code is that of an HTTP status; the sequence is the current revision. */
     record Rejected(int code, List<String> faults, long sequence) implements CommandResult {
         /** Copies the faults. */
         public Rejected {
@@ -15,9 +15,9 @@
         }
     }
 
-    /** Another ticket holds the key; this is how it stands. */
+    /** The key is another request's; this is its claim. */
     record AlreadyClaimed(Value.Claim claim) implements CommandResult {}
 
-    /** Not known yet whether it takes effect. */
+    /** It is not known whether it took or will take effect; the id is the command's. */
     record Unknown(String id) implements CommandResult {}
 }
--- a/core/src/main/java/silverlatch/state/Entry.java
+++ b/core/src/main/java/silverlatch/state/Entry.java
@@ -2,54 +2,67 @@
 
 import java.util.List;
 
-/** One entry of the books: its key, the sequence that last wrote it, and what it holds; nothing when it is gone. */
+/**
+ * One entry of the state. A deleted entry has no value; it is a write that deletes, or the tombstone that is left of it.
+ *
+ * @param key      its key; {@link EntryKeys} has how keys begin
+ * @param sequence the sequence of the change that wrote it
+ * @param value    what it holds: one value, or none when it is deleted
+ */
 public record Entry(String key, long sequence, List<Value> value) {
-    /** At most one leaf. */
+    private static final long BASE_BYTES = 96;
+    private static final long VALUE_BYTES = 160;
+    private static final List<String> POLICY_PREFIXES = List.of(
+            EntryKeys.TENANTS,
+            EntryKeys.ROWS,
+            EntryKeys.EVACUATIONS,
+            ConfigurationValidator.ROUTE_PREFIX,
+            ConfigurationValidator.POOL_PREFIX,
+            EntryKeys.CONFIGURATION_PREFIX);
+
+    /** Copies the value; there is at most one. */
     public Entry {
         value = List.copyOf(value);
         if (value.size() > 1) {
-            throw new IllegalArgumentException("one leaf at most");
+            throw new IllegalArgumentException("an entry holds one value at most");
         }
     }
 
-    /** Whether the entry was taken away. */
+    /** Whether the entry was deleted. */
     public boolean isDeleted() {
         return value.isEmpty();
     }
 
+    /** Whether the entry is policy: what the data plane follows. */
+    public boolean isPolicy() {
+        return POLICY_PREFIXES.stream().anyMatch(key::startsWith);
+    }
+
     /** About how many bytes the entry takes in a frame. */
     public long estimatedBytes() {
-        return 96
+        return BASE_BYTES
                 + key.length()
-                + value.stream()
-                        .mapToLong(l -> switch (l) {
-                            case Value.ConfigurationDocument p -> 2L * p.text().length();
-                            case Value.Route r ->
-                                128
-                                        + r.name().length()
-                                        + r.host().length()
-                                        + r.pathPrefix().length()
-                                        + 32L * r.homeRegions().size()
-                                        + 48L * r.backends().size();
-                            case Value.Schedule k -> 96L * (1 + k.cells().size());
-                            case Value.CommandOutcome d ->
-                                32
-                                        + d.faults().stream()
-                                                .mapToLong(String::length)
-                                                .sum();
-                            case Value.Tenant t -> 160 + 32L * t.homeRegions().size();
-                            default -> 160;
-                        })
-                        .sum();
+                + value.stream().mapToLong(Entry::estimatedBytes).sum();
     }
 
-    /** Whether the entry is part of what the data plane follows. */
-    public boolean isPolicy() {
-        return key.startsWith("t/")
-                || key.startsWith("r/")
-                || key.startsWith("z/")
-                || key.startsWith("u/")
-                || key.startsWith("b/")
-                || key.startsWith("p/");
+    private static long estimatedBytes(final Value value) {
+        return switch (value) {
+            case Value.ConfigurationDocument document -> 2L * document.text().length();
+            case Value.Route route -> estimatedBytes(route);
+            case Value.Schedule schedule -> 96L * (1 + schedule.cells().size());
+            case Value.CommandOutcome outcome ->
+                32 + outcome.faults().stream().mapToLong(String::length).sum();
+            case Value.Tenant tenant -> VALUE_BYTES + 32L * tenant.homeRegions().size();
+            default -> VALUE_BYTES;
+        };
+    }
+
+    private static long estimatedBytes(final Value.Route route) {
+        return 128
+                + route.name().length()
+                + route.host().length()
+                + route.pathPrefix().length()
+                + 32L * route.homeRegions().size()
+                + 48L * route.backends().size();
     }
 }
--- a/core/src/main/java/silverlatch/state/Policy.java
+++ b/core/src/main/java/silverlatch/state/Policy.java
@@ -11,11 +11,11 @@
 import java.util.stream.Stream;
 
 /**
- * What the data plane follows, as one value that duties hand to each other. A step to a newer page costs what changed,
- * not what there is: a few changes lie over a base, and are worked into it when they are many.
+ * What the data plane follows, as one immutable value that event loops hand to each other. A step to a newer revision
+ * costs what changed, not what there is: changes are kept in an overlay, which is merged into the base when it is large.
  */
 public final class Policy {
-    /** Nothing. */
+    /** The policy without any entry. */
     public static final Policy NONE = new Policy(Map.of(), Map.of(), List.of());
 
     private static final int MAX_OVERLAY_ENTRIES = 256;
@@ -40,7 +40,7 @@
         return NONE.with(entries);
     }
 
-    /** The policy after a change; entries that are gone take theirs away. */
+    /** The policy after changes; a deleted entry removes its value. */
     public Policy with(final Collection<Entry> changes) {
         final boolean compacts = overlay.size() + changes.size() > MAX_OVERLAY_ENTRIES;
         final Map<String, Entry> updated = new HashMap<>(compacts ? base : overlay);
@@ -52,8 +52,8 @@
             updated.values().removeIf(Entry::isDeleted);
         }
         final List<Value.Evacuation> updatedEvacuations = new ArrayList<>(evacuations);
-        changes.stream().filter(e -> e.key().startsWith("z/")).forEach(e -> {
-            updatedEvacuations.removeIf(d -> d.zone().equals(e.key().substring(2)));
+        changes.stream().filter(e -> e.key().startsWith(EntryKeys.EVACUATIONS)).forEach(e -> {
+            updatedEvacuations.removeIf(d -> d.zone().equals(e.key().substring(EntryKeys.EVACUATIONS.length())));
             e.value().forEach(l -> updatedEvacuations.add((Value.Evacuation) l));
         });
         return compacts
@@ -61,24 +61,24 @@
                 : new Policy(base, updated, List.copyOf(updatedEvacuations));
     }
 
-    /** What a key holds. */
+    /** The value of a key. */
     public Optional<Value> value(final String key) {
         return Optional.ofNullable(overlay.get(key))
                 .or(() -> Optional.ofNullable(base.get(key)))
                 .flatMap(e -> e.value().stream().findFirst());
     }
 
-    /** Orders on zones. */
+    /** The evacuations, active or ended, one a zone. */
     public List<Value.Evacuation> evacuations() {
         return evacuations;
     }
 
-    /** The zones that are being emptied. */
+    /** The zones that are being evacuated. */
     public Set<String> evacuatedZones() {
         return evacuatedZones;
     }
 
-    /** All that is held. */
+    /** All values. */
     public Stream<Value> values() {
         return Stream.concat(
                         overlay.values().stream(), base.values().stream().filter(e -> !overlay.containsKey(e.key())))
--- a/core/src/main/java/silverlatch/state/Value.java
+++ b/core/src/main/java/silverlatch/state/Value.java
@@ -3,18 +3,46 @@
 import java.util.List;
 import silverlatch.clock.Stamp;
 
-/** What an entry of the shared books can hold. */
+/**
+ * What an entry of the state holds. Values are stored in data folders and sent between processes by number and order of
+ * components ({@link silverlatch.wire.WireTypes}); the names of types and components are free. Times are in
+ * microseconds.
+ */
 public sealed interface Value {
-    /** A tenant: its homes (regions; none means all), its share of the fleet, and the hash of its key. */
-    record Tenant(String name, List<String> homeRegions, double quotaShare, String keyHash, String keySalt)
+    /**
+     * A tenant.
+     *
+     * @param name        its name
+     * @param homeRegions the regions that its requests may run in; none means all
+     * @param quotaShare  its share of the fleet's capacity, by weight
+     * @param keyHash     the SHA-256 of its key, in hexadecimal
+     * @param prefixSalt  the salt of the digests of its prompts' prefixes
+     */
+    record Tenant(String name, List<String> homeRegions, double quotaShare, String keyHash, String prefixSalt)
             implements Value {
-        /** Copies the homes. */
+        /** Copies the regions. */
         public Tenant {
             homeRegions = List.copyOf(homeRegions);
         }
     }
 
-    /** One row of the table: weights of the judges and limits, for a tenant (or *) and a kind. */
+    /**
+     * One row of the table: the weights of the placement scorers and the limits, for a tenant and a kind of request.
+     *
+     * @param tenant            the tenant's name, or * for all that have no row of their own
+     * @param kind              the kind of request
+     * @param prefixWeight      the weight of a prefix cache that holds the beginning of the prompt
+     * @param loadWeight        the weight of a low load
+     * @param warmupWeight      the weight of a worker that has warmed up
+     * @param localityWeight    the weight of a worker in the same zone or region
+     * @param requestsPerSecond the rate limit
+     * @param burstRequests     how many requests may come at once above the rate limit
+     * @param maxRunning        how many requests run at once
+     * @param maxQueued         how many requests wait
+     * @param timeoutMicros     how long a request waits at most
+     * @param atMostOnce        whether a request that may have begun is never run again
+     * @param priority          0 comes first
+     */
     record Row(
             String tenant,
             String kind,
@@ -31,10 +59,25 @@
             int priority)
             implements Value {}
 
-    /** An order to empty a zone, or to take that back. */
+    /**
+     * Whether a zone is being evacuated: while it is, it gets no work.
+     *
+     * @param zone   the zone's name
+     * @param active whether it is
+     * @param stamp  when that was decided
+     */
     record Evacuation(String zone, boolean active, Stamp stamp) implements Value {}
 
-    /** A calendar: at the times of a cron line it sets cells, or empties a zone or gives it back; no zone is an empty text. */
+    /**
+     * A schedule: at the times of a cron expression it sets cells of the table, or begins or ends the evacuation of a
+     * zone.
+     *
+     * @param name     its name
+     * @param cron     the cron expression
+     * @param cells    the cells that it sets
+     * @param zone     the zone, or an empty text where there is none
+     * @param evacuate whether it begins the zone's evacuation
+     */
     record Schedule(String name, String cron, List<Command.Cell> cells, String zone, boolean evacuate)
             implements Value {
         /** Copies the cells. */
@@ -43,7 +86,15 @@
         }
     }
 
-    /** A consumer's key, bound to the one ticket that may run under it; the stamp it came with, and the turn of the glass then. */
+    /**
+     * A client's idempotency key, bound to the one request that may run under it.
+     *
+     * @param requestId the request
+     * @param gatewayId the gateway that holds the request
+     * @param state     {@link #RUNNING}, {@link #REJECTED}, or how the request ended
+     * @param claimedAt the bits of the stamp that the request came with
+     * @param epoch     the epoch in which the claim was written
+     */
     record Claim(String requestId, String gatewayId, String state, long claimedAt, long epoch) implements Value {
         /** The state of a claim whose request may run. */
         public static final String RUNNING = "running";
@@ -56,26 +107,27 @@
         }
     }
 
-    /** How often the glass was turned: the fleet's own count of time, by monotonic clocks only. */
+    /** The epoch: the fleet's own count of time, in steps of ten minutes by monotonic clocks only. */
     record Epoch(long number) implements Value {}
 
     /**
-     * Where tickets that come by host and path go: the longest path of a host that begins a ticket's path rules it.
+     * Where requests of a host and a path go: of the routes of a host, the one with the longest matching path prefix
+     * holds.
      *
-     * @param name   what operators call it
-     * @param host   the host it rules
-     * @param pathPrefix   how the paths it rules begin
-     * @param atMostOnce   whether a ticket may run at most once
-     * @param streaming whether the reply is a stream of events
-     * @param resumable whether a broken stream may go on at another worker
-     * @param prefixCached   whether prompts share parts that are worth keeping
-     * @param timeoutMicros   the longest time a ticket is held, in microseconds
-     * @param latencyTargetMicros    the time within which a reply, or its first event, has its full worth, in microseconds
-     * @param maxEventGapMicros    the longest pause between events of a stream that is in time, in microseconds
-     * @param priority   0 comes first
-     * @param maxAttempts  how many workers one ticket may be sent to
-     * @param homeRegions  the regions it may run in; none means all
-     * @param backends   the pools it goes to, by weight
+     * @param name                what operators call it
+     * @param host                the host
+     * @param pathPrefix          how the paths begin
+     * @param atMostOnce          whether a request that may have begun is never run again
+     * @param streaming           whether the response is a stream of events
+     * @param resumable           whether a stream that broke off may go on at another worker
+     * @param prefixCached        whether prompts share prefixes that are worth caching
+     * @param timeoutMicros       how long a request takes at most
+     * @param latencyTargetMicros the time within which a response, or its first event, has its full value
+     * @param maxEventGapMicros   the longest pause between the events of a stream that is in time
+     * @param priority            0 comes first
+     * @param maxAttempts         how many workers one request may be sent to
+     * @param homeRegions         the regions that it may run in; none means all
+     * @param backends            the pools that it goes to, by weight
      */
     record Route(
             String name,
@@ -99,26 +151,26 @@
             backends = List.copyOf(backends);
         }
 
-        /** Whether a ticket may be run a second time where the first came to nothing. */
+        /** Whether a request that may have begun may be sent again. */
         public boolean isRetryable() {
             return !atMostOnce || resumable;
         }
     }
 
-    /** A pool's part in a rule. */
+    /** A backend pool and its weight among those of a route. */
     record WeightedBackend(String pool, int weight) {}
 
     /**
      * A pool of workers.
      *
-     * @param name   its name
-     * @param healthPath the path of a worker's health reply
-     * @param maxConnections  how many connections a worker takes from all callers together
-     * @param warmupMicros   how long a worker stays cold, in microseconds
-     * @param warmupRequestsPerSecond   how many tickets a second a cold worker bears
-     * @param slots  how many tickets a worker runs at once
-     * @param cacheTokens how many tokens a worker holds
-     * @param tokensPerEvent how many tokens an event holds
+     * @param name                    its name
+     * @param healthPath              the path of a worker's health check
+     * @param maxConnections          how many connections a worker takes from all callers together
+     * @param warmupMicros            how long a worker warms up (slow start)
+     * @param warmupRequestsPerSecond the rate that a worker bears while it warms up
+     * @param slots                   how many requests a worker runs at once
+     * @param cacheTokens             how many tokens a worker's KV cache holds
+     * @param tokensPerEvent          how many tokens an event holds
      */
     record BackendPool(
             String name,
@@ -131,15 +183,29 @@
             int tokensPerEvent)
             implements Value {}
 
-    /** The charter in force: the operators' own number, and what a consumer may send (bytes, microseconds). */
+    /**
+     * The routing configuration in force, without its routes and pools.
+     *
+     * @param number               the operators' own number, which only rises
+     * @param maxHeaderBytes       the largest head of a client's request
+     * @param maxBodyBytes         the largest body of a client's request
+     * @param requestTimeoutMicros how long a client may take to send a request
+     * @param idleTimeoutMicros    how long a client's connection may be idle
+     */
     record RoutingConfiguration(
             long number, int maxHeaderBytes, int maxBodyBytes, long requestTimeoutMicros, long idleTimeoutMicros)
             implements Value {}
 
-    /** The charter as the operator wrote it, to the letter. */
+    /** The routing configuration as the operator wrote it, to the letter. */
     record ConfigurationDocument(long number, String text) implements Value {}
 
-    /** How a change was decided, by its id: kept when the code is 0, else rejected with its faults. */
+    /**
+     * How a command was decided.
+     *
+     * @param sequence where it was accepted its sequence, else the revision that was current
+     * @param code     0 where it was accepted, else the code of the rejection
+     * @param faults   why it was rejected
+     */
     record CommandOutcome(long sequence, int code, List<String> faults) implements Value {
         /** Copies the faults. */
         public CommandOutcome {
@@ -148,12 +214,12 @@
     }
 
     /**
-     * That a configuration was accepted. It came with a later version; the codec numbers it after all others.
+     * That a routing configuration was accepted. The type came with a later version than the others.
      *
-     * @param number   its number
-     * @param expectedRevision    the number it said it builds on; negative where it asked for no comparison
-     * @param previousNumber the number that was in force before it, 0 where there was none
-     * @param digest   the SHA-256 of its text in base64 without padding
+     * @param number           its number
+     * @param expectedRevision the number that it was to build on; negative where it asked for no comparison
+     * @param previousNumber   the number that was in force before it, 0 where there was none
+     * @param digest           the SHA-256 of its document in base64 without padding
      */
     record AcceptedConfiguration(long number, long expectedRevision, long previousNumber, String digest)
             implements Value {}
