--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -49,12 +49,14 @@
     private final Supplier<Stamp> stamps;
     private final StateMachine stateMachine;
     private final EffectQueue effects;
+    private final ReplicaRole role;
+    private final HeldLease lease;
+    private final GrantedLeases grantedLeases;
+    private final FailureDetector failureDetector;
+    private final Departure departure;
     private final Deque<LogEntry> pendingEntries = new ArrayDeque<>();
     private final Deque<LogEntry> recentEntries = new ArrayDeque<>();
     private final Map<String, Entry> pendingValues = new HashMap<>();
-    private final Map<String, Long> grantTimes = new HashMap<>();
-    private final Map<String, Long> heardAt = new HashMap<>();
-    private final Map<String, Long> received = new HashMap<>();
     private final Map<String, Discovery> discoveries = new TreeMap<>();
     private final Map<String, Message.JoinRequest> joinRequests = new TreeMap<>();
     private final Map<Long, List<WaitingWrite>> waitingWrites = new HashMap<>();
@@ -66,13 +68,6 @@
     private Optional<RepairProgress> repairProgress = Optional.empty();
     private long repairRequestedAt;
     private List<String> seeds;
-    private ReplicaState replicaState = ReplicaState.EMPTY;
-    private View view = View.NONE;
-    private boolean caughtUp;
-    private boolean grantsSuspended;
-    private final Map<String, Long> grantExpiries = new HashMap<>();
-    private final Set<String> caughtUpMembers = new HashSet<>();
-    private long earlierGrantsExpireAt;
     private long promisedBallot;
     private long acceptedBallot;
     private Optional<View> acceptedView = Optional.empty();
@@ -84,7 +79,6 @@
     private long recentBytes;
     private long bytesSinceSnapshot;
     private int entriesSinceSnapshot;
-    private long leaseRequestedAt;
     private long lastRetryAt;
     private long lastDiscoveryAt;
     private long suspectedSince;
@@ -95,10 +89,7 @@
     private long logGeneration;
     private long highestStamp;
     private long epochAdvancedAt;
-    private boolean leaving;
-    private final Set<String> informedVoters = new HashSet<>();
     private boolean joining;
-    private boolean logOutdated;
 
     /** A machine as its ledger left it. */
     public ChainReplica(
@@ -116,24 +107,27 @@
             final long now,
             final long lastToken) {
         this.effects = new EffectQueue(settings.safeguards(), lastToken);
+        this.role = new ReplicaRole(settings);
+        this.lease = new HeldLease(settings, role, effects);
+        this.grantedLeases = new GrantedLeases(settings, role, effects, now);
+        this.failureDetector = new FailureDetector(settings, role);
+        this.departure = new Departure(settings, role, effects);
         this.settings = settings;
         this.stamps = stamps;
         this.seeds = settings.seeds();
         this.stateMachine = new StateMachine(settings.safeguards());
         records.forEach(this::replay);
-        earlierGrantsExpireAt = now + settings.leaseMicros();
         currentTime = now;
         epochAdvancedAt = now;
-        if (view.number() > 0) {
-            final boolean inChain = view.positionOf(settings.self().id()) >= 0;
-            replicaState = replicaState.afterView(inChain);
-            if (!inChain) {
+        role.finishReplay();
+        if (role.hasView()) {
+            if (!role.isInChain()) {
                 dropPendingEntries();
             }
-            view.voters().forEach(voter -> heardAt.put(voter.id(), now));
+            failureDetector.start(now);
         }
         synced = lastSequence;
-        if (isTail() && caughtUp && hasRequiredCopies()) {
+        if (role.isActiveTail() && role.hasRequiredCopies()) {
             commit(synced);
         }
     }
@@ -150,36 +144,32 @@
 
     /** The view held here. */
     public View view() {
-        return view;
+        return role.view();
     }
 
     /** The fencing number under which this machine holds the duties, if it does. */
     public Optional<Long> fencingToken(final long now) {
-        return isInChain()
-                        && caughtUp
-                        && isLeased(now)
-                        && view.singletonOwner().equals(settings.self().id())
-                ? Optional.of(view.number())
+        return role.isActive() && lease.isHeld(now) && settings.isSelf(view().singletonOwner())
+                ? Optional.of(view().number())
                 : Optional.empty();
     }
 
     /** How this machine stands. */
     public ReplicaStatus status(final long now) {
         return new ReplicaStatus(
-                replicaState,
-                caughtUp,
-                view,
+                role.state(),
+                role.isCaughtUp(),
+                view(),
                 stateMachine.sequence(),
                 stateMachine.policyRevision(),
                 pendingEntries.size(),
-                isLeased(now));
+                lease.isHeld(now));
     }
 
     /** Whether every acknowledged change of policy is surely in the books here at this moment. */
     public boolean isUpToDate(final long now) {
-        return isInChain()
-                && caughtUp
-                && isLeased(now)
+        return role.isActive()
+                && lease.isHeld(now)
                 && pendingEntries.stream()
                         .noneMatch(entry -> entry.puts().stream().anyMatch(Entry::isPolicy));
     }
@@ -187,7 +177,7 @@
     /** Takes a message. */
     public void onMessage(final Message message, final String sender, final long now) {
         currentTime = now;
-        if (isDiskFailed() || logOutdated && !(message instanceof Message.ViewDecided)) {
+        if (role.isDiskFailed() || role.isLogOutdated() && !(message instanceof Message.ViewDecided)) {
             return;
         }
         switch (message) {
@@ -230,14 +220,16 @@
     public ChainReplica recovered(final List<LogRecord> records, final long now) {
         final ChainReplica next = new ChainReplica(settings, records, stamps, now, effects.lastToken());
         next.seeds = seeds;
-        next.leaving = leaving;
+        if (departure.isLeaving()) {
+            next.leave();
+        }
         return next;
     }
 
     /** The disk failed: this machine takes no part until it has recovered. */
     public void diskFailed(final String reason) {
-        if (!isDiskFailed()) {
-            replicaState = replicaState.afterDiskFailure();
+        if (!role.isDiskFailed()) {
+            role.failDisk();
             effects.log(Event.DISK_BROKEN, reason);
             effects.abandonWrites();
             abandonWaitingWrites();
@@ -251,7 +243,7 @@
 
     /** This machine is about to stop: the others are asked to take it out of the chain and to name another holder. */
     public void leave() {
-        leaving = true;
+        departure.begin();
     }
 
     /**
@@ -259,56 +251,41 @@
      * that remain knows that. A member that the chain needs for its copies stays until its grace ends.
      */
     public boolean hasLeft() {
-        if (view.number() == 0 || isDiskFailed()) {
-            return true;
-        }
-        if (view.positionOf(settings.self().id()) >= 0) {
-            return view.voters().equals(List.of(settings.self())) && joinRequests.isEmpty();
-        }
-        if (!settings.safeguards().isEnabled(Safeguard.HANDOVER)) {
-            return true;
-        }
-        final long informed = view.voters().stream()
-                .filter(voter -> !voter.equals(settings.self()) && informedVoters.contains(voter.address()))
-                .count();
-        return view.isMajority((int) informed);
+        return departure.hasLeft(!joinRequests.isEmpty());
     }
 
     /** A clock event, a few each lease. */
     public void tick(final long now) {
         currentTime = now;
-        if (isDiskFailed()) {
+        if (role.isDiskFailed()) {
             return;
         }
         final boolean stalled = effects.isStalled(settings.diskStallMicros(), now);
         for (final DelayedAccept accept : List.copyOf(delayedAccepts)) {
             if (accept.sendAt() <= now) {
                 delayedAccepts.remove(accept);
-                if (accept.number() == view.number() + 1) {
+                if (accept.number() == view().number() + 1) {
                     effects.send(accept.to(), accept.reply());
                 }
             }
         }
-        if (view.number() == 0) {
+        if (view().number() == 0) {
             discoverPeers(now);
             return;
         }
-        if (logOutdated) {
+        if (role.isLogOutdated()) {
             requestLaterView(now);
             return;
         }
-        if (leaving && !isInChain()) {
-            confirmLeft(now);
+        if (departure.isLeaving() && !role.isInChain()) {
+            announceDeparture(now);
             return;
         }
-        if (now - leaseRequestedAt
-                        >= (view.isVoter(settings.self().id())
-                                ? settings.leaseRequestMicros()
-                                : ReplicaSettings.RETRY_MICROS)
-                && !stalled) {
+        final long requestMicros = role.isVoter() ? settings.leaseRequestMicros() : ReplicaSettings.RETRY_MICROS;
+        if (!stalled && lease.isRequestDue(requestMicros, now)) {
             requestLease(now);
         }
-        if (isInChain()) {
+        if (role.isInChain()) {
             advanceEpoch(now);
             retryReplication(now);
             if (!stalled) {
@@ -317,58 +294,35 @@
         } else if (now - lastDiscoveryAt >= (joining ? 5 * ReplicaSettings.RETRY_MICROS : ReplicaSettings.RETRY_MICROS)
                 && !stalled) {
             lastDiscoveryAt = now;
-            view.tail().ifPresent(tail -> requestRepair(tail.address(), now));
+            view().tail().ifPresent(tail -> requestRepair(tail.address(), now));
             seeds.forEach(seed -> effects.send(
-                    seed, new Message.LeaseRequest(view.number(), now, settings.self(), false, hearsMajority(now))));
+                    seed,
+                    new Message.LeaseRequest(
+                            view().number(), now, settings.self(), false, failureDetector.hearsMajority(now))));
         }
     }
 
-    /**
-     * A machine that has left tells the voters so until they show that they know. It no longer asks for leases, so that
-     * its silence counts. A prepare for a number that was decided is replied to with the view of whoever knows it.
-     */
-    private void confirmLeft(final long now) {
-        if (now - leaseRequestedAt < settings.leaseRequestMicros()) {
-            return;
+    private void announceDeparture(final long now) {
+        if (lease.isRequestDue(settings.leaseRequestMicros(), now)) {
+            lease.markRequested(now);
+            departure.announce();
         }
-        leaseRequestedAt = now;
-        view.voters().forEach(voter -> {
-            effects.send(voter.address(), new Message.ViewDecided(view));
-            effects.send(voter.address(), new Message.Prepare(view.number(), 0));
-        });
     }
 
     private void handleViewDecided(final Message.ViewDecided message, final String sender, final long now) {
         installView(message.view(), now);
-        if (message.view().number() == view.number()) {
-            informedVoters.add(sender);
+        if (message.view().number() == view().number()) {
+            departure.addInformed(sender);
         }
     }
 
     private void handleJoinRequest(final Message.JoinRequest request, final long now) {
         joinRequests.put(request.sender().id(), request);
-        heardAt.put(request.sender().id(), now);
+        failureDetector.handleJoinRequest(request, now);
     }
 
     private void requestLease(final long now) {
-        leaseRequestedAt = now;
-        view.voters()
-                .forEach(voter -> effects.send(
-                        voter.address(),
-                        new Message.LeaseRequest(
-                                view.number(), now, settings.self(), isInChain() && caughtUp, hearsMajority(now))));
-    }
-
-    /** Whether a majority of the voters, this one among them, was heard of late. */
-    private boolean hearsMajority(final long now) {
-        final long heardVoters = view.voters().stream()
-                .map(Replica::id)
-                .filter(id -> id.equals(settings.self().id())
-                        || Optional.ofNullable(received.get(id))
-                                .filter(at -> now - at <= settings.suspicionMicros() / 2)
-                                .isPresent())
-                .count();
-        return view.isMajority((int) heardVoters);
+        lease.request(failureDetector.hearsMajority(now), now);
     }
 
     private void replay(final LogRecord record) {
@@ -376,12 +330,10 @@
             case LogRecord.Snapshot p -> {
                 stateMachine.reset(p.sequence(), p.entries());
                 stateMachine.completeRepair(p.sequence());
-                view = p.view();
-                caughtUp = p.caughtUp();
+                role.replay(p);
                 promisedBallot = p.promisedBallot();
                 acceptedBallot = p.acceptedBallot();
                 acceptedView = p.acceptedView().stream().findFirst();
-                grantsSuspended = acceptedView.isPresent();
                 pendingEntries.clear();
                 pendingValues.clear();
                 lastSequence = p.sequence();
@@ -393,24 +345,21 @@
                 }
             }
             case LogRecord.ViewInstalled s -> {
-                if (s.view().number() > view.number()) {
+                if (s.view().number() > view().number()) {
                     promisedBallot = 0;
                     acceptedBallot = 0;
                     acceptedView = Optional.empty();
-                    grantsSuspended = false;
                 }
-                view = s.view();
-                caughtUp = s.caughtUp();
+                role.replay(s);
                 foundingView = Optional.empty();
             }
             case LogRecord.Promised v ->
-                promisedBallot = v.viewNumber() == view.number() + 1 ? v.ballot() : promisedBallot;
+                promisedBallot = v.viewNumber() == view().number() + 1 ? v.ballot() : promisedBallot;
             case LogRecord.Accepted n -> {
-                if (n.viewNumber() == view.number() + 1) {
+                if (n.viewNumber() == view().number() + 1) {
                     promisedBallot = n.ballot();
                     acceptedBallot = n.ballot();
                     acceptedView = Optional.of(n.view());
-                    grantsSuspended = true;
                 }
             }
             case LogRecord.Founding b -> foundingView = Optional.of(b.view());
@@ -443,8 +392,8 @@
     }
 
     private void handleDiscover(final Message.Discover request, final long now) {
-        if (view.number() > 0) {
-            effects.send(request.sender().address(), new Message.ViewDecided(view));
+        if (view().number() > 0) {
+            effects.send(request.sender().address(), new Message.ViewDecided(view()));
             return;
         }
         if (!request.empty()
@@ -480,7 +429,7 @@
         final boolean known =
                 foundingView.map(voter -> voter.equals(request.view())).orElse(false);
         final boolean acceptable = foundingView.isEmpty()
-                && view.number() == 0
+                && view().number() == 0
                 && request.view().isVoter(settings.self().id())
                 && request.view().voters().stream().allMatch(voter -> discoveries.containsKey(voter.id()));
         if (known) {
@@ -507,31 +456,23 @@
     }
 
     private void installView(final View next, final long now) {
-        if (next.number() <= view.number() || view.fleet() != 0 && next.fleet() != view.fleet()) {
+        if (!role.mayInstall(next)) {
             return;
         }
-        final boolean wasInChain = view.positionOf(settings.self().id()) >= 0;
-        final boolean inChain = next.positionOf(settings.self().id()) >= 0;
-        final boolean founded = foundingView.map(next::equals).orElse(false);
-        grantExpiries.values().removeIf(t -> t <= now);
-        earlierGrantsExpireAt = Set.copyOf(view.voters()).equals(Set.copyOf(next.voters()))
-                ? earlierGrantsExpireAt
-                : now + settings.leaseMicros();
-        view = next;
-        logOutdated = false;
-        caughtUp = inChain && (wasInChain && caughtUp || founded);
+        final boolean wasInChain = role.isNamedInChain();
+        grantedLeases.installView(view(), next, now);
+        role.install(next, foundingView.map(next::equals).orElse(false));
         foundingView = Optional.empty();
-        grantTimes.clear();
+        lease.clear();
         proposal = Optional.empty();
         acceptedView = Optional.empty();
         promisedBallot = 0;
         acceptedBallot = 0;
-        grantsSuspended = false;
         suspectedSince = 0;
         preemptedAt = 0;
         delayedAccepts.clear();
         joinRequests.clear();
-        informedVoters.clear();
+        departure.installView();
         catchUpTarget = Optional.empty();
         joining = false;
         catchUpStartedAt = now;
@@ -539,24 +480,11 @@
         repairSources.clear();
         repairRequestedAt = 0;
         window.reset(stateMachine.sequence(), now);
-        caughtUpMembers.clear();
-        heardAt.keySet().retainAll(view.voters().stream().map(Replica::id).toList());
-        received.keySet().retainAll(heardAt.keySet());
-        view.voters().forEach(voter -> {
-            if (wasInChain) {
-                heardAt.putIfAbsent(voter.id(), now);
-            } else {
-                heardAt.put(voter.id(), now);
-            }
-        });
-        replicaState = replicaState.afterView(inChain);
-        effects.persist(List.of(new LogRecord.ViewInstalled(view, caughtUp)), now);
-        effects.log(
-                Event.VIEW,
-                "view " + view.number() + " chain "
-                        + view.chain().stream().map(Replica::address).toList());
+        failureDetector.installView(wasInChain, now);
+        effects.persist(List.of(new LogRecord.ViewInstalled(next, role.isCaughtUp())), now);
+        effects.log(Event.VIEW, "view " + next.number() + " chain " + next.chainAddresses());
         requestLease(now);
-        if (!inChain) {
+        if (!role.isInChain()) {
             dropPendingEntries();
             return;
         }
@@ -575,48 +503,28 @@
     }
 
     private void handleLeaseRequest(final Message.LeaseRequest request, final long now) {
-        if (view.number() == 0) {
+        if (!role.hasView()) {
             return;
         }
-        if (request.view() < view.number()) {
-            effects.send(request.sender().address(), new Message.ViewDecided(view));
-        } else if (request.view() == view.number()
-                && view.isVoter(settings.self().id())) {
-            if (joinRequests.containsKey(request.sender().id())) {
-                heardAt.put(request.sender().id(), now);
-            }
-            if (view.isVoter(request.sender().id())) {
-                received.put(request.sender().id(), now);
-                if (request.hearsMajority()) {
-                    heardAt.put(request.sender().id(), now);
-                }
-            }
-            if (request.caughtUp()) {
-                caughtUpMembers.add(request.sender().id());
-            } else {
-                caughtUpMembers.remove(request.sender().id());
-            }
-            if (!grantsSuspended && view.positionOf(request.sender().id()) >= 0) {
-                grantExpiries.put(request.sender().id(), now + settings.leaseMicros());
-                effects.send(
-                        request.sender().address(),
-                        new Message.LeaseGrant(
-                                view.number(),
-                                request.askedAt(),
-                                settings.self().id(),
-                                stateMachine.sequence()));
+        if (request.view() < view().number()) {
+            effects.send(request.sender().address(), new Message.ViewDecided(view()));
+        } else if (request.view() == view().number() && role.isVoter()) {
+            final boolean isJoining = joinRequests.containsKey(request.sender().id());
+            failureDetector.handleLeaseRequest(request, isJoining, now);
+            if (acceptedView.isEmpty()) {
+                grantedLeases.grant(request, stateMachine.sequence(), now);
             }
         }
     }
 
     private void handleLeaseGrant(final Message.LeaseGrant grant, final long now) {
-        if (grant.view() == view.number() && view.isVoter(grant.voter())) {
-            if (isInChain() && caughtUp && grant.committed() > lastSequence) {
+        if (grant.view() == view().number() && view().isVoter(grant.voter())) {
+            if (role.isActive() && grant.committed() > lastSequence) {
                 fenceOutdatedLog(grant);
                 return;
             }
-            grantTimes.merge(grant.voter(), grant.askedAt(), Math::max);
-            if (!unleasedWrites.isEmpty() && isLeased(now)) {
+            lease.add(grant);
+            if (!unleasedWrites.isEmpty() && lease.isHeld(now)) {
                 final List<UnleasedWrite> ready = List.copyOf(unleasedWrites);
                 unleasedWrites.clear();
                 ready.stream()
@@ -634,9 +542,8 @@
         effects.log(
                 Event.LOG_OUTDATED,
                 "the log ends at " + lastSequence + ", but " + grant.committed() + " was acknowledged with it");
-        logOutdated = true;
-        caughtUp = false;
-        grantTimes.clear();
+        role.fenceOutdatedLog();
+        lease.clear();
         dropPendingEntries();
     }
 
@@ -644,25 +551,17 @@
     private void requestLaterView(final long now) {
         if (now - lastDiscoveryAt >= ReplicaSettings.RETRY_MICROS) {
             lastDiscoveryAt = now;
-            view.voters()
+            view().voters()
                     .forEach(voter -> effects.send(
                             voter.address(),
-                            new Message.LeaseRequest(view.number() - 1, now, settings.self(), false, false)));
+                            new Message.LeaseRequest(view().number() - 1, now, settings.self(), false, false)));
         }
     }
 
-    private boolean isLeased(final long now) {
-        final long span = settings.leaseMicros() * 9 / 10;
-        return view.isMajority((int) grantTimes.values().stream()
-                .filter(requestedAt -> now - requestedAt < span)
-                .count());
-    }
-
     private void handlePrepare(final Message.Prepare request, final String sender) {
-        if (request.number() <= view.number()) {
-            effects.send(sender, new Message.ViewDecided(view));
-        } else if (request.number() == view.number() + 1
-                && view.isVoter(settings.self().id())) {
+        if (request.number() <= view().number()) {
+            effects.send(sender, new Message.ViewDecided(view()));
+        } else if (request.number() == view().number() + 1 && role.isVoter()) {
             if (request.ballot() > promisedBallot) {
                 preemptedAt = sender.equals(settings.self().address()) ? preemptedAt : currentTime;
                 promisedBallot = request.ballot();
@@ -683,8 +582,7 @@
     }
 
     private void handleAccept(final Message.Accept request, final String sender) {
-        if (request.number() != view.number() + 1
-                || !view.isVoter(settings.self().id())) {
+        if (request.number() != view().number() + 1 || !role.isVoter()) {
             return;
         }
         if (request.ballot() < promisedBallot) {
@@ -694,14 +592,13 @@
         promisedBallot = request.ballot();
         acceptedBallot = request.ballot();
         acceptedView = Optional.of(request.view());
-        grantsSuspended = true;
         final Message.Accepted reply = new Message.Accepted(
                 request.number(), request.ballot(), settings.self().id());
         effects.persist(
                 List.of(new LogRecord.Accepted(request.number(), request.ballot(), request.view())),
                 currentTime,
                 syncedAt -> {
-                    final long sendAt = removedGrantsExpireAt(request.view());
+                    final long sendAt = grantedLeases.removedGrantsExpireAt(request.view());
                     if (syncedAt >= sendAt) {
                         effects.send(sender, reply);
                     } else {
@@ -710,19 +607,6 @@
                 });
     }
 
-    /**
-     * When none that goes with this view can answer under a lease from here any more. Those that stay can't answer for
-     * the old view alone: what the new one acknowledges has passed them.
-     */
-    private long removedGrantsExpireAt(final View next) {
-        return ViewPlanner.isExtension(view, next) || !settings.safeguards().isEnabled(Safeguard.LEASE_WAIT)
-                ? 0
-                : view.chain().stream()
-                        .filter(member -> next.positionOf(member.id()) < 0)
-                        .mapToLong(member -> grantExpiries.getOrDefault(member.id(), 0L))
-                        .reduce(earlierGrantsExpireAt, Math::max);
-    }
-
     /**
      * Takes a promise. The proposer's own must be among the majority: it is synced, so a ballot is not used again for
      * another view after a restart.
@@ -739,11 +623,11 @@
                                     reply.acceptedBallot(), reply.acceptedView().get(0))
                             : current;
                     proposal = Optional.of(best);
-                    if (view.isMajority(best.supporters().size())
+                    if (view().isMajority(best.supporters().size())
                             && best.supporters().contains(settings.self().id())) {
                         final Proposal chosen = isUnbound(best) ? best.withView(0, withPromised(best)) : best;
                         proposal = Optional.of(chosen.toAccept());
-                        view.voters()
+                        view().voters()
                                 .forEach(voter -> effects.send(
                                         voter.address(),
                                         new Message.Accept(chosen.number(), chosen.ballot(), chosen.view())));
@@ -757,7 +641,11 @@
     }
 
     private View withPromised(final Proposal proposal) {
-        return new ViewPlanner(settings, view, id -> microsSinceHeard(id, currentTime), caughtUpMembers)
+        return new ViewPlanner(
+                        settings,
+                        view(),
+                        id -> failureDetector.microsSinceHeard(id, currentTime),
+                        failureDetector.caughtUpMembers())
                 .withPromised(proposal.view(), proposal.supporters());
     }
 
@@ -767,8 +655,8 @@
                         && current.isAccepting())
                 .ifPresent(current -> {
                     current.supporters().add(reply.voter());
-                    if (view.isMajority(current.supporters().size())) {
-                        final Set<Replica> recipients = new HashSet<>(view.voters());
+                    if (view().isMajority(current.supporters().size())) {
+                        final Set<Replica> recipients = new HashSet<>(view().voters());
                         recipients.addAll(current.view().voters());
                         recipients.addAll(current.view().chain());
                         recipients.stream()
@@ -793,14 +681,15 @@
             return;
         }
         proposal = Optional.empty();
-        if (!view.isVoter(settings.self().id()) || !settings.safeguards().isEnabled(Safeguard.MEND)) {
+        if (!role.isVoter() || !settings.safeguards().isEnabled(Safeguard.MEND)) {
             return;
         }
-        if (caughtUp) {
-            caughtUpMembers.add(settings.self().id());
+        if (role.isCaughtUp()) {
+            failureDetector.addSelfAsCaughtUp();
         }
-        final ViewPlanner planner = new ViewPlanner(settings, view, id -> microsSinceHeard(id, now), caughtUpMembers);
-        final Optional<View> next = planner.next(leaving, joinRequests.values());
+        final ViewPlanner planner = new ViewPlanner(
+                settings, view(), id -> failureDetector.microsSinceHeard(id, now), failureDetector.caughtUpMembers());
+        final Optional<View> next = planner.next(departure.isLeaving(), joinRequests.values());
         if (next.isEmpty() && acceptedView.isEmpty()) {
             suspectedSince = 0;
             return;
@@ -810,23 +699,23 @@
             planner.suspected().forEach(replica -> effects.log(Event.CHAIN_SUSPECT, replica.address()));
         }
         final List<Replica> reachable = planner.reachableVoters();
-        final int rank = leaving && planner.suspected().isEmpty() ? 0 : proposalRank(reachable);
+        final int rank = departure.isLeaving() && planner.suspected().isEmpty() ? 0 : proposalRank(reachable);
         final boolean othersPropose = preemptedAt > 0
                 && now - preemptedAt < settings.suspicionMicros() + rank * settings.suspicionMicros() / 2;
         if (othersPropose
                 || now - suspectedSince < rank * settings.suspicionMicros()
-                || !view.isMajority(reachable.size())) {
+                || !view().isMajority(reachable.size())) {
             return;
         }
         highestRound = Math.max(highestRound, promisedBallot >> BALLOT_PROPOSER_BITS) + 1;
-        final int voterIndex = view.voters().stream()
+        final int voterIndex = view().voters().stream()
                 .map(Replica::id)
                 .toList()
                 .indexOf(settings.self().id());
         final Proposal own = new Proposal(
-                view.number() + 1,
+                view().number() + 1,
                 highestRound << BALLOT_PROPOSER_BITS | voterIndex,
-                next.or(() -> acceptedView).orElse(view),
+                next.or(() -> acceptedView).orElse(view()),
                 0,
                 false,
                 new HashSet<>(),
@@ -836,7 +725,7 @@
                 Event.PROPOSED,
                 "view " + own.number() + " chain "
                         + own.view().chain().stream().map(Replica::address).toList());
-        view.voters()
+        view().voters()
                 .forEach(replica -> effects.send(replica.address(), new Message.Prepare(own.number(), own.ballot())));
     }
 
@@ -844,7 +733,7 @@
     private int proposalRank(final List<Replica> reachable) {
         final List<String> members = reachable.stream()
                 .map(Replica::id)
-                .filter(id -> view.positionOf(id) >= 0)
+                .filter(id -> view().positionOf(id) >= 0)
                 .toList();
         return Math.max(0, members.indexOf(settings.self().id()));
     }
@@ -855,76 +744,57 @@
         } else if (now - epochAdvancedAt >= EPOCH_MICROS) {
             epochAdvancedAt = now;
             final long nextEpoch = stateMachine.epoch() + 1;
-            view.head()
+            view().head()
                     .ifPresent(head -> effects.send(
                             head.address(),
                             new Message.WriteRequest(
                                     0,
                                     settings.self().address(),
-                                    new Command.AdvanceEpoch("sweep-" + nextEpoch, nextEpoch, view.number()))));
+                                    new Command.AdvanceEpoch("sweep-" + nextEpoch, nextEpoch, view().number()))));
         }
     }
 
-    private long microsSinceHeard(final String id, final long now) {
-        return id.equals(settings.self().id()) ? 0 : now - heardAt.getOrDefault(id, 0L);
-    }
-
-    /** Whether the chain is long enough for an acknowledgement. */
-    private boolean hasRequiredCopies() {
-        return view.chain().size() >= settings.minInSyncReplicas()
-                || !settings.safeguards().isEnabled(Safeguard.COPIES);
-    }
-
-    /** Whether a replication message is of another view than the one held here, and so must not be taken. */
-    private boolean isFenced(final long number) {
-        return number != view.number() && settings.safeguards().isEnabled(Safeguard.FENCE);
-    }
-
     private void retryReplication(final long now) {
         if (now - lastRetryAt < ReplicaSettings.RETRY_MICROS) {
             return;
         }
         lastRetryAt = now;
-        view.successorOf(settings.self().id()).ifPresent(neighbor -> {
-            if (caughtUp) {
-                effects.send(neighbor.address(), new Message.CatchUpTarget(view.number(), lastSequence));
+        role.successor().ifPresent(neighbor -> {
+            if (role.isCaughtUp()) {
+                effects.send(neighbor.address(), new Message.CatchUpTarget(view().number(), lastSequence));
             }
             if (!pendingEntries.isEmpty() && pendingEntries.peek().sequence() <= synced && window.isRetryDue(now)) {
                 window.restart(stateMachine.sequence(), now);
             }
             sendNext();
         });
-        if (!caughtUp) {
-            view.predecessorOf(settings.self().id()).ifPresent(neighbor -> {
+        if (!role.isCaughtUp()) {
+            role.predecessor().ifPresent(neighbor -> {
                 if (now - catchUpStartedAt > 4 * ReplicaSettings.RETRY_MICROS) {
                     requestRepair(neighbor.address(), now);
                 } else {
                     effects.send(
                             neighbor.address(),
                             new Message.FetchEntries(
-                                    view.number(), settings.self().id(), lastSequence));
+                                    view().number(), settings.self().id(), lastSequence));
                 }
             });
         }
-        if (isTail() && caughtUp) {
+        if (role.isActiveTail()) {
             commitAsTail(now);
             notifyCommitted();
         }
     }
 
-    private boolean isTail() {
-        return isInChain() && view.successorOf(settings.self().id()).isEmpty();
-    }
-
     private void notifyCommitted() {
-        view.chain().stream()
+        view().chain().stream()
                 .filter(member -> !member.id().equals(settings.self().id()))
                 .forEach(member -> effects.send(
-                        member.address(), new Message.CommitNotice(view.number(), stateMachine.sequence())));
+                        member.address(), new Message.CommitNotice(view().number(), stateMachine.sequence())));
     }
 
     private void commitAsTail(final long now) {
-        if (isTail() && caughtUp && hasRequiredCopies()) {
+        if (role.isActiveTail() && role.hasRequiredCopies()) {
             final long committed = stateMachine.sequence();
             commit(synced);
             if (stateMachine.sequence() > committed) {
@@ -934,28 +804,28 @@
     }
 
     private void handleWriteRequest(final Message.WriteRequest request) {
-        if (!isInChain() || !caughtUp || view.positionOf(settings.self().id()) != 0) {
+        if (!role.isActive() || !role.isHead()) {
             return;
         }
-        if (!isLeased(currentTime)) {
+        if (!lease.isHeld(currentTime)) {
             if (unleasedWrites.size() < MAX_UNLEASED_WRITES) {
                 unleasedWrites.add(new UnleasedWrite(currentTime, request));
             }
             return;
         }
         final Stamp stamp = stamps.get();
-        if (!hasRequiredCopies() || pendingEntries.size() >= MAX_PENDING_ENTRIES || stamp.bits() <= highestStamp) {
+        if (!role.hasRequiredCopies() || pendingEntries.size() >= MAX_PENDING_ENTRIES || stamp.bits() <= highestStamp) {
             return;
         }
-        if (request.command() instanceof Command.AdvanceEpoch s && s.fencingToken() != view.number()
-                || request.command() instanceof Command.Scheduled t && t.fencingToken() != view.number()) {
+        if (request.command() instanceof Command.AdvanceEpoch s && s.fencingToken() != view().number()
+                || request.command() instanceof Command.Scheduled t && t.fencingToken() != view().number()) {
             reject(request, 409, "the duty has another holder");
             return;
         }
         switch (stateMachine.evaluate(request.command(), pendingValues, lastSequence + 1, stamp)) {
             case StateMachine.Evaluation.Reply over -> replyToJudged(request, over.result(), stamp);
             case StateMachine.Evaluation.Write let -> {
-                final LogEntry entry = new LogEntry(lastSequence + 1, view.number(), stamp, let.entries());
+                final LogEntry entry = new LogEntry(lastSequence + 1, view().number(), stamp, let.entries());
                 awaitCommit(entry.sequence(), new WaitingWrite(request, Optional.empty()));
                 appendEntries(List.of(entry));
             }
@@ -1054,7 +924,7 @@
                         .toList(),
                 currentTime,
                 syncedAt -> {
-                    if (generation == logGeneration && isInChain()) {
+                    if (generation == logGeneration && role.isInChain()) {
                         synced = Math.max(synced, lastAppended);
                         sendNext();
                         finishCatchUp(syncedAt);
@@ -1065,7 +935,7 @@
 
     /** Sends the entries that the successor lacks and that are synced here, as far as the window admits them. */
     private void sendNext() {
-        final Optional<Replica> successor = view.successorOf(settings.self().id());
+        final Optional<Replica> successor = role.successor();
         if (successor.isEmpty() || window.sentSequence() >= synced) {
             return;
         }
@@ -1084,24 +954,22 @@
             entries.add(entry);
         }
         if (!entries.isEmpty()) {
-            effects.send(successor.get().address(), new Message.Replicate(view.number(), entries));
+            effects.send(successor.get().address(), new Message.Replicate(view().number(), entries));
         }
     }
 
     private void received(final Message.ReplicateAck acknowledgement) {
-        final boolean successor = view.successorOf(settings.self().id())
+        final boolean successor = role.successor()
                 .map(replica -> replica.id().equals(acknowledgement.id()))
                 .orElse(false);
-        if (acknowledgement.view() == view.number() && isInChain() && successor) {
+        if (acknowledgement.view() == view().number() && role.isInChain() && successor) {
             window.acknowledge(acknowledgement.sequence(), currentTime);
             sendNext();
         }
     }
 
     private void handleReplicate(final Message.Replicate message, final long now) {
-        if (isFenced(message.view())
-                || !isInChain()
-                || view.positionOf(settings.self().id()) == 0) {
+        if (role.isFenced(message.view()) || !role.isInChain() || role.isHead()) {
             return;
         }
         final List<LogEntry> fresh = new ArrayList<>();
@@ -1111,35 +979,36 @@
                 fresh.add(entry);
                 lastReceived++;
             } else if (entry.sequence() > lastReceived + 1) {
-                view.predecessorOf(settings.self().id())
+                role.predecessor()
                         .ifPresent(predecessor -> effects.send(
                                 predecessor.address(),
                                 new Message.FetchEntries(
-                                        view.number(), settings.self().id(), lastSequence)));
+                                        view().number(), settings.self().id(), lastSequence)));
                 break;
             }
         }
-        view.predecessorOf(settings.self().id())
+        role.predecessor()
                 .ifPresent(predecessor -> effects.send(
                         predecessor.address(),
-                        new Message.ReplicateAck(view.number(), settings.self().id(), lastSequence + fresh.size())));
+                        new Message.ReplicateAck(
+                                view().number(), settings.self().id(), lastSequence + fresh.size())));
         if (!fresh.isEmpty()) {
             // The log catches up; a repair beside it would bring the same entries again, in one frame.
             catchUpStartedAt = now;
             appendEntries(fresh);
-        } else if (isTail() && caughtUp) {
+        } else if (role.isActiveTail()) {
             notifyCommitted();
         }
     }
 
     private void handleCommitNotice(final Message.CommitNotice notice) {
-        if (!isFenced(notice.view()) && isInChain()) {
+        if (!role.isFenced(notice.view()) && role.isInChain()) {
             commit(Math.min(notice.sequence(), synced));
         }
     }
 
     private void caughtUp(final Message.CatchUpTarget message) {
-        if (message.view() == view.number() && isInChain() && !caughtUp) {
+        if (message.view() == view().number() && role.isInChain() && !role.isCaughtUp()) {
             catchUpTarget = Optional.of(message.sequence());
             finishCatchUp(currentTime);
             commitAsTail(currentTime);
@@ -1147,17 +1016,17 @@
     }
 
     private void finishCatchUp(final long now) {
-        if (!caughtUp && catchUpTarget.map(target -> synced >= target).orElse(false)) {
-            caughtUp = true;
-            effects.persist(List.of(new LogRecord.ViewInstalled(view, true)), now);
+        if (!role.isCaughtUp() && catchUpTarget.map(target -> synced >= target).orElse(false)) {
+            role.catchUp();
+            effects.persist(List.of(new LogRecord.ViewInstalled(view(), true)), now);
         }
     }
 
     private void handleFetchEntries(final Message.FetchEntries request, final String sender) {
-        if (request.view() != view.number() || !isInChain() || !caughtUp) {
+        if (request.view() != view().number() || !role.isActive()) {
             return;
         }
-        effects.send(sender, new Message.CatchUpTarget(view.number(), lastSequence));
+        effects.send(sender, new Message.CatchUpTarget(view().number(), lastSequence));
         if (request.sequence() < window.acknowledgedSequence() || request.sequence() > window.sentSequence()) {
             window.restart(request.sequence(), currentTime);
         } else {
@@ -1221,8 +1090,8 @@
         final List<LogRecord> records = new ArrayList<>();
         records.add(new LogRecord.Snapshot(
                 stateMachine.sequence(),
-                view,
-                caughtUp,
+                view(),
+                role.isCaughtUp(),
                 promisedBallot,
                 acceptedBallot,
                 acceptedView.stream().toList(),
@@ -1238,11 +1107,11 @@
 
     private Message.CompareDigests digestRequest() {
         return new Message.CompareDigests(
-                view.number(), settings.self(), stateMachine.sequence(), stateMachine.digests(DIGEST_RANGES));
+                view().number(), settings.self(), stateMachine.sequence(), stateMachine.digests(DIGEST_RANGES));
     }
 
     private void handleCompareDigests(final Message.CompareDigests request) {
-        if (request.view() != view.number() || !isInChain() || !caughtUp || request.digests().length != DIGEST_RANGES) {
+        if (request.view() != view().number() || !role.isActive() || request.digests().length != DIGEST_RANGES) {
             return;
         }
         if (request.sequence() > stateMachine.sequence()) {
@@ -1270,14 +1139,14 @@
                         repairSources.get(request.sender().id()))
                 .filter(s -> s.sequence() == request.sequence() && request.piece() >= 0)
                 .filter(s -> request.piece() < s.pieces().size());
-        if (request.view() != view.number() || source.isEmpty()) {
+        if (request.view() != view().number() || source.isEmpty()) {
             return;
         }
         final int pieces = source.get().pieces().size();
         effects.send(
                 request.sender().address(),
                 new Message.RepairRanges(
-                        view.number(),
+                        view().number(),
                         request.sequence(),
                         request.piece(),
                         pieces,
@@ -1306,15 +1175,13 @@
             repairProgress = Optional.empty();
             effects.send(source, digestRequest());
         } else {
-            repairProgress.ifPresent(
-                    progress -> effects.send(progress.source(), progress.nextRequest(view.number(), settings.self())));
+            repairProgress.ifPresent(progress ->
+                    effects.send(progress.source(), progress.nextRequest(view().number(), settings.self())));
         }
     }
 
     private void handleRepairRanges(final Message.RepairRanges message, final String sender) {
-        if (message.view() != view.number()
-                || isInChain() && caughtUp
-                || message.sequence() < stateMachine.sequence()) {
+        if (message.view() != view().number() || role.isActive() || message.sequence() < stateMachine.sequence()) {
             return;
         }
         if (joining
@@ -1324,7 +1191,7 @@
                 && message.sequence() == stateMachine.sequence()
                 && message.pending().equals(List.copyOf(pendingEntries))
                 && sameDigests(message)
-                && !isInChain()) {
+                && !role.isInChain()) {
             requestJoin();
             return;
         }
@@ -1336,7 +1203,7 @@
         }
         final RepairProgress complete = repairProgress.get();
         if (!complete.isComplete()) {
-            effects.send(sender, complete.nextRequest(view.number(), settings.self()));
+            effects.send(sender, complete.nextRequest(view().number(), settings.self()));
             return;
         }
         repairProgress = Optional.empty();
@@ -1357,7 +1224,7 @@
         logGeneration++;
         catchUpStartedAt = currentTime;
         joining = true;
-        final long number = view.number();
+        final long number = view().number();
         final long lastRepaired = lastSequence;
         final long generation = logGeneration;
         synced = 0;
@@ -1366,10 +1233,10 @@
                 return;
             }
             synced = Math.max(synced, lastRepaired);
-            if (isInChain()) {
+            if (role.isInChain()) {
                 finishCatchUp(syncedAt);
                 commitAsTail(syncedAt);
-            } else if (number == view.number()) {
+            } else if (number == view().number()) {
                 effects.log(Event.MENDED, "sequence " + message.sequence());
                 requestJoin();
             }
@@ -1386,22 +1253,21 @@
     }
 
     private void requestJoin() {
-        if (leaving) {
+        if (departure.isLeaving()) {
             return;
         }
-        view.voters()
+        view().voters()
                 .forEach(voter -> effects.send(
                         voter.address(),
-                        new Message.JoinRequest(view.number(), settings.self(), stateMachine.sequence())));
+                        new Message.JoinRequest(view().number(), settings.self(), stateMachine.sequence())));
     }
 
     private void handleReadRequest(final Message.ReadRequest request, final long now) {
         final boolean mayMissAcknowledged =
-                !hasRequiredCopies() && pendingEntries.stream().anyMatch(entry -> entry.sequence() <= synced);
-        final boolean answers = isTail()
-                && caughtUp
+                !role.hasRequiredCopies() && pendingEntries.stream().anyMatch(entry -> entry.sequence() <= synced);
+        final boolean answers = role.isActiveTail()
                 && !mayMissAcknowledged
-                && (isLeased(now) || !settings.safeguards().isEnabled(Safeguard.LEASE));
+                && (lease.isHeld(now) || !settings.safeguards().isEnabled(Safeguard.LEASE));
         effects.send(
                 request.replyTo(),
                 new Message.ReadReply(
@@ -1415,14 +1281,6 @@
                                 : List.of()));
     }
 
-    private boolean isInChain() {
-        return replicaState == ReplicaState.IN_CHAIN;
-    }
-
-    private boolean isDiskFailed() {
-        return replicaState == ReplicaState.DISK_FAILED;
-    }
-
     /** A write whose answer waits for a change to be committed; the refusal is there where that will be the answer. */
     private record WaitingWrite(Message.WriteRequest request, Optional<CommandResult> refusal) {}
 
--- /dev/null
+++ b/core/src/main/java/silverlatch/replication/FailureDetector.java
@@ -0,0 +1,105 @@
+package silverlatch.replication;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import silverlatch.wire.Message;
+
+/**
+ * When this replica heard the voters and the replicas that ask to join, by their lease requests, and which members say that they have
+ * caught up. {@link ViewPlanner} decides by it who is suspected.
+ *
+ * <p>A voter that doesn't hear a majority itself counts as silent: else a member that sends but hears nothing would stay in the chain and
+ * hold up all writes. Times are of this replica's steady clock, in microseconds.
+ */
+final class FailureDetector {
+    private final ReplicaSettings settings;
+    private final ReplicaRole role;
+    /** When a replica was last heard that hears a majority, or asks to join. */
+    private final Map<String, Long> heardAt = new HashMap<>();
+    /** When a request of a voter was last received, whether it hears a majority or not. */
+    private final Map<String, Long> receivedAt = new HashMap<>();
+
+    private final Set<String> caughtUpMembers = new HashSet<>();
+
+    FailureDetector(final ReplicaSettings settings, final ReplicaRole role) {
+        this.settings = settings;
+        this.role = role;
+    }
+
+    /** The process starts: all voters count as heard now. */
+    void start(final long now) {
+        role.view().voters().forEach(voter -> heardAt.put(voter.id(), now));
+    }
+
+    /** A view was installed: its voters are watched, from now on where this replica wasn't in the chain of the one before. */
+    void installView(final boolean wasInChain, final long now) {
+        caughtUpMembers.clear();
+        heardAt.keySet()
+                .retainAll(role.view().voters().stream().map(Replica::id).toList());
+        receivedAt.keySet().retainAll(heardAt.keySet());
+        role.view().voters().forEach(voter -> {
+            if (wasInChain) {
+                heardAt.putIfAbsent(voter.id(), now);
+            } else {
+                heardAt.put(voter.id(), now);
+            }
+        });
+    }
+
+    /** A replica asks to join. */
+    void handleJoinRequest(final Message.JoinRequest request, final long now) {
+        heardAt.put(request.sender().id(), now);
+    }
+
+    /** A lease request of the installed view came in. */
+    void handleLeaseRequest(final Message.LeaseRequest request, final boolean isJoining, final long now) {
+        final String id = request.sender().id();
+        if (isJoining) {
+            heardAt.put(id, now);
+        }
+        if (role.view().isVoter(id)) {
+            receivedAt.put(id, now);
+            if (request.hearsMajority()) {
+                heardAt.put(id, now);
+            }
+        }
+        if (request.caughtUp()) {
+            caughtUpMembers.add(id);
+        } else {
+            caughtUpMembers.remove(id);
+        }
+    }
+
+    /** This replica has caught up itself. */
+    void addSelfAsCaughtUp() {
+        caughtUpMembers.add(settings.self().id());
+    }
+
+    /** The members of the chain that said that they have caught up; it changes with what comes in. */
+    Set<String> caughtUpMembers() {
+        return caughtUpMembers;
+    }
+
+    /** Whether a majority of the voters, this one among them, was received within half the time of suspicion. */
+    boolean hearsMajority(final long now) {
+        final long heardVoters = role.view().voters().stream()
+                .map(Replica::id)
+                .filter(id -> settings.isSelf(id) || isReceived(id, now))
+                .count();
+        return role.view().isMajority((int) heardVoters);
+    }
+
+    private boolean isReceived(final String id, final long now) {
+        return Optional.ofNullable(receivedAt.get(id))
+                .filter(at -> now - at <= settings.suspicionMicros() / 2)
+                .isPresent();
+    }
+
+    /** For how long a replica was silent, in microseconds; one that was never heard since the start of the clock. */
+    long microsSinceHeard(final String id, final long now) {
+        return settings.isSelf(id) ? 0 : now - heardAt.getOrDefault(id, 0L);
+    }
+}
--- a/core/src/main/java/silverlatch/replication/View.java
+++ b/core/src/main/java/silverlatch/replication/View.java
@@ -56,4 +56,9 @@
     public Optional<Replica> tail() {
         return chain.isEmpty() ? Optional.empty() : Optional.of(Lists.last(chain));
     }
+
+    /** The addresses of the chain's members in their order, for log lines. */
+    List<String> chainAddresses() {
+        return chain.stream().map(Replica::address).toList();
+    }
 }
--- /dev/null
+++ b/core/src/test/java/silverlatch/replication/DepartureTest.java
@@ -0,0 +1,63 @@
+package silverlatch.replication;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+import static silverlatch.replication.ReplicaParts.SECOND;
+import static silverlatch.replication.ReplicaParts.SELF;
+import static silverlatch.replication.ReplicaParts.THIRD;
+import static silverlatch.replication.ReplicaParts.view;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import silverlatch.safeguard.Safeguard;
+import silverlatch.wire.Message;
+
+final class DepartureTest {
+    private final ReplicaParts parts = new ReplicaParts();
+    private final Departure departure = new Departure(parts.settings, parts.role, parts.effects);
+
+    @Test
+    void aReplicaWithoutAViewOrADiskMayStopAtOnce() {
+        assertThat(departure.hasLeft(false), is(true));
+        parts.in(view(1, SELF, SECOND));
+        assertThat(departure.hasLeft(false), is(false));
+        parts.role.failDisk();
+        assertThat(departure.hasLeft(false), is(true));
+    }
+
+    @Test
+    void itHasLeftWhenAMajorityOfTheVotersKnowsTheViewWithoutIt() {
+        parts.in(view(2, SECOND, THIRD));
+        departure.addInformed(SELF.address());
+        departure.addInformed(SECOND.address());
+        assertThat("its own knowledge doesn't count", departure.hasLeft(false), is(false));
+        departure.addInformed(THIRD.address());
+        assertThat(departure.hasLeft(false), is(true));
+        departure.installView();
+        assertThat("nobody knows the next view yet", departure.hasLeft(false), is(false));
+    }
+
+    @Test
+    void theLastVoterMayStopUnlessAnotherReplicaJoins() {
+        parts.in(new View(2, 7, List.of(SELF), List.of(SELF), SELF.id()));
+        assertThat(departure.hasLeft(true), is(false));
+        assertThat(departure.hasLeft(false), is(true));
+    }
+
+    @Test
+    void theVotersAreToldTheViewAndAskedWhetherTheyKnowIt() {
+        final View view = view(2, SECOND, THIRD);
+        parts.in(view);
+        departure.begin();
+        departure.announce();
+        assertThat(departure.isLeaving(), is(true));
+        assertThat(parts.sent().subList(0, 2), is(List.of(new Message.ViewDecided(view), new Message.Prepare(2, 0))));
+    }
+
+    @Test
+    void withoutTheSafeguardItLeavesBeforeAnyoneKnows() {
+        final ReplicaParts unguarded = new ReplicaParts(Safeguard.HANDOVER).in(view(2, SECOND, THIRD));
+        final Departure hasty = new Departure(unguarded.settings, unguarded.role, unguarded.effects);
+        assertThat(hasty.hasLeft(false), is(true));
+    }
+}
--- /dev/null
+++ b/core/src/test/java/silverlatch/replication/HeldLeaseTest.java
@@ -0,0 +1,63 @@
+package silverlatch.replication;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+import static silverlatch.replication.ReplicaParts.SECOND;
+import static silverlatch.replication.ReplicaParts.SELF;
+import static silverlatch.replication.ReplicaParts.START;
+import static silverlatch.replication.ReplicaParts.THIRD;
+import static silverlatch.replication.ReplicaParts.view;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import silverlatch.wire.Message;
+
+final class HeldLeaseTest {
+    private static final long COUNTED_MICROS = 540_000;
+    private final ReplicaParts parts = new ReplicaParts().in(view(1, SELF, SECOND, THIRD));
+    private final HeldLease lease = new HeldLease(parts.settings, parts.role, parts.effects);
+
+    private static Message.LeaseGrant grant(final Replica voter, final long askedAt) {
+        return new Message.LeaseGrant(1, askedAt, voter.id(), 0);
+    }
+
+    @Test
+    void aMajorityOfGrantsCountsForNineTenthsOfALeaseFromWhenItWasAskedFor() {
+        lease.add(grant(SELF, START));
+        assertThat("one of three voters", lease.isHeld(START), is(false));
+        lease.add(grant(SECOND, START));
+        assertThat(lease.isHeld(START + COUNTED_MICROS - 1), is(true));
+        assertThat(lease.isHeld(START + COUNTED_MICROS), is(false));
+    }
+
+    @Test
+    void aLateGrantOfAnOlderRequestDoesNotShortenTheLease() {
+        lease.add(grant(SELF, START));
+        lease.add(grant(SECOND, START));
+        lease.add(grant(SECOND, START - COUNTED_MICROS));
+        assertThat(lease.isHeld(START + COUNTED_MICROS - 1), is(true));
+    }
+
+    @Test
+    void nothingIsHeldAfterItWasGivenUp() {
+        lease.add(grant(SELF, START));
+        lease.add(grant(SECOND, START));
+        lease.clear();
+        assertThat(lease.isHeld(START), is(false));
+    }
+
+    @Test
+    void aRequestGoesToAllVotersAndIsDueAgainAfterTheInterval() {
+        lease.request(true, START);
+        assertThat(
+                parts.sent(),
+                is(List.of(
+                        new Message.LeaseRequest(1, START, SELF, true, true),
+                        new Message.LeaseRequest(1, START, SELF, true, true),
+                        new Message.LeaseRequest(1, START, SELF, true, true))));
+        assertThat(lease.isRequestDue(100, START + 99), is(false));
+        assertThat(lease.isRequestDue(100, START + 100), is(true));
+        lease.markRequested(START + 100);
+        assertThat(lease.isRequestDue(100, START + 199), is(false));
+    }
+}
--- /dev/null
+++ b/core/src/test/java/silverlatch/replication/ReplicaParts.java
@@ -0,0 +1,119 @@
+package silverlatch.replication;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.stream.IntStream;
+import silverlatch.clock.Stamp;
+import silverlatch.log.LogRecord;
+import silverlatch.node.Effect;
+import silverlatch.node.Event;
+import silverlatch.safeguard.Safeguard;
+import silverlatch.safeguard.Safeguards;
+import silverlatch.state.Entry;
+import silverlatch.state.Value;
+import silverlatch.wire.Message;
+
+/** What tests of single parts of a replica share: replica 0 of three, its role, and the effects that its parts had. */
+final class ReplicaParts {
+    static final long START = 10_000_000;
+    static final List<Replica> REPLICAS =
+            IntStream.range(0, 4).mapToObj(ReplicaParts::replica).toList();
+    static final Replica SELF = REPLICAS.get(0);
+    static final Replica SECOND = REPLICAS.get(1);
+    static final Replica THIRD = REPLICAS.get(2);
+    static final Replica STRANGER = REPLICAS.get(3);
+
+    final ReplicaSettings settings;
+    final ReplicaRole role;
+    final EffectQueue effects;
+    private final List<Message> sent = new ArrayList<>();
+    private final List<String> receivers = new ArrayList<>();
+    private final List<LogRecord> written = new ArrayList<>();
+    private final List<Event> logged = new ArrayList<>();
+    private final List<Long> tokens = new ArrayList<>();
+
+    ReplicaParts(final Safeguard... disabled) {
+        settings = ReplicaSettings.of(SELF, List.of("address-0", "address-1", "address-2"))
+                .withSafeguards(new Safeguards(Set.of(disabled)));
+        role = new ReplicaRole(settings);
+        effects = new EffectQueue(settings.safeguards(), 0);
+    }
+
+    static Replica replica(final int index) {
+        return new Replica("id-" + index, "address-" + index);
+    }
+
+    /** A view whose first three replicas vote, with this chain, owned by the first of it. */
+    static View view(final long number, final Replica... chain) {
+        return new View(number, 7, REPLICAS.subList(0, 3), List.of(chain), chain[0].id());
+    }
+
+    static LogEntry entry(final long sequence) {
+        final Value value = new Value.Evacuation("zone", true, new Stamp(sequence));
+        return new LogEntry(
+                sequence, 1, new Stamp(sequence), List.of(new Entry("z/" + sequence, sequence, List.of(value))));
+    }
+
+    /** A part that stands in this view as a member that has caught up, or outside of it. */
+    ReplicaParts in(final View view) {
+        role.install(view, true);
+        return this;
+    }
+
+    /** The messages sent since the last call. */
+    List<Message> sent() {
+        collect();
+        final List<Message> messages = List.copyOf(sent);
+        sent.clear();
+        receivers.clear();
+        return messages;
+    }
+
+    /** The addresses that were sent messages since the last call. */
+    List<String> receivers() {
+        collect();
+        final List<String> addresses = List.copyOf(receivers);
+        sent.clear();
+        receivers.clear();
+        return addresses;
+    }
+
+    /** The records written since the last call. */
+    List<LogRecord> written() {
+        collect();
+        final List<LogRecord> records = List.copyOf(written);
+        written.clear();
+        return records;
+    }
+
+    /** The events logged since the last call. */
+    List<Event> logged() {
+        collect();
+        final List<Event> events = List.copyOf(logged);
+        logged.clear();
+        return events;
+    }
+
+    /** All that was written is synced at this time. */
+    void sync(final long now) {
+        collect();
+        final List<Long> unsynced = List.copyOf(tokens);
+        tokens.clear();
+        unsynced.forEach(token -> effects.synced(token, now));
+    }
+
+    private void collect() {
+        for (final Effect effect : effects.drain()) {
+            if (effect instanceof Effect.Send send) {
+                sent.add(send.message());
+                receivers.add(send.to());
+            } else if (effect instanceof Effect.Persist persist) {
+                written.addAll(persist.records());
+                tokens.add(persist.token());
+            } else if (effect instanceof Effect.Log log) {
+                logged.add(log.event());
+            }
+        }
+    }
+}
--- a/simulation/src/main/java/silverlatch/simulation/explore/StateDigest.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/StateDigest.java
@@ -3,12 +3,14 @@
 import java.lang.reflect.Field;
 import java.lang.reflect.Modifier;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.stream.Collectors;
 import silverlatch.replication.ChainReplica;
 import silverlatch.replication.ReplicaSettings;
 
@@ -20,6 +22,10 @@
 final class StateDigest {
     private static final long SEED = 0x9E3779B97F4A7C15L;
     private static final Map<Class<?>, List<Field>> FIELDS = new ConcurrentHashMap<>();
+    private static final Set<Class<?>> REPLICA_PARTS = Arrays.stream(ChainReplica.class.getDeclaredFields())
+            .map(Field::getType)
+            .filter(type -> type.getPackage() == ChainReplica.class.getPackage())
+            .collect(Collectors.toSet());
 
     private StateDigest() {}
 
@@ -86,7 +92,7 @@
             return collection(collection);
         }
         if (value instanceof long[] numbers) {
-            return mix(java.util.Arrays.hashCode(numbers));
+            return mix(Arrays.hashCode(numbers));
         }
         return object(value);
     }
@@ -138,8 +144,12 @@
         return List.copyOf(fields);
     }
 
+    /** Settings never change; parts of a replica refer to each other, and count once, as fields of the replica. */
     private static boolean constant(final Class<?> type, final Field field) {
-        return type == ChainReplica.class && field.getType() == ReplicaSettings.class;
+        final boolean isPartOfReplica = type.getPackage() == ChainReplica.class.getPackage();
+        return isPartOfReplica
+                && (field.getType() == ReplicaSettings.class
+                        || type != ChainReplica.class && REPLICA_PARTS.contains(field.getType()));
     }
 
     private static long mix(final long seed) {
