--- a/core/src/main/java/silverlatch/gossip/PeerSelector.java
+++ b/core/src/main/java/silverlatch/gossip/PeerSelector.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 import silverlatch.membership.Member;
+import silverlatch.membership.MemberState;
 import silverlatch.membership.Membership;
 import silverlatch.replication.Replica;
 import silverlatch.replication.View;
@@ -112,7 +113,7 @@
 
     private boolean isOtherController(final Member member) {
         return !member.isGateway()
-                && !member.state().equals("left")
+                && !member.is(MemberState.LEFT)
                 && !member.id().equals(membership.self().id());
     }
 }
--- a/core/src/main/java/silverlatch/membership/Member.java
+++ b/core/src/main/java/silverlatch/membership/Member.java
@@ -1,20 +1,21 @@
 package silverlatch.membership;
 
-import java.util.Optional;
-
 /**
- * A daemon of the fleet as the others know it.
+ * A node of the fleet as the others know it; at the same time an update on it that one node sends to another.
+ *
+ * <p>Of two updates on a member the one with the larger incarnation counts, then the one with the higher sequence, then the
+ * one with the more severe state. Only the member itself raises its incarnation and its sequence.
  *
- * @param id      its name
- * @param role    gateway or controller
- * @param zone    its zone
- * @param region  its region
- * @param address where it takes frames
- * @param httpAddress    where it takes HTTP
- * @param incarnation    its incarnation, a larger one for each start and each rejoin
- * @param sequence    how often it spoke up against suspicion in this life
- * @param state   a state of the chart member
- * @param ready   whether it takes tickets
+ * @param id          its name
+ * @param role        {@code gateway} or {@code controller}
+ * @param zone        its zone
+ * @param region      its region
+ * @param address     host and port at which it takes frames
+ * @param httpAddress host and port at which it takes HTTP requests
+ * @param incarnation a number that is larger for each start and each rejoin
+ * @param sequence    how often it refuted a suspicion or changed its readiness in this incarnation
+ * @param state       the {@link MemberState#wireName} of its state; that of a later version may be unknown here
+ * @param ready       whether it takes requests
  */
 public record Member(
         String id,
@@ -27,7 +28,12 @@
         long sequence,
         String state,
         boolean ready) {
-    /** Whether this word on the same daemon goes before the other. */
+    private static final String GATEWAY_ROLE = "gateway";
+
+    /** Precedences of one sequence lie so far apart from those of the next; part of the wire format. */
+    private static final int PRECEDENCES_PER_SEQUENCE = 4;
+
+    /** Returns whether this update on a member supersedes another on the same one. */
     public boolean supersedes(final Member other) {
         if (incarnation != other.incarnation) {
             return incarnation > other.incarnation;
@@ -35,36 +41,69 @@
         if (sequence != other.sequence) {
             return sequence > other.sequence;
         }
-        return severityOf(state) > severityOf(other.state);
+        return severity() > other.severity();
     }
 
-    /** The place of this word among those of one life. */
+    /** Returns the rank of this update among those of one incarnation. */
     public long precedence() {
-        return sequence * 4 + severityOf(state);
+        return sequence * PRECEDENCES_PER_SEQUENCE + severity();
+    }
+
+    /** Returns whether the member is in a state. */
+    public boolean is(final MemberState other) {
+        return state.equals(other.wireName());
+    }
+
+    /** Returns the same member in another state. */
+    public Member withState(final MemberState newState) {
+        return new Member(
+                id, role, zone, region, address, httpAddress, incarnation, sequence, newState.wireName(), ready);
     }
 
-    /** The same daemon in another state. */
-    public Member withState(final String newState) {
-        return new Member(id, role, zone, region, address, httpAddress, incarnation, sequence, newState, ready);
+    /**
+     * Returns the same member after a transition.
+     *
+     * @throws IllegalStateException if the trigger can't occur in its state, or its state isn't known here
+     */
+    public Member after(final MemberState.Trigger trigger) {
+        final MemberState current =
+                MemberState.ofWireName(state).orElseThrow(() -> new IllegalStateException("no member state " + state));
+        return withState(current.after(trigger));
     }
 
-    /** The same daemon a turn later. */
+    /** Returns the member as it refutes a suspicion or changes its readiness: up, under a higher sequence. */
     public Member asUp(final long newSequence, final boolean isReady) {
-        return new Member(id, role, zone, region, address, httpAddress, incarnation, newSequence, "up", isReady);
+        return new Member(
+                id,
+                role,
+                zone,
+                region,
+                address,
+                httpAddress,
+                incarnation,
+                newSequence,
+                MemberState.UP.wireName(),
+                isReady);
+    }
+
+    /** Returns the member at the start of another incarnation. */
+    public Member withIncarnation(final long newIncarnation) {
+        return new Member(
+                id, role, zone, region, address, httpAddress, newIncarnation, 0, MemberState.UP.wireName(), ready);
     }
 
-    /** Whether it is thought to live. */
+    /** Returns whether it is thought to be alive. */
     public boolean isLive() {
-        return state.equals("up") || state.equals("suspect");
+        return is(MemberState.UP) || is(MemberState.SUSPECT);
     }
 
-    /** Whether it is a gateway. */
+    /** Returns whether it is a gateway; if not it is a controller. */
     public boolean isGateway() {
-        return role.equals("gateway");
+        return role.equals(GATEWAY_ROLE);
     }
 
-    private static int severityOf(final String state) {
-        return Optional.of(java.util.List.of("up", "suspect", "dead", "left").indexOf(state))
-                .orElse(0);
+    /** Returns the severity of the state; a state that isn't known here comes before all. */
+    private int severity() {
+        return MemberState.ofWireName(state).map(MemberState::ordinal).orElse(-1);
     }
 }
--- /dev/null
+++ b/core/src/main/java/silverlatch/membership/MemberTable.java
@@ -0,0 +1,150 @@
+package silverlatch.membership;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import silverlatch.util.Fnv1a;
+
+/**
+ * The members that a node knows, itself among them, by name and on a ring.
+ *
+ * <p>All live members lie on a ring in the order of a hash of their names, which is the same at every node that knows the
+ * same live members. Each is watched by the next ones on the ring. Lists derived from the table are kept until it changes.
+ */
+final class MemberTable {
+    /** How many members watch each member. */
+    private static final int WATCHER_COUNT = 3;
+
+    private static final int HASH_FOLD_SHIFT = 29;
+
+    private final String selfId;
+    private final Map<String, Member> members = new TreeMap<>();
+    private final Map<String, Long> updatedAt = new HashMap<>();
+    private long version;
+    private Optional<List<Member>> ring = Optional.empty();
+    private Optional<List<Member>> liveOthers = Optional.empty();
+    private Optional<List<Member>> watched = Optional.empty();
+    private Optional<List<Member>> suspects = Optional.empty();
+
+    MemberTable(final Member self) {
+        this.selfId = self.id();
+        members.put(selfId, self);
+    }
+
+    /** Returns a number that changes whenever what is known of any member does. */
+    long version() {
+        return version;
+    }
+
+    /** Returns all members, in the order of their names. */
+    List<Member> all() {
+        return List.copyOf(members.values());
+    }
+
+    Optional<Member> find(final String id) {
+        return Optional.ofNullable(members.get(id));
+    }
+
+    /** Takes a change of this node itself. */
+    void putSelf(final Member self) {
+        put(self);
+    }
+
+    /** Takes an update on another member. */
+    void putOther(final Member member, final long now) {
+        put(member);
+        updatedAt.put(member.id(), now);
+    }
+
+    /** Returns the microseconds since the last update on a member; 0 where there was none. */
+    long sinceUpdate(final Member member, final long now) {
+        return now - updatedAt.getOrDefault(member.id(), now);
+    }
+
+    /** Returns the members thought to be alive, without this node. */
+    List<Member> liveOthers() {
+        if (liveOthers.isEmpty()) {
+            liveOthers = Optional.of(members.values().stream()
+                    .filter(m -> m.isLive() && !m.id().equals(selfId))
+                    .toList());
+        }
+        return liveOthers.get();
+    }
+
+    /** Returns the members that are suspected. */
+    List<Member> suspects() {
+        if (suspects.isEmpty()) {
+            suspects = Optional.of(members.values().stream()
+                    .filter(m -> m.is(MemberState.SUSPECT))
+                    .toList());
+        }
+        return suspects.get();
+    }
+
+    /** Returns the members that watch a live member: the next ones after it on the ring. */
+    List<Member> watchersOf(final String id) {
+        final List<Member> live = ring();
+        final int index = indexOf(live, id);
+        final List<Member> watchers = new ArrayList<>();
+        for (int i = 1; i < live.size() && watchers.size() < WATCHER_COUNT; i++) {
+            watchers.add(live.get((index + i) % live.size()));
+        }
+        return watchers;
+    }
+
+    /** Returns the members that this node watches; none while it isn't live itself. */
+    List<Member> watchedBySelf() {
+        if (watched.isEmpty()) {
+            watched = Optional.of(precedingOnRing());
+        }
+        return watched.get();
+    }
+
+    private List<Member> precedingOnRing() {
+        final List<Member> live = ring();
+        final int index = indexOf(live, selfId);
+        final List<Member> preceding = new ArrayList<>();
+        for (int i = 1; index >= 0 && i < live.size() && preceding.size() < WATCHER_COUNT; i++) {
+            preceding.add(live.get(Math.floorMod(index - i, live.size())));
+        }
+        return preceding;
+    }
+
+    private List<Member> ring() {
+        if (ring.isEmpty()) {
+            ring = Optional.of(members.values().stream()
+                    .filter(Member::isLive)
+                    .sorted(Comparator.comparingLong((Member m) -> ringPosition(m.id()))
+                            .thenComparing(Member::id))
+                    .toList());
+        }
+        return ring.get();
+    }
+
+    private void put(final Member member) {
+        members.put(member.id(), member);
+        ring = Optional.empty();
+        liveOthers = Optional.empty();
+        watched = Optional.empty();
+        suspects = Optional.empty();
+        version++;
+    }
+
+    private static int indexOf(final List<Member> live, final String id) {
+        for (int i = 0; i < live.size(); i++) {
+            if (live.get(i).id().equals(id)) {
+                return i;
+            }
+        }
+        return -1;
+    }
+
+    private static long ringPosition(final String id) {
+        final long hash = Fnv1a.hash(id);
+        return hash ^ hash >>> HASH_FOLD_SHIFT;
+    }
+}
--- a/core/src/main/java/silverlatch/membership/Membership.java
+++ b/core/src/main/java/silverlatch/membership/Membership.java
@@ -1,48 +1,43 @@
 package silverlatch.membership;
 
 import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
-import java.util.TreeMap;
+import silverlatch.clock.Stamp;
 import silverlatch.node.Effect;
 import silverlatch.node.Event;
-import silverlatch.statemachine.TransitionTable;
 import silverlatch.wire.Message;
 
-/** Who is in the fleet and who lives: joining by seeds, heartbeats to watchers named by the ring, suspicion as news. */
+/**
+ * Who is in the fleet and who is alive, in the manner of SWIM: a node joins through seeds, sends heartbeats to a few
+ * watchers, and its watchers suspect it when they miss them. A suspicion spreads by gossip; the suspected member refutes it
+ * by a higher sequence, or is declared dead after the death time-out.
+ *
+ * <p>For each member the newest update counts ({@link Member#supersedes}); about itself only a node's own word counts. The
+ * class does no input or output: updates to forward and what is to be sent and logged are collected for
+ * {@link #drainUpdates} and {@link #drain}. The node's event loop alone calls it. All times are microseconds of the node's
+ * monotonic clock.
+ */
 public final class Membership {
-    private static final int WATCHER_COUNT = 3;
-    private static final long FIRST_JOIN_INTERVAL = 200_000L;
-    /** For so long after its death was noticed a member is called again: it may only have been cut off. */
-    private static final long RECONNECT_WINDOW = 600_000_000L;
-
     private final Settings settings;
-    private List<String> setSeeds;
-    private final TransitionTable transitions = TransitionTable.load("member");
-    private final Map<String, Member> members = new TreeMap<>();
-    private final Map<String, Long> lastHeartbeats = new HashMap<>();
-    private final Map<String, Long> stateSince = new HashMap<>();
+    private final MemberTable members;
+    private final FailureDetector failureDetector;
+    private final JoinSchedule joinSchedule;
     private final List<Effect> effects = new ArrayList<>();
-    private final List<Member> drainUpdates = new ArrayList<>();
+    private final List<Member> updates = new ArrayList<>();
     private Member self;
-    private List<Member> ring = List.of();
-    private Optional<List<Member>> watched = Optional.empty();
-    private Optional<List<Member>> suspects = Optional.empty();
-    private long lastHeartbeatSent;
-    private long lastJoinAttempt;
-    private List<Member> liveMembers = List.of();
-    private boolean suspectsSelf;
-    private boolean isJoining = true;
-    private long version;
+    private long lastHeartbeat;
     private long heartbeatCount;
-    private int reconnectCount;
 
     /**
-     * Times in microseconds; every so many heartbeats one tells the whole of the daemon, the others only its life. Where
-     * that is more than one, a muster is not passed on either.
+     * The time-outs and intervals of the membership, in microseconds.
+     *
+     * @param heartbeatInterval  between two heartbeats
+     * @param suspicionTimeout   without a heartbeat after which a member is suspected
+     * @param deathTimeout       for which a suspicion stands before the member counts as dead
+     * @param joinInterval       between two attempts to greet seeds that aren't known as members
+     * @param fullHeartbeatEvery one in so many heartbeats carries the whole member, the others its incarnation alone; where
+     *                           that is more than one, the members of a member list aren't forwarded either
      */
     public record Settings(
             long heartbeatInterval,
@@ -50,333 +45,224 @@
             long deathTimeout,
             long joinInterval,
             int fullHeartbeatEvery) {
-        /** The times that hold when nothing is said. */
-        public static final Settings DEFAULTS = new Settings(250_000L, 1_500_000L, 2_000_000L, 1_000_000L);
-        /** Times for a large fleet. */
-        public static final Settings LARGE_FLEET = new Settings(500_000L, 2_000_000L, 2_000_000L, 1_000_000L, 4);
+        /** The values that hold when the settings name none. */
+        public static final Settings DEFAULTS = new Settings(250_000L, 1_500_000L, 2_000_000L, 1_000_000L, 1);
 
-        /** Times where each heartbeat tells the whole. */
-        public Settings(
-                final long heartbeatInterval,
-                final long suspicionTimeout,
-                final long deathTimeout,
-                final long joinInterval) {
-            this(heartbeatInterval, suspicionTimeout, deathTimeout, joinInterval, 1);
-        }
+        /** Values for a large fleet. */
+        public static final Settings LARGE_FLEET = new Settings(500_000L, 2_000_000L, 2_000_000L, 1_000_000L, 4);
     }
 
-    /** A daemon that knows itself and its seeds. */
+    /** Makes the membership of a node that knows itself and the addresses of its seeds. */
     public Membership(final Member self, final List<String> seeds, final Settings settings) {
         this.self = self;
-        this.setSeeds = List.copyOf(seeds);
         this.settings = settings;
-        members.put(self.id(), self);
+        this.members = new MemberTable(self);
+        this.failureDetector = new FailureDetector(settings.suspicionTimeout());
+        this.joinSchedule = new JoinSchedule(self.address(), seeds, settings.joinInterval(), members);
     }
 
-    /** This daemon as it tells of itself. */
+    /** Returns this node as the others are to know it. */
     public Member self() {
         return self;
     }
 
-    /** All that are known, dead ones too. */
+    /** Returns all members known, in the order of their names, this node and dead ones among them. */
     public List<Member> all() {
-        return List.copyOf(members.values());
+        return members.all();
     }
 
-    /** A number that changes whenever what is known of anyone does. */
+    /** Returns a number that changes whenever what is known of any member does. */
     public long version() {
-        return version;
+        return members.version();
     }
 
-    /** Those thought to live, without this daemon. */
+    /** Returns the members thought to be alive, without this node. */
     public List<Member> liveMembers() {
-        if (liveMembers.isEmpty()) {
-            liveMembers = members.values().stream()
-                    .filter(m -> m.isLive() && !m.id().equals(self.id()))
-                    .toList();
-        }
-        return liveMembers;
+        return members.liveOthers();
     }
 
-    /** A daemon by its name. */
+    /** Returns a member by its name. */
     public Optional<Member> get(final String id) {
-        return Optional.ofNullable(members.get(id));
+        return members.find(id);
+    }
+
+    /** Returns the members that watch a live member. */
+    public List<Member> watchers(final String id) {
+        return members.watchersOf(id);
     }
 
-    /** Whether this daemon doubts itself, since most of those it watches are gone. */
+    /** Returns whether this node suspects itself, since it misses most of the members that it watches. */
     public boolean suspectsSelf() {
-        return suspectsSelf;
+        return failureDetector.suspectsSelf();
     }
 
-    /** Says whether this daemon takes tickets. */
+    /** Sets whether this node takes requests, and tells the others if that has changed. */
     public void setReady(final boolean isReady) {
         if (self.ready() != isReady) {
             updateSelf(self.asUp(self.sequence() + 1, isReady));
         }
     }
 
-    /** Takes the seeds that hold from now on, and hails them at the next clock event. */
-    public void setSeeds(final List<String> newSeeds) {
-        if (!setSeeds.equals(newSeeds)) {
-            setSeeds = List.copyOf(newSeeds);
-            rejoinSeeds();
-        }
+    /** Sets the addresses of the seeds; if they have changed they are greeted at the next tick. */
+    public void setSeeds(final List<String> seeds) {
+        joinSchedule.setSeeds(seeds);
     }
 
-    /** Starts a new incarnation, as a rejoin does. */
-    public void startIncarnation(final long incarnation) {
-        updateSelf(new Member(
-                self.id(),
-                self.role(),
-                self.zone(),
-                self.region(),
-                self.address(),
-                self.httpAddress(),
-                incarnation,
-                0,
-                "up",
-                self.ready()));
+    /** Greets all seeds at the next tick, known or not. */
+    public void rejoinSeeds() {
+        joinSchedule.restart();
     }
 
-    /** Hails the seeds again at the next clock event, known or not. */
-    public void rejoinSeeds() {
-        lastJoinAttempt = 0;
-        isJoining = true;
+    /** Starts a new incarnation of this node, as a rejoin does. */
+    public void startIncarnation(final long incarnation) {
+        updateSelf(self.withIncarnation(incarnation));
     }
 
-    /** Tells the others that this daemon leaves. */
+    /** Tells the others that this node leaves; from then on it refutes nothing. */
     public void leave() {
-        updateSelf(self.withState(transitions.transition(self.state(), "leave")));
+        updateSelf(self.after(MemberState.Trigger.LEAVE));
     }
 
-    /** Takes a message. */
-    public void on(
-            final Message message, final long now, final long physicalTime, final silverlatch.clock.Stamp stampFloor) {
+    /**
+     * Takes a message of the membership protocol; any other is ignored.
+     *
+     * @param physicalTime the physical time here, in fixed point units, for a node that joins
+     * @param stampFloor   the newest stamp here, for a node that joins
+     */
+    public void onMessage(final Message message, final long now, final long physicalTime, final Stamp stampFloor) {
         switch (message) {
-            case Message.JoinGreeting m -> {
-                onFullHeartbeat(m.sender(), now);
-                effects.add(new Effect.Send(
-                        m.sender().address(), new Message.MemberList(all(), m.sentAt(), physicalTime, stampFloor)));
+            case Message.JoinGreeting greeting -> {
+                onFullHeartbeat(greeting.sender(), now);
+                send(
+                        greeting.sender().address(),
+                        new Message.MemberList(all(), greeting.sentAt(), physicalTime, stampFloor));
             }
-            case Message.MemberList m -> {
-                isJoining = false;
-                m.members().forEach(x -> learn(x, settings.fullHeartbeatEvery() == 1, now));
+            case Message.MemberList list -> {
+                joinSchedule.onMemberList();
+                final boolean forward = settings.fullHeartbeatEvery() == 1;
+                list.members().forEach(member -> learn(member, forward, now));
             }
-            case Message.Heartbeat m -> onFullHeartbeat(m.sender(), now);
-            case Message.LivenessHeartbeat m ->
-                get(m.id())
-                        .filter(x -> x.incarnation() == m.incarnation())
-                        .ifPresent(x -> lastHeartbeats.put(x.id(), now));
+            case Message.Heartbeat heartbeat -> onFullHeartbeat(heartbeat.sender(), now);
+            case Message.LivenessHeartbeat heartbeat ->
+                get(heartbeat.id())
+                        .filter(member -> member.incarnation() == heartbeat.incarnation())
+                        .ifPresent(member -> failureDetector.onHeartbeat(member.id(), now));
             default -> {}
         }
     }
 
-    /** Takes word on a daemon, from anyone, and passes it on. */
+    /** Takes an update on a member, and forwards it if it is news. */
     public void learn(final Member update, final long now) {
         learn(update, true, now);
     }
 
-    /** Takes word on a daemon from one who tells all that it knows, and doesn't pass it on. */
+    /** Takes an update from a node that exchanges all it knows with the others, so that it needn't be forwarded. */
     public void learnWithoutForwarding(final Member update, final long now) {
         learn(update, false, now);
     }
 
-    private void learn(final Member update, final boolean forward, final long now) {
-        if (update.id().equals(self.id())) {
-            if (update.incarnation() > self.incarnation()) {
-                startIncarnation(update.incarnation() + 1);
-            } else if (update.incarnation() == self.incarnation()
-                    && update.sequence() >= self.sequence()
-                    && !update.equals(self)
-                    && !self.state().equals("left")) {
-                updateSelf(self.asUp(update.sequence() + 1, self.ready()));
-            }
-            return;
-        }
-        final Optional<Member> old = Optional.ofNullable(members.get(update.id()));
-        if (old.map(update::supersedes).orElse(true)) {
-            store(update);
-            stateSince.put(update.id(), now);
-            if (forward) {
-                drainUpdates.add(update);
-            }
-            if (old.map(o -> !o.state().equals(update.state())).orElse(true)) {
-                logState(update);
-            }
-        }
-    }
-
-    /** A clock event. */
+    /** Greets seeds, sends heartbeats and looks for failed members, each where it is due; called some twenty times a second. */
     public void tick(final long now) {
-        if (now - lastJoinAttempt
-                >= (isJoining ? Math.min(FIRST_JOIN_INTERVAL, settings.joinInterval()) : settings.joinInterval())) {
-            lastJoinAttempt = now;
-            setSeeds.stream()
-                    .filter(s -> !s.equals(self.address()))
-                    .filter(s -> isJoining
-                            || members.values().stream()
-                                    .noneMatch(m ->
-                                            m.address().equals(s) && m.state().equals("up")))
-                    .forEach(s -> effects.add(new Effect.Send(s, new Message.JoinGreeting(self, now))));
-            nextToReconnect(now)
-                    .ifPresent(m -> effects.add(new Effect.Send(m.address(), new Message.JoinGreeting(self, now))));
-        }
-        if (now - lastHeartbeatSent >= settings.heartbeatInterval()) {
-            lastHeartbeatSent = now;
-            final Message heartbeat = heartbeatCount++ % settings.fullHeartbeatEvery() == 0
-                    ? new Message.Heartbeat(self)
-                    : new Message.LivenessHeartbeat(self.id(), self.incarnation());
-            watchers(self.id()).forEach(w -> effects.add(new Effect.Send(w.address(), heartbeat)));
+        joinSchedule.addressesToGreet(now).forEach(address -> send(address, new Message.JoinGreeting(self, now)));
+        if (now - lastHeartbeat >= settings.heartbeatInterval()) {
+            lastHeartbeat = now;
+            final Message heartbeat = nextHeartbeat();
+            watchers(self.id()).forEach(watcher -> send(watcher.address(), heartbeat));
         }
         detectFailures(now);
     }
 
-    /**
-     * The next member to call of those thought dead, each in its turn. Two sides of a cut bury each other; where all the
-     * seeds lie on one's own side, nothing else would bring them together again.
-     */
-    private Optional<Member> nextToReconnect(final long now) {
-        final List<Member> dead = members.values().stream()
-                .filter(m -> m.state().equals("dead") && now - stateSince.getOrDefault(m.id(), now) < RECONNECT_WINDOW)
-                .filter(m -> !setSeeds.contains(m.address()))
-                .filter(m -> liveMembers().stream().noneMatch(l -> l.address().equals(m.address())))
-                .toList();
-        return dead.isEmpty() ? Optional.empty() : Optional.of(dead.get(reconnectCount++ % dead.size()));
-    }
-
-    /** Word to be passed on; it is handed over once. */
+    /** Returns the updates to forward; each is handed out once. */
     public List<Member> drainUpdates() {
-        final List<Member> list = List.copyOf(drainUpdates);
-        drainUpdates.clear();
-        return list;
+        final List<Member> drained = List.copyOf(updates);
+        updates.clear();
+        return drained;
     }
 
-    /** What is to be done; it is handed over once. */
+    /** Returns what is to be sent and logged; each effect is handed out once. */
     public List<Effect> drain() {
-        final List<Effect> list = List.copyOf(effects);
+        final List<Effect> drained = List.copyOf(effects);
         effects.clear();
-        return list;
+        return drained;
     }
 
-    /** Those who watch a live daemon: the next live ones on the ring. */
-    public List<Member> watchers(final String id) {
-        final List<Member> ring = ring();
-        final int index = indexOf(ring, id);
-        final List<Member> watchers = new ArrayList<>();
-        for (int i = 1; i < ring.size() && watchers.size() < WATCHER_COUNT; i++) {
-            watchers.add(ring.get((index + i) % ring.size()));
-        }
-        return watchers;
+    private void send(final String address, final Message message) {
+        effects.add(new Effect.Send(address, message));
     }
 
-    private List<Member> ring() {
-        if (ring.isEmpty()) {
-            ring = members.values().stream()
-                    .filter(Member::isLive)
-                    .sorted(Comparator.comparingLong((Member m) -> ringPosition(m.id()))
-                            .thenComparing(Member::id))
-                    .toList();
-        }
-        return ring;
+    private void onFullHeartbeat(final Member sender, final long now) {
+        failureDetector.onHeartbeat(sender.id(), now);
+        learn(sender, now);
     }
 
-    private static int indexOf(final List<Member> ring, final String id) {
-        for (int i = 0; i < ring.size(); i++) {
-            if (ring.get(i).id().equals(id)) {
-                return i;
-            }
-        }
-        return -1;
+    private Message nextHeartbeat() {
+        return heartbeatCount++ % settings.fullHeartbeatEvery() == 0
+                ? new Message.Heartbeat(self)
+                : new Message.LivenessHeartbeat(self.id(), self.incarnation());
     }
 
-    private List<Member> watched() {
-        if (watched.isEmpty()) {
-            watched = Optional.of(watchedBySelf());
+    private void learn(final Member update, final boolean forward, final long now) {
+        if (update.id().equals(self.id())) {
+            learnOfSelf(update);
+            return;
         }
-        return watched.get();
-    }
-
-    private List<Member> suspects() {
-        if (suspects.isEmpty()) {
-            suspects = Optional.of(members.values().stream()
-                    .filter(m -> m.state().equals("suspect"))
-                    .toList());
+        final Optional<Member> known = members.find(update.id());
+        if (known.isPresent() && !update.supersedes(known.get())) {
+            return;
         }
-        return suspects.get();
-    }
-
-    private List<Member> watchedBySelf() {
-        final List<Member> ring = ring();
-        final int index = indexOf(ring, self.id());
-        final List<Member> watched = new ArrayList<>();
-        for (int i = 1; index >= 0 && i < ring.size() && watched.size() < WATCHER_COUNT; i++) {
-            watched.add(ring.get(Math.floorMod(index - i, ring.size())));
+        members.putOther(update, now);
+        if (forward) {
+            updates.add(update);
+        }
+        if (known.filter(member -> member.state().equals(update.state())).isEmpty()) {
+            logState(update);
         }
-        return watched;
     }
 
-    private void store(final Member member) {
-        members.put(member.id(), member);
-        ring = List.of();
-        liveMembers = List.of();
-        watched = Optional.empty();
-        suspects = Optional.empty();
-        version++;
+    /** Refutes what others say of this node, unless it is outdated: by a higher sequence, or by a higher incarnation. */
+    private void learnOfSelf(final Member update) {
+        if (update.incarnation() > self.incarnation()) {
+            startIncarnation(update.incarnation() + 1);
+        } else if (update.incarnation() == self.incarnation()
+                && update.sequence() >= self.sequence()
+                && !update.equals(self)
+                && !self.is(MemberState.LEFT)) {
+            updateSelf(self.asUp(update.sequence() + 1, self.ready()));
+        }
     }
 
     private void detectFailures(final long now) {
-        final List<Member> watched = watched();
-        watched.forEach(m -> lastHeartbeats.putIfAbsent(m.id(), now));
-        lastHeartbeats.keySet().retainAll(watched.stream().map(Member::id).toList());
-        final List<Member> missing = watched.stream()
-                .filter(m -> now - lastHeartbeats.get(m.id()) > settings.suspicionTimeout())
-                .toList();
-        final boolean majorityMissing = missing.size() >= 2 && missing.size() * 2 > watched.size();
-        if (majorityMissing != suspectsSelf) {
-            suspectsSelf = majorityMissing;
-            if (suspectsSelf) {
-                effects.add(new Effect.Log(
-                        Event.SELF_DOUBT, missing.size() + " of " + watched.size() + " watched are silent"));
-            }
-        }
-        if (!suspectsSelf) {
-            missing.stream()
-                    .filter(m -> m.state().equals("up"))
-                    .forEach(m -> learn(m.withState(transitions.transition(m.state(), "miss")), now));
+        final List<Member> watched = members.watchedBySelf();
+        final List<Member> silent = failureDetector.silentMembers(watched, now);
+        failureDetector.judgeSelf(silent.size(), watched.size()).ifPresent(effects::add);
+        if (!suspectsSelf()) {
+            silent.stream()
+                    .filter(member -> member.is(MemberState.UP))
+                    .forEach(member -> learn(member.after(MemberState.Trigger.HEARTBEATS_MISSED), now));
         }
-        suspects().stream()
-                .filter(m -> now - stateSince.getOrDefault(m.id(), now) > settings.deathTimeout())
-                .toList()
-                .forEach(m -> learn(m.withState(transitions.transition(m.state(), "bury")), now));
-    }
-
-    private void onFullHeartbeat(final Member sender, final long now) {
-        lastHeartbeats.put(sender.id(), now);
-        learn(sender, now);
+        members.suspects().stream()
+                .filter(member -> members.sinceUpdate(member, now) > settings.deathTimeout())
+                .forEach(member -> learn(member.after(MemberState.Trigger.DEATH_TIMEOUT), now));
     }
 
     private void updateSelf(final Member updated) {
         self = updated;
-        store(self);
-        drainUpdates.add(self);
+        members.putSelf(updated);
+        updates.add(updated);
     }
 
     private void logState(final Member member) {
-        effects.add(new Effect.Log(
-                switch (member.state()) {
-                    case "up" -> Event.MEMBER_UP;
-                    case "suspect" -> Event.MEMBER_SUSPECT;
-                    case "dead" -> Event.MEMBER_DEAD;
-                    default -> Event.MEMBER_LEFT;
-                },
-                member.id() + " life " + member.incarnation()));
-    }
-
-    private static long ringPosition(final String id) {
-        long hash = 0xCBF29CE484222325L;
-        for (int i = 0; i < id.length(); i++) {
-            hash = (hash ^ id.charAt(i)) * 0x100000001B3L;
-        }
-        return hash ^ hash >>> 29;
+        final Event event =
+                MemberState.ofWireName(member.state()).map(Membership::eventOf).orElse(Event.MEMBER_LEFT);
+        effects.add(new Effect.Log(event, member.id() + " life " + member.incarnation()));
+    }
+
+    private static Event eventOf(final MemberState state) {
+        return switch (state) {
+            case UP -> Event.MEMBER_UP;
+            case SUSPECT -> Event.MEMBER_SUSPECT;
+            case DEAD -> Event.MEMBER_DEAD;
+            case LEFT -> Event.MEMBER_LEFT;
+        };
     }
 }
--- a/core/src/main/java/silverlatch/node/Node.java
+++ b/core/src/main/java/silverlatch/node/Node.java
@@ -367,14 +367,14 @@
 
     private void dispatch(final Message message, final String sender, final long now, final long physicalTime) {
         switch (message) {
-            case Message.JoinGreeting m -> membership.on(m, now, physicalTime, processClock.last());
+            case Message.JoinGreeting m -> membership.onMessage(m, now, physicalTime, processClock.last());
             case Message.MemberList m -> {
                 hasJoined = true;
                 processClock.raiseAbove(m.stampFloor(), physicalTime);
-                membership.on(m, now, physicalTime, processClock.last());
+                membership.onMessage(m, now, physicalTime, processClock.last());
             }
-            case Message.LivenessHeartbeat m -> membership.on(m, now, physicalTime, processClock.last());
-            case Message.Heartbeat m -> membership.on(m, now, physicalTime, processClock.last());
+            case Message.LivenessHeartbeat m -> membership.onMessage(m, now, physicalTime, processClock.last());
+            case Message.Heartbeat m -> membership.onMessage(m, now, physicalTime, processClock.last());
             case Message.GossipPush m -> gossip.onMessage(m, sender, now);
             case Message.GossipPull m -> {
                 chainReplica.ifPresent(
--- a/core/src/test/java/silverlatch/membership/LivenessHeartbeatTest.java
+++ b/core/src/test/java/silverlatch/membership/LivenessHeartbeatTest.java
@@ -55,7 +55,7 @@
                     && !silenced.contains(id)
                     && !silenced.contains(s.to())) {
                 sent.add(s.message());
-                nodes.get(s.to()).on(s.message(), now, 0, Stamp.NONE);
+                nodes.get(s.to()).onMessage(s.message(), now, 0, Stamp.NONE);
                 deliverEffects(s.to());
             }
         }
@@ -91,7 +91,7 @@
         advance(SECOND);
         nodes.remove("n1");
         for (int i = 0; i < 8; i++) {
-            nodes.get("n0").on(new Message.LivenessHeartbeat("n1", 2), now, 0, Stamp.NONE);
+            nodes.get("n0").onMessage(new Message.LivenessHeartbeat("n1", 2), now, 0, Stamp.NONE);
             now += 400_000;
             nodes.get("n0").tick(now);
         }
--- a/core/src/test/java/silverlatch/membership/MembershipTest.java
+++ b/core/src/test/java/silverlatch/membership/MembershipTest.java
@@ -57,7 +57,7 @@
                 && !silenced.contains(id)
                 && !silenced.contains(s.to())) {
             final Message message = s.message();
-            nodes.get(s.to()).on(message, now, 0, Stamp.NONE);
+            nodes.get(s.to()).onMessage(message, now, 0, Stamp.NONE);
             nodes.get(s.to()).drain().forEach(x -> handleEffect(s.to(), x));
         } else if (effect instanceof Effect.Log l) {
             logs.get(id).add(l.event());
@@ -101,7 +101,7 @@
     @Test
     void suspectedMemberThatLivesRefutes() {
         startFleet(5);
-        nodes.get("n0").learn(nodes.get("n0").get("n3").orElseThrow().withState("suspect"), now);
+        nodes.get("n0").learn(nodes.get("n0").get("n3").orElseThrow().withState(MemberState.SUSPECT), now);
         advance(1_000_000);
         nodes.keySet().forEach(id -> assertThat(stateOf(id, "n3"), is("up")));
     }
--- a/core/src/test/java/silverlatch/statemachine/TransitionTableTest.java
+++ b/core/src/test/java/silverlatch/statemachine/TransitionTableTest.java
@@ -9,7 +9,7 @@
 final class TransitionTableTest {
     @Test
     void everyTransitionTableIsValidAndDecides() {
-        for (final String name : new String[] {"ticket", "member"}) {
+        for (final String name : new String[] {"ticket"}) {
             TransitionTable.load(name);
         }
         final TransitionTable ticket = TransitionTable.load("ticket");
