--- a/core/src/main/java/silverlatch/routing/FailurePoint.java
+++ b/core/src/main/java/silverlatch/routing/FailurePoint.java
@@ -1,17 +1,28 @@
 package silverlatch.routing;
 
-/** How far a run had come when it broke. */
+/** How far an attempt had come when it broke. The names go into counters and log lines. */
 public enum FailurePoint {
-    /** No byte of it left. */
-    UNSENT,
-    /** The worker said that it did not run and never will. */
-    NOT_RUN,
-    /** Another worker stands at the address; it did not run. */
-    STRANGER,
-    /** Bytes of it left, and nothing came of it. */
-    SENT,
-    /** The worker's reply tells of its own failure. */
-    ILL,
-    /** The reply had begun. */
-    BEGUN
+    /** No byte of the request left this gateway. */
+    UNSENT(true),
+    /** The worker said that it did not run the request and never will. */
+    NOT_RUN(true),
+    /** Another worker is at the address; it did not run the request. */
+    STRANGER(true),
+    /** Bytes of the request left, and no response came. */
+    SENT(false),
+    /** The worker's response tells of a failure of its own. */
+    ILL(false),
+    /** A part of the response was passed on. */
+    BEGUN(false);
+
+    private final boolean isSurelyNotRun;
+
+    FailurePoint(final boolean isSurelyNotRun) {
+        this.isSurelyNotRun = isSurelyNotRun;
+    }
+
+    /** Whether the attempt surely did not run, so that another one can't be a second run. */
+    boolean isSurelyNotRun() {
+        return isSurelyNotRun;
+    }
 }
--- a/core/src/main/java/silverlatch/routing/LatencyPredictor.java
+++ b/core/src/main/java/silverlatch/routing/LatencyPredictor.java
@@ -3,21 +3,26 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import silverlatch.membership.Member;
 import silverlatch.state.Value;
 
 /**
- * Foretells when a worker would send the first event of a ticket: the way there and back, what it still has to read of
- * others, what it has to read of this prompt (each token costs the more the more stand before it), and how full it is.
- * While a worker reads a long prompt the streams it writes pause, so each stream there is counted against it. Microseconds.
+ * Predicts when a worker would send the first event of a request: the network both ways, what it still has to prefill for
+ * others, what it has to prefill of this prompt (a token costs the more the more stand before it), and how full it is.
+ * While a worker prefills a long prompt the streams that it decodes pause, so each stream there is counted against it.
+ * Pure functions; times in microseconds.
  */
 final class LatencyPredictor {
-    static final double PREFILL_MICROS_PER_TOKEN = 27;
+    private static final double PREFILL_MICROS_PER_TOKEN = 27;
     private static final double ATTENTION_MICROS_PER_TOKEN_PAIR = 0.0012;
     private static final double PREFILL_PAUSE_MICROS = 60_000;
     private static final double FULL_PAUSE_TOKENS = 8_000;
     private static final int MAX_PAUSED_STREAMS = 16;
     private static final long BASE_MICROS = 55_000;
     private static final long MICROS_PER_WAITING_REQUEST = 30_000;
+    private static final long FULL_WORKER_MICROS = 60_000;
+    private static final long OVERLOAD_MICROS = 2_000_000;
+    private static final double OVERLOAD_UTILIZATION = 0.8;
     private static final long CROSS_REGION_MICROS = 72_000;
     private static final long CROSS_ZONE_MICROS = 1_500;
     private static final double CACHED_RATIO_AT_OWNER = 0.9;
@@ -25,97 +30,139 @@
     private static final long LOAD_REPORT_LIFETIME_MICROS = 1_500_000L;
     private static final long CROSS_REGION_PENALTY_MICROS = 25_000;
     private static final long MIXED_TRAFFIC_PENALTY_MICROS = 200_000;
+    private static final int OVERDUE_PENALTY_FACTOR = 2;
     private static final int MIN_SHARED_TOKENS = 512;
 
     private LatencyPredictor() {}
 
-    /** What is foretold: when the first event comes, and what the choice costs beside it. */
+    /**
+     * What is predicted for a request at a worker.
+     *
+     * @param latency         microseconds until its first event comes
+     * @param cost            the latency and what the choice costs beside it, in microseconds
+     * @param tokensToPrefill the tokens of its prompt that the worker's cache likely doesn't hold
+     */
     record Prediction(long latency, long cost, int tokensToPrefill) {}
 
+    /**
+     * The prediction for a request at a worker as seen from a gateway.
+     *
+     * @param prefixOwners  the worker that is to keep each shared part of the prompt, by the part's digest
+     * @param decodeWorkers the ids of workers that long prompts are kept away from
+     */
     static Prediction predict(
             final RoutedRequest request,
             final Value.Route route,
             final WorkerState worker,
-            final String zone,
-            final String region,
+            final Member gateway,
             final Map<Long, String> prefixOwners,
             final Set<String> decodeWorkers,
             final long now) {
-        final boolean isRemote = !worker.worker.region().equals(region);
         final int tokensToPrefill = tokensToPrefill(request, worker, prefixOwners, now);
-        final double prefill = (tokensToPrefill
-                                * (PREFILL_MICROS_PER_TOKEN
-                                        + ATTENTION_MICROS_PER_TOKEN_PAIR
-                                                * (request.promptTokens() - tokensToPrefill / 2.0))
-                        + worker.pendingPrefillTokens() * PREFILL_MICROS_PER_TOKEN)
-                * worker.latencyFactor;
-        final boolean hasLoadReport = now - worker.loadReportedAt < LOAD_REPORT_LIFETIME_MICROS;
+        final boolean hasLoadReport = worker.hasLoadReport(LOAD_REPORT_LIFETIME_MICROS, now);
         final double utilization = Math.max(
-                hasLoadReport ? (double) worker.running / worker.slots : 0,
-                (double) worker.attempts.size() / worker.slots);
-        final long queue = hasLoadReport ? worker.waiting * MICROS_PER_WAITING_REQUEST : 0;
-        final long network =
-                isRemote ? CROSS_REGION_MICROS : worker.worker.zone().equals(zone) ? 0 : CROSS_ZONE_MICROS;
-        final long latency = Math.round(network
-                + BASE_MICROS * worker.latencyFactor
-                + prefill
+                hasLoadReport ? (double) worker.running() / worker.slots() : 0,
+                (double) worker.attemptCount() / worker.slots());
+        final long queue = hasLoadReport ? worker.waiting() * MICROS_PER_WAITING_REQUEST : 0;
+        final long latency = Math.round(networkMicros(worker, gateway)
+                + BASE_MICROS * worker.latencyFactor()
+                + prefillMicros(request, worker, tokensToPrefill)
                 + queue
-                + utilization * 60_000
-                + Math.max(0, utilization - 0.8) * 2_000_000);
-        final boolean mixesTraffic = !decodeWorkers.isEmpty()
-                && decodeWorkers.contains(worker.worker.id()) == TrafficStatistics.isLongPrompt(request);
-        final int streams = Math.max(hasLoadReport ? worker.running : 0, worker.attempts.size());
-        final long pausePenalty = TrafficStatistics.isLongPrompt(request)
+                + utilization * FULL_WORKER_MICROS
+                + Math.max(0, utilization - OVERLOAD_UTILIZATION) * OVERLOAD_MICROS);
+        final int streams = Math.max(hasLoadReport ? worker.running() : 0, worker.attemptCount());
+        final long penalty = (isRemote(worker, gateway) ? CROSS_REGION_PENALTY_MICROS : 0)
+                + (mixesTraffic(request, worker, decodeWorkers) ? MIXED_TRAFFIC_PENALTY_MICROS : 0)
+                + pausePenalty(request, tokensToPrefill, streams)
+                + Math.max(0, worker.maxOverdue(now)) * OVERDUE_PENALTY_FACTOR
+                + (worker.isWarmingUp(now) ? route.latencyTargetMicros() / 2 : 0);
+        return new Prediction(latency, latency + penalty, tokensToPrefill);
+    }
+
+    private static boolean isRemote(final WorkerState worker, final Member gateway) {
+        return !worker.worker().region().equals(gateway.region());
+    }
+
+    private static long networkMicros(final WorkerState worker, final Member gateway) {
+        if (isRemote(worker, gateway)) {
+            return CROSS_REGION_MICROS;
+        }
+        return worker.worker().zone().equals(gateway.zone()) ? 0 : CROSS_ZONE_MICROS;
+    }
+
+    private static double prefillMicros(
+            final RoutedRequest request, final WorkerState worker, final int tokensToPrefill) {
+        final double microsPerToken = PREFILL_MICROS_PER_TOKEN
+                + ATTENTION_MICROS_PER_TOKEN_PAIR * (request.promptTokens() - tokensToPrefill / 2.0);
+        final double pending = worker.pendingPrefillTokens() * PREFILL_MICROS_PER_TOKEN;
+        return (tokensToPrefill * microsPerToken + pending) * worker.latencyFactor();
+    }
+
+    /** Whether the request is a long prompt at a worker that decodes, or a short one at a worker that prefills. */
+    private static boolean mixesTraffic(
+            final RoutedRequest request, final WorkerState worker, final Set<String> decodeWorkers) {
+        return !decodeWorkers.isEmpty()
+                && decodeWorkers.contains(worker.id()) == TrafficStatistics.isLongPrompt(request);
+    }
+
+    private static long pausePenalty(final RoutedRequest request, final int tokensToPrefill, final int streams) {
+        return TrafficStatistics.isLongPrompt(request)
                 ? Math.min(MAX_PAUSED_STREAMS, streams)
                         * Math.round(PREFILL_PAUSE_MICROS * Math.min(1, tokensToPrefill / FULL_PAUSE_TOKENS))
                 : 0;
-        final long penalty = (isRemote ? CROSS_REGION_PENALTY_MICROS : 0)
-                + (mixesTraffic ? MIXED_TRAFFIC_PENALTY_MICROS : 0)
-                + pausePenalty
-                + Math.max(0, worker.maxOverdue(now)) * 2
-                + (worker.isWarmingUp(now) ? route.latencyTargetMicros() / 2 : 0);
-        return new Prediction(latency, latency + penalty, tokensToPrefill);
     }
 
-    /** The tokens a worker has likely still to read of a prompt. */
+    /** The tokens of a prompt that a worker has likely still to prefill. */
     static int tokensToPrefill(
             final RoutedRequest request,
             final WorkerState worker,
             final Map<Long, String> prefixOwners,
             final long now) {
+        if (request.promptParts().isEmpty()) {
+            return request.promptTokens();
+        }
         double tokens = 0;
         double cachedRatio = 1;
-        for (int i = 0; i < request.promptParts().size(); i++) {
+        final int last = request.promptParts().size() - 1;
+        for (int i = 0; i <= last; i++) {
             final RoutedRequest.PromptPart part = request.promptParts().get(i);
-            final boolean isLast = i + 1 == request.promptParts().size();
-            cachedRatio = Math.min(
-                    cachedRatio,
-                    isLast && !worker.hasCached(part.digest(), now)
-                            ? 0
-                            : worker.hasCached(part.digest(), now)
-                                    ? 1
-                                    : worker.worker.id().equals(prefixOwners.get(part.digest()))
-                                            ? CACHED_RATIO_AT_OWNER
-                                            : CACHED_RATIO_ELSEWHERE);
+            cachedRatio = Math.min(cachedRatio, cachedRatio(part, i == last, worker, prefixOwners, now));
             tokens += part.tokens() * (1 - cachedRatio);
         }
-        return (int) Math.round(request.promptParts().isEmpty() ? request.promptTokens() : tokens);
+        return (int) Math.round(tokens);
+    }
+
+    /** How much of a part a worker likely has in its cache; the last part is the prompt's own. */
+    private static double cachedRatio(
+            final RoutedRequest.PromptPart part,
+            final boolean isLast,
+            final WorkerState worker,
+            final Map<Long, String> prefixOwners,
+            final long now) {
+        if (worker.hasCached(part.digest(), now)) {
+            return 1;
+        }
+        if (isLast) {
+            return 0;
+        }
+        return worker.id().equals(prefixOwners.get(part.digest())) ? CACHED_RATIO_AT_OWNER : CACHED_RATIO_ELSEWHERE;
     }
 
-    /** Whether a prompt's shared parts are large enough to be kept together. */
+    /** Whether a prompt's shared parts are large enough to be kept together at one worker. */
     static boolean hasLargeSharedPrefix(final List<RoutedRequest.PromptPart> parts) {
-        return parts.size() > 1
-                && parts.subList(0, parts.size() - 1).stream()
-                                .mapToInt(RoutedRequest.PromptPart::tokens)
-                                .sum()
-                        >= MIN_SHARED_TOKENS;
+        int sharedTokens = 0;
+        for (int i = 0; i < parts.size() - 1; i++) {
+            sharedTokens += parts.get(i).tokens();
+        }
+        return parts.size() > 1 && sharedTokens >= MIN_SHARED_TOKENS;
     }
 
-    /** The name of a prompt's longest run of shared parts. */
+    /** The digest of the longest prefix that a prompt shares with others; it has two parts at least. */
     static long sharedPrefixKey(final RoutedRequest request) {
         return request.promptParts().get(request.promptParts().size() - 2).digest();
     }
 
+    /** A hash of a name (FNV-1a, then the finalizer of SplitMix64) by which all gateways rank alike. */
     static long rendezvousHash(final long seed, final String name) {
         long hash = 0xCBF29CE484222325L ^ seed;
         for (int i = 0; i < name.length(); i++) {
--- a/core/src/main/java/silverlatch/routing/Reachability.java
+++ b/core/src/main/java/silverlatch/routing/Reachability.java
@@ -3,44 +3,54 @@
 import java.util.Collection;
 
 /**
- * Whether a region's workers are heard from here. Where tickets wait there past what was foretold and none of its
- * workers has said a word since, or where a connection there fails, the region counts as mute until one speaks.
+ * Whether a region's workers are heard from here. Where requests wait there past what was predicted and none of its workers
+ * has sent anything since, or where a connection there fails, the region counts as unreachable until a worker there answers
+ * or the backoff is over. Owned by the routing event loop; times in microseconds.
  */
 final class Reachability {
     private static final long SLACK_MICROS = 200_000L;
     private static final long INITIAL_BACKOFF_MICROS = 500_000L;
     private static final long MAX_BACKOFF_MICROS = 4_000_000L;
+    private static final int MAX_DOUBLINGS = 4;
+    private static final long NEVER = Long.MIN_VALUE / 2;
     private final String region;
-    private long heard = Long.MIN_VALUE / 2;
-    private long unreachableUntil = Long.MIN_VALUE / 2;
+    private long lastHeardAt = NEVER;
+    private long unreachableUntil = NEVER;
     private int connectFailures;
 
     Reachability(final String region) {
         this.region = region;
     }
 
+    /** A worker there answered. */
     void heard(final long now) {
-        heard = now;
+        lastHeardAt = now;
         connectFailures = 0;
-        unreachableUntil = Long.MIN_VALUE / 2;
+        unreachableUntil = NEVER;
     }
 
-    /** A connection there could not be made. */
+    /** A connection there could not be made; each time in a row the region counts as unreachable for twice as long. */
     void connectFailed(final long now) {
-        if (now - heard > SLACK_MICROS) {
-            unreachableUntil =
-                    now + Math.min(MAX_BACKOFF_MICROS, INITIAL_BACKOFF_MICROS << Math.min(4, connectFailures));
+        if (now - lastHeardAt > SLACK_MICROS) {
+            final long backoff = INITIAL_BACKOFF_MICROS << Math.min(MAX_DOUBLINGS, connectFailures);
+            unreachableUntil = now + Math.min(MAX_BACKOFF_MICROS, backoff);
             connectFailures++;
         }
     }
 
+    /** Whether the region counts as unreachable, given all workers that are known. */
     boolean isUnreachable(final Collection<WorkerState> workers, final long now) {
         return now < unreachableUntil
                 || workers.stream()
-                        .filter(s -> s.worker.region().equals(region))
-                        .flatMap(s -> s.attempts.values().stream())
-                        .anyMatch(r -> !r.firstEventSeen
-                                && r.startedAt > heard
-                                && now - r.startedAt > r.predictedLatency + r.predictedLatency / 2 + SLACK_MICROS);
+                        .filter(worker -> worker.worker().region().equals(region))
+                        .flatMap(worker -> worker.attempts().stream())
+                        .anyMatch(attempt -> isOverdue(attempt, now));
+    }
+
+    private boolean isOverdue(final WorkerState.Attempt attempt, final long now) {
+        final long predicted = attempt.predictedLatency();
+        return !attempt.firstEventSeen()
+                && attempt.startedAt() > lastHeardAt
+                && now - attempt.startedAt() > predicted + predicted / 2 + SLACK_MICROS;
     }
 }
--- a/core/src/main/java/silverlatch/routing/RoutedRequest.java
+++ b/core/src/main/java/silverlatch/routing/RoutedRequest.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * A ticket that came by host and path, as far as its placement needs to know it; the prompt stays outside.
+ * A request that came by host and path, as far as its routing needs to know it; the prompt itself stays outside.
  *
- * @param callId  its number at the door
- * @param host   the host it names
- * @param path   its path
- * @param requestId the consumer's own id of this try
- * @param timeout   how long the consumer waits, in microseconds
- * @param promptParts  the parts of its prompt, in order; the last is its own
- * @param promptTokens     tokens of the prompt
- * @param maxResponseTokens    the most tokens of the reply
+ * @param callId            the number of the client's HTTP call at this gateway
+ * @param host              the host that it names, with or without a port
+ * @param path              its path
+ * @param requestId         the client's own id of this attempt
+ * @param timeout           how long the client waits, in microseconds
+ * @param promptParts       the parts of its prompt in order; the last is its own, the others may be shared with other prompts
+ * @param promptTokens      how many tokens the prompt has
+ * @param maxResponseTokens how many tokens the response may have
  */
 public record RoutedRequest(
         long callId,
@@ -28,6 +28,11 @@
         promptParts = List.copyOf(promptParts);
     }
 
-    /** A part of a prompt: its name as a number, and its tokens. */
+    /**
+     * A part of a prompt.
+     *
+     * @param digest names the prompt from its start to the end of this part
+     * @param tokens how many tokens the part has
+     */
     public record PromptPart(long digest, int tokens) {}
 }
--- a/core/src/main/java/silverlatch/routing/RoutingEffect.java
+++ b/core/src/main/java/silverlatch/routing/RoutingEffect.java
@@ -2,9 +2,20 @@
 
 import silverlatch.node.Event;
 
-/** What passage wants done in the world outside. */
+/** What a {@link Router} wants to be done outside; the gateway does it in order. Times in microseconds. */
 public sealed interface RoutingEffect {
-    /** Send the ticket to a worker; it waits so many microseconds yet. A stream that has begun goes on after what was passed on. */
+    /**
+     * Send the request to a worker. A stream that has begun goes on after what was passed on.
+     *
+     * @param callId    the client's call
+     * @param attemptId names the attempt in the events that follow
+     * @param worker    the worker's id
+     * @param address   where the worker is
+     * @param timeout   how long the client still waits
+     * @param rank      the priority of the request's route
+     * @param once      whether it may run at most once
+     * @param stream    whether the response is a stream of events
+     */
     record StartAttempt(
             long callId,
             long attemptId,
@@ -16,18 +27,18 @@
             boolean stream)
             implements RoutingEffect {}
 
-    /** It did not run and never will; it may come back after so many microseconds. */
+    /** The request did not run and never will; the client may send it again after the time, or not at all where it is 0. */
     record Reject(long callId, int statusCode, long retryAfter, String reason) implements RoutingEffect {}
 
-    /** It may have run and came to nothing: this code, or a broken reply where one has begun. */
+    /** The request may have run and failed: answer with the status, or break off a response that has begun. */
     record Fail(long callId, int statusCode, String reason) implements RoutingEffect {}
 
-    /** The worker's own reply is passed on as it is. */
+    /** Pass on the worker's own response as it is. */
     record ForwardResponse(long callId, long attemptId) implements RoutingEffect {}
 
-    /** Drop what is under way with a worker. */
+    /** Drop the exchange with the worker. */
     record CancelAttempt(long attemptId) implements RoutingEffect {}
 
-    /** A numbered event for the log. */
+    /** Write a numbered event to the log. */
     record Log(Event event, String text) implements RoutingEffect {}
 }
--- a/core/src/main/java/silverlatch/routing/RoutingTable.java
+++ b/core/src/main/java/silverlatch/routing/RoutingTable.java
@@ -10,48 +10,61 @@
 import silverlatch.state.Policy;
 import silverlatch.state.Value;
 
-/** The rules and pools of one page, found by host and path. */
+/** The routes and backend pools of one revision, found by host and path. Immutable. */
 final class RoutingTable {
+    /** The table of a gateway that knows no configuration. */
     static final RoutingTable NONE = new RoutingTable(Policy.NONE);
+
+    /** Routes by host in lower case, those with the longest path first. */
     private final Map<String, List<Value.Route>> routesByHost = new HashMap<>();
+
     private final Map<String, Value.BackendPool> pools = new HashMap<>();
-    private Optional<Value.RoutingConfiguration> limits = Optional.empty();
+    private final Optional<Value.RoutingConfiguration> limits;
 
     RoutingTable(final Policy policy) {
-        policy.values().forEach(l -> {
-            switch (l) {
-                case Value.Route r ->
-                    routesByHost
-                            .computeIfAbsent(r.host().toLowerCase(Locale.ROOT), h -> new ArrayList<>())
-                            .add(r);
-                case Value.BackendPool p -> pools.put(p.name(), p);
-                case Value.RoutingConfiguration c -> limits = Optional.of(c);
-                default -> {}
+        Optional<Value.RoutingConfiguration> configuration = Optional.empty();
+        for (final Value value : policy.values().toList()) {
+            if (value instanceof Value.Route route) {
+                routesByHost
+                        .computeIfAbsent(route.host().toLowerCase(Locale.ROOT), host -> new ArrayList<>())
+                        .add(route);
+            } else if (value instanceof Value.BackendPool pool) {
+                pools.put(pool.name(), pool);
+            } else if (value instanceof Value.RoutingConfiguration found) {
+                configuration = Optional.of(found);
             }
-        });
-        routesByHost
-                .values()
-                .forEach(l -> l.sort(Comparator.comparingInt(
-                        (Value.Route r) -> -r.pathPrefix().length())));
+        }
+        limits = configuration;
+        final Comparator<Value.Route> longestPathFirst =
+                Comparator.comparingInt(route -> -route.pathPrefix().length());
+        routesByHost.values().forEach(routes -> routes.sort(longestPathFirst));
     }
 
+    /** The route of the host, whose port doesn't count, with the longest path that the path begins with. */
     Optional<Value.Route> route(final String host, final String path) {
+        final List<Value.Route> routes = routesByHost.getOrDefault(withoutPort(host), List.of());
+        return routes.stream()
+                .filter(route -> path.startsWith(route.pathPrefix()))
+                .findFirst();
+    }
+
+    private static String withoutPort(final String host) {
         final int colon = host.lastIndexOf(':');
-        final String name =
-                (colon > 0 && host.indexOf(']') < colon ? host.substring(0, colon) : host).toLowerCase(Locale.ROOT);
-        return Optional.ofNullable(routesByHost.get(name))
-                .flatMap(l ->
-                        l.stream().filter(r -> path.startsWith(r.pathPrefix())).findFirst());
+        final boolean hasPort = colon > 0 && host.indexOf(']') < colon;
+        return (hasPort ? host.substring(0, colon) : host).toLowerCase(Locale.ROOT);
     }
 
+    /** A backend pool by name. */
     Optional<Value.BackendPool> pool(final String name) {
         return Optional.ofNullable(pools.get(name));
     }
 
+    /** The number of the configuration, or 0 where there is none. */
     long configurationNumber() {
         return limits.map(Value.RoutingConfiguration::number).orElse(0L);
     }
 
+    /** What clients may send and how long they may idle. */
     Optional<Value.RoutingConfiguration> limits() {
         return limits;
     }
--- a/core/src/main/java/silverlatch/routing/TrafficStatistics.java
+++ b/core/src/main/java/silverlatch/routing/TrafficStatistics.java
@@ -1,99 +1,128 @@
 package silverlatch.routing;
 
 import java.util.ArrayDeque;
+import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.Deque;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.stream.Collectors;
+import java.util.TreeMap;
+import java.util.function.ToLongFunction;
 import silverlatch.state.Value;
 import silverlatch.util.Numbers;
 
 /**
- * What this gateway has seen come by lately, from which all gateways draw the same rules of thumb: which workers of a
- * region read long prompts and which write long replies, and whether a prompt's parts come up often enough to be kept in
- * every region. While a worker reads a long prompt, its streams pause; so the two are kept apart.
+ * What requests came by lately, from which all gateways come to the same conclusions without talking to each other: which
+ * workers of a region are to decode long responses while the others prefill long prompts, and whether shared prefixes are
+ * used often enough to be kept in every region. While a worker prefills a long prompt its streams pause; so the two kinds
+ * of traffic are kept apart. Owned by the routing event loop; times in microseconds.
  */
 final class TrafficStatistics {
-    /** A prompt of so many tokens is long: reading it takes a worker more than one piece. */
+    /** A prompt of so many tokens is long: a worker prefills it in more than one step. */
     static final int LONG_PROMPT_TOKENS = 2_048;
 
     private static final long WINDOW_MICROS = 45_000_000L;
     private static final double DECODE_WORKER_RATIO = 0.4;
     private static final double MIN_USES_PER_PREFIX = 6;
     private static final int MAX_TRACKED = 4_096;
+    private static final int HASH_SEED = 11;
+    private static final long NEVER = Long.MIN_VALUE / 2;
     private final Deque<SharedPrefixUse> recentUses = new ArrayDeque<>();
     private final Map<Long, Integer> usesByPrefix = new HashMap<>();
     private final Map<String, RouteTraffic> trafficByRoute = new HashMap<>();
 
     private record SharedPrefixUse(long prefixKey, long usedAt) {}
 
-    /** When a rule last brought a long prompt and a short one, and its homes. */
-    private record RouteTraffic(long longPromptAt, long shortPromptAt, List<String> homes) {
+    /** When a route last brought a long prompt and a short one, and its home regions. */
+    private record RouteTraffic(long longPromptAt, long shortPromptAt, List<String> homeRegions) {
         boolean servesRegion(final String region) {
-            return homes.isEmpty() || homes.contains(region);
+            return homeRegions.isEmpty() || homeRegions.contains(region);
+        }
+
+        boolean isOlderThan(final long start) {
+            return longPromptAt < start && shortPromptAt < start;
         }
     }
 
+    /** Whether the prompt of a request is long. */
     static boolean isLongPrompt(final RoutedRequest request) {
         return request.promptTokens() >= LONG_PROMPT_TOKENS;
     }
 
+    /** A request came by that matched a route. */
     void observe(final RoutedRequest request, final Value.Route route, final long now) {
-        final RouteTraffic previous = trafficByRoute.getOrDefault(
-                route.name(), new RouteTraffic(Long.MIN_VALUE / 2, Long.MIN_VALUE / 2, route.homeRegions()));
+        final RouteTraffic previous =
+                trafficByRoute.getOrDefault(route.name(), new RouteTraffic(NEVER, NEVER, route.homeRegions()));
+        final boolean isLong = isLongPrompt(request);
         trafficByRoute.put(
                 route.name(),
                 new RouteTraffic(
-                        isLongPrompt(request) ? now : previous.longPromptAt(),
-                        isLongPrompt(request) ? previous.shortPromptAt() : now,
+                        isLong ? now : previous.longPromptAt(),
+                        isLong ? previous.shortPromptAt() : now,
                         route.homeRegions()));
         if (LatencyPredictor.hasLargeSharedPrefix(request.promptParts())) {
             final long prefixKey = LatencyPredictor.sharedPrefixKey(request);
             recentUses.add(new SharedPrefixUse(prefixKey, now));
             usesByPrefix.merge(prefixKey, 1, Integer::sum);
         }
-        while (!recentUses.isEmpty()
-                && (now - recentUses.peek().usedAt() > WINDOW_MICROS || recentUses.size() > MAX_TRACKED)) {
-            usesByPrefix.computeIfPresent(recentUses.poll().prefixKey(), (k, n) -> n > 1 ? n - 1 : null);
+        forgetOld(now);
+    }
+
+    private void forgetOld(final long now) {
+        final long windowStart = now - WINDOW_MICROS;
+        while (!recentUses.isEmpty() && (recentUses.peek().usedAt() < windowStart || recentUses.size() > MAX_TRACKED)) {
+            usesByPrefix.computeIfPresent(
+                    recentUses.poll().prefixKey(), (prefixKey, uses) -> uses > 1 ? uses - 1 : null);
         }
         if (trafficByRoute.size() > MAX_TRACKED) {
-            trafficByRoute
-                    .values()
-                    .removeIf(k -> now - k.longPromptAt() > WINDOW_MICROS && now - k.shortPromptAt() > WINDOW_MICROS);
+            trafficByRoute.values().removeIf(traffic -> traffic.isOlderThan(windowStart));
         }
     }
 
-    /** Whether the shared parts that come by are used often enough in this region to be kept here too. */
+    /** Whether the shared prefixes that come by are used often enough in a region with so many gateways to be kept there. */
     boolean arePrefixesReused(final int gateways) {
         final double uses = recentUses.size();
         final double estimatedPrefixes = uses * uses / (2 * Math.max(1, uses - usesByPrefix.size()));
         return uses * gateways / Math.max(1, estimatedPrefixes) >= MIN_USES_PER_PREFIX;
     }
 
-    /** The workers of each region that write long replies where both kinds of work come by; the others read. */
+    /**
+     * The ids of the workers of a pool that decode long responses, in each region where both long and short prompts come
+     * by; the others there prefill long prompts. The same set at all gateways, by rendezvous hashing.
+     */
     Set<String> decodeWorkers(final List<WorkerState> pool, final long now) {
-        final Map<String, List<WorkerState>> workersByRegion =
-                pool.stream().filter(s -> !s.worker.draining()).collect(Collectors.groupingBy(s -> s.worker.region()));
-        return workersByRegion.entrySet().stream()
-                .filter(e -> e.getValue().size() > 1 && hasMixedTraffic(e.getKey(), now))
-                .flatMap(e -> e.getValue().stream()
-                        .sorted(Comparator.comparingLong(
-                                (WorkerState s) -> LatencyPredictor.rendezvousHash(11, s.worker.id())))
-                        .limit(Numbers.clamp(
-                                Math.round(e.getValue().size() * DECODE_WORKER_RATIO),
-                                1,
-                                e.getValue().size() - 1)))
-                .map(s -> s.worker.id())
-                .collect(Collectors.toSet());
+        final Map<String, List<String>> workersByRegion = new TreeMap<>();
+        for (final WorkerState worker : pool) {
+            if (!worker.worker().draining()) {
+                workersByRegion
+                        .computeIfAbsent(worker.worker().region(), region -> new ArrayList<>())
+                        .add(worker.id());
+            }
+        }
+        final Set<String> decodeWorkers = new HashSet<>();
+        workersByRegion.forEach((region, workers) -> {
+            if (workers.size() > 1 && hasMixedTraffic(region, now)) {
+                final long count =
+                        Numbers.clamp(Math.round(workers.size() * DECODE_WORKER_RATIO), 1, workers.size() - 1);
+                workers.stream()
+                        .sorted(Comparator.comparingLong(id -> LatencyPredictor.rendezvousHash(HASH_SEED, id)))
+                        .limit(count)
+                        .forEach(decodeWorkers::add);
+            }
+        });
+        return decodeWorkers;
     }
 
     private boolean hasMixedTraffic(final String region, final long now) {
+        return hasTraffic(region, RouteTraffic::longPromptAt, now)
+                && hasTraffic(region, RouteTraffic::shortPromptAt, now);
+    }
+
+    private boolean hasTraffic(final String region, final ToLongFunction<RouteTraffic> seenAt, final long now) {
         return trafficByRoute.values().stream()
-                        .anyMatch(k -> k.servesRegion(region) && now - k.longPromptAt() < WINDOW_MICROS)
-                && trafficByRoute.values().stream()
-                        .anyMatch(k -> k.servesRegion(region) && now - k.shortPromptAt() < WINDOW_MICROS);
+                .anyMatch(traffic -> traffic.servesRegion(region) && now - seenAt.applyAsLong(traffic) < WINDOW_MICROS);
     }
 }
--- /dev/null
+++ b/core/src/main/java/silverlatch/routing/WarmupLimiter.java
@@ -0,0 +1,46 @@
+package silverlatch.routing;
+
+import silverlatch.dispatch.ClusterSnapshot;
+import silverlatch.state.Value;
+
+/**
+ * Slow start: how often this gateway may send to a worker that warms up. The worker's pool names a rate that all gateways
+ * share without talking to each other: a few gateways, chosen for each worker by rendezvous hashing, may each send an equal
+ * part of it. Owned by the routing event loop.
+ */
+final class WarmupLimiter {
+    private static final long SECOND = 1_000_000L;
+    private static final int HASH_SEED = 7;
+    private static final double DEFAULT_RATE = 1;
+    private final GatewayCountWindow gatewayCount;
+
+    /** A limiter that divides the rate by the most gateways that were there lately. */
+    WarmupLimiter(final GatewayCountWindow gatewayCount) {
+        this.gatewayCount = gatewayCount;
+    }
+
+    /** Whether this gateway may send a request to a worker that warms up now. */
+    boolean maySend(
+            final WorkerState worker, final RoutingTable routingTable, final ClusterSnapshot cluster, final long now) {
+        final double rate = routingTable
+                .pool(worker.worker().pool())
+                .map(Value.BackendPool::warmupRequestsPerSecond)
+                .filter(configured -> configured > 0)
+                .orElse(DEFAULT_RATE);
+        final int sharers = Math.max(1, Math.min(gatewayCount.max(), (int) Math.floor(rate)));
+        final long interval = Math.max(SECOND, Math.round(sharers * SECOND / rate));
+        return gatewaysAhead(worker, cluster) < sharers && now - worker.lastSentAt() >= interval;
+    }
+
+    /** How many other gateways come before this one for a worker. */
+    private static long gatewaysAhead(final WorkerState worker, final ClusterSnapshot cluster) {
+        final long own = hash(worker, cluster.self().id());
+        return cluster.peers().stream()
+                .filter(peer -> hash(worker, peer.id()) > own)
+                .count();
+    }
+
+    private static long hash(final WorkerState worker, final String gateway) {
+        return LatencyPredictor.rendezvousHash(HASH_SEED, worker.id() + gateway);
+    }
+}
--- /dev/null
+++ b/core/src/main/java/silverlatch/routing/WorkerSelector.java
@@ -0,0 +1,178 @@
+package silverlatch.routing;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.random.RandomGenerator;
+import silverlatch.dispatch.ClusterSnapshot;
+import silverlatch.gossip.Gossip;
+import silverlatch.placement.PlacementContext;
+import silverlatch.placement.PlacementInput;
+import silverlatch.placement.WeightedScorers;
+import silverlatch.safeguard.Safeguards;
+import silverlatch.state.TableRules;
+import silverlatch.state.Value;
+
+/**
+ * Chooses the worker for a request: draws a pool by weight, ranks the pool's eligible workers by predicted cost, and takes
+ * the best one, or one of the two with the fewest attempts in flight among those that are nearly as good (power of two
+ * choices). Owned by the routing event loop.
+ */
+final class WorkerSelector {
+    /** Costs within this part of the latency target of the lowest one count as equal. */
+    private static final double NEAR_BEST_RATIO = 0.08;
+
+    private static final int CHOICES = 2;
+    private static final int UNREACHABLE_PENALTY_TARGETS = 2;
+    private static final int EJECTED_PENALTY_TARGETS = 4;
+    private final WorkerTable workers;
+    private final TrafficStatistics traffic;
+    private final PrefixOwners prefixOwners;
+    private final WarmupLimiter warmupLimiter;
+    private final WeightedScorers constraints;
+    private final RandomGenerator random;
+    private final Map<String, Value.Tenant> tenantsByRoute = new HashMap<>();
+    private RoutingTable routingTable = RoutingTable.NONE;
+    private ClusterSnapshot cluster;
+
+    /** A selector for which a worker's report counts for so many microseconds. */
+    WorkerSelector(
+            final ClusterSnapshot cluster,
+            final WorkerTable workers,
+            final TrafficStatistics traffic,
+            final WarmupLimiter warmupLimiter,
+            final long maxReportAge,
+            final RandomGenerator random) {
+        this.cluster = cluster;
+        this.workers = workers;
+        this.traffic = traffic;
+        this.prefixOwners = new PrefixOwners(traffic);
+        this.warmupLimiter = warmupLimiter;
+        this.constraints = WeightedScorers.constraints(maxReportAge, Safeguards.ALL);
+        this.random = random;
+    }
+
+    /** Takes a newer snapshot of the cluster with the routing table that follows from it. */
+    void update(final ClusterSnapshot next, final RoutingTable table) {
+        if (table != routingTable) {
+            tenantsByRoute.clear();
+        }
+        cluster = next;
+        routingTable = table;
+    }
+
+    /** Draws one of a route's pools by their weights; an empty name where the route has none. */
+    String drawPool(final Value.Route route) {
+        final List<Value.WeightedBackend> backends = route.backends();
+        final int totalWeight =
+                backends.stream().mapToInt(Value.WeightedBackend::weight).sum();
+        int remaining = totalWeight <= 0 ? 0 : random.nextInt(totalWeight);
+        for (final Value.WeightedBackend backend : backends) {
+            remaining -= backend.weight();
+            if (remaining < 0) {
+                return backend.pool();
+            }
+        }
+        return backends.isEmpty() ? "" : backends.get(0).pool();
+    }
+
+    /** The workers that may run a request now, best first. Changes nothing. */
+    List<Candidate> candidates(final OpenRequest open, final long now) {
+        final List<WorkerState> inPool = workers.ofPool(open.pool());
+        final List<WorkerState> eligible = eligible(open, inPool, now);
+        if (eligible.isEmpty()) {
+            return List.of();
+        }
+        final Set<String> decodeWorkers = traffic.decodeWorkers(inPool, now);
+        final Map<Long, String> owners = prefixOwners.of(open.request(), eligible, decodeWorkers, cluster);
+        final Map<String, Boolean> unreachableRegions = new HashMap<>();
+        final List<Candidate> candidates = new ArrayList<>(eligible.size());
+        for (final WorkerState worker : eligible) {
+            final boolean isUnreachable = unreachableRegions.computeIfAbsent(
+                    worker.worker().region(),
+                    region -> workers.reachabilityOf(worker).isUnreachable(workers.all(), now));
+            candidates.add(candidate(open, worker, owners, decodeWorkers, isUnreachable, now));
+        }
+        candidates.sort(Comparator.comparingLong(Candidate::rankCost));
+        return candidates;
+    }
+
+    private List<WorkerState> eligible(final OpenRequest open, final List<WorkerState> inPool, final long now) {
+        final PlacementContext context = context(open);
+        return inPool.stream()
+                .filter(worker -> cluster.workers().containsKey(worker.id()))
+                .filter(worker -> constraints.accepts(context, input(worker, now)))
+                .filter(worker -> !open.hasFailedAt(worker.id()))
+                .filter(worker -> !worker.isWarmingUp(now) || warmupLimiter.maySend(worker, routingTable, cluster, now))
+                .toList();
+    }
+
+    private PlacementContext context(final OpenRequest open) {
+        final Value.Route route = open.route();
+        final Value.Tenant tenant = tenantsByRoute.computeIfAbsent(
+                route.name(), name -> new Value.Tenant(name, route.homeRegions(), 1, "", ""));
+        return new PlacementContext(
+                open.request().requestId(),
+                tenant,
+                TableRules.defaultRow("*", route.name()),
+                List.of(),
+                cluster.self().zone(),
+                cluster.self().region(),
+                cluster.evacuatingZones());
+    }
+
+    private PlacementInput input(final WorkerState worker, final long now) {
+        final Gossip.ObservedWorker report = cluster.workers().get(worker.id());
+        return new PlacementInput(worker.worker(), report.age(now), 0, 0, 0, false, 1);
+    }
+
+    private Candidate candidate(
+            final OpenRequest open,
+            final WorkerState worker,
+            final Map<Long, String> owners,
+            final Set<String> decodeWorkers,
+            final boolean isUnreachable,
+            final long now) {
+        final LatencyPredictor.Prediction prediction = LatencyPredictor.predict(
+                open.request(), open.route(), worker, cluster.self(), owners, decodeWorkers, now);
+        final boolean isEjected = worker.isEjected(now);
+        final long target = open.route().latencyTargetMicros();
+        final long rankCost = prediction.cost()
+                + (isUnreachable ? target * UNREACHABLE_PENALTY_TARGETS : 0)
+                + (isEjected ? target * EJECTED_PENALTY_TARGETS : 0);
+        return new Candidate(worker, prediction, isEjected, rankCost);
+    }
+
+    /** Chooses one of the candidates, which are ordered best first; nothing where there is none. */
+    Optional<Candidate> choose(final OpenRequest open, final List<Candidate> candidates) {
+        if (candidates.isEmpty()) {
+            return Optional.empty();
+        }
+        final Candidate best = candidates.get(0);
+        if (LatencyPredictor.hasLargeSharedPrefix(open.request().promptParts())) {
+            return Optional.of(best);
+        }
+        final List<Candidate> leastLoaded = candidates.stream()
+                .filter(candidate -> isNearBest(candidate, best, open))
+                .sorted(Comparator.comparingInt(candidate -> candidate.worker().attemptCount()))
+                .limit(CHOICES)
+                .toList();
+        return Optional.of(leastLoaded.get(random.nextInt(leastLoaded.size())));
+    }
+
+    private static boolean isNearBest(final Candidate candidate, final Candidate best, final OpenRequest open) {
+        return candidate.isEjected() == best.isEjected()
+                && candidate
+                        .worker()
+                        .worker()
+                        .region()
+                        .equals(best.worker().worker().region())
+                && candidate.prediction().cost()
+                        <= best.prediction().cost()
+                                + NEAR_BEST_RATIO * open.route().latencyTargetMicros();
+    }
+}
--- a/core/src/main/java/silverlatch/routing/WorkerState.java
+++ b/core/src/main/java/silverlatch/routing/WorkerState.java
@@ -1,5 +1,6 @@
 package silverlatch.routing;
 
+import java.util.Collection;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -7,99 +8,148 @@
 import silverlatch.gossip.Worker;
 import silverlatch.util.Numbers;
 
-/** What this gateway knows of one worker by its own runs there and the worker's replies. One duty owns it. */
+/**
+ * What this gateway knows of one worker: its newest report, the gateway's own attempts there, the load that its responses
+ * told of, and what its prefix cache likely holds. Owned by the routing event loop; times in microseconds.
+ */
 final class WorkerState {
     private static final int MAX_CACHED_PARTS = 512;
     private static final long CACHE_LIFETIME_MICROS = 45_000_000L;
     private static final long INITIAL_EJECTION_MICROS = 500_000L;
     private static final long MAX_EJECTION_MICROS = 8_000_000L;
+    private static final int MAX_EJECTION_DOUBLINGS = 5;
+    private static final long OVERDUE_SLACK_MICROS = 150_000L;
     private static final double SMOOTHING = 0.2;
-    final Map<Long, Attempt> attempts = new HashMap<>();
+    private static final long NEVER = Long.MIN_VALUE / 2;
+
+    private final Map<Long, Attempt> attempts = new HashMap<>();
     private final LinkedHashMap<Long, Long> cachedParts = new LinkedHashMap<>(64, 0.75f, true);
-    Worker worker;
-    long warmingUpUntil;
-    long ejectedUntil;
-    long lastSentAt = Long.MIN_VALUE / 2;
-    long loadReportedAt = Long.MIN_VALUE / 2;
-    int running;
-    int waiting;
-    int slots;
-    int consecutiveFailures;
-    boolean silent;
-    double latencyFactor = 1;
+    private Worker worker;
+    private long warmingUpUntil;
+    private long ejectedUntil;
+    private long lastSentAt = NEVER;
+    private long loadReportedAt = NEVER;
+    private int running;
+    private int waiting;
+    private int slots;
+    private int consecutiveFailures;
+    private boolean isSilent;
+    private double latencyFactor = 1;
 
+    /** A worker that was just heard of. */
     WorkerState(final Gossip.ObservedWorker report, final long now) {
         this.worker = report.worker();
         this.slots = report.worker().slots();
         this.warmingUpUntil = now + report.warmupRemaining(now);
-        this.silent = report.silent();
-    }
-
-    /** One run of this gateway under way there. */
-    static final class Attempt {
-        final long startedAt;
-        final int tokensToPrefill;
-        final long predictedLatency;
-        boolean firstEventSeen;
-        long lastEventAt;
-
-        Attempt(final long startedAt, final int tokensToPrefill, final long predictedLatency) {
-            this.startedAt = startedAt;
-            this.tokensToPrefill = tokensToPrefill;
-            this.predictedLatency = predictedLatency;
-            this.lastEventAt = startedAt;
-        }
+        this.isSilent = report.silent();
     }
 
+    /** Takes a report, if it says anything new. A worker that was restarted has lost its cache. */
     void update(final Gossip.ObservedWorker report, final long now) {
-        final long warmUpLeft = report.warmupRemaining(now);
-        if (warmUpLeft > 0 && !isWarmingUp(now) || report.worker().incarnation() != worker.incarnation()) {
+        if (worker.equals(report.worker()) && isSilent == report.silent()) {
+            return;
+        }
+        final long warmupRemaining = report.warmupRemaining(now);
+        if (warmupRemaining > 0 && !isWarmingUp(now) || report.worker().incarnation() != worker.incarnation()) {
             cachedParts.clear();
-            loadReportedAt = Long.MIN_VALUE / 2;
+            loadReportedAt = NEVER;
         }
-        warmingUpUntil = warmUpLeft > 0 ? now + warmUpLeft : Math.min(warmingUpUntil, now);
+        warmingUpUntil = warmupRemaining > 0 ? now + warmupRemaining : Math.min(warmingUpUntil, now);
         worker = report.worker();
-        silent = report.silent();
+        isSilent = report.silent();
+    }
+
+    /** Its newest report. */
+    Worker worker() {
+        return worker;
+    }
+
+    /** Its id. */
+    String id() {
+        return worker.id();
     }
 
+    /** Whether it warms up, so that it gets few requests. */
     boolean isWarmingUp(final long now) {
         return now < warmingUpUntil;
     }
 
+    /** Whether it is taken last because it is silent or attempts there failed lately. */
     boolean isEjected(final long now) {
-        return silent || now < ejectedUntil || consecutiveFailures > 0 && attempts.size() > 0;
+        return isSilent || now < ejectedUntil || consecutiveFailures > 0 && !attempts.isEmpty();
     }
 
-    /** Tokens of my own runs there that it has still to read. */
+    /** Ejects it for the microseconds from now on, at least. */
+    void ejectFor(final long time, final long now) {
+        ejectedUntil = Math.max(ejectedUntil, now + time);
+    }
+
+    /** An attempt begins that has to prefill so many tokens and is predicted to take so long to its first event. */
+    void startAttempt(final long attemptId, final LatencyPredictor.Prediction prediction, final long now) {
+        attempts.put(attemptId, new Attempt(now, prediction.tokensToPrefill(), prediction.latency()));
+        lastSentAt = now;
+    }
+
+    /** An attempt has ended. */
+    void endAttempt(final long attemptId) {
+        attempts.remove(attemptId);
+    }
+
+    /** An attempt that is in flight there. */
+    Attempt attempt(final long attemptId) {
+        return attempts.get(attemptId);
+    }
+
+    /** The attempts that are in flight there. */
+    Collection<Attempt> attempts() {
+        return attempts.values();
+    }
+
+    /** How many attempts are in flight there. */
+    int attemptCount() {
+        return attempts.size();
+    }
+
+    /** When a request was last sent there. */
+    long lastSentAt() {
+        return lastSentAt;
+    }
+
+    /** Tokens of this gateway's own requests that it has still to prefill. */
     long pendingPrefillTokens() {
-        return attempts.values().stream()
-                .filter(r -> !r.firstEventSeen)
-                .mapToLong(r -> r.tokensToPrefill)
-                .sum();
+        long tokens = 0;
+        for (final Attempt attempt : attempts.values()) {
+            tokens += attempt.firstEventSeen ? 0 : attempt.tokensToPrefill;
+        }
+        return tokens;
     }
 
-    /** By how much the most silent run there is overdue. */
+    /** By how much the most overdue first event of an attempt there is overdue, in microseconds; 0 with no attempt waiting. */
     long maxOverdue(final long now) {
-        return attempts.values().stream()
-                .filter(r -> !r.firstEventSeen)
-                .mapToLong(r -> now - r.startedAt - 2 * r.predictedLatency - 150_000L)
-                .max()
-                .orElse(0);
+        long max = Long.MIN_VALUE;
+        for (final Attempt attempt : attempts.values()) {
+            if (!attempt.firstEventSeen) {
+                max = Math.max(max, now - attempt.startedAt - 2 * attempt.predictedLatency - OVERDUE_SLACK_MICROS);
+            }
+        }
+        return max == Long.MIN_VALUE ? 0 : max;
     }
 
-    /** What share of a part it likely keeps, by what went there before. */
-    boolean hasCached(final long part, final long now) {
-        final Long lastUsedAt = cachedParts.get(part);
+    /** Whether its cache likely holds a part of a prompt, because one with this part went there lately. */
+    boolean hasCached(final long partDigest, final long now) {
+        final Long lastUsedAt = cachedParts.get(partDigest);
         return lastUsedAt != null && now - lastUsedAt < CACHE_LIFETIME_MICROS;
     }
 
-    void recordCached(final long part, final long now) {
-        cachedParts.put(part, now);
+    /** A prompt with this part goes there. */
+    void recordCached(final long partDigest, final long now) {
+        cachedParts.put(partDigest, now);
         if (cachedParts.size() > MAX_CACHED_PARTS) {
             cachedParts.remove(cachedParts.keySet().iterator().next());
         }
     }
 
+    /** The first event of an attempt came: it is healthy, and as slow as this attempt shows. */
     void recordSuccess(final Attempt attempt, final long now) {
         consecutiveFailures = 0;
         ejectedUntil = 0;
@@ -108,17 +158,87 @@
         latencyFactor = Numbers.clamp(latencyFactor + SMOOTHING * (ratio - 1) * 0.5, 0.5, 4);
     }
 
+    /** An attempt failed: it is ejected, each time for twice as long. */
     void recordFailure(final long now) {
         consecutiveFailures++;
-        ejectedUntil = Math.max(
-                ejectedUntil,
-                now + Math.min(MAX_EJECTION_MICROS, INITIAL_EJECTION_MICROS << Math.min(5, consecutiveFailures - 1)));
+        final int doublings = Math.min(MAX_EJECTION_DOUBLINGS, consecutiveFailures - 1);
+        ejectFor(Math.min(MAX_EJECTION_MICROS, INITIAL_EJECTION_MICROS << doublings), now);
     }
 
-    void updateLoad(final int newRunning, final int newWaiting, final int newSlots, final long now) {
-        running = newRunning;
-        waiting = newWaiting;
-        slots = Math.max(1, newSlots);
+    /** A response told of its load. */
+    void updateLoad(final Router.ReportedLoad load, final long now) {
+        running = load.running();
+        waiting = load.waiting();
+        slots = Math.max(1, load.slots());
         loadReportedAt = now;
     }
+
+    /** Whether its responses told of its load within the microseconds. */
+    boolean hasLoadReport(final long maxAge, final long now) {
+        return now - loadReportedAt < maxAge;
+    }
+
+    /** Requests that it ran by its newest load report. */
+    int running() {
+        return running;
+    }
+
+    /** Requests that waited there by its newest load report. */
+    int waiting() {
+        return waiting;
+    }
+
+    /** How many requests it can run at once. */
+    int slots() {
+        return slots;
+    }
+
+    /** How much slower it is than predicted, by its recent attempts; 1 is as predicted. */
+    double latencyFactor() {
+        return latencyFactor;
+    }
+
+    /** One attempt of this gateway that is in flight there. */
+    static final class Attempt {
+        private final long startedAt;
+        private final int tokensToPrefill;
+        private final long predictedLatency;
+        private boolean firstEventSeen;
+        private long lastEventAt;
+
+        private Attempt(final long startedAt, final int tokensToPrefill, final long predictedLatency) {
+            this.startedAt = startedAt;
+            this.tokensToPrefill = tokensToPrefill;
+            this.predictedLatency = predictedLatency;
+            this.lastEventAt = startedAt;
+        }
+
+        /** When it was sent. */
+        long startedAt() {
+            return startedAt;
+        }
+
+        /** The predicted time from the start to the first event. */
+        long predictedLatency() {
+            return predictedLatency;
+        }
+
+        /** Whether its first event came. */
+        boolean firstEventSeen() {
+            return firstEventSeen;
+        }
+
+        /** When its newest event came, or when it was sent. */
+        long lastEventAt() {
+            return lastEventAt;
+        }
+
+        /** An event came; true when it was the first. */
+        boolean eventSeen(final long now) {
+            final boolean isFirst = !firstEventSeen;
+            firstEventSeen = true;
+            lastEventAt = now;
+            return isFirst;
+        }
+    }
 }
--- a/core/src/test/java/silverlatch/node/NodeCluster.java
+++ b/core/src/test/java/silverlatch/node/NodeCluster.java
@@ -415,7 +415,7 @@
             running.drainFrames().forEach(this::sendFrame);
             checkConfirmedState(running);
             router.ifPresent(r -> {
-                r.clusterSnapshot(running.facts(), now);
+                r.update(running.facts(), now);
                 checkServedRevision(r);
             });
         }
--- a/core/src/test/java/silverlatch/routing/RouterTest.java
+++ b/core/src/test/java/silverlatch/routing/RouterTest.java
@@ -107,7 +107,7 @@
 
     private void refreshReports() {
         revision++;
-        router.clusterSnapshot(clusterSnapshot(), now);
+        router.update(clusterSnapshot(), now);
     }
 
     private List<RoutingEffect> arrive(final String path, final List<RoutedRequest.PromptPart> parts) {
@@ -319,7 +319,7 @@
                         .toList());
                 if (ms == 0) {
                     gateways.get(i)
-                            .clusterSnapshot(
+                            .update(
                                     new ClusterSnapshot(
                                             gateway(id),
                                             snapshot.revision(),
--- a/server/src/main/java/silverlatch/server/gateway/Gateway.java
+++ b/server/src/main/java/silverlatch/server/gateway/Gateway.java
@@ -122,7 +122,7 @@
             final long deadline = EventLoop.nowMicros() + settings.shutdownGrace();
             TimeUnit.MICROSECONDS.sleep(
                     proxy.isEmpty() ? 200_000L : Math.min(MAX_LINGER_MICROS, settings.shutdownGrace() / 3));
-            dispatchLoop.post(router::close);
+            dispatchLoop.post(router::stopAccepting);
             while (EventLoop.nowMicros() < deadline
                     && dispatcher.openRequests()
                                     + proxy.map(ProxyServer::openRequests).orElse(0)
@@ -192,7 +192,7 @@
                 .toList();
         post(() -> {
             dispatcher.update(snapshot, EventLoop.nowMicros());
-            router.clusterSnapshot(snapshot, EventLoop.nowMicros());
+            router.update(snapshot, EventLoop.nowMicros());
             proxy.ifPresent(server -> router.limits().ifPresent(server::limits));
         });
     }
--- a/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
@@ -185,7 +185,7 @@
         final StubWorker started = new StubWorker(script);
         stubWorkers.add(started);
         final ClusterSnapshot next = facts(stubWorkers.size() + 1);
-        routerLoop.execute(() -> router.clusterSnapshot(next, EventLoop.nowMicros()));
+        routerLoop.execute(() -> router.update(next, EventLoop.nowMicros()));
         return started;
     }
 
@@ -620,7 +620,7 @@
         final CompletableFuture<String> first = CompletableFuture.supplyAsync(() -> unchecked("/once/x"));
         await(asked);
         proxy.get().close();
-        routerLoop.execute(router::close);
+        routerLoop.execute(router::stopAccepting);
         final String second = unchecked("/once/y");
         assertThat(second, startsWith("HTTP/1.1 503"));
         assertThat(header(second, "Connection"), is("close"));
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
@@ -101,7 +101,7 @@
                 facts(workers),
                 () -> new Stamp(1),
                 new SplittableRandom(seed));
-        router.clusterSnapshot(facts(workers), EventLoop.nowMicros());
+        router.update(facts(workers), EventLoop.nowMicros());
         final AtomicReference<ProxyServer> proxy = new AtomicReference<>();
         final Runnable drain = () -> router.drainEffects().stream()
                 .filter(effect -> !(effect instanceof RoutingEffect.Log))
