--- a/core/src/main/java/silverlatch/log/LogRecord.java
+++ b/core/src/main/java/silverlatch/log/LogRecord.java
@@ -5,32 +5,46 @@
 import silverlatch.replication.View;
 import silverlatch.state.Entry;
 
-/** What is written to the ledger. */
+/**
+ * What is written to the log of a data folder. Records are stored by number and order of components
+ * ({@link silverlatch.wire.WireTypes}); the names of types and components are free.
+ */
 public sealed interface LogRecord {
-    /** A change in the chain. */
+    /** An entry of the chain, committed or not. */
     record Appended(LogEntry entry) implements LogRecord {}
 
-    /** A decided view. */
+    /** A decided view, and whether this machine has all that its chain has. */
     record ViewInstalled(View view, boolean caughtUp) implements LogRecord {}
 
-    /** A promise of the view register. */
+    /** A promise to accept no lower ballot for the view of a number (Paxos). */
     record Promised(long viewNumber, long ballot) implements LogRecord {}
 
-    /** An accepted proposal of the view register. */
+    /** An accepted proposal for the view of a number (Paxos). */
     record Accepted(long viewNumber, long ballot, View view) implements LogRecord {}
 
-    /** A founding this machine agreed to. */
+    /** A first view that this machine agreed to. */
     record Founding(View view) implements LogRecord {}
 
-    /** Notes written and synced together. */
+    /** Records written and synced together. */
     record Batch(List<LogRecord> records) implements LogRecord {
-        /** Copies the notes. */
+        /** Copies the records. */
         public Batch {
             records = List.copyOf(records);
         }
     }
 
-    /** Everything up to a sequence; the roof is the newest stamp of a change. */
+    /**
+     * All that came before it: it stands for every earlier record.
+     *
+     * @param sequence       the sequence of the state
+     * @param view           the view installed
+     * @param caughtUp       whether this machine has all that its chain has
+     * @param promisedBallot the ballot promised for the next view, 0 where there is none
+     * @param acceptedBallot the ballot of the proposal accepted for the next view, 0 where there is none
+     * @param acceptedView   the view of that proposal, or none
+     * @param highestStamp   the bits of the highest stamp of an entry
+     * @param entries        the state's entries
+     */
     record Snapshot(
             long sequence,
             View view,
--- a/core/src/main/java/silverlatch/log/WriteAheadLog.java
+++ b/core/src/main/java/silverlatch/log/WriteAheadLog.java
@@ -1,80 +1,65 @@
 package silverlatch.log;
 
-import java.io.BufferedInputStream;
-import java.io.DataInputStream;
 import java.io.IOException;
-import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
-import java.security.SecureRandom;
 import java.util.ArrayList;
-import java.util.HexFormat;
 import java.util.List;
 import java.util.Optional;
-import java.util.regex.Pattern;
-import java.util.stream.Stream;
-import java.util.zip.CRC32C;
-import silverlatch.state.Entry;
 import silverlatch.util.Lists;
 import silverlatch.wire.Codec;
 
 /**
- * The ledger of one data folder: a log in segments with pictures beside it. What is written together is one batch
- * with one checksum, and the next batch is written only after the last was synced; so a torn batch can only be the
- * last one, and a bad batch before a good one is damage.
+ * The write-ahead log of one data folder: batches of records in segments, and a snapshot in a file of its own. What is
+ * written together is one batch with one checksum, and the next batch is written only after the last was synced; so a
+ * torn batch can only be the last one, and a bad batch before a good one is damage.
+ *
+ * <p>Not thread-safe: one thread writes. After a failed write the log must be opened again ({@link #reopen}).
  */
 public final class WriteAheadLog {
-    private static final long MAGIC = 0x5349_4C56_4C41_5443L;
-    private static final int HEADER_BYTES = Long.BYTES + 2 * Integer.BYTES;
-    private static final int MAX_RECORD_BYTES = 256 << 20;
-    private static final String FOUNDER_FILE = "founder";
-    private static final String IDENTITY_FILE = "identity";
-    private static final String FORMAT_FILE = "format";
-    private static final String PART_SUFFIX = ".part";
-    private static final Pattern PART_FILE_NAME =
-            Pattern.compile("(identity|format|founder|(segment|picture)-\\d{12})\\.part");
-
     /** The format of the folder's files; raised whenever bytes of the version before would be read differently. */
     public static final int FORMAT_VERSION = 2;
 
     private static final long MAX_SEGMENT_BYTES = 4L << 20;
-    private static final long SNAPSHOT_PART_BYTES = 1L << 20;
     private final Path folder;
     private final Codec codec = Codec.forLog();
-    private FileChannel channel;
+    private FileChannel segment;
     private long segmentNumber;
 
-    private WriteAheadLog(final Path folder, final FileChannel channel, final long segmentNumber) {
+    private WriteAheadLog(final Path folder, final FileChannel segment, final long segmentNumber) {
         this.folder = folder;
-        this.channel = channel;
+        this.segment = segment;
         this.segmentNumber = segmentNumber;
     }
 
     /** What opening a folder gave. */
     public sealed interface OpenResult {
         /**
-         * The ledger, its machine's identity, all that it held, how many bytes of a torn tail were cut off, and whether
-         * the folder was made to take part in a first founding.
+         * The log can be written.
+         *
+         * @param log       the log
+         * @param identity  the identity of the folder's machine
+         * @param records   all that the log holds, the newest snapshot first
+         * @param tornBytes how many bytes of a torn write were cut off
+         * @param mayFound  whether the folder was made to take part in a first founding
          */
         record Success(WriteAheadLog log, String identity, List<LogRecord> records, long tornBytes, boolean mayFound)
                 implements OpenResult {
-            /** Copies the notes. */
+            /** Copies the records. */
             public Success {
                 records = List.copyOf(records);
             }
         }
 
-        /** It can't be trusted. */
+        /** The folder can't be trusted. */
         record Damaged(String reason) implements OpenResult {}
 
         /** The disk can't be read or written now; what it holds may be sound. */
         record Unavailable(String reason) implements OpenResult {}
 
-        /** It was written in another format and is left as it is; the text says what to do. */
+        /** The folder was written in another format and is left as it is; the reason says what to do. */
         record Unsupported(String reason) implements OpenResult {}
     }
 
@@ -83,50 +68,51 @@
         return open(folder, true);
     }
 
-    /** Opens a folder, and makes it when there is none; one made here may take part in a first founding if it is to. */
+    /**
+     * Opens a folder, and makes it when there is none.
+     *
+     * @param mayFound whether a folder made here may take part in a first founding
+     */
     public static OpenResult open(final Path folder, final boolean mayFound) {
         try {
-            if (!Files.isDirectory(folder)) {
-                Files.createDirectories(folder);
-                syncFolder(folder.toAbsolutePath().getParent());
-            }
-            final Path identityFile = folder.resolve(IDENTITY_FILE);
-            if (!Files.exists(identityFile)) {
-                final byte[] randomBytes = new byte[8];
-                new SecureRandom().nextBytes(randomBytes);
-                replaceFile(
-                        folder.resolve(FORMAT_FILE),
-                        Integer.toString(FORMAT_VERSION).getBytes(StandardCharsets.US_ASCII));
-                if (mayFound) {
-                    replaceFile(folder.resolve(FOUNDER_FILE), new byte[0]);
-                }
-                replaceFile(identityFile, HexFormat.of().formatHex(randomBytes).getBytes(StandardCharsets.US_ASCII));
-            }
-            final String version = Files.exists(folder.resolve(FORMAT_FILE))
-                    ? Files.readString(folder.resolve(FORMAT_FILE)).strip()
-                    : "1";
-            if (!version.equals(Integer.toString(FORMAT_VERSION))) {
-                return new OpenResult.Unsupported(unsupported(folder, version));
-            }
-            final String identity = Files.readString(identityFile).strip();
-            if (!identity.matches("[0-9a-f]{16}")) {
-                return new OpenResult.Damaged("the identity file is not one of ours");
-            }
-            removeParts(folder);
-            return recover(folder, identity);
+            final DataFolder dataFolder = new DataFolder(folder);
+            dataFolder.createIfAbsent(mayFound);
+            final String format = dataFolder.format();
+            if (!format.equals(Integer.toString(FORMAT_VERSION))) {
+                return new OpenResult.Unsupported(unsupported(folder, format));
+            }
+            final String identity = dataFolder.identity();
+            dataFolder.removeParts();
+            final LogRecovery recovery = LogRecovery.of(folder);
+            return new OpenResult.Success(
+                    append(folder, recovery.lastSegment()),
+                    identity,
+                    recovery.records(),
+                    recovery.tornBytes(),
+                    dataFolder.mayFound());
+        } catch (final DamagedLogException e) {
+            return new OpenResult.Damaged(e.getMessage());
         } catch (final IOException e) {
-            return new OpenResult.Unavailable(e.getClass().getSimpleName() + " " + e.getMessage());
+            return unavailable(e);
         }
     }
 
-    private static String unsupported(final Path folder, final String version) {
-        return folder + " holds log format " + version + ", this program reads format " + FORMAT_VERSION
+    private static WriteAheadLog append(final Path folder, final long segmentNumber) throws IOException {
+        final FileChannel segment = FileChannel.open(
+                NumberedFiles.SEGMENT.file(folder, segmentNumber), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        segment.position(segment.size());
+        DurableFiles.syncDirectory(folder);
+        return new WriteAheadLog(folder, segment, segmentNumber);
+    }
+
+    private static String unsupported(final Path folder, final String format) {
+        return folder + " holds log format " + format + ", this program reads format " + FORMAT_VERSION
                 + ": start the version that wrote it, or empty the folder, one machine at a time, and let the machine"
                 + " join again as a new one";
     }
 
-    private static boolean isPart(final Path file) {
-        return PART_FILE_NAME.matcher(file.getFileName().toString()).matches();
+    private static OpenResult unavailable(final IOException e) {
+        return new OpenResult.Unavailable(e.getClass().getSimpleName() + " " + e.getMessage());
     }
 
     /**
@@ -135,338 +121,93 @@
      */
     public OpenResult reopen() {
         try {
-            channel.close();
+            segment.close();
         } catch (final IOException e) {
             // The descriptor is released all the same; what counts is read from the files below.
         }
         try {
-            if (!Files.exists(folder.resolve(IDENTITY_FILE))) {
+            final DataFolder dataFolder = new DataFolder(folder);
+            if (!dataFolder.hasIdentity()) {
                 return new OpenResult.Unavailable("the folder has lost its identity");
             }
-            removeParts(folder);
-            for (final String kind : List.of("picture", "segment")) {
-                final List<Long> numbers = fileNumbers(folder, kind);
-                if (!numbers.isEmpty()) {
-                    final Path file = folder.resolve(fileName(kind, Lists.last(numbers)));
-                    replaceFile(file, Files.readAllBytes(file));
-                }
-            }
+            dataFolder.removeParts();
+            rewriteNewest(NumberedFiles.SNAPSHOT);
+            rewriteNewest(NumberedFiles.SEGMENT);
             return open(folder, false);
         } catch (final IOException e) {
-            return new OpenResult.Unavailable(e.getClass().getSimpleName() + " " + e.getMessage());
+            return unavailable(e);
         }
     }
 
-    /** Removes what was being written in place of a file when the process or the power went. */
-    private static void removeParts(final Path folder) throws IOException {
-        try (Stream<Path> files = Files.list(folder)) {
-            for (final Path file : files.filter(WriteAheadLog::isPart).toList()) {
-                Files.delete(file);
-            }
+    private void rewriteNewest(final NumberedFiles files) throws IOException {
+        final List<Long> numbers = files.numbers(folder);
+        if (!numbers.isEmpty()) {
+            final Path newest = files.file(folder, Lists.last(numbers));
+            DurableFiles.replace(newest, Files.readAllBytes(newest));
         }
     }
 
-    /** Writes notes as one batch and syncs them; a picture among them starts a new segment and frees the old ones. */
+    /**
+     * Writes records as one batch and syncs them. A snapshot among them starts a new segment, in which the records after
+     * it come, and removes the older files; of several, only the last counts.
+     *
+     * @throws IOException if the disk fails; what was written of the records is not known then
+     */
     public void write(final List<LogRecord> records) throws IOException {
         final List<LogRecord> beforeSnapshot = new ArrayList<>();
         final List<LogRecord> afterSnapshot = new ArrayList<>();
-        Optional<LogRecord.Snapshot> newestSnapshot = Optional.empty();
-        for (final LogRecord record : records) {
-            if (record instanceof LogRecord.Snapshot p) {
-                newestSnapshot = Optional.of(p);
+        Optional<LogRecord.Snapshot> newest = Optional.empty();
+        for (final LogRecord written : records) {
+            if (written instanceof LogRecord.Snapshot snapshot) {
+                newest = Optional.of(snapshot);
                 afterSnapshot.clear();
+            } else if (newest.isEmpty()) {
+                beforeSnapshot.add(written);
             } else {
-                (newestSnapshot.isEmpty() ? beforeSnapshot : afterSnapshot).add(record);
+                afterSnapshot.add(written);
             }
         }
-        if (!beforeSnapshot.isEmpty()) {
-            writeBatch(beforeSnapshot);
-        }
-        if (newestSnapshot.isPresent()) {
+        writeBatch(beforeSnapshot);
+        if (newest.isPresent()) {
             startSegment();
-            if (!afterSnapshot.isEmpty()) {
-                writeBatch(afterSnapshot);
-            }
-            final LogRecord.Snapshot snapshot = newestSnapshot.get();
-            replaceFile(folder.resolve(fileName("picture", segmentNumber)), file -> writeSnapshot(file, snapshot));
-            removeOlder(folder, segmentNumber);
-        } else if (channel.position() > MAX_SEGMENT_BYTES) {
+            writeBatch(afterSnapshot);
+            writeSnapshot(newest.get());
+        } else if (segment.position() > MAX_SEGMENT_BYTES) {
             startSegment();
         }
     }
 
-    /** Lets the files go. */
-    public void close() throws IOException {
-        channel.close();
-    }
-
-    private static OpenResult recover(final Path folder, final String identity) throws IOException {
-        final Codec codec = Codec.forLog();
-        final List<Long> snapshots = fileNumbers(folder, "picture");
-        final List<Long> segments = new ArrayList<>(fileNumbers(folder, "segment"));
-        final List<LogRecord> records = new ArrayList<>();
-        final long firstSegment = snapshots.isEmpty() ? 0 : Lists.last(snapshots);
-        if (!snapshots.isEmpty()) {
-            final Optional<LogRecord.Snapshot> snapshot =
-                    readSnapshot(folder.resolve(fileName("picture", firstSegment)), codec);
-            if (snapshot.isEmpty()) {
-                return new OpenResult.Damaged("picture " + firstSegment + " is damaged");
-            }
-            records.add(snapshot.get());
-        }
-        segments.removeIf(n -> n < firstSegment);
-        for (int i = 1; i < segments.size(); i++) {
-            if (segments.get(i) != segments.get(i - 1) + 1) {
-                return new OpenResult.Damaged("segment " + (segments.get(i) - 1) + " is missing");
-            }
-        }
-        if (firstSegment > 0 && (segments.isEmpty() || segments.get(0) != firstSegment)) {
-            return new OpenResult.Damaged("segment " + firstSegment + " is missing");
-        }
-        long tornBytes = 0;
-        for (int i = 0; i < segments.size(); i++) {
-            final Path file = folder.resolve(fileName("segment", segments.get(i)));
-            final byte[] bytes = Files.readAllBytes(file);
-            final List<byte[]> frames = new ArrayList<>();
-            final int end = scanFrames(bytes, frames);
-            if (end < bytes.length && (i + 1 < segments.size() || hasCompleteFrameAfter(bytes, end + 1))) {
-                return new OpenResult.Damaged("segment " + segments.get(i) + " is damaged at byte " + end);
-            }
-            for (final byte[] frame : frames) {
-                if (!(codec.decode(frame, LogRecord.Batch.class)
-                        instanceof Codec.DecodeResult.Decoded<LogRecord.Batch> good)) {
-                    return new OpenResult.Damaged("segment " + segments.get(i) + " holds a batch that can't be read");
-                }
-                records.addAll(good.value().records());
-            }
-            if (end < bytes.length) {
-                tornBytes = bytes.length - end;
-                try (FileChannel segmentChannel = FileChannel.open(file, StandardOpenOption.WRITE)) {
-                    segmentChannel.truncate(end);
-                    segmentChannel.force(true);
-                }
-            }
-        }
-        removeOlder(folder, firstSegment);
-        final long lastSegment = segments.isEmpty() ? 1 : Lists.last(segments);
-        final FileChannel segmentChannel = FileChannel.open(
-                folder.resolve(fileName("segment", lastSegment)), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        segmentChannel.position(segmentChannel.size());
-        syncFolder(folder);
-        return new OpenResult.Success(
-                new WriteAheadLog(folder, segmentChannel, lastSegment),
-                identity,
-                records,
-                tornBytes,
-                Files.exists(folder.resolve(FOUNDER_FILE)));
-    }
-
-    private static int scanFrames(final byte[] bytes, final List<byte[]> frames) {
-        int offset = 0;
-        while (isCompleteFrame(bytes, offset)) {
-            final int size = ByteBuffer.wrap(bytes).getInt(offset + Long.BYTES);
-            frames.add(java.util.Arrays.copyOfRange(bytes, offset + HEADER_BYTES, offset + HEADER_BYTES + size));
-            offset += HEADER_BYTES + size;
-        }
-        return offset;
-    }
-
-    private static boolean hasCompleteFrameAfter(final byte[] bytes, final int from) {
-        for (int offset = from; offset + HEADER_BYTES <= bytes.length; offset++) {
-            if (isCompleteFrame(bytes, offset)) {
-                return true;
-            }
-        }
-        return false;
-    }
-
-    private static boolean isCompleteFrame(final byte[] bytes, final int offset) {
-        if (offset + HEADER_BYTES > bytes.length) {
-            return false;
-        }
-        final ByteBuffer header = ByteBuffer.wrap(bytes, offset, HEADER_BYTES);
-        if (header.getLong() != MAGIC) {
-            return false;
-        }
-        final int size = header.getInt();
-        return size >= 0
-                && size <= bytes.length - offset - HEADER_BYTES
-                && header.getInt() == checksum(bytes, offset + HEADER_BYTES, size);
-    }
-
-    private static int checksum(final byte[] bytes, final int offset, final int size) {
-        final CRC32C crc = new CRC32C();
-        crc.update(bytes, offset, size);
-        return (int) crc.getValue();
-    }
-
-    private static byte[] frame(final byte[] body) {
-        return ByteBuffer.allocate(HEADER_BYTES + body.length)
-                .putLong(MAGIC)
-                .putInt(body.length)
-                .putInt(checksum(body, 0, body.length))
-                .put(body)
-                .array();
-    }
-
-    /** A snapshot's file: the snapshot without its entries, the entries in parts, and an empty part as its end. */
-    private void writeSnapshot(final FileChannel file, final LogRecord.Snapshot snapshot) throws IOException {
-        writeFrame(file, snapshot.withEntries(List.of()));
-        final List<Entry> part = new ArrayList<>();
-        long partBytes = 0;
-        for (final Entry entry : snapshot.entries()) {
-            part.add(entry);
-            partBytes += entry.estimatedBytes();
-            if (partBytes > SNAPSHOT_PART_BYTES) {
-                writeFrame(file, new LogRecord.SnapshotPart(part));
-                part.clear();
-                partBytes = 0;
-            }
-        }
-        if (!part.isEmpty()) {
-            writeFrame(file, new LogRecord.SnapshotPart(part));
-        }
-        writeFrame(file, new LogRecord.SnapshotPart(List.of()));
-    }
-
-    private void writeFrame(final FileChannel file, final LogRecord record) throws IOException {
-        writeAll(file, frame(codec.encode(record, MAX_RECORD_BYTES)));
-    }
-
-    private static void writeAll(final FileChannel file, final byte[] bytes) throws IOException {
-        final ByteBuffer remaining = ByteBuffer.wrap(bytes);
-        while (remaining.hasRemaining()) {
-            file.write(remaining);
-        }
-    }
-
-    /** The snapshot in a file, or nothing where the file is cut short or damaged. */
-    private static Optional<LogRecord.Snapshot> readSnapshot(final Path file, final Codec codec) throws IOException {
-        final List<Entry> entries = new ArrayList<>();
-        Optional<LogRecord.Snapshot> snapshot = Optional.empty();
-        try (DataInputStream in = new DataInputStream(new BufferedInputStream(Files.newInputStream(file)))) {
-            while (true) {
-                final Optional<LogRecord> record = readFrame(in, codec);
-                if (record.isEmpty()) {
-                    return Optional.empty();
-                }
-                if (record.get() instanceof LogRecord.Snapshot first && snapshot.isEmpty()) {
-                    snapshot = Optional.of(first);
-                } else if (record.get() instanceof LogRecord.SnapshotPart part && snapshot.isPresent()) {
-                    if (part.entries().isEmpty()) {
-                        return in.read() < 0 ? Optional.of(snapshot.get().withEntries(entries)) : Optional.empty();
-                    }
-                    entries.addAll(part.entries());
-                } else {
-                    return Optional.empty();
-                }
-            }
-        }
-    }
-
-    private static Optional<LogRecord> readFrame(final DataInputStream in, final Codec codec) throws IOException {
-        final byte[] header = in.readNBytes(HEADER_BYTES);
-        if (header.length < HEADER_BYTES) {
-            return Optional.empty();
-        }
-        final ByteBuffer fields = ByteBuffer.wrap(header);
-        final long magic = fields.getLong();
-        final int size = fields.getInt();
-        if (magic != MAGIC || size < 0 || size > MAX_RECORD_BYTES) {
-            return Optional.empty();
-        }
-        final byte[] body = in.readNBytes(size);
-        final boolean sound = body.length == size && checksum(body, 0, size) == fields.getInt();
-        return sound && codec.decode(body, LogRecord.class) instanceof Codec.DecodeResult.Decoded<LogRecord> good
-                ? Optional.of(good.value())
-                : Optional.empty();
-    }
-
     private void writeBatch(final List<LogRecord> records) throws IOException {
-        writeFrame(channel, new LogRecord.Batch(records));
-        channel.force(false);
+        if (!records.isEmpty()) {
+            DurableFiles.writeAll(segment, LogFrame.encode(new LogRecord.Batch(records), codec));
+            segment.force(false);
+        }
     }
 
     private void startSegment() throws IOException {
-        channel.close();
+        segment.close();
         segmentNumber++;
-        channel = FileChannel.open(
-                folder.resolve(fileName("segment", segmentNumber)),
+        segment = FileChannel.open(
+                NumberedFiles.SEGMENT.file(folder, segmentNumber),
                 StandardOpenOption.CREATE_NEW,
                 StandardOpenOption.WRITE);
-        channel.force(true);
-        syncFolder(folder);
+        segment.force(true);
+        DurableFiles.syncDirectory(folder);
     }
 
-    /** Removes what a newer snapshot stands for. */
-    private static void removeOlder(final Path folder, final long number) throws IOException {
-        for (final String kind : List.of("segment", "picture")) {
-            for (final long fileNumber : fileNumbers(folder, kind)) {
-                if (fileNumber < number) {
-                    Files.delete(folder.resolve(fileName(kind, fileNumber)));
-                }
-            }
-        }
-        syncFolder(folder);
-    }
-
-    /** Puts a damaged folder's files aside, in place of what was put there before; the folder is then a new machine's. */
-    public static void moveAside(final Path folder) throws IOException {
-        final Path damagedFolder = folder.resolve("damaged");
-        Files.createDirectories(damagedFolder);
-        for (final Path directory : List.of(damagedFolder, folder)) {
-            try (Stream<Path> files = Files.list(directory)) {
-                for (final Path file : files.filter(Files::isRegularFile).toList()) {
-                    if (directory.equals(damagedFolder)) {
-                        Files.delete(file);
-                    } else {
-                        Files.move(file, damagedFolder.resolve(file.getFileName()), StandardCopyOption.ATOMIC_MOVE);
-                    }
-                }
-            }
-        }
-        syncFolder(damagedFolder);
-        syncFolder(folder);
-    }
-
-    /** Writes a whole file in place of an older one, synced with its name. */
-    public static void replaceFile(final Path file, final byte[] bytes) throws IOException {
-        replaceFile(file, channel -> writeAll(channel, bytes));
-    }
-
-    private static void replaceFile(final Path file, final FileContent content) throws IOException {
-        final Path part = file.resolveSibling(file.getFileName() + PART_SUFFIX);
-        try (FileChannel channel = FileChannel.open(
-                part, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
-            content.write(channel);
-            channel.force(true);
-        }
-        Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        syncFolder(file.toAbsolutePath().getParent());
-    }
-
-    /** Writes what a file is to hold. */
-    private interface FileContent {
-        void write(FileChannel file) throws IOException;
-    }
-
-    private static void syncFolder(final Path folder) throws IOException {
-        try (FileChannel folderChannel = FileChannel.open(folder, StandardOpenOption.READ)) {
-            folderChannel.force(true);
-        }
+    private void writeSnapshot(final LogRecord.Snapshot snapshot) throws IOException {
+        DurableFiles.replace(
+                NumberedFiles.SNAPSHOT.file(folder, segmentNumber), file -> SnapshotFile.write(file, snapshot, codec));
+        NumberedFiles.removeOlder(folder, segmentNumber);
     }
 
-    private static List<Long> fileNumbers(final Path folder, final String kind) throws IOException {
-        try (Stream<Path> files = Files.list(folder)) {
-            return files.map(f -> f.getFileName().toString())
-                    .filter(n -> n.matches(kind + "-\\d{12}"))
-                    .map(n -> Long.parseLong(n.substring(n.length() - 12)))
-                    .sorted()
-                    .toList();
-        }
+    /** Closes the files. */
+    public void close() throws IOException {
+        segment.close();
     }
 
-    private static String fileName(final String kind, final long number) {
-        return String.format("%s-%012d", kind, number);
+    /** Moves a damaged folder's files aside, in place of those moved before; the folder is then a new machine's. */
+    public static void moveAside(final Path folder) throws IOException {
+        new DataFolder(folder).moveAside();
     }
 }
--- a/server/src/main/java/silverlatch/server/controller/WorkerRoster.java
+++ b/server/src/main/java/silverlatch/server/controller/WorkerRoster.java
@@ -11,7 +11,7 @@
 import java.util.zip.CRC32C;
 import silverlatch.gossip.Gossip;
 import silverlatch.gossip.WorkerReport;
-import silverlatch.log.WriteAheadLog;
+import silverlatch.log.DurableFiles;
 import silverlatch.node.Event;
 import silverlatch.server.eventloop.EventLog;
 import silverlatch.util.Threads;
@@ -70,7 +70,7 @@
         boolean isFailureReported = false;
         while (true) {
             try {
-                WriteAheadLog.replaceFile(file, encode(codec, queue.take()));
+                DurableFiles.replace(file, encode(codec, queue.take()));
                 isFailureReported = false;
             } catch (final IOException e) {
                 if (!isFailureReported) {
