--- a/core/src/main/java/silverlatch/dispatch/ClusterSnapshot.java
+++ b/core/src/main/java/silverlatch/dispatch/ClusterSnapshot.java
@@ -12,14 +12,15 @@
 import silverlatch.state.Value;
 
 /**
- * What a gateway knows at one moment, copied for the duty that carries tickets.
+ * What a gateway knows of the cluster at one moment; immutable, made by the node and handed to the event loops that
+ * dispatch and route.
  *
- * @param self      this gateway
- * @param revision    the page held
- * @param confirmedAt    when the page was surely the newest, by the monotonic clock
- * @param policy  tenants, rows and orders on zones
- * @param workers the workers heard of
- * @param peers    the live gateways, without this one
+ * @param self        this gateway
+ * @param revision    the revision of the replicated state that the policy is of
+ * @param confirmedAt when that revision was confirmed to be the newest, by the monotonic clock in microseconds
+ * @param policy      tenants, rows, routes and evacuations
+ * @param workers     the newest reports of workers, by id
+ * @param peers       the other gateways that are alive
  */
 public record ClusterSnapshot(
         Member self,
@@ -34,31 +35,32 @@
         peers = List.copyOf(peers);
     }
 
-    /** Whether the page held was surely the newest within the span. */
+    /** Whether the revision was confirmed to be the newest within the microseconds before now. */
     public boolean isConfirmedWithin(final long now, final long maxAge) {
-        return confirmedAt.map(t -> now - t <= maxAge).orElse(false);
+        return confirmedAt.map(at -> now - at <= maxAge).orElse(false);
     }
 
     /** A tenant by name. */
     public Optional<Value.Tenant> tenant(final String name) {
-        return policy.value("t/" + name).map(l -> (Value.Tenant) l);
+        return policy.value("t/" + name).map(Value.Tenant.class::cast);
     }
 
-    /** The row for a tenant and kind: its own, or the one for all. */
+    /** The row for a tenant and kind: the tenant's own, or the one for all tenants. */
     public Optional<Value.Row> row(final String tenant, final String kind) {
         return policy.value(StateMachine.rowKey(tenant, kind))
                 .or(() -> policy.value(StateMachine.rowKey("*", kind)))
-                .map(l -> (Value.Row) l);
+                .map(Value.Row.class::cast);
     }
 
-    /** The zones that are being emptied. */
+    /** The zones that are being evacuated and get no new work. */
     public Set<String> evacuatingZones() {
         return policy.evacuatedZones();
     }
 
-    /** Whether a pick with this stamp was made before the worker's zone was ordered empty. */
+    /** Whether a placement with this timestamp was made before the evacuation of a zone that is in force. */
     public boolean isPlacedBeforeEvacuation(final String zone, final Stamp placedAt) {
         return policy.evacuations().stream()
-                .anyMatch(d -> d.zone().equals(zone) && d.active() && placedAt.isBefore(d.stamp()));
+                .anyMatch(evacuation ->
+                        evacuation.zone().equals(zone) && evacuation.active() && placedAt.isBefore(evacuation.stamp()));
     }
 }
--- a/core/src/main/java/silverlatch/dispatch/PlacementRequest.java
+++ b/core/src/main/java/silverlatch/dispatch/PlacementRequest.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What a consumer asks a pick for: metadata only.
+ * A client's question where to submit a request; it holds what a placement needs, not the prompt.
  *
- * @param secret the tenant's key as the consumer showed it
- * @param tenant whose ticket it is
- * @param kind   its kind
- * @param prefixDigests digests of its prefix, shortest first
- * @param promptBytes   the prompt's size in bytes
- * @param idempotencyKey    the consumer's own key for once-only, or empty
- * @param previousAttempts  how many times it was tried before
+ * @param secret           the tenant's key as the client showed it
+ * @param tenant           the tenant
+ * @param kind             the request's kind
+ * @param prefixDigests    digests of its prefix, shortest first
+ * @param promptBytes      the prompt's size in bytes
+ * @param idempotencyKey   the client's key under which it runs once only, or empty
+ * @param previousAttempts how often the client submitted it before
  */
 public record PlacementRequest(
         String secret,
@@ -21,7 +21,7 @@
         long promptBytes,
         String idempotencyKey,
         int previousAttempts) {
-    /** Copies the prefix. */
+    /** Copies the digests. */
     public PlacementRequest {
         prefixDigests = List.copyOf(prefixDigests);
     }
--- a/core/src/main/java/silverlatch/dispatch/RetryBudget.java
+++ b/core/src/main/java/silverlatch/dispatch/RetryBudget.java
@@ -1,8 +1,9 @@
 package silverlatch.dispatch;
 
 /**
- * The budget for extra tries: each first run adds a part of one, each extra try takes a whole one. What is saved up
- * never exceeds that part of the first runs of the last few seconds, so that a burst after a quiet time stays small.
+ * The budget for retries and hedged requests, as in Finagle: each request adds a part of a retry, each retry takes a whole
+ * one. The balance never exceeds that part of the requests of the last two to four seconds, or 1, so that a burst after a
+ * quiet time stays small. Not thread-safe; times in microseconds.
  */
 public final class RetryBudget {
     private static final long WINDOW_MICROS = 2_000_000L;
@@ -12,20 +13,25 @@
     private long requestsInWindow;
     private long requestsInPreviousWindow;
 
-    /** A budget that starts with a small stock. */
+    /**
+     * A budget.
+     *
+     * @param retryRatio     the part of a retry that each request adds
+     * @param initialBalance the retries that can be made before any request
+     */
     public RetryBudget(final double retryRatio, final double initialBalance) {
         this.retryRatio = retryRatio;
         this.balance = initialBalance;
     }
 
-    /** A first run is asked for. */
+    /** A request is sent for the first time. */
     public void recordRequest(final long now) {
         rollWindow(now);
         requestsInWindow++;
         balance = Math.min(limit(), balance + retryRatio);
     }
 
-    /** Takes one extra try, if there is one. */
+    /** Takes a retry out of the budget; false, with nothing taken, when there is none. */
     public boolean tryAcquire(final long now) {
         rollWindow(now);
         balance = Math.min(limit(), balance);
--- a/core/src/main/java/silverlatch/dispatch/TraceLog.java
+++ b/core/src/main/java/silverlatch/dispatch/TraceLog.java
@@ -4,19 +4,34 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.TreeMap;
+import java.util.stream.Collectors;
 import silverlatch.placement.WeightedScorers;
 
-/** What is remembered of tickets so that a placement can be explained; bounded. */
+/** What is remembered of the newest requests so that their placement can be explained. Bounded; not thread-safe. */
 public final class TraceLog {
     private final int capacity;
     private final LinkedHashMap<String, RequestTrace> traces = new LinkedHashMap<>();
 
-    /** Remembers so many tickets. */
+    /** A log of so many requests. */
     public TraceLog(final int capacity) {
         this.capacity = capacity;
     }
 
-    /** A ticket's story: whose, what was said, who was picked under which page and stamp, and how it stands. */
+    /**
+     * The trace of one request.
+     *
+     * @param requestId its id
+     * @param tenant    its tenant, or empty
+     * @param kind      its kind, or the name of its route
+     * @param worker    the worker that was chosen, or empty
+     * @param revision  the revision of the configuration at that time
+     * @param timestamp the timestamp of the choice
+     * @param state     where the request stands
+     * @param reason    why it ended so, or empty
+     * @param attempts  how many attempts were made before the choice
+     * @param scores    what the scorers said of each worker
+     */
     public record RequestTrace(
             String requestId,
             String tenant,
@@ -28,7 +43,7 @@
             String reason,
             int attempts,
             List<WeightedScorers.WeightedScore> scores) {
-        /** Copies the opinions. */
+        /** Copies the scores. */
         public RequestTrace {
             scores = List.copyOf(scores);
         }
@@ -39,7 +54,7 @@
         }
     }
 
-    /** Keeps a story. */
+    /** Puts a trace in the place of an older one of the request; the oldest request is forgotten when there are too many. */
     public void put(final RequestTrace trace) {
         traces.remove(trace.requestId());
         traces.put(trace.requestId(), trace);
@@ -48,20 +63,19 @@
         }
     }
 
-    /** Notes how a ticket stands. */
+    /** Notes where a request stands, if it is remembered. */
     public void recordState(final String requestId, final String state, final String reason) {
-        traces.computeIfPresent(requestId, (k, trace) -> trace.withState(state, reason));
+        traces.computeIfPresent(requestId, (id, trace) -> trace.withState(state, reason));
     }
 
-    /** A ticket's story. */
+    /** The trace of a request. */
     public Optional<RequestTrace> get(final String requestId) {
         return Optional.ofNullable(traces.get(requestId));
     }
 
-    /** How many tickets stand in each state. */
+    /** How many of the requests are in each state. */
     public Map<String, Long> countsByState() {
         return traces.values().stream()
-                .collect(java.util.stream.Collectors.groupingBy(
-                        RequestTrace::state, java.util.TreeMap::new, java.util.stream.Collectors.counting()));
+                .collect(Collectors.groupingBy(RequestTrace::state, TreeMap::new, Collectors.counting()));
     }
 }
--- a/core/src/main/java/silverlatch/dispatch/buffer/Slab.java
+++ b/core/src/main/java/silverlatch/dispatch/buffer/Slab.java
@@ -5,7 +5,10 @@
 import java.util.Optional;
 import silverlatch.util.Lists;
 
-/** A bounded slab: things are kept at a place, and found by a number that also tells a reused place apart. */
+/**
+ * A bounded slab with generations: an element is found by a handle that holds its slot and the slot's generation, so that
+ * the handle of a removed element never finds the one that came into its slot. Handles are positive. Not thread-safe.
+ */
 public final class Slab<T> {
     private static final int INDEX_BITS = 24;
     private final int capacity;
@@ -14,7 +17,11 @@
     private final List<Integer> freeSlots = new ArrayList<>();
     private int used;
 
-    /** A slab for so many things. */
+    /**
+     * An empty slab.
+     *
+     * @throws IllegalArgumentException if the capacity is less than 1, or 2^24 or more
+     */
     public Slab(final int capacity) {
         if (capacity < 1 || capacity >= 1 << INDEX_BITS) {
             throw new IllegalArgumentException("a slab has 1 to " + (1 << INDEX_BITS) + " places");
@@ -22,7 +29,7 @@
         this.capacity = capacity;
     }
 
-    /** Keeps a thing and gives its number, or nothing when the slab is full. */
+    /** Adds an element and gives its handle, or nothing when the slab is full. */
     public Optional<Long> insert(final T element) {
         if (used == capacity) {
             return Optional.empty();
@@ -41,19 +48,19 @@
         return Optional.of(generations.get(slot) << INDEX_BITS | slot);
     }
 
-    /** The thing of a number, if it is still the one. */
+    /** The element of a handle, unless it was removed. */
     public Optional<T> get(final long handle) {
-        final int slot = (int) (handle & (1 << INDEX_BITS) - 1);
+        final int slot = slotOf(handle);
         return handle > 0 && slot < slots.size() && generations.get(slot) == handle >> INDEX_BITS
                 ? slots.get(slot)
                 : Optional.empty();
     }
 
-    /** Lets a thing go. */
+    /** Removes and gives the element of a handle, unless it was removed before. */
     public Optional<T> remove(final long handle) {
         final Optional<T> removed = get(handle);
         if (removed.isPresent()) {
-            final int slot = (int) (handle & (1 << INDEX_BITS) - 1);
+            final int slot = slotOf(handle);
             slots.set(slot, Optional.empty());
             freeSlots.add(slot);
             used--;
@@ -61,12 +68,16 @@
         return removed;
     }
 
-    /** How many are kept. */
+    private static int slotOf(final long handle) {
+        return (int) (handle & (1 << INDEX_BITS) - 1);
+    }
+
+    /** How many elements there are. */
     public int used() {
         return used;
     }
 
-    /** How many can be kept. */
+    /** How many elements there can be. */
     public int capacity() {
         return capacity;
     }
--- a/core/src/main/java/silverlatch/dispatch/permit/Permit.java
+++ b/core/src/main/java/silverlatch/dispatch/permit/Permit.java
@@ -3,18 +3,18 @@
 import silverlatch.clock.Stamp;
 
 /**
- * What a pick hands out: it binds one ticket to one incarnation of one carrier for a short time.
+ * The right to submit one request to one incarnation of one gateway within a short time.
  *
- * @param requestId  the ticket's id
- * @param tenant  whose it is
- * @param kind    its kind
- * @param worker  the worker picked
- * @param gateway the gateway that may run it
+ * @param requestId      the request's id
+ * @param tenant         its tenant
+ * @param kind           its kind
+ * @param worker         the worker that was chosen for it, or empty
+ * @param gateway        the id of the gateway that takes it
  * @param incarnation    that gateway's incarnation
- * @param revision    the sequence of the table and drains it was picked under
- * @param timestamp   the pick's stamp
- * @param expiry  until when it can be used, by the carrier's monotonic clock
- * @param idempotencyKey     the consumer's own key, or empty
+ * @param revision       the revision of the replicated state that the choice rests on
+ * @param timestamp      the choice's timestamp of the cluster's clock
+ * @param expiry         when it can no longer be used, by that gateway's monotonic clock in microseconds
+ * @param idempotencyKey the client's key under which the request runs once only, or empty
  */
 public record Permit(
         String requestId,
--- a/core/src/main/java/silverlatch/dispatch/permit/PermitSigner.java
+++ b/core/src/main/java/silverlatch/dispatch/permit/PermitSigner.java
@@ -11,17 +11,20 @@
 import javax.crypto.spec.SecretKeySpec;
 import silverlatch.clock.Stamp;
 
-/** Seals permits with the cluster's key, and makes the hashes the product uses. */
+/**
+ * Signs permits with HMAC-SHA-256 under the cluster's key, and verifies them. The static methods are the digests that the
+ * product uses. Immutable.
+ */
 public final class PermitSigner {
     private static final String SEPARATOR = "|";
     private final byte[] clusterKey;
 
-    /** Seals made with the cluster's key. */
+    /** A signer with the cluster's key. */
     public PermitSigner(final String clusterKey) {
         this.clusterKey = clusterKey.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The permit as text, with its seal. */
+    /** The permit as text with its signature: two base64url parts and a dot between them. */
     public String sign(final Permit permit) {
         final String body = Base64.getUrlEncoder()
                 .withoutPadding()
@@ -41,7 +44,7 @@
         return body + "." + Base64.getUrlEncoder().withoutPadding().encodeToString(mac(body));
     }
 
-    /** The permit, if the text bears our seal. */
+    /** The permit, if the text was signed with the cluster's key. */
     public Optional<Permit> verify(final String text) {
         final int dot = text.indexOf('.');
         if (dot < 0 || text.length() > 4096) {
@@ -70,17 +73,17 @@
         }
     }
 
-    /** Whether two secrets are the same, without telling by time where they differ. */
+    /** Whether two secrets are equal; the time it takes does not tell where they differ. */
     public static boolean constantTimeEquals(final String one, final String other) {
         return MessageDigest.isEqual(one.getBytes(StandardCharsets.UTF_8), other.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** SHA-256 of a text in hexadecimal digits. */
+    /** SHA-256 of a text in UTF-8, in hexadecimal digits. */
     public static String sha256Hex(final String text) {
         return HexFormat.of().formatHex(newSha256().digest(text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** A prefix digest salted for its tenant. */
+    /** The first 48 bits of the SHA-256 of a prefix digest and its tenant's salt. */
     public static long saltedDigest(final String salt, final String text) {
         return Long.parseUnsignedLong(sha256Hex(salt + SEPARATOR + text).substring(0, 12), 16);
     }
--- a/core/src/main/java/silverlatch/placement/PlacementContext.java
+++ b/core/src/main/java/silverlatch/placement/PlacementContext.java
@@ -5,15 +5,15 @@
 import silverlatch.state.Value;
 
 /**
- * A ticket as the judges see it.
+ * A request as the scorers see it.
  *
- * @param requestId its id
- * @param tenant whose it is
- * @param row    the weights and limits for it
- * @param prefixDigests salted digests of its prefix, shortest first
- * @param gatewayZone   the carrier's zone
- * @param gatewayRegion the carrier's region
- * @param evacuatingZones  the zones that are being emptied
+ * @param requestId       its id, by which ties between workers are broken
+ * @param tenant          its tenant
+ * @param row             the weights and limits for its tenant and kind
+ * @param prefixDigests   salted digests of its prefix, shortest first
+ * @param gatewayZone     the zone of the gateway that places it
+ * @param gatewayRegion   that gateway's region
+ * @param evacuatingZones the zones that get no new work
  */
 public record PlacementContext(
         String requestId,
--- a/core/src/main/java/silverlatch/placement/PlacementInput.java
+++ b/core/src/main/java/silverlatch/placement/PlacementInput.java
@@ -3,15 +3,15 @@
 import silverlatch.gossip.Worker;
 
 /**
- * A worker as one gateway sees it at the moment of a pick.
+ * A worker as one gateway sees it when a request is placed.
  *
- * @param worker  its newest word
- * @param reportAge     how old that word can be, in microseconds
- * @param attemptsSinceReport   runs this gateway sent there that the word can't count yet
- * @param ownAttempts    runs of this gateway under way there
- * @param sinceReturn    microseconds since it came back after a silence
- * @param isEjected whether a try there failed just now
- * @param gatewayCount   how many gateways share it
+ * @param worker              its newest report
+ * @param reportAge           how old that report can be, in microseconds
+ * @param attemptsSinceReport attempts that this gateway sent there and that the report can't count yet
+ * @param ownAttempts         attempts of this gateway that are in flight there
+ * @param sinceReturn         microseconds since it came back after a silence or a restart
+ * @param isEjected           whether an attempt there failed a short time ago
+ * @param gatewayCount        how many gateways share it
  */
 public record PlacementInput(
         Worker worker,
@@ -24,23 +24,23 @@
     private static final long SLOW_START_MICROS = 6_000_000L;
     private static final double MIN_WARMTH = 0.1;
 
-    /** Runs there, as far as can be known here. */
+    /** How many of its slots are taken, as far as is known here. */
     public int occupiedSlots() {
         return worker.running() + worker.queued() + attemptsSinceReport;
     }
 
-    /** How warm it is, from a tenth to one. */
+    /** How far its slow start has come, from a tenth to one, where it takes as much as any other. */
     public double warmth() {
         final long uptime = Math.max(0, Math.min(worker.uptime(), sinceReturn));
         return Math.min(1, MIN_WARMTH + (1 - MIN_WARMTH) * uptime / SLOW_START_MICROS);
     }
 
-    /** How many runs it may have at once while it warms up. */
+    /** How many requests it may have at once as far as its slow start has come. */
     public int slotLimit() {
         return Math.max(1, (int) Math.floor(worker.slots() * warmth()));
     }
 
-    /** How many runs this gateway alone may have there while it warms up. */
+    /** How many requests this gateway alone may have there: twice its even part, until the slow start is over. */
     public int ownSlotLimit() {
         return warmth() >= 1
                 ? worker.slots()
--- a/core/src/main/java/silverlatch/placement/ScorerResult.java
+++ b/core/src/main/java/silverlatch/placement/ScorerResult.java
@@ -1,13 +1,13 @@
 package silverlatch.placement;
 
-/** What a judge finds of one worker for one ticket. */
+/** What a {@link Scorer} says of one worker for one request. */
 public sealed interface ScorerResult {
-    /** A score from 0 to 1. */
+    /** A score from 0 to 1, where 1 is best. */
     record Score(double value) implements ScorerResult {}
 
-    /** Never this worker. */
+    /** The worker is not allowed. */
     record Veto(String reason) implements ScorerResult {}
 
-    /** Not this worker now, but perhaps in a moment. */
+    /** The worker is allowed, but can't take the request now. */
     record Deferred(String reason) implements ScorerResult {}
 }
--- a/core/src/main/java/silverlatch/placement/WeightedScorers.java
+++ b/core/src/main/java/silverlatch/placement/WeightedScorers.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import java.util.Optional;
 import java.util.random.RandomGenerator;
 import silverlatch.placement.scorer.AvailabilityScorer;
 import silverlatch.placement.scorer.EvacuationScorer;
@@ -14,23 +13,30 @@
 import silverlatch.placement.scorer.SlowStartScorer;
 import silverlatch.safeguard.Safeguard;
 import silverlatch.safeguard.Safeguards;
+import silverlatch.util.Fnv1a;
 
-/** Hears all judges on all workers and picks. */
+/**
+ * Chooses a worker by several scorers. A worker that one of them vetoes or defers isn't chosen; of the others two are drawn
+ * among those whose weighted scores are nearly the best, and the one with more free slots is taken (power of two choices).
+ * Immutable; the same input and random numbers give the same choice.
+ */
 public final class WeightedScorers {
+    /** Scores within this much of the best one count as equal. */
     private static final double NEAR_BEST = 0.08;
+
     private final List<Scorer> scorers;
 
-    /** A court of the given judges. */
+    /** A choice by the given scorers. */
     public WeightedScorers(final List<Scorer> scorers) {
         this.scorers = List.copyOf(scorers);
     }
 
-    /** The judges of the product; a word on a worker counts up to the given age. */
+    /** All scorers; a report of a worker counts up to the given age in microseconds. */
     public static WeightedScorers allScorers(final long maxReportAge) {
         return allScorers(maxReportAge, Safeguards.ALL);
     }
 
-    /** The same, without the judges whose guard is down. */
+    /** The same, without the scorers whose safeguard is let down; for tests. */
     public static WeightedScorers allScorers(final long maxReportAge, final Safeguards safeguards) {
         final List<Scorer> all =
                 new ArrayList<>(List.of(new PrefixCacheScorer(), new LoadScorer(), new LocalityScorer()));
@@ -41,7 +47,7 @@
         return new WeightedScorers(all);
     }
 
-    /** The judges that are heard once more at the instant of dispatch. */
+    /** The scorers that hold to constraints; they are asked once more at the moment of dispatch. */
     public static WeightedScorers constraints(final long maxReportAge, final Safeguards safeguards) {
         return new WeightedScorers(constraintScorers(maxReportAge, safeguards));
     }
@@ -58,88 +64,126 @@
         return all;
     }
 
-    /** One judge's finding on one worker, with the weight it had. */
+    /**
+     * What one scorer said of one worker.
+     *
+     * @param worker the worker's id
+     * @param scorer the scorer's name
+     * @param result what it said
+     * @param weight the weight that it had
+     */
     public record WeightedScore(String worker, String scorer, ScorerResult result, double weight) {}
 
-    /** What the court decides. */
+    /** What was chosen, with all scores that led to it. */
     public sealed interface Decision {
-        /** All that was said. */
+        /** What each scorer said of each worker. */
         List<WeightedScore> scores();
 
-        /** This worker. */
+        /** A worker was chosen. */
         record Selected(PlacementInput candidate, List<WeightedScore> scores) implements Decision {}
 
-        /** None now, but one may have room in a moment. */
+        /** None was chosen; one that is allowed may have capacity later. */
         record AllBusy(List<WeightedScore> scores) implements Decision {}
 
-        /** None is allowed. */
+        /** None was chosen, because none is allowed. */
         record NoneAllowed(List<WeightedScore> scores) implements Decision {}
     }
 
-    /** Picks a worker for a ticket. */
+    /** Chooses one of the candidates for a request. */
     public Decision select(
             final PlacementContext context, final List<PlacementInput> candidates, final RandomGenerator random) {
         final List<WeightedScore> scores = new ArrayList<>();
         final List<RatedWorker> rated = new ArrayList<>();
         boolean anyDeferred = false;
         for (final PlacementInput candidate : candidates) {
-            double weightedSum = 0;
-            double totalWeight = 0;
-            boolean isVetoed = false;
-            boolean isDeferred = false;
-            for (final Scorer scorer : scorers) {
-                final double weight = scorer.weight(context);
-                final ScorerResult result = scorer.score(context, candidate);
-                scores.add(new WeightedScore(candidate.worker().id(), scorer.name(), result, weight));
-                switch (result) {
-                    case ScorerResult.Score s -> weightedSum += weight * s.value();
-                    case ScorerResult.Veto v -> isVetoed = true;
-                    case ScorerResult.Deferred l -> isDeferred = true;
-                }
-                totalWeight += weight;
-            }
-            if (!isVetoed && !isDeferred) {
-                rated.add(new RatedWorker(candidate, totalWeight == 0 ? 0 : weightedSum / totalWeight));
+            final Rating rating = rate(context, candidate, scores);
+            if (rating.isTakeable()) {
+                rated.add(new RatedWorker(candidate, rating.score()));
             }
-            anyDeferred |= !isVetoed && isDeferred;
+            anyDeferred |= rating.isOnlyDeferred();
         }
         if (rated.isEmpty()) {
             return anyDeferred ? new Decision.AllBusy(scores) : new Decision.NoneAllowed(scores);
         }
+        return new Decision.Selected(twoChoices(nearBest(context, rated), random), scores);
+    }
+
+    /** Asks all scorers about one candidate, and adds what they say to the scores. */
+    private Rating rate(
+            final PlacementContext context, final PlacementInput candidate, final List<WeightedScore> scores) {
+        double weightedSum = 0;
+        double totalWeight = 0;
+        boolean isVetoed = false;
+        boolean isDeferred = false;
+        for (final Scorer scorer : scorers) {
+            final double weight = scorer.weight(context);
+            final ScorerResult result = scorer.score(context, candidate);
+            scores.add(new WeightedScore(candidate.worker().id(), scorer.name(), result, weight));
+            switch (result) {
+                case ScorerResult.Score score -> weightedSum += weight * score.value();
+                case ScorerResult.Veto veto -> isVetoed = true;
+                case ScorerResult.Deferred deferred -> isDeferred = true;
+            }
+            totalWeight += weight;
+        }
+        return new Rating(totalWeight == 0 ? 0 : weightedSum / totalWeight, isVetoed, isDeferred);
+    }
+
+    /** The workers whose score is nearly the best one, in an order that differs from request to request. */
+    private static List<RatedWorker> nearBest(final PlacementContext context, final List<RatedWorker> rated) {
         final double best = rated.stream().mapToDouble(RatedWorker::score).max().orElse(0);
-        final List<RatedWorker> nearBest = new ArrayList<>(rated.stream()
-                .filter(r -> r.score() >= best - NEAR_BEST)
-                .sorted(Comparator.comparingLong((RatedWorker r) ->
-                        tieBreakHash(context.requestId(), r.candidate().worker().id())))
-                .toList());
-        final RatedWorker first = nearBest.remove(random.nextInt(nearBest.size()));
-        final Optional<RatedWorker> second =
-                nearBest.isEmpty() ? Optional.empty() : Optional.of(nearBest.get(random.nextInt(nearBest.size())));
-        final RatedWorker winner = second.filter(t -> freeRatio(t) > freeRatio(first)
-                        || freeRatio(t) == freeRatio(first) && t.score() > first.score())
-                .orElse(first);
-        return new Decision.Selected(winner.candidate(), scores);
+        return rated.stream()
+                .filter(worker -> worker.score() >= best - NEAR_BEST)
+                .sorted(Comparator.comparingLong(worker -> tieBreakHash(
+                        context.requestId(), worker.candidate().worker().id())))
+                .toList();
     }
 
-    /** Whether any judge still stands against the worker, at the instant of dispatch. */
-    public boolean accepts(final PlacementContext context, final PlacementInput candidate) {
-        return scorers.stream().allMatch(scorer -> scorer.score(context, candidate) instanceof ScorerResult.Score);
+    /** Draws two of the workers and takes the one with more free slots, or the better score where these are equal. */
+    private static PlacementInput twoChoices(final List<RatedWorker> workers, final RandomGenerator random) {
+        final List<RatedWorker> left = new ArrayList<>(workers);
+        final RatedWorker first = left.remove(random.nextInt(left.size()));
+        if (left.isEmpty()) {
+            return first.candidate();
+        }
+        final RatedWorker second = left.get(random.nextInt(left.size()));
+        final boolean isSecondBetter = second.freeRatio() > first.freeRatio()
+                || second.freeRatio() == first.freeRatio() && second.score() > first.score();
+        return (isSecondBetter ? second : first).candidate();
     }
 
-    private static double freeRatio(final RatedWorker rated) {
-        return 1
-                - (double) rated.candidate().occupiedSlots()
-                        / Math.max(1, rated.candidate().worker().slots());
+    /** Whether no scorer vetoes or defers the candidate. */
+    public boolean accepts(final PlacementContext context, final PlacementInput candidate) {
+        for (final Scorer scorer : scorers) {
+            if (!(scorer.score(context, candidate) instanceof ScorerResult.Score)) {
+                return false;
+            }
+        }
+        return true;
     }
 
     private static long tieBreakHash(final String requestId, final String workerId) {
-        long hash = 0xCBF29CE484222325L;
-        final String text = requestId + "/" + workerId;
-        for (int i = 0; i < text.length(); i++) {
-            hash = (hash ^ text.charAt(i)) * 0x100000001B3L;
-        }
+        final long hash = Fnv1a.hash(requestId + "/" + workerId);
         return hash ^ hash >>> 31;
     }
 
-    private record RatedWorker(PlacementInput candidate, double score) {}
+    /** What all scorers together say of a worker. */
+    private record Rating(double score, boolean isVetoed, boolean isDeferred) {
+        boolean isTakeable() {
+            return !isVetoed && !isDeferred;
+        }
+
+        boolean isOnlyDeferred() {
+            return !isVetoed && isDeferred;
+        }
+    }
+
+    /** A worker that can take the request, with its weighted score. */
+    private record RatedWorker(PlacementInput candidate, double score) {
+        double freeRatio() {
+            return 1
+                    - (double) candidate.occupiedSlots()
+                            / Math.max(1, candidate.worker().slots());
+        }
+    }
 }
--- a/core/src/main/java/silverlatch/placement/scorer/AvailabilityScorer.java
+++ b/core/src/main/java/silverlatch/placement/scorer/AvailabilityScorer.java
@@ -5,11 +5,11 @@
 import silverlatch.placement.Scorer;
 import silverlatch.placement.ScorerResult;
 
-/** Never lets work to a worker that leaves, whose word is too old, or where a try failed just now. */
+/** Vetoes workers that drain or whose report is too old, and defers to others where an attempt failed a short time ago. */
 public final class AvailabilityScorer implements Scorer {
     private final long maxReportAge;
 
-    /** With the age beyond which a word counts for nothing. */
+    /** A scorer for which reports count up to the given age in microseconds. */
     public AvailabilityScorer(final long maxReportAge) {
         this.maxReportAge = maxReportAge;
     }
--- a/core/src/main/java/silverlatch/placement/scorer/EvacuationScorer.java
+++ b/core/src/main/java/silverlatch/placement/scorer/EvacuationScorer.java
@@ -5,7 +5,7 @@
 import silverlatch.placement.Scorer;
 import silverlatch.placement.ScorerResult;
 
-/** Never lets work into a zone that is being emptied. */
+/** Vetoes workers in a zone that is being evacuated. */
 public final class EvacuationScorer implements Scorer {
     @Override
     public String name() {
--- a/core/src/main/java/silverlatch/placement/scorer/HomeRegionScorer.java
+++ b/core/src/main/java/silverlatch/placement/scorer/HomeRegionScorer.java
@@ -5,7 +5,7 @@
 import silverlatch.placement.Scorer;
 import silverlatch.placement.ScorerResult;
 
-/** Never lets a ticket out of its tenant's homes. */
+/** Vetoes workers outside the tenant's home regions. */
 public final class HomeRegionScorer implements Scorer {
     @Override
     public String name() {
--- a/core/src/main/java/silverlatch/placement/scorer/LoadScorer.java
+++ b/core/src/main/java/silverlatch/placement/scorer/LoadScorer.java
@@ -5,7 +5,7 @@
 import silverlatch.placement.Scorer;
 import silverlatch.placement.ScorerResult;
 
-/** Favours a worker with free slots, and waits for a full one. */
+/** Prefers workers with free slots, and defers to others where all slots are taken. */
 public final class LoadScorer implements Scorer {
     @Override
     public String name() {
--- a/core/src/main/java/silverlatch/placement/scorer/LocalityScorer.java
+++ b/core/src/main/java/silverlatch/placement/scorer/LocalityScorer.java
@@ -5,8 +5,10 @@
 import silverlatch.placement.Scorer;
 import silverlatch.placement.ScorerResult;
 
-/** Counts the cost of leaving the zone or the region. */
+/** Prefers workers in the gateway's zone, then those in its region. */
 public final class LocalityScorer implements Scorer {
+    private static final double SAME_REGION_SCORE = 0.6;
+
     @Override
     public String name() {
         return "cross";
@@ -22,6 +24,6 @@
         if (!candidate.worker().region().equals(context.gatewayRegion())) {
             return new ScorerResult.Score(0);
         }
-        return new ScorerResult.Score(candidate.worker().zone().equals(context.gatewayZone()) ? 1 : 0.6);
+        return new ScorerResult.Score(candidate.worker().zone().equals(context.gatewayZone()) ? 1 : SAME_REGION_SCORE);
     }
 }
--- a/core/src/main/java/silverlatch/placement/scorer/PrefixCacheScorer.java
+++ b/core/src/main/java/silverlatch/placement/scorer/PrefixCacheScorer.java
@@ -6,7 +6,7 @@
 import silverlatch.placement.Scorer;
 import silverlatch.placement.ScorerResult;
 
-/** Favours a worker that keeps the longest part of the prefix. */
+/** Prefers workers whose prefix cache holds the longest part of the request's prefix. */
 public final class PrefixCacheScorer implements Scorer {
     @Override
     public String name() {
--- a/core/src/main/java/silverlatch/placement/scorer/SlowStartScorer.java
+++ b/core/src/main/java/silverlatch/placement/scorer/SlowStartScorer.java
@@ -5,12 +5,14 @@
 import silverlatch.placement.Scorer;
 import silverlatch.placement.ScorerResult;
 
-/** Spares a worker that just came, and lets it take more step by step. */
+/** Slow start: a worker that just came takes few requests at once, and step by step as many as the others. */
 public final class SlowStartScorer implements Scorer {
+    /** A worker that was never silent seems to have come back longer ago than this. */
     private static final long NEVER_RETURNED_MICROS = 1_000_000_000_000L;
+
     private final boolean warmsUp;
 
-    /** A judge whose patience ends when the worker is warm. */
+    /** A scorer; with false, for tests, a worker that came back never takes its full part again. */
     public SlowStartScorer(final boolean warmsUp) {
         this.warmsUp = warmsUp;
     }
--- a/core/src/main/java/silverlatch/routing/LatencyPredictor.java
+++ b/core/src/main/java/silverlatch/routing/LatencyPredictor.java
@@ -5,6 +5,7 @@
 import java.util.Set;
 import silverlatch.membership.Member;
 import silverlatch.state.Value;
+import silverlatch.util.Fnv1a;
 
 /**
  * Predicts when a worker would send the first event of a request: the network both ways, what it still has to prefill for
@@ -164,10 +165,7 @@
 
     /** A hash of a name (FNV-1a, then the finalizer of SplitMix64) by which all gateways rank alike. */
     static long rendezvousHash(final long seed, final String name) {
-        long hash = 0xCBF29CE484222325L ^ seed;
-        for (int i = 0; i < name.length(); i++) {
-            hash = (hash ^ name.charAt(i)) * 0x100000001B3L;
-        }
+        long hash = Fnv1a.hash(name, seed);
         hash = (hash ^ hash >>> 30) * 0xBF58476D1CE4E5B9L;
         hash = (hash ^ hash >>> 27) * 0x94D049BB133111EBL;
         return hash ^ hash >>> 31;
