--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -33,9 +33,6 @@
 public final class ChainReplica {
     private static final int DIGEST_RANGES = 64;
 
-    /** The low bits of a ballot name its proposer's place among the voters, the others count its rounds. */
-    private static final int BALLOT_PROPOSER_BITS = 8;
-
     private static final long MAX_RECENT_BYTES = 8L << 20;
     private static final int MAX_RECENT_ENTRIES = 10_000;
     private static final long SNAPSHOT_INTERVAL_BYTES = 8L << 20;
@@ -53,14 +50,14 @@
     private final HeldLease lease;
     private final GrantedLeases grantedLeases;
     private final FailureDetector failureDetector;
+    private final ViewAcceptor acceptor;
+    private final ViewProposer proposer;
     private final Departure departure;
     private final Deque<LogEntry> pendingEntries = new ArrayDeque<>();
     private final Deque<LogEntry> recentEntries = new ArrayDeque<>();
     private final Map<String, Entry> pendingValues = new HashMap<>();
     private final Map<String, Discovery> discoveries = new TreeMap<>();
-    private final Map<String, Message.JoinRequest> joinRequests = new TreeMap<>();
     private final Map<Long, List<WaitingWrite>> waitingWrites = new HashMap<>();
-    private final List<DelayedAccept> delayedAccepts = new ArrayList<>();
     private final List<UnleasedWrite> unleasedWrites = new ArrayList<>();
     private final Set<String> bootstrapAgreed = new HashSet<>();
     private final ReplicationWindow window = new ReplicationWindow();
@@ -68,12 +65,7 @@
     private Optional<RepairProgress> repairProgress = Optional.empty();
     private long repairRequestedAt;
     private List<String> seeds;
-    private long promisedBallot;
-    private long acceptedBallot;
-    private Optional<View> acceptedView = Optional.empty();
     private Optional<View> foundingView = Optional.empty();
-    private Optional<Proposal> proposal = Optional.empty();
-    private long highestRound;
     private long lastSequence;
     private long synced;
     private long recentBytes;
@@ -81,8 +73,6 @@
     private int entriesSinceSnapshot;
     private long lastRetryAt;
     private long lastDiscoveryAt;
-    private long suspectedSince;
-    private long preemptedAt;
     private Optional<Long> catchUpTarget = Optional.empty();
     private long catchUpStartedAt;
     private long currentTime;
@@ -111,6 +101,8 @@
         this.lease = new HeldLease(settings, role, effects);
         this.grantedLeases = new GrantedLeases(settings, role, effects, now);
         this.failureDetector = new FailureDetector(settings, role);
+        this.acceptor = new ViewAcceptor(settings, role, grantedLeases, effects);
+        this.proposer = new ViewProposer(settings, role, acceptor, failureDetector, effects);
         this.departure = new Departure(settings, role, effects);
         this.settings = settings;
         this.stamps = stamps;
@@ -187,11 +179,11 @@
             case Message.LeaseRequest m -> handleLeaseRequest(m, now);
             case Message.LeaseGrant m -> handleLeaseGrant(m, now);
             case Message.ViewDecided m -> handleViewDecided(m, sender, now);
-            case Message.Prepare m -> handlePrepare(m, sender);
-            case Message.Promise m -> handlePromise(m, now);
-            case Message.Accept m -> handleAccept(m, sender);
-            case Message.Accepted m -> handleAccepted(m, now);
-            case Message.Preempted m -> handlePreempted(m);
+            case Message.Prepare m -> handlePrepare(m, sender, now);
+            case Message.Promise m -> proposer.handlePromise(m, now);
+            case Message.Accept m -> acceptor.handleAccept(m, sender, now);
+            case Message.Accepted m -> proposer.handleAccepted(m).ifPresent(decided -> installView(decided, now));
+            case Message.Preempted m -> proposer.handlePreempted(m, now);
             case Message.Replicate m -> handleReplicate(m, now);
             case Message.CommitNotice m -> handleCommitNotice(m);
             case Message.CatchUpTarget m -> caughtUp(m);
@@ -251,7 +243,7 @@
      * that remain knows that. A member that the chain needs for its copies stays until its grace ends.
      */
     public boolean hasLeft() {
-        return departure.hasLeft(!joinRequests.isEmpty());
+        return departure.hasLeft(!proposer.joinRequests().isEmpty());
     }
 
     /** A clock event, a few each lease. */
@@ -261,14 +253,7 @@
             return;
         }
         final boolean stalled = effects.isStalled(settings.diskStallMicros(), now);
-        for (final DelayedAccept accept : List.copyOf(delayedAccepts)) {
-            if (accept.sendAt() <= now) {
-                delayedAccepts.remove(accept);
-                if (accept.number() == view().number() + 1) {
-                    effects.send(accept.to(), accept.reply());
-                }
-            }
-        }
+        acceptor.sendDelayed(now);
         if (view().number() == 0) {
             discoverPeers(now);
             return;
@@ -289,7 +274,7 @@
             advanceEpoch(now);
             retryReplication(now);
             if (!stalled) {
-                proposeNextView(now);
+                proposer.proposeNextView(departure.isLeaving(), now);
             }
         } else if (now - lastDiscoveryAt >= (joining ? 5 * ReplicaSettings.RETRY_MICROS : ReplicaSettings.RETRY_MICROS)
                 && !stalled) {
@@ -317,7 +302,7 @@
     }
 
     private void handleJoinRequest(final Message.JoinRequest request, final long now) {
-        joinRequests.put(request.sender().id(), request);
+        proposer.handleJoinRequest(request);
         failureDetector.handleJoinRequest(request, now);
     }
 
@@ -331,9 +316,7 @@
                 stateMachine.reset(p.sequence(), p.entries());
                 stateMachine.completeRepair(p.sequence());
                 role.replay(p);
-                promisedBallot = p.promisedBallot();
-                acceptedBallot = p.acceptedBallot();
-                acceptedView = p.acceptedView().stream().findFirst();
+                acceptor.replay(p);
                 pendingEntries.clear();
                 pendingValues.clear();
                 lastSequence = p.sequence();
@@ -345,23 +328,12 @@
                 }
             }
             case LogRecord.ViewInstalled s -> {
-                if (s.view().number() > view().number()) {
-                    promisedBallot = 0;
-                    acceptedBallot = 0;
-                    acceptedView = Optional.empty();
-                }
+                acceptor.replay(s);
                 role.replay(s);
                 foundingView = Optional.empty();
             }
-            case LogRecord.Promised v ->
-                promisedBallot = v.viewNumber() == view().number() + 1 ? v.ballot() : promisedBallot;
-            case LogRecord.Accepted n -> {
-                if (n.viewNumber() == view().number() + 1) {
-                    promisedBallot = n.ballot();
-                    acceptedBallot = n.ballot();
-                    acceptedView = Optional.of(n.view());
-                }
-            }
+            case LogRecord.Promised v -> acceptor.replay(v);
+            case LogRecord.Accepted n -> acceptor.replay(n);
             case LogRecord.Founding b -> foundingView = Optional.of(b.view());
             case LogRecord.Batch b -> b.records().forEach(this::replay);
             case LogRecord.SnapshotPart p -> throw new IllegalArgumentException("a part without its snapshot");
@@ -464,14 +436,8 @@
         role.install(next, foundingView.map(next::equals).orElse(false));
         foundingView = Optional.empty();
         lease.clear();
-        proposal = Optional.empty();
-        acceptedView = Optional.empty();
-        promisedBallot = 0;
-        acceptedBallot = 0;
-        suspectedSince = 0;
-        preemptedAt = 0;
-        delayedAccepts.clear();
-        joinRequests.clear();
+        acceptor.installView();
+        proposer.installView();
         departure.installView();
         catchUpTarget = Optional.empty();
         joining = false;
@@ -509,9 +475,9 @@
         if (request.view() < view().number()) {
             effects.send(request.sender().address(), new Message.ViewDecided(view()));
         } else if (request.view() == view().number() && role.isVoter()) {
-            final boolean isJoining = joinRequests.containsKey(request.sender().id());
+            final boolean isJoining = proposer.isJoining(request.sender().id());
             failureDetector.handleLeaseRequest(request, isJoining, now);
-            if (acceptedView.isEmpty()) {
+            if (acceptor.acceptedView().isEmpty()) {
                 grantedLeases.grant(request, stateMachine.sequence(), now);
             }
         }
@@ -558,184 +524,11 @@
         }
     }
 
-    private void handlePrepare(final Message.Prepare request, final String sender) {
-        if (request.number() <= view().number()) {
-            effects.send(sender, new Message.ViewDecided(view()));
-        } else if (request.number() == view().number() + 1 && role.isVoter()) {
-            if (request.ballot() > promisedBallot) {
-                preemptedAt = sender.equals(settings.self().address()) ? preemptedAt : currentTime;
-                promisedBallot = request.ballot();
-                final Message.Promise reply = new Message.Promise(
-                        request.number(),
-                        request.ballot(),
-                        settings.self().id(),
-                        acceptedBallot,
-                        acceptedView.stream().toList());
-                effects.persist(
-                        List.of(new LogRecord.Promised(request.number(), request.ballot())),
-                        currentTime,
-                        t -> effects.send(sender, reply));
-            } else if (request.ballot() < promisedBallot) {
-                effects.send(sender, new Message.Preempted(request.number(), promisedBallot));
-            }
-        }
-    }
-
-    private void handleAccept(final Message.Accept request, final String sender) {
-        if (request.number() != view().number() + 1 || !role.isVoter()) {
-            return;
-        }
-        if (request.ballot() < promisedBallot) {
-            effects.send(sender, new Message.Preempted(request.number(), promisedBallot));
-            return;
-        }
-        promisedBallot = request.ballot();
-        acceptedBallot = request.ballot();
-        acceptedView = Optional.of(request.view());
-        final Message.Accepted reply = new Message.Accepted(
-                request.number(), request.ballot(), settings.self().id());
-        effects.persist(
-                List.of(new LogRecord.Accepted(request.number(), request.ballot(), request.view())),
-                currentTime,
-                syncedAt -> {
-                    final long sendAt = grantedLeases.removedGrantsExpireAt(request.view());
-                    if (syncedAt >= sendAt) {
-                        effects.send(sender, reply);
-                    } else {
-                        delayedAccepts.add(new DelayedAccept(sendAt, request.number(), sender, reply));
-                    }
-                });
-    }
-
-    /**
-     * Takes a promise. The proposer's own must be among the majority: it is synced, so a ballot is not used again for
-     * another view after a restart.
-     */
-    private void handlePromise(final Message.Promise reply, final long now) {
-        proposal.filter(current -> current.number() == reply.number()
-                        && current.ballot() == reply.ballot()
-                        && !current.isAccepting())
-                .ifPresent(current -> {
-                    current.supporters().add(reply.voter());
-                    final Proposal best = reply.acceptedBallot() > current.highestAcceptedBallot()
-                                    && !reply.acceptedView().isEmpty()
-                            ? current.withView(
-                                    reply.acceptedBallot(), reply.acceptedView().get(0))
-                            : current;
-                    proposal = Optional.of(best);
-                    if (view().isMajority(best.supporters().size())
-                            && best.supporters().contains(settings.self().id())) {
-                        final Proposal chosen = isUnbound(best) ? best.withView(0, withPromised(best)) : best;
-                        proposal = Optional.of(chosen.toAccept());
-                        view().voters()
-                                .forEach(voter -> effects.send(
-                                        voter.address(),
-                                        new Message.Accept(chosen.number(), chosen.ballot(), chosen.view())));
-                    }
-                });
-    }
-
-    /** Whether no view that an earlier ballot may have decided binds this one. */
-    private static boolean isUnbound(final Proposal proposal) {
-        return proposal.highestAcceptedBallot() == 0;
-    }
-
-    private View withPromised(final Proposal proposal) {
-        return new ViewPlanner(
-                        settings,
-                        view(),
-                        id -> failureDetector.microsSinceHeard(id, currentTime),
-                        failureDetector.caughtUpMembers())
-                .withPromised(proposal.view(), proposal.supporters());
-    }
-
-    private void handleAccepted(final Message.Accepted reply, final long now) {
-        proposal.filter(current -> current.number() == reply.number()
-                        && current.ballot() == reply.ballot()
-                        && current.isAccepting())
-                .ifPresent(current -> {
-                    current.supporters().add(reply.voter());
-                    if (view().isMajority(current.supporters().size())) {
-                        final Set<Replica> recipients = new HashSet<>(view().voters());
-                        recipients.addAll(current.view().voters());
-                        recipients.addAll(current.view().chain());
-                        recipients.stream()
-                                .filter(recipient -> !recipient.equals(settings.self()))
-                                .sorted(java.util.Comparator.comparing(Replica::id))
-                                .forEach(recipient ->
-                                        effects.send(recipient.address(), new Message.ViewDecided(current.view())));
-                        installView(current.view(), now);
-                    }
-                });
-    }
-
-    private void handlePreempted(final Message.Preempted reply) {
-        highestRound = Math.max(highestRound, reply.ballot() >> BALLOT_PROPOSER_BITS);
-        preemptedAt = currentTime;
-        proposal = proposal.filter(current -> current.number() != reply.number());
-    }
-
-    private void proposeNextView(final long now) {
-        if (proposal.isPresent()
-                && now - proposal.get().startedAt() < settings.leaseMicros() * 2 + settings.suspicionMicros()) {
-            return;
-        }
-        proposal = Optional.empty();
-        if (!role.isVoter() || !settings.safeguards().isEnabled(Safeguard.MEND)) {
-            return;
-        }
-        if (role.isCaughtUp()) {
-            failureDetector.addSelfAsCaughtUp();
-        }
-        final ViewPlanner planner = new ViewPlanner(
-                settings, view(), id -> failureDetector.microsSinceHeard(id, now), failureDetector.caughtUpMembers());
-        final Optional<View> next = planner.next(departure.isLeaving(), joinRequests.values());
-        if (next.isEmpty() && acceptedView.isEmpty()) {
-            suspectedSince = 0;
-            return;
-        }
-        if (suspectedSince == 0) {
-            suspectedSince = now;
-            planner.suspected().forEach(replica -> effects.log(Event.CHAIN_SUSPECT, replica.address()));
-        }
-        final List<Replica> reachable = planner.reachableVoters();
-        final int rank = departure.isLeaving() && planner.suspected().isEmpty() ? 0 : proposalRank(reachable);
-        final boolean othersPropose = preemptedAt > 0
-                && now - preemptedAt < settings.suspicionMicros() + rank * settings.suspicionMicros() / 2;
-        if (othersPropose
-                || now - suspectedSince < rank * settings.suspicionMicros()
-                || !view().isMajority(reachable.size())) {
-            return;
+    private void handlePrepare(final Message.Prepare request, final String sender, final long now) {
+        final boolean isPromised = acceptor.handlePrepare(request, sender, now);
+        if (isPromised && !sender.equals(settings.self().address())) {
+            proposer.holdBack(now);
         }
-        highestRound = Math.max(highestRound, promisedBallot >> BALLOT_PROPOSER_BITS) + 1;
-        final int voterIndex = view().voters().stream()
-                .map(Replica::id)
-                .toList()
-                .indexOf(settings.self().id());
-        final Proposal own = new Proposal(
-                view().number() + 1,
-                highestRound << BALLOT_PROPOSER_BITS | voterIndex,
-                next.or(() -> acceptedView).orElse(view()),
-                0,
-                false,
-                new HashSet<>(),
-                now);
-        proposal = Optional.of(own);
-        effects.log(
-                Event.PROPOSED,
-                "view " + own.number() + " chain "
-                        + own.view().chain().stream().map(Replica::address).toList());
-        view().voters()
-                .forEach(replica -> effects.send(replica.address(), new Message.Prepare(own.number(), own.ballot())));
-    }
-
-    /** This machine's place among the members that are heard: those with a higher one let the others propose first. */
-    private int proposalRank(final List<Replica> reachable) {
-        final List<String> members = reachable.stream()
-                .map(Replica::id)
-                .filter(id -> view().positionOf(id) >= 0)
-                .toList();
-        return Math.max(0, members.indexOf(settings.self().id()));
     }
 
     private void advanceEpoch(final long now) {
@@ -1092,9 +885,9 @@
                 stateMachine.sequence(),
                 view(),
                 role.isCaughtUp(),
-                promisedBallot,
-                acceptedBallot,
-                acceptedView.stream().toList(),
+                acceptor.promisedBallot(),
+                acceptor.acceptedBallot(),
+                acceptor.acceptedView().stream().toList(),
                 highestStamp,
                 stateMachine.allEntries()));
         pendingEntries.forEach(entry -> records.add(new LogRecord.Appended(entry)));
@@ -1286,24 +1079,5 @@
 
     private record UnleasedWrite(long receivedAt, Message.WriteRequest request) {}
 
-    private record DelayedAccept(long sendAt, long number, String to, Message reply) {}
-
     private record Discovery(Message.Discover request, long receivedAt) {}
-
-    private record Proposal(
-            long number,
-            long ballot,
-            View view,
-            long highestAcceptedBallot,
-            boolean isAccepting,
-            Set<String> supporters,
-            long startedAt) {
-        Proposal withView(final long acceptedBallot, final View acceptedView) {
-            return new Proposal(number, ballot, acceptedView, acceptedBallot, isAccepting, supporters, startedAt);
-        }
-
-        Proposal toAccept() {
-            return new Proposal(number, ballot, view, highestAcceptedBallot, true, new HashSet<>(), startedAt);
-        }
-    }
 }
--- /dev/null
+++ b/core/src/main/java/silverlatch/replication/ViewProposer.java
@@ -0,0 +1,215 @@
+package silverlatch.replication;
+
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import silverlatch.node.Event;
+import silverlatch.safeguard.Safeguard;
+import silverlatch.wire.Message;
+
+/**
+ * The proposer of single-decree Paxos for the number after the installed view. Each tick of a member of the chain asks it whether the
+ * chain should change; {@link ViewPlanner} says how.
+ *
+ * <p>Legal transitions of a proposal: none, preparing (collects promises), accepting (collects acceptances), none, once it is decided,
+ * preempted, or too old. Members with a higher rank propose later, and one that was preempted holds back, so that proposers don't preempt
+ * each other for ever.
+ */
+final class ViewProposer {
+    /** The low bits of a ballot name its proposer's index among the voters, the others count its rounds. */
+    private static final int BALLOT_PROPOSER_BITS = 8;
+
+    private final ReplicaSettings settings;
+    private final ReplicaRole role;
+    private final ViewAcceptor acceptor;
+    private final FailureDetector failureDetector;
+    private final EffectQueue effects;
+    private final Map<String, Message.JoinRequest> joinRequests = new TreeMap<>();
+    private Optional<Proposal> proposal = Optional.empty();
+    private long highestRound;
+    /** Since when the chain should change, or 0. */
+    private long suspectedSince;
+    /** When another proposer's ballot was promised or preempted this one's, or 0. */
+    private long preemptedAt;
+
+    ViewProposer(
+            final ReplicaSettings settings,
+            final ReplicaRole role,
+            final ViewAcceptor acceptor,
+            final FailureDetector failureDetector,
+            final EffectQueue effects) {
+        this.settings = settings;
+        this.role = role;
+        this.acceptor = acceptor;
+        this.failureDetector = failureDetector;
+        this.effects = effects;
+    }
+
+    /** A view was installed: what was under way for its number has ended. */
+    void installView() {
+        proposal = Optional.empty();
+        suspectedSince = 0;
+        preemptedAt = 0;
+        joinRequests.clear();
+    }
+
+    /** A repaired replica asks to be put at the end of the chain. */
+    void handleJoinRequest(final Message.JoinRequest request) {
+        joinRequests.put(request.sender().id(), request);
+    }
+
+    /** Whether a replica asks to join. */
+    boolean isJoining(final String id) {
+        return joinRequests.containsKey(id);
+    }
+
+    /** The replicas that ask to join, by identity. */
+    Collection<Message.JoinRequest> joinRequests() {
+        return joinRequests.values();
+    }
+
+    /** Proposes the next view where the chain should change and no other proposer is to go first. */
+    void proposeNextView(final boolean isLeaving, final long now) {
+        if (proposal.isPresent() && now - proposal.get().startedAt() < proposalTimeoutMicros()) {
+            return;
+        }
+        proposal = Optional.empty();
+        if (!role.isVoter() || !settings.safeguards().isEnabled(Safeguard.MEND)) {
+            return;
+        }
+        if (role.isCaughtUp()) {
+            failureDetector.addSelfAsCaughtUp();
+        }
+        final ViewPlanner planner = planner(now);
+        final Optional<View> next = planner.next(isLeaving, joinRequests.values());
+        if (next.isEmpty() && acceptor.acceptedView().isEmpty()) {
+            suspectedSince = 0;
+            return;
+        }
+        if (suspectedSince == 0) {
+            suspectedSince = now;
+            planner.suspected().forEach(member -> effects.log(Event.CHAIN_SUSPECT, member.address()));
+        }
+        if (mayPropose(planner, isLeaving, now)) {
+            prepare(next.or(acceptor::acceptedView).orElse(role.view()), now);
+        }
+    }
+
+    private long proposalTimeoutMicros() {
+        return settings.leaseMicros() * 2 + settings.suspicionMicros();
+    }
+
+    private ViewPlanner planner(final long now) {
+        return new ViewPlanner(
+                settings,
+                role.view(),
+                id -> failureDetector.microsSinceHeard(id, now),
+                failureDetector.caughtUpMembers());
+    }
+
+    private boolean mayPropose(final ViewPlanner planner, final boolean isLeaving, final long now) {
+        final List<Replica> reachable = planner.reachableVoters();
+        final long suspicion = settings.suspicionMicros();
+        final int rank = isLeaving && planner.suspected().isEmpty() ? 0 : rankAmong(reachable);
+        final boolean othersPropose = preemptedAt > 0 && now - preemptedAt < suspicion + rank * suspicion / 2;
+        return !othersPropose
+                && now - suspectedSince >= rank * suspicion
+                && role.view().isMajority(reachable.size());
+    }
+
+    /** This replica's index among the members that are heard: those with a higher one let the others propose first. */
+    private int rankAmong(final List<Replica> reachable) {
+        final List<String> members = reachable.stream()
+                .map(Replica::id)
+                .filter(id -> role.view().positionOf(id) >= 0)
+                .toList();
+        return Math.max(0, members.indexOf(settings.self().id()));
+    }
+
+    private void prepare(final View next, final long now) {
+        final View view = role.view();
+        highestRound = Math.max(highestRound, acceptor.promisedBallot() >> BALLOT_PROPOSER_BITS) + 1;
+        final int voterIndex = view.voters().stream()
+                .map(Replica::id)
+                .toList()
+                .indexOf(settings.self().id());
+        final long ballot = highestRound << BALLOT_PROPOSER_BITS | voterIndex;
+        final long number = view.number() + 1;
+        proposal = Optional.of(Proposal.prepare(number, ballot, next, now));
+        effects.log(Event.PROPOSED, "view " + number + " chain " + next.chainAddresses());
+        view.voters().forEach(voter -> effects.send(voter.address(), new Message.Prepare(number, ballot)));
+    }
+
+    /** Another proposer's ballot was promised: it goes first. */
+    void holdBack(final long now) {
+        preemptedAt = now;
+    }
+
+    /** A voter has promised a higher ballot. */
+    void handlePreempted(final Message.Preempted reply, final long now) {
+        highestRound = Math.max(highestRound, reply.ballot() >> BALLOT_PROPOSER_BITS);
+        holdBack(now);
+        proposal = proposal.filter(current -> current.number() != reply.number());
+    }
+
+    /** Takes a promise. */
+    void handlePromise(final Message.Promise reply, final long now) {
+        proposal.filter(current -> current.matches(reply.number(), reply.ballot()) && !current.isAccepting())
+                .ifPresent(current -> promised(current, reply, now));
+    }
+
+    /**
+     * Asks for acceptances once a majority has promised. The proposer's own promise must be among them: it is synced, so a ballot is not
+     * used again for another view after a restart.
+     */
+    private void promised(final Proposal current, final Message.Promise reply, final long now) {
+        current.supporters().add(reply.voter());
+        final boolean reportsHigher = reply.acceptedBallot() > current.highestAcceptedBallot()
+                && !reply.acceptedView().isEmpty();
+        final Proposal highest = reportsHigher
+                ? current.withView(reply.acceptedBallot(), reply.acceptedView().get(0))
+                : current;
+        proposal = Optional.of(highest);
+        if (!role.view().isMajority(highest.supporters().size())
+                || !highest.supporters().contains(settings.self().id())) {
+            return;
+        }
+        final Proposal chosen = highest.isUnbound() ? highest.withView(0, withPromised(highest, now)) : highest;
+        proposal = Optional.of(chosen.toAccept());
+        role.view()
+                .voters()
+                .forEach(voter -> effects.send(
+                        voter.address(), new Message.Accept(chosen.number(), chosen.ballot(), chosen.view())));
+    }
+
+    private View withPromised(final Proposal promised, final long now) {
+        return planner(now).withPromised(promised.view(), promised.supporters());
+    }
+
+    /** Takes an acceptance; the view, where a majority has accepted it. All that it concerns are sent it. */
+    Optional<View> handleAccepted(final Message.Accepted reply) {
+        final Optional<Proposal> accepting =
+                proposal.filter(current -> current.matches(reply.number(), reply.ballot()) && current.isAccepting());
+        accepting.ifPresent(current -> current.supporters().add(reply.voter()));
+        final Optional<View> decided = accepting
+                .filter(current -> role.view().isMajority(current.supporters().size()))
+                .map(Proposal::view);
+        decided.ifPresent(this::sendDecided);
+        return decided;
+    }
+
+    private void sendDecided(final View decided) {
+        final Set<Replica> recipients = new HashSet<>(role.view().voters());
+        recipients.addAll(decided.voters());
+        recipients.addAll(decided.chain());
+        recipients.stream()
+                .filter(recipient -> !recipient.equals(settings.self()))
+                .sorted(Comparator.comparing(Replica::id))
+                .forEach(recipient -> effects.send(recipient.address(), new Message.ViewDecided(decided)));
+    }
+}
--- /dev/null
+++ b/core/src/test/java/silverlatch/replication/ViewAcceptorTest.java
@@ -0,0 +1,122 @@
+package silverlatch.replication;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+import static silverlatch.replication.ReplicaParts.SECOND;
+import static silverlatch.replication.ReplicaParts.SELF;
+import static silverlatch.replication.ReplicaParts.START;
+import static silverlatch.replication.ReplicaParts.THIRD;
+import static silverlatch.replication.ReplicaParts.view;
+
+import java.util.List;
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+import silverlatch.log.LogRecord;
+import silverlatch.wire.Message;
+
+/** One register of single-decree Paxos: what is promised and accepted, when it is said, and what a restart recovers. */
+final class ViewAcceptorTest {
+    private static final long LEASE = 600_000;
+    private static final View NEXT = view(2, SELF, SECOND);
+    private final ReplicaParts parts = new ReplicaParts().in(view(1, SELF, SECOND, THIRD));
+    private final GrantedLeases leases = new GrantedLeases(parts.settings, parts.role, parts.effects, START - LEASE);
+    private final ViewAcceptor acceptor = new ViewAcceptor(parts.settings, parts.role, leases, parts.effects);
+
+    private boolean prepare(final long number, final long ballot) {
+        return acceptor.handlePrepare(new Message.Prepare(number, ballot), "proposer", START);
+    }
+
+    private void accept(final long number, final long ballot, final View view) {
+        acceptor.handleAccept(new Message.Accept(number, ballot, view), "proposer", START);
+    }
+
+    @Test
+    void aPromiseIsSyncedBeforeItIsSent() {
+        assertThat(prepare(2, 256), is(true));
+        assertThat(parts.sent(), is(List.of()));
+        assertThat(parts.written(), is(List.of(new LogRecord.Promised(2, 256))));
+        parts.sync(START);
+        assertThat(parts.sent(), is(List.of(new Message.Promise(2, 256, SELF.id(), 0, List.of()))));
+    }
+
+    @Test
+    void aLowerBallotIsPreemptedAndTheSameOneIsNotPromisedTwice() {
+        prepare(2, 512);
+        parts.sync(START);
+        parts.sent();
+        assertThat(prepare(2, 256), is(false));
+        assertThat(prepare(2, 512), is(false));
+        accept(2, 256, NEXT);
+        assertThat(parts.sent(), is(List.of(new Message.Preempted(2, 512), new Message.Preempted(2, 512))));
+        assertThat(acceptor.acceptedView(), is(Optional.empty()));
+    }
+
+    @Test
+    void aNumberThatWasDecidedIsAnsweredWithTheView() {
+        assertThat(prepare(1, 256), is(false));
+        assertThat(parts.sent(), is(List.of(new Message.ViewDecided(parts.role.view()))));
+        assertThat("a number further on", prepare(3, 256), is(false));
+        accept(3, 256, NEXT);
+        assertThat(parts.sent(), is(List.of()));
+        assertThat(parts.written(), is(List.of()));
+    }
+
+    @Test
+    void anAcceptanceIsReportedToLaterProposers() {
+        accept(2, 256, NEXT);
+        parts.sync(START);
+        parts.sent();
+        prepare(2, 512);
+        parts.sync(START);
+        assertThat(parts.sent(), is(List.of(new Message.Promise(2, 512, SELF.id(), 256, List.of(NEXT)))));
+    }
+
+    @Test
+    void anAcceptanceWaitsUntilTheLeasesOfThoseThatGoHaveRunOut() {
+        leases.grant(new Message.LeaseRequest(1, 0, THIRD, true, true), 0, START);
+        parts.sent();
+        accept(2, 256, NEXT);
+        parts.sync(START);
+        acceptor.sendDelayed(START + LEASE - 1);
+        assertThat(parts.sent(), is(List.of()));
+        acceptor.sendDelayed(START + LEASE);
+        acceptor.sendDelayed(START + LEASE + 1);
+        assertThat("once", parts.sent(), is(List.of(new Message.Accepted(2, 256, SELF.id()))));
+    }
+
+    @Test
+    void aDelayedAcceptanceIsNotSentUnderALaterView() {
+        leases.grant(new Message.LeaseRequest(1, 0, THIRD, true, true), 0, START);
+        parts.sent();
+        accept(2, 256, NEXT);
+        parts.sync(START);
+        parts.in(NEXT);
+        acceptor.sendDelayed(START + 2 * LEASE);
+        assertThat(
+                parts.sent().stream().filter(Message.Accepted.class::isInstance).toList(), is(List.of()));
+    }
+
+    @Test
+    void aViewBeginsWithAnEmptyRegister() {
+        prepare(2, 512);
+        accept(2, 512, NEXT);
+        acceptor.installView();
+        assertThat(acceptor.promisedBallot(), is(0L));
+        assertThat(acceptor.acceptedBallot(), is(0L));
+        assertThat(acceptor.acceptedView(), is(Optional.empty()));
+    }
+
+    @Test
+    void aRestartRecoversTheRegisterOfTheNextNumberOnly() {
+        acceptor.replay(new LogRecord.Promised(2, 256));
+        assertThat(acceptor.promisedBallot(), is(256L));
+        acceptor.replay(new LogRecord.Accepted(2, 512, NEXT));
+        acceptor.replay(new LogRecord.Promised(3, 1024));
+        assertThat(acceptor.promisedBallot(), is(512L));
+        assertThat(acceptor.acceptedView(), is(Optional.of(NEXT)));
+        acceptor.replay(new LogRecord.ViewInstalled(parts.role.view(), true));
+        assertThat("the same view again", acceptor.acceptedBallot(), is(512L));
+        acceptor.replay(new LogRecord.ViewInstalled(NEXT, true));
+        assertThat(acceptor.acceptedBallot(), is(0L));
+    }
+}
