--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -1,9 +1,6 @@
 package silverlatch.replication;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.Deque;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -11,19 +8,14 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import java.util.function.LongConsumer;
 import java.util.function.Supplier;
-import java.util.stream.Stream;
 import silverlatch.clock.Stamp;
 import silverlatch.log.LogRecord;
 import silverlatch.node.Effect;
 import silverlatch.node.Event;
 import silverlatch.safeguard.Safeguard;
 import silverlatch.state.Command;
-import silverlatch.state.CommandResult;
-import silverlatch.state.Entry;
 import silverlatch.state.StateMachine;
-import silverlatch.state.Value;
 import silverlatch.wire.Message;
 
 /**
@@ -31,20 +23,12 @@
  * effects come out, and a write to the ledger comes back as a kept token.
  */
 public final class ChainReplica {
-    private static final int DIGEST_RANGES = 64;
 
-    private static final long MAX_RECENT_BYTES = 8L << 20;
-    private static final int MAX_RECENT_ENTRIES = 10_000;
-    private static final long SNAPSHOT_INTERVAL_BYTES = 8L << 20;
-    private static final int SNAPSHOT_INTERVAL_ENTRIES = 10_000;
     private static final int MAX_BATCH_ENTRIES = 512;
     private static final long REPAIR_RETRY_MICROS = 900_000L;
-    private static final int MAX_PENDING_ENTRIES = 4_096;
-    private static final int MAX_UNLEASED_WRITES = 64;
     private static final long EPOCH_MICROS = 600_000_000L;
     private final ReplicaSettings settings;
     private final Supplier<Stamp> stamps;
-    private final StateMachine stateMachine;
     private final EffectQueue effects;
     private final ReplicaRole role;
     private final HeldLease lease;
@@ -53,12 +37,13 @@
     private final ViewAcceptor acceptor;
     private final ViewProposer proposer;
     private final Departure departure;
-    private final Deque<LogEntry> pendingEntries = new ArrayDeque<>();
-    private final Deque<LogEntry> recentEntries = new ArrayDeque<>();
-    private final Map<String, Entry> pendingValues = new HashMap<>();
+    private final SnapshotWriter snapshots;
+    private final ReplicaLog log;
+    private final WaitingWrites waitingWrites;
+    private final WriteAdmission writeAdmission;
+    private final ReadAdmission readAdmission;
+    private final Committer committer;
     private final Map<String, Discovery> discoveries = new TreeMap<>();
-    private final Map<Long, List<WaitingWrite>> waitingWrites = new HashMap<>();
-    private final List<UnleasedWrite> unleasedWrites = new ArrayList<>();
     private final Set<String> bootstrapAgreed = new HashSet<>();
     private final ReplicationWindow window = new ReplicationWindow();
     private final Map<String, RepairSource> repairSources = new HashMap<>();
@@ -66,18 +51,11 @@
     private long repairRequestedAt;
     private List<String> seeds;
     private Optional<View> foundingView = Optional.empty();
-    private long lastSequence;
-    private long synced;
-    private long recentBytes;
-    private long bytesSinceSnapshot;
-    private int entriesSinceSnapshot;
     private long lastRetryAt;
     private long lastDiscoveryAt;
     private Optional<Long> catchUpTarget = Optional.empty();
     private long catchUpStartedAt;
     private long currentTime;
-    private long logGeneration;
-    private long highestStamp;
     private long epochAdvancedAt;
     private boolean joining;
 
@@ -104,10 +82,17 @@
         this.acceptor = new ViewAcceptor(settings, role, grantedLeases, effects);
         this.proposer = new ViewProposer(settings, role, acceptor, failureDetector, effects);
         this.departure = new Departure(settings, role, effects);
+        this.snapshots = new SnapshotWriter(role, acceptor, effects);
+        final StateMachine stateMachine = new StateMachine(settings.safeguards());
+        this.waitingWrites = new WaitingWrites(stateMachine::get, effects);
+        this.log =
+                new ReplicaLog(role, snapshots, effects, stateMachine, this::entriesSynced, waitingWrites::committed);
+        this.writeAdmission = new WriteAdmission(settings, role, lease, log, waitingWrites, stamps);
+        this.readAdmission = new ReadAdmission(settings, role, lease, log, effects);
+        this.committer = new Committer(settings, role, log, effects);
         this.settings = settings;
         this.stamps = stamps;
         this.seeds = settings.seeds();
-        this.stateMachine = new StateMachine(settings.safeguards());
         records.forEach(this::replay);
         currentTime = now;
         epochAdvancedAt = now;
@@ -118,10 +103,8 @@
             }
             failureDetector.start(now);
         }
-        synced = lastSequence;
-        if (role.isActiveTail() && role.hasRequiredCopies()) {
-            commit(synced);
-        }
+        log.finishReplay();
+        committer.commitReplayed(now);
     }
 
     /** What is to be done in the world; it is handed over once. */
@@ -131,7 +114,7 @@
 
     /** The committed books; the caller does not change them. */
     public StateMachine stateMachine() {
-        return stateMachine;
+        return log.stateMachine();
     }
 
     /** The view held here. */
@@ -152,18 +135,15 @@
                 role.state(),
                 role.isCaughtUp(),
                 view(),
-                stateMachine.sequence(),
-                stateMachine.policyRevision(),
-                pendingEntries.size(),
+                log.committedSequence(),
+                stateMachine().policyRevision(),
+                log.pendingCount(),
                 lease.isHeld(now));
     }
 
     /** Whether every acknowledged change of policy is surely in the books here at this moment. */
     public boolean isUpToDate(final long now) {
-        return role.isActive()
-                && lease.isHeld(now)
-                && pendingEntries.stream()
-                        .noneMatch(entry -> entry.puts().stream().anyMatch(Entry::isPolicy));
+        return role.isActive() && lease.isHeld(now) && !log.hasPendingPolicy();
     }
 
     /** Takes a message. */
@@ -185,7 +165,7 @@
             case Message.Accepted m -> proposer.handleAccepted(m).ifPresent(decided -> installView(decided, now));
             case Message.Preempted m -> proposer.handlePreempted(m, now);
             case Message.Replicate m -> handleReplicate(m, now);
-            case Message.CommitNotice m -> handleCommitNotice(m);
+            case Message.CommitNotice m -> committer.handleCommitNotice(m, now);
             case Message.CatchUpTarget m -> caughtUp(m);
             case Message.FetchEntries m -> handleFetchEntries(m, sender);
             case Message.CompareDigests m -> handleCompareDigests(m);
@@ -193,8 +173,8 @@
             case Message.RepairNext m -> handleRepairNext(m);
             case Message.ReplicateAck m -> received(m);
             case Message.JoinRequest m -> handleJoinRequest(m, now);
-            case Message.WriteRequest m -> handleWriteRequest(m);
-            case Message.ReadRequest m -> handleReadRequest(m, now);
+            case Message.WriteRequest m -> writeAdmission.handleWriteRequest(m, now);
+            case Message.ReadRequest m -> readAdmission.handleReadRequest(m, now);
             default -> {}
         }
     }
@@ -224,7 +204,7 @@
             role.failDisk();
             effects.log(Event.DISK_BROKEN, reason);
             effects.abandonWrites();
-            abandonWaitingWrites();
+            waitingWrites.abandon();
         }
     }
 
@@ -313,20 +293,11 @@
     private void replay(final LogRecord record) {
         switch (record) {
             case LogRecord.Snapshot p -> {
-                stateMachine.reset(p.sequence(), p.entries());
-                stateMachine.completeRepair(p.sequence());
+                log.replay(p);
                 role.replay(p);
                 acceptor.replay(p);
-                pendingEntries.clear();
-                pendingValues.clear();
-                lastSequence = p.sequence();
-                highestStamp = Math.max(highestStamp, p.highestStamp());
-            }
-            case LogRecord.Appended d -> {
-                if (d.entry().sequence() == lastSequence + 1) {
-                    addPending(d.entry());
-                }
             }
+            case LogRecord.Appended d -> log.replay(d);
             case LogRecord.ViewInstalled s -> {
                 acceptor.replay(s);
                 role.replay(s);
@@ -445,7 +416,7 @@
         repairProgress = Optional.empty();
         repairSources.clear();
         repairRequestedAt = 0;
-        window.reset(stateMachine.sequence(), now);
+        window.reset(log.committedSequence(), now);
         failureDetector.installView(wasInChain, now);
         effects.persist(List.of(new LogRecord.ViewInstalled(next, role.isCaughtUp())), now);
         effects.log(Event.VIEW, "view " + next.number() + " chain " + next.chainAddresses());
@@ -456,16 +427,12 @@
         }
         lastRetryAt = 0;
         retryReplication(now);
-        commitAsTail(now);
+        committer.commitAsTail(now);
     }
 
     private void dropPendingEntries() {
-        abandonWaitingWrites();
-        pendingEntries.clear();
-        pendingValues.clear();
-        lastSequence = stateMachine.sequence();
-        synced = lastSequence;
-        logGeneration++;
+        waitingWrites.abandon();
+        log.dropPending();
     }
 
     private void handleLeaseRequest(final Message.LeaseRequest request, final long now) {
@@ -478,25 +445,19 @@
             final boolean isJoining = proposer.isJoining(request.sender().id());
             failureDetector.handleLeaseRequest(request, isJoining, now);
             if (acceptor.acceptedView().isEmpty()) {
-                grantedLeases.grant(request, stateMachine.sequence(), now);
+                grantedLeases.grant(request, log.committedSequence(), now);
             }
         }
     }
 
     private void handleLeaseGrant(final Message.LeaseGrant grant, final long now) {
         if (grant.view() == view().number() && view().isVoter(grant.voter())) {
-            if (role.isActive() && grant.committed() > lastSequence) {
+            if (role.isActive() && grant.committed() > log.lastSequence()) {
                 fenceOutdatedLog(grant);
                 return;
             }
             lease.add(grant);
-            if (!unleasedWrites.isEmpty() && lease.isHeld(now)) {
-                final List<UnleasedWrite> ready = List.copyOf(unleasedWrites);
-                unleasedWrites.clear();
-                ready.stream()
-                        .filter(e -> now - e.receivedAt() < settings.leaseMicros())
-                        .forEach(e -> handleWriteRequest(e.request()));
-            }
+            writeAdmission.leaseGranted(now);
         }
     }
 
@@ -507,7 +468,7 @@
     private void fenceOutdatedLog(final Message.LeaseGrant grant) {
         effects.log(
                 Event.LOG_OUTDATED,
-                "the log ends at " + lastSequence + ", but " + grant.committed() + " was acknowledged with it");
+                "the log ends at " + log.lastSequence() + ", but " + grant.committed() + " was acknowledged with it");
         role.fenceOutdatedLog();
         lease.clear();
         dropPendingEntries();
@@ -536,7 +497,7 @@
             epochAdvancedAt = now;
         } else if (now - epochAdvancedAt >= EPOCH_MICROS) {
             epochAdvancedAt = now;
-            final long nextEpoch = stateMachine.epoch() + 1;
+            final long nextEpoch = stateMachine().epoch() + 1;
             view().head()
                     .ifPresent(head -> effects.send(
                             head.address(),
@@ -554,10 +515,10 @@
         lastRetryAt = now;
         role.successor().ifPresent(neighbor -> {
             if (role.isCaughtUp()) {
-                effects.send(neighbor.address(), new Message.CatchUpTarget(view().number(), lastSequence));
+                effects.send(neighbor.address(), new Message.CatchUpTarget(view().number(), log.lastSequence()));
             }
-            if (!pendingEntries.isEmpty() && pendingEntries.peek().sequence() <= synced && window.isRetryDue(now)) {
-                window.restart(stateMachine.sequence(), now);
+            if (log.hasSyncedPending() && window.isRetryDue(now)) {
+                window.restart(log.committedSequence(), now);
             }
             sendNext();
         });
@@ -569,177 +530,35 @@
                     effects.send(
                             neighbor.address(),
                             new Message.FetchEntries(
-                                    view().number(), settings.self().id(), lastSequence));
+                                    view().number(), settings.self().id(), log.lastSequence()));
                 }
             });
         }
         if (role.isActiveTail()) {
-            commitAsTail(now);
-            notifyCommitted();
-        }
-    }
-
-    private void notifyCommitted() {
-        view().chain().stream()
-                .filter(member -> !member.id().equals(settings.self().id()))
-                .forEach(member -> effects.send(
-                        member.address(), new Message.CommitNotice(view().number(), stateMachine.sequence())));
-    }
-
-    private void commitAsTail(final long now) {
-        if (role.isActiveTail() && role.hasRequiredCopies()) {
-            final long committed = stateMachine.sequence();
-            commit(synced);
-            if (stateMachine.sequence() > committed) {
-                notifyCommitted();
-            }
-        }
-    }
-
-    private void handleWriteRequest(final Message.WriteRequest request) {
-        if (!role.isActive() || !role.isHead()) {
-            return;
-        }
-        if (!lease.isHeld(currentTime)) {
-            if (unleasedWrites.size() < MAX_UNLEASED_WRITES) {
-                unleasedWrites.add(new UnleasedWrite(currentTime, request));
-            }
-            return;
-        }
-        final Stamp stamp = stamps.get();
-        if (!role.hasRequiredCopies() || pendingEntries.size() >= MAX_PENDING_ENTRIES || stamp.bits() <= highestStamp) {
-            return;
-        }
-        if (request.command() instanceof Command.AdvanceEpoch s && s.fencingToken() != view().number()
-                || request.command() instanceof Command.Scheduled t && t.fencingToken() != view().number()) {
-            reject(request, 409, "the duty has another holder");
-            return;
-        }
-        switch (stateMachine.evaluate(request.command(), pendingValues, lastSequence + 1, stamp)) {
-            case StateMachine.Evaluation.Reply over -> replyToJudged(request, over.result(), stamp);
-            case StateMachine.Evaluation.Write let -> {
-                final LogEntry entry = new LogEntry(lastSequence + 1, view().number(), stamp, let.entries());
-                awaitCommit(entry.sequence(), new WaitingWrite(request, Optional.empty()));
-                appendEntries(List.of(entry));
-            }
-        }
-    }
-
-    /** Answers a write that needs no change of its own, once all that the answer rests on is committed. */
-    private void replyToJudged(final Message.WriteRequest request, final CommandResult result, final Stamp stamp) {
-        final Optional<Entry> pending =
-                Optional.ofNullable(pendingValues.get("o/" + request.command().id()));
-        if (pending.isPresent()) {
-            awaitCommit(pending.get().sequence(), new WaitingWrite(request, Optional.empty()));
-            return;
-        }
-        switch (result) {
-            case CommandResult.Applied applied -> {
-                if (applied.sequence() > stateMachine.sequence()) {
-                    awaitCommit(applied.sequence(), new WaitingWrite(request, Optional.empty()));
-                } else {
-                    reply(request, applied);
-                }
-            }
-            case CommandResult.Rejected rejected -> replyWhenCommitted(request, rejected, stamp);
-            case CommandResult.AlreadyClaimed claimed -> replyWhenCommitted(request, claimed, stamp);
-            case CommandResult.Unknown unknown -> reply(request, unknown);
-        }
-    }
-
-    /**
-     * Refuses a write at once where the committed state alone refuses it. Else the refusal rests on changes that a new
-     * view may drop, and is held until the newest of them is committed.
-     */
-    private void replyWhenCommitted(
-            final Message.WriteRequest request, final CommandResult rejection, final Stamp stamp) {
-        if (pendingEntries.isEmpty() || !settings.safeguards().isEnabled(Safeguard.SETTLED)) {
-            reply(request, rejection);
-            return;
-        }
-        final StateMachine.Evaluation committed =
-                stateMachine.evaluate(request.command(), Map.of(), lastSequence + 1, stamp);
-        if (committed instanceof StateMachine.Evaluation.Reply over && isRejection(over.result())) {
-            reply(request, over.result());
-        } else {
-            awaitCommit(lastSequence, new WaitingWrite(request, Optional.of(rejection)));
-        }
-    }
-
-    private static boolean isRejection(final CommandResult result) {
-        return result instanceof CommandResult.Rejected || result instanceof CommandResult.AlreadyClaimed;
-    }
-
-    private void awaitCommit(final long sequence, final WaitingWrite waiting) {
-        waitingWrites.computeIfAbsent(sequence, s -> new ArrayList<>()).add(waiting);
-    }
-
-    /** Those that wait for changes which this machine may drop are told that nothing is known. */
-    private void abandonWaitingWrites() {
-        waitingWrites
-                .values()
-                .forEach(writes -> writes.forEach(waiting -> {
-                    final Message.WriteRequest request = waiting.request();
-                    reply(request, new CommandResult.Unknown(request.command().id()));
-                }));
-        waitingWrites.clear();
-    }
-
-    private void reply(final Message.WriteRequest request, final CommandResult result) {
-        if (result instanceof CommandResult.Rejected r) {
-            effects.log(Event.CHANGE_REJECTED, request.command().id() + " " + r.code());
+            committer.commitAsTail(now);
+            committer.notifyMembers();
         }
-        effects.send(request.replyTo(), new Message.WriteReply(request.requestId(), result));
     }
 
-    private void reject(final Message.WriteRequest request, final int code, final String reason) {
-        effects.send(
-                request.replyTo(),
-                new Message.WriteReply(
-                        request.requestId(),
-                        new CommandResult.Rejected(code, List.of(reason), stateMachine.sequence())));
-    }
-
-    private void addPending(final LogEntry entry) {
-        lastSequence = entry.sequence();
-        highestStamp = Math.max(highestStamp, entry.stamp().bits());
-        pendingEntries.add(entry);
-        entry.puts().forEach(e -> pendingValues.put(e.key(), e));
-    }
-
-    private void appendEntries(final List<LogEntry> entries) {
-        entries.forEach(this::addPending);
-        final long lastAppended = lastSequence;
-        final long generation = logGeneration;
-        effects.persist(
-                entries.stream()
-                        .map(entry -> (LogRecord) new LogRecord.Appended(entry))
-                        .toList(),
-                currentTime,
-                syncedAt -> {
-                    if (generation == logGeneration && role.isInChain()) {
-                        synced = Math.max(synced, lastAppended);
-                        sendNext();
-                        finishCatchUp(syncedAt);
-                        commitAsTail(syncedAt);
-                    }
-                });
+    private void entriesSynced(final long now) {
+        sendNext();
+        finishCatchUp(now);
+        committer.commitAsTail(now);
     }
 
     /** Sends the entries that the successor lacks and that are synced here, as far as the window admits them. */
     private void sendNext() {
         final Optional<Replica> successor = role.successor();
-        if (successor.isEmpty() || window.sentSequence() >= synced) {
+        if (successor.isEmpty() || window.sentSequence() >= log.syncedSequence()) {
             return;
         }
-        final Stream<LogEntry> committed =
-                window.sentSequence() < stateMachine.sequence() ? recentEntries.stream() : Stream.empty();
         final List<LogEntry> entries = new ArrayList<>();
-        for (final LogEntry entry : (Iterable<LogEntry>) Stream.concat(committed, pendingEntries.stream())::iterator) {
+        for (final LogEntry entry : (Iterable<LogEntry>) log.entriesSince(window.sentSequence())::iterator) {
             if (entry.sequence() <= window.sentSequence()) {
                 continue;
             }
-            final boolean next = entry.sequence() == window.sentSequence() + 1 && entry.sequence() <= synced;
+            final boolean next =
+                    entry.sequence() == window.sentSequence() + 1 && entry.sequence() <= log.syncedSequence();
             if (!next || entries.size() >= MAX_BATCH_ENTRIES || !window.admits(entry)) {
                 break;
             }
@@ -766,7 +585,7 @@
             return;
         }
         final List<LogEntry> fresh = new ArrayList<>();
-        long lastReceived = lastSequence;
+        long lastReceived = log.lastSequence();
         for (final LogEntry entry : message.entries()) {
             if (entry.sequence() == lastReceived + 1) {
                 fresh.add(entry);
@@ -776,7 +595,7 @@
                         .ifPresent(predecessor -> effects.send(
                                 predecessor.address(),
                                 new Message.FetchEntries(
-                                        view().number(), settings.self().id(), lastSequence)));
+                                        view().number(), settings.self().id(), log.lastSequence())));
                 break;
             }
         }
@@ -784,19 +603,13 @@
                 .ifPresent(predecessor -> effects.send(
                         predecessor.address(),
                         new Message.ReplicateAck(
-                                view().number(), settings.self().id(), lastSequence + fresh.size())));
+                                view().number(), settings.self().id(), log.lastSequence() + fresh.size())));
         if (!fresh.isEmpty()) {
             // The log catches up; a repair beside it would bring the same entries again, in one frame.
             catchUpStartedAt = now;
-            appendEntries(fresh);
+            log.append(fresh, now);
         } else if (role.isActiveTail()) {
-            notifyCommitted();
-        }
-    }
-
-    private void handleCommitNotice(final Message.CommitNotice notice) {
-        if (!role.isFenced(notice.view()) && role.isInChain()) {
-            commit(Math.min(notice.sequence(), synced));
+            committer.notifyMembers();
         }
     }
 
@@ -804,12 +617,13 @@
         if (message.view() == view().number() && role.isInChain() && !role.isCaughtUp()) {
             catchUpTarget = Optional.of(message.sequence());
             finishCatchUp(currentTime);
-            commitAsTail(currentTime);
+            committer.commitAsTail(currentTime);
         }
     }
 
     private void finishCatchUp(final long now) {
-        if (!role.isCaughtUp() && catchUpTarget.map(target -> synced >= target).orElse(false)) {
+        if (!role.isCaughtUp()
+                && catchUpTarget.map(target -> log.syncedSequence() >= target).orElse(false)) {
             role.catchUp();
             effects.persist(List.of(new LogRecord.ViewInstalled(view(), true)), now);
         }
@@ -819,7 +633,7 @@
         if (request.view() != view().number() || !role.isActive()) {
             return;
         }
-        effects.send(sender, new Message.CatchUpTarget(view().number(), lastSequence));
+        effects.send(sender, new Message.CatchUpTarget(view().number(), log.lastSequence()));
         if (request.sequence() < window.acknowledgedSequence() || request.sequence() > window.sentSequence()) {
             window.restart(request.sequence(), currentTime);
         } else {
@@ -828,89 +642,24 @@
         sendNext();
     }
 
-    private void commit(final long limit) {
-        while (!pendingEntries.isEmpty() && pendingEntries.peek().sequence() <= limit) {
-            final LogEntry entry = pendingEntries.poll();
-            stateMachine.apply(entry.sequence(), entry.puts());
-            entry.puts().forEach(e -> pendingValues.remove(e.key(), e));
-            retainRecent(entry);
-            if (entry.puts().stream().anyMatch(Entry::isPolicy)) {
-                effects.log(
-                        Event.CHANGED,
-                        "sequence " + entry.sequence() + " view " + entry.view() + " stamp "
-                                + entry.stamp().bits());
-            }
-            Optional.ofNullable(waitingWrites.remove(entry.sequence()))
-                    .ifPresent(writes -> writes.forEach(waiting -> replyToWaiting(waiting, entry.sequence())));
-        }
-        if (bytesSinceSnapshot > SNAPSHOT_INTERVAL_BYTES || entriesSinceSnapshot > SNAPSHOT_INTERVAL_ENTRIES) {
-            writeSnapshot(t -> {});
-        }
-    }
-
-    /** Keeps a committed entry for a successor that lacks it, within bounds. */
-    private void retainRecent(final LogEntry entry) {
-        recentEntries.add(entry);
-        recentBytes += entry.estimatedBytes();
-        bytesSinceSnapshot += entry.estimatedBytes();
-        entriesSinceSnapshot++;
-        while (recentEntries.size() > 1
-                && (recentBytes > MAX_RECENT_BYTES || recentEntries.size() > MAX_RECENT_ENTRIES)) {
-            recentBytes -= recentEntries.poll().estimatedBytes();
-        }
-    }
-
-    private void replyToWaiting(final WaitingWrite waiting, final long sequence) {
-        final Message.WriteRequest request = waiting.request();
-        reply(
-                request,
-                waiting.refusal().orElseGet(() -> outcomeOf(request.command().id(), sequence)));
-    }
-
-    private CommandResult outcomeOf(final String id, final long sequence) {
-        return stateMachine
-                .get("o/" + id)
-                .map(e -> (Value.CommandOutcome) e.value().get(0))
-                .filter(recorded -> recorded.code() != 0)
-                .map(recorded -> (CommandResult)
-                        new CommandResult.Rejected(recorded.code(), recorded.faults(), recorded.sequence()))
-                .orElse(new CommandResult.Applied(sequence));
-    }
-
-    private void writeSnapshot(final LongConsumer onSynced) {
-        bytesSinceSnapshot = 0;
-        entriesSinceSnapshot = 0;
-        final List<LogRecord> records = new ArrayList<>();
-        records.add(new LogRecord.Snapshot(
-                stateMachine.sequence(),
-                view(),
-                role.isCaughtUp(),
-                acceptor.promisedBallot(),
-                acceptor.acceptedBallot(),
-                acceptor.acceptedView().stream().toList(),
-                highestStamp,
-                stateMachine.allEntries()));
-        pendingEntries.forEach(entry -> records.add(new LogRecord.Appended(entry)));
-        final long sequence = stateMachine.sequence();
-        effects.persist(records, currentTime, syncedAt -> {
-            effects.log(Event.PICTURE, "sequence " + sequence);
-            onSynced.accept(syncedAt);
-        });
-    }
-
     private Message.CompareDigests digestRequest() {
         return new Message.CompareDigests(
-                view().number(), settings.self(), stateMachine.sequence(), stateMachine.digests(DIGEST_RANGES));
+                view().number(),
+                settings.self(),
+                log.committedSequence(),
+                log.stateMachine().digests(ReplicaLog.DIGEST_RANGES));
     }
 
     private void handleCompareDigests(final Message.CompareDigests request) {
-        if (request.view() != view().number() || !role.isActive() || request.digests().length != DIGEST_RANGES) {
+        if (request.view() != view().number()
+                || !role.isActive()
+                || request.digests().length != ReplicaLog.DIGEST_RANGES) {
             return;
         }
-        if (request.sequence() > stateMachine.sequence()) {
-            commit(Math.min(request.sequence(), synced));
+        if (request.sequence() > log.committedSequence()) {
+            log.commit(request.sequence(), currentTime);
         }
-        final RepairSource source = RepairSource.of(stateMachine, request.digests(), syncedPending());
+        final RepairSource source = RepairSource.of(log.stateMachine(), request.digests(), syncedPending());
         repairSources.put(request.sender().id(), source);
         handleRepairNext(new Message.RepairNext(request.view(), request.sender(), source.sequence(), 0));
     }
@@ -920,11 +669,7 @@
      * this machine restarted, so a machine that is repaired from here keeps them too.
      */
     private List<LogEntry> syncedPending() {
-        return settings.safeguards().isEnabled(Safeguard.REPAIR_PENDING)
-                ? pendingEntries.stream()
-                        .filter(entry -> entry.sequence() <= synced)
-                        .toList()
-                : List.of();
+        return settings.safeguards().isEnabled(Safeguard.REPAIR_PENDING) ? log.syncedPendingEntries() : List.of();
     }
 
     private void handleRepairNext(final Message.RepairNext request) {
@@ -974,15 +719,15 @@
     }
 
     private void handleRepairRanges(final Message.RepairRanges message, final String sender) {
-        if (message.view() != view().number() || role.isActive() || message.sequence() < stateMachine.sequence()) {
+        if (message.view() != view().number() || role.isActive() || message.sequence() < log.committedSequence()) {
             return;
         }
         if (joining
                 && effects.isAllSynced()
                 && message.pieces() == 1
                 && message.ranges().isEmpty()
-                && message.sequence() == stateMachine.sequence()
-                && message.pending().equals(List.copyOf(pendingEntries))
+                && message.sequence() == log.committedSequence()
+                && message.pending().equals(log.pendingEntries())
                 && sameDigests(message)
                 && !role.isInChain()) {
             requestJoin();
@@ -1001,34 +746,19 @@
         }
         repairProgress = Optional.empty();
         if (settings.safeguards().isEnabled(Safeguard.DIGEST)) {
-            complete.ranges().forEach((range, entries) -> stateMachine.replaceRange(range, DIGEST_RANGES, entries));
+            log.replaceRanges(complete.ranges());
         }
         if (!sameDigests(message)) {
             return;
         }
-        stateMachine.completeRepair(message.sequence());
-        recentEntries.clear();
-        recentBytes = 0;
         window.reset(message.sequence(), currentTime);
-        pendingEntries.clear();
-        pendingValues.clear();
-        lastSequence = message.sequence();
-        message.pending().forEach(this::addPending);
-        logGeneration++;
         catchUpStartedAt = currentTime;
         joining = true;
         final long number = view().number();
-        final long lastRepaired = lastSequence;
-        final long generation = logGeneration;
-        synced = 0;
-        writeSnapshot(syncedAt -> {
-            if (generation != logGeneration) {
-                return;
-            }
-            synced = Math.max(synced, lastRepaired);
+        log.completeRepair(message.sequence(), message.pending(), currentTime, syncedAt -> {
             if (role.isInChain()) {
                 finishCatchUp(syncedAt);
-                commitAsTail(syncedAt);
+                committer.commitAsTail(syncedAt);
             } else if (number == view().number()) {
                 effects.log(Event.MENDED, "sequence " + message.sequence());
                 requestJoin();
@@ -1041,8 +771,7 @@
      * asked before it restarted, with other entries: then it asks again.
      */
     private boolean sameDigests(final Message.RepairRanges message) {
-        return Arrays.equals(message.digests(), stateMachine.digests(DIGEST_RANGES))
-                || !settings.safeguards().isEnabled(Safeguard.DIGEST);
+        return log.hasDigests(message.digests()) || !settings.safeguards().isEnabled(Safeguard.DIGEST);
     }
 
     private void requestJoin() {
@@ -1052,32 +781,8 @@
         view().voters()
                 .forEach(voter -> effects.send(
                         voter.address(),
-                        new Message.JoinRequest(view().number(), settings.self(), stateMachine.sequence())));
+                        new Message.JoinRequest(view().number(), settings.self(), log.committedSequence())));
     }
 
-    private void handleReadRequest(final Message.ReadRequest request, final long now) {
-        final boolean mayMissAcknowledged =
-                !role.hasRequiredCopies() && pendingEntries.stream().anyMatch(entry -> entry.sequence() <= synced);
-        final boolean answers = role.isActiveTail()
-                && !mayMissAcknowledged
-                && (lease.isHeld(now) || !settings.safeguards().isEnabled(Safeguard.LEASE));
-        effects.send(
-                request.replyTo(),
-                new Message.ReadReply(
-                        request.requestId(),
-                        answers,
-                        stateMachine.sequence(),
-                        answers
-                                ? List.copyOf(stateMachine
-                                        .entriesWithPrefix(request.keyPrefix())
-                                        .values())
-                                : List.of()));
-    }
-
-    /** A write whose answer waits for a change to be committed; the refusal is there where that will be the answer. */
-    private record WaitingWrite(Message.WriteRequest request, Optional<CommandResult> refusal) {}
-
-    private record UnleasedWrite(long receivedAt, Message.WriteRequest request) {}
-
     private record Discovery(Message.Discover request, long receivedAt) {}
 }
--- /dev/null
+++ b/core/src/main/java/silverlatch/replication/WriteAdmission.java
@@ -0,0 +1,148 @@
+package silverlatch.replication;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Supplier;
+import silverlatch.clock.Stamp;
+import silverlatch.safeguard.Safeguard;
+import silverlatch.state.Command;
+import silverlatch.state.CommandResult;
+import silverlatch.state.Entry;
+import silverlatch.state.StateMachine;
+import silverlatch.wire.Message;
+
+/**
+ * The admission of writes at the head of the chain: evaluates each command against the committed and the pending state, appends an entry
+ * where it changes something, and replies once all that the reply rests on is committed.
+ *
+ * <p>Invariants: nothing is evaluated without a lease, and stamps of entries only rise. A write without a lease waits for one for no
+ * longer than a lease lasts; one that can't be admitted now is dropped, and its client sends it again.
+ */
+final class WriteAdmission {
+    private static final int MAX_PENDING_ENTRIES = 4_096;
+    private static final int MAX_UNLEASED_WRITES = 64;
+    private static final int CONFLICT = 409;
+    private final ReplicaSettings settings;
+    private final ReplicaRole role;
+    private final HeldLease lease;
+    private final ReplicaLog log;
+    private final WaitingWrites waitingWrites;
+    private final Supplier<Stamp> stamps;
+    private final List<UnleasedWrite> unleasedWrites = new ArrayList<>();
+
+    WriteAdmission(
+            final ReplicaSettings settings,
+            final ReplicaRole role,
+            final HeldLease lease,
+            final ReplicaLog log,
+            final WaitingWrites waitingWrites,
+            final Supplier<Stamp> stamps) {
+        this.settings = settings;
+        this.role = role;
+        this.lease = lease;
+        this.log = log;
+        this.waitingWrites = waitingWrites;
+        this.stamps = stamps;
+    }
+
+    /** Admits a write, or keeps it until the lease is granted. */
+    void handleWriteRequest(final Message.WriteRequest request, final long now) {
+        if (!role.isActive() || !role.isHead()) {
+            return;
+        }
+        if (lease.isHeld(now)) {
+            admit(request, now);
+        } else if (unleasedWrites.size() < MAX_UNLEASED_WRITES) {
+            unleasedWrites.add(new UnleasedWrite(now, request));
+        }
+    }
+
+    /** A voter has granted the lease: the writes that wait for it are admitted where that makes a majority. */
+    void leaseGranted(final long now) {
+        if (unleasedWrites.isEmpty() || !lease.isHeld(now)) {
+            return;
+        }
+        final List<UnleasedWrite> ready = List.copyOf(unleasedWrites);
+        unleasedWrites.clear();
+        ready.stream()
+                .filter(write -> now - write.receivedAt() < settings.leaseMicros())
+                .forEach(write -> handleWriteRequest(write.request(), now));
+    }
+
+    private void admit(final Message.WriteRequest request, final long now) {
+        final Stamp stamp = stamps.get();
+        if (!role.hasRequiredCopies()
+                || log.pendingCount() >= MAX_PENDING_ENTRIES
+                || stamp.bits() <= log.highestStamp()) {
+            return;
+        }
+        if (hasOldFencingToken(request.command())) {
+            final CommandResult rejection = new CommandResult.Rejected(
+                    CONFLICT, List.of("the duty has another holder"), log.committedSequence());
+            waitingWrites.send(request, rejection);
+            return;
+        }
+        final long sequence = log.lastSequence() + 1;
+        switch (log.stateMachine().evaluate(request.command(), log.pendingValues(), sequence, stamp)) {
+            case StateMachine.Evaluation.Reply reply -> replyEvaluated(request, reply.result(), stamp);
+            case StateMachine.Evaluation.Write write -> {
+                waitingWrites.await(sequence, request);
+                log.append(List.of(new LogEntry(sequence, role.view().number(), stamp, write.entries())), now);
+            }
+        }
+    }
+
+    private boolean hasOldFencingToken(final Command command) {
+        final long fencingToken = role.view().number();
+        return command instanceof Command.AdvanceEpoch epoch && epoch.fencingToken() != fencingToken
+                || command instanceof Command.Scheduled scheduled && scheduled.fencingToken() != fencingToken;
+    }
+
+    /** Replies to a write that needs no entry of its own, once all that the reply rests on is committed. */
+    private void replyEvaluated(final Message.WriteRequest request, final CommandResult result, final Stamp stamp) {
+        final Optional<Entry> pendingOutcome = Optional.ofNullable(log.pendingValues()
+                .get(WaitingWrites.outcomeKey(request.command().id())));
+        if (pendingOutcome.isPresent()) {
+            waitingWrites.await(pendingOutcome.get().sequence(), request);
+            return;
+        }
+        switch (result) {
+            case CommandResult.Applied applied -> {
+                if (applied.sequence() > log.committedSequence()) {
+                    waitingWrites.await(applied.sequence(), request);
+                } else {
+                    waitingWrites.reply(request, applied);
+                }
+            }
+            case CommandResult.Rejected rejected -> replyRejected(request, rejected, stamp);
+            case CommandResult.AlreadyClaimed claimed -> replyRejected(request, claimed, stamp);
+            case CommandResult.Unknown unknown -> waitingWrites.reply(request, unknown);
+        }
+    }
+
+    /**
+     * Rejects a write at once where the committed state alone rejects it. Else the rejection rests on entries that a new view may drop,
+     * and waits until the newest of them is committed.
+     */
+    private void replyRejected(final Message.WriteRequest request, final CommandResult rejection, final Stamp stamp) {
+        if (log.pendingCount() == 0 || !settings.safeguards().isEnabled(Safeguard.SETTLED)) {
+            waitingWrites.reply(request, rejection);
+            return;
+        }
+        final StateMachine.Evaluation committed =
+                log.stateMachine().evaluate(request.command(), Map.of(), log.lastSequence() + 1, stamp);
+        if (committed instanceof StateMachine.Evaluation.Reply reply && isRejection(reply.result())) {
+            waitingWrites.reply(request, reply.result());
+        } else {
+            waitingWrites.awaitRejection(log.lastSequence(), request, rejection);
+        }
+    }
+
+    private static boolean isRejection(final CommandResult result) {
+        return result instanceof CommandResult.Rejected || result instanceof CommandResult.AlreadyClaimed;
+    }
+
+    private record UnleasedWrite(long receivedAt, Message.WriteRequest request) {}
+}
--- a/core/src/test/java/silverlatch/replication/ReplicaParts.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaParts.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
+import java.util.function.LongConsumer;
 import java.util.stream.IntStream;
 import silverlatch.clock.Stamp;
 import silverlatch.log.LogRecord;
@@ -11,6 +12,7 @@
 import silverlatch.safeguard.Safeguard;
 import silverlatch.safeguard.Safeguards;
 import silverlatch.state.Entry;
+import silverlatch.state.StateMachine;
 import silverlatch.state.Value;
 import silverlatch.wire.Message;
 
@@ -55,6 +57,15 @@
                 sequence, 1, new Stamp(sequence), List.of(new Entry("z/" + sequence, sequence, List.of(value))));
     }
 
+    /** The log of a replica with these parts. */
+    static ReplicaLog log(final ReplicaParts parts, final LongConsumer onAppended, final LongConsumer onCommitted) {
+        final GrantedLeases leases = new GrantedLeases(parts.settings, parts.role, parts.effects, START);
+        final ViewAcceptor acceptor = new ViewAcceptor(parts.settings, parts.role, leases, parts.effects);
+        final SnapshotWriter snapshots = new SnapshotWriter(parts.role, acceptor, parts.effects);
+        final StateMachine stateMachine = new StateMachine(parts.settings.safeguards());
+        return new ReplicaLog(parts.role, snapshots, parts.effects, stateMachine, onAppended, onCommitted);
+    }
+
     /** A part that stands in this view as a member that has caught up, or outside of it. */
     ReplicaParts in(final View view) {
         role.install(view, true);
--- /dev/null
+++ b/core/src/test/java/silverlatch/replication/WriteAdmissionTest.java
@@ -0,0 +1,138 @@
+package silverlatch.replication;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.instanceOf;
+import static org.hamcrest.Matchers.is;
+import static silverlatch.replication.ReplicaParts.SECOND;
+import static silverlatch.replication.ReplicaParts.SELF;
+import static silverlatch.replication.ReplicaParts.START;
+import static silverlatch.replication.ReplicaParts.view;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import silverlatch.clock.Stamp;
+import silverlatch.state.Command;
+import silverlatch.state.CommandResult;
+import silverlatch.wire.Message;
+
+/** The head of a chain of two: what it admits, and when it replies. */
+final class WriteAdmissionTest {
+    private static final long LEASE = 600_000;
+    private final ReplicaParts parts = new ReplicaParts().in(view(1, SELF, SECOND));
+    private final HeldLease lease = new HeldLease(parts.settings, parts.role, parts.effects);
+    private final WaitingWrites[] waiting = new WaitingWrites[1];
+    private final ReplicaLog log = ReplicaParts.log(parts, syncedAt -> {}, sequence -> waiting[0].committed(sequence));
+    private long stamp = 100;
+    private final WriteAdmission admission = admission();
+
+    private WriteAdmission admission() {
+        waiting[0] = new WaitingWrites(log.stateMachine()::get, parts.effects);
+        return new WriteAdmission(parts.settings, parts.role, lease, log, waiting[0], () -> new Stamp(++stamp));
+    }
+
+    private void grantLease(final long now) {
+        lease.add(new Message.LeaseGrant(1, now, SELF.id(), 0));
+        lease.add(new Message.LeaseGrant(1, now, SECOND.id(), 0));
+    }
+
+    private static Message.WriteRequest evacuation(final String id, final long expectedRevision) {
+        return new Message.WriteRequest(7, "client", new Command.SetEvacuation(id, "zone", true, expectedRevision));
+    }
+
+    private List<CommandResult> results() {
+        return parts.sent().stream()
+                .map(message -> ((Message.WriteReply) message).result())
+                .toList();
+    }
+
+    private void commitAll() {
+        parts.sync(START);
+        log.commit(log.lastSequence(), START);
+    }
+
+    @Test
+    void aWriteIsAcknowledgedOnceItsEntryIsCommitted() {
+        grantLease(START);
+        admission.handleWriteRequest(evacuation("one", -1), START);
+        assertThat(log.lastSequence(), is(1L));
+        parts.sync(START);
+        assertThat(results(), is(List.of()));
+        log.commit(1, START);
+        assertThat(results(), is(List.of(new CommandResult.Applied(1))));
+    }
+
+    @Test
+    void aWriteWithoutALeaseWaitsForOneForNoLongerThanALease() {
+        admission.handleWriteRequest(evacuation("early", -1), START);
+        admission.leaseGranted(START + 1);
+        assertThat("no lease yet", log.lastSequence(), is(0L));
+        grantLease(START + LEASE - 1);
+        admission.leaseGranted(START + LEASE - 1);
+        assertThat(log.lastSequence(), is(1L));
+        final WriteAdmissionTest other = new WriteAdmissionTest();
+        other.admission.handleWriteRequest(evacuation("old", -1), START);
+        other.grantLease(START + LEASE);
+        other.admission.leaseGranted(START + LEASE);
+        assertThat("it waited for too long", other.log.lastSequence(), is(0L));
+    }
+
+    @Test
+    void onlyTheActiveHeadOfALongEnoughChainAdmits() {
+        grantLease(START);
+        parts.role.install(view(2, SECOND, SELF), false);
+        admission.handleWriteRequest(evacuation("no head", -1), START);
+        parts.role.install(view(3, SELF), false);
+        admission.handleWriteRequest(evacuation("too short", -1), START);
+        assertThat(log.lastSequence(), is(0L));
+        assertThat(parts.sent(), is(List.of()));
+    }
+
+    @Test
+    void aRejectionThatRestsOnAPendingEntryWaitsUntilThatIsCommitted() {
+        grantLease(START);
+        admission.handleWriteRequest(evacuation("winner", 0), START);
+        admission.handleWriteRequest(evacuation("loser", 0), START);
+        assertThat(results(), is(List.of()));
+        commitAll();
+        final List<CommandResult> results = results();
+        assertThat(results.get(0), is(new CommandResult.Applied(1)));
+        assertThat(results.get(1), instanceOf(CommandResult.Rejected.class));
+    }
+
+    @Test
+    void aWriteSentAgainWhileItsOutcomeIsPendingGetsThatOutcome() {
+        grantLease(START);
+        admission.handleWriteRequest(evacuation("twice", -1), START);
+        admission.handleWriteRequest(evacuation("twice", -1), START);
+        commitAll();
+        assertThat(results(), is(List.of(new CommandResult.Applied(1), new CommandResult.Applied(1))));
+    }
+
+    @Test
+    void anOldFencingTokenIsRejectedAtOnce() {
+        grantLease(START);
+        admission.handleWriteRequest(
+                new Message.WriteRequest(7, "client", new Command.AdvanceEpoch("sweep-1", 1, 0)), START);
+        final CommandResult result = results().get(0);
+        assertThat(((CommandResult.Rejected) result).code(), is(409));
+    }
+
+    @Test
+    void aStampThatIsNotAboveAllBeforeAdmitsNothing() {
+        grantLease(START);
+        admission.handleWriteRequest(evacuation("one", -1), START);
+        stamp = 0;
+        admission.handleWriteRequest(evacuation("two", -1), START);
+        assertThat(log.lastSequence(), is(1L));
+    }
+
+    @Test
+    void writesThatWaitForDroppedEntriesHaveAnUnknownOutcome() {
+        grantLease(START);
+        admission.handleWriteRequest(evacuation("dropped", -1), START);
+        waiting[0].abandon();
+        assertThat(results(), is(List.of(new CommandResult.Unknown("dropped"))));
+        commitAll();
+        assertThat("once", results(), is(List.of()));
+    }
+}
