--- a/core/src/main/java/silverlatch/node/Effect.java
+++ b/core/src/main/java/silverlatch/node/Effect.java
@@ -4,17 +4,40 @@
 import silverlatch.log.LogRecord;
 import silverlatch.wire.Message;
 
-/** What a core wants done in the world outside. */
+/**
+ * What the event-driven core of a node wants done outside. The core does no input or output itself: whoever runs it carries
+ * out its effects in their order, and reports back by calls of {@link Node}.
+ */
 public sealed interface Effect {
-    /** Send to the daemon that listens at this address. */
+    /**
+     * Send a message.
+     *
+     * @param to      host and port of the node that it goes to
+     * @param message the message
+     */
     record Send(String to, Message message) implements Effect {}
 
-    /** Write to the ledger and sync, then report the token. */
+    /**
+     * Append records to the log and sync them, then report the token by {@link Node#onPersisted}.
+     *
+     * @param token   which write this is
+     * @param records what to append
+     */
     record Persist(long token, List<LogRecord> records) implements Effect {}
 
-    /** An asked-for outcome is known. */
+    /**
+     * Answer the caller of {@link Node#submit} or {@link Node#read}.
+     *
+     * @param token    the token of that call
+     * @param response a {@link silverlatch.state.CommandResult} or {@link silverlatch.replication.ChainClient.ReadResult}
+     */
     record Respond(long token, Object response) implements Effect {}
 
-    /** A numbered event for the log. */
+    /**
+     * Write an event to the log of events.
+     *
+     * @param event which event
+     * @param text  what happened, for a reader
+     */
     record Log(Event event, String text) implements Effect {}
 }
--- /dev/null
+++ b/core/src/main/java/silverlatch/node/MessageDispatcher.java
@@ -0,0 +1,94 @@
+package silverlatch.node;
+
+import java.util.Optional;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import silverlatch.clock.NtpTime;
+import silverlatch.gossip.Gossip;
+import silverlatch.membership.Membership;
+import silverlatch.replication.ChainClient;
+import silverlatch.replication.ChainReplica;
+import silverlatch.wire.Message;
+
+/** Hands each message to the part of the node that it is for: membership, gossip, chain client, or the chain's replica. */
+final class MessageDispatcher {
+    private final NodeClock clock;
+    private final Membership membership;
+    private final Gossip gossip;
+    private final ChainClient chainClient;
+    private final Supplier<Optional<ChainReplica>> chainReplica;
+    private final Consumer<Effect> effects;
+    private boolean hasJoined;
+
+    MessageDispatcher(
+            final NodeClock clock,
+            final Membership membership,
+            final Gossip gossip,
+            final ChainClient chainClient,
+            final Supplier<Optional<ChainReplica>> chainReplica,
+            final Consumer<Effect> effects) {
+        this.clock = clock;
+        this.membership = membership;
+        this.gossip = gossip;
+        this.chainClient = chainClient;
+        this.chainReplica = chainReplica;
+        this.effects = effects;
+    }
+
+    /** Returns whether a seed answered with its member list since this node started or last rejoined. */
+    boolean hasJoined() {
+        return hasJoined;
+    }
+
+    /** Forgets that the node has joined. */
+    void onRejoin() {
+        hasJoined = false;
+    }
+
+    /** Hands over a message that the node at an address sent, which may be this one. */
+    void dispatch(final Message message, final String sender, final long now) {
+        switch (message) {
+            case Message.JoinGreeting greeting -> toMembership(greeting, now);
+            case Message.MemberList list -> onMemberList(list, now);
+            case Message.LivenessHeartbeat heartbeat -> toMembership(heartbeat, now);
+            case Message.Heartbeat heartbeat -> toMembership(heartbeat, now);
+            case Message.GossipPush push -> gossip.onMessage(push, sender, now);
+            case Message.GossipPull pull -> {
+                adoptReplicaState(now);
+                gossip.onMessage(pull, sender, now);
+            }
+            case Message.GossipPullReply reply -> gossip.onMessage(reply, sender, now);
+            case Message.ReportVersions versions -> gossip.onMessage(versions, sender, now);
+            case Message.MissingReports missing -> gossip.onMessage(missing, sender, now);
+            case Message.WriteReply reply -> chainClient.onMessage(reply, now);
+            case Message.ReadReply reply -> chainClient.onMessage(reply, now);
+            case Message.StampRejected rejected -> onStampRejected(rejected, sender, now);
+            default -> chainReplica.get().ifPresent(replica -> replica.onMessage(message, sender, now));
+        }
+    }
+
+    /** Lets the gossip have what the chain's replica holds, and as of now if that is surely the newest. */
+    void adoptReplicaState(final long now) {
+        chainReplica
+                .get()
+                .ifPresent(replica ->
+                        gossip.adoptReplicaState(replica.stateMachine(), replica.view(), replica.isUpToDate(now), now));
+    }
+
+    private void toMembership(final Message message, final long now) {
+        membership.onMessage(
+                message, now, clock.physicalTime(now), clock.processClock().last());
+    }
+
+    private void onMemberList(final Message.MemberList list, final long now) {
+        hasJoined = true;
+        clock.processClock().raiseAbove(list.stampFloor(), clock.physicalTime(now));
+        toMembership(list, now);
+    }
+
+    private void onStampRejected(final Message.StampRejected rejected, final String sender, final long now) {
+        final String text = sender + " says by " + NtpTime.toMicros(rejected.excess()) + " us too many";
+        effects.accept(new Effect.Log(Event.ASTRAY, text));
+        clock.recordPeerOffset(sender, rejected.physicalTime() - clock.physicalTime(now), now);
+    }
+}
--- a/core/src/main/java/silverlatch/node/Node.java
+++ b/core/src/main/java/silverlatch/node/Node.java
@@ -3,16 +3,12 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
-import silverlatch.clock.ClockReading;
-import silverlatch.clock.NtpTime;
 import silverlatch.clock.PhysicalClock;
 import silverlatch.clock.ProcessClock;
-import silverlatch.clock.PwcClock;
 import silverlatch.clock.Stamp;
 import silverlatch.dispatch.ClusterSnapshot;
 import silverlatch.gossip.Gossip;
@@ -26,42 +22,49 @@
 import silverlatch.replication.View;
 import silverlatch.safeguard.Safeguards;
 import silverlatch.state.Command;
-import silverlatch.state.Policy;
 import silverlatch.wire.Frame;
-import silverlatch.wire.Message;
 
 /**
- * What every daemon runs: clock, crew, news, and the chain where there is a data folder. It does no input or output.
- * One duty owns it; only the clock's keeper is shared.
+ * The core that every process of a fleet runs: clock, membership, gossip, a client of the chain, and on a controller with a
+ * data folder a replica of the chain.
+ *
+ * <p>It does no input or output. The caller reports what happened (a frame, a tick, a synced write) and then takes what is to
+ * be done by {@link #drainFrames} and {@link #drain}. Every such call runs to its end: the effects of the parts are processed
+ * in the order in which they arose, messages to this node itself among them. One event loop owns a node; only the process
+ * clock and the physical clock may be read by other threads.
+ *
+ * <p>{@code now} is always microseconds of the monotonic clock of the process.
  */
 public final class Node {
-    private static final long OFFSET_RETENTION = 4_000_000L;
-    private static final int MAX_EFFECTS_PER_STEP = 10_000;
+    /** A bound on the effects of one call, against two parts that answer each other for ever. */
+    private static final int MAX_EFFECTS_PER_CALL = 10_000;
+
     private final Settings settings;
+    private final NodeClock clock;
     private final Membership membership;
     private final Gossip gossip;
     private final ChainClient chainClient;
-    private Optional<ChainReplica> chainReplica;
-    private final ProcessClock processClock;
-    private final Map<String, ClockOffset> clockOffsets = new HashMap<>();
-    private final Deque<Delayed<OutgoingFrame>> delayedOutgoing = new ArrayDeque<>();
-    private final Deque<Delayed<Frame>> delayedIncoming = new ArrayDeque<>();
+    private final MessageDispatcher dispatcher;
+    private final FrameReceiver receiver;
+    private final FrameSender sender;
+    private final ClusterSnapshotBuilder snapshotBuilder;
+    private final NodeCounters counters = new NodeCounters();
     private final Deque<Effect> pendingEffects = new ArrayDeque<>();
-    private final List<OutgoingFrame> drainFrames = new ArrayList<>();
     private final List<Effect> effects = new ArrayList<>();
-    private final Map<String, Long> counters = new HashMap<>();
-    private volatile PhysicalClock physicalClock;
+    private Optional<ChainReplica> chainReplica;
     private long currentTime;
-    private long lastClockCheck;
-    private long lastSlew;
-    private boolean hasJoined;
-    private Optional<Stamp> stampFloor;
-    private final long startedAt;
-    private boolean isStateConfirmed;
-    private Policy policy = Policy.NONE;
-    private long policyRevision;
-
-    /** A daemon's place and settings; skew in microseconds. */
+
+    /**
+     * The identity and the settings of a node.
+     *
+     * @param self         this node as the others are to know it
+     * @param seeds        the addresses through which it joins
+     * @param stampLowBits how many low bits of a stamp count events within one physical time
+     * @param maxClockSkew by how many microseconds a clock may differ from the others
+     * @param membership   time-outs and intervals of the membership
+     * @param gossip       intervals of the gossip
+     * @param safeguards   the checks that are enabled; all of them but in tests
+     */
     public record Settings(
             Member self,
             List<String> seeds,
@@ -75,7 +78,7 @@
             seeds = List.copyOf(seeds);
         }
 
-        /** A place and settings with all guards standing. */
+        /** Makes settings with all safeguards enabled. */
         public Settings(
                 final Member self,
                 final List<String> seeds,
@@ -87,7 +90,14 @@
         }
     }
 
-    /** A daemon as it starts: its anchor, and for a controller with a data folder its chain setup and what the ledger held. */
+    /**
+     * Makes a node that starts.
+     *
+     * @param chainSettings the settings of the chain's replica, where this node has a data folder
+     * @param records       what the log of the data folder holds
+     * @param physicalClock a physical clock read at the start
+     * @param random        chooses peers and numbers requests
+     */
     public Node(
             final Settings settings,
             final Optional<ReplicaSettings> chainSettings,
@@ -96,69 +106,58 @@
             final RandomGenerator random,
             final long now) {
         this.settings = settings;
-        this.physicalClock = physicalClock;
         this.currentTime = now;
-        this.startedAt = now;
-        final long physicalTime = physicalClock.physicalTime(now);
-        final PwcClock clock =
-                PwcClock.start(physicalTime, settings.stampLowBits(), NtpTime.fromMicros(settings.maxClockSkew()), 0);
-        this.processClock = new ProcessClock(clock, settings.safeguards());
-        this.stampFloor = stampFloor(records);
+        this.clock = new NodeClock(settings, physicalClock, records, now, effects::add);
         this.membership = new Membership(settings.self(), settings.seeds(), settings.membership());
         this.gossip = new Gossip(membership, random, settings.gossip(), settings.safeguards());
-        this.chainReplica = chainSettings.map(
-                c -> new ChainReplica(c.withSafeguards(settings.safeguards()), records, this::localStamp, now));
+        this.chainReplica = chainSettings.map(c ->
+                new ChainReplica(c.withSafeguards(settings.safeguards()), records, () -> localStamp(currentTime), now));
         this.chainClient = new ChainClient(settings.self().address(), this::view, random.nextLong() >>> 8);
+        this.dispatcher =
+                new MessageDispatcher(clock, membership, gossip, chainClient, this::chainReplica, effects::add);
+        this.receiver = new FrameReceiver(
+                clock, gossip::fleet, dispatcher::dispatch, pendingEffects::add, effects::add, counters);
+        this.sender = new FrameSender(clock, membership, gossip::fleet);
+        this.snapshotBuilder = new ClusterSnapshotBuilder(membership, gossip, now);
         this.chainReplica.ifPresent(q -> gossip.adoptReplicaState(q.stateMachine(), q.view(), false, now));
     }
 
-    private static Optional<Stamp> stampFloor(final List<LogRecord> records) {
-        return records.stream()
-                .flatMap(n -> switch (n) {
-                    case LogRecord.Appended d ->
-                        java.util.stream.Stream.of(d.entry().stamp());
-                    case LogRecord.Snapshot p -> java.util.stream.Stream.of(new Stamp(p.highestStamp()));
-                    default -> java.util.stream.Stream.<Stamp>empty();
-                })
-                .max(Stamp::compareTo);
-    }
-
-    /** The stamp of a local event at this moment of the duty's own clock. */
+    /** Makes the stamp of a local event at a moment of this event loop. */
     public Stamp localStamp(final long now) {
-        return processClock.local(physicalClock.physicalTime(now));
+        return clock.localStamp(now);
     }
 
-    /** The clock's keeper, shared by the duties of the process. */
+    /** Returns the clock that makes stamps; all event loops of the process share it. */
     public ProcessClock processClock() {
-        return processClock;
+        return clock.processClock();
     }
 
-    /** The physical clock. */
+    /** Returns the physical clock. */
     public PhysicalClock physicalClock() {
-        return physicalClock;
+        return clock.physicalClock();
     }
 
-    /** Who is there. */
+    /** Returns the membership; the caller may change seeds and read everything. */
     public Membership membership() {
         return membership;
     }
 
-    /** The news. */
+    /** Returns the gossip; the caller reads only, but may restore reports before the first tick. */
     public Gossip gossip() {
         return gossip;
     }
 
-    /** The chain, at a controller with a data folder. */
+    /** Returns the replica of the chain, at a controller with a data folder. */
     public Optional<ChainReplica> chainReplica() {
         return chainReplica;
     }
 
-    /** Counts of what the wire brought. */
+    /** Returns counts of frames, by the names of {@link NodeCounters}. */
     public Map<String, Long> counters() {
-        return Map.copyOf(counters);
+        return counters.snapshot();
     }
 
-    /** The newest view known here. */
+    /** Returns the newest view known here, be it by the replica or by gossip. */
     public View view() {
         final View gossiped = gossip.view();
         return chainReplica
@@ -167,56 +166,29 @@
                 .orElse(gossiped);
     }
 
-    /** Whether a frame waits for the clock. */
+    /** Returns whether a frame, in or out, waits for the clock. */
     public boolean hasDelayedFrames() {
-        return !delayedOutgoing.isEmpty() || !delayedIncoming.isEmpty();
+        return !sender.isEmpty() || !receiver.isEmpty();
     }
 
-    /**
-     * A copy of what is known, for the event loop that routes requests. A configuration is told only once one was confirmed
-     * as the newest as of a moment after this process started: it then goes behind nothing that an earlier process of this
-     * machine routed by.
-     */
+    /** Returns a copy of what is known as of the last call, for the event loop that routes requests. */
     public ClusterSnapshot facts() {
-        isStateConfirmed = isStateConfirmed || gossip.confirmedSince(startedAt);
-        if (!isStateConfirmed) {
-            return new ClusterSnapshot(
-                    membership.self(),
-                    0,
-                    Optional.empty(),
-                    Policy.NONE,
-                    gossip.workers(),
-                    membership.liveMembers().stream().filter(Member::isGateway).toList());
-        }
-        if (policyRevision != gossip.stateMachine().policyRevision()) {
-            final boolean incremental =
-                    policyRevision > 0 && policyRevision < gossip.stateMachine().policyRevision();
-            policy = (incremental ? policy : Policy.NONE)
-                    .with(gossip.stateMachine().policySince(incremental ? policyRevision : 0));
-            policyRevision = gossip.stateMachine().policyRevision();
-        }
-        final long now = currentTime;
-        final Optional<Long> confirmedAt =
-                gossip.stateAge(now) == Long.MAX_VALUE ? Optional.empty() : Optional.of(now - gossip.stateAge(now));
-        return new ClusterSnapshot(
-                membership.self(),
-                gossip.stateMachine().policyRevision(),
-                confirmedAt.filter(s -> hasJoined),
-                policy,
-                gossip.workers(),
-                membership.liveMembers().stream().filter(Member::isGateway).toList());
+        return snapshotBuilder.build(dispatcher.hasJoined(), currentTime);
     }
 
-    /** A frame came in. */
+    /** Takes a frame that came in. */
     public void onFrame(final Frame frame, final long now) {
         advanceTime(now);
-        if (!delayedIncoming.isEmpty() || !admit(frame, now)) {
-            delayedIncoming.add(new Delayed<>(frame, now));
-        }
+        receiver.receive(frame, now);
         processEffects(now);
     }
 
-    /** A worker announced itself; gives the echo to hand back. */
+    /**
+     * Takes an announcement that a worker made to this node.
+     *
+     * @param echo the token that this node returned for the worker's last announcement here, or 0
+     * @return the token that the worker is to hand back
+     */
     public long onAnnouncement(final Worker worker, final long echo, final long now) {
         advanceTime(now);
         localStamp(now);
@@ -225,55 +197,55 @@
         return token;
     }
 
-    /** A worker's life is over; false when it isn't known here. */
+    /** Ends a worker's incarnation; returns false when it isn't known here. */
     public boolean onWorkerGone(final String id, final long now) {
         advanceTime(now);
-        final boolean known = gossip.onWorkerGone(id, now);
+        final boolean isKnown = gossip.onWorkerGone(id, now);
         processEffects(now);
-        return known;
+        return isKnown;
     }
 
-    /** Someone here wishes for a change. */
+    /** Submits a command to the chain; its result comes as {@link Effect.Respond} with the token, at the deadline at last. */
     public void submit(final Command command, final long token, final long now, final long deadline) {
         advanceTime(now);
         chainClient.submit(command, token, now, deadline);
         processEffects(now);
     }
 
-    /** Someone here asks the tail. */
+    /** Reads the entries under a prefix from the chain; the answer comes as {@link Effect.Respond} with the token. */
     public void read(final String keyPrefix, final long token, final long now, final long deadline) {
         advanceTime(now);
         chainClient.read(keyPrefix, token, now, deadline);
         processEffects(now);
     }
 
-    /** The ledger synced a write. */
+    /** Takes notice that the write of an {@link Effect.Persist} is synced. */
     public void onPersisted(final long token, final long now) {
         advanceTime(now);
         chainReplica.ifPresent(q -> q.synced(token, now));
         processEffects(now);
     }
 
-    /** The ledger failed. */
+    /** Takes notice that the disk of the log failed. */
     public void onDiskFailed(final String reason, final long now) {
         advanceTime(now);
         chainReplica.ifPresent(q -> q.diskFailed(reason));
         processEffects(now);
     }
 
-    /** The disk takes writes again: the chain's replica begins anew from what the log holds, as after a restart. */
+    /** Takes notice that the disk takes writes again: the replica starts anew from what the log holds. */
     public void onDiskRecovered(final List<LogRecord> records, final long now) {
         advanceTime(now);
         chainReplica = chainReplica.map(q -> q.recovered(records, now));
         processEffects(now);
     }
 
-    /** Whether this daemon takes tickets, as the others shall know it. */
+    /** Sets whether this node takes requests, as the others are to know it. */
     public void setReady(final boolean isReady) {
         membership.setReady(isReady);
     }
 
-    /** This daemon is about to stop. */
+    /** Begins a graceful shutdown: tells the others, and hands over what the replica holds. */
     public void leave(final long now) {
         advanceTime(now);
         membership.leave();
@@ -281,197 +253,69 @@
         processEffects(now);
     }
 
-    /** A clock event, some twenty a second. */
+    /**
+     * Does what is due; called some twenty times a second.
+     *
+     * @param wallTime the wall clock, in nanoseconds since the Unix epoch
+     */
     public void tick(final long now, final long wallTime) {
         advanceTime(now);
-        if (now - lastSlew >= 1_000_000L) {
-            lastSlew = now;
-            final long jumps = physicalClock.jumps();
-            physicalClock = physicalClock.slew(wallTime, now, settings.maxClockSkew());
-            if (physicalClock.jumps() > jumps && physicalClock.jumps() == 1) {
-                effects.add(new Effect.Log(Event.WALL_JUMP, "the wall clock is not followed"));
-            }
-        }
-        stampFloor = stampFloor.filter(
-                f -> processClock.raiseAbove(f, physicalClock.physicalTime(now)).isEmpty());
-        hasDelayedFrames(now);
-        checkClock(now);
+        clock.slew(now, wallTime);
+        clock.raiseToLogFloor(now);
+        retryDelayedFrames(now);
+        clock.check(now).ifPresent(reason -> rejoin(now, reason));
         membership.tick(now);
-        chainReplica.ifPresent(q -> {
-            q.tick(now);
-            gossip.adoptReplicaState(q.stateMachine(), q.view(), q.isUpToDate(now), now);
-        });
+        chainReplica.ifPresent(q -> q.tick(now));
+        dispatcher.adoptReplicaState(now);
         gossip.tick(now);
         chainClient.tick(now);
         processEffects(now);
     }
 
-    /** Frames to be shipped; handed over once. */
+    /** Returns the frames to be sent; each is handed out once. */
     public List<OutgoingFrame> drainFrames() {
-        final List<OutgoingFrame> frames = List.copyOf(drainFrames);
-        drainFrames.clear();
-        return frames;
+        return sender.drain();
     }
 
-    /** Other effects; handed over once. */
+    /** Returns all other effects; each is handed out once. */
     public List<Effect> drain() {
-        final List<Effect> list = List.copyOf(effects);
+        final List<Effect> drained = List.copyOf(effects);
         effects.clear();
-        return list;
-    }
-
-    private Stamp localStamp() {
-        return localStamp(currentTime);
+        return drained;
     }
 
     private void advanceTime(final long now) {
         currentTime = Math.max(currentTime, now);
     }
 
-    private boolean admit(final Frame frame, final long now) {
-        final long physicalTime = physicalClock.physicalTime(now);
-        final ClockOffset offset = new ClockOffset(frame.stamp().bits() - physicalTime, now);
-        switch (processClock.receive(frame.stamp(), physicalTime)) {
-            case ClockReading.Stamped made -> {
-                clockOffsets.put(frame.replyTo(), new ClockOffset(0, now));
-                deliver(frame, now, physicalTime);
-            }
-            case ClockReading.Wait wait -> {
-                return false;
-            }
-            case ClockReading.TooFarAhead far -> {
-                increment("far");
-                clockOffsets.put(frame.replyTo(), offset);
-                effects.add(new Effect.Log(
-                        Event.FAR_STAMP,
-                        frame.from() + " is ahead by " + NtpTime.toMicros(far.units()) + " us too many"));
-                if (!(frame.body() instanceof Message.StampRejected)) {
-                    pendingEffects.add(
-                            new Effect.Send(frame.replyTo(), new Message.StampRejected(far.units(), physicalTime)));
-                }
-            }
-        }
-        return true;
-    }
-
-    private void deliver(final Frame frame, final long now, final long physicalTime) {
-        final long fleet = gossip.fleet();
-        if (fleet != 0 && frame.fleet() != 0 && frame.fleet() != fleet) {
-            increment("fleet");
-            effects.add(new Effect.Log(Event.OTHER_FLEET, frame.from()));
-            return;
-        }
-        increment("frames");
-        dispatch(frame.body(), frame.replyTo(), now, physicalTime);
-    }
-
-    private void dispatch(final Message message, final String sender, final long now, final long physicalTime) {
-        switch (message) {
-            case Message.JoinGreeting m -> membership.onMessage(m, now, physicalTime, processClock.last());
-            case Message.MemberList m -> {
-                hasJoined = true;
-                processClock.raiseAbove(m.stampFloor(), physicalTime);
-                membership.onMessage(m, now, physicalTime, processClock.last());
-            }
-            case Message.LivenessHeartbeat m -> membership.onMessage(m, now, physicalTime, processClock.last());
-            case Message.Heartbeat m -> membership.onMessage(m, now, physicalTime, processClock.last());
-            case Message.GossipPush m -> gossip.onMessage(m, sender, now);
-            case Message.GossipPull m -> {
-                chainReplica.ifPresent(
-                        q -> gossip.adoptReplicaState(q.stateMachine(), q.view(), q.isUpToDate(now), now));
-                gossip.onMessage(m, sender, now);
-            }
-            case Message.GossipPullReply m -> gossip.onMessage(m, sender, now);
-            case Message.ReportVersions m -> gossip.onMessage(m, sender, now);
-            case Message.MissingReports m -> gossip.onMessage(m, sender, now);
-            case Message.WriteReply m -> chainClient.onMessage(m, now);
-            case Message.ReadReply m -> chainClient.onMessage(m, now);
-            case Message.StampRejected m -> {
-                effects.add(new Effect.Log(
-                        Event.ASTRAY, sender + " says by " + NtpTime.toMicros(m.excess()) + " us too many"));
-                clockOffsets.put(sender, new ClockOffset(m.physicalTime() - physicalTime, now));
-            }
-            default -> chainReplica.ifPresent(q -> q.onMessage(message, sender, now));
-        }
-    }
-
-    private void checkClock(final long now) {
-        if (now - lastClockCheck < 500_000L) {
-            return;
-        }
-        lastClockCheck = now;
-        clockOffsets.values().removeIf(s -> now - s.measuredAt() > OFFSET_RETENTION);
-        final long physicalTime = physicalClock.physicalTime(now);
-        final List<Long> offsets = new ArrayList<>(
-                clockOffsets.values().stream().map(ClockOffset::offset).toList());
-        offsets.add(0L);
-        offsets.sort(Long::compare);
-        final long median = offsets.get((offsets.size() - 1) / 2);
-        final long maxSkew = NtpTime.fromMicros(settings.maxClockSkew());
-        if (offsets.size() >= 3 && Math.abs(median) > maxSkew) {
-            physicalClock = physicalClock.shiftedBy(median < 0 ? -NtpTime.toMicros(-median) : NtpTime.toMicros(median));
-            effects.add(new Effect.Log(
-                    Event.ANCHORED,
-                    "moved by " + (median < 0 ? -NtpTime.toMicros(-median) : NtpTime.toMicros(median)) + " us"));
-            rejoin(now, "the median of the peers");
-        } else if (processClock.needsRejoin(physicalTime)) {
-            rejoin(now, "overflows");
-        }
-    }
-
+    /** Starts a new incarnation with a process clock set anew, as if this node had just started and knew nothing for sure. */
     private void rejoin(final long now, final String reason) {
-        increment("rejoins");
-        processClock.reset(physicalClock.physicalTime(now));
-        clockOffsets.clear();
-        delayedOutgoing.clear();
-        delayedIncoming.clear();
-        hasJoined = false;
+        counters.increment(NodeCounters.REJOINS);
+        clock.reset(now);
+        sender.clear();
+        receiver.clear();
+        dispatcher.onRejoin();
         gossip.resetFreshness();
         membership.startIncarnation(membership.self().incarnation() + 1);
         membership.rejoinSeeds();
         effects.add(new Effect.Log(Event.REJOIN, reason));
     }
 
-    private void hasDelayedFrames(final long now) {
-        while (!delayedIncoming.isEmpty() && admit(delayedIncoming.peek().item(), now)) {
-            delayedIncoming.poll();
-        }
-        while (!delayedOutgoing.isEmpty() && tryStamp(delayedOutgoing.peek().item(), now)) {
-            delayedOutgoing.poll();
-        }
-        dropExpired(delayedIncoming, now);
-        dropExpired(delayedOutgoing, now);
-    }
-
-    private void dropExpired(final Deque<? extends Delayed<?>> delayed, final long now) {
-        while (!delayed.isEmpty() && now - delayed.peek().since() > ProcessClock.MAX_WAIT_MICROS) {
-            delayed.poll();
-            processClock.recordDrop(now);
-            increment("overflow");
+    private void retryDelayedFrames(final long now) {
+        receiver.retry(now);
+        sender.retry(now);
+        final int expired = receiver.removeExpired(now) + sender.removeExpired(now);
+        for (int i = 0; i < expired; i++) {
+            clock.processClock().recordDrop(now);
+            counters.increment(NodeCounters.OVERFLOWS);
             effects.add(new Effect.Log(Event.OVERFLOW, "a message was given up"));
         }
     }
 
-    private boolean tryStamp(final OutgoingFrame outgoing, final long now) {
-        if (processClock.send(physicalClock.physicalTime(now)) instanceof ClockReading.Stamped made) {
-            drainFrames.add(new OutgoingFrame(
-                    outgoing.to(),
-                    new Frame(
-                            made.stamp(),
-                            gossip.fleet(),
-                            settings.self().id(),
-                            settings.self().address(),
-                            membership.self().incarnation(),
-                            outgoing.frame().body())));
-            return true;
-        }
-        return false;
-    }
-
     private void processEffects(final long now) {
         int processed = 0;
         collectEffects();
-        while (!pendingEffects.isEmpty() && processed++ < MAX_EFFECTS_PER_STEP) {
+        while (!pendingEffects.isEmpty() && processed++ < MAX_EFFECTS_PER_CALL) {
             final Effect effect = pendingEffects.poll();
             if (effect instanceof Effect.Send send) {
                 send(send, now);
@@ -482,17 +326,12 @@
         }
     }
 
-    /** Hands a message to this daemon itself, or stamps it for another; it waits its turn while the clock overflows. */
+    /** Hands a message to this node itself, or has it stamped for another. */
     private void send(final Effect.Send send, final long now) {
         if (send.to().equals(settings.self().address())) {
-            dispatch(send.message(), send.to(), now, physicalClock.physicalTime(now));
-            return;
-        }
-        final Frame unstamped =
-                new Frame(new Stamp(1), 0, settings.self().id(), settings.self().address(), 0, send.message());
-        final OutgoingFrame outgoing = new OutgoingFrame(send.to(), unstamped);
-        if (!delayedOutgoing.isEmpty() || !tryStamp(outgoing, now)) {
-            delayedOutgoing.add(new Delayed<>(outgoing, now));
+            dispatcher.dispatch(send.message(), send.to(), now);
+        } else {
+            sender.send(send, now);
         }
     }
 
@@ -502,12 +341,4 @@
         pendingEffects.addAll(gossip.drain());
         pendingEffects.addAll(chainClient.drain());
     }
-
-    private void increment(final String name) {
-        counters.merge(name, 1L, Long::sum);
-    }
-
-    private record ClockOffset(long offset, long measuredAt) {}
-
-    private record Delayed<T>(T item, long since) {}
 }
