--- a/core/src/main/java/silverlatch/node/Event.java
+++ b/core/src/main/java/silverlatch/node/Event.java
@@ -1,94 +1,97 @@
 package silverlatch.node;
 
-/** The numbered events of the log; docs/log-events.md is their catalogue. */
+/**
+ * The numbered events of the log, catalogued in docs/log-events.md. Operators search and alert by number and name: neither
+ * changes, and a number that was used once stays taken.
+ */
 public enum Event {
     /** The process is up. */
     STARTED(100, false),
-    /** The process takes tickets. */
+    /** The process takes requests. */
     READY(101, false),
-    /** The process takes no tickets. */
+    /** The process takes no requests. */
     UNREADY(102, true),
     /** The process ends. */
     STOPPED(103, false),
     /** The settings have faults. */
     SETTINGS(104, true),
-    /** Something failed that should not; the work at hand was given up. */
+    /** An unexpected error; the work at hand was given up. */
     FAULT(105, true),
-    /** A daemon became known or came back. */
+    /** A member became known or came back. */
     MEMBER_UP(200, false),
-    /** A daemon is suspected. */
+    /** A member is suspected. */
     MEMBER_SUSPECT(201, true),
-    /** A daemon is taken for dead. */
+    /** A member is declared dead. */
     MEMBER_DEAD(202, true),
-    /** A daemon left. */
+    /** A member left. */
     MEMBER_LEFT(203, false),
-    /** Most of the watched are gone; the watcher suspects itself. */
+    /** Most of the watched members are silent; this node suspects itself. */
     SELF_DOUBT(204, true),
-    /** A frame could not be read. */
+    /** A frame could not be decoded. */
     BAD_FRAME(300, true),
-    /** A stamp from too far ahead was rejected. */
+    /** A frame was rejected since its stamp is too far ahead. */
     FAR_STAMP(301, true),
-    /** A message was given up after the longest overflow wait. */
+    /** A message was given up after the longest wait for an overflow of the clock. */
     OVERFLOW(302, true),
-    /** The clock was reset by a rejoin. */
+    /** The node rejoined with its clock set anew. */
     REJOIN(303, true),
-    /** The wall clock jumped and was not followed. */
+    /** The wall clock jumped; the physical clock did not follow it. */
     WALL_JUMP(304, true),
-    /** The median of the seeds was taken as the anchor. */
+    /** The physical clock was moved to the median of the peers. */
     ANCHORED(305, true),
-    /** A peer says that this clock is too far ahead. */
+    /** A peer rejected a stamp of this node as too far ahead. */
     ASTRAY(306, true),
     /** A frame of another fleet was rejected. */
     OTHER_FLEET(307, true),
-    /** The fleet was founded. */
+    /** The fleet was bootstrapped. */
     FOUNDED(400, false),
     /** A view was decided. */
     VIEW(401, false),
     /** A view is proposed. */
     PROPOSED(402, false),
-    /** A member of the chain is suspected. */
+    /** A replica of the chain is suspected. */
     CHAIN_SUSPECT(403, true),
-    /** This machine was mended and asks to join the chain. */
+    /** This replica was repaired and asks to join the chain. */
     MENDED(404, false),
-    /** The disk failed; the machine left the chain. */
+    /** The disk failed; the replica left the chain. */
     DISK_BROKEN(405, true),
-    /** The ledger was read. */
+    /** The log was read. */
     RECOVERED(406, false),
-    /** The ledger has damage in its middle. */
+    /** The log is corrupt before its end. */
     DAMAGED(407, true),
-    /** A picture was written. */
+    /** A snapshot was written. */
     PICTURE(408, false),
-    /** The list of workers beside the ledger can't be written. */
+    /** The list of workers beside the log can't be written. */
     ROSTER(409, true),
-    /** The disk can't be read or written; the machine waits for it. */
+    /** The disk can't be read or written; the replica waits for it. */
     BARRED(410, true),
-    /** The log lacks what was acknowledged with it; the machine is fenced until it is repaired. */
+    /** The log lacks what was acknowledged with it; the replica is fenced until it is repaired. */
     LOG_OUTDATED(411, true),
     /** The data folder was written in another format; the process ends. */
     LOG_FORMAT(412, true),
-    /** A change took effect. */
+    /** A command took effect. */
     CHANGED(500, false),
-    /** A change was rejected. */
+    /** A command was rejected. */
     CHANGE_REJECTED(501, false),
-    /** A calendar's time came. */
+    /** A schedule fired. */
     CALENDAR(502, false),
-    /** A ticket was rejected. */
+    /** A request was rejected. */
     TICKET_REJECTED(600, false),
-    /** A ticket was lost. */
+    /** A request was lost. */
     TICKET_LOST(601, true),
     /** A worker became known. */
     WORKER_KNOWN(602, false),
     /** A worker is leaving. */
     WORKER_LEAVING(603, false),
-    /** A worker broke the rules of the stream. */
+    /** A worker violated the protocol of the stream. */
     WORKER_BROKE(604, true),
-    /** No controller has heard from a worker for long. */
+    /** No controller has heard from a worker for the silence time-out. */
     WORKER_SILENT(605, true),
-    /** A worker's life is over. */
+    /** A worker's incarnation is over. */
     WORKER_GONE(606, false),
-    /** A run broke, or was moved from a silent worker. */
+    /** An attempt failed, or was moved from a silent worker. */
     RUN_BROKE(607, false),
-    /** The recording of the day can't be written; it ends here. */
+    /** The recording can't be written; it ends here. */
     RECORD_BROKEN(700, true);
 
     private final int number;
@@ -99,12 +102,12 @@
         this.isWarning = isWarning;
     }
 
-    /** The event's number. */
+    /** Returns the number, which the log prints after {@code SL}. */
     public int number() {
         return number;
     }
 
-    /** Whether someone should look. */
+    /** Returns whether an operator should look. */
     public boolean isWarning() {
         return isWarning;
     }
--- a/core/src/main/java/silverlatch/safeguard/Safeguard.java
+++ b/core/src/main/java/silverlatch/safeguard/Safeguard.java
@@ -1,68 +1,71 @@
 package silverlatch.safeguard;
 
-/** A rule of this project that keeps something from happening. A drill lets one down to see that its observer notices. */
+/**
+ * A check that the product always makes, and that the simulation can disable to see that its observer notices what it
+ * prevents. Operators name the constants on the command line ({@code bin/days --down SURE}), so they stay as they are.
+ */
 public enum Safeguard {
-    /** A word on a worker counts for a set age only. */
+    /** A report on a worker counts for a bounded age only. */
     WORD,
-    /** A table that is not confirmed is not acted on. */
+    /** A configuration that is not confirmed is not acted on. */
     SURE,
-    /** A zone that is being emptied gets no work. */
+    /** A zone under evacuation gets no new requests. */
     ZONE,
-    /** A worker outside the tenant's homes gets no work. */
+    /** A worker outside the tenant's home regions gets no requests of it. */
     SERVED,
-    /** A gateway outside the tenant's homes takes no ticket. */
+    /** A gateway outside the tenant's home regions takes no requests of it. */
     SENT,
-    /** What is kept of a tenant goes when its homes, its key or itself do. */
+    /** What is kept of a tenant is dropped with its home regions, its key or itself. */
     KEPT,
-    /** A key is bound to one ticket. */
+    /** An idempotency key is bound to one request. */
     CLAIM,
-    /** A ticket is handed over once. */
+    /** A request is handed over once. */
     SPENT,
-    /** A permit holds for one incarnation of its carrier. */
+    /** A permit is valid for one incarnation of its carrier. */
     LIFE,
-    /** A line bears its own ticket and run. */
+    /** A line of a response stream bears its own request and attempt. */
     LINE,
-    /** Pieces come without a gap and without a repeat. */
+    /** Chunks of a stream come without a gap and without a repetition. */
     PIECE,
-    /** A seal fits what came before it. */
+    /** The checksum of a chunk covers what came before it. */
     SEAL,
-    /** What may have begun is not tried again, nor called rejected. */
+    /** What may have begun is neither retried nor called rejected. */
     BEGUN,
-    /** A worker that warms up is spared. */
+    /** A worker that warms up gets less than its share (slow start). */
     RAMP,
-    /** A worker that was spared long enough takes its full part. */
+    /** A worker whose slow start is over gets its full share. */
     WARM,
-    /** Extra tries have a budget. */
+    /** Retries have a budget. */
     TRIES,
-    /** The tail replies only under a lease. */
+    /** The tail answers reads only under a lease. */
     LEASE,
-    /** A lower page never replaces a higher one. */
+    /** A lower revision never replaces a higher one. */
     PAGE,
-    /** A change against an older sequence is rejected. */
+    /** A command against an older sequence is rejected. */
     MATCH,
-    /** A configuration that was accepted is known when it is sent again. */
+    /** A configuration that was accepted is recognized when it is sent again. */
     TAKEN,
-    /** A refusal rests on committed changes only. */
+    /** A rejection rests on committed entries only. */
     SETTLED,
-    /** An order for a zone takes effect on top of the newest change that its caller knew of. */
+    /** A command on a zone is applied on top of the newest entry that its caller knew of. */
     NEWEST,
-    /** A receipt is stamped above the message. */
+    /** A received message is stamped above its own stamp. */
     ABOVE,
     /** A stamp from too far ahead is not merged. */
     FAR,
-    /** A chain that lost a machine is mended. */
+    /** A chain that lost a replica is repaired. */
     MEND,
     /** A dead voter is replaced, or loses its vote, before the quorum is widened. */
     DEAD_VOTES,
-    /** A member that leaves ends only when enough others hold everything and the voters know that it left. */
+    /** A replica that leaves stops only when enough others hold everything and the voters know that it left. */
     HANDOVER,
-    /** A voter accepts a successor only when the leases it granted to those that go have run out. */
+    /** A voter accepts a successor view only when the leases it granted to the replicas that go have expired. */
     LEASE_WAIT,
     /** Replication messages of another view are rejected. */
     FENCE,
     /** A promise or an acceptance is synced before it is sent. */
     PROMISE,
-    /** A chain shorter than the required copies acknowledges nothing. */
+    /** A chain shorter than the required number of replicas acknowledges nothing. */
     COPIES,
     /** A replica that was out takes over the ranges in which its digests differ before it joins. */
     DIGEST,
--- a/core/src/main/java/silverlatch/safeguard/Safeguards.java
+++ b/core/src/main/java/silverlatch/safeguard/Safeguards.java
@@ -2,9 +2,14 @@
 
 import java.util.Set;
 
-/** Which guards stand. The programs know {@link #ALL} only; a test holds them to that. */
+/**
+ * Which safeguards are enabled. The programs run with {@link #ALL} only, and a test holds them to that; the simulation disables
+ * one at a time to see that its observer notices.
+ *
+ * @param disabled the safeguards that are not enforced
+ */
 public record Safeguards(Set<Safeguard> disabled) {
-    /** All guards stand. */
+    /** All safeguards are enabled. */
     public static final Safeguards ALL = new Safeguards(Set.of());
 
     /** Copies the set. */
@@ -12,7 +17,7 @@
         disabled = Set.copyOf(disabled);
     }
 
-    /** Whether a guard stands. */
+    /** Returns whether a safeguard is enabled. */
     public boolean isEnabled(final Safeguard safeguard) {
         return disabled.isEmpty() || !disabled.contains(safeguard);
     }
--- a/core/src/main/java/silverlatch/statemachine/TransitionTable.java
+++ b/core/src/main/java/silverlatch/statemachine/TransitionTable.java
@@ -14,8 +14,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A table of state transitions read from a file and interpreted: states, the events each takes, and where they lead.
- * The file is the only place where a move is allowed.
+ * A table of state transitions: the states, the events that each takes, and the states they lead to. It is read from a JSON
+ * resource ({@code start}, {@code moves} as rows of state, event and target, {@code ends}), which is the only place that
+ * says which transitions are legal. A table is immutable and may be used by all threads.
  */
 public final class TransitionTable {
     private static final Map<String, TransitionTable> LOADED = new ConcurrentHashMap<>();
@@ -35,7 +36,11 @@
         this.finalStates = finalStates;
     }
 
-    /** Reads the table of the given name from the folder of tables of the program. */
+    /**
+     * Returns the table of a name, read from the program's resources at the first call.
+     *
+     * @throws IllegalArgumentException if there is no such table or it isn't valid
+     */
     public static TransitionTable load(final String name) {
         return LOADED.computeIfAbsent(name, TransitionTable::read);
     }
@@ -45,66 +50,88 @@
                         TransitionTable.class.getResourceAsStream("/statemachines/" + name + ".json"))
                 .orElseThrow(() -> new IllegalArgumentException("no transition table " + name))) {
             return parse(new String(in.readAllBytes(), StandardCharsets.UTF_8));
-        } catch (final IOException e) {
-            throw new UncheckedIOException(e);
+        } catch (final IOException failure) {
+            throw new UncheckedIOException(failure);
         }
     }
 
-    /** Reads a table and checks that each state is reachable and each that takes no event is named as an end. */
+    /**
+     * Parses a table.
+     *
+     * @throws IllegalArgumentException if a state can't be reached, takes no event but isn't named as final, is named as
+     *     final but takes events, or takes one event twice
+     */
     public static TransitionTable parse(final String text) {
         final Map<?, ?> root =
                 (Map<?, ?>) Jsonb.builder().build().type(Object.class).fromJson(text);
+        final String name = (String) root.get("name");
         final String initialState = (String) root.get("start");
+        final Map<String, Map<String, String>> transitions = parseTransitions((List<?>) root.get("moves"));
+        final Set<String> finalStates = new HashSet<>();
+        ((List<?>) root.get("ends")).forEach(state -> finalStates.add((String) state));
+        final Set<String> reachable = reachableStates(initialState, transitions);
+        if (!reachable.containsAll(transitions.keySet()) || !reachable.containsAll(finalStates)) {
+            throw new IllegalArgumentException("a state can't be reached in transition table " + name);
+        }
+        for (final String state : reachable) {
+            if (transitions.containsKey(state) == finalStates.contains(state)) {
+                throw new IllegalArgumentException("state " + state + " must either move or be an end");
+            }
+        }
+        return new TransitionTable(name, initialState, transitions, finalStates);
+    }
+
+    private static Map<String, Map<String, String>> parseTransitions(final List<?> rows) {
         final Map<String, Map<String, String>> transitions = new HashMap<>();
-        for (final Object row : (List<?>) root.get("moves")) {
+        for (final Object row : rows) {
             final List<?> cells = (List<?>) row;
-            final Map<String, String> from = transitions.computeIfAbsent((String) cells.get(0), k -> new HashMap<>());
-            final boolean isDuplicate = from.containsKey((String) cells.get(1));
-            from.put((String) cells.get(1), (String) cells.get(2));
-            if (isDuplicate) {
-                throw new IllegalArgumentException("two moves from " + cells.get(0) + " on " + cells.get(1));
+            final String state = (String) cells.get(0);
+            final String event = (String) cells.get(1);
+            final String target = (String) cells.get(2);
+            final Map<String, String> ofState = transitions.computeIfAbsent(state, key -> new HashMap<>());
+            if (ofState.put(event, target) != null) {
+                throw new IllegalArgumentException("two moves from " + state + " on " + event);
             }
         }
-        final Set<String> finalStates = new HashSet<>();
-        ((List<?>) root.get("ends")).forEach(e -> finalStates.add((String) e));
+        return transitions;
+    }
+
+    private static Set<String> reachableStates(
+            final String initialState, final Map<String, Map<String, String>> transitions) {
         final Set<String> reachable = new HashSet<>(Set.of(initialState));
-        boolean more = true;
-        while (more) {
-            more = false;
+        boolean hasGrown = true;
+        while (hasGrown) {
+            hasGrown = false;
             for (final String state : List.copyOf(reachable)) {
-                more |= reachable.addAll(
+                hasGrown |= reachable.addAll(
                         transitions.getOrDefault(state, Map.of()).values());
             }
         }
-        if (!reachable.containsAll(transitions.keySet()) || !reachable.containsAll(finalStates)) {
-            throw new IllegalArgumentException("a state can't be reached in transition table " + root.get("name"));
-        }
-        for (final String state : reachable) {
-            if (transitions.containsKey(state) == finalStates.contains(state)) {
-                throw new IllegalArgumentException("state " + state + " must either move or be an end");
-            }
-        }
-        return new TransitionTable((String) root.get("name"), initialState, transitions, finalStates);
+        return reachable;
     }
 
-    /** The state in which things begin. */
+    /** Returns the state in which everything begins. */
     public String initialState() {
         return initialState;
     }
 
-    /** Where an event leads, or nothing when the state does not take it. */
+    /** Returns the state that follows, or nothing where the state does not take the event. */
     public Optional<String> next(final String state, final String event) {
         return Optional.ofNullable(transitions.getOrDefault(state, Map.of()).get(event));
     }
 
-    /** Where an event leads; an event the state does not take is a fault of the program. */
+    /**
+     * Returns the state that follows.
+     *
+     * @throws IllegalStateException if the state does not take the event
+     */
     public String transition(final String state, final String event) {
         return next(state, event)
                 .orElseThrow(() -> new IllegalStateException(
                         "transition table " + name + ": " + state + " does not take " + event));
     }
 
-    /** Whether nothing follows on this state. */
+    /** Returns whether a state takes no event. */
     public boolean isFinal(final String state) {
         return finalStates.contains(state);
     }
