--- a/server/src/main/java/silverlatch/server/gateway/Main.java
+++ b/server/src/main/java/silverlatch/server/gateway/Main.java
@@ -22,52 +22,58 @@
 import silverlatch.server.settings.CommandLineFlags;
 import silverlatch.server.settings.Settings;
 
-/** The program gateway. */
+/** The program `gateway`: accepts requests of clients and places them at workers. */
 public final class Main {
+    private static final int START_FAILED = 3;
+
     private Main() {}
 
-    /** Runs a gateway until it is told to stop. */
+    /**
+     * Runs a gateway until SIGTERM or SIGINT. Exit codes: 0 after a stop, 2 for faulty flags or settings, 3 when it can't start.
+     */
     public static void main(final String[] args) {
         switch (CommandLineFlags.parse("gateway", args, false, System.out, System.err)) {
-            case CommandLineFlags.Parsed.Exit end -> System.exit(end.code());
-            case CommandLineFlags.Parsed.Run run -> {
-                try {
-                    final Gateway gateway = build(run.settings());
-                    Runtime.getRuntime().addShutdownHook(new Thread(gateway::stop, "stop"));
-                    gateway.start();
-                    Thread.currentThread().join();
-                } catch (final Exception e) {
-                    EventLog.write(Event.FAULT, "gateway can't start", e);
-                    Runtime.getRuntime().halt(3);
-                }
-            }
+            case CommandLineFlags.Parsed.Exit exit -> System.exit(exit.code());
+            case CommandLineFlags.Parsed.Run run -> run(run.settings());
+        }
+    }
+
+    private static void run(final Settings settings) {
+        try {
+            final Gateway gateway = build(settings);
+            Runtime.getRuntime().addShutdownHook(new Thread(gateway::stop, "stop"));
+            gateway.start();
+            Thread.currentThread().join();
+        } catch (final Exception e) {
+            EventLog.write(Event.FAULT, "gateway can't start", e);
+            Runtime.getRuntime().halt(START_FAILED);
         }
     }
 
-    /** Builds a gateway from its settings. */
+    /** Builds a gateway from checked settings; nothing is started and no port is opened. */
     public static Gateway build(final Settings settings) {
-        return DaggerMain_Parts.factory().create(settings).gateway();
+        return DaggerMain_GatewayComponent.factory().create(settings).gateway();
     }
 
-    /** The parts of a gateway. */
+    /** The object graph of a gateway process. */
     @Singleton
-    @Component(modules = Shed.class)
-    interface Parts {
-        /** The gateway. */
+    @Component(modules = GatewayModule.class)
+    interface GatewayComponent {
+        /** The one gateway of the process. */
         Gateway gateway();
 
-        /** Makes the parts. */
+        /** Creates the graph. */
         @Component.Factory
-        interface Maker {
-            /** From its settings. */
-            Parts create(@BindsInstance Settings settings);
+        interface Factory {
+            /** Creates it from checked settings; nothing is started. */
+            GatewayComponent create(@BindsInstance Settings settings);
         }
     }
 
-    /** How the parts are made. */
+    /** What Dagger cannot construct by itself. */
     @Module
-    static final class Shed {
-        private Shed() {}
+    static final class GatewayModule {
+        private GatewayModule() {}
 
         @Provides
         @Singleton
@@ -79,7 +85,7 @@
         @Singleton
         static Node node(final Settings settings, final SplittableRandom random) {
             final long nowMicros = EventLoop.nowMicros();
-            final long wallMicros = EventLoopHandle.wallClockNanos();
+            final long wallNanos = EventLoopHandle.wallClockNanos();
             final Member self = new Member(
                     settings.name(),
                     "gateway",
@@ -87,7 +93,7 @@
                     settings.region(),
                     settings.peerAddress(),
                     settings.httpAddress(),
-                    wallMicros / 1000,
+                    wallNanos / 1000,
                     0,
                     "up",
                     false);
@@ -101,7 +107,7 @@
                             settings.intervals().gossip()),
                     Optional.empty(),
                     List.of(),
-                    new PhysicalClock(wallMicros, nowMicros, 0),
+                    new PhysicalClock(wallNanos, nowMicros, 0),
                     random.split(),
                     nowMicros);
         }
--- a/server/src/main/java/silverlatch/server/workerclient/StreamRecordDecoder.java
+++ b/server/src/main/java/silverlatch/server/workerclient/StreamRecordDecoder.java
@@ -2,25 +2,30 @@
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
-import java.util.Map;
 import java.util.function.Consumer;
 import silverlatch.dispatch.StreamRecord;
 import silverlatch.json.JsonDocument;
 
-/** Cuts a worker's bytes into lines and reads each as a record of the stream; and writes records for consumers. */
+/**
+ * Splits the body of a worker's response into lines and reads each as a record of the stream (docs/worker-format.md). After the
+ * first line that is too long or is no record it hands over one {@link StreamRecord.Lost} with the reason, and nothing more.
+ * Used by one thread at a time.
+ */
 public final class StreamRecordDecoder {
+    private static final int MAX_ID_LENGTH = 256;
+    private static final int SHA256_LENGTH = 64;
     private final int maxLineBytes;
     private final Consumer<StreamRecord> recordConsumer;
     private final ByteArrayOutputStream partialLine = new ByteArrayOutputStream();
     private boolean failed;
 
-    /** Reads lines of at most so many bytes. */
+    /** A decoder of lines of at most so many bytes; the consumer is called within {@link #decode}. */
     public StreamRecordDecoder(final int maxLineBytes, final Consumer<StreamRecord> recordConsumer) {
         this.maxLineBytes = maxLineBytes;
         this.recordConsumer = recordConsumer;
     }
 
-    /** Takes bytes as they come. */
+    /** Reads the buffer to its end; a line that is not complete yet is kept for the next call. */
     public void decode(final ByteBuffer bytes) {
         while (bytes.hasRemaining() && !failed) {
             final byte nextByte = bytes.get();
@@ -35,68 +40,16 @@
         }
     }
 
-    /** A record as a line of JSON. */
-    public static String encode(final StreamRecord record) {
-        return JsonDocument.write(
-                        switch (record) {
-                            case StreamRecord.Chunk piece ->
-                                Map.of(
-                                        "ticket",
-                                        piece.requestId(),
-                                        "run",
-                                        piece.attemptId(),
-                                        "number",
-                                        piece.index(),
-                                        "text",
-                                        piece.text());
-                            case StreamRecord.Trailer seal ->
-                                Map.of(
-                                        "seal",
-                                        Map.of(
-                                                "worker",
-                                                seal.worker(),
-                                                "ticket",
-                                                seal.requestId(),
-                                                "run",
-                                                seal.attemptId(),
-                                                "count",
-                                                seal.chunkCount(),
-                                                "sha256",
-                                                seal.sha256()));
-                            case StreamRecord.Lost lost ->
-                                Map.of("lost", Map.of("ticket", lost.requestId(), "why", lost.reason()));
-                        })
-                + "\n";
-    }
-
-    private void decodeLine(final byte[] bytes) {
-        switch (JsonDocument.parse(bytes, maxLineBytes)) {
-            case JsonDocument.ParseResult.Invalid bad -> fail("a line that is no JSON object");
-            case JsonDocument.ParseResult.Valid good -> {
-                final JsonDocument document = good.document();
-                if (document.has("seal")) {
-                    final JsonDocument sealDocument = document.object("seal");
-                    final StreamRecord.Trailer seal = new StreamRecord.Trailer(
-                            sealDocument.string("worker", 256),
-                            sealDocument.string("ticket", 256),
-                            sealDocument.string("run", 256),
-                            sealDocument.integer("count", 0, Integer.MAX_VALUE),
-                            sealDocument.string("sha256", 64));
-                    emit(document, seal);
-                } else {
-                    emit(
-                            document,
-                            new StreamRecord.Chunk(
-                                    document.string("ticket", 256),
-                                    document.string("run", 256),
-                                    document.integer("number", 0, Integer.MAX_VALUE),
-                                    document.string("text", maxLineBytes)));
-                }
-            }
+    private void decodeLine(final byte[] line) {
+        switch (JsonDocument.parse(line, maxLineBytes)) {
+            case JsonDocument.ParseResult.Invalid invalid -> fail("a line that is no JSON object");
+            case JsonDocument.ParseResult.Valid valid -> decodeRecord(valid.document());
         }
     }
 
-    private void emit(final JsonDocument document, final StreamRecord record) {
+    private void decodeRecord(final JsonDocument document) {
+        final StreamRecord record =
+                document.has("seal") ? trailer(document.object("seal")) : chunk(document, maxLineBytes);
         if (document.faults().isEmpty()) {
             recordConsumer.accept(record);
         } else {
@@ -104,6 +57,23 @@
         }
     }
 
+    private static StreamRecord trailer(final JsonDocument seal) {
+        return new StreamRecord.Trailer(
+                seal.string("worker", MAX_ID_LENGTH),
+                seal.string("ticket", MAX_ID_LENGTH),
+                seal.string("run", MAX_ID_LENGTH),
+                seal.integer("count", 0, Integer.MAX_VALUE),
+                seal.string("sha256", SHA256_LENGTH));
+    }
+
+    private static StreamRecord chunk(final JsonDocument document, final int maxTextLength) {
+        return new StreamRecord.Chunk(
+                document.string("ticket", MAX_ID_LENGTH),
+                document.string("run", MAX_ID_LENGTH),
+                document.integer("number", 0, Integer.MAX_VALUE),
+                document.string("text", maxTextLength));
+    }
+
     private void fail(final String reason) {
         failed = true;
         recordConsumer.accept(new StreamRecord.Lost("", reason));
--- a/server/src/main/java/silverlatch/server/workerclient/WorkerRunClient.java
+++ b/server/src/main/java/silverlatch/server/workerclient/WorkerRunClient.java
@@ -2,14 +2,18 @@
 
 import java.net.URI;
 import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.CancellationException;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.client.Request;
+import org.eclipse.jetty.client.Result;
 import org.eclipse.jetty.client.StringRequestContent;
 import org.eclipse.jetty.client.transport.HttpClientTransportOverHTTP;
+import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import silverlatch.dispatch.DispatchEffect;
@@ -18,46 +22,60 @@
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.web.ResettingClientConnector;
 
-/** Asks workers to run, by Jetty's client. */
+/**
+ * The HTTP client by which the dispatcher has workers execute requests ({@code POST /v1/runs}). A request is sent at most once and
+ * is never retried here. The methods may be called from any thread once the client has started.
+ */
 public final class WorkerRunClient {
+    private static final int MAX_THREADS = 16;
+    private static final int MIN_THREADS = 2;
+    private static final int SELECTORS = 2;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final int IDLE_TIMEOUT_MS = 30_000;
+    private static final int MAX_REQUESTS_PER_WORKER = 1_024;
+    private static final int RUN_TIMEOUT_MINUTES = 10;
     private final HttpClient httpClient;
     private final int maxLineBytes;
     private final String workerKey;
     private final Listener listener;
     private final Map<Long, Request> requestsByOperation = new ConcurrentHashMap<>();
 
-    /** Where a worker's words go. */
+    /** Is told what comes of each run; called on the client's threads, one call at a time for one run. */
     public interface Listener {
-        /** The worker said that it starts. */
+        /** The worker has accepted the run; its records follow. */
         void onStarted(long operationId);
 
-        /** A line came. */
+        /** A record has come, or the reason why no more records can be read. */
         void onRecord(long operationId, StreamRecord record);
 
-        /** The exchange ended; started is false only where it provably did not begin. */
+        /** The exchange has ended, the last call for a run; started is false only where the run provably did not begin. */
         void onEnded(long operationId, boolean started, String reason);
     }
 
-    /** A client for workers. */
+    /** A client that does not run yet; it reads lines of at most so many bytes and shows workers this key. */
     public WorkerRunClient(final int maxLineBytes, final String workerKey, final Listener listener) {
         this.maxLineBytes = maxLineBytes;
         this.workerKey = workerKey;
         this.listener = listener;
-        final ClientConnector connector = new ResettingClientConnector();
-        final QueuedThreadPool pool = new QueuedThreadPool(16, 2);
-        pool.setName("back");
+        final QueuedThreadPool pool = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
+        pool.setName("worker-runs");
         pool.setDaemon(true);
+        final ClientConnector connector = new ResettingClientConnector();
         connector.setExecutor(pool);
-        connector.setSelectors(2);
+        connector.setSelectors(SELECTORS);
         httpClient = new HttpClient(new HttpClientTransportOverHTTP(connector));
-        httpClient.setConnectTimeout(1_000);
-        httpClient.setMaxConnectionsPerDestination(1_024);
-        httpClient.setMaxRequestsQueuedPerDestination(1_024);
-        httpClient.setIdleTimeout(30_000);
+        httpClient.setConnectTimeout(CONNECT_TIMEOUT_MS);
+        httpClient.setMaxConnectionsPerDestination(MAX_REQUESTS_PER_WORKER);
+        httpClient.setMaxRequestsQueuedPerDestination(MAX_REQUESTS_PER_WORKER);
+        httpClient.setIdleTimeout(IDLE_TIMEOUT_MS);
         httpClient.setFollowRedirects(false);
     }
 
-    /** Starts the client. */
+    /**
+     * Starts the client's threads.
+     *
+     * @throws WorkerRunClientException when they can't be started
+     */
     public void start() throws WorkerRunClientException {
         try {
             httpClient.start();
@@ -66,70 +84,78 @@
         }
     }
 
-    /** Starts a run at a worker. */
-    public void startRun(final DispatchEffect.StartAttempt run) {
-        final AtomicBoolean begun = new AtomicBoolean();
+    /** Sends a run to its worker, unless its time to be sent has passed when a connection is at hand. */
+    public void startRun(final DispatchEffect.StartAttempt attempt) {
+        final long operationId = attempt.operationId();
+        final AtomicBoolean sent = new AtomicBoolean();
         final StreamRecordDecoder decoder =
-                new StreamRecordDecoder(maxLineBytes, record -> listener.onRecord(run.operationId(), record));
-        final String body = JsonDocument.write(Map.of(
-                "ticket",
-                run.requestId(),
-                "run",
-                run.attemptId(),
-                "tenant",
-                run.tenant(),
-                "kind",
-                run.kind(),
-                "prefix",
-                run.prefixDigests(),
-                "prompt",
-                run.prompt()));
-        final Request request = httpClient
-                .newRequest(URI.create("http://" + run.address() + "/v1/runs"))
-                .method("POST")
-                .headers(headers -> headers.put("Authorization", "Bearer " + workerKey))
-                .body(new StringRequestContent("application/json", body))
-                .onRequestBegin(started -> {
-                    if (EventLoop.nowMicros() > run.sendDeadline()) {
-                        started.abort(new TimeoutException("it would leave too late"));
+                new StreamRecordDecoder(maxLineBytes, record -> listener.onRecord(operationId, record));
+        final Request request = newRequest(attempt)
+                .onRequestBegin(beginning -> {
+                    if (EventLoop.nowMicros() > attempt.sendDeadline()) {
+                        beginning.abort(new TimeoutException("it would leave too late"));
                     } else {
-                        begun.set(true);
+                        sent.set(true);
                     }
                 })
                 .onResponseHeaders(response -> {
-                    if (response.getStatus() == 200) {
-                        listener.onStarted(run.operationId());
+                    if (response.getStatus() == HttpStatus.OK_200) {
+                        listener.onStarted(operationId);
                     }
                 })
                 .onResponseContent((response, bytes) -> {
-                    if (response.getStatus() == 200) {
+                    if (response.getStatus() == HttpStatus.OK_200) {
                         decoder.decode(bytes);
                     }
-                })
-                .timeout(10, TimeUnit.MINUTES);
-        requestsByOperation.put(run.operationId(), request);
+                });
+        requestsByOperation.put(operationId, request);
         request.send(result -> {
-            requestsByOperation.remove(run.operationId());
-            final int status = result.getResponse().getStatus();
-            final boolean rejected = result.getResponseFailure() == null
-                    && status == 503
-                    && "no".equals(result.getResponse().getHeaders().get("X-Started"));
-            listener.onEnded(
-                    run.operationId(),
-                    begun.get() && !rejected,
-                    result.isFailed() ? "" + result.getFailure().getMessage() : "status " + status);
+            requestsByOperation.remove(operationId);
+            listener.onEnded(operationId, sent.get() && !isRejected(result), describe(result));
         });
     }
 
-    /** Drops a run. */
+    /** Cancels a run and closes its connection; does nothing if it has ended. */
     public void cancel(final long operationId) {
-        java.util.Optional.ofNullable(requestsByOperation.remove(operationId))
-                .ifPresent(request -> request.abort(new java.util.concurrent.CancellationException("cut")));
+        Optional.ofNullable(requestsByOperation.remove(operationId))
+                .ifPresent(request -> request.abort(new CancellationException("cut")));
+    }
+
+    private Request newRequest(final DispatchEffect.StartAttempt attempt) {
+        return httpClient
+                .newRequest(URI.create("http://" + attempt.address() + "/v1/runs"))
+                .method("POST")
+                .headers(headers -> headers.put("Authorization", "Bearer " + workerKey))
+                .body(new StringRequestContent("application/json", body(attempt)))
+                .timeout(RUN_TIMEOUT_MINUTES, TimeUnit.MINUTES);
+    }
+
+    private static String body(final DispatchEffect.StartAttempt attempt) {
+        return JsonDocument.write(Map.of(
+                "ticket", attempt.requestId(),
+                "run", attempt.attemptId(),
+                "tenant", attempt.tenant(),
+                "kind", attempt.kind(),
+                "prefix", attempt.prefixDigests(),
+                "prompt", attempt.prompt()));
+    }
+
+    /** Whether the worker says that it has not started the run and will not. */
+    private static boolean isRejected(final Result result) {
+        return result.getResponseFailure() == null
+                && result.getResponse().getStatus() == HttpStatus.SERVICE_UNAVAILABLE_503
+                && "no".equals(result.getResponse().getHeaders().get("X-Started"));
+    }
+
+    private static String describe(final Result result) {
+        return result.isFailed()
+                ? "" + result.getFailure().getMessage()
+                : "status " + result.getResponse().getStatus();
     }
 
-    /** A fault of the client. */
+    /** The client's threads can't be started. */
     public static final class WorkerRunClientException extends Exception {
-        /** What caused it. */
+        /** With what the HTTP client threw. */
         public WorkerRunClientException(final Throwable cause) {
             super("the client for workers can't start: " + cause.getMessage(), cause);
         }
--- a/server/src/test/java/silverlatch/server/workerclient/WorkerRunClientTest.java
+++ b/server/src/test/java/silverlatch/server/workerclient/WorkerRunClientTest.java
@@ -74,7 +74,7 @@
                     "",
                     false,
                     () -> exchange.writeLines(
-                            StreamRecordDecoder.encode(new StreamRecord.Chunk("t", "t.1", 0, "hi")),
+                            StreamRecordEncoder.encode(new StreamRecord.Chunk("t", "t.1", 0, "hi")),
                             true,
                             () -> {},
                             () -> {}),
--- a/simulation/src/main/java/silverlatch/simulation/worker/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/worker/Main.java
@@ -26,7 +26,7 @@
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.web.ApiServer;
 import silverlatch.server.web.HttpExchange;
-import silverlatch.server.workerclient.StreamRecordDecoder;
+import silverlatch.server.workerclient.StreamRecordEncoder;
 
 /** A stand-in worker: reads prompts, keeps prefixes, streams pieces, seals, announces itself, and misbehaves on demand. */
 public final class Main {
@@ -217,7 +217,7 @@
                     "at",
                     System.currentTimeMillis()));
             exchange.writeLines(
-                    fault == WorkerFault.NOSEAL || fault == WorkerFault.DROP ? "" : StreamRecordDecoder.encode(trailer),
+                    fault == WorkerFault.NOSEAL || fault == WorkerFault.DROP ? "" : StreamRecordEncoder.encode(trailer),
                     true,
                     () -> {},
                     () -> {});
@@ -227,7 +227,7 @@
         final String chunkRequestId = fault == WorkerFault.FOREIGN && number == 1 ? requestId + "x" : requestId;
         final String text = fault == WorkerFault.GARBAGE && number == 1
                 ? "{nonsense\n"
-                : StreamRecordDecoder.encode(new StreamRecord.Chunk(
+                : StreamRecordEncoder.encode(new StreamRecord.Chunk(
                         chunkRequestId, attemptId, number, ExpectedResponse.chunk(prompt, number)));
         final String output = fault == WorkerFault.GAP && number == 1
                 ? ""
