--- a/server/src/main/java/silverlatch/server/gateway/DispatchLoop.java
+++ b/server/src/main/java/silverlatch/server/gateway/DispatchLoop.java
@@ -77,7 +77,7 @@
         withBoth((dispatcher, router) -> {
             dispatcher.update(snapshot, EventLoop.nowMicros());
             router.update(snapshot, EventLoop.nowMicros());
-            proxy.ifPresent(server -> router.limits().ifPresent(server::limits));
+            proxy.ifPresent(server -> router.limits().ifPresent(server::updateLimits));
         });
     }
 
--- a/server/src/main/java/silverlatch/server/gateway/Gateway.java
+++ b/server/src/main/java/silverlatch/server/gateway/Gateway.java
@@ -109,7 +109,7 @@
         workerClient.start();
         final MultiListenerServer httpServer = new MultiListenerServer(PROXY_THREADS);
         final ProxyServer proxy = createProxy(ProxyHeaderNames.DEFAULT, workerClient);
-        proxy.listener(httpServer.addListener(address, PROXY_HEADER_BYTES, PROXY_IDLE_TIMEOUT_MS, proxy));
+        proxy.setListener(httpServer.addListener(address, PROXY_HEADER_BYTES, PROXY_IDLE_TIMEOUT_MS, proxy));
         httpServer.start();
     }
 
--- /dev/null
+++ b/server/src/main/java/silverlatch/server/proxy/ClientResponse.java
@@ -0,0 +1,134 @@
+package silverlatch.server.proxy;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.Locale;
+import java.util.Set;
+import java.util.concurrent.CancellationException;
+import java.util.function.BooleanSupplier;
+import org.eclipse.jetty.http.HttpFields;
+import org.eclipse.jetty.http.HttpHeader;
+import org.eclipse.jetty.http.HttpMethod;
+import org.eclipse.jetty.http.HttpStatus;
+import org.eclipse.jetty.server.Response;
+import org.eclipse.jetty.util.Callback;
+
+/**
+ * The response to a client. Until it is committed, which is when its first bytes are handed to the client's connection, its head may
+ * be replaced as a whole; after that it can only be completed or aborted. Guarded by the lock of the {@link ProxiedRequest} that
+ * owns it.
+ */
+final class ClientResponse {
+    private static final double MICROS_PER_SECOND = 1e6;
+    private final Response response;
+    private final Callback callback;
+    private final BooleanSupplier isClosing;
+    private final boolean keepsStaleHead;
+    private boolean headSet;
+    private boolean committed;
+
+    /** A response without a head; the supplier tells whether the connection is to be closed after a response. */
+    ClientResponse(
+            final Response response,
+            final Callback callback,
+            final BooleanSupplier isClosing,
+            final Set<ProxySafeguard> disabledSafeguards) {
+        this.response = response;
+        this.callback = callback;
+        this.isClosing = isClosing;
+        this.keepsStaleHead = disabledSafeguards.contains(ProxySafeguard.HEAD_RESET);
+    }
+
+    boolean isCommitted() {
+        return committed;
+    }
+
+    /** Drops a head that an earlier attempt has set, if it can still be dropped. */
+    void resetHead() {
+        if (headSet && !committed && !keepsStaleHead) {
+            response.reset();
+            headSet = false;
+        }
+    }
+
+    /** Sets the head of a worker's success, unless one is set already. */
+    void forwardHead(final int status, final HttpFields headers) {
+        if (headSet) {
+            return;
+        }
+        setHead(status, headers);
+        if (!response.getHeaders().contains(HttpHeader.CONTENT_LENGTH) && status != HttpStatus.NO_CONTENT_204) {
+            response.getHeaders().put(HttpHeader.TRANSFER_ENCODING, "chunked");
+        }
+    }
+
+    /** Writes a part of the body; the callback is called once, maybe on another thread. */
+    void write(final byte[] bytes, final boolean isLast, final Callback onWritten) {
+        committed = true;
+        response.write(isLast, ByteBuffer.wrap(bytes), onWritten);
+    }
+
+    /** Replies with a worker's failure as it is, and completes the response. */
+    void forwardFailure(final org.eclipse.jetty.client.Response failure, final byte[] body) {
+        committed = true;
+        setHead(failure.getStatus(), failure.getHeaders());
+        setContentLength(failure, body.length);
+        response.write(true, ByteBuffer.wrap(body), callback);
+    }
+
+    /** Replies with a text of the proxy's own, and completes the response; no Retry-After is sent for 0 microseconds. */
+    void replyText(final int status, final long retryAfterMicros, final String text) {
+        resetHead();
+        committed = true;
+        response.setStatus(status);
+        final HttpFields.Mutable headers = response.getHeaders();
+        if (retryAfterMicros > 0) {
+            headers.put(
+                    HttpHeader.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryAfterMicros / MICROS_PER_SECOND));
+        }
+        headers.put(HttpHeader.CONTENT_TYPE, "text/plain");
+        closeConnectionIfClosing();
+        response.write(true, ByteBuffer.wrap((text + "\n").getBytes(StandardCharsets.UTF_8)), callback);
+    }
+
+    /** Marks the committed and fully written response as complete. */
+    void complete() {
+        callback.succeeded();
+    }
+
+    /** Closes the client's connection without a complete response. */
+    void abort(final String reason) {
+        abort(new CancellationException(reason));
+    }
+
+    /** Closes the client's connection without a complete response. */
+    void abort(final Throwable failure) {
+        callback.failed(failure);
+    }
+
+    private void setHead(final int status, final HttpFields headers) {
+        headSet = true;
+        response.setStatus(status);
+        EndToEndHeaders.copy(headers, Set.of(), response.getHeaders());
+        final long length = headers.getLongField(HttpHeader.CONTENT_LENGTH);
+        if (length >= 0 && !headers.contains(HttpHeader.TRANSFER_ENCODING)) {
+            response.getHeaders().put(HttpHeader.CONTENT_LENGTH, length);
+        }
+        closeConnectionIfClosing();
+    }
+
+    /** A response to HEAD keeps the length that the worker named; one of 304 has neither body nor length. */
+    private void setContentLength(final org.eclipse.jetty.client.Response from, final int bodyBytes) {
+        if (from.getStatus() == HttpStatus.NOT_MODIFIED_304) {
+            response.getHeaders().remove(HttpHeader.CONTENT_LENGTH);
+        } else if (!HttpMethod.HEAD.asString().equals(response.getRequest().getMethod())) {
+            response.getHeaders().put(HttpHeader.CONTENT_LENGTH, bodyBytes);
+        }
+    }
+
+    private void closeConnectionIfClosing() {
+        if (isClosing.getAsBoolean()) {
+            response.getHeaders().put(HttpHeader.CONNECTION, "close");
+        }
+    }
+}
--- a/server/src/main/java/silverlatch/server/proxy/EventStreamSplitter.java
+++ b/server/src/main/java/silverlatch/server/proxy/EventStreamSplitter.java
@@ -2,13 +2,15 @@
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 
-/** Cuts a stream into whole events, and remembers the id of the last whole one. */
+/** Splits an event stream (text/event-stream) after complete events, and remembers the id of the last one. Used by one thread at a time. */
 final class EventStreamSplitter {
+    private static final String ID_FIELD = "id:";
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private String lastEventId = "";
 
-    /** Takes bytes of the stream, and gives those that end whole events. */
+    /** Takes bytes of the stream and returns all up to the end of the last complete event; empty if none is complete. */
     byte[] split(final byte[] bytes) {
         pending.writeBytes(bytes);
         final byte[] all = pending.toByteArray();
@@ -18,31 +20,34 @@
         }
         pending.reset();
         pending.write(all, end, all.length - end);
-        final String text = new String(all, 0, end, StandardCharsets.ISO_8859_1);
-        final int id = Math.max(
-                text.startsWith("id:") ? 0 : -1,
-                text.lastIndexOf("\nid:") + 1 > 0 ? text.lastIndexOf("\nid:") + 1 : -1);
-        if (id >= 0) {
-            lastEventId = text.substring(id + 3, text.indexOf('\n', id)).strip();
-        }
-        return java.util.Arrays.copyOf(all, end);
+        readLastEventId(new String(all, 0, end, StandardCharsets.ISO_8859_1));
+        return Arrays.copyOf(all, end);
     }
 
-    /** The id of the last whole event, or empty. */
+    /** The id of the last complete event that has one, or empty. */
     String lastEventId() {
         return lastEventId;
     }
 
-    /** What is left behind the last whole event. */
+    /** What came after the last complete event. */
     byte[] remainder() {
         return pending.toByteArray();
     }
 
+    private void readLastEventId(final String events) {
+        final int afterNewline = events.lastIndexOf("\n" + ID_FIELD) + 1;
+        if (afterNewline > 0 || events.startsWith(ID_FIELD)) {
+            final int value = afterNewline + ID_FIELD.length();
+            lastEventId = events.substring(value, events.indexOf('\n', value)).strip();
+        }
+    }
+
+    /** The position after the last empty line, or 0; lines end with LF or CR LF. */
     private static int endOfLastEvent(final byte[] all) {
         for (int i = all.length - 1; i > 0; i--) {
-            final boolean plain = all[i] == '\n' && all[i - 1] == '\n';
-            final boolean both = i > 2 && all[i] == '\n' && all[i - 1] == '\r' && all[i - 2] == '\n';
-            if (plain || both) {
+            final boolean endsWithTwoNewlines = all[i] == '\n' && all[i - 1] == '\n';
+            final boolean endsWithCarriageReturn = i > 2 && all[i] == '\n' && all[i - 1] == '\r' && all[i - 2] == '\n';
+            if (endsWithTwoNewlines || endsWithCarriageReturn) {
                 return i + 1;
             }
         }
--- a/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
+++ b/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
@@ -23,24 +23,34 @@
 import silverlatch.server.web.MultiListenerServer;
 import silverlatch.state.Value;
 
-/** Where requests come in by host and path: it reads them whole, and does what the router decides. */
+/**
+ * The HTTP handler for requests by host and path: it reads each request whole, hands it to the router, and carries out what the router
+ * decides. Handlers run on the threads of the HTTP server and block nothing; {@link #apply} is called on the router's event loop.
+ */
 public final class ProxyServer extends Handler.Abstract.NonBlocking {
-    private static final int MAX_BODY_BYTES = 32 << 20;
-    private static final long DEFAULT_DEADLINE_MS = 60_000;
+    private static final int BODY_BYTES_CEILING = 32 << 20;
+    private static final int DEFAULT_MAX_BODY_BYTES = 4 << 20;
     private static final long OVERLOAD_RETRY_MICROS = 500_000;
-    private static final int MAX_TOKENS = 10_000_000;
+    private static final long MICROS_PER_MILLI = 1_000L;
     private final ProxyHeaderNames headerNames;
-    private final WorkerHttpClient workerClient;
+    private final RoutedRequests routedRequests;
+    private final WorkerRequests workerRequests;
     private final Predicate<Consumer<Router>> routerLoop;
     private final Set<ProxySafeguard> disabledSafeguards;
     private final Map<Long, ProxiedRequest> requestsByCallId = new ConcurrentHashMap<>();
     private final AtomicLong lastCallId = new AtomicLong();
     private volatile Optional<MultiListenerServer.Listener> listener = Optional.empty();
     private volatile Optional<Value.RoutingConfiguration> limits = Optional.empty();
-    private volatile int maxBodyBytes = 4 << 20;
+    private volatile int maxBodyBytes = DEFAULT_MAX_BODY_BYTES;
     private volatile boolean closing;
 
-    /** A proxy under these names; the router's event loop runs what the router is to be told, or says that it is full. */
+    /**
+     * A proxy.
+     *
+     * @param headerNames  the names of its header fields
+     * @param workerClient the client that has been started, or will be before the first request; it is not stopped here
+     * @param routerLoop   runs a task with the router on the router's event loop, or returns false when its queue is full
+     */
     public ProxyServer(
             final ProxyHeaderNames headerNames,
             final WorkerHttpClient workerClient,
@@ -54,32 +64,38 @@
             final Predicate<Consumer<Router>> routerLoop,
             final Set<ProxySafeguard> disabledSafeguards) {
         this.headerNames = headerNames;
-        this.workerClient = workerClient;
+        this.routedRequests = new RoutedRequests(headerNames);
+        this.workerRequests = new WorkerRequests(workerClient, headerNames);
         this.routerLoop = routerLoop;
         this.disabledSafeguards = Set.copyOf(disabledSafeguards);
     }
 
-    /** How large a body may be from now on. */
-    public void maxBodyBytes(final int bytes) {
+    /** Sets how large a body may be, in bytes, until the next limits. */
+    void setMaxBodyBytes(final int bytes) {
         maxBodyBytes = bytes;
     }
 
-    /** The door at which clients come in; it follows the limits of the configuration in force. */
-    public void listener(final MultiListenerServer.Listener opened) {
+    /** Sets the listener at which clients connect; it follows the limits of the configuration in force. */
+    public void setListener(final MultiListenerServer.Listener opened) {
         listener = Optional.of(opened);
-        limits.ifPresent(now -> opened.updateLimits(now.maxHeaderBytes(), now.idleTimeoutMicros() / 1000));
+        limits.ifPresent(current -> updateListener(opened, current));
     }
 
-    /** Takes the limits of the configuration in force, also for connections that rest now. */
-    public void limits(final Value.RoutingConfiguration next) {
+    /** Applies the limits of the configuration in force, also to connections that are idle now. Called on the event loop. */
+    public void updateLimits(final Value.RoutingConfiguration next) {
         if (limits.filter(next::equals).isEmpty()) {
             limits = Optional.of(next);
-            maxBodyBytes = Math.min(MAX_BODY_BYTES, next.maxBodyBytes());
-            listener.ifPresent(at -> at.updateLimits(next.maxHeaderBytes(), next.idleTimeoutMicros() / 1000));
+            maxBodyBytes = Math.min(BODY_BYTES_CEILING, next.maxBodyBytes());
+            listener.ifPresent(opened -> updateListener(opened, next));
         }
     }
 
-    /** From now on every response ends its connection. */
+    private static void updateListener(
+            final MultiListenerServer.Listener opened, final Value.RoutingConfiguration configuration) {
+        opened.updateLimits(configuration.maxHeaderBytes(), configuration.idleTimeoutMicros() / MICROS_PER_MILLI);
+    }
+
+    /** Has every response close its connection from now on; requests are still served. */
     public void close() {
         closing = true;
     }
@@ -89,7 +105,7 @@
         final long contentLength = request.getLength();
         final int limitBytes = maxBodyBytes;
         if (contentLength > limitBytes) {
-            reject(response, callback, HttpStatus.PAYLOAD_TOO_LARGE_413, "larger than " + limitBytes + " bytes");
+            rejectTooLarge(response, callback, limitBytes);
         } else if (contentLength == 0) {
             admit(request, response, callback, new byte[0]);
         } else {
@@ -109,31 +125,70 @@
         if (failure instanceof TimeoutException || failure.getCause() instanceof TimeoutException) {
             reject(response, callback, HttpStatus.REQUEST_TIMEOUT_408, "it came too slowly");
         } else if (failure instanceof IllegalStateException) {
-            reject(response, callback, HttpStatus.PAYLOAD_TOO_LARGE_413, "larger than " + limitBytes + " bytes");
+            rejectTooLarge(response, callback, limitBytes);
         } else {
             reject(response, callback, HttpStatus.BAD_REQUEST_400, "cut short or not understood");
         }
     }
 
-    /** Does what the router decided. */
+    private static void rejectTooLarge(final Response response, final Callback callback, final int limitBytes) {
+        reject(response, callback, HttpStatus.PAYLOAD_TOO_LARGE_413, "larger than " + limitBytes + " bytes");
+    }
+
+    /** Rejects a request before it has an id, and closes its connection, on which more of it may come. */
+    private static void reject(
+            final Response response, final Callback callback, final int status, final String reason) {
+        response.setStatus(status);
+        response.getHeaders().put(HttpHeader.CONNECTION, "close");
+        Content.Sink.write(response, true, reason + "\n", callback);
+    }
+
+    private void admit(final Request request, final Response response, final Callback callback, final byte[] body) {
+        final Optional<String> requestId = routedRequests.requestId(request);
+        if (requestId.isEmpty()) {
+            reject(response, callback, HttpStatus.BAD_REQUEST_400, headerNames.requestId() + " is missing");
+            return;
+        }
+        final long callId = lastCallId.incrementAndGet();
+        final RoutedRequest routed = routedRequests.read(callId, requestId.get(), request);
+        final ClientResponse clientResponse = new ClientResponse(response, callback, () -> closing, disabledSafeguards);
+        requestsByCallId.put(callId, new ProxiedRequest(this, callId, requestId.get(), request, clientResponse, body));
+        request.addIdleTimeoutListener(timeout -> false);
+        request.addFailureListener(failure -> abandon(callId));
+        if (!postToRouter(router -> router.requestArrived(routed, EventLoop.nowMicros()))) {
+            rejectAsOverloaded(callId);
+        }
+    }
+
+    private void rejectAsOverloaded(final long callId) {
+        final RoutingEffect.Reject reject = new RoutingEffect.Reject(
+                callId, HttpStatus.SERVICE_UNAVAILABLE_503, OVERLOAD_RETRY_MICROS, "the event loop is full");
+        remove(callId).ifPresent(request -> request.reject(reject));
+    }
+
+    /** Carries out a decision of the router; one for a request that has ended does nothing. */
     public void apply(final RoutingEffect effect) {
         switch (effect) {
-            case RoutingEffect.StartAttempt s ->
-                find(s.callId()).ifPresentOrElse(r -> r.send(s), () -> postClientGone(s.callId()));
-            case RoutingEffect.Reject r -> remove(r.callId()).ifPresent(p -> p.reject(r));
-            case RoutingEffect.Fail f -> remove(f.callId()).ifPresent(p -> p.fail(f));
-            case RoutingEffect.ForwardResponse p -> remove(p.callId()).ifPresent(r -> r.pass(p.attemptId()));
-            case RoutingEffect.CancelAttempt c -> requestsByCallId.values().forEach(r -> r.cancel(c.attemptId()));
-            case RoutingEffect.Log l -> EventLog.write(l.event(), l.text());
+            case RoutingEffect.StartAttempt attempt ->
+                find(attempt.callId())
+                        .ifPresentOrElse(
+                                request -> request.startAttempt(attempt), () -> postClientGone(attempt.callId()));
+            case RoutingEffect.Reject reject -> remove(reject.callId()).ifPresent(request -> request.reject(reject));
+            case RoutingEffect.Fail fail -> remove(fail.callId()).ifPresent(request -> request.fail(fail));
+            case RoutingEffect.ForwardResponse forward ->
+                remove(forward.callId()).ifPresent(request -> request.forwardFailure(forward.attemptId()));
+            case RoutingEffect.CancelAttempt cancel ->
+                requestsByCallId.values().forEach(request -> request.cancelAttempt(cancel.attemptId()));
+            case RoutingEffect.Log entry -> EventLog.write(entry.event(), entry.text());
         }
     }
 
-    /** How many requests are under way. */
+    /** How many requests have no complete response yet. */
     public int openRequests() {
         return requestsByCallId.size();
     }
 
-    /** Forgets a request whose client is gone or was broken off. */
+    /** Forgets a request whose client is gone or whose response was aborted, and tells the router. */
     void abandon(final long callId) {
         remove(callId).ifPresent(gone -> postClientGone(callId));
     }
@@ -143,29 +198,25 @@
         requestsByCallId.remove(callId);
     }
 
-    /** Tells the router; where its event loop is full, the request's deadline ends what would be left over. */
-    boolean postToRouter(final Consumer<Router> event) {
-        return routerLoop.test(event);
+    /** Runs a task with the router on its event loop; where its queue is full, the request's deadline ends what is left over. */
+    boolean postToRouter(final Consumer<Router> task) {
+        return routerLoop.test(task);
     }
 
     Set<ProxySafeguard> disabledSafeguards() {
         return disabledSafeguards;
     }
 
-    boolean closing() {
-        return closing;
-    }
-
     ProxyHeaderNames headerNames() {
         return headerNames;
     }
 
-    WorkerHttpClient workerClient() {
-        return workerClient;
+    WorkerRequests workerRequests() {
+        return workerRequests;
     }
 
     private void postClientGone(final long callId) {
-        postToRouter(r -> r.clientDisconnected(callId, EventLoop.nowMicros()));
+        postToRouter(router -> router.clientDisconnected(callId, EventLoop.nowMicros()));
     }
 
     private Optional<ProxiedRequest> find(final long callId) {
@@ -175,61 +226,4 @@
     private Optional<ProxiedRequest> remove(final long callId) {
         return Optional.ofNullable(requestsByCallId.remove(callId));
     }
-
-    private void admit(final Request request, final Response response, final Callback callback, final byte[] body) {
-        final String requestId = header(request, headerNames.requestId()).orElse("");
-        if (requestId.isEmpty()) {
-            reject(response, callback, HttpStatus.BAD_REQUEST_400, headerNames.requestId() + " is missing");
-            return;
-        }
-        final long callId = lastCallId.incrementAndGet();
-        final RoutedRequest routed = toRoutedRequest(callId, requestId, request);
-        requestsByCallId.put(callId, new ProxiedRequest(this, callId, requestId, request, response, callback, body));
-        request.addIdleTimeoutListener(timeout -> false);
-        request.addFailureListener(fault -> abandon(callId));
-        if (!postToRouter(r -> r.requestArrived(routed, EventLoop.nowMicros()))) {
-            remove(callId)
-                    .ifPresent(r -> r.reject(new RoutingEffect.Reject(
-                            callId,
-                            HttpStatus.SERVICE_UNAVAILABLE_503,
-                            OVERLOAD_RETRY_MICROS,
-                            "the event loop is full")));
-        }
-    }
-
-    private RoutedRequest toRoutedRequest(final long callId, final String requestId, final Request request) {
-        final String[] counts =
-                header(request, headerNames.tokenCounts()).orElse("0,0").split(",");
-        return new RoutedRequest(
-                callId,
-                header(request, HttpHeader.HOST.asString()).orElse(""),
-                Request.getPathInContext(request),
-                requestId,
-                header(request, headerNames.deadline())
-                                .flatMap(ProxyHeaderNames::nonNegativeInteger)
-                                .orElse(DEFAULT_DEADLINE_MS)
-                        * 1000,
-                ProxyHeaderNames.promptParts(header(request, headerNames.promptParts())),
-                tokenCount(counts, 0),
-                tokenCount(counts, 1));
-    }
-
-    private static int tokenCount(final String[] counts, final int index) {
-        return index < counts.length
-                ? ProxyHeaderNames.nonNegativeInteger(counts[index])
-                        .map(n -> (int) Math.min(n, MAX_TOKENS))
-                        .orElse(0)
-                : 0;
-    }
-
-    private static Optional<String> header(final Request request, final String name) {
-        return Optional.ofNullable(request.getHeaders().get(name));
-    }
-
-    private static void reject(
-            final Response response, final Callback callback, final int status, final String reason) {
-        response.setStatus(status);
-        response.getHeaders().put(HttpHeader.CONNECTION, "close");
-        Content.Sink.write(response, true, reason + "\n", callback);
-    }
 }
--- a/server/src/main/java/silverlatch/server/proxy/WorkerExchange.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerExchange.java
@@ -3,13 +3,9 @@
 import java.io.ByteArrayOutputStream;
 import java.util.Optional;
 import java.util.concurrent.CancellationException;
-import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
-import org.eclipse.jetty.client.BytesRequestContent;
 import org.eclipse.jetty.client.Request;
 import org.eclipse.jetty.client.Response;
-import org.eclipse.jetty.http.HttpFields;
-import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.io.Content;
 import silverlatch.routing.FailurePoint;
 import silverlatch.routing.Router;
@@ -17,75 +13,55 @@
 import silverlatch.server.eventloop.EventLoop;
 
 /**
- * One sending of a request to one worker. It is sent once; what comes back is checked, handed to the request that it
- * feeds, and told to the router exactly once.
+ * One attempt of a request at one worker. The request is sent once; what comes back is checked and handed to the request that it
+ * feeds, and the outcome is reported to the router exactly once, unless the attempt is cancelled. Its handlers run on the threads
+ * of the HTTP client, one at a time.
  */
 final class WorkerExchange {
     private static final int MAX_FAILURE_BODY_BYTES = 256 << 10;
-    private static final int TIMEOUT_SLACK_MS = 1_000;
-    private static final int MAX_RANK = 9;
     private final ProxyServer proxy;
     private final ProxiedRequest owner;
-    private final RoutingEffect.StartAttempt send;
+    private final RoutingEffect.StartAttempt attempt;
+    private final boolean splitsEvents;
     private final AtomicBoolean requestStarted = new AtomicBoolean();
     private final AtomicBoolean finished = new AtomicBoolean();
     private final ByteArrayOutputStream failureBody = new ByteArrayOutputStream();
     private final EventStreamSplitter eventSplitter = new EventStreamSplitter();
     private final Request request;
     private Optional<Response> response = Optional.empty();
-    private WorkerResponseHead head = new WorkerResponseHead.Unusable("no head yet");
+    private WorkerResponseHead responseHead = new WorkerResponseHead.Unusable("no head yet");
     private boolean failureBodyTooLarge;
 
+    /** An attempt that is not sent yet; the last event id is empty unless a stream is resumed. */
     WorkerExchange(
             final ProxyServer proxy,
             final ProxiedRequest owner,
-            final RoutingEffect.StartAttempt send,
-            final org.eclipse.jetty.server.Request from,
+            final RoutingEffect.StartAttempt attempt,
+            final org.eclipse.jetty.server.Request clientRequest,
             final byte[] body,
             final String lastEventId) {
         this.proxy = proxy;
         this.owner = owner;
-        this.send = send;
-        final long timeLeftMs = send.timeout() / 1000;
-        request = proxy.workerClient()
-                .newRequest(send.address(), from.getMethod(), from.getHttpURI().getPathQuery())
-                .headers(to -> copyHeaders(from.getHeaders(), lastEventId, to))
+        this.attempt = attempt;
+        this.splitsEvents = attempt.stream() && !attempt.once();
+        this.request = proxy.workerRequests()
+                .create(attempt, clientRequest, body, lastEventId)
                 .onRequestBegin(sent -> requestStarted.set(true))
-                .onResponseHeaders(this::head)
-                .onResponseContentAsync(this::onContent)
-                .timeout(timeLeftMs + TIMEOUT_SLACK_MS, TimeUnit.MILLISECONDS)
-                .idleTimeout(timeLeftMs + TIMEOUT_SLACK_MS, TimeUnit.MILLISECONDS);
-        final HttpFields clientHeaders = from.getHeaders();
-        if (body.length > 0
-                || clientHeaders.contains(HttpHeader.CONTENT_LENGTH)
-                || clientHeaders.contains(HttpHeader.TRANSFER_ENCODING)) {
-            request.body(new BytesRequestContent(clientHeaders.get(HttpHeader.CONTENT_TYPE), body));
-        }
+                .onResponseHeaders(this::onHead)
+                .onResponseContentAsync(this::onContent);
     }
 
-    private void copyHeaders(final HttpFields from, final String lastEventId, final HttpFields.Mutable to) {
-        final ProxyHeaderNames headerNames = proxy.headerNames();
-        to.clear();
-        EndToEndHeaders.copy(from, headerNames.namesSetByProxy(), to);
-        to.put(headerNames.deadline(), "" + Math.max(1, send.timeout() / 1000));
-        to.put(headerNames.expectedWorker(), send.worker());
-        to.put(headerNames.priority(), "" + Math.min(MAX_RANK, send.rank()));
-        if (!lastEventId.isEmpty()) {
-            to.put("Last-Event-Id", lastEventId);
-        }
-    }
-
-    /** The router's number of this sending. */
+    /** The router's id of this attempt. */
     long attemptId() {
-        return send.attemptId();
+        return attempt.attemptId();
     }
 
-    /** Sends it. */
+    /** Sends the request. */
     void start() {
         request.send(result -> onComplete(result.isSucceeded()));
     }
 
-    /** Gives it up; nothing of it is passed on or told from now on, and its connection is closed. */
+    /** Cancels the attempt: nothing of it is forwarded or reported from now on, and its connection is closed. */
     void cancel() {
         if (finished.compareAndSet(false, true)) {
             request.abort(new CancellationException("given up"));
@@ -97,68 +73,73 @@
         return response;
     }
 
-    /** The body of a response that is a failure. */
+    /** The body of a response that is a failure; complete when the router was told of the response. */
     byte[] failureBody() {
         return failureBody.toByteArray();
     }
 
-    private void head(final Response from) {
+    private void onHead(final Response from) {
         response = Optional.of(from);
-        head = WorkerResponseHead.read(
+        responseHead = WorkerResponseHead.read(
                 proxy.disabledSafeguards(),
                 proxy.headerNames(),
                 owner.requestId(),
                 owner.method(),
                 from.getStatus(),
                 from.getHeaders());
-        if (head instanceof WorkerResponseHead.Unusable unusable) {
+        if (responseHead instanceof WorkerResponseHead.Unusable unusable) {
             from.abort(new CancellationException(unusable.reason()));
             return;
         }
-        if (isSuccess() && !finished.get() && owner.begin(this, from.getStatus(), from.getHeaders())) {
-            final Optional<Router.ReportedLoad> load = parseWorkerLoad(from);
-            proxy.postToRouter(router -> router.responseStarted(send.attemptId(), load, EventLoop.nowMicros()));
+        if (isSuccess() && !finished.get() && owner.forwardHead(this, from.getStatus(), from.getHeaders())) {
+            final Optional<Router.ReportedLoad> load = reportedLoad(from);
+            proxy.postToRouter(router -> router.responseStarted(attemptId(), load, EventLoop.nowMicros()));
         }
     }
 
-    private void onContent(final Response from, final Content.Chunk chunk, final Runnable more) {
+    private void onContent(final Response from, final Content.Chunk chunk, final Runnable demandMore) {
         final byte[] bytes = new byte[chunk.remaining()];
         chunk.getByteBuffer().get(bytes);
-        if (finished.get() || head instanceof WorkerResponseHead.Unusable) {
-            more.run();
+        if (finished.get() || responseHead instanceof WorkerResponseHead.Unusable) {
+            demandMore.run();
         } else if (isSuccess()) {
-            passContent(bytes, more);
+            forwardContent(bytes, demandMore);
         } else {
-            failureBodyTooLarge |= failureBody.size() + bytes.length > MAX_FAILURE_BODY_BYTES;
-            if (!failureBodyTooLarge) {
-                failureBody.writeBytes(bytes);
-            }
-            more.run();
+            keepFailureBody(bytes);
+            demandMore.run();
         }
     }
 
-    private void passContent(final byte[] bytes, final Runnable more) {
-        final byte[] ready = send.stream() && !send.once() ? eventSplitter.split(bytes) : bytes;
+    /** Of a stream that may be resumed only complete events are forwarded; more is read once they are written. */
+    private void forwardContent(final byte[] bytes, final Runnable demandMore) {
+        final byte[] ready = splitsEvents ? eventSplitter.split(bytes) : bytes;
         if (ready.length == 0) {
-            more.run();
+            demandMore.run();
             return;
         }
-        proxy.postToRouter(router -> router.eventForwarded(send.attemptId(), EventLoop.nowMicros()));
-        if (!owner.pass(this, ready, eventSplitter.lastEventId(), more)) {
-            more.run();
+        proxy.postToRouter(router -> router.eventForwarded(attemptId(), EventLoop.nowMicros()));
+        if (!owner.forwardBody(this, ready, eventSplitter.lastEventId(), demandMore)) {
+            demandMore.run();
         }
     }
 
-    private void onComplete(final boolean succeeded) {
+    private void keepFailureBody(final byte[] bytes) {
+        failureBodyTooLarge |= failureBody.size() + bytes.length > MAX_FAILURE_BODY_BYTES;
+        if (!failureBodyTooLarge) {
+            failureBody.writeBytes(bytes);
+        }
+    }
+
+    private void onComplete(final boolean isSucceeded) {
         if (!finished.compareAndSet(false, true)) {
             return;
         }
-        if (!succeeded) {
+        if (!isSucceeded) {
             reportBroken();
             return;
         }
-        switch (head) {
-            case WorkerResponseHead.Success success -> owner.finish(this, eventSplitter.remainder());
+        switch (responseHead) {
+            case WorkerResponseHead.Success success -> owner.forwardEnd(this, eventSplitter.remainder());
             case WorkerResponseHead.NotExecuted notExecuted -> reportFailed(FailurePoint.NOT_RUN);
             case WorkerResponseHead.Misdirected misdirected -> reportFailed(FailurePoint.STRANGER);
             case WorkerResponseHead.Failure failure -> reportFailureResponse();
@@ -167,34 +148,38 @@
     }
 
     private void reportFailureResponse() {
-        if (owner.committed() || failureBodyTooLarge) {
+        if (owner.isCommitted() || failureBodyTooLarge) {
             reportBroken();
             return;
         }
         response.ifPresent(from -> {
-            final Optional<Router.ReportedLoad> load = parseWorkerLoad(from);
+            final Optional<Router.ReportedLoad> load = reportedLoad(from);
             proxy.postToRouter(
-                    router -> router.errorResponse(send.attemptId(), from.getStatus(), load, EventLoop.nowMicros()));
+                    router -> router.errorResponse(attemptId(), from.getStatus(), load, EventLoop.nowMicros()));
         });
     }
 
+    /** A request that has begun to leave may have been executed. */
     private void reportBroken() {
-        final FailurePoint sent = owner.committed() ? FailurePoint.BEGUN : FailurePoint.SENT;
-        final boolean known =
-                requestStarted.get() && !proxy.disabledSafeguards().contains(ProxySafeguard.SENT_MAY_HAVE_RUN);
-        reportFailed(known ? sent : FailurePoint.UNSENT);
+        final boolean mayBeExecuted =
+                requestStarted.get() && !proxy.disabledSafeguards().contains(ProxySafeguard.SENT_MAY_BE_EXECUTED);
+        if (mayBeExecuted) {
+            reportFailed(owner.isCommitted() ? FailurePoint.BEGUN : FailurePoint.SENT);
+        } else {
+            reportFailed(FailurePoint.UNSENT);
+        }
     }
 
     private void reportFailed(final FailurePoint point) {
-        proxy.postToRouter(router -> router.attemptFailed(send.attemptId(), point, EventLoop.nowMicros()));
+        proxy.postToRouter(router -> router.attemptFailed(attemptId(), point, EventLoop.nowMicros()));
     }
 
     private boolean isSuccess() {
-        return head instanceof WorkerResponseHead.Success;
+        return responseHead instanceof WorkerResponseHead.Success;
     }
 
-    private Optional<Router.ReportedLoad> parseWorkerLoad(final Response from) {
-        return ProxyHeaderNames.workerLoad(
-                Optional.ofNullable(from.getHeaders().get(proxy.headerNames().workerLoad())));
+    private Optional<Router.ReportedLoad> reportedLoad(final Response from) {
+        return Optional.ofNullable(from.getHeaders().get(proxy.headerNames().workerLoad()))
+                .flatMap(HeaderValues::workerLoad);
     }
 }
--- /dev/null
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerRequests.java
@@ -0,0 +1,72 @@
+package silverlatch.server.proxy;
+
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import org.eclipse.jetty.client.BytesRequestContent;
+import org.eclipse.jetty.client.Request;
+import org.eclipse.jetty.http.HttpFields;
+import org.eclipse.jetty.http.HttpHeader;
+import silverlatch.routing.RoutingEffect;
+
+/**
+ * Makes the request that a worker gets out of the client's: method, path, body and end-to-end headers unchanged, and the proxy's own
+ * headers set anew.
+ */
+final class WorkerRequests {
+    private static final String LAST_EVENT_ID = "Last-Event-Id";
+    private static final int TIMEOUT_SLACK_MS = 1_000;
+    private static final int LOWEST_PRIORITY = 9;
+    private static final long MICROS_PER_MILLI = 1_000L;
+    private final WorkerHttpClient client;
+    private final ProxyHeaderNames headerNames;
+    private final Set<String> namesSetByProxy;
+
+    WorkerRequests(final WorkerHttpClient client, final ProxyHeaderNames headerNames) {
+        this.client = client;
+        this.headerNames = headerNames;
+        this.namesSetByProxy = headerNames.namesSetByProxy();
+    }
+
+    /** A request that is not sent yet; one that resumes a stream names the last event that was forwarded, else the id is empty. */
+    Request create(
+            final RoutingEffect.StartAttempt attempt,
+            final org.eclipse.jetty.server.Request clientRequest,
+            final byte[] body,
+            final String lastEventId) {
+        final HttpFields clientHeaders = clientRequest.getHeaders();
+        final long timeLeftMs = attempt.timeout() / MICROS_PER_MILLI;
+        final Request request = client.newRequest(
+                        attempt.address(),
+                        clientRequest.getMethod(),
+                        clientRequest.getHttpURI().getPathQuery())
+                .headers(headers -> setHeaders(headers, clientHeaders, attempt, lastEventId))
+                .timeout(timeLeftMs + TIMEOUT_SLACK_MS, TimeUnit.MILLISECONDS)
+                .idleTimeout(timeLeftMs + TIMEOUT_SLACK_MS, TimeUnit.MILLISECONDS);
+        if (hasBody(clientHeaders, body)) {
+            request.body(new BytesRequestContent(clientHeaders.get(HttpHeader.CONTENT_TYPE), body));
+        }
+        return request;
+    }
+
+    private void setHeaders(
+            final HttpFields.Mutable headers,
+            final HttpFields clientHeaders,
+            final RoutingEffect.StartAttempt attempt,
+            final String lastEventId) {
+        headers.clear();
+        EndToEndHeaders.copy(clientHeaders, namesSetByProxy, headers);
+        headers.put(headerNames.deadline(), "" + Math.max(1, attempt.timeout() / MICROS_PER_MILLI));
+        headers.put(headerNames.expectedWorker(), attempt.worker());
+        headers.put(headerNames.priority(), "" + Math.min(LOWEST_PRIORITY, attempt.rank()));
+        if (!lastEventId.isEmpty()) {
+            headers.put(LAST_EVENT_ID, lastEventId);
+        }
+    }
+
+    /** An empty body is framed as one where the client's was. */
+    private static boolean hasBody(final HttpFields clientHeaders, final byte[] body) {
+        return body.length > 0
+                || clientHeaders.contains(HttpHeader.CONTENT_LENGTH)
+                || clientHeaders.contains(HttpHeader.TRANSFER_ENCODING);
+    }
+}
--- a/server/src/main/java/silverlatch/server/proxy/WorkerResponseHead.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerResponseHead.java
@@ -8,13 +8,13 @@
 
 /**
  * What the head of a worker's response means for the request that was sent. A head counts only if it echoes exactly the
- * attempt id that was sent: on a pooled connection it may otherwise belong to an earlier request.
+ * request id that was sent: on a pooled connection it may otherwise belong to an earlier request.
  */
 sealed interface WorkerResponseHead {
-    /** A success that bears the worker's seal and whose body shows by itself whether it is whole. */
+    /** A success that bears the worker's seal and whose body shows by itself whether it is complete. */
     record Success() implements WorkerResponseHead {}
 
-    /** The worker's own failure, to be passed on with its own status and seal. */
+    /** The worker's own failure, to be forwarded with its own status and seal. */
     record Failure() implements WorkerResponseHead {}
 
     /** The worker says that it did not execute the request and never will. */
@@ -23,14 +23,14 @@
     /** Another worker has the address; it did not execute the request. */
     record Misdirected() implements WorkerResponseHead {}
 
-    /** Not a response to this request, or none that may be passed on; the request may have been executed. */
+    /** Not a response to this request, or none that may be forwarded; the request may have been executed. */
     record Unusable(String reason) implements WorkerResponseHead {}
 
-    /** The statuses by which a client takes it that the request was not executed. */
+    /** The statuses that tell a client that the request was not executed and may be retried. */
     Set<Integer> RETRYABLE_STATUSES = Set.of(
             HttpStatus.REQUEST_TIMEOUT_408, HttpStatus.TOO_MANY_REQUESTS_429, HttpStatus.SERVICE_UNAVAILABLE_503);
 
-    /** Reads the head of a response to a request with this attempt id and method. */
+    /** Reads the head of a response to a request with this request id and method. */
     static WorkerResponseHead read(
             final Set<ProxySafeguard> disabledSafeguards,
             final ProxyHeaderNames headerNames,
@@ -38,9 +38,9 @@
             final String method,
             final int status,
             final HttpFields headers) {
-        if (!disabledSafeguards.contains(ProxySafeguard.ATTEMPT_ID_ECHO)
+        if (!disabledSafeguards.contains(ProxySafeguard.REQUEST_ID_ECHO)
                 && !headers.getValuesList(headerNames.requestId()).equals(List.of(requestId))) {
-            return new Unusable("it does not echo the attempt id");
+            return new Unusable("it does not echo the request id");
         }
         if (status < HttpStatus.OK_200) {
             return new Unusable("an interim response");
@@ -55,8 +55,9 @@
         if (notExecuted && status != HttpStatus.BAD_REQUEST_400) {
             return new NotExecuted();
         }
-        return RETRYABLE_STATUSES.contains(status) && !disabledSafeguards.contains(ProxySafeguard.NOT_EXECUTED_WORD)
-                ? new Unusable("status " + status + " without the worker's word that it did not execute it")
+        return RETRYABLE_STATUSES.contains(status)
+                        && !disabledSafeguards.contains(ProxySafeguard.NOT_EXECUTED_STATEMENT)
+                ? new Unusable("status " + status + " without the worker's statement that it did not execute it")
                 : new Failure();
     }
 
@@ -83,7 +84,7 @@
                 : new Unusable("a body whose end cannot be told from a broken connection");
     }
 
-    /** Whether a body that ends early can be told from a whole one. */
+    /** Whether a body that ends early can be told from a complete one. */
     private static boolean isSelfDelimited(final String method, final int status, final HttpFields headers) {
         final boolean hasContentLength = headers.contains(HttpHeader.CONTENT_LENGTH);
         final boolean hasTransferEncoding = headers.contains(HttpHeader.TRANSFER_ENCODING);
--- a/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
@@ -162,7 +162,7 @@
             });
             return true;
         }));
-        proxy.get().maxBodyBytes(4_096);
+        proxy.get().setMaxBodyBytes(4_096);
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             port = socket.getLocalPort();
         }
@@ -585,16 +585,16 @@
     void aConnectionMayBeIdleAsLongAsTheLimitInForceAllows() throws Exception {
         doors.stop();
         doors = new MultiListenerServer(8);
-        proxy.get().listener(doors.addListener("127.0.0.1:" + port, 8_192, 200, proxy.get()));
+        proxy.get().setListener(doors.addListener("127.0.0.1:" + port, 8_192, 200, proxy.get()));
         doors.start();
         startWorker(request -> good(request) + "Content-Length: 2\r\n\r\nok");
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(10_000);
             assertThat(exchange(socket, "t-1"), startsWith("HTTP/1.1 200"));
-            proxy.get().limits(new Value.RoutingConfiguration(2, 8_192, 4_096, 1_000_000, 4_000_000));
+            proxy.get().updateLimits(new Value.RoutingConfiguration(2, 8_192, 4_096, 1_000_000, 4_000_000));
             Thread.sleep(1_500);
             assertThat(exchange(socket, "t-2"), startsWith("HTTP/1.1 200"));
-            proxy.get().limits(new Value.RoutingConfiguration(3, 8_192, 4_096, 1_000_000, 100_000));
+            proxy.get().updateLimits(new Value.RoutingConfiguration(3, 8_192, 4_096, 1_000_000, 100_000));
             Thread.sleep(80);
             assertThat(exchange(socket, "t-3"), startsWith("HTTP/1.1 200"));
             assertThat(socket.getInputStream().read(), is(-1));
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
@@ -63,12 +63,12 @@
 
     @ParameterizedTest
     @CsvSource({
-        "ATTEMPT_ID_ECHO, MIXED",
-        "SENT_MAY_HAVE_RUN, TWICE",
+        "REQUEST_ID_ECHO, MIXED",
+        "SENT_MAY_BE_EXECUTED, TWICE",
         "LEFTOVER_BYTES, REUSED",
         "SELF_DELIMITED_BODY, MIXED",
-        "NOT_EXECUTED_WORD, REFUSED",
-        "WHOLE_HEAD, MIXED",
+        "NOT_EXECUTED_STATEMENT, REFUSED",
+        "HEAD_RESET, MIXED",
         "SEAL, MIXED"
     })
     void theCheckerDetectsADisabledSafeguard(final ProxySafeguard safeguard, final String rule) throws Exception {
