--- a/server/src/main/java/silverlatch/server/settings/Intervals.java
+++ b/server/src/main/java/silverlatch/server/settings/Intervals.java
@@ -6,77 +6,84 @@
 import silverlatch.json.JsonDocument;
 import silverlatch.membership.Membership;
 
-/** How often the daemons speak to each other and their duties beat; times in microseconds. */
+/**
+ * How often the processes of a cluster speak to each other; times in microseconds.
+ *
+ * @param nodeTick     the tick of a node's event loop
+ * @param dispatchTick the tick of the event loop that dispatches a gateway's requests
+ */
 public record Intervals(Membership.Settings membership, Gossip.Settings gossip, long nodeTick, long dispatchTick) {
-    /** What holds when nothing is said. */
+    /** The defaults. */
     public static final Intervals DEFAULTS =
             new Intervals(Membership.Settings.DEFAULTS, Gossip.Settings.DEFAULTS, 20_000L, 20_000L);
-    /** What suits a large fleet whose workers announce to controllers. */
+
+    /** The defaults for a large cluster, whose workers announce themselves to controllers. */
     public static final Intervals LARGE_FLEET =
             new Intervals(Membership.Settings.LARGE_FLEET, Gossip.Settings.LARGE_FLEET, 50_000L, 50_000L);
 
-    /** Reads the rates; where workers announce to controllers, quiet ones hold when nothing is said. */
+    private static final String EVERYWHERE = "everywhere";
+    private static final String CONTROLLERS = "controllers";
+    private static final int MAX_WORD_LENGTH = 16;
+    private static final int MIN_HEARTBEATS_BEFORE_SUSPICION = 2;
+    private static final int MIN_PULLS_BEFORE_SILENCE = 8;
+
+    /** Reads intervals; what is wrong with them together is added to the faults, what is wrong with one is noted in the document. */
     static Intervals read(final JsonDocument document, final List<String> faults) {
-        final String announceTo = document.string("announce", 16, "everywhere");
-        if (!announceTo.equals("everywhere") && !announceTo.equals("controllers")) {
+        final String announceTo = document.string("announce", MAX_WORD_LENGTH, EVERYWHERE);
+        if (!announceTo.equals(EVERYWHERE) && !announceTo.equals(CONTROLLERS)) {
             faults.add("announce: 'everywhere' or 'controllers' is needed, not '" + announceTo + "'");
         }
-        final boolean toControllers = announceTo.equals("controllers");
+        final boolean toControllers = announceTo.equals(CONTROLLERS);
         final Intervals defaults = toControllers ? LARGE_FLEET : DEFAULTS;
-        final long silentAfter = document.integer(
-                "silent", 2_000_000L, 600_000_000L, WorkerReporting.ToControllers.DEFAULTS.silenceTimeout());
-        final long forgetAfter = document.integer(
-                "forget", 5_000_000L, 3_600_000_000L, WorkerReporting.ToControllers.DEFAULTS.retention());
+        final WorkerReporting reporting = readReporting(document, toControllers);
         final Intervals intervals = new Intervals(
-                new Membership.Settings(
-                        document.integer(
-                                "heartbeat",
-                                50_000L,
-                                10_000_000L,
-                                defaults.membership().heartbeatInterval()),
-                        document.integer(
-                                "miss",
-                                200_000L,
-                                60_000_000L,
-                                defaults.membership().suspicionTimeout()),
-                        document.integer(
-                                "bury",
-                                200_000L,
-                                600_000_000L,
-                                defaults.membership().deathTimeout()),
-                        document.integer(
-                                "hail",
-                                100_000L,
-                                60_000_000L,
-                                defaults.membership().joinInterval()),
-                        defaults.membership().fullHeartbeatEvery()),
-                new Gossip.Settings(
-                        document.integer(
-                                "pullPurser",
-                                50_000L,
-                                10_000_000L,
-                                defaults.gossip().gatewayPullInterval()),
-                        document.integer(
-                                "pullHarbor",
-                                50_000L,
-                                2_000_000L,
-                                defaults.gossip().controllerPullInterval()),
-                        toControllers
-                                ? new WorkerReporting.ToControllers(silentAfter, forgetAfter, (int) document.integer(
-                                        "asks", 1, 10_000, WorkerReporting.ToControllers.DEFAULTS.maxPullsPerSecond()))
-                                : new WorkerReporting.ToAnyNode()),
+                readMembership(document, defaults.membership()),
+                readGossip(document, defaults.gossip(), reporting),
                 document.integer("deck", 1_000L, 200_000L, defaults.nodeTick()),
                 document.integer("carry", 1_000L, 200_000L, defaults.dispatchTick()));
-        if (intervals.membership().suspicionTimeout()
-                < 2 * intervals.membership().heartbeatInterval()) {
+        intervals.check(faults);
+        return intervals;
+    }
+
+    /** The times may be given also where workers announce themselves to any node; there they have no effect. */
+    private static WorkerReporting readReporting(final JsonDocument document, final boolean toControllers) {
+        final WorkerReporting.ToControllers defaults = WorkerReporting.ToControllers.DEFAULTS;
+        final long silenceTimeout = document.integer("silent", 2_000_000L, 600_000_000L, defaults.silenceTimeout());
+        final long retention = document.integer("forget", 5_000_000L, 3_600_000_000L, defaults.retention());
+        return toControllers
+                ? new WorkerReporting.ToControllers(silenceTimeout, retention, (int)
+                        document.integer("asks", 1, 10_000, defaults.maxPullsPerSecond()))
+                : new WorkerReporting.ToAnyNode();
+    }
+
+    private static Membership.Settings readMembership(final JsonDocument document, final Membership.Settings defaults) {
+        return new Membership.Settings(
+                document.integer("heartbeat", 50_000L, 10_000_000L, defaults.heartbeatInterval()),
+                document.integer("miss", 200_000L, 60_000_000L, defaults.suspicionTimeout()),
+                document.integer("bury", 200_000L, 600_000_000L, defaults.deathTimeout()),
+                document.integer("hail", 100_000L, 60_000_000L, defaults.joinInterval()),
+                defaults.fullHeartbeatEvery());
+    }
+
+    private static Gossip.Settings readGossip(
+            final JsonDocument document, final Gossip.Settings defaults, final WorkerReporting reporting) {
+        return new Gossip.Settings(
+                document.integer("pullPurser", 50_000L, 10_000_000L, defaults.gatewayPullInterval()),
+                document.integer("pullHarbor", 50_000L, 2_000_000L, defaults.controllerPullInterval()),
+                reporting);
+    }
+
+    private void check(final List<String> faults) {
+        if (membership.suspicionTimeout() < MIN_HEARTBEATS_BEFORE_SUSPICION * membership.heartbeatInterval()) {
             faults.add("miss: at least two heartbeats are needed");
         }
-        if (toControllers && forgetAfter <= silentAfter) {
-            faults.add("forget: it comes after silent");
-        }
-        if (toControllers && silentAfter < 8 * intervals.gossip().controllerPullInterval()) {
-            faults.add("silent: at least eight times pullHarbor is needed");
+        if (gossip.reporting() instanceof WorkerReporting.ToControllers reporting) {
+            if (reporting.retention() <= reporting.silenceTimeout()) {
+                faults.add("forget: it comes after silent");
+            }
+            if (reporting.silenceTimeout() < MIN_PULLS_BEFORE_SILENCE * gossip.controllerPullInterval()) {
+                faults.add("silent: at least eight times pullHarbor is needed");
+            }
         }
-        return intervals;
     }
 }
