--- a/server/src/main/java/silverlatch/server/transport/PeerConnection.java
+++ b/server/src/main/java/silverlatch/server/transport/PeerConnection.java
@@ -19,13 +19,25 @@
 import silverlatch.wire.Message;
 
 /**
- * Frames to one address. Nothing here is promised: what waited too long for a connection is dropped. The peer acknowledges what it read
- * by a byte on the same connection; one that is not acknowledged in time is dropped, for behind a cut nothing tells
- * that it hangs. A large frame gets time for its reader: two seconds a megabyte.
+ * Sends frames to one address over a connection that is made when there is a frame and closed when it is idle. Nothing here is
+ * promised: frames that waited too long for a connection are dropped. The peer acknowledges what it read by single bytes on
+ * the same connection; one that doesn't in time is given up, as behind a network partition nothing else tells that it hangs. A large
+ * frame gives its reader more time, two seconds a megabyte.
+ *
+ * <p>{@link #offer} and {@link #stop} may be called from any thread; a thread of its own sends.
  */
 final class PeerConnection {
     private static final long INITIAL_BACKOFF_MICROS = 50_000L;
     private static final long NEVER = Long.MAX_VALUE;
+    private static final int INITIAL_QUEUE_CAPACITY = 16;
+    private static final int BUFFER_BYTES = 16 << 10;
+    private static final long MICROS_PER_MS = 1_000;
+
+    /** The time that a large frame gives its reader: two seconds a megabyte. */
+    private static final long GRACE_MICROS_PER_BYTE = 2;
+
+    private static final int KEEP_ALIVE_SECONDS = 1;
+    private static final int KEEP_ALIVE_PROBES = 2;
     private final String address;
     private final CodecPool codecs;
     private final Limits limits;
@@ -41,10 +53,10 @@
     private long connectedAt;
     private long backoff = INITIAL_BACKOFF_MICROS;
 
-    /** How many frames may wait; all else in microseconds. */
+    /** How many frames may be queued; the times are in microseconds. */
     record Limits(
             int maxQueued, long connectTimeout, long ackTimeout, long maxQueueAge, long idleTimeout, long maxBackoff) {
-        /** The times that hold when nothing is said. */
+        /** The limits in use. */
         static final Limits DEFAULTS = new Limits(256, 500_000L, 1_500_000L, 1_000_000L, 20_000_000L, 500_000L);
     }
 
@@ -60,19 +72,20 @@
         this.droppedFrames = droppedFrames;
         this.connectionsMade = connectionsMade;
         this.queue = new PriorityBlockingQueue<>(
-                16, Comparator.comparing(QueuedFrame::isBulk).thenComparingLong(QueuedFrame::sequence));
+                INITIAL_QUEUE_CAPACITY,
+                Comparator.comparing(QueuedFrame::isBulk).thenComparingLong(QueuedFrame::sequence));
     }
 
-    /** Starts to send. */
+    /** Starts the thread that sends. */
     void start() {
         TransportThreads.start("peer-connection", this::run);
     }
 
-    /** Queues a frame, or drops it when the queue is full. */
+    /** Queues a frame, or drops it where the queue is full; closes a connection whose acknowledgement is overdue. */
     void offer(final Frame frame) {
         final long now = EventLoop.nowMicros();
         if (now - limits.ackTimeout() > unacknowledgedSince && now > graceUntil) {
-            openSocket.filter(s -> !readAcknowledgements(s)).ifPresent(PeerConnection::close);
+            openSocket.filter(socket -> !readAcknowledgements(socket)).ifPresent(Transport::close);
         }
         if (queue.size() >= limits.maxQueued()) {
             droppedFrames.incrementAndGet();
@@ -81,10 +94,10 @@
         queue.add(new QueuedFrame(frame, now, !Message.urgent(frame.body()), lastSequence.incrementAndGet()));
     }
 
-    /** Ends. */
+    /** Closes the connection; nothing is sent any more. */
     void stop() {
         stopped = true;
-        openSocket.ifPresent(PeerConnection::close);
+        openSocket.ifPresent(Transport::close);
     }
 
     private void run() {
@@ -115,11 +128,12 @@
     private void send(final Socket socket, final QueuedFrame first) throws IOException, InterruptedException {
         socket.setTcpNoDelay(true);
         enableKeepAlive(socket);
-        socket.connect(Transport.parseAddress(address), (int) (limits.connectTimeout() / 1000));
+        socket.connect(Transport.parseAddress(address), (int) (limits.connectTimeout() / MICROS_PER_MS));
         connectionsMade.incrementAndGet();
         connectedAt = EventLoop.nowMicros();
         openSocket = Optional.of(socket);
-        final DataOutputStream out = new DataOutputStream(new BufferedOutputStream(socket.getOutputStream(), 16 << 10));
+        final DataOutputStream out =
+                new DataOutputStream(new BufferedOutputStream(socket.getOutputStream(), BUFFER_BYTES));
         Optional<QueuedFrame> next = Optional.of(first);
         while (!stopped && next.isPresent()) {
             if (!dropIfStale(next.get())) {
@@ -135,8 +149,8 @@
             unacknowledgedSince = EventLoop.nowMicros();
         }
         isWriting = true;
-        graceUntil = bytes.length > Transport.CHUNK_BYTES
-                ? EventLoop.nowMicros() + limits.ackTimeout() + 2L * bytes.length
+        graceUntil = bytes.length > FrameReader.CHUNK_BYTES
+                ? EventLoop.nowMicros() + limits.ackTimeout() + GRACE_MICROS_PER_BYTE * bytes.length
                 : graceUntil;
         out.writeInt(bytes.length);
         out.write(bytes);
@@ -146,7 +160,7 @@
         isWriting = false;
     }
 
-    /** Reads what the peer acknowledged, without waiting; whether there was any. */
+    /** Reads the acknowledgements that have arrived, without waiting; false where there is none. */
     private synchronized boolean readAcknowledgements(final Socket socket) {
         try {
             final InputStream in = socket.getInputStream();
@@ -163,7 +177,7 @@
         }
     }
 
-    /** Whether a frame waited too long for a connection; behind a large frame on a connection that gets on, it may wait. */
+    /** Drops a frame that waited too long for a connection. One that waits behind a large frame of a live connection isn't dropped. */
     private boolean dropIfStale(final QueuedFrame queued) {
         final boolean isStale =
                 queued.queuedAt() < connectedAt && EventLoop.nowMicros() - queued.queuedAt() > limits.maxQueueAge();
@@ -182,16 +196,16 @@
         backoff = Math.min(limits.maxBackoff(), backoff * 2);
     }
 
-    /** Lets the system probe an idle connection each second and give it up after three. */
+    /** Lets the operating system probe an idle connection each second and give it up after three. */
     static void enableKeepAlive(final Socket socket) throws IOException {
         socket.setKeepAlive(true);
         final Map<SocketOption<Integer>, Integer> options = Map.of(
                 ExtendedSocketOptions.TCP_KEEPIDLE,
-                1,
+                KEEP_ALIVE_SECONDS,
                 ExtendedSocketOptions.TCP_KEEPINTERVAL,
-                1,
+                KEEP_ALIVE_SECONDS,
                 ExtendedSocketOptions.TCP_KEEPCOUNT,
-                2);
+                KEEP_ALIVE_PROBES);
         for (final Map.Entry<SocketOption<Integer>, Integer> option : options.entrySet()) {
             if (socket.supportedOptions().contains(option.getKey())) {
                 socket.setOption(option.getKey(), option.getValue());
@@ -199,14 +213,6 @@
         }
     }
 
-    private static void close(final Socket socket) {
-        try {
-            socket.close();
-        } catch (final IOException e) {
-            Thread.yield();
-        }
-    }
-
-    /** A frame that waits since a time; urgent ones go first, and otherwise those that came first. */
+    /** A frame that waits since a time; bulk frames wait for all others, and otherwise the order is that of their arrival. */
     private record QueuedFrame(Frame frame, long queuedAt, boolean isBulk, long sequence) {}
 }
--- a/server/src/main/java/silverlatch/server/transport/Transport.java
+++ b/server/src/main/java/silverlatch/server/transport/Transport.java
@@ -1,10 +1,7 @@
 package silverlatch.server.transport;
 
-import java.io.BufferedInputStream;
-import java.io.ByteArrayOutputStream;
-import java.io.DataInputStream;
+import java.io.Closeable;
 import java.io.IOException;
-import java.io.OutputStream;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -17,31 +14,32 @@
 import silverlatch.node.Event;
 import silverlatch.node.OutgoingFrame;
 import silverlatch.server.eventloop.EventLog;
-import silverlatch.server.eventloop.EventLoop;
 import silverlatch.util.Threads;
-import silverlatch.wire.Codec;
 import silverlatch.wire.CodecPool;
 import silverlatch.wire.Frame;
 
-/** Frames over TCP: one connection out to each address, and whoever connects in. A bad frame ends its connection only. */
+/**
+ * Sends and receives frames over TCP: one connection out to each address, and whatever connections come in. Frames may be lost. A
+ * malformed frame ends its connection only. Callable from any thread; received frames are handed over on the reader's thread.
+ */
 public final class Transport {
+    /** How many connections there may be each way. */
     private static final int MAX_CONNECTIONS = 1024;
-    private static final int READ_TIMEOUT_MS = 30_000;
-    static final int CHUNK_BYTES = 64 << 10;
-    private static final long ACK_INTERVAL_MICROS = 200_000L;
+
+    private static final int ACCEPT_BACKLOG = 256;
     private final String address;
     private final Consumer<Frame> sink;
     private final PeerConnection.Limits limits;
     private final CodecPool codecs = new CodecPool();
     private final Map<String, PeerConnection> connections = new ConcurrentHashMap<>();
     private final Semaphore readerSlots = new Semaphore(MAX_CONNECTIONS);
-    private final AtomicLong bad = new AtomicLong();
+    private final AtomicLong badFrames = new AtomicLong();
     private final AtomicLong droppedFrames = new AtomicLong();
     private final AtomicLong connectionsMade = new AtomicLong();
     private volatile Optional<ServerSocket> server = Optional.empty();
     private volatile boolean stopped;
 
-    /** A transport that hands what comes in to the sink. */
+    /** A transport that listens at IP:PORT once it is started, and hands received frames to the sink. */
     public Transport(final String address, final Consumer<Frame> sink) {
         this(address, sink, PeerConnection.Limits.DEFAULTS);
     }
@@ -52,22 +50,26 @@
         this.limits = limits;
     }
 
-    /** Splits an address. */
+    /** The socket address that IP:PORT names. */
     public static InetSocketAddress parseAddress(final String text) {
         final int colon = text.lastIndexOf(':');
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    /** Binds and starts to listen. */
+    /**
+     * Binds the address and starts the thread that accepts connections.
+     *
+     * @throws IOException if the address can't be bound
+     */
     public void start() throws IOException {
-        final ServerSocket server = new ServerSocket();
-        server.setReuseAddress(true);
-        server.bind(parseAddress(address), 256);
-        this.server = Optional.of(server);
-        Threads.startDaemon("transport", () -> listen(server));
+        final ServerSocket listener = new ServerSocket();
+        listener.setReuseAddress(true);
+        listener.bind(parseAddress(address), ACCEPT_BACKLOG);
+        this.server = Optional.of(listener);
+        Threads.startDaemon("transport-acceptor", () -> accept(listener));
     }
 
-    /** Sends a frame on its way; what can't go is dropped and counted. */
+    /** Queues a frame for its address; one that can't be sent is dropped and counted. Doesn't block. */
     public void send(final OutgoingFrame outgoing) {
         if (connections.size() >= MAX_CONNECTIONS && !connections.containsKey(outgoing.to())) {
             droppedFrames.incrementAndGet();
@@ -76,32 +78,26 @@
         connections.computeIfAbsent(outgoing.to(), this::connection).offer(outgoing.frame());
     }
 
-    /** How many frames could not be read. */
+    /** How many received frames were malformed. */
     public long bad() {
-        return bad.get();
+        return badFrames.get();
     }
 
-    /** How many frames could not be sent. */
+    /** How many frames could not be sent, and how many connections could not be made or accepted. */
     public long droppedFrames() {
         return droppedFrames.get();
     }
 
-    /** How often a connection to another was made. */
+    /** How many connections were made to other processes. */
     public long connectionsMade() {
         return connectionsMade.get();
     }
 
-    /** Ends. */
+    /** Closes all connections and the address; their threads end. */
     public void stop() {
         stopped = true;
         connections.values().forEach(PeerConnection::stop);
-        server.ifPresent(s -> {
-            try {
-                s.close();
-            } catch (final IOException e) {
-                droppedFrames.addAndGet(0);
-            }
-        });
+        server.ifPresent(Transport::close);
     }
 
     private PeerConnection connection(final String peerAddress) {
@@ -111,10 +107,10 @@
         return connection;
     }
 
-    private void listen(final ServerSocket server) {
+    private void accept(final ServerSocket listener) {
         while (!stopped) {
             try {
-                final Socket socket = server.accept();
+                final Socket socket = listener.accept();
                 if (readerSlots.tryAcquire()) {
                     TransportThreads.start("peer-reader", () -> read(socket));
                 } else {
@@ -126,64 +122,27 @@
         }
     }
 
-    private void read(final Socket accepted) {
-        try (Socket socket = accepted;
-                DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream(), 64 << 10))) {
-            socket.setTcpNoDelay(true);
-            socket.setSoTimeout(READ_TIMEOUT_MS);
-            long acknowledgedAt = EventLoop.nowMicros();
-            PeerConnection.enableKeepAlive(socket);
-            while (!stopped) {
-                final int size = in.readInt();
-                if (size <= 0 || size > Codec.MAX_BYTES) {
-                    bad(socket, "a length of " + size);
-                    return;
-                }
-                final byte[] bytes = readFrame(in, socket.getOutputStream(), size);
-                if (bytes.length < size) {
-                    return;
-                }
-                switch (codecs.decode(bytes, Frame.class)) {
-                    case Codec.DecodeResult.Decoded<Frame> good -> {
-                        if (in.available() < Integer.BYTES
-                                || EventLoop.nowMicros() - acknowledgedAt > ACK_INTERVAL_MICROS) {
-                            acknowledgedAt = EventLoop.nowMicros();
-                            socket.getOutputStream().write(1);
-                        }
-                        sink.accept(good.value());
-                    }
-                    case Codec.DecodeResult.Malformed<Frame> wrong -> {
-                        bad(socket, wrong.reason());
-                        return;
-                    }
-                }
-            }
+    private void read(final Socket socket) {
+        try {
+            new FrameReader(socket, codecs, sink, () -> stopped).run();
+        } catch (final MalformedFrameException e) {
+            badFrames.incrementAndGet();
+            EventLog.write(Event.BAD_FRAME, socket.getRemoteSocketAddress() + " " + e.getMessage());
         } catch (final IOException e) {
-            droppedFrames.addAndGet(0);
+            // The sender counts what was lost with the connection, and connects again.
+            return;
         } finally {
             readerSlots.release();
         }
     }
 
-    /** Reads a frame and acknowledges each part of a large one, so that its sender sees that it gets on. */
-    private static byte[] readFrame(final DataInputStream in, final OutputStream acknowledgements, final int size)
-            throws IOException {
-        final ByteArrayOutputStream frame = new ByteArrayOutputStream(Math.min(size, CHUNK_BYTES));
-        while (frame.size() < size) {
-            final byte[] chunk = in.readNBytes(Math.min(CHUNK_BYTES, size - frame.size()));
-            if (chunk.length == 0) {
-                break;
-            }
-            frame.write(chunk);
-            if (size > CHUNK_BYTES) {
-                acknowledgements.write(1);
-            }
+    /** Closes a socket that is given up. */
+    static void close(final Closeable closeable) {
+        try {
+            closeable.close();
+        } catch (final IOException e) {
+            // It is given up in any case.
+            return;
         }
-        return frame.toByteArray();
-    }
-
-    private void bad(final Socket socket, final String why) {
-        bad.incrementAndGet();
-        EventLog.write(Event.BAD_FRAME, socket.getRemoteSocketAddress() + " " + why);
     }
 }
--- a/server/src/main/java/silverlatch/server/transport/TransportThreads.java
+++ b/server/src/main/java/silverlatch/server/transport/TransportThreads.java
@@ -20,7 +20,10 @@
     /** Starts a thread that does not keep the process alive. */
     static void start(final String name, final Runnable task) {
         if (START_VIRTUAL.isPresent()) {
-            startVirtual(START_VIRTUAL.get(), task);
+            startVirtual(START_VIRTUAL.get(), () -> {
+                Thread.currentThread().setName(name);
+                task.run();
+            });
             return;
         }
         final Thread thread = new Thread(null, task, name, STACK_BYTES);
