--- a/server/src/main/java/silverlatch/server/eventloop/EventLog.java
+++ b/server/src/main/java/silverlatch/server/eventloop/EventLog.java
@@ -4,13 +4,13 @@
 import org.slf4j.LoggerFactory;
 import silverlatch.node.Event;
 
-/** Writes numbered events. */
+/** Writes the numbered events of docs/log-events.md to the log. Callable from any thread. */
 public final class EventLog {
     private static final Logger LOG = LoggerFactory.getLogger("silverlatch");
 
     private EventLog() {}
 
-    /** Writes one event. */
+    /** Writes an event, at the level that it has. */
     public static void write(final Event event, final String message) {
         if (event.isWarning()) {
             LOG.warn("SL{} {} {}", event.number(), event, message);
@@ -19,7 +19,7 @@
         }
     }
 
-    /** Writes an event with the fault that caused it. */
+    /** Writes an event with the exception that caused it, as an error. */
     public static void write(final Event event, final String message, final Throwable cause) {
         LOG.error("SL{} {} {}", event.number(), event, message, cause);
     }
--- a/server/src/main/java/silverlatch/server/eventloop/EventLoop.java
+++ b/server/src/main/java/silverlatch/server/eventloop/EventLoop.java
@@ -7,24 +7,35 @@
 import silverlatch.node.Event;
 import silverlatch.util.Threads;
 
-/** A thread that takes continuations from a bounded ring, and beats at a steady period. */
+/**
+ * A thread that runs tasks from a bounded queue in their order, and a tick at a steady interval. What it owns needs no locks. A task
+ * that fails is logged and the loop goes on; an {@link Error} ends the process, as state may be half changed.
+ */
 public final class EventLoop {
+    private static final long NANOS_PER_MICRO = 1_000;
+    private static final int EXIT_CODE = 3;
     private final MpscBlockingConsumerArrayQueue<Runnable> queue;
     private final Thread thread;
     private final long tickMicros;
     private final AtomicLong rejectedTasks = new AtomicLong();
-    private volatile boolean stopped;
 
-    /** An event loop with a ring of so many places and a beat each so many microseconds. */
+    /**
+     * An event loop that isn't started yet.
+     *
+     * @param name       the thread's name
+     * @param capacity   how many tasks may be queued
+     * @param tickMicros the time from one tick to the next
+     * @param onTick     what is run at each tick, on the loop's thread
+     */
     public EventLoop(final String name, final int capacity, final long tickMicros, final Runnable onTick) {
         this.queue = new MpscBlockingConsumerArrayQueue<>(capacity);
         this.tickMicros = tickMicros;
         this.thread = Threads.daemon(name, () -> run(onTick));
     }
 
-    /** The monotonic clock in whole microseconds. */
+    /** The monotonic clock of the process, in microseconds from an arbitrary origin. */
     public static long nowMicros() {
-        return System.nanoTime() / 1000;
+        return System.nanoTime() / NANOS_PER_MICRO;
     }
 
     /** Starts the thread. */
@@ -32,29 +43,23 @@
         thread.start();
     }
 
-    /** Hands over a continuation; false when the ring is full. */
+    /** Queues a task; false where the queue is full. Callable from any thread; doesn't block. */
     public boolean post(final Runnable task) {
-        if (stopped || !queue.offer(task)) {
+        if (!queue.offer(task)) {
             rejectedTasks.incrementAndGet();
             return false;
         }
         return true;
     }
 
-    /** How often the ring was full. */
+    /** How many tasks were not accepted. */
     public long rejectedTasks() {
         return rejectedTasks.get();
     }
 
-    /** Ends the thread. */
-    public void stop() {
-        stopped = true;
-        thread.interrupt();
-    }
-
     private void run(final Runnable onTick) {
         long nextTickAt = nowMicros();
-        while (!stopped) {
+        while (true) {
             try {
                 final long untilTick = nextTickAt - nowMicros();
                 if (untilTick <= 0) {
@@ -70,7 +75,7 @@
                 EventLog.write(Event.FAULT, thread.getName(), e);
             } catch (final Error e) {
                 EventLog.write(Event.FAULT, thread.getName() + " ends the process", e);
-                Runtime.getRuntime().halt(3);
+                Runtime.getRuntime().halt(EXIT_CODE);
             }
         }
     }
--- a/server/src/main/java/silverlatch/server/eventloop/EventLoopHandle.java
+++ b/server/src/main/java/silverlatch/server/eventloop/EventLoopHandle.java
@@ -1,17 +1,28 @@
 package silverlatch.server.eventloop;
 
-import java.util.List;
+import java.time.Instant;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
+import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import silverlatch.node.Effect;
 import silverlatch.node.Node;
 import silverlatch.node.OutgoingFrame;
 import silverlatch.state.Command;
 
-/** Runs a node on its event loop and carries out its effects. */
+/**
+ * Runs a node on its event loop and performs the node's effects: frames go to the transport, records to the log writer, log
+ * lines to the log, and responses to whoever asked. Its methods may be called from any thread unless they say otherwise; they don't block.
+ */
 public final class EventLoopHandle {
+    private static final int QUEUE_CAPACITY = 16_384;
+
+    /** How long frames that wait for the clock are delayed before the next attempt. */
+    private static final long DELAYED_FRAMES_PAUSE_NANOS = 200_000L;
+
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private final Node node;
     private final Consumer<OutgoingFrame> transport;
     private final Consumer<Effect.Persist> logWriter;
@@ -20,7 +31,14 @@
     private final AtomicLong tokens = new AtomicLong();
     private final Map<Long, Consumer<Object>> pendingReplies = new ConcurrentHashMap<>();
 
-    /** A bridge that beats each so many microseconds; the last argument is called after each beat. */
+    /**
+     * A handle on an event loop that isn't started yet.
+     *
+     * @param tickMicros the time from one tick of the node to the next
+     * @param transport  sends a frame, without blocking
+     * @param logWriter  writes records, without blocking
+     * @param afterTick  is called on the event loop after each tick
+     */
     public EventLoopHandle(
             final Node node,
             final long tickMicros,
@@ -31,7 +49,7 @@
         this.transport = transport;
         this.logWriter = logWriter;
         this.afterTick = afterTick;
-        this.loop = new EventLoop("node", 16_384, tickMicros, this::tick);
+        this.loop = new EventLoop("node", QUEUE_CAPACITY, tickMicros, this::tick);
     }
 
     /** Starts the event loop. */
@@ -44,7 +62,7 @@
         return loop;
     }
 
-    /** Does something with the node on its event loop; false when the ring is full. */
+    /** Runs a task with the node on the event loop; false where the loop's queue is full. */
     public boolean execute(final Consumer<Node> task) {
         return loop.post(() -> {
             task.accept(node);
@@ -52,7 +70,7 @@
         });
     }
 
-    /** Does something with the node on its event loop, and something else when all that came of it is on its way. */
+    /** The same, and then another task on the event loop once the effects of the first were handed over. */
     public boolean execute(final Consumer<Node> task, final Runnable afterFlush) {
         return loop.post(() -> {
             task.accept(node);
@@ -61,30 +79,36 @@
         });
     }
 
-    /** Sends a command; the result comes back on the event loop before the span is over. False when the ring is full. */
+    /**
+     * Submits a command. Its {@code CommandResult} comes on the event loop before the timeout is over; false, and none comes, where
+     * the loop's queue is full.
+     */
     public boolean submit(final Command command, final long timeoutMicros, final Consumer<Object> onResult) {
         final long token = tokens.incrementAndGet();
         final long deadline = EventLoop.nowMicros() + timeoutMicros;
-        return execute(d -> {
+        return execute(target -> {
             pendingReplies.put(token, onResult);
-            d.submit(command, token, EventLoop.nowMicros(), deadline);
+            target.submit(command, token, EventLoop.nowMicros(), deadline);
         });
     }
 
-    /** Asks the tail; the page comes back on the event loop before the span is over. False when the ring is full. */
+    /**
+     * Reads the entries under a key prefix at the chain's tail. A {@code ChainClient.ReadResult} comes on the event loop before the
+     * timeout is over; false, and none comes, where the loop's queue is full.
+     */
     public boolean read(final String keyPrefix, final long timeoutMicros, final Consumer<Object> onPage) {
         final long token = tokens.incrementAndGet();
         final long deadline = EventLoop.nowMicros() + timeoutMicros;
-        return execute(d -> {
+        return execute(target -> {
             pendingReplies.put(token, onPage);
-            d.read(keyPrefix, token, EventLoop.nowMicros(), deadline);
+            target.read(keyPrefix, token, EventLoop.nowMicros(), deadline);
         });
     }
 
-    /** The wall clock in nanoseconds. */
+    /** The wall clock in nanoseconds since the Unix epoch. */
     public static long wallClockNanos() {
-        final java.time.Instant instant = java.time.Instant.now();
-        return instant.getEpochSecond() * 1_000_000_000L + instant.getNano();
+        final Instant instant = Instant.now();
+        return instant.getEpochSecond() * NANOS_PER_SECOND + instant.getNano();
     }
 
     private void tick() {
@@ -95,23 +119,26 @@
 
     private void flush() {
         node.drainFrames().forEach(transport);
-        final List<Effect> effects = node.drain();
-        for (final Effect effect : effects) {
-            switch (effect) {
-                case Effect.Respond a ->
-                    java.util.Optional.ofNullable(pendingReplies.remove(a.token()))
-                            .ifPresent(c -> c.accept(a.response()));
-                case Effect.Log l -> EventLog.write(l.event(), l.text());
-                case Effect.Persist k -> logWriter.accept(k);
-                case Effect.Send s -> throw new IllegalStateException("a send left the node unstamped");
-            }
-        }
+        node.drain().forEach(this::perform);
         if (node.hasDelayedFrames()) {
-            loop.post(() -> {
-                java.util.concurrent.locks.LockSupport.parkNanos(200_000L);
-                node.tick(EventLoop.nowMicros(), wallClockNanos());
-                flush();
-            });
+            loop.post(this::retryDelayedFrames);
+        }
+    }
+
+    private void perform(final Effect effect) {
+        switch (effect) {
+            case Effect.Respond respond ->
+                Optional.ofNullable(pendingReplies.remove(respond.token()))
+                        .ifPresent(pending -> pending.accept(respond.response()));
+            case Effect.Log log -> EventLog.write(log.event(), log.text());
+            case Effect.Persist persist -> logWriter.accept(persist);
+            case Effect.Send send -> throw new IllegalStateException("a send left the node unstamped");
         }
     }
+
+    private void retryDelayedFrames() {
+        LockSupport.parkNanos(DELAYED_FRAMES_PAUSE_NANOS);
+        node.tick(EventLoop.nowMicros(), wallClockNanos());
+        flush();
+    }
 }
