--- a/server/src/main/java/silverlatch/server/replay/Recorder.java
+++ b/server/src/main/java/silverlatch/server/replay/Recorder.java
@@ -13,25 +13,29 @@
 import silverlatch.server.eventloop.EventLog;
 import silverlatch.util.Threads;
 
-/** The duty that records a gateway's day: a few files of bounded size, the oldest given up first. */
+/**
+ * Writes a gateway's recording on a thread of its own, into a few files of bounded size, of which the oldest is replaced first. When
+ * the disk fails the recording ends and the gateway goes on.
+ */
 public final class Recorder {
     private static final long MAX_FILE_BYTES = 16L << 20;
     private static final int MAX_FILES = 4;
-    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(8_192);
+    private static final int QUEUE_CAPACITY = 8_192;
+    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private final Path folder;
     private final AtomicLong droppedLines = new AtomicLong();
 
-    /** A recorder into a folder. */
+    /** A recorder into a folder, which is made where there is none. */
     public Recorder(final String folder) {
         this.folder = Path.of(folder);
     }
 
-    /** Starts the duty. */
+    /** Starts the thread. */
     public void start() {
         Threads.startDaemon("recorder", this::run);
     }
 
-    /** Takes a line; it is dropped and counted when the ring is full, for tickets go first. */
+    /** Queues a line, or drops and counts it where the queue is full. Callable from any thread; doesn't block. */
     public void write(final String line) {
         if (!queue.offer(line)) {
             droppedLines.incrementAndGet();
@@ -58,9 +62,9 @@
     }
 
     private void rotateFiles() throws IOException {
-        for (int i = MAX_FILES - 1; i > 0; i--) {
-            if (Files.exists(file(i - 1))) {
-                Files.move(file(i - 1), file(i), StandardCopyOption.REPLACE_EXISTING);
+        for (int number = MAX_FILES - 1; number > 0; number--) {
+            if (Files.exists(file(number - 1))) {
+                Files.move(file(number - 1), file(number), StandardCopyOption.REPLACE_EXISTING);
             }
         }
     }
