--- a/server/src/main/java/silverlatch/server/controller/Controller.java
+++ b/server/src/main/java/silverlatch/server/controller/Controller.java
@@ -105,7 +105,7 @@
             TimeUnit.MILLISECONDS.sleep(STOP_LINGER_MS);
             EventLog.write(Event.STOPPED, "controller " + settings.name());
             apiServer.stop();
-        } catch (final InterruptedException | ApiServer.HttpServerException e) {
+        } catch (final InterruptedException | ApiServer.HttpServerException failure) {
             EventLog.write(Event.STOPPED, "controller " + settings.name() + ", not gracefully");
         }
     }
--- a/server/src/main/java/silverlatch/server/controller/CronScheduler.java
+++ b/server/src/main/java/silverlatch/server/controller/CronScheduler.java
@@ -109,7 +109,7 @@
     private Optional<Cron> parse(final String text) {
         try {
             return Optional.of(parser.parse(text));
-        } catch (final IllegalArgumentException e) {
+        } catch (final IllegalArgumentException failure) {
             return Optional.empty();
         }
     }
--- a/server/src/main/java/silverlatch/server/controller/LogOpener.java
+++ b/server/src/main/java/silverlatch/server/controller/LogOpener.java
@@ -74,8 +74,8 @@
         try {
             WriteAheadLog.moveAside(folder);
             return true;
-        } catch (final IOException e) {
-            EventLog.write(Event.BARRED, "" + e.getMessage());
+        } catch (final IOException failure) {
+            EventLog.write(Event.BARRED, "" + failure.getMessage());
             return false;
         }
     }
--- a/server/src/main/java/silverlatch/server/controller/LogWriter.java
+++ b/server/src/main/java/silverlatch/server/controller/LogWriter.java
@@ -79,11 +79,11 @@
         while (true) {
             try {
                 writeBatches();
-            } catch (final InterruptedException e) {
+            } catch (final InterruptedException interrupted) {
                 return;
-            } catch (final IOException | RuntimeException e) {
+            } catch (final IOException | RuntimeException failure) {
                 try {
-                    recover(e.getClass().getSimpleName() + " " + e.getMessage());
+                    recover(failure.getClass().getSimpleName() + " " + failure.getMessage());
                 } catch (final InterruptedException stopped) {
                     return;
                 }
--- a/server/src/main/java/silverlatch/server/controller/WorkerRoster.java
+++ b/server/src/main/java/silverlatch/server/controller/WorkerRoster.java
@@ -43,7 +43,7 @@
                 return List.of();
             }
             return decode(Files.readAllBytes(file));
-        } catch (final IOException e) {
+        } catch (final IOException failure) {
             return List.of();
         }
     }
@@ -72,12 +72,12 @@
             try {
                 DurableFiles.replace(file, encode(codec, queue.take()));
                 isFailureReported = false;
-            } catch (final IOException e) {
+            } catch (final IOException failure) {
                 if (!isFailureReported) {
-                    EventLog.write(Event.ROSTER, "" + e.getMessage());
+                    EventLog.write(Event.ROSTER, "" + failure.getMessage());
                 }
                 isFailureReported = true;
-            } catch (final InterruptedException e) {
+            } catch (final InterruptedException interrupted) {
                 return;
             }
         }
--- a/server/src/main/java/silverlatch/server/eventloop/EventLoop.java
+++ b/server/src/main/java/silverlatch/server/eventloop/EventLoop.java
@@ -69,12 +69,12 @@
                 }
                 Optional.ofNullable(queue.poll(untilTick, TimeUnit.MICROSECONDS))
                         .ifPresent(Runnable::run);
-            } catch (final InterruptedException e) {
+            } catch (final InterruptedException interrupted) {
                 return;
-            } catch (final RuntimeException e) {
-                EventLog.write(Event.FAULT, thread.getName(), e);
-            } catch (final Error e) {
-                EventLog.write(Event.FAULT, thread.getName() + " ends the process", e);
+            } catch (final RuntimeException failure) {
+                EventLog.write(Event.FAULT, thread.getName(), failure);
+            } catch (final Error error) {
+                EventLog.write(Event.FAULT, thread.getName() + " ends the process", error);
                 Runtime.getRuntime().halt(EXIT_CODE);
             }
         }
--- a/server/src/main/java/silverlatch/server/process/DaemonProcess.java
+++ b/server/src/main/java/silverlatch/server/process/DaemonProcess.java
@@ -26,8 +26,8 @@
             Runtime.getRuntime().addShutdownHook(new Thread(daemon::stop, "stop"));
             daemon.start();
             Thread.currentThread().join();
-        } catch (final Exception e) {
-            EventLog.write(Event.FAULT, program + " can't start", e);
+        } catch (final Exception failure) {
+            EventLog.write(Event.FAULT, program + " can't start", failure);
             Runtime.getRuntime().halt(EXIT_CANNOT_START);
         }
     }
--- a/server/src/main/java/silverlatch/server/replay/Recorder.java
+++ b/server/src/main/java/silverlatch/server/replay/Recorder.java
@@ -54,9 +54,9 @@
                 rotateFiles();
                 writeFile();
             }
-        } catch (final IOException e) {
-            EventLog.write(Event.RECORD_BROKEN, folder + " " + e.getMessage());
-        } catch (final InterruptedException e) {
+        } catch (final IOException failure) {
+            EventLog.write(Event.RECORD_BROKEN, folder + " " + failure.getMessage());
+        } catch (final InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/server/src/main/java/silverlatch/server/replay/RecordingReader.java
+++ b/server/src/main/java/silverlatch/server/replay/RecordingReader.java
@@ -54,8 +54,8 @@
         final List<String> lines;
         try {
             lines = Files.readAllLines(file, StandardCharsets.UTF_8);
-        } catch (final IOException e) {
-            faults.add(file + ": can't be read: " + e.getMessage());
+        } catch (final IOException failure) {
+            faults.add(file + ": can't be read: " + failure.getMessage());
             return;
         }
         if (lines.isEmpty() || !lines.get(0).equals(RecordingFormat.HEADER)) {
--- a/server/src/main/java/silverlatch/server/replay/TableFile.java
+++ b/server/src/main/java/silverlatch/server/replay/TableFile.java
@@ -31,8 +31,8 @@
                 case JsonDocument.ParseResult.Invalid invalid -> faults.add(file + ": " + invalid.reason());
                 case JsonDocument.ParseResult.Valid valid -> readRows(file, valid.document(), rows, faults);
             }
-        } catch (final IOException e) {
-            faults.add(file + ": can't be read: " + e.getMessage());
+        } catch (final IOException failure) {
+            faults.add(file + ": can't be read: " + failure.getMessage());
         }
         return new TableFile(rows);
     }
--- a/server/src/main/java/silverlatch/server/settings/ProgramOptions.java
+++ b/server/src/main/java/silverlatch/server/settings/ProgramOptions.java
@@ -46,8 +46,8 @@
                 new CmdLineParser(this, ParserProperties.defaults().withUsageWidth(USAGE_COLUMNS));
         try {
             parser.parseArgument(args);
-        } catch (final CmdLineException e) {
-            err.println(program + ": " + e.getMessage());
+        } catch (final CmdLineException failure) {
+            err.println(program + ": " + failure.getMessage());
             return OptionalInt.of(WRONG_USE);
         }
         if (help) {
--- a/server/src/main/java/silverlatch/server/settings/SettingsReader.java
+++ b/server/src/main/java/silverlatch/server/settings/SettingsReader.java
@@ -39,8 +39,8 @@
         final byte[] body;
         try {
             body = file.isPresent() ? Files.readAllBytes(Path.of(file.get())) : "{}".getBytes(StandardCharsets.UTF_8);
-        } catch (final IOException e) {
-            return new Settings.ReadResult.Invalid(List.of("the settings file can't be read: " + e.getMessage()));
+        } catch (final IOException failure) {
+            return new Settings.ReadResult.Invalid(List.of("the settings file can't be read: " + failure.getMessage()));
         }
         return switch (JsonDocument.parse(body, MAX_FILE_BYTES)) {
             case JsonDocument.ParseResult.Invalid invalid -> new Settings.ReadResult.Invalid(List.of(invalid.reason()));
--- a/server/src/main/java/silverlatch/server/tool/ApiClient.java
+++ b/server/src/main/java/silverlatch/server/tool/ApiClient.java
@@ -67,17 +67,17 @@
             for (final String endpoint : options.endpoints()) {
                 try {
                     return sendTo(http, endpoint, request);
-                } catch (final ExecutionException | TimeoutException e) {
-                    reason = endpoint + ": " + e.getMessage();
-                    if (!request.isRead() && !(e.getCause() instanceof ConnectException)) {
+                } catch (final ExecutionException | TimeoutException failure) {
+                    reason = endpoint + ": " + failure.getMessage();
+                    if (!request.isRead() && !(failure.getCause() instanceof ConnectException)) {
                         return new Result.OutcomeUnknown(
                                 reason + "; it is not known whether change " + options.commandId() + " takes effect");
                     }
                 }
             }
             return new Result.NotReached("not reached: " + reason);
-        } catch (final Exception e) {
-            return new Result.NotReached("" + e.getMessage());
+        } catch (final Exception failure) {
+            return new Result.NotReached("" + failure.getMessage());
         }
     }
 
@@ -86,8 +86,8 @@
         openClient.ifPresent(http -> {
             try {
                 http.stop();
-            } catch (final Exception e) {
-                err.println("silverlatch: " + e.getMessage());
+            } catch (final Exception failure) {
+                err.println("silverlatch: " + failure.getMessage());
             }
         });
     }
--- a/server/src/main/java/silverlatch/server/tool/Main.java
+++ b/server/src/main/java/silverlatch/server/tool/Main.java
@@ -79,8 +79,8 @@
                 return ExitCode.WRONG_USE.value();
             }
             return run(command.get(), console).value();
-        } catch (final IOException e) {
-            console.error("the file can't be read: " + e.getMessage());
+        } catch (final IOException failure) {
+            console.error("the file can't be read: " + failure.getMessage());
             return ExitCode.WRONG_USE.value();
         }
     }
--- a/server/src/main/java/silverlatch/server/transport/PeerConnection.java
+++ b/server/src/main/java/silverlatch/server/transport/PeerConnection.java
@@ -116,10 +116,10 @@
                     graceUntil = 0;
                     unacknowledgedSince = NEVER;
                 }
-            } catch (final IOException | RuntimeException e) {
+            } catch (final IOException | RuntimeException failure) {
                 droppedFrames.incrementAndGet();
                 backOff();
-            } catch (final InterruptedException e) {
+            } catch (final InterruptedException interrupted) {
                 return;
             }
         }
@@ -172,7 +172,7 @@
             unacknowledgedSince = isWriting ? EventLoop.nowMicros() : NEVER;
             backoff = INITIAL_BACKOFF_MICROS;
             return true;
-        } catch (final IOException e) {
+        } catch (final IOException failure) {
             return false;
         }
     }
@@ -190,7 +190,7 @@
     private void backOff() {
         try {
             TimeUnit.MICROSECONDS.sleep(backoff);
-        } catch (final InterruptedException e) {
+        } catch (final InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
         backoff = Math.min(limits.maxBackoff(), backoff * 2);
--- a/server/src/main/java/silverlatch/server/transport/Transport.java
+++ b/server/src/main/java/silverlatch/server/transport/Transport.java
@@ -116,7 +116,7 @@
                 } else {
                     socket.close();
                 }
-            } catch (final IOException e) {
+            } catch (final IOException failure) {
                 droppedFrames.incrementAndGet();
             }
         }
@@ -125,10 +125,10 @@
     private void read(final Socket socket) {
         try {
             new FrameReader(socket, codecs, sink, () -> stopped).run();
-        } catch (final MalformedFrameException e) {
+        } catch (final MalformedFrameException failure) {
             badFrames.incrementAndGet();
-            EventLog.write(Event.BAD_FRAME, socket.getRemoteSocketAddress() + " " + e.getMessage());
-        } catch (final IOException e) {
+            EventLog.write(Event.BAD_FRAME, socket.getRemoteSocketAddress() + " " + failure.getMessage());
+        } catch (final IOException failure) {
             // The sender counts what was lost with the connection, and connects again.
             return;
         } finally {
@@ -140,7 +140,7 @@
     static void close(final Closeable closeable) {
         try {
             closeable.close();
-        } catch (final IOException e) {
+        } catch (final IOException failure) {
             // It is given up in any case.
             return;
         }
--- a/server/src/main/java/silverlatch/server/transport/TransportThreads.java
+++ b/server/src/main/java/silverlatch/server/transport/TransportThreads.java
@@ -35,10 +35,10 @@
         try {
             final Thread started = (Thread) start.invokeExact(task);
             assert started.isDaemon();
-        } catch (final RuntimeException | Error e) {
-            throw e;
-        } catch (final Throwable e) {
-            throw new IllegalStateException("a virtual thread could not be started", e);
+        } catch (final RuntimeException | Error failure) {
+            throw failure;
+        } catch (final Throwable failure) {
+            throw new IllegalStateException("a virtual thread could not be started", failure);
         }
     }
 
@@ -50,7 +50,7 @@
             return Optional.of(MethodHandles.publicLookup()
                     .findStatic(
                             Thread.class, "startVirtualThread", MethodType.methodType(Thread.class, Runnable.class)));
-        } catch (final NoSuchMethodException | IllegalAccessException e) {
+        } catch (final NoSuchMethodException | IllegalAccessException failure) {
             return Optional.empty();
         }
     }
--- a/server/src/main/java/silverlatch/server/web/ApiServer.java
+++ b/server/src/main/java/silverlatch/server/web/ApiServer.java
@@ -51,8 +51,8 @@
     public void start() throws HttpServerException {
         try {
             server.start();
-        } catch (final Exception e) {
-            throw new HttpServerException("the HTTP address can't be opened: " + e.getMessage(), e);
+        } catch (final Exception failure) {
+            throw new HttpServerException("the HTTP address can't be opened: " + failure.getMessage(), failure);
         }
     }
 
@@ -64,8 +64,8 @@
     public void stop() throws HttpServerException {
         try {
             server.stop();
-        } catch (final Exception e) {
-            throw new HttpServerException("the HTTP address can't be closed: " + e.getMessage(), e);
+        } catch (final Exception failure) {
+            throw new HttpServerException("the HTTP address can't be closed: " + failure.getMessage(), failure);
         }
     }
 
--- a/server/src/main/java/silverlatch/server/web/MultiListenerServer.java
+++ b/server/src/main/java/silverlatch/server/web/MultiListenerServer.java
@@ -97,8 +97,9 @@
         try {
             server.setStopTimeout(0);
             server.start();
-        } catch (final Exception e) {
-            throw new ApiServer.HttpServerException("an HTTP address can't be opened: " + e.getMessage(), e);
+        } catch (final Exception failure) {
+            throw new ApiServer.HttpServerException(
+                    "an HTTP address can't be opened: " + failure.getMessage(), failure);
         }
     }
 
@@ -110,8 +111,9 @@
     public void stop() throws ApiServer.HttpServerException {
         try {
             server.stop();
-        } catch (final Exception e) {
-            throw new ApiServer.HttpServerException("an HTTP address can't be closed: " + e.getMessage(), e);
+        } catch (final Exception failure) {
+            throw new ApiServer.HttpServerException(
+                    "an HTTP address can't be closed: " + failure.getMessage(), failure);
         }
     }
 
--- a/server/src/test/java/silverlatch/server/controller/ControllerTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ControllerTest.java
@@ -10,6 +10,7 @@
 import static org.hamcrest.Matchers.startsWith;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -19,9 +20,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import silverlatch.gossip.Worker;
@@ -45,7 +48,7 @@
     private String httpAddress = "";
 
     private static String freeAddress() throws IOException {
-        try (ServerSocket socket = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return "127.0.0.1:" + socket.getLocalPort();
         }
     }
@@ -53,58 +56,24 @@
     private Controller startController(final List<String> others) throws Exception {
         final String address = freeAddress();
         httpAddress = freeAddress();
-        final List<String> seeds = new java.util.ArrayList<>(List.of(address));
-        seeds.addAll(others);
-        final Settings settings = ((Settings.ReadResult.Valid) Settings.read(
-                        Optional.empty(),
-                        Map.of(
-                                "name",
-                                "one",
-                                "zone",
-                                "z",
-                                "region",
-                                "r",
-                                "address",
-                                address,
-                                "door",
-                                httpAddress,
-                                "seeds",
-                                seeds,
-                                "data",
-                                folder.resolve("data").toString(),
-                                "key",
-                                "a key of sixteen or more",
-                                "operator",
-                                "operator-key",
-                                "worker",
-                                "worker-key"),
-                        true))
-                .settings();
-        final Settings oneReplica = new Settings(
-                settings.name(),
-                settings.zone(),
-                settings.region(),
-                settings.peerAddress(),
-                settings.httpAddress(),
-                settings.seeds(),
-                settings.dataFolder(),
-                settings.recordFolder(),
-                settings.clusterKey(),
-                settings.operatorKey(),
-                settings.workerKey(),
-                settings.stampLowBits(),
-                settings.maxClockSkew(),
-                settings.shutdownGrace(),
-                settings.dispatch(),
-                settings.maxBodyBytes(),
-                settings.maxLineBytes(),
-                settings.mayBootstrap(),
-                1,
-                settings.voterCount(),
-                silverlatch.server.settings.Intervals.DEFAULTS,
-                Optional.empty());
-        final Controller controller = Main.build(oneReplica, Optional.of((WriteAheadLog.OpenResult.Success)
-                WriteAheadLog.open(Path.of(settings.dataFolder().get()))));
+        final List<String> seeds =
+                Stream.concat(Stream.of(address), others.stream()).toList();
+        final Map<String, Object> keys = Map.ofEntries(
+                Map.entry("name", "one"),
+                Map.entry("zone", "z"),
+                Map.entry("region", "r"),
+                Map.entry("address", address),
+                Map.entry("door", httpAddress),
+                Map.entry("seeds", seeds),
+                Map.entry("data", folder.resolve("data").toString()),
+                Map.entry("key", "a key of sixteen or more"),
+                Map.entry("operator", "operator-key"),
+                Map.entry("worker", "worker-key"),
+                Map.entry("copies", 1));
+        final Settings settings = ((Settings.ReadResult.Valid) Settings.read(Optional.empty(), keys, true)).settings();
+        final WriteAheadLog.OpenResult.Success log = (WriteAheadLog.OpenResult.Success)
+                WriteAheadLog.open(Path.of(settings.dataFolder().orElseThrow()));
+        final Controller controller = Main.build(settings, Optional.of(log));
         controller.start();
         return controller;
     }
@@ -127,6 +96,10 @@
                 HttpResponse.BodyHandlers.ofString());
     }
 
+    private HttpResponse<String> put(final String configuration, final String expectedRevision) throws Exception {
+        return request("PUT", "/v1/charter", configuration, "operator-key", expectedRevision);
+    }
+
     private void awaitReady() throws Exception {
         for (int i = 0; i < 200 && request("GET", "/ready", "", "", "*").statusCode() != 200; i++) {
             TimeUnit.MILLISECONDS.sleep(50);
@@ -149,24 +122,14 @@
         awaitReady();
         assertThat(request("GET", "/v1/charter", "", "operator-key", "*").statusCode(), is(404));
         final String text = String.format(CONFIGURATION, 3);
-        assertThat(request("PUT", "/v1/charter", text, "operator-key", "0").statusCode(), is(200));
-        assertThat(
-                "the same again",
-                request("PUT", "/v1/charter", text, "operator-key", "0").statusCode(),
-                is(200));
-        final HttpResponse<String> lost =
-                request("PUT", "/v1/charter", String.format(CONFIGURATION, 4), "operator-key", "2");
+        assertThat(put(text, "0").statusCode(), is(200));
+        assertThat("the same again", put(text, "0").statusCode(), is(200));
+        final HttpResponse<String> lost = put(String.format(CONFIGURATION, 4), "2");
         assertThat(lost.statusCode(), is(409));
         assertThat(lost.body().contains("\"sequence\":3"), is(true));
-        assertThat(
-                request(
-                                "PUT",
-                                "/v1/charter",
-                                text.replace("\"pool\":\"p\"", "\"pool\":\"q\"").replace(":3", ":5"),
-                                "operator-key",
-                                "3")
-                        .statusCode(),
-                is(422));
+        final String unknownPool =
+                text.replace("\"pool\":\"p\"", "\"pool\":\"q\"").replace(":3", ":5");
+        assertThat(put(unknownPool, "3").statusCode(), is(422));
         assertThat(request("PUT", "/v1/charter", text, "worker-key", "3").statusCode(), is(401));
         final HttpResponse<String> got = request("GET", "/v1/charter", "", "operator-key", "*");
         assertThat(got.body(), is(text));
@@ -242,7 +205,7 @@
     }
 
     private Map<String, Long> metrics() throws Exception {
-        final Map<String, Long> values = new java.util.TreeMap<>();
+        final Map<String, Long> values = new TreeMap<>();
         for (final String line : request("GET", "/metrics", "", "", "*").body().split("\n")) {
             values.put(line.substring(0, line.indexOf(' ')), Long.parseLong(line.substring(line.indexOf(' ') + 1)));
         }
--- a/server/src/test/java/silverlatch/server/controller/LogWriterTest.java
+++ b/server/src/test/java/silverlatch/server/controller/LogWriterTest.java
@@ -6,6 +6,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Objects;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
@@ -53,7 +54,7 @@
         }
 
         Notification next() throws InterruptedException {
-            return java.util.Objects.requireNonNull(notifications.poll(30, TimeUnit.SECONDS), "nothing was told");
+            return Objects.requireNonNull(notifications.poll(30, TimeUnit.SECONDS), "nothing was told");
         }
     }
 
--- a/server/src/test/java/silverlatch/server/transport/TransportTest.java
+++ b/server/src/test/java/silverlatch/server/transport/TransportTest.java
@@ -27,7 +27,7 @@
 import silverlatch.wire.Frame;
 import silverlatch.wire.Message;
 
-/** Docks on loopback before scripted peers, on shorter times than those in use. */
+/** Transports on loopback before scripted peers, with shorter limits than those in use. */
 final class TransportTest {
     private static final PeerConnection.Limits SHORT_LIMITS =
             new PeerConnection.Limits(256, 200_000L, 300_000L, 200_000L, 400_000L, 100_000L);
@@ -36,8 +36,8 @@
 
     @AfterEach
     void close() throws Exception {
-        for (final AutoCloseable c : open) {
-            c.close();
+        for (final AutoCloseable closeable : open) {
+            closeable.close();
         }
     }
 
@@ -70,8 +70,9 @@
                 while (true) {
                     accepted.add(server.accept());
                 }
-            } catch (final IOException e) {
-                accepted.size();
+            } catch (final IOException failure) {
+                // The test closed the socket.
+                return;
             }
         });
         return server;
