--- a/server/src/main/java/silverlatch/server/replay/Main.java
+++ b/server/src/main/java/silverlatch/server/replay/Main.java
@@ -18,13 +18,13 @@
     @Option(
             name = "--table",
             metaVar = "FILE",
-            usage = "the table to judge by (as 'silverlatch --json table get' gives it); without it the day's own")
+            usage = "the table to decide by (as 'silverlatch --json table get' gives it); without it the recorded rows")
     private String table = "";
 
-    @Option(name = "--most", metaVar = "N", usage = "how many changed picks to show")
+    @Option(name = "--most", metaVar = "N", usage = "how many changed placements to show")
     private int maxShown = 10;
 
-    @Option(name = "--word", metaVar = "MICROSECONDS", usage = "the setting word of the day")
+    @Option(name = "--word", metaVar = "MICROSECONDS", usage = "the setting word at the time of the recording")
     private long maxReportAge = 2_000_000;
 
     @Argument(metaVar = "RECORDING")
--- a/server/src/main/java/silverlatch/server/settings/CommandLineFlags.java
+++ b/server/src/main/java/silverlatch/server/settings/CommandLineFlags.java
@@ -12,7 +12,7 @@
 
 /** The flags of the programs gateway and controller, most of which override a key of the settings file. */
 public final class CommandLineFlags extends ProgramOptions {
-    @Option(name = "--settings", metaVar = "FILE", usage = "the settings file (JSON); flags go before it")
+    @Option(name = "--settings", metaVar = "FILE", usage = "the settings file (JSON); flags override it")
     private String settings = "";
 
     @Option(name = "--name", metaVar = "NAME", usage = "this process's name")
@@ -24,10 +24,10 @@
     @Option(name = "--region", metaVar = "REGION", usage = "its region")
     private String region = "";
 
-    @Option(name = "--address", metaVar = "IP:PORT", usage = "where it takes frames of other processes")
+    @Option(name = "--address", metaVar = "IP:PORT", usage = "where it listens for frames of other processes")
     private String address = "";
 
-    @Option(name = "--door", metaVar = "IP:PORT", usage = "where it takes HTTP")
+    @Option(name = "--door", metaVar = "IP:PORT", usage = "where it serves its HTTP API")
     private String door = "";
 
     @Option(name = "--seeds", metaVar = "A,B,C", usage = "one to three addresses of controllers")
@@ -36,10 +36,10 @@
     @Option(name = "--data", metaVar = "FOLDER", usage = "the data folder (controllers only)")
     private String data = "";
 
-    @Option(name = "--record", metaVar = "FOLDER", usage = "record the day's placements into a folder (gateways only)")
+    @Option(name = "--record", metaVar = "FOLDER", usage = "record placements into a folder (gateways only)")
     private String record = "";
 
-    @Option(name = "--gate", metaVar = "IP:PORT", usage = "where it takes tickets by host and path (gateways only)")
+    @Option(name = "--gate", metaVar = "IP:PORT", usage = "where it takes requests by host and path (gateways only)")
     private String gate = "";
 
     @Option(name = "--check", usage = "check the settings and end")
--- a/server/src/main/java/silverlatch/server/tool/ApiClient.java
+++ b/server/src/main/java/silverlatch/server/tool/ApiClient.java
@@ -63,7 +63,7 @@
     Result send(final ApiRequest request) {
         try {
             final HttpClient http = startedClient();
-            String reason = "no door is given";
+            String reason = "no address is given";
             for (final String endpoint : options.endpoints()) {
                 try {
                     return sendTo(http, endpoint, request);
--- a/server/src/main/java/silverlatch/server/tool/Main.java
+++ b/server/src/main/java/silverlatch/server/tool/Main.java
@@ -16,28 +16,31 @@
     private static final String USAGE = """
             silverlatch [flags] COMMAND
               table get                              show the table
-              table put FILE                         put a whole table (JSON with rows)
+              table put FILE                         replace the table (JSON with rows)
               table diff FILE                        show the cells that FILE would change; changes nothing
               table set TENANT KIND FIELD VALUE      change one cell (TENANT * is the row for all)
-              tenant list
+              tenant list                            show the tenants
               tenant put NAME KEY SHARE [HOME ...]   make or change a tenant
-              tenant drop NAME
-              charter get                            show the charter in force, as it was put
-              charter put FILE [MATCH]               put a whole charter, where MATCH is the number it builds on
-              charter rules                          show the rules in force
-              drain ZONE                             empty a zone
-              undrain ZONE                           give it back
-              zones                                  show the orders on zones
-              calendar list                          show the calendars
+              tenant drop NAME                       remove a tenant
+              charter get                            show the routing configuration in force, as it was put
+              charter put FILE [MATCH]               put a routing configuration, where MATCH is the number it builds on
+              charter rules                          show the routes in force
+              drain ZONE                             evacuate a zone
+              undrain ZONE                           end its evacuation
+              zones                                  show the evacuations
+              calendar list                          show the schedules
               calendar put NAME FILE                 make or change one (JSON with cron, and cells or zone and empty)
-              calendar drop NAME
-              change ID                              ask how a change stands
-              claims [STATE]                         list once-only keys by how they stand (running is listed if none is given)
-              status                                 show what the daemon at --door knows
-              explain TICKET                         show why a ticket went where it went (ask its carrier's door)
+              calendar drop NAME                     remove one
+              change ID                              show the outcome of a change by its id
+              claims [STATE]                         list claimed idempotency keys by state (running if none is given)
+              status                                 show what the process at --door knows
+              explain TICKET                         show why a request was placed where it was (ask the gateway that has it)
             exit codes: 0 done, 1 rejected, 2 wrong use, 3 not reached, 4 not known whether it takes effect""";
 
-    @Option(name = "--door", metaVar = "IP:PORT[,...]", usage = "doors to try, one after another (or SILVERLATCH_DOOR)")
+    @Option(
+            name = "--door",
+            metaVar = "IP:PORT[,...]",
+            usage = "HTTP addresses, tried one after another (or SILVERLATCH_DOOR)")
     private String endpoints =
             Optional.ofNullable(System.getenv("SILVERLATCH_DOOR")).orElse("127.0.0.1:8001");
 
@@ -45,10 +48,10 @@
     private String operatorKey =
             Optional.ofNullable(System.getenv("SILVERLATCH_KEY")).orElse("");
 
-    @Option(name = "--match", metaVar = "SEQUENCE", usage = "only if it still is at this sequence")
+    @Option(name = "--match", metaVar = "SEQUENCE", usage = "change it only if it still is at this sequence")
     private String expectedRevision = "*";
 
-    @Option(name = "--change", metaVar = "ID", usage = "the change's id, to ask for it later")
+    @Option(name = "--change", metaVar = "ID", usage = "the change's id, to ask for its outcome later")
     private String commandId = UUID.randomUUID().toString();
 
     @Option(name = "--json", usage = "print the reply as it came")
