--- a/server/src/main/java/silverlatch/server/gateway/Gateway.java
+++ b/server/src/main/java/silverlatch/server/gateway/Gateway.java
@@ -16,6 +16,7 @@
 import silverlatch.server.eventloop.EventLog;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.eventloop.EventLoopHandle;
+import silverlatch.server.process.DaemonProcess;
 import silverlatch.server.proxy.ProxyHeaderNames;
 import silverlatch.server.proxy.ProxyServer;
 import silverlatch.server.proxy.WorkerHttpClient;
@@ -33,7 +34,7 @@
  * snapshot of what the first one knows. Public methods may be called from any thread.
  */
 @Singleton
-public final class Gateway {
+public final class Gateway implements DaemonProcess.Daemon {
     private static final int PROXY_THREADS = 16;
     private static final int PROXY_HEADER_BYTES = 16 << 10;
     private static final long PROXY_IDLE_TIMEOUT_MS = 60_000L;
@@ -78,6 +79,7 @@
      * @throws ApiServer.HttpServerException when an HTTP address can't be bound
      * @throws WorkerHttpClient.WorkerHttpClientException when the proxy's client can't start
      */
+    @Override
     public void start() throws IOException, ApiServer.HttpServerException, WorkerHttpClient.WorkerHttpClientException {
         final ApiServer server = new ApiServer(settings.httpAddress(), settings.maxBodyBytes(), this::handle);
         apiServer = Optional.of(server);
@@ -127,6 +129,7 @@
      * Shuts down gracefully, and blocks for that: not ready at once; no new requests once clients had the time to notice; open
      * requests run on within the grace period of the settings, and those that are left fail as lost.
      */
+    @Override
     public void stop() {
         try {
             final long deadline = EventLoop.nowMicros() + settings.shutdownGrace();
@@ -137,7 +140,7 @@
             if (apiServer.isPresent()) {
                 apiServer.get().stop();
             }
-        } catch (final InterruptedException | ApiServer.HttpServerException e) {
+        } catch (final InterruptedException | ApiServer.HttpServerException failure) {
             EventLog.write(Event.STOPPED, "gateway " + settings.name() + " in haste");
         }
     }
--- /dev/null
+++ b/server/src/main/java/silverlatch/server/gateway/GatewayModule.java
@@ -0,0 +1,61 @@
+package silverlatch.server.gateway;
+
+import dagger.Module;
+import dagger.Provides;
+import jakarta.inject.Singleton;
+import java.security.SecureRandom;
+import java.util.List;
+import java.util.Optional;
+import java.util.SplittableRandom;
+import silverlatch.clock.PhysicalClock;
+import silverlatch.dispatch.Dispatcher;
+import silverlatch.dispatch.permit.PermitSigner;
+import silverlatch.node.Node;
+import silverlatch.routing.Router;
+import silverlatch.server.eventloop.EventLoop;
+import silverlatch.server.eventloop.EventLoopHandle;
+import silverlatch.server.settings.Settings;
+
+/** The parts of a gateway that Dagger can't construct by itself. Each has a random generator of its own. */
+@Module
+final class GatewayModule {
+    private GatewayModule() {}
+
+    @Provides
+    @Singleton
+    static SplittableRandom random() {
+        return new SplittableRandom(new SecureRandom().nextLong());
+    }
+
+    @Provides
+    @Singleton
+    static Node node(final Settings settings, final SplittableRandom random) {
+        final long nowMicros = EventLoop.nowMicros();
+        final long wallNanos = EventLoopHandle.wallClockNanos();
+        return new Node(
+                settings.nodeSettings("gateway", wallNanos),
+                Optional.empty(),
+                List.of(),
+                new PhysicalClock(wallNanos, nowMicros, 0),
+                random.split(),
+                nowMicros);
+    }
+
+    @Provides
+    @Singleton
+    static Dispatcher dispatcher(final Settings settings, final Node node, final SplittableRandom random) {
+        return new Dispatcher(
+                settings.dispatch(),
+                new PermitSigner(settings.clusterKey()),
+                node.facts(),
+                () -> node.localStamp(EventLoop.nowMicros()),
+                random.split());
+    }
+
+    @Provides
+    @Singleton
+    static Router router(final Node node, final SplittableRandom random) {
+        return new Router(
+                Router.Settings.DEFAULT, node.facts(), () -> node.localStamp(EventLoop.nowMicros()), random.split());
+    }
+}
--- a/server/src/main/java/silverlatch/server/gateway/WorkerRuns.java
+++ b/server/src/main/java/silverlatch/server/gateway/WorkerRuns.java
@@ -27,8 +27,8 @@
         try {
             startClient();
             client.startRun(attempt);
-        } catch (final WorkerRunClient.WorkerRunClientException e) {
-            EventLog.write(Event.FAULT, "no run can be sent", e);
+        } catch (final WorkerRunClient.WorkerRunClientException failure) {
+            EventLog.write(Event.FAULT, "no run can be sent", failure);
             onEnded(attempt.operationId(), false, "no client");
         }
     }
--- a/server/src/main/java/silverlatch/server/proxy/WorkerHttpClient.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerHttpClient.java
@@ -14,34 +14,36 @@
 import silverlatch.server.web.ResettingClientConnector;
 
 /**
- * The HTTP client towards workers. Its connections are pooled for a short time only. It follows no redirect, answers no
- * challenge, and sends a request that has begun to leave exactly once.
+ * The HTTP client of the proxy for workers. Connections are pooled for a short time only. It follows no redirect, answers no
+ * challenge, and never sends a request twice that has begun to leave. Any thread may send once it is started; responses are handled
+ * on its own threads.
  */
 public final class WorkerHttpClient {
     private static final int MAX_RESPONSE_HEADER_BYTES = 16 << 10;
     private static final int DESTINATION_IDLE_MS = 20_000;
+    private static final int MIN_THREADS = 2;
     private final HttpClient httpClient;
 
     /**
      * How the client is made.
      *
-     * @param connectTimeoutMs how long a new connection may take, in milliseconds
-     * @param idleTimeoutMs    how long a pooled connection is kept, in milliseconds
-     * @param maxConnectionsPerWorker   how many connections, and how many queued requests, one worker may have at most
-     * @param threads how many threads serve all connections
+     * @param connectTimeoutMs        how long a new connection may take, in milliseconds
+     * @param idleTimeoutMs           how long a pooled connection is kept, in milliseconds
+     * @param maxConnectionsPerWorker how many connections, and how many queued requests, one worker may have at most
+     * @param threads                 how many threads serve all connections
      */
     public record Settings(int connectTimeoutMs, int idleTimeoutMs, int maxConnectionsPerWorker, int threads) {
-        /** What holds when nothing is said. */
+        /** The settings of the programs. */
         public static final Settings DEFAULT = new Settings(400, 3_000, 64, 8);
     }
 
-    /** A client for workers. */
+    /** A client that is not started. */
     public WorkerHttpClient(final Settings settings) {
         this(settings, ProxySafeguard.NONE_DISABLED);
     }
 
     WorkerHttpClient(final Settings settings, final Set<ProxySafeguard> disabledSafeguards) {
-        final QueuedThreadPool pool = new QueuedThreadPool(settings.threads(), 2);
+        final QueuedThreadPool pool = new QueuedThreadPool(settings.threads(), MIN_THREADS);
         pool.setName("worker-http");
         pool.setDaemon(true);
         pool.setReservedThreads(0);
@@ -81,27 +83,35 @@
         }
     }
 
-    /** Starts the client. */
+    /**
+     * Starts the client's threads.
+     *
+     * @throws WorkerHttpClientException when they can't be started
+     */
     public void start() throws WorkerHttpClientException {
         try {
             httpClient.start();
             httpClient.getContentDecoderFactories().clear();
             httpClient.getProtocolHandlers().clear();
-        } catch (final Exception e) {
-            throw new WorkerHttpClientException(e);
+        } catch (final Exception failure) {
+            throw new WorkerHttpClientException(failure);
         }
     }
 
-    /** Ends the client. */
+    /**
+     * Closes all connections and ends the threads; requests under way fail.
+     *
+     * @throws WorkerHttpClientException when they can't be ended
+     */
     public void stop() throws WorkerHttpClientException {
         try {
             httpClient.stop();
-        } catch (final Exception e) {
-            throw new WorkerHttpClientException(e);
+        } catch (final Exception failure) {
+            throw new WorkerHttpClientException(failure);
         }
     }
 
-    /** A request to the worker at this address; nothing is sent yet. */
+    /** A request, not sent yet, to the worker at this {@code host:port}; the path has its query. */
     Request newRequest(final String address, final String method, final String path) {
         return httpClient
                 .newRequest(URI.create("http://" + address))
@@ -109,9 +119,9 @@
                 .path(path);
     }
 
-    /** A fault of the client. */
+    /** The client can't be started or stopped. */
     public static final class WorkerHttpClientException extends Exception {
-        /** What caused it. */
+        /** With what the HTTP client threw. */
         public WorkerHttpClientException(final Throwable cause) {
             super("the client for workers: " + cause.getMessage(), cause);
         }
--- a/server/src/main/java/silverlatch/server/workerclient/WorkerRunClient.java
+++ b/server/src/main/java/silverlatch/server/workerclient/WorkerRunClient.java
@@ -79,8 +79,8 @@
     public void start() throws WorkerRunClientException {
         try {
             httpClient.start();
-        } catch (final Exception e) {
-            throw new WorkerRunClientException(e);
+        } catch (final Exception failure) {
+            throw new WorkerRunClientException(failure);
         }
     }
 
--- a/server/src/test/java/silverlatch/server/proxy/HttpResponseReader.java
+++ b/server/src/test/java/silverlatch/server/proxy/HttpResponseReader.java
@@ -75,7 +75,7 @@
                 rest(in, raw, body);
             }
             return new Message(End.COMPLETE, status, headers, text(body), text(raw));
-        } catch (final IOException | NumberFormatException e) {
+        } catch (final IOException | NumberFormatException failure) {
             return new Message(raw.size() == 0 ? End.NOTHING : End.TRUNCATED, status, headers, text(body), text(raw));
         }
     }
--- a/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
@@ -80,7 +80,7 @@
                     final Socket socket = server.accept();
                     connections.incrementAndGet();
                     Threads.startDaemon("scripted-peer", () -> serve(socket));
-                } catch (final IOException e) {
+                } catch (final IOException failure) {
                     return;
                 }
             }
@@ -102,7 +102,7 @@
                         return;
                     }
                 }
-            } catch (final IOException e) {
+            } catch (final IOException failure) {
                 Thread.yield();
             }
         }
@@ -262,7 +262,7 @@
             final ByteArrayOutputStream all = new ByteArrayOutputStream();
             try {
                 socket.getInputStream().transferTo(all);
-            } catch (final IOException e) {
+            } catch (final IOException failure) {
                 all.writeBytes("RESET".getBytes(StandardCharsets.ISO_8859_1));
             }
             return all.toString(StandardCharsets.ISO_8859_1);
@@ -573,7 +573,7 @@
         startWorker(request -> {
             try {
                 Thread.sleep(900);
-            } catch (final InterruptedException e) {
+            } catch (final InterruptedException failure) {
                 Thread.currentThread().interrupt();
             }
             return good(request) + "Content-Length: 2\r\n\r\nok";
@@ -635,7 +635,7 @@
     private static void await(final CountDownLatch latch) {
         try {
             latch.await(10, TimeUnit.SECONDS);
-        } catch (final InterruptedException e) {
+        } catch (final InterruptedException failure) {
             Thread.currentThread().interrupt();
         }
     }
@@ -643,8 +643,8 @@
     private String unchecked(final String path) {
         try {
             return post(path, "", "b");
-        } catch (final IOException e) {
-            throw new java.io.UncheckedIOException(e);
+        } catch (final IOException failure) {
+            throw new java.io.UncheckedIOException(failure);
         }
     }
 
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedClient.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedClient.java
@@ -40,7 +40,7 @@
                     case 3 -> halfClose(socket);
                     default -> keepAlive(socket);
                 }
-            } catch (final IOException e) {
+            } catch (final IOException failure) {
                 Thread.yield();
             }
         }
@@ -82,8 +82,8 @@
         write(socket, request(attempt(true)));
         try {
             Thread.sleep(random.nextInt(8));
-        } catch (final InterruptedException e) {
-            throw new IOException(e);
+        } catch (final InterruptedException failure) {
+            throw new IOException(failure);
         }
         socket.setSoLinger(random.nextBoolean(), 0);
     }
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedWorker.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedWorker.java
@@ -89,7 +89,7 @@
             try {
                 final Socket socket = server.accept();
                 Threads.startDaemon("scripted-worker-connection", () -> serve(socket));
-            } catch (final IOException e) {
+            } catch (final IOException failure) {
                 return;
             }
         }
@@ -132,7 +132,7 @@
                     return;
                 }
             }
-        } catch (final IOException e) {
+        } catch (final IOException failure) {
             Thread.yield();
         }
     }
@@ -310,8 +310,8 @@
     private static void pause(final long millis) throws IOException {
         try {
             Thread.sleep(millis);
-        } catch (final InterruptedException e) {
-            throw new IOException(e);
+        } catch (final InterruptedException failure) {
+            throw new IOException(failure);
         }
     }
 
