--- a/core/src/main/java/silverlatch/dispatch/ResponseStream.java
+++ b/core/src/main/java/silverlatch/dispatch/ResponseStream.java
@@ -48,8 +48,8 @@
     String sha256() {
         try {
             return HexFormat.of().formatHex(((MessageDigest) digest.clone()).digest());
-        } catch (final CloneNotSupportedException e) {
-            throw new IllegalStateException(e);
+        } catch (final CloneNotSupportedException unsupported) {
+            throw new IllegalStateException("SHA-256 can't be cloned", unsupported);
         }
     }
 }
--- a/core/src/main/java/silverlatch/dispatch/permit/PermitSigner.java
+++ b/core/src/main/java/silverlatch/dispatch/permit/PermitSigner.java
@@ -68,7 +68,7 @@
                     new Stamp(Long.parseLong(fields[7])),
                     Long.parseLong(fields[8]),
                     new String(HexFormat.of().parseHex(fields[9]), StandardCharsets.UTF_8)));
-        } catch (final IllegalArgumentException e) {
+        } catch (final IllegalArgumentException malformed) {
             return Optional.empty();
         }
     }
@@ -97,8 +97,8 @@
     public static MessageDigest newSha256() {
         try {
             return MessageDigest.getInstance("SHA-256");
-        } catch (final GeneralSecurityException e) {
-            throw new IllegalStateException(e);
+        } catch (final GeneralSecurityException missing) {
+            throw new IllegalStateException("the JDK lacks an algorithm that each one has", missing);
         }
     }
 
@@ -107,8 +107,8 @@
             final Mac mac = Mac.getInstance("HmacSHA256");
             mac.init(new SecretKeySpec(clusterKey, "HmacSHA256"));
             return mac.doFinal(body.getBytes(StandardCharsets.UTF_8));
-        } catch (final GeneralSecurityException e) {
-            throw new IllegalStateException(e);
+        } catch (final GeneralSecurityException missing) {
+            throw new IllegalStateException("the JDK lacks an algorithm that each one has", missing);
         }
     }
 }
--- /dev/null
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherAttemptTest.java
@@ -0,0 +1,103 @@
+package silverlatch.dispatch;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.greaterThan;
+import static org.hamcrest.Matchers.is;
+import static org.hamcrest.Matchers.lessThan;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import silverlatch.util.Lists;
+
+/** What a dispatcher does with attempts, their streams and their readers. */
+final class DispatcherAttemptTest extends DispatcherFixture {
+    @Test
+    void aRequestRunsStreamsAndEndsWithATrailer() {
+        final long callId = submit("one", place("one", "ask", "").permit());
+        final DispatchEffect.StartAttempt attempt = lastAttempt();
+        dispatcher.attemptStarted(attempt.operationId());
+        dispatcher.recordReceived(
+                attempt.operationId(), new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 0, "hi"), now);
+        collectEffects();
+        dispatcher.readerReady(callId);
+        dispatcher.recordReceived(attempt.operationId(), trailerOf(attempt, "hi"), now);
+        collectEffects();
+        assertThat(
+                recordsSentTo(callId),
+                is(List.of(
+                        new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 0, "hi"),
+                        trailerOf(attempt, "hi"))));
+    }
+
+    @Test
+    void aStreamThatBreaksTheProtocolEndsAsLostAndNeverWithATrailer() {
+        final List<java.util.function.Function<DispatchEffect.StartAttempt, StreamRecord>> violations = List.of(
+                attempt -> new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 1, "b"),
+                attempt -> new StreamRecord.Chunk(attempt.requestId() + "x", attempt.attemptId(), 0, "b"),
+                attempt -> new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId() + "x", 0, "b"),
+                attempt -> trailerOf(attempt, "more"),
+                attempt ->
+                        new StreamRecord.Trailer(attempt.worker(), attempt.requestId(), attempt.attemptId(), 0, "00"));
+        for (final java.util.function.Function<DispatchEffect.StartAttempt, StreamRecord> violation : violations) {
+            final long callId = submit("one", place("one", "ask", "").permit());
+            dispatcher.recordReceived(lastAttempt().operationId(), violation.apply(lastAttempt()), now);
+            collectEffects();
+            assertThat(Lists.last(recordsSentTo(callId)) instanceof StreamRecord.Lost, is(true));
+            assertThat(recordsSentTo(callId).stream().anyMatch(l -> l instanceof StreamRecord.Trailer), is(false));
+        }
+    }
+
+    @Test
+    void aRetryOnlyWhereTheFirstAttemptDidNotStartAndWithinTheBudget() {
+        int retries = 0;
+        for (int i = 0; i < 60; i++) {
+            now += 1_100_000;
+            refreshReports();
+            final long callId = submit("one", place("one", "ask", "").permit());
+            final int before = effectsOf(DispatchEffect.StartAttempt.class).size();
+            dispatcher.attemptFailed(lastAttempt().operationId(), false, "denied", now);
+            now += 1_100_000;
+            refreshReports();
+            dispatcher.tick(now);
+            collectEffects();
+            if (effectsOf(DispatchEffect.StartAttempt.class).size() > before) {
+                retries++;
+                dispatcher.attemptFailed(lastAttempt().operationId(), true, "broke", now);
+                collectEffects();
+                assertThat(Lists.last(recordsSentTo(callId)) instanceof StreamRecord.Lost, is(true));
+            }
+        }
+        assertThat(retries, greaterThan(2));
+        assertThat(retries, lessThan(13));
+    }
+
+    @Test
+    void aClientThatReconnectsReadsOnFromItsChunk() {
+        final long callId = submit("one", place("one", "ask", "").permit());
+        final DispatchEffect.StartAttempt attempt = lastAttempt();
+        dispatcher.recordReceived(
+                attempt.operationId(), new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 0, "a"), now);
+        dispatcher.readerDisconnected(callId, now);
+        dispatcher.recordReceived(
+                attempt.operationId(), new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 1, "b"), now);
+        dispatcher.attach(attempt.requestId(), "key-two", 1, ++lastCallId, now);
+        collectEffects();
+        assertThat(rejectionOf(lastCallId).statusCode(), is(404));
+        dispatcher.attach(attempt.requestId(), "key-one", 1, ++lastCallId, now);
+        collectEffects();
+        assertThat(recordsSentTo(lastCallId), is(List.of((StreamRecord)
+                new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 1, "b"))));
+    }
+
+    @Test
+    void anAttemptThatDoesNotStartInTimeIsCancelled() {
+        final long callId = submit("one", place("one", "ask", "").permit());
+        now += 1_100_000;
+        dispatcher.tick(now);
+        collectEffects();
+        assertThat(
+                Lists.last(effectsOf(DispatchEffect.CancelAttempt.class)).operationId(),
+                is(lastAttempt().operationId()));
+        assertThat(Lists.last(recordsSentTo(callId)) instanceof StreamRecord.Lost, is(true));
+    }
+}
--- a/core/src/test/java/silverlatch/dispatch/RequestStateTest.java
+++ b/core/src/test/java/silverlatch/dispatch/RequestStateTest.java
@@ -36,7 +36,7 @@
                 try {
                     legal.add(state.label() + " " + event + " "
                             + state.after(event).label());
-                } catch (final IllegalRequestTransitionException e) {
+                } catch (final IllegalRequestTransitionException illegal) {
                     refused++;
                 }
             }
--- /dev/null
+++ b/core/src/test/java/silverlatch/dispatch/RetryBudgetTest.java
@@ -0,0 +1,52 @@
+package silverlatch.dispatch;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+
+import org.junit.jupiter.api.Test;
+
+final class RetryBudgetTest {
+    private static final long SECOND = 1_000_000;
+
+    private static int acquireAll(final RetryBudget budget, final long now) {
+        int acquired = 0;
+        while (budget.tryAcquire(now)) {
+            acquired++;
+        }
+        return acquired;
+    }
+
+    @Test
+    void requestsPayForRetriesByTheRatio() {
+        final RetryBudget budget = new RetryBudget(0.125, 0);
+        assertThat(budget.tryAcquire(0), is(false));
+        for (int i = 0; i < 24; i++) {
+            budget.recordRequest(SECOND);
+        }
+        assertThat(acquireAll(budget, SECOND), is(3));
+    }
+
+    @Test
+    void theInitialBalanceIsThereOnceAndNoLargerThanTheLimit() {
+        assertThat(acquireAll(new RetryBudget(0.125, 1), 0), is(1));
+        assertThat(acquireAll(new RetryBudget(0.125, 5), 0), is(1));
+    }
+
+    @Test
+    void whatWasSavedUpIsGoneAfterAQuietTime() {
+        final RetryBudget budget = new RetryBudget(0.125, 0);
+        for (int i = 0; i < 80; i++) {
+            budget.recordRequest(SECOND);
+        }
+        assertThat("all but one is gone two windows later", acquireAll(budget, 7 * SECOND), is(1));
+    }
+
+    @Test
+    void whatWasSavedUpLastsForTheNextWindow() {
+        final RetryBudget budget = new RetryBudget(0.125, 0);
+        for (int i = 0; i < 80; i++) {
+            budget.recordRequest(SECOND);
+        }
+        assertThat(acquireAll(budget, 3 * SECOND), is(10));
+    }
+}
