--- a/core/src/test/java/silverlatch/node/NodeCluster.java
+++ b/core/src/test/java/silverlatch/node/NodeCluster.java
@@ -1,16 +1,16 @@
 package silverlatch.node;
 
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
 import silverlatch.clock.PhysicalClock;
 import silverlatch.clock.Stamp;
 import silverlatch.gossip.Gossip;
@@ -25,16 +25,15 @@
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
 import silverlatch.state.ConfigurationValidator;
-import silverlatch.state.Value;
 
 /**
  * Whole nodes on one simulated clock: controllers named {@code c0, c1, ...} with a disk each, and gateways named
  * {@code g0, g1, ...} with a router each. Links can be cut in one direction, machines frozen, slowed and restarted. Every
- * gateway is observed after each of its steps: the configuration it routes by must never become older within one life.
+ * gateway is checked after each of its steps: the configuration it routes by must never become older within one process.
  */
 final class NodeCluster {
     static final long SECOND = 1_000_000L;
-    /** How long a caller waits for the answer to an order. */
+    /** How long a caller waits for the answer to a command. */
     static final long COMMAND_TIMEOUT = 900_000L;
 
     private static final long TICK_INTERVAL = 20_000L;
@@ -43,15 +42,11 @@
     private static final long UNIX_EPOCH = 1_700_000_000_000_000L;
     private final Safeguards safeguards;
     private final Map<String, Machine> machines = new TreeMap<>();
-    private final Set<Link> partition = new HashSet<>();
+    private final Set<Link> cutLinks = new HashSet<>();
     private final Map<String, Long> addedDelays = new HashMap<>();
-    private final List<String> violations = new ArrayList<>();
-    private final List<Acknowledged> acknowledged = new ArrayList<>();
+    private final ConsistencyMonitor monitor = new ConsistencyMonitor();
     private final SplittableRandom random;
-    private final PriorityQueue<Scheduled> queue =
-            new PriorityQueue<>(Comparator.comparingLong(Scheduled::at).thenComparingLong(Scheduled::order));
-    private long now = 100 * SECOND;
-    private long scheduled;
+    private final SimulatedClock clock = new SimulatedClock(100 * SECOND);
     private long lastToken;
 
     NodeCluster(final int controllers, final int gateways, final long seed) {
@@ -71,39 +66,12 @@
         advance(5 * SECOND);
     }
 
-    /** What an operator learnt of an order. */
-    static final class PendingCommand {
-        private final long sentAt;
-        private Optional<CommandResult> result = Optional.empty();
-        private long endedAt;
-
-        PendingCommand(final long sentAt) {
-            this.sentAt = sentAt;
-        }
-
-        boolean isAcknowledged() {
-            return result.filter(r -> r instanceof CommandResult.Applied).isPresent();
-        }
-
-        boolean isRejected() {
-            return result.filter(r -> r instanceof CommandResult.Rejected).isPresent();
-        }
-
-        long endedAt() {
-            return endedAt;
-        }
-
-        long sentAt() {
-            return sentAt;
-        }
-    }
-
     long now() {
-        return now;
+        return clock.now();
     }
 
     List<String> violations() {
-        return List.copyOf(violations);
+        return monitor.violations();
     }
 
     List<String> controllers() {
@@ -129,7 +97,7 @@
 
     /** How long ago the configuration of a machine was surely the newest. */
     long stateAge(final String name) {
-        return node(name).gossip().stateAge(now);
+        return node(name).gossip().stateAge(now());
     }
 
     /** Cuts all links between the two groups, in both directions. */
@@ -140,11 +108,11 @@
 
     /** Cuts all links from one group to the other; frames the other way still pass. */
     void partitionOneWay(final List<String> from, final List<String> to) {
-        from.forEach(f -> to.stream().filter(t -> !t.equals(f)).forEach(t -> partition.add(new Link(f, t))));
+        from.forEach(f -> to.stream().filter(t -> !t.equals(f)).forEach(t -> cutLinks.add(new Link(f, t))));
     }
 
     void heal() {
-        partition.clear();
+        cutLinks.clear();
         addedDelays.clear();
     }
 
@@ -182,24 +150,23 @@
     }
 
     void announceWorker(final String at, final Worker report) {
-        machines.get(at).step(n -> n.onAnnouncement(report, 0, now));
+        machines.get(at).step(n -> n.onAnnouncement(report, 0, now()));
     }
 
     PendingCommand put(final String at, final long number, final long match) {
-        return put(at, configuration("order-" + number + "-" + match, number, match));
+        return put(at, Configurations.configuration("order-" + number + "-" + match, number, match));
     }
 
     PendingCommand put(final String at, final Command command) {
-        final PendingCommand pending = new PendingCommand(now);
+        final PendingCommand pending = new PendingCommand(now());
         final long token = ++lastToken;
         machines.get(at).pendingResponses.put(token, r -> {
-            pending.result = Optional.of((CommandResult) r);
-            pending.endedAt = now;
+            pending.complete((CommandResult) r, now());
             if (pending.isAcknowledged() && command instanceof Command.PutConfiguration c) {
-                acknowledged.add(new Acknowledged(now, c.configuration().number()));
+                monitor.acknowledged(c.configuration().number(), now());
             }
         });
-        machines.get(at).step(n -> n.submit(command, token, now, now + COMMAND_TIMEOUT));
+        machines.get(at).step(n -> n.submit(command, token, now(), now() + COMMAND_TIMEOUT));
         return pending;
     }
 
@@ -207,7 +174,7 @@
     Optional<Long> read(final String at) {
         final List<Object> answers = startRead(at);
         advance(SECOND);
-        return readRevision(answers);
+        return Configurations.numberRead(answers);
     }
 
     /** Starts a read; its answer is added to the list when it comes. */
@@ -215,87 +182,29 @@
         final List<Object> answers = new ArrayList<>();
         final long token = ++lastToken;
         machines.get(at).pendingResponses.put(token, answers::add);
-        machines.get(at).step(n -> n.read(ConfigurationValidator.CONFIGURATION_KEY, token, now, now + COMMAND_TIMEOUT));
+        machines.get(at)
+                .step(n -> n.read(ConfigurationValidator.CONFIGURATION_KEY, token, now(), now() + COMMAND_TIMEOUT));
         return answers;
     }
 
-    /** The number that a read was answered, if it was. */
-    static Optional<Long> readRevision(final List<Object> answers) {
-        return answers.stream()
-                .map(a -> (silverlatch.replication.ChainClient.ReadResult) a)
-                .filter(p -> p.answered())
-                .map(p -> p.entries().stream()
-                        .map(e -> ((Value.RoutingConfiguration) e.value().get(0)).number())
-                        .findFirst()
-                        .orElse(0L))
-                .findFirst();
-    }
-
-    static Command.PutConfiguration configuration(final String id, final long number, final long match) {
-        final Value.BackendPool pool = new Value.BackendPool("pool", "/", 1, 0, 1, 1, 0, 1);
-        final Value.Route route = new Value.Route(
-                "route",
-                "host" + number,
-                "/",
-                false,
-                false,
-                false,
-                false,
-                1,
-                0,
-                0,
-                0,
-                1,
-                List.of(),
-                List.of(new Value.WeightedBackend("pool", 1)));
-        return new Command.PutConfiguration(
-                id,
-                new Value.RoutingConfiguration(number, 1, 1, 1, 1),
-                List.of(route),
-                List.of(pool),
-                "document " + id,
-                match);
-    }
-
     void advance(final long duration) {
-        final long end = now + duration;
-        while (!queue.isEmpty() && queue.peek().at() <= end) {
-            final Scheduled next = queue.poll();
-            now = next.at();
-            next.job().run();
-        }
-        now = end;
+        clock.advance(duration);
     }
 
     /** Passes time until something holds; how long that took, or -1 where it didn't come. */
-    long advanceUntil(final long limit, final java.util.function.BooleanSupplier condition) {
-        final long from = now;
-        while (!condition.getAsBoolean()) {
-            if (now - from > limit) {
-                return -1;
-            }
-            advance(10_000);
-        }
-        return now - from;
-    }
-
-    private void schedule(final long time, final Runnable job) {
-        queue.add(new Scheduled(time, scheduled++, job));
+    long advanceUntil(final long limit, final BooleanSupplier condition) {
+        return clock.advanceUntil(limit, condition);
     }
 
-    private record Acknowledged(long at, long number) {}
-
     private record Link(String from, String to) {}
 
-    private record Scheduled(long at, long order, Runnable job) {}
-
     /** A machine with its disk, its process if one runs, and what waits while that is frozen. */
     private final class Machine {
         private final String name;
         private final int index;
         private final List<LogRecord> disk = new ArrayList<>();
         private final List<Runnable> waiting = new ArrayList<>();
-        private final Map<Long, java.util.function.Consumer<Object>> pendingResponses = new HashMap<>();
+        private final Map<Long, Consumer<Object>> pendingResponses = new HashMap<>();
         private String identity;
         private Optional<Node> node = Optional.empty();
         private Optional<Router> router = Optional.empty();
@@ -321,25 +230,20 @@
             isFrozen = false;
             waiting.clear();
             pendingResponses.clear();
-            final Member self = new Member(
-                    name,
-                    isController() ? "controller" : "gateway",
-                    "z" + index,
-                    "r" + index,
-                    name,
-                    name,
-                    UNIX_EPOCH + now,
-                    0,
-                    "up",
-                    false);
+            node = Optional.of(newNode(seeds));
+            isFirstStart = false;
+            router = isController() ? Optional.empty() : Optional.of(newRouter(node.get()));
+            tick(processNumber);
+        }
+
+        private Node newNode(final List<String> seeds) {
             final Optional<ReplicaSettings> chain = isController()
                     ? Optional.of(ReplicaSettings.of(new Replica(identity, name), seeds)
                             .withBootstrap(isFirstStart))
                     : Optional.empty();
-            isFirstStart = false;
-            node = Optional.of(new Node(
+            return new Node(
                     new Node.Settings(
-                            self,
+                            newMember(),
                             seeds,
                             7,
                             50_000,
@@ -348,14 +252,27 @@
                             safeguards),
                     chain,
                     List.copyOf(disk),
-                    new PhysicalClock((UNIX_EPOCH + now) * 1000, now, 0),
+                    new PhysicalClock((UNIX_EPOCH + now()) * 1000, now(), 0),
                     random.split(),
-                    now));
-            router = isController()
-                    ? Optional.empty()
-                    : Optional.of(new Router(
-                            Router.Settings.DEFAULT, node.get().facts(), () -> new Stamp(now), random.split()));
-            tick(processNumber);
+                    now());
+        }
+
+        private Member newMember() {
+            return new Member(
+                    name,
+                    isController() ? "controller" : "gateway",
+                    "z" + index,
+                    "r" + index,
+                    name,
+                    name,
+                    UNIX_EPOCH + now(),
+                    0,
+                    "up",
+                    false);
+        }
+
+        private Router newRouter(final Node running) {
+            return new Router(Router.Settings.DEFAULT, running.facts(), () -> new Stamp(now()), random.split());
         }
 
         void kill() {
@@ -367,7 +284,7 @@
 
         void wipeDisk() {
             disk.clear();
-            identity = "id-" + name + "-" + now;
+            identity = "id-" + name + "-" + now();
         }
 
         void thaw() {
@@ -383,7 +300,7 @@
                     .orElse(0L);
         }
 
-        void step(final java.util.function.Consumer<Node> job) {
+        void step(final Consumer<Node> job) {
             final int expectedProcess = processNumber;
             final Runnable guarded = () -> {
                 if (expectedProcess == processNumber && node.isPresent()) {
@@ -399,10 +316,10 @@
         }
 
         private void tick(final int expectedProcess) {
-            schedule(now + TICK_INTERVAL, () -> {
+            clock.schedule(now() + TICK_INTERVAL, () -> {
                 if (expectedProcess == processNumber) {
                     if (!isFrozen) {
-                        step(n -> n.tick(now, (UNIX_EPOCH + now) * 1000));
+                        step(n -> n.tick(now(), (UNIX_EPOCH + now()) * 1000));
                     }
                     tick(expectedProcess);
                 }
@@ -413,52 +330,23 @@
             final Node running = node.orElseThrow();
             running.drain().forEach(this::handleEffect);
             running.drainFrames().forEach(this::sendFrame);
-            checkConfirmedState(running);
+            monitor.checkConfirmedState(name, running, now());
             router.ifPresent(r -> {
-                r.update(running.facts(), now);
-                checkServedRevision(r);
+                r.update(running.facts(), now());
+                final long served = servedRevision();
+                monitor.checkServedRevision(name, newestServed, served, now());
+                newestServed = Math.max(newestServed, served);
             });
         }
 
-        /** What a node calls the newest as of a moment holds all that was acknowledged before that moment. */
-        private void checkConfirmedState(final Node running) {
-            final long age = running.gossip().stateAge(now);
-            if (age == Long.MAX_VALUE) {
-                return;
-            }
-            final long held = running.gossip()
-                    .stateMachine()
-                    .get(ConfigurationValidator.CONFIGURATION_KEY)
-                    .map(e -> ((Value.RoutingConfiguration) e.value().get(0)).number())
-                    .orElse(0L);
-            acknowledged.stream()
-                    .filter(a -> a.at() <= now - age && a.number() > held)
-                    .findFirst()
-                    .ifPresent(a -> violations.add(name + " calls " + held + " the newest as of " + (now - age)
-                            + ", but " + a.number() + " was acknowledged at " + a.at()));
-        }
-
-        private void checkServedRevision(final Router gatewayRouter) {
-            final long number = servedRevision();
-            if (number > 0 && number < newestServed) {
-                violations.add(name + " went back from " + newestServed + " to " + number + " at " + now);
-            }
-            newestServed = Math.max(newestServed, number);
-        }
-
         private void handleEffect(final Effect effect) {
             final int expectedProcess = processNumber;
             switch (effect) {
                 case Effect.Persist k ->
-                    schedule(now + DISK_SYNC_DELAY, () -> {
+                    clock.schedule(now() + DISK_SYNC_DELAY, () -> {
                         if (expectedProcess == processNumber) {
-                            k.records().forEach(note -> {
-                                if (note instanceof LogRecord.Snapshot) {
-                                    disk.clear();
-                                }
-                                disk.add(note);
-                            });
-                            step(n -> n.onPersisted(k.token(), now));
+                            k.records().forEach(this::append);
+                            step(n -> n.onPersisted(k.token(), now()));
                         }
                     });
                 case Effect.Respond a ->
@@ -468,13 +356,20 @@
             }
         }
 
+        private void append(final LogRecord logged) {
+            if (logged instanceof LogRecord.Snapshot) {
+                disk.clear();
+            }
+            disk.add(logged);
+        }
+
         private void sendFrame(final OutgoingFrame outgoing) {
             final Machine to = machines.get(outgoing.to());
             final int here = connection;
             final int there = to.connection;
             final long delay =
                     NETWORK_DELAY + addedDelays.getOrDefault(name, 0L) + addedDelays.getOrDefault(to.name, 0L);
-            schedule(now + delay, () -> deliverFrame(outgoing, to, here, there));
+            clock.schedule(now() + delay, () -> deliverFrame(outgoing, to, here, there));
         }
 
         private void deliverFrame(final OutgoingFrame outgoing, final Machine to, final int here, final int there) {
@@ -482,9 +377,9 @@
                 waiting.add(() -> deliverFrame(outgoing, to, here, there));
             } else if (here == connection
                     && there == to.connection
-                    && !partition.contains(new Link(name, to.name))
+                    && !cutLinks.contains(new Link(name, to.name))
                     && to.node.isPresent()) {
-                to.step(n -> n.onFrame(outgoing.frame(), now));
+                to.step(n -> n.onFrame(outgoing.frame(), now()));
             }
         }
     }
