--- /dev/null
+++ b/core/src/test/java/silverlatch/gossip/HeartbeatAgePackerTest.java
@@ -0,0 +1,54 @@
+package silverlatch.gossip;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.OptionalLong;
+import org.junit.jupiter.api.Test;
+
+final class HeartbeatAgePackerTest {
+    private static final long STEP = 1_000;
+    private static final long TIMEOUT = 12 * STEP;
+    private static final long NOW = 1_000_000;
+
+    private final HeartbeatAgePacker packer = new HeartbeatAgePacker(TIMEOUT);
+
+    private static TrackedReport heard(final int number, final long age) {
+        final Worker worker = new Worker("w" + number, "a", "z", "r", 1, 1, 0, 0, 1, List.of(), false, 0);
+        return TrackedReport.announcedHere(WorkerReport.of(worker), NOW).withHeardAt(NOW - age);
+    }
+
+    @Test
+    void ageIsReadAsTheUpperEndOfItsStep() {
+        final long[] packed = packer.pack(List.of(heard(0, 0), heard(1, 999), heard(2, STEP), heard(3, 14_999)), NOW);
+        assertThat(packer.heardAt(packed, 0, NOW), is(OptionalLong.of(NOW - STEP)));
+        assertThat(packer.heardAt(packed, 1, NOW), is(OptionalLong.of(NOW - STEP)));
+        assertThat(packer.heardAt(packed, 2, NOW), is(OptionalLong.of(NOW - 2 * STEP)));
+        assertThat(packer.heardAt(packed, 3, NOW), is(OptionalLong.of(NOW - 15 * STEP)));
+    }
+
+    @Test
+    void ageBeyondAllStepsIsUnknownAndOneOfTheFutureIsNone() {
+        final long[] packed = packer.pack(List.of(heard(0, 15 * STEP), heard(1, -STEP)), NOW);
+        assertThat(packer.heardAt(packed, 0, NOW), is(OptionalLong.empty()));
+        assertThat(packer.heardAt(packed, 1, NOW), is(OptionalLong.of(NOW - STEP)));
+    }
+
+    @Test
+    void sixteenWorkersTakeOneLong() {
+        final List<TrackedReport> workers = new ArrayList<>();
+        for (int i = 0; i < 35; i++) {
+            workers.add(heard(i, i % 15 * STEP));
+        }
+        final long[] packed = packer.pack(workers, NOW);
+        assertThat(packed.length, is(3));
+        assertThat(packer.fits(packed, 33), is(true));
+        assertThat(packer.fits(packed, 32), is(false));
+        assertThat(packer.fits(new long[0], 0), is(true));
+        for (int i = 0; i < workers.size(); i++) {
+            assertThat(packer.heardAt(packed, i, NOW), is(OptionalLong.of(NOW - (i % 15 + 1) * STEP)));
+        }
+    }
+}
--- /dev/null
+++ b/core/src/test/java/silverlatch/membership/JoinScheduleTest.java
@@ -0,0 +1,72 @@
+package silverlatch.membership;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.empty;
+import static org.hamcrest.Matchers.is;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+final class JoinScheduleTest {
+    private static final long INTERVAL = 1_000_000;
+    private static final long FIRST_INTERVAL = 200_000;
+    private static final long START = 10 * INTERVAL;
+    private static final long RECONNECT_WINDOW = 600_000_000;
+
+    private final MemberTable members = new MemberTable(member("self", "up"));
+    private final JoinSchedule schedule = new JoinSchedule("self", List.of("self", "s1", "s2"), INTERVAL, members);
+
+    private static Member member(final String id, final String state) {
+        return new Member(id, "gateway", "z", "r", id, id, 1, 0, state, true);
+    }
+
+    @Test
+    void joiningNodeGreetsAllSeedsOftenButNeverItself() {
+        members.putOther(member("s1", "up"), START);
+        assertThat(schedule.addressesToGreet(START), is(List.of("s1", "s2")));
+        assertThat(schedule.addressesToGreet(START + FIRST_INTERVAL - 1), empty());
+        assertThat(schedule.addressesToGreet(START + FIRST_INTERVAL), is(List.of("s1", "s2")));
+    }
+
+    @Test
+    void nodeThatJoinedGreetsSeedsThatAreNotUp() {
+        schedule.onMemberList();
+        members.putOther(member("s1", "up"), START);
+        assertThat(schedule.addressesToGreet(START), is(List.of("s2")));
+        assertThat(schedule.addressesToGreet(START + INTERVAL - 1), empty());
+        members.putOther(member("s1", "suspect"), START);
+        assertThat(schedule.addressesToGreet(START + INTERVAL), is(List.of("s1", "s2")));
+    }
+
+    @Test
+    void otherSeedsAreGreetedAtOnceTheSameOnesAreNot() {
+        schedule.onMemberList();
+        schedule.addressesToGreet(START);
+        schedule.setSeeds(List.of("self", "s1", "s2"));
+        assertThat(schedule.addressesToGreet(START + 1), empty());
+        schedule.setSeeds(List.of("s3"));
+        assertThat(schedule.addressesToGreet(START + 1), is(List.of("s3")));
+    }
+
+    @Test
+    void deadMembersAreGreetedInTurnUntilTheWindowIsOver() {
+        schedule.setSeeds(List.of());
+        schedule.onMemberList();
+        members.putOther(member("d1", "dead"), START);
+        members.putOther(member("d2", "dead"), START);
+        members.putOther(member("gone", "left"), START);
+        assertThat(schedule.addressesToGreet(START), is(List.of("d1")));
+        assertThat(schedule.addressesToGreet(START + INTERVAL), is(List.of("d2")));
+        assertThat(schedule.addressesToGreet(START + 2 * INTERVAL), is(List.of("d1")));
+        assertThat(schedule.addressesToGreet(START + RECONNECT_WINDOW), empty());
+    }
+
+    @Test
+    void deadMemberWhoseAddressALiveOneTookIsLeftAlone() {
+        schedule.setSeeds(List.of());
+        schedule.onMemberList();
+        members.putOther(member("d1", "dead"), START);
+        members.putOther(new Member("new", "gateway", "z", "r", "d1", "d1", 1, 0, "up", true), START);
+        assertThat(schedule.addressesToGreet(START), empty());
+    }
+}
