--- a/simulation/src/main/java/silverlatch/simulation/consumer/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/consumer/Main.java
@@ -27,7 +27,7 @@
 import silverlatch.json.JsonDocument;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.workerclient.StreamRecordDecoder;
-import silverlatch.simulation.worker.ExpectedResponse;
+import silverlatch.simulation.response.ExpectedResponse;
 import silverlatch.util.Lists;
 
 /** A stand-in for all consumers: an open load of mixed kinds, each reply verified and put down in a file of receipts. */
--- a/simulation/src/main/java/silverlatch/simulation/worker/ExpectedResponse.java
+++ b/simulation/src/main/java/silverlatch/simulation/response/ExpectedResponse.java
@@ -1,4 +1,4 @@
-package silverlatch.simulation.worker;
+package silverlatch.simulation.response;
 
 import java.security.MessageDigest;
 import java.util.HexFormat;
--- /dev/null
+++ b/simulation/src/main/java/silverlatch/simulation/sim/AttemptTransport.java
@@ -0,0 +1,190 @@
+package silverlatch.simulation.sim;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
+import silverlatch.dispatch.DispatchEffect;
+import silverlatch.dispatch.StreamRecord;
+
+/**
+ * The connections on which gateways send requests to workers, as HTTP would carry them: each attempt is a connection of its
+ * own, its records come in order, and a worker that ends breaks it. It tells the observer what workers started.
+ */
+final class AttemptTransport {
+    private static final long CONNECT_TIMEOUT = 1_000_000L;
+    private static final long KEEPALIVE_INTERVAL = 200_000L;
+    private final World world;
+    private final Observer observer;
+    private final SimulatedNetwork network;
+    private final Map<String, IssuedRequest> issuedRequests = new HashMap<>();
+    private final Map<String, String> regionByAttempt = new HashMap<>();
+
+    AttemptTransport(final World world) {
+        this.world = world;
+        this.observer = world.observer();
+        this.network = world.network();
+    }
+
+    /** What a client sent under a request's id. */
+    private record IssuedRequest(String idempotencyKey, int previousAttempts) {}
+
+    /** An attempt on its connection: who takes part, and whether it has ended at the gateway. */
+    private final class Connection {
+        private final SimulatedNode gateway;
+        private final SimulatedWorker worker;
+        private final DispatchEffect.StartAttempt attempt;
+        private final String name;
+        private final long startedIn;
+        private long exchange;
+        private boolean ended;
+
+        Connection(
+                final SimulatedNode gateway, final SimulatedWorker worker, final DispatchEffect.StartAttempt attempt) {
+            this.gateway = gateway;
+            this.worker = worker;
+            this.attempt = attempt;
+            this.name = gateway.name() + ">" + worker.name() + "/" + attempt.attemptId();
+            this.startedIn = gateway.generation();
+        }
+
+        void toWorker(final Runnable delivery) {
+            network.sendBytes(name, gateway.name(), worker.name(), delivery);
+        }
+
+        void toGateway(final Runnable delivery) {
+            network.sendBytes(name + "<", worker.name(), gateway.name(), delivery);
+        }
+
+        boolean isOver() {
+            return ended || startedIn != gateway.generation();
+        }
+
+        void cancel() {
+            ended = true;
+            worker.cancel(exchange);
+        }
+
+        void failed(final boolean started, final String reason) {
+            final long failedIn = gateway.generation();
+            gateway.withDispatcher(dispatcher -> {
+                if (failedIn == gateway.generation()) {
+                    dispatcher.attemptFailed(attempt.operationId(), started, reason, gateway.now());
+                }
+            });
+        }
+    }
+
+    /** A client's request got its id; its key and earlier attempts count when the observer judges retries. */
+    void requestIssued(final String requestId, final String idempotencyKey, final int previousAttempts) {
+        issuedRequests.put(requestId, new IssuedRequest(idempotencyKey, previousAttempts));
+    }
+
+    /** The region of the worker that ran an attempt, or an empty text. */
+    String regionOf(final String attemptId) {
+        return regionByAttempt.getOrDefault(attemptId, "");
+    }
+
+    /** A gateway sends a request to a worker; under the attempt's operation id it can cancel it. */
+    void start(
+            final SimulatedNode gateway,
+            final DispatchEffect.StartAttempt attempt,
+            final Map<Long, Consumer<String>> openRuns) {
+        final SimulatedWorker worker = world.worker(attempt.worker());
+        final long revision =
+                gateway.clusterSnapshot().map(snapshot -> snapshot.revision()).orElse(0L);
+        final IssuedRequest issued = issuedRequests.getOrDefault(attempt.requestId(), new IssuedRequest("", 0));
+        observeSent(gateway, attempt, issued);
+        final Connection connection = new Connection(gateway, worker, attempt);
+        if (!network.isReachable(gateway.name(), worker.name())) {
+            world.scheduler().schedule(CONNECT_TIMEOUT, () -> connection.failed(false, "no connection in time"));
+            return;
+        }
+        openRuns.put(attempt.operationId(), reason -> connection.cancel());
+        connection.toWorker(() -> arriveAtWorker(connection, revision, issued.idempotencyKey()));
+    }
+
+    private void observeSent(
+            final SimulatedNode gateway, final DispatchEffect.StartAttempt attempt, final IssuedRequest issued) {
+        final long now = world.scheduler().now();
+        final boolean isRetry = !attempt.attemptId().endsWith(".1") || issued.previousAttempts() > 0;
+        observer.attemptSent(attempt.tenant(), issued.idempotencyKey(), isRetry, now);
+        if (attempt.kind().equals(Operators.GATE_KIND)) {
+            observer.operatorHistory()
+                    .gateObserved(gateway.name(), true, "ticket " + attempt.requestId() + " was sent", now);
+        }
+    }
+
+    private void arriveAtWorker(final Connection connection, final long revision, final String idempotencyKey) {
+        if (connection.ended) {
+            return;
+        }
+        if (!connection.worker.isAlive()) {
+            connection.failed(false, "connection refused");
+            return;
+        }
+        final BiConsumer<StreamRecord, Boolean> output =
+                (record, last) -> connection.toGateway(() -> arriveAtGateway(connection, record, last));
+        connection.exchange = connection.worker.startRun(connection.attempt, output);
+        if (connection.exchange < 0) {
+            connection.toGateway(() -> connection.failed(false, "not started"));
+            return;
+        }
+        connection.toGateway(
+                () -> connection.gateway.withDispatcher(d -> d.attemptStarted(connection.attempt.operationId())));
+        regionByAttempt.put(connection.attempt.attemptId(), connection.worker.region());
+        observeStarted(connection, revision, idempotencyKey);
+        watchWorker(connection);
+    }
+
+    private void arriveAtGateway(final Connection connection, final StreamRecord record, final boolean last) {
+        if (connection.isOver()) {
+            return;
+        }
+        if (last) {
+            connection.failed(true, "the connection ended");
+            return;
+        }
+        final SimulatedNode gateway = connection.gateway;
+        world.disturbances().reached(InjectionPoint.STREAMING, gateway);
+        gateway.withDispatcher(d -> d.recordReceived(connection.attempt.operationId(), record, gateway.now()));
+    }
+
+    private void observeStarted(final Connection connection, final long revision, final String idempotencyKey) {
+        final DispatchEffect.StartAttempt attempt = connection.attempt;
+        final SimulatedWorker worker = connection.worker;
+        final SimulatedNode gateway = connection.gateway;
+        final long now = world.scheduler().now();
+        observer.runStarted(
+                new Observer.Run(
+                        attempt.requestId(),
+                        attempt.tenant(),
+                        attempt.kind(),
+                        idempotencyKey,
+                        worker.name(),
+                        worker.zone(),
+                        worker.region(),
+                        gateway.name(),
+                        gateway.region(),
+                        revision),
+                now);
+        if (attempt.kind().equals(Operators.GATE_KIND)) {
+            observer.operatorHistory().obeyed(gateway.name(), true, "ticket " + attempt.requestId() + " ran", now);
+        }
+    }
+
+    /** A worker that ends is noticed at the next keepalive. */
+    private void watchWorker(final Connection connection) {
+        world.scheduler().schedule(KEEPALIVE_INTERVAL, () -> {
+            if (connection.isOver()) {
+                return;
+            }
+            if (connection.worker.isAlive()) {
+                watchWorker(connection);
+            } else {
+                connection.ended = true;
+                connection.failed(true, "the connection broke");
+            }
+        });
+    }
+}
--- a/simulation/src/main/java/silverlatch/simulation/sim/ClientRequest.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ClientRequest.java
@@ -1,77 +1,89 @@
 package silverlatch.simulation.sim;
 
-import java.security.MessageDigest;
-import java.util.HexFormat;
 import java.util.List;
+import java.util.Map;
 import java.util.Optional;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.ObjLongConsumer;
 import silverlatch.dispatch.DispatchEffect;
+import silverlatch.dispatch.Dispatcher;
 import silverlatch.dispatch.PlacementRequest;
 import silverlatch.dispatch.StreamRecord;
 import silverlatch.dispatch.SubmittedRequest;
-import silverlatch.dispatch.permit.PermitSigner;
-import silverlatch.simulation.worker.ExpectedResponse;
+import silverlatch.simulation.fleet.Plan;
+import silverlatch.simulation.response.ResponseVerifier;
 
-/** One consumer's ticket in the simulator, from the pick to its end, verified as it comes. */
+/** One client's request in the simulator, from its placement to its end, its response verified as it comes. */
 final class ClientRequest {
     private static final long SECOND = 1_000_000L;
-    private static final long TIMEOUT = 12_000_000L;
+    private static final long PATIENCE = 12 * SECOND;
+    private static final long REQUEST_TIMEOUT = 10 * SECOND;
+    private static final long RETRY_DELAY = SECOND / 2;
+    private static final long MAX_SUBMIT_DELAY = 3 * SECOND;
+    private static final long MAX_DUPLICATE_DELAY = 3 * SECOND / 2;
+    private static final long RECONNECT_DELAY = 150_000L;
+    private static final long MAX_TIME_ON_THE_WAY = SECOND / 2;
+    private static final int MAX_REDIRECTS = 4;
+    private static final int MAX_RETRIES = 2;
+    private static final Set<String> RETRIED_OUTCOMES = Set.of("cut", "broken", "lost");
+    private static final Map<ResponseVerifier.Problem, Invariant> INVARIANTS = Map.of(
+            ResponseVerifier.Problem.AFTER_END, Invariant.CUT,
+            ResponseVerifier.Problem.WRONG_INDEX, Invariant.PIECE,
+            ResponseVerifier.Problem.OTHER_REQUEST, Invariant.FOREIGN,
+            ResponseVerifier.Problem.OTHER_ATTEMPT, Invariant.JOIN,
+            ResponseVerifier.Problem.WRONG_TRAILER, Invariant.CUT);
     private final World world;
-    private final World.Tenant tenant;
-    private final World.RequestKind kind;
-    private final String idempotencyKey;
-    private final String endpoint;
+    private final Content content;
     private final int previousAttempts;
-    private final String prompt;
-    private final List<String> prefix;
     private final boolean movesBetweenGateways;
-    private final MessageDigest digest = PermitSigner.newSha256();
+    private final ResponseVerifier verifier;
+    private final long serial;
     private String requestId = "";
-    private String attemptId = "";
     private Optional<SimulatedNode> gateway = Optional.empty();
     private long callToken;
-    private long nextChunk;
     private boolean ended;
-    private boolean trailerSeen;
-    private final long serial;
     private long connectionNumber;
     private long startedAt;
     private long firstChunkAt;
 
+    /** What a client asks: it stays the same when the request is sent again. */
+    record Content(
+            Plan.Tenant tenant,
+            Plan.Kind kind,
+            String idempotencyKey,
+            String endpoint,
+            String prompt,
+            List<String> prefix) {
+        Content {
+            prefix = List.copyOf(prefix);
+        }
+    }
+
     ClientRequest(
             final World world,
-            final World.Tenant tenant,
-            final World.RequestKind kind,
-            final String idempotencyKey,
-            final String endpoint,
+            final Content content,
             final int previousAttempts,
-            final String prompt,
-            final List<String> prefix,
-            final boolean movesBetweenGateways) {
+            final boolean movesBetweenGateways,
+            final long serial) {
         this.world = world;
-        this.tenant = tenant;
-        this.kind = kind;
-        this.idempotencyKey = idempotencyKey;
-        this.endpoint = endpoint;
+        this.content = content;
         this.previousAttempts = previousAttempts;
-        this.prompt = prompt;
-        this.prefix = prefix;
         this.movesBetweenGateways = movesBetweenGateways;
-        this.serial = world.nextSerialNumber();
+        this.serial = serial;
+        this.verifier =
+                new ResponseVerifier(content.prompt(), (problem, what) -> violated(INVARIANTS.get(problem), what));
     }
 
     void start() {
         startedAt = world.scheduler().now();
-        world.scheduler().schedule(TIMEOUT, () -> end("cut"));
+        world.scheduler().schedule(PATIENCE, () -> end("cut"));
         requestPlacement(world.randomOf(world.gateways()), 0);
     }
 
-    String requestId() {
-        return requestId;
-    }
-
     private void requestPlacement(final SimulatedNode node, final int redirects) {
         if (!node.isAlive()) {
-            if (redirects < 4) {
+            if (redirects < MAX_REDIRECTS) {
                 requestPlacement(world.randomOf(world.gateways()), redirects + 1);
             } else {
                 end("unreached");
@@ -79,81 +91,87 @@
             return;
         }
         final PlacementRequest placement = new PlacementRequest(
-                tenant.key(), tenant.name(), kind.kind(), prefix, prompt.length(), idempotencyKey, previousAttempts);
+                content.tenant().key(),
+                content.tenant().name(),
+                content.kind().kind(),
+                content.prefix(),
+                content.prompt().length(),
+                content.idempotencyKey(),
+                previousAttempts);
+        final String connection = content.endpoint() + ">" + node.name() + node.generation() + "/" + serial;
+        final Runnable call = () -> node.call(
+                (dispatcher, token) -> dispatcher.requestPlacement(placement, token, node.now()),
+                answer -> {
+                    observePlacement(node, answer);
+                    deliver(node, answer, () -> placementAnswered(node, answer, redirects));
+                },
+                token -> {});
+        world.network().sendBytes(connection, content.endpoint(), node.name(), call);
+    }
+
+    /** Asks for the response's stream, which this client can hang up; the dispatcher's effects come back one by one. */
+    private void openStream(
+            final SimulatedNode node, final ObjLongConsumer<Dispatcher> call, final Consumer<DispatchEffect> onAnswer) {
         world.network()
                 .sendBytes(
-                        endpoint + ">" + node.name() + node.generation() + "/" + serial,
-                        endpoint,
+                        connection(node),
+                        content.endpoint(),
                         node.name(),
-                        () -> node.call(
-                                (c, t) -> c.requestPlacement(placement, t, node.now()),
-                                action -> {
-                                    if (action instanceof DispatchEffect.Placed placed) {
-                                        world.observer()
-                                                .operatorHistory()
-                                                .shown(
-                                                        node.name(),
-                                                        placed.revision(),
-                                                        world.scheduler().now());
-                                        world.observer()
-                                                .operatorHistory()
-                                                .requireHomeRegion(
-                                                        tenant.name(),
-                                                        node.region(),
-                                                        Invariant.SENT,
-                                                        "a pick was made in " + node.region(),
-                                                        world.scheduler().now());
-                                    }
-                                    if (kind.kind().equals(Operators.GATE_KIND)
-                                            && (action instanceof DispatchEffect.Placed
-                                                    || action instanceof DispatchEffect.Rejected refusal
-                                                            && refusal.reason().startsWith("$.key"))) {
-                                        world.observer()
-                                                .operatorHistory()
-                                                .gateObserved(
-                                                        node.name(),
-                                                        action instanceof DispatchEffect.Placed,
-                                                        "a pick",
-                                                        world.scheduler().now());
-                                    }
-                                    deliverToClient(node, action, () -> placementAnswered(node, action, redirects));
-                                },
-                                t -> {}));
+                        () -> node.call(call, onAnswer, token -> callToken = token));
+    }
+
+    private void observePlacement(final SimulatedNode node, final DispatchEffect answer) {
+        final OperatorHistory history = world.observer().operatorHistory();
+        final long now = world.scheduler().now();
+        if (answer instanceof DispatchEffect.Placed placed) {
+            history.shown(node.name(), placed.revision(), now);
+            history.requireHomeRegion(
+                    content.tenant().name(), node.region(), Invariant.SENT, "a pick was made in " + node.region(), now);
+        }
+        final boolean isPlaced = answer instanceof DispatchEffect.Placed;
+        final boolean isKeyMissing = answer instanceof DispatchEffect.Rejected rejected
+                && rejected.reason().startsWith("$.key");
+        if (content.kind().kind().equals(Operators.GATE_KIND) && (isPlaced || isKeyMissing)) {
+            history.gateObserved(node.name(), isPlaced, "a pick", now);
+        }
     }
 
-    private void placementAnswered(final SimulatedNode node, final DispatchEffect action, final int redirects) {
+    private void placementAnswered(final SimulatedNode node, final DispatchEffect answer, final int redirects) {
         if (ended) {
             return;
         }
-        switch (action) {
-            case DispatchEffect.Placed answer -> {
-                requestId = answer.requestId();
-                world.issuedRequests(this, requestId, tenant, idempotencyKey, previousAttempts);
-                final long delay = world.scheduler().random().nextInt(30) == 0
-                        ? world.scheduler().random().nextLong(3_000_000)
-                        : 0;
-                world.scheduler().schedule(delay, () -> submit(node, answer.permit()));
-                if (world.scheduler().random().nextInt(50) == 0) {
-                    world.scheduler()
-                            .schedule(
-                                    delay + world.scheduler().random().nextLong(1_500_000),
-                                    () -> submitDuplicate(node, answer.permit()));
-                }
-            }
-            case DispatchEffect.Redirected answer -> {
+        switch (answer) {
+            case DispatchEffect.Placed placed -> placed(node, placed);
+            case DispatchEffect.Redirected redirected -> {
                 final Optional<SimulatedNode> target =
-                        world.node(answer.endpoints().get(0));
-                if (redirects > 4 || target.isEmpty()) {
+                        world.node(redirected.endpoints().get(0));
+                if (redirects > MAX_REDIRECTS || target.isEmpty()) {
                     end("rejected");
                 } else {
                     requestPlacement(target.get(), redirects + 1);
                 }
             }
-            case DispatchEffect.Rejected r -> rejected(r);
+            case DispatchEffect.Rejected rejected -> rejected(rejected);
             default -> end("unreached");
         }
     }
 
+    private void placed(final SimulatedNode node, final DispatchEffect.Placed placed) {
+        requestId = placed.requestId();
+        verifier.requestIssued(requestId);
+        world.attempts().requestIssued(requestId, content.idempotencyKey(), previousAttempts);
+        final long delay = world.scheduler().random().nextInt(30) == 0
+                ? world.scheduler().random().nextLong(MAX_SUBMIT_DELAY)
+                : 0;
+        world.scheduler().schedule(delay, () -> submit(node, placed.permit()));
+        if (world.scheduler().random().nextInt(50) == 0) {
+            world.scheduler()
+                    .schedule(
+                            delay + world.scheduler().random().nextLong(MAX_DUPLICATE_DELAY),
+                            () -> submitDuplicate(node, placed.permit()));
+        }
+    }
+
     private void submit(final SimulatedNode node, final String permit) {
         if (ended) {
             return;
@@ -163,33 +181,30 @@
             return;
         }
         gateway = Optional.of(node);
-        final SubmittedRequest submission = new SubmittedRequest(tenant.key(), permit, prefix, prompt, 10_000_000);
-        world.network()
-                .sendBytes(
-                        connection(node),
-                        endpoint,
-                        node.name(),
-                        () -> node.call(
-                                (c, t) -> c.submit(submission, t, node.now()),
-                                action -> deliverToClient(node, action, () -> {
-                                    if (connectionNumber == 0) {
-                                        streamAnswered(node, action);
-                                    }
-                                }),
-                                t -> callToken = t));
+        final SubmittedRequest submission = submission(permit);
+        openStream(
+                node,
+                (d, token) -> d.submit(submission, token, node.now()),
+                answer -> deliver(node, answer, () -> {
+                    if (connectionNumber == 0) {
+                        streamAnswered(node, answer);
+                    }
+                }));
         if (movesBetweenGateways) {
-            world.scheduler().schedule(150_000, () -> reconnect(node));
+            world.scheduler().schedule(RECONNECT_DELAY, () -> reconnect(node));
         }
     }
 
+    private SubmittedRequest submission(final String permit) {
+        return new SubmittedRequest(
+                content.tenant().key(), permit, content.prefix(), content.prompt(), REQUEST_TIMEOUT);
+    }
+
+    /** The same permit is sent once more, late; the answer doesn't matter. */
     private void submitDuplicate(final SimulatedNode node, final String permit) {
         if (node.isAlive()) {
             world.observer().duplicateSent(requestId);
-            node.call(
-                    (c, t) -> c.submit(
-                            new SubmittedRequest(tenant.key(), permit, prefix, prompt, 10_000_000), t, node.now()),
-                    a -> {},
-                    t -> {});
+            node.call((d, token) -> d.submit(submission(permit), token, node.now()), answer -> {}, token -> {});
         }
     }
 
@@ -199,180 +214,130 @@
         }
         world.observer().count("moves");
         connectionNumber++;
-        final long connectionThen = connectionNumber;
+        final long thisConnection = connectionNumber;
         node.hangUp(callToken);
-        world.network()
-                .sendBytes(
-                        connection(node),
-                        endpoint,
-                        node.name(),
-                        () -> node.call(
-                                (c, t) -> c.attach(requestId, tenant.key(), nextChunk, t, node.now()),
-                                action -> deliverToClient(node, action, () -> {
-                                    if (connectionThen == connectionNumber) {
-                                        if (action instanceof DispatchEffect.StreamWrite) {
-                                            world.observer()
-                                                    .operatorHistory()
-                                                    .requireHomeRegion(
-                                                            tenant.name(),
-                                                            node.region(),
-                                                            Invariant.KEPT,
-                                                            "ticket " + requestId + " was read again in "
-                                                                    + node.region(),
-                                                            world.scheduler().now() - SECOND / 2);
-                                        }
-                                        streamAnswered(node, action);
-                                    }
-                                }),
-                                t -> callToken = t));
+        openStream(
+                node,
+                (d, token) -> d.attach(requestId, content.tenant().key(), verifier.nextChunk(), token, node.now()),
+                answer -> deliver(node, answer, () -> {
+                    if (thisConnection == connectionNumber) {
+                        requireKeptAtHome(node, answer, world.scheduler().now() - MAX_TIME_ON_THE_WAY);
+                        streamAnswered(node, answer);
+                    }
+                }));
     }
 
-    private void deliverToClient(final SimulatedNode node, final DispatchEffect action, final Runnable whenDelivered) {
-        if (action instanceof DispatchEffect.StreamWrite stream) {
-            stream.records().forEach(record -> {
-                if (record instanceof StreamRecord.Chunk chunk
-                        && !world.regionOfRun(chunk.attemptId()).isEmpty()) {
-                    world.observer()
-                            .operatorHistory()
-                            .requireHomeRegion(
-                                    tenant.name(),
-                                    world.regionOfRun(chunk.attemptId()),
-                                    Invariant.SERVED,
-                                    "a piece of " + requestId + " came from " + world.regionOfRun(chunk.attemptId()),
-                                    world.scheduler().now() - SECOND / 2);
-                }
-            });
+    /** A response that is read again must be kept in a region of the tenant's homes. */
+    private void requireKeptAtHome(final SimulatedNode node, final DispatchEffect answer, final long time) {
+        if (answer instanceof DispatchEffect.StreamWrite) {
+            world.observer()
+                    .operatorHistory()
+                    .requireHomeRegion(
+                            content.tenant().name(),
+                            node.region(),
+                            Invariant.KEPT,
+                            "ticket " + requestId + " was read again in " + node.region(),
+                            time);
+        }
+    }
+
+    private void deliver(final SimulatedNode node, final DispatchEffect answer, final Runnable whenDelivered) {
+        if (answer instanceof DispatchEffect.StreamWrite stream) {
+            stream.records().forEach(this::requireServedAtHome);
+        }
+        world.network().sendBytes(connection(node) + "<", node.name(), content.endpoint(), whenDelivered);
+    }
+
+    private void requireServedAtHome(final StreamRecord record) {
+        if (record instanceof StreamRecord.Chunk chunk) {
+            final String region = world.attempts().regionOf(chunk.attemptId());
+            if (!region.isEmpty()) {
+                world.observer()
+                        .operatorHistory()
+                        .requireHomeRegion(
+                                content.tenant().name(),
+                                region,
+                                Invariant.SERVED,
+                                "a piece of " + requestId + " came from " + region,
+                                world.scheduler().now() - MAX_TIME_ON_THE_WAY);
+            }
         }
-        world.network().sendBytes(connection(node) + "<", node.name(), endpoint, whenDelivered);
     }
 
     private String connection(final SimulatedNode node) {
-        return endpoint + ">" + node.name() + "/" + requestId + "/" + connectionNumber;
+        return content.endpoint() + ">" + node.name() + "/" + requestId + "/" + connectionNumber;
     }
 
-    private void streamAnswered(final SimulatedNode node, final DispatchEffect action) {
+    private void streamAnswered(final SimulatedNode node, final DispatchEffect answer) {
         if (ended) {
             return;
         }
-        switch (action) {
+        switch (answer) {
             case DispatchEffect.StreamWrite stream -> {
                 stream.records().forEach(this::verify);
                 if (stream.endOfStream()) {
-                    end(trailerSeen ? "done" : "lost");
+                    end(verifier.isComplete() ? "done" : "lost");
                 } else {
-                    node.withDispatcher(c -> c.readerReady(stream.callId()));
+                    node.withDispatcher(d -> d.readerReady(stream.callId()));
                 }
             }
-            case DispatchEffect.Rejected r -> rejected(r);
+            case DispatchEffect.Rejected rejected -> rejected(rejected);
             default -> end("broken");
         }
     }
 
-    private void rejected(final DispatchEffect.Rejected rejection) {
-        if (rejection.statusCode() == 0) {
-            end("broken");
-            return;
+    private void verify(final StreamRecord record) {
+        if (verifier.nextChunk() == 0 && record instanceof StreamRecord.Chunk) {
+            firstChunkAt = world.scheduler().now();
         }
-        if (rejection.statusCode() == 410
-                || rejection.statusCode() == 409 && rejection.reason().startsWith("the ticket was handed")) {
+        verifier.verify(record);
+    }
+
+    private void rejected(final DispatchEffect.Rejected rejection) {
+        final int status = rejection.statusCode();
+        final boolean isSpent = status == 409 && rejection.reason().startsWith("the ticket was handed");
+        if (status == 0 || status == 410 || isSpent) {
             end("broken");
             return;
         }
-        if (rejection.statusCode() == 425) {
+        if (status == 425) {
             world.observer().count("code425");
-            gateway.ifPresent(n -> world.scheduler().schedule(rejection.retryAfter(), () -> reconnect(n)));
+            gateway.ifPresent(node -> world.scheduler().schedule(rejection.retryAfter(), () -> reconnect(node)));
             return;
         }
-        if (rejection.statusCode() == 409) {
+        if (status == 409) {
             world.observer().count("stands");
         }
-        if (nextChunk > 0 && rejection.statusCode() != 404) {
+        if (verifier.nextChunk() > 0 && status != 404) {
             world.observer().violated(Invariant.REJECTED, "ticket " + requestId + " was rejected after pieces came");
         }
-        world.observer().count("code" + rejection.statusCode());
-        end(rejection.statusCode() == 404 ? "broken" : "rejected");
+        world.observer().count("code" + status);
+        end(status == 404 ? "broken" : "rejected");
         if (rejection.retryAfter() > 0
-                && previousAttempts < 2
-                && !idempotencyKey.isEmpty() | world.scheduler().random().nextInt(3) == 0) {
-            world.scheduler()
-                    .schedule(
-                            rejection.retryAfter(),
-                            () -> world.startRequest(new ClientRequest(
-                                    world,
-                                    tenant,
-                                    kind,
-                                    idempotencyKey,
-                                    endpoint,
-                                    previousAttempts + 1,
-                                    prompt,
-                                    prefix,
-                                    false)));
+                && previousAttempts < MAX_RETRIES
+                && !content.idempotencyKey().isEmpty()
+                        | world.scheduler().random().nextInt(3) == 0) {
+            retryAfter(rejection.retryAfter());
         }
     }
 
-    private void verify(final StreamRecord record) {
-        switch (record) {
-            case StreamRecord.Chunk chunk -> {
-                if (nextChunk == 0) {
-                    attemptId = chunk.attemptId();
-                    firstChunkAt = world.scheduler().now();
-                }
-                if (trailerSeen) {
-                    violated(Invariant.CUT, "a piece after the seal");
-                }
-                if (chunk.index() != nextChunk) {
-                    violated(Invariant.PIECE, "piece " + chunk.index() + " where " + nextChunk + " was due");
-                }
-                if (!chunk.requestId().equals(requestId)) {
-                    violated(Invariant.FOREIGN, "a piece of ticket " + chunk.requestId());
-                } else if (!chunk.attemptId().equals(attemptId)) {
-                    violated(Invariant.JOIN, "a piece of run " + chunk.attemptId() + " after " + attemptId);
-                }
-                if (!chunk.text().equals(ExpectedResponse.chunk(prompt, chunk.index()))) {
-                    violated(Invariant.FOREIGN, "someone else's text");
-                }
-                nextChunk = chunk.index() + 1;
-                digest.update(chunk.text().getBytes(java.nio.charset.StandardCharsets.UTF_8));
-            }
-            case StreamRecord.Trailer trailer -> {
-                trailerSeen = true;
-                if (nextChunk != ExpectedResponse.chunkCount(prompt)
-                        || trailer.chunkCount() != nextChunk
-                        || !trailer.sha256().equals(HexFormat.of().formatHex(digest.digest()))) {
-                    violated(Invariant.CUT, "a seal that does not fit what came");
-                }
-                if (!trailer.requestId().equals(requestId)) {
-                    violated(Invariant.FOREIGN, "a seal of ticket " + trailer.requestId());
-                }
-            }
-            case StreamRecord.Lost x -> trailerSeen = false;
-        }
+    private void retryAfter(final long delay) {
+        world.scheduler().schedule(delay, () -> world.startRequest(content, previousAttempts + 1, false));
     }
 
-    /** An ended stream is read once more, as long as it may be kept. */
+    /** A response that ended is read once more, as long as it may be kept. */
     private void readAgain(final SimulatedNode node) {
         if (node.isAlive()) {
             world.observer().count("rereads");
             node.call(
-                    (c, t) -> c.attach(requestId, tenant.key(), 0, t, node.now()),
-                    action -> {
-                        if (action instanceof DispatchEffect.StreamWrite) {
-                            world.observer()
-                                    .operatorHistory()
-                                    .requireHomeRegion(
-                                            tenant.name(),
-                                            node.region(),
-                                            Invariant.KEPT,
-                                            "ticket " + requestId + " was read again in " + node.region(),
-                                            world.scheduler().now());
-                        }
-                    },
-                    t -> {});
+                    (d, token) -> d.attach(requestId, content.tenant().key(), 0, token, node.now()),
+                    answer -> requireKeptAtHome(node, answer, world.scheduler().now()),
+                    token -> {});
         }
     }
 
-    private void violated(final Invariant mark, final String what) {
-        world.observer().violated(mark, "ticket " + requestId + ": " + what);
+    private void violated(final Invariant invariant, final String what) {
+        world.observer().violated(invariant, "ticket " + requestId + ": " + what);
     }
 
     private void end(final String outcome) {
@@ -380,37 +345,25 @@
             return;
         }
         ended = true;
-        if (outcome.equals("done") && world.areClientsMoving()) {
-            gateway.ifPresent(n -> world.scheduler()
-                    .schedule(SECOND + world.scheduler().random().nextLong(10 * SECOND), () -> readAgain(n)));
+        if (outcome.equals("done") && world.load().areClientsMoving()) {
+            gateway.ifPresent(node -> world.scheduler()
+                    .schedule(SECOND + world.scheduler().random().nextLong(10 * SECOND), () -> readAgain(node)));
         }
-        world.observer().requestOutcome(kind.kind(), tenant.name(), outcome, firstChunkAt - startedAt);
+        final String tenant = content.tenant().name();
+        world.observer().requestOutcome(content.kind().kind(), tenant, outcome, firstChunkAt - startedAt);
         if (outcome.equals("cut")) {
-            gateway.filter(SimulatedNode::isAlive).ifPresent(n -> n.hangUp(callToken));
+            gateway.filter(SimulatedNode::isAlive).ifPresent(node -> node.hangUp(callToken));
         }
-        if (!requestId.isEmpty()) {
-            world.observer()
-                    .requestEnded(
-                            requestId, tenant.name(), outcome, world.scheduler().now());
-        } else {
+        if (requestId.isEmpty()) {
             world.observer().count("pick-" + outcome);
+        } else {
+            world.observer()
+                    .requestEnded(requestId, tenant, outcome, world.scheduler().now());
         }
-        if ((outcome.equals("cut") || outcome.equals("broken") || outcome.equals("lost"))
-                && !idempotencyKey.isEmpty()
-                && previousAttempts < 2) {
-            world.scheduler()
-                    .schedule(
-                            500_000,
-                            () -> world.startRequest(new ClientRequest(
-                                    world,
-                                    tenant,
-                                    kind,
-                                    idempotencyKey,
-                                    endpoint,
-                                    previousAttempts + 1,
-                                    prompt,
-                                    prefix,
-                                    false)));
+        if (RETRIED_OUTCOMES.contains(outcome)
+                && !content.idempotencyKey().isEmpty()
+                && previousAttempts < MAX_RETRIES) {
+            retryAfter(RETRY_DELAY);
         }
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/Day.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Day.java
@@ -136,7 +136,7 @@
         if (fault.losesDisk()) {
             world.waitForFullChain();
         }
-        world.disturbed();
+        world.disturbances().happened();
         fault.injection(world, duration);
     }
 
@@ -166,7 +166,8 @@
         Baseline(final World world, final long from, final long to) {
             this.world = world;
             this.completed = world.observer().completedBetween(from, to) * WINDOW / (to - from);
-            world.tenants()
+            world.plan()
+                    .tenants()
                     .forEach(p -> completedByTenant.put(
                             p.name(), world.observer().completedBetween(p.name(), from, to) * WINDOW / (to - from)));
         }
@@ -181,8 +182,9 @@
             while (world.scheduler().now() < end) {
                 world.scheduler().runUntil(Math.min(end, world.scheduler().now() + SECOND));
                 final long now = world.scheduler().now();
-                if (world.isHealed() && now - world.disturbedAt() >= RECOVERY_TIME + WINDOW) {
-                    world.recoveries().stream()
+                if (world.disturbances().areHealed()
+                        && now - world.disturbances().lastAt() >= RECOVERY_TIME + WINDOW) {
+                    world.disturbances().recoveries().stream()
                             .filter(recovery -> recovery.time() > judgedUntil)
                             .toList()
                             .forEach(recovery -> {
@@ -193,7 +195,7 @@
             }
         }
 
-        private void judgeRecovery(final World.Recovery recovery, final long now) {
+        private void judgeRecovery(final Disturbances.Recovery recovery, final long now) {
             world.observer().exercise(Invariant.RETURN);
             final long completedNow = world.observer().completedBetween(now - WINDOW, now);
             if (completedNow * 4 < completed) {
--- /dev/null
+++ b/simulation/src/main/java/silverlatch/simulation/sim/FrameTransport.java
@@ -0,0 +1,61 @@
+package silverlatch.simulation.sim;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import silverlatch.node.OutgoingFrame;
+import silverlatch.wire.Codec;
+import silverlatch.wire.Frame;
+
+/** Carries frames between nodes over the simulated network; some are encoded and decoded on the way. */
+final class FrameTransport {
+    private static final int ENCODED_OF = 50;
+    private final World world;
+    private final Codec codec = new Codec();
+    private final Map<String, Frame> newestFrames = new HashMap<>();
+
+    FrameTransport(final World world) {
+        this.world = world;
+    }
+
+    /** Sends a frame to the node that listens at its address, if there is one; a node that restarted doesn't get it. */
+    void send(final SimulatedNode sender, final OutgoingFrame outgoing) {
+        world.listener().frameSent(world.scheduler().now(), sender.name(), outgoing);
+        sender.stampChecker().frameSent(outgoing.frame());
+        world.nodeAt(outgoing.to()).ifPresent(receiver -> {
+            final long sentTo = receiver.generation();
+            final Frame frame = world.scheduler().random().nextInt(ENCODED_OF) == 0
+                    ? reencoded(outgoing.frame())
+                    : outgoing.frame();
+            world.network().sendFrame(sender.name(), receiver.name(), () -> {
+                if (sentTo == receiver.generation()) {
+                    deliver(receiver, frame);
+                }
+            });
+        });
+    }
+
+    private void deliver(final SimulatedNode receiver, final Frame frame) {
+        if (Optional.ofNullable(newestFrames.get(receiver.name()))
+                .map(newest -> newest.stamp().isBefore(frame.stamp()))
+                .orElse(true)) {
+            newestFrames.put(receiver.name(), frame);
+        }
+        receiver.frameReceived(frame);
+    }
+
+    /** A node gets so many copies of the newest frame that reached it. */
+    void replayNewestFrame(final SimulatedNode node, final int times) {
+        Optional.ofNullable(newestFrames.get(node.name())).ifPresent(frame -> {
+            for (int i = 0; i < times; i++) {
+                node.frameReceived(frame);
+            }
+        });
+    }
+
+    private Frame reencoded(final Frame frame) {
+        return codec.decode(codec.encode(frame), Frame.class) instanceof Codec.DecodeResult.Decoded<Frame> decoded
+                ? decoded.value()
+                : frame;
+    }
+}
--- a/simulation/src/main/java/silverlatch/simulation/sim/NetworkFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/NetworkFaults.java
@@ -21,7 +21,7 @@
         final Runnable healOutbound = world.network().cut(Set.of(node.name()), rest);
         final Runnable healInbound =
                 world.scheduler().random().nextBoolean() ? world.network().cut(rest, Set.of(node.name())) : () -> {};
-        world.disturbLater(duration, () -> {
+        world.disturbances().later(duration, () -> {
             healOutbound.run();
             healInbound.run();
         });
@@ -35,10 +35,10 @@
                 world.gateways().stream().map(SimulatedNode::name).collect(Collectors.toSet());
         final Runnable healOutbound = world.network().cut(core, rest);
         final Runnable healInbound = world.network().cut(rest, core);
-        world.disturbLater(duration, () -> {
+        world.disturbances().later(duration, () -> {
             healOutbound.run();
             healInbound.run();
-            world.recovered("");
+            world.disturbances().recovered("");
         });
     }
 
@@ -46,9 +46,9 @@
         final String region = world.randomOf(world.plan().regions()).region();
         world.record("cut off " + region);
         final Runnable heal = world.network().isolate(endpoints(world, region));
-        world.disturbLater(duration, () -> {
+        world.disturbances().later(duration, () -> {
             heal.run();
-            world.recovered(region);
+            world.disturbances().recovered(region);
         });
     }
 
@@ -56,9 +56,9 @@
         final String region = Lists.last(world.controllers()).region();
         world.record("cut off " + region + ", where the tail is");
         final Runnable heal = world.network().isolate(endpoints(world, region));
-        world.disturbLater(9_000_000, () -> {
+        world.disturbances().later(9_000_000, () -> {
             heal.run();
-            world.recovered(region);
+            world.disturbances().recovered(region);
         });
     }
 
@@ -68,10 +68,10 @@
         final SimulatedNode node = world.randomOf(nodes);
         final long offset = (world.scheduler().random().nextBoolean() ? 1 : -1)
                 * (100_000 + world.scheduler().random().nextLong(600_000_000L));
-        world.clockSkewed();
+        world.disturbances().clockSkewed();
         world.record("clock of " + node.name() + " jumps by " + offset / 1000 + " ms");
-        node.clock(offset);
-        world.disturbLater(duration, () -> node.clock(0));
+        node.clock().setWallOffset(offset);
+        world.disturbances().later(duration, () -> node.clock().setWallOffset(0));
     }
 
     static void clockSkewed(final World world, final long duration) {
@@ -80,17 +80,17 @@
         final SimulatedNode node = world.randomOf(nodes);
         final long offset = (world.scheduler().random().nextBoolean() ? 1 : -1)
                 * (100_000 + world.scheduler().random().nextLong(600_000_000L));
-        world.clockSkewed();
+        world.disturbances().clockSkewed();
         world.record("restart " + node.name() + " with its clock off by " + offset / 1000 + " ms");
         node.kill();
-        node.clock(offset);
-        world.disturbLater(500_000, node::start);
+        node.clock().setWallOffset(offset);
+        world.disturbances().later(500_000, node::start);
     }
 
     static void lossyNetwork(final World world, final long duration) {
         world.record("rough network");
         world.network().disturb(0.1, 0.1);
-        world.disturbLater(duration, () -> world.network().disturb(0, 0));
+        world.disturbances().later(duration, () -> world.network().disturb(0, 0));
     }
 
     static void gatewayPartitionedFromNodes(final World world, final long duration) {
@@ -105,8 +105,8 @@
         senders.add(worker.name());
         final Runnable healOutbound = world.network().cut(Set.of(node.name()), rest);
         final Runnable healInbound = world.network().cut(senders, Set.of(node.name()));
-        world.disturbLater(300_000, worker::drain);
-        world.disturbLater(duration + 6_000_000, () -> {
+        world.disturbances().later(300_000, worker::drain);
+        world.disturbances().later(duration + 6_000_000, () -> {
             healOutbound.run();
             healInbound.run();
             worker.kill();
@@ -126,10 +126,10 @@
         for (final SimulatedNode node : nodes) {
             final long nodeOffset =
                     same ? offset : offset + world.scheduler().random().nextLong(5_000_000L);
-            world.disturbLater(delay, () -> {
+            world.disturbances().later(delay, () -> {
                 node.kill();
-                node.clock(nodeOffset);
-                world.disturbLater(500_000, node::start);
+                node.clock().setWallOffset(nodeOffset);
+                world.disturbances().later(500_000, node::start);
             });
             delay += 6_000_000;
         }
@@ -139,9 +139,9 @@
         final SimulatedNode node = world.randomOf(world.gateways());
         world.record("storm at " + node.name());
         for (long time = 0; time < 1_500_000; time += 5_000) {
-            world.scheduler().schedule(time, () -> world.replayNewestFrame(node, 400));
+            world.scheduler().schedule(time, () -> world.frames().replayNewestFrame(node, 400));
         }
-        world.disturbLater(1_500_000, () -> {});
+        world.disturbances().later(1_500_000, () -> {});
     }
 
     static void oneWayPartition(final World world, final long duration) {
@@ -155,16 +155,16 @@
                 .forEach(r -> outside.addAll(endpoints(world, r.region())));
         final Runnable heal =
                 isMuted ? world.network().cut(inside, outside) : world.network().cut(outside, inside);
-        world.disturbLater(duration, () -> {
+        world.disturbances().later(duration, () -> {
             heal.run();
-            world.recovered(region);
+            world.disturbances().recovered(region);
         });
     }
 
     static void slowLinks(final World world, final long duration) {
         world.record("slow links between regions");
         world.network().extraDelay(150_000);
-        world.disturbLater(duration, () -> world.network().extraDelay(0));
+        world.disturbances().later(duration, () -> world.network().extraDelay(0));
     }
 
     static Set<String> endpoints(final World world, final String region) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/OperatorFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/OperatorFaults.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import silverlatch.simulation.fleet.Plan;
 
 /** What operators do to each other and to tickets under way. */
 final class OperatorFaults {
@@ -10,29 +11,30 @@
     static void zoneDrained(final World world, final long duration) {
         final String zone = world.randomOf(world.plan().regions()).zone();
         world.operators().drain(zone, true);
-        world.disturbLater(duration + 6_000_000, () -> world.operators().drain(zone, false));
+        world.disturbances().later(duration + 6_000_000, () -> world.operators().drain(zone, false));
     }
 
     static void operatorsRace(final World world, final long duration) {
         final String zone = world.randomOf(world.plan().regions()).zone();
         for (int i = 0; i < 4; i++) {
-            world.disturbLater(i * 700_000L, () -> world.operators().raceOnZone(zone));
+            world.disturbances().later(i * 700_000L, () -> world.operators().raceOnZone(zone));
         }
-        world.disturbLater(duration + 10_000_000, () -> world.operators().drain(zone, false));
+        world.disturbances()
+                .later(duration + 10_000_000, () -> world.operators().drain(zone, false));
     }
 
     static void tenantHomesChange(final World world, final long duration) {
-        final List<World.Tenant> tenants = new ArrayList<>(world.tenants());
-        final World.Tenant moved = tenants.remove(world.scheduler().random().nextInt(tenants.size()));
-        final World.Tenant removed = world.randomOf(tenants);
+        final List<Plan.Tenant> tenants = new ArrayList<>(world.plan().tenants());
+        final Plan.Tenant moved = tenants.remove(world.scheduler().random().nextInt(tenants.size()));
+        final Plan.Tenant removed = world.randomOf(tenants);
         final String region = world.randomOf(world.plan().regions()).region();
-        world.setClientsMoving(true);
+        world.load().setClientsMoving(true);
         world.operators().changeHomes(moved, List.of(region));
-        world.disturbLater(500_000, () -> world.operators().removeTenant(removed));
-        world.disturbLater(duration + 6_000_000, () -> {
+        world.disturbances().later(500_000, () -> world.operators().removeTenant(removed));
+        world.disturbances().later(duration + 6_000_000, () -> {
             world.operators().changeHomes(moved, moved.homeRegions());
             world.operators().changeHomes(removed, removed.homeRegions());
-            world.setClientsMoving(false);
+            world.load().setClientsMoving(false);
         });
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/Operators.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Operators.java
@@ -13,6 +13,7 @@
 import java.util.function.LongFunction;
 import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.replication.ChainClient;
+import silverlatch.simulation.fleet.Plan;
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
 import silverlatch.state.Entry;
@@ -61,9 +62,7 @@
     /** Gives the fleet its tenants and its first table. */
     void loadTenantsAndTable() {
         final SimulatedNode controller = world.controllers().get(0);
-        int unused = 0;
-        for (final World.Tenant tenant : world.tenants()) {
-            unused++;
+        for (final Plan.Tenant tenant : world.plan().tenants()) {
             final Runnable acknowledge = observer.operatorHistory()
                     .homesRequested(
                             tenant.name(),
@@ -93,8 +92,8 @@
         world.scheduler().runUntil(world.scheduler().now() + 2 * SECOND);
     }
 
-    /** Begins the operators' day. */
-    void open() {
+    /** Begins to read, to change and to turn the gate. */
+    void start() {
         readAndEdit();
         world.scheduler().schedule(3 * SECOND, this::toggleGate);
     }
@@ -150,7 +149,7 @@
                 : new Command.PatchTable(
                         "set-" + (long) value,
                         List.of(new Command.Cell(
-                                "*", world.randomOf(world.kinds()).kind(), "rate", cellValue(value))),
+                                "*", world.randomOf(world.plan().kinds()).kind(), "rate", cellValue(value))),
                         match);
         controller.submit(command, 3 * SECOND, result -> recordOutcome(value, result, match));
     }
@@ -213,7 +212,7 @@
                 "z/" + zone,
                 m -> new Command.SetEvacuation("zone-" + ++nextCommand, zone, drain, m),
                 sequence -> {
-                    world.disturbed();
+                    world.disturbances().happened();
                     if (drain) {
                         observer.count("drains");
                         observer.operatorHistory()
@@ -287,7 +286,7 @@
     }
 
     /** A tenant's homes are changed while its tickets queue, run, and are kept to be read again. */
-    void changeHomes(final World.Tenant tenant, final List<String> homes) {
+    void changeHomes(final Plan.Tenant tenant, final List<String> homes) {
         world.record("homes of " + tenant.name() + " become " + homes);
         final Runnable acknowledge = observer.operatorHistory()
                 .homesRequested(
@@ -301,13 +300,13 @@
                 m -> new Command.PutTenant("move-" + ++nextCommand, tenantValue(tenant, homes), m),
                 sequence -> {
                     acknowledge.run();
-                    world.disturbed();
+                    world.disturbances().happened();
                     observer.count("homeMoves");
                 });
     }
 
     /** A tenant is taken away. */
-    void removeTenant(final World.Tenant tenant) {
+    void removeTenant(final Plan.Tenant tenant) {
         world.record("tenant " + tenant.name() + " is taken away");
         final Runnable acknowledge = observer.operatorHistory()
                 .homesRequested(tenant.name(), Set.of(), true, world.scheduler().now());
@@ -317,7 +316,7 @@
                 m -> new Command.RemoveTenant("drop-" + ++nextCommand, tenant.name(), m),
                 sequence -> {
                     acknowledge.run();
-                    world.disturbed();
+                    world.disturbances().happened();
                     observer.count("drops");
                 });
     }
@@ -328,7 +327,13 @@
         final List<Command.Cell> cells = new ArrayList<>();
         for (int i = 0; i < rows; i++) {
             cells.add(new Command.Cell(
-                    world.tenants().get(i % world.tenants().size()).name(), "kind" + i, "rate", cellValue(900)));
+                    world.plan()
+                            .tenants()
+                            .get(i % world.plan().tenants().size())
+                            .name(),
+                    "kind" + i,
+                    "rate",
+                    cellValue(900)));
         }
         for (int i = 0; i < rows; i += 1_000) {
             final List<Command.Cell> batch = cells.subList(i, Math.min(rows, i + 1_000));
@@ -362,7 +367,7 @@
                         new Command.PatchTable(
                                 commandId,
                                 List.of(new Command.Cell(
-                                        "*", world.kinds().get(0).kind(), "rate", cellValue(950))),
+                                        "*", world.plan().kinds().get(0).kind(), "rate", cellValue(950))),
                                 -1),
                         4 * SECOND,
                         v -> lastChangeApplied = v instanceof CommandResult.Applied));
@@ -480,8 +485,8 @@
     }
 
     private List<Value.Row> rows(final double rate, final boolean gateShut) {
-        final List<Value.Row> rows =
-                new ArrayList<>(world.kinds().stream().map(s -> row(s, rate)).toList());
+        final List<Value.Row> rows = new ArrayList<>(
+                world.plan().kinds().stream().map(s -> row(s, rate)).toList());
         final Value.Row defaults = TableRules.defaultRow("*", GATE_KIND);
         rows.add(new Value.Row(
                 "*",
@@ -500,7 +505,7 @@
         return rows;
     }
 
-    private static Value.Row row(final World.RequestKind kind, final double rate) {
+    private static Value.Row row(final Plan.Kind kind, final double rate) {
         final Value.Row defaults = TableRules.defaultRow("*", kind.kind());
         return new Value.Row(
                 "*",
@@ -518,7 +523,7 @@
                 kind.atMostOnce() ? 9 : 1);
     }
 
-    private static Value.Tenant tenantValue(final World.Tenant tenant, final List<String> homes) {
+    private static Value.Tenant tenantValue(final Plan.Tenant tenant, final List<String> homes) {
         return new Value.Tenant(
                 tenant.name(), homes, tenant.share(), PermitSigner.sha256Hex(tenant.key()), "salt-" + tenant.name());
     }
--- /dev/null
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedGateway.java
@@ -0,0 +1,194 @@
+package silverlatch.simulation.sim;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.ObjLongConsumer;
+import silverlatch.dispatch.ClusterSnapshot;
+import silverlatch.dispatch.DispatchEffect;
+import silverlatch.dispatch.Dispatcher;
+import silverlatch.dispatch.DispatcherSettings;
+import silverlatch.dispatch.permit.PermitSigner;
+import silverlatch.node.Effect;
+import silverlatch.node.Node;
+import silverlatch.state.Command;
+import silverlatch.state.CommandResult;
+import silverlatch.state.Value;
+
+/**
+ * What a gateway has beside its node: the shipping dispatcher, the calls of clients that are open, and the attempts that it
+ * can cancel. All of it ends with the process; the newest snapshot of the cluster stays to be looked at.
+ */
+final class SimulatedGateway {
+    private final World world;
+    private final SimulatedNode host;
+    private final Map<Long, Consumer<DispatchEffect>> openCalls = new HashMap<>();
+    private final Map<Long, Consumer<String>> openRuns = new HashMap<>();
+    private Optional<Dispatcher> dispatcher = Optional.empty();
+    private Optional<ClusterSnapshot> clusterSnapshot = Optional.empty();
+
+    SimulatedGateway(final World world, final SimulatedNode host) {
+        this.world = world;
+        this.host = host;
+    }
+
+    /** The process starts. */
+    void start(final Node node) {
+        clusterSnapshot = Optional.of(node.facts());
+        dispatcher = Optional.of(new Dispatcher(
+                DispatcherSettings.DEFAULT.withSafeguards(world.safeguards()),
+                new PermitSigner("simulated-cluster-key"),
+                node.facts(),
+                () -> node.localStamp(host.now()),
+                world.scheduler().random().split()));
+    }
+
+    /** The process has ended: every connection breaks. */
+    void kill() {
+        dispatcher = Optional.empty();
+        final List<Consumer<DispatchEffect>> brokenCalls = List.copyOf(openCalls.values());
+        openCalls.clear();
+        brokenCalls.forEach(call -> call.accept(new DispatchEffect.Rejected(0, 0, "", "the connection broke", 0, "")));
+        final List<Consumer<String>> brokenRuns = List.copyOf(openRuns.values());
+        openRuns.clear();
+        brokenRuns.forEach(run -> run.accept("cut"));
+    }
+
+    /** No new request is accepted from now on. */
+    void stopAccepting() {
+        dispatcher.ifPresent(Dispatcher::stopAccepting);
+    }
+
+    /** What is still under way is given up. */
+    void shutdown() {
+        dispatcher.ifPresent(running -> running.shutdown(host.now()));
+    }
+
+    /** The snapshot that the dispatcher goes by. */
+    Optional<ClusterSnapshot> clusterSnapshot() {
+        return clusterSnapshot;
+    }
+
+    /** The values of the marked cells that this gateway goes by. */
+    Set<String> followedValues() {
+        final Set<String> values = new HashSet<>();
+        clusterSnapshot.ifPresent(snapshot -> snapshot.policy().values().forEach(value -> {
+            if (value instanceof Value.Row row) {
+                values.add(Operators.cellValue(row.requestsPerSecond()));
+            }
+        }));
+        return values;
+    }
+
+    /** Opens a client's call; the effects for its token come back to the client. */
+    void call(final long token, final ObjLongConsumer<Dispatcher> call, final Consumer<DispatchEffect> onEffect) {
+        openCalls.put(token, onEffect);
+        dispatcher.ifPresent(running -> call.accept(running, token));
+    }
+
+    /** A client hangs up. */
+    void hangUp(final long callToken) {
+        openCalls.remove(callToken);
+        dispatcher.ifPresent(running -> running.readerDisconnected(callToken, host.now()));
+    }
+
+    void withDispatcher(final Consumer<Dispatcher> task) {
+        dispatcher.ifPresent(task);
+    }
+
+    /** Advances the dispatcher's clock; whether it is ready then. A process that has ended keeps what it said. */
+    boolean tick(final boolean readyBefore) {
+        return dispatcher
+                .map(running -> {
+                    running.tick(host.now());
+                    return running.unreadyReason(host.now()).isEmpty();
+                })
+                .orElse(readyBefore);
+    }
+
+    /** Hands the newest snapshot to the dispatcher. */
+    void updateSnapshot(final Node node) {
+        dispatcher.ifPresent(running -> {
+            final ClusterSnapshot snapshot = node.facts();
+            clusterSnapshot = Optional.of(snapshot);
+            running.update(snapshot, host.now());
+        });
+    }
+
+    /** Performs what the dispatcher wants done; whether there was anything. */
+    boolean performEffects() {
+        final List<DispatchEffect> effects =
+                dispatcher.map(Dispatcher::drainEffects).orElse(List.of());
+        effects.forEach(this::perform);
+        return !effects.isEmpty();
+    }
+
+    private void perform(final DispatchEffect effect) {
+        if (!host.isAlive()) {
+            return;
+        }
+        if (!(effect instanceof DispatchEffect.Placed)) {
+            reportInjectionPoint(effect);
+        }
+        if (host.isFrozen()) {
+            host.execute(() -> perform(effect));
+            return;
+        }
+        world.listener().action(world.scheduler().now(), host.name(), effect);
+        switch (effect) {
+            case DispatchEffect.Placed placed -> {
+                answer(placed.callId(), effect, true);
+                reportInjectionPoint(effect);
+            }
+            case DispatchEffect.Redirected redirected -> answer(redirected.callId(), effect, true);
+            case DispatchEffect.Rejected rejected -> answer(rejected.callId(), effect, true);
+            case DispatchEffect.StreamWrite write -> answer(write.callId(), effect, write.endOfStream());
+            case DispatchEffect.StartAttempt attempt -> start(attempt);
+            case DispatchEffect.CancelAttempt cancelled ->
+                Optional.ofNullable(openRuns.remove(cancelled.operationId())).ifPresent(run -> run.accept("cut"));
+            case DispatchEffect.SubmitCommand submitted -> submit(submitted);
+            case DispatchEffect.PlacementDecided decided -> world.observer().count("judged");
+            case DispatchEffect.RequestEnded request -> world.observer().count("ended-" + request.state());
+            case DispatchEffect.Log log -> world.log(host, new Effect.Log(log.event(), log.text()));
+        }
+    }
+
+    private void start(final DispatchEffect.StartAttempt attempt) {
+        if (host.now() > attempt.sendDeadline()) {
+            dispatcher.ifPresent(running ->
+                    running.attemptFailed(attempt.operationId(), false, "it was not sent in time", host.now()));
+        } else {
+            world.attempts().start(host, attempt, openRuns);
+        }
+    }
+
+    private void submit(final DispatchEffect.SubmitCommand submitted) {
+        host.submit(
+                submitted.command(),
+                submitted.timeout(),
+                result -> dispatcher.ifPresent(
+                        running -> running.claimDecided(submitted.operationId(), (CommandResult) result, host.now())));
+    }
+
+    private void answer(final long callToken, final DispatchEffect effect, final boolean last) {
+        Optional.ofNullable(last ? openCalls.remove(callToken) : openCalls.get(callToken))
+                .ifPresent(call -> call.accept(effect));
+    }
+
+    private void reportInjectionPoint(final DispatchEffect effect) {
+        switch (effect) {
+            case DispatchEffect.Placed placed -> world.disturbances().reached(InjectionPoint.PLACED, host);
+            case DispatchEffect.SubmitCommand submitted -> {
+                if (submitted.command() instanceof Command.Claim) {
+                    world.disturbances().reached(InjectionPoint.CLAIMING, host);
+                }
+            }
+            case DispatchEffect.StartAttempt attempt -> world.disturbances().reached(InjectionPoint.SENDING, host);
+            default -> {}
+        }
+    }
+}
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedMeasurements.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedMeasurements.java
@@ -132,7 +132,7 @@
         System.out.println("| --- | --- | --- |");
         final World world = new World(plan, seed, 800, Safeguards.ALL, false);
         world.start();
-        world.multiplyFirstTenant(10);
+        world.load().multiplyFirstTenant(10);
         world.scheduler().runUntil(world.scheduler().now() + 15 * SECOND);
         world.stopLoad();
         world.scheduler().runUntil(world.scheduler().now() + 14 * SECOND);
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
@@ -2,27 +2,22 @@
 
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import silverlatch.clock.NtpTime;
+import java.util.function.LongConsumer;
+import java.util.function.ObjLongConsumer;
 import silverlatch.clock.PhysicalClock;
-import silverlatch.clock.Stamp;
 import silverlatch.dispatch.ClusterSnapshot;
 import silverlatch.dispatch.DispatchEffect;
 import silverlatch.dispatch.Dispatcher;
-import silverlatch.dispatch.DispatcherSettings;
-import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.gossip.Gossip;
 import silverlatch.gossip.Worker;
-import silverlatch.log.LogRecord;
 import silverlatch.membership.Member;
 import silverlatch.membership.Membership;
 import silverlatch.node.Effect;
-import silverlatch.node.Event;
 import silverlatch.node.Node;
 import silverlatch.node.OutgoingFrame;
 import silverlatch.replication.Replica;
@@ -30,61 +25,56 @@
 import silverlatch.replication.ReplicaState;
 import silverlatch.replication.ReplicaStatus;
 import silverlatch.state.Command;
-import silverlatch.state.CommandResult;
-import silverlatch.state.Value;
 import silverlatch.wire.Frame;
 
-/** A daemon in the simulator: the shipping deck and, for a gateway, the shipping carry, with fakes for the world around. */
+/**
+ * A machine of the simulator that runs the shipping node and, as a gateway, the shipping dispatcher; disk, network and clocks
+ * are simulated. Its process starts, ends and freezes; what was begun in one process never reaches the next. A node listens
+ * at its name. Durations are microseconds.
+ */
 final class SimulatedNode {
     private static final long TICK_INTERVAL = 20_000L;
-    private static final long MAX_CLOCK_SKEW = 50_000L;
-    private static final long MAX_CLOCK_LEAD = 80_000L;
-    private static final long WALL_CLOCK_START = 1_790_000_000_000_000L;
+    private static final long DELAYED_FRAMES_INTERVAL = 500L;
+    private static final long GRACE_PERIOD = 3_000_000L;
+    private static final long STOP_TIME = 4_500_000L;
+    private static final long MAX_STATE_AGE = 2_500_000L;
+    private static final int STAMP_LOW_BITS = 7;
+    private static final long MAX_SKEW = 50_000L;
     private final World world;
     private final String name;
     private final String zone;
     private final String region;
-    private final String address;
     private final List<String> seeds;
+    private final SimulatedClock clock;
     private final Optional<SimulatedDisk> disk;
-    private boolean recovering;
-    private final long skew;
+    private final Optional<LogWriter> logWriter;
+    private final StampChecker stampChecker;
+    private final SimulatedGateway gateway;
     private final Map<Long, Consumer<Object>> pendingAnswers = new HashMap<>();
-    private final Map<Long, Consumer<DispatchEffect>> openCalls = new HashMap<>();
-    private final Map<Long, Consumer<String>> openRuns = new HashMap<>();
     private final List<Runnable> deferredTasks = new ArrayList<>();
-    private final Map<Event, Long> loggedEvents = new HashMap<>();
     private Optional<Node> process = Optional.empty();
-    private Optional<Dispatcher> dispatcher = Optional.empty();
-    private Optional<ClusterSnapshot> clusterSnapshot = Optional.empty();
     private long generation;
-    private long clockBase;
-    private double clockRate = 1;
-    private long wall;
+    private long lastToken;
     private boolean frozen;
-    private long nextToken;
     private boolean ready;
-    private long highestHeard;
-    private long highestSent;
-    private long incarnation;
-    private long clockResetAt;
 
     SimulatedNode(
             final World world,
             final String name,
             final String zone,
             final String region,
-            final String address,
             final List<String> seeds,
             final boolean disk) {
         this.world = world;
         this.name = name;
         this.zone = zone;
         this.region = region;
-        this.address = address;
-        this.seeds = seeds;
-        this.skew = world.scheduler().random().nextLong(30_000) - 15_000;
+        this.seeds = List.copyOf(seeds);
+        this.clock = new SimulatedClock(world.scheduler());
         this.disk = disk ? Optional.of(new SimulatedDisk(world.scheduler())) : Optional.empty();
+        this.logWriter = this.disk.map(own -> new LogWriter(world, this, own));
+        this.stampChecker = new StampChecker(world, this);
+        this.gateway = new SimulatedGateway(world, this);
     }
 
     String name() {
@@ -100,111 +90,101 @@
     }
 
     String address() {
-        return address;
+        return name;
     }
 
     boolean isController() {
         return name.startsWith("controller");
     }
 
+    SimulatedClock clock() {
+        return clock;
+    }
+
     Optional<SimulatedDisk> disk() {
         return disk;
     }
 
+    StampChecker stampChecker() {
+        return stampChecker;
+    }
+
+    /** The node while its process runs. */
     Optional<Node> process() {
         return process;
     }
 
-    Optional<Dispatcher> dispatcher() {
-        return dispatcher;
+    Optional<ClusterSnapshot> clusterSnapshot() {
+        return gateway.clusterSnapshot();
     }
 
-    Optional<ClusterSnapshot> clusterSnapshot() {
-        return clusterSnapshot;
+    /** The values of the marked cells that this gateway goes by. */
+    Set<String> followedValues() {
+        return gateway.followedValues();
     }
 
     boolean isAlive() {
         return process.isPresent();
     }
 
-    boolean ready() {
-        return ready && isAlive() && !frozen;
+    boolean isFrozen() {
+        return frozen;
     }
 
-    long loggedCount(final Event event) {
-        return loggedEvents.getOrDefault(event, 0L);
+    boolean isReady() {
+        return ready && isAlive() && !frozen;
     }
 
+    /** Rises with each start and end of the process. */
     long generation() {
         return generation;
     }
 
+    /** The monotonic clock, in microseconds. */
     long now() {
-        return clockBase + (long) (world.scheduler().now() * clockRate);
-    }
-
-    private long wall() {
-        return WALL_CLOCK_START * 1000 + (world.scheduler().now() + wall + skew) * 1000;
-    }
-
-    /** The wall clock is off by so many microseconds from now on. */
-    void clock(final long offset) {
-        wall = offset;
+        return clock.now();
     }
 
+    /** Starts the process from its disk, unless it runs. */
     void start() {
         if (isAlive()) {
             return;
         }
         generation++;
-        highestHeard = 0;
-        highestSent = 0;
-        clockResetAt = world.scheduler().now();
-        clockBase = world.scheduler().random().nextLong(1_000_000_000_000L);
-        clockRate = 1 + (world.scheduler().random().nextDouble() - 0.5) * 1e-4;
+        stampChecker.started();
+        clock.restart();
         pendingAnswers.clear();
+        final Node node = newNode();
+        process = Optional.of(node);
+        if (!isController()) {
+            gateway.start(node);
+        }
+        scheduleTick(generation);
+    }
+
+    private Node newNode() {
         final List<String> controllers =
                 world.controllers().stream().map(SimulatedNode::address).toList();
-        final List<String> seeds = controllers.stream().anyMatch(this.seeds::contains) ? this.seeds : controllers;
-        final Member member = new Member(
-                name,
-                isController() ? "controller" : "gateway",
-                zone,
-                region,
-                address,
-                address,
-                wall() / 1000,
-                0,
-                "up",
-                false);
-        final Optional<ReplicaSettings> chain = disk.map(simulatedDisk -> {
-            return ReplicaSettings.of(new Replica(simulatedDisk.identity(), address), seeds);
-        });
-        final Node started = new Node(
+        final List<String> knownSeeds = controllers.stream().anyMatch(seeds::contains) ? seeds : controllers;
+        return new Node(
                 new Node.Settings(
-                        member,
-                        seeds,
-                        7,
-                        50_000,
+                        newMember(),
+                        knownSeeds,
+                        STAMP_LOW_BITS,
+                        MAX_SKEW,
                         Membership.Settings.DEFAULTS,
                         Gossip.Settings.DEFAULTS,
                         world.safeguards()),
-                chain,
+                disk.map(own -> ReplicaSettings.of(new Replica(own.identity(), address()), knownSeeds)),
                 disk.map(SimulatedDisk::records).orElse(List.of()),
-                new PhysicalClock(wall(), now(), 0),
+                new PhysicalClock(clock.wallNanos(), now(), 0),
                 world.scheduler().random().split(),
                 now());
-        process = Optional.of(started);
-        if (!isController()) {
-            clusterSnapshot = Optional.of(started.facts());
-            dispatcher = Optional.of(new Dispatcher(
-                    DispatcherSettings.DEFAULT.withSafeguards(world.safeguards()),
-                    new PermitSigner("simulated-cluster-key"),
-                    started.facts(),
-                    () -> started.localStamp(now()),
-                    world.scheduler().random().split()));
-        }
-        scheduleTick(generation);
+    }
+
+    private Member newMember() {
+        final String role = isController() ? "controller" : "gateway";
+        return new Member(name, role, zone, region, address(), address(), clock.wallNanos() / 1000, 0, "up", false);
     }
 
     /** The process ends at once; with the power also what was not synced is gone. */
@@ -213,45 +193,38 @@
             return;
         }
         generation++;
-        recovering = false;
         process = Optional.empty();
-        dispatcher = Optional.empty();
         ready = false;
         frozen = false;
         deferredTasks.clear();
-        disk.ifPresent(SimulatedDisk::losePower);
-        final List<Consumer<DispatchEffect>> brokenCalls = List.copyOf(openCalls.values());
-        openCalls.clear();
-        brokenCalls.forEach(c -> c.accept(new DispatchEffect.Rejected(0, 0, "", "the connection broke", 0, "")));
-        final List<Consumer<String>> brokenRuns = List.copyOf(openRuns.values());
-        openRuns.clear();
-        brokenRuns.forEach(r -> r.accept("cut"));
+        logWriter.ifPresent(LogWriter::losePower);
+        gateway.kill();
     }
 
-    /** Stops in good order, as a process does when it is asked to. */
+    /** Stops gracefully, as a process does when it is asked to. */
     void stop() {
-        dispatcher.ifPresent(Dispatcher::stopAccepting);
+        gateway.stopAccepting();
         execute(() -> {
-            process.ifPresent(d -> d.setReady(false));
+            process.ifPresent(node -> node.setReady(false));
             flush();
         });
         world.scheduler()
                 .schedule(
-                        3_000_000,
+                        GRACE_PERIOD,
                         () -> execute(() -> {
-                            dispatcher.ifPresent(c -> c.shutdown(now()));
-                            process.ifPresent(d -> d.leave(now()));
+                            gateway.shutdown();
+                            process.ifPresent(node -> node.leave(now()));
                             flush();
                         }));
         final long stoppingIn = generation;
-        world.scheduler().schedule(4_500_000, () -> {
+        world.scheduler().schedule(STOP_TIME, () -> {
             if (stoppingIn == generation) {
                 kill();
             }
         });
     }
 
-    /** The process freezes or wakes. */
+    /** The process freezes, or goes on with all that it missed. */
     void freeze(final boolean freeze) {
         if (!isAlive()) {
             return;
@@ -264,84 +237,93 @@
         }
     }
 
-    /** Does something in this process, unless it has ended since; when it is frozen, once it wakes. */
+    /** Does something in this process, unless it ends before; when it is frozen, once it goes on. */
     void execute(final Runnable task) {
         if (!isAlive()) {
             return;
         }
-        final long postedIn = generation;
-        final Runnable guardedTask = () -> {
-            if (postedIn == generation) {
-                task.run();
-            }
-        };
+        final Runnable guarded = inThisProcess(task);
         if (frozen) {
-            deferredTasks.add(guardedTask);
+            deferredTasks.add(guarded);
         } else {
-            guardedTask.run();
+            guarded.run();
         }
     }
 
-    void frameReceived(final Frame received) {
-        execute(() -> {
-            process.ifPresent(node -> {
-                node.onFrame(received, now());
-                recordHeardStamp(received, node);
-            });
-            flush();
-        });
+    private Runnable inThisProcess(final Runnable task) {
+        final long current = generation;
+        return () -> {
+            if (current == generation) {
+                task.run();
+            }
+        };
     }
 
-    void submit(final Command command, final long timeout, final Consumer<Object> whenAnswered) {
+    /** Does something with the node, and then what the node wants done. */
+    void executeOnNode(final Consumer<Node> task) {
         execute(() -> {
-            nextToken++;
-            pendingAnswers.put(nextToken, whenAnswered);
-            process.ifPresent(d -> d.submit(command, nextToken, now(), now() + timeout));
+            process.ifPresent(task);
             flush();
         });
     }
 
-    void read(final String start, final long timeout, final Consumer<Object> whenAnswered) {
-        execute(() -> {
-            nextToken++;
-            pendingAnswers.put(nextToken, whenAnswered);
-            process.ifPresent(d -> d.read(start, nextToken, now(), now() + timeout));
-            flush();
+    /** A frame arrives. */
+    void frameReceived(final Frame frame) {
+        executeOnNode(node -> {
+            node.onFrame(frame, now());
+            stampChecker.frameHeard(frame, node);
         });
     }
 
-    void announce(final Worker report, final long echo, final Consumer<Long> whenEchoed) {
+    /** Submits a command; its result comes back, if the process lives so long. */
+    void submit(final Command command, final long timeout, final Consumer<Object> whenAnswered) {
+        ask(whenAnswered, (node, token) -> node.submit(command, token, now(), now() + timeout));
+    }
+
+    /** Reads the entries whose keys start so; the result comes back, if the process lives so long. */
+    void read(final String keyPrefix, final long timeout, final Consumer<Object> whenAnswered) {
+        ask(whenAnswered, (node, token) -> node.read(keyPrefix, token, now(), now() + timeout));
+    }
+
+    private void ask(final Consumer<Object> whenAnswered, final ObjLongConsumer<Node> question) {
         execute(() -> {
-            process.ifPresent(d -> whenEchoed.accept(d.onAnnouncement(report, echo, now())));
+            lastToken++;
+            pendingAnswers.put(lastToken, whenAnswered);
+            process.ifPresent(node -> question.accept(node, lastToken));
             flush();
         });
     }
 
-    /** A consumer's call: the job gets the token and the carry; the acts for the token come back. */
+    /** A worker announces itself; the echo that it is to send next time comes back. */
+    void announce(final Worker report, final long echo, final LongConsumer whenEchoed) {
+        executeOnNode(node -> whenEchoed.accept(node.onAnnouncement(report, echo, now())));
+    }
+
+    /** A client's call: it is given the dispatcher and a token; the effects for the token come back to the client. */
     void call(
-            final java.util.function.ObjLongConsumer<Dispatcher> call,
-            final Consumer<DispatchEffect> onAction,
-            final Consumer<Long> callToken) {
+            final ObjLongConsumer<Dispatcher> call,
+            final Consumer<DispatchEffect> onEffect,
+            final LongConsumer onToken) {
         execute(() -> {
-            nextToken++;
-            openCalls.put(nextToken, onAction);
-            callToken.accept(nextToken);
-            dispatcher.ifPresent(c -> call.accept(c, nextToken));
+            lastToken++;
+            onToken.accept(lastToken);
+            gateway.call(lastToken, call, onEffect);
             flush();
         });
     }
 
+    /** Does something with the dispatcher, if this is a gateway. */
     void withDispatcher(final Consumer<Dispatcher> task) {
         execute(() -> {
-            dispatcher.ifPresent(task);
+            gateway.withDispatcher(task);
             flush();
         });
     }
 
+    /** A client hangs up its call. */
     void hangUp(final long callToken) {
         execute(() -> {
-            openCalls.remove(callToken);
-            dispatcher.ifPresent(c -> c.readerDisconnected(callToken, now()));
+            gateway.hangUp(callToken);
             flush();
         });
     }
@@ -351,7 +333,7 @@
             return;
         }
         execute(() -> {
-            process.ifPresent(d -> d.tick(now(), wall()));
+            process.ifPresent(node -> node.tick(now(), clock.wallNanos()));
             flush();
             process.ifPresent(this::updateReadiness);
         });
@@ -359,23 +341,21 @@
     }
 
     private void updateReadiness(final Node node) {
-        if (isController()) {
-            ready = node.chainReplica()
-                    .map(replica -> {
-                        final ReplicaStatus state = replica.status(now());
-                        return state.state() == ReplicaState.IN_CHAIN && state.isCaughtUp() && state.isLeased();
-                    })
-                    .orElse(node.gossip().stateAge(now()) < 2_500_000L);
-        } else {
-            dispatcher.ifPresent(running -> {
-                running.tick(now());
-                ready = running.unreadyReason(now()).isEmpty();
-            });
-        }
+        ready = isController() ? isControllerReady(node) : gateway.tick(ready);
         node.setReady(ready);
         flush();
     }
 
+    private boolean isControllerReady(final Node node) {
+        return node.chainReplica()
+                .map(replica -> {
+                    final ReplicaStatus status = replica.status(now());
+                    return status.state() == ReplicaState.IN_CHAIN && status.isCaughtUp() && status.isLeased();
+                })
+                .orElse(node.gossip().stateAge(now()) < MAX_STATE_AGE);
+    }
+
+    /** Performs what the node and the dispatcher want done, until neither wants more. */
     private void flush() {
         if (process.isEmpty()) {
             return;
@@ -383,74 +363,21 @@
         final Node node = process.get();
         boolean hasMore = true;
         while (hasMore && isAlive()) {
-            dispatcher.ifPresent(running -> {
-                final ClusterSnapshot snapshot = node.facts();
-                clusterSnapshot = Optional.of(snapshot);
-                running.update(snapshot, now());
-            });
+            gateway.updateSnapshot(node);
             final List<OutgoingFrame> frames = node.drainFrames();
-            frames.forEach(s -> world.send(this, s));
+            frames.forEach(frame -> world.frames().send(this, frame));
             final List<Effect> effects = node.drain();
             effects.forEach(this::perform);
-            final List<DispatchEffect> actions =
-                    dispatcher.map(Dispatcher::drainEffects).orElse(List.of());
-            actions.forEach(this::performAction);
-            hasMore = !effects.isEmpty() || !actions.isEmpty();
+            hasMore = gateway.performEffects() || !effects.isEmpty();
         }
         if (isAlive() && node.hasDelayedFrames()) {
-            final long parkedIn = generation;
-            world.scheduler().schedule(500, () -> {
-                if (parkedIn == generation) {
-                    execute(() -> {
-                        process.ifPresent(x -> x.tick(now(), wall()));
-                        flush();
-                    });
-                }
-            });
+            world.scheduler()
+                    .schedule(
+                            DELAYED_FRAMES_INTERVAL,
+                            inThisProcess(() -> executeOnNode(running -> running.tick(now(), clock.wallNanos()))));
         }
     }
 
-    /** What the observer knows of stamps: a frame said must be above all that was heard in bounds, and said, before. */
-    void checkSentStamp(final Frame sent) {
-        final Stamp stamp = sent.stamp();
-        world.observer().exercise(Invariant.STAMP);
-        if (sent.incarnation() != incarnation) {
-            incarnation = sent.incarnation();
-            highestSent = 0;
-            highestHeard = process.filter(d -> !isWithinSkew(highestHeard, d)).isPresent() ? 0 : highestHeard;
-        }
-        if (stamp.bits() <= Math.max(highestSent, highestHeard)) {
-            world.observer()
-                    .violated(
-                            Invariant.STAMP,
-                            name + " said " + stamp.bits() + " after it heard " + highestHeard + " and said "
-                                    + highestSent);
-        }
-        highestSent = Math.max(highestSent, stamp.bits());
-        if (world.isClockSkewRecent() && wall == 0 && world.scheduler().now() - clockResetAt > 10_000_000L) {
-            world.observer().exercise(Invariant.DRAG);
-            final long ahead = NtpTime.toMicros(Math.max(0, stamp.bits() - clock()));
-            if (ahead > MAX_CLOCK_LEAD) {
-                world.observer().violated(Invariant.DRAG, name + " is " + ahead / 1000 + " ms ahead of true time");
-            }
-        }
-    }
-
-    private void recordHeardStamp(final Frame received, final Node node) {
-        if (!node.hasDelayedFrames() && isWithinSkew(received.stamp().bits(), node)) {
-            highestHeard = Math.max(highestHeard, received.stamp().bits());
-        }
-    }
-
-    /** Whether a stamp is one that this daemon may believe by its physical clock as it is now. */
-    private boolean isWithinSkew(final long stampBits, final Node node) {
-        return stampBits - node.physicalClock().physicalTime(now()) <= NtpTime.fromMicros(MAX_CLOCK_SKEW);
-    }
-
-    private long clock() {
-        return NtpTime.fromUnixNanos((WALL_CLOCK_START + world.scheduler().now()) * 1000);
-    }
-
     private void perform(final Effect effect) {
         if (frozen) {
             execute(() -> perform(effect));
@@ -458,142 +385,16 @@
         }
         world.listener().effect(world.scheduler().now(), name, effect);
         switch (effect) {
-            case Effect.Respond a ->
-                Optional.ofNullable(pendingAnswers.remove(a.token())).ifPresent(c -> c.accept(a.response()));
-            case Effect.Persist write -> {
-                final long writtenIn = generation;
-                disk.ifPresent(simulatedDisk -> simulatedDisk.write(
-                        write,
-                        token -> {
-                            if (writtenIn == generation) {
-                                if (write.records().stream().anyMatch(LogRecord.Appended.class::isInstance)) {
-                                    process.ifPresent(this::reportSync);
-                                }
-                                execute(() -> {
-                                    process.ifPresent(d -> d.onPersisted(token, now()));
-                                    flush();
-                                });
-                            }
-                        },
-                        why -> execute(() -> {
-                            process.ifPresent(d -> d.onDiskFailed(why, now()));
-                            flush();
-                            reopenLogLater(writtenIn);
-                        })));
-            }
+            case Effect.Respond respond ->
+                Optional.ofNullable(pendingAnswers.remove(respond.token()))
+                        .ifPresent(answer -> answer.accept(respond.response()));
+            case Effect.Persist write -> logWriter.ifPresent(writer -> writer.write(write));
             case Effect.Log log -> {
-                loggedEvents.merge(log.event(), 1L, Long::sum);
                 world.observer().count("log-" + log.event());
-                clockResetAt = log.event() == Event.REJOIN ? world.scheduler().now() : clockResetAt;
+                stampChecker.logged(log.event());
                 world.log(this, log);
             }
-            case Effect.Send s -> throw new IllegalStateException("a send left the deck unstamped");
-        }
-    }
-
-    /** Opens the log again each second after a failed write, until the disk takes writes. */
-    private void reopenLogLater(final long failedIn) {
-        if (recovering) {
-            return;
-        }
-        recovering = true;
-        world.scheduler().schedule(1_000_000, () -> {
-            recovering = false;
-            if (failedIn != generation) {
-                return;
-            }
-            if (disk.map(SimulatedDisk::full).orElse(true)) {
-                reopenLogLater(failedIn);
-                return;
-            }
-            final List<LogRecord> records = disk.get().reopen();
-            execute(() -> {
-                process.ifPresent(d -> d.onDiskRecovered(records, now()));
-                flush();
-            });
-        });
-    }
-
-    private void reportSync(final Node node) {
-        final String id = disk.map(SimulatedDisk::identity).orElse("");
-        if (node.view().head().map(b -> b.id().equals(id)).orElse(false)) {
-            world.reached(InjectionPoint.HEAD_SYNCED, this);
-        } else if (node.view().tail().map(b -> b.id().equals(id)).orElse(false)) {
-            world.reached(InjectionPoint.TAIL_SYNCED, this);
-        }
-    }
-
-    private void reportInjectionPoint(final DispatchEffect action) {
-        switch (action) {
-            case DispatchEffect.Placed p -> world.reached(InjectionPoint.PLACED, this);
-            case DispatchEffect.SubmitCommand claim -> {
-                if (claim.command() instanceof Command.Claim) {
-                    world.reached(InjectionPoint.CLAIMING, this);
-                }
-            }
-            case DispatchEffect.StartAttempt r -> world.reached(InjectionPoint.SENDING, this);
-            default -> {}
-        }
-    }
-
-    private void performAction(final DispatchEffect action) {
-        if (!isAlive()) {
-            return;
-        }
-        if (!(action instanceof DispatchEffect.Placed)) {
-            reportInjectionPoint(action);
-        }
-        if (frozen) {
-            execute(() -> performAction(action));
-            return;
-        }
-        world.listener().action(world.scheduler().now(), name, action);
-        switch (action) {
-            case DispatchEffect.Placed placed -> {
-                call(placed.callId(), action, true);
-                reportInjectionPoint(action);
-            }
-            case DispatchEffect.Redirected placed -> call(placed.callId(), action, true);
-            case DispatchEffect.Rejected run -> call(run.callId(), action, true);
-            case DispatchEffect.StreamWrite f -> call(f.callId(), action, f.endOfStream());
-            case DispatchEffect.StartAttempt run -> {
-                if (now() > run.sendDeadline()) {
-                    dispatcher.ifPresent(
-                            claim -> claim.attemptFailed(run.operationId(), false, "it was not sent in time", now()));
-                } else {
-                    world.startRun(this, run, openRuns);
-                }
-            }
-            case DispatchEffect.CancelAttempt claim ->
-                Optional.ofNullable(openRuns.remove(claim.operationId())).ifPresent(j -> j.accept("cut"));
-            case DispatchEffect.SubmitCommand claim -> {
-                submit(
-                        claim.command(),
-                        claim.timeout(),
-                        v -> dispatcher.ifPresent(x -> x.claimDecided(claim.operationId(), (CommandResult) v, now())));
-            }
-            case DispatchEffect.PlacementDecided j -> world.observer().count("judged");
-            case DispatchEffect.RequestEnded e -> world.observer().count("ended-" + e.state());
-            case DispatchEffect.Log log -> {
-                loggedEvents.merge(log.event(), 1L, Long::sum);
-                world.log(this, new Effect.Log(log.event(), log.text()));
-            }
+            case Effect.Send send -> throw new IllegalStateException("a message left the node without a stamp");
         }
     }
-
-    private void call(final long callToken, final DispatchEffect action, final boolean last) {
-        Optional.ofNullable(last ? openCalls.remove(callToken) : openCalls.get(callToken))
-                .ifPresent(c -> c.accept(action));
-    }
-
-    /** The values of the marked cells that this daemon goes by. */
-    Set<String> followedValues() {
-        final Set<String> values = new HashSet<>();
-        clusterSnapshot.ifPresent(snapshot -> snapshot.policy().values().forEach(value -> {
-            if (value instanceof Value.Row row) {
-                values.add(Operators.cellValue(row.requestsPerSecond()));
-            }
-        }));
-        return values;
-    }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedWorker.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedWorker.java
@@ -11,7 +11,7 @@
 import silverlatch.dispatch.DispatchEffect;
 import silverlatch.dispatch.StreamRecord;
 import silverlatch.gossip.Worker;
-import silverlatch.simulation.worker.ExpectedResponse;
+import silverlatch.simulation.response.ExpectedResponse;
 import silverlatch.simulation.worker.WorkerFault;
 
 /** A worker in the simulator. */
--- a/simulation/src/main/java/silverlatch/simulation/sim/TargetedFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/TargetedFaults.java
@@ -16,10 +16,11 @@
 
     static void frozenAtSend(final World world, final long duration) {
         freezeAt(world, InjectionPoint.SENDING, duration);
-        world.disturbLater(200_000, () -> world.randomOf(world.workers()).drain());
+        world.disturbances()
+                .later(200_000, () -> world.randomOf(world.workers()).drain());
         final String zone = world.randomOf(world.plan().regions()).zone();
-        world.disturbLater(300_000, () -> world.operators().drain(zone, true));
-        world.disturbLater(duration + 8_000_000, () -> {
+        world.disturbances().later(300_000, () -> world.operators().drain(zone, true));
+        world.disturbances().later(duration + 8_000_000, () -> {
             world.operators().drain(zone, false);
             world.workers().forEach(worker -> {
                 worker.kill();
@@ -44,10 +45,10 @@
         world.record("kill at pick, claim, ask and piece");
         for (final InjectionPoint point : List.of(
                 InjectionPoint.PLACED, InjectionPoint.CLAIMING, InjectionPoint.SENDING, InjectionPoint.STREAMING)) {
-            world.arm(point, node -> {
+            world.disturbances().arm(point, node -> {
                 world.record("kill " + node.name() + " at " + point);
                 node.kill();
-                world.disturbLater(world.scheduler().random().nextLong(1_500_000), node::start);
+                world.disturbances().later(world.scheduler().random().nextLong(1_500_000), node::start);
             });
         }
     }
@@ -55,10 +56,10 @@
     static void killedAtSync(final World world, final long duration) {
         final InjectionPoint point =
                 world.scheduler().random().nextBoolean() ? InjectionPoint.HEAD_SYNCED : InjectionPoint.TAIL_SYNCED;
-        world.arm(point, node -> {
+        world.disturbances().arm(point, node -> {
             world.record("kill " + node.name() + " at " + point);
             node.kill();
-            world.disturbLater(duration, node::start);
+            world.disturbances().later(duration, node::start);
         });
     }
 
@@ -67,10 +68,10 @@
         final long freezeTime = world.scheduler().random().nextBoolean()
                 ? duration
                 : 30_000 + world.scheduler().random().nextLong(500_000);
-        world.arm(point, node -> {
+        world.disturbances().arm(point, node -> {
             world.record("freeze " + node.name() + " at " + point + " for " + freezeTime / 1000 + " ms");
             node.freeze(true);
-            world.disturbLater(freezeTime, () -> node.freeze(false));
+            world.disturbances().later(freezeTime, () -> node.freeze(false));
         });
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/World.java
@@ -1,66 +1,53 @@
 package silverlatch.simulation.sim;
 
 import java.util.ArrayList;
-import java.util.EnumMap;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.function.BiConsumer;
-import java.util.function.Consumer;
-import silverlatch.dispatch.DispatchEffect;
-import silverlatch.dispatch.StreamRecord;
+import java.util.function.BooleanSupplier;
+import java.util.stream.IntStream;
 import silverlatch.node.Effect;
-import silverlatch.node.OutgoingFrame;
 import silverlatch.safeguard.Safeguards;
 import silverlatch.simulation.fleet.Plan;
-import silverlatch.wire.Codec;
-import silverlatch.wire.Frame;
 
-/** A whole deployment on one fake clock: daemons of the shipping code, workers, consumers, operators, and the observer. */
+/**
+ * A whole deployment on one fake clock: nodes of the shipping code, workers, clients, operators, and the observer. The same
+ * plan, seed and faults give the same events; times are microseconds.
+ */
 public final class World {
     private static final long SECOND = 1_000_000L;
+    private static final long TENTH = SECOND / 10;
+    private static final int WORKER_SLOTS = 12;
+    private static final int MAX_TENTHS_TO_START = 200;
+    private static final int MAX_TENTHS_TO_LOAD = 300;
+    private static final int MAX_SECONDS_TO_FULL_CHAIN = 90;
     private final EventScheduler scheduler;
     private final SimulatedNetwork network;
     private final Observer observer;
+    private final Disturbances disturbances;
+    private final FrameTransport frames;
+    private final AttemptTransport attempts;
+    private final LoadGenerator load;
     private final Operators operators;
     private final Plan plan;
     private final Safeguards safeguards;
+    private final boolean verbose;
+    private final WorldListener listener;
     private final Map<String, SimulatedNode> nodes = new LinkedHashMap<>();
     private final Map<String, SimulatedWorker> workers = new LinkedHashMap<>();
-    private final Map<String, IssuedRequest> issuedRequests = new HashMap<>();
-    private final Map<String, Frame> newestFrames = new HashMap<>();
-    private final Map<String, String> regionByRun = new HashMap<>();
-    private final Map<InjectionPoint, Consumer<SimulatedNode>> armedInjections = new EnumMap<>(InjectionPoint.class);
-    private final List<Tenant> tenants = new ArrayList<>();
-    private final List<RequestKind> kinds = new ArrayList<>();
     private final List<String> timeline = new ArrayList<>();
-    private final Codec codec = new Codec();
-    private final boolean verbose;
-    private final WorldListener listener;
-    private long arrivals;
     private long nextSerial;
-    private long requestsPerSecond;
-    private int lengthBias;
-    private boolean clientsMoving;
-    private boolean stopped;
-    private long losingDisksUntil;
-    private final List<Recovery> recoveries = new ArrayList<>();
-    private long disturbedAt;
-    private long pendingHeals;
-    private long clockSkewedAt = Long.MIN_VALUE / 2;
-
-    record Tenant(String name, String key, double share, List<String> homeRegions) {}
-
-    /** Something came back: a region, or all when the name is empty. */
-    record Recovery(String region, long time) {}
-
-    record RequestKind(String kind, int weight, int chunks, int prefixParts, boolean atMostOnce) {}
 
-    private record IssuedRequest(Tenant tenant, String idempotencyKey, int previousAttempts) {}
-
-    /** A world of a plan, driven by a seed, with so many tickets a second. */
+    /**
+     * A world of a plan.
+     *
+     * @param plan              its regions, tenants and kinds of requests
+     * @param seed              decides all that is left to chance
+     * @param requestsPerSecond how many requests clients send
+     * @param safeguards        the safeguards that hold
+     * @param verbose           whether the timeline and the nodes' logs are printed
+     */
     public World(
             final Plan plan,
             final long seed,
@@ -81,57 +68,52 @@
         this.scheduler = new EventScheduler(seed);
         this.network = new SimulatedNetwork(scheduler);
         this.observer = new Observer(scheduler::now);
+        this.disturbances = new Disturbances(scheduler, observer);
         this.plan = plan;
-        this.requestsPerSecond = requestsPerSecond;
         this.safeguards = safeguards;
         this.verbose = verbose;
         this.listener = listener;
-        final List<String> seeds = new ArrayList<>();
-        for (int i = 1; i <= plan.regions().size(); i++) {
-            seeds.add("controller-" + i);
-        }
-        int controllerNumber = 0;
-        int gatewayNumber = 0;
-        int workerNumber = 0;
+        this.frames = new FrameTransport(this);
+        this.attempts = new AttemptTransport(this);
+        this.load = new LoadGenerator(this, requestsPerSecond);
+        final List<String> seeds = IntStream.rangeClosed(1, plan.regions().size())
+                .mapToObj(number -> "controller-" + number)
+                .toList();
+        int number = 0;
         for (final Plan.Region region : plan.regions()) {
-            controllerNumber++;
-            register(new SimulatedNode(
-                    this,
-                    "controller-" + controllerNumber,
-                    region.zone(),
-                    region.region(),
-                    "controller-" + controllerNumber,
-                    seeds,
-                    true));
-            final List<SimulatedNode> nearbyGateways = new ArrayList<>();
-            for (int i = 0; i < region.gateways(); i++) {
-                gatewayNumber++;
-                nearbyGateways.add(register(new SimulatedNode(
-                        this,
-                        "gateway-" + gatewayNumber,
-                        region.zone(),
-                        region.region(),
-                        "gateway-" + gatewayNumber,
-                        seeds,
-                        false)));
-            }
-            for (int i = 0; i < region.workers(); i++) {
-                workerNumber++;
-                final SimulatedWorker worker = new SimulatedWorker(
-                        this, "worker-" + workerNumber, region.zone(), region.region(), nearbyGateways, 12);
-                workers.put(worker.name(), worker);
-                network.place(worker.name(), region.region());
-            }
-            network.place("consumers-" + region.region(), region.region());
+            number++;
+            addRegion(region, "controller-" + number, seeds);
         }
-        plan.tenants().forEach(t -> tenants.add(new Tenant(t.name(), t.key(), t.share(), t.homeRegions())));
-        plan.kinds()
-                .forEach(k ->
-                        kinds.add(new RequestKind(k.kind(), k.weight(), k.chunks(), k.prefixParts(), k.atMostOnce())));
         this.operators = new Operators(this);
     }
 
-    /** The engine. */
+    private void addRegion(final Plan.Region region, final String controller, final List<String> seeds) {
+        addNode(controller, region, seeds, true);
+        final int firstGateway = gateways().size() + 1;
+        final List<SimulatedNode> nearbyGateways = new ArrayList<>();
+        for (int i = 0; i < region.gateways(); i++) {
+            nearbyGateways.add(addNode("gateway-" + (firstGateway + i), region, seeds, false));
+        }
+        final int firstWorker = workers.size() + 1;
+        for (int i = 0; i < region.workers(); i++) {
+            final String name = "worker-" + (firstWorker + i);
+            workers.put(
+                    name,
+                    new SimulatedWorker(this, name, region.zone(), region.region(), nearbyGateways, WORKER_SLOTS));
+            network.place(name, region.region());
+        }
+        network.place("consumers-" + region.region(), region.region());
+    }
+
+    private SimulatedNode addNode(
+            final String name, final Plan.Region region, final List<String> seeds, final boolean disk) {
+        final SimulatedNode node = new SimulatedNode(this, name, region.zone(), region.region(), seeds, disk);
+        nodes.put(name, node);
+        network.place(name, region.region());
+        return node;
+    }
+
+    /** The clock, and the source of chance. */
     public EventScheduler scheduler() {
         return scheduler;
     }
@@ -151,113 +133,40 @@
         return List.copyOf(timeline);
     }
 
-    WorldListener listener() {
-        return listener;
-    }
-
-    Safeguards safeguards() {
-        return safeguards;
-    }
-
-    Plan plan() {
-        return plan;
-    }
-
-    /** Waits until the controllers stand in one chain again, so that a machine may be lost for good. */
-    void waitForFullChain() {
-        for (int i = 0; i < 90 && (scheduler.now() < losingDisksUntil || !isChainComplete()); i++) {
-            scheduler.runUntil(scheduler.now() + SECOND);
-        }
-    }
-
-    /** Whether all controllers stand in one chain. */
-    boolean isChainComplete() {
-        return controllers().stream()
-                .allMatch(node -> node.ready()
-                        && node.process()
-                                .map(d -> d.view().chain().size()
-                                        == plan.regions().size())
-                                .orElse(false));
-    }
-
-    /** Machines go on being lost until then. */
-    void losingDisksUntil(final long duration) {
-        losingDisksUntil = scheduler.now() + duration;
-    }
-
-    /** What came back, and when. */
-    List<Recovery> recoveries() {
-        return List.copyOf(recoveries);
-    }
-
-    /** A region came back, or all when the name is empty. */
-    void recovered(final String region) {
-        recoveries.add(new Recovery(region, scheduler.now()));
-        disturbed();
-    }
-
-    /** Something is done to the world or is healed at this moment. */
-    void disturbed() {
-        disturbedAt = scheduler.now();
-    }
-
-    /** When something was last done to the world. */
-    long disturbedAt() {
-        return disturbedAt;
-    }
-
-    /** Does something later that stirs the world. */
-    void disturbLater(final long delay, final Runnable task) {
-        pendingHeals++;
-        scheduler.schedule(delay, () -> {
-            pendingHeals--;
-            disturbed();
-            task.run();
-        });
+    Disturbances disturbances() {
+        return disturbances;
     }
 
-    /** Whether nothing that was done to the world waits to be healed. */
-    boolean isHealed() {
-        return pendingHeals == 0;
+    FrameTransport frames() {
+        return frames;
     }
 
-    /** The next daemon that comes to a step is hit there. */
-    void arm(final InjectionPoint point, final Consumer<SimulatedNode> injection) {
-        armedInjections.put(point, injection);
+    AttemptTransport attempts() {
+        return attempts;
     }
 
-    /** A daemon comes to a step. */
-    void reached(final InjectionPoint point, final SimulatedNode node) {
-        Optional.ofNullable(armedInjections.remove(point)).ifPresent(injection -> {
-            observer.count("aimed-" + point);
-            disturbed();
-            injection.accept(node);
-        });
-    }
-
-    /** A clock is off from now on: stamps are looked at closely. */
-    void clockSkewed() {
-        clockSkewedAt = scheduler.now();
-    }
-
-    boolean isClockSkewRecent() {
-        return scheduler.now() - clockSkewedAt < 20 * SECOND;
+    LoadGenerator load() {
+        return load;
     }
 
     Operators operators() {
         return operators;
     }
 
-    List<Tenant> tenants() {
-        return tenants.stream().distinct().toList();
+    Plan plan() {
+        return plan;
+    }
+
+    Safeguards safeguards() {
+        return safeguards;
     }
 
-    List<RequestKind> kinds() {
-        return kinds;
+    WorldListener listener() {
+        return listener;
     }
 
     List<SimulatedNode> gateways() {
-        return nodes.values().stream().filter(n -> !n.isController()).toList();
+        return nodes.values().stream().filter(node -> !node.isController()).toList();
     }
 
     List<SimulatedNode> controllers() {
@@ -268,14 +177,25 @@
         return List.copyOf(workers.values());
     }
 
+    SimulatedWorker worker(final String name) {
+        return workers.get(name);
+    }
+
     Optional<SimulatedNode> node(final String name) {
         return Optional.ofNullable(nodes.get(name));
     }
 
+    Optional<SimulatedNode> nodeAt(final String address) {
+        return nodes.values().stream()
+                .filter(node -> node.address().equals(address))
+                .findFirst();
+    }
+
     <T> T randomOf(final List<T> list) {
         return list.get(scheduler.random().nextInt(list.size()));
     }
 
+    /** Puts something that is done to the world down in its timeline. */
     void record(final String event) {
         timeline.add(scheduler.now() / 1000 + " ms " + event);
         if (verbose) {
@@ -283,350 +203,114 @@
         }
     }
 
+    /** Prints a node's log event, if the world is verbose. */
     void log(final SimulatedNode node, final Effect.Log log) {
         if (verbose) {
             System.out.println(scheduler.now() / 1000 + " ms " + node.name() + " " + log.event() + " " + log.text());
         }
     }
 
+    /** Waits until the controllers form one chain again, so that a disk may be lost for good. */
+    void waitForFullChain() {
+        for (int i = 0;
+                i < MAX_SECONDS_TO_FULL_CHAIN && (disturbances.areDisksBeingLost() || !isChainComplete());
+                i++) {
+            scheduler.runUntil(scheduler.now() + SECOND);
+        }
+    }
+
+    /** Whether all controllers are ready, and as many as there are regions form the chain. */
+    boolean isChainComplete() {
+        return controllers().stream()
+                .allMatch(controller -> controller.isReady()
+                        && controller
+                                .process()
+                                .map(node -> node.view().chain().size()
+                                        == plan.regions().size())
+                                .orElse(false));
+    }
+
     /** Replaces a controller by an empty machine at a new address. */
     SimulatedNode replaceController(final SimulatedNode replaced) {
         replaced.kill();
         nodes.remove(replaced.name());
         final String name = "controller-" + (char) ('a' + nodes.size() % 26)
                 + scheduler.random().nextInt(1_000);
-        final List<String> seeds = controllers().stream()
-                .map(SimulatedNode::address)
-                .limit(2)
-                .collect(java.util.stream.Collectors.toCollection(ArrayList::new));
+        final List<String> seeds = new ArrayList<>(
+                controllers().stream().map(SimulatedNode::address).limit(2).toList());
         seeds.add(replaced.address());
-        final SimulatedNode replacement =
-                register(new SimulatedNode(this, name, replaced.zone(), replaced.region(), name, seeds, true));
+        final SimulatedNode replacement = addNode(name, regionOf(replaced), seeds, true);
         replacement.start();
         return replacement;
     }
 
+    private Plan.Region regionOf(final SimulatedNode node) {
+        return plan.regions().stream()
+                .filter(region -> region.region().equals(node.region()))
+                .findFirst()
+                .orElseThrow();
+    }
+
     /** Adds a controller without a data folder, and hence without a vote. */
     void addControllerWithoutVote() {
         final Plan.Region region = randomOf(plan.regions());
-        final String name = "controller-without-vote-" + nextSerialNumber();
         final List<String> seeds =
                 controllers().stream().map(SimulatedNode::address).toList();
-        register(new SimulatedNode(this, name, region.zone(), region.region(), name, seeds, false))
+        addNode("controller-without-vote-" + nextSerialNumber(), region, seeds, false)
                 .start();
     }
 
-    /** Starts everything, waits until it stands, and gives it its tenants and its table. */
+    /** Starts everything, waits until it is ready, and gives it its tenants, its table and its load. */
     public void start() {
         nodes.values().forEach(SimulatedNode::start);
         workers.values().forEach(SimulatedWorker::start);
-        for (int i = 0; i < 200 && !controllers().stream().allMatch(SimulatedNode::ready); i++) {
-            scheduler.runUntil(scheduler.now() + 100_000);
-        }
+        await(MAX_TENTHS_TO_START, () -> controllers().stream().allMatch(SimulatedNode::isReady));
         operators.loadTenantsAndTable();
-        for (int i = 0;
-                i < 300
-                        && !gateways().stream()
-                                .allMatch(node -> node.ready()
-                                        && node.clusterSnapshot()
-                                                .map(snapshot -> snapshot.row(
-                                                                "*",
-                                                                kinds.get(0).kind())
-                                                        .isPresent())
-                                                .orElse(false));
-                i++) {
-            scheduler.runUntil(scheduler.now() + 100_000);
-        }
-        if (!gateways().stream().allMatch(SimulatedNode::ready)) {
+        await(MAX_TENTHS_TO_LOAD, () -> gateways().stream().allMatch(this::isReadyWithTable));
+        if (!gateways().stream().allMatch(SimulatedNode::isReady)) {
             observer.violated(Invariant.DEAD, "the fleet did not stand up");
         }
         scheduler.runUntil(scheduler.now() + 2 * SECOND);
-        scheduleArrival();
-        operators.open();
+        load.start();
+        operators.start();
         observeFollowedValues();
     }
 
-    /** No new ticket and no new order from now on. */
-    public void stopLoad() {
-        stopped = true;
-        operators.stop();
-    }
-
-    /** Sets the tickets a second, and how far the mix leans to long prompts (or, below 0, to long replies). */
-    void setLoad(final long newRate, final int newLengthBias) {
-        requestsPerSecond = newRate;
-        lengthBias = newLengthBias;
-    }
-
-    void setClientsMoving(final boolean moving) {
-        clientsMoving = moving;
-    }
-
-    boolean areClientsMoving() {
-        return clientsMoving;
-    }
-
-    long requestsPerSecond() {
-        return requestsPerSecond;
+    private void await(final int tenths, final BooleanSupplier condition) {
+        for (int i = 0; i < tenths && !condition.getAsBoolean(); i++) {
+            scheduler.runUntil(scheduler.now() + TENTH);
+        }
     }
 
-    void startRequest(final ClientRequest request) {
-        request.start();
+    private boolean isReadyWithTable(final SimulatedNode gateway) {
+        final String firstKind = plan.kinds().get(0).kind();
+        return gateway.isReady()
+                && gateway.clusterSnapshot()
+                        .map(snapshot -> snapshot.row("*", firstKind).isPresent())
+                        .orElse(false);
     }
 
-    void issuedRequests(
-            final ClientRequest request,
-            final String requestId,
-            final Tenant tenant,
-            final String idempotencyKey,
-            final int previousAttempts) {
-        issuedRequests.put(requestId, new IssuedRequest(tenant, idempotencyKey, previousAttempts));
+    /** No new request and no new change from now on. */
+    public void stopLoad() {
+        load.stop();
+        operators.stop();
     }
 
-    void send(final SimulatedNode sender, final OutgoingFrame outgoing) {
-        listener.frameSent(scheduler.now(), sender.name(), outgoing);
-        sender.checkSentStamp(outgoing.frame());
-        final Optional<SimulatedNode> target = nodes.values().stream()
-                .filter(n -> n.address().equals(outgoing.to()))
-                .findFirst();
-        target.ifPresent(receiver -> {
-            final long sentTo = receiver.generation();
-            final Frame delivered =
-                    scheduler.random().nextInt(50) == 0 ? reencoded(outgoing.frame()) : outgoing.frame();
-            network.sendFrame(sender.name(), receiver.name(), () -> {
-                if (sentTo == receiver.generation()) {
-                    if (Optional.ofNullable(newestFrames.get(receiver.name()))
-                            .map(o -> o.stamp().isBefore(delivered.stamp()))
-                            .orElse(true)) {
-                        newestFrames.put(receiver.name(), delivered);
-                    }
-                    receiver.frameReceived(delivered);
-                }
-            });
-        });
-    }
-
-    /** A daemon gets so many copies of the newest frame that another region sent it. */
-    void replayNewestFrame(final SimulatedNode node, final int times) {
-        Optional.ofNullable(newestFrames.get(node.name())).ifPresent(frame -> {
-            for (int i = 0; i < times; i++) {
-                node.frameReceived(frame);
-            }
-        });
-    }
-
-    private Frame reencoded(final Frame frame) {
-        return codec.decode(codec.encode(frame), Frame.class) instanceof Codec.DecodeResult.Decoded<Frame> good
-                ? good.value()
-                : frame;
-    }
-
-    void startRun(
-            final SimulatedNode gateway,
-            final DispatchEffect.StartAttempt run,
-            final Map<Long, Consumer<String>> openRuns) {
-        final SimulatedWorker worker = workers.get(run.worker());
-        final long revision = gateway.clusterSnapshot().map(f -> f.revision()).orElse(0L);
-        final IssuedRequest issued =
-                issuedRequests.getOrDefault(run.requestId(), new IssuedRequest(tenants.get(0), "", 0));
-        observer.attemptSent(
-                run.tenant(),
-                issued.idempotencyKey(),
-                !run.attemptId().endsWith(".1") || issued.previousAttempts() > 0,
-                scheduler.now());
-        if (run.kind().equals(Operators.GATE_KIND)) {
-            observer.operatorHistory()
-                    .gateObserved(gateway.name(), true, "ticket " + run.requestId() + " was sent", scheduler.now());
-        }
-        if (!network.isReachable(gateway.name(), worker.name())) {
-            scheduler.schedule(SECOND, () -> attemptFailed(gateway, run.operationId(), false, "no connection in time"));
-            return;
-        }
-        final long[] exchange = {0};
-        final boolean[] ended = {false};
-        openRuns.put(run.operationId(), reason -> {
-            ended[0] = true;
-            worker.cancel(exchange[0]);
-        });
-        final String connection = gateway.name() + ">" + worker.name() + "/" + run.attemptId();
-        final long startedIn = gateway.generation();
-        network.sendBytes(connection, gateway.name(), worker.name(), () -> {
-            if (ended[0]) {
-                return;
-            }
-            if (!worker.isAlive()) {
-                attemptFailed(gateway, run.operationId(), false, "connection refused");
-                return;
-            }
-            final BiConsumer<StreamRecord, Boolean> output =
-                    (line, last) -> network.sendBytes(connection + "<", worker.name(), gateway.name(), () -> {
-                        if (ended[0] || startedIn != gateway.generation()) {
-                            return;
-                        }
-                        if (last) {
-                            attemptFailed(gateway, run.operationId(), true, "the connection ended");
-                        } else {
-                            reached(InjectionPoint.STREAMING, gateway);
-                            gateway.withDispatcher(c -> c.recordReceived(run.operationId(), line, gateway.now()));
-                        }
-                    });
-            exchange[0] = worker.startRun(run, output);
-            if (exchange[0] < 0) {
-                network.sendBytes(
-                        connection + "<",
-                        worker.name(),
-                        gateway.name(),
-                        () -> attemptFailed(gateway, run.operationId(), false, "not started"));
-                return;
-            }
-            network.sendBytes(
-                    connection + "<",
-                    worker.name(),
-                    gateway.name(),
-                    () -> gateway.withDispatcher(c -> c.attemptStarted(run.operationId())));
-            regionByRun.put(run.attemptId(), worker.region());
-            observer.runStarted(
-                    new Observer.Run(
-                            run.requestId(),
-                            run.tenant(),
-                            run.kind(),
-                            issued.idempotencyKey(),
-                            worker.name(),
-                            worker.zone(),
-                            worker.region(),
-                            gateway.name(),
-                            gateway.region(),
-                            revision),
-                    scheduler.now());
-            if (run.kind().equals(Operators.GATE_KIND)) {
-                observer.operatorHistory()
-                        .obeyed(gateway.name(), true, "ticket " + run.requestId() + " ran", scheduler.now());
-            }
-            watchWorker(gateway, worker, run, ended, startedIn);
-        });
-    }
-
-    /** The region of the worker that had a run. */
-    String regionOfRun(final String attemptId) {
-        return regionByRun.getOrDefault(attemptId, "");
-    }
-
-    private void watchWorker(
-            final SimulatedNode gateway,
-            final SimulatedWorker worker,
-            final DispatchEffect.StartAttempt run,
-            final boolean[] ended,
-            final long startedIn) {
-        scheduler.schedule(200_000, () -> {
-            if (ended[0] || startedIn != gateway.generation()) {
-                return;
-            }
-            if (!worker.isAlive()) {
-                ended[0] = true;
-                attemptFailed(gateway, run.operationId(), true, "the connection broke");
-            } else {
-                watchWorker(gateway, worker, run, ended, startedIn);
-            }
-        });
-    }
-
-    private void attemptFailed(
-            final SimulatedNode gateway, final long operationId, final boolean started, final String reason) {
-        final long failedIn = gateway.generation();
-        gateway.withDispatcher(dispatcher -> {
-            if (failedIn == gateway.generation()) {
-                dispatcher.attemptFailed(operationId, started, reason, gateway.now());
-            }
-        });
-    }
-
-    private SimulatedNode register(final SimulatedNode node) {
-        nodes.put(node.name(), node);
-        network.place(node.name(), node.region());
-        return node;
+    /** A client sends a request, for the first time or after so many attempts. */
+    void startRequest(
+            final ClientRequest.Content content, final int previousAttempts, final boolean movesBetweenGateways) {
+        new ClientRequest(this, content, previousAttempts, movesBetweenGateways, nextSerialNumber()).start();
     }
 
-    /** A number for each traveller. */
-    long nextSerialNumber() {
+    private long nextSerialNumber() {
         return ++nextSerial;
     }
 
-    /** One tenant sends so many times as much as each other. */
-    void multiplyFirstTenant(final int times) {
-        for (int i = 1; i < times; i++) {
-            tenants.add(tenants.get(0));
-        }
-    }
-
-    private void scheduleArrival() {
-        if (stopped) {
-            return;
-        }
-        final Tenant tenant = randomOf(tenants);
-        int weightLeft = scheduler
-                .random()
-                .nextInt(kinds.stream().mapToInt(RequestKind::weight).sum());
-        RequestKind kind = kinds.get(0);
-        for (final RequestKind candidate : kinds) {
-            weightLeft -= candidate.weight();
-            if (weightLeft < 0) {
-                kind = candidate;
-                break;
-            }
-        }
-        arrivals++;
-        final String idempotencyKey = kind.atMostOnce() ? "key-" + arrivals : "";
-        final int chunks = 1 + scheduler.random().nextInt(kind.chunks() * (lengthBias < 0 ? 3 : 1));
-        final List<String> prefix = new ArrayList<>();
-        final int conversation = scheduler.random().nextInt(lengthBias > 0 ? 60 : 5);
-        for (int i = 0; i < kind.prefixParts() * (lengthBias > 0 ? 2 : 1); i++) {
-            prefix.add(kind.kind() + conversation + "/" + i);
-        }
-        final String prompt = chunks + " " + tenant.name() + " " + arrivals;
-        final String endpoint = "consumers-" + randomOf(plan.regions()).region();
-        startRequest(new ClientRequest(
-                this,
-                tenant,
-                kind,
-                idempotencyKey,
-                endpoint,
-                0,
-                prompt,
-                prefix,
-                clientsMoving && scheduler.random().nextInt(3) == 0));
-        if (kind.atMostOnce() && scheduler.random().nextInt(5) == 0) {
-            startRequest(new ClientRequest(
-                    this,
-                    tenant,
-                    kind,
-                    idempotencyKey,
-                    endpoint,
-                    scheduler.random().nextInt(2),
-                    prompt,
-                    prefix,
-                    false));
-            observer.exercise(Invariant.TWICE);
-        }
-        if (scheduler.random().nextInt(6) == 0) {
-            startRequest(new ClientRequest(
-                    this,
-                    tenant,
-                    new RequestKind(Operators.GATE_KIND, 0, 3, 1, false),
-                    "",
-                    endpoint,
-                    0,
-                    "2 " + tenant.name() + " t" + arrivals,
-                    List.of("trial"),
-                    false));
-        }
-        scheduler.schedule(1 + scheduler.random().nextLong(2 * SECOND / requestsPerSecond), this::scheduleArrival);
-    }
-
     private void observeFollowedValues() {
         gateways().stream()
-                .filter(SimulatedNode::ready)
-                .forEach(n ->
-                        observer.operatorHistory().valuesObserved(n.followedValues(), "is followed by " + n.name()));
+                .filter(SimulatedNode::isReady)
+                .forEach(gateway -> observer.operatorHistory()
+                        .valuesObserved(gateway.followedValues(), "is followed by " + gateway.name()));
         scheduler.schedule(SECOND / 4, this::observeFollowedValues);
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/worker/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/worker/Main.java
@@ -27,6 +27,7 @@
 import silverlatch.server.web.ApiServer;
 import silverlatch.server.web.HttpExchange;
 import silverlatch.server.workerclient.StreamRecordEncoder;
+import silverlatch.simulation.response.ExpectedResponse;
 
 /** A stand-in worker: reads prompts, keeps prefixes, streams pieces, seals, announces itself, and misbehaves on demand. */
 public final class Main {
