--- a/simulation/src/main/java/silverlatch/simulation/sim/Observer.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Observer.java
@@ -23,7 +23,7 @@
     private final Map<String, Integer> startsByRequest = new HashMap<>();
     private final Map<String, String> requestByKey = new HashMap<>();
     private final Map<String, String> outcomes = new HashMap<>();
-    private final Map<String, Long> leaves = new HashMap<>();
+    private final Map<String, Long> drainingSince = new HashMap<>();
     private final Map<String, Long> coldSince = new HashMap<>();
     private final Map<String, Map<String, Boolean>> keysByTenant = new HashMap<>();
     private final OperatorHistory operatorHistory = new OperatorHistory(this);
@@ -122,8 +122,8 @@
         if (outcomes.getOrDefault(run.requestId(), "").equals("rejected")) {
             violated(Invariant.REJECTED, "ticket " + run.requestId() + " runs after it was rejected");
         }
-        final long drainStart = leaves.getOrDefault(run.worker(), Long.MAX_VALUE / 2);
-        leaves.values().stream()
+        final long drainStart = drainingSince.getOrDefault(run.worker(), Long.MAX_VALUE / 2);
+        drainingSince.values().stream()
                 .filter(t -> now - t > 3 * SECOND && now - t < 8 * SECOND)
                 .findFirst()
                 .ifPresent(t -> exercise(Invariant.LEAVE));
@@ -190,11 +190,11 @@
     }
 
     /** A worker says that it leaves, or comes anew. */
-    public void leaves(final String worker, final boolean draining, final long now) {
+    public void workerDraining(final String worker, final boolean draining, final long now) {
         if (draining) {
-            leaves.putIfAbsent(worker, now);
+            drainingSince.putIfAbsent(worker, now);
         } else {
-            leaves.remove(worker);
+            drainingSince.remove(worker);
         }
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedWorker.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedWorker.java
@@ -1,32 +1,43 @@
 package silverlatch.simulation.sim;
 
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Deque;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.function.BiConsumer;
 import silverlatch.dispatch.DispatchEffect;
 import silverlatch.dispatch.StreamRecord;
 import silverlatch.gossip.Worker;
-import silverlatch.simulation.response.ExpectedResponse;
+import silverlatch.simulation.worker.PrefixCache;
+import silverlatch.simulation.worker.ScriptedResponse;
 import silverlatch.simulation.worker.WorkerFault;
 
-/** A worker in the simulator. */
+/**
+ * A worker in the simulator: it has so many slots and a queue of as many, caches prefixes, streams its responses chunk by
+ * chunk, announces itself to the gateways nearby, and misbehaves as a {@link WorkerFault} says. Times are microseconds.
+ */
 final class SimulatedWorker {
     private static final int PREFIX_CACHE_SIZE = 64;
+    private static final long MIN_PREFILL = 5_000L;
+    private static final long PREFILL_OF_PART = 8_000L;
+    private static final long CHUNK = 20_000L;
+    private static final long SLOW_CHUNK = 200_000L;
+    private static final long DARK_INTERVAL = 100_000L;
+    private static final long MIN_ANNOUNCEMENT_INTERVAL = 400_000L;
+    private static final long ANNOUNCEMENT_JITTER = 100_000L;
     private final World world;
     private final String name;
     private final String zone;
     private final String region;
     private final List<SimulatedNode> nearbyGateways;
     private final int slots;
-    private final LinkedHashMap<Long, Boolean> prefixCache = new LinkedHashMap<>(16, 0.75f, true);
+    private final PrefixCache prefixCache = new PrefixCache(PREFIX_CACHE_SIZE);
     private final Map<String, Long> echoes = new HashMap<>();
     private final Deque<Runnable> queue = new ArrayDeque<>();
-    private final Map<Long, Boolean> openExchanges = new HashMap<>();
+    private final Set<Long> openExchanges = new HashSet<>();
     private boolean isAlive;
     private boolean draining;
     private long incarnation;
@@ -34,9 +45,12 @@
     private long sequence;
     private long generation;
     private int running;
-    private int peakRunning;
     private WorkerFault fault = WorkerFault.NONE;
-    private long exchangeSerial;
+    private long lastExchange;
+
+    /** An attempt at this worker, and the process in which it started. */
+    private record Run(
+            long exchange, long startedIn, ScriptedResponse response, BiConsumer<StreamRecord, Boolean> output) {}
 
     SimulatedWorker(
             final World world,
@@ -69,12 +83,6 @@
         return isAlive;
     }
 
-    int peakRunning() {
-        final int seen = peakRunning;
-        peakRunning = running;
-        return seen;
-    }
-
     void start() {
         if (isAlive) {
             return;
@@ -90,7 +98,7 @@
         echoes.clear();
         queue.clear();
         fault = WorkerFault.NONE;
-        world.observer().leaves(name, false, startedAt);
+        world.observer().workerDraining(name, false, startedAt);
         if (startedAt > 0) {
             world.observer().workerRestarted(name, startedAt);
         }
@@ -109,7 +117,7 @@
         if (isAlive) {
             draining = true;
             announce();
-            world.observer().leaves(name, true, world.scheduler().now());
+            world.observer().workerDraining(name, true, world.scheduler().now());
         }
     }
 
@@ -121,28 +129,24 @@
         openExchanges.remove(exchange);
     }
 
-    /** A run arrives; lines and the end go back by the given ways. Gives the exchange's number, or -1 when it is denied. */
-    long startRun(final DispatchEffect.StartAttempt run, final BiConsumer<StreamRecord, Boolean> output) {
+    /**
+     * An attempt arrives.
+     *
+     * @param attempt what is asked
+     * @param output  takes each record that is sent back, and whether the connection ends with it
+     * @return the number of the exchange, or -1 when the worker rejects it
+     */
+    long startRun(final DispatchEffect.StartAttempt attempt, final BiConsumer<StreamRecord, Boolean> output) {
         if (fault == WorkerFault.DENY || queue.size() >= slots) {
             return -1;
         }
-        final long exchange = ++exchangeSerial;
-        openExchanges.put(exchange, true);
-        final long startedIn = generation;
-        final Runnable start = () -> {
-            running++;
-            peakRunning = Math.max(peakRunning, running);
-            final long uncachedParts = run.prefixDigests().stream()
-                    .filter(p -> !prefixCache.containsKey(p))
-                    .count();
-            world.observer().count(uncachedParts == 0 && !run.prefixDigests().isEmpty() ? "prefixKept" : "prefixRead");
-            run.prefixDigests().forEach(p -> prefixCache.put(p, true));
-            while (prefixCache.size() > PREFIX_CACHE_SIZE) {
-                prefixCache.remove(prefixCache.keySet().iterator().next());
-            }
-            world.scheduler()
-                    .schedule(5_000 + uncachedParts * 8_000, () -> streamNext(startedIn, exchange, run, 0, output));
-        };
+        final Run run = new Run(
+                ++lastExchange,
+                generation,
+                new ScriptedResponse(name, attempt.requestId(), attempt.attemptId(), attempt.prompt()),
+                output);
+        openExchanges.add(run.exchange());
+        final Runnable start = () -> prefill(run, attempt.prefixDigests());
         if (running < slots) {
             start.run();
         } else {
@@ -155,61 +159,50 @@
                         slots,
                         world.gateways().size(),
                         world.scheduler().now());
-        return exchange;
+        return run.exchange();
     }
 
-    private void streamNext(
-            final long startedIn,
-            final long exchange,
-            final DispatchEffect.StartAttempt run,
-            final int number,
-            final BiConsumer<StreamRecord, Boolean> output) {
-        if (startedIn != generation) {
+    private void prefill(final Run run, final List<Long> prefixDigests) {
+        running++;
+        final long missing = prefixCache.admit(prefixDigests);
+        world.observer().count(missing == 0 && !prefixDigests.isEmpty() ? "prefixKept" : "prefixRead");
+        world.scheduler().schedule(MIN_PREFILL + missing * PREFILL_OF_PART, () -> streamNext(run, 0));
+    }
+
+    private void streamNext(final Run run, final int index) {
+        if (run.startedIn() != generation) {
             return;
         }
-        final int count = ExpectedResponse.chunkCount(run.prompt());
-        if (!openExchanges.containsKey(exchange)) {
+        if (!openExchanges.contains(run.exchange())) {
             finishRun();
             return;
         }
         if (fault == WorkerFault.DARK) {
-            world.scheduler().schedule(100_000, () -> streamNext(startedIn, exchange, run, number, output));
+            world.scheduler().schedule(DARK_INTERVAL, () -> streamNext(run, index));
             return;
         }
-        if (fault == WorkerFault.DROP && number == 2) {
-            output.accept(new StreamRecord.Lost("", "end"), true);
-            openExchanges.remove(exchange);
-            finishRun();
+        final ScriptedResponse response = run.response();
+        if (response.isDropped(fault, index)) {
+            endStream(run);
             return;
         }
-        if (number == count) {
-            final String sha256 =
-                    ExpectedResponse.sha256(run.prompt(), fault == WorkerFault.WRONGSEAL ? count - 1 : count);
+        if (index == response.chunkCount()) {
             if (fault == WorkerFault.WRONGSEAL || fault == WorkerFault.NOSEAL) {
                 world.observer().exercise(Invariant.CUT);
             }
-            if (fault != WorkerFault.NOSEAL) {
-                output.accept(new StreamRecord.Trailer(name, run.requestId(), run.attemptId(), count, sha256), false);
-            }
-            output.accept(new StreamRecord.Lost("", "end"), true);
-            openExchanges.remove(exchange);
-            finishRun();
+            response.trailer(fault).ifPresent(trailer -> run.output().accept(trailer, false));
+            endStream(run);
             return;
         }
-        final String requestId = fault == WorkerFault.FOREIGN && number == 1 ? run.requestId() + "x" : run.requestId();
-        final StreamRecord chunk = new StreamRecord.Chunk(
-                requestId, run.attemptId(), number, ExpectedResponse.chunk(run.prompt(), number));
-        if (fault != WorkerFault.GAP || number != 1) {
-            output.accept(chunk, false);
-        }
-        recordExercised(number, count);
-        if (fault == WorkerFault.REPEAT && number == 1) {
-            output.accept(chunk, false);
-        }
-        world.scheduler()
-                .schedule(
-                        fault == WorkerFault.SLOW ? 200_000 : 20_000,
-                        () -> streamNext(startedIn, exchange, run, number + 1, output));
+        response.chunk(fault, index).forEach(chunk -> run.output().accept(chunk, false));
+        recordExercised(index, response.chunkCount());
+        world.scheduler().schedule(fault == WorkerFault.SLOW ? SLOW_CHUNK : CHUNK, () -> streamNext(run, index + 1));
+    }
+
+    private void endStream(final Run run) {
+        run.output().accept(new StreamRecord.Lost("", "end"), true);
+        openExchanges.remove(run.exchange());
+        finishRun();
     }
 
     private void recordExercised(final int number, final int count) {
@@ -238,7 +231,8 @@
         announce();
         world.scheduler()
                 .schedule(
-                        400_000 + world.scheduler().random().nextLong(100_000), () -> scheduleAnnouncement(startedIn));
+                        MIN_ANNOUNCEMENT_INTERVAL + world.scheduler().random().nextLong(ANNOUNCEMENT_JITTER),
+                        () -> scheduleAnnouncement(startedIn));
     }
 
     private void announce() {
@@ -254,29 +248,26 @@
                     running,
                     queue.size(),
                     slots,
-                    new ArrayList<>(prefixCache.keySet()),
+                    prefixCache.digests(),
                     draining,
                     world.scheduler().now() - startedAt);
-            final long echo = echoes.getOrDefault(gateway.name(), 0L);
+            final long lastEcho = echoes.getOrDefault(gateway.name(), 0L);
             final long sentIn = generation;
             world.network()
                     .sendBytes(
                             name + ">" + gateway.name() + gateway.generation(),
                             name,
                             gateway.name(),
-                            () -> gateway.announce(
-                                    report,
-                                    echo,
-                                    next -> world.network()
-                                            .sendBytes(
-                                                    gateway.name() + ">" + name + gateway.generation(),
-                                                    gateway.name(),
-                                                    name,
-                                                    () -> {
-                                                        if (sentIn == generation) {
-                                                            echoes.put(gateway.name(), next);
-                                                        }
-                                                    })));
+                            () -> gateway.announce(report, lastEcho, echo -> returnEcho(gateway, echo, sentIn)));
         }
     }
+
+    /** The echo dates the next announcement: it goes back with it, if this process is still the same. */
+    private void returnEcho(final SimulatedNode gateway, final long echo, final long sentIn) {
+        world.network().sendBytes(gateway.name() + ">" + name + gateway.generation(), gateway.name(), name, () -> {
+            if (sentIn == generation) {
+                echoes.put(gateway.name(), echo);
+            }
+        });
+    }
 }
--- a/simulation/src/main/java/silverlatch/simulation/worker/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/worker/Main.java
@@ -6,8 +6,8 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Deque;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -16,22 +16,27 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
+import java.util.stream.Collectors;
+import org.eclipse.jetty.client.BufferingResponseListener;
 import org.eclipse.jetty.client.HttpClient;
+import org.eclipse.jetty.client.Result;
 import org.eclipse.jetty.client.StringRequestContent;
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
-import silverlatch.dispatch.StreamRecord;
+import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.json.JsonDocument;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.web.ApiServer;
 import silverlatch.server.web.HttpExchange;
 import silverlatch.server.workerclient.StreamRecordEncoder;
-import silverlatch.simulation.response.ExpectedResponse;
+import silverlatch.util.Threads;
 
 /** A stand-in worker: reads prompts, keeps prefixes, streams pieces, seals, announces itself, and misbehaves on demand. */
 public final class Main {
     private static final int PREFIX_CACHE_SIZE = 256;
+    private static final int SLOWDOWN = 10;
+    private static final int MAX_ANSWER = 4_096;
 
     @Option(name = "--name", required = true)
     private String name = "";
@@ -66,9 +71,9 @@
     private final long incarnation = System.currentTimeMillis() * 1000;
     private final long startedAt = EventLoop.nowMicros();
     private final ScheduledExecutorService executor =
-            Executors.newSingleThreadScheduledExecutor(task -> silverlatch.util.Threads.daemon("work", task));
+            Executors.newSingleThreadScheduledExecutor(task -> Threads.daemon("work", task));
     private final HttpClient httpClient = new HttpClient();
-    private final LinkedHashMap<Long, Boolean> prefixCache = new LinkedHashMap<>(16, 0.75f, true);
+    private final PrefixCache prefixCache = new PrefixCache(PREFIX_CACHE_SIZE);
     private final Deque<Runnable> queue = new ArrayDeque<>();
     private final Map<String, Long> echoes = new ConcurrentHashMap<>();
     private int running;
@@ -95,10 +100,7 @@
 
     private void start() throws IOException, ApiServer.HttpServerException {
         recordWriter = new PrintWriter(
-                Files.newBufferedWriter(
-                        Path.of(recordFile),
-                        java.nio.file.StandardOpenOption.CREATE,
-                        java.nio.file.StandardOpenOption.APPEND),
+                Files.newBufferedWriter(Path.of(recordFile), StandardOpenOption.CREATE, StandardOpenOption.APPEND),
                 true);
         try {
             httpClient.setMaxConnectionsPerDestination(4);
@@ -143,45 +145,19 @@
             return;
         }
         final JsonDocument document = good.document();
-        final String requestId = document.string("ticket", 256);
-        final String attemptId = document.string("run", 256);
-        final String tenant = document.string("tenant", 64);
-        final String kind = document.string("kind", 64);
-        final String prompt = document.string("prompt", 4 << 20);
-        final List<Long> prefix = document.integers("prefix", 64);
-        writeRecord(Map.of(
-                "event",
+        final ScriptedResponse response = new ScriptedResponse(
+                name, document.string("ticket", 256), document.string("run", 256), document.string("prompt", 4 << 20));
+        final List<Long> prefixDigests = document.integers("prefix", 64);
+        writeRunRecord(
                 "start",
-                "ticket",
-                requestId,
-                "run",
-                attemptId,
-                "tenant",
-                tenant,
-                "kind",
-                kind,
-                "region",
-                region,
-                "worker",
-                name,
-                "prompt",
-                silverlatch.dispatch.permit.PermitSigner.sha256Hex(prompt).substring(0, 12),
-                "at",
-                System.currentTimeMillis()));
+                response,
+                Map.of(
+                        "tenant", document.string("tenant", 64),
+                        "kind", document.string("kind", 64),
+                        "region", region,
+                        "prompt", PermitSigner.sha256Hex(response.prompt()).substring(0, 12)));
         exchange.writeLines("", false, () -> {}, () -> {});
-        final Runnable start = () -> {
-            running++;
-            final long uncachedParts =
-                    prefix.stream().filter(p -> !prefixCache.containsKey(p)).count();
-            prefix.forEach(p -> prefixCache.put(p, true));
-            while (prefixCache.size() > PREFIX_CACHE_SIZE) {
-                prefixCache.remove(prefixCache.keySet().iterator().next());
-            }
-            executor.schedule(
-                    () -> streamNext(exchange, requestId, attemptId, prompt, 0),
-                    uncachedParts * prefillMicros,
-                    TimeUnit.MICROSECONDS);
-        };
+        final Runnable start = () -> prefill(exchange, response, prefixDigests);
         if (running < slots) {
             start.run();
         } else {
@@ -189,77 +165,65 @@
         }
     }
 
-    private void streamNext(
-            final HttpExchange exchange,
-            final String requestId,
-            final String attemptId,
-            final String prompt,
-            final int number) {
-        final int count = ExpectedResponse.chunkCount(prompt);
+    private void prefill(final HttpExchange exchange, final ScriptedResponse response, final List<Long> prefixDigests) {
+        running++;
+        final long delay = prefixCache.admit(prefixDigests) * prefillMicros;
+        executor.schedule(() -> streamNext(exchange, response, 0), delay, TimeUnit.MICROSECONDS);
+    }
+
+    private void streamNext(final HttpExchange exchange, final ScriptedResponse response, final int index) {
         if (fault == WorkerFault.DARK) {
             return;
         }
-        if (number == count || fault == WorkerFault.DROP && number == 2) {
-            final String sha256 = fault == WorkerFault.WRONGSEAL
-                    ? ExpectedResponse.sha256(prompt, Math.max(0, count - 1))
-                    : ExpectedResponse.sha256(prompt, count);
-            final StreamRecord trailer = new StreamRecord.Trailer(name, requestId, attemptId, count, sha256);
-            writeRecord(Map.of(
-                    "event",
-                    "seal",
-                    "ticket",
-                    requestId,
-                    "run",
-                    attemptId,
-                    "count",
-                    count,
-                    "worker",
-                    name,
-                    "at",
-                    System.currentTimeMillis()));
-            exchange.writeLines(
-                    fault == WorkerFault.NOSEAL || fault == WorkerFault.DROP ? "" : StreamRecordEncoder.encode(trailer),
-                    true,
-                    () -> {},
-                    () -> {});
-            finishRun();
+        if (index == response.chunkCount() || response.isDropped(fault, index)) {
+            endStream(exchange, response);
             return;
         }
-        final String chunkRequestId = fault == WorkerFault.FOREIGN && number == 1 ? requestId + "x" : requestId;
-        final String text = fault == WorkerFault.GARBAGE && number == 1
-                ? "{nonsense\n"
-                : StreamRecordEncoder.encode(new StreamRecord.Chunk(
-                        chunkRequestId, attemptId, number, ExpectedResponse.chunk(prompt, number)));
-        final String output = fault == WorkerFault.GAP && number == 1
-                ? ""
-                : fault == WorkerFault.REPEAT && number == 1 ? text + text : text;
-        final long pause = fault == WorkerFault.SLOW ? chunkMicros * 10 : chunkMicros;
-        final Runnable next = () -> executor.schedule(
-                () -> streamNext(exchange, requestId, attemptId, prompt, number + 1), pause, TimeUnit.MICROSECONDS);
-        if (output.isEmpty()) {
+        final String lines = lines(response, index);
+        final long pause = fault == WorkerFault.SLOW ? chunkMicros * SLOWDOWN : chunkMicros;
+        final Runnable next =
+                () -> executor.schedule(() -> streamNext(exchange, response, index + 1), pause, TimeUnit.MICROSECONDS);
+        if (lines.isEmpty()) {
             next.run();
         } else {
-            exchange.writeLines(
-                    output,
-                    false,
-                    next,
-                    () -> executor.execute(() -> {
-                        writeRecord(Map.of(
-                                "event",
-                                "cut",
-                                "ticket",
-                                requestId,
-                                "run",
-                                attemptId,
-                                "worker",
-                                name,
-                                "at",
-                                System.currentTimeMillis()));
-                        finishRun();
-                    }));
+            exchange.writeLines(lines, false, next, () -> executor.execute(() -> cut(response)));
         }
     }
 
+    private String lines(final ScriptedResponse response, final int index) {
+        return response.isGarbage(fault, index)
+                ? "{nonsense\n"
+                : response.chunk(fault, index).stream()
+                        .map(StreamRecordEncoder::encode)
+                        .collect(Collectors.joining());
+    }
+
+    private void endStream(final HttpExchange exchange, final ScriptedResponse response) {
+        writeRunRecord("seal", response, Map.of("count", response.chunkCount()));
+        final String trailer = fault == WorkerFault.DROP
+                ? ""
+                : response.trailer(fault).map(StreamRecordEncoder::encode).orElse("");
+        exchange.writeLines(trailer, true, () -> {}, () -> {});
+        finishRun();
+    }
+
+    private void cut(final ScriptedResponse response) {
+        writeRunRecord("cut", response, Map.of());
+        finishRun();
+    }
+
+    /** Puts an event of a run into the file of records, with the run's ids, the worker's name and the time. */
+    private void writeRunRecord(final String event, final ScriptedResponse response, final Map<String, Object> more) {
+        final Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("event", event);
+        fields.put("ticket", response.requestId());
+        fields.put("run", response.attemptId());
+        fields.put("worker", name);
+        fields.put("at", System.currentTimeMillis());
+        fields.putAll(more);
+        writeRecord(fields);
+    }
+
     private void finishRun() {
         running--;
         if (!queue.isEmpty()) {
@@ -270,37 +234,48 @@
     private void announce() {
         sequence++;
         for (final String gateway : gateways.split(",")) {
-            final List<Long> cachedPrefixes = new ArrayList<>(prefixCache.keySet());
-            final Map<String, Object> report = new LinkedHashMap<>();
-            report.put("worker", name);
-            report.put("address", endpoint);
-            report.put("zone", zone);
-            report.put("region", region);
-            report.put("life", incarnation);
-            report.put("sequence", sequence);
-            report.put("running", running);
-            report.put("queued", queue.size());
-            report.put("slots", slots);
-            report.put("kept", cachedPrefixes);
-            report.put("leaving", draining);
-            report.put("up", EventLoop.nowMicros() - startedAt);
-            report.put("echo", echoes.getOrDefault(gateway, 0L));
             httpClient
                     .newRequest(URI.create("http://" + gateway + "/v1/announcements"))
                     .method("POST")
-                    .headers(h -> h.put("Authorization", "Bearer " + workerKey))
-                    .body(new StringRequestContent("application/json", JsonDocument.write(report)))
+                    .headers(headers -> headers.put("Authorization", "Bearer " + workerKey))
+                    .body(new StringRequestContent("application/json", JsonDocument.write(report(gateway))))
                     .timeout(2, TimeUnit.SECONDS)
-                    .send(new org.eclipse.jetty.client.BufferingResponseListener() {
-                        @Override
-                        public void onComplete(final org.eclipse.jetty.client.Result result) {
-                            if (result.isSucceeded()
-                                    && JsonDocument.parse(getContent(), 4096)
-                                            instanceof JsonDocument.ParseResult.Valid good) {
-                                echoes.put(gateway, good.document().integer("echo", 0, Long.MAX_VALUE, 0));
-                            }
-                        }
-                    });
+                    .send(new EchoListener(gateway));
+        }
+    }
+
+    private Map<String, Object> report(final String gateway) {
+        final Map<String, Object> report = new LinkedHashMap<>();
+        report.put("worker", name);
+        report.put("address", endpoint);
+        report.put("zone", zone);
+        report.put("region", region);
+        report.put("life", incarnation);
+        report.put("sequence", sequence);
+        report.put("running", running);
+        report.put("queued", queue.size());
+        report.put("slots", slots);
+        report.put("kept", prefixCache.digests());
+        report.put("leaving", draining);
+        report.put("up", EventLoop.nowMicros() - startedAt);
+        report.put("echo", echoes.getOrDefault(gateway, 0L));
+        return report;
+    }
+
+    /** Keeps the echo that a gateway answers, for the next announcement to it. */
+    private final class EchoListener extends BufferingResponseListener {
+        private final String gateway;
+
+        EchoListener(final String gateway) {
+            this.gateway = gateway;
+        }
+
+        @Override
+        public void onComplete(final Result result) {
+            if (result.isSucceeded()
+                    && JsonDocument.parse(getContent(), MAX_ANSWER) instanceof JsonDocument.ParseResult.Valid valid) {
+                echoes.put(gateway, valid.document().integer("echo", 0, Long.MAX_VALUE, 0));
+            }
         }
     }
 
