--- a/simulation/src/main/java/silverlatch/simulation/fleet/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/fleet/Main.java
@@ -59,7 +59,7 @@
         final Path receipts = fleet.folder().resolve("receipts");
         final Path out = fleet.folder().resolve("consumer.out");
         final Process load = fleet.startProgram(
-                "silverlatch.simulation.consumer.Main",
+                "silverlatch.simulation.client.Main",
                 out,
                 List.of(
                         "--doors",
--- a/simulation/src/main/java/silverlatch/simulation/measure/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/measure/Main.java
@@ -2,7 +2,9 @@
 
 import java.nio.file.Path;
 import silverlatch.simulation.fleet.Plan;
-import silverlatch.simulation.sim.SimulatedMeasurements;
+import silverlatch.simulation.sim.FailoverMeasurement;
+import silverlatch.simulation.sim.LoadMeasurement;
+import silverlatch.simulation.sim.SpreadMeasurement;
 
 /** Takes the figures of docs/measure.md: bits, spread, mend, crowd or disk. */
 public final class Main {
@@ -13,9 +15,9 @@
         final long seed = args.length > 2 ? Long.parseLong(args[2]) : 1;
         switch (args[1]) {
             case "bits" -> LogicalBits.run(seed, 10);
-            case "spread" -> SimulatedMeasurements.spread(Plan.read(Path.of(args[0])), seed);
-            case "mend" -> SimulatedMeasurements.failover(Plan.read(Path.of(args[0])), seed);
-            case "crowd" -> SimulatedMeasurements.load(Plan.read(Path.of(args[0])), seed);
+            case "spread" -> SpreadMeasurement.run(Plan.read(Path.of(args[0])), seed);
+            case "mend" -> FailoverMeasurement.run(Plan.read(Path.of(args[0])), seed);
+            case "crowd" -> LoadMeasurement.run(Plan.read(Path.of(args[0])), seed);
             case "disk" -> DiskLatency.run();
             default -> System.exit(2);
         }
--- a/simulation/src/main/java/silverlatch/simulation/sim/Observer.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Observer.java
@@ -76,6 +76,11 @@
         return all;
     }
 
+    /** How often something was counted. */
+    public long counter(final String what) {
+        return counters.getOrDefault(what, 0L);
+    }
+
     /** Counts one thing. */
     public void count(final String what) {
         counters.merge(what, 1L, Long::sum);
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedDisk.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedDisk.java
@@ -6,8 +6,12 @@
 import silverlatch.log.LogRecord;
 import silverlatch.node.Effect;
 
-/** A small disk: what is synced stays, what is not may be gone; it can stall, fill up, limp, or be taken away. */
+/** A simulated disk: what is synced stays, what is not may be gone; it can stall, fill up, slow down, lie, or be lost. */
 public final class SimulatedDisk {
+    private static final long MIN_SYNC = 300L;
+    private static final long SYNC_JITTER = 2_000L;
+    private static final long ERROR_DELAY = 500L;
+    private static final long LYING_DELAY = 3_000_000L;
     private final EventScheduler scheduler;
     private final List<LogRecord> records = new ArrayList<>();
     private final java.util.Deque<Effect.Persist> unsynced = new java.util.ArrayDeque<>();
@@ -20,7 +24,6 @@
     private boolean lying;
     private long tornWrites;
     private long slowdown = 1;
-    private long syncs;
 
     /** An empty disk. */
     public SimulatedDisk(final EventScheduler engine) {
@@ -38,46 +41,27 @@
         return List.copyOf(records);
     }
 
-    /** How many syncs were done. */
-    public long syncs() {
-        return syncs;
-    }
-
-    /** Writes and syncs; then tells, unless the power went away before. */
+    /**
+     * Writes and syncs, unless the power goes before.
+     *
+     * @param persist  what is written
+     * @param onSynced is given the write's token once the disk says that it is synced
+     * @param onFailed is given the reason when the disk is full
+     */
     public void write(final Effect.Persist persist, final Consumer<Long> onSynced, final Consumer<String> onFailed) {
-        final long writtenIn = generation;
         if (full) {
-            scheduler.schedule(500, () -> {
-                if (writtenIn == generation) {
-                    onFailed.accept("no space left");
-                }
-            });
+            scheduler.schedule(ERROR_DELAY, whilePowered(() -> onFailed.accept("no space left")));
             return;
         }
         unsynced.add(persist);
-        final Runnable sync = () -> {
-            if (writtenIn == generation) {
-                if (lying) {
-                    scheduler.schedule(3_000_000, () -> {
-                        if (writtenIn == generation && unsynced.remove(persist)) {
-                            append(persist.records());
-                        }
-                    });
-                } else if (unsynced.remove(persist)) {
-                    append(persist.records());
-                }
-                syncs++;
-                onSynced.accept(persist.token());
-            }
-        };
+        final Runnable sync = whilePowered(() -> sync(persist, onSynced));
         if (stalled) {
             stalledWrites.add(sync);
             return;
         }
-        final long syncTime =
-                Math.max(idleAt, scheduler.now() + (300 + scheduler.random().nextLong(2_000)) * slowdown);
-        idleAt = syncTime;
-        scheduler.scheduleAt(syncTime, () -> {
+        final long duration = (MIN_SYNC + scheduler.random().nextLong(SYNC_JITTER)) * slowdown;
+        idleAt = Math.max(idleAt, scheduler.now() + duration);
+        scheduler.scheduleAt(idleAt, () -> {
             if (stalled) {
                 stalledWrites.add(sync);
             } else {
@@ -86,6 +70,29 @@
         });
     }
 
+    private Runnable whilePowered(final Runnable task) {
+        final long current = generation;
+        return () -> {
+            if (current == generation) {
+                task.run();
+            }
+        };
+    }
+
+    private void sync(final Effect.Persist persist, final Consumer<Long> onSynced) {
+        final Runnable store = () -> {
+            if (unsynced.remove(persist)) {
+                append(persist.records());
+            }
+        };
+        if (lying) {
+            scheduler.schedule(LYING_DELAY, whilePowered(store));
+        } else {
+            store.run();
+        }
+        onSynced.accept(persist.token());
+    }
+
     /** How often the power went and left a torn tail. */
     public long tornWrites() {
         return tornWrites;
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNetwork.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNetwork.java
@@ -17,7 +17,6 @@
     private double reorderProbability;
     private long extraDelay;
     private long framesSent;
-    private long framesLost;
 
     /** A network on an engine. */
     public SimulatedNetwork(final EventScheduler engine) {
@@ -73,14 +72,11 @@
     public void sendFrame(final String from, final String to, final Runnable delivery) {
         framesSent++;
         if (scheduler.random().nextDouble() < lossProbability) {
-            framesLost++;
             return;
         }
         if (!isReachable(from, to)) {
             if (scheduler.random().nextInt(4) == 0) {
                 deliverLate(from, to, delivery, 0);
-            } else {
-                framesLost++;
             }
             return;
         }
@@ -103,9 +99,9 @@
         scheduler.scheduleAt(deliveryTime, () -> deliverOnceReachable(from, to, delivery));
     }
 
-    /** How many frames were sent and how many lost. */
-    public long[] frameCounts() {
-        return new long[] {framesSent, framesLost};
+    /** How many frames were sent. */
+    public long framesSent() {
+        return framesSent;
     }
 
     private void deliverOnceReachable(final String from, final String to, final Runnable delivery) {
--- a/simulation/src/test/java/silverlatch/simulation/fleet/FleetTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/fleet/FleetTest.java
@@ -21,7 +21,7 @@
     private Process startLoad(final Fleet fleet, final Path receipts, final int seconds, final long seed)
             throws Exception {
         return fleet.startProgram(
-                "silverlatch.simulation.consumer.Main",
+                "silverlatch.simulation.client.Main",
                 folder.resolve("consumer.out"),
                 List.of(
                         "--doors",
--- a/simulation/src/test/java/silverlatch/simulation/fleet/RollTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/fleet/RollTest.java
@@ -129,7 +129,7 @@
             assertThat("gateways", fleet.awaitReady("gateway", 90), is(true));
             final Path receipts = folder.resolve("receipts");
             final Process load = fleet.startProgram(
-                    "silverlatch.simulation.consumer.Main",
+                    "silverlatch.simulation.client.Main",
                     folder.resolve("consumer.out"),
                     List.of(
                             "--doors",
