--- a/server/src/main/java/silverlatch/server/controller/Controller.java
+++ b/server/src/main/java/silverlatch/server/controller/Controller.java
@@ -130,10 +130,7 @@
 
     @Override
     public void readConfiguration(final Consumer<ChainClient.ReadResult> onResult) {
-        final boolean isPosted = eventLoop.read(
-                ConfigurationValidator.DOCUMENT_KEY,
-                SERVICE_TIMEOUT_MICROS,
-                result -> onResult.accept((ChainClient.ReadResult) result));
+        final boolean isPosted = eventLoop.read(ConfigurationValidator.DOCUMENT_KEY, SERVICE_TIMEOUT_MICROS, onResult);
         if (!isPosted) {
             onResult.accept(new ChainClient.ReadResult(false, 0, List.of()));
         }
@@ -171,8 +168,7 @@
     }
 
     private void submit(final Command command, final Consumer<CommandResult> onResult) {
-        final boolean isPosted =
-                eventLoop.submit(command, SERVICE_TIMEOUT_MICROS, result -> onResult.accept((CommandResult) result));
+        final boolean isPosted = eventLoop.submit(command, SERVICE_TIMEOUT_MICROS, onResult);
         if (!isPosted) {
             onResult.accept(
                     new CommandResult.Rejected(ApiReplies.SERVICE_UNAVAILABLE, List.of(ApiReplies.OVERLOADED), 0));
--- a/server/src/main/java/silverlatch/server/controller/StateApi.java
+++ b/server/src/main/java/silverlatch/server/controller/StateApi.java
@@ -51,8 +51,8 @@
             return;
         }
         final Command command = factory.create(commandId(exchange), expectedRevision.get());
-        final boolean isAccepted = eventLoop.submit(
-                command, TIMEOUT_MICROS, result -> reply(exchange, command.id(), (CommandResult) result));
+        final boolean isAccepted =
+                eventLoop.submit(command, TIMEOUT_MICROS, result -> reply(exchange, command.id(), result));
         if (!isAccepted) {
             ApiReplies.rejectOverload(exchange);
         }
@@ -60,8 +60,7 @@
 
     /** Reads the entries under a key prefix at the chain's tail; where it can't be asked, the exchange is rejected. */
     void read(final HttpExchange exchange, final String keyPrefix, final Consumer<ChainClient.ReadResult> onAnswered) {
-        final boolean isAccepted = eventLoop.read(keyPrefix, TIMEOUT_MICROS, reply -> {
-            final ChainClient.ReadResult result = (ChainClient.ReadResult) reply;
+        final boolean isAccepted = eventLoop.read(keyPrefix, TIMEOUT_MICROS, result -> {
             if (result.answered()) {
                 onAnswered.accept(result);
             } else {
--- a/server/src/main/java/silverlatch/server/eventloop/EventLoopHandle.java
+++ b/server/src/main/java/silverlatch/server/eventloop/EventLoopHandle.java
@@ -10,7 +10,9 @@
 import silverlatch.node.Effect;
 import silverlatch.node.Node;
 import silverlatch.node.OutgoingFrame;
+import silverlatch.replication.ChainClient;
 import silverlatch.state.Command;
+import silverlatch.state.CommandResult;
 
 /**
  * Runs a node on its event loop and performs the node's effects: frames go to the transport, records to the log writer, log
@@ -80,27 +82,28 @@
     }
 
     /**
-     * Submits a command. Its {@code CommandResult} comes on the event loop before the timeout is over; false, and none comes, where
+     * Submits a command. Its result comes on the event loop before the timeout is over; false, and none comes, where
      * the loop's queue is full.
      */
-    public boolean submit(final Command command, final long timeoutMicros, final Consumer<Object> onResult) {
+    public boolean submit(final Command command, final long timeoutMicros, final Consumer<CommandResult> onResult) {
         final long token = tokens.incrementAndGet();
         final long deadline = EventLoop.nowMicros() + timeoutMicros;
         return execute(target -> {
-            pendingReplies.put(token, onResult);
+            pendingReplies.put(token, response -> onResult.accept((CommandResult) response));
             target.submit(command, token, EventLoop.nowMicros(), deadline);
         });
     }
 
     /**
-     * Reads the entries under a key prefix at the chain's tail. A {@code ChainClient.ReadResult} comes on the event loop before the
+     * Reads the entries under a key prefix at the chain's tail. The result comes on the event loop before the
      * timeout is over; false, and none comes, where the loop's queue is full.
      */
-    public boolean read(final String keyPrefix, final long timeoutMicros, final Consumer<Object> onPage) {
+    public boolean read(
+            final String keyPrefix, final long timeoutMicros, final Consumer<ChainClient.ReadResult> onResult) {
         final long token = tokens.incrementAndGet();
         final long deadline = EventLoop.nowMicros() + timeoutMicros;
         return execute(target -> {
-            pendingReplies.put(token, onPage);
+            pendingReplies.put(token, response -> onResult.accept((ChainClient.ReadResult) response));
             target.read(keyPrefix, token, EventLoop.nowMicros(), deadline);
         });
     }
