--- a/core/src/test/java/silverlatch/clock/PwcClockTest.java
+++ b/core/src/test/java/silverlatch/clock/PwcClockTest.java
@@ -35,7 +35,6 @@
             final PriorityQueue<MessageInFlight> inFlight =
                     new PriorityQueue<>(Comparator.comparingLong(MessageInFlight::deliveryTime));
             int stampedCount = 0;
-            int waitCount = 0;
             for (long time = 0; time < 2_000_000; time += 20) {
                 final long realTime = NtpTime.fromMicros(1_000_000 + time);
                 final int sender = random.nextInt(nodes);
@@ -48,8 +47,6 @@
                         inFlight.add(new MessageInFlight(
                                 time + 200 + random.nextLong(20_000), random.nextInt(nodes), m.stamp(), sender));
                         stampedCount++;
-                    } else {
-                        waitCount++;
                     }
                 }
                 while (!inFlight.isEmpty() && inFlight.peek().deliveryTime() <= time) {
@@ -69,7 +66,6 @@
                         assertThat("seed " + seed, reading, instanceOf(ClockReading.Wait.class));
                         inFlight.add(
                                 new MessageInFlight(time + 200, message.receiver(), message.stamp(), message.sender()));
-                        waitCount++;
                     }
                 }
                 for (int a = 0; a < nodes; a++) {
--- a/server/src/main/java/silverlatch/server/gateway/DispatchEffectHandler.java
+++ b/server/src/main/java/silverlatch/server/gateway/DispatchEffectHandler.java
@@ -12,7 +12,6 @@
 import silverlatch.server.replay.RecordingFormat;
 import silverlatch.server.web.HttpExchange;
 import silverlatch.server.workerclient.StreamRecordEncoder;
-import silverlatch.state.CommandResult;
 
 /**
  * Carries out what the dispatcher decides: replies to clients, attempts at workers, commands to the chain, the recording. Called
@@ -98,7 +97,7 @@
         nodeLoop.submit(
                 submission.command(),
                 submission.timeout(),
-                result -> dispatchLoop.withDispatcher(dispatcher -> dispatcher.claimDecided(
-                        submission.operationId(), (CommandResult) result, EventLoop.nowMicros())));
+                result -> dispatchLoop.withDispatcher(dispatcher ->
+                        dispatcher.claimDecided(submission.operationId(), result, EventLoop.nowMicros())));
     }
 }
--- a/server/src/main/java/silverlatch/server/proxy/WorkerExchange.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerExchange.java
@@ -48,7 +48,7 @@
                 .create(attempt, clientRequest, body, lastEventId)
                 .onRequestBegin(sent -> requestStarted.set(true))
                 .onResponseHeaders(this::onHead)
-                .onResponseContentAsync(this::onContent);
+                .onResponseContentAsync((from, chunk, demandMore) -> onContent(chunk, demandMore));
     }
 
     /** The router's id of this attempt. */
@@ -97,7 +97,7 @@
         }
     }
 
-    private void onContent(final Response from, final Content.Chunk chunk, final Runnable demandMore) {
+    private void onContent(final Content.Chunk chunk, final Runnable demandMore) {
         final byte[] bytes = new byte[chunk.remaining()];
         chunk.getByteBuffer().get(bytes);
         if (finished.get() || responseHead instanceof WorkerResponseHead.Unusable) {
--- a/server/src/main/java/silverlatch/server/transport/Transport.java
+++ b/server/src/main/java/silverlatch/server/transport/Transport.java
@@ -130,7 +130,6 @@
             EventLog.write(Event.BAD_FRAME, socket.getRemoteSocketAddress() + " " + failure.getMessage());
         } catch (final IOException failure) {
             // The sender counts what was lost with the connection, and connects again.
-            return;
         } finally {
             readerSlots.release();
         }
@@ -142,7 +141,6 @@
             closeable.close();
         } catch (final IOException failure) {
             // It is given up in any case.
-            return;
         }
     }
 }
--- a/server/src/main/java/silverlatch/server/web/MultiListenerServer.java
+++ b/server/src/main/java/silverlatch/server/web/MultiListenerServer.java
@@ -34,7 +34,7 @@
         threadPool.setReservedThreads(0);
         server = new Server(threadPool);
         server.setHandler(new HandlerByConnector());
-        server.setErrorHandler(MultiListenerServer::replyToError);
+        server.setErrorHandler((request, response, callback) -> replyToError(response, callback));
     }
 
     /** An address that is served, whose limits can be changed while it is. Callable from any thread. */
@@ -117,7 +117,7 @@
         }
     }
 
-    private static boolean replyToError(final Request request, final Response response, final Callback callback) {
+    private static boolean replyToError(final Response response, final Callback callback) {
         if (response.getStatus() < FIRST_ERROR_STATUS) {
             response.setStatus(INTERNAL_SERVER_ERROR);
         }
--- a/server/src/test/java/silverlatch/server/transport/TransportTest.java
+++ b/server/src/test/java/silverlatch/server/transport/TransportTest.java
@@ -72,7 +72,6 @@
                 }
             } catch (final IOException failure) {
                 // The test closed the socket.
-                return;
             }
         });
         return server;
