--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -1,7 +1,5 @@
 package silverlatch.replication;
 
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -13,7 +11,6 @@
 import silverlatch.log.LogRecord;
 import silverlatch.node.Effect;
 import silverlatch.node.Event;
-import silverlatch.safeguard.Safeguard;
 import silverlatch.state.Command;
 import silverlatch.state.StateMachine;
 import silverlatch.wire.Message;
@@ -24,8 +21,6 @@
  */
 public final class ChainReplica {
 
-    private static final int MAX_BATCH_ENTRIES = 512;
-    private static final long REPAIR_RETRY_MICROS = 900_000L;
     private static final long EPOCH_MICROS = 600_000_000L;
     private final ReplicaSettings settings;
     private final Supplier<Stamp> stamps;
@@ -43,21 +38,18 @@
     private final WriteAdmission writeAdmission;
     private final ReadAdmission readAdmission;
     private final Committer committer;
+    private final CatchUpProgress catchUp;
+    private final SuccessorLink successorLink;
+    private final PredecessorLink predecessorLink;
+    private final RepairRequester repairRequester;
+    private final RepairResponder repairResponder;
+    private final ChainReplication replication;
     private final Map<String, Discovery> discoveries = new TreeMap<>();
     private final Set<String> bootstrapAgreed = new HashSet<>();
-    private final ReplicationWindow window = new ReplicationWindow();
-    private final Map<String, RepairSource> repairSources = new HashMap<>();
-    private Optional<RepairProgress> repairProgress = Optional.empty();
-    private long repairRequestedAt;
     private List<String> seeds;
     private Optional<View> foundingView = Optional.empty();
-    private long lastRetryAt;
     private long lastDiscoveryAt;
-    private Optional<Long> catchUpTarget = Optional.empty();
-    private long catchUpStartedAt;
-    private long currentTime;
     private long epochAdvancedAt;
-    private boolean joining;
 
     /** A machine as its ledger left it. */
     public ChainReplica(
@@ -90,11 +82,18 @@
         this.writeAdmission = new WriteAdmission(settings, role, lease, log, waitingWrites, stamps);
         this.readAdmission = new ReadAdmission(settings, role, lease, log, effects);
         this.committer = new Committer(settings, role, log, effects);
+        this.catchUp = new CatchUpProgress(role, log, effects);
+        this.successorLink = new SuccessorLink(role, log, effects);
+        this.predecessorLink = new PredecessorLink(settings, role, log, catchUp, committer, effects);
+        this.repairRequester =
+                new RepairRequester(settings, role, log, successorLink, catchUp, committer, departure, effects);
+        this.repairResponder = new RepairResponder(settings, role, log, effects);
+        this.replication =
+                new ChainReplication(role, successorLink, predecessorLink, catchUp, committer, repairRequester);
         this.settings = settings;
         this.stamps = stamps;
         this.seeds = settings.seeds();
         records.forEach(this::replay);
-        currentTime = now;
         epochAdvancedAt = now;
         role.finishReplay();
         if (role.hasView()) {
@@ -148,13 +147,12 @@
 
     /** Takes a message. */
     public void onMessage(final Message message, final String sender, final long now) {
-        currentTime = now;
         if (role.isDiskFailed() || role.isLogOutdated() && !(message instanceof Message.ViewDecided)) {
             return;
         }
         switch (message) {
             case Message.Discover m -> handleDiscover(m, now);
-            case Message.Bootstrap m -> handleBootstrap(m, sender);
+            case Message.Bootstrap m -> handleBootstrap(m, sender, now);
             case Message.BootstrapAgreed m -> bootstrapAgreed(m, now);
             case Message.LeaseRequest m -> handleLeaseRequest(m, now);
             case Message.LeaseGrant m -> handleLeaseGrant(m, now);
@@ -164,14 +162,14 @@
             case Message.Accept m -> acceptor.handleAccept(m, sender, now);
             case Message.Accepted m -> proposer.handleAccepted(m).ifPresent(decided -> installView(decided, now));
             case Message.Preempted m -> proposer.handlePreempted(m, now);
-            case Message.Replicate m -> handleReplicate(m, now);
+            case Message.Replicate m -> predecessorLink.handleReplicate(m, now);
             case Message.CommitNotice m -> committer.handleCommitNotice(m, now);
-            case Message.CatchUpTarget m -> caughtUp(m);
-            case Message.FetchEntries m -> handleFetchEntries(m, sender);
-            case Message.CompareDigests m -> handleCompareDigests(m);
-            case Message.RepairRanges m -> handleRepairRanges(m, sender);
-            case Message.RepairNext m -> handleRepairNext(m);
-            case Message.ReplicateAck m -> received(m);
+            case Message.CatchUpTarget m -> replication.handleCatchUpTarget(m, now);
+            case Message.FetchEntries m -> successorLink.handleFetchEntries(m, sender, now);
+            case Message.CompareDigests m -> repairResponder.handleCompareDigests(m, now);
+            case Message.RepairRanges m -> repairRequester.handleRepairRanges(m, sender, now);
+            case Message.RepairNext m -> repairResponder.handleRepairNext(m);
+            case Message.ReplicateAck m -> successorLink.handleReplicateAck(m, now);
             case Message.JoinRequest m -> handleJoinRequest(m, now);
             case Message.WriteRequest m -> writeAdmission.handleWriteRequest(m, now);
             case Message.ReadRequest m -> readAdmission.handleReadRequest(m, now);
@@ -181,7 +179,6 @@
 
     /** A write to the ledger was synced. */
     public void synced(final long token, final long now) {
-        currentTime = now;
         effects.synced(token, now);
     }
 
@@ -228,7 +225,6 @@
 
     /** A clock event, a few each lease. */
     public void tick(final long now) {
-        currentTime = now;
         if (role.isDiskFailed()) {
             return;
         }
@@ -252,14 +248,17 @@
         }
         if (role.isInChain()) {
             advanceEpoch(now);
-            retryReplication(now);
+            replication.retry(now);
             if (!stalled) {
                 proposer.proposeNextView(departure.isLeaving(), now);
             }
-        } else if (now - lastDiscoveryAt >= (joining ? 5 * ReplicaSettings.RETRY_MICROS : ReplicaSettings.RETRY_MICROS)
+        } else if (now - lastDiscoveryAt
+                        >= (repairRequester.isJoining()
+                                ? 5 * ReplicaSettings.RETRY_MICROS
+                                : ReplicaSettings.RETRY_MICROS)
                 && !stalled) {
             lastDiscoveryAt = now;
-            view().tail().ifPresent(tail -> requestRepair(tail.address(), now));
+            view().tail().ifPresent(tail -> repairRequester.request(tail.address(), now));
             seeds.forEach(seed -> effects.send(
                     seed,
                     new Message.LeaseRequest(
@@ -368,7 +367,7 @@
         }
     }
 
-    private void handleBootstrap(final Message.Bootstrap request, final String sender) {
+    private void handleBootstrap(final Message.Bootstrap request, final String sender, final long now) {
         final boolean known =
                 foundingView.map(voter -> voter.equals(request.view())).orElse(false);
         final boolean acceptable = foundingView.isEmpty()
@@ -381,7 +380,7 @@
             foundingView = Optional.of(request.view());
             effects.persist(
                     List.of(new LogRecord.Founding(request.view())),
-                    currentTime,
+                    now,
                     syncedAt -> effects.send(
                             sender, new Message.BootstrapAgreed(request.view().fleet(), settings.self())));
         }
@@ -410,13 +409,10 @@
         acceptor.installView();
         proposer.installView();
         departure.installView();
-        catchUpTarget = Optional.empty();
-        joining = false;
-        catchUpStartedAt = now;
-        repairProgress = Optional.empty();
-        repairSources.clear();
-        repairRequestedAt = 0;
-        window.reset(log.committedSequence(), now);
+        catchUp.installView(now);
+        repairRequester.installView();
+        repairResponder.installView();
+        successorLink.reset(log.committedSequence(), now);
         failureDetector.installView(wasInChain, now);
         effects.persist(List.of(new LogRecord.ViewInstalled(next, role.isCaughtUp())), now);
         effects.log(Event.VIEW, "view " + next.number() + " chain " + next.chainAddresses());
@@ -425,9 +421,7 @@
             dropPendingEntries();
             return;
         }
-        lastRetryAt = 0;
-        retryReplication(now);
-        committer.commitAsTail(now);
+        replication.restart(now);
     }
 
     private void dropPendingEntries() {
@@ -508,280 +502,8 @@
         }
     }
 
-    private void retryReplication(final long now) {
-        if (now - lastRetryAt < ReplicaSettings.RETRY_MICROS) {
-            return;
-        }
-        lastRetryAt = now;
-        role.successor().ifPresent(neighbor -> {
-            if (role.isCaughtUp()) {
-                effects.send(neighbor.address(), new Message.CatchUpTarget(view().number(), log.lastSequence()));
-            }
-            if (log.hasSyncedPending() && window.isRetryDue(now)) {
-                window.restart(log.committedSequence(), now);
-            }
-            sendNext();
-        });
-        if (!role.isCaughtUp()) {
-            role.predecessor().ifPresent(neighbor -> {
-                if (now - catchUpStartedAt > 4 * ReplicaSettings.RETRY_MICROS) {
-                    requestRepair(neighbor.address(), now);
-                } else {
-                    effects.send(
-                            neighbor.address(),
-                            new Message.FetchEntries(
-                                    view().number(), settings.self().id(), log.lastSequence()));
-                }
-            });
-        }
-        if (role.isActiveTail()) {
-            committer.commitAsTail(now);
-            committer.notifyMembers();
-        }
-    }
-
     private void entriesSynced(final long now) {
-        sendNext();
-        finishCatchUp(now);
-        committer.commitAsTail(now);
-    }
-
-    /** Sends the entries that the successor lacks and that are synced here, as far as the window admits them. */
-    private void sendNext() {
-        final Optional<Replica> successor = role.successor();
-        if (successor.isEmpty() || window.sentSequence() >= log.syncedSequence()) {
-            return;
-        }
-        final List<LogEntry> entries = new ArrayList<>();
-        for (final LogEntry entry : (Iterable<LogEntry>) log.entriesSince(window.sentSequence())::iterator) {
-            if (entry.sequence() <= window.sentSequence()) {
-                continue;
-            }
-            final boolean next =
-                    entry.sequence() == window.sentSequence() + 1 && entry.sequence() <= log.syncedSequence();
-            if (!next || entries.size() >= MAX_BATCH_ENTRIES || !window.admits(entry)) {
-                break;
-            }
-            window.add(entry);
-            entries.add(entry);
-        }
-        if (!entries.isEmpty()) {
-            effects.send(successor.get().address(), new Message.Replicate(view().number(), entries));
-        }
-    }
-
-    private void received(final Message.ReplicateAck acknowledgement) {
-        final boolean successor = role.successor()
-                .map(replica -> replica.id().equals(acknowledgement.id()))
-                .orElse(false);
-        if (acknowledgement.view() == view().number() && role.isInChain() && successor) {
-            window.acknowledge(acknowledgement.sequence(), currentTime);
-            sendNext();
-        }
-    }
-
-    private void handleReplicate(final Message.Replicate message, final long now) {
-        if (role.isFenced(message.view()) || !role.isInChain() || role.isHead()) {
-            return;
-        }
-        final List<LogEntry> fresh = new ArrayList<>();
-        long lastReceived = log.lastSequence();
-        for (final LogEntry entry : message.entries()) {
-            if (entry.sequence() == lastReceived + 1) {
-                fresh.add(entry);
-                lastReceived++;
-            } else if (entry.sequence() > lastReceived + 1) {
-                role.predecessor()
-                        .ifPresent(predecessor -> effects.send(
-                                predecessor.address(),
-                                new Message.FetchEntries(
-                                        view().number(), settings.self().id(), log.lastSequence())));
-                break;
-            }
-        }
-        role.predecessor()
-                .ifPresent(predecessor -> effects.send(
-                        predecessor.address(),
-                        new Message.ReplicateAck(
-                                view().number(), settings.self().id(), log.lastSequence() + fresh.size())));
-        if (!fresh.isEmpty()) {
-            // The log catches up; a repair beside it would bring the same entries again, in one frame.
-            catchUpStartedAt = now;
-            log.append(fresh, now);
-        } else if (role.isActiveTail()) {
-            committer.notifyMembers();
-        }
-    }
-
-    private void caughtUp(final Message.CatchUpTarget message) {
-        if (message.view() == view().number() && role.isInChain() && !role.isCaughtUp()) {
-            catchUpTarget = Optional.of(message.sequence());
-            finishCatchUp(currentTime);
-            committer.commitAsTail(currentTime);
-        }
-    }
-
-    private void finishCatchUp(final long now) {
-        if (!role.isCaughtUp()
-                && catchUpTarget.map(target -> log.syncedSequence() >= target).orElse(false)) {
-            role.catchUp();
-            effects.persist(List.of(new LogRecord.ViewInstalled(view(), true)), now);
-        }
-    }
-
-    private void handleFetchEntries(final Message.FetchEntries request, final String sender) {
-        if (request.view() != view().number() || !role.isActive()) {
-            return;
-        }
-        effects.send(sender, new Message.CatchUpTarget(view().number(), log.lastSequence()));
-        if (request.sequence() < window.acknowledgedSequence() || request.sequence() > window.sentSequence()) {
-            window.restart(request.sequence(), currentTime);
-        } else {
-            window.acknowledge(request.sequence(), currentTime);
-        }
-        sendNext();
-    }
-
-    private Message.CompareDigests digestRequest() {
-        return new Message.CompareDigests(
-                view().number(),
-                settings.self(),
-                log.committedSequence(),
-                log.stateMachine().digests(ReplicaLog.DIGEST_RANGES));
-    }
-
-    private void handleCompareDigests(final Message.CompareDigests request) {
-        if (request.view() != view().number()
-                || !role.isActive()
-                || request.digests().length != ReplicaLog.DIGEST_RANGES) {
-            return;
-        }
-        if (request.sequence() > log.committedSequence()) {
-            log.commit(request.sequence(), currentTime);
-        }
-        final RepairSource source = RepairSource.of(log.stateMachine(), request.digests(), syncedPending());
-        repairSources.put(request.sender().id(), source);
-        handleRepairNext(new Message.RepairNext(request.view(), request.sender(), source.sequence(), 0));
-    }
-
-    /**
-     * The changes that are synced here but not known to be committed. One of them may have been acknowledged before
-     * this machine restarted, so a machine that is repaired from here keeps them too.
-     */
-    private List<LogEntry> syncedPending() {
-        return settings.safeguards().isEnabled(Safeguard.REPAIR_PENDING) ? log.syncedPendingEntries() : List.of();
-    }
-
-    private void handleRepairNext(final Message.RepairNext request) {
-        final Optional<RepairSource> source = Optional.ofNullable(
-                        repairSources.get(request.sender().id()))
-                .filter(s -> s.sequence() == request.sequence() && request.piece() >= 0)
-                .filter(s -> request.piece() < s.pieces().size());
-        if (request.view() != view().number() || source.isEmpty()) {
-            return;
-        }
-        final int pieces = source.get().pieces().size();
-        effects.send(
-                request.sender().address(),
-                new Message.RepairRanges(
-                        view().number(),
-                        request.sequence(),
-                        request.piece(),
-                        pieces,
-                        source.get().pieces().get(request.piece()),
-                        request.piece() == pieces - 1 ? source.get().pending() : List.of(),
-                        request.piece() == pieces - 1 ? source.get().digests() : new long[0]));
-        if (request.piece() == pieces - 1 && pieces == 1) {
-            repairSources.remove(request.sender().id());
-        }
-    }
-
-    /** Asks for a repair, or for the next piece of the one under way, a pause after the last word of it. */
-    private void requestRepair(final String source, final long now) {
-        if (now
-                        - Math.max(
-                                repairRequestedAt,
-                                repairProgress.map(RepairProgress::receivedAt).orElse(0L))
-                < REPAIR_RETRY_MICROS) {
-            return;
-        }
-        final boolean lost = repairProgress
-                .map(progress -> now - progress.receivedAt() > 3 * REPAIR_RETRY_MICROS)
-                .orElse(true);
-        repairRequestedAt = now;
-        if (lost) {
-            repairProgress = Optional.empty();
-            effects.send(source, digestRequest());
-        } else {
-            repairProgress.ifPresent(progress ->
-                    effects.send(progress.source(), progress.nextRequest(view().number(), settings.self())));
-        }
-    }
-
-    private void handleRepairRanges(final Message.RepairRanges message, final String sender) {
-        if (message.view() != view().number() || role.isActive() || message.sequence() < log.committedSequence()) {
-            return;
-        }
-        if (joining
-                && effects.isAllSynced()
-                && message.pieces() == 1
-                && message.ranges().isEmpty()
-                && message.sequence() == log.committedSequence()
-                && message.pending().equals(log.pendingEntries())
-                && sameDigests(message)
-                && !role.isInChain()) {
-            requestJoin();
-            return;
-        }
-        if (message.piece() == 0) {
-            repairProgress = Optional.of(new RepairProgress(message, sender));
-        }
-        if (repairProgress.isEmpty() || !repairProgress.get().accept(message, sender, currentTime)) {
-            return;
-        }
-        final RepairProgress complete = repairProgress.get();
-        if (!complete.isComplete()) {
-            effects.send(sender, complete.nextRequest(view().number(), settings.self()));
-            return;
-        }
-        repairProgress = Optional.empty();
-        if (settings.safeguards().isEnabled(Safeguard.DIGEST)) {
-            log.replaceRanges(complete.ranges());
-        }
-        if (!sameDigests(message)) {
-            return;
-        }
-        window.reset(message.sequence(), currentTime);
-        catchUpStartedAt = currentTime;
-        joining = true;
-        final long number = view().number();
-        log.completeRepair(message.sequence(), message.pending(), currentTime, syncedAt -> {
-            if (role.isInChain()) {
-                finishCatchUp(syncedAt);
-                committer.commitAsTail(syncedAt);
-            } else if (number == view().number()) {
-                effects.log(Event.MENDED, "sequence " + message.sequence());
-                requestJoin();
-            }
-        });
-    }
-
-    /**
-     * Whether the state here is that of the source. It is not when a late repair answers a question that this machine
-     * asked before it restarted, with other entries: then it asks again.
-     */
-    private boolean sameDigests(final Message.RepairRanges message) {
-        return log.hasDigests(message.digests()) || !settings.safeguards().isEnabled(Safeguard.DIGEST);
-    }
-
-    private void requestJoin() {
-        if (departure.isLeaving()) {
-            return;
-        }
-        view().voters()
-                .forEach(voter -> effects.send(
-                        voter.address(),
-                        new Message.JoinRequest(view().number(), settings.self(), log.committedSequence())));
+        replication.entriesSynced(now);
     }
 
     private record Discovery(Message.Discover request, long receivedAt) {}
--- /dev/null
+++ b/core/src/main/java/silverlatch/replication/RepairRequester.java
@@ -0,0 +1,170 @@
+package silverlatch.replication;
+
+import java.util.Optional;
+import silverlatch.node.Event;
+import silverlatch.safeguard.Safeguard;
+import silverlatch.wire.Message;
+
+/**
+ * The repair of a replica that isn't in the chain, or doesn't catch up by entries alone: it sends digests of its state to a source,
+ * takes over the ranges that differ piece by piece, and asks to join once its log is written anew.
+ *
+ * <p>Legal transitions: idle, asked for pieces, all pieces received (the state is replaced at once), joining (out of the chain only);
+ * another view begins it anew. The state stays as it is until the last piece is there.
+ */
+final class RepairRequester {
+    private static final long RETRY_MICROS = 900_000L;
+    private static final long ABANDON_MICROS = 3 * RETRY_MICROS;
+    private final ReplicaSettings settings;
+    private final ReplicaRole role;
+    private final ReplicaLog log;
+    private final SuccessorLink successorLink;
+    private final CatchUpProgress catchUp;
+    private final Committer committer;
+    private final Departure departure;
+    private final EffectQueue effects;
+    private Optional<RepairProgress> progress = Optional.empty();
+    private long requestedAt;
+    private boolean joining;
+
+    RepairRequester(
+            final ReplicaSettings settings,
+            final ReplicaRole role,
+            final ReplicaLog log,
+            final SuccessorLink successorLink,
+            final CatchUpProgress catchUp,
+            final Committer committer,
+            final Departure departure,
+            final EffectQueue effects) {
+        this.settings = settings;
+        this.role = role;
+        this.log = log;
+        this.successorLink = successorLink;
+        this.catchUp = catchUp;
+        this.committer = committer;
+        this.departure = departure;
+        this.effects = effects;
+    }
+
+    /** A view was installed. */
+    void installView() {
+        progress = Optional.empty();
+        requestedAt = 0;
+        joining = false;
+    }
+
+    /** Whether the replica was repaired under the installed view, and asks to join its chain. */
+    boolean isJoining() {
+        return joining;
+    }
+
+    /** Asks for a repair, or for the next piece of the one under way, a while after the last request or piece. */
+    void request(final String source, final long now) {
+        final long lastPieceAt = progress.map(RepairProgress::receivedAt).orElse(0L);
+        if (now - Math.max(requestedAt, lastPieceAt) < RETRY_MICROS) {
+            return;
+        }
+        requestedAt = now;
+        progress = progress.filter(current -> now - current.receivedAt() <= ABANDON_MICROS);
+        if (progress.isPresent()) {
+            requestPiece(progress.get(), progress.get().source());
+        } else {
+            effects.send(source, compareDigests());
+        }
+    }
+
+    private Message.CompareDigests compareDigests() {
+        return new Message.CompareDigests(
+                role.view().number(),
+                settings.self(),
+                log.committedSequence(),
+                log.stateMachine().digests(ReplicaLog.DIGEST_RANGES));
+    }
+
+    private void requestPiece(final RepairProgress current, final String source) {
+        effects.send(source, current.nextRequest(role.view().number(), settings.self()));
+    }
+
+    /** Takes a piece of a repair. */
+    void handleRepairRanges(final Message.RepairRanges piece, final String sender, final long now) {
+        if (piece.view() != role.view().number() || role.isActive() || piece.sequence() < log.committedSequence()) {
+            return;
+        }
+        if (confirmsState(piece)) {
+            requestJoin();
+            return;
+        }
+        if (piece.piece() == 0) {
+            progress = Optional.of(new RepairProgress(piece, sender));
+        }
+        if (progress.isEmpty() || !progress.get().accept(piece, sender, now)) {
+            return;
+        }
+        final RepairProgress current = progress.get();
+        if (current.isComplete()) {
+            progress = Optional.empty();
+            complete(current, piece, now);
+        } else {
+            requestPiece(current, sender);
+        }
+    }
+
+    /** Whether the source has nothing that differs from the repaired and synced state here. */
+    private boolean confirmsState(final Message.RepairRanges piece) {
+        return joining
+                && effects.isAllSynced()
+                && piece.pieces() == 1
+                && piece.ranges().isEmpty()
+                && piece.sequence() == log.committedSequence()
+                && piece.pending().equals(log.pendingEntries())
+                && hasSourceDigests(piece)
+                && !role.isInChain();
+    }
+
+    /**
+     * Whether the state here is that of the source. It is not when a late piece answers a request from before a restart, with other
+     * entries: then the replica asks again.
+     */
+    private boolean hasSourceDigests(final Message.RepairRanges lastPiece) {
+        return log.hasDigests(lastPiece.digests()) || !settings.safeguards().isEnabled(Safeguard.DIGEST);
+    }
+
+    private void complete(final RepairProgress received, final Message.RepairRanges lastPiece, final long now) {
+        if (settings.safeguards().isEnabled(Safeguard.DIGEST)) {
+            log.replaceRanges(received.ranges());
+        }
+        if (!hasSourceDigests(lastPiece)) {
+            return;
+        }
+        successorLink.reset(lastPiece.sequence(), now);
+        catchUp.restart(now);
+        joining = true;
+        final long viewNumber = role.view().number();
+        log.completeRepair(
+                lastPiece.sequence(),
+                lastPiece.pending(),
+                now,
+                syncedAt -> repaired(lastPiece.sequence(), viewNumber, syncedAt));
+    }
+
+    private void repaired(final long sequence, final long viewNumber, final long now) {
+        if (role.isInChain()) {
+            catchUp.finishIfReached(now);
+            committer.commitAsTail(now);
+        } else if (viewNumber == role.view().number()) {
+            effects.log(Event.MENDED, "sequence " + sequence);
+            requestJoin();
+        }
+    }
+
+    private void requestJoin() {
+        if (departure.isLeaving()) {
+            return;
+        }
+        final View view = role.view();
+        view.voters()
+                .forEach(voter -> effects.send(
+                        voter.address(),
+                        new Message.JoinRequest(view.number(), settings.self(), log.committedSequence())));
+    }
+}
--- a/core/src/main/java/silverlatch/replication/RepairSource.java
+++ b/core/src/main/java/silverlatch/replication/RepairSource.java
@@ -54,4 +54,17 @@
         pieces.add(piece);
         return new RepairSource(state.sequence(), pieces, pending, own);
     }
+
+    /** The message with one piece; the last one brings the pending entries and the digests of all ranges too. */
+    Message.RepairRanges message(final long viewNumber, final int piece) {
+        final boolean isLast = piece == pieces.size() - 1;
+        return new Message.RepairRanges(
+                viewNumber,
+                sequence,
+                piece,
+                pieces.size(),
+                pieces.get(piece),
+                isLast ? pending : List.of(),
+                isLast ? digests : new long[0]);
+    }
 }
--- /dev/null
+++ b/core/src/test/java/silverlatch/replication/RepairTest.java
@@ -0,0 +1,193 @@
+package silverlatch.replication;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.greaterThan;
+import static org.hamcrest.Matchers.instanceOf;
+import static org.hamcrest.Matchers.is;
+import static silverlatch.replication.ReplicaParts.SECOND;
+import static silverlatch.replication.ReplicaParts.SELF;
+import static silverlatch.replication.ReplicaParts.START;
+import static silverlatch.replication.ReplicaParts.entry;
+import static silverlatch.replication.ReplicaParts.view;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import silverlatch.clock.Stamp;
+import silverlatch.log.LogRecord;
+import silverlatch.node.Event;
+import silverlatch.safeguard.Safeguard;
+import silverlatch.state.Entry;
+import silverlatch.state.Value;
+import silverlatch.wire.Message;
+
+/** A requester out of the chain and a responder in it, both of one replica's identity: their messages are handed to and fro. */
+final class RepairTest {
+    private static final long RETRY = 900_000;
+    private static final String SOURCE = "source";
+    private final ReplicaParts source = new ReplicaParts();
+    private final ReplicaLog sourceLog = ReplicaParts.log(source, syncedAt -> {}, sequence -> {});
+    private final ReplicaParts target = new ReplicaParts();
+    private final ReplicaLog targetLog = ReplicaParts.log(target, syncedAt -> {}, sequence -> {});
+    private final Departure departure = new Departure(target.settings, target.role, target.effects);
+    private final RepairRequester requester = requester();
+    private final RepairResponder responder = responder(source, sourceLog);
+
+    private static RepairResponder responder(final ReplicaParts of, final ReplicaLog log) {
+        of.in(view(2, SELF, SECOND));
+        return new RepairResponder(of.settings, of.role, log, of.effects);
+    }
+
+    private RepairRequester requester() {
+        target.role.install(view(2, SECOND), false);
+        final Committer committer = new Committer(target.settings, target.role, targetLog, target.effects);
+        return new RepairRequester(
+                target.settings,
+                target.role,
+                targetLog,
+                new SuccessorLink(target.role, targetLog, target.effects),
+                new CatchUpProgress(target.role, targetLog, target.effects),
+                committer,
+                departure,
+                target.effects);
+    }
+
+    private void appendAtSource(final LogEntry... entries) {
+        sourceLog.append(List.of(entries), START);
+        source.sync(START);
+        source.sent();
+    }
+
+    private static LogEntry large(final long sequence) {
+        final Value document = new Value.ConfigurationDocument(sequence, "x".repeat(40_000));
+        return new LogEntry(
+                sequence, 1, new Stamp(sequence), List.of(new Entry("d/" + sequence, sequence, List.of(document))));
+    }
+
+    /** Hands over what the requester has sent, and its replies; the pieces that were sent. */
+    private List<Message.RepairRanges> exchange(final long now) {
+        final List<Message.RepairRanges> pieces = new ArrayList<>();
+        for (List<Message> requests = target.sent(); !requests.isEmpty(); requests = target.sent()) {
+            for (final Message request : requests) {
+                if (request instanceof Message.CompareDigests digests) {
+                    responder.handleCompareDigests(digests, now);
+                } else if (request instanceof Message.RepairNext next) {
+                    responder.handleRepairNext(next);
+                }
+            }
+            for (final Message reply : source.sent()) {
+                pieces.add((Message.RepairRanges) reply);
+                requester.handleRepairRanges((Message.RepairRanges) reply, SOURCE, now);
+            }
+        }
+        return pieces;
+    }
+
+    @Test
+    void theStateIsReplacedOnceAllPiecesAreThereAndThenItAsksToJoin() {
+        for (long sequence = 1; sequence <= 6; sequence++) {
+            appendAtSource(large(sequence));
+        }
+        sourceLog.commit(6, START);
+        requester.request(SOURCE, START);
+        final List<Message.RepairRanges> pieces = exchange(START);
+        assertThat("in pieces", pieces.size(), greaterThan(2));
+        assertThat(targetLog.committedSequence(), is(6L));
+        assertThat(requester.isJoining(), is(true));
+        assertThat("its log isn't synced yet", target.sent(), is(List.of()));
+        assertThat(target.written().get(0), instanceOf(LogRecord.Snapshot.class));
+        target.sync(START);
+        assertThat(target.sent().get(0), is(new Message.JoinRequest(2, SELF, 6)));
+        assertThat(target.logged().contains(Event.MENDED), is(true));
+    }
+
+    @Test
+    void aRepairedReplicaAsksToJoinAgainWhenNothingDiffersAnyMore() {
+        appendAtSource(entry(1));
+        sourceLog.commit(1, START);
+        requester.request(SOURCE, START);
+        exchange(START);
+        target.sync(START);
+        target.sent();
+        requester.request(SOURCE, START + RETRY);
+        final Message.CompareDigests request =
+                (Message.CompareDigests) target.sent().get(0);
+        responder.handleCompareDigests(request, START);
+        requester.handleRepairRanges((Message.RepairRanges) source.sent().get(0), SOURCE, START);
+        assertThat(target.sent().get(0), is(new Message.JoinRequest(2, SELF, 1)));
+        assertThat(
+                "nothing is written again",
+                target.written().stream()
+                        .filter(LogRecord.Snapshot.class::isInstance)
+                        .count(),
+                is(1L));
+    }
+
+    @Test
+    void aReplicaThatLeavesIsRepairedButDoesNotAskToJoin() {
+        appendAtSource(entry(1));
+        sourceLog.commit(1, START);
+        departure.begin();
+        requester.request(SOURCE, START);
+        exchange(START);
+        target.sync(START);
+        assertThat(targetLog.committedSequence(), is(1L));
+        assertThat(target.sent(), is(List.of()));
+    }
+
+    @Test
+    void whatTheSourceHasSyncedAndNotCommittedComesAlong() {
+        appendAtSource(entry(1), entry(2));
+        sourceLog.commit(1, START);
+        requester.request(SOURCE, START);
+        exchange(START);
+        assertThat(targetLog.pendingEntries(), is(List.of(entry(2))));
+        final ReplicaParts unguarded = new ReplicaParts(Safeguard.REPAIR_PENDING);
+        final ReplicaLog log = ReplicaParts.log(unguarded, syncedAt -> {}, sequence -> {});
+        final RepairResponder careless = responder(unguarded, log);
+        log.append(List.of(entry(1)), START);
+        unguarded.sync(START);
+        careless.handleCompareDigests(
+                new Message.CompareDigests(2, SECOND, 0, new long[ReplicaLog.DIGEST_RANGES]), START);
+        assertThat(
+                "the safeguard is let down",
+                ((Message.RepairRanges) unguarded.sent().get(0)).pending(),
+                is(List.of()));
+    }
+
+    @Test
+    void aRequestIsSentOncePerRetryAndOnlyToAnActiveMemberOfTheView() {
+        requester.request(SOURCE, START);
+        requester.request(SOURCE, START + RETRY - 1);
+        assertThat(target.sent().size(), is(1));
+        requester.request(SOURCE, START + RETRY);
+        final Message.CompareDigests request =
+                (Message.CompareDigests) target.sent().get(0);
+        source.role.fenceOutdatedLog();
+        responder.handleCompareDigests(request, START);
+        assertThat(source.sent(), is(List.of()));
+    }
+
+    @Test
+    void aPieceOfAnOlderRepairOrOfNoneIsNotSent() {
+        responder.handleRepairNext(new Message.RepairNext(2, SECOND, 0, 0));
+        assertThat("no repair", source.sent(), is(List.of()));
+        for (long sequence = 1; sequence <= 6; sequence++) {
+            appendAtSource(large(sequence));
+        }
+        sourceLog.commit(6, START);
+        responder.handleCompareDigests(
+                new Message.CompareDigests(2, SECOND, 0, new long[ReplicaLog.DIGEST_RANGES]), START);
+        source.sent();
+        responder.handleRepairNext(new Message.RepairNext(2, SECOND, 5, 1));
+        responder.handleRepairNext(new Message.RepairNext(2, SECOND, 6, -1));
+        responder.handleRepairNext(new Message.RepairNext(2, SECOND, 6, 99));
+        responder.handleRepairNext(new Message.RepairNext(1, SECOND, 6, 1));
+        assertThat(source.sent(), is(List.of()));
+        responder.handleRepairNext(new Message.RepairNext(2, SECOND, 6, 1));
+        assertThat(((Message.RepairRanges) source.sent().get(0)).piece(), is(1));
+        responder.installView();
+        responder.handleRepairNext(new Message.RepairNext(2, SECOND, 6, 1));
+        assertThat("another view began", source.sent(), is(List.of()));
+    }
+}
--- /dev/null
+++ b/core/src/test/java/silverlatch/replication/SuccessorLinkTest.java
@@ -0,0 +1,108 @@
+package silverlatch.replication;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+import static silverlatch.replication.ReplicaParts.SECOND;
+import static silverlatch.replication.ReplicaParts.SELF;
+import static silverlatch.replication.ReplicaParts.START;
+import static silverlatch.replication.ReplicaParts.STRANGER;
+import static silverlatch.replication.ReplicaParts.entry;
+import static silverlatch.replication.ReplicaParts.view;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import silverlatch.clock.Stamp;
+import silverlatch.state.Entry;
+import silverlatch.state.Value;
+import silverlatch.wire.Message;
+
+final class SuccessorLinkTest {
+    private static final long BACKOFF = 600_000;
+    private final ReplicaParts parts = new ReplicaParts().in(view(2, SELF, SECOND));
+    private final ReplicaLog log = ReplicaParts.log(parts, syncedAt -> {}, sequence -> {});
+    private final SuccessorLink link = new SuccessorLink(parts.role, log, parts.effects);
+
+    private void append(final long... sequences) {
+        for (final long sequence : sequences) {
+            log.append(List.of(entry(sequence)), START);
+        }
+    }
+
+    @Test
+    void onlySyncedEntriesAreSentAndEachOnce() {
+        link.reset(0, START);
+        append(1, 2);
+        link.sendEntries();
+        assertThat("nothing is synced", parts.sent(), is(List.of()));
+        parts.sync(START);
+        link.sendEntries();
+        link.sendEntries();
+        assertThat(parts.sent(), is(List.of(new Message.Replicate(2, List.of(entry(1), entry(2))))));
+    }
+
+    @Test
+    void theTailSendsNothing() {
+        parts.in(view(3, SECOND, SELF));
+        link.reset(0, START);
+        append(1);
+        parts.sync(START);
+        link.sendEntries();
+        link.retry(START + BACKOFF);
+        assertThat(parts.sent(), is(List.of()));
+    }
+
+    @Test
+    void whatIsNotAcknowledgedIsSentAgainAfterTheBackoff() {
+        link.reset(0, START);
+        append(1);
+        parts.sync(START);
+        link.sendEntries();
+        parts.sent();
+        link.retry(START + BACKOFF - 1);
+        assertThat(parts.sent(), is(List.of(new Message.CatchUpTarget(2, 1))));
+        link.retry(START + BACKOFF);
+        assertThat(
+                parts.sent(),
+                is(List.of(new Message.CatchUpTarget(2, 1), new Message.Replicate(2, List.of(entry(1))))));
+    }
+
+    @Test
+    void aSuccessorThatLacksEntriesIsSentCommittedOnesToo() {
+        append(1, 2, 3);
+        parts.sync(START);
+        log.commit(2, START);
+        link.reset(2, START);
+        parts.sent();
+        link.handleFetchEntries(new Message.FetchEntries(2, SECOND.id(), 0), SECOND.address(), START);
+        assertThat(
+                parts.sent(),
+                is(List.of(
+                        new Message.CatchUpTarget(2, 3),
+                        new Message.Replicate(2, List.of(entry(1), entry(2), entry(3))))));
+        link.handleFetchEntries(new Message.FetchEntries(1, SECOND.id(), 0), SECOND.address(), START);
+        assertThat("another view", parts.sent(), is(List.of()));
+    }
+
+    @Test
+    void anAcknowledgementMakesRoomInTheWindow() {
+        final int largeEntries = 3;
+        link.reset(0, START);
+        for (long sequence = 1; sequence <= largeEntries; sequence++) {
+            log.append(List.of(large(sequence)), START);
+        }
+        parts.sync(START);
+        link.sendEntries();
+        assertThat(parts.sent(), is(List.of(new Message.Replicate(2, List.of(large(1))))));
+        link.handleReplicateAck(new Message.ReplicateAck(2, STRANGER.id(), 1), START);
+        link.handleReplicateAck(new Message.ReplicateAck(1, SECOND.id(), 1), START);
+        assertThat("of another replica, and of another view", parts.sent(), is(List.of()));
+        link.handleReplicateAck(new Message.ReplicateAck(2, SECOND.id(), 1), START);
+        assertThat(parts.sent(), is(List.of(new Message.Replicate(2, List.of(large(2))))));
+    }
+
+    private static LogEntry large(final long sequence) {
+        final Value document = new Value.ConfigurationDocument(sequence, "x".repeat(100_000));
+        return new LogEntry(
+                sequence, 1, new Stamp(sequence), List.of(new Entry("q/paper", sequence, List.of(document))));
+    }
+}
