--- a/server/src/main/java/silverlatch/server/gateway/OperatorApi.java
+++ b/server/src/main/java/silverlatch/server/gateway/OperatorApi.java
@@ -5,8 +5,6 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import java.util.stream.Collectors;
-import silverlatch.clock.ProcessClock;
 import silverlatch.dispatch.Dispatcher;
 import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.gossip.Gossip;
@@ -16,6 +14,8 @@
 import silverlatch.routing.Router;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.eventloop.EventLoopHandle;
+import silverlatch.server.metrics.MetricsPage;
+import silverlatch.server.metrics.NodeMetrics;
 import silverlatch.server.settings.Settings;
 import silverlatch.server.transport.Transport;
 import silverlatch.server.web.HttpExchange;
@@ -68,11 +68,11 @@
     /** Replies with all counters and gauges as text, one a line. */
     void metrics(final HttpExchange exchange) {
         dispatchLoop.withBoth((dispatcher, router) -> {
-            final Map<String, Object> values = new TreeMap<>();
-            addDispatchMetrics(values, dispatcher, router);
+            final MetricsPage page = new MetricsPage();
+            addDispatchMetrics(page, dispatcher, router);
             nodeLoop.execute(node -> {
-                addNodeMetrics(values, node);
-                exchange.replyText(text(values));
+                addNodeMetrics(page, node);
+                exchange.replyText(page.text());
             });
         });
     }
@@ -123,31 +123,19 @@
                 + (age == Long.MAX_VALUE ? "unknown" : age / MICROS_PER_MILLI + " ms");
     }
 
-    private static void addDispatchMetrics(
-            final Map<String, Object> values, final Dispatcher dispatcher, final Router router) {
-        dispatcher.counters().forEach((name, count) -> values.put("carry_" + name, count));
-        values.put("carry_open", dispatcher.openRequests());
-        router.counters().forEach((name, count) -> values.put("passage_" + name, count));
-        values.put("passage_open", router.openRequests());
-        values.put("passage_charter", router.configurationNumber());
+    private static void addDispatchMetrics(final MetricsPage page, final Dispatcher dispatcher, final Router router) {
+        page.putAll("dispatch_", "carry_", dispatcher.counters());
+        page.put("dispatch_open", "carry_open", dispatcher.openRequests());
+        page.putAll("routing_", "passage_", router.counters());
+        page.put("routing_open", "passage_open", router.openRequests());
+        page.put("routing_configuration", "passage_charter", router.configurationNumber());
     }
 
-    private void addNodeMetrics(final Map<String, Object> values, final Node node) {
-        final ProcessClock.Counts clock = node.processClock().counts();
-        values.put("tide_waits", clock.waits());
-        values.put("tide_carries", clock.overflows());
-        values.put("tide_far", clock.tooFarAhead());
-        values.put("tide_dropped", clock.dropped());
-        node.counters().forEach((name, count) -> values.put("deck_" + name, count));
-        values.put("wire_bad", transport.bad());
-        values.put("wire_dropped", transport.droppedFrames());
-        values.put(
-                "ring_full", dispatchLoop.rejectedTasks() + nodeLoop.eventLoop().rejectedTasks());
-    }
-
-    private static String text(final Map<String, Object> values) {
-        return values.entrySet().stream()
-                .map(metric -> "silverlatch_" + metric.getKey() + " " + metric.getValue() + "\n")
-                .collect(Collectors.joining());
+    private void addNodeMetrics(final MetricsPage page, final Node node) {
+        NodeMetrics.add(page, node, transport);
+        page.put(
+                "event_loop_rejected",
+                "ring_full",
+                dispatchLoop.rejectedTasks() + nodeLoop.eventLoop().rejectedTasks());
     }
 }
--- a/server/src/main/java/silverlatch/server/transport/Transport.java
+++ b/server/src/main/java/silverlatch/server/transport/Transport.java
@@ -79,7 +79,7 @@
     }
 
     /** How many received frames were malformed. */
-    public long bad() {
+    public long badFrames() {
         return badFrames.get();
     }
 
