--- a/core/src/main/java/silverlatch/clock/NtpTime.java
+++ b/core/src/main/java/silverlatch/clock/NtpTime.java
@@ -1,30 +1,38 @@
 package silverlatch.clock;
 
-/** Turns whole microseconds into the NTP-like fixed point format and back. */
+/**
+ * Converts to and from the format of stamps, which is like NTP's: fixed point, 32 bits of seconds and 32 bits of
+ * fraction. A unit is 2^-32 seconds.
+ */
 public final class NtpTime {
     /** Seconds between the Unix epoch and this project's epoch, 2020-01-01 UTC. */
     public static final long EPOCH_UNIX_SECONDS = 1_577_836_800L;
 
     private static final long MICROS_PER_SECOND = 1_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final int FRACTION_BITS = 32;
+    private static final long FRACTION_MASK = (1L << FRACTION_BITS) - 1;
 
     private NtpTime() {}
 
-    /** Fixed point units for a span of microseconds. */
+    /** The units of a span of microseconds, rounded down. */
     public static long fromMicros(final long micros) {
-        return Math.floorDiv(micros, MICROS_PER_SECOND) << 32
-                | (Math.floorMod(micros, MICROS_PER_SECOND) << 32) / MICROS_PER_SECOND;
+        final long seconds = Math.floorDiv(micros, MICROS_PER_SECOND);
+        final long remainder = Math.floorMod(micros, MICROS_PER_SECOND);
+        return seconds << FRACTION_BITS | (remainder << FRACTION_BITS) / MICROS_PER_SECOND;
     }
 
-    /** Fixed point value of a Unix time given in nanoseconds. */
+    /** The value of a Unix time in nanoseconds, rounded down. */
     public static long fromUnixNanos(final long nanos) {
-        final long seconds = Math.floorDiv(nanos, 1_000_000_000L) - EPOCH_UNIX_SECONDS;
-        return seconds << 32 | (Math.floorMod(nanos, 1_000_000_000L) << 32) / 1_000_000_000L;
+        final long seconds = Math.floorDiv(nanos, NANOS_PER_SECOND) - EPOCH_UNIX_SECONDS;
+        final long remainder = Math.floorMod(nanos, NANOS_PER_SECOND);
+        return seconds << FRACTION_BITS | (remainder << FRACTION_BITS) / NANOS_PER_SECOND;
     }
 
-    /** Whole microseconds, rounded up, for a positive span of fixed point units. */
+    /** The microseconds of a span of units that is not negative, rounded up. */
     public static long toMicros(final long units) {
-        final long seconds = units >> 32;
-        final long fraction = units & 0xFFFF_FFFFL;
-        return seconds * MICROS_PER_SECOND + ((fraction * MICROS_PER_SECOND + 0xFFFF_FFFFL) >> 32);
+        final long seconds = units >> FRACTION_BITS;
+        final long fraction = units & FRACTION_MASK;
+        return seconds * MICROS_PER_SECOND + ((fraction * MICROS_PER_SECOND + FRACTION_MASK) >> FRACTION_BITS);
     }
 }
--- a/core/src/main/java/silverlatch/clock/ProcessClock.java
+++ b/core/src/main/java/silverlatch/clock/ProcessClock.java
@@ -4,9 +4,12 @@
 import silverlatch.safeguard.Safeguard;
 import silverlatch.safeguard.Safeguards;
 
-/** Owns the clock of one daemon: every stamp of the process is made here, one event at a time. */
+/**
+ * The clock of one process: every stamp of the process is made here, one event at a time. Physical times are in units of
+ * {@link NtpTime}. Thread-safe.
+ */
 public final class ProcessClock {
-    /** The longest wait for an overflow, in microseconds. */
+    /** The longest wait for the masked clock to pass an overflow, in microseconds. */
     public static final long MAX_WAIT_MICROS = 5_000L;
 
     private static final long DROP_WINDOW_MICROS = 10_000_000L;
@@ -21,19 +24,19 @@
     private int dropsInWindow;
     private long highestReceived;
 
-    /** Starts a clock above a floor. */
+    /** A process clock that begins with a state. */
     public ProcessClock(final PwcClock clock) {
         this(clock, Safeguards.ALL);
     }
 
-    /** Starts a clock above a floor, under the guards that stand. */
+    /** A process clock that begins with a state, under the safeguards that are enabled. */
     public ProcessClock(final PwcClock clock, final Safeguards safeguards) {
         this.safeguards = safeguards;
         this.clock = clock;
         this.highestReceived = clock.last();
     }
 
-    /** The stamp of a local event; after an overflow that no wait could mend it carries on, counted. */
+    /** The stamp of a local event, which never waits: one that carries into the high bits is counted as an overflow. */
     public synchronized Stamp local(final long physicalTime) {
         if (clock.wouldOverflow(physicalTime)) {
             overflows++;
@@ -57,7 +60,7 @@
         return reading;
     }
 
-    /** Notes that a message was given up since its wait went past the bound. */
+    /** Counts a message that was dropped since its wait exceeded the bound. */
     public synchronized void recordDrop(final long nowMicros) {
         dropped++;
         if (nowMicros - windowStart > DROP_WINDOW_MICROS) {
@@ -67,12 +70,12 @@
         dropsInWindow++;
     }
 
-    /** Whether overflows came so often, or the clock stands so far out, that a rejoin is due. */
+    /** Whether messages were dropped so often, or the clock is so far ahead, that the process must rejoin. */
     public synchronized boolean needsRejoin(final long physicalTime) {
         return dropsInWindow >= MAX_DROPS_PER_WINDOW || clock.isBeyondSkew(physicalTime);
     }
 
-    /** Starts again at the masked clock, but above all that was learned from peers in bounds. */
+    /** Starts again at the masked clock, but above all that was received from peers within the bound. */
     public synchronized void reset(final long physicalTime) {
         clock = PwcClock.start(
                 physicalTime,
@@ -82,7 +85,7 @@
         dropsInWindow = 0;
     }
 
-    /** Raises the clock above a floor learned at joining, unless the floor is out of bounds. */
+    /** Raises the clock above a floor learned at joining; empty where the floor is out of bounds. */
     public synchronized Optional<Stamp> raiseAbove(final Stamp floor, final long physicalTime) {
         if (floor.bits() > clock.highestAcceptable(physicalTime)) {
             return Optional.empty();
@@ -92,12 +95,12 @@
         return Optional.of(new Stamp(clock.last()));
     }
 
-    /** The newest stamp made. */
+    /** The newest stamp. */
     public synchronized Stamp last() {
         return new Stamp(clock.last());
     }
 
-    /** How often something happened: waits, carries of local events, far stamps, messages dropped. */
+    /** How often something happened so far. */
     public synchronized Counts counts() {
         return new Counts(waits, overflows, tooFarAhead, dropped);
     }
@@ -122,6 +125,13 @@
         return reading;
     }
 
-    /** Counts of what the clock met. */
+    /**
+     * Counts since the start.
+     *
+     * @param waits       stamps that had to wait for the masked clock
+     * @param overflows   local events that carried into the high bits
+     * @param tooFarAhead messages whose stamps were rejected
+     * @param dropped     messages that were dropped since their wait exceeded the bound
+     */
     public record Counts(long waits, long overflows, long tooFarAhead, long dropped) {}
 }
--- a/core/src/main/java/silverlatch/clock/PwcClock.java
+++ b/core/src/main/java/silverlatch/clock/PwcClock.java
@@ -1,15 +1,17 @@
 package silverlatch.clock;
 
 /**
- * The PWC clock of one daemon as a value: algorithms 1 and 2 of "Achieving Causality with Physical Clocks".
- * The physical clock is handed in with each event, in the same format as the stamp.
+ * The state of the PWC clock of one process, immutable: algorithms 1 and 2 of "Achieving Causality with Physical
+ * Clocks". A stamp is the physical time with its low bits replaced by a count of events; causality holds as long as the
+ * count does not carry into the high bits unseen. The physical time is passed in with each event, in units of
+ * {@link NtpTime}.
  *
- * @param last the stamp of the newest event here
- * @param lowBits  how many low bits (u) count events
- * @param maxSkew the bound on skew, in fixed point units
+ * @param last    the bits of the newest stamp
+ * @param lowBits how many low bits (u in the paper) count events
+ * @param maxSkew the bound on the skew between two physical clocks, in units
  */
 public record PwcClock(long last, int lowBits, long maxSkew) {
-    /** Rejects a setting under which the clock makes no sense. */
+    /** Checks the settings. */
     public PwcClock {
         if (lowBits < 1 || lowBits > 30 || maxSkew < 0) {
             throw new IllegalArgumentException("low bits 1..30 and a skew of at least 0 are needed");
@@ -32,7 +34,7 @@
         return next(last, physicalTime);
     }
 
-    /** Algorithm 2 for the receipt of a message, with the bound on stamps from afar. */
+    /** Algorithm 2 for a receive event, with the bound on stamps that are too far ahead. */
     public ClockReading receive(final Stamp received, final long physicalTime) {
         final long unitsAhead = received.bits() - highestAcceptable(physicalTime);
         return unitsAhead > 0
@@ -40,7 +42,10 @@
                 : next(Math.max(last, received.bits()), physicalTime);
     }
 
-    /** Algorithm 1 for a local event: it never waits; the carry it may make keeps causality and is counted by the keeper. */
+    /**
+     * Algorithm 1 for a local event: it never waits. The carry that it may make keeps causality;
+     * {@link #wouldOverflow} tells beforehand.
+     */
     public ClockReading.Stamped local(final long physicalTime) {
         return stamped(Math.max(last + 1, masked(physicalTime)));
     }
@@ -50,12 +55,12 @@
         return next(last, physicalTime) instanceof ClockReading.Wait;
     }
 
-    /** Whether the clock stands above what the skew allows. */
+    /** Whether the clock is ahead of what the skew allows. */
     public boolean isBeyondSkew(final long physicalTime) {
         return last > highestAcceptable(physicalTime);
     }
 
-    /** The highest stamp that is believed at this physical time. */
+    /** The highest stamp that is accepted at a physical time. */
     public long highestAcceptable(final long physicalTime) {
         return masked(physicalTime) + maxSkew + (1L << lowBits);
     }
--- a/core/src/main/java/silverlatch/json/JsonDocument.java
+++ b/core/src/main/java/silverlatch/json/JsonDocument.java
@@ -6,15 +6,25 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashSet;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
 
-/** A JSON object being read and checked: each fault is noted with its path, and reading goes on to find the rest. */
+/**
+ * A JSON object that is read and checked field by field. A field that is wrong reads as its least value or as empty, its
+ * fault is collected with its path, and reading goes on to find the rest: whoever reads must look at {@link #finish}
+ * before using what was read. Documents within a document collect into the same faults.
+ */
 public final class JsonDocument {
     private static final Jsonb JSON = Jsonb.builder().build();
     private static final int MAX_DEPTH = 12;
+    private static final int MAX_SCALAR_LENGTH = 64;
+    private static final double MAX_EXACT_INTEGER = 1e15;
+    private static final int BAD_REQUEST = 400;
+    private static final int CONTENT_TOO_LARGE = 413;
+    private static final int UNPROCESSABLE = 422;
     private final String path;
     private final Map<?, ?> fields;
     private final List<String> faults;
@@ -26,29 +36,28 @@
         this.faults = faults;
     }
 
-    /** What parsing gave. */
+    /** What parsing gives. */
     public sealed interface ParseResult {
         /** An object to read. */
         record Valid(JsonDocument document) implements ParseResult {}
 
-        /** Not one: the HTTP-like code and why. */
+        /** No object, with the HTTP status and the reason for whoever sent it. */
         record Invalid(int code, String reason) implements ParseResult {}
     }
 
-    /** Parses an object of at most so many bytes. */
+    /** Parses an object of at most so many bytes of UTF-8. */
     public static ParseResult parse(final byte[] body, final int maxBytes) {
         if (body.length > maxBytes) {
-            return new ParseResult.Invalid(413, "$: larger than " + maxBytes + " bytes");
-        }
-        switch (JsonSyntax.check(body, MAX_DEPTH)) {
-            case TOO_DEEP -> {
-                return new ParseResult.Invalid(422, "$: deeper than " + MAX_DEPTH + " levels");
-            }
-            case INVALID -> {
-                return new ParseResult.Invalid(400, "$: not JSON");
-            }
-            case VALID -> {}
+            return new ParseResult.Invalid(CONTENT_TOO_LARGE, "$: larger than " + maxBytes + " bytes");
         }
+        return switch (JsonSyntax.check(body, MAX_DEPTH)) {
+            case TOO_DEEP -> new ParseResult.Invalid(UNPROCESSABLE, "$: deeper than " + MAX_DEPTH + " levels");
+            case INVALID -> new ParseResult.Invalid(BAD_REQUEST, "$: not JSON");
+            case VALID -> parseValid(body);
+        };
+    }
+
+    private static ParseResult parseValid(final byte[] body) {
         try {
             final Object root = JSON.type(Object.class)
                     .fromJson(StandardCharsets.UTF_8
@@ -57,132 +66,132 @@
                             .toString());
             return root instanceof Map<?, ?> map
                     ? new ParseResult.Valid(new JsonDocument("$", map, new ArrayList<>()))
-                    : new ParseResult.Invalid(400, "$: an object is needed");
+                    : new ParseResult.Invalid(BAD_REQUEST, "$: an object is needed");
         } catch (final CharacterCodingException e) {
-            return new ParseResult.Invalid(400, "$: not UTF-8");
+            return new ParseResult.Invalid(BAD_REQUEST, "$: not UTF-8");
         } catch (final RuntimeException e) {
-            return new ParseResult.Invalid(400, "$: not JSON");
+            return new ParseResult.Invalid(BAD_REQUEST, "$: not JSON");
         }
     }
 
-    /** The text of a value made of maps, lists, strings, numbers and flags. */
+    /** The JSON of a value made of maps, lists, strings, numbers and booleans. */
     public static String write(final Object value) {
         return JSON.type(Object.class).toJson(value);
     }
 
-    /** The same sheet with some fields put in place of its own. */
+    /** The same document with some fields in place of its own. */
     public JsonDocument with(final Map<String, Object> replacements) {
-        final Map<Object, Object> merged = new java.util.LinkedHashMap<>(fields);
+        final Map<Object, Object> merged = new LinkedHashMap<>(fields);
         merged.putAll(replacements);
         return new JsonDocument(path, merged, faults);
     }
 
-    /** A sheet without any field. */
+    /** A document without any field. */
     public static JsonDocument empty() {
         return new JsonDocument("$", Map.of(), new ArrayList<>());
     }
 
-    /** The fields as they stand. */
+    /** The fields in their order, those that are null as empty strings. */
     public Map<String, Object> asMap() {
-        final Map<String, Object> copy = new java.util.LinkedHashMap<>();
+        final Map<String, Object> copy = new LinkedHashMap<>();
         fields.forEach((k, v) ->
                 copy.put(String.valueOf(k), Optional.<Object>ofNullable(v).orElse("")));
         return copy;
     }
 
-    /** All faults found so far, also in the parts. */
+    /** All faults found so far, also in documents within this one. */
     public List<String> faults() {
         return List.copyOf(faults);
     }
 
-    /** Notes every key that was not asked for, and gives all faults. */
+    /** Ends the reading: every key that was not read is a fault. Returns all faults. */
     public List<String> finish() {
         fields.keySet().stream()
                 .map(String::valueOf)
-                .filter(k -> !readKeys.contains(k))
+                .filter(key -> !readKeys.contains(key))
                 .sorted()
-                .forEach(k -> faults.add(path + "." + k + ": unknown key"));
+                .forEach(key -> addFault(key, "unknown key"));
         return faults();
     }
 
-    /** Whether a key is there. */
+    /** Whether a key is there and not null; it counts as read. */
     public boolean has(final String key) {
         return value(key).isPresent();
     }
 
-    /** Notes a fault of a key. */
+    private String pathOf(final String key) {
+        return path + "." + key;
+    }
+
+    /** Adds a fault of a key. */
     public void addFault(final String key, final String reason) {
-        faults.add(path + "." + key + ": " + reason);
+        faults.add(pathOf(key) + ": " + reason);
     }
 
-    /** Notes a key that isn't there. */
+    /** Adds a fault if a key isn't there. */
     public void require(final String key) {
         if (!has(key)) {
             addFault(key, "missing");
         }
     }
 
-    /** A text of at most so many characters. */
+    /** A required string of at most so many characters. */
     public String string(final String key, final int maxLength) {
-        return value(key)
-                .map(value -> string(path + "." + key, value, maxLength))
-                .orElseGet(() -> missing(key, ""));
+        return value(key).map(value -> string(pathOf(key), value, maxLength)).orElseGet(() -> missing(key, ""));
     }
 
-    /** A text, or what holds when there is none. */
+    /** A string of at most so many characters, or the fallback when the key isn't there. */
     public String string(final String key, final int maxLength, final String fallback) {
-        return value(key)
-                .map(value -> string(path + "." + key, value, maxLength))
-                .orElse(fallback);
+        return value(key).map(value -> string(pathOf(key), value, maxLength)).orElse(fallback);
     }
 
-    /** A whole number within bounds. */
+    /** A required integer within bounds. */
     public long integer(final String key, final long minimum, final long maximum) {
         return value(key).map(value -> integer(key, value, minimum, maximum)).orElseGet(() -> missing(key, minimum));
     }
 
-    /** A whole number, or what holds when there is none. */
+    /** An integer within bounds, or the fallback when the key isn't there. */
     public long integer(final String key, final long minimum, final long maximum, final long fallback) {
         return value(key).map(value -> integer(key, value, minimum, maximum)).orElse(fallback);
     }
 
-    /** A number, or what holds when there is none. */
+    /** A finite number, or the fallback when the key isn't there. */
     public double number(final String key, final double fallback) {
         return value(key)
                 .map(v -> {
                     if (v instanceof Number n && Double.isFinite(n.doubleValue())) {
                         return n.doubleValue();
                     }
-                    faults.add(path + "." + key + ": a number is needed");
+                    addFault(key, "a number is needed");
                     return fallback;
                 })
                 .orElse(fallback);
     }
 
-    /** A flag, or what holds when there is none. */
+    /** A boolean, or the fallback when the key isn't there. */
     public boolean flag(final String key, final boolean fallback) {
         return value(key)
                 .map(v -> {
                     if (v instanceof Boolean b) {
                         return b;
                     }
-                    faults.add(path + "." + key + ": true or false is needed");
+                    addFault(key, "true or false is needed");
                     return fallback;
                 })
                 .orElse(fallback);
     }
 
-    /** A list of texts; empty when there is none. */
+    /** A list of at most so many strings of at most so many characters; empty when the key isn't there. */
     public List<String> strings(final String key, final int maxCount, final int maxLength) {
         final List<String> strings = new ArrayList<>();
         final List<?> elements = list(key, maxCount);
         for (int i = 0; i < elements.size(); i++) {
-            strings.add(string(path + "." + key + "[" + i + "]", elements.get(i), maxLength));
+            strings.add(string(pathOf(key) + "[" + i + "]", elements.get(i), maxLength));
         }
         return strings;
     }
 
-    /** A list of whole numbers; empty when there is none. */
+    /** A list of at most so many integers; empty when the key isn't there. */
     public List<Long> integers(final String key, final int maxCount) {
         final List<Long> integers = new ArrayList<>();
         final List<?> elements = list(key, maxCount);
@@ -192,12 +201,12 @@
         return integers;
     }
 
-    /** A list of objects; empty when there is none. */
+    /** A list of at most so many objects; empty when the key isn't there. */
     public List<JsonDocument> objects(final String key, final int maxCount) {
         final List<JsonDocument> objects = new ArrayList<>();
         final List<?> elements = list(key, maxCount);
         for (int i = 0; i < elements.size(); i++) {
-            final String elementPath = path + "." + key + "[" + i + "]";
+            final String elementPath = pathOf(key) + "[" + i + "]";
             if (elements.get(i) instanceof Map<?, ?> map) {
                 objects.add(new JsonDocument(elementPath, map, faults));
             } else {
@@ -207,46 +216,46 @@
         return objects;
     }
 
-    /** An object within this one; an empty one when there is none. */
+    /** A required object within this one. */
     public JsonDocument object(final String key) {
         return value(key)
                 .filter(v -> v instanceof Map<?, ?>)
-                .map(v -> new JsonDocument(path + "." + key, (Map<?, ?>) v, faults))
+                .map(v -> new JsonDocument(pathOf(key), (Map<?, ?>) v, faults))
                 .orElseGet(() -> {
-                    faults.add(path + "." + key + ": an object is needed");
-                    return new JsonDocument(path + "." + key, Map.of(), faults);
+                    addFault(key, "an object is needed");
+                    return new JsonDocument(pathOf(key), Map.of(), faults);
                 });
     }
 
-    private static Optional<String> string(final Object value) {
-        if (value instanceof String s) {
-            return s.length() <= 64 ? Optional.of(s) : Optional.empty();
-        }
-        if (value instanceof Double d && d == Math.rint(d) && Math.abs(d) < 1e15) {
-            return Optional.of("" + d.longValue());
-        }
-        return value instanceof Boolean || value instanceof Number ? Optional.of("" + value) : Optional.empty();
-    }
-
-    /** A cell's value as text, whether it is a text, a number or a flag. */
+    /** A required string, number or boolean, as text; an integral number has no fraction. */
     public String scalarText(final String key) {
         return value(key)
-                .map(v -> string(v).orElseGet(() -> {
-                    faults.add(path + "." + key + ": a text, a number or a flag is needed");
+                .map(v -> scalarText(v).orElseGet(() -> {
+                    addFault(key, "a text, a number or a flag is needed");
                     return "";
                 }))
                 .orElseGet(() -> missing(key, ""));
     }
 
+    private static Optional<String> scalarText(final Object value) {
+        if (value instanceof String s) {
+            return s.length() <= MAX_SCALAR_LENGTH ? Optional.of(s) : Optional.empty();
+        }
+        if (value instanceof Double d && d == Math.rint(d) && Math.abs(d) < MAX_EXACT_INTEGER) {
+            return Optional.of(Long.toString(d.longValue()));
+        }
+        return value instanceof Boolean || value instanceof Number ? Optional.of("" + value) : Optional.empty();
+    }
+
     private List<?> list(final String key, final int maxCount) {
         return value(key)
                 .map(v -> {
                     if (!(v instanceof List<?> list)) {
-                        faults.add(path + "." + key + ": a list is needed");
+                        addFault(key, "a list is needed");
                         return List.of();
                     }
                     if (list.size() > maxCount) {
-                        faults.add(path + "." + key + ": at most " + maxCount + " entries");
+                        addFault(key, "at most " + maxCount + " entries");
                         return List.of();
                     }
                     return list;
@@ -271,15 +280,15 @@
             if (n.longValue() >= minimum && n.longValue() <= maximum) {
                 return n.longValue();
             }
-            faults.add(path + "." + key + ": not within " + minimum + " and " + maximum);
+            addFault(key, "not within " + minimum + " and " + maximum);
         } else {
-            faults.add(path + "." + key + ": a whole number is needed");
+            addFault(key, "a whole number is needed");
         }
         return minimum;
     }
 
     private <T> T missing(final String key, final T fallback) {
-        faults.add(path + "." + key + ": missing");
+        addFault(key, "missing");
         return fallback;
     }
 
--- a/core/src/main/java/silverlatch/json/JsonSyntax.java
+++ b/core/src/main/java/silverlatch/json/JsonSyntax.java
@@ -1,11 +1,17 @@
 package silverlatch.json;
 
-/** Whether bytes are one whole JSON value (RFC 8259) that isn't too deep; what their texts hold is not looked at. */
+/**
+ * Checks that bytes are exactly one JSON value (RFC 8259) and not nested too deeply. The parser behind
+ * {@link JsonDocument} is more lenient than the standard and has no limit of depth. UTF-8 is not checked here.
+ */
 final class JsonSyntax {
-    /** What was found. */
+    /** The result of a check. */
     enum Result {
+        /** One value, and white space. */
         VALID,
+        /** Nested more deeply than is accepted; what follows was not looked at. */
         TOO_DEEP,
+        /** Anything else. */
         INVALID
     }
 
@@ -19,11 +25,14 @@
         this.maxDepth = maxDepth;
     }
 
-    /** Looks at bytes; so many levels are not too deep. */
+    /** Checks bytes that may have so many levels of objects and arrays. */
     static Result check(final byte[] body, final int maxDepth) {
         final JsonSyntax syntax = new JsonSyntax(body, maxDepth);
         final boolean valid = syntax.value(0) && syntax.peek() < 0;
-        return syntax.tooDeep ? Result.TOO_DEEP : valid ? Result.VALID : Result.INVALID;
+        if (syntax.tooDeep) {
+            return Result.TOO_DEEP;
+        }
+        return valid ? Result.VALID : Result.INVALID;
     }
 
     private boolean value(final int level) {
