--- /dev/null
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyFixture.java
@@ -0,0 +1,170 @@
+package silverlatch.server.proxy;
+
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.OutputStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.SplittableRandom;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.concurrent.atomic.AtomicReference;
+import java.util.function.Function;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import silverlatch.clock.Stamp;
+import silverlatch.dispatch.ClusterSnapshot;
+import silverlatch.gossip.Gossip;
+import silverlatch.gossip.Worker;
+import silverlatch.membership.Member;
+import silverlatch.routing.Router;
+import silverlatch.server.eventloop.EventLoop;
+import silverlatch.server.web.ApiServer;
+import silverlatch.server.web.MultiListenerServer;
+import silverlatch.state.Entry;
+import silverlatch.state.Policy;
+import silverlatch.state.Value;
+
+/** A proxy between stub workers and a client on real sockets, made anew for each test, with a router on a thread of its own. */
+abstract class ProxyFixture {
+    final ExecutorService routerLoop = Executors.newSingleThreadExecutor();
+    final List<StubWorker> stubWorkers = new ArrayList<>();
+    final AtomicInteger postedEvents = new AtomicInteger();
+    final AtomicReference<Runnable> beforeThirdEvent = new AtomicReference<>(() -> {});
+    final AtomicReference<ProxyServer> proxy = new AtomicReference<>();
+    WorkerHttpClient workerClient;
+    MultiListenerServer httpServer;
+    Router router;
+    int port;
+
+    @BeforeEach
+    void open() throws Exception {
+        workerClient = new WorkerHttpClient(WorkerHttpClient.Settings.DEFAULT);
+        workerClient.start();
+        router = new Router(Router.Settings.DEFAULT, facts(1), () -> new Stamp(1), new SplittableRandom(5));
+        proxy.set(new ProxyServer(ProxyHeaderNames.DEFAULT, workerClient, event -> {
+            if (postedEvents.incrementAndGet() == 3) {
+                beforeThirdEvent.get().run();
+            }
+            routerLoop.execute(() -> {
+                event.accept(router);
+                router.drainEffects().forEach(proxy.get()::apply);
+            });
+            return true;
+        }));
+        proxy.get().setMaxBodyBytes(4_096);
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            port = socket.getLocalPort();
+        }
+        httpServer = new MultiListenerServer(8);
+        httpServer.addListener("127.0.0.1:" + port, 8_192, 5_000, proxy.get());
+        httpServer.start();
+    }
+
+    @AfterEach
+    void shut() throws ApiServer.HttpServerException, WorkerHttpClient.WorkerHttpClientException, IOException {
+        httpServer.stop();
+        workerClient.stop();
+        routerLoop.shutdownNow();
+        for (final StubWorker worker : stubWorkers) {
+            worker.close();
+        }
+    }
+
+    StubWorker startWorker(final Function<String, String> script) throws IOException {
+        final StubWorker started = new StubWorker(script);
+        stubWorkers.add(started);
+        final ClusterSnapshot next = facts(stubWorkers.size() + 1);
+        routerLoop.execute(() -> router.update(next, EventLoop.nowMicros()));
+        return started;
+    }
+
+    ClusterSnapshot facts(final long revision) {
+        final Map<String, Gossip.ObservedWorker> heard = new HashMap<>();
+        for (int i = 0; i < stubWorkers.size(); i++) {
+            heard.put(
+                    "w" + i,
+                    new Gossip.ObservedWorker(
+                            new Worker(
+                                    "w" + i,
+                                    "127.0.0.1:" + stubWorkers.get(i).port(),
+                                    "z",
+                                    "r",
+                                    1,
+                                    1,
+                                    0,
+                                    0,
+                                    8,
+                                    List.of(),
+                                    false,
+                                    0,
+                                    "pool",
+                                    0,
+                                    0),
+                            Optional.of(EventLoop.nowMicros())));
+        }
+        final List<Entry> all = List.of(
+                new Entry(
+                        "p/charter", 1, List.of(new Value.RoutingConfiguration(1, 8_192, 4_096, 1_000_000, 1_000_000))),
+                new Entry("b/pool", 1, List.of(new Value.BackendPool("pool", "/health", 10, 0, 9, 8, 1_000, 5))),
+                new Entry("u/a|/once/", 1, List.of(route("/once/", false))),
+                new Entry("u/a|/again/", 1, List.of(route("/again/", true))));
+        return new ClusterSnapshot(
+                new Member("me", "gateway", "z", "r", "127.0.0.1:1", "127.0.0.1:2", 1, 0, "up", true),
+                revision,
+                Optional.of(1L),
+                Policy.of(all),
+                heard,
+                List.of());
+    }
+
+    static Value.Route route(final String path, final boolean resumable) {
+        return new Value.Route(
+                path,
+                "a",
+                path,
+                true,
+                true,
+                resumable,
+                true,
+                5_000_000,
+                600_000,
+                400_000,
+                0,
+                2,
+                List.of(),
+                List.of(new Value.WeightedBackend("pool", 1)));
+    }
+
+    String post(final String path, final String more, final String body) throws IOException {
+        return sendRaw("POST " + path
+                + " HTTP/1.1\r\nHost: a\r\nConnection: close\r\nSilverlatch-Ticket: t-1\r\nSilverlatch-Expiry-Ms: 4000\r\n"
+                + more + "Content-Length: " + body.length() + "\r\n\r\n" + body);
+    }
+
+    String sendRaw(final String request) throws IOException {
+        try (Socket socket = new Socket()) {
+            socket.connect(new InetSocketAddress("127.0.0.1", port), 1_000);
+            socket.setSoTimeout(10_000);
+            final OutputStream out = socket.getOutputStream();
+            out.write(request.getBytes(StandardCharsets.ISO_8859_1));
+            out.flush();
+            final ByteArrayOutputStream all = new ByteArrayOutputStream();
+            try {
+                socket.getInputStream().transferTo(all);
+            } catch (final IOException failure) {
+                all.writeBytes("RESET".getBytes(StandardCharsets.ISO_8859_1));
+            }
+            return all.toString(StandardCharsets.ISO_8859_1);
+        }
+    }
+}
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedWorker.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedWorker.java
@@ -12,6 +12,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicReference;
@@ -65,6 +66,20 @@
         boolean leavesBytes() {
             return this == STRAY_BEHIND || this == HALF_STRAY_BEHIND || this == DOUBLED;
         }
+
+        /** Whether a whole response with another status than 200 is all that is written. */
+        boolean isFailureStatus() {
+            return switch (this) {
+                case REFUSAL_WITHOUT_ID,
+                        MISDIRECTED_WITHOUT_ID,
+                        NOT_EXECUTED,
+                        MISDIRECTED,
+                        RETRY_STATUS,
+                        FAILURE,
+                        REDIRECT -> true;
+                default -> false;
+            };
+        }
     }
 
     ScriptedWorker(final String id, final long seed, final ExchangeLog log) throws IOException {
@@ -230,74 +245,112 @@
             final String body,
             final Behaviour behaviour)
             throws IOException {
-        final OutputStream out = socket.getOutputStream();
         final boolean chunked = attemptId.hashCode() % 2 == 0;
         final String good = head(200, attemptId, seal) + (chunked ? chunks(body) : length(body));
-        final String stray = String.format(STRAY, earlier.get());
+        final Optional<String> text = behaviour.isFailureStatus()
+                ? Optional.of(failureText(attemptId, seal, body, behaviour))
+                : wholeText(attemptId, seal, body, good, behaviour);
+        if (text.isPresent()) {
+            write(socket.getOutputStream(), text.get());
+            return true;
+        }
+        return replyInParts(socket, attemptId, seal, body, good, behaviour);
+    }
+
+    /** What a behaviour that replies with another status than 200 writes. */
+    private static String failureText(
+            final String attemptId, final String seal, final String body, final Behaviour behaviour) {
+        return switch (behaviour) {
+            case REFUSAL_WITHOUT_ID -> head(503, "", seal) + "Silverlatch-Not-Run: 1\r\n" + length(body);
+            case MISDIRECTED_WITHOUT_ID -> head(421, "", seal) + length(body);
+            case NOT_EXECUTED -> head(503, attemptId, seal) + "Silverlatch-Not-Run: 1\r\n" + length(body);
+            case MISDIRECTED -> head(421, attemptId, seal) + length(body);
+            case RETRY_STATUS -> head(503, attemptId, seal) + length(body);
+            case FAILURE -> head(500, attemptId, seal) + length(body);
+            case REDIRECT -> head(302, attemptId, seal) + "Location: http://127.0.0.1:1/\r\n" + length(body);
+            default -> throw new IllegalArgumentException("no failure: " + behaviour);
+        };
+    }
+
+    /** What a behaviour that writes once and leaves the connection open writes; empty for the others. */
+    private Optional<String> wholeText(
+            final String attemptId,
+            final String seal,
+            final String body,
+            final String good,
+            final Behaviour behaviour) {
+        final String stray = stray();
+        return Optional.ofNullable(
+                switch (behaviour) {
+                    case GOOD, FORGET -> good;
+                    case STRAY_BEHIND -> good + stray;
+                    case HALF_STRAY_BEHIND -> good + stray.substring(0, stray.length() / 2);
+                    case DOUBLED -> good + good;
+                    case EARLIER_FIRST -> stray + good;
+                    case OTHER_ID -> head(200, "somebody-elses", seal) + length("FORGED");
+                    case TWO_IDS -> head(200, attemptId, seal) + "Silverlatch-Ticket: x\r\n" + length("FORGED");
+                    case UNSEALED -> head(200, attemptId, "") + length("FORGED");
+                    case REFUSAL_WITHOUT_ID_FIRST ->
+                        head(503, "", "") + "Silverlatch-Not-Run: 1\r\n" + length("") + good;
+                    case TWO_FRAMINGS -> head(200, attemptId, seal) + "Content-Length: 3\r\n" + chunks(body);
+                    case INTERIM_FIRST -> "HTTP/1.1 100 Continue\r\n\r\n" + good;
+                    case LARGE_HEAD ->
+                        head(200, attemptId, seal) + "X-Large: " + "x".repeat(40_000) + "\r\n" + length(body);
+                    default -> null;
+                });
+    }
+
+    private String stray() {
+        return String.format(STRAY, earlier.get());
+    }
+
+    /** Writes what a behaviour wants that pauses or ends the connection; false if the connection ends. */
+    private boolean replyInParts(
+            final Socket socket,
+            final String attemptId,
+            final String seal,
+            final String body,
+            final String good,
+            final Behaviour behaviour)
+            throws IOException {
+        final OutputStream out = socket.getOutputStream();
+        final String stray = stray();
+        final int bodyStart = good.indexOf("\r\n\r\n") + 4;
         switch (behaviour) {
-            case GOOD, FORGET -> write(out, good);
-            case STRAY_BEHIND -> write(out, good + stray);
-            case HALF_STRAY_BEHIND -> write(out, good + stray.substring(0, stray.length() / 2));
-            case DOUBLED -> write(out, good + good);
             case STRAY_LATER -> {
                 write(out, good);
                 pause(2);
                 write(out, stray);
+                return true;
             }
-            case EARLIER_FIRST -> write(out, stray + good);
-            case OTHER_ID -> write(out, head(200, "somebody-elses", seal) + length("FORGED"));
-            case TWO_IDS -> write(out, head(200, attemptId, seal) + "Silverlatch-Ticket: x\r\n" + length("FORGED"));
-            case UNSEALED -> write(out, head(200, attemptId, "") + length("FORGED"));
-            case REFUSAL_WITHOUT_ID_FIRST ->
-                write(out, head(503, "", "") + "Silverlatch-Not-Run: 1\r\n" + length("") + good);
-            case REFUSAL_WITHOUT_ID -> write(out, head(503, "", seal) + "Silverlatch-Not-Run: 1\r\n" + length(body));
-            case MISDIRECTED_WITHOUT_ID -> write(out, head(421, "", seal) + length(body));
-            case NOT_EXECUTED -> write(out, head(503, attemptId, seal) + "Silverlatch-Not-Run: 1\r\n" + length(body));
-            case MISDIRECTED -> write(out, head(421, attemptId, seal) + length(body));
-            case RETRY_STATUS -> write(out, head(503, attemptId, seal) + length(body));
-            case FAILURE -> write(out, head(500, attemptId, seal) + length(body));
-            case EMPTY_FAILURE_CUT -> {
-                write(out, head(500, attemptId, seal) + "Content-Length: 50\r\n\r\n" + body);
-                return false;
+            case EMPTY_FAILURE_CUT -> write(out, head(500, attemptId, seal) + "Content-Length: 50\r\n\r\n" + body);
+            case CLOSE_DELIMITED ->
+                write(out, head(200, attemptId, seal) + "\r\n" + body.substring(0, body.length() / 2));
+            case GARBAGE -> write(out, "FORGED bytes of no protocol\r\n\r\n");
+            case RESET_BEFORE -> {
+                return end(socket, "");
             }
-            case REDIRECT ->
-                write(out, head(302, attemptId, seal) + "Location: http://127.0.0.1:1/\r\n" + length(body));
             case HALF_HEAD -> {
                 write(out, good.substring(0, 30));
                 return end(socket, attemptId);
             }
-            case RESET_BEFORE -> {
-                return end(socket, "");
-            }
             case HEAD_ONLY -> {
-                write(out, good.substring(0, good.indexOf("\r\n\r\n") + 4));
+                write(out, good.substring(0, bodyStart));
                 pause(5);
                 return end(socket, attemptId);
             }
             case RESET_MIDWAY, END_MIDWAY -> {
-                final int start = good.indexOf("\r\n\r\n") + 4;
-                write(out, good.substring(0, start + (good.length() - start) / 2));
+                write(out, good.substring(0, bodyStart + (good.length() - bodyStart) / 2));
                 pause(5);
                 return behaviour == Behaviour.END_MIDWAY ? false : end(socket, "");
             }
-            case CLOSE_DELIMITED -> {
-                write(out, head(200, attemptId, seal) + "\r\n" + body.substring(0, body.length() / 2));
-                return false;
-            }
-            case TWO_FRAMINGS -> write(out, head(200, attemptId, seal) + "Content-Length: 3\r\n" + chunks(body));
-            case INTERIM_FIRST -> write(out, "HTTP/1.1 100 Continue\r\n\r\n" + good);
-            case GARBAGE -> {
-                write(out, "FORGED bytes of no protocol\r\n\r\n");
-                return false;
-            }
-            case LARGE_HEAD ->
-                write(out, head(200, attemptId, seal) + "X-Large: " + "x".repeat(40_000) + "\r\n" + length(body));
             case SILENT -> {
                 socket.setSoTimeout(10_000);
                 return socket.getInputStream().read() >= 0;
             }
+            default -> throw new IllegalArgumentException("not in parts: " + behaviour);
         }
-        return true;
+        return false;
     }
 
     private static boolean end(final Socket socket, final String hash) throws IOException {
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicReference;
+import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -95,46 +95,18 @@
         }
         final WorkerHttpClient client = new WorkerHttpClient(WorkerHttpClient.Settings.DEFAULT, disabledSafeguards);
         client.start();
-        final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
-        final Router router = new Router(
-                new Router.Settings(2_048, 1, Long.MAX_VALUE),
-                facts(workers),
-                () -> new Stamp(1),
-                new SplittableRandom(seed));
-        router.update(facts(workers), EventLoop.nowMicros());
-        final AtomicReference<ProxyServer> proxy = new AtomicReference<>();
-        final Runnable drain = () -> router.drainEffects().stream()
-                .filter(effect -> !(effect instanceof RoutingEffect.Log))
-                .forEach(proxy.get()::apply);
-        proxy.set(new ProxyServer(
-                ProxyHeaderNames.DEFAULT,
-                client,
-                event -> {
-                    loop.execute(() -> {
-                        event.accept(router);
-                        drain.run();
-                    });
-                    return true;
-                },
-                disabledSafeguards));
-        loop.scheduleAtFixedRate(
-                () -> {
-                    router.tick(EventLoop.nowMicros());
-                    drain.run();
-                },
-                10,
-                10,
-                TimeUnit.MILLISECONDS);
         final int port = freePort();
-        final MultiListenerServer doors = new MultiListenerServer(16);
-        doors.addListener("127.0.0.1:" + port, 8_192, 5_000, proxy.get());
-        doors.start();
-        try {
-            clients(port, seed, log);
+        final MultiListenerServer httpServer = new MultiListenerServer(16);
+        try (RoutedProxy routed = new RoutedProxy(seed, facts(workers), client, disabledSafeguards)) {
+            httpServer.addListener("127.0.0.1:" + port, 8_192, 5_000, routed.proxy);
+            httpServer.start();
+            try {
+                clients(port, seed, log);
+            } finally {
+                httpServer.stop();
+                client.stop();
+            }
         } finally {
-            doors.stop();
-            client.stop();
-            loop.shutdownNow();
             for (final ScriptedWorker worker : workers) {
                 worker.close();
             }
@@ -142,6 +114,53 @@
         return log;
     }
 
+    /** A router on a thread of its own, and the proxy that carries out what it decides. */
+    private static final class RoutedProxy implements AutoCloseable {
+        private static final long TICK_MS = 10;
+        private final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
+        private final Router router;
+        private final ProxyServer proxy;
+
+        RoutedProxy(
+                final long seed,
+                final ClusterSnapshot snapshot,
+                final WorkerHttpClient client,
+                final Set<ProxySafeguard> disabledSafeguards) {
+            router = new Router(
+                    new Router.Settings(2_048, 1, Long.MAX_VALUE),
+                    snapshot,
+                    () -> new Stamp(1),
+                    new SplittableRandom(seed));
+            router.update(snapshot, EventLoop.nowMicros());
+            proxy = new ProxyServer(ProxyHeaderNames.DEFAULT, client, this::post, disabledSafeguards);
+            loop.scheduleAtFixedRate(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+        }
+
+        private boolean post(final Consumer<Router> event) {
+            loop.execute(() -> {
+                event.accept(router);
+                applyEffects();
+            });
+            return true;
+        }
+
+        private void tick() {
+            router.tick(EventLoop.nowMicros());
+            applyEffects();
+        }
+
+        private void applyEffects() {
+            router.drainEffects().stream()
+                    .filter(effect -> !(effect instanceof RoutingEffect.Log))
+                    .forEach(proxy::apply);
+        }
+
+        @Override
+        public void close() {
+            loop.shutdownNow();
+        }
+    }
+
     private static void clients(final int port, final long seed, final ExchangeLog log) throws InterruptedException {
         final SplittableRandom random = new SplittableRandom(seed);
         final List<Thread> threads = new ArrayList<>();
