--- a/core/src/main/java/silverlatch/dispatch/TraceLog.java
+++ b/core/src/main/java/silverlatch/dispatch/TraceLog.java
@@ -2,10 +2,7 @@
 
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
-import java.util.TreeMap;
-import java.util.stream.Collectors;
 import silverlatch.placement.WeightedScorers;
 
 /** What is remembered of the newest requests so that their placement can be explained. Bounded; not thread-safe. */
@@ -72,10 +69,4 @@
     public Optional<RequestTrace> get(final String requestId) {
         return Optional.ofNullable(traces.get(requestId));
     }
-
-    /** How many of the requests are in each state. */
-    public Map<String, Long> countsByState() {
-        return traces.values().stream()
-                .collect(Collectors.groupingBy(RequestTrace::state, TreeMap::new, Collectors.counting()));
-    }
 }
--- a/core/src/main/java/silverlatch/gossip/Gossip.java
+++ b/core/src/main/java/silverlatch/gossip/Gossip.java
@@ -79,11 +79,6 @@
             return worker.agedBy(now - measuredAt).warmupRemaining();
         }
 
-        /** Returns in how many microseconds from now it will be gone; 0 when it announced no end. */
-        public long lifetimeRemaining(final long now) {
-            return worker.agedBy(now - measuredAt).lifetimeRemaining();
-        }
-
         /** Returns how many microseconds ago this was surely true; the largest long when it was never renewed here. */
         public long age(final long now) {
             return asOf.map(time -> now - time).orElse(Long.MAX_VALUE);
--- a/core/src/main/java/silverlatch/replication/LogEntry.java
+++ b/core/src/main/java/silverlatch/replication/LogEntry.java
@@ -1,9 +1,6 @@
 package silverlatch.replication;
 
-import java.util.ArrayList;
-import java.util.Iterator;
 import java.util.List;
-import java.util.stream.Stream;
 import silverlatch.clock.Stamp;
 import silverlatch.state.Entry;
 
@@ -18,19 +15,4 @@
     public long estimatedBytes() {
         return 64 + puts.stream().mapToLong(Entry::estimatedBytes).sum();
     }
-
-    /** As many changes as may go in one frame: the first, and what else is light enough. */
-    static List<LogEntry> batch(final Stream<LogEntry> all, final int limitEntries, final long limitBytes) {
-        final List<LogEntry> batch = new ArrayList<>();
-        long bytes = 0;
-        for (final Iterator<LogEntry> entries = all.iterator(); entries.hasNext() && batch.size() < limitEntries; ) {
-            final LogEntry entry = entries.next();
-            bytes += entry.estimatedBytes();
-            if (!batch.isEmpty() && bytes > limitBytes) {
-                return batch;
-            }
-            batch.add(entry);
-        }
-        return batch;
-    }
 }
--- a/core/src/test/java/silverlatch/replication/LogEntryTest.java
+++ b/core/src/test/java/silverlatch/replication/LogEntryTest.java
@@ -2,11 +2,9 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.greaterThan;
-import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.lessThan;
 
 import java.util.ArrayList;
-import java.util.Collections;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import silverlatch.clock.Stamp;
@@ -17,29 +15,6 @@
 import silverlatch.wire.Message;
 
 final class LogEntryTest {
-    private static LogEntry entry(final long sequence, final Value leaf) {
-        return new LogEntry(sequence, 1, new Stamp(sequence), List.of(new Entry("q/paper", sequence, List.of(leaf))));
-    }
-
-    @Test
-    void largeEntriesGoInFramesOfTheirOwn() {
-        final LogEntry heavy =
-                entry(1, new Value.ConfigurationDocument(1, "x".repeat(ConfigurationValidator.MAX_DOCUMENT_BYTES)));
-        final List<LogEntry> many = Collections.nCopies(9, heavy);
-        final List<LogEntry> batch = LogEntry.batch(many.stream(), 512, 4L << 20);
-        assertThat(batch.size(), is(1));
-        assertThat(new Codec().encode(new Message.Replicate(1, batch)).length, lessThan(Codec.MAX_BYTES));
-        final LogEntry light = entry(1, new Value.Epoch(1));
-        assertThat(
-                LogEntry.batch(Collections.nCopies(900, light).stream(), 512, 4L << 20)
-                        .size(),
-                is(512));
-        assertThat(
-                LogEntry.batch(List.of(light, light, heavy, light).stream(), 512, 4L << 20)
-                        .size(),
-                is(2));
-    }
-
     @Test
     void aConfigurationOfTheLargestSizeFitsAFrame() {
         final List<Entry> puts = new ArrayList<>();
--- a/core/src/test/java/silverlatch/replication/SuccessorLinkTest.java
+++ b/core/src/test/java/silverlatch/replication/SuccessorLinkTest.java
@@ -1,7 +1,10 @@
 package silverlatch.replication;
 
 import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.greaterThan;
 import static org.hamcrest.Matchers.is;
+import static org.hamcrest.Matchers.lessThan;
+import static org.hamcrest.Matchers.lessThanOrEqualTo;
 import static silverlatch.replication.ReplicaParts.SECOND;
 import static silverlatch.replication.ReplicaParts.SELF;
 import static silverlatch.replication.ReplicaParts.START;
@@ -12,8 +15,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import silverlatch.clock.Stamp;
+import silverlatch.state.ConfigurationValidator;
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
+import silverlatch.wire.Codec;
 import silverlatch.wire.Message;
 
 final class SuccessorLinkTest {
@@ -100,8 +105,43 @@
         assertThat(parts.sent(), is(List.of(new Message.Replicate(2, List.of(large(2))))));
     }
 
+    @Test
+    void anEntryOfTheLargestSizeGoesInAFrameOfItsOwn() {
+        link.reset(0, START);
+        log.append(List.of(entry(1)), START);
+        log.append(List.of(entry(2)), START);
+        log.append(List.of(withDocument(3, ConfigurationValidator.MAX_DOCUMENT_BYTES)), START);
+        parts.sync(START);
+        link.sendEntries();
+        assertThat(parts.sent(), is(List.of(new Message.Replicate(2, List.of(entry(1), entry(2))))));
+        link.handleReplicateAck(new Message.ReplicateAck(2, SECOND.id(), 2), START);
+        final Message large = parts.sent().get(0);
+        assertThat(((Message.Replicate) large).entries().size(), is(1));
+        assertThat(new Codec().encode(large).length, lessThan(Codec.MAX_BYTES));
+    }
+
+    @Test
+    void aFrameOfManySmallEntriesStaysWithinTheWindow() {
+        final int count = 900;
+        link.reset(0, START);
+        for (long sequence = 1; sequence <= count; sequence++) {
+            append(sequence);
+        }
+        parts.sync(START);
+        link.sendEntries();
+        final List<LogEntry> batch = ((Message.Replicate) parts.sent().get(0)).entries();
+        final long bytes = batch.stream().mapToLong(LogEntry::estimatedBytes).sum();
+        assertThat(bytes, lessThanOrEqualTo(ReplicationWindow.LIMIT_BYTES));
+        assertThat(bytes + entry(1).estimatedBytes(), greaterThan(ReplicationWindow.LIMIT_BYTES));
+        assertThat(batch.size(), lessThanOrEqualTo(512));
+    }
+
     private static LogEntry large(final long sequence) {
-        final Value document = new Value.ConfigurationDocument(sequence, "x".repeat(100_000));
+        return withDocument(sequence, 100_000);
+    }
+
+    private static LogEntry withDocument(final long sequence, final int bytes) {
+        final Value document = new Value.ConfigurationDocument(sequence, "x".repeat(bytes));
         return new LogEntry(
                 sequence, 1, new Stamp(sequence), List.of(new Entry("q/paper", sequence, List.of(document))));
     }
--- a/simulation/src/main/java/silverlatch/simulation/explore/LongHashSet.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/LongHashSet.java
@@ -17,20 +17,11 @@
         return shards[(int) (value >>> 58)].add(value == 0 ? 1 : value);
     }
 
-    /** How many values it holds. */
-    long size() {
-        return Arrays.stream(shards).mapToLong(Shard::size).sum();
-    }
-
     /** One table; 0 marks a free place. */
     private static final class Shard {
         private long[] table = new long[FIRST];
         private int count;
 
-        synchronized int size() {
-            return count;
-        }
-
         synchronized boolean add(final long value) {
             if (count * 2 > table.length) {
                 grow();
--- a/simulation/src/main/java/silverlatch/simulation/explore/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/World.java
@@ -57,10 +57,6 @@
         machines.forEach(this::start);
     }
 
-    WorldOptions options() {
-        return options;
-    }
-
     List<Machine> machines() {
         return machines;
     }
@@ -87,11 +83,6 @@
         return machines.stream().filter(Machine::replaced).count() < options.copies() - 1;
     }
 
-    /** Whether something stands in the way of the machines: one is down or frozen, or a link is cut. */
-    boolean disturbed() {
-        return network.anyCut() || machines.stream().anyMatch(machine -> !machine.isRunning());
-    }
-
     /** Checks that the history so far is linearizable. */
     void checkHistory() {
         monitor.checkHistory();
