--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -1,27 +1,23 @@
 package silverlatch.replication;
 
-import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
-import java.util.TreeMap;
 import java.util.function.Supplier;
 import silverlatch.clock.Stamp;
 import silverlatch.log.LogRecord;
 import silverlatch.node.Effect;
 import silverlatch.node.Event;
-import silverlatch.state.Command;
 import silverlatch.state.StateMachine;
 import silverlatch.wire.Message;
 
 /**
- * The chain and the view as one machine with a data folder runs them. It does no input or output: events go in,
- * effects come out, and a write to the ledger comes back as a kept token.
+ * One replica of the control state: joins the parts of this package and hands each event to the part that owns it. It does no input or
+ * output: events go in, {@link Effect}s come out, and a write to the log comes back by its token. All methods are called by the one
+ * thread of the node's event loop, with its steady clock in microseconds.
+ *
+ * <p>It alone makes the transitions of {@link ReplicaRole}: when a view is installed, all parts are told in one step.
  */
 public final class ChainReplica {
-
-    private static final long EPOCH_MICROS = 600_000_000L;
     private final ReplicaSettings settings;
     private final Supplier<Stamp> stamps;
     private final EffectQueue effects;
@@ -32,6 +28,8 @@
     private final ViewAcceptor acceptor;
     private final ViewProposer proposer;
     private final Departure departure;
+    private final Discovery discovery;
+    private final Bootstrap bootstrap;
     private final SnapshotWriter snapshots;
     private final ReplicaLog log;
     private final WaitingWrites waitingWrites;
@@ -44,14 +42,9 @@
     private final RepairRequester repairRequester;
     private final RepairResponder repairResponder;
     private final ChainReplication replication;
-    private final Map<String, Discovery> discoveries = new TreeMap<>();
-    private final Set<String> bootstrapAgreed = new HashSet<>();
-    private List<String> seeds;
-    private Optional<View> foundingView = Optional.empty();
-    private long lastDiscoveryAt;
-    private long epochAdvancedAt;
-
-    /** A machine as its ledger left it. */
+    private final EpochAdvancer epochAdvancer;
+
+    /** A replica as its log left it. */
     public ChainReplica(
             final ReplicaSettings settings,
             final List<LogRecord> records,
@@ -66,39 +59,63 @@
             final Supplier<Stamp> stamps,
             final long now,
             final long lastToken) {
-        this.effects = new EffectQueue(settings.safeguards(), lastToken);
-        this.role = new ReplicaRole(settings);
-        this.lease = new HeldLease(settings, role, effects);
-        this.grantedLeases = new GrantedLeases(settings, role, effects, now);
-        this.failureDetector = new FailureDetector(settings, role);
-        this.acceptor = new ViewAcceptor(settings, role, grantedLeases, effects);
-        this.proposer = new ViewProposer(settings, role, acceptor, failureDetector, effects);
-        this.departure = new Departure(settings, role, effects);
-        this.snapshots = new SnapshotWriter(role, acceptor, effects);
-        final StateMachine stateMachine = new StateMachine(settings.safeguards());
-        this.waitingWrites = new WaitingWrites(stateMachine::get, effects);
-        this.log =
-                new ReplicaLog(role, snapshots, effects, stateMachine, this::entriesSynced, waitingWrites::committed);
-        this.writeAdmission = new WriteAdmission(settings, role, lease, log, waitingWrites, stamps);
-        this.readAdmission = new ReadAdmission(settings, role, lease, log, effects);
-        this.committer = new Committer(settings, role, log, effects);
-        this.catchUp = new CatchUpProgress(role, log, effects);
-        this.successorLink = new SuccessorLink(role, log, effects);
-        this.predecessorLink = new PredecessorLink(settings, role, log, catchUp, committer, effects);
-        this.repairRequester =
-                new RepairRequester(settings, role, log, successorLink, catchUp, committer, departure, effects);
-        this.repairResponder = new RepairResponder(settings, role, log, effects);
-        this.replication =
-                new ChainReplication(role, successorLink, predecessorLink, catchUp, committer, repairRequester);
         this.settings = settings;
         this.stamps = stamps;
-        this.seeds = settings.seeds();
+        effects = new EffectQueue(settings.safeguards(), lastToken);
+        role = new ReplicaRole(settings);
+        lease = new HeldLease(settings, role, effects);
+        grantedLeases = new GrantedLeases(settings, role, effects, now);
+        failureDetector = new FailureDetector(settings, role);
+        acceptor = new ViewAcceptor(settings, role, grantedLeases, effects);
+        proposer = new ViewProposer(settings, role, acceptor, failureDetector, effects);
+        departure = new Departure(settings, role, effects);
+        discovery = new Discovery(settings, role, effects);
+        bootstrap = new Bootstrap(settings, role, discovery, effects);
+        snapshots = new SnapshotWriter(role, acceptor, effects);
+        final StateMachine stateMachine = new StateMachine(settings.safeguards());
+        waitingWrites = new WaitingWrites(stateMachine::get, effects);
+        log = new ReplicaLog(role, snapshots, effects, stateMachine, this::entriesSynced, waitingWrites::committed);
+        writeAdmission = new WriteAdmission(settings, role, lease, log, waitingWrites, stamps);
+        readAdmission = new ReadAdmission(settings, role, lease, log, effects);
+        committer = new Committer(settings, role, log, effects);
+        catchUp = new CatchUpProgress(role, log, effects);
+        successorLink = new SuccessorLink(role, log, effects);
+        predecessorLink = new PredecessorLink(settings, role, log, catchUp, committer, effects);
+        repairRequester =
+                new RepairRequester(settings, role, log, successorLink, catchUp, committer, departure, effects);
+        repairResponder = new RepairResponder(settings, role, log, effects);
+        replication = new ChainReplication(role, successorLink, predecessorLink, catchUp, committer, repairRequester);
+        epochAdvancer = new EpochAdvancer(settings, role, log, effects, now);
         records.forEach(this::replay);
-        epochAdvancedAt = now;
+        finishReplay(now);
+    }
+
+    private void replay(final LogRecord record) {
+        switch (record) {
+            case LogRecord.Snapshot snapshot -> {
+                log.replay(snapshot);
+                role.replay(snapshot);
+                acceptor.replay(snapshot);
+            }
+            case LogRecord.Appended appended -> log.replay(appended);
+            case LogRecord.ViewInstalled installed -> {
+                acceptor.replay(installed);
+                role.replay(installed);
+                bootstrap.installView();
+            }
+            case LogRecord.Promised promised -> acceptor.replay(promised);
+            case LogRecord.Accepted accepted -> acceptor.replay(accepted);
+            case LogRecord.Founding founding -> bootstrap.replay(founding);
+            case LogRecord.Batch batch -> batch.records().forEach(this::replay);
+            case LogRecord.SnapshotPart part -> throw new IllegalArgumentException("a part without its snapshot");
+        }
+    }
+
+    private void finishReplay(final long now) {
         role.finishReplay();
         if (role.hasView()) {
             if (!role.isInChain()) {
-                dropPendingEntries();
+                dropPending();
             }
             failureDetector.start(now);
         }
@@ -111,24 +128,24 @@
         return effects.drain();
     }
 
-    /** The committed books; the caller does not change them. */
+    /** The committed state; the caller does not change it. */
     public StateMachine stateMachine() {
         return log.stateMachine();
     }
 
-    /** The view held here. */
+    /** The installed view. */
     public View view() {
         return role.view();
     }
 
-    /** The fencing number under which this machine holds the duties, if it does. */
+    /** The fencing token under which this replica owns the singleton role, if it does. */
     public Optional<Long> fencingToken(final long now) {
         return role.isActive() && lease.isHeld(now) && settings.isSelf(view().singletonOwner())
                 ? Optional.of(view().number())
                 : Optional.empty();
     }
 
-    /** How this machine stands. */
+    /** How this replica stands. */
     public ReplicaStatus status(final long now) {
         return new ReplicaStatus(
                 role.state(),
@@ -140,62 +157,64 @@
                 lease.isHeld(now));
     }
 
-    /** Whether every acknowledged change of policy is surely in the books here at this moment. */
+    /** Whether every acknowledged change of policy is surely in the committed state here at this moment. */
     public boolean isUpToDate(final long now) {
         return role.isActive() && lease.isHeld(now) && !log.hasPendingPolicy();
     }
 
-    /** Takes a message. */
+    /** Takes a message of the process that listens at the sender's address. */
     public void onMessage(final Message message, final String sender, final long now) {
         if (role.isDiskFailed() || role.isLogOutdated() && !(message instanceof Message.ViewDecided)) {
             return;
         }
         switch (message) {
-            case Message.Discover m -> handleDiscover(m, now);
-            case Message.Bootstrap m -> handleBootstrap(m, sender, now);
-            case Message.BootstrapAgreed m -> bootstrapAgreed(m, now);
-            case Message.LeaseRequest m -> handleLeaseRequest(m, now);
-            case Message.LeaseGrant m -> handleLeaseGrant(m, now);
-            case Message.ViewDecided m -> handleViewDecided(m, sender, now);
-            case Message.Prepare m -> handlePrepare(m, sender, now);
-            case Message.Promise m -> proposer.handlePromise(m, now);
-            case Message.Accept m -> acceptor.handleAccept(m, sender, now);
-            case Message.Accepted m -> proposer.handleAccepted(m).ifPresent(decided -> installView(decided, now));
-            case Message.Preempted m -> proposer.handlePreempted(m, now);
-            case Message.Replicate m -> predecessorLink.handleReplicate(m, now);
-            case Message.CommitNotice m -> committer.handleCommitNotice(m, now);
-            case Message.CatchUpTarget m -> replication.handleCatchUpTarget(m, now);
-            case Message.FetchEntries m -> successorLink.handleFetchEntries(m, sender, now);
-            case Message.CompareDigests m -> repairResponder.handleCompareDigests(m, now);
-            case Message.RepairRanges m -> repairRequester.handleRepairRanges(m, sender, now);
-            case Message.RepairNext m -> repairResponder.handleRepairNext(m);
-            case Message.ReplicateAck m -> successorLink.handleReplicateAck(m, now);
-            case Message.JoinRequest m -> handleJoinRequest(m, now);
-            case Message.WriteRequest m -> writeAdmission.handleWriteRequest(m, now);
-            case Message.ReadRequest m -> readAdmission.handleReadRequest(m, now);
+            case Message.Discover request -> bootstrap.handleDiscover(request, now);
+            case Message.Bootstrap request -> bootstrap.handleBootstrap(request, sender, now);
+            case Message.BootstrapAgreed reply ->
+                bootstrap.handleAgreed(reply).ifPresent(founded -> installView(founded, now));
+            case Message.LeaseRequest request -> handleLeaseRequest(request, now);
+            case Message.LeaseGrant grant -> handleLeaseGrant(grant, now);
+            case Message.ViewDecided decided -> handleViewDecided(decided, sender, now);
+            case Message.Prepare request -> handlePrepare(request, sender, now);
+            case Message.Promise reply -> proposer.handlePromise(reply, now);
+            case Message.Accept request -> acceptor.handleAccept(request, sender, now);
+            case Message.Accepted reply ->
+                proposer.handleAccepted(reply).ifPresent(decided -> installView(decided, now));
+            case Message.Preempted reply -> proposer.handlePreempted(reply, now);
+            case Message.Replicate replicate -> predecessorLink.handleReplicate(replicate, now);
+            case Message.CommitNotice notice -> committer.handleCommitNotice(notice, now);
+            case Message.CatchUpTarget target -> replication.handleCatchUpTarget(target, now);
+            case Message.FetchEntries request -> successorLink.handleFetchEntries(request, sender, now);
+            case Message.CompareDigests request -> repairResponder.handleCompareDigests(request, now);
+            case Message.RepairRanges piece -> repairRequester.handleRepairRanges(piece, sender, now);
+            case Message.RepairNext request -> repairResponder.handleRepairNext(request);
+            case Message.ReplicateAck reply -> successorLink.handleReplicateAck(reply, now);
+            case Message.JoinRequest request -> handleJoinRequest(request, now);
+            case Message.WriteRequest request -> writeAdmission.handleWriteRequest(request, now);
+            case Message.ReadRequest request -> readAdmission.handleReadRequest(request, now);
             default -> {}
         }
     }
 
-    /** A write to the ledger was synced. */
+    /** A write to the log was synced. */
     public void synced(final long token, final long now) {
         effects.synced(token, now);
     }
 
     /**
-     * This machine after its disk failed and takes writes again: as a restarted process would be, from what its log
-     * holds. Tokens of writes go on from the old ones, so that no late word of an old write is taken for a new one's.
+     * This replica after its disk failed and takes writes again: as a restarted process would be, from what its log holds. Tokens of
+     * writes go on from the old ones, so that no late report of an old write is taken for a new one's.
      */
     public ChainReplica recovered(final List<LogRecord> records, final long now) {
         final ChainReplica next = new ChainReplica(settings, records, stamps, now, effects.lastToken());
-        next.seeds = seeds;
+        next.updateSeeds(discovery.seeds());
         if (departure.isLeaving()) {
             next.leave();
         }
         return next;
     }
 
-    /** The disk failed: this machine takes no part until it has recovered. */
+    /** A write to the log failed: this replica takes no part until it has recovered. */
     public void diskFailed(final String reason) {
         if (!role.isDiskFailed()) {
             role.failDisk();
@@ -206,19 +225,16 @@
     }
 
     /** Takes the addresses to ask for a view from now on; a founding keeps to those of the start. */
-    public void seeds(final List<String> next) {
-        seeds = List.copyOf(next);
+    public void updateSeeds(final List<String> addresses) {
+        discovery.updateSeeds(addresses);
     }
 
-    /** This machine is about to stop: the others are asked to take it out of the chain and to name another holder. */
+    /** The process is about to stop: the others are asked to take it out of the chain and to name another owner. */
     public void leave() {
         departure.begin();
     }
 
-    /**
-     * Whether this machine may end, after {@link #deliverFrame()}: the chain goes on without it, and a majority of the voters
-     * that remain knows that. A member that the chain needs for its copies stays until its grace ends.
-     */
+    /** Whether the process may stop, after {@link #leave()}: see {@link Departure}. */
     public boolean hasLeft() {
         return departure.hasLeft(!proposer.joinRequests().isEmpty());
     }
@@ -228,41 +244,15 @@
         if (role.isDiskFailed()) {
             return;
         }
-        final boolean stalled = effects.isStalled(settings.diskStallMicros(), now);
         acceptor.sendDelayed(now);
-        if (view().number() == 0) {
-            discoverPeers(now);
-            return;
-        }
-        if (role.isLogOutdated()) {
-            requestLaterView(now);
-            return;
-        }
-        if (departure.isLeaving() && !role.isInChain()) {
+        if (!role.hasView()) {
+            bootstrap.discover(now);
+        } else if (role.isLogOutdated()) {
+            discovery.requestLaterView(now);
+        } else if (departure.isLeaving() && !role.isInChain()) {
             announceDeparture(now);
-            return;
-        }
-        final long requestMicros = role.isVoter() ? settings.leaseRequestMicros() : ReplicaSettings.RETRY_MICROS;
-        if (!stalled && lease.isRequestDue(requestMicros, now)) {
-            requestLease(now);
-        }
-        if (role.isInChain()) {
-            advanceEpoch(now);
-            replication.retry(now);
-            if (!stalled) {
-                proposer.proposeNextView(departure.isLeaving(), now);
-            }
-        } else if (now - lastDiscoveryAt
-                        >= (repairRequester.isJoining()
-                                ? 5 * ReplicaSettings.RETRY_MICROS
-                                : ReplicaSettings.RETRY_MICROS)
-                && !stalled) {
-            lastDiscoveryAt = now;
-            view().tail().ifPresent(tail -> repairRequester.request(tail.address(), now));
-            seeds.forEach(seed -> effects.send(
-                    seed,
-                    new Message.LeaseRequest(
-                            view().number(), now, settings.self(), false, failureDetector.hearsMajority(now))));
+        } else {
+            tickWithView(now);
         }
     }
 
@@ -273,138 +263,105 @@
         }
     }
 
-    private void handleViewDecided(final Message.ViewDecided message, final String sender, final long now) {
-        installView(message.view(), now);
-        if (message.view().number() == view().number()) {
-            departure.addInformed(sender);
+    private void tickWithView(final long now) {
+        final boolean isStalled = effects.isStalled(settings.diskStallMicros(), now);
+        final long requestMicros = role.isVoter() ? settings.leaseRequestMicros() : ReplicaSettings.RETRY_MICROS;
+        if (!isStalled && lease.isRequestDue(requestMicros, now)) {
+            requestLease(now);
+        }
+        if (role.isInChain()) {
+            epochAdvancer.tick(fencingToken(now), now);
+            replication.retry(now);
+            if (!isStalled) {
+                proposer.proposeNextView(departure.isLeaving(), now);
+            }
+        } else if (!isStalled) {
+            seekPlace(now);
         }
     }
 
-    private void handleJoinRequest(final Message.JoinRequest request, final long now) {
-        proposer.handleJoinRequest(request);
-        failureDetector.handleJoinRequest(request, now);
+    /** Out of the chain: asks for a repair, and shows the seeds the view held here. */
+    private void seekPlace(final long now) {
+        final long interval =
+                repairRequester.isJoining() ? 5 * ReplicaSettings.RETRY_MICROS : ReplicaSettings.RETRY_MICROS;
+        if (discovery.beginRound(interval, now)) {
+            view().tail().ifPresent(tail -> repairRequester.request(tail.address(), now));
+            discovery.showViewToSeeds(failureDetector.hearsMajority(now), now);
+        }
     }
 
     private void requestLease(final long now) {
         lease.request(failureDetector.hearsMajority(now), now);
     }
 
-    private void replay(final LogRecord record) {
-        switch (record) {
-            case LogRecord.Snapshot p -> {
-                log.replay(p);
-                role.replay(p);
-                acceptor.replay(p);
-            }
-            case LogRecord.Appended d -> log.replay(d);
-            case LogRecord.ViewInstalled s -> {
-                acceptor.replay(s);
-                role.replay(s);
-                foundingView = Optional.empty();
+    private void handleLeaseRequest(final Message.LeaseRequest request, final long now) {
+        if (!role.hasView()) {
+            return;
+        }
+        if (request.view() < view().number()) {
+            effects.send(request.sender().address(), new Message.ViewDecided(view()));
+        } else if (request.view() == view().number() && role.isVoter()) {
+            failureDetector.handleLeaseRequest(
+                    request, proposer.isJoining(request.sender().id()), now);
+            if (acceptor.acceptedView().isEmpty()) {
+                grantedLeases.grant(request, log.committedSequence(), now);
             }
-            case LogRecord.Promised v -> acceptor.replay(v);
-            case LogRecord.Accepted n -> acceptor.replay(n);
-            case LogRecord.Founding b -> foundingView = Optional.of(b.view());
-            case LogRecord.Batch b -> b.records().forEach(this::replay);
-            case LogRecord.SnapshotPart p -> throw new IllegalArgumentException("a part without its snapshot");
         }
     }
 
-    private void discoverPeers(final long now) {
-        if (now - lastDiscoveryAt < ReplicaSettings.RETRY_MICROS) {
+    private void handleLeaseGrant(final Message.LeaseGrant grant, final long now) {
+        if (grant.view() != view().number() || !view().isVoter(grant.voter())) {
             return;
         }
-        lastDiscoveryAt = now;
-        discoveries.values().removeIf(s -> now - s.receivedAt() > 2_000_000L);
-        final Message.Discover request = new Message.Discover(
-                settings.self(),
-                foundingView.isEmpty() && settings.mayBootstrap(),
-                discoveries.values().stream().map(s -> s.request().sender()).toList());
-        seeds.forEach(s -> effects.send(s, request));
-        foundingView
-                .filter(founding -> lowestId(founding).equals(settings.self()))
-                .ifPresent(founding -> founding.voters()
-                        .forEach(voter -> effects.send(voter.address(), new Message.Bootstrap(founding))));
+        if (role.isActive() && grant.committed() > log.lastSequence()) {
+            fenceOutdatedLog(grant);
+            return;
+        }
+        lease.add(grant);
+        writeAdmission.leaseGranted(now);
     }
 
-    private static Replica lowestId(final View view) {
-        return view.voters().stream()
-                .min(java.util.Comparator.comparing(Replica::id))
-                .orElseThrow();
+    /**
+     * What is acknowledged has been synced by each member that has caught up; this one lacks some of it, so its folder is not the one
+     * that it had. It neither asks, grants nor votes until a later view, in which it is repaired.
+     */
+    private void fenceOutdatedLog(final Message.LeaseGrant grant) {
+        effects.log(
+                Event.LOG_OUTDATED,
+                "the log ends at " + log.lastSequence() + ", but " + grant.committed() + " was acknowledged with it");
+        role.fenceOutdatedLog();
+        lease.clear();
+        dropPending();
     }
 
-    private void handleDiscover(final Message.Discover request, final long now) {
-        if (view().number() > 0) {
-            effects.send(request.sender().address(), new Message.ViewDecided(view()));
-            return;
-        }
-        if (!request.empty()
-                || foundingView.isPresent()
-                || !settings.mayBootstrap()
-                || !settings.seeds().contains(settings.self().address())
-                || !settings.seeds().contains(request.sender().address())) {
-            return;
-        }
-        discoveries.put(request.sender().id(), new Discovery(request, now));
-        final List<Replica> all =
-                discoveries.values().stream().map(s -> s.request().sender()).toList();
-        final Set<Replica> known = Set.copyOf(all);
-        final boolean complete = all.size() == settings.seeds().size()
-                && all.stream()
-                        .map(Replica::address)
-                        .collect(java.util.stream.Collectors.toSet())
-                        .equals(Set.copyOf(settings.seeds()))
-                && discoveries.values().stream()
-                        .allMatch(s -> Set.copyOf(s.request().heard()).equals(known));
-        if (complete && all.get(0).id().equals(settings.self().id())) {
-            final List<Replica> order = all.stream()
-                    .sorted(java.util.Comparator.comparingInt(
-                            replica -> settings.seeds().indexOf(replica.address())))
-                    .toList();
-            final long fleet = Math.max(1, order.hashCode() * 0x9E3779B97F4A7C15L & Long.MAX_VALUE);
-            final View founding = new View(1, fleet, order, order, order.get(0).id());
-            order.forEach(replica -> effects.send(replica.address(), new Message.Bootstrap(founding)));
+    private void handlePrepare(final Message.Prepare request, final String sender, final long now) {
+        final boolean isPromised = acceptor.handlePrepare(request, sender, now);
+        if (isPromised && !sender.equals(settings.self().address())) {
+            proposer.holdBack(now);
         }
     }
 
-    private void handleBootstrap(final Message.Bootstrap request, final String sender, final long now) {
-        final boolean known =
-                foundingView.map(voter -> voter.equals(request.view())).orElse(false);
-        final boolean acceptable = foundingView.isEmpty()
-                && view().number() == 0
-                && request.view().isVoter(settings.self().id())
-                && request.view().voters().stream().allMatch(voter -> discoveries.containsKey(voter.id()));
-        if (known) {
-            effects.send(sender, new Message.BootstrapAgreed(request.view().fleet(), settings.self()));
-        } else if (acceptable) {
-            foundingView = Optional.of(request.view());
-            effects.persist(
-                    List.of(new LogRecord.Founding(request.view())),
-                    now,
-                    syncedAt -> effects.send(
-                            sender, new Message.BootstrapAgreed(request.view().fleet(), settings.self())));
+    private void handleViewDecided(final Message.ViewDecided decided, final String sender, final long now) {
+        installView(decided.view(), now);
+        if (decided.view().number() == view().number()) {
+            departure.addInformed(sender);
         }
     }
 
-    private void bootstrapAgreed(final Message.BootstrapAgreed message, final long now) {
-        foundingView.filter(founding -> founding.fleet() == message.fleet()).ifPresent(founding -> {
-            bootstrapAgreed.add(message.sender().id());
-            if (founding.voters().stream().allMatch(voter -> bootstrapAgreed.contains(voter.id()))) {
-                effects.log(Event.FOUNDED, "fleet " + Long.toHexString(founding.fleet()));
-                founding.voters().forEach(voter -> effects.send(voter.address(), new Message.ViewDecided(founding)));
-                installView(founding, now);
-            }
-        });
+    private void handleJoinRequest(final Message.JoinRequest request, final long now) {
+        proposer.handleJoinRequest(request);
+        failureDetector.handleJoinRequest(request, now);
     }
 
+    /** Installs a decided view where it is a later one of this cluster. */
     private void installView(final View next, final long now) {
         if (!role.mayInstall(next)) {
             return;
         }
         final boolean wasInChain = role.isNamedInChain();
         grantedLeases.installView(view(), next, now);
-        role.install(next, foundingView.map(next::equals).orElse(false));
-        foundingView = Optional.empty();
+        role.install(next, bootstrap.isFounding(next));
+        bootstrap.installView();
         lease.clear();
         acceptor.installView();
         proposer.installView();
@@ -417,88 +374,10 @@
         effects.persist(List.of(new LogRecord.ViewInstalled(next, role.isCaughtUp())), now);
         effects.log(Event.VIEW, "view " + next.number() + " chain " + next.chainAddresses());
         requestLease(now);
-        if (!role.isInChain()) {
-            dropPendingEntries();
-            return;
-        }
-        replication.restart(now);
-    }
-
-    private void dropPendingEntries() {
-        waitingWrites.abandon();
-        log.dropPending();
-    }
-
-    private void handleLeaseRequest(final Message.LeaseRequest request, final long now) {
-        if (!role.hasView()) {
-            return;
-        }
-        if (request.view() < view().number()) {
-            effects.send(request.sender().address(), new Message.ViewDecided(view()));
-        } else if (request.view() == view().number() && role.isVoter()) {
-            final boolean isJoining = proposer.isJoining(request.sender().id());
-            failureDetector.handleLeaseRequest(request, isJoining, now);
-            if (acceptor.acceptedView().isEmpty()) {
-                grantedLeases.grant(request, log.committedSequence(), now);
-            }
-        }
-    }
-
-    private void handleLeaseGrant(final Message.LeaseGrant grant, final long now) {
-        if (grant.view() == view().number() && view().isVoter(grant.voter())) {
-            if (role.isActive() && grant.committed() > log.lastSequence()) {
-                fenceOutdatedLog(grant);
-                return;
-            }
-            lease.add(grant);
-            writeAdmission.leaseGranted(now);
-        }
-    }
-
-    /**
-     * What is acknowledged has been synced by each member that has caught up; this one lacks some of it, so its folder is
-     * not the one that it had. It neither asks, grants nor votes until a later view, in which it is repaired.
-     */
-    private void fenceOutdatedLog(final Message.LeaseGrant grant) {
-        effects.log(
-                Event.LOG_OUTDATED,
-                "the log ends at " + log.lastSequence() + ", but " + grant.committed() + " was acknowledged with it");
-        role.fenceOutdatedLog();
-        lease.clear();
-        dropPendingEntries();
-    }
-
-    /** Asks under the view before this one: the reply is the view as it is now, and the asker counts as silent. */
-    private void requestLaterView(final long now) {
-        if (now - lastDiscoveryAt >= ReplicaSettings.RETRY_MICROS) {
-            lastDiscoveryAt = now;
-            view().voters()
-                    .forEach(voter -> effects.send(
-                            voter.address(),
-                            new Message.LeaseRequest(view().number() - 1, now, settings.self(), false, false)));
-        }
-    }
-
-    private void handlePrepare(final Message.Prepare request, final String sender, final long now) {
-        final boolean isPromised = acceptor.handlePrepare(request, sender, now);
-        if (isPromised && !sender.equals(settings.self().address())) {
-            proposer.holdBack(now);
-        }
-    }
-
-    private void advanceEpoch(final long now) {
-        if (fencingToken(now).isEmpty()) {
-            epochAdvancedAt = now;
-        } else if (now - epochAdvancedAt >= EPOCH_MICROS) {
-            epochAdvancedAt = now;
-            final long nextEpoch = stateMachine().epoch() + 1;
-            view().head()
-                    .ifPresent(head -> effects.send(
-                            head.address(),
-                            new Message.WriteRequest(
-                                    0,
-                                    settings.self().address(),
-                                    new Command.AdvanceEpoch("sweep-" + nextEpoch, nextEpoch, view().number()))));
+        if (role.isInChain()) {
+            replication.restart(now);
+        } else {
+            dropPending();
         }
     }
 
@@ -506,5 +385,8 @@
         replication.entriesSynced(now);
     }
 
-    private record Discovery(Message.Discover request, long receivedAt) {}
+    private void dropPending() {
+        waitingWrites.abandon();
+        log.dropPending();
+    }
 }
--- /dev/null
+++ b/core/src/main/java/silverlatch/replication/EpochAdvancer.java
@@ -0,0 +1,51 @@
+package silverlatch.replication;
+
+import java.util.Optional;
+import silverlatch.state.Command;
+import silverlatch.wire.Message;
+
+/**
+ * Advances the replicated epoch by which claims grow old, every ten minutes by the steady clock of the singleton's owner. One that
+ * becomes the owner waits for a whole interval first, so epochs may be longer at a change of the owner, but never shorter.
+ */
+final class EpochAdvancer {
+    private static final long INTERVAL_MICROS = 600_000_000L;
+    private final ReplicaSettings settings;
+    private final ReplicaRole role;
+    private final ReplicaLog log;
+    private final EffectQueue effects;
+    private long advancedAt;
+
+    EpochAdvancer(
+            final ReplicaSettings settings,
+            final ReplicaRole role,
+            final ReplicaLog log,
+            final EffectQueue effects,
+            final long now) {
+        this.settings = settings;
+        this.role = role;
+        this.log = log;
+        this.effects = effects;
+        this.advancedAt = now;
+    }
+
+    /** Sends the head a write that advances the epoch where one is due; the fencing token is there for the owner only. */
+    void tick(final Optional<Long> fencingToken, final long now) {
+        if (fencingToken.isEmpty()) {
+            advancedAt = now;
+        } else if (now - advancedAt >= INTERVAL_MICROS) {
+            advancedAt = now;
+            advance(fencingToken.get());
+        }
+    }
+
+    private void advance(final long fencingToken) {
+        final long nextEpoch = log.stateMachine().epoch() + 1;
+        final Command command = new Command.AdvanceEpoch("sweep-" + nextEpoch, nextEpoch, fencingToken);
+        role.view()
+                .head()
+                .ifPresent(head -> effects.send(
+                        head.address(),
+                        new Message.WriteRequest(0, settings.self().address(), command)));
+    }
+}
--- /dev/null
+++ b/core/src/test/java/silverlatch/replication/DiscoveryTest.java
@@ -0,0 +1,42 @@
+package silverlatch.replication;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+import static silverlatch.replication.ReplicaParts.SECOND;
+import static silverlatch.replication.ReplicaParts.SELF;
+import static silverlatch.replication.ReplicaParts.START;
+import static silverlatch.replication.ReplicaParts.view;
+
+import java.util.Collections;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import silverlatch.wire.Message;
+
+final class DiscoveryTest {
+    private static final long RETRY = 300_000;
+    private final ReplicaParts parts = new ReplicaParts().in(view(5, SECOND));
+    private final Discovery discovery = new Discovery(parts.settings, parts.role, parts.effects);
+
+    @Test
+    void allRoundsShareOneTimer() {
+        assertThat(discovery.beginRound(RETRY, START), is(true));
+        discovery.requestLaterView(START + RETRY - 1);
+        assertThat(parts.sent(), is(List.of()));
+        discovery.requestLaterView(START + RETRY);
+        assertThat(discovery.beginRound(RETRY, START + RETRY + 1), is(false));
+        assertThat(
+                "the voters are asked under the view before",
+                parts.sent(),
+                is(Collections.nCopies(3, new Message.LeaseRequest(4, START + RETRY, SELF, false, false))));
+    }
+
+    @Test
+    void theSeedsOfTheStartAreAskedUntilThereAreOthers() {
+        discovery.showViewToSeeds(true, START);
+        assertThat(parts.receivers(), is(List.of("address-0", "address-1", "address-2")));
+        discovery.updateSeeds(List.of("elsewhere"));
+        discovery.showViewToSeeds(false, START);
+        assertThat(parts.sent(), is(List.of(new Message.LeaseRequest(5, START, SELF, false, false))));
+        assertThat(discovery.seeds(), is(List.of("elsewhere")));
+    }
+}
--- a/server/src/main/java/silverlatch/server/controller/Controller.java
+++ b/server/src/main/java/silverlatch/server/controller/Controller.java
@@ -150,7 +150,7 @@
     public void updateSeeds(final List<String> newSeeds) {
         eventLoop.execute(target -> {
             target.membership().setSeeds(newSeeds);
-            target.chainReplica().ifPresent(replica -> replica.seeds(newSeeds));
+            target.chainReplica().ifPresent(replica -> replica.updateSeeds(newSeeds));
         });
     }
 
