--- a/core/src/main/java/silverlatch/replication/WriteAdmission.java
+++ b/core/src/main/java/silverlatch/replication/WriteAdmission.java
@@ -10,7 +10,7 @@
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
 import silverlatch.state.Entry;
-import silverlatch.state.StateMachine;
+import silverlatch.state.Evaluation;
 import silverlatch.wire.Message;
 
 /**
@@ -86,8 +86,8 @@
         }
         final long sequence = log.lastSequence() + 1;
         switch (log.stateMachine().evaluate(request.command(), log.pendingValues(), sequence, stamp)) {
-            case StateMachine.Evaluation.Reply reply -> replyEvaluated(request, reply.result(), stamp);
-            case StateMachine.Evaluation.Write write -> {
+            case Evaluation.Reply reply -> replyEvaluated(request, reply.result(), stamp);
+            case Evaluation.Write write -> {
                 waitingWrites.await(sequence, request);
                 log.append(List.of(new LogEntry(sequence, role.view().number(), stamp, write.entries())), now);
             }
@@ -131,9 +131,9 @@
             waitingWrites.reply(request, rejection);
             return;
         }
-        final StateMachine.Evaluation committed =
+        final Evaluation committed =
                 log.stateMachine().evaluate(request.command(), Map.of(), log.lastSequence() + 1, stamp);
-        if (committed instanceof StateMachine.Evaluation.Reply reply && isRejection(reply.result())) {
+        if (committed instanceof Evaluation.Reply reply && isRejection(reply.result())) {
             waitingWrites.reply(request, reply.result());
         } else {
             waitingWrites.awaitRejection(log.lastSequence(), request, rejection);
--- a/core/src/main/java/silverlatch/state/ClaimManager.java
+++ b/core/src/main/java/silverlatch/state/ClaimManager.java
@@ -19,7 +19,7 @@
     }
 
     /** Binds a key to a request, unless another one has it. */
-    StateMachine.Evaluation claim(final Command.Claim command, final EvaluationContext context) {
+    Evaluation claim(final Command.Claim command, final EvaluationContext context) {
         final Optional<Value.Claim> existing =
                 find(command.key(), context).filter(claim -> safeguards.isEnabled(Safeguard.CLAIM));
         if (existing.isPresent()) {
@@ -27,7 +27,7 @@
                 return alreadyApplied(command.key(), context);
             }
             if (!isFreeFor(existing.get(), command)) {
-                return new StateMachine.Evaluation.Reply(new CommandResult.AlreadyClaimed(existing.get()));
+                return new Evaluation.Reply(new CommandResult.AlreadyClaimed(existing.get()));
             }
         } else if (context.claimCount() >= StateMachine.MAX_CLAIMS) {
             return RejectionCause.FULL.reply("the space for claims is full", context.committedSequence());
@@ -54,7 +54,7 @@
      * Ends a running claim of the command's request. A rejection that overtakes its claim is written, so that the claim
      * finds its key taken.
      */
-    StateMachine.Evaluation complete(final Command.CompleteClaim command, final EvaluationContext context) {
+    Evaluation complete(final Command.CompleteClaim command, final EvaluationContext context) {
         final Optional<Value.Claim> existing = find(command.key(), context);
         if (existing.isEmpty() && command.state().equals(Value.Claim.REJECTED)) {
             return write(
@@ -103,12 +103,11 @@
         return claim.requestId().equals(requestId);
     }
 
-    private static StateMachine.Evaluation alreadyApplied(final String key, final EvaluationContext context) {
-        return new StateMachine.Evaluation.Reply(new CommandResult.Applied(context.revisionOf(EntryKeys.CLAIMS + key)));
+    private static Evaluation alreadyApplied(final String key, final EvaluationContext context) {
+        return new Evaluation.Reply(new CommandResult.Applied(context.revisionOf(EntryKeys.CLAIMS + key)));
     }
 
-    private static StateMachine.Evaluation write(
-            final String key, final Value.Claim claim, final EvaluationContext context) {
-        return new StateMachine.Evaluation.Write(List.of(context.write(EntryKeys.CLAIMS + key, claim)));
+    private static Evaluation write(final String key, final Value.Claim claim, final EvaluationContext context) {
+        return new Evaluation.Write(List.of(context.write(EntryKeys.CLAIMS + key, claim)));
     }
 }
--- a/core/src/main/java/silverlatch/state/CommandOutcomes.java
+++ b/core/src/main/java/silverlatch/state/CommandOutcomes.java
@@ -33,13 +33,12 @@
     }
 
     /** The writes of an accepted command with its outcome. */
-    static StateMachine.Evaluation accept(final EvaluationContext context, final List<Entry> writes, final String id) {
+    static Evaluation accept(final EvaluationContext context, final List<Entry> writes, final String id) {
         return write(context, writes, id, new Value.CommandOutcome(context.writeSequence(), ACCEPTED, List.of()));
     }
 
     /** The outcome of a rejected command, written so that a duplicate that comes later finds it. */
-    static StateMachine.Evaluation reject(
-            final EvaluationContext context, final String id, final CommandResult.Rejected rejected) {
+    static Evaluation reject(final EvaluationContext context, final String id, final CommandResult.Rejected rejected) {
         return write(
                 context,
                 List.of(),
@@ -48,7 +47,7 @@
     }
 
     /** Writes of a command with its outcome, and the end of the oldest outcomes beyond the bound. */
-    static StateMachine.Evaluation write(
+    static Evaluation write(
             final EvaluationContext context,
             final List<Entry> writes,
             final String id,
@@ -63,6 +62,6 @@
                 .sorted(OLDEST_FIRST)
                 .limit(Math.max(0, outcomes.size() + added - MAX_OUTCOMES))
                 .forEach(entry -> all.add(context.delete(entry.key())));
-        return new StateMachine.Evaluation.Write(all);
+        return new Evaluation.Write(all);
     }
 }
--- a/core/src/main/java/silverlatch/state/CompareAndSet.java
+++ b/core/src/main/java/silverlatch/state/CompareAndSet.java
@@ -23,7 +23,7 @@
     }
 
     /** Writes a valid value to one key, or rejects the command. */
-    StateMachine.Evaluation put(
+    Evaluation put(
             final EvaluationContext context,
             final String id,
             final String key,
@@ -34,12 +34,11 @@
     }
 
     /** Deletes one key, or rejects the command. */
-    StateMachine.Evaluation delete(
-            final EvaluationContext context, final String id, final String key, final long expectedRevision) {
+    Evaluation delete(final EvaluationContext context, final String id, final String key, final long expectedRevision) {
         return set(context, id, context.delete(key), expectedRevision, List::of);
     }
 
-    private StateMachine.Evaluation set(
+    private Evaluation set(
             final EvaluationContext context,
             final String id,
             final Entry write,
--- a/core/src/main/java/silverlatch/state/EpochManager.java
+++ b/core/src/main/java/silverlatch/state/EpochManager.java
@@ -8,10 +8,10 @@
  * claims that have expired with it.
  */
 final class EpochManager {
-    StateMachine.Evaluation advance(final Command.AdvanceEpoch command, final EvaluationContext context) {
+    Evaluation advance(final Command.AdvanceEpoch command, final EvaluationContext context) {
         final long current = context.epoch();
         if (command.epoch() <= current) {
-            return new StateMachine.Evaluation.Reply(new CommandResult.Applied(context.revisionOf(EntryKeys.EPOCH)));
+            return new Evaluation.Reply(new CommandResult.Applied(context.revisionOf(EntryKeys.EPOCH)));
         }
         if (command.epoch() != current + 1) {
             return RejectionCause.CONFLICT.reply("the glass was turned " + current + " times", current);
@@ -19,6 +19,6 @@
         final List<Entry> writes = new ArrayList<>();
         writes.add(context.write(EntryKeys.EPOCH, new Value.Epoch(command.epoch())));
         writes.addAll(ClaimManager.expired(command.epoch(), context));
-        return new StateMachine.Evaluation.Write(writes);
+        return new Evaluation.Write(writes);
     }
 }
--- a/core/src/main/java/silverlatch/state/EvacuationManager.java
+++ b/core/src/main/java/silverlatch/state/EvacuationManager.java
@@ -14,7 +14,7 @@
         this.safeguards = safeguards;
     }
 
-    StateMachine.Evaluation set(final Command.SetEvacuation command, final EvaluationContext context) {
+    Evaluation set(final Command.SetEvacuation command, final EvaluationContext context) {
         return compareAndSet.put(
                 context,
                 command.id(),
--- a/core/src/main/java/silverlatch/state/RejectionCause.java
+++ b/core/src/main/java/silverlatch/state/RejectionCause.java
@@ -30,12 +30,12 @@
     }
 
     /** A rejection without a write. */
-    StateMachine.Evaluation reply(final String fault, final long currentRevision) {
+    Evaluation reply(final String fault, final long currentRevision) {
         return reply(List.of(fault), currentRevision);
     }
 
     /** A rejection without a write, for several faults. */
-    StateMachine.Evaluation reply(final List<String> faults, final long currentRevision) {
-        return new StateMachine.Evaluation.Reply(new CommandResult.Rejected(code, faults, currentRevision));
+    Evaluation reply(final List<String> faults, final long currentRevision) {
+        return new Evaluation.Reply(new CommandResult.Rejected(code, faults, currentRevision));
     }
 }
--- a/core/src/main/java/silverlatch/state/RoutingConfigurationManager.java
+++ b/core/src/main/java/silverlatch/state/RoutingConfigurationManager.java
@@ -22,15 +22,15 @@
         this.safeguards = safeguards;
     }
 
-    StateMachine.Evaluation put(final Command.PutConfiguration command, final EvaluationContext context) {
+    Evaluation put(final Command.PutConfiguration command, final EvaluationContext context) {
         final long currentNumber = currentNumber(context);
         final Optional<CommandResult> earlier = earlierResult(command, context, currentNumber);
         if (earlier.isPresent()) {
-            return new StateMachine.Evaluation.Reply(earlier.get());
+            return new Evaluation.Reply(earlier.get());
         }
         final Map<String, Entry> remembered = context.withPrefix(AcceptedConfigurations.KEY_PREFIX);
         if (mayBeForgotten(command, remembered, currentNumber)) {
-            return new StateMachine.Evaluation.Reply(new CommandResult.Unknown(command.id()));
+            return new Evaluation.Reply(new CommandResult.Unknown(command.id()));
         }
         if (compareAndSet.isConflict(command.expectedRevision(), currentNumber)) {
             return rejectConflict(command, context, currentNumber);
@@ -110,7 +110,7 @@
      * as numbers only rise. A command on top of a number that isn't in force yet could be accepted later, so its refusal
      * is written, and each copy of it finds that.
      */
-    private static StateMachine.Evaluation rejectConflict(
+    private static Evaluation rejectConflict(
             final Command.PutConfiguration command, final EvaluationContext context, final long currentNumber) {
         final String fault = "the charter in force is number " + currentNumber;
         if (command.expectedRevision() < currentNumber) {
--- a/core/src/main/java/silverlatch/state/ScheduleManager.java
+++ b/core/src/main/java/silverlatch/state/ScheduleManager.java
@@ -8,7 +8,7 @@
         this.compareAndSet = compareAndSet;
     }
 
-    StateMachine.Evaluation put(final Command.PutSchedule command, final EvaluationContext context) {
+    Evaluation put(final Command.PutSchedule command, final EvaluationContext context) {
         final String name = command.schedule().name();
         return compareAndSet.put(
                 context,
@@ -19,7 +19,7 @@
                 () -> TableRules.nameFaults("name", name));
     }
 
-    StateMachine.Evaluation remove(final Command.RemoveSchedule command, final EvaluationContext context) {
+    Evaluation remove(final Command.RemoveSchedule command, final EvaluationContext context) {
         final String key = EntryKeys.SCHEDULES + command.name();
         return context.find(key).isEmpty()
                 ? RejectionCause.NOT_FOUND.reply("no calendar " + command.name(), 0)
--- a/core/src/main/java/silverlatch/state/StateMachine.java
+++ b/core/src/main/java/silverlatch/state/StateMachine.java
@@ -49,15 +49,6 @@
         this.configurations = new RoutingConfigurationManager(compareAndSet, safeguards);
     }
 
-    /** What comes of evaluating a command. */
-    public sealed interface Evaluation {
-        /** The command writes these entries; its result is known once they are committed. */
-        record Write(List<Entry> entries) implements Evaluation {}
-
-        /** The command writes nothing. */
-        record Reply(CommandResult result) implements Evaluation {}
-    }
-
     /** The newest sequence applied. */
     public long sequence() {
         return entries.sequence();
--- a/core/src/main/java/silverlatch/state/TableManager.java
+++ b/core/src/main/java/silverlatch/state/TableManager.java
@@ -20,7 +20,7 @@
     }
 
     /** Changes cells; a row that isn't there begins as the row of its kind for all tenants, or as the default. */
-    StateMachine.Evaluation patch(final Command.PatchTable command, final EvaluationContext context) {
+    Evaluation patch(final Command.PatchTable command, final EvaluationContext context) {
         final long revision = context.tableRevision();
         if (compareAndSet.isConflict(command.expectedRevision(), revision)) {
             return conflict(revision);
@@ -72,7 +72,7 @@
     }
 
     /** Replaces all rows: those that aren't among the command's are deleted. */
-    StateMachine.Evaluation replace(final Command.PutTable command, final EvaluationContext context) {
+    Evaluation replace(final Command.PutTable command, final EvaluationContext context) {
         final long revision = context.tableRevision();
         if (compareAndSet.isConflict(command.expectedRevision(), revision)) {
             return conflict(revision);
@@ -127,7 +127,7 @@
         return StateMachine.rowKey(row.tenant(), row.kind());
     }
 
-    private static StateMachine.Evaluation conflict(final long revision) {
+    private static Evaluation conflict(final long revision) {
         return RejectionCause.CONFLICT.reply("the table is at sequence " + revision, revision);
     }
 }
--- a/core/src/main/java/silverlatch/state/TenantManager.java
+++ b/core/src/main/java/silverlatch/state/TenantManager.java
@@ -8,7 +8,7 @@
         this.compareAndSet = compareAndSet;
     }
 
-    StateMachine.Evaluation put(final Command.PutTenant command, final EvaluationContext context) {
+    Evaluation put(final Command.PutTenant command, final EvaluationContext context) {
         return compareAndSet.put(
                 context,
                 command.id(),
@@ -18,7 +18,7 @@
                 () -> TableRules.faults(command.tenant()));
     }
 
-    StateMachine.Evaluation remove(final Command.RemoveTenant command, final EvaluationContext context) {
+    Evaluation remove(final Command.RemoveTenant command, final EvaluationContext context) {
         final String key = EntryKeys.TENANTS + command.tenant();
         return context.find(key).isEmpty()
                 ? RejectionCause.NOT_FOUND.reply("no tenant " + command.tenant(), 0)
--- a/core/src/test/java/silverlatch/state/AcceptedConfigurationsTest.java
+++ b/core/src/test/java/silverlatch/state/AcceptedConfigurationsTest.java
@@ -52,18 +52,18 @@
                 valid.id(), valid.configuration(), valid.routes(), List.of(), valid.document(), match);
     }
 
-    private StateMachine.Evaluation evaluate(final Command command) {
+    private Evaluation evaluate(final Command command) {
         return state.evaluate(command, Map.of(), state.sequence() + 1, new Stamp(state.sequence() + 1));
     }
 
     private CommandResult result(final Command command) {
         return switch (evaluate(command)) {
-            case StateMachine.Evaluation.Reply reply -> reply.result();
-            case StateMachine.Evaluation.Write write -> committed(command, write);
+            case Evaluation.Reply reply -> reply.result();
+            case Evaluation.Write write -> committed(command, write);
         };
     }
 
-    private CommandResult committed(final Command command, final StateMachine.Evaluation.Write write) {
+    private CommandResult committed(final Command command, final Evaluation.Write write) {
         state.apply(state.sequence() + 1, write.entries());
         final Value.CommandOutcome outcome = (Value.CommandOutcome)
                 state.get("o/" + command.id()).orElseThrow().value().get(0);
@@ -99,8 +99,8 @@
     void theRememberedAreBoundedAlsoWhereManyArePending() {
         final Map<String, Entry> overlay = new java.util.HashMap<>();
         for (long n = 1; n <= MORE_THAN_REMEMBERED; n++) {
-            final StateMachine.Evaluation.Write write =
-                    (StateMachine.Evaluation.Write) state.evaluate(command(n, n - 1), overlay, n, new Stamp(n));
+            final Evaluation.Write write =
+                    (Evaluation.Write) state.evaluate(command(n, n - 1), overlay, n, new Stamp(n));
             write.entries().forEach(e -> overlay.put(e.key(), e));
             if (n % 8 == 0 || n == MORE_THAN_REMEMBERED) {
                 state.apply(n, overlay.values());
--- a/core/src/test/java/silverlatch/state/ConfigurationValidatorTest.java
+++ b/core/src/test/java/silverlatch/state/ConfigurationValidatorTest.java
@@ -61,12 +61,12 @@
                 expectedRevision);
     }
 
-    private StateMachine.Evaluation evaluate(final Command command) {
+    private Evaluation evaluate(final Command command) {
         return state.evaluate(command, overlay, sequence + 1, new Stamp(sequence + 1));
     }
 
     private List<String> writtenKeys(final Command command) {
-        final StateMachine.Evaluation.Write write = (StateMachine.Evaluation.Write) evaluate(command);
+        final Evaluation.Write write = (Evaluation.Write) evaluate(command);
         state.apply(++sequence, write.entries());
         return write.entries().stream()
                 .map(e -> (e.isDeleted() ? "-" : "") + e.key())
@@ -75,7 +75,7 @@
     }
 
     private List<String> faults(final Command command) {
-        final StateMachine.Evaluation.Write write = (StateMachine.Evaluation.Write) evaluate(command);
+        final Evaluation.Write write = (Evaluation.Write) evaluate(command);
         assertThat("nothing but the deed is written", write.entries().size(), is(1));
         final Value.CommandOutcome outcome =
                 (Value.CommandOutcome) write.entries().get(0).value().get(0);
@@ -84,7 +84,7 @@
     }
 
     private CommandResult reply(final Command command) {
-        return ((StateMachine.Evaluation.Reply) evaluate(command)).result();
+        return ((Evaluation.Reply) evaluate(command)).result();
     }
 
     @Test
@@ -117,8 +117,8 @@
 
     @Test
     void ofTwoThatRaceOnOneNumberOneIsAcceptedAndTheOtherLearnsTheCurrentNumber() {
-        final StateMachine.Evaluation.Write winner =
-                (StateMachine.Evaluation.Write) evaluate(putConfiguration(1, List.of(validRoute("a")), POOLS, 0));
+        final Evaluation.Write winner =
+                (Evaluation.Write) evaluate(putConfiguration(1, List.of(validRoute("a")), POOLS, 0));
         winner.entries().forEach(e -> overlay.put(e.key(), e));
         assertThat(
                 "let in, not yet acknowledged",
@@ -129,7 +129,7 @@
                 reply(putConfiguration(1, List.of(validRoute("a")), POOLS, 0)),
                 is(new CommandResult.Applied(1)));
         assertThat(
-                ((StateMachine.Evaluation.Write) state.evaluate(
+                ((Evaluation.Write) state.evaluate(
                                 putConfiguration(2, List.of(validRoute("b")), POOLS, 1), overlay, 2, new Stamp(2)))
                         .entries().stream()
                                 .filter(Entry::isDeleted)
@@ -197,6 +197,6 @@
         assertThat(faults(putConfiguration(1, routes, POOLS, 0)), is(List.of("$.rules: at most 20000, not 25001")));
         assertThat(
                 evaluate(putConfiguration(1, routes.subList(5_000, 25_000), POOLS, 0)),
-                instanceOf(StateMachine.Evaluation.Write.class));
+                instanceOf(Evaluation.Write.class));
     }
 }
--- a/core/src/test/java/silverlatch/state/StateMachineTest.java
+++ b/core/src/test/java/silverlatch/state/StateMachineTest.java
@@ -14,10 +14,9 @@
     private final StateMachine state = new StateMachine();
     private long sequence;
 
-    private StateMachine.Evaluation execute(final Command command) {
-        final StateMachine.Evaluation evaluation =
-                state.evaluate(command, Map.of(), sequence + 1, new Stamp(sequence + 1));
-        if (evaluation instanceof StateMachine.Evaluation.Write write) {
+    private Evaluation execute(final Command command) {
+        final Evaluation evaluation = state.evaluate(command, Map.of(), sequence + 1, new Stamp(sequence + 1));
+        if (evaluation instanceof Evaluation.Write write) {
             state.apply(++sequence, write.entries());
         }
         return evaluation;
@@ -25,7 +24,7 @@
 
     private CommandResult.Rejected rejected(final Command command) {
         execute(command);
-        return (CommandResult.Rejected) ((StateMachine.Evaluation.Reply) execute(command)).result();
+        return (CommandResult.Rejected) ((Evaluation.Reply) execute(command)).result();
     }
 
     @Test
@@ -35,10 +34,10 @@
             entries.add(new Entry("c/" + i, 1, List.of(new Value.Claim("t" + i, "p", "running", 5, 0))));
         }
         state.apply(++sequence, entries);
-        final StateMachine.Evaluation full = execute(new Command.Claim("id", "new", "t", "p", 9));
-        assertThat(((CommandResult.Rejected) ((StateMachine.Evaluation.Reply) full).result()).code(), is(507));
-        final StateMachine.Evaluation taken = execute(new Command.Claim("id", "7", "t", "p", 9));
-        assertThat(((StateMachine.Evaluation.Reply) taken).result(), instanceOf(CommandResult.AlreadyClaimed.class));
+        final Evaluation full = execute(new Command.Claim("id", "new", "t", "p", 9));
+        assertThat(((CommandResult.Rejected) ((Evaluation.Reply) full).result()).code(), is(507));
+        final Evaluation taken = execute(new Command.Claim("id", "7", "t", "p", 9));
+        assertThat(((Evaluation.Reply) taken).result(), instanceOf(CommandResult.AlreadyClaimed.class));
         execute(new Command.AdvanceEpoch("s1", 1, 1));
         state.apply(
                 ++sequence,
@@ -48,19 +47,17 @@
         assertThat(state.entriesWithPrefix("c/").size(), is(StateMachine.MAX_CLAIMS));
         assertThat(
                 execute(new Command.AdvanceEpoch("far", StateMachine.CLAIM_RETENTION_EPOCHS + 100, 1))
-                        instanceof StateMachine.Evaluation.Reply,
+                        instanceof Evaluation.Reply,
                 is(true));
-        assertThat(execute(new Command.AdvanceEpoch("old", 5, 1)) instanceof StateMachine.Evaluation.Reply, is(true));
+        assertThat(execute(new Command.AdvanceEpoch("old", 5, 1)) instanceof Evaluation.Reply, is(true));
         assertThat(state.epoch(), is((long) StateMachine.CLAIM_RETENTION_EPOCHS));
         execute(new Command.AdvanceEpoch("next", StateMachine.CLAIM_RETENTION_EPOCHS + 1, 1));
         assertThat(state.entriesWithPrefix("c/").size() < StateMachine.MAX_CLAIMS, is(true));
-        assertThat(
-                execute(new Command.Claim("id", "new", "t", "p", 9)) instanceof StateMachine.Evaluation.Write,
-                is(true));
+        assertThat(execute(new Command.Claim("id", "new", "t", "p", 9)) instanceof Evaluation.Write, is(true));
     }
 
     private CommandResult reply(final Command command) {
-        return ((StateMachine.Evaluation.Reply) execute(command)).result();
+        return ((Evaluation.Reply) execute(command)).result();
     }
 
     @Test
@@ -73,9 +70,7 @@
                 "a late copy of the first claim",
                 reply(new Command.Claim("h1", "key", "one", "p", 10)),
                 instanceOf(CommandResult.AlreadyClaimed.class));
-        assertThat(
-                execute(new Command.Claim("h3", "key", "two", "q", 20)),
-                instanceOf(StateMachine.Evaluation.Write.class));
+        assertThat(execute(new Command.Claim("h3", "key", "two", "q", 20)), instanceOf(Evaluation.Write.class));
         assertThat(
                 reply(new Command.Claim("h4", "key", "three", "q", 30)),
                 instanceOf(CommandResult.AlreadyClaimed.class));
@@ -89,9 +84,7 @@
                 "a late copy of the first claim",
                 reply(new Command.Claim("h1", "key", "one", "p", 10)),
                 instanceOf(CommandResult.AlreadyClaimed.class));
-        assertThat(
-                execute(new Command.Claim("h5", "key", "four", "q", 40)),
-                instanceOf(StateMachine.Evaluation.Write.class));
+        assertThat(execute(new Command.Claim("h5", "key", "four", "q", 40)), instanceOf(Evaluation.Write.class));
         execute(new Command.CompleteClaim("e3", "key", "four", "q", "lost", 40));
         assertThat(
                 reply(new Command.Claim("h6", "key", "five", "q", 50)), instanceOf(CommandResult.AlreadyClaimed.class));
@@ -101,14 +94,12 @@
     void aCompletionThatOvertakesItsClaimLeavesARecord() {
         assertThat(
                 execute(new Command.CompleteClaim("e1", "key", "one", "p", "rejected", 10)),
-                instanceOf(StateMachine.Evaluation.Write.class));
+                instanceOf(Evaluation.Write.class));
         assertThat(
                 "the claim comes late",
                 reply(new Command.Claim("h1", "key", "one", "p", 10)),
                 instanceOf(CommandResult.AlreadyClaimed.class));
-        assertThat(
-                execute(new Command.Claim("h2", "key", "two", "q", 20)),
-                instanceOf(StateMachine.Evaluation.Write.class));
+        assertThat(execute(new Command.Claim("h2", "key", "two", "q", 20)), instanceOf(Evaluation.Write.class));
         assertThat(
                 reply(new Command.Claim("h1", "key", "one", "p", 10)), instanceOf(CommandResult.AlreadyClaimed.class));
     }
@@ -118,7 +109,7 @@
         assertThat(
                 execute(new Command.PutTable(
                                 "one", List.of(TableRules.defaultRow("*", "a"), TableRules.defaultRow("*", "b")), -1))
-                        instanceof StateMachine.Evaluation.Write,
+                        instanceof Evaluation.Write,
                 is(true));
         assertThat(
                 rejected(new Command.PutTable(
@@ -140,7 +131,7 @@
         assertThat(rejected(new Command.PutTable("three", rows, -1)).code(), is(413));
         assertThat(
                 execute(new Command.PutTable("four", List.of(TableRules.defaultRow("*", "b")), 1))
-                        instanceof StateMachine.Evaluation.Write,
+                        instanceof Evaluation.Write,
                 is(true));
         assertThat(state.get("r/*/a").isPresent(), is(false));
         assertThat(state.policySince(1).stream().anyMatch(e -> e.key().equals("r/*/a") && e.isDeleted()), is(true));
@@ -148,12 +139,10 @@
 
     @Test
     void theSameIdTakesEffectOnce() {
-        assertThat(
-                execute(new Command.SetEvacuation("drain", "z", true, -1)) instanceof StateMachine.Evaluation.Write,
-                is(true));
+        assertThat(execute(new Command.SetEvacuation("drain", "z", true, -1)) instanceof Evaluation.Write, is(true));
         execute(new Command.SetEvacuation("undrain", "z", false, -1));
         assertThat(
-                ((StateMachine.Evaluation.Reply) execute(new Command.SetEvacuation("drain", "z", true, -1))).result(),
+                ((Evaluation.Reply) execute(new Command.SetEvacuation("drain", "z", true, -1))).result(),
                 is(new CommandResult.Applied(1)));
         assertThat(((Value.Evacuation) state.get("z/z").orElseThrow().value().get(0)).active(), is(false));
     }
