--- a/core/src/main/java/silverlatch/json/JsonDocument.java
+++ b/core/src/main/java/silverlatch/json/JsonDocument.java
@@ -67,9 +67,9 @@
             return root instanceof Map<?, ?> map
                     ? new ParseResult.Valid(new JsonDocument("$", map, new ArrayList<>()))
                     : new ParseResult.Invalid(BAD_REQUEST, "$: an object is needed");
-        } catch (final CharacterCodingException e) {
+        } catch (final CharacterCodingException notUtf8) {
             return new ParseResult.Invalid(BAD_REQUEST, "$: not UTF-8");
-        } catch (final RuntimeException e) {
+        } catch (final RuntimeException notJson) {
             return new ParseResult.Invalid(BAD_REQUEST, "$: not JSON");
         }
     }
--- a/core/src/main/java/silverlatch/log/LogRecovery.java
+++ b/core/src/main/java/silverlatch/log/LogRecovery.java
@@ -45,8 +45,8 @@
             throws IOException {
         try {
             return SnapshotFile.read(NumberedFiles.SNAPSHOT.file(folder, number), codec);
-        } catch (final DamagedLogException e) {
-            throw new DamagedLogException("picture " + number + " is damaged", e);
+        } catch (final DamagedLogException damage) {
+            throw new DamagedLogException("picture " + number + " is damaged", damage);
         }
     }
 
--- a/core/src/main/java/silverlatch/log/WriteAheadLog.java
+++ b/core/src/main/java/silverlatch/log/WriteAheadLog.java
@@ -90,10 +90,10 @@
                     recovery.records(),
                     recovery.tornBytes(),
                     dataFolder.mayFound());
-        } catch (final DamagedLogException e) {
-            return new OpenResult.Damaged(e.getMessage());
-        } catch (final IOException e) {
-            return unavailable(e);
+        } catch (final DamagedLogException damage) {
+            return new OpenResult.Damaged(damage.getMessage());
+        } catch (final IOException failure) {
+            return unavailable(failure);
         }
     }
 
@@ -111,8 +111,8 @@
                 + " join again as a new one";
     }
 
-    private static OpenResult unavailable(final IOException e) {
-        return new OpenResult.Unavailable(e.getClass().getSimpleName() + " " + e.getMessage());
+    private static OpenResult unavailable(final IOException failure) {
+        return new OpenResult.Unavailable(failure.getClass().getSimpleName() + " " + failure.getMessage());
     }
 
     /**
@@ -122,7 +122,7 @@
     public OpenResult reopen() {
         try {
             segment.close();
-        } catch (final IOException e) {
+        } catch (final IOException ignored) {
             // The descriptor is released all the same; what counts is read from the files below.
         }
         try {
@@ -134,8 +134,8 @@
             rewriteNewest(NumberedFiles.SNAPSHOT);
             rewriteNewest(NumberedFiles.SEGMENT);
             return open(folder, false);
-        } catch (final IOException e) {
-            return unavailable(e);
+        } catch (final IOException failure) {
+            return unavailable(failure);
         }
     }
 
--- a/core/src/main/java/silverlatch/state/TableRules.java
+++ b/core/src/main/java/silverlatch/state/TableRules.java
@@ -33,10 +33,10 @@
     public static CellChange withCell(final Value.Row row, final String field, final String value) {
         try {
             return new CellChange.Changed(new RowBuilder(row).cell(field, value).build());
-        } catch (final NumberFormatException e) {
+        } catch (final NumberFormatException notNumber) {
             return new CellChange.Invalid(field + " takes a number, not " + value);
-        } catch (final IllegalArgumentException e) {
-            return new CellChange.Invalid(e.getMessage());
+        } catch (final IllegalArgumentException refused) {
+            return new CellChange.Invalid(refused.getMessage());
         }
     }
 
--- a/core/src/test/java/silverlatch/clock/PwcClockTest.java
+++ b/core/src/test/java/silverlatch/clock/PwcClockTest.java
@@ -18,74 +18,99 @@
     private static final long MASK = (1L << LOW_BITS) - 1;
     private static final long ONE_MICROSECOND = NtpTime.fromMicros(1);
 
-    private record MessageInFlight(long deliveryTime, int receiver, Stamp stamp, int sender) {}
-
     @Test
     void everyEffectIsLessThanItsCauseOnRandomGraphsWithSkewUpToTheBound() {
         for (long seed = 1; seed <= 20; seed++) {
-            final SplittableRandom random = new SplittableRandom(seed);
-            final long skew = NtpTime.fromMicros(10_000);
-            final int nodes = 8;
-            final long[] offsets = new long[nodes];
-            final PwcClock[] clocks = new PwcClock[nodes];
-            for (int i = 0; i < nodes; i++) {
-                offsets[i] = random.nextLong(skew + 1);
-                clocks[i] = PwcClock.start(NtpTime.fromMicros(1_000_000) + offsets[i], LOW_BITS, skew, 0);
+            final SimulatedClocks clocks = new SimulatedClocks(seed);
+            for (long micros = 0; micros < 2_000_000; micros += 20) {
+                clocks.step(micros);
             }
-            final PriorityQueue<MessageInFlight> inFlight =
-                    new PriorityQueue<>(Comparator.comparingLong(MessageInFlight::deliveryTime));
-            int stampedCount = 0;
-            for (long time = 0; time < 2_000_000; time += 20) {
-                final long realTime = NtpTime.fromMicros(1_000_000 + time);
-                final int sender = random.nextInt(nodes);
-                if (random.nextInt(4) == 0) {
-                    final ClockReading reading = clocks[sender].send(realTime + offsets[sender]);
-                    if (reading instanceof ClockReading.Stamped m) {
-                        assertThat("seed " + seed, m.stamp().bits(), greaterThan(clocks[sender].last()));
-                        assertNoCarry(clocks[sender].last(), m.stamp().bits(), realTime + offsets[sender], seed);
-                        clocks[sender] = m.clock();
-                        inFlight.add(new MessageInFlight(
-                                time + 200 + random.nextLong(20_000), random.nextInt(nodes), m.stamp(), sender));
-                        stampedCount++;
-                    }
-                }
-                while (!inFlight.isEmpty() && inFlight.peek().deliveryTime() <= time) {
-                    final MessageInFlight message = inFlight.poll();
-                    final ClockReading reading =
-                            clocks[message.receiver()].receive(message.stamp(), realTime + offsets[message.receiver()]);
-                    if (reading instanceof ClockReading.Stamped m) {
-                        assertThat("seed " + seed, message.stamp().isBefore(m.stamp()), is(true));
-                        assertThat("seed " + seed, m.stamp().bits(), greaterThan(clocks[message.receiver()].last()));
-                        assertNoCarry(
-                                Math.max(message.stamp().bits(), clocks[message.receiver()].last()),
-                                m.stamp().bits(),
-                                realTime + offsets[message.receiver()],
-                                seed);
-                        clocks[message.receiver()] = m.clock();
-                    } else {
-                        assertThat("seed " + seed, reading, instanceOf(ClockReading.Wait.class));
-                        inFlight.add(
-                                new MessageInFlight(time + 200, message.receiver(), message.stamp(), message.sender()));
-                    }
-                }
-                for (int a = 0; a < nodes; a++) {
-                    final long mine = Math.max(clocks[a].last(), clocks[a].masked(realTime + offsets[a]));
-                    for (int b = 0; b < nodes; b++) {
-                        final long other = Math.max(clocks[b].last(), clocks[b].masked(realTime + offsets[b]));
-                        assertThat("seed " + seed, Math.abs(mine - other), lessThanOrEqualTo(skew + (2L << LOW_BITS)));
-                    }
+            assertThat(clocks.stampedCount, greaterThan(10_000));
+        }
+    }
+
+    /** Processes with skewed physical clocks that send each other messages at random. */
+    private static final class SimulatedClocks {
+        private static final int COUNT = 8;
+        private static final long SKEW = NtpTime.fromMicros(10_000);
+        private static final long START_MICROS = 1_000_000;
+        private static final long MIN_DELAY_MICROS = 200;
+        private final String name;
+        private final SplittableRandom random;
+        private final long[] offsets = new long[COUNT];
+        private final PwcClock[] clocks = new PwcClock[COUNT];
+        private final PriorityQueue<MessageInFlight> inFlight =
+                new PriorityQueue<>(Comparator.comparingLong(MessageInFlight::deliveryMicros));
+        private int stampedCount;
+
+        private record MessageInFlight(long deliveryMicros, int receiver, Stamp stamp) {}
+
+        SimulatedClocks(final long seed) {
+            name = "seed " + seed;
+            random = new SplittableRandom(seed);
+            for (int i = 0; i < COUNT; i++) {
+                offsets[i] = random.nextLong(SKEW + 1);
+                clocks[i] = PwcClock.start(NtpTime.fromMicros(START_MICROS) + offsets[i], LOW_BITS, SKEW, 0);
+            }
+        }
+
+        void step(final long micros) {
+            final long realTime = NtpTime.fromMicros(START_MICROS + micros);
+            final int sender = random.nextInt(COUNT);
+            if (random.nextInt(4) == 0) {
+                send(sender, micros, realTime);
+            }
+            while (!inFlight.isEmpty() && inFlight.peek().deliveryMicros() <= micros) {
+                receive(inFlight.poll(), micros, realTime);
+            }
+            assertWithinSkew(realTime);
+        }
+
+        private void send(final int sender, final long micros, final long realTime) {
+            final long physicalTime = realTime + offsets[sender];
+            if (clocks[sender].send(physicalTime) instanceof ClockReading.Stamped stamped) {
+                advance(sender, clocks[sender].last(), stamped, physicalTime);
+                inFlight.add(new MessageInFlight(
+                        micros + MIN_DELAY_MICROS + random.nextLong(20_000), random.nextInt(COUNT), stamped.stamp()));
+                stampedCount++;
+            }
+        }
+
+        private void receive(final MessageInFlight message, final long micros, final long realTime) {
+            final int receiver = message.receiver();
+            final long physicalTime = realTime + offsets[receiver];
+            final ClockReading reading = clocks[receiver].receive(message.stamp(), physicalTime);
+            if (reading instanceof ClockReading.Stamped stamped) {
+                assertThat(name, message.stamp().isBefore(stamped.stamp()), is(true));
+                final long previous = Math.max(message.stamp().bits(), clocks[receiver].last());
+                advance(receiver, previous, stamped, physicalTime);
+            } else {
+                assertThat(name, reading, instanceOf(ClockReading.Wait.class));
+                inFlight.add(new MessageInFlight(micros + MIN_DELAY_MICROS, receiver, message.stamp()));
+            }
+        }
+
+        private void advance(
+                final int process, final long previous, final ClockReading.Stamped stamped, final long physicalTime) {
+            final long bits = stamped.stamp().bits();
+            assertThat(name, bits, greaterThan(clocks[process].last()));
+            final boolean carried = bits == previous + 1 && (bits & MASK) == 0;
+            assertThat(name + ": a carry into the high bits", carried && previous >= (physicalTime & ~MASK), is(false));
+            clocks[process] = stamped.clock();
+        }
+
+        private void assertWithinSkew(final long realTime) {
+            for (int i = 0; i < COUNT; i++) {
+                for (int k = 0; k < COUNT; k++) {
+                    final long difference = Math.abs(highest(i, realTime) - highest(k, realTime));
+                    assertThat(name, difference, lessThanOrEqualTo(SKEW + (2L << LOW_BITS)));
                 }
             }
-            assertThat(stampedCount, greaterThan(10_000));
         }
-    }
 
-    private static void assertNoCarry(final long previous, final long bits, final long physicalTime, final long seed) {
-        final boolean carried = bits == previous + 1 && (bits & MASK) == 0;
-        assertThat(
-                "seed " + seed + ": a carry into the high bits",
-                carried && previous >= (physicalTime & ~MASK),
-                is(false));
+        private long highest(final int process, final long realTime) {
+            return Math.max(clocks[process].last(), clocks[process].masked(realTime + offsets[process]));
+        }
     }
 
     @Test
--- a/core/src/test/java/silverlatch/state/ConfigurationValidatorTest.java
+++ b/core/src/test/java/silverlatch/state/ConfigurationValidatorTest.java
@@ -138,29 +138,24 @@
                 is(List.of("u/a|/")));
     }
 
+    private List<String> faultPaths(final List<Value.Route> routes, final List<Value.BackendPool> pools) {
+        return faults(putConfiguration(1, routes, pools, 0)).stream()
+                .map(fault -> fault.substring(0, fault.indexOf(':')))
+                .toList();
+    }
+
     @Test
-    void everyFaultIsReportedWithItsPath() {
+    void everyFaultOfARouteIsReportedWithItsPath() {
         final Value.Route invalidRoute =
                 new Value.Route("", "", "x", false, false, false, false, 0, -1, 0, 0, 0, List.of(""), List.of());
+        final List<Value.Route> routes = List.of(
+                validRoute("a"),
+                route("a", "/", 1, new Value.WeightedBackend("cold", 2)),
+                route("b", "/x/", 1, new Value.WeightedBackend("warm", 0)),
+                route("c", "/x/", 1, new Value.WeightedBackend("warm", 3), new Value.WeightedBackend("spare", -1)),
+                invalidRoute);
         assertThat(
-                faults(putConfiguration(
-                                1,
-                                List.of(
-                                        validRoute("a"),
-                                        route("a", "/", 1, new Value.WeightedBackend("cold", 2)),
-                                        route("b", "/x/", 1, new Value.WeightedBackend("warm", 0)),
-                                        route(
-                                                "c",
-                                                "/x/",
-                                                1,
-                                                new Value.WeightedBackend("warm", 3),
-                                                new Value.WeightedBackend("spare", -1)),
-                                        invalidRoute),
-                                POOLS,
-                                0))
-                        .stream()
-                        .map(f -> f.substring(0, f.indexOf(':')))
-                        .toList(),
+                faultPaths(routes, POOLS),
                 containsInAnyOrder(
                         "$.rules[1]",
                         "$.rules[1].lots[0].pool",
@@ -174,10 +169,12 @@
                         "$.rules[4].tries",
                         "$.rules[4].homes[0]",
                         "$.rules[4].lots"));
+    }
+
+    @Test
+    void everyFaultOfAPoolIsReportedWithItsPath() {
         assertThat(
-                faults(putConfiguration(1, List.of(), List.of(pool("a"), pool("a"), pool("")), 0)).stream()
-                        .map(f -> f.substring(0, f.indexOf(':')))
-                        .toList(),
+                faultPaths(List.of(), List.of(pool("a"), pool("a"), pool(""))),
                 containsInAnyOrder("$.pools[1].name", "$.pools[2].name"));
     }
 
--- a/core/src/test/java/silverlatch/state/PolicyTest.java
+++ b/core/src/test/java/silverlatch/state/PolicyTest.java
@@ -14,49 +14,66 @@
 import silverlatch.clock.Stamp;
 
 final class PolicyTest {
+    private final SplittableRandom random = new SplittableRandom(4);
+
     @Test
     void manySmallStepsGiveTheSameAsOneLargeStep() {
-        final SplittableRandom random = new SplittableRandom(4);
         final StateMachine state = new StateMachine();
         final Map<String, Value> model = new HashMap<>();
         Policy policy = Policy.NONE;
         long revision = 0;
         for (int i = 1; i <= 3_000; i++) {
-            final List<Entry> writes = new ArrayList<>();
-            for (int k = 0; k < 1 + (i % 500 == 0 ? 400 : random.nextInt(3)); k++) {
-                final int number = random.nextInt(600);
-                final boolean isZone = number % 7 == 0;
-                final String key = isZone ? "z/zone" + number : StateMachine.rowKey("*", "kind" + number);
-                final Value value = isZone
-                        ? new Value.Evacuation("zone" + number, random.nextBoolean(), new Stamp(i))
-                        : TableRules.defaultRow("*", "kind" + number);
-                final boolean deleted = random.nextInt(4) == 0;
-                writes.removeIf(e -> e.key().equals(key));
-                writes.add(new Entry(key, i, deleted ? List.of() : List.of(value)));
-            }
-            writes.forEach(e -> {
-                if (e.isDeleted()) {
-                    model.remove(e.key());
-                } else {
-                    model.put(e.key(), e.value().get(0));
-                }
-            });
+            final List<Entry> writes = randomWrites(i);
+            writes.forEach(write -> applyTo(model, write));
             state.apply(i, writes);
             if (random.nextInt(3) == 0) {
                 policy = policy.with(state.policySince(revision));
                 revision = state.policyRevision();
             }
         }
-        final Policy last = policy.with(state.policySince(revision));
-        model.forEach((k, l) -> assertThat(k, last.value(k), is(Optional.of(l))));
-        assertThat(last.values().count(), is((long) model.size()));
+        assertHolds(policy.with(state.policySince(revision)), model);
+    }
+
+    /** A few writes, and many each five hundredth time; a quarter of them delete. */
+    private List<Entry> randomWrites(final int sequence) {
+        final List<Entry> writes = new ArrayList<>();
+        for (int k = 0; k < 1 + (sequence % 500 == 0 ? 400 : random.nextInt(3)); k++) {
+            final Entry write = randomWrite(sequence);
+            writes.removeIf(earlier -> earlier.key().equals(write.key()));
+            writes.add(write);
+        }
+        return writes;
+    }
+
+    private Entry randomWrite(final int sequence) {
+        final int number = random.nextInt(600);
+        final boolean isZone = number % 7 == 0;
+        final String key = isZone ? "z/zone" + number : StateMachine.rowKey("*", "kind" + number);
+        final Value value = isZone
+                ? new Value.Evacuation("zone" + number, random.nextBoolean(), new Stamp(sequence))
+                : TableRules.defaultRow("*", "kind" + number);
+        final boolean deleted = random.nextInt(4) == 0;
+        return new Entry(key, sequence, deleted ? List.of() : List.of(value));
+    }
+
+    private static void applyTo(final Map<String, Value> model, final Entry write) {
+        if (write.isDeleted()) {
+            model.remove(write.key());
+        } else {
+            model.put(write.key(), write.value().get(0));
+        }
+    }
+
+    private static void assertHolds(final Policy policy, final Map<String, Value> model) {
+        model.forEach((key, value) -> assertThat(key, policy.value(key), is(Optional.of(value))));
+        assertThat(policy.values().count(), is((long) model.size()));
         assertThat(
-                last.evacuatedZones(),
+                policy.evacuatedZones(),
                 is(model.values().stream()
-                        .filter(l -> l instanceof Value.Evacuation d && d.active())
-                        .map(l -> ((Value.Evacuation) l).zone())
+                        .filter(value -> value instanceof Value.Evacuation evacuation && evacuation.active())
+                        .map(value -> ((Value.Evacuation) value).zone())
                         .collect(Collectors.toSet())));
-        assertThat(last.evacuations().size(), is((int)
-                model.keySet().stream().filter(k -> k.startsWith("z/")).count()));
+        assertThat(policy.evacuations().size(), is((int)
+                model.keySet().stream().filter(key -> key.startsWith("z/")).count()));
     }
 }
