--- a/core/src/main/java/silverlatch/gossip/SilenceDetector.java
+++ b/core/src/main/java/silverlatch/gossip/SilenceDetector.java
@@ -29,7 +29,7 @@
         this.silenceTimeout = silenceTimeout;
     }
 
-    /** Notes that the controller at an address told what it hears as of a moment. */
+    /** Notes that the controller at an address shared its heartbeat ages as of a moment. */
     void recordContact(final String address, final long askedAt) {
         lastContacts.merge(address, askedAt, Math::max);
     }
@@ -46,7 +46,7 @@
         return true;
     }
 
-    /** Returns whether this process ran without a pause for so long that it can tell silence from its own absence. */
+    /** Returns whether this process ran without a pause for so long that a silence can't be due to its own absence. */
     boolean isAwake(final long now) {
         return now - awakeSince >= silenceTimeout;
     }
--- a/core/src/main/java/silverlatch/gossip/StateCopy.java
+++ b/core/src/main/java/silverlatch/gossip/StateCopy.java
@@ -98,7 +98,7 @@
         return true;
     }
 
-    /** Returns the revision held if the other nodes have to be told of it; each is handed out once. */
+    /** Returns the revision held if it was never announced to the other nodes; each is handed out once. */
     OptionalLong drainUnannouncedRevision() {
         highestRevision = highestRevision();
         if (revision() <= announcedRevision) {
--- a/core/src/main/java/silverlatch/membership/Membership.java
+++ b/core/src/main/java/silverlatch/membership/Membership.java
@@ -13,10 +13,9 @@
  * watchers, and its watchers suspect it when they miss them. A suspicion spreads by gossip; the suspected member refutes it
  * by a higher sequence, or is declared dead after the death time-out.
  *
- * <p>For each member the newest update counts ({@link Member#supersedes}); about itself only a node's own word counts. The
- * class does no input or output: updates to forward and what is to be sent and logged are collected for
- * {@link #drainUpdates} and {@link #drain}. The node's event loop alone calls it. All times are microseconds of the node's
- * monotonic clock.
+ * <p>For each member the newest update counts ({@link Member#supersedes}); a node refutes wrong updates on itself. The class
+ * does no input or output: updates to forward and what is to be sent and logged are collected for {@link #drainUpdates} and
+ * {@link #drain}. The node's event loop alone calls it. All times are microseconds of the node's monotonic clock.
  */
 public final class Membership {
     private final Settings settings;
@@ -46,10 +45,77 @@
             long joinInterval,
             int fullHeartbeatEvery) {
         /** The values that hold when the settings name none. */
-        public static final Settings DEFAULTS = new Settings(250_000L, 1_500_000L, 2_000_000L, 1_000_000L, 1);
+        public static final Settings DEFAULTS = new Builder()
+                .heartbeatInterval(250_000L)
+                .suspicionTimeout(1_500_000L)
+                .deathTimeout(2_000_000L)
+                .joinInterval(1_000_000L)
+                .fullHeartbeatEvery(1)
+                .build();
+
+        /** Values for a large fleet: fewer heartbeats, of which only one in four carries the whole member. */
+        public static final Settings LARGE_FLEET = DEFAULTS.toBuilder()
+                .heartbeatInterval(500_000L)
+                .suspicionTimeout(2_000_000L)
+                .fullHeartbeatEvery(4)
+                .build();
+
+        /** Returns a builder that starts from these values. */
+        public Builder toBuilder() {
+            return new Builder()
+                    .heartbeatInterval(heartbeatInterval)
+                    .suspicionTimeout(suspicionTimeout)
+                    .deathTimeout(deathTimeout)
+                    .joinInterval(joinInterval)
+                    .fullHeartbeatEvery(fullHeartbeatEvery);
+        }
+
+        /** Builds settings; all times in microseconds. */
+        public static final class Builder {
+            private long heartbeatInterval;
+            private long suspicionTimeout;
+            private long deathTimeout;
+            private long joinInterval;
+            private int fullHeartbeatEvery;
+
+            private Builder() {}
+
+            /** Sets {@link Settings#heartbeatInterval}. */
+            public Builder heartbeatInterval(final long micros) {
+                heartbeatInterval = micros;
+                return this;
+            }
+
+            /** Sets {@link Settings#suspicionTimeout}. */
+            public Builder suspicionTimeout(final long micros) {
+                suspicionTimeout = micros;
+                return this;
+            }
 
-        /** Values for a large fleet. */
-        public static final Settings LARGE_FLEET = new Settings(500_000L, 2_000_000L, 2_000_000L, 1_000_000L, 4);
+            /** Sets {@link Settings#deathTimeout}. */
+            public Builder deathTimeout(final long micros) {
+                deathTimeout = micros;
+                return this;
+            }
+
+            /** Sets {@link Settings#joinInterval}. */
+            public Builder joinInterval(final long micros) {
+                joinInterval = micros;
+                return this;
+            }
+
+            /** Sets {@link Settings#fullHeartbeatEvery}. */
+            public Builder fullHeartbeatEvery(final int heartbeats) {
+                fullHeartbeatEvery = heartbeats;
+                return this;
+            }
+
+            /** Returns the settings. */
+            public Settings build() {
+                return new Settings(
+                        heartbeatInterval, suspicionTimeout, deathTimeout, joinInterval, fullHeartbeatEvery);
+            }
+        }
     }
 
     /** Makes the membership of a node that knows itself and the addresses of its seeds. */
@@ -96,7 +162,7 @@
         return failureDetector.suspectsSelf();
     }
 
-    /** Sets whether this node takes requests, and tells the others if that has changed. */
+    /** Sets whether this node takes requests, and announces it if that has changed. */
     public void setReady(final boolean isReady) {
         if (self.ready() != isReady) {
             updateSelf(self.asUp(self.sequence() + 1, isReady));
@@ -118,7 +184,7 @@
         updateSelf(self.withIncarnation(incarnation));
     }
 
-    /** Tells the others that this node leaves; from then on it refutes nothing. */
+    /** Announces that this node leaves; from then on it refutes nothing. */
     public void leave() {
         updateSelf(self.after(MemberState.Trigger.LEAVE));
     }
@@ -151,7 +217,7 @@
         }
     }
 
-    /** Takes an update on a member, and forwards it if it is news. */
+    /** Takes an update on a member, and forwards it if it supersedes what is known. */
     public void learn(final Member update, final long now) {
         learn(update, true, now);
     }
--- a/core/src/main/java/silverlatch/node/Node.java
+++ b/core/src/main/java/silverlatch/node/Node.java
@@ -245,7 +245,7 @@
         membership.setReady(isReady);
     }
 
-    /** Begins a graceful shutdown: tells the others, and hands over what the replica holds. */
+    /** Begins a graceful shutdown: announces it, and hands over what the replica holds. */
     public void leave(final long now) {
         advanceTime(now);
         membership.leave();
--- a/core/src/test/java/silverlatch/gossip/ControllerReportsTest.java
+++ b/core/src/test/java/silverlatch/gossip/ControllerReportsTest.java
@@ -26,7 +26,7 @@
 import silverlatch.state.TableRules;
 import silverlatch.wire.Message;
 
-/** Rumors on a fake clock whose workers announce to controllers h0, h1, h2, each in a zone and region of its own. */
+/** The gossip of many nodes on a fake clock; workers announce to controllers c0, c1, c2, each in its own zone and region. */
 final class ControllerReportsTest {
     private static final long SECOND = 1_000_000;
     private final Map<String, Gossip> nodes = new LinkedHashMap<>();
@@ -45,12 +45,12 @@
     private void startFleet(final int size) {
         final List<Member> all = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            final String id = (i < 3 ? "h" : "p") + i;
+            final String id = (i < 3 ? "c" : "g") + i;
             all.add(new Member(
                     id, i < 3 ? "controller" : "gateway", "z" + i % 3, "r" + i % 3, id, id, 1, 0, "up", true));
         }
         all.forEach(m -> {
-            final Membership membership = new Membership(m, List.of("h0", "h1", "h2"), Membership.Settings.DEFAULTS);
+            final Membership membership = new Membership(m, List.of("c0", "c1", "c2"), Membership.Settings.DEFAULTS);
             all.forEach(x -> membership.learn(x, now));
             membership.drainUpdates();
             membership.drain();
@@ -144,16 +144,16 @@
     @Test
     void repeatedAnnouncementsAreNotForwardedAndRenewTheAge() {
         startFleet(12);
-        announce("h0", 1);
+        announce("c0", 1);
         advance(3 * SECOND);
         sent.clear();
-        sendHeartbeats("h0", 2, 20);
+        sendHeartbeats("c0", 2, 20);
         assertThat(
                 sent.stream()
                         .filter(m -> !(m instanceof Message.GossipPull || m instanceof Message.GossipPullReply))
                         .toList(),
                 empty());
-        assertThat(observedAt("h0").orElseThrow().age(now), lessThanOrEqualTo(1_300_000L));
+        assertThat(observedAt("c0").orElseThrow().age(now), lessThanOrEqualTo(1_300_000L));
         nodes.keySet().forEach(id -> {
             assertThat(observedAt(id).orElseThrow().worker().sequence(), is(1L));
             assertThat(observedAt(id).orElseThrow().silent(), is(false));
@@ -163,13 +163,13 @@
     @Test
     void drainingWorkerIsKnownEverywhereWithinASecondThoughItsControllerDies() {
         startFleet(12);
-        announce("h0", 1);
+        announce("c0", 1);
         advance(2 * SECOND);
-        announce("h0", worker(1, 2, true, 0));
-        dead.add("h0");
+        announce("c0", worker(1, 2, true, 0));
+        dead.add("c0");
         advance(SECOND);
         nodes.keySet().stream()
-                .filter(id -> !id.equals("h0"))
+                .filter(id -> !id.equals("c0"))
                 .forEach(id ->
                         assertThat(id, observedAt(id).orElseThrow().worker().draining(), is(true)));
     }
@@ -177,15 +177,15 @@
     @Test
     void lateAnnouncementDoesNotUndoDraining() {
         startFleet(5);
-        announce("h0", 1);
-        announce("h0", worker(1, 9, true, 0));
+        announce("c0", 1);
+        announce("c0", worker(1, 9, true, 0));
         advance(SECOND);
-        announce("h0", 8);
-        announce("h1", 7);
+        announce("c0", 8);
+        announce("c1", 7);
         advance(2 * SECOND);
         nodes.keySet()
                 .forEach(id -> assertThat(observedAt(id).orElseThrow().worker().draining(), is(true)));
-        announce("h1", 10);
+        announce("c1", 10);
         advance(SECOND);
         nodes.keySet()
                 .forEach(id -> assertThat(observedAt(id).orElseThrow().worker().draining(), is(false)));
@@ -194,28 +194,28 @@
     @Test
     void goneWorkerStaysGoneUntilANewIncarnationAndIsForgottenAfterAMinute() {
         startFleet(5);
-        announce("h0", 1);
+        announce("c0", 1);
         advance(SECOND);
-        assertThat(nodes.get("h1").onWorkerGone("nobody", now), is(false));
-        assertThat(nodes.get("h1").onWorkerGone("w", now), is(true));
-        deliverEffects("h1");
-        assertThat(nodes.get("h1").onWorkerGone("w", now), is(true));
+        assertThat(nodes.get("c1").onWorkerGone("nobody", now), is(false));
+        assertThat(nodes.get("c1").onWorkerGone("w", now), is(true));
+        deliverEffects("c1");
+        assertThat(nodes.get("c1").onWorkerGone("w", now), is(true));
         advance(SECOND);
-        announce("h2", 50);
+        announce("c2", 50);
         advance(SECOND);
         nodes.keySet().forEach(id -> assertThat(id, observedAt(id).isPresent(), is(false)));
-        announce("h2", worker(2, 1, false, 0));
+        announce("c2", worker(2, 1, false, 0));
         advance(SECOND);
         nodes.keySet()
                 .forEach(id ->
                         assertThat(id, observedAt(id).orElseThrow().worker().incarnation(), is(2L)));
-        nodes.get("h0").onWorkerGone("w", now);
-        deliverEffects("h0");
+        nodes.get("c0").onWorkerGone("w", now);
+        deliverEffects("c0");
         advance(62 * SECOND);
         sent.clear();
         advance(3 * SECOND);
         assertThat(reportMessageCount(), is(0L));
-        announce("h2", worker(2, 2, false, 0));
+        announce("c2", worker(2, 2, false, 0));
         advance(SECOND);
         nodes.keySet().forEach(id -> assertThat(id, observedAt(id).isPresent(), is(true)));
     }
@@ -223,12 +223,12 @@
     @Test
     void silentWorkerIsReportedAndKeptUntilALaterAnnouncement() {
         startFleet(6);
-        sendHeartbeats("h0", 1, 3);
+        sendHeartbeats("c0", 1, 3);
         advance(3_500_000);
         nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(false)));
         advance(3_500_000);
         nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(true)));
-        announce("h1", 9);
+        announce("c1", 9);
         advance(SECOND);
         nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(false)));
         advance(8 * SECOND);
@@ -240,22 +240,22 @@
     @Test
     void partitionMarksNoWorkerSilentThatMayBeHeardOnTheOtherSide() {
         startFleet(9);
-        sendHeartbeats("h0", 1, 3);
-        partitioned.addAll(List.of("h0", "p3", "p6"));
-        sendHeartbeats("h0", 4, 60);
+        sendHeartbeats("c0", 1, 3);
+        partitioned.addAll(List.of("c0", "g3", "g6"));
+        sendHeartbeats("c0", 4, 60);
         nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(false)));
         partitioned.clear();
-        sendHeartbeats("h0", 64, 5);
+        sendHeartbeats("c0", 64, 5);
         nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(false)));
     }
 
     @Test
     void wrongSilenceReportIsRefutedByTheControllerThatHearsTheWorker() {
         startFleet(5);
-        sendHeartbeats("h0", 1, 3);
+        sendHeartbeats("c0", 1, 3);
         final WorkerReport wrongReport =
                 new WorkerReport(WorkerReport.of(worker(1, 1, false, 0)).worker(), true, false, 5 * SECOND);
-        nodes.get("p4").onMessage(new Message.GossipPush(List.of(), List.of(), List.of(wrongReport), 0), "h1", now);
+        nodes.get("g4").onMessage(new Message.GossipPush(List.of(), List.of(), List.of(wrongReport), 0), "c1", now);
         advance(SECOND);
         nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(false)));
     }
@@ -263,11 +263,11 @@
     @Test
     void warmupRunsOutOnEveryNodeAndItsEndIsNotForwarded() {
         startFleet(12);
-        announce("h0", worker(1, 1, false, 9 * SECOND));
+        announce("c0", worker(1, 1, false, 9 * SECOND));
         final long start = now;
         for (int i = 2; i < 6; i++) {
             advance(SECOND);
-            announce("h0", worker(1, i, false, 9 * SECOND - (now - start)));
+            announce("c0", worker(1, i, false, 9 * SECOND - (now - start)));
         }
         nodes.keySet().forEach(id -> {
             final long remaining = observedAt(id).orElseThrow().warmupRemaining(now);
@@ -276,9 +276,9 @@
         });
         sent.clear();
         advance(3 * SECOND);
-        announce("h0", worker(1, 6, false, 9 * SECOND - (now - start)));
+        announce("c0", worker(1, 6, false, 9 * SECOND - (now - start)));
         advance(2_500_000);
-        announce("h0", worker(1, 7, false, 0));
+        announce("c0", worker(1, 7, false, 0));
         advance(SECOND);
         assertThat(reportMessageCount(), is(0L));
         nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().warmupRemaining(now), is(0L)));
@@ -287,9 +287,9 @@
     @Test
     void earlyEndOfWarmupIsForwarded() {
         startFleet(12);
-        announce("h0", worker(1, 1, false, 60 * SECOND));
+        announce("c0", worker(1, 1, false, 60 * SECOND));
         advance(2 * SECOND);
-        announce("h0", 2);
+        announce("c0", 2);
         advance(SECOND);
         nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().warmupRemaining(now), is(0L)));
     }
@@ -298,7 +298,7 @@
     void equalDigestsTransferNoReportsAndOneDifferenceTransfersOne() {
         startFleet(5);
         for (int i = 0; i < 40; i++) {
-            nodes.get("h0")
+            nodes.get("c0")
                     .onAnnouncement(
                             new Worker("w" + i, "a:" + i, "z0", "r0", 1, 1, 0, 0, 8, List.of(), false, 0), 0, now);
         }
@@ -313,8 +313,8 @@
                                 && !b.ranges().isEmpty())
                         .toList(),
                 empty());
-        nodes.get("h0").onAnnouncement(new Worker("w7", "a:7", "z0", "r0", 1, 2, 0, 0, 8, List.of(), true, 0), 0, now);
-        nodes.get("h0").drain();
+        nodes.get("c0").onAnnouncement(new Worker("w7", "a:7", "z0", "r0", 1, 2, 0, 0, 8, List.of(), true, 0), 0, now);
+        nodes.get("c0").drain();
         advance(2 * SECOND);
         sent.forEach(m -> {
             if (m instanceof Message.MissingReports b) {
@@ -329,27 +329,27 @@
     @Test
     void reportsAreConfirmedAtConnectedGatewaysAndAgeBehindAPartition() {
         startFleet(9);
-        announce("h0", 1);
+        announce("c0", 1);
         advance(2 * SECOND);
         nodes.keySet().forEach(id -> assertThat(id, nodes.get(id).reportsAge(now), lessThanOrEqualTo(2 * SECOND)));
-        partitioned.addAll(List.of("h0", "p3", "p6"));
+        partitioned.addAll(List.of("c0", "g3", "g6"));
         advance(5 * SECOND);
-        List.of("h0", "p3", "p6").forEach(id -> assertThat(id, nodes.get(id).reportsAge(now), greaterThan(4 * SECOND)));
-        List.of("h1", "h2", "p4", "p8")
+        List.of("c0", "g3", "g6").forEach(id -> assertThat(id, nodes.get(id).reportsAge(now), greaterThan(4 * SECOND)));
+        List.of("c1", "c2", "g4", "g8")
                 .forEach(id -> assertThat(id, nodes.get(id).reportsAge(now), lessThanOrEqualTo(2 * SECOND)));
     }
 
     @Test
     void deadControllerSuppressesSilenceReportsOfItsOwnZoneOnly() {
         startFleet(9);
-        announce("h1", 1);
-        nodes.get("h1")
+        announce("c1", 1);
+        nodes.get("c1")
                 .onAnnouncement(new Worker("v", "10.0.0.8:1", "z1", "r1", 1, 1, 0, 0, 8, List.of(), false, 0), 0, now);
-        deliverEffects("h1");
+        deliverEffects("c1");
         advance(SECOND);
-        dead.add("h0");
+        dead.add("c0");
         advance(9 * SECOND);
-        nodes.keySet().stream().filter(id -> !id.equals("h0")).forEach(id -> {
+        nodes.keySet().stream().filter(id -> !id.equals("c0")).forEach(id -> {
             assertThat(id, nodes.get(id).workers().get("v").silent(), is(true));
             assertThat(id, observedAt(id).orElseThrow().silent(), is(false));
         });
@@ -358,12 +358,12 @@
     @Test
     void controllerThatWasPausedMarksNoWorkerSilent() {
         startFleet(6);
-        sendHeartbeats("h1", 1, 3);
-        dead.add("h0");
-        sendHeartbeats("h1", 4, 10);
+        sendHeartbeats("c1", 1, 3);
+        dead.add("c0");
+        sendHeartbeats("c1", 4, 10);
         dead.clear();
         for (int i = 0; i < 8; i++) {
-            sendHeartbeats("h1", 20 + i, 1);
+            sendHeartbeats("c1", 20 + i, 1);
             nodes.keySet()
                     .forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(false)));
         }
@@ -374,8 +374,8 @@
         startFleet(96);
         final StateMachine stateMachine = new StateMachine();
         stateMachine.apply(1, List.of(new Entry("r/*/chat", 1, List.of(TableRules.defaultRow("*", "chat")))));
-        nodes.get("h0").adoptReplicaState(stateMachine, View.NONE, true, now);
-        deliverEffects("h0");
+        nodes.get("c0").adoptReplicaState(stateMachine, View.NONE, true, now);
+        deliverEffects("c0");
         final long start = now;
         while (nodes.values().stream().anyMatch(r -> r.stateMachine().policyRevision() < 1)
                 && now - start < 2 * SECOND) {
@@ -383,7 +383,7 @@
         }
         assertThat(now - start, lessThanOrEqualTo(700_000L));
         for (int i = 0; i < 40; i++) {
-            nodes.get("h0").adoptReplicaState(stateMachine, View.NONE, true, now);
+            nodes.get("c0").adoptReplicaState(stateMachine, View.NONE, true, now);
             advance(50_000);
         }
         nodes.forEach((id, r) -> assertThat(id, r.stateAge(now), lessThanOrEqualTo(2 * SECOND)));
--- a/core/src/test/java/silverlatch/membership/LivenessHeartbeatTest.java
+++ b/core/src/test/java/silverlatch/membership/LivenessHeartbeatTest.java
@@ -15,7 +15,7 @@
 import silverlatch.node.Effect;
 import silverlatch.wire.Message;
 
-/** A crew at quiet rates, where three heartbeats in four tell only that a life goes on. */
+/** Members with the settings of a large fleet, where three heartbeats in four carry the incarnation only. */
 final class LivenessHeartbeatTest {
     private static final long SECOND = 1_000_000;
     private final Map<String, Membership> nodes = new LinkedHashMap<>();
--- a/core/src/test/java/silverlatch/membership/MembershipTest.java
+++ b/core/src/test/java/silverlatch/membership/MembershipTest.java
@@ -16,7 +16,7 @@
 import silverlatch.node.Event;
 import silverlatch.wire.Message;
 
-/** A crew on a fake clock; frames arrive at once unless the script holds them back, news is passed to all. */
+/** The membership of some nodes on a fake clock; frames arrive at once unless a node is silenced, updates go to all. */
 final class MembershipTest {
     private final Map<String, Membership> nodes = new LinkedHashMap<>();
     private final Set<String> silenced = new HashSet<>();
--- a/core/src/test/java/silverlatch/node/NodeCluster.java
+++ b/core/src/test/java/silverlatch/node/NodeCluster.java
@@ -170,7 +170,7 @@
         return pending;
     }
 
-    /** Reads the number of the newest configuration through a machine; empty where it can't tell within the caller's time. */
+    /** Reads the number of the newest configuration through a machine; empty where that isn't known in time. */
     Optional<Long> read(final String at) {
         final List<Object> answers = startRead(at);
         advance(SECOND);
--- a/server/src/main/java/silverlatch/server/settings/Intervals.java
+++ b/server/src/main/java/silverlatch/server/settings/Intervals.java
@@ -57,12 +57,12 @@
     }
 
     private static Membership.Settings readMembership(final JsonDocument document, final Membership.Settings defaults) {
-        return new Membership.Settings(
-                document.integer("heartbeat", 50_000L, 10_000_000L, defaults.heartbeatInterval()),
-                document.integer("miss", 200_000L, 60_000_000L, defaults.suspicionTimeout()),
-                document.integer("bury", 200_000L, 600_000_000L, defaults.deathTimeout()),
-                document.integer("hail", 100_000L, 60_000_000L, defaults.joinInterval()),
-                defaults.fullHeartbeatEvery());
+        return defaults.toBuilder()
+                .heartbeatInterval(document.integer("heartbeat", 50_000L, 10_000_000L, defaults.heartbeatInterval()))
+                .suspicionTimeout(document.integer("miss", 200_000L, 60_000_000L, defaults.suspicionTimeout()))
+                .deathTimeout(document.integer("bury", 200_000L, 600_000_000L, defaults.deathTimeout()))
+                .joinInterval(document.integer("hail", 100_000L, 60_000_000L, defaults.joinInterval()))
+                .build();
     }
 
     private static Gossip.Settings readGossip(
