--- /dev/null
+++ b/server/src/test/java/silverlatch/server/controller/LoneNode.java
@@ -0,0 +1,32 @@
+package silverlatch.server.controller;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.SplittableRandom;
+import silverlatch.clock.PhysicalClock;
+import silverlatch.gossip.Gossip;
+import silverlatch.membership.Member;
+import silverlatch.membership.Membership;
+import silverlatch.node.Node;
+
+/** Makes nodes of a controller without a data folder that hears of no other node. */
+final class LoneNode {
+    private static final long WALL_NANOS = 1_800_000_000_000_000_000L;
+
+    private LoneNode() {}
+
+    /** A node that starts at a time of the monotonic clock, in microseconds. */
+    static Node create(final long now) {
+        final Member self = new Member(
+                "one", "controller", "z", "r", "127.0.0.1:1", "127.0.0.1:2", WALL_NANOS / 1000, 0, "up", false);
+        final Node.Settings settings = new Node.Settings(
+                self, List.of("127.0.0.1:1"), 7, 50_000L, Membership.Settings.DEFAULTS, Gossip.Settings.DEFAULTS);
+        return new Node(
+                settings,
+                Optional.empty(),
+                List.of(),
+                new PhysicalClock(WALL_NANOS, now, 0),
+                new SplittableRandom(7),
+                now);
+    }
+}
--- /dev/null
+++ b/server/src/test/java/silverlatch/server/controller/ReadinessTest.java
@@ -0,0 +1,31 @@
+package silverlatch.server.controller;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+import silverlatch.node.Node;
+
+final class ReadinessTest {
+    private static final long NOW = 1_000_000L;
+
+    @Test
+    void aControllerIsUnreadyFromItsStartUntilItsStateIsConfirmed() {
+        final Readiness readiness = new Readiness("one");
+        assertThat(readiness.unreadyReason(), is(Optional.of("starting")));
+        readiness.update(LoneNode.create(NOW), NOW);
+        assertThat(readiness.unreadyReason(), is(Optional.of("the state held here is not confirmed")));
+        assertThat(readiness.hasLeftChain(), is(false));
+    }
+
+    @Test
+    void aControllerThatStopsIsUnreadyForGood() {
+        final Node node = LoneNode.create(NOW);
+        final Readiness readiness = new Readiness("one");
+        readiness.stop();
+        readiness.update(node, NOW);
+        readiness.update(node, NOW + 1);
+        assertThat(readiness.unreadyReason(), is(Optional.of("stopping")));
+    }
+}
--- /dev/null
+++ b/server/src/test/java/silverlatch/server/controller/WorkerAnnouncementsTest.java
@@ -0,0 +1,65 @@
+package silverlatch.server.controller;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+import static org.hamcrest.Matchers.nullValue;
+
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import silverlatch.gossip.Worker;
+import silverlatch.server.eventloop.EventLoop;
+import silverlatch.server.eventloop.EventLoopHandle;
+
+/** Announcements on a running event loop that ticks only when the test says so. */
+final class WorkerAnnouncementsTest {
+    private static final long AN_HOUR_MICROS = 3_600_000_000L;
+    private final EventLoopHandle eventLoop = new EventLoopHandle(
+            LoneNode.create(EventLoop.nowMicros()), AN_HOUR_MICROS, frame -> {}, write -> {}, node -> {});
+    private final WorkerAnnouncements announcements = new WorkerAnnouncements(eventLoop);
+    private final BlockingQueue<Boolean> replies = new LinkedBlockingQueue<>();
+
+    private static Worker worker(final long sequence, final boolean isDraining) {
+        return new Worker("w", "10.0.0.1:1", "z", "r", 1, sequence, 0, 0, 4, List.of(), isDraining, 0);
+    }
+
+    private Boolean nextReply(final long timeoutMillis) throws InterruptedException {
+        return replies.poll(timeoutMillis, TimeUnit.MILLISECONDS);
+    }
+
+    private void tick() {
+        eventLoop.execute(node -> announcements.afterTick());
+    }
+
+    @BeforeEach
+    void start() {
+        eventLoop.start();
+    }
+
+    @Test
+    void aReportIsAcknowledgedAtOnceButThatAWorkerDrainsAfterTheNextTickOnly() throws Exception {
+        announcements.announce(worker(1, false), replies::add);
+        assertThat(nextReply(5_000), is(true));
+        announcements.announce(worker(2, true), replies::add);
+        assertThat(nextReply(200), is(nullValue()));
+        tick();
+        assertThat(nextReply(5_000), is(true));
+        announcements.announce(worker(3, true), replies::add);
+        assertThat("it drained before", nextReply(5_000), is(true));
+    }
+
+    @Test
+    void aWorkerThatLeftIsAcknowledgedAfterTheNextTickAndAnUnknownOneIsNotKnown() throws Exception {
+        announcements.workerLeft("w", replies::add);
+        assertThat(nextReply(5_000), is(false));
+        announcements.announce(worker(1, false), replies::add);
+        assertThat(nextReply(5_000), is(true));
+        announcements.workerLeft("w", replies::add);
+        assertThat(nextReply(200), is(nullValue()));
+        tick();
+        assertThat(nextReply(5_000), is(true));
+    }
+}
