--- a/server/src/main/java/silverlatch/server/gateway/Gateway.java
+++ b/server/src/main/java/silverlatch/server/gateway/Gateway.java
@@ -102,7 +102,7 @@
         dispatchLoop.start(effectHandler, this::updateReadiness);
         EventLog.write(
                 Event.STARTED,
-                "gateway " + settings.name() + " at " + settings.peerAddress() + " door " + settings.httpAddress());
+                "gateway " + settings.name() + " at " + settings.peerAddress() + ", HTTP at " + settings.httpAddress());
     }
 
     private void startProxy(final String address)
@@ -141,7 +141,7 @@
                 apiServer.get().stop();
             }
         } catch (final InterruptedException | ApiServer.HttpServerException failure) {
-            EventLog.write(Event.STOPPED, "gateway " + settings.name() + " in haste");
+            EventLog.write(Event.STOPPED, "gateway " + settings.name() + ", not gracefully");
         }
     }
 
--- a/server/src/main/java/silverlatch/server/proxy/EndToEndHeaders.java
+++ b/server/src/main/java/silverlatch/server/proxy/EndToEndHeaders.java
@@ -7,7 +7,7 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
 
-/** The header fields that a proxy passes along: all but those that concern one connection only. */
+/** The header fields that a proxy forwards: all but the hop-by-hop ones (RFC 9110, section 7.6.1). */
 final class EndToEndHeaders {
     private static final Set<String> HOP_BY_HOP = ignoringCase(List.of(
             "Connection",
@@ -24,12 +24,12 @@
 
     private EndToEndHeaders() {}
 
-    /** Adds the fields to be passed along, without those that the caller sets itself. */
+    /** Adds the fields to be forwarded, without those that the caller sets itself and those that Connection names. */
     static void copy(final HttpFields from, final Set<String> except, final HttpFields.Mutable to) {
-        final Set<String> named = ignoringCase(from.getCSV(HttpHeader.CONNECTION, false));
+        final Set<String> namedByConnection = ignoringCase(from.getCSV(HttpHeader.CONNECTION, false));
         for (final HttpField field : from) {
             final String name = field.getName();
-            if (!HOP_BY_HOP.contains(name) && !named.contains(name) && !except.contains(name)) {
+            if (!HOP_BY_HOP.contains(name) && !namedByConnection.contains(name) && !except.contains(name)) {
                 to.add(name, field.getValue());
             }
         }
--- a/server/src/main/java/silverlatch/server/proxy/WorkerConnection.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerConnection.java
@@ -8,7 +8,7 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * A connection to a worker that is never used again once bytes have followed a whole response on it. Jetty discards such
+ * A connection to a worker that is never used again once bytes have followed a complete response on it. Jetty discards such
  * bytes and puts the connection back into its pool; what is still to come of them would then be read as the response to
  * the next request.
  */
--- a/server/src/main/java/silverlatch/server/workerclient/WorkerRunClient.java
+++ b/server/src/main/java/silverlatch/server/workerclient/WorkerRunClient.java
@@ -84,6 +84,19 @@
         }
     }
 
+    /**
+     * Closes all connections and ends the threads; runs under way end as failed.
+     *
+     * @throws WorkerRunClientException when they can't be ended
+     */
+    public void stop() throws WorkerRunClientException {
+        try {
+            httpClient.stop();
+        } catch (final Exception failure) {
+            throw new WorkerRunClientException(failure);
+        }
+    }
+
     /** Sends a run to its worker, unless its time to be sent has passed when a connection is at hand. */
     public void startRun(final DispatchEffect.StartAttempt attempt) {
         final long operationId = attempt.operationId();
@@ -153,11 +166,11 @@
                 : "status " + result.getResponse().getStatus();
     }
 
-    /** The client's threads can't be started. */
+    /** The client can't be started or stopped. */
     public static final class WorkerRunClientException extends Exception {
         /** With what the HTTP client threw. */
         public WorkerRunClientException(final Throwable cause) {
-            super("the client for workers can't start: " + cause.getMessage(), cause);
+            super("the client for workers: " + cause.getMessage(), cause);
         }
     }
 }
--- a/server/src/test/java/silverlatch/server/workerclient/WorkerRunClientTest.java
+++ b/server/src/test/java/silverlatch/server/workerclient/WorkerRunClientTest.java
@@ -4,6 +4,7 @@
 import static org.hamcrest.Matchers.is;
 
 import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ArrayBlockingQueue;
@@ -24,7 +25,7 @@
     private final BlockingQueue<String> events = new ArrayBlockingQueue<>(100);
     private final AtomicInteger callCount = new AtomicInteger();
     private String address = "";
-    private ApiServer web;
+    private ApiServer apiServer;
     private WorkerRunClient client;
 
     @BeforeEach
@@ -32,21 +33,21 @@
         try (ServerSocket socket = new ServerSocket(0)) {
             address = "127.0.0.1:" + socket.getLocalPort();
         }
-        web = new ApiServer(address, 1 << 20, this::serveRun);
-        web.start();
+        apiServer = new ApiServer(address, 1 << 20, this::serveRun);
+        apiServer.start();
         client = new WorkerRunClient(1_024, "the-workers-key", new WorkerRunClient.Listener() {
             @Override
-            public void onStarted(final long job) {
+            public void onStarted(final long operationId) {
                 events.add("begun");
             }
 
             @Override
-            public void onRecord(final long job, final StreamRecord line) {
-                events.add(line.toString());
+            public void onRecord(final long operationId, final StreamRecord record) {
+                events.add(record.toString());
             }
 
             @Override
-            public void onEnded(final long job, final boolean started, final String why) {
+            public void onEnded(final long operationId, final boolean started, final String reason) {
                 events.add("failed " + started);
             }
         });
@@ -55,12 +56,13 @@
 
     @AfterEach
     void close() throws Exception {
-        web.stop();
+        client.stop();
+        apiServer.stop();
     }
 
     private void serveRun(final HttpExchange exchange) {
         callCount.incrementAndGet();
-        final String body = new String(exchange.body(), java.nio.charset.StandardCharsets.UTF_8);
+        final String body = new String(exchange.body(), StandardCharsets.UTF_8);
         if (!exchange.bearerToken().equals("the-workers-key")) {
             exchange.reply(401, Map.of());
         } else if (body.contains("deny")) {
