--- a/simulation/src/main/java/silverlatch/simulation/fleet/Fleet.java
+++ b/simulation/src/main/java/silverlatch/simulation/fleet/Fleet.java
@@ -1,19 +1,17 @@
 package silverlatch.simulation.fleet;
 
 import java.io.IOException;
-import java.net.ServerSocket;
-import java.net.URI;
-import java.net.http.HttpClient;
-import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
 import java.util.stream.Stream;
 import silverlatch.json.JsonDocument;
 import silverlatch.util.ChildJvm;
@@ -23,15 +21,20 @@
     /** The operator's key of a drill. */
     public static final String OPERATOR_KEY = "simulation-operator-key";
 
+    private static final String CONTROLLER = "silverlatch.server.controller.Main";
+    private static final String GATEWAY = "silverlatch.server.gateway.Main";
+    private static final String WORKER = "silverlatch.simulation.worker.Main";
+    private static final List<String> NODE_OPTIONS =
+            List.of("-Xmx160m", "-Xss512k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
+    private static final List<String> PROGRAM_OPTIONS = List.of("-Xmx512m", "-XX:+UseSerialGC");
     private static final String WORKER_KEY = "simulation-workers-key";
     private final Path folder;
     private final Plan plan;
     private final String classPath;
     private final List<String> seeds;
     private final Map<String, ManagedProcess> processes = new LinkedHashMap<>();
-    private final HttpClient httpClient =
-            HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(1)).build();
-    private final List<ServerSocket> reservedPorts = new ArrayList<>();
+    private final ApiClient api = new ApiClient();
+    private final ReservedPorts ports = new ReservedPorts();
 
     /** A process: its program, its arguments, where it listens, and itself while it runs. */
     private record ManagedProcess(
@@ -48,88 +51,80 @@
         this.folder = folder;
         this.classPath = classes;
         Files.createDirectories(folder);
-        final List<String> seeds = new ArrayList<>();
-        for (int i = 0; i < 3; i++) {
-            seeds.add(reservePort());
-        }
-        this.seeds = List.copyOf(seeds);
+        this.seeds = List.of(ports.reserve(), ports.reserve(), ports.reserve());
         writeSettings(Map.of("grace", 3_000_000));
+        addControllers();
+        addGateways();
+        addWorkers();
+    }
+
+    private void addControllers() throws IOException {
         int number = 0;
         for (final Plan.Region region : plan.regions()) {
             number++;
             addNode(
                     "controller-" + number,
-                    "silverlatch.server.controller.Main",
+                    CONTROLLER,
                     region,
                     seeds.get(number - 1),
                     folder.resolve("data-" + number));
         }
-        number = 0;
+    }
+
+    private void addGateways() throws IOException {
+        int number = 0;
         for (final Plan.Region region : plan.regions()) {
             for (int i = 0; i < region.gateways(); i++) {
-                addNode("gateway-" + ++number, "silverlatch.server.gateway.Main", region, reservePort(), Path.of(""));
+                number++;
+                addNode("gateway-" + number, GATEWAY, region, ports.reserve(), Path.of(""));
             }
         }
-        number = 0;
+    }
+
+    private void addWorkers() throws IOException {
+        int number = 0;
         int gatewayNumber = 0;
         for (final Plan.Region region : plan.regions()) {
             final List<String> nearbyEndpoints = new ArrayList<>();
             for (int i = 0; i < region.gateways(); i++) {
-                nearbyEndpoints.add(endpoint("gateway-" + ++gatewayNumber));
+                gatewayNumber++;
+                nearbyEndpoints.add(endpoint("gateway-" + gatewayNumber));
             }
             for (int i = 0; i < region.workers(); i++) {
-                final String endpoint = reservePort();
-                final String name = "worker-" + ++number;
-                processes.put(
-                        name,
-                        new ManagedProcess(
-                                name,
-                                "silverlatch.simulation.worker.Main",
-                                List.of(
-                                        "--name",
-                                        name,
-                                        "--zone",
-                                        region.zone(),
-                                        "--region",
-                                        region.region(),
-                                        "--door",
-                                        endpoint,
-                                        "--gateways",
-                                        String.join(",", nearbyEndpoints),
-                                        "--key",
-                                        WORKER_KEY,
-                                        "--record",
-                                        folder.resolve(name + ".runs").toString()),
-                                "",
-                                endpoint,
-                                new ArrayList<>()));
+                number++;
+                addWorker("worker-" + number, region, nearbyEndpoints);
             }
         }
     }
 
+    private void addWorker(final String name, final Plan.Region region, final List<String> gateways)
+            throws IOException {
+        final String endpoint = ports.reserve();
+        final List<String> arguments = List.of(
+                "--name", name,
+                "--zone", region.zone(),
+                "--region", region.region(),
+                "--door", endpoint,
+                "--gateways", String.join(",", gateways),
+                "--key", WORKER_KEY,
+                "--record", folder.resolve(name + ".runs").toString());
+        processes.put(name, new ManagedProcess(name, WORKER, arguments, "", endpoint, new ArrayList<>()));
+    }
+
     /** Writes the settings that all daemons read at their next start. */
     public void writeSettings(final Map<String, Object> overrides) throws IOException {
-        final Map<String, Object> settings = new LinkedHashMap<>(Map.of(
-                "seeds",
-                seeds,
-                "key",
-                "simulation-cluster-key-of-this-fleet",
-                "operator",
-                OPERATOR_KEY,
-                "worker",
-                WORKER_KEY));
+        final Map<String, Object> settings = new LinkedHashMap<>();
+        settings.put("seeds", seeds);
+        settings.put("key", "simulation-cluster-key-of-this-fleet");
+        settings.put("operator", OPERATOR_KEY);
+        settings.put("worker", WORKER_KEY);
         settings.putAll(overrides);
         Files.writeString(folder.resolve("settings.json"), JsonDocument.write(settings));
     }
 
     /** Adds a controller at a new address, with an empty data folder or with none. */
     public void addController(final String name, final Plan.Region region, final boolean disk) throws IOException {
-        addNode(
-                name,
-                "silverlatch.server.controller.Main",
-                region,
-                reservePort(),
-                disk ? folder.resolve("data-" + name) : Path.of(""));
+        addNode(name, CONTROLLER, region, ports.reserve(), disk ? folder.resolve("data-" + name) : Path.of(""));
     }
 
     /** The processes that stand in a region. */
@@ -151,17 +146,10 @@
     }
 
     private void start(final String name, final List<String> wrapper) throws IOException {
-        releasePorts();
+        ports.release();
         final ManagedProcess managed = processes.get(name);
         final List<String> command = new ArrayList<>(wrapper);
-        command.addAll(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-Xmx160m",
-                "-Xss512k",
-                "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1"));
-        command.addAll(ChildJvm.options());
-        command.addAll(List.of("-cp", classPath, managed.mainClass()));
+        command.addAll(javaCommand(managed.mainClass(), NODE_OPTIONS));
         command.addAll(managed.arguments());
         managed.running().clear();
         managed.running()
@@ -172,6 +160,15 @@
                         .start());
     }
 
+    private List<String> javaCommand(final String mainClass, final List<String> options) {
+        final List<String> command = new ArrayList<>();
+        command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+        command.addAll(options);
+        command.addAll(ChildJvm.options());
+        command.addAll(List.of("-cp", classPath, mainClass));
+        return command;
+    }
+
     /** Starts all processes whose names start so. */
     public void startAll(final String prefix) throws IOException {
         for (final String name : names(prefix)) {
@@ -229,70 +226,44 @@
         final Path data = folder.resolve("data-" + controller.substring(controller.indexOf('-') + 1));
         if (Files.exists(data)) {
             try (Stream<Path> files = Files.walk(data)) {
-                for (final Path file :
-                        files.sorted(java.util.Comparator.reverseOrder()).toList()) {
+                for (final Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                     Files.delete(file);
                 }
             }
         }
     }
 
-    /** The reply of a daemon's door to the operator. */
+    /** Calls a node's API as the operator. */
     public HttpResponse<String> callAsOperator(
             final String name, final String method, final String path, final String body)
             throws IOException, InterruptedException {
         return callAs(OPERATOR_KEY, name, method, path, body);
     }
 
-    /** The reply of a daemon's door to the bearer of a key. */
+    /** Calls a node's API with a key. */
     public HttpResponse<String> callAs(
             final String key, final String name, final String method, final String path, final String body)
             throws IOException, InterruptedException {
-        return call(key, name, method, path, body, 10);
+        return api.call(key, endpoint(name), method, path, body);
     }
 
-    /** Posts, and hands over each line of the reply as it comes, for up to a minute. */
-    public void streamLines(
-            final String key,
-            final String name,
-            final String path,
-            final String body,
-            final java.util.function.Consumer<String> line)
-            throws IOException, InterruptedException {
-        httpClient
-                .send(request(key, name, "POST", path, body, 60), HttpResponse.BodyHandlers.ofLines())
-                .body()
-                .forEach(line);
+    /** What a node's API answers the operator, or an empty text when it can't be reached. */
+    public String bodyOf(final String name, final String path) {
+        try {
+            return callAsOperator(name, "GET", path, "").body();
+        } catch (final IOException failure) {
+            return "";
+        } catch (final InterruptedException interrupt) {
+            Thread.currentThread().interrupt();
+            return "";
+        }
     }
 
-    private HttpResponse<String> call(
-            final String key,
-            final String name,
-            final String method,
-            final String path,
-            final String body,
-            final int seconds)
+    /** Posts, and hands over each line of the response as it comes, for up to a minute. */
+    public void streamLines(
+            final String key, final String name, final String path, final String body, final Consumer<String> line)
             throws IOException, InterruptedException {
-        return httpClient.send(request(key, name, method, path, body, seconds), HttpResponse.BodyHandlers.ofString());
-    }
-
-    private HttpRequest request(
-            final String key,
-            final String name,
-            final String method,
-            final String path,
-            final String body,
-            final int seconds) {
-        return HttpRequest.newBuilder(URI.create("http://" + endpoint(name) + path))
-                .timeout(Duration.ofSeconds(seconds))
-                .header("Authorization", "Bearer " + key)
-                .header("Content-Type", "application/json")
-                .method(
-                        method,
-                        body.isEmpty()
-                                ? HttpRequest.BodyPublishers.noBody()
-                                : HttpRequest.BodyPublishers.ofString(body))
-                .build();
+        api.streamLines(key, endpoint(name), path, body, line);
     }
 
     /** Waits until all whose names start so say that they are ready; false when they don't in time. */
@@ -301,8 +272,7 @@
     }
 
     /** Waits until something holds; false when it does not in time. */
-    public boolean await(final java.util.function.BooleanSupplier condition, final int seconds)
-            throws InterruptedException {
+    public boolean await(final BooleanSupplier condition, final int seconds) throws InterruptedException {
         final long end = System.nanoTime() + seconds * 1_000_000_000L;
         while (System.nanoTime() < end) {
             if (condition.getAsBoolean()) {
@@ -333,10 +303,7 @@
 
     /** Starts a program of ours, its output into a file. */
     public Process startProgram(final String mainClass, final Path output, final List<String> args) throws IOException {
-        final List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx512m", "-XX:+UseSerialGC"));
-        command.addAll(ChildJvm.options());
-        command.addAll(List.of("-cp", classPath, mainClass));
+        final List<String> command = javaCommand(mainClass, PROGRAM_OPTIONS);
         command.addAll(args);
         final Process process = new ProcessBuilder(command)
                 .redirectErrorStream(true)
@@ -351,7 +318,21 @@
         return process;
     }
 
-    /** Gives the fleet its tenants and its table; the replies' codes. */
+    /** Starts the stand-in client's load on all gateways; its output goes to consumer.out in the fleet's folder. */
+    public Process startLoad(final Path receipts, final int seconds, final String rate, final long seed)
+            throws IOException {
+        final List<String> arguments = List.of(
+                "--doors", endpoints("gateway"),
+                "--seconds", "" + seconds,
+                "--rate", rate,
+                "--tenants", plan.tenantArguments(),
+                "--kinds", plan.kindArguments(),
+                "--receipts", receipts.toString(),
+                "--seed", "" + seed);
+        return startProgram("silverlatch.simulation.client.Main", folder.resolve("consumer.out"), arguments);
+    }
+
+    /** Gives the fleet its tenants and its table; the status codes of the answers. */
     public List<Integer> loadTenantsAndTable() throws IOException, InterruptedException {
         final List<Integer> codes = new ArrayList<>();
         for (final Plan.Tenant tenant : plan.tenants()) {
@@ -392,7 +373,7 @@
             final String address,
             final Path dataFolder)
             throws IOException {
-        final String endpoint = reservePort();
+        final String endpoint = ports.reserve();
         final List<String> args = new ArrayList<>(List.of(
                 "--settings",
                 folder.resolve("settings.json").toString(),
@@ -413,19 +394,4 @@
         }
         processes.put(name, new ManagedProcess(name, mainClass, args, address, endpoint, new ArrayList<>()));
     }
-
-    private String reservePort() throws IOException {
-        final ServerSocket socket = new ServerSocket();
-        socket.setReuseAddress(true);
-        socket.bind(new java.net.InetSocketAddress("127.0.0.1", 0));
-        reservedPorts.add(socket);
-        return "127.0.0.1:" + socket.getLocalPort();
-    }
-
-    private void releasePorts() throws IOException {
-        for (final ServerSocket socket : reservedPorts) {
-            socket.close();
-        }
-        reservedPorts.clear();
-    }
 }
--- a/simulation/src/main/java/silverlatch/simulation/fleet/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/fleet/Main.java
@@ -1,13 +1,19 @@
 package silverlatch.simulation.fleet;
 
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import silverlatch.json.JsonDocument;
 
 /** Stands up a deployment, serves a mixed load for some seconds, changes a cell, and checks every reply. */
 public final class Main {
+    private static final long MAX_DELAY_MILLIS = 3_000;
+    private static final int MAX_DOCUMENT = 1 << 20;
+
     private Main() {}
 
     /** Arguments: the folder of the plan, seconds, tickets a second. */
@@ -23,32 +29,22 @@
         System.exit(code);
     }
 
-    private static boolean checkAcknowledgedTable(final Path receipts, final String changed, final long acked)
-            throws Exception {
-        final long sequence = JsonDocument.parse(changed.getBytes(java.nio.charset.StandardCharsets.UTF_8), 4096)
-                        instanceof JsonDocument.ParseResult.Valid good
-                ? good.document().integer("sequence", 1, Long.MAX_VALUE)
-                : Long.MAX_VALUE;
-        long under = 0;
-        long late = 0;
-        long first = Long.MAX_VALUE;
-        for (final String line : Files.readAllLines(receipts)) {
-            if (JsonDocument.parse(line.getBytes(java.nio.charset.StandardCharsets.UTF_8), 1 << 20)
-                            instanceof JsonDocument.ParseResult.Valid receipt
-                    && receipt.document().integer("picked", 0, Long.MAX_VALUE) > 0) {
-                final long at = receipt.document().integer("picked", 0, Long.MAX_VALUE);
-                final boolean fresh = receipt.document().integer("table", 0, Long.MAX_VALUE) >= sequence;
-                under += fresh ? 1 : 0;
-                late += !fresh && at > acked + 3_000 ? 1 : 0;
-                first = fresh ? Math.min(first, at - acked) : first;
-            }
-        }
-        System.out.println("picks under the changed table: " + under + ", the first " + first
-                + " ms after its ack; picks under an older one 3 s after: " + late);
-        return under > 0 && late == 0;
+    private static int runScenario(final Fleet fleet, final int seconds, final String rate) throws Exception {
+        startFleet(fleet);
+        final Path receipts = fleet.folder().resolve("receipts");
+        final Process load = fleet.startLoad(receipts, seconds, rate, 1);
+        Thread.sleep(seconds * 500L);
+        final String changed = changeCell(fleet);
+        final long acknowledgedAt = System.currentTimeMillis();
+        System.out.println("cell changed: " + changed);
+        final boolean isServed = load.waitFor() == 0;
+        System.out.print(Files.readString(fleet.folder().resolve("consumer.out")));
+        final boolean isRight = checkReceipts(fleet, receipts);
+        final boolean isFollowed = checkAcknowledgedTable(receipts, sequence(changed), acknowledgedAt);
+        return isServed && isRight && isFollowed ? 0 : 1;
     }
 
-    private static int runScenario(final Fleet fleet, final int seconds, final String rate) throws Exception {
+    private static void startFleet(final Fleet fleet) throws Exception {
         fleet.startAll("controller");
         fleet.startAll("gateway");
         fleet.startAll("worker");
@@ -56,44 +52,62 @@
         System.out.println("tenants and table: " + fleet.loadTenantsAndTable());
         System.out.println("gateways ready: " + fleet.awaitReady("gateway", 40));
         Thread.sleep(2_000);
-        final Path receipts = fleet.folder().resolve("receipts");
-        final Path out = fleet.folder().resolve("consumer.out");
-        final Process load = fleet.startProgram(
-                "silverlatch.simulation.client.Main",
-                out,
-                List.of(
-                        "--doors",
-                        fleet.endpoints("gateway"),
-                        "--seconds",
-                        "" + seconds,
-                        "--rate",
-                        rate,
-                        "--tenants",
-                        fleet.plan().tenantArguments(),
-                        "--kinds",
-                        fleet.plan().kindArguments(),
-                        "--receipts",
-                        receipts.toString()));
-        Thread.sleep(seconds * 500L);
+    }
+
+    private static String changeCell(final Fleet fleet) throws IOException, InterruptedException {
         final String kind = fleet.plan().kinds().get(0).kind();
-        final String changed = fleet.callAsOperator(
-                        "controller-2",
-                        "PATCH",
-                        "/v1/table",
-                        "{\"cells\":[{\"tenant\":\"*\",\"kind\":\"" + kind + "\",\"field\":\"cross\",\"value\":2}]}")
-                .body();
-        final long acked = System.currentTimeMillis();
-        System.out.println("cell changed: " + changed);
-        final int served = load.waitFor();
-        System.out.print(Files.readString(out));
-        final List<String> words =
+        final String body =
+                "{\"cells\":[{\"tenant\":\"*\",\"kind\":\"" + kind + "\",\"field\":\"cross\",\"value\":2}]}";
+        return fleet.callAsOperator("controller-2", "PATCH", "/v1/table", body).body();
+    }
+
+    private static long sequence(final String answer) {
+        return parse(answer)
+                .map(document -> document.integer("sequence", 1, Long.MAX_VALUE))
+                .orElse(Long.MAX_VALUE);
+    }
+
+    private static Optional<JsonDocument> parse(final String text) {
+        return JsonDocument.parse(text.getBytes(StandardCharsets.UTF_8), MAX_DOCUMENT)
+                        instanceof JsonDocument.ParseResult.Valid valid
+                ? Optional.of(valid.document())
+                : Optional.empty();
+    }
+
+    private static boolean checkReceipts(final Fleet fleet, final Path receipts) throws Exception {
+        final List<String> arguments =
                 new ArrayList<>(List.of(receipts.toString(), fleet.plan().homeArguments()));
         fleet.names("worker")
-                .forEach(w -> words.add(fleet.folder().resolve(w + ".runs").toString()));
-        final Path checked = fleet.folder().resolve("check.out");
-        final int right = fleet.runProgram("silverlatch.simulation.check.Main", checked, words);
-        System.out.print(Files.readString(checked));
-        final boolean obeyed = checkAcknowledgedTable(receipts, changed, acked);
-        return served == 0 && right == 0 && obeyed ? 0 : 1;
+                .forEach(worker ->
+                        arguments.add(fleet.folder().resolve(worker + ".runs").toString()));
+        final Path output = fleet.folder().resolve("check.out");
+        final int code = fleet.runProgram("silverlatch.simulation.check.Main", output, arguments);
+        System.out.print(Files.readString(output));
+        return code == 0;
+    }
+
+    /** Whether requests were placed under the changed table, and none under an older one 3 s after its acknowledgement. */
+    private static boolean checkAcknowledgedTable(final Path receipts, final long sequence, final long acknowledgedAt)
+            throws IOException {
+        long placedUnderNewer = 0;
+        long placedLateUnderOlder = 0;
+        long firstAfterMillis = Long.MAX_VALUE;
+        for (final String line : Files.readAllLines(receipts)) {
+            final Optional<JsonDocument> receipt = parse(line);
+            final long placedAt =
+                    receipt.map(r -> r.integer("picked", 0, Long.MAX_VALUE)).orElse(0L);
+            if (placedAt == 0) {
+                continue;
+            }
+            if (receipt.get().integer("table", 0, Long.MAX_VALUE) >= sequence) {
+                placedUnderNewer++;
+                firstAfterMillis = Math.min(firstAfterMillis, placedAt - acknowledgedAt);
+            } else if (placedAt > acknowledgedAt + MAX_DELAY_MILLIS) {
+                placedLateUnderOlder++;
+            }
+        }
+        System.out.println("picks under the changed table: " + placedUnderNewer + ", the first " + firstAfterMillis
+                + " ms after its ack; picks under an older one 3 s after: " + placedLateUnderOlder);
+        return placedUnderNewer > 0 && placedLateUnderOlder == 0;
     }
 }
--- /dev/null
+++ b/simulation/src/main/java/silverlatch/simulation/fleet/ReservedPorts.java
@@ -0,0 +1,30 @@
+package silverlatch.simulation.fleet;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.util.ArrayList;
+import java.util.List;
+
+/** Ports of this machine that are kept from others until the processes that listen there start. */
+final class ReservedPorts {
+    private static final String HOST = "127.0.0.1";
+    private final List<ServerSocket> sockets = new ArrayList<>();
+
+    /** Reserves any free port; gives its address. */
+    String reserve() throws IOException {
+        final ServerSocket socket = new ServerSocket();
+        socket.setReuseAddress(true);
+        socket.bind(new InetSocketAddress(HOST, 0));
+        sockets.add(socket);
+        return HOST + ":" + socket.getLocalPort();
+    }
+
+    /** Releases all ports, so that the processes can listen. */
+    void release() throws IOException {
+        for (final ServerSocket socket : sockets) {
+            socket.close();
+        }
+        sockets.clear();
+    }
+}
--- a/simulation/src/main/java/silverlatch/simulation/sim/Day.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Day.java
@@ -10,8 +10,6 @@
 /** A day in the simulator: it opens, faults come one after another, it heals, it is judged, and some end with one last fault. */
 public final class Day {
     private static final long SECOND = 1_000_000L;
-    private static final long RECOVERY_TIME = 12 * SECOND;
-    private static final long WINDOW = 3 * SECOND;
 
     /** What a day of an even seed may end with. */
     private static final List<Fault> CLOSING_FAULTS = List.of(
@@ -75,12 +73,7 @@
         final boolean founded = !scenario.faults().contains(Fault.REFOUNDING);
         for (final Fault fault : scenario.faults()) {
             inject(world, fault);
-            final long pause = switch (world.scheduler().random().nextInt(4)) {
-                case 0 -> SECOND;
-                case 1 -> 22 * SECOND;
-                default -> 8 * SECOND;
-            };
-            baseline.advance(pause);
+            baseline.advance(randomPause(world));
         }
         healAndJudge(world, baseline, founded);
         if (scenario.seed() % 2 == 0 && founded) {
@@ -91,6 +84,15 @@
         return result(world, baseline, scenario);
     }
 
+    /** How long until the next fault: shorter or longer than a fault lasts. */
+    private static long randomPause(final World world) {
+        return switch (world.scheduler().random().nextInt(4)) {
+            case 0 -> SECOND;
+            case 1 -> 22 * SECOND;
+            default -> 8 * SECOND;
+        };
+    }
+
     private static void healAndJudge(final World world, final Baseline baseline, final boolean founded) {
         baseline.advance(35 * SECOND);
         world.controllers().forEach(SimulatedNode::start);
@@ -103,7 +105,7 @@
     private static void judgeService(
             final World world, final Baseline baseline, final boolean founded, final String commandId) {
         final long start = world.scheduler().now();
-        world.scheduler().runUntil(start + WINDOW);
+        world.scheduler().runUntil(start + Baseline.WINDOW);
         world.operators().readBackAndChange(commandId);
         baseline.judgeService(start, founded);
     }
@@ -115,7 +117,7 @@
         world.observer().count("lastFaults");
         if (fault.losesDisk()) {
             world.waitForFullChain();
-            world.scheduler().runUntil(world.scheduler().now() + RECOVERY_TIME);
+            world.scheduler().runUntil(world.scheduler().now() + Baseline.RECOVERY_TIME);
             judgeService(world, baseline, true, "after-closing-fault");
         }
         world.scheduler().runUntil(world.scheduler().now() + 2 * SECOND);
@@ -155,89 +157,4 @@
         }
         return list;
     }
-
-    /** What was usual before the faults, and every return held against it. */
-    private static final class Baseline {
-        private final World world;
-        private final long completed;
-        private final Map<String, Long> completedByTenant = new java.util.HashMap<>();
-        private long judgedUntil;
-
-        Baseline(final World world, final long from, final long to) {
-            this.world = world;
-            this.completed = world.observer().completedBetween(from, to) * WINDOW / (to - from);
-            world.plan()
-                    .tenants()
-                    .forEach(p -> completedByTenant.put(
-                            p.name(), world.observer().completedBetween(p.name(), from, to) * WINDOW / (to - from)));
-        }
-
-        long completed() {
-            return completed;
-        }
-
-        /** Lets time go by; 12 s after what came back, or after what was done or healed on top of it, service is judged. */
-        void advance(final long duration) {
-            final long end = world.scheduler().now() + duration;
-            while (world.scheduler().now() < end) {
-                world.scheduler().runUntil(Math.min(end, world.scheduler().now() + SECOND));
-                final long now = world.scheduler().now();
-                if (world.disturbances().areHealed()
-                        && now - world.disturbances().lastAt() >= RECOVERY_TIME + WINDOW) {
-                    world.disturbances().recoveries().stream()
-                            .filter(recovery -> recovery.time() > judgedUntil)
-                            .toList()
-                            .forEach(recovery -> {
-                                judgedUntil = Math.max(judgedUntil, recovery.time());
-                                judgeRecovery(recovery, now);
-                            });
-                }
-            }
-        }
-
-        private void judgeRecovery(final Disturbances.Recovery recovery, final long now) {
-            world.observer().exercise(Invariant.RETURN);
-            final long completedNow = world.observer().completedBetween(now - WINDOW, now);
-            if (completedNow * 4 < completed) {
-                world.observer()
-                        .violated(
-                                Invariant.RETURN,
-                                "12 s after a return " + completedNow + " replies come where " + completed
-                                        + " came before");
-            }
-            world.observer()
-                    .recordMaximum(
-                            "returnShortPerMille", Math.max(0, 1000 - 1000 * completedNow / Math.max(1, completed)));
-            completedByTenant.forEach((tenant, tenantBaseline) -> {
-                final long tenantCompleted = world.observer().completedBetween(tenant, now - WINDOW, now);
-                if (tenantCompleted * 4 < tenantBaseline && tenantBaseline >= 12) {
-                    world.observer()
-                            .violated(
-                                    Invariant.RETURN,
-                                    "12 s after a return of "
-                                            + (recovery.region().isEmpty() ? "all" : recovery.region()) + " " + tenant
-                                            + " has " + tenantCompleted + " replies where it had " + tenantBaseline
-                                            + " before");
-                }
-            });
-        }
-
-        void judgeService(final long from, final boolean keepsState) {
-            world.observer().exercise(Invariant.DEAD);
-            final long completedAfter = world.observer().completedBetween(from, from + WINDOW);
-            if (completedAfter * 4 < completed && keepsState) {
-                world.observer()
-                        .violated(
-                                Invariant.DEAD,
-                                "after all was healed " + completedAfter + " replies come where " + completed
-                                        + " came before");
-            }
-            if (keepsState && world.operators().lastReadsAnswered() == 0) {
-                world.observer().violated(Invariant.DEAD, "the table can't be read back after all was healed");
-            }
-            if (keepsState && !world.operators().lastChangeApplied()) {
-                world.observer().violated(Invariant.DEAD, "the table can't be changed after all was healed");
-            }
-        }
-    }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Main.java
@@ -8,8 +8,10 @@
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
@@ -21,10 +23,12 @@
 import silverlatch.safeguard.Safeguard;
 import silverlatch.safeguard.Safeguards;
 import silverlatch.simulation.fleet.Plan;
+import silverlatch.util.Threads;
 
 /** Runs many days. Ends with 0 when all are right, 1 when a day is wrong or a check was put to no test, 2 on wrong use. */
 public final class Main {
     private static final int MIN_SCENARIOS_FOR_COVERAGE = 100;
+    private static final int MAX_VIOLATIONS_PRINTED = 6;
 
     @Argument(index = 0, metaVar = "PLAN-FOLDER", required = true, usage = "folder with a plan.json")
     private String plan = "";
@@ -76,51 +80,57 @@
             System.err.println();
             return 2;
         }
-        final long seed = parseNumber("FIRST-SEED", firstSeed, 0, Long.MAX_VALUE / 8192);
-        final long days = parseNumber("COUNT", count, 1, 100_000);
-        final long requestsPerSecond = parseNumber("--rate", rate, 1, 5_000);
-        final List<Fault> named =
-                faults.equals("drawn") || faults.equals("each") ? List.of() : parseNames("FAULTS", faults, Fault.class);
+        final List<Day.Scenario> scenarios = parseScenarios();
         final Safeguards safeguards = new Safeguards(Set.copyOf(
                 disabledSafeguards.isEmpty() ? List.of() : parseNames("--down", disabledSafeguards, Safeguard.class)));
-        final List<Plan> plans = new ArrayList<>();
-        try {
-            if (Files.isRegularFile(Path.of(plan, "plan.json"))) {
-                plans.add(Plan.read(Path.of(plan)));
-            } else {
-                errors.add("PLAN-FOLDER: there is no plan.json in " + plan);
-            }
-        } catch (final IOException failure) {
-            errors.add("PLAN-FOLDER: " + plan + "/plan.json: " + failure.getMessage());
-        }
+        final Optional<Plan> read = readPlan();
         if (!errors.isEmpty()) {
             errors.forEach(System.err::println);
             return 2;
         }
+        return sweep(read.orElseThrow(), scenarios, safeguards);
+    }
+
+    private List<Day.Scenario> parseScenarios() {
+        final long seed = parseNumber("FIRST-SEED", firstSeed, 0, Long.MAX_VALUE / 8192);
+        final long days = parseNumber("COUNT", count, 1, 100_000);
+        final long requestsPerSecond = parseNumber("--rate", rate, 1, 5_000);
+        final boolean isDrawn = faults.equals("drawn");
+        final boolean isEach = faults.equals("each");
+        final List<Fault> named = isDrawn || isEach ? List.of() : parseNames("FAULTS", faults, Fault.class);
         final List<Day.Scenario> scenarios = new ArrayList<>();
-        for (long currentSeed = seed; currentSeed < seed + days; currentSeed++) {
-            final long scenarioSeed = currentSeed;
-            switch (faults) {
-                case "drawn" -> scenarios.add(Day.Scenario.drawn(scenarioSeed, requestsPerSecond));
-                case "each" ->
-                    Arrays.stream(Fault.values())
-                            .forEach(f -> scenarios.add(Day.Scenario.of(scenarioSeed, List.of(f), requestsPerSecond)));
-                default -> scenarios.add(Day.Scenario.of(scenarioSeed, named, requestsPerSecond));
+        for (long i = seed; i < seed + days; i++) {
+            if (isDrawn) {
+                scenarios.add(Day.Scenario.drawn(i, requestsPerSecond));
+            } else if (isEach) {
+                for (final Fault fault : Fault.values()) {
+                    scenarios.add(Day.Scenario.of(i, List.of(fault), requestsPerSecond));
+                }
+            } else {
+                scenarios.add(Day.Scenario.of(i, named, requestsPerSecond));
+            }
+        }
+        return scenarios;
+    }
+
+    private Optional<Plan> readPlan() {
+        try {
+            if (Files.isRegularFile(Path.of(plan, "plan.json"))) {
+                return Optional.of(Plan.read(Path.of(plan)));
             }
+            errors.add("PLAN-FOLDER: there is no plan.json in " + plan);
+        } catch (final IOException failure) {
+            errors.add("PLAN-FOLDER: " + plan + "/plan.json: " + failure.getMessage());
         }
-        return sweep(plans.get(0), scenarios, safeguards);
+        return Optional.empty();
     }
 
     private int sweep(final Plan plan, final List<Day.Scenario> scenarios, final Safeguards safeguards)
-            throws Exception {
-        final ExecutorService pool =
-                Executors.newFixedThreadPool(verbose ? 1 : Runtime.getRuntime().availableProcessors(), task -> {
-                    final Thread thread = new Thread(task, "days");
-                    thread.setDaemon(true);
-                    return thread;
-                });
+            throws InterruptedException, ExecutionException {
+        final int threads = verbose ? 1 : Runtime.getRuntime().availableProcessors();
+        final ExecutorService pool = Executors.newFixedThreadPool(threads, task -> Threads.daemon("days", task));
         final List<Future<Day.Result>> days = scenarios.stream()
-                .map(s -> pool.submit(() -> Day.run(plan, s, safeguards, verbose)))
+                .map(scenario -> pool.submit(() -> Day.run(plan, scenario, safeguards, verbose)))
                 .toList();
         int wrongDays = 0;
         final Map<String, Long> totals = new TreeMap<>();
@@ -129,23 +139,13 @@
             accumulate(totals, result.counters());
             if (!result.violations().isEmpty()) {
                 wrongDays++;
-                System.out.println("seed " + result.scenario().seed() + " "
-                        + result.scenario().faults());
-                result.timeline().forEach(s -> System.out.println("    " + s));
-                result.violations().stream().limit(6).forEach(s -> System.out.println("  WRONG " + s));
-                if (shrink) {
-                    System.out.println("  fewest faults: "
-                            + shrinkScenario(plan, result, safeguards).faults());
-                }
+                printWrong(plan, result, safeguards);
             }
         }
         pool.shutdown();
-        totals.forEach((k, v) -> System.out.println("  " + k + " " + v));
-        final List<Invariant> notExercised = scenarios.size() < MIN_SCENARIOS_FOR_COVERAGE
-                ? List.of()
-                : Arrays.stream(Invariant.values())
-                        .filter(m -> !totals.containsKey("test-" + m))
-                        .toList();
+        totals.forEach((counter, value) -> System.out.println("  " + counter + " " + value));
+        final List<Invariant> notExercised =
+                scenarios.size() < MIN_SCENARIOS_FOR_COVERAGE ? List.of() : notExercised(totals);
         if (!notExercised.isEmpty()) {
             System.out.println("put to no test: " + notExercised);
         }
@@ -153,6 +153,25 @@
         return wrongDays == 0 && notExercised.isEmpty() ? 0 : 1;
     }
 
+    private void printWrong(final Plan plan, final Day.Result result, final Safeguards safeguards) {
+        System.out.println(
+                "seed " + result.scenario().seed() + " " + result.scenario().faults());
+        result.timeline().forEach(event -> System.out.println("    " + event));
+        result.violations().stream()
+                .limit(MAX_VIOLATIONS_PRINTED)
+                .forEach(violation -> System.out.println("  WRONG " + violation));
+        if (shrink) {
+            System.out.println("  fewest faults: "
+                    + shrinkScenario(plan, result, safeguards).faults());
+        }
+    }
+
+    private static List<Invariant> notExercised(final Map<String, Long> totals) {
+        return Arrays.stream(Invariant.values())
+                .filter(invariant -> !totals.containsKey("test-" + invariant))
+                .toList();
+    }
+
     /** The day without each fault that is not needed for the mark it shows. */
     static Day.Scenario shrinkScenario(final Plan plan, final Day.Result result, final Safeguards safeguards) {
         final String invariant = result.violations().get(0).split(" ")[0];
--- a/simulation/src/test/java/silverlatch/simulation/fleet/FleetTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/fleet/FleetTest.java
@@ -18,28 +18,6 @@
     @TempDir
     private Path folder;
 
-    private Process startLoad(final Fleet fleet, final Path receipts, final int seconds, final long seed)
-            throws Exception {
-        return fleet.startProgram(
-                "silverlatch.simulation.client.Main",
-                folder.resolve("consumer.out"),
-                List.of(
-                        "--doors",
-                        fleet.endpoints("gateway"),
-                        "--seconds",
-                        "" + seconds,
-                        "--rate",
-                        "30",
-                        "--tenants",
-                        fleet.plan().tenantArguments(),
-                        "--kinds",
-                        fleet.plan().kindArguments(),
-                        "--receipts",
-                        receipts.toString(),
-                        "--seed",
-                        "" + seed));
-    }
-
     private static long countLines(final Path file) {
         try (java.util.stream.Stream<String> all =
                 Files.exists(file) ? Files.lines(file) : java.util.stream.Stream.<String>of()) {
@@ -88,7 +66,7 @@
                     200,
                     "kept");
             final Path receipts = folder.resolve("receipts");
-            final Process load = startLoad(fleet, receipts, 12, 5);
+            final Process load = fleet.startLoad(receipts, 12, "30", 5);
             assertThat(fleet.await(() -> countLines(receipts) > 60, 60), is(true));
             fleet.kill("gateway-2");
             fleet.freeze("gateway-3", true);
@@ -127,7 +105,7 @@
             assertThat(fleet.stop("controller-1"), is(143));
             assertThat(
                     "the chain goes on without the stopped controller",
-                    fleet.await(() -> body(fleet, "controller-2", "/status").contains("\"leased\":true"), 30),
+                    fleet.await(() -> fleet.bodyOf("controller-2", "/status").contains("\"leased\":true"), 30),
                     is(true));
             assertThat(
                     fleet.callAsOperator("controller-2", "PUT", "/v1/zones/syros", "{\"empty\":true}")
@@ -135,7 +113,7 @@
                     is(200));
             assertThat(
                     "the calendar's minute came",
-                    fleet.await(() -> body(fleet, "controller-3", "/v1/table").contains("\"burst\":777"), 150),
+                    fleet.await(() -> fleet.bodyOf("controller-3", "/v1/table").contains("\"burst\":777"), 150),
                     is(true));
             for (final String name : fleet.names("")) {
                 fleet.kill(name);
@@ -154,17 +132,6 @@
         }
     }
 
-    private static String body(final Fleet fleet, final String name, final String path) {
-        try {
-            return fleet.callAsOperator(name, "GET", path, "").body();
-        } catch (final java.io.IOException failure) {
-            return "";
-        } catch (final InterruptedException failure) {
-            Thread.currentThread().interrupt();
-            return "";
-        }
-    }
-
     private void checksClaims(final Fleet fleet) throws Exception {
         final Path out = folder.resolve("replay.out");
         final Path day = fleet.folder().resolve("gateway-1.day").resolve("day-0.jsonl");
@@ -248,7 +215,7 @@
                     assertThat("the connection ends", socket.getInputStream().read(), is(-1));
                 }
             }
-            assertThat(body(fleet, name, "/metrics"), containsString("silverlatch_wire_bad 2"));
+            assertThat(fleet.bodyOf(name, "/metrics"), containsString("silverlatch_wire_bad 2"));
             assertThat(Files.readString(fleet.folder().resolve(name + ".log")), containsString("SL300 BAD_FRAME"));
             assertThat(fleet.isReady(name), is(true));
         }
@@ -268,7 +235,7 @@
                 "the gateways know the large table",
                 fleet.await(
                         () -> fleet.names("gateway").stream()
-                                .allMatch(permit -> body(fleet, permit, "/status")
+                                .allMatch(permit -> fleet.bodyOf(permit, "/status")
                                         .contains("\"table\":"
                                                 + back.headers()
                                                         .firstValue("ETag")
--- a/simulation/src/test/java/silverlatch/simulation/fleet/RollTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/fleet/RollTest.java
@@ -25,17 +25,6 @@
     @TempDir
     private Path folder;
 
-    private static String body(final Fleet fleet, final String name, final String path) {
-        try {
-            return fleet.callAsOperator(name, "GET", path, "").body();
-        } catch (final IOException failure) {
-            return "";
-        } catch (final InterruptedException failure) {
-            Thread.currentThread().interrupt();
-            return "";
-        }
-    }
-
     /** Whether a controller keeps a change within a minute of asking. */
     private static boolean acceptsChange(
             final Fleet fleet, final String controller, final String path, final String body)
@@ -128,24 +117,7 @@
             assertThat(fleet.loadTenantsAndTable(), everyItem(is(200)));
             assertThat("gateways", fleet.awaitReady("gateway", 90), is(true));
             final Path receipts = folder.resolve("receipts");
-            final Process load = fleet.startProgram(
-                    "silverlatch.simulation.client.Main",
-                    folder.resolve("consumer.out"),
-                    List.of(
-                            "--doors",
-                            fleet.endpoints("gateway"),
-                            "--seconds",
-                            "45",
-                            "--rate",
-                            "15",
-                            "--tenants",
-                            fleet.plan().tenantArguments(),
-                            "--kinds",
-                            fleet.plan().kindArguments(),
-                            "--receipts",
-                            receipts.toString(),
-                            "--seed",
-                            "9"));
+            final Process load = fleet.startLoad(receipts, 45, "15", 9);
             restartsInTurn(fleet);
             freezesGateway(fleet);
             replacesController(fleet);
@@ -179,7 +151,7 @@
         assertThat("gateway-1", fleet.awaitReady("gateway-1", 90), is(true));
         assertThat(
                 "three stand in the chain",
-                fleet.await(() -> body(fleet, "controller-1", "/status").split("127.0.0.1").length > 3, 60),
+                fleet.await(() -> fleet.bodyOf("controller-1", "/status").split("127.0.0.1").length > 3, 60),
                 is(true));
     }
 
@@ -188,7 +160,7 @@
         fleet.freeze("gateway-2", true);
         assertThat(
                 fleet.await(
-                        () -> body(fleet, "gateway-3", "/ready").contains("ready") && fleet.isReady("gateway-3"), 30),
+                        () -> fleet.bodyOf("gateway-3", "/ready").contains("ready") && fleet.isReady("gateway-3"), 30),
                 is(true));
         fleet.freeze("gateway-2", false);
         assertThat(
@@ -209,10 +181,10 @@
         fleet.start("controller-8");
         assertThat(
                 "a controller without a data folder replies",
-                fleet.await(() -> body(fleet, "controller-8", "/v1/table").contains("\"rows\""), 60),
+                fleet.await(() -> fleet.bodyOf("controller-8", "/v1/table").contains("\"rows\""), 60),
                 is(true));
         assertThat(acceptsChange(fleet, "controller-8", "/v1/zones/nowhere", "{\"empty\":true}"), is(true));
-        assertThat(body(fleet, "controller-9", "/v1/zones"), containsString("nowhere"));
+        assertThat(fleet.bodyOf("controller-9", "/v1/zones"), containsString("nowhere"));
     }
 
     private static void losesRegion(final Fleet fleet) throws Exception {
@@ -235,14 +207,14 @@
                 "the region is back",
                 fleet.awaitReady("controller-3", 90) && fleet.awaitReady("gateway", 90),
                 is(true));
-        assertThat(fleet.await(() -> body(fleet, "controller-3", "/v1/zones").contains("elsewhere"), 60), is(true));
+        assertThat(fleet.await(() -> fleet.bodyOf("controller-3", "/v1/zones").contains("elsewhere"), 60), is(true));
     }
 
     private static void fillsDisk(final Fleet fleet) throws Exception {
         fleet.kill("controller-3");
         fleet.startWithFileLimit("controller-3", 600);
         assertThat(fleet.awaitReady("controller-3", 90), is(true));
-        final String was = body(fleet, "controller-1", "/v1/table");
+        final String was = fleet.bodyOf("controller-1", "/v1/table");
         final StringBuilder rows = new StringBuilder(was.substring(0, was.lastIndexOf(']')));
         for (int i = 0; i < 12_000; i++) {
             rows.append(",{\"tenant\":\"*\",\"kind\":\"kind-").append(i).append("\"}");
@@ -250,7 +222,7 @@
         assertThat(acceptsChange(fleet, "controller-1", "/v1/table", rows + "]}"), is(true));
         assertThat(
                 "the full machine leaves the chain",
-                fleet.await(() -> body(fleet, "controller-3", "/ready").contains("broken"), 60),
+                fleet.await(() -> fleet.bodyOf("controller-3", "/ready").contains("broken"), 60),
                 is(true));
         assertThat(
                 "the fleet goes on",
