--- /dev/null
+++ b/core/src/test/java/silverlatch/replication/MembershipFaults.java
@@ -0,0 +1,208 @@
+package silverlatch.replication;
+
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+
+/** Draws losses and replacements, never more at one time than the tolerance, but for a kill of all processes at once. */
+final class MembershipFaults {
+    private static final long SECOND = MembershipModel.SECOND;
+    private static final long STEP = MembershipModel.STEP;
+    /** How long a controller that was told to end waits: three quarters of {@code gracePeriodS}. */
+    private static final long GRACE = 6 * SECOND;
+
+    private final MembershipModel model;
+    private final ReplicaCluster cluster;
+    private int eventCount;
+    private int killsAtGrace;
+
+    MembershipFaults(final MembershipModel model) {
+        this.model = model;
+        this.cluster = model.cluster();
+    }
+
+    /** How many losses and replacements were drawn. */
+    int eventCount() {
+        return eventCount;
+    }
+
+    /** How many machines that were told to end did not end in time. */
+    int killsAtGrace() {
+        return killsAtGrace;
+    }
+
+    /** Once in twelve calls as many events as may be. */
+    void step() {
+        if (model.random().nextInt(12) > 0) {
+            return;
+        }
+        if (model.random().nextInt(6) == 0) {
+            killAgain();
+        }
+        final int events = model.random().nextInt(3) == 0 ? model.tolerance() : 1;
+        for (int i = 0; i < events && model.lossCount() < model.tolerance(); i++) {
+            final List<String> healthy = model.members().stream()
+                    .filter(address -> !model.leaving().contains(address) && !model.isLost(address))
+                    .toList();
+            loseOrReplace(healthy.get(model.random().nextInt(healthy.size())));
+            eventCount++;
+        }
+        if (model.lossCount() == 0
+                && model.leaving().isEmpty()
+                && model.random().nextInt(30) == 0) {
+            killAll();
+        }
+    }
+
+    private void loseOrReplace(final String address) {
+        switch (model.random().nextInt(9)) {
+            case 0 -> restart(address, false);
+            case 1 -> restart(address, true);
+            case 2, 3 -> replace(address);
+            case 4, 5 -> replaceAsPlanned(address);
+            case 6 -> terminate(address);
+            case 7 -> freeze(address);
+            default -> isolate(address);
+        }
+    }
+
+    private void cameBack(final MembershipLoss loss) {
+        loss.cameBack(model.now() + MembershipModel.CATCH_UP);
+    }
+
+    /** Killed, with its disk or without; it starts again at its address. */
+    private void restart(final String address, final boolean losesDisk) {
+        model.recordEvent((losesDisk ? "kill and wipe " : "kill ") + address);
+        final MembershipLoss loss = model.addLoss(address);
+        cluster.kill(address);
+        if (losesDisk) {
+            cluster.loseDisk(address);
+        }
+        model.schedule(model.between(STEP, 8 * SECOND), () -> model.start(loss));
+    }
+
+    /** Removed for good without notice; its successor starts later. */
+    private void replace(final String address) {
+        model.recordEvent("remove " + address);
+        final MembershipLoss loss = model.addLoss(address);
+        model.remove(address);
+        loss.replaceBy(model.nextSuccessor());
+        model.schedule(model.between(STEP, 3 * SECOND), () -> model.start(loss));
+    }
+
+    /** The successor starts first; when it has had its time, the old machine is told to end, for good. */
+    private void replaceAsPlanned(final String address) {
+        final MembershipLoss loss = model.addLoss(model.nextSuccessor());
+        model.recordEvent("planned: " + loss.address() + " for " + address);
+        model.start(loss);
+        model.leaving().add(address);
+        model.schedule(MembershipModel.CATCH_UP + model.between(0, SECOND), () -> leave(address, () -> {}));
+    }
+
+    /** Tells a machine to end; the task runs when it has ended. */
+    private void leave(final String address, final Runnable whenEnded) {
+        if (!cluster.running().contains(address)) {
+            model.remove(address);
+            whenEnded.run();
+            return;
+        }
+        model.recordEvent("SIGTERM " + address);
+        model.leaving().add(address);
+        cluster.replica(address).leave();
+        awaitEnd(address, model.now() + GRACE, whenEnded);
+    }
+
+    private void awaitEnd(final String address, final long killAtMicros, final Runnable whenEnded) {
+        if (cluster.replica(address).hasLeft()) {
+            model.recordEvent(address + " ended");
+            model.leaving().remove(address);
+            finish(address, whenEnded);
+        } else if (model.now() >= killAtMicros) {
+            model.recordEvent("SIGKILL " + address);
+            killsAtGrace++;
+            model.leaving().remove(address);
+            finish(address, whenEnded);
+            if (!model.isLost(address) && !model.members().contains(address)) {
+                model.addLoss(address).countUntil(model.now() + MembershipSchedule.DETECTION);
+            }
+        } else {
+            model.schedule(STEP, () -> awaitEnd(address, killAtMicros, whenEnded));
+        }
+    }
+
+    private void finish(final String address, final Runnable whenEnded) {
+        whenEnded.run();
+        if (model.isPresent(address)) {
+            model.remove(address);
+        } else {
+            cluster.kill(address);
+        }
+    }
+
+    /** Told to end, and started again with its disk, or replaced after it ended. */
+    private void terminate(final String address) {
+        final MembershipLoss loss = model.addLoss(address);
+        loss.markRunning();
+        final boolean isReplaced = model.random().nextBoolean();
+        leave(address, () -> {
+            loss.markDown();
+            if (isReplaced) {
+                model.remove(address);
+                loss.replaceBy(model.nextSuccessor());
+            }
+            model.schedule(model.between(STEP, SECOND), () -> model.start(loss));
+        });
+    }
+
+    private void freeze(final String address) {
+        model.recordEvent("freeze " + address);
+        final MembershipLoss loss = model.addLoss(address);
+        cluster.freeze(address);
+        model.schedule(model.between(STEP, 9 * SECOND), () -> {
+            model.recordEvent("thaw " + address);
+            cluster.thaw(address);
+            cameBack(loss);
+        });
+    }
+
+    private void isolate(final String address) {
+        model.recordEvent("cut off " + address);
+        final MembershipLoss loss = model.addLoss(address);
+        final Set<String> others = new TreeSet<>(model.members());
+        others.remove(address);
+        others.forEach(other -> cluster.cut(address, other, true));
+        model.schedule(model.between(STEP, 9 * SECOND), () -> {
+            model.recordEvent("join again " + address);
+            others.forEach(other -> cluster.cut(address, other, false));
+            cameBack(loss);
+        });
+    }
+
+    /** A machine that came back and still counts as lost goes again, at times for good. */
+    private void killAgain() {
+        model.losses().stream()
+                .filter(loss -> !loss.isDown() && loss.hasComeBack())
+                .filter(loss -> !model.leaving().contains(loss.address()))
+                .findFirst()
+                .ifPresent(loss -> {
+                    model.recordEvent("kill again " + loss.address());
+                    loss.lostAgain();
+                    cluster.kill(loss.address());
+                    if (model.random().nextBoolean()) {
+                        model.remove(loss.address());
+                        loss.replaceBy(model.nextSuccessor());
+                    }
+                    model.schedule(model.between(STEP, 3 * SECOND), () -> model.start(loss));
+                });
+    }
+
+    /** Every process is killed at the same moment and comes back within a second, with its disk. */
+    private void killAll() {
+        model.recordEvent("kill all");
+        model.members().forEach(address -> {
+            final MembershipLoss loss = model.addLoss(address);
+            cluster.kill(address);
+            model.schedule(model.between(STEP, SECOND), () -> model.start(loss));
+        });
+    }
+}
