--- /dev/null
+++ b/core/src/test/java/silverlatch/replication/ReplicaFaultInjector.java
@@ -0,0 +1,169 @@
+package silverlatch.replication;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.Random;
+import java.util.Set;
+import java.util.stream.Collectors;
+
+/**
+ * Draws faults of six machines: crashes, power cuts of all, lost disks fewer than the replicas, frozen processes, cut and
+ * slow links, partitions. At most two machines are down or frozen at a time, but for power cuts.
+ */
+final class ReplicaFaultInjector {
+    /** The addresses of the machines. */
+    static final List<String> MACHINES = List.of("a", "b", "c", "d", "e", "f");
+
+    private static final long SECOND = 1_000_000;
+    private static final int FAULT_KINDS = 18;
+
+    private final ReplicaCluster cluster;
+    private final Random random;
+    private final int minReplicas;
+    private Optional<String> lastTroubled = Optional.empty();
+    private int lostDisks;
+    private long thawsAtMicros;
+
+    ReplicaFaultInjector(final ReplicaCluster cluster, final Random random, final int minReplicas) {
+        this.cluster = cluster;
+        this.random = random;
+        this.minReplicas = minReplicas;
+    }
+
+    /** A machine that runs; every second time the one that was last cut off, slowed or frozen. */
+    String anyRunning() {
+        if (lastTroubled.filter(cluster.running()::contains).isPresent() && random.nextBoolean()) {
+            return lastTroubled.get();
+        }
+        final List<String> running = cluster.running().stream().sorted().toList();
+        return running.get(random.nextInt(running.size()));
+    }
+
+    /** Draws a fault, a start, a healing of all links, or nothing. */
+    void step() {
+        final String one = MACHINES.get(random.nextInt(MACHINES.size()));
+        final String other = MACHINES.get(random.nextInt(MACHINES.size()));
+        if (isChainComplete()) {
+            lostDisks = 0;
+        }
+        switch (random.nextInt(FAULT_KINDS)) {
+            case 0, 1 -> kill(one);
+            case 2 -> killAndLoseDisk(one);
+            case 3 -> cutLink(one, other);
+            case 4 -> slowLinkToHead(one);
+            case 5 -> isolate(oneOrHead(one));
+            case 6, 7, 14, 15, 17 -> heal();
+            case 8 -> cutPowerOfAll();
+            case 9 -> killHead();
+            case 10, 11, 12 -> startOneThatIsDown();
+            case 13 -> partition();
+            case 16 -> freeze(oneOrHead(one));
+            default -> {}
+        }
+    }
+
+    /** Heals all links and starts all machines. */
+    void recover() {
+        cluster.heal();
+        MACHINES.stream()
+                .filter(address -> !cluster.running().contains(address))
+                .forEach(address -> cluster.start(address, false));
+    }
+
+    private boolean isChainComplete() {
+        return cluster.running().size() == MACHINES.size()
+                && MACHINES.stream().allMatch(address -> {
+                    final ReplicaStatus status = cluster.replica(address).status(cluster.now());
+                    return status.isCaughtUp() && status.view().chain().size() == MACHINES.size();
+                });
+    }
+
+    /** Whether no more than two machines are down or frozen after one more is. */
+    private boolean mayLoseOne() {
+        final int frozen = cluster.now() < thawsAtMicros ? 1 : 0;
+        return cluster.running().size() - frozen > 4;
+    }
+
+    private Optional<String> head() {
+        return cluster.replica(anyRunning()).view().head().map(Replica::address).filter(cluster.running()::contains);
+    }
+
+    private String oneOrHead(final String one) {
+        return random.nextBoolean() ? one : head().orElse(one);
+    }
+
+    private void kill(final String address) {
+        if (mayLoseOne()) {
+            cluster.kill(address);
+        }
+    }
+
+    private void killHead() {
+        head().filter(address -> mayLoseOne()).ifPresent(cluster::kill);
+    }
+
+    private void killAndLoseDisk(final String address) {
+        if (cluster.running().contains(address) && mayLoseOne() && lostDisks < minReplicas - 1) {
+            lostDisks++;
+            cluster.kill(address);
+            cluster.loseDisk(address);
+        }
+    }
+
+    private void freeze(final String address) {
+        if (cluster.running().contains(address) && cluster.now() >= thawsAtMicros && mayLoseOne()) {
+            lastTroubled = Optional.of(address);
+            final long spanMicros = 200_000 + random.nextInt(20_000_000);
+            thawsAtMicros = cluster.now() + spanMicros;
+            cluster.freeze(address, spanMicros);
+        }
+    }
+
+    private void cutLink(final String one, final String other) {
+        if (!one.equals(other)) {
+            cluster.cut(one, other, true);
+        }
+    }
+
+    private void slowLinkToHead(final String address) {
+        head().filter(head -> !head.equals(address)).ifPresent(head -> {
+            lastTroubled = Optional.of(address);
+            cluster.slow(address, head, SECOND + random.nextInt(9_000_000));
+        });
+    }
+
+    private void isolate(final String address) {
+        lastTroubled = Optional.of(address);
+        MACHINES.stream().filter(other -> !other.equals(address)).forEach(other -> cluster.cut(address, other, true));
+    }
+
+    /** Two parts that don't hear each other. */
+    private void partition() {
+        final Set<String> part =
+                MACHINES.stream().filter(address -> random.nextBoolean()).collect(Collectors.toSet());
+        part.forEach(address -> MACHINES.stream()
+                .filter(other -> !part.contains(other))
+                .forEach(other -> cluster.cut(address, other, true)));
+    }
+
+    private void heal() {
+        cluster.heal();
+        lastTroubled = Optional.empty();
+    }
+
+    /** One time in four. */
+    private void cutPowerOfAll() {
+        if (random.nextInt(4) == 0) {
+            List.copyOf(cluster.running()).forEach(cluster::kill);
+            cluster.advance(random.nextInt(500_000));
+            MACHINES.forEach(address -> cluster.start(address, false));
+        }
+    }
+
+    private void startOneThatIsDown() {
+        MACHINES.stream()
+                .filter(address -> !cluster.running().contains(address))
+                .findFirst()
+                .ifPresent(address -> cluster.start(address, false));
+    }
+}
