--- a/core/src/main/java/silverlatch/gossip/AnnouncedWorkers.java
+++ b/core/src/main/java/silverlatch/gossip/AnnouncedWorkers.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import silverlatch.node.Effect;
-import silverlatch.wire.Message;
+import silverlatch.wire.GossipMessage;
 
 /**
  * The workers of a fleet in which they announce themselves to any node.
@@ -79,13 +79,13 @@
     }
 
     /** Returns the versions of the announcements held. */
-    List<Message.ReportVersion> versions() {
+    List<ReportVersion> versions() {
         return workers.values().stream().map(w -> versionOf(w.worker())).toList();
     }
 
     /** Returns the announcements that are newer than those another node holds. */
-    List<Worker> newerThan(final List<Message.ReportVersion> known) {
-        final Map<String, Message.ReportVersion> knownById = Versions.byId(known);
+    List<Worker> newerThan(final List<ReportVersion> known) {
+        final Map<String, ReportVersion> knownById = Versions.byId(known);
         return workers.values().stream()
                 .map(Gossip.ObservedWorker::worker)
                 .filter(worker -> Optional.ofNullable(knownById.get(worker.id()))
@@ -95,13 +95,13 @@
     }
 
     /** Returns the ages of the announcements that another node holds as well or will hold with the newer ones. */
-    List<Message.ReportAge> agesFor(final List<Message.ReportVersion> known, final long now) {
-        final Map<String, Message.ReportVersion> knownById = Versions.byId(known);
+    List<GossipMessage.ReportAge> agesFor(final List<ReportVersion> known, final long now) {
+        final Map<String, ReportVersion> knownById = Versions.byId(known);
         return workers.values().stream()
                 .filter(w -> Optional.ofNullable(knownById.get(w.worker().id()))
                         .map(version -> !Versions.isNewer(version, versionOf(w.worker())))
                         .orElse(true))
-                .map(w -> new Message.ReportAge(
+                .map(w -> new GossipMessage.ReportAge(
                         w.worker().id(),
                         w.worker().incarnation(),
                         w.worker().sequence(),
@@ -110,7 +110,7 @@
     }
 
     /** Renews announcements by their ages at a node that was asked at the given moment. */
-    void onAges(final List<Message.ReportAge> ages, final long askedAt) {
+    void onAges(final List<GossipMessage.ReportAge> ages, final long askedAt) {
         ages.stream()
                 .filter(reported -> reported.age() >= 0)
                 .forEach(reported -> find(reported.id())
@@ -176,8 +176,8 @@
         snapshot = Map.of();
     }
 
-    private static Message.ReportVersion versionOf(final Worker worker) {
-        return new Message.ReportVersion(worker.id(), worker.incarnation(), worker.sequence());
+    private static ReportVersion versionOf(final Worker worker) {
+        return new ReportVersion(worker.id(), worker.incarnation(), worker.sequence());
     }
 
     /** A token handed to a worker's incarnation, and when. */
--- a/core/src/main/java/silverlatch/gossip/AntiEntropy.java
+++ b/core/src/main/java/silverlatch/gossip/AntiEntropy.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.function.ToLongFunction;
 import silverlatch.membership.Membership;
-import silverlatch.wire.Message;
+import silverlatch.wire.GossipMessage;
 
 /**
  * Brings the reports on workers and the members of two nodes to the same state, where workers announce to controllers.
@@ -44,15 +44,15 @@
      *
      * @param reportsAge how long ago the reports here were surely the newest, in microseconds, or the largest long
      */
-    Message.PullContent.DigestContent digestContent(
-            final Message.GossipPull pull, final String sender, final long reportsAge, final long now) {
+    GossipMessage.PullContent.DigestContent digestContent(
+            final GossipMessage.GossipPull pull, final String sender, final long reportsAge, final long now) {
         final boolean reportsDiffer = pull.reportsDigest() != reports.digests().total();
         final boolean membersDiffer =
                 pull.membershipDigest() != memberVersions.digests().total();
-        final Message.RangeDigests ranges = new Message.RangeDigests(
+        final GossipMessage.RangeDigests ranges = new GossipMessage.RangeDigests(
                 reportsDiffer ? reports.digests().ranges() : EQUAL_RANGES,
                 membersDiffer ? memberVersions.digests().ranges() : EQUAL_RANGES);
-        return new Message.PullContent.DigestContent(
+        return new GossipMessage.PullContent.DigestContent(
                 reportsAge == Long.MAX_VALUE ? UNKNOWN_AGE : reportsAge,
                 reportsDiffer || membersDiffer ? List.of(ranges) : List.of(),
                 peerSelector.isController() && peerSelector.isOtherController(sender)
@@ -61,8 +61,8 @@
     }
 
     /** Takes the answer to a pull; returns the versions held in the ranges that differ, or nothing where all are equal. */
-    Optional<Message.ReportVersions> onDigestContent(
-            final Message.PullContent.DigestContent content, final long askedAt, final String sender) {
+    Optional<GossipMessage.ReportVersions> onDigestContent(
+            final GossipMessage.PullContent.DigestContent content, final long askedAt, final String sender) {
         if (peerSelector.isController()) {
             content.heartbeats().forEach(ages -> reports.onHeartbeatAges(ages, sender, askedAt));
         }
@@ -76,7 +76,7 @@
             return Optional.empty();
         }
         pendingPull = Optional.of(pull);
-        return Optional.of(new Message.ReportVersions(
+        return Optional.of(new GossipMessage.ReportVersions(
                 askedAt,
                 reportRanges,
                 memberRanges,
@@ -85,8 +85,8 @@
     }
 
     /** Returns what the puller lacks in the ranges that differ, and the names of what it has newer. */
-    Message.MissingReports missingReports(final Message.ReportVersions versions, final long now) {
-        return new Message.MissingReports(
+    GossipMessage.MissingReports missingReports(final GossipMessage.ReportVersions versions, final long now) {
+        return new GossipMessage.MissingReports(
                 versions.askedAt(),
                 reports.reportsNewerThan(versions.reportRanges(), versions.workers(), now),
                 memberVersions.membersNewerThan(versions.memberRanges(), versions.members()),
@@ -95,8 +95,8 @@
     }
 
     /** Takes what was missing here; returns what the sender named as missing there, or nothing where it named nothing. */
-    Optional<Message.MissingReports> onMissingReports(
-            final Message.MissingReports missing, final String sender, final long now) {
+    Optional<GossipMessage.MissingReports> onMissingReports(
+            final GossipMessage.MissingReports missing, final String sender, final long now) {
         missing.members().forEach(member -> membership.learnWithoutForwarding(member, now));
         missing.reports().forEach(report -> reports.merge(report, false, now));
         pendingPull
@@ -113,8 +113,8 @@
         pendingPull = Optional.empty();
     }
 
-    private Message.MissingReports reportsNamed(final Message.MissingReports missing, final long now) {
-        return new Message.MissingReports(
+    private GossipMessage.MissingReports reportsNamed(final GossipMessage.MissingReports missing, final long now) {
+        return new GossipMessage.MissingReports(
                 NO_PULL,
                 reports.reportsOf(missing.newerWorkers(), now),
                 missing.newerDaemons().stream()
@@ -135,7 +135,8 @@
     }
 
     private static long firstOrZero(
-            final Message.PullContent.DigestContent content, final ToLongFunction<Message.RangeDigests> differing) {
+            final GossipMessage.PullContent.DigestContent content,
+            final ToLongFunction<GossipMessage.RangeDigests> differing) {
         return content.ranges().stream().mapToLong(differing).findFirst().orElse(0);
     }
 
--- a/core/src/main/java/silverlatch/gossip/Gossip.java
+++ b/core/src/main/java/silverlatch/gossip/Gossip.java
@@ -11,6 +11,7 @@
 import silverlatch.replication.View;
 import silverlatch.safeguard.Safeguards;
 import silverlatch.state.StateMachine;
+import silverlatch.wire.GossipMessage;
 import silverlatch.wire.Message;
 
 /**
@@ -212,15 +213,15 @@
     /** Takes a message of the gossip protocol; any other is ignored. */
     public void onMessage(final Message message, final String sender, final long now) {
         switch (message) {
-            case Message.GossipPull pull -> send(sender, pullReply(pull, sender, now));
-            case Message.GossipPullReply reply -> onPullReply(reply, sender, now);
-            case Message.ReportVersions versions ->
+            case GossipMessage.GossipPull pull -> send(sender, pullReply(pull, sender, now));
+            case GossipMessage.GossipPullReply reply -> onPullReply(reply, sender, now);
+            case GossipMessage.ReportVersions versions ->
                 antiEntropy.ifPresent(a -> send(sender, a.missingReports(versions, now)));
-            case Message.MissingReports missing ->
+            case GossipMessage.MissingReports missing ->
                 antiEntropy
                         .flatMap(a -> a.onMissingReports(missing, sender, now))
                         .ifPresent(answer -> send(sender, answer));
-            case Message.GossipPush push -> onPush(push, sender, now);
+            case GossipMessage.GossipPush push -> onPush(push, sender, now);
             default -> {}
         }
     }
@@ -258,23 +259,23 @@
         reports.ifPresent(r -> effects.addAll(r.drain()));
         final List<Worker> draining = announcedWorkers.drainNewlyDraining();
         if (!members.isEmpty() || !draining.isEmpty() || !changedReports.isEmpty()) {
-            push(new Message.GossipPush(members, draining, changedReports, highestRevision()));
+            push(new GossipMessage.GossipPush(members, draining, changedReports, highestRevision()));
         }
     }
 
     private void pushRevision() {
         state.drainUnannouncedRevision()
-                .ifPresent(revision -> push(new Message.GossipPush(List.of(), List.of(), revision)));
+                .ifPresent(revision -> push(new GossipMessage.GossipPush(List.of(), List.of(), revision)));
     }
 
-    private void push(final Message.GossipPush message) {
+    private void push(final GossipMessage.GossipPush message) {
         final List<Member> targets = reports.isPresent()
                 ? peerSelector.pushTargets()
                 : peerSelector.sample(membership.liveMembers(), PUSH_FANOUT);
         targets.forEach(m -> send(m.address(), message));
     }
 
-    private void onPush(final Message.GossipPush push, final String sender, final long now) {
+    private void onPush(final GossipMessage.GossipPush push, final String sender, final long now) {
         reports.ifPresent(r -> push.reports().forEach(report -> r.merge(report, true, now)));
         push.members().forEach(member -> membership.learn(member, now));
         push.workers().forEach(announcedWorkers::merge);
@@ -283,8 +284,8 @@
         }
     }
 
-    private Message.GossipPull pullRequest(final long now) {
-        return new Message.GossipPull(
+    private GossipMessage.GossipPull pullRequest(final long now) {
+        return new GossipMessage.GossipPull(
                 now,
                 state.revision(),
                 state.view().number(),
@@ -293,9 +294,10 @@
                 reportsDigest());
     }
 
-    private Message.GossipPullReply pullReply(final Message.GossipPull pull, final String sender, final long now) {
+    private GossipMessage.GossipPullReply pullReply(
+            final GossipMessage.GossipPull pull, final String sender, final long now) {
         final long age = stateAge(now);
-        return new Message.GossipPullReply(
+        return new GossipMessage.GossipPullReply(
                 pull.askedAt(),
                 state.revision(),
                 age == Long.MAX_VALUE ? UNKNOWN_AGE : Math.max(0, age),
@@ -303,25 +305,25 @@
                 state.entriesFor(pull.revision()),
                 state.viewFor(pull.view()),
                 antiEntropy
-                        .<Message.PullContent>map(a -> a.digestContent(pull, sender, reportsAge(now), now))
+                        .<GossipMessage.PullContent>map(a -> a.digestContent(pull, sender, reportsAge(now), now))
                         .orElseGet(() -> fullContent(pull, now)));
     }
 
-    private Message.PullContent.FullContent fullContent(final Message.GossipPull pull, final long now) {
+    private GossipMessage.PullContent.FullContent fullContent(final GossipMessage.GossipPull pull, final long now) {
         final boolean membersDiffer = pull.membershipDigest() != memberVersions.plainDigest();
-        return new Message.PullContent.FullContent(
+        return new GossipMessage.PullContent.FullContent(
                 announcedWorkers.agesFor(pull.versions(), now),
                 announcedWorkers.newerThan(pull.versions()),
                 membersDiffer ? membership.all() : List.of());
     }
 
-    private void onPullReply(final Message.GossipPullReply reply, final String sender, final long now) {
+    private void onPullReply(final GossipMessage.GossipPullReply reply, final String sender, final long now) {
         if (reply.askedAt() > now || !state.acceptsFleet(reply.fleet())) {
             return;
         }
         switch (reply.content()) {
-            case Message.PullContent.FullContent content -> onFullContent(content, reply.askedAt(), now);
-            case Message.PullContent.DigestContent content ->
+            case GossipMessage.PullContent.FullContent content -> onFullContent(content, reply.askedAt(), now);
+            case GossipMessage.PullContent.DigestContent content ->
                 antiEntropy
                         .flatMap(a -> a.onDigestContent(content, reply.askedAt(), sender))
                         .ifPresent(versions -> send(sender, versions));
@@ -331,7 +333,8 @@
         }
     }
 
-    private void onFullContent(final Message.PullContent.FullContent content, final long askedAt, final long now) {
+    private void onFullContent(
+            final GossipMessage.PullContent.FullContent content, final long askedAt, final long now) {
         content.members().forEach(member -> membership.learn(member, now));
         content.workers().forEach(announcedWorkers::merge);
         announcedWorkers.onAges(content.ages(), askedAt);
--- a/core/src/main/java/silverlatch/gossip/HeartbeatAgePacker.java
+++ b/core/src/main/java/silverlatch/gossip/HeartbeatAgePacker.java
@@ -4,7 +4,7 @@
 import java.util.OptionalLong;
 
 /**
- * Packs how long ago each worker was heard into four bits each, for {@link silverlatch.wire.Message.HeartbeatAges}. Sender
+ * Packs how long ago each worker was heard into four bits each, for {@link silverlatch.wire.GossipMessage.HeartbeatAges}. Sender
  * and receiver must know the same incarnations of the same workers and use the same silence time-out: an age is found by
  * its position alone, in the order of the workers' names.
  */
--- a/core/src/main/java/silverlatch/gossip/MemberVersions.java
+++ b/core/src/main/java/silverlatch/gossip/MemberVersions.java
@@ -5,7 +5,6 @@
 import java.util.Optional;
 import silverlatch.membership.Member;
 import silverlatch.membership.Membership;
-import silverlatch.wire.Message;
 
 /** The versions of the members that a node knows, and digests over them, by which two nodes find what one of them lacks. */
 final class MemberVersions {
@@ -35,7 +34,7 @@
     }
 
     /** Returns the versions of the members in some ranges. */
-    List<Message.ReportVersion> versions(final long rangeBits) {
+    List<ReportVersion> versions(final long rangeBits) {
         return membership.all().stream()
                 .filter(m -> VersionDigests.isInRanges(rangeBits, m.id()))
                 .map(MemberVersions::versionOf)
@@ -43,8 +42,8 @@
     }
 
     /** Returns the members in some ranges that are newer here than at another node; it knows no others there. */
-    List<Member> membersNewerThan(final long rangeBits, final List<Message.ReportVersion> known) {
-        final Map<String, Message.ReportVersion> knownById = Versions.byId(known);
+    List<Member> membersNewerThan(final long rangeBits, final List<ReportVersion> known) {
+        final Map<String, ReportVersion> knownById = Versions.byId(known);
         return membership.all().stream()
                 .filter(m -> VersionDigests.isInRanges(rangeBits, m.id()))
                 .filter(m -> Optional.ofNullable(knownById.get(m.id()))
@@ -54,18 +53,18 @@
     }
 
     /** Returns the names of the members of whom another node has newer versions. */
-    List<String> outdatedMembers(final List<Message.ReportVersion> known) {
+    List<String> outdatedMembers(final List<ReportVersion> known) {
         return known.stream()
                 .filter(version -> membership
                         .get(version.id())
                         .map(m -> Versions.isNewer(version, versionOf(m)))
                         .orElse(true))
-                .map(Message.ReportVersion::id)
+                .map(ReportVersion::id)
                 .toList();
     }
 
-    private static Message.ReportVersion versionOf(final Member member) {
-        return new Message.ReportVersion(member.id(), member.incarnation(), member.precedence());
+    private static ReportVersion versionOf(final Member member) {
+        return new ReportVersion(member.id(), member.incarnation(), member.precedence());
     }
 
     private static long plainHash(final Member member) {
--- a/core/src/main/java/silverlatch/gossip/StateCopy.java
+++ b/core/src/main/java/silverlatch/gossip/StateCopy.java
@@ -8,7 +8,7 @@
 import silverlatch.safeguard.Safeguards;
 import silverlatch.state.Entry;
 import silverlatch.state.StateMachine;
-import silverlatch.wire.Message;
+import silverlatch.wire.GossipMessage;
 
 /**
  * This node's copy of the replicated state, the newest view it heard of, and as of when the copy was surely the newest.
@@ -133,7 +133,7 @@
     }
 
     /** Takes the view and the entries of the answer to a pull; returns whether the copy has changed to a newer revision. */
-    boolean onPullReply(final Message.GossipPullReply reply) {
+    boolean onPullReply(final GossipMessage.GossipPullReply reply) {
         reply.view().stream()
                 .filter(other -> other.number() > view.number() && other.fleet() == fleet)
                 .forEach(other -> view = other);
--- a/core/src/main/java/silverlatch/gossip/TrackedReport.java
+++ b/core/src/main/java/silverlatch/gossip/TrackedReport.java
@@ -1,7 +1,5 @@
 package silverlatch.gossip;
 
-import silverlatch.wire.Message;
-
 /**
  * The newest report on a worker that this node holds, and what it knows of its freshness. All times are microseconds of
  * this node's monotonic clock.
@@ -99,7 +97,7 @@
     }
 
     /** Returns the version of the worker's incarnation alone, whatever is reported of it. */
-    Message.ReportVersion incarnationVersion() {
-        return new Message.ReportVersion(id(), incarnation(), 0);
+    ReportVersion incarnationVersion() {
+        return new ReportVersion(id(), incarnation(), 0);
     }
 }
--- a/core/src/main/java/silverlatch/gossip/VersionDigests.java
+++ b/core/src/main/java/silverlatch/gossip/VersionDigests.java
@@ -1,7 +1,6 @@
 package silverlatch.gossip;
 
 import silverlatch.util.Fnv1a;
-import silverlatch.wire.Message;
 
 /**
  * Digests over a set of versions: one over all, and one for each of 64 ranges of names. A digest is a sum of hashes, so it
@@ -28,12 +27,12 @@
         return (rangeBits >>> rangeOf(id) & 1) == 1;
     }
 
-    void add(final Message.ReportVersion version) {
+    void add(final ReportVersion version) {
         accumulate(version.id(), hashOf(version));
     }
 
     /** Removes a version that was added before. */
-    void remove(final Message.ReportVersion version) {
+    void remove(final ReportVersion version) {
         accumulate(version.id(), -hashOf(version));
     }
 
@@ -61,7 +60,7 @@
         total += change;
     }
 
-    private static long hashOf(final Message.ReportVersion version) {
+    private static long hashOf(final ReportVersion version) {
         return mix(mix(Fnv1a.hash(version.id()) + version.incarnation()) + version.sequence());
     }
 
--- a/core/src/main/java/silverlatch/gossip/WorkerReport.java
+++ b/core/src/main/java/silverlatch/gossip/WorkerReport.java
@@ -1,7 +1,6 @@
 package silverlatch.gossip;
 
 import java.util.List;
-import silverlatch.wire.Message;
 
 /**
  * A report on a worker as it travels between nodes. Remaining times and the age are those of the moment at which it is sent.
@@ -66,13 +65,13 @@
     }
 
     /** Returns whether this report supersedes one of the given version. */
-    public boolean isNewerThan(final Message.ReportVersion other) {
+    public boolean isNewerThan(final ReportVersion other) {
         return Versions.isNewer(version(), other);
     }
 
     /** Returns the version of this report: incarnation and precedence. */
-    public Message.ReportVersion version() {
-        return new Message.ReportVersion(id(), worker.incarnation(), precedence());
+    public ReportVersion version() {
+        return new ReportVersion(id(), worker.incarnation(), precedence());
     }
 
     /** Returns this report so many microseconds later. */
--- a/core/src/main/java/silverlatch/gossip/WorkerReports.java
+++ b/core/src/main/java/silverlatch/gossip/WorkerReports.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import silverlatch.membership.Member;
 import silverlatch.node.Effect;
-import silverlatch.wire.Message;
+import silverlatch.wire.GossipMessage;
 
 /**
  * The reports on workers that announce themselves to controllers, one per worker. An announcement that repeats the report
@@ -126,7 +126,7 @@
     }
 
     /** Returns the versions of the reports in some ranges. */
-    List<Message.ReportVersion> versions(final long rangeBits) {
+    List<ReportVersion> versions(final long rangeBits) {
         return tracked.values().stream()
                 .filter(t -> VersionDigests.isInRanges(rangeBits, t.id()))
                 .map(t -> t.report().version())
@@ -134,8 +134,8 @@
     }
 
     /** Returns the reports in some ranges that are newer than those another node holds; it holds no others there. */
-    List<WorkerReport> reportsNewerThan(final long rangeBits, final List<Message.ReportVersion> known, final long now) {
-        final Map<String, Message.ReportVersion> knownById = Versions.byId(known);
+    List<WorkerReport> reportsNewerThan(final long rangeBits, final List<ReportVersion> known, final long now) {
+        final Map<String, ReportVersion> knownById = Versions.byId(known);
         return tracked.values().stream()
                 .filter(t -> VersionDigests.isInRanges(rangeBits, t.id()))
                 .filter(t -> Optional.ofNullable(knownById.get(t.id()))
@@ -146,12 +146,12 @@
     }
 
     /** Returns the names of the workers on which another node holds newer reports. */
-    List<String> outdatedWorkers(final List<Message.ReportVersion> known) {
+    List<String> outdatedWorkers(final List<ReportVersion> known) {
         return known.stream()
                 .filter(version -> find(version.id())
                         .map(t -> Versions.isNewer(version, t.report().version()))
                         .orElse(true))
-                .map(Message.ReportVersion::id)
+                .map(ReportVersion::id)
                 .toList();
     }
 
@@ -171,12 +171,12 @@
     }
 
     /** Returns how long ago each worker was heard; only a node that knows the same incarnations can read it. */
-    Message.HeartbeatAges heartbeatAges(final long now) {
-        return new Message.HeartbeatAges(incarnationDigests.total(), agePacker.pack(present(), now));
+    GossipMessage.HeartbeatAges heartbeatAges(final long now) {
+        return new GossipMessage.HeartbeatAges(incarnationDigests.total(), agePacker.pack(present(), now));
     }
 
     /** Takes over how long ago another controller heard each worker, dated from when it was asked. */
-    void onHeartbeatAges(final Message.HeartbeatAges heartbeats, final String address, final long askedAt) {
+    void onHeartbeatAges(final GossipMessage.HeartbeatAges heartbeats, final String address, final long askedAt) {
         final List<TrackedReport> workers = present();
         if (heartbeats.roster() != incarnationDigests.total() || !agePacker.fits(heartbeats.ages(), workers.size())) {
             return;
--- a/core/src/main/java/silverlatch/membership/Membership.java
+++ b/core/src/main/java/silverlatch/membership/Membership.java
@@ -6,6 +6,7 @@
 import silverlatch.clock.Stamp;
 import silverlatch.node.Effect;
 import silverlatch.node.Event;
+import silverlatch.wire.MembershipMessage;
 import silverlatch.wire.Message;
 
 /**
@@ -197,19 +198,19 @@
      */
     public void onMessage(final Message message, final long now, final long physicalTime, final Stamp stampFloor) {
         switch (message) {
-            case Message.JoinGreeting greeting -> {
+            case MembershipMessage.JoinGreeting greeting -> {
                 onFullHeartbeat(greeting.sender(), now);
                 send(
                         greeting.sender().address(),
-                        new Message.MemberList(all(), greeting.sentAt(), physicalTime, stampFloor));
+                        new MembershipMessage.MemberList(all(), greeting.sentAt(), physicalTime, stampFloor));
             }
-            case Message.MemberList list -> {
+            case MembershipMessage.MemberList list -> {
                 joinSchedule.onMemberList();
                 final boolean forward = settings.fullHeartbeatEvery() == 1;
                 list.members().forEach(member -> learn(member, forward, now));
             }
-            case Message.Heartbeat heartbeat -> onFullHeartbeat(heartbeat.sender(), now);
-            case Message.LivenessHeartbeat heartbeat ->
+            case MembershipMessage.Heartbeat heartbeat -> onFullHeartbeat(heartbeat.sender(), now);
+            case MembershipMessage.LivenessHeartbeat heartbeat ->
                 get(heartbeat.id())
                         .filter(member -> member.incarnation() == heartbeat.incarnation())
                         .ifPresent(member -> failureDetector.onHeartbeat(member.id(), now));
@@ -229,7 +230,9 @@
 
     /** Greets seeds, sends heartbeats and looks for failed members, each where it is due; called some twenty times a second. */
     public void tick(final long now) {
-        joinSchedule.addressesToGreet(now).forEach(address -> send(address, new Message.JoinGreeting(self, now)));
+        joinSchedule
+                .addressesToGreet(now)
+                .forEach(address -> send(address, new MembershipMessage.JoinGreeting(self, now)));
         if (now - lastHeartbeat >= settings.heartbeatInterval()) {
             lastHeartbeat = now;
             final Message heartbeat = nextHeartbeat();
@@ -263,8 +266,8 @@
 
     private Message nextHeartbeat() {
         return heartbeatCount++ % settings.fullHeartbeatEvery() == 0
-                ? new Message.Heartbeat(self)
-                : new Message.LivenessHeartbeat(self.id(), self.incarnation());
+                ? new MembershipMessage.Heartbeat(self)
+                : new MembershipMessage.LivenessHeartbeat(self.id(), self.incarnation());
     }
 
     private void learn(final Member update, final boolean forward, final long now) {
--- a/core/src/main/java/silverlatch/node/MessageDispatcher.java
+++ b/core/src/main/java/silverlatch/node/MessageDispatcher.java
@@ -8,6 +8,9 @@
 import silverlatch.membership.Membership;
 import silverlatch.replication.ChainClient;
 import silverlatch.replication.ChainReplica;
+import silverlatch.wire.ChainClientMessage;
+import silverlatch.wire.GossipMessage;
+import silverlatch.wire.MembershipMessage;
 import silverlatch.wire.Message;
 
 /** Hands each message to the part of the node that it is for: membership, gossip, chain client, or the chain's replica. */
@@ -48,20 +51,20 @@
     /** Hands over a message that the node at an address sent, which may be this one. */
     void dispatch(final Message message, final String sender, final long now) {
         switch (message) {
-            case Message.JoinGreeting greeting -> toMembership(greeting, now);
-            case Message.MemberList list -> onMemberList(list, now);
-            case Message.LivenessHeartbeat heartbeat -> toMembership(heartbeat, now);
-            case Message.Heartbeat heartbeat -> toMembership(heartbeat, now);
-            case Message.GossipPush push -> gossip.onMessage(push, sender, now);
-            case Message.GossipPull pull -> {
+            case MembershipMessage.JoinGreeting greeting -> toMembership(greeting, now);
+            case MembershipMessage.MemberList list -> onMemberList(list, now);
+            case MembershipMessage.LivenessHeartbeat heartbeat -> toMembership(heartbeat, now);
+            case MembershipMessage.Heartbeat heartbeat -> toMembership(heartbeat, now);
+            case GossipMessage.GossipPush push -> gossip.onMessage(push, sender, now);
+            case GossipMessage.GossipPull pull -> {
                 adoptReplicaState(now);
                 gossip.onMessage(pull, sender, now);
             }
-            case Message.GossipPullReply reply -> gossip.onMessage(reply, sender, now);
-            case Message.ReportVersions versions -> gossip.onMessage(versions, sender, now);
-            case Message.MissingReports missing -> gossip.onMessage(missing, sender, now);
-            case Message.WriteReply reply -> chainClient.onMessage(reply, now);
-            case Message.ReadReply reply -> chainClient.onMessage(reply, now);
+            case GossipMessage.GossipPullReply reply -> gossip.onMessage(reply, sender, now);
+            case GossipMessage.ReportVersions versions -> gossip.onMessage(versions, sender, now);
+            case GossipMessage.MissingReports missing -> gossip.onMessage(missing, sender, now);
+            case ChainClientMessage.WriteReply reply -> chainClient.onMessage(reply, now);
+            case ChainClientMessage.ReadReply reply -> chainClient.onMessage(reply, now);
             case Message.StampRejected rejected -> onStampRejected(rejected, sender, now);
             default -> chainReplica.get().ifPresent(replica -> replica.onMessage(message, sender, now));
         }
@@ -80,7 +83,7 @@
                 message, now, clock.physicalTime(now), clock.processClock().last());
     }
 
-    private void onMemberList(final Message.MemberList list, final long now) {
+    private void onMemberList(final MembershipMessage.MemberList list, final long now) {
         hasJoined = true;
         clock.processClock().raiseAbove(list.stampFloor(), clock.physicalTime(now));
         toMembership(list, now);
--- a/core/src/main/java/silverlatch/replication/Bootstrap.java
+++ b/core/src/main/java/silverlatch/replication/Bootstrap.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 import silverlatch.log.LogRecord;
 import silverlatch.node.Event;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * Founds the cluster: all seeds of an empty cluster find each other, the one with the lowest identity proposes the first view, and it is
@@ -49,7 +49,7 @@
             return;
         }
         discovered.values().removeIf(peer -> now - peer.receivedAt() > DISCOVERY_EXPIRY_MICROS);
-        discovery.sendToSeeds(new Message.Discover(
+        discovery.sendToSeeds(new ReplicationMessage.Discover(
                 settings.self(), foundingView.isEmpty() && settings.mayBootstrap(), discoveredPeers()));
         foundingView.filter(this::isProposer).ifPresent(this::propose);
     }
@@ -66,13 +66,13 @@
     }
 
     private void propose(final View founding) {
-        founding.voters().forEach(voter -> effects.send(voter.address(), new Message.Bootstrap(founding)));
+        founding.voters().forEach(voter -> effects.send(voter.address(), new ReplicationMessage.Bootstrap(founding)));
     }
 
     /** Another replica looks for its peers: it is told the view, or counts towards a founding. */
-    void handleDiscover(final Message.Discover request, final long now) {
+    void handleDiscover(final ReplicationMessage.Discover request, final long now) {
         if (role.hasView()) {
-            effects.send(request.sender().address(), new Message.ViewDecided(role.view()));
+            effects.send(request.sender().address(), new ReplicationMessage.ViewDecided(role.view()));
             return;
         }
         if (!request.empty() || !mayFoundWith(request.sender())) {
@@ -111,9 +111,9 @@
     }
 
     /** Agrees to a founding of replicas that were all heard, once that is synced. */
-    void handleBootstrap(final Message.Bootstrap request, final String sender, final long now) {
-        final Message.BootstrapAgreed agreement =
-                new Message.BootstrapAgreed(request.view().fleet(), settings.self());
+    void handleBootstrap(final ReplicationMessage.Bootstrap request, final String sender, final long now) {
+        final ReplicationMessage.BootstrapAgreed agreement =
+                new ReplicationMessage.BootstrapAgreed(request.view().fleet(), settings.self());
         if (isFounding(request.view())) {
             effects.send(sender, agreement);
         } else if (isAcceptable(request.view())) {
@@ -131,7 +131,7 @@
     }
 
     /** A seed agreed to the founding; the first view, where all have. All voters are sent it. */
-    Optional<View> handleAgreed(final Message.BootstrapAgreed message) {
+    Optional<View> handleAgreed(final ReplicationMessage.BootstrapAgreed message) {
         final Optional<View> founding = foundingView.filter(view -> view.fleet() == message.fleet());
         founding.ifPresent(view -> agreedPeers.add(message.sender().id()));
         final Optional<View> founded =
@@ -142,7 +142,7 @@
 
     private void announce(final View founded) {
         effects.log(Event.FOUNDED, "fleet " + Long.toHexString(founded.fleet()));
-        founded.voters().forEach(voter -> effects.send(voter.address(), new Message.ViewDecided(founded)));
+        founded.voters().forEach(voter -> effects.send(voter.address(), new ReplicationMessage.ViewDecided(founded)));
     }
 
     /** Whether this is the founding that this replica agreed to. */
@@ -160,5 +160,5 @@
         foundingView = Optional.of(founding.view());
     }
 
-    private record DiscoveredPeer(Message.Discover request, long receivedAt) {}
+    private record DiscoveredPeer(ReplicationMessage.Discover request, long receivedAt) {}
 }
--- a/core/src/main/java/silverlatch/replication/CatchUpProgress.java
+++ b/core/src/main/java/silverlatch/replication/CatchUpProgress.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 import silverlatch.log.LogRecord;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * How a member that a view put into the chain comes to hold all that its predecessor held when the view began. Until then it neither
@@ -46,7 +46,7 @@
     }
 
     /** The predecessor says how far its log goes; true where this member waited for that. */
-    boolean handleTarget(final Message.CatchUpTarget message) {
+    boolean handleTarget(final ReplicationMessage.CatchUpTarget message) {
         if (message.view() != role.view().number() || !role.isInChain() || role.isCaughtUp()) {
             return false;
         }
--- a/core/src/main/java/silverlatch/replication/ChainClient.java
+++ b/core/src/main/java/silverlatch/replication/ChainClient.java
@@ -8,6 +8,7 @@
 import silverlatch.node.Effect;
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
+import silverlatch.wire.ChainClientMessage;
 import silverlatch.wire.Message;
 
 /** Carries wishes to the head and questions to the tail for one daemon, until they are decided or their time is up. */
@@ -55,7 +56,7 @@
         open(
                 lastRequestId,
                 new PendingCall(
-                        new Message.WriteRequest(lastRequestId, address, firstAttempt),
+                        new ChainClientMessage.WriteRequest(lastRequestId, address, firstAttempt),
                         true,
                         token,
                         now,
@@ -71,7 +72,7 @@
         open(
                 lastRequestId,
                 new PendingCall(
-                        new Message.ReadRequest(lastRequestId, address, keyPrefix),
+                        new ChainClientMessage.ReadRequest(lastRequestId, address, keyPrefix),
                         false,
                         token,
                         now,
@@ -84,12 +85,12 @@
     /** Takes a reply of the chain. */
     public void onMessage(final Message message, final long now) {
         switch (message) {
-            case Message.WriteReply m -> {
+            case ChainClientMessage.WriteReply m -> {
                 if (open.containsKey(m.requestId()) && !(m.result() instanceof CommandResult.Unknown)) {
                     decided(open.remove(m.requestId()), m.result(), now);
                 }
             }
-            case Message.ReadReply m -> {
+            case ChainClientMessage.ReadReply m -> {
                 if (m.answered() && open.containsKey(m.requestId())) {
                     effects.add(new Effect.Respond(
                             open.remove(m.requestId()).token(), new ReadResult(true, m.sequence(), m.entries())));
@@ -104,10 +105,11 @@
         if (call.onLatest()
                 && result instanceof CommandResult.Rejected r
                 && r.code() == CONFLICT
-                && call.request() instanceof Message.WriteRequest w
+                && call.request() instanceof ChainClientMessage.WriteRequest w
                 && w.command() instanceof Command.SetEvacuation order) {
             lastRequestId++;
-            final Message retry = new Message.WriteRequest(lastRequestId, address, order.expecting(r.sequence()));
+            final Message retry =
+                    new ChainClientMessage.WriteRequest(lastRequestId, address, order.expecting(r.sequence()));
             open(lastRequestId, new PendingCall(retry, true, call.token(), now, call.deadline(), true, 0), now);
         } else {
             effects.add(new Effect.Respond(call.token(), result));
@@ -129,8 +131,8 @@
     private static long retryDelay(final PendingCall call) {
         final int doublings = Math.min(call.retries(), MAX_DOUBLINGS);
         return switch (call.request()) {
-            case Message.ReadRequest read -> RETRY_MICROS << doublings;
-            case Message.WriteRequest write ->
+            case ChainClientMessage.ReadRequest read -> RETRY_MICROS << doublings;
+            case ChainClientMessage.WriteRequest write ->
                 RETRY_MICROS + (RETRY_MICROS_PER_CHARACTER * characters(write.command()) << doublings);
             default -> RETRY_MICROS;
         };
@@ -153,7 +155,7 @@
             open.remove(id);
             effects.add(new Effect.Respond(
                     call.token(),
-                    call.request() instanceof Message.WriteRequest w
+                    call.request() instanceof ChainClientMessage.WriteRequest w
                             ? new CommandResult.Unknown(w.command().id())
                             : new ReadResult(false, 0, List.of())));
             return;
--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -8,7 +8,9 @@
 import silverlatch.node.Effect;
 import silverlatch.node.Event;
 import silverlatch.state.StateMachine;
+import silverlatch.wire.ChainClientMessage;
 import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * One replica of the control state: joins the parts of this package and hands each event to the part that owns it. It does no input or
@@ -164,34 +166,34 @@
 
     /** Takes a message of the process that listens at the sender's address. */
     public void onMessage(final Message message, final String sender, final long now) {
-        if (role.isDiskFailed() || role.isLogOutdated() && !(message instanceof Message.ViewDecided)) {
+        if (role.isDiskFailed() || role.isLogOutdated() && !(message instanceof ReplicationMessage.ViewDecided)) {
             return;
         }
         switch (message) {
-            case Message.Discover request -> bootstrap.handleDiscover(request, now);
-            case Message.Bootstrap request -> bootstrap.handleBootstrap(request, sender, now);
-            case Message.BootstrapAgreed reply ->
+            case ReplicationMessage.Discover request -> bootstrap.handleDiscover(request, now);
+            case ReplicationMessage.Bootstrap request -> bootstrap.handleBootstrap(request, sender, now);
+            case ReplicationMessage.BootstrapAgreed reply ->
                 bootstrap.handleAgreed(reply).ifPresent(founded -> installView(founded, now));
-            case Message.LeaseRequest request -> handleLeaseRequest(request, now);
-            case Message.LeaseGrant grant -> handleLeaseGrant(grant, now);
-            case Message.ViewDecided decided -> handleViewDecided(decided, sender, now);
-            case Message.Prepare request -> handlePrepare(request, sender, now);
-            case Message.Promise reply -> proposer.handlePromise(reply, now);
-            case Message.Accept request -> acceptor.handleAccept(request, sender, now);
-            case Message.Accepted reply ->
+            case ReplicationMessage.LeaseRequest request -> handleLeaseRequest(request, now);
+            case ReplicationMessage.LeaseGrant grant -> handleLeaseGrant(grant, now);
+            case ReplicationMessage.ViewDecided decided -> handleViewDecided(decided, sender, now);
+            case ReplicationMessage.Prepare request -> handlePrepare(request, sender, now);
+            case ReplicationMessage.Promise reply -> proposer.handlePromise(reply, now);
+            case ReplicationMessage.Accept request -> acceptor.handleAccept(request, sender, now);
+            case ReplicationMessage.Accepted reply ->
                 proposer.handleAccepted(reply).ifPresent(decided -> installView(decided, now));
-            case Message.Preempted reply -> proposer.handlePreempted(reply, now);
-            case Message.Replicate replicate -> predecessorLink.handleReplicate(replicate, now);
-            case Message.CommitNotice notice -> committer.handleCommitNotice(notice, now);
-            case Message.CatchUpTarget target -> replication.handleCatchUpTarget(target, now);
-            case Message.FetchEntries request -> successorLink.handleFetchEntries(request, sender, now);
-            case Message.CompareDigests request -> repairResponder.handleCompareDigests(request, now);
-            case Message.RepairRanges piece -> repairRequester.handleRepairRanges(piece, sender, now);
-            case Message.RepairNext request -> repairResponder.handleRepairNext(request);
-            case Message.ReplicateAck reply -> successorLink.handleReplicateAck(reply, now);
-            case Message.JoinRequest request -> handleJoinRequest(request, now);
-            case Message.WriteRequest request -> writeAdmission.handleWriteRequest(request, now);
-            case Message.ReadRequest request -> readAdmission.handleReadRequest(request, now);
+            case ReplicationMessage.Preempted reply -> proposer.handlePreempted(reply, now);
+            case ReplicationMessage.Replicate replicate -> predecessorLink.handleReplicate(replicate, now);
+            case ReplicationMessage.CommitNotice notice -> committer.handleCommitNotice(notice, now);
+            case ReplicationMessage.CatchUpTarget target -> replication.handleCatchUpTarget(target, now);
+            case ReplicationMessage.FetchEntries request -> successorLink.handleFetchEntries(request, sender, now);
+            case ReplicationMessage.CompareDigests request -> repairResponder.handleCompareDigests(request, now);
+            case ReplicationMessage.RepairRanges piece -> repairRequester.handleRepairRanges(piece, sender, now);
+            case ReplicationMessage.RepairNext request -> repairResponder.handleRepairNext(request);
+            case ReplicationMessage.ReplicateAck reply -> successorLink.handleReplicateAck(reply, now);
+            case ReplicationMessage.JoinRequest request -> handleJoinRequest(request, now);
+            case ChainClientMessage.WriteRequest request -> writeAdmission.handleWriteRequest(request, now);
+            case ChainClientMessage.ReadRequest request -> readAdmission.handleReadRequest(request, now);
             default -> {}
         }
     }
@@ -294,12 +296,12 @@
         lease.request(failureDetector.hearsMajority(now), now);
     }
 
-    private void handleLeaseRequest(final Message.LeaseRequest request, final long now) {
+    private void handleLeaseRequest(final ReplicationMessage.LeaseRequest request, final long now) {
         if (!role.hasView()) {
             return;
         }
         if (request.view() < view().number()) {
-            effects.send(request.sender().address(), new Message.ViewDecided(view()));
+            effects.send(request.sender().address(), new ReplicationMessage.ViewDecided(view()));
         } else if (request.view() == view().number() && role.isVoter()) {
             failureDetector.handleLeaseRequest(
                     request, proposer.isJoining(request.sender().id()), now);
@@ -309,7 +311,7 @@
         }
     }
 
-    private void handleLeaseGrant(final Message.LeaseGrant grant, final long now) {
+    private void handleLeaseGrant(final ReplicationMessage.LeaseGrant grant, final long now) {
         if (grant.view() != view().number() || !view().isVoter(grant.voter())) {
             return;
         }
@@ -325,7 +327,7 @@
      * What is acknowledged has been synced by each member that has caught up; this one lacks some of it, so its folder is not the one
      * that it had. It neither asks, grants nor votes until a later view, in which it is repaired.
      */
-    private void fenceOutdatedLog(final Message.LeaseGrant grant) {
+    private void fenceOutdatedLog(final ReplicationMessage.LeaseGrant grant) {
         effects.log(
                 Event.LOG_OUTDATED,
                 "the log ends at " + log.lastSequence() + ", but " + grant.committed() + " was acknowledged with it");
@@ -334,21 +336,21 @@
         dropPending();
     }
 
-    private void handlePrepare(final Message.Prepare request, final String sender, final long now) {
+    private void handlePrepare(final ReplicationMessage.Prepare request, final String sender, final long now) {
         final boolean isPromised = acceptor.handlePrepare(request, sender, now);
         if (isPromised && !sender.equals(settings.self().address())) {
             proposer.holdBack(now);
         }
     }
 
-    private void handleViewDecided(final Message.ViewDecided decided, final String sender, final long now) {
+    private void handleViewDecided(final ReplicationMessage.ViewDecided decided, final String sender, final long now) {
         installView(decided.view(), now);
         if (decided.view().number() == view().number()) {
             departure.addInformed(sender);
         }
     }
 
-    private void handleJoinRequest(final Message.JoinRequest request, final long now) {
+    private void handleJoinRequest(final ReplicationMessage.JoinRequest request, final long now) {
         proposer.handleJoinRequest(request);
         failureDetector.handleJoinRequest(request, now);
     }
--- a/core/src/main/java/silverlatch/replication/ChainReplication.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplication.java
@@ -1,6 +1,6 @@
 package silverlatch.replication;
 
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * The way of entries through one member of the chain: from its predecessor, to its successor, and their commit. {@link ChainReplica} calls
@@ -69,7 +69,7 @@
     }
 
     /** The predecessor says how far its log went when the view began. */
-    void handleCatchUpTarget(final Message.CatchUpTarget target, final long now) {
+    void handleCatchUpTarget(final ReplicationMessage.CatchUpTarget target, final long now) {
         if (catchUp.handleTarget(target)) {
             catchUp.finishIfReached(now);
             committer.commitAsTail(now);
--- a/core/src/main/java/silverlatch/replication/Committer.java
+++ b/core/src/main/java/silverlatch/replication/Committer.java
@@ -1,6 +1,6 @@
 package silverlatch.replication;
 
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * Commits entries: at the tail what is synced there, elsewhere what the tail says. Called when entries are synced, by commit notices and
@@ -49,11 +49,12 @@
         role.view().chain().stream()
                 .filter(member -> !settings.isSelf(member.id()))
                 .forEach(member -> effects.send(
-                        member.address(), new Message.CommitNotice(role.view().number(), log.committedSequence())));
+                        member.address(),
+                        new ReplicationMessage.CommitNotice(role.view().number(), log.committedSequence())));
     }
 
     /** The tail has committed entries up to a sequence. */
-    void handleCommitNotice(final Message.CommitNotice notice, final long now) {
+    void handleCommitNotice(final ReplicationMessage.CommitNotice notice, final long now) {
         if (!role.isFenced(notice.view()) && role.isInChain()) {
             log.commit(notice.sequence(), now);
         }
--- a/core/src/main/java/silverlatch/replication/Departure.java
+++ b/core/src/main/java/silverlatch/replication/Departure.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 import silverlatch.safeguard.Safeguard;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * The graceful leave of a replica before its process stops. Legal transitions: staying, leaving (the next views take it out of chain and
@@ -75,8 +75,8 @@
     void announce() {
         final View view = role.view();
         view.voters().forEach(voter -> {
-            effects.send(voter.address(), new Message.ViewDecided(view));
-            effects.send(voter.address(), new Message.Prepare(view.number(), 0));
+            effects.send(voter.address(), new ReplicationMessage.ViewDecided(view));
+            effects.send(voter.address(), new ReplicationMessage.Prepare(view.number(), 0));
         });
     }
 }
--- a/core/src/main/java/silverlatch/replication/Discovery.java
+++ b/core/src/main/java/silverlatch/replication/Discovery.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * Where a replica that has no place in a chain asks for the view, and when it asked last. {@link Bootstrap} and {@link ChainReplica}
@@ -52,12 +53,14 @@
             view.voters()
                     .forEach(voter -> effects.send(
                             voter.address(),
-                            new Message.LeaseRequest(view.number() - 1, now, settings.self(), false, false)));
+                            new ReplicationMessage.LeaseRequest(
+                                    view.number() - 1, now, settings.self(), false, false)));
         }
     }
 
     /** Shows the seeds the installed view; one that knows a later view replies with it. */
     void showViewToSeeds(final boolean hearsMajority, final long now) {
-        sendToSeeds(new Message.LeaseRequest(role.view().number(), now, settings.self(), false, hearsMajority));
+        sendToSeeds(
+                new ReplicationMessage.LeaseRequest(role.view().number(), now, settings.self(), false, hearsMajority));
     }
 }
--- a/core/src/main/java/silverlatch/replication/EpochAdvancer.java
+++ b/core/src/main/java/silverlatch/replication/EpochAdvancer.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import silverlatch.state.Command;
-import silverlatch.wire.Message;
+import silverlatch.wire.ChainClientMessage;
 
 /**
  * Advances the replicated epoch by which claims grow old, every ten minutes by the steady clock of the singleton's owner. One that
@@ -46,6 +46,6 @@
                 .head()
                 .ifPresent(head -> effects.send(
                         head.address(),
-                        new Message.WriteRequest(0, settings.self().address(), command)));
+                        new ChainClientMessage.WriteRequest(0, settings.self().address(), command)));
     }
 }
--- a/core/src/main/java/silverlatch/replication/FailureDetector.java
+++ b/core/src/main/java/silverlatch/replication/FailureDetector.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * When this replica heard the voters and the replicas that ask to join, by their lease requests, and which members say that they have
@@ -50,12 +50,12 @@
     }
 
     /** A replica asks to join. */
-    void handleJoinRequest(final Message.JoinRequest request, final long now) {
+    void handleJoinRequest(final ReplicationMessage.JoinRequest request, final long now) {
         heardAt.put(request.sender().id(), now);
     }
 
     /** A lease request of the installed view came in. */
-    void handleLeaseRequest(final Message.LeaseRequest request, final boolean isJoining, final long now) {
+    void handleLeaseRequest(final ReplicationMessage.LeaseRequest request, final boolean isJoining, final long now) {
         final String id = request.sender().id();
         if (isJoining) {
             heardAt.put(id, now);
--- a/core/src/main/java/silverlatch/replication/GrantedLeases.java
+++ b/core/src/main/java/silverlatch/replication/GrantedLeases.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Set;
 import silverlatch.safeguard.Safeguard;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * The leases that this replica, as a voter, has granted to members of the chain. {@link ViewAcceptor} asks it when the next view may be
@@ -30,7 +30,7 @@
     }
 
     /** Grants a lease to a member of the chain, and tells it up to where changes are committed here. */
-    void grant(final Message.LeaseRequest request, final long committed, final long now) {
+    void grant(final ReplicationMessage.LeaseRequest request, final long committed, final long now) {
         final View view = role.view();
         if (view.positionOf(request.sender().id()) < 0) {
             return;
@@ -38,7 +38,7 @@
         grantExpiries.put(request.sender().id(), now + settings.leaseMicros());
         effects.send(
                 request.sender().address(),
-                new Message.LeaseGrant(
+                new ReplicationMessage.LeaseGrant(
                         view.number(), request.askedAt(), settings.self().id(), committed));
     }
 
--- a/core/src/main/java/silverlatch/replication/HeldLease.java
+++ b/core/src/main/java/silverlatch/replication/HeldLease.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * The lease that this replica holds under its view: without it, it neither admits writes nor answers reads, and doesn't call its state
@@ -41,11 +41,12 @@
         view.voters()
                 .forEach(voter -> effects.send(
                         voter.address(),
-                        new Message.LeaseRequest(view.number(), now, settings.self(), role.isActive(), hearsMajority)));
+                        new ReplicationMessage.LeaseRequest(
+                                view.number(), now, settings.self(), role.isActive(), hearsMajority)));
     }
 
     /** Takes a grant of a voter of the installed view. */
-    void add(final Message.LeaseGrant grant) {
+    void add(final ReplicationMessage.LeaseGrant grant) {
         grantTimes.merge(grant.voter(), grant.askedAt(), Math::max);
     }
 
--- a/core/src/main/java/silverlatch/replication/PredecessorLink.java
+++ b/core/src/main/java/silverlatch/replication/PredecessorLink.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * Replication from the member of the chain before this one: takes its entries in order, acknowledges them, and fetches those that are
@@ -32,7 +33,7 @@
     }
 
     /** Appends the entries that follow the log, acknowledges them, and fetches what is missing before the others. */
-    void handleReplicate(final Message.Replicate message, final long now) {
+    void handleReplicate(final ReplicationMessage.Replicate message, final long now) {
         if (role.isFenced(message.view()) || !role.isInChain() || role.isHead()) {
             return;
         }
@@ -58,13 +59,13 @@
 
     /** Asks the predecessor for the entries after the last one here. */
     void fetch() {
-        sendToPredecessor(
-                new Message.FetchEntries(role.view().number(), settings.self().id(), log.lastSequence()));
+        sendToPredecessor(new ReplicationMessage.FetchEntries(
+                role.view().number(), settings.self().id(), log.lastSequence()));
     }
 
     private void acknowledge(final long sequence) {
-        sendToPredecessor(
-                new Message.ReplicateAck(role.view().number(), settings.self().id(), sequence));
+        sendToPredecessor(new ReplicationMessage.ReplicateAck(
+                role.view().number(), settings.self().id(), sequence));
     }
 
     private void sendToPredecessor(final Message message) {
--- a/core/src/main/java/silverlatch/replication/ReadAdmission.java
+++ b/core/src/main/java/silverlatch/replication/ReadAdmission.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import silverlatch.safeguard.Safeguard;
 import silverlatch.state.Entry;
-import silverlatch.wire.Message;
+import silverlatch.wire.ChainClientMessage;
 
 /**
  * Answers reads from the committed state of the tail. It holds no state of its own.
@@ -32,7 +32,7 @@
     }
 
     /** Replies with the entries whose keys begin with the prefix, or that this replica can't answer. */
-    void handleReadRequest(final Message.ReadRequest request, final long now) {
+    void handleReadRequest(final ChainClientMessage.ReadRequest request, final long now) {
         final boolean answers = mayAnswer(now);
         final List<Entry> entries = answers
                 ? List.copyOf(log.stateMachine()
@@ -41,7 +41,7 @@
                 : List.of();
         effects.send(
                 request.replyTo(),
-                new Message.ReadReply(request.requestId(), answers, log.committedSequence(), entries));
+                new ChainClientMessage.ReadReply(request.requestId(), answers, log.committedSequence(), entries));
     }
 
     private boolean mayAnswer(final long now) {
--- a/core/src/main/java/silverlatch/replication/RepairProgress.java
+++ b/core/src/main/java/silverlatch/replication/RepairProgress.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import silverlatch.state.Entry;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /** The pieces of a repair that have come in. The state stays as it is until the last is there. */
 final class RepairProgress {
@@ -16,14 +16,14 @@
     private int nextPiece;
     private long receivedAt;
 
-    RepairProgress(final Message.RepairRanges first, final String source) {
+    RepairProgress(final ReplicationMessage.RepairRanges first, final String source) {
         this.sequence = first.sequence();
         this.pieces = first.pieces();
         this.source = source;
     }
 
     /** Takes a piece, if it is the one that comes next. */
-    boolean accept(final Message.RepairRanges piece, final String sender, final long now) {
+    boolean accept(final ReplicationMessage.RepairRanges piece, final String sender, final long now) {
         if (piece.sequence() != sequence || piece.piece() != nextPiece || !sender.equals(source)) {
             return false;
         }
@@ -46,8 +46,8 @@
     }
 
     /** The question for the next piece. */
-    Message.RepairNext nextRequest(final long view, final Replica self) {
-        return new Message.RepairNext(view, self, sequence, nextPiece);
+    ReplicationMessage.RepairNext nextRequest(final long view, final Replica self) {
+        return new ReplicationMessage.RepairNext(view, self, sequence, nextPiece);
     }
 
     /** Whom to ask. */
--- a/core/src/main/java/silverlatch/replication/RepairRequester.java
+++ b/core/src/main/java/silverlatch/replication/RepairRequester.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import silverlatch.node.Event;
 import silverlatch.safeguard.Safeguard;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * The repair of a replica that isn't in the chain, or doesn't catch up by entries alone: it sends digests of its state to a source,
@@ -73,8 +73,8 @@
         }
     }
 
-    private Message.CompareDigests compareDigests() {
-        return new Message.CompareDigests(
+    private ReplicationMessage.CompareDigests compareDigests() {
+        return new ReplicationMessage.CompareDigests(
                 role.view().number(),
                 settings.self(),
                 log.committedSequence(),
@@ -86,7 +86,7 @@
     }
 
     /** Takes a piece of a repair. */
-    void handleRepairRanges(final Message.RepairRanges piece, final String sender, final long now) {
+    void handleRepairRanges(final ReplicationMessage.RepairRanges piece, final String sender, final long now) {
         if (piece.view() != role.view().number() || role.isActive() || piece.sequence() < log.committedSequence()) {
             return;
         }
@@ -110,7 +110,7 @@
     }
 
     /** Whether the source has nothing that differs from the repaired and synced state here. */
-    private boolean confirmsState(final Message.RepairRanges piece) {
+    private boolean confirmsState(final ReplicationMessage.RepairRanges piece) {
         return joining
                 && effects.isAllSynced()
                 && piece.pieces() == 1
@@ -125,11 +125,12 @@
      * Whether the state here is that of the source. It is not when a late piece answers a request from before a restart, with other
      * entries: then the replica asks again.
      */
-    private boolean hasSourceDigests(final Message.RepairRanges lastPiece) {
+    private boolean hasSourceDigests(final ReplicationMessage.RepairRanges lastPiece) {
         return log.hasDigests(lastPiece.digests()) || !settings.safeguards().isEnabled(Safeguard.DIGEST);
     }
 
-    private void complete(final RepairProgress received, final Message.RepairRanges lastPiece, final long now) {
+    private void complete(
+            final RepairProgress received, final ReplicationMessage.RepairRanges lastPiece, final long now) {
         if (settings.safeguards().isEnabled(Safeguard.DIGEST)) {
             log.replaceRanges(received.ranges());
         }
@@ -165,6 +166,6 @@
         view.voters()
                 .forEach(voter -> effects.send(
                         voter.address(),
-                        new Message.JoinRequest(view.number(), settings.self(), log.committedSequence())));
+                        new ReplicationMessage.JoinRequest(view.number(), settings.self(), log.committedSequence())));
     }
 }
--- a/core/src/main/java/silverlatch/replication/RepairResponder.java
+++ b/core/src/main/java/silverlatch/replication/RepairResponder.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import silverlatch.safeguard.Safeguard;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * Repairs other replicas from the state of an active member: keeps a {@link RepairSource} for each one under repair and sends it piece by
@@ -34,7 +34,7 @@
     }
 
     /** Begins a repair with the ranges in which the state here differs, and sends the first piece. */
-    void handleCompareDigests(final Message.CompareDigests request, final long now) {
+    void handleCompareDigests(final ReplicationMessage.CompareDigests request, final long now) {
         if (request.view() != role.view().number()
                 || !role.isActive()
                 || request.digests().length != ReplicaLog.DIGEST_RANGES) {
@@ -57,7 +57,7 @@
     }
 
     /** The replica under repair asks for a piece of the repair under way. */
-    void handleRepairNext(final Message.RepairNext request) {
+    void handleRepairNext(final ReplicationMessage.RepairNext request) {
         if (request.view() != role.view().number() || request.piece() < 0) {
             return;
         }
--- a/core/src/main/java/silverlatch/replication/RepairSource.java
+++ b/core/src/main/java/silverlatch/replication/RepairSource.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import silverlatch.state.Entry;
 import silverlatch.state.StateMachine;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * What one member is repaired with: the ranges in which its digests differ, as they are at one sequence, cut into
@@ -16,7 +16,8 @@
  * @param pending  the changes after that sequence which are synced at the source, in order; sent with the last piece
  * @param digests  the digests of all ranges at that sequence
  */
-record RepairSource(long sequence, List<List<Message.RangeEntries>> pieces, List<LogEntry> pending, long[] digests) {
+record RepairSource(
+        long sequence, List<List<ReplicationMessage.RangeEntries>> pieces, List<LogEntry> pending, long[] digests) {
     /** How many bytes a piece has; one entry may be larger. */
     static final long PIECE_BYTES = 64L << 10;
 
@@ -30,8 +31,8 @@
     static RepairSource of(final StateMachine state, final long[] otherDigests, final List<LogEntry> pending) {
         final int ranges = otherDigests.length;
         final long[] own = state.digests(ranges);
-        final List<List<Message.RangeEntries>> pieces = new ArrayList<>();
-        List<Message.RangeEntries> piece = new ArrayList<>();
+        final List<List<ReplicationMessage.RangeEntries>> pieces = new ArrayList<>();
+        List<ReplicationMessage.RangeEntries> piece = new ArrayList<>();
         long bytes = 0;
         for (int range = 0; range < ranges; range++) {
             if (own[range] == otherDigests[range]) {
@@ -40,7 +41,7 @@
             List<Entry> rangeEntries = new ArrayList<>();
             for (final Entry entry : state.entriesInRange(range, ranges)) {
                 if (bytes > 0 && bytes + entry.estimatedBytes() > PIECE_BYTES) {
-                    piece.add(new Message.RangeEntries(range, rangeEntries));
+                    piece.add(new ReplicationMessage.RangeEntries(range, rangeEntries));
                     pieces.add(piece);
                     piece = new ArrayList<>();
                     rangeEntries = new ArrayList<>();
@@ -49,16 +50,16 @@
                 rangeEntries.add(entry);
                 bytes += entry.estimatedBytes();
             }
-            piece.add(new Message.RangeEntries(range, rangeEntries));
+            piece.add(new ReplicationMessage.RangeEntries(range, rangeEntries));
         }
         pieces.add(piece);
         return new RepairSource(state.sequence(), pieces, pending, own);
     }
 
     /** The message with one piece; the last one brings the pending entries and the digests of all ranges too. */
-    Message.RepairRanges message(final long viewNumber, final int piece) {
+    ReplicationMessage.RepairRanges message(final long viewNumber, final int piece) {
         final boolean isLast = piece == pieces.size() - 1;
-        return new Message.RepairRanges(
+        return new ReplicationMessage.RepairRanges(
                 viewNumber,
                 sequence,
                 piece,
--- a/core/src/main/java/silverlatch/replication/SuccessorLink.java
+++ b/core/src/main/java/silverlatch/replication/SuccessorLink.java
@@ -4,7 +4,7 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.Optional;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * Replication to the next member of the chain: sends it the entries that it lacks and that are synced here, as far as the {@link
@@ -37,7 +37,8 @@
         final List<LogEntry> batch = nextBatch();
         if (!batch.isEmpty()) {
             effects.send(
-                    successor.get().address(), new Message.Replicate(role.view().number(), batch));
+                    successor.get().address(),
+                    new ReplicationMessage.Replicate(role.view().number(), batch));
         }
     }
 
@@ -75,11 +76,11 @@
     }
 
     private void sendTarget(final String address) {
-        effects.send(address, new Message.CatchUpTarget(role.view().number(), log.lastSequence()));
+        effects.send(address, new ReplicationMessage.CatchUpTarget(role.view().number(), log.lastSequence()));
     }
 
     /** The successor has received entries. */
-    void handleReplicateAck(final Message.ReplicateAck acknowledgement, final long now) {
+    void handleReplicateAck(final ReplicationMessage.ReplicateAck acknowledgement, final long now) {
         final boolean isFromSuccessor = role.successor()
                 .map(successor -> successor.id().equals(acknowledgement.id()))
                 .orElse(false);
@@ -90,7 +91,7 @@
     }
 
     /** The successor asks for the entries after the last one that it has. */
-    void handleFetchEntries(final Message.FetchEntries request, final String sender, final long now) {
+    void handleFetchEntries(final ReplicationMessage.FetchEntries request, final String sender, final long now) {
         if (request.view() != role.view().number() || !role.isActive()) {
             return;
         }
--- a/core/src/main/java/silverlatch/replication/ViewAcceptor.java
+++ b/core/src/main/java/silverlatch/replication/ViewAcceptor.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 import silverlatch.log.LogRecord;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * The acceptor of single-decree Paxos for the number after the installed view: each number is decided once, by a majority of the voters
@@ -51,9 +51,9 @@
     }
 
     /** Answers a prepare; true where it made a new promise. */
-    boolean handlePrepare(final Message.Prepare request, final String sender, final long now) {
+    boolean handlePrepare(final ReplicationMessage.Prepare request, final String sender, final long now) {
         if (request.number() <= role.view().number()) {
-            effects.send(sender, new Message.ViewDecided(role.view()));
+            effects.send(sender, new ReplicationMessage.ViewDecided(role.view()));
             return false;
         }
         if (!votesOn(request.number())) {
@@ -64,14 +64,14 @@
             return true;
         }
         if (request.ballot() < promisedBallot) {
-            effects.send(sender, new Message.Preempted(request.number(), promisedBallot));
+            effects.send(sender, new ReplicationMessage.Preempted(request.number(), promisedBallot));
         }
         return false;
     }
 
-    private void promise(final Message.Prepare request, final String sender, final long now) {
+    private void promise(final ReplicationMessage.Prepare request, final String sender, final long now) {
         promisedBallot = request.ballot();
-        final Message.Promise reply = new Message.Promise(
+        final ReplicationMessage.Promise reply = new ReplicationMessage.Promise(
                 request.number(),
                 request.ballot(),
                 settings.self().id(),
@@ -84,16 +84,16 @@
     }
 
     /** Accepts a view, unless a higher ballot was promised. */
-    void handleAccept(final Message.Accept request, final String sender, final long now) {
+    void handleAccept(final ReplicationMessage.Accept request, final String sender, final long now) {
         if (!votesOn(request.number())) {
             return;
         }
         if (request.ballot() < promisedBallot) {
-            effects.send(sender, new Message.Preempted(request.number(), promisedBallot));
+            effects.send(sender, new ReplicationMessage.Preempted(request.number(), promisedBallot));
             return;
         }
         accepted(request.ballot(), request.view());
-        final Message.Accepted reply = new Message.Accepted(
+        final ReplicationMessage.Accepted reply = new ReplicationMessage.Accepted(
                 request.number(), request.ballot(), settings.self().id());
         effects.persist(
                 List.of(new LogRecord.Accepted(request.number(), request.ballot(), request.view())),
@@ -102,7 +102,10 @@
     }
 
     private void sendAccepted(
-            final Message.Accept request, final String sender, final Message.Accepted reply, final long now) {
+            final ReplicationMessage.Accept request,
+            final String sender,
+            final ReplicationMessage.Accepted reply,
+            final long now) {
         final long sendAt = grantedLeases.removedGrantsExpireAt(request.view());
         if (now >= sendAt) {
             effects.send(sender, reply);
@@ -177,5 +180,5 @@
         return number == role.view().number() + 1;
     }
 
-    private record DelayedAccept(long sendAt, String address, Message.Accepted reply) {}
+    private record DelayedAccept(long sendAt, String address, ReplicationMessage.Accepted reply) {}
 }
--- a/core/src/main/java/silverlatch/replication/ViewPlanner.java
+++ b/core/src/main/java/silverlatch/replication/ViewPlanner.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import silverlatch.safeguard.Safeguard;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /** Which view should come after the one that stands, as one machine sees it. */
 final class ViewPlanner {
@@ -45,7 +45,7 @@
      * The next view, if there should be one: without the lost, else with a newcomer, else without dead votes. A repaired
      * newcomer goes first where the chain without the lost would be shorter than the copies.
      */
-    Optional<View> next(final boolean leaving, final Collection<Message.JoinRequest> joinRequests) {
+    Optional<View> next(final boolean leaving, final Collection<ReplicationMessage.JoinRequest> joinRequests) {
         final Optional<View> shortened = without(leaving);
         final Optional<View> joined = withNewcomer(joinRequests);
         if (shortened.map(v -> v.chain().size() < settings.minInSyncReplicas()).orElse(false) && joined.isPresent()) {
@@ -54,7 +54,7 @@
         return shortened.or(() -> joined).or(this::withoutDeadVotes);
     }
 
-    private Optional<View> withNewcomer(final Collection<Message.JoinRequest> joinRequests) {
+    private Optional<View> withNewcomer(final Collection<ReplicationMessage.JoinRequest> joinRequests) {
         return joinRequests.stream()
                 .filter(request -> request.view() == view.number()
                         && view.positionOf(request.sender().id()) < 0)
--- a/core/src/main/java/silverlatch/replication/ViewProposer.java
+++ b/core/src/main/java/silverlatch/replication/ViewProposer.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import silverlatch.node.Event;
 import silverlatch.safeguard.Safeguard;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * The proposer of single-decree Paxos for the number after the installed view. Each tick of a member of the chain asks it whether the
@@ -29,7 +29,7 @@
     private final ViewAcceptor acceptor;
     private final FailureDetector failureDetector;
     private final EffectQueue effects;
-    private final Map<String, Message.JoinRequest> joinRequests = new TreeMap<>();
+    private final Map<String, ReplicationMessage.JoinRequest> joinRequests = new TreeMap<>();
     private Optional<Proposal> proposal = Optional.empty();
     private long highestRound;
     /** Since when the chain should change, or 0. */
@@ -59,7 +59,7 @@
     }
 
     /** A repaired replica asks to be put at the end of the chain. */
-    void handleJoinRequest(final Message.JoinRequest request) {
+    void handleJoinRequest(final ReplicationMessage.JoinRequest request) {
         joinRequests.put(request.sender().id(), request);
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** The replicas that ask to join, by identity. */
-    Collection<Message.JoinRequest> joinRequests() {
+    Collection<ReplicationMessage.JoinRequest> joinRequests() {
         return joinRequests.values();
     }
 
@@ -142,7 +142,7 @@
         final long number = view.number() + 1;
         proposal = Optional.of(Proposal.prepare(number, ballot, next, now));
         effects.log(Event.PROPOSED, "view " + number + " chain " + next.chainAddresses());
-        view.voters().forEach(voter -> effects.send(voter.address(), new Message.Prepare(number, ballot)));
+        view.voters().forEach(voter -> effects.send(voter.address(), new ReplicationMessage.Prepare(number, ballot)));
     }
 
     /** Another proposer's ballot was promised: it goes first. */
@@ -151,14 +151,14 @@
     }
 
     /** A voter has promised a higher ballot. */
-    void handlePreempted(final Message.Preempted reply, final long now) {
+    void handlePreempted(final ReplicationMessage.Preempted reply, final long now) {
         highestRound = Math.max(highestRound, reply.ballot() >> BALLOT_PROPOSER_BITS);
         holdBack(now);
         proposal = proposal.filter(current -> current.number() != reply.number());
     }
 
     /** Takes a promise. */
-    void handlePromise(final Message.Promise reply, final long now) {
+    void handlePromise(final ReplicationMessage.Promise reply, final long now) {
         proposal.filter(current -> current.matches(reply.number(), reply.ballot()) && !current.isAccepting())
                 .ifPresent(current -> promised(current, reply, now));
     }
@@ -167,7 +167,7 @@
      * Asks for acceptances once a majority has promised. The proposer's own promise must be among them: it is synced, so a ballot is not
      * used again for another view after a restart.
      */
-    private void promised(final Proposal current, final Message.Promise reply, final long now) {
+    private void promised(final Proposal current, final ReplicationMessage.Promise reply, final long now) {
         current.supporters().add(reply.voter());
         final boolean reportsHigher = reply.acceptedBallot() > current.highestAcceptedBallot()
                 && !reply.acceptedView().isEmpty();
@@ -184,7 +184,8 @@
         role.view()
                 .voters()
                 .forEach(voter -> effects.send(
-                        voter.address(), new Message.Accept(chosen.number(), chosen.ballot(), chosen.view())));
+                        voter.address(),
+                        new ReplicationMessage.Accept(chosen.number(), chosen.ballot(), chosen.view())));
     }
 
     private View withPromised(final Proposal promised, final long now) {
@@ -192,7 +193,7 @@
     }
 
     /** Takes an acceptance; the view, where a majority has accepted it. All that it concerns are sent it. */
-    Optional<View> handleAccepted(final Message.Accepted reply) {
+    Optional<View> handleAccepted(final ReplicationMessage.Accepted reply) {
         final Optional<Proposal> accepting =
                 proposal.filter(current -> current.matches(reply.number(), reply.ballot()) && current.isAccepting());
         accepting.ifPresent(current -> current.supporters().add(reply.voter()));
@@ -210,6 +211,6 @@
         recipients.stream()
                 .filter(recipient -> !recipient.equals(settings.self()))
                 .sorted(Comparator.comparing(Replica::id))
-                .forEach(recipient -> effects.send(recipient.address(), new Message.ViewDecided(decided)));
+                .forEach(recipient -> effects.send(recipient.address(), new ReplicationMessage.ViewDecided(decided)));
     }
 }
--- a/core/src/main/java/silverlatch/replication/WaitingWrites.java
+++ b/core/src/main/java/silverlatch/replication/WaitingWrites.java
@@ -10,7 +10,7 @@
 import silverlatch.state.CommandResult;
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
-import silverlatch.wire.Message;
+import silverlatch.wire.ChainClientMessage;
 
 /**
  * The writes whose reply waits until an entry is committed, and the replies themselves. {@link WriteAdmission} adds to it; {@link
@@ -37,12 +37,13 @@
     }
 
     /** Replies with the recorded outcome once the entry of this sequence is committed. */
-    void await(final long sequence, final Message.WriteRequest request) {
+    void await(final long sequence, final ChainClientMessage.WriteRequest request) {
         add(sequence, new WaitingWrite(request, Optional.empty()));
     }
 
     /** Replies with this rejection once the entry of this sequence, on which it rests, is committed. */
-    void awaitRejection(final long sequence, final Message.WriteRequest request, final CommandResult rejection) {
+    void awaitRejection(
+            final long sequence, final ChainClientMessage.WriteRequest request, final CommandResult rejection) {
         add(sequence, new WaitingWrite(request, Optional.of(rejection)));
     }
 
@@ -57,7 +58,7 @@
     }
 
     private void replyCommitted(final WaitingWrite waiting, final long sequence) {
-        final Message.WriteRequest request = waiting.request();
+        final ChainClientMessage.WriteRequest request = waiting.request();
         reply(
                 request,
                 waiting.rejection().orElseGet(() -> outcomeOf(request.command().id(), sequence)));
@@ -83,7 +84,7 @@
     }
 
     /** Replies to a write at once. */
-    void reply(final Message.WriteRequest request, final CommandResult result) {
+    void reply(final ChainClientMessage.WriteRequest request, final CommandResult result) {
         if (result instanceof CommandResult.Rejected rejected) {
             effects.log(Event.CHANGE_REJECTED, request.command().id() + " " + rejected.code());
         }
@@ -91,9 +92,9 @@
     }
 
     /** Sends a result without logging it. */
-    void send(final Message.WriteRequest request, final CommandResult result) {
-        effects.send(request.replyTo(), new Message.WriteReply(request.requestId(), result));
+    void send(final ChainClientMessage.WriteRequest request, final CommandResult result) {
+        effects.send(request.replyTo(), new ChainClientMessage.WriteReply(request.requestId(), result));
     }
 
-    private record WaitingWrite(Message.WriteRequest request, Optional<CommandResult> rejection) {}
+    private record WaitingWrite(ChainClientMessage.WriteRequest request, Optional<CommandResult> rejection) {}
 }
--- a/core/src/main/java/silverlatch/replication/WriteAdmission.java
+++ b/core/src/main/java/silverlatch/replication/WriteAdmission.java
@@ -11,7 +11,7 @@
 import silverlatch.state.CommandResult;
 import silverlatch.state.Entry;
 import silverlatch.state.Evaluation;
-import silverlatch.wire.Message;
+import silverlatch.wire.ChainClientMessage;
 
 /**
  * The admission of writes at the head of the chain: evaluates each command against the committed and the pending state, appends an entry
@@ -48,7 +48,7 @@
     }
 
     /** Admits a write, or keeps it until the lease is granted. */
-    void handleWriteRequest(final Message.WriteRequest request, final long now) {
+    void handleWriteRequest(final ChainClientMessage.WriteRequest request, final long now) {
         if (!role.isActive() || !role.isHead()) {
             return;
         }
@@ -71,7 +71,7 @@
                 .forEach(write -> handleWriteRequest(write.request(), now));
     }
 
-    private void admit(final Message.WriteRequest request, final long now) {
+    private void admit(final ChainClientMessage.WriteRequest request, final long now) {
         final Stamp stamp = stamps.get();
         if (!role.hasRequiredCopies()
                 || log.pendingCount() >= MAX_PENDING_ENTRIES
@@ -101,7 +101,8 @@
     }
 
     /** Replies to a write that needs no entry of its own, once all that the reply rests on is committed. */
-    private void replyEvaluated(final Message.WriteRequest request, final CommandResult result, final Stamp stamp) {
+    private void replyEvaluated(
+            final ChainClientMessage.WriteRequest request, final CommandResult result, final Stamp stamp) {
         final Optional<Entry> pendingOutcome = Optional.ofNullable(log.pendingValues()
                 .get(WaitingWrites.outcomeKey(request.command().id())));
         if (pendingOutcome.isPresent()) {
@@ -126,7 +127,8 @@
      * Rejects a write at once where the committed state alone rejects it. Else the rejection rests on entries that a new view may drop,
      * and waits until the newest of them is committed.
      */
-    private void replyRejected(final Message.WriteRequest request, final CommandResult rejection, final Stamp stamp) {
+    private void replyRejected(
+            final ChainClientMessage.WriteRequest request, final CommandResult rejection, final Stamp stamp) {
         if (log.pendingCount() == 0 || !settings.safeguards().isEnabled(Safeguard.SETTLED)) {
             waitingWrites.reply(request, rejection);
             return;
@@ -144,5 +146,5 @@
         return result instanceof CommandResult.Rejected || result instanceof CommandResult.AlreadyClaimed;
     }
 
-    private record UnleasedWrite(long receivedAt, Message.WriteRequest request) {}
+    private record UnleasedWrite(long receivedAt, ChainClientMessage.WriteRequest request) {}
 }
--- a/core/src/test/java/silverlatch/gossip/AnnouncedWorkersTest.java
+++ b/core/src/test/java/silverlatch/gossip/AnnouncedWorkersTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.node.Effect;
 import silverlatch.node.Event;
-import silverlatch.wire.Message;
+import silverlatch.wire.GossipMessage;
 
 final class AnnouncedWorkersTest {
     private static final long SECOND = 1_000_000;
@@ -84,10 +84,10 @@
     @Test
     void pullAnswersWithAgesOfWhatBothHoldAndWithWhatIsNewer() {
         workers.merge(worker(1, 5, false));
-        final Message.ReportVersion older = new Message.ReportVersion("w", 1, 4);
-        final Message.ReportVersion same = new Message.ReportVersion("w", 1, 5);
-        final Message.ReportVersion newer = new Message.ReportVersion("w", 1, 6);
-        final List<Message.ReportAge> ages = List.of(new Message.ReportAge("w", 1, 5, -1));
+        final ReportVersion older = new ReportVersion("w", 1, 4);
+        final ReportVersion same = new ReportVersion("w", 1, 5);
+        final ReportVersion newer = new ReportVersion("w", 1, 6);
+        final List<GossipMessage.ReportAge> ages = List.of(new GossipMessage.ReportAge("w", 1, 5, -1));
         assertThat(workers.newerThan(List.of()), is(List.of(worker(1, 5, false))));
         assertThat(workers.newerThan(List.of(older)), is(List.of(worker(1, 5, false))));
         assertThat(workers.newerThan(List.of(same)), empty());
@@ -101,11 +101,12 @@
     @Test
     void ageFromAPullIsDatedFromTheRequestAndNeverGoesBack() {
         workers.merge(worker(1, 5, false));
-        workers.onAges(List.of(new Message.ReportAge("w", 1, 4, 0), new Message.ReportAge("w", 1, 5, -1)), 100);
+        workers.onAges(
+                List.of(new GossipMessage.ReportAge("w", 1, 4, 0), new GossipMessage.ReportAge("w", 1, 5, -1)), 100);
         assertThat(observed().asOf(), is(Optional.empty()));
-        workers.onAges(List.of(new Message.ReportAge("w", 1, 5, 30)), 100);
+        workers.onAges(List.of(new GossipMessage.ReportAge("w", 1, 5, 30)), 100);
         assertThat(observed().asOf(), is(Optional.of(70L)));
-        workers.onAges(List.of(new Message.ReportAge("w", 1, 5, 50)), 110);
+        workers.onAges(List.of(new GossipMessage.ReportAge("w", 1, 5, 50)), 110);
         assertThat(observed().asOf(), is(Optional.of(70L)));
     }
 
@@ -114,7 +115,7 @@
         workers.merge(worker(1, 5, false));
         workers.expire(1_000 * SECOND);
         assertThat(workers.snapshot().keySet(), not(empty()));
-        workers.onAges(List.of(new Message.ReportAge("w", 1, 5, 0)), 0);
+        workers.onAges(List.of(new GossipMessage.ReportAge("w", 1, 5, 0)), 0);
         workers.expire(60 * SECOND);
         assertThat(workers.snapshot().keySet(), not(empty()));
         workers.expire(60 * SECOND + 1);
--- a/core/src/test/java/silverlatch/gossip/ControllerReportsTest.java
+++ b/core/src/test/java/silverlatch/gossip/ControllerReportsTest.java
@@ -24,6 +24,7 @@
 import silverlatch.state.Entry;
 import silverlatch.state.StateMachine;
 import silverlatch.state.TableRules;
+import silverlatch.wire.GossipMessage;
 import silverlatch.wire.Message;
 
 /** The gossip of many nodes on a fake clock; workers announce to controllers c0, c1, c2, each in its own zone and region. */
@@ -135,9 +136,9 @@
 
     private long reportMessageCount() {
         return sent.stream()
-                .filter(m -> m instanceof Message.GossipPush
-                        || m instanceof Message.ReportVersions
-                        || m instanceof Message.MissingReports)
+                .filter(m -> m instanceof GossipMessage.GossipPush
+                        || m instanceof GossipMessage.ReportVersions
+                        || m instanceof GossipMessage.MissingReports)
                 .count();
     }
 
@@ -150,7 +151,8 @@
         sendHeartbeats("c0", 2, 20);
         assertThat(
                 sent.stream()
-                        .filter(m -> !(m instanceof Message.GossipPull || m instanceof Message.GossipPullReply))
+                        .filter(m ->
+                                !(m instanceof GossipMessage.GossipPull || m instanceof GossipMessage.GossipPullReply))
                         .toList(),
                 empty());
         assertThat(observedAt("c0").orElseThrow().age(now), lessThanOrEqualTo(1_300_000L));
@@ -255,7 +257,8 @@
         sendHeartbeats("c0", 1, 3);
         final WorkerReport wrongReport =
                 new WorkerReport(WorkerReport.of(worker(1, 1, false, 0)).worker(), true, false, 5 * SECOND);
-        nodes.get("g4").onMessage(new Message.GossipPush(List.of(), List.of(), List.of(wrongReport), 0), "c1", now);
+        nodes.get("g4")
+                .onMessage(new GossipMessage.GossipPush(List.of(), List.of(), List.of(wrongReport), 0), "c1", now);
         advance(SECOND);
         nodes.keySet().forEach(id -> assertThat(id, observedAt(id).orElseThrow().silent(), is(false)));
     }
@@ -308,8 +311,8 @@
         assertThat(reportMessageCount(), is(0L));
         assertThat(
                 sent.stream()
-                        .filter(m -> m instanceof Message.GossipPullReply t
-                                && t.content() instanceof Message.PullContent.DigestContent b
+                        .filter(m -> m instanceof GossipMessage.GossipPullReply t
+                                && t.content() instanceof GossipMessage.PullContent.DigestContent b
                                 && !b.ranges().isEmpty())
                         .toList(),
                 empty());
@@ -317,7 +320,7 @@
         nodes.get("c0").drain();
         advance(2 * SECOND);
         sent.forEach(m -> {
-            if (m instanceof Message.MissingReports b) {
+            if (m instanceof GossipMessage.MissingReports b) {
                 assertThat(b.reports().size(), lessThanOrEqualTo(1));
             }
         });
--- a/core/src/test/java/silverlatch/gossip/StateCopyTest.java
+++ b/core/src/test/java/silverlatch/gossip/StateCopyTest.java
@@ -14,7 +14,7 @@
 import silverlatch.safeguard.Safeguards;
 import silverlatch.state.Entry;
 import silverlatch.state.TableRules;
-import silverlatch.wire.Message;
+import silverlatch.wire.GossipMessage;
 
 final class StateCopyTest {
     private static final Replica REPLICA = new Replica("id", "a:1");
@@ -29,10 +29,11 @@
         return new View(number, fleet, List.of(REPLICA), List.of(REPLICA), "id");
     }
 
-    private static Message.GossipPullReply reply(
+    private static GossipMessage.GossipPullReply reply(
             final long askedAt, final long revision, final long age, final List<View> views) {
-        final Message.PullContent nothing = new Message.PullContent.FullContent(List.of(), List.of(), List.of());
-        return new Message.GossipPullReply(
+        final GossipMessage.PullContent nothing =
+                new GossipMessage.PullContent.FullContent(List.of(), List.of(), List.of());
+        return new GossipMessage.GossipPullReply(
                 askedAt, revision, age, 7, revision == 0 ? List.of() : entries(revision), views, nothing);
     }
 
--- a/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
+++ b/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
@@ -26,6 +26,7 @@
 import silverlatch.state.Value;
 import silverlatch.wire.Codec;
 import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /**
  * Data folders of two machines, written by the sources of commit 988a8ee in log format 2, are read with the whole state,
@@ -224,16 +225,16 @@
         assertThat(replica.status(0).isCaughtUp(), is(true));
         assertThat(
                 "a lower ballot",
-                sent(replica, new Message.Prepare(4, PROMISED_BALLOT - 1)),
-                is(List.of(new Message.Preempted(4, PROMISED_BALLOT))));
+                sent(replica, new ReplicationMessage.Prepare(4, PROMISED_BALLOT - 1)),
+                is(List.of(new ReplicationMessage.Preempted(4, PROMISED_BALLOT))));
         assertThat(
                 "no lease is granted under the old view",
-                sent(replica, new Message.LeaseRequest(3, 0, DataFolderGenerator.replica("b"), true, true)),
+                sent(replica, new ReplicationMessage.LeaseRequest(3, 0, DataFolderGenerator.replica("b"), true, true)),
                 is(List.of()));
         assertThat(
                 "a higher ballot",
-                sent(replica, new Message.Prepare(4, PROMISED_BALLOT + 1)),
-                is(List.of(new Message.Promise(
+                sent(replica, new ReplicationMessage.Prepare(4, PROMISED_BALLOT + 1)),
+                is(List.of(new ReplicationMessage.Promise(
                         4,
                         PROMISED_BALLOT + 1,
                         DataFolderGenerator.replica(name).id(),
--- a/core/src/test/java/silverlatch/log/DataFolderGenerator.java
+++ b/core/src/test/java/silverlatch/log/DataFolderGenerator.java
@@ -19,6 +19,7 @@
 import silverlatch.replication.ReplicaSettings;
 import silverlatch.state.Command;
 import silverlatch.state.Value;
+import silverlatch.wire.ChainClientMessage;
 import silverlatch.wire.Message;
 
 /**
@@ -35,7 +36,7 @@
     private final Path parent;
     private final Map<String, Machine> running = new LinkedHashMap<>();
     private final Deque<Delivery> network = new ArrayDeque<>();
-    private final List<Message.WriteReply> replies = new ArrayList<>();
+    private final List<ChainClientMessage.WriteReply> replies = new ArrayList<>();
     private final Map<String, Long> acceptedViews = new HashMap<>();
     private long nowMicros = 1_000_000;
     private long stamp = 1_000;
@@ -210,7 +211,8 @@
     }
 
     private long send(final Command command) {
-        network.add(new Delivery(CLIENT, ADDRESSES.get(0), new Message.WriteRequest(++requests, CLIENT, command)));
+        network.add(new Delivery(
+                CLIENT, ADDRESSES.get(0), new ChainClientMessage.WriteRequest(++requests, CLIENT, command)));
         return requests;
     }
 
@@ -239,7 +241,7 @@
 
     private void deliver(final Delivery delivery) throws IOException {
         if (delivery.to().equals(CLIENT)) {
-            replies.add((Message.WriteReply) delivery.message());
+            replies.add((ChainClientMessage.WriteReply) delivery.message());
         } else if (running.containsKey(delivery.to())) {
             final Machine machine = running.get(delivery.to());
             machine.replica().onMessage(delivery.message(), delivery.from(), nowMicros);
--- a/core/src/test/java/silverlatch/membership/LivenessHeartbeatTest.java
+++ b/core/src/test/java/silverlatch/membership/LivenessHeartbeatTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.clock.Stamp;
 import silverlatch.node.Effect;
+import silverlatch.wire.MembershipMessage;
 import silverlatch.wire.Message;
 
 /** Members with the settings of a large fleet, where three heartbeats in four carry the incarnation only. */
@@ -74,7 +75,12 @@
         sent.clear();
         advance(20 * SECOND);
         nodes.keySet().forEach(id -> assertThat(id, upCount(id), is(8L)));
-        assertThat(4 * sent.stream().filter(m -> m instanceof Message.Heartbeat).count(), lessThan(2L * sent.size()));
+        assertThat(
+                4
+                        * sent.stream()
+                                .filter(m -> m instanceof MembershipMessage.Heartbeat)
+                                .count(),
+                lessThan(2L * sent.size()));
         silenced.add("n5");
         advance(6 * SECOND);
         assertThat(nodes.get("n0").get("n5").orElseThrow().state(), is("dead"));
@@ -91,7 +97,7 @@
         advance(SECOND);
         nodes.remove("n1");
         for (int i = 0; i < 8; i++) {
-            nodes.get("n0").onMessage(new Message.LivenessHeartbeat("n1", 2), now, 0, Stamp.NONE);
+            nodes.get("n0").onMessage(new MembershipMessage.LivenessHeartbeat("n1", 2), now, 0, Stamp.NONE);
             now += 400_000;
             nodes.get("n0").tick(now);
         }
--- a/core/src/test/java/silverlatch/replication/BootstrapTest.java
+++ b/core/src/test/java/silverlatch/replication/BootstrapTest.java
@@ -18,6 +18,7 @@
 import silverlatch.log.LogRecord;
 import silverlatch.node.Event;
 import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /** The seed with the lowest identity of three, which proposes the first view. */
 final class BootstrapTest {
@@ -33,12 +34,12 @@
     }
 
     private void discoverFrom(final Bootstrap receiver, final Replica sender, final List<Replica> heard) {
-        receiver.handleDiscover(new Message.Discover(sender, true, heard), START);
+        receiver.handleDiscover(new ReplicationMessage.Discover(sender, true, heard), START);
     }
 
     private View proposed() {
         SEEDS.forEach(seed -> discoverFrom(bootstrap, seed, SEEDS));
-        return ((Message.Bootstrap) parts.sent().get(0)).view();
+        return ((ReplicationMessage.Bootstrap) parts.sent().get(0)).view();
     }
 
     @Test
@@ -56,16 +57,16 @@
     @Test
     void aFoundingIsAgreedToOnceItIsSyncedAndThenToNoOther() {
         final View founding = proposed();
-        bootstrap.handleBootstrap(new Message.Bootstrap(founding), "proposer", START);
+        bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(founding), "proposer", START);
         assertThat(parts.sent(), is(List.of()));
         assertThat(parts.written(), is(List.of(new LogRecord.Founding(founding))));
         parts.sync(START);
-        final Message agreement = new Message.BootstrapAgreed(founding.fleet(), SELF);
+        final Message agreement = new ReplicationMessage.BootstrapAgreed(founding.fleet(), SELF);
         assertThat(parts.sent(), is(List.of(agreement)));
         final View other = new View(1, 99, SEEDS, SEEDS, SELF.id());
-        bootstrap.handleBootstrap(new Message.Bootstrap(other), "proposer", START);
+        bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(other), "proposer", START);
         assertThat(parts.sent(), is(List.of()));
-        bootstrap.handleBootstrap(new Message.Bootstrap(founding), "proposer", START);
+        bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(founding), "proposer", START);
         assertThat("the same one again", parts.sent(), is(List.of(agreement)));
         assertThat(bootstrap.isFounding(founding), is(true));
         assertThat(bootstrap.isFounding(other), is(false));
@@ -74,16 +75,16 @@
     @Test
     void theClusterIsFoundedWhenAllSeedsHaveAgreed() {
         final View founding = proposed();
-        bootstrap.handleBootstrap(new Message.Bootstrap(founding), "proposer", START);
+        bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(founding), "proposer", START);
         parts.sent();
-        bootstrap.handleAgreed(new Message.BootstrapAgreed(founding.fleet(), SELF));
-        bootstrap.handleAgreed(new Message.BootstrapAgreed(founding.fleet(), SECOND));
+        bootstrap.handleAgreed(new ReplicationMessage.BootstrapAgreed(founding.fleet(), SELF));
+        bootstrap.handleAgreed(new ReplicationMessage.BootstrapAgreed(founding.fleet(), SECOND));
         assertThat(
                 "of another founding",
-                bootstrap.handleAgreed(new Message.BootstrapAgreed(99, THIRD)),
+                bootstrap.handleAgreed(new ReplicationMessage.BootstrapAgreed(99, THIRD)),
                 is(Optional.empty()));
         assertThat(
-                bootstrap.handleAgreed(new Message.BootstrapAgreed(founding.fleet(), THIRD)),
+                bootstrap.handleAgreed(new ReplicationMessage.BootstrapAgreed(founding.fleet(), THIRD)),
                 is(Optional.of(founding)));
         assertThat(parts.logged(), is(List.of(Event.FOUNDED)));
     }
@@ -92,7 +93,7 @@
     void aFoundingWithAReplicaThatWasNotHeardIsNotAgreedTo() {
         discoverFrom(bootstrap, SELF, SEEDS);
         final View founding = new View(1, 7, SEEDS, SEEDS, SELF.id());
-        bootstrap.handleBootstrap(new Message.Bootstrap(founding), "proposer", START);
+        bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(founding), "proposer", START);
         assertThat(parts.written(), is(List.of()));
     }
 
@@ -102,14 +103,14 @@
         SEEDS.forEach(seed -> discoverFrom(cautious, seed, SEEDS));
         assertThat(parts.sent(), is(List.of()));
         cautious.discover(START);
-        assertThat(parts.sent().get(0), is(new Message.Discover(SELF, false, List.of())));
+        assertThat(parts.sent().get(0), is(new ReplicationMessage.Discover(SELF, false, List.of())));
     }
 
     @Test
     void aReplicaThatIsNoSeedDoesNotCount() {
         discoverFrom(bootstrap, STRANGER, SEEDS);
         bootstrap.discover(START);
-        assertThat(parts.sent().get(0), is(new Message.Discover(SELF, true, List.of())));
+        assertThat(parts.sent().get(0), is(new ReplicationMessage.Discover(SELF, true, List.of())));
     }
 
     @Test
@@ -117,16 +118,17 @@
         discoverFrom(bootstrap, SECOND, List.of());
         bootstrap.discover(START);
         bootstrap.discover(START + RETRY - 1);
-        assertThat(parts.sent(), is(Collections.nCopies(3, new Message.Discover(SELF, true, List.of(SECOND)))));
+        assertThat(
+                parts.sent(), is(Collections.nCopies(3, new ReplicationMessage.Discover(SELF, true, List.of(SECOND)))));
         bootstrap.discover(START + EXPIRY + 1);
-        assertThat(parts.sent().get(0), is(new Message.Discover(SELF, true, List.of())));
+        assertThat(parts.sent().get(0), is(new ReplicationMessage.Discover(SELF, true, List.of())));
     }
 
     @Test
     void aReplicaWithAViewSendsItToWhoeverLooksForPeers() {
         parts.in(view(4, SECOND));
         discoverFrom(bootstrap, STRANGER, List.of());
-        assertThat(parts.sent().get(0), instanceOf(Message.ViewDecided.class));
+        assertThat(parts.sent().get(0), instanceOf(ReplicationMessage.ViewDecided.class));
     }
 
     @Test
@@ -136,7 +138,7 @@
         bootstrap.discover(START);
         assertThat(
                 parts.sent().stream()
-                        .filter(Message.Bootstrap.class::isInstance)
+                        .filter(ReplicationMessage.Bootstrap.class::isInstance)
                         .count(),
                 is(3L));
         bootstrap.installView();
--- a/core/src/test/java/silverlatch/replication/CatchUpProgressTest.java
+++ b/core/src/test/java/silverlatch/replication/CatchUpProgressTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import silverlatch.log.LogRecord;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 final class CatchUpProgressTest {
     private static final long FETCH = 1_200_000;
@@ -28,7 +28,7 @@
     @Test
     void aMemberHasCaughtUpWhenItHasSyncedWhatItsPredecessorHad() {
         join();
-        assertThat(catchUp.handleTarget(new Message.CatchUpTarget(2, 2)), is(true));
+        assertThat(catchUp.handleTarget(new ReplicationMessage.CatchUpTarget(2, 2)), is(true));
         log.append(List.of(entry(1), entry(2)), START);
         catchUp.finishIfReached(START);
         assertThat("not synced", parts.role.isCaughtUp(), is(false));
@@ -43,11 +43,11 @@
     @Test
     void aTargetOfAnotherViewOrForOneThatHasCaughtUpIsIgnored() {
         join();
-        assertThat(catchUp.handleTarget(new Message.CatchUpTarget(1, 0)), is(false));
+        assertThat(catchUp.handleTarget(new ReplicationMessage.CatchUpTarget(1, 0)), is(false));
         catchUp.finishIfReached(START);
         assertThat("no target, no end", parts.role.isCaughtUp(), is(false));
         parts.role.catchUp();
-        assertThat(catchUp.handleTarget(new Message.CatchUpTarget(2, 0)), is(false));
+        assertThat(catchUp.handleTarget(new ReplicationMessage.CatchUpTarget(2, 0)), is(false));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/replication/ChainClientTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainClientTest.java
@@ -8,7 +8,7 @@
 import silverlatch.node.Effect;
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
-import silverlatch.wire.Message;
+import silverlatch.wire.ChainClientMessage;
 
 final class ChainClientTest {
     private View view = new View(1, 1, List.of(), List.of(new Replica("a", "a"), new Replica("b", "b")), "a");
@@ -28,7 +28,7 @@
         view = new View(2, 1, List.of(), List.of(new Replica("b", "b")), "b");
         client.tick(300_000);
         assertThat(sent(), is(List.of("b")));
-        client.onMessage(new Message.WriteReply(11, new CommandResult.Unknown("order-1")), 1_000);
+        client.onMessage(new ChainClientMessage.WriteReply(11, new CommandResult.Unknown("order-1")), 1_000);
         assertThat(client.drain(), is(List.of()));
         client.tick(1_000_000);
         assertThat(client.drain(), is(List.of((Effect) new Effect.Respond(5, new CommandResult.Unknown("order-1")))));
@@ -38,12 +38,14 @@
     void anEvacuationOnTheLatestRevisionRetriesAConflictWithTheRevisionItLearned() {
         client.submit(new Command.SetEvacuation("order-1", "z", true, Command.SetEvacuation.LATEST), 5, 0, 1_000_000);
         assertThat(matches(), is(List.of(0L)));
-        client.onMessage(new Message.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)), 1_000);
+        client.onMessage(
+                new ChainClientMessage.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)), 1_000);
         assertThat(matches(), is(List.of(7L)));
         client.onMessage(
-                new Message.WriteReply(11, new CommandResult.Rejected(409, List.of("a late reply"), 6)), 1_000);
+                new ChainClientMessage.WriteReply(11, new CommandResult.Rejected(409, List.of("a late reply"), 6)),
+                1_000);
         assertThat(client.drain(), is(List.of()));
-        client.onMessage(new Message.WriteReply(12, new CommandResult.Applied(9)), 1_000);
+        client.onMessage(new ChainClientMessage.WriteReply(12, new CommandResult.Applied(9)), 1_000);
         assertThat(client.drain(), is(List.of((Effect) new Effect.Respond(5, new CommandResult.Applied(9)))));
     }
 
@@ -52,7 +54,8 @@
         client.submit(new Command.SetEvacuation("order-1", "z", true, Command.SetEvacuation.LATEST), 5, 0, 1_000_000);
         client.drain();
         client.onMessage(
-                new Message.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)), 20_000_000);
+                new ChainClientMessage.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)),
+                20_000_000);
         final Effect unknown = new Effect.Respond(5, new CommandResult.Unknown("order-1"));
         assertThat("a reply after the process was frozen", client.drain(), is(List.of(unknown)));
         client.submit(new Command.SetEvacuation("order-2", "z", true, -1), 6, 30_000_000, 25_000_000);
@@ -62,7 +65,8 @@
 
     private List<Long> matches() {
         return client.drain().stream()
-                .map(e -> ((Command.SetEvacuation) ((Message.WriteRequest) ((Effect.Send) e).message()).command())
+                .map(e -> ((Command.SetEvacuation)
+                                ((ChainClientMessage.WriteRequest) ((Effect.Send) e).message()).command())
                         .expectedRevision())
                 .toList();
     }
@@ -71,9 +75,9 @@
     void aReadGoesToTheTailAndAnInconclusiveReplyIsIgnored() {
         client.read("r/", 6, 0, 1_000_000);
         assertThat(sent(), is(List.of("b")));
-        client.onMessage(new Message.ReadReply(11, false, 0, List.of()), 1_000);
+        client.onMessage(new ChainClientMessage.ReadReply(11, false, 0, List.of()), 1_000);
         assertThat(client.drain(), is(List.of()));
-        client.onMessage(new Message.ReadReply(11, true, 9, List.of()), 1_000);
+        client.onMessage(new ChainClientMessage.ReadReply(11, true, 9, List.of()), 1_000);
         assertThat(client.drain(), is(List.of((Effect)
                 new Effect.Respond(6, new ChainClient.ReadResult(true, 9, List.of())))));
     }
--- a/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
@@ -20,7 +20,9 @@
 import silverlatch.state.CommandResult;
 import silverlatch.state.Value;
 import silverlatch.util.Lists;
+import silverlatch.wire.ChainClientMessage;
 import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /** Three machines, a scripted operator, and a fake clock; messages go only where the script lets them. */
 final class ChainReplicaTest {
@@ -121,7 +123,7 @@
     private void put(final String at, final String id, final long match) {
         replicas.get(at)
                 .onMessage(
-                        new Message.WriteRequest(
+                        new ChainClientMessage.WriteRequest(
                                 1,
                                 "operator",
                                 new Command.PutTable(
@@ -149,7 +151,7 @@
         assertThat(
                 replicas.get("a").view().chain().stream().map(Replica::address).toList(), is(SEEDS));
         put("a", "one", -1);
-        assertThat(((Message.WriteReply) lastReply()).result(), instanceOf(CommandResult.Applied.class));
+        assertThat(((ChainClientMessage.WriteReply) lastReply()).result(), instanceOf(CommandResult.Applied.class));
         SEEDS.forEach(s -> assertThat(disks.get(s).stream().anyMatch(n -> n instanceof LogRecord.Appended), is(true)));
     }
 
@@ -173,7 +175,7 @@
         advance(4_000_000);
         stalledDisks.clear();
         put("b", "next", -1);
-        assertThat(((Message.WriteReply) lastReply()).result(), instanceOf(CommandResult.Applied.class));
+        assertThat(((ChainClientMessage.WriteReply) lastReply()).result(), instanceOf(CommandResult.Applied.class));
         start("a", "id-a2");
         advance(12_000_000);
         assertThat(replicas.get("a").view().chain().size(), is(3));
@@ -187,7 +189,7 @@
         put("a", "one", -1);
         replicas.get("a")
                 .onMessage(
-                        new Message.WriteRequest(
+                        new ChainClientMessage.WriteRequest(
                                 2,
                                 "operator",
                                 new Command.PutTable(
@@ -210,11 +212,12 @@
     void theLoserOfTwoRacingWritesGetsTheWinnersSequence() {
         bootstrap();
         put("a", "base", -1);
-        final long match = ((CommandResult.Applied) ((Message.WriteReply) lastReply()).result()).sequence();
+        final long match = ((CommandResult.Applied) ((ChainClientMessage.WriteReply) lastReply()).result()).sequence();
         put("a", "win", match);
-        final long won = ((CommandResult.Applied) ((Message.WriteReply) lastReply()).result()).sequence();
+        final long won = ((CommandResult.Applied) ((ChainClientMessage.WriteReply) lastReply()).result()).sequence();
         put("a", "lose", match);
-        final CommandResult.Rejected lost = (CommandResult.Rejected) ((Message.WriteReply) lastReply()).result();
+        final CommandResult.Rejected lost =
+                (CommandResult.Rejected) ((ChainClientMessage.WriteReply) lastReply()).result();
         assertThat(lost.code(), is(409));
         assertThat(lost.sequence(), is(won));
         assertThat(kinds("c"), is(Set.of("win")));
@@ -248,14 +251,14 @@
         SEEDS.forEach(s -> start(s, "id-" + s));
         advance(2_000_000);
         SEEDS.forEach(s -> assertThat(s, kinds(s), is(Set.of("one"))));
-        replicas.get("b").onMessage(new Message.Prepare(2, 9 << 8), "operator", now);
+        replicas.get("b").onMessage(new ReplicationMessage.Prepare(2, 9 << 8), "operator", now);
         deliverAll();
-        assertThat(lastReply(), instanceOf(Message.Promise.class));
+        assertThat(lastReply(), instanceOf(ReplicationMessage.Promise.class));
         down.add("b");
         start("b", "id-b");
-        replicas.get("b").onMessage(new Message.Prepare(2, 8 << 8), "operator", now);
+        replicas.get("b").onMessage(new ReplicationMessage.Prepare(2, 8 << 8), "operator", now);
         deliverAll();
-        assertThat(lastReply(), is(new Message.Preempted(2, 9 << 8)));
+        assertThat(lastReply(), is(new ReplicationMessage.Preempted(2, 9 << 8)));
     }
 
     @Test
@@ -272,16 +275,16 @@
     @Test
     void aRejectedWriteStaysRejectedWhenADuplicateArrivesLate() {
         bootstrap();
-        final Message.WriteRequest copy = new Message.WriteRequest(
+        final ChainClientMessage.WriteRequest copy = new ChainClientMessage.WriteRequest(
                 7,
                 "operator",
                 new Command.PutTable("late", List.of(silverlatch.state.TableRules.defaultRow("someone", "late")), -1));
         replicas.get("a").onMessage(copy, "operator", now);
         deliverAll();
-        assertThat(((CommandResult.Rejected) ((Message.WriteReply) lastReply()).result()).code(), is(422));
+        assertThat(((CommandResult.Rejected) ((ChainClientMessage.WriteReply) lastReply()).result()).code(), is(422));
         replicas.get("a")
                 .onMessage(
-                        new Message.WriteRequest(
+                        new ChainClientMessage.WriteRequest(
                                 8,
                                 "operator",
                                 new Command.PutTenant(
@@ -289,10 +292,10 @@
                         "operator",
                         now);
         deliverAll();
-        assertThat(((Message.WriteReply) lastReply()).result(), instanceOf(CommandResult.Applied.class));
+        assertThat(((ChainClientMessage.WriteReply) lastReply()).result(), instanceOf(CommandResult.Applied.class));
         replicas.get("a").onMessage(copy, "operator", now);
         deliverAll();
-        assertThat(((CommandResult.Rejected) ((Message.WriteReply) lastReply()).result()).code(), is(422));
+        assertThat(((CommandResult.Rejected) ((ChainClientMessage.WriteReply) lastReply()).result()).code(), is(422));
         assertThat(kinds("c"), is(Set.of()));
     }
 
@@ -301,11 +304,12 @@
         bootstrap();
         replicas.get("a")
                 .onMessage(
-                        new Message.WriteRequest(3, "operator", new Command.AdvanceEpoch("sweep-0", Long.MAX_VALUE, 0)),
+                        new ChainClientMessage.WriteRequest(
+                                3, "operator", new Command.AdvanceEpoch("sweep-0", Long.MAX_VALUE, 0)),
                         "operator",
                         now);
         deliverAll();
-        assertThat(((CommandResult.Rejected) ((Message.WriteReply) lastReply()).result()).code(), is(409));
+        assertThat(((CommandResult.Rejected) ((ChainClientMessage.WriteReply) lastReply()).result()).code(), is(409));
     }
 
     @Test
@@ -360,7 +364,8 @@
         bootstrap();
         deliveries.add(() -> replicas.get("a")
                 .onMessage(
-                        new Message.WriteRequest(71, "operator", new Command.Claim("h", "key", "one", "p", 5)),
+                        new ChainClientMessage.WriteRequest(
+                                71, "operator", new Command.Claim("h", "key", "one", "p", 5)),
                         "operator",
                         now));
         advance(1_000_000);
@@ -370,7 +375,8 @@
         down.addAll(List.of("b", "c"));
         deliveries.add(() -> replicas.get("a")
                 .onMessage(
-                        new Message.WriteRequest(72, "operator", new Command.SetEvacuation("z", "syros", true, -1)),
+                        new ChainClientMessage.WriteRequest(
+                                72, "operator", new Command.SetEvacuation("z", "syros", true, -1)),
                         "operator",
                         now));
         advance(500_000);
@@ -381,7 +387,8 @@
         assertThat(replicas.get("c").stateMachine().get("z/syros").isPresent(), is(false));
         deliveries.add(() -> replicas.get("a")
                 .onMessage(
-                        new Message.WriteRequest(73, "operator", new Command.SetEvacuation("y", "rhodes", true, -1)),
+                        new ChainClientMessage.WriteRequest(
+                                73, "operator", new Command.SetEvacuation("y", "rhodes", true, -1)),
                         "operator",
                         now));
         advance(1_000_000);
--- a/core/src/test/java/silverlatch/replication/CommitterTest.java
+++ b/core/src/test/java/silverlatch/replication/CommitterTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import silverlatch.safeguard.Safeguard;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 final class CommitterTest {
     private final ReplicaParts parts = new ReplicaParts();
@@ -30,7 +30,7 @@
         append(parts, log);
         committer.commitAsTail(START);
         assertThat(log.committedSequence(), is(1L));
-        assertThat(parts.sent(), is(List.of(new Message.CommitNotice(2, 1))));
+        assertThat(parts.sent(), is(List.of(new ReplicationMessage.CommitNotice(2, 1))));
         committer.commitAsTail(START);
         assertThat("nothing new", parts.sent(), is(List.of()));
     }
@@ -40,9 +40,9 @@
         parts.in(view(2, SELF, SECOND));
         append(parts, log);
         committer.commitAsTail(START);
-        committer.handleCommitNotice(new Message.CommitNotice(1, 1), START);
+        committer.handleCommitNotice(new ReplicationMessage.CommitNotice(1, 1), START);
         assertThat("no tail, and a notice of another view", log.committedSequence(), is(0L));
-        committer.handleCommitNotice(new Message.CommitNotice(2, 5), START);
+        committer.handleCommitNotice(new ReplicationMessage.CommitNotice(2, 5), START);
         assertThat(log.committedSequence(), is(1L));
     }
 
--- a/core/src/test/java/silverlatch/replication/DepartureTest.java
+++ b/core/src/test/java/silverlatch/replication/DepartureTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import silverlatch.safeguard.Safeguard;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 final class DepartureTest {
     private final ReplicaParts parts = new ReplicaParts();
@@ -51,7 +51,9 @@
         departure.begin();
         departure.announce();
         assertThat(departure.isLeaving(), is(true));
-        assertThat(parts.sent().subList(0, 2), is(List.of(new Message.ViewDecided(view), new Message.Prepare(2, 0))));
+        assertThat(
+                parts.sent().subList(0, 2),
+                is(List.of(new ReplicationMessage.ViewDecided(view), new ReplicationMessage.Prepare(2, 0))));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/replication/DiscoveryTest.java
+++ b/core/src/test/java/silverlatch/replication/DiscoveryTest.java
@@ -10,7 +10,7 @@
 import java.util.Collections;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 final class DiscoveryTest {
     private static final long RETRY = 300_000;
@@ -27,7 +27,7 @@
         assertThat(
                 "the voters are asked under the view before",
                 parts.sent(),
-                is(Collections.nCopies(3, new Message.LeaseRequest(4, START + RETRY, SELF, false, false))));
+                is(Collections.nCopies(3, new ReplicationMessage.LeaseRequest(4, START + RETRY, SELF, false, false))));
     }
 
     @Test
@@ -36,7 +36,7 @@
         assertThat(parts.receivers(), is(List.of("address-0", "address-1", "address-2")));
         discovery.updateSeeds(List.of("elsewhere"));
         discovery.showViewToSeeds(false, START);
-        assertThat(parts.sent(), is(List.of(new Message.LeaseRequest(5, START, SELF, false, false))));
+        assertThat(parts.sent(), is(List.of(new ReplicationMessage.LeaseRequest(5, START, SELF, false, false))));
         assertThat(discovery.seeds(), is(List.of("elsewhere")));
     }
 }
--- a/core/src/test/java/silverlatch/replication/EffectQueueTest.java
+++ b/core/src/test/java/silverlatch/replication/EffectQueueTest.java
@@ -13,6 +13,7 @@
 import silverlatch.safeguard.Safeguard;
 import silverlatch.safeguard.Safeguards;
 import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 final class EffectQueueTest {
     private static final long LIMIT = 1_000;
@@ -22,7 +23,7 @@
 
     @Test
     void effectsAreHandedOverOnceInTheirOrder() {
-        final Message message = new Message.Prepare(2, 256);
+        final Message message = new ReplicationMessage.Prepare(2, 256);
         effects.send("a", message);
         effects.log(Event.VIEW, "view 2");
         effects.persist(PROMISE, 0);
--- a/core/src/test/java/silverlatch/replication/EpochAdvancerTest.java
+++ b/core/src/test/java/silverlatch/replication/EpochAdvancerTest.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import silverlatch.state.Command;
-import silverlatch.wire.Message;
+import silverlatch.wire.ChainClientMessage;
 
 final class EpochAdvancerTest {
     private static final long INTERVAL = 600_000_000;
@@ -28,7 +28,8 @@
         advancer.tick(OWNER, START + INTERVAL + 1);
         assertThat(
                 parts.sent(),
-                is(List.of(new Message.WriteRequest(0, SELF.address(), new Command.AdvanceEpoch("sweep-1", 1, 3)))));
+                is(List.of(new ChainClientMessage.WriteRequest(
+                        0, SELF.address(), new Command.AdvanceEpoch("sweep-1", 1, 3)))));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/replication/FailureDetectorTest.java
+++ b/core/src/test/java/silverlatch/replication/FailureDetectorTest.java
@@ -11,7 +11,7 @@
 
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 final class FailureDetectorTest {
     private static final long HALF_SUSPICION = 400_000;
@@ -19,7 +19,8 @@
     private final FailureDetector detector = new FailureDetector(parts.settings, parts.role);
 
     private void receive(final Replica sender, final boolean caughtUp, final boolean hearsMajority, final long now) {
-        detector.handleLeaseRequest(new Message.LeaseRequest(1, now, sender, caughtUp, hearsMajority), false, now);
+        detector.handleLeaseRequest(
+                new ReplicationMessage.LeaseRequest(1, now, sender, caughtUp, hearsMajority), false, now);
     }
 
     @Test
@@ -43,9 +44,9 @@
 
     @Test
     void aReplicaThatAsksToJoinIsWatchedUntilAnotherViewWithoutIt() {
-        detector.handleJoinRequest(new Message.JoinRequest(1, STRANGER, 9), START);
+        detector.handleJoinRequest(new ReplicationMessage.JoinRequest(1, STRANGER, 9), START);
         assertThat(detector.microsSinceHeard(STRANGER.id(), START + 50), is(50L));
-        detector.handleLeaseRequest(new Message.LeaseRequest(1, 0, STRANGER, false, true), true, START + 60);
+        detector.handleLeaseRequest(new ReplicationMessage.LeaseRequest(1, 0, STRANGER, false, true), true, START + 60);
         assertThat(detector.microsSinceHeard(STRANGER.id(), START + 70), is(10L));
         detector.installView(true, START + 80);
         assertThat(detector.microsSinceHeard(STRANGER.id(), START + 90), is(START + 90));
--- a/core/src/test/java/silverlatch/replication/GrantedLeasesTest.java
+++ b/core/src/test/java/silverlatch/replication/GrantedLeasesTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import silverlatch.safeguard.Safeguard;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 final class GrantedLeasesTest {
     private static final long LEASE = 600_000;
@@ -21,14 +21,14 @@
     private final ReplicaParts parts = new ReplicaParts().in(view(1, SELF, SECOND, THIRD));
     private final GrantedLeases leases = new GrantedLeases(parts.settings, parts.role, parts.effects, START);
 
-    private static Message.LeaseRequest request(final Replica member, final long askedAt) {
-        return new Message.LeaseRequest(1, askedAt, member, true, true);
+    private static ReplicationMessage.LeaseRequest request(final Replica member, final long askedAt) {
+        return new ReplicationMessage.LeaseRequest(1, askedAt, member, true, true);
     }
 
     @Test
     void aMemberOfTheChainIsGrantedALeaseAndOthersAreNot() {
         leases.grant(request(SECOND, 5), 42, START);
-        assertThat(parts.sent(), is(List.of(new Message.LeaseGrant(1, 5, SELF.id(), 42))));
+        assertThat(parts.sent(), is(List.of(new ReplicationMessage.LeaseGrant(1, 5, SELF.id(), 42))));
         leases.grant(request(STRANGER, 5), 42, START);
         assertThat(parts.sent(), is(List.of()));
     }
--- a/core/src/test/java/silverlatch/replication/HeldLeaseTest.java
+++ b/core/src/test/java/silverlatch/replication/HeldLeaseTest.java
@@ -10,15 +10,15 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 final class HeldLeaseTest {
     private static final long COUNTED_MICROS = 540_000;
     private final ReplicaParts parts = new ReplicaParts().in(view(1, SELF, SECOND, THIRD));
     private final HeldLease lease = new HeldLease(parts.settings, parts.role, parts.effects);
 
-    private static Message.LeaseGrant grant(final Replica voter, final long askedAt) {
-        return new Message.LeaseGrant(1, askedAt, voter.id(), 0);
+    private static ReplicationMessage.LeaseGrant grant(final Replica voter, final long askedAt) {
+        return new ReplicationMessage.LeaseGrant(1, askedAt, voter.id(), 0);
     }
 
     @Test
@@ -52,9 +52,9 @@
         assertThat(
                 parts.sent(),
                 is(List.of(
-                        new Message.LeaseRequest(1, START, SELF, true, true),
-                        new Message.LeaseRequest(1, START, SELF, true, true),
-                        new Message.LeaseRequest(1, START, SELF, true, true))));
+                        new ReplicationMessage.LeaseRequest(1, START, SELF, true, true),
+                        new ReplicationMessage.LeaseRequest(1, START, SELF, true, true),
+                        new ReplicationMessage.LeaseRequest(1, START, SELF, true, true))));
         assertThat(lease.isRequestDue(100, START + 99), is(false));
         assertThat(lease.isRequestDue(100, START + 100), is(true));
         lease.markRequested(START + 100);
--- a/core/src/test/java/silverlatch/replication/LogEntryTest.java
+++ b/core/src/test/java/silverlatch/replication/LogEntryTest.java
@@ -12,7 +12,7 @@
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
 import silverlatch.wire.Codec;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 final class LogEntryTest {
     @Test
@@ -41,7 +41,7 @@
                 1,
                 List.of(new Value.ConfigurationDocument(1, "x".repeat(ConfigurationValidator.MAX_DOCUMENT_BYTES)))));
         final LogEntry entry = new LogEntry(1, 1, new Stamp(1), puts);
-        final int size = new Codec().encode(new Message.Replicate(1, List.of(entry))).length;
+        final int size = new Codec().encode(new ReplicationMessage.Replicate(1, List.of(entry))).length;
         assertThat(size, lessThan(Codec.MAX_BYTES));
         assertThat("a weight is not much below the size", entry.estimatedBytes() * 2, greaterThan((long) size));
     }
--- a/core/src/test/java/silverlatch/replication/PredecessorLinkTest.java
+++ b/core/src/test/java/silverlatch/replication/PredecessorLinkTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import silverlatch.safeguard.Safeguard;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 final class PredecessorLinkTest {
     private final ReplicaParts parts = new ReplicaParts().in(view(2, SECOND, SELF));
@@ -24,8 +24,8 @@
         return new PredecessorLink(of.settings, of.role, to, catchUp, committer, of.effects);
     }
 
-    private static Message.Replicate replicate(final long viewNumber, final LogEntry... entries) {
-        return new Message.Replicate(viewNumber, List.of(entries));
+    private static ReplicationMessage.Replicate replicate(final long viewNumber, final LogEntry... entries) {
+        return new ReplicationMessage.Replicate(viewNumber, List.of(entries));
     }
 
     @Test
@@ -33,7 +33,7 @@
         link.handleReplicate(replicate(2, entry(1), entry(2)), START);
         assertThat(log.lastSequence(), is(2L));
         assertThat(log.syncedSequence(), is(0L));
-        assertThat(parts.sent(), is(List.of(new Message.ReplicateAck(2, SELF.id(), 2))));
+        assertThat(parts.sent(), is(List.of(new ReplicationMessage.ReplicateAck(2, SELF.id(), 2))));
     }
 
     @Test
@@ -55,7 +55,9 @@
         assertThat(log.lastSequence(), is(1L));
         assertThat(
                 parts.sent(),
-                is(List.of(new Message.FetchEntries(2, SELF.id(), 0), new Message.ReplicateAck(2, SELF.id(), 1))));
+                is(List.of(
+                        new ReplicationMessage.FetchEntries(2, SELF.id(), 0),
+                        new ReplicationMessage.ReplicateAck(2, SELF.id(), 1))));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/replication/RepairBesideLogTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairBesideLogTest.java
@@ -13,6 +13,7 @@
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
 import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /** A replica in the chain that hasn't caught up asks for a repair only while no new entry comes by the log. */
 final class RepairBesideLogTest {
@@ -53,7 +54,9 @@
     }
 
     private long repairsAskedFor() {
-        return sent.stream().filter(Message.CompareDigests.class::isInstance).count();
+        return sent.stream()
+                .filter(ReplicationMessage.CompareDigests.class::isInstance)
+                .count();
     }
 
     private void receive(final long sequence) {
@@ -62,7 +65,8 @@
                 sequence,
                 List.of(new Value.Evacuation("hall-" + sequence, true, new Stamp(sequence))));
         final LogEntry change = new LogEntry(sequence, VIEW.number(), new Stamp(sequence), List.of(entry));
-        follower.onMessage(new Message.Replicate(VIEW.number(), List.of(change)), PREDECESSOR.address(), now);
+        follower.onMessage(
+                new ReplicationMessage.Replicate(VIEW.number(), List.of(change)), PREDECESSOR.address(), now);
         perform();
     }
 
--- a/core/src/test/java/silverlatch/replication/RepairTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairTest.java
@@ -20,6 +20,7 @@
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
 import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /** A requester out of the chain and a responder in it, both of one replica's identity: their messages are handed to and fro. */
 final class RepairTest {
@@ -65,19 +66,19 @@
     }
 
     /** Hands over what the requester has sent, and its replies; the pieces that were sent. */
-    private List<Message.RepairRanges> exchange(final long now) {
-        final List<Message.RepairRanges> pieces = new ArrayList<>();
+    private List<ReplicationMessage.RepairRanges> exchange(final long now) {
+        final List<ReplicationMessage.RepairRanges> pieces = new ArrayList<>();
         for (List<Message> requests = target.sent(); !requests.isEmpty(); requests = target.sent()) {
             for (final Message request : requests) {
-                if (request instanceof Message.CompareDigests digests) {
+                if (request instanceof ReplicationMessage.CompareDigests digests) {
                     responder.handleCompareDigests(digests, now);
-                } else if (request instanceof Message.RepairNext next) {
+                } else if (request instanceof ReplicationMessage.RepairNext next) {
                     responder.handleRepairNext(next);
                 }
             }
             for (final Message reply : source.sent()) {
-                pieces.add((Message.RepairRanges) reply);
-                requester.handleRepairRanges((Message.RepairRanges) reply, SOURCE, now);
+                pieces.add((ReplicationMessage.RepairRanges) reply);
+                requester.handleRepairRanges((ReplicationMessage.RepairRanges) reply, SOURCE, now);
             }
         }
         return pieces;
@@ -90,14 +91,14 @@
         }
         sourceLog.commit(6, START);
         requester.request(SOURCE, START);
-        final List<Message.RepairRanges> pieces = exchange(START);
+        final List<ReplicationMessage.RepairRanges> pieces = exchange(START);
         assertThat("in pieces", pieces.size(), greaterThan(2));
         assertThat(targetLog.committedSequence(), is(6L));
         assertThat(requester.isJoining(), is(true));
         assertThat("its log isn't synced yet", target.sent(), is(List.of()));
         assertThat(target.written().get(0), instanceOf(LogRecord.Snapshot.class));
         target.sync(START);
-        assertThat(target.sent().get(0), is(new Message.JoinRequest(2, SELF, 6)));
+        assertThat(target.sent().get(0), is(new ReplicationMessage.JoinRequest(2, SELF, 6)));
         assertThat(target.logged().contains(Event.MENDED), is(true));
     }
 
@@ -110,11 +111,12 @@
         target.sync(START);
         target.sent();
         requester.request(SOURCE, START + RETRY);
-        final Message.CompareDigests request =
-                (Message.CompareDigests) target.sent().get(0);
+        final ReplicationMessage.CompareDigests request =
+                (ReplicationMessage.CompareDigests) target.sent().get(0);
         responder.handleCompareDigests(request, START);
-        requester.handleRepairRanges((Message.RepairRanges) source.sent().get(0), SOURCE, START);
-        assertThat(target.sent().get(0), is(new Message.JoinRequest(2, SELF, 1)));
+        requester.handleRepairRanges(
+                (ReplicationMessage.RepairRanges) source.sent().get(0), SOURCE, START);
+        assertThat(target.sent().get(0), is(new ReplicationMessage.JoinRequest(2, SELF, 1)));
         assertThat(
                 "nothing is written again",
                 target.written().stream()
@@ -148,10 +150,10 @@
         log.append(List.of(entry(1)), START);
         unguarded.sync(START);
         careless.handleCompareDigests(
-                new Message.CompareDigests(2, SECOND, 0, new long[ReplicaLog.DIGEST_RANGES]), START);
+                new ReplicationMessage.CompareDigests(2, SECOND, 0, new long[ReplicaLog.DIGEST_RANGES]), START);
         assertThat(
                 "the safeguard is let down",
-                ((Message.RepairRanges) unguarded.sent().get(0)).pending(),
+                ((ReplicationMessage.RepairRanges) unguarded.sent().get(0)).pending(),
                 is(List.of()));
     }
 
@@ -161,8 +163,8 @@
         requester.request(SOURCE, START + RETRY - 1);
         assertThat(target.sent().size(), is(1));
         requester.request(SOURCE, START + RETRY);
-        final Message.CompareDigests request =
-                (Message.CompareDigests) target.sent().get(0);
+        final ReplicationMessage.CompareDigests request =
+                (ReplicationMessage.CompareDigests) target.sent().get(0);
         source.role.fenceOutdatedLog();
         responder.handleCompareDigests(request, START);
         assertThat(source.sent(), is(List.of()));
@@ -170,24 +172,24 @@
 
     @Test
     void aPieceOfAnOlderRepairOrOfNoneIsNotSent() {
-        responder.handleRepairNext(new Message.RepairNext(2, SECOND, 0, 0));
+        responder.handleRepairNext(new ReplicationMessage.RepairNext(2, SECOND, 0, 0));
         assertThat("no repair", source.sent(), is(List.of()));
         for (long sequence = 1; sequence <= 6; sequence++) {
             appendAtSource(large(sequence));
         }
         sourceLog.commit(6, START);
         responder.handleCompareDigests(
-                new Message.CompareDigests(2, SECOND, 0, new long[ReplicaLog.DIGEST_RANGES]), START);
+                new ReplicationMessage.CompareDigests(2, SECOND, 0, new long[ReplicaLog.DIGEST_RANGES]), START);
         source.sent();
-        responder.handleRepairNext(new Message.RepairNext(2, SECOND, 5, 1));
-        responder.handleRepairNext(new Message.RepairNext(2, SECOND, 6, -1));
-        responder.handleRepairNext(new Message.RepairNext(2, SECOND, 6, 99));
-        responder.handleRepairNext(new Message.RepairNext(1, SECOND, 6, 1));
+        responder.handleRepairNext(new ReplicationMessage.RepairNext(2, SECOND, 5, 1));
+        responder.handleRepairNext(new ReplicationMessage.RepairNext(2, SECOND, 6, -1));
+        responder.handleRepairNext(new ReplicationMessage.RepairNext(2, SECOND, 6, 99));
+        responder.handleRepairNext(new ReplicationMessage.RepairNext(1, SECOND, 6, 1));
         assertThat(source.sent(), is(List.of()));
-        responder.handleRepairNext(new Message.RepairNext(2, SECOND, 6, 1));
-        assertThat(((Message.RepairRanges) source.sent().get(0)).piece(), is(1));
+        responder.handleRepairNext(new ReplicationMessage.RepairNext(2, SECOND, 6, 1));
+        assertThat(((ReplicationMessage.RepairRanges) source.sent().get(0)).piece(), is(1));
         responder.installView();
-        responder.handleRepairNext(new Message.RepairNext(2, SECOND, 6, 1));
+        responder.handleRepairNext(new ReplicationMessage.RepairNext(2, SECOND, 6, 1));
         assertThat("another view began", source.sent(), is(List.of()));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ReplicaCluster.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaCluster.java
@@ -20,6 +20,7 @@
 import silverlatch.state.ConfigurationValidator;
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
+import silverlatch.wire.ChainClientMessage;
 import silverlatch.wire.Message;
 
 /** Machines with ledgers and clerks on a fake clock: frames take a time, syncs take a time, and a power cut loses what wasn't synced. */
@@ -461,8 +462,8 @@
     private void dispatch(
             final String address, final ChainReplica replica, final Message message, final String sender) {
         switch (message) {
-            case Message.WriteReply m -> clients.get(address).onMessage(m, now);
-            case Message.ReadReply m -> clients.get(address).onMessage(m, now);
+            case ChainClientMessage.WriteReply m -> clients.get(address).onMessage(m, now);
+            case ChainClientMessage.ReadReply m -> clients.get(address).onMessage(m, now);
             default -> replica.onMessage(message, sender, now);
         }
     }
--- a/core/src/test/java/silverlatch/replication/SuccessorLinkTest.java
+++ b/core/src/test/java/silverlatch/replication/SuccessorLinkTest.java
@@ -20,6 +20,7 @@
 import silverlatch.state.Value;
 import silverlatch.wire.Codec;
 import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 final class SuccessorLinkTest {
     private static final long BACKOFF = 600_000;
@@ -42,7 +43,7 @@
         parts.sync(START);
         link.sendEntries();
         link.sendEntries();
-        assertThat(parts.sent(), is(List.of(new Message.Replicate(2, List.of(entry(1), entry(2))))));
+        assertThat(parts.sent(), is(List.of(new ReplicationMessage.Replicate(2, List.of(entry(1), entry(2))))));
     }
 
     @Test
@@ -64,11 +65,13 @@
         link.sendEntries();
         parts.sent();
         link.retry(START + BACKOFF - 1);
-        assertThat(parts.sent(), is(List.of(new Message.CatchUpTarget(2, 1))));
+        assertThat(parts.sent(), is(List.of(new ReplicationMessage.CatchUpTarget(2, 1))));
         link.retry(START + BACKOFF);
         assertThat(
                 parts.sent(),
-                is(List.of(new Message.CatchUpTarget(2, 1), new Message.Replicate(2, List.of(entry(1))))));
+                is(List.of(
+                        new ReplicationMessage.CatchUpTarget(2, 1),
+                        new ReplicationMessage.Replicate(2, List.of(entry(1))))));
     }
 
     @Test
@@ -78,13 +81,13 @@
         log.commit(2, START);
         link.reset(2, START);
         parts.sent();
-        link.handleFetchEntries(new Message.FetchEntries(2, SECOND.id(), 0), SECOND.address(), START);
+        link.handleFetchEntries(new ReplicationMessage.FetchEntries(2, SECOND.id(), 0), SECOND.address(), START);
         assertThat(
                 parts.sent(),
                 is(List.of(
-                        new Message.CatchUpTarget(2, 3),
-                        new Message.Replicate(2, List.of(entry(1), entry(2), entry(3))))));
-        link.handleFetchEntries(new Message.FetchEntries(1, SECOND.id(), 0), SECOND.address(), START);
+                        new ReplicationMessage.CatchUpTarget(2, 3),
+                        new ReplicationMessage.Replicate(2, List.of(entry(1), entry(2), entry(3))))));
+        link.handleFetchEntries(new ReplicationMessage.FetchEntries(1, SECOND.id(), 0), SECOND.address(), START);
         assertThat("another view", parts.sent(), is(List.of()));
     }
 
@@ -97,12 +100,12 @@
         }
         parts.sync(START);
         link.sendEntries();
-        assertThat(parts.sent(), is(List.of(new Message.Replicate(2, List.of(large(1))))));
-        link.handleReplicateAck(new Message.ReplicateAck(2, STRANGER.id(), 1), START);
-        link.handleReplicateAck(new Message.ReplicateAck(1, SECOND.id(), 1), START);
+        assertThat(parts.sent(), is(List.of(new ReplicationMessage.Replicate(2, List.of(large(1))))));
+        link.handleReplicateAck(new ReplicationMessage.ReplicateAck(2, STRANGER.id(), 1), START);
+        link.handleReplicateAck(new ReplicationMessage.ReplicateAck(1, SECOND.id(), 1), START);
         assertThat("of another replica, and of another view", parts.sent(), is(List.of()));
-        link.handleReplicateAck(new Message.ReplicateAck(2, SECOND.id(), 1), START);
-        assertThat(parts.sent(), is(List.of(new Message.Replicate(2, List.of(large(2))))));
+        link.handleReplicateAck(new ReplicationMessage.ReplicateAck(2, SECOND.id(), 1), START);
+        assertThat(parts.sent(), is(List.of(new ReplicationMessage.Replicate(2, List.of(large(2))))));
     }
 
     @Test
@@ -113,10 +116,10 @@
         log.append(List.of(withDocument(3, ConfigurationValidator.MAX_DOCUMENT_BYTES)), START);
         parts.sync(START);
         link.sendEntries();
-        assertThat(parts.sent(), is(List.of(new Message.Replicate(2, List.of(entry(1), entry(2))))));
-        link.handleReplicateAck(new Message.ReplicateAck(2, SECOND.id(), 2), START);
+        assertThat(parts.sent(), is(List.of(new ReplicationMessage.Replicate(2, List.of(entry(1), entry(2))))));
+        link.handleReplicateAck(new ReplicationMessage.ReplicateAck(2, SECOND.id(), 2), START);
         final Message large = parts.sent().get(0);
-        assertThat(((Message.Replicate) large).entries().size(), is(1));
+        assertThat(((ReplicationMessage.Replicate) large).entries().size(), is(1));
         assertThat(new Codec().encode(large).length, lessThan(Codec.MAX_BYTES));
     }
 
@@ -129,7 +132,8 @@
         }
         parts.sync(START);
         link.sendEntries();
-        final List<LogEntry> batch = ((Message.Replicate) parts.sent().get(0)).entries();
+        final List<LogEntry> batch =
+                ((ReplicationMessage.Replicate) parts.sent().get(0)).entries();
         final long bytes = batch.stream().mapToLong(LogEntry::estimatedBytes).sum();
         assertThat(bytes, lessThanOrEqualTo(ReplicationWindow.LIMIT_BYTES));
         assertThat(bytes + entry(1).estimatedBytes(), greaterThan(ReplicationWindow.LIMIT_BYTES));
--- a/core/src/test/java/silverlatch/replication/ViewAcceptorTest.java
+++ b/core/src/test/java/silverlatch/replication/ViewAcceptorTest.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import silverlatch.log.LogRecord;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /** One register of single-decree Paxos: what is promised and accepted, when it is said, and what a restart recovers. */
 final class ViewAcceptorTest {
@@ -23,11 +23,11 @@
     private final ViewAcceptor acceptor = new ViewAcceptor(parts.settings, parts.role, leases, parts.effects);
 
     private boolean prepare(final long number, final long ballot) {
-        return acceptor.handlePrepare(new Message.Prepare(number, ballot), "proposer", START);
+        return acceptor.handlePrepare(new ReplicationMessage.Prepare(number, ballot), "proposer", START);
     }
 
     private void accept(final long number, final long ballot, final View view) {
-        acceptor.handleAccept(new Message.Accept(number, ballot, view), "proposer", START);
+        acceptor.handleAccept(new ReplicationMessage.Accept(number, ballot, view), "proposer", START);
     }
 
     @Test
@@ -36,7 +36,7 @@
         assertThat(parts.sent(), is(List.of()));
         assertThat(parts.written(), is(List.of(new LogRecord.Promised(2, 256))));
         parts.sync(START);
-        assertThat(parts.sent(), is(List.of(new Message.Promise(2, 256, SELF.id(), 0, List.of()))));
+        assertThat(parts.sent(), is(List.of(new ReplicationMessage.Promise(2, 256, SELF.id(), 0, List.of()))));
     }
 
     @Test
@@ -47,14 +47,16 @@
         assertThat(prepare(2, 256), is(false));
         assertThat(prepare(2, 512), is(false));
         accept(2, 256, NEXT);
-        assertThat(parts.sent(), is(List.of(new Message.Preempted(2, 512), new Message.Preempted(2, 512))));
+        assertThat(
+                parts.sent(),
+                is(List.of(new ReplicationMessage.Preempted(2, 512), new ReplicationMessage.Preempted(2, 512))));
         assertThat(acceptor.acceptedView(), is(Optional.empty()));
     }
 
     @Test
     void aNumberThatWasDecidedIsAnsweredWithTheView() {
         assertThat(prepare(1, 256), is(false));
-        assertThat(parts.sent(), is(List.of(new Message.ViewDecided(parts.role.view()))));
+        assertThat(parts.sent(), is(List.of(new ReplicationMessage.ViewDecided(parts.role.view()))));
         assertThat("a number further on", prepare(3, 256), is(false));
         accept(3, 256, NEXT);
         assertThat(parts.sent(), is(List.of()));
@@ -68,12 +70,12 @@
         parts.sent();
         prepare(2, 512);
         parts.sync(START);
-        assertThat(parts.sent(), is(List.of(new Message.Promise(2, 512, SELF.id(), 256, List.of(NEXT)))));
+        assertThat(parts.sent(), is(List.of(new ReplicationMessage.Promise(2, 512, SELF.id(), 256, List.of(NEXT)))));
     }
 
     @Test
     void anAcceptanceWaitsUntilTheLeasesOfThoseThatGoHaveRunOut() {
-        leases.grant(new Message.LeaseRequest(1, 0, THIRD, true, true), 0, START);
+        leases.grant(new ReplicationMessage.LeaseRequest(1, 0, THIRD, true, true), 0, START);
         parts.sent();
         accept(2, 256, NEXT);
         parts.sync(START);
@@ -81,19 +83,22 @@
         assertThat(parts.sent(), is(List.of()));
         acceptor.sendDelayed(START + LEASE);
         acceptor.sendDelayed(START + LEASE + 1);
-        assertThat("once", parts.sent(), is(List.of(new Message.Accepted(2, 256, SELF.id()))));
+        assertThat("once", parts.sent(), is(List.of(new ReplicationMessage.Accepted(2, 256, SELF.id()))));
     }
 
     @Test
     void aDelayedAcceptanceIsNotSentUnderALaterView() {
-        leases.grant(new Message.LeaseRequest(1, 0, THIRD, true, true), 0, START);
+        leases.grant(new ReplicationMessage.LeaseRequest(1, 0, THIRD, true, true), 0, START);
         parts.sent();
         accept(2, 256, NEXT);
         parts.sync(START);
         parts.in(NEXT);
         acceptor.sendDelayed(START + 2 * LEASE);
         assertThat(
-                parts.sent().stream().filter(Message.Accepted.class::isInstance).toList(), is(List.of()));
+                parts.sent().stream()
+                        .filter(ReplicationMessage.Accepted.class::isInstance)
+                        .toList(),
+                is(List.of()));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/replication/ViewPlannerTest.java
+++ b/core/src/test/java/silverlatch/replication/ViewPlannerTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /** Which view follows, for each number of voters and of dead ones. */
 final class ViewPlannerTest {
@@ -73,7 +73,8 @@
 
     @Test
     void aNewcomerReplacesADeadVoterAndIsAddedOnlyWhereAllAreHeardAndInTheChain() {
-        final Message.JoinRequest join = new Message.JoinRequest(5, new Replica("id-9", "address-9"), 1);
+        final ReplicationMessage.JoinRequest join =
+                new ReplicationMessage.JoinRequest(5, new Replica("id-9", "address-9"), 1);
         final ToLongFunction<String> dead = id -> id.equals("id-2") ? DEAD : HEARD;
         final View replaced =
                 planner(view(3, 2), dead, 2).next(false, List.of(join)).orElseThrow();
@@ -99,7 +100,8 @@
 
     @Test
     void aNewIdentityTakesItsOldVoteOnlyOnceTheOldOneIsOutOfTheChain() {
-        final Message.JoinRequest join = new Message.JoinRequest(5, new Replica("id-9", "address-2"), 1);
+        final ReplicationMessage.JoinRequest join =
+                new ReplicationMessage.JoinRequest(5, new Replica("id-9", "address-2"), 1);
         assertThat(planner(view(3, 3), id -> HEARD, 2).next(false, List.of(join)), is(Optional.empty()));
         final View next =
                 planner(view(3, 2), id -> HEARD, 2).next(false, List.of(join)).orElseThrow();
--- a/core/src/test/java/silverlatch/replication/ViewProposerTest.java
+++ b/core/src/test/java/silverlatch/replication/ViewProposerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.node.Event;
 import silverlatch.safeguard.Safeguard;
-import silverlatch.wire.Message;
+import silverlatch.wire.ReplicationMessage;
 
 /** A proposer whose third member is silent: it proposes the chain without that one. */
 final class ViewProposerTest {
@@ -37,11 +37,11 @@
     }
 
     private void hearSecond(final long now) {
-        detector.handleLeaseRequest(new Message.LeaseRequest(1, now, SECOND, true, true), false, now);
+        detector.handleLeaseRequest(new ReplicationMessage.LeaseRequest(1, now, SECOND, true, true), false, now);
     }
 
     private void promise(final Replica voter) {
-        proposer.handlePromise(new Message.Promise(2, BALLOT, voter.id(), 0, List.of()), SUSPECTED);
+        proposer.handlePromise(new ReplicationMessage.Promise(2, BALLOT, voter.id(), 0, List.of()), SUSPECTED);
     }
 
     @Test
@@ -56,7 +56,7 @@
         proposer.proposeNextView(false, SUSPECTED);
         assertThat(parts.logged(), is(List.of(Event.CHAIN_SUSPECT, Event.PROPOSED)));
         proposer.proposeNextView(false, SUSPECTED + 1);
-        assertThat("once", parts.sent(), is(Collections.nCopies(3, new Message.Prepare(2, BALLOT))));
+        assertThat("once", parts.sent(), is(Collections.nCopies(3, new ReplicationMessage.Prepare(2, BALLOT))));
     }
 
     @Test
@@ -67,7 +67,7 @@
         promise(THIRD);
         assertThat("its own promise isn't synced yet", parts.sent(), is(List.of()));
         promise(SELF);
-        assertThat(parts.sent(), is(Collections.nCopies(3, new Message.Accept(2, BALLOT, SHORTENED))));
+        assertThat(parts.sent(), is(Collections.nCopies(3, new ReplicationMessage.Accept(2, BALLOT, SHORTENED))));
     }
 
     @Test
@@ -76,8 +76,9 @@
         proposer.proposeNextView(false, SUSPECTED);
         parts.sent();
         promise(SELF);
-        proposer.handlePromise(new Message.Promise(2, BALLOT, SECOND.id(), BALLOT - 1, List.of(earlier)), SUSPECTED);
-        assertThat(parts.sent(), is(Collections.nCopies(3, new Message.Accept(2, BALLOT, earlier))));
+        proposer.handlePromise(
+                new ReplicationMessage.Promise(2, BALLOT, SECOND.id(), BALLOT - 1, List.of(earlier)), SUSPECTED);
+        assertThat(parts.sent(), is(Collections.nCopies(3, new ReplicationMessage.Accept(2, BALLOT, earlier))));
     }
 
     @Test
@@ -86,8 +87,11 @@
         promise(SELF);
         promise(SECOND);
         parts.sent();
-        assertThat(proposer.handleAccepted(new Message.Accepted(2, BALLOT, SELF.id())), is(Optional.empty()));
-        assertThat(proposer.handleAccepted(new Message.Accepted(2, BALLOT, SECOND.id())), is(Optional.of(SHORTENED)));
+        assertThat(
+                proposer.handleAccepted(new ReplicationMessage.Accepted(2, BALLOT, SELF.id())), is(Optional.empty()));
+        assertThat(
+                proposer.handleAccepted(new ReplicationMessage.Accepted(2, BALLOT, SECOND.id())),
+                is(Optional.of(SHORTENED)));
         assertThat("all but itself, by identity", parts.receivers(), is(List.of(SECOND.address(), THIRD.address())));
     }
 
@@ -96,8 +100,8 @@
         proposer.proposeNextView(false, SUSPECTED);
         parts.sent();
         promise(SELF);
-        proposer.handlePromise(new Message.Promise(2, BALLOT + 1, SECOND.id(), 0, List.of()), SUSPECTED);
-        proposer.handlePromise(new Message.Promise(3, BALLOT, SECOND.id(), 0, List.of()), SUSPECTED);
+        proposer.handlePromise(new ReplicationMessage.Promise(2, BALLOT + 1, SECOND.id(), 0, List.of()), SUSPECTED);
+        proposer.handlePromise(new ReplicationMessage.Promise(3, BALLOT, SECOND.id(), 0, List.of()), SUSPECTED);
         assertThat(parts.sent(), is(List.of()));
     }
 
@@ -105,12 +109,12 @@
     void aPreemptedProposerHoldsBackAndThenUsesAHigherRound() {
         proposer.proposeNextView(false, SUSPECTED);
         parts.sent();
-        proposer.handlePreempted(new Message.Preempted(2, 5 << 8 | 1), SUSPECTED);
+        proposer.handlePreempted(new ReplicationMessage.Preempted(2, 5 << 8 | 1), SUSPECTED);
         proposer.proposeNextView(false, SUSPECTED + 1);
         assertThat(parts.sent(), is(List.of()));
         final long later = SUSPECTED + SUSPICION;
         proposer.proposeNextView(false, later);
-        assertThat(parts.sent().get(0), is(new Message.Prepare(2, 6 << 8)));
+        assertThat(parts.sent().get(0), is(new ReplicationMessage.Prepare(2, 6 << 8)));
     }
 
     @Test
@@ -122,12 +126,12 @@
         proposer.proposeNextView(false, SUSPECTED + timeout - 1);
         assertThat(parts.sent(), is(List.of()));
         proposer.proposeNextView(false, SUSPECTED + timeout);
-        assertThat("a higher round", parts.sent().get(0), is(new Message.Prepare(2, 2 * BALLOT)));
+        assertThat("a higher round", parts.sent().get(0), is(new ReplicationMessage.Prepare(2, 2 * BALLOT)));
     }
 
     @Test
     void joinRequestsCountUntilTheNextView() {
-        proposer.handleJoinRequest(new Message.JoinRequest(1, ReplicaParts.STRANGER, 4));
+        proposer.handleJoinRequest(new ReplicationMessage.JoinRequest(1, ReplicaParts.STRANGER, 4));
         assertThat(proposer.isJoining(ReplicaParts.STRANGER.id()), is(true));
         proposer.installView();
         assertThat(proposer.joinRequests().isEmpty(), is(true));
--- a/core/src/test/java/silverlatch/replication/WriteAdmissionTest.java
+++ b/core/src/test/java/silverlatch/replication/WriteAdmissionTest.java
@@ -13,7 +13,8 @@
 import silverlatch.clock.Stamp;
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
-import silverlatch.wire.Message;
+import silverlatch.wire.ChainClientMessage;
+import silverlatch.wire.ReplicationMessage;
 
 /** The head of a chain of two: what it admits, and when it replies. */
 final class WriteAdmissionTest {
@@ -31,17 +32,18 @@
     }
 
     private void grantLease(final long now) {
-        lease.add(new Message.LeaseGrant(1, now, SELF.id(), 0));
-        lease.add(new Message.LeaseGrant(1, now, SECOND.id(), 0));
+        lease.add(new ReplicationMessage.LeaseGrant(1, now, SELF.id(), 0));
+        lease.add(new ReplicationMessage.LeaseGrant(1, now, SECOND.id(), 0));
     }
 
-    private static Message.WriteRequest evacuation(final String id, final long expectedRevision) {
-        return new Message.WriteRequest(7, "client", new Command.SetEvacuation(id, "zone", true, expectedRevision));
+    private static ChainClientMessage.WriteRequest evacuation(final String id, final long expectedRevision) {
+        return new ChainClientMessage.WriteRequest(
+                7, "client", new Command.SetEvacuation(id, "zone", true, expectedRevision));
     }
 
     private List<CommandResult> results() {
         return parts.sent().stream()
-                .map(message -> ((Message.WriteReply) message).result())
+                .map(message -> ((ChainClientMessage.WriteReply) message).result())
                 .toList();
     }
 
@@ -112,7 +114,7 @@
     void anOldFencingTokenIsRejectedAtOnce() {
         grantLease(START);
         admission.handleWriteRequest(
-                new Message.WriteRequest(7, "client", new Command.AdvanceEpoch("sweep-1", 1, 0)), START);
+                new ChainClientMessage.WriteRequest(7, "client", new Command.AdvanceEpoch("sweep-1", 1, 0)), START);
         final CommandResult result = results().get(0);
         assertThat(((CommandResult.Rejected) result).code(), is(409));
     }
--- a/core/src/test/java/silverlatch/wire/CodecPoolTest.java
+++ b/core/src/test/java/silverlatch/wire/CodecPoolTest.java
@@ -68,7 +68,7 @@
 
     private static Frame frame(final int number) {
         final Replica sender = new Replica("id-" + number, "10.0.0.1:7300");
-        final Message body = new Message.LeaseRequest(number, number * 10L, sender, false, true);
+        final Message body = new ReplicationMessage.LeaseRequest(number, number * 10L, sender, false, true);
         return new Frame(new Stamp(number + 1L), number, sender.id(), sender.address(), 0, body);
     }
 }
--- a/core/src/test/java/silverlatch/wire/CodecTest.java
+++ b/core/src/test/java/silverlatch/wire/CodecTest.java
@@ -24,7 +24,7 @@
             "p",
             "127.0.0.1:1",
             3,
-            new Message.GossipPush(
+            new GossipMessage.GossipPush(
                     List.of(ME),
                     List.of(new Worker("w", "a", "z", "r", 1, 2, 3, 4, 5, List.of(6L, 7L, 8L), true, 9)),
                     10));
@@ -46,7 +46,8 @@
     @Test
     void aFrameWithoutAStampCanNotBeMade() {
         assertThrows(
-                IllegalArgumentException.class, () -> new Frame(Stamp.NONE, 5, "p", "a", 3, new Message.Heartbeat(ME)));
+                IllegalArgumentException.class,
+                () -> new Frame(Stamp.NONE, 5, "p", "a", 3, new MembershipMessage.Heartbeat(ME)));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/wire/FrameSamples.java
+++ b/core/src/test/java/silverlatch/wire/FrameSamples.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import silverlatch.clock.Stamp;
+import silverlatch.gossip.ReportVersion;
 import silverlatch.gossip.Worker;
 import silverlatch.gossip.WorkerReport;
 import silverlatch.membership.Member;
@@ -68,8 +69,8 @@
         final List<Message> messages = new ArrayList<>();
         messages.addAll(membershipAndGossip());
         messages.addAll(replication());
-        commands().forEach(command -> messages.add(new Message.WriteRequest(51, "10.0.0.3:1", command)));
-        results().forEach(result -> messages.add(new Message.WriteReply(52, result)));
+        commands().forEach(command -> messages.add(new ChainClientMessage.WriteRequest(51, "10.0.0.3:1", command)));
+        results().forEach(result -> messages.add(new ChainClientMessage.WriteReply(52, result)));
         final List<Frame> frames = new ArrayList<>();
         for (int i = 0; i < messages.size(); i++) {
             frames.add(new Frame(new Stamp(1_000 + i), 99, "daemon", "10.0.0.9:1", 53, messages.get(i)));
@@ -78,25 +79,25 @@
     }
 
     private static List<Message> membershipAndGossip() {
-        final Message.ReportVersion mark = new Message.ReportVersion("worker-1", 61, 62);
-        final Message.PullContent whole = new Message.PullContent.FullContent(
-                List.of(new Message.ReportAge("worker-1", 63, 64, 65)), List.of(WORKER), List.of(MEMBER));
-        final Message.PullContent brief = new Message.PullContent.DigestContent(
+        final ReportVersion mark = new ReportVersion("worker-1", 61, 62);
+        final GossipMessage.PullContent whole = new GossipMessage.PullContent.FullContent(
+                List.of(new GossipMessage.ReportAge("worker-1", 63, 64, 65)), List.of(WORKER), List.of(MEMBER));
+        final GossipMessage.PullContent brief = new GossipMessage.PullContent.DigestContent(
                 66,
-                List.of(new Message.RangeDigests(new long[] {67, 68}, new long[] {69})),
-                List.of(new Message.HeartbeatAges(70, new long[] {71})));
+                List.of(new GossipMessage.RangeDigests(new long[] {67, 68}, new long[] {69})),
+                List.of(new GossipMessage.HeartbeatAges(70, new long[] {71})));
         return List.of(
-                new Message.JoinGreeting(MEMBER, 72),
-                new Message.MemberList(List.of(MEMBER), 73, 74, new Stamp(75)),
-                new Message.Heartbeat(MEMBER),
-                new Message.LivenessHeartbeat("gateway-1", 76),
-                new Message.GossipPush(List.of(MEMBER), List.of(WORKER), List.of(REPORT), 77),
-                new Message.GossipPull(78, 79, 80, List.of(mark), 81, 82),
-                new Message.GossipPullReply(83, 84, 85, 86, entries(), List.of(VIEW), whole),
-                new Message.GossipPullReply(87, 88, 89, 90, List.of(), List.of(), brief),
-                new Message.ReportVersions(
-                        91, 92, 93, List.of(mark), List.of(new Message.ReportVersion("gateway-1", 94, 95))),
-                new Message.MissingReports(
+                new MembershipMessage.JoinGreeting(MEMBER, 72),
+                new MembershipMessage.MemberList(List.of(MEMBER), 73, 74, new Stamp(75)),
+                new MembershipMessage.Heartbeat(MEMBER),
+                new MembershipMessage.LivenessHeartbeat("gateway-1", 76),
+                new GossipMessage.GossipPush(List.of(MEMBER), List.of(WORKER), List.of(REPORT), 77),
+                new GossipMessage.GossipPull(78, 79, 80, List.of(mark), 81, 82),
+                new GossipMessage.GossipPullReply(83, 84, 85, 86, entries(), List.of(VIEW), whole),
+                new GossipMessage.GossipPullReply(87, 88, 89, 90, List.of(), List.of(), brief),
+                new GossipMessage.ReportVersions(
+                        91, 92, 93, List.of(mark), List.of(new ReportVersion("gateway-1", 94, 95))),
+                new GossipMessage.MissingReports(
                         96, List.of(REPORT), List.of(MEMBER), List.of("worker-2"), List.of("gateway-2")),
                 new Message.StampRejected(97, 98));
     }
@@ -104,36 +105,36 @@
     private static List<Message> replication() {
         final LogEntry change = new LogEntry(101, 102, new Stamp(103), entries());
         return List.of(
-                new Message.Discover(ONE, true, List.of(TWO)),
-                new Message.Bootstrap(VIEW),
-                new Message.BootstrapAgreed(104, ONE),
-                new Message.LeaseRequest(105, 106, ONE, true, false),
-                new Message.LeaseRequest(107, 108, ONE, false, true),
-                new Message.LeaseGrant(109, 110, "id-a", 111),
-                new Message.ViewDecided(VIEW),
-                new Message.Prepare(112, 113),
-                new Message.Promise(114, 115, "id-b", 116, List.of(VIEW)),
-                new Message.Accept(117, 118, VIEW),
-                new Message.Accepted(119, 120, "id-b"),
-                new Message.Preempted(121, 122),
-                new Message.Replicate(123, List.of(change)),
-                new Message.ReplicateAck(124, "id-a", 125),
-                new Message.CommitNotice(126, 127),
-                new Message.CatchUpTarget(128, 129),
-                new Message.FetchEntries(130, "id-b", 131),
-                new Message.CompareDigests(132, ONE, 133, new long[] {134, 135}),
-                new Message.RepairRanges(
+                new ReplicationMessage.Discover(ONE, true, List.of(TWO)),
+                new ReplicationMessage.Bootstrap(VIEW),
+                new ReplicationMessage.BootstrapAgreed(104, ONE),
+                new ReplicationMessage.LeaseRequest(105, 106, ONE, true, false),
+                new ReplicationMessage.LeaseRequest(107, 108, ONE, false, true),
+                new ReplicationMessage.LeaseGrant(109, 110, "id-a", 111),
+                new ReplicationMessage.ViewDecided(VIEW),
+                new ReplicationMessage.Prepare(112, 113),
+                new ReplicationMessage.Promise(114, 115, "id-b", 116, List.of(VIEW)),
+                new ReplicationMessage.Accept(117, 118, VIEW),
+                new ReplicationMessage.Accepted(119, 120, "id-b"),
+                new ReplicationMessage.Preempted(121, 122),
+                new ReplicationMessage.Replicate(123, List.of(change)),
+                new ReplicationMessage.ReplicateAck(124, "id-a", 125),
+                new ReplicationMessage.CommitNotice(126, 127),
+                new ReplicationMessage.CatchUpTarget(128, 129),
+                new ReplicationMessage.FetchEntries(130, "id-b", 131),
+                new ReplicationMessage.CompareDigests(132, ONE, 133, new long[] {134, 135}),
+                new ReplicationMessage.RepairRanges(
                         136,
                         137,
                         138,
                         139,
-                        List.of(new Message.RangeEntries(140, entries())),
+                        List.of(new ReplicationMessage.RangeEntries(140, entries())),
                         List.of(change),
                         new long[] {141}),
-                new Message.RepairNext(142, TWO, 143, 144),
-                new Message.JoinRequest(145, TWO, 146),
-                new Message.ReadRequest(147, "10.0.0.3:1", "t/"),
-                new Message.ReadReply(148, true, 149, entries()));
+                new ReplicationMessage.RepairNext(142, TWO, 143, 144),
+                new ReplicationMessage.JoinRequest(145, TWO, 146),
+                new ChainClientMessage.ReadRequest(147, "10.0.0.3:1", "t/"),
+                new ChainClientMessage.ReadReply(148, true, 149, entries()));
     }
 
     private static List<Command> commands() {
--- a/core/src/test/java/silverlatch/wire/SizesTest.java
+++ b/core/src/test/java/silverlatch/wire/SizesTest.java
@@ -23,42 +23,43 @@
 
     @Test
     void aPullThatBringsNothingNewIsSmall() {
-        assertThat(size(new Message.GossipPull(1L << 40, 2_300, 9, List.of(), 1L << 62, 1L << 61)), lessThan(150));
         assertThat(
-                size(new Message.GossipPullReply(
+                size(new GossipMessage.GossipPull(1L << 40, 2_300, 9, List.of(), 1L << 62, 1L << 61)), lessThan(150));
+        assertThat(
+                size(new GossipMessage.GossipPullReply(
                         1L << 40,
                         2_300,
                         400_000,
                         1L << 60,
                         List.of(),
                         List.of(),
-                        new Message.PullContent.DigestContent(300_000, List.of(), List.of()))),
+                        new GossipMessage.PullContent.DigestContent(300_000, List.of(), List.of()))),
                 lessThan(150));
     }
 
     @Test
     void betweenHarborsTheAgesOfAThousandWorkersFitIntoSevenHundredBytes() {
         assertThat(
-                size(new Message.GossipPullReply(
+                size(new GossipMessage.GossipPullReply(
                         1L << 40,
                         2_300,
                         400_000,
                         1L << 60,
                         List.of(),
                         List.of(),
-                        new Message.PullContent.DigestContent(
+                        new GossipMessage.PullContent.DigestContent(
                                 300_000,
                                 List.of(),
-                                List.of(new Message.HeartbeatAges(1L << 62, new long[1_100 / 16 + 1]))))),
+                                List.of(new GossipMessage.HeartbeatAges(1L << 62, new long[1_100 / 16 + 1]))))),
                 lessThan(720));
     }
 
     @Test
     void aBeatAndAWordAreSmall() {
-        assertThat(size(new Message.Heartbeat(ME)), lessThan(200));
-        assertThat(size(new Message.LivenessHeartbeat(ME.id(), ME.incarnation())), lessThan(100));
+        assertThat(size(new MembershipMessage.Heartbeat(ME)), lessThan(200));
+        assertThat(size(new MembershipMessage.LivenessHeartbeat(ME.id(), ME.incarnation())), lessThan(100));
         assertThat(
-                size(new Message.GossipPush(
+                size(new GossipMessage.GossipPush(
                         List.of(),
                         List.of(),
                         List.of(WorkerReport.of(new Worker(
--- a/server/src/main/java/silverlatch/server/controller/WorkerRoster.java
+++ b/server/src/main/java/silverlatch/server/controller/WorkerRoster.java
@@ -16,7 +16,7 @@
 import silverlatch.server.eventloop.EventLog;
 import silverlatch.util.Threads;
 import silverlatch.wire.Codec;
-import silverlatch.wire.Message;
+import silverlatch.wire.GossipMessage;
 
 /**
  * The file of the workers last heard of, beside the log: after all machines have lost their power at once, requests need not wait
@@ -84,7 +84,7 @@
     }
 
     private static byte[] encode(final Codec codec, final List<WorkerReport> reports) {
-        final byte[] body = codec.encode(new Message.MissingReports(0, reports, List.of(), List.of(), List.of()));
+        final byte[] body = codec.encode(new GossipMessage.MissingReports(0, reports, List.of(), List.of(), List.of()));
         return ByteBuffer.allocate(HEADER_BYTES + body.length)
                 .putLong(checksum(body, 0))
                 .put(body)
@@ -96,8 +96,8 @@
             return List.of();
         }
         final byte[] body = Arrays.copyOfRange(bytes, HEADER_BYTES, bytes.length);
-        return new Codec().decode(body, Message.MissingReports.class)
-                        instanceof Codec.DecodeResult.Decoded<Message.MissingReports> decoded
+        return new Codec().decode(body, GossipMessage.MissingReports.class)
+                        instanceof Codec.DecodeResult.Decoded<GossipMessage.MissingReports> decoded
                 ? decoded.value().reports()
                 : List.of();
     }
--- a/server/src/test/java/silverlatch/server/transport/TransportTest.java
+++ b/server/src/test/java/silverlatch/server/transport/TransportTest.java
@@ -25,7 +25,7 @@
 import silverlatch.node.OutgoingFrame;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.wire.Frame;
-import silverlatch.wire.Message;
+import silverlatch.wire.MembershipMessage;
 
 /** Transports on loopback before scripted peers, with shorter limits than those in use. */
 final class TransportTest {
@@ -59,7 +59,7 @@
                 new Member("p" + pad, "gateway", "z", "r", "127.0.0.1:1", "127.0.0.1:2", number, 4, "up", true);
         return new OutgoingFrame(
                 "127.0.0.1:" + port,
-                new Frame(new Stamp(number), 5, "p", "127.0.0.1:1", 3, new Message.Heartbeat(sender)));
+                new Frame(new Stamp(number), 5, "p", "127.0.0.1:1", 3, new MembershipMessage.Heartbeat(sender)));
     }
 
     private ServerSocket listen(final int port, final BlockingQueue<Socket> accepted) throws IOException {
--- a/simulation/src/main/java/silverlatch/simulation/explore/PropertyMonitor.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/PropertyMonitor.java
@@ -16,6 +16,7 @@
 import silverlatch.state.ConfigurationValidator;
 import silverlatch.state.Entry;
 import silverlatch.state.StateMachine;
+import silverlatch.wire.ChainClientMessage;
 import silverlatch.wire.Message;
 
 /** Watches a {@link World} and notes the first property that is broken. */
@@ -108,13 +109,13 @@
 
     /** A replica sends a message; the definite replies among them are looked at. */
     void replied(final Machine machine, final Message message) {
-        final boolean read = message instanceof Message.ReadReply reply && reply.answered();
-        final boolean refusal =
-                message instanceof Message.WriteReply reply && reply.result() instanceof CommandResult.Rejected;
-        final Optional<Long> applied =
-                message instanceof Message.WriteReply reply && reply.result() instanceof CommandResult.Applied result
-                        ? Optional.of(result.sequence())
-                        : Optional.empty();
+        final boolean read = message instanceof ChainClientMessage.ReadReply reply && reply.answered();
+        final boolean refusal = message instanceof ChainClientMessage.WriteReply reply
+                && reply.result() instanceof CommandResult.Rejected;
+        final Optional<Long> applied = message instanceof ChainClientMessage.WriteReply reply
+                        && reply.result() instanceof CommandResult.Applied result
+                ? Optional.of(result.sequence())
+                : Optional.empty();
         if (!read && !refusal && applied.isEmpty()) {
             return;
         }
--- a/simulation/src/main/java/silverlatch/simulation/explore/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/World.java
@@ -14,6 +14,7 @@
 import silverlatch.replication.View;
 import silverlatch.state.Command;
 import silverlatch.state.ConfigurationValidator;
+import silverlatch.wire.ChainClientMessage;
 import silverlatch.wire.Message;
 
 /**
@@ -171,7 +172,7 @@
 
     private void handle(final Machine machine, final Message message, final String sender) {
         final Machine.Process process = machine.process().orElseThrow();
-        if (message instanceof Message.WriteReply || message instanceof Message.ReadReply) {
+        if (message instanceof ChainClientMessage.WriteReply || message instanceof ChainClientMessage.ReadReply) {
             process.client().onMessage(message, machine.clock(now));
         } else {
             process.replica().onMessage(message, sender, machine.clock(now));
