--- a/core/src/main/java/silverlatch/clock/ProcessClock.java
+++ b/core/src/main/java/silverlatch/clock/ProcessClock.java
@@ -106,11 +106,11 @@
     }
 
     private ClockReading merge(final Stamp received, final long physicalTime) {
-        if (!safeguards.isEnabled(Safeguard.ABOVE)) {
+        if (!safeguards.isEnabled(Safeguard.STAMP_ABOVE)) {
             return clock.send(physicalTime);
         }
         final ClockReading reading = clock.receive(received, physicalTime);
-        return reading instanceof ClockReading.TooFarAhead && !safeguards.isEnabled(Safeguard.FAR)
+        return reading instanceof ClockReading.TooFarAhead && !safeguards.isEnabled(Safeguard.STAMP_BOUND)
                 ? new PwcClock(Math.max(clock.last(), received.bits()), clock.lowBits(), clock.maxSkew())
                         .send(physicalTime)
                 : reading;
--- a/core/src/main/java/silverlatch/dispatch/AttemptMonitor.java
+++ b/core/src/main/java/silverlatch/dispatch/AttemptMonitor.java
@@ -81,7 +81,7 @@
 
     private void failed(final DispatchedRequest request, final boolean started, final String reason, final long now) {
         final boolean isRunning = request.state() == RequestState.RUNNING;
-        if ((started || isRunning) && isEnabled(Safeguard.BEGUN)) {
+        if ((started || isRunning) && isEnabled(Safeguard.NO_RETRY_AFTER_START)) {
             lose(request, reason, now);
             return;
         }
@@ -104,7 +104,7 @@
     private boolean mayRetry(final DispatchedRequest request, final long now) {
         return now < request.queueDeadline()
                 && request.attempts() < MAX_ATTEMPTS
-                && (retryBudget.tryAcquire(now) || !isEnabled(Safeguard.TRIES));
+                && (retryBudget.tryAcquire(now) || !isEnabled(Safeguard.RETRY_BUDGET));
     }
 
     /** Rejects what has waited too long, and gives up what does not start, has passed its deadline or isn't read any more. */
--- a/core/src/main/java/silverlatch/dispatch/ClusterView.java
+++ b/core/src/main/java/silverlatch/dispatch/ClusterView.java
@@ -37,19 +37,21 @@
 
     /** Whether the snapshot was the newest a short time ago, so that it may be acted on. */
     boolean isConfirmed(final long now) {
-        return snapshot.isConfirmedWithin(now, maxConfirmationAge) || !safeguards.isEnabled(Safeguard.SURE);
+        return snapshot.isConfirmedWithin(now, maxConfirmationAge)
+                || !safeguards.isEnabled(Safeguard.CONFIRMED_REVISION);
     }
 
     /** Whether this gateway is in one of the tenant's home regions. */
     boolean servesTenant(final Value.Tenant tenant) {
         return tenant.homeRegions().isEmpty()
                 || tenant.homeRegions().contains(snapshot.self().region())
-                || !safeguards.isEnabled(Safeguard.SENT);
+                || !safeguards.isEnabled(Safeguard.GATEWAY_HOME_REGION);
     }
 
     /** Whether this gateway's zone is being evacuated, so that it takes no new request. */
     boolean isZoneEvacuating() {
-        return snapshot.evacuatingZones().contains(snapshot.self().zone()) && safeguards.isEnabled(Safeguard.ZONE);
+        return snapshot.evacuatingZones().contains(snapshot.self().zone())
+                && safeguards.isEnabled(Safeguard.EVACUATION);
     }
 
     /** A request's tenant as it is now, unless it is gone or has another key by now. */
--- a/core/src/main/java/silverlatch/dispatch/DispatchedRequest.java
+++ b/core/src/main/java/silverlatch/dispatch/DispatchedRequest.java
@@ -114,7 +114,7 @@
         state = state.after(event);
     }
 
-    /** Makes a run count as not begun: what a test sees that lets down {@link silverlatch.safeguard.Safeguard#BEGUN}. */
+    /** Makes a run count as not begun: what a test sees that lets down {@link silverlatch.safeguard.Safeguard#NO_RETRY_AFTER_START}. */
     void forgetStart() {
         state = RequestState.STARTING;
     }
--- a/core/src/main/java/silverlatch/dispatch/Dispatcher.java
+++ b/core/src/main/java/silverlatch/dispatch/Dispatcher.java
@@ -91,7 +91,7 @@
         }
         usage.retain(next.workers());
         cluster.update(next);
-        if (next.revision() != previous.revision() && isEnabled(Safeguard.KEPT)) {
+        if (next.revision() != previous.revision() && isEnabled(Safeguard.RETENTION_HOME_REGION)) {
             revoker.revokeNoLongerAllowed(now);
         }
         queueDispatcher.run(now);
@@ -145,14 +145,14 @@
         final Optional<DispatchedRequest> found = requests.byId(requestId)
                 .filter(request ->
                         PermitSigner.constantTimeEquals(request.tenant().keyHash(), PermitSigner.sha256Hex(secret)))
-                .filter(request -> cluster.stillServes(request) || !isEnabled(Safeguard.KEPT));
+                .filter(request -> cluster.stillServes(request) || !isEnabled(Safeguard.RETENTION_HOME_REGION));
         if (found.isEmpty()
                 || firstRecord < 0
                 || firstRecord > found.get().response().size()) {
             output.reject(callId, "", Rejection.permanent(Rejection.NOT_FOUND, "no such ticket or piece"));
             return;
         }
-        if (!cluster.isConfirmed(now) && isEnabled(Safeguard.KEPT)) {
+        if (!cluster.isConfirmed(now) && isEnabled(Safeguard.RETENTION_HOME_REGION)) {
             output.reject(
                     callId,
                     requestId,
--- a/core/src/main/java/silverlatch/dispatch/PlacementHandler.java
+++ b/core/src/main/java/silverlatch/dispatch/PlacementHandler.java
@@ -131,7 +131,7 @@
         }
         if (placement.previousAttempts() > 0
                 && !retryBudget.tryAcquire(now)
-                && settings.safeguards().isEnabled(Safeguard.TRIES)) {
+                && settings.safeguards().isEnabled(Safeguard.RETRY_BUDGET)) {
             return Optional.of(Rejection.retryable(
                     Rejection.TOO_MANY_REQUESTS, "too many tickets are tried again", 2 * Rejection.SECOND));
         }
--- a/core/src/main/java/silverlatch/dispatch/ResponseChecker.java
+++ b/core/src/main/java/silverlatch/dispatch/ResponseChecker.java
@@ -20,20 +20,22 @@
         return switch (received) {
             case StreamRecord.Chunk chunk -> violation(request, chunk);
             case StreamRecord.Trailer trailer ->
-                safeguards.isEnabled(Safeguard.SEAL) ? violation(request, trailer) : Optional.empty();
+                safeguards.isEnabled(Safeguard.TRAILER_DIGEST) ? violation(request, trailer) : Optional.empty();
             case StreamRecord.Lost lost -> Optional.of(lost.reason());
         };
     }
 
     private Optional<String> violation(final DispatchedRequest request, final StreamRecord.Chunk chunk) {
-        if (safeguards.isEnabled(Safeguard.LINE) && !chunk.requestId().equals(request.id())) {
+        if (safeguards.isEnabled(Safeguard.STREAM_IDENTITY)
+                && !chunk.requestId().equals(request.id())) {
             return Optional.of("a piece of another ticket");
         }
-        if (safeguards.isEnabled(Safeguard.LINE) && !chunk.attemptId().equals(request.attemptId())) {
+        if (safeguards.isEnabled(Safeguard.STREAM_IDENTITY)
+                && !chunk.attemptId().equals(request.attemptId())) {
             return Optional.of("a piece of another run");
         }
         final int due = request.response().size();
-        if (safeguards.isEnabled(Safeguard.PIECE) && chunk.index() != due) {
+        if (safeguards.isEnabled(Safeguard.STREAM_ORDER) && chunk.index() != due) {
             return Optional.of("piece " + chunk.index() + " where " + due + " was due");
         }
         return Optional.empty();
--- a/core/src/main/java/silverlatch/gossip/StateCopy.java
+++ b/core/src/main/java/silverlatch/gossip/StateCopy.java
@@ -113,7 +113,7 @@
         if (revision < revision()) {
             return stateMachine.policySince(revision);
         }
-        return safeguards.isEnabled(Safeguard.PAGE) ? List.of() : stateMachine.policySince(0);
+        return safeguards.isEnabled(Safeguard.MONOTONIC_REVISION) ? List.of() : stateMachine.policySince(0);
     }
 
     /** Returns the view as a list if it is newer than the one another node has. */
@@ -140,7 +140,9 @@
         final boolean isNewer = reply.revision() > revision();
         if (isNewer) {
             stateMachine.apply(reply.revision(), reply.entries());
-        } else if (reply.revision() > 0 && reply.revision() < revision() && !safeguards.isEnabled(Safeguard.PAGE)) {
+        } else if (reply.revision() > 0
+                && reply.revision() < revision()
+                && !safeguards.isEnabled(Safeguard.MONOTONIC_REVISION)) {
             stateMachine.reset(reply.revision(), reply.entries());
             highestRevision = reply.revision();
         }
--- a/core/src/main/java/silverlatch/placement/WeightedScorers.java
+++ b/core/src/main/java/silverlatch/placement/WeightedScorers.java
@@ -41,8 +41,8 @@
         final List<Scorer> all =
                 new ArrayList<>(List.of(new PrefixCacheScorer(), new LoadScorer(), new LocalityScorer()));
         all.addAll(constraintScorers(maxReportAge, safeguards));
-        if (safeguards.isEnabled(Safeguard.RAMP)) {
-            all.add(new SlowStartScorer(safeguards.isEnabled(Safeguard.WARM)));
+        if (safeguards.isEnabled(Safeguard.SLOW_START)) {
+            all.add(new SlowStartScorer(safeguards.isEnabled(Safeguard.SLOW_START_END)));
         }
         return new WeightedScorers(all);
     }
@@ -54,13 +54,13 @@
 
     private static List<Scorer> constraintScorers(final long maxReportAge, final Safeguards safeguards) {
         final List<Scorer> all = new ArrayList<>();
-        if (safeguards.isEnabled(Safeguard.SERVED)) {
+        if (safeguards.isEnabled(Safeguard.WORKER_HOME_REGION)) {
             all.add(new HomeRegionScorer());
         }
-        if (safeguards.isEnabled(Safeguard.ZONE)) {
+        if (safeguards.isEnabled(Safeguard.EVACUATION)) {
             all.add(new EvacuationScorer());
         }
-        all.add(new AvailabilityScorer(safeguards.isEnabled(Safeguard.WORD) ? maxReportAge : Long.MAX_VALUE));
+        all.add(new AvailabilityScorer(safeguards.isEnabled(Safeguard.REPORT_AGE) ? maxReportAge : Long.MAX_VALUE));
         return all;
     }
 
--- a/core/src/main/java/silverlatch/replication/RepairRequester.java
+++ b/core/src/main/java/silverlatch/replication/RepairRequester.java
@@ -126,12 +126,12 @@
      * entries: then the replica asks again.
      */
     private boolean hasSourceDigests(final ReplicationMessage.RepairRanges lastPiece) {
-        return log.hasDigests(lastPiece.digests()) || !settings.safeguards().isEnabled(Safeguard.DIGEST);
+        return log.hasDigests(lastPiece.digests()) || !settings.safeguards().isEnabled(Safeguard.REPAIR_DIGEST);
     }
 
     private void complete(
             final RepairProgress received, final ReplicationMessage.RepairRanges lastPiece, final long now) {
-        if (settings.safeguards().isEnabled(Safeguard.DIGEST)) {
+        if (settings.safeguards().isEnabled(Safeguard.REPAIR_DIGEST)) {
             log.replaceRanges(received.ranges());
         }
         if (!hasSourceDigests(lastPiece)) {
--- a/core/src/main/java/silverlatch/replication/ViewProposer.java
+++ b/core/src/main/java/silverlatch/replication/ViewProposer.java
@@ -79,7 +79,7 @@
             return;
         }
         proposal = Optional.empty();
-        if (!role.isVoter() || !settings.safeguards().isEnabled(Safeguard.MEND)) {
+        if (!role.isVoter() || !settings.safeguards().isEnabled(Safeguard.CHAIN_REPAIR)) {
             return;
         }
         if (role.isCaughtUp()) {
--- a/core/src/main/java/silverlatch/replication/WriteAdmission.java
+++ b/core/src/main/java/silverlatch/replication/WriteAdmission.java
@@ -129,7 +129,7 @@
      */
     private void replyRejected(
             final ChainClientMessage.WriteRequest request, final CommandResult rejection, final Stamp stamp) {
-        if (log.pendingCount() == 0 || !settings.safeguards().isEnabled(Safeguard.SETTLED)) {
+        if (log.pendingCount() == 0 || !settings.safeguards().isEnabled(Safeguard.COMMITTED_REFUSAL)) {
             waitingWrites.reply(request, rejection);
             return;
         }
--- a/core/src/main/java/silverlatch/safeguard/Safeguard.java
+++ b/core/src/main/java/silverlatch/safeguard/Safeguard.java
@@ -6,55 +6,55 @@
  */
 public enum Safeguard {
     /** A report on a worker counts for a bounded age only. */
-    WORD,
+    REPORT_AGE,
     /** A configuration that is not confirmed is not acted on. */
-    SURE,
+    CONFIRMED_REVISION,
     /** A zone under evacuation gets no new requests. */
-    ZONE,
+    EVACUATION,
     /** A worker outside the tenant's home regions gets no requests of it. */
-    SERVED,
+    WORKER_HOME_REGION,
     /** A gateway outside the tenant's home regions takes no requests of it. */
-    SENT,
+    GATEWAY_HOME_REGION,
     /** What is kept of a tenant is dropped with its home regions, its key or itself. */
-    KEPT,
+    RETENTION_HOME_REGION,
     /** An idempotency key is bound to one request. */
     CLAIM,
     /** A request is handed over once. */
-    SPENT,
+    PERMIT_ONCE,
     /** A permit is valid for one incarnation of its carrier. */
-    LIFE,
+    PERMIT_INCARNATION,
     /** A line of a response stream bears its own request and attempt. */
-    LINE,
+    STREAM_IDENTITY,
     /** Chunks of a stream come without a gap and without a repetition. */
-    PIECE,
+    STREAM_ORDER,
     /** The checksum of a chunk covers what came before it. */
-    SEAL,
+    TRAILER_DIGEST,
     /** What may have begun is neither retried nor called rejected. */
-    BEGUN,
+    NO_RETRY_AFTER_START,
     /** A worker that warms up gets less than its share (slow start). */
-    RAMP,
+    SLOW_START,
     /** A worker whose slow start is over gets its full share. */
-    WARM,
+    SLOW_START_END,
     /** Retries have a budget. */
-    TRIES,
+    RETRY_BUDGET,
     /** The tail answers reads only under a lease. */
     LEASE,
     /** A lower revision never replaces a higher one. */
-    PAGE,
+    MONOTONIC_REVISION,
     /** A command against an older sequence is rejected. */
-    MATCH,
+    COMPARE_AND_SET,
     /** A configuration that was accepted is recognized when it is sent again. */
-    TAKEN,
+    ACCEPTED_REMEMBERED,
     /** A rejection rests on committed entries only. */
-    SETTLED,
+    COMMITTED_REFUSAL,
     /** A command on a zone is applied on top of the newest entry that its caller knew of. */
-    NEWEST,
+    LATEST_EVACUATION,
     /** A received message is stamped above its own stamp. */
-    ABOVE,
+    STAMP_ABOVE,
     /** A stamp from too far ahead is not merged. */
-    FAR,
+    STAMP_BOUND,
     /** A chain that lost a replica is repaired. */
-    MEND,
+    CHAIN_REPAIR,
     /** A dead voter is replaced, or loses its vote, before the quorum is widened. */
     DEAD_VOTES,
     /** A replica that leaves stops only when enough others hold everything and the voters know that it left. */
@@ -68,7 +68,7 @@
     /** A chain shorter than the required number of replicas acknowledges nothing. */
     COPIES,
     /** A replica that was out takes over the ranges in which its digests differ before it joins. */
-    DIGEST,
+    REPAIR_DIGEST,
     /** A replica under repair takes over what its source has synced and doesn't know to be committed. */
     REPAIR_PENDING
 }
--- a/core/src/main/java/silverlatch/state/CompareAndSet.java
+++ b/core/src/main/java/silverlatch/state/CompareAndSet.java
@@ -19,7 +19,9 @@
 
     /** Whether a command expects another revision than the current one. */
     boolean isConflict(final long expectedRevision, final long currentRevision) {
-        return expectedRevision >= 0 && expectedRevision != currentRevision && safeguards.isEnabled(Safeguard.MATCH);
+        return expectedRevision >= 0
+                && expectedRevision != currentRevision
+                && safeguards.isEnabled(Safeguard.COMPARE_AND_SET);
     }
 
     /** Writes a valid value to one key, or rejects the command. */
--- a/core/src/main/java/silverlatch/state/EvacuationManager.java
+++ b/core/src/main/java/silverlatch/state/EvacuationManager.java
@@ -19,7 +19,7 @@
                 context,
                 command.id(),
                 EntryKeys.EVACUATIONS + command.zone(),
-                safeguards.isEnabled(Safeguard.NEWEST) ? command.expectedRevision() : ANY_REVISION,
+                safeguards.isEnabled(Safeguard.LATEST_EVACUATION) ? command.expectedRevision() : ANY_REVISION,
                 new Value.Evacuation(command.zone(), command.active(), context.stamp()),
                 () -> TableRules.nameFaults("zone", command.zone()));
     }
--- a/core/src/main/java/silverlatch/state/RoutingConfigurationManager.java
+++ b/core/src/main/java/silverlatch/state/RoutingConfigurationManager.java
@@ -69,7 +69,7 @@
     private Optional<Entry> firstAcceptance(
             final Command.PutConfiguration command, final EvaluationContext context, final long currentNumber) {
         final long number = command.configuration().number();
-        final Optional<Entry> remembered = safeguards.isEnabled(Safeguard.TAKEN)
+        final Optional<Entry> remembered = safeguards.isEnabled(Safeguard.ACCEPTED_REMEMBERED)
                 ? context.find(AcceptedConfigurations.key(number))
                 : Optional.empty();
         if (remembered.isPresent()) {
@@ -99,7 +99,7 @@
     private boolean mayBeForgotten(
             final Command.PutConfiguration command, final Map<String, Entry> remembered, final long currentNumber) {
         final long number = command.configuration().number();
-        return safeguards.isEnabled(Safeguard.TAKEN)
+        return safeguards.isEnabled(Safeguard.ACCEPTED_REMEMBERED)
                 && command.expectedRevision() < number
                 && number <= AcceptedConfigurations.highestForgotten(new TreeMap<>(remembered), currentNumber)
                 && ConfigurationValidator.faults(command, 0).isEmpty();
--- a/core/src/test/java/silverlatch/gossip/StateCopyTest.java
+++ b/core/src/test/java/silverlatch/gossip/StateCopyTest.java
@@ -66,7 +66,7 @@
 
     @Test
     void lowerRevisionReplacesWhereTheSafeguardIsDisabled() {
-        final StateCopy unsafe = new StateCopy(new Safeguards(Set.of(Safeguard.PAGE)));
+        final StateCopy unsafe = new StateCopy(new Safeguards(Set.of(Safeguard.MONOTONIC_REVISION)));
         unsafe.onPullReply(reply(100, 3, 0, List.of()));
         unsafe.onPullReply(reply(200, 2, 0, List.of()));
         assertThat(unsafe.revision(), is(2L));
--- a/core/src/test/java/silverlatch/replication/ViewProposerTest.java
+++ b/core/src/test/java/silverlatch/replication/ViewProposerTest.java
@@ -139,7 +139,7 @@
 
     @Test
     void withoutTheSafeguardNoChainIsRepaired() {
-        final ReplicaParts unguarded = new ReplicaParts(Safeguard.MEND);
+        final ReplicaParts unguarded = new ReplicaParts(Safeguard.CHAIN_REPAIR);
         proposer(unguarded).proposeNextView(false, SUSPECTED);
         assertThat(unguarded.sent(), is(List.of()));
     }
--- a/simulation/src/main/java/silverlatch/simulation/explore/Arguments.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Arguments.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 import org.kohsuke.args4j.Option;
+import silverlatch.simulation.FormerNames;
 
 /** The arguments of the program, as text until they are checked. */
 final class Arguments {
@@ -103,8 +104,9 @@
     }
 
     private Mutant parseMutant() {
+        final String name = FormerNames.currentSafeguard(mutant);
         for (final Mutant one : Mutant.values()) {
-            if (one.name().equals(mutant)) {
+            if (one.name().equals(name)) {
                 return one;
             }
         }
--- a/simulation/src/main/java/silverlatch/simulation/explore/Mutant.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Mutant.java
@@ -19,19 +19,19 @@
     /** A promise or an acceptance is sent before it is synced. */
     PROMISE(Set.of(Safeguard.PROMISE), Set.of(Property.ONE_VIEW)),
     /** A write that lost a race is taken all the same. */
-    MATCH(Set.of(Safeguard.MATCH), Set.of(Property.LINEARIZABLE)),
+    COMPARE_AND_SET(Set.of(Safeguard.COMPARE_AND_SET), Set.of(Property.LINEARIZABLE)),
     /** What was taken and followed by another configuration is forgotten. */
-    TAKEN(Set.of(Safeguard.TAKEN), Set.of(Property.REFUSED_ORDER, Property.LINEARIZABLE)),
+    ACCEPTED_REMEMBERED(Set.of(Safeguard.ACCEPTED_REMEMBERED), Set.of(Property.REFUSED_ORDER, Property.LINEARIZABLE)),
     /** A refusal rests on what may never be committed. */
-    SETTLED(Set.of(Safeguard.SETTLED), Set.of(Property.REFUSED_ORDER, Property.LINEARIZABLE)),
+    COMMITTED_REFUSAL(Set.of(Safeguard.COMMITTED_REFUSAL), Set.of(Property.REFUSED_ORDER, Property.LINEARIZABLE)),
     /** A chain shorter than the required copies acknowledges. */
     COPIES(Set.of(Safeguard.COPIES), Set.of(Property.DURABLE)),
     /** A replica joins without the ranges in which its digests differ. */
-    DIGEST(Set.of(Safeguard.DIGEST), Set.of(Property.ONE_HISTORY)),
+    REPAIR_DIGEST(Set.of(Safeguard.REPAIR_DIGEST), Set.of(Property.ONE_HISTORY)),
     /** A replica under repair drops what its source has synced and doesn't know to be committed. */
     REPAIR_PENDING(Set.of(Safeguard.REPAIR_PENDING), Set.of(Property.DURABLE)),
     /** A chain that lost a replica is not repaired. */
-    MEND(Set.of(Safeguard.MEND), Set.of(Property.RECOVERS)),
+    CHAIN_REPAIR(Set.of(Safeguard.CHAIN_REPAIR), Set.of(Property.RECOVERS)),
     /** A write to the log is reported as synced before it is; the harness does this, not the replica. */
     SYNC(Set.of(), Set.of(Property.DURABLE));
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/Baseline.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Baseline.java
@@ -52,12 +52,12 @@
     }
 
     private void judgeRecovery(final Disturbances.Recovery recovery, final long now) {
-        world.observer().exercise(Invariant.RETURN);
+        world.observer().exercise(Invariant.RECOVERY_TIME);
         final long completedNow = world.observer().completedBetween(now - WINDOW, now);
         if (completedNow * 4 < completed) {
             world.observer()
                     .violated(
-                            Invariant.RETURN,
+                            Invariant.RECOVERY_TIME,
                             "12 s after a return " + completedNow + " replies come where " + completed
                                     + " came before");
         }
@@ -68,7 +68,7 @@
             if (tenantCompleted * 4 < tenantBaseline && tenantBaseline >= MIN_TENANT_BASELINE) {
                 world.observer()
                         .violated(
-                                Invariant.RETURN,
+                                Invariant.RECOVERY_TIME,
                                 "12 s after a return of "
                                         + (recovery.region().isEmpty() ? "all" : recovery.region()) + " " + tenant
                                         + " has " + tenantCompleted + " replies where it had " + tenantBaseline
@@ -79,20 +79,21 @@
 
     /** Judges service from a time on, and that the table could be read back and changed; call it after both. */
     void judgeService(final long from, final boolean keepsState) {
-        world.observer().exercise(Invariant.DEAD);
+        world.observer().exercise(Invariant.SERVES_AFTER_FAULTS);
         final long completedAfter = world.observer().completedBetween(from, from + WINDOW);
         if (completedAfter * 4 < completed && keepsState) {
             world.observer()
                     .violated(
-                            Invariant.DEAD,
+                            Invariant.SERVES_AFTER_FAULTS,
                             "after all was healed " + completedAfter + " replies come where " + completed
                                     + " came before");
         }
         if (keepsState && world.operators().lastReadsAnswered() == 0) {
-            world.observer().violated(Invariant.DEAD, "the table can't be read back after all was healed");
+            world.observer()
+                    .violated(Invariant.SERVES_AFTER_FAULTS, "the table can't be read back after all was healed");
         }
         if (keepsState && !world.operators().lastChangeApplied()) {
-            world.observer().violated(Invariant.DEAD, "the table can't be changed after all was healed");
+            world.observer().violated(Invariant.SERVES_AFTER_FAULTS, "the table can't be changed after all was healed");
         }
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/ClientRequest.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ClientRequest.java
@@ -28,11 +28,11 @@
     private static final int MAX_RETRIES = 2;
     private static final Set<String> RETRIED_OUTCOMES = Set.of("cut", "broken", "lost");
     private static final Map<ResponseVerifier.Problem, Invariant> INVARIANTS = Map.of(
-            ResponseVerifier.Problem.AFTER_END, Invariant.CUT,
-            ResponseVerifier.Problem.WRONG_INDEX, Invariant.PIECE,
-            ResponseVerifier.Problem.OTHER_REQUEST, Invariant.FOREIGN,
-            ResponseVerifier.Problem.OTHER_ATTEMPT, Invariant.JOIN,
-            ResponseVerifier.Problem.WRONG_TRAILER, Invariant.CUT);
+            ResponseVerifier.Problem.AFTER_END, Invariant.COMPLETE_RESPONSE,
+            ResponseVerifier.Problem.WRONG_INDEX, Invariant.CONTIGUOUS_STREAM,
+            ResponseVerifier.Problem.OTHER_REQUEST, Invariant.OWN_RESPONSE,
+            ResponseVerifier.Problem.OTHER_ATTEMPT, Invariant.SINGLE_RUN_STREAM,
+            ResponseVerifier.Problem.WRONG_TRAILER, Invariant.COMPLETE_RESPONSE);
     private final World world;
     private final Content content;
     private final int previousAttempts;
@@ -126,7 +126,11 @@
         if (answer instanceof DispatchEffect.Placed placed) {
             history.shown(node.name(), placed.revision(), now);
             history.requireHomeRegion(
-                    content.tenant().name(), node.region(), Invariant.SENT, "a pick was made in " + node.region(), now);
+                    content.tenant().name(),
+                    node.region(),
+                    Invariant.GATEWAY_IN_HOME_REGION,
+                    "a pick was made in " + node.region(),
+                    now);
         }
         final boolean isPlaced = answer instanceof DispatchEffect.Placed;
         final boolean isKeyMissing = answer instanceof DispatchEffect.Rejected rejected
@@ -235,7 +239,7 @@
                     .requireHomeRegion(
                             content.tenant().name(),
                             node.region(),
-                            Invariant.KEPT,
+                            Invariant.RETAINED_IN_HOME_REGION,
                             "ticket " + requestId + " was read again in " + node.region(),
                             time);
         }
@@ -257,7 +261,7 @@
                         .requireHomeRegion(
                                 content.tenant().name(),
                                 region,
-                                Invariant.SERVED,
+                                Invariant.WORKER_IN_HOME_REGION,
                                 "a piece of " + requestId + " came from " + region,
                                 world.scheduler().now() - MAX_TIME_ON_THE_WAY);
             }
@@ -309,7 +313,8 @@
             world.observer().count("stands");
         }
         if (verifier.nextChunk() > 0 && status != 404) {
-            world.observer().violated(Invariant.REJECTED, "ticket " + requestId + " was rejected after pieces came");
+            world.observer()
+                    .violated(Invariant.REJECTED_NEVER_RUNS, "ticket " + requestId + " was rejected after pieces came");
         }
         world.observer().count("code" + status);
         end(status == 404 ? "broken" : "rejected");
--- a/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationHistory.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationHistory.java
@@ -42,17 +42,19 @@
         requireSingle(byRevision, revision, document, "under revision ");
         requireSingle(byMatch, match, document, "on top of revision ");
         if (refused.contains(document)) {
-            observer.violated(Invariant.LOSER, document + " was refused, and acknowledged when it was sent again");
+            observer.violated(
+                    Invariant.REJECTED_CHANGE, document + " was refused, and acknowledged when it was sent again");
         }
     }
 
     /** A document was refused. */
     void refuse(final String document) {
         observer.count("configurations-refused");
-        observer.exercise(Invariant.LOSER);
+        observer.exercise(Invariant.REJECTED_CHANGE);
         refused.add(document);
         if (acknowledged.contains(document)) {
-            observer.violated(Invariant.LOSER, document + " was acknowledged, and refused when it was sent again");
+            observer.violated(
+                    Invariant.REJECTED_CHANGE, document + " was acknowledged, and refused when it was sent again");
         }
     }
 
@@ -61,22 +63,24 @@
         observer.count("configurations-read");
         if (revision < before) {
             observer.violated(
-                    Invariant.READ, document + " was read back after revision " + before + " was acknowledged");
+                    Invariant.LINEARIZABLE_READ,
+                    document + " was read back after revision " + before + " was acknowledged");
         }
         if (refused.contains(document)) {
-            observer.violated(Invariant.LOSER, document + " was refused and is in force");
+            observer.violated(Invariant.REJECTED_CHANGE, document + " was refused and is in force");
         }
         Optional.ofNullable(byRevision.get(revision))
                 .filter(d -> !d.equals(document))
-                .ifPresent(d ->
-                        observer.violated(Invariant.LOSER, d + " was acknowledged, but " + document + " is in force"));
+                .ifPresent(d -> observer.violated(
+                        Invariant.REJECTED_CHANGE, d + " was acknowledged, but " + document + " is in force"));
     }
 
     private void requireSingle(final Map<Long, String> held, final long key, final String document, final String what) {
         final String old = held.getOrDefault(key, document);
         held.putIfAbsent(key, document);
         if (!old.equals(document)) {
-            observer.violated(Invariant.LOSER, old + " and " + document + " were both acknowledged " + what + key);
+            observer.violated(
+                    Invariant.REJECTED_CHANGE, old + " and " + document + " were both acknowledged " + what + key);
         }
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationOperators.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationOperators.java
@@ -110,7 +110,8 @@
             case CommandResult.Applied applied -> {
                 history.acknowledge(order.document(), order.revision(), order.match());
                 if (!order.valid()) {
-                    world.observer().violated(Invariant.LOSER, order.document() + " is invalid and was acknowledged");
+                    world.observer()
+                            .violated(Invariant.REJECTED_CHANGE, order.document() + " is invalid and was acknowledged");
                 }
                 yield true;
             }
--- a/simulation/src/main/java/silverlatch/simulation/sim/Day.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Day.java
@@ -13,11 +13,11 @@
 
     /** What a day of an even seed may end with. */
     private static final List<Fault> CLOSING_FAULTS = List.of(
-            Fault.PURSERS_KILLED,
+            Fault.GATEWAYS_KILLED,
             Fault.ALL_KILLED,
             Fault.REGION_LOST,
-            Fault.HARBOR_KILLED,
-            Fault.PURSER_FROZEN,
+            Fault.CONTROLLER_KILLED,
+            Fault.GATEWAY_FROZEN,
             Fault.KILLED_AT_STEPS,
             Fault.DISK_LOST_ALL_KILLED);
 
@@ -70,7 +70,7 @@
         final long start = world.scheduler().now();
         world.scheduler().runUntil(start + 5 * SECOND);
         final Baseline baseline = new Baseline(world, start + SECOND, start + 5 * SECOND);
-        final boolean founded = !scenario.faults().contains(Fault.REFOUNDING);
+        final boolean founded = !scenario.faults().contains(Fault.REBOOTSTRAP);
         for (final Fault fault : scenario.faults()) {
             inject(world, fault);
             baseline.advance(randomPause(world));
@@ -125,9 +125,9 @@
 
     private static Result result(final World world, final Baseline baseline, final Scenario scenario) {
         final Observer observer = world.observer();
-        observer.exercise(Invariant.IDLE);
+        observer.exercise(Invariant.EXERCISED);
         if (baseline.completed() == 0 || observer.counters().getOrDefault("runs", 0L) < 20) {
-            observer.violated(Invariant.IDLE, "nothing was exercised");
+            observer.violated(Invariant.EXERCISED, "nothing was exercised");
         }
         world.controllers().forEach(n -> n.disk().ifPresent(d -> observer.recordMaximum("torn", d.tornWrites())));
         return new Result(scenario, observer.violations(), observer.counters(), world.timeline());
@@ -149,7 +149,7 @@
     public static List<Fault> drawFaults(final long seed) {
         final SplittableRandom random = new SplittableRandom(seed * 7919);
         final List<Fault> candidates = new ArrayList<>(List.of(Fault.values()));
-        candidates.removeAll(List.of(Fault.REFOUNDING, Fault.DISK_LOST_ALL_KILLED));
+        candidates.removeAll(List.of(Fault.REBOOTSTRAP, Fault.DISK_LOST_ALL_KILLED));
         final List<Fault> list = new ArrayList<>();
         final int count = 3 + random.nextInt(4);
         for (int i = 0; i < count; i++) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/Fault.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Fault.java
@@ -3,59 +3,59 @@
 /** Everything of the brief's "what fails", each as something that can be done to a world and is healed after a time. */
 public enum Fault {
     /** A gateway is killed and comes back. */
-    PURSER_KILLED(ProcessFaults::gatewayKilled),
+    GATEWAY_KILLED(ProcessFaults::gatewayKilled),
     /** Half of the gateways are killed at once. */
-    PURSERS_KILLED(ProcessFaults::gatewaysKilled),
+    GATEWAYS_KILLED(ProcessFaults::gatewaysKilled),
     /** A gateway freezes and wakes. */
-    PURSER_FROZEN(ProcessFaults::gatewayFrozen),
+    GATEWAY_FROZEN(ProcessFaults::gatewayFrozen),
     /** A gateway is asked to stop, and comes back. */
-    PURSER_STOPPED(ProcessFaults::gatewayStopped),
+    GATEWAY_STOPPED(ProcessFaults::gatewayStopped),
     /** A worker crashes and comes back cold. */
     WORKER_CRASHED(WorkloadFaults::workerCrashed),
     /** A worker goes dark: it takes connections and says nothing; its announcements don't come through. */
-    WORKER_DARK(WorkloadFaults::workerUnresponsive),
+    WORKER_UNRESPONSIVE(WorkloadFaults::workerUnresponsive),
     /** A worker says that it leaves, and is gone a little later; a new one comes. */
-    WORKER_LEAVES(WorkloadFaults::workerDrains),
+    WORKER_DRAINS(WorkloadFaults::workerDrains),
     /** All workers of a region are replaced one by one at short notice. */
     WORKERS_REPLACED(WorkloadFaults::workersReplaced),
     /** Workers break the rules of the stream, or limp, or deny, each in its own way. */
-    WORKER_BREAKS(WorkloadFaults::workersMisbehave),
+    WORKERS_MISBEHAVE(WorkloadFaults::workersMisbehave),
     /** Consumers move between zones and come back to their streams. */
-    CONSUMERS_MOVE(WorkloadFaults::clientsMove),
+    CLIENTS_MOVE(WorkloadFaults::clientsMove),
     /** A crowd arrives, and the mix swings. */
-    CROWD(WorkloadFaults::loadSpike),
+    LOAD_SPIKE(WorkloadFaults::loadSpike),
     /** A controller loses its power, perhaps just after it said yes. */
-    HARBOR_KILLED(ProcessFaults::controllerKilled),
+    CONTROLLER_KILLED(ProcessFaults::controllerKilled),
     /** A controller is asked to stop, and comes back. */
-    HARBOR_STOPPED(ProcessFaults::controllerStopped),
+    CONTROLLER_STOPPED(ProcessFaults::controllerStopped),
     /** Everything is asked to stop, one after another, and comes back. */
     ALL_STOPPED(ProcessFaults::allRestartedInTurn),
     /** A controller loses its power and its disk, and starts with an empty one. */
-    HARBOR_WIPED(ProcessFaults::controllerWiped),
+    CONTROLLER_WIPED(ProcessFaults::controllerWiped),
     /** A controller freezes and wakes. */
-    HARBOR_FROZEN(ProcessFaults::controllerFrozen),
+    CONTROLLER_FROZEN(ProcessFaults::controllerFrozen),
     /** A controller's disk stalls. */
     DISK_STALLED(ProcessFaults::diskStalled),
     /** A controller's disk is full; the machine is restarted when there is space again. */
     DISK_FULL(ProcessFaults::diskFull),
     /** A controller's disk limps. */
-    DISK_LIMPS(ProcessFaults::diskSlow),
+    DISK_SLOW(ProcessFaults::diskSlow),
     /** A controller is replaced by an empty machine at a new address. */
-    HARBOR_SWAPPED(ProcessFaults::controllerReplaced),
+    CONTROLLER_REPLACED(ProcessFaults::controllerReplaced),
     /** All controllers are swapped for others, one after another, each when the chain is whole again. */
-    HARBORS_SWAPPED(ProcessFaults::controllersReplaced),
+    CONTROLLERS_REPLACED(ProcessFaults::controllersReplaced),
     /** One controller is cut off from the others. */
-    CORE_SPLIT(NetworkFaults::controllerPartitioned),
+    CONTROLLER_PARTITIONED(NetworkFaults::controllerPartitioned),
     /** All controllers are cut off from the gateways. */
-    CORE_CUT(NetworkFaults::controllersPartitioned),
+    CONTROLLERS_PARTITIONED(NetworkFaults::controllersPartitioned),
     /** A region is cut off. */
-    REGION_CUT(NetworkFaults::regionPartitioned),
+    REGION_PARTITIONED(NetworkFaults::regionPartitioned),
     /** The region of the chain's last controller is cut off for long, while operators on both sides read and write. */
-    TAIL_CUT(NetworkFaults::tailRegionPartitioned),
+    TAIL_REGION_PARTITIONED(NetworkFaults::tailRegionPartitioned),
     /** A region is lost and comes back cold. */
     REGION_LOST(ProcessFaults::regionLost),
     /** All workers of a region are lost and come back cold, while its gateways stay. */
-    REGION_COLD(WorkloadFaults::regionWorkersLost),
+    REGION_WORKERS_LOST(WorkloadFaults::regionWorkersLost),
     /** Everything is killed at once and started again. */
     ALL_KILLED(ProcessFaults::allKilled),
     /**
@@ -66,25 +66,25 @@
     /** The wall clock of a machine jumps while it runs. */
     CLOCK_JUMPS(NetworkFaults::clockJumps),
     /** A machine starts with its clock far off. */
-    CLOCK_OFF(NetworkFaults::clockSkewed),
+    CLOCK_SKEWED(NetworkFaults::clockSkewed),
     /** Frames are lost and overtake each other. */
-    NET_ROUGH(NetworkFaults::lossyNetwork),
+    NETWORK_LOSSY(NetworkFaults::lossyNetwork),
     /** A zone is emptied and given back. */
-    ZONE_DRAINED(OperatorFaults::zoneDrained),
+    ZONE_EVACUATED(OperatorFaults::zoneDrained),
     /** One gateway is cut off from all other daemons while workers and consumers still reach it; a worker leaves meanwhile. */
-    NEWS_CUT(NetworkFaults::gatewayPartitionedFromNodes),
+    GATEWAY_PARTITIONED(NetworkFaults::gatewayPartitionedFromNodes),
     /** Most workers deny for a while, and each ticket would be tried again. */
-    WORKERS_DENY(WorkloadFaults::workersReject),
+    WORKERS_REJECT(WorkloadFaults::workersReject),
     /** Most machines start with their clocks off, some by the same, some each by its own. */
-    CLOCKS_OFF(NetworkFaults::clocksSkewed),
+    CLOCKS_SKEWED(NetworkFaults::clocksSkewed),
     /** A daemon is flooded with copies of frames of one whose clock runs ahead within the skew. */
     OVERFLOW_STORM(NetworkFaults::overflowStorm),
     /** A region hears the others and is not heard, or the other way round. */
-    ONE_WAY_CUT(NetworkFaults::oneWayPartition),
+    ONE_WAY_PARTITION(NetworkFaults::oneWayPartition),
     /** The links between regions take several times the skew that clocks are allowed. */
     LINKS_SLOW(NetworkFaults::slowLinks),
     /** A worker limps while a crowd is here. */
-    WORKER_LIMPS(WorkloadFaults::workerSlowUnderLoad),
+    WORKER_SLOW_UNDER_LOAD(WorkloadFaults::workerSlowUnderLoad),
     /** At full load the mix swings from long prompts to long replies and back. */
     MIX_SWINGS(WorkloadFaults::mixSwings),
     /** Two operators race on a zone, again and again. */
@@ -96,13 +96,13 @@
     /** The table grows by thousands of rows. */
     TABLE_GROWS(OperatorFaults::tableGrows),
     /** A gateway freezes between a pick and the hand-over of its ticket. */
-    FROZEN_AT_PICK(TargetedFaults::frozenAtPlacement),
+    FROZEN_AT_PLACEMENT(TargetedFaults::frozenAtPlacement),
     /** A gateway freezes as it claims a key. */
     FROZEN_AT_CLAIM(TargetedFaults::frozenAtClaim),
     /** A gateway freezes between its last look and the first byte to the worker; the zone is drained and the worker leaves meanwhile. */
-    FROZEN_AT_ASK(TargetedFaults::frozenAtSend),
+    FROZEN_AT_SEND(TargetedFaults::frozenAtSend),
     /** A gateway freezes in the middle of a stream. */
-    FROZEN_AT_PIECE(TargetedFaults::frozenAtChunk),
+    FROZEN_AT_CHUNK(TargetedFaults::frozenAtChunk),
     /** The head freezes between its sync and passing on. */
     FROZEN_AT_HEAD(TargetedFaults::frozenAtHead),
     /** The tail freezes between its sync and the acknowledgement. */
@@ -112,7 +112,7 @@
     /** The head and then the tail lose their power just after a sync. */
     KILLED_AT_SYNC(TargetedFaults::killedAtSync),
     /** Two of the three controllers lose their disks while the third is cut off, and try to found anew. */
-    REFOUNDING(ProcessFaults::rebootstrap);
+    REBOOTSTRAP(ProcessFaults::rebootstrap);
 
     private final Injection injection;
 
@@ -127,7 +127,7 @@
     /** Whether it takes a disk away for good; the core bears one such loss at a time. */
     boolean losesDisk() {
         return switch (this) {
-            case HARBOR_WIPED, HARBOR_SWAPPED, HARBORS_SWAPPED, DISK_LOST_ALL_KILLED, REFOUNDING -> true;
+            case CONTROLLER_WIPED, CONTROLLER_REPLACED, CONTROLLERS_REPLACED, DISK_LOST_ALL_KILLED, REBOOTSTRAP -> true;
             default -> false;
         };
     }
--- a/simulation/src/main/java/silverlatch/simulation/sim/LoadGenerator.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/LoadGenerator.java
@@ -77,7 +77,7 @@
         world.startRequest(content, 0, clientsMoving && random.nextInt(3) == 0);
         if (kind.atMostOnce() && random.nextInt(5) == 0) {
             world.startRequest(content, random.nextInt(2), false);
-            world.observer().exercise(Invariant.TWICE);
+            world.observer().exercise(Invariant.AT_MOST_ONCE);
         }
         if (random.nextInt(6) == 0) {
             world.startRequest(gateContent(tenant, content.endpoint()), 0, false);
--- a/simulation/src/main/java/silverlatch/simulation/sim/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Main.java
@@ -15,6 +15,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
+import java.util.function.UnaryOperator;
 import java.util.stream.Collectors;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.CmdLineException;
@@ -22,6 +23,7 @@
 import org.kohsuke.args4j.Option;
 import silverlatch.safeguard.Safeguard;
 import silverlatch.safeguard.Safeguards;
+import silverlatch.simulation.FormerNames;
 import silverlatch.simulation.fleet.Plan;
 import silverlatch.util.Threads;
 
@@ -64,7 +66,7 @@
     }
 
     /** What wrong words end with. */
-    static int exitCode(final String[] args) throws Exception {
+    public static int exitCode(final String[] args) throws Exception {
         return new Main().run(args);
     }
 
@@ -82,7 +84,9 @@
         }
         final List<Day.Scenario> scenarios = parseScenarios();
         final Safeguards safeguards = new Safeguards(Set.copyOf(
-                disabledSafeguards.isEmpty() ? List.of() : parseNames("--down", disabledSafeguards, Safeguard.class)));
+                disabledSafeguards.isEmpty()
+                        ? List.of()
+                        : parseNames("--down", disabledSafeguards, Safeguard.class, FormerNames::currentSafeguard)));
         final Optional<Plan> read = readPlan();
         if (!errors.isEmpty()) {
             errors.forEach(System.err::println);
@@ -97,7 +101,8 @@
         final long requestsPerSecond = parseNumber("--rate", rate, 1, 5_000);
         final boolean isDrawn = faults.equals("drawn");
         final boolean isEach = faults.equals("each");
-        final List<Fault> named = isDrawn || isEach ? List.of() : parseNames("FAULTS", faults, Fault.class);
+        final List<Fault> named =
+                isDrawn || isEach ? List.of() : parseNames("FAULTS", faults, Fault.class, FormerNames::currentFault);
         final List<Day.Scenario> scenarios = new ArrayList<>();
         for (long i = seed; i < seed + days; i++) {
             if (isDrawn) {
@@ -207,14 +212,16 @@
         return least;
     }
 
-    private <E extends Enum<E>> List<E> parseNames(final String argument, final String text, final Class<E> type) {
+    private <E extends Enum<E>> List<E> parseNames(
+            final String argument, final String text, final Class<E> type, final UnaryOperator<String> currentName) {
         final Map<String, E> byName =
                 EnumSet.allOf(type).stream().collect(Collectors.toMap(Enum::name, e -> e, (a, b) -> a, TreeMap::new));
         final List<E> parsed = new ArrayList<>();
         final String[] names = text.split(",", -1);
         for (int i = 0; i < names.length; i++) {
-            if (byName.containsKey(names[i])) {
-                parsed.add(byName.get(names[i]));
+            final String name = currentName.apply(names[i]);
+            if (byName.containsKey(name)) {
+                parsed.add(byName.get(name));
             } else {
                 errors.add(argument + "[" + i + "]: no " + type.getSimpleName().toLowerCase(java.util.Locale.ROOT) + " "
                         + names[i] + "; there are " + byName.keySet());
--- a/simulation/src/main/java/silverlatch/simulation/sim/Observer.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Observer.java
@@ -111,7 +111,7 @@
         }
         if (startsByRequest.merge(run.requestId(), 1, Integer::sum) > 1) {
             violated(
-                    Invariant.TWICE,
+                    Invariant.AT_MOST_ONCE,
                     "ticket " + run.requestId() + " ran " + startsByRequest.get(run.requestId()) + " times");
         }
         if (!run.idempotencyKey().isEmpty()) {
@@ -120,24 +120,24 @@
             requestByKey.putIfAbsent(name, run.requestId());
             if (!earlier.equals(run.requestId())) {
                 violated(
-                        Invariant.TWICE,
+                        Invariant.AT_MOST_ONCE,
                         "key " + run.idempotencyKey() + " ran as " + earlier + " and as " + run.requestId());
             }
         }
         if (outcomes.getOrDefault(run.requestId(), "").equals("rejected")) {
-            violated(Invariant.REJECTED, "ticket " + run.requestId() + " runs after it was rejected");
+            violated(Invariant.REJECTED_NEVER_RUNS, "ticket " + run.requestId() + " runs after it was rejected");
         }
         final long drainStart = drainingSince.getOrDefault(run.worker(), Long.MAX_VALUE / 2);
         drainingSince.values().stream()
                 .filter(t -> now - t > 3 * SECOND && now - t < 8 * SECOND)
                 .findFirst()
-                .ifPresent(t -> exercise(Invariant.LEAVE));
+                .ifPresent(t -> exercise(Invariant.DRAINING_WORKER));
         if (now > drainStart) {
             recordMaximum("leaveMs", (now - drainStart) / 1000);
         }
         if (now - drainStart > 3 * SECOND) {
             violated(
-                    Invariant.LEAVE,
+                    Invariant.DRAINING_WORKER,
                     "worker " + run.worker() + " got ticket " + run.requestId() + " " + (now - drainStart) / 1000
                             + " ms after it said it leaves");
         }
@@ -159,12 +159,12 @@
         }
         if (attempts.size() >= 200) {
             if (extraAttempts > 0) {
-                exercise(Invariant.TRIES);
+                exercise(Invariant.RETRY_BUDGET);
             }
             recordMaximum("extrasPerMille", 1000L * extraAttempts / attempts.size());
             if (extraAttempts > 0.2 * attempts.size() + 2) {
                 violated(
-                        Invariant.TRIES,
+                        Invariant.RETRY_BUDGET,
                         extraAttempts + " of " + attempts.size() + " runs of ten seconds were extra tries");
             }
         }
@@ -178,19 +178,19 @@
             completed.add(new CompletedRequest(tenant, now));
         }
         if (outcome.equals("rejected") && startsByRequest.containsKey(requestId)) {
-            violated(Invariant.REJECTED, "ticket " + requestId + " was rejected and had run");
+            violated(Invariant.REJECTED_NEVER_RUNS, "ticket " + requestId + " was rejected and had run");
         }
         if (outcome.equals("done") && !startsByRequest.containsKey(requestId)) {
-            violated(Invariant.FOREIGN, "ticket " + requestId + " is done and never ran");
+            violated(Invariant.OWN_RESPONSE, "ticket " + requestId + " is done and never ran");
         }
     }
 
     /** A late copy of a ticket was handed over. */
     public void duplicateSent(final String requestId) {
         count("twins");
-        exercise(Invariant.TWICE);
+        exercise(Invariant.AT_MOST_ONCE);
         if (outcomes.getOrDefault(requestId, "").equals("rejected")) {
-            exercise(Invariant.REJECTED);
+            exercise(Invariant.REJECTED_NEVER_RUNS);
         }
     }
 
@@ -219,11 +219,11 @@
             final double warmShare = Math.min(1, 0.1 + 0.9 * warmingFor / (6.0 * SECOND));
             final double allowed = slots * warmShare + gateways;
             count("coldRuns");
-            exercise(Invariant.COLD);
+            exercise(Invariant.SLOW_START);
             recordMaximum("coldPerMille", Math.round(1000 * running / allowed));
             if (running > allowed) {
                 violated(
-                        Invariant.COLD,
+                        Invariant.SLOW_START,
                         "worker " + worker + " has " + running + " runs " + warmingFor / 1000
                                 + " ms after it came back cold");
             }
--- a/simulation/src/main/java/silverlatch/simulation/sim/OperatorHistory.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/OperatorHistory.java
@@ -47,19 +47,19 @@
         requireHomeRegion(
                 run.tenant(),
                 run.region(),
-                Invariant.SERVED,
+                Invariant.WORKER_IN_HOME_REGION,
                 "ticket " + run.requestId() + " ran in " + run.region(),
                 now);
         requireHomeRegion(
                 run.tenant(),
                 run.gatewayRegion(),
-                Invariant.SENT,
+                Invariant.GATEWAY_IN_HOME_REGION,
                 "ticket " + run.requestId() + " was carried in " + run.gatewayRegion(),
                 now);
         drains.values().stream()
                 .filter(drain -> now - drain.requestedAt() > 5 * SECOND)
                 .findFirst()
-                .ifPresent(drain -> observer.exercise(Invariant.DRAIN));
+                .ifPresent(drain -> observer.exercise(Invariant.EVACUATED_ZONE));
         final Drain drain = drains.getOrDefault(run.zone(), new Drain(NEVER, NEVER));
         if (now > drain.requestedAt()) {
             observer.recordMaximum("drainAskedMs", (now - drain.requestedAt()) / 1000);
@@ -67,7 +67,7 @@
         }
         if (now - drain.acknowledgedAt() > 5 * SECOND) {
             observer.violated(
-                    Invariant.DRAIN,
+                    Invariant.EVACUATED_ZONE,
                     "zone " + run.zone() + " got ticket " + run.requestId() + " " + (now - drain.requestedAt()) / 1000
                             + " ms after it was to be emptied");
         }
@@ -78,7 +78,7 @@
                 .orElse(0);
         if (run.revision() < requiredSequence) {
             observer.violated(
-                    Invariant.TABLE,
+                    Invariant.TABLE_IN_FORCE,
                     "ticket " + run.requestId() + " ran under page " + run.revision() + " more than 3 s after "
                             + requiredSequence + " was acknowledged");
         }
@@ -115,7 +115,7 @@
         final ObservedRevision last = shown.getOrDefault(gateway, new ObservedRevision(0, 0));
         if (revision < last.revision() && now - last.time() > SECOND / 4) {
             observer.violated(
-                    Invariant.BACK,
+                    Invariant.MONOTONIC_TABLE,
                     "gateway " + gateway + " went from page " + last.revision() + " to " + revision + " after "
                             + (now - last.time()) / 1000 + " ms");
         }
@@ -135,7 +135,7 @@
     public int obeyed(final String gateway, final boolean open, final String what, final long now) {
         final int oldestAllowed = newestBindingChange(now);
         if (oldestAllowed > 0) {
-            observer.exercise(Invariant.TABLE);
+            observer.exercise(Invariant.TABLE_IN_FORCE);
         }
         for (int i = gate.size() - 1; i >= Math.max(0, oldestAllowed); i--) {
             if (gate.get(i).open() == open) {
@@ -144,7 +144,7 @@
         }
         if (oldestAllowed >= 0) {
             observer.violated(
-                    Invariant.TABLE,
+                    Invariant.TABLE_IN_FORCE,
                     what + " at " + gateway + " as if the gate were " + (open ? "open" : "shut") + " "
                             + (now - gate.get(oldestAllowed).acknowledgedAt()) / 1000
                             + " ms after the other was acknowledged");
@@ -169,11 +169,11 @@
         }
         final ObservedRevision last = obeyed.getOrDefault(gateway, new ObservedRevision(-1, 0));
         if (last.revision() >= 0 && gate.size() > 1) {
-            observer.exercise(Invariant.BACK);
+            observer.exercise(Invariant.MONOTONIC_TABLE);
         }
         if (newestPossible < last.revision() && now - last.time() > SECOND / 4) {
             observer.violated(
-                    Invariant.BACK,
+                    Invariant.MONOTONIC_TABLE,
                     what + " at " + gateway + " as if the gate were " + (open ? "open" : "shut") + " "
                             + (now - last.time()) / 1000 + " ms after it obeyed the newer table");
         }
@@ -207,7 +207,7 @@
         observer.count("change-" + outcome);
         outcomes.put(value, outcome);
         if (outcome.equals("rejected")) {
-            observer.exercise(Invariant.LOSER);
+            observer.exercise(Invariant.REJECTED_CHANGE);
         }
         if (outcome.equals("kept")) {
             if (sequence > newestAcknowledged) {
@@ -219,7 +219,7 @@
                 valueByMatch.putIfAbsent(match, value);
                 if (!rival.equals(value)) {
                     observer.violated(
-                            Invariant.LOSER,
+                            Invariant.REJECTED_CHANGE,
                             "two changes were kept against sequence " + match + ": " + rival + " and " + value);
                 }
             }
@@ -236,11 +236,11 @@
             final long newestBefore, final long sequence, final Set<String> values, final boolean disturbed) {
         observer.count("reads");
         if (disturbed) {
-            observer.exercise(Invariant.READ);
+            observer.exercise(Invariant.LINEARIZABLE_READ);
         }
         if (sequence < newestBefore) {
             observer.violated(
-                    Invariant.READ,
+                    Invariant.LINEARIZABLE_READ,
                     "a table at sequence " + sequence + " was read back after " + newestBefore + " was acknowledged");
         }
         valuesObserved(values, "was read back");
@@ -250,7 +250,7 @@
     public void valuesObserved(final Set<String> values, final String where) {
         for (final String value : values) {
             if (outcomes.getOrDefault(value, "").equals("rejected")) {
-                observer.violated(Invariant.LOSER, "change " + value + " was rejected and " + where);
+                observer.violated(Invariant.REJECTED_CHANGE, "change " + value + " was rejected and " + where);
             }
         }
     }
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedWorker.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedWorker.java
@@ -188,7 +188,7 @@
         }
         if (index == response.chunkCount()) {
             if (fault == WorkerFault.WRONGSEAL || fault == WorkerFault.NOSEAL) {
-                world.observer().exercise(Invariant.CUT);
+                world.observer().exercise(Invariant.COMPLETE_RESPONSE);
             }
             response.trailer(fault).ifPresent(trailer -> run.output().accept(trailer, false));
             endStream(run);
@@ -207,13 +207,13 @@
 
     private void recordExercised(final int number, final int count) {
         if (number == 1 && fault == WorkerFault.FOREIGN) {
-            world.observer().exercise(Invariant.FOREIGN);
+            world.observer().exercise(Invariant.OWN_RESPONSE);
         }
         if (number == 1 && (fault == WorkerFault.GAP && count > 2 || fault == WorkerFault.REPEAT)) {
-            world.observer().exercise(Invariant.PIECE);
+            world.observer().exercise(Invariant.CONTIGUOUS_STREAM);
         }
         if (number == 1 && fault == WorkerFault.DROP) {
-            world.observer().exercise(Invariant.JOIN);
+            world.observer().exercise(Invariant.SINGLE_RUN_STREAM);
         }
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/StampChecker.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/StampChecker.java
@@ -42,7 +42,7 @@
     /** The node sends a frame. */
     void frameSent(final Frame frame) {
         final long bits = frame.stamp().bits();
-        world.observer().exercise(Invariant.STAMP);
+        world.observer().exercise(Invariant.STAMP_ORDER);
         if (frame.incarnation() != incarnation) {
             incarnation = frame.incarnation();
             highestSent = 0;
@@ -55,7 +55,7 @@
         if (bits <= Math.max(highestSent, highestHeard)) {
             world.observer()
                     .violated(
-                            Invariant.STAMP,
+                            Invariant.STAMP_ORDER,
                             checked.name() + " said " + bits + " after it heard " + highestHeard + " and said "
                                     + highestSent);
         }
@@ -69,10 +69,13 @@
                 || world.scheduler().now() - clockResetAt <= SETTLED_AFTER_RESET) {
             return;
         }
-        world.observer().exercise(Invariant.DRAG);
+        world.observer().exercise(Invariant.CLOCK_NOT_DRAGGED);
         final long lead = NtpTime.toMicros(Math.max(0, bits - checked.clock().trueNtpTime()));
         if (lead > MAX_CLOCK_LEAD) {
-            world.observer().violated(Invariant.DRAG, checked.name() + " is " + lead / 1000 + " ms ahead of true time");
+            world.observer()
+                    .violated(
+                            Invariant.CLOCK_NOT_DRAGGED,
+                            checked.name() + " is " + lead / 1000 + " ms ahead of true time");
         }
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/World.java
@@ -268,7 +268,7 @@
         operators.loadTenantsAndTable();
         await(MAX_TENTHS_TO_LOAD, () -> gateways().stream().allMatch(this::isReadyWithTable));
         if (!gateways().stream().allMatch(SimulatedNode::isReady)) {
-            observer.violated(Invariant.DEAD, "the fleet did not stand up");
+            observer.violated(Invariant.SERVES_AFTER_FAULTS, "the fleet did not stand up");
         }
         scheduler.runUntil(scheduler.now() + 2 * SECOND);
         load.start();
--- a/simulation/src/main/java/silverlatch/simulation/sim/ZoneRace.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ZoneRace.java
@@ -59,11 +59,11 @@
         }
         final Observer observer = world.observer();
         observer.count("races");
-        observer.exercise(Invariant.LOSER);
+        observer.exercise(Invariant.REJECTED_CHANGE);
         final boolean isDrained = drainResult.get() instanceof CommandResult.Applied;
         if (isDrained && undrainResult.get() instanceof CommandResult.Applied) {
             observer.violated(
-                    Invariant.LOSER,
+                    Invariant.REJECTED_CHANGE,
                     "an order to empty " + zone + " and one to give it back were both kept against " + match);
         }
         if (isDrained && undrainResult.get() instanceof CommandResult.Rejected) {
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayTest.java
@@ -38,7 +38,7 @@
      * again under another id, so nothing here depends on them.
      */
     private static final Set<Safeguard> DISABLED_IN_ORDERS_TEST =
-            Set.of(Safeguard.TAKEN, Safeguard.SETTLED, Safeguard.NEWEST);
+            Set.of(Safeguard.ACCEPTED_REMEMBERED, Safeguard.COMMITTED_REFUSAL, Safeguard.LATEST_EVACUATION);
 
     /** What {@code MembershipModelTest} and {@code MembershipTest} let down. */
     private static final Set<Safeguard> DISABLED_IN_MEMBERSHIP_TESTS = Set.of(Safeguard.DEAD_VOTES, Safeguard.HANDOVER);
@@ -130,7 +130,7 @@
     @Test
     void theSameSeedGivesTheSameDay() throws IOException {
         final Plan plan = plan("ferry");
-        final Day.Scenario day = Day.Scenario.of(5, List.of(Fault.PURSERS_KILLED, Fault.HARBOR_KILLED), RATE);
+        final Day.Scenario day = Day.Scenario.of(5, List.of(Fault.GATEWAYS_KILLED, Fault.CONTROLLER_KILLED), RATE);
         final Map<String, Long> once = Day.run(plan, day, Safeguards.ALL, false).counters();
         assertThat(Day.run(plan, day, Safeguards.ALL, false).counters(), is(once));
     }
@@ -141,36 +141,89 @@
 
     private static Stream<DisabledSafeguards> disabledSafeguards() {
         return Stream.of(
-                new DisabledSafeguards(Invariant.TWICE, Set.of(Safeguard.CLAIM), Fault.CONSUMERS_MOVE, 60, 2),
-                new DisabledSafeguards(Invariant.TWICE, Set.of(Safeguard.SPENT), Fault.CONSUMERS_MOVE, 60, 2),
-                new DisabledSafeguards(Invariant.TWICE, Set.of(Safeguard.LIFE), Fault.KILLED_AT_STEPS, 60, 24),
-                new DisabledSafeguards(Invariant.TWICE, Set.of(Safeguard.BEGUN), Fault.WORKER_BREAKS, 60, 4),
-                new DisabledSafeguards(Invariant.REJECTED, Set.of(Safeguard.BEGUN), Fault.WORKER_BREAKS, 60, 8),
-                new DisabledSafeguards(Invariant.FOREIGN, Set.of(Safeguard.LINE), Fault.WORKER_BREAKS, 60, 8),
-                new DisabledSafeguards(Invariant.CUT, Set.of(Safeguard.SEAL), Fault.WORKER_BREAKS, 60, 8),
-                new DisabledSafeguards(Invariant.PIECE, Set.of(Safeguard.PIECE), Fault.WORKER_BREAKS, 60, 8),
+                new DisabledSafeguards(Invariant.AT_MOST_ONCE, Set.of(Safeguard.CLAIM), Fault.CLIENTS_MOVE, 60, 2),
                 new DisabledSafeguards(
-                        Invariant.JOIN,
-                        Set.of(Safeguard.BEGUN, Safeguard.LINE, Safeguard.PIECE),
-                        Fault.WORKER_BREAKS,
+                        Invariant.AT_MOST_ONCE, Set.of(Safeguard.PERMIT_ONCE), Fault.CLIENTS_MOVE, 60, 2),
+                new DisabledSafeguards(
+                        Invariant.AT_MOST_ONCE, Set.of(Safeguard.PERMIT_INCARNATION), Fault.KILLED_AT_STEPS, 60, 24),
+                new DisabledSafeguards(
+                        Invariant.AT_MOST_ONCE, Set.of(Safeguard.NO_RETRY_AFTER_START), Fault.WORKERS_MISBEHAVE, 60, 4),
+                new DisabledSafeguards(
+                        Invariant.REJECTED_NEVER_RUNS,
+                        Set.of(Safeguard.NO_RETRY_AFTER_START),
+                        Fault.WORKERS_MISBEHAVE,
+                        60,
+                        8),
+                new DisabledSafeguards(
+                        Invariant.OWN_RESPONSE, Set.of(Safeguard.STREAM_IDENTITY), Fault.WORKERS_MISBEHAVE, 60, 8),
+                new DisabledSafeguards(
+                        Invariant.COMPLETE_RESPONSE, Set.of(Safeguard.TRAILER_DIGEST), Fault.WORKERS_MISBEHAVE, 60, 8),
+                new DisabledSafeguards(
+                        Invariant.CONTIGUOUS_STREAM, Set.of(Safeguard.STREAM_ORDER), Fault.WORKERS_MISBEHAVE, 60, 8),
+                new DisabledSafeguards(
+                        Invariant.SINGLE_RUN_STREAM,
+                        Set.of(Safeguard.NO_RETRY_AFTER_START, Safeguard.STREAM_IDENTITY, Safeguard.STREAM_ORDER),
+                        Fault.WORKERS_MISBEHAVE,
+                        60,
+                        8),
+                new DisabledSafeguards(
+                        Invariant.WORKER_IN_HOME_REGION,
+                        Set.of(Safeguard.WORKER_HOME_REGION),
+                        Fault.CLIENTS_MOVE,
+                        60,
+                        2),
+                new DisabledSafeguards(
+                        Invariant.GATEWAY_IN_HOME_REGION,
+                        Set.of(Safeguard.GATEWAY_HOME_REGION),
+                        Fault.CLIENTS_MOVE,
+                        60,
+                        2),
+                new DisabledSafeguards(
+                        Invariant.RETAINED_IN_HOME_REGION,
+                        Set.of(Safeguard.RETENTION_HOME_REGION),
+                        Fault.TENANTS_MOVE,
+                        60,
+                        4),
+                new DisabledSafeguards(
+                        Invariant.DRAINING_WORKER,
+                        Set.of(Safeguard.REPORT_AGE, Safeguard.CONFIRMED_REVISION),
+                        Fault.GATEWAY_PARTITIONED,
+                        60,
+                        8),
+                new DisabledSafeguards(
+                        Invariant.TABLE_IN_FORCE,
+                        Set.of(Safeguard.CONFIRMED_REVISION),
+                        Fault.GATEWAY_PARTITIONED,
+                        60,
+                        4),
+                new DisabledSafeguards(
+                        Invariant.MONOTONIC_TABLE,
+                        Set.of(Safeguard.MONOTONIC_REVISION),
+                        Fault.GATEWAY_PARTITIONED,
                         60,
                         8),
-                new DisabledSafeguards(Invariant.SERVED, Set.of(Safeguard.SERVED), Fault.CONSUMERS_MOVE, 60, 2),
-                new DisabledSafeguards(Invariant.SENT, Set.of(Safeguard.SENT), Fault.CONSUMERS_MOVE, 60, 2),
-                new DisabledSafeguards(Invariant.KEPT, Set.of(Safeguard.KEPT), Fault.TENANTS_MOVE, 60, 4),
-                new DisabledSafeguards(Invariant.LEAVE, Set.of(Safeguard.WORD, Safeguard.SURE), Fault.NEWS_CUT, 60, 8),
-                new DisabledSafeguards(Invariant.TABLE, Set.of(Safeguard.SURE), Fault.NEWS_CUT, 60, 4),
-                new DisabledSafeguards(Invariant.BACK, Set.of(Safeguard.PAGE), Fault.NEWS_CUT, 60, 8),
-                new DisabledSafeguards(Invariant.LOSER, Set.of(Safeguard.MATCH), Fault.CONSUMERS_MOVE, 60, 2),
-                new DisabledSafeguards(Invariant.LOSER, Set.of(Safeguard.MATCH), Fault.CONFIGURATIONS_RACE, 60, 2),
-                new DisabledSafeguards(Invariant.READ, Set.of(Safeguard.LEASE), Fault.TAIL_CUT, 60, 4),
-                new DisabledSafeguards(Invariant.DRAIN, Set.of(Safeguard.ZONE), Fault.ZONE_DRAINED, 60, 2),
-                new DisabledSafeguards(Invariant.TRIES, Set.of(Safeguard.TRIES), Fault.WORKERS_DENY, 60, 2),
-                new DisabledSafeguards(Invariant.COLD, Set.of(Safeguard.RAMP), Fault.REGION_LOST, 400, 2),
-                new DisabledSafeguards(Invariant.RETURN, Set.of(Safeguard.WARM), Fault.REGION_COLD, 60, 4),
-                new DisabledSafeguards(Invariant.DEAD, Set.of(Safeguard.MEND), Fault.HARBOR_SWAPPED, 60, 4),
-                new DisabledSafeguards(Invariant.STAMP, Set.of(Safeguard.ABOVE), Fault.CONSUMERS_MOVE, 60, 2),
-                new DisabledSafeguards(Invariant.DRAG, Set.of(Safeguard.FAR), Fault.CLOCK_OFF, 60, 4));
+                new DisabledSafeguards(
+                        Invariant.REJECTED_CHANGE, Set.of(Safeguard.COMPARE_AND_SET), Fault.CLIENTS_MOVE, 60, 2),
+                new DisabledSafeguards(
+                        Invariant.REJECTED_CHANGE, Set.of(Safeguard.COMPARE_AND_SET), Fault.CONFIGURATIONS_RACE, 60, 2),
+                new DisabledSafeguards(
+                        Invariant.LINEARIZABLE_READ, Set.of(Safeguard.LEASE), Fault.TAIL_REGION_PARTITIONED, 60, 4),
+                new DisabledSafeguards(
+                        Invariant.EVACUATED_ZONE, Set.of(Safeguard.EVACUATION), Fault.ZONE_EVACUATED, 60, 2),
+                new DisabledSafeguards(
+                        Invariant.RETRY_BUDGET, Set.of(Safeguard.RETRY_BUDGET), Fault.WORKERS_REJECT, 60, 2),
+                new DisabledSafeguards(Invariant.SLOW_START, Set.of(Safeguard.SLOW_START), Fault.REGION_LOST, 400, 2),
+                new DisabledSafeguards(
+                        Invariant.RECOVERY_TIME, Set.of(Safeguard.SLOW_START_END), Fault.REGION_WORKERS_LOST, 60, 4),
+                new DisabledSafeguards(
+                        Invariant.SERVES_AFTER_FAULTS,
+                        Set.of(Safeguard.CHAIN_REPAIR),
+                        Fault.CONTROLLER_REPLACED,
+                        60,
+                        4),
+                new DisabledSafeguards(Invariant.STAMP_ORDER, Set.of(Safeguard.STAMP_ABOVE), Fault.CLIENTS_MOVE, 60, 2),
+                new DisabledSafeguards(
+                        Invariant.CLOCK_NOT_DRAGGED, Set.of(Safeguard.STAMP_BOUND), Fault.CLOCK_SKEWED, 60, 4));
     }
 
     @ParameterizedTest
@@ -238,7 +291,7 @@
 
     @Test
     void everyMarkHasAGuardThatTripsIt() {
-        final Set<Invariant> left = EnumSet.complementOf(EnumSet.of(Invariant.IDLE));
+        final Set<Invariant> left = EnumSet.complementOf(EnumSet.of(Invariant.EXERCISED));
         disabledSafeguards().forEach(t -> left.remove(t.invariant()));
         assertThat(left, is(empty()));
         final Set<Safeguard> elsewhere = new HashSet<>(DISABLED_IN_ORDERS_TEST);
@@ -253,10 +306,10 @@
     @Test
     void aWrongDayIsCutDownToTheFaultsThatShowIt() throws IOException {
         final Plan plan = plan("ferry");
-        final Safeguards guards = new Safeguards(Set.of(Safeguard.ZONE));
+        final Safeguards guards = new Safeguards(Set.of(Safeguard.EVACUATION));
         final Day.Result came =
-                Day.run(plan, Day.Scenario.of(3, List.of(Fault.DISK_LIMPS, Fault.ZONE_DRAINED), RATE), guards, false);
-        assertThat(Main.shrinkScenario(plan, came, guards).faults(), is(List.of(Fault.ZONE_DRAINED)));
+                Day.run(plan, Day.Scenario.of(3, List.of(Fault.DISK_SLOW, Fault.ZONE_EVACUATED), RATE), guards, false);
+        assertThat(Main.shrinkScenario(plan, came, guards).faults(), is(List.of(Fault.ZONE_EVACUATED)));
     }
 
     @ParameterizedTest
