--- a/core/src/main/java/silverlatch/replication/ChainClient.java
+++ b/core/src/main/java/silverlatch/replication/ChainClient.java
@@ -11,15 +11,21 @@
 import silverlatch.wire.ChainClientMessage;
 import silverlatch.wire.Message;
 
-/** Carries wishes to the head and questions to the tail for one daemon, until they are decided or their time is up. */
+/**
+ * Sends the commands of one process to the head of the chain and its reads to the tail, again and again until they are answered or their
+ * deadline has passed. It does no input or output, and is called by the one thread of the node's event loop; times are of its steady
+ * clock, in microseconds.
+ *
+ * <p>Invariant: a call gets exactly one response: a result, or, past its deadline, that the outcome is unknown.
+ */
 public final class ChainClient {
     private static final long RETRY_MICROS = 250_000L;
     private static final int CONFLICT = 409;
     private static final long NO_REVISION = 0;
 
     /**
-     * A document is sent again later the longer it is, in microseconds a character, and each time twice
-     * as late: its first copy may still be under way.
+     * By how much later a document is sent again, in microseconds a character; it doubles with each retry, as the copy before may still
+     * be in flight.
      */
     private static final long RETRY_MICROS_PER_CHARACTER = 4;
 
@@ -27,19 +33,25 @@
 
     private final String address;
     private final Supplier<View> currentView;
-    private final Map<Long, PendingCall> open = new LinkedHashMap<>();
+    private final Map<Long, PendingCall> pendingCalls = new LinkedHashMap<>();
     private final List<Effect> effects = new ArrayList<>();
     private long lastRequestId;
     private long lastViewNumber;
 
-    /** A clerk of the daemon that listens at the address. */
+    /** A client of the process that listens at the address; ids of its requests go on from the first. */
     public ChainClient(final String address, final Supplier<View> currentView, final long firstRequestId) {
         this.address = address;
         this.currentView = currentView;
         this.lastRequestId = firstRequestId;
     }
 
-    /** The tail's reply to a question; ok is false when none came in time. */
+    /**
+     * The result of a read.
+     *
+     * @param answered whether the tail answered before the deadline; else the rest is empty
+     * @param sequence the committed sequence of the answer
+     * @param entries  the entries whose keys begin with the prefix
+     */
     public record ReadResult(boolean answered, long sequence, List<silverlatch.state.Entry> entries) {
         /** Copies the entries. */
         public ReadResult {
@@ -47,13 +59,13 @@
         }
     }
 
-    /** Sends a wish; the outcome comes as an answer under the token, a verdict. */
+    /** Sends a command; a {@link CommandResult} comes as the response under the token. */
     public void submit(final Command command, final long token, final long now, final long deadline) {
         lastRequestId++;
         final boolean onLatest = command instanceof Command.SetEvacuation order
                 && order.expectedRevision() == Command.SetEvacuation.LATEST;
         final Command firstAttempt = onLatest ? ((Command.SetEvacuation) command).expecting(NO_REVISION) : command;
-        open(
+        sendOrEnd(
                 lastRequestId,
                 new PendingCall(
                         new ChainClientMessage.WriteRequest(lastRequestId, address, firstAttempt),
@@ -66,10 +78,10 @@
                 now);
     }
 
-    /** Asks the tail; the outcome comes as an answer under the token, a page. */
+    /** Reads the entries whose keys begin with the prefix; a {@link ReadResult} comes as the response under the token. */
     public void read(final String keyPrefix, final long token, final long now, final long deadline) {
         lastRequestId++;
-        open(
+        sendOrEnd(
                 lastRequestId,
                 new PendingCall(
                         new ChainClientMessage.ReadRequest(lastRequestId, address, keyPrefix),
@@ -82,25 +94,25 @@
                 now);
     }
 
-    /** Takes a reply of the chain. */
+    /** Takes a reply of the head or the tail. */
     public void onMessage(final Message message, final long now) {
         switch (message) {
             case ChainClientMessage.WriteReply m -> {
-                if (open.containsKey(m.requestId()) && !(m.result() instanceof CommandResult.Unknown)) {
-                    decided(open.remove(m.requestId()), m.result(), now);
+                if (pendingCalls.containsKey(m.requestId()) && !(m.result() instanceof CommandResult.Unknown)) {
+                    decided(pendingCalls.remove(m.requestId()), m.result(), now);
                 }
             }
             case ChainClientMessage.ReadReply m -> {
-                if (m.answered() && open.containsKey(m.requestId())) {
+                if (m.answered() && pendingCalls.containsKey(m.requestId())) {
                     effects.add(new Effect.Respond(
-                            open.remove(m.requestId()).token(), new ReadResult(true, m.sequence(), m.entries())));
+                            pendingCalls.remove(m.requestId()).token(), new ReadResult(true, m.sequence(), m.entries())));
                 }
             }
             default -> {}
         }
     }
 
-    /** Hands the result on; an order on top of the newest change that came too late for one goes on top of the next. */
+    /** Responds with the result; an evacuation on the latest revision that met a conflict is tried again on the one it learned. */
     private void decided(final PendingCall call, final CommandResult result, final long now) {
         if (call.onLatest()
                 && result instanceof CommandResult.Rejected r
@@ -110,20 +122,20 @@
             lastRequestId++;
             final Message retry =
                     new ChainClientMessage.WriteRequest(lastRequestId, address, order.expecting(r.sequence()));
-            open(lastRequestId, new PendingCall(retry, true, call.token(), now, call.deadline(), true, 0), now);
+            sendOrEnd(lastRequestId, new PendingCall(retry, true, call.token(), now, call.deadline(), true, 0), now);
         } else {
             effects.add(new Effect.Respond(call.token(), result));
         }
     }
 
-    /** A clock event: asks again, at once under another view, and ends what is past its expiry. */
+    /** A clock event: sends again what is due, at once under another view, and ends the calls past their deadline. */
     public void tick(final long now) {
         final boolean viewChanged = currentView.get().number() != lastViewNumber;
         lastViewNumber = currentView.get().number();
-        for (final Map.Entry<Long, PendingCall> entry : List.copyOf(open.entrySet())) {
+        for (final Map.Entry<Long, PendingCall> entry : List.copyOf(pendingCalls.entrySet())) {
             final PendingCall call = entry.getValue();
             if (now >= call.deadline() || viewChanged || now - call.sentAt() >= retryDelay(call)) {
-                open(entry.getKey(), call.retried(), now);
+                sendOrEnd(entry.getKey(), call.retried(), now);
             }
         }
     }
@@ -149,10 +161,10 @@
         return drained;
     }
 
-    /** Sends while the call lasts, also where this process was frozen meanwhile; else the call ends. */
-    private void open(final long id, final PendingCall call, final long now) {
+    /** Sends a call before its deadline; past it, also where the process was frozen meanwhile, responds that the outcome is unknown. */
+    private void sendOrEnd(final long requestId, final PendingCall call, final long now) {
         if (now >= call.deadline()) {
-            open.remove(id);
+            pendingCalls.remove(requestId);
             effects.add(new Effect.Respond(
                     call.token(),
                     call.request() instanceof ChainClientMessage.WriteRequest w
@@ -160,8 +172,8 @@
                             : new ReadResult(false, 0, List.of())));
             return;
         }
-        open.put(
-                id,
+        pendingCalls.put(
+                requestId,
                 new PendingCall(
                         call.request(),
                         call.isWrite(),
--- a/core/src/main/java/silverlatch/replication/RepairProgress.java
+++ b/core/src/main/java/silverlatch/replication/RepairProgress.java
@@ -7,7 +7,7 @@
 import silverlatch.state.Entry;
 import silverlatch.wire.ReplicationMessage;
 
-/** The pieces of a repair that have come in. The state stays as it is until the last is there. */
+/** The pieces of one repair that were received. They come in order, from one source, for one sequence. */
 final class RepairProgress {
     private final long sequence;
     private final int pieces;
@@ -22,7 +22,7 @@
         this.source = source;
     }
 
-    /** Takes a piece, if it is the one that comes next. */
+    /** Takes a piece; false where it is not the next one of this repair. */
     boolean accept(final ReplicationMessage.RepairRanges piece, final String sender, final long now) {
         if (piece.sequence() != sequence || piece.piece() != nextPiece || !sender.equals(source)) {
             return false;
@@ -35,7 +35,7 @@
         return true;
     }
 
-    /** Whether all pieces are there. */
+    /** Whether all pieces were received. */
     boolean isComplete() {
         return nextPiece == pieces;
     }
@@ -45,17 +45,17 @@
         return ranges;
     }
 
-    /** The question for the next piece. */
+    /** The request for the next piece. */
     ReplicationMessage.RepairNext nextRequest(final long view, final Replica self) {
         return new ReplicationMessage.RepairNext(view, self, sequence, nextPiece);
     }
 
-    /** Whom to ask. */
+    /** The address of the replica that sends the pieces. */
     String source() {
         return source;
     }
 
-    /** When the last piece came. */
+    /** When the last piece was received, in microseconds. */
     long receivedAt() {
         return receivedAt;
     }
--- a/core/src/main/java/silverlatch/replication/RepairSource.java
+++ b/core/src/main/java/silverlatch/replication/RepairSource.java
@@ -7,13 +7,12 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * What one member is repaired with: the ranges in which its digests differ, as they are at one sequence, cut into
- * pieces that leave room on the link for leases and votes. Entries don't change, so holding on to them costs only what
- * is replaced in the meantime.
+ * What one replica is repaired with: the ranges in which its digests differ, as they are at one sequence, in pieces that leave room on
+ * the link for leases and votes. Entries are immutable, so the pieces keep only those in memory that are replaced meanwhile.
  *
  * @param sequence the sequence that the pieces together stand for
  * @param pieces   the pieces in order, one at least
- * @param pending  the changes after that sequence which are synced at the source, in order; sent with the last piece
+ * @param pending  the entries after that sequence which are synced at the source, in order; sent with the last piece
  * @param digests  the digests of all ranges at that sequence
  */
 record RepairSource(
--- a/core/src/main/java/silverlatch/replication/Replica.java
+++ b/core/src/main/java/silverlatch/replication/Replica.java
@@ -1,4 +1,9 @@
 package silverlatch.replication;
 
-/** A disk machine of the chain: the identity made with its data folder, and where it listens. */
+/**
+ * A controller that replicates the control state.
+ *
+ * @param id      its identity, made with its data folder and never used again after the folder is lost
+ * @param address where it listens; a replica with another identity may follow at the same address
+ */
 public record Replica(String id, String address) {}
--- a/core/src/main/java/silverlatch/replication/ReplicationWindow.java
+++ b/core/src/main/java/silverlatch/replication/ReplicationWindow.java
@@ -4,12 +4,12 @@
 import java.util.Deque;
 
 /**
- * What a member has sent to its successor under one view and has no word of yet. It bounds what is under way, so that
- * leases and votes on the same link don't wait behind large entries for longer than a lease lasts, and it sends again
- * only after a pause without progress, which doubles each time.
+ * The entries that a member has sent to its successor under one view and that aren't acknowledged yet. It bounds the bytes in flight, so
+ * that leases and votes on the same link don't wait behind large entries for longer than a lease lasts, and has them sent again only
+ * after a backoff without progress, which doubles each time.
  */
 final class ReplicationWindow {
-    /** How many bytes may be under way; one entry may be larger. */
+    /** How many bytes may be in flight; one entry may be larger. */
     static final long LIMIT_BYTES = 128L << 10;
 
     private static final long INITIAL_BACKOFF_MICROS = 600_000L;
@@ -21,7 +21,7 @@
     private long progressAt;
     private long backoff = INITIAL_BACKOFF_MICROS;
 
-    /** Begins after a sequence that the successor has. */
+    /** Sends again from the sequence after this one, which the successor has. */
     void restart(final long sequence, final long now) {
         inFlight.clear();
         inFlightBytes = 0;
@@ -30,7 +30,7 @@
         progressAt = now;
     }
 
-    /** Begins under another view, where nothing was waited for yet. */
+    /** Begins under another view, with the first backoff. */
     void reset(final long sequence, final long now) {
         restart(sequence, now);
         backoff = INITIAL_BACKOFF_MICROS;
@@ -41,7 +41,7 @@
         return sentSequence;
     }
 
-    /** The newest sequence that the successor has said it has. */
+    /** The newest sequence that the successor has acknowledged. */
     long acknowledgedSequence() {
         return acknowledgedSequence;
     }
@@ -51,14 +51,14 @@
         return inFlight.isEmpty() || inFlightBytes + entry.estimatedBytes() <= LIMIT_BYTES;
     }
 
-    /** An entry goes out. */
+    /** An entry is sent. */
     void add(final LogEntry entry) {
         sentSequence = entry.sequence();
         inFlight.add(new InFlightEntry(entry.sequence(), entry.estimatedBytes()));
         inFlightBytes += entry.estimatedBytes();
     }
 
-    /** The successor has all up to a sequence, or more was committed. */
+    /** The successor has acknowledged all entries up to a sequence. */
     void acknowledge(final long sequence, final long now) {
         if (sequence <= acknowledgedSequence) {
             return;
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Whether it is time to send again, as nothing has come on for a pause; the next pause is longer. */
+    /** Whether the backoff has passed without progress; where it has, the next one is twice as long. */
     boolean isRetryDue(final long now) {
         if (now - progressAt < backoff) {
             return false;
--- a/core/src/main/java/silverlatch/replication/View.java
+++ b/core/src/main/java/silverlatch/replication/View.java
@@ -4,9 +4,17 @@
 import java.util.Optional;
 import silverlatch.util.Lists;
 
-/** The agreed view: its number (also the fencing number), the fleet, the voters, the chain's order, the duty holder. */
+/**
+ * Who replicates the control state, as a majority of the voters of the view before has agreed. Each number is decided once.
+ *
+ * @param number         its number, also the fencing token of the singleton's owner
+ * @param fleet          the identity of the cluster, drawn when it was founded
+ * @param voters         who votes on the next view and grants leases
+ * @param chain          the members in the order in which entries pass, from head to tail
+ * @param singletonOwner the identity of the member that owns the singleton role
+ */
 public record View(long number, long fleet, List<Replica> voters, List<Replica> chain, String singletonOwner) {
-    /** The view before any founding. */
+    /** The view before the cluster is founded. */
     public static final View NONE = new View(0, 0, List.of(), List.of(), "");
 
     /** Copies the lists. */
@@ -25,7 +33,7 @@
         return voters.stream().anyMatch(voter -> voter.id().equals(id));
     }
 
-    /** The place in the chain, or -1. */
+    /** The position in the chain from the head on, or -1. */
     public int positionOf(final String id) {
         for (int i = 0; i < chain.size(); i++) {
             if (chain.get(i).id().equals(id)) {
@@ -35,13 +43,13 @@
         return -1;
     }
 
-    /** Who follows in the chain. */
+    /** The next member of the chain. */
     public Optional<Replica> successorOf(final String id) {
         final int position = positionOf(id);
         return position < 0 || position + 1 >= chain.size() ? Optional.empty() : Optional.of(chain.get(position + 1));
     }
 
-    /** Who stands before in the chain. */
+    /** The member of the chain before this one. */
     public Optional<Replica> predecessorOf(final String id) {
         final int position = positionOf(id);
         return position <= 0 ? Optional.empty() : Optional.of(chain.get(position - 1));
@@ -52,7 +60,7 @@
         return chain.stream().findFirst();
     }
 
-    /** The tail, which answers. */
+    /** The tail, which commits writes and answers reads. */
     public Optional<Replica> tail() {
         return chain.isEmpty() ? Optional.empty() : Optional.of(Lists.last(chain));
     }
--- a/core/src/main/java/silverlatch/replication/ViewPlanner.java
+++ b/core/src/main/java/silverlatch/replication/ViewPlanner.java
@@ -12,14 +12,22 @@
 import silverlatch.safeguard.Safeguard;
 import silverlatch.wire.ReplicationMessage;
 
-/** Which view should come after the one that stands, as one machine sees it. */
+/**
+ * Plans the view that should follow the installed one, by what one replica has heard. It holds no state: {@link ViewProposer} makes one
+ * for each decision, and proposes what it plans.
+ */
 final class ViewPlanner {
     private final ReplicaSettings settings;
     private final View view;
     private final ToLongFunction<String> microsSinceHeard;
     private final Set<String> caughtUpMembers;
 
-    /** How long each voter or newcomer was silent, in microseconds, and which members of the chain hold all that it has. */
+    /**
+     * A planner for the successor of a view.
+     *
+     * @param microsSinceHeard for how long a voter or a replica that asks to join was silent, by identity
+     * @param caughtUpMembers  the identities of the members that hold all that the chain holds
+     */
     ViewPlanner(
             final ReplicaSettings settings,
             final View view,
@@ -42,8 +50,8 @@
     }
 
     /**
-     * The next view, if there should be one: without the lost, else with a newcomer, else without dead votes. A repaired
-     * newcomer goes first where the chain without the lost would be shorter than the copies.
+     * The next view, if there should be one: without the suspected members, else with a replica that joins, else without the votes of
+     * dead voters. A repaired replica joins first where the chain without the suspected would be shorter than the required copies.
      */
     Optional<View> next(final boolean leaving, final Collection<ReplicationMessage.JoinRequest> joinRequests) {
         final Optional<View> shortened = without(leaving);
@@ -65,17 +73,17 @@
                 .findFirst();
     }
 
-    /** Whether all of a view's chain stand in the next one as they stood, so that none of them answers for the old one alone. */
+    /** Whether the next chain begins with the whole old one in its order, so that no member answers for the old view alone. */
     static boolean isExtension(final View old, final View next) {
         return next.chain().size() >= old.chain().size()
                 && next.chain().subList(0, old.chain().size()).equals(old.chain());
     }
 
     /**
-     * The chain without the silent, and without this member if it leaves and enough of the others hold everything.
-     * Where one is missed, others that were silent for most of that time go with it. One that has everything stays, or
-     * what was acknowledged could be lost with those that go. A leaving one gives up its vote at once where three or
-     * more remain: the others hear it until it ends, and would let a newcomer in beside it or another one leave.
+     * The chain without the suspected, and without this member if it leaves and enough of the others have caught up. Where one is
+     * suspected, others that were silent for most of that time go with it. At least one that has caught up stays, or what was
+     * acknowledged could be lost with those that go. A leaving member gives up its vote at once where three or more remain: the others
+     * hear it until its process stops, and would let another replica join beside it, or another one leave.
      */
     private Optional<View> without(final boolean leaving) {
         final boolean anySuspected = view.chain().stream().anyMatch(this::suspected);
@@ -115,9 +123,9 @@
     }
 
     /**
-     * A proposed view with the members of the present chain that promised it and hold everything, where its own chain
-     * would be shorter than the copies that an acknowledgement needs. A member that was not heard for a while, and so
-     * was left out, may have been slow only; without it the next loss of a disk could leave no member at all.
+     * A proposed view with the members of the present chain that promised it and have caught up, where its own chain would be shorter
+     * than the required copies. A member that was not heard for a while, and so was left out, may have been slow only; without it the
+     * next loss of a disk could leave no member at all.
      */
     View withPromised(final View proposed, final Set<String> promisedIds) {
         if (proposed.chain().size() >= settings.minInSyncReplicas()) {
@@ -130,7 +138,7 @@
         return chain.size() > proposed.chain().size() ? shortened(chain, false) : proposed;
     }
 
-    /** Whether these members would still be enough copies of all that was acknowledged. */
+    /** Whether enough of these members have caught up to be the required copies of all that was acknowledged. */
     private boolean hasEnoughCaughtUp(final List<Replica> members) {
         return members.stream()
                                 .filter(member -> caughtUpMembers.contains(member.id()))
@@ -140,9 +148,9 @@
     }
 
     /**
-     * One more at the end of the chain. It takes its own vote, that of the lost identity at its address, or that of a
-     * voter that is dead. A new vote is made only while every voter is in the chain and heard: it must not widen the
-     * quorum while a dead voter counts, nor one that has left, nor while it isn't known whether one died just now.
+     * The view with one more replica at the end of the chain. It takes its own vote, that of the lost identity at its address, or that
+     * of a dead voter. A new vote is added only while every voter is in the chain and heard: the quorum must not grow while a dead voter
+     * counts, nor one that has left, nor while it isn't known whether one died just now.
      */
     private Optional<View> withMember(final Replica newcomer) {
         final Optional<Replica> replaced = Stream.of(
@@ -175,7 +183,7 @@
                 && (allPresent || !settings.safeguards().isEnabled(Safeguard.DEAD_VOTES));
     }
 
-    /** The same chain without the votes of dead machines, where fewer votes bear more losses. */
+    /** The same chain without the votes of dead voters, where fewer votes tolerate more losses. */
     private Optional<View> withoutDeadVotes() {
         final List<Replica> voters = without(
                 view.voters(), votersOutsideChain().filter(this::suspected).toList());
@@ -185,9 +193,9 @@
     }
 
     /**
-     * The voters without as many of the gone as makes the majority smaller: down to the smallest odd number that is not
-     * below those that remain, nor below the fewest that bear the losses. One dead vote beside an even number of others costs nothing, and may come back; so of
-     * three voters with one dead all three stay, until a newcomer takes the dead one's vote.
+     * The voters without as many of the removed as makes the majority smaller: down to the smallest odd number that is not below those
+     * that remain, nor below the fewest that tolerate the losses. One dead vote beside an even number of others costs nothing, and may
+     * come back; so of three voters with one dead all three stay, until a replica that joins takes the dead one's vote.
      */
     private List<Replica> without(final List<Replica> voters, final List<Replica> removed) {
         if (!settings.safeguards().isEnabled(Safeguard.DEAD_VOTES)) {
@@ -219,7 +227,7 @@
         return view.voters().stream().filter(voter -> view.positionOf(voter.id()) < 0);
     }
 
-    /** Whether a member listens there: messages go by address, so a second one there would take what is the first one's. */
+    /** Whether a member listens there: messages go by address, so a second member there would get those of the first. */
     private boolean addressInChain(final String address) {
         return view.chain().stream().anyMatch(member -> member.address().equals(address));
     }
