--- a/core/src/main/java/silverlatch/node/Node.java
+++ b/core/src/main/java/silverlatch/node/Node.java
@@ -119,7 +119,8 @@
                 clock, gossip::fleet, dispatcher::dispatch, pendingEffects::add, effects::add, counters);
         this.sender = new FrameSender(clock, membership, gossip::fleet);
         this.snapshotBuilder = new ClusterSnapshotBuilder(membership, gossip, now);
-        this.chainReplica.ifPresent(q -> gossip.adoptReplicaState(q.stateMachine(), q.view(), false, now));
+        this.chainReplica.ifPresent(
+                replica -> gossip.adoptReplicaState(replica.stateMachine(), replica.view(), false, now));
     }
 
     /** Makes the stamp of a local event at a moment of this event loop. */
@@ -172,7 +173,7 @@
     }
 
     /** Returns a copy of what is known as of the last call, for the event loop that routes requests. */
-    public ClusterSnapshot facts() {
+    public ClusterSnapshot clusterSnapshot() {
         return snapshotBuilder.build(dispatcher.hasJoined(), currentTime);
     }
 
@@ -222,21 +223,21 @@
     /** Takes notice that the write of an {@link Effect.Persist} is synced. */
     public void onPersisted(final long token, final long now) {
         advanceTime(now);
-        chainReplica.ifPresent(q -> q.synced(token, now));
+        chainReplica.ifPresent(replica -> replica.synced(token, now));
         processEffects(now);
     }
 
     /** Takes notice that the disk of the log failed. */
     public void onDiskFailed(final String reason, final long now) {
         advanceTime(now);
-        chainReplica.ifPresent(q -> q.diskFailed(reason));
+        chainReplica.ifPresent(replica -> replica.diskFailed(reason));
         processEffects(now);
     }
 
     /** Takes notice that the disk takes writes again: the replica starts anew from what the log holds. */
     public void onDiskRecovered(final List<LogRecord> records, final long now) {
         advanceTime(now);
-        chainReplica = chainReplica.map(q -> q.recovered(records, now));
+        chainReplica = chainReplica.map(replica -> replica.recovered(records, now));
         processEffects(now);
     }
 
@@ -265,7 +266,7 @@
         retryDelayedFrames(now);
         clock.check(now).ifPresent(reason -> rejoin(now, reason));
         membership.tick(now);
-        chainReplica.ifPresent(q -> q.tick(now));
+        chainReplica.ifPresent(replica -> replica.tick(now));
         dispatcher.adoptReplicaState(now);
         gossip.tick(now);
         chainClient.tick(now);
@@ -337,7 +338,7 @@
 
     private void collectEffects() {
         pendingEffects.addAll(membership.drain());
-        chainReplica.ifPresent(q -> pendingEffects.addAll(q.drain()));
+        chainReplica.ifPresent(replica -> pendingEffects.addAll(replica.drain()));
         pendingEffects.addAll(gossip.drain());
         pendingEffects.addAll(chainClient.drain());
     }
--- a/core/src/test/java/silverlatch/node/NodeCluster.java
+++ b/core/src/test/java/silverlatch/node/NodeCluster.java
@@ -272,7 +272,8 @@
         }
 
         private Router newRouter(final Node running) {
-            return new Router(Router.Settings.DEFAULT, running.facts(), () -> new Stamp(now()), random.split());
+            return new Router(
+                    Router.Settings.DEFAULT, running.clusterSnapshot(), () -> new Stamp(now()), random.split());
         }
 
         void kill() {
@@ -332,7 +333,7 @@
             running.drainFrames().forEach(this::sendFrame);
             monitor.checkConfirmedState(name, running, now());
             router.ifPresent(r -> {
-                r.update(running.facts(), now());
+                r.update(running.clusterSnapshot(), now());
                 final long served = servedRevision();
                 monitor.checkServedRevision(name, newestServed, served, now());
                 newestServed = Math.max(newestServed, served);
--- a/server/src/main/java/silverlatch/server/gateway/Gateway.java
+++ b/server/src/main/java/silverlatch/server/gateway/Gateway.java
@@ -197,7 +197,7 @@
 
     /** Called on the node's event loop. */
     private void publish(final Node node) {
-        final ClusterSnapshot snapshot = node.facts();
+        final ClusterSnapshot snapshot = node.clusterSnapshot();
         readyGateways = Stream.concat(Stream.of(snapshot.self()), snapshot.peers().stream())
                 .filter(Member::ready)
                 .toList();
--- a/server/src/main/java/silverlatch/server/gateway/GatewayModule.java
+++ b/server/src/main/java/silverlatch/server/gateway/GatewayModule.java
@@ -47,7 +47,7 @@
         return new Dispatcher(
                 settings.dispatch(),
                 new PermitSigner(settings.clusterKey()),
-                node.facts(),
+                node.clusterSnapshot(),
                 () -> node.localStamp(EventLoop.nowMicros()),
                 random.split());
     }
@@ -56,6 +56,9 @@
     @Singleton
     static Router router(final Node node, final SplittableRandom random) {
         return new Router(
-                Router.Settings.DEFAULT, node.facts(), () -> node.localStamp(EventLoop.nowMicros()), random.split());
+                Router.Settings.DEFAULT,
+                node.clusterSnapshot(),
+                () -> node.localStamp(EventLoop.nowMicros()),
+                random.split());
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedGateway.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedGateway.java
@@ -38,11 +38,11 @@
 
     /** The process starts. */
     void start(final Node node) {
-        clusterSnapshot = Optional.of(node.facts());
+        clusterSnapshot = Optional.of(node.clusterSnapshot());
         dispatcher = Optional.of(new Dispatcher(
                 DispatcherSettings.DEFAULT.withSafeguards(world.safeguards()),
                 new PermitSigner("simulated-cluster-key"),
-                node.facts(),
+                node.clusterSnapshot(),
                 () -> node.localStamp(host.now()),
                 world.scheduler().random().split()));
     }
@@ -113,7 +113,7 @@
     /** Hands the newest snapshot to the dispatcher. */
     void updateSnapshot(final Node node) {
         dispatcher.ifPresent(running -> {
-            final ClusterSnapshot snapshot = node.facts();
+            final ClusterSnapshot snapshot = node.clusterSnapshot();
             clusterSnapshot = Optional.of(snapshot);
             running.update(snapshot, host.now());
         });
