--- a/core/src/main/java/silverlatch/routing/OpenRequest.java
+++ b/core/src/main/java/silverlatch/routing/OpenRequest.java
@@ -7,7 +7,7 @@
 
 /**
  * A routed request under way: its route, its deadline, and its attempts at workers, of which one is in flight at a time.
- * Once it may have run it is never called rejected, and where its route says at most once it is not retried. Owned by the
+ * Once it may have run it is never called rejected, and where its route isn't retryable it isn't sent again. Owned by the
  * routing event loop; times in microseconds.
  */
 final class OpenRequest {
--- a/core/src/main/java/silverlatch/routing/RoutingEffect.java
+++ b/core/src/main/java/silverlatch/routing/RoutingEffect.java
@@ -13,7 +13,7 @@
      * @param address   where the worker is
      * @param timeout   how long the client still waits
      * @param rank      the priority of the request's route
-     * @param once      whether it may run at most once
+     * @param once      whether it may not be sent again once it may have run
      * @param stream    whether the response is a stream of events
      */
     record StartAttempt(
--- /dev/null
+++ b/core/src/test/java/silverlatch/dispatch/StreamDeliveryTest.java
@@ -0,0 +1,110 @@
+package silverlatch.dispatch;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+import silverlatch.clock.Stamp;
+import silverlatch.dispatch.permit.Permit;
+import silverlatch.state.TableRules;
+import silverlatch.state.Value;
+
+final class StreamDeliveryTest {
+    private final RequestTable requests = new RequestTable(4);
+    private final DispatchOutput output = new DispatchOutput(new SplittableRandom(1));
+    private final StreamDelivery delivery = new StreamDelivery(requests, output);
+    private final DispatchedRequest request = new DispatchedRequest(
+            new Permit("r1", "one", "ask", "w1", "p1", 1, 1, new Stamp(1), 9, ""),
+            new Value.Tenant("one", List.of(), 1, "hash", "salt"),
+            TableRules.defaultRow("*", "ask"),
+            new SubmittedRequest("", "", List.of(), "", 1_000_000),
+            List.of(),
+            1,
+            0);
+
+    StreamDeliveryTest() {
+        requests.add(request);
+        delivery.open(request, 1);
+        request.apply(RequestEvent.ENQUEUE);
+        request.apply(RequestEvent.START_ATTEMPT);
+        request.apply(RequestEvent.RUN);
+    }
+
+    private StreamRecord.Chunk append() {
+        final StreamRecord.Chunk chunk =
+                new StreamRecord.Chunk("r1", "r1.1", request.response().size(), "text");
+        request.response().append(chunk);
+        return chunk;
+    }
+
+    private List<DispatchEffect> write() {
+        delivery.write(request);
+        return output.drain();
+    }
+
+    @Test
+    void aReaderGetsOneWriteForEachTimeThatItIsReady() {
+        final StreamRecord.Chunk first = append();
+        assertThat(write(), is(List.of(new DispatchEffect.StreamWrite(1, List.of(first), false))));
+        final StreamRecord.Chunk second = append();
+        final StreamRecord.Chunk third = append();
+        assertThat(write(), is(List.of()));
+        delivery.readerReady(1);
+        assertThat(output.drain(), is(List.of(new DispatchEffect.StreamWrite(1, List.of(second, third), false))));
+    }
+
+    @Test
+    void aWriteIsBoundedAndTheLastOneEndsTheStream() {
+        for (int i = 0; i < 300; i++) {
+            append();
+        }
+        request.apply(RequestEvent.COMPLETE);
+        delivery.write(request);
+        delivery.readerReady(1);
+        final List<DispatchEffect> writes = output.drain();
+        assertThat(writes.size(), is(2));
+        assertThat(
+                writes.get(0),
+                is(new DispatchEffect.StreamWrite(1, request.response().records(0, 256), false)));
+        assertThat(
+                writes.get(1),
+                is(new DispatchEffect.StreamWrite(1, request.response().records(256, 300), true)));
+        delivery.readerReady(1);
+        assertThat("nothing follows the end", output.drain(), is(List.of()));
+    }
+
+    @Test
+    void anotherCallThatReadsEndsTheOneBefore() {
+        final StreamRecord.Chunk first = append();
+        write();
+        delivery.attach(request, 2, 0);
+        assertThat(
+                output.drain(),
+                is(List.of(
+                        new DispatchEffect.StreamWrite(1, List.of(), true),
+                        new DispatchEffect.StreamWrite(2, List.of(first), false))));
+        delivery.readerReady(1);
+        append();
+        assertThat("the first call reads no more", output.drain(), is(List.of()));
+        assertThat(delivery.readerDisconnected(1, 5), is(Optional.empty()));
+        assertThat(delivery.readerDisconnected(2, 5), is(Optional.of(request)));
+        assertThat(request.reader().isAbsentLongerThan(10, 15), is(false));
+        assertThat(request.reader().isAbsentLongerThan(10, 16), is(true));
+    }
+
+    @Test
+    void aRefusalGoesToTheReaderOnceAndNoStreamFollows() {
+        delivery.reject(request, Rejection.permanent(Rejection.GONE, "gone"));
+        assertThat(
+                output.drain().stream()
+                        .filter(DispatchEffect.Rejected.class::isInstance)
+                        .count(),
+                is(1L));
+        delivery.reject(request, Rejection.permanent(Rejection.GONE, "gone"));
+        delivery.close(request);
+        assertThat(output.drain(), is(List.of()));
+    }
+}
