--- a/simulation/src/main/java/silverlatch/simulation/check/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/check/Main.java
@@ -8,7 +8,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import silverlatch.json.JsonDocument;
 
 /** Holds the consumers' receipts against the workers' own records of what they ran; trusts nothing the daemons say. */
@@ -50,61 +49,14 @@
     /** Checks receipts against records. */
     public static CheckResult check(
             final Path receipts, final Map<String, List<String>> homes, final List<Path> records) throws IOException {
-        final List<String> violations = new ArrayList<>();
-        final Map<String, List<JsonDocument>> starts = new HashMap<>();
-        int runs = 0;
+        final ReceiptCheck check = new ReceiptCheck(homes);
         for (final Path recordFile : records) {
-            long left = Long.MAX_VALUE;
-            for (final JsonDocument start : readRecords(recordFile)) {
-                final String event = start.string("event", 16);
-                if (event.equals("leave")) {
-                    left = start.integer("at", 0, Long.MAX_VALUE);
-                }
-                if (!event.equals("start")) {
-                    continue;
-                }
-                runs++;
-                starts.computeIfAbsent(start.string("ticket", 256), k -> new ArrayList<>())
-                        .add(start);
-                final List<String> allowed = homes.getOrDefault(start.string("tenant", 64), List.of());
-                if (!allowed.isEmpty() && !allowed.contains(start.string("region", 64))) {
-                    violations.add("ticket " + start.string("ticket", 256) + " ran outside its homes");
-                }
-                if (start.integer("at", 0, Long.MAX_VALUE) - left > 3_000) {
-                    violations.add("ticket " + start.string("ticket", 256)
-                            + " came to a worker 3 s after it said it was leaving");
-                }
-            }
+            check.records(readRecords(recordFile));
         }
-        final Map<String, String> keys = new HashMap<>();
-        int count = 0;
         for (final JsonDocument receipt : readRecords(receipts)) {
-            count++;
-            final String ticket = receipt.string("ticket", 256);
-            final List<JsonDocument> attempts = starts.getOrDefault(ticket, List.of());
-            final String outcome = receipt.string("outcome", 256);
-            if (outcome.startsWith("rejected") && !attempts.isEmpty()) {
-                violations.add("ticket " + ticket + " was rejected and ran");
-            }
-            if (attempts.size() > 1) {
-                violations.add("ticket " + ticket + " ran " + attempts.size() + " times");
-            }
-            if (outcome.equals("done")
-                    && (attempts.size() != 1
-                            || !attempts.get(0).string("prompt", 64).equals(receipt.string("prompt", 64)))) {
-                violations.add("ticket " + ticket + " is done without its own run");
-            }
-            final String key = receipt.string("key", 128);
-            if (!key.isEmpty() && !attempts.isEmpty()) {
-                Optional.ofNullable(keys.put(receipt.string("tenant", 64) + "|" + key, ticket))
-                        .filter(o -> !o.equals(ticket))
-                        .ifPresent(o -> violations.add("key " + key + " ran as " + o + " and as " + ticket));
-            }
-            if (outcome.startsWith("BAD")) {
-                violations.add("ticket " + ticket + " " + outcome);
-            }
+            check.receipt(receipt);
         }
-        return new CheckResult(count, runs, violations);
+        return check.result();
     }
 
     private static List<JsonDocument> readRecords(final Path path) throws IOException {
--- a/simulation/src/main/java/silverlatch/simulation/hollow/HollowCluster.java
+++ b/simulation/src/main/java/silverlatch/simulation/hollow/HollowCluster.java
@@ -35,6 +35,12 @@
     private static final long REPORT_INTERVAL = 1_200_000L;
     private static final long REGION_DELAY = 1_000L;
     private static final long CROSS_REGION_DELAY = 35_000L;
+    private static final int NODES_OF_REGION = 12;
+    private static final int MAX_REGIONS = 14;
+    private static final int ZONES_OF_REGION = 3;
+    private static final int WORKER_SLOTS = 16;
+    private static final int STAMP_LOW_BITS = 7;
+    private static final long MAX_CLOCK_SKEW = 50_000L;
     private static final int CHAIN_MEMBERS = 3;
     private final List<HollowNode> nodes = new ArrayList<>();
     private final Map<String, HollowNode> byAddress = new HashMap<>();
@@ -58,7 +64,7 @@
 
     private record ScheduledTask(long time, long number, Runnable task) {}
 
-    /** One deck and what it did since the counts were last cleared. */
+    /** One node and what it did since the counts were last cleared. */
     static final class HollowNode {
         private final Member member;
         private final Node node;
@@ -66,83 +72,105 @@
         private long bytes;
         private long cpuNanos;
 
-        HollowNode(final Member me, final Node deck) {
-            this.member = me;
-            this.node = deck;
+        HollowNode(final Member member, final Node node) {
+            this.member = member;
+            this.node = node;
         }
     }
 
-    /** A worker: which controller it likes, and what it says. */
+    /** A worker: the controller that it reports to, and its last report. */
     private static final class HollowWorker {
         private final int controllerIndex;
         private Worker lastReport;
 
-        HollowWorker(final int home, final Worker word) {
-            this.controllerIndex = home;
-            this.lastReport = word;
+        HollowWorker(final int controllerIndex, final Worker firstReport) {
+            this.controllerIndex = controllerIndex;
+            this.lastReport = firstReport;
         }
     }
 
-    HollowCluster(final int daemons, final int workers, final long seed) {
+    /** A cluster of so many nodes, three of them controllers with a data folder, and so many workers. */
+    HollowCluster(final int nodeCount, final int workerCount, final long seed) {
         random = new SplittableRandom(seed);
-        final int regions = Numbers.clamp(daemons / 12, 1, 14);
+        final int regions = Numbers.clamp(nodeCount / NODES_OF_REGION, 1, MAX_REGIONS);
         final List<String> seeds = List.of(address(0), address(1), address(2));
-        for (int i = 0; i < daemons; i++) {
-            final boolean controller = i < CONTROLLERS;
-            final String region = "region-" + i % regions;
-            final Member me = new Member(
-                    (controller ? "controller-" : "gateway-") + i,
-                    controller ? "controller" : "gateway",
-                    region + "-" + i / regions % 3,
-                    region,
-                    address(i),
-                    address(i) + "0",
-                    wallClock() / 1000 + i,
-                    0,
-                    "up",
-                    true);
-            final Optional<ReplicaSettings> chain = i < CHAIN_MEMBERS
-                    ? Optional.of(ReplicaSettings.of(new Replica("disk-" + i, address(i)), seeds))
-                    : Optional.empty();
-            final HollowNode node = new HollowNode(
-                    me,
-                    new Node(
-                            new Node.Settings(
-                                    me, seeds, 7, 50_000, Membership.Settings.LARGE_FLEET, Gossip.Settings.LARGE_FLEET),
-                            chain,
-                            List.of(),
-                            new PhysicalClock(wallClock(), now, 0),
-                            random.split(),
-                            now));
-            nodes.add(node);
-            byAddress.put(me.address(), node);
-            schedule(random.nextLong(TICK_INTERVAL), () -> scheduleTick(node));
+        for (int i = 0; i < nodeCount; i++) {
+            addNode(i, regions, seeds);
         }
-        for (int i = 0; i < workers; i++) {
-            final String region = "region-" + i % regions;
-            final HollowWorker hand = new HollowWorker(
-                    i % CONTROLLERS,
-                    new Worker(
-                            "worker-" + i,
-                            "10.200." + i / 200 + "." + i % 200 + ":9001",
-                            region + "-" + i / regions % 3,
-                            region,
-                            wallClock() / 1000,
-                            0,
-                            0,
-                            0,
-                            16,
-                            List.of(),
-                            false,
-                            0,
-                            "large",
-                            0,
-                            0));
-            hollowWorkers.add(hand);
-            schedule(3 * SECOND + random.nextLong(REPORT_INTERVAL), () -> scheduleReport(hand));
+        for (int i = 0; i < workerCount; i++) {
+            addWorker(i, regions);
         }
     }
 
+    private static String region(final int index, final int regions) {
+        return "region-" + index % regions;
+    }
+
+    private static String zone(final int index, final int regions) {
+        return region(index, regions) + "-" + index / regions % ZONES_OF_REGION;
+    }
+
+    private void addNode(final int index, final int regions, final List<String> seeds) {
+        final Member member = member(index, regions);
+        final Optional<ReplicaSettings> chain = index < CHAIN_MEMBERS
+                ? Optional.of(ReplicaSettings.of(new Replica("disk-" + index, address(index)), seeds))
+                : Optional.empty();
+        final Node node = new Node(
+                new Node.Settings(
+                        member,
+                        seeds,
+                        STAMP_LOW_BITS,
+                        MAX_CLOCK_SKEW,
+                        Membership.Settings.LARGE_FLEET,
+                        Gossip.Settings.LARGE_FLEET),
+                chain,
+                List.of(),
+                new PhysicalClock(wallClock(), now, 0),
+                random.split(),
+                now);
+        final HollowNode hollow = new HollowNode(member, node);
+        nodes.add(hollow);
+        byAddress.put(member.address(), hollow);
+        schedule(random.nextLong(TICK_INTERVAL), () -> scheduleTick(hollow));
+    }
+
+    private Member member(final int index, final int regions) {
+        final String role = index < CONTROLLERS ? "controller" : "gateway";
+        return new Member(
+                role + "-" + index,
+                role,
+                zone(index, regions),
+                region(index, regions),
+                address(index),
+                address(index) + "0",
+                wallClock() / 1000 + index,
+                0,
+                "up",
+                true);
+    }
+
+    private void addWorker(final int index, final int regions) {
+        final Worker first = new Worker(
+                "worker-" + index,
+                "10.200." + index / 200 + "." + index % 200 + ":9001",
+                zone(index, regions),
+                region(index, regions),
+                wallClock() / 1000,
+                0,
+                0,
+                0,
+                WORKER_SLOTS,
+                List.of(),
+                false,
+                0,
+                "large",
+                0,
+                0);
+        final HollowWorker worker = new HollowWorker(index % CONTROLLERS, first);
+        hollowWorkers.add(worker);
+        schedule(3 * SECOND + random.nextLong(REPORT_INTERVAL), () -> scheduleReport(worker));
+    }
+
     private static String address(final int index) {
         return "10.100." + index / 200 + "." + (index % 200 + 1) + ":7001";
     }
--- a/simulation/src/main/java/silverlatch/simulation/hollow/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/hollow/Main.java
@@ -55,6 +55,12 @@
         final HollowCluster fleet = new HollowCluster(arguments.nodes(), arguments.workers(), arguments.seed());
         System.out.println("hollow " + arguments.nodes() + " daemons, " + arguments.workers() + " workers, seed "
                 + arguments.seed());
+        startAndSettle(fleet, arguments.nodes());
+        measureAtRest(fleet);
+        measureUnderChange(fleet);
+    }
+
+    private static void startAndSettle(final HollowCluster fleet, final int nodes) {
         fleet.advance(8 * HollowCluster.SECOND);
         fleet.propagateTableChange(
                 new Command.PutTable("table", List.of(TableRules.defaultRow("*", "chat")), -1),
@@ -64,23 +70,26 @@
         System.out.println("settled after 20 s: " + fleet.isConverged());
         System.gc();
         final Runtime runtime = Runtime.getRuntime();
-        System.out.println("heap for each daemon, KB: "
-                + (runtime.totalMemory() - runtime.freeMemory()) / 1024 / arguments.nodes());
+        System.out.println(
+                "heap for each daemon, KB: " + (runtime.totalMemory() - runtime.freeMemory()) / 1024 / nodes);
+    }
+
+    private static void measureAtRest(final HollowCluster fleet) {
         fleet.resetUsage();
         fleet.advance(MEASURED_SECONDS * HollowCluster.SECOND);
         printUsage("at rest", fleet);
         System.out.println("unsure at rest: " + fleet.staleNodes());
+    }
+
+    private static void measureUnderChange(final HollowCluster fleet) {
         fleet.resetUsage();
         final List<Long> workerTimes = new ArrayList<>();
         final List<Long> tableTimes = new ArrayList<>();
-        for (int i = 0; i < TRIALS; i++) {
+        for (int trial = 0; trial < TRIALS; trial++) {
             workerTimes.add(finishSecond(fleet, fleet.propagateWorkerChange(HollowCluster.SECOND)));
-            tableTimes.add(finishSecond(
-                    fleet,
-                    fleet.propagateTableChange(
-                            new Command.PatchTable(
-                                    "rule-" + i, List.of(new Command.Cell("*", "chat", "rate", "" + (500 + i))), -1),
-                            HollowCluster.SECOND)));
+            final Command.Cell cell = new Command.Cell("*", "chat", "rate", "" + (500 + trial));
+            final Command change = new Command.PatchTable("rule-" + trial, List.of(cell), -1);
+            tableTimes.add(finishSecond(fleet, fleet.propagateTableChange(change, HollowCluster.SECOND)));
         }
         printUsage("under change, a worker's and a rule's in turn, some 0.8 a second", fleet);
         System.out.println("unsure under change: " + fleet.staleNodes());
--- a/simulation/src/main/java/silverlatch/simulation/measure/LogicalBits.java
+++ b/simulation/src/main/java/silverlatch/simulation/measure/LogicalBits.java
@@ -11,12 +11,32 @@
 /** How many low bits stamps need, by rate and skew: algorithm 1 on random graphs, as in section 5.1 of the source. */
 final class LogicalBits {
     private static final int LOGICAL_BITS = 12;
+    private static final int REJECTED = LOGICAL_BITS + 1;
     private static final int NODES = 8;
-
-    private LogicalBits() {}
+    private static final long START = 1_000_000L;
+    private static final long MIN_DELAY = 1_000L;
+    private static final long DELAY_JITTER = 19_000L;
+    private final SplittableRandom random;
+    private final long[] clockOffsets = new long[NODES];
+    private final PwcClock[] clocks = new PwcClock[NODES];
+    private final PriorityQueue<InFlightMessage> inFlight = new PriorityQueue<>(
+            Comparator.comparingLong(InFlightMessage::deliveryTime).thenComparingLong(InFlightMessage::number));
+    private final long[] eventsByBits = new long[LOGICAL_BITS + 2];
+    private long messages;
 
     private record InFlightMessage(long deliveryTime, long number, int to, Stamp stamp) {}
 
+    /** Clocks that are off by up to a skew in milliseconds: each by its own, or only the first one's, by all of it. */
+    private LogicalBits(final long seed, final double skewMillis, final boolean leader) {
+        random = new SplittableRandom(seed);
+        final long maxSkew = NtpTime.fromMicros((long) (skewMillis * 1000));
+        for (int i = 0; i < NODES; i++) {
+            clockOffsets[i] = leader ? i == 0 ? maxSkew : 0 : random.nextLong(maxSkew + 1);
+            clocks[i] = PwcClock.start(NtpTime.fromMicros(START) + clockOffsets[i], LOGICAL_BITS, maxSkew * 4, 0);
+        }
+    }
+
+    /** Prints a table by skew, rate and mode, each row of so many simulated seconds. */
     static void run(final long seed, final int seconds) {
         System.out.println(
                 "| skew ms | rate a node | mode | events | bits max | over 4 bits | over 6 bits | over 7 bits |");
@@ -24,83 +44,85 @@
         for (final boolean leader : new boolean[] {false, true}) {
             for (final double skew : new double[] {6.25, 25, 100, 400}) {
                 for (final int rate : new int[] {1, 4, 16, 64}) {
-                    simulate(seed, seconds, skew, rate, leader);
+                    final LogicalBits simulation = new LogicalBits(seed, skew, leader);
+                    simulation.simulate(seconds, rate);
+                    simulation.print(skew, rate, leader);
                 }
             }
         }
     }
 
-    private static void simulate(
-            final long seed, final int seconds, final double skew, final int rate, final boolean leader) {
-        final SplittableRandom random = new SplittableRandom(seed);
-        final long maxSkew = NtpTime.fromMicros((long) (skew * 1000));
-        final long[] clockOffsets = new long[NODES];
-        final PwcClock[] clocks = new PwcClock[NODES];
-        for (int i = 0; i < NODES; i++) {
-            clockOffsets[i] = leader ? i == 0 ? maxSkew : 0 : random.nextLong(maxSkew + 1);
-            clocks[i] = PwcClock.start(NtpTime.fromMicros(1_000_000) + clockOffsets[i], LOGICAL_BITS, maxSkew * 4, 0);
-        }
-        final PriorityQueue<InFlightMessage> inFlight = new PriorityQueue<>(
-                Comparator.comparingLong(InFlightMessage::deliveryTime).thenComparingLong(InFlightMessage::number));
-        final long[] count = new long[LOGICAL_BITS + 2];
-        long number = 0;
+    /** Each node sends so many thousand messages a second on average. */
+    private void simulate(final int seconds, final int rate) {
         final double interval = 1000.0 / rate / NODES;
-        double next = 0;
         final long end = seconds * 1_000_000L;
+        double nextSend = 0;
         for (double now = 0; now < end; ) {
-            final boolean receives = !inFlight.isEmpty() && inFlight.peek().deliveryTime() <= next;
-            now = receives ? inFlight.peek().deliveryTime() : next;
-            final long trueTime = NtpTime.fromMicros(1_000_000 + (long) now);
-            final int node;
-            final ClockReading reading;
-            if (receives) {
-                final InFlightMessage message = inFlight.poll();
-                node = message.to();
-                reading = clocks[node].receive(message.stamp(), trueTime + clockOffsets[node]);
-            } else {
-                node = random.nextInt(NODES);
-                reading = clocks[node].send(trueTime + clockOffsets[node]);
-                next += interval * (0.5 + random.nextDouble());
-            }
-            if (reading instanceof ClockReading.Stamped made) {
-                clocks[node] = made.clock();
-                final int bitsNeeded =
-                        64 - Long.numberOfLeadingZeros(made.stamp().bits() & (1L << LOGICAL_BITS) - 1);
-                count[bitsNeeded]++;
-                if (!receives) {
-                    inFlight.add(new InFlightMessage(
-                            (long) now + 1_000 + random.nextLong(19_000),
-                            number++,
-                            random.nextInt(NODES),
-                            made.stamp()));
-                }
+            if (!inFlight.isEmpty() && inFlight.peek().deliveryTime() <= nextSend) {
+                now = inFlight.peek().deliveryTime();
+                receive(trueTime(now));
             } else {
-                count[LOGICAL_BITS + 1]++;
+                now = nextSend;
+                final int sender = random.nextInt(NODES);
+                nextSend += interval * (0.5 + random.nextDouble());
+                send(sender, now);
             }
         }
-        long sum = 0;
+    }
+
+    private static long trueTime(final double now) {
+        return NtpTime.fromMicros(START + (long) now);
+    }
+
+    private void receive(final long trueTime) {
+        final InFlightMessage message = inFlight.poll();
+        final int node = message.to();
+        count(node, clocks[node].receive(message.stamp(), trueTime + clockOffsets[node]));
+    }
+
+    private void send(final int node, final double now) {
+        final ClockReading reading = clocks[node].send(trueTime(now) + clockOffsets[node]);
+        count(node, reading);
+        if (reading instanceof ClockReading.Stamped stamped) {
+            final long deliveryTime = (long) now + MIN_DELAY + random.nextLong(DELAY_JITTER);
+            inFlight.add(new InFlightMessage(deliveryTime, messages++, random.nextInt(NODES), stamped.stamp()));
+        }
+    }
+
+    private void count(final int node, final ClockReading reading) {
+        if (reading instanceof ClockReading.Stamped stamped) {
+            clocks[node] = stamped.clock();
+            final long logical = stamped.stamp().bits() & (1L << LOGICAL_BITS) - 1;
+            eventsByBits[Long.SIZE - Long.numberOfLeadingZeros(logical)]++;
+        } else {
+            eventsByBits[REJECTED]++;
+        }
+    }
+
+    private void print(final double skew, final int rate, final boolean leader) {
+        long events = 0;
         int maxBits = 0;
-        for (int i = 0; i < count.length; i++) {
-            sum += count[i];
-            maxBits = count[i] > 0 ? i : maxBits;
+        for (int bits = 0; bits < eventsByBits.length; bits++) {
+            events += eventsByBits[bits];
+            maxBits = eventsByBits[bits] > 0 ? bits : maxBits;
         }
         System.out.printf(
                 "| %s | %dK | %s | %d | %d | %s | %s | %s |%n",
                 skew,
                 rate,
                 leader ? "leader" : "random",
-                sum,
+                events,
                 maxBits,
-                shareAbove(count, 4, sum),
-                shareAbove(count, 6, sum),
-                shareAbove(count, 7, sum));
+                shareAbove(4, events),
+                shareAbove(6, events),
+                shareAbove(7, events));
     }
 
-    private static String shareAbove(final long[] count, final int bits, final long sum) {
-        long more = 0;
-        for (int i = bits + 1; i < count.length; i++) {
-            more += count[i];
+    private String shareAbove(final int bits, final long events) {
+        long above = 0;
+        for (int i = bits + 1; i < eventsByBits.length; i++) {
+            above += eventsByBits[i];
         }
-        return more == 0 ? "0" : String.format("%.5f %%", 100.0 * more / sum);
+        return above == 0 ? "0" : String.format("%.5f %%", 100.0 * above / events);
     }
 }
