--- a/core/src/test/java/silverlatch/replication/CatchUpTest.java
+++ b/core/src/test/java/silverlatch/replication/CatchUpTest.java
@@ -86,7 +86,7 @@
     }
 
     private static void put(final ReplicaCluster cluster, final String at, final long number, final boolean renamed) {
-        final ReplicaCluster.PendingCall asked = cluster.submit(at, document(number, renamed), 20 * SECOND);
+        final PendingCall asked = cluster.submit(at, document(number, renamed), 20 * SECOND);
         cluster.advanceUntil(20 * SECOND, () -> asked.answer().isPresent());
         assertThat(
                 "document " + number + " at " + at + " " + asked.answer() + cluster, asked.isAcknowledged(), is(true));
@@ -141,7 +141,7 @@
         boolean back = false;
         long slowest = 0;
         for (int round = 0; round < 10; round++) {
-            final List<ReplicaCluster.PendingCall> asked = new ArrayList<>();
+            final List<PendingCall> asked = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
                 asked.add(cluster.submit(i % 2 == 0 ? "a" : "b", document(++number, false), 30 * SECOND));
             }
--- a/core/src/test/java/silverlatch/replication/DiskFailureTest.java
+++ b/core/src/test/java/silverlatch/replication/DiskFailureTest.java
@@ -42,7 +42,7 @@
     /** Puts documents until one is acknowledged; each try is a document of its own. */
     private void put(final String at) {
         for (int tries = 0; tries < 10; tries++) {
-            final ReplicaCluster.PendingCall asked = cluster.submit(at, document(++number), 3 * SECOND);
+            final PendingCall asked = cluster.submit(at, document(++number), 3 * SECOND);
             cluster.advanceUntil(4 * SECOND, () -> asked.answer().isPresent());
             if (asked.isAcknowledged()) {
                 return;
@@ -63,13 +63,13 @@
     }
 
     private long readAt(final String address) {
-        final ReplicaCluster.PendingCall asked = cluster.read(address, 3 * SECOND);
+        final PendingCall asked = cluster.read(address, 3 * SECOND);
         cluster.advanceUntil(4 * SECOND, () -> asked.answer().isPresent());
         return number(asked);
     }
 
     /** The number that was read; -1 where nobody answered. */
-    private static long number(final ReplicaCluster.PendingCall asked) {
+    private static long number(final PendingCall asked) {
         return asked.answer()
                 .filter(r -> r instanceof ChainClient.ReadResult p && p.answered())
                 .map(r -> ((ChainClient.ReadResult) r)
@@ -169,8 +169,8 @@
         cluster.disk(address).clear();
         cluster.disk(address).addAll(copy);
         cluster.start(address, false);
-        final List<ReplicaCluster.PendingCall> reads = new ArrayList<>();
-        final List<ReplicaCluster.PendingCall> writes = new ArrayList<>();
+        final List<PendingCall> reads = new ArrayList<>();
+        final List<PendingCall> writes = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             reads.add(cluster.read(SEEDS.get(i % 3), SECOND));
             if (i % 20 == 0) {
@@ -202,7 +202,7 @@
         final long acknowledged = number;
         SEEDS.forEach(cluster::kill);
         SEEDS.stream().filter(s -> !s.equals(missing)).forEach(s -> cluster.start(s, false));
-        final List<ReplicaCluster.PendingCall> reads = new ArrayList<>();
+        final List<PendingCall> reads = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
             for (final String address : cluster.running()) {
                 reads.add(cluster.read(address, 5 * SECOND));
--- a/core/src/test/java/silverlatch/replication/FailoverTimeTest.java
+++ b/core/src/test/java/silverlatch/replication/FailoverTimeTest.java
@@ -46,25 +46,18 @@
                     cluster.kill(address);
                 }
             }
-            final List<ReplicaCluster.PendingCall> calls = new ArrayList<>();
+            final List<PendingCall> calls = new ArrayList<>();
             all.stream()
                     .filter(s -> !dead.contains(s))
                     .forEach(s -> calls.add(cluster.putConfiguration(s, calls.size() + 1, -1, 6_000_000)));
             cluster.advance(6_500_000);
-            assertThat(
-                    "one at least is kept",
-                    calls.stream().anyMatch(ReplicaCluster.PendingCall::isAcknowledged),
-                    is(true));
+            assertThat("one at least is kept", calls.stream().anyMatch(PendingCall::isAcknowledged), is(true));
             calls.forEach(call -> assertThat(
                     "" + call.reply(),
                     call.isAcknowledged() || call.reply() instanceof CommandResult.Rejected,
                     is(true)));
             most = Math.max(
-                    most,
-                    calls.stream()
-                            .mapToLong(ReplicaCluster.PendingCall::latency)
-                            .max()
-                            .orElseThrow());
+                    most, calls.stream().mapToLong(PendingCall::latency).max().orElseThrow());
         }
         return most;
     }
@@ -92,27 +85,22 @@
         final ReplicaCluster cluster = new ReplicaCluster(SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(2, 6));
         SIX.forEach(s -> cluster.start(s, true));
         cluster.advanceUntil(5_000_000, () -> cluster.replica("a").view().number() == 1);
-        final List<ReplicaCluster.PendingCall> calls = LongStream.rangeClosed(1, 60)
+        final List<PendingCall> calls = LongStream.rangeClosed(1, 60)
                 .mapToObj(i -> {
-                    final ReplicaCluster.PendingCall call = cluster.putConfiguration("b", i, -1, 3_000_000);
+                    final PendingCall call = cluster.putConfiguration("b", i, -1, 3_000_000);
                     cluster.advance(50_000);
                     return call;
                 })
                 .toList();
         cluster.advance(3_000_000);
         assertThat(cluster.replica("a").view().voters().size(), is(6));
-        assertThat(
-                calls.stream()
-                        .mapToLong(ReplicaCluster.PendingCall::latency)
-                        .max()
-                        .orElseThrow(),
-                lessThan(600_000L));
+        assertThat(calls.stream().mapToLong(PendingCall::latency).max().orElseThrow(), lessThan(600_000L));
     }
 
     @Test
     void withoutFaultsAWriteTakesOneRoundTripThroughTheChain() {
         final ReplicaCluster cluster = bootstrapped(SEEDS);
-        final ReplicaCluster.PendingCall call = cluster.putConfiguration("b", 1, 0, 900_000);
+        final PendingCall call = cluster.putConfiguration("b", 1, 0, 900_000);
         cluster.advance(900_000);
         assertThat(call.isAcknowledged(), is(true));
         assertThat(call.latency(), lessThan(6 * LINK_DELAY_MICROS));
--- a/core/src/test/java/silverlatch/replication/MembershipSchedule.java
+++ b/core/src/test/java/silverlatch/replication/MembershipSchedule.java
@@ -43,7 +43,7 @@
         faults = new MembershipFaults(model);
     }
 
-    private record Put(ReplicaCluster.PendingCall call, long number) {}
+    private record Put(PendingCall call, long number) {}
 
     /** How many losses and replacements came. */
     int eventCount() {
--- a/core/src/test/java/silverlatch/replication/MembershipTest.java
+++ b/core/src/test/java/silverlatch/replication/MembershipTest.java
@@ -62,7 +62,7 @@
 
     private static void put(final ReplicaCluster cluster, final long number) {
         final String at = cluster.running().stream().sorted().findFirst().orElseThrow();
-        final ReplicaCluster.PendingCall asked = cluster.putConfiguration(at, number, number - 1, RECOVERY);
+        final PendingCall asked = cluster.putConfiguration(at, number, number - 1, RECOVERY);
         cluster.advanceUntil(RECOVERY + SECOND, () -> asked.latency() > 0);
         assertThat("put " + number + cluster, asked.isAcknowledged(), is(true));
     }
--- a/core/src/test/java/silverlatch/replication/OrderStorm.java
+++ b/core/src/test/java/silverlatch/replication/OrderStorm.java
@@ -57,10 +57,10 @@
     }
 
     /** One attempt of an order, and whether the operator hears its answer. */
-    private record Call(OperatorOrder order, ReplicaCluster.PendingCall pending, boolean isAnswerHeard, int operator) {}
+    private record Call(OperatorOrder order, PendingCall pending, boolean isAnswerHeard, int operator) {}
 
     /** A read of the configuration, and the number that it must give at least. */
-    private record DocumentRead(ReplicaCluster.PendingCall pending, long leastNumber) {}
+    private record DocumentRead(PendingCall pending, long leastNumber) {}
 
     /** How many orders were acknowledged. */
     long acknowledged() {
@@ -109,12 +109,12 @@
     }
 
     /** Submits a command at any machine that runs. */
-    ReplicaCluster.PendingCall submit(final Command command) {
+    PendingCall submit(final Command command) {
         return cluster.submit(faults.anyRunning(), command, CALL_TIMEOUT_MICROS);
     }
 
     /** Reads the entries of a prefix at any machine that runs. */
-    ReplicaCluster.PendingCall read(final String keyPrefix) {
+    PendingCall read(final String keyPrefix) {
         return cluster.read(faults.anyRunning(), keyPrefix, CALL_TIMEOUT_MICROS);
     }
 
@@ -293,7 +293,7 @@
     }
 
     private void readBack() {
-        final ReplicaCluster.PendingCall document = cluster.read(faults.anyRunning(), CALL_TIMEOUT_MICROS);
+        final PendingCall document = cluster.read(faults.anyRunning(), CALL_TIMEOUT_MICROS);
         zoneOperators.forEach(ZoneOperator::read);
         cluster.advance(SECOND);
         checkRead(new DocumentRead(document, newestAcknowledged()), (ChainClient.ReadResult) document.reply());
--- a/core/src/test/java/silverlatch/replication/OrdersTest.java
+++ b/core/src/test/java/silverlatch/replication/OrdersTest.java
@@ -35,14 +35,14 @@
     }
 
     private static Object reply(final ReplicaCluster cluster, final String at, final Command command) {
-        final ReplicaCluster.PendingCall asked = cluster.submit(at, command, CALL);
+        final PendingCall asked = cluster.submit(at, command, CALL);
         cluster.advance(SECOND);
         return asked.answer().orElse("silence");
     }
 
     private static void putAcknowledged(
             final ReplicaCluster cluster, final String at, final long number, final long match) {
-        final ReplicaCluster.PendingCall asked = cluster.putConfiguration(at, number, match, CALL);
+        final PendingCall asked = cluster.putConfiguration(at, number, match, CALL);
         cluster.advance(SECOND);
         assertThat("order " + number + " on " + match + cluster, asked.isAcknowledged(), is(true));
     }
@@ -92,9 +92,9 @@
         final String head = cluster.replica("a").view().head().orElseThrow().address();
         final List<String> others = THREE.stream().filter(s -> !s.equals(head)).toList();
         others.forEach(s -> cluster.cut(head, s, true));
-        final ReplicaCluster.PendingCall dropped = cluster.submit(head, retry(6, 5, 1), CALL);
+        final PendingCall dropped = cluster.submit(head, retry(6, 5, 1), CALL);
         cluster.advance(20_000);
-        final ReplicaCluster.PendingCall loser = cluster.submit(head, retry(7, 5, 1), CALL);
+        final PendingCall loser = cluster.submit(head, retry(7, 5, 1), CALL);
         cluster.advance(10 * SECOND);
         assertThat(dropped.reply(), is(instanceOf(CommandResult.Unknown.class)));
         putAcknowledged(cluster, others.get(0), 7, 5);
@@ -134,7 +134,7 @@
                 reply(cluster, others.get(1), evacuation("second", true)), is(instanceOf(CommandResult.Applied.class)));
         assertThat(reply(cluster, head, evacuation("back", false)), is(instanceOf(CommandResult.Applied.class)));
         cluster.advance(10 * SECOND);
-        final ReplicaCluster.PendingCall read = cluster.read(head, "z/", CALL);
+        final PendingCall read = cluster.read(head, "z/", CALL);
         cluster.advance(SECOND);
         final Value.Evacuation zone = (Value.Evacuation)
                 ((ChainClient.ReadResult) read.reply()).entries().get(0).value().get(0);
@@ -148,13 +148,13 @@
         for (final String alone : THREE) {
             THREE.stream().filter(s -> !s.equals(alone)).forEach(s -> cluster.cut(alone, s, true));
             for (int i = 0; i < 20; i++) {
-                final List<ReplicaCluster.PendingCall> calls = List.of(
+                final List<PendingCall> calls = List.of(
                         cluster.submit(alone, retry(9, 5, i), CALL),
                         cluster.submit(alone, retry(3, 2, i), CALL),
                         cluster.submit(alone, retry(9, 7, i), CALL));
                 cluster.advance(SECOND);
                 final boolean mayStillBeLeased = i == 0;
-                for (final ReplicaCluster.PendingCall call : calls) {
+                for (final PendingCall call : calls) {
                     assertThat(call.latency() < SECOND, is(true));
                     if (!mayStillBeLeased) {
                         assertThat(alone, call.reply(), is(instanceOf(CommandResult.Unknown.class)));
--- a/core/src/test/java/silverlatch/replication/ReplicaCluster.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaCluster.java
@@ -1,140 +1,104 @@
 package silverlatch.replication;
 
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.function.BooleanSupplier;
+import java.util.function.LongConsumer;
 import java.util.function.UnaryOperator;
+import java.util.stream.Collectors;
 import silverlatch.clock.Stamp;
 import silverlatch.log.LogRecord;
 import silverlatch.node.Effect;
+import silverlatch.node.Event;
 import silverlatch.state.Command;
-import silverlatch.state.CommandResult;
 import silverlatch.state.ConfigurationValidator;
-import silverlatch.state.Entry;
 import silverlatch.state.Value;
 import silverlatch.wire.ChainClientMessage;
 import silverlatch.wire.Message;
 
-/** Machines with ledgers and clerks on a fake clock: frames take a time, syncs take a time, and a power cut loses what wasn't synced. */
+/**
+ * Machines with a replica, a client and a log each, on a simulated clock: messages take a time, syncs take a time, and a
+ * power cut loses what wasn't synced. Times are microseconds; all of it runs on the test's thread, in {@link #advance}.
+ */
 final class ReplicaCluster {
     static final long TICK_MICROS = 20_000;
-    private List<String> seeds;
-    private final long linkDelay;
+    private static final long RECOVERY_RETRY_MICROS = 1_000_000;
+    private static final long CALLS_OF_ONE_CLIENT = 1_000_000;
+
     private final UnaryOperator<ReplicaSettings> settings;
+    private final SimulatedScheduler scheduler = new SimulatedScheduler();
+    private final SimulatedLinks links;
+    private final SimulatedLogs logs = new SimulatedLogs();
     private final Map<String, ChainReplica> replicas = new TreeMap<>();
     private final Map<String, ChainClient> clients = new HashMap<>();
-    private final Map<String, List<LogRecord>> disks = new TreeMap<>();
-    private final Map<String, Long> newest = new HashMap<>();
-    private final Map<String, String> identities = new HashMap<>();
-    private final Set<Set<String>> cuts = new HashSet<>();
-    private final Map<Set<String>, Long> slowLinks = new HashMap<>();
     private final Map<String, List<Runnable>> frozen = new TreeMap<>();
-    private long syncMicros = 2_000;
-    private final PriorityQueue<ScheduledTask> queue =
-            new PriorityQueue<>(Comparator.comparingLong(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
     private final Map<Long, PendingCall> pendingCalls = new LinkedHashMap<>();
-    private final Map<String, SimulatedDisk> simulatedDisks = new HashMap<>();
-    private final Map<silverlatch.node.Event, Long> logged = new HashMap<>();
-    private final silverlatch.wire.Codec codec = new silverlatch.wire.Codec();
-    private Optional<BandwidthLinks> links = Optional.empty();
-    private Optional<java.util.function.Supplier<SimulatedDisk>> diskModel = Optional.empty();
-    private long now = 1_000_000;
-    private long lastOrder;
+    private final Map<Event, Long> loggedEvents = new HashMap<>();
+    private List<String> seeds;
     private long stamp = 1_000;
-    private long token;
+    private long lastToken;
 
-    ReplicaCluster(final List<String> seeds, final long linkDelay, final UnaryOperator<ReplicaSettings> settings) {
+    ReplicaCluster(
+            final List<String> seeds, final long linkDelayMicros, final UnaryOperator<ReplicaSettings> settings) {
         this.seeds = seeds;
-        this.linkDelay = linkDelay;
+        this.links = new SimulatedLinks(scheduler, linkDelayMicros);
         this.settings = settings;
     }
 
     /** Gives every machine a link of so many bytes a second and a disk with a time for each sync and a capacity. */
-    ReplicaCluster withLimits(final long bytesPerSecond, final long sync, final long diskBytes) {
-        links = Optional.of(new BandwidthLinks(bytesPerSecond, linkDelay, (task, when) -> schedule(when, task)));
-        diskModel = Optional.of(() -> new SimulatedDisk(sync, diskBytes));
+    ReplicaCluster withLimits(final long bytesPerSecond, final long syncMicros, final long diskBytes) {
+        links.limitBandwidth(bytesPerSecond);
+        logs.limitDisks(() -> new SimulatedDisk(syncMicros, diskBytes));
         return this;
     }
 
     /** The links, where there is a limit. */
     BandwidthLinks links() {
-        return links.orElseThrow();
+        return links.bandwidthLinks().orElseThrow();
     }
 
     /** The model of a machine's disk, where there is a limit. */
     SimulatedDisk simulatedDisk(final String address) {
-        return simulatedDisks.get(address);
+        return logs.simulatedDisk(address).orElse(null);
     }
 
     /** What a machine has on its disk. */
     List<LogRecord> disk(final String address) {
-        return disks.get(address);
+        return logs.records(address);
     }
 
     /** How often an event was logged by any machine. */
-    long logged(final silverlatch.node.Event event) {
-        return logged.getOrDefault(event, 0L);
+    long logged(final Event event) {
+        return loggedEvents.getOrDefault(event, 0L);
     }
 
-    /** What came of a wish or a question, and when. */
-    static final class PendingCall {
-        private final long calledAt;
-        private Optional<Object> reply = Optional.empty();
-        private long answeredAt;
-
-        PendingCall(final long at) {
-            this.calledAt = at;
-        }
-
-        boolean isAcknowledged() {
-            return reply.filter(r -> r instanceof CommandResult.Applied).isPresent();
-        }
-
-        long calledAt() {
-            return calledAt;
-        }
-
-        long latency() {
-            return answeredAt - calledAt;
-        }
-
-        Optional<Object> answer() {
-            return reply;
-        }
-
-        Object reply() {
-            return reply.orElseThrow();
-        }
-    }
-
-    /** How all machines stand, for a failure's text. */
+    /** How all replicas stand, for a failure's message. */
     @Override
     public String toString() {
         return replicas.entrySet().stream()
-                .map(e -> {
-                    final ReplicaStatus status = e.getValue().status(now);
-                    return "\n" + e.getKey() + " " + status.state().label() + (status.isCaughtUp() ? " level" : "")
-                            + (status.isLeased() ? " leased" : "") + " sequence " + status.sequence()
-                            + " pending " + status.pendingEntries() + " view "
-                            + status.view().number() + " voters "
-                            + status.view().voters() + " chain "
-                            + status.view().chain().stream()
-                                    .map(Replica::address)
-                                    .toList();
-                })
-                .collect(java.util.stream.Collectors.joining());
+                .map(entry ->
+                        "\n" + entry.getKey() + " " + describe(entry.getValue().status(now())))
+                .collect(Collectors.joining());
+    }
+
+    private static String describe(final ReplicaStatus status) {
+        final View view = status.view();
+        return status.state().label() + (status.isCaughtUp() ? " caught up" : "")
+                + (status.isLeased() ? " leased" : "") + " sequence " + status.sequence()
+                + " pending " + status.pendingEntries()
+                + " view " + view.number()
+                + " voters " + view.voters()
+                + " chain " + view.chain().stream().map(Replica::address).toList();
     }
 
     long now() {
-        return now;
+        return scheduler.now();
     }
 
     ChainReplica replica(final String address) {
@@ -147,17 +111,19 @@
 
     /** Starts a machine: from its disk, or empty under a new identity. */
     void start(final String address, final boolean mayBootstrap) {
-        final List<LogRecord> disk = disks.computeIfAbsent(address, s -> new ArrayList<>());
-        diskModel.ifPresent(model -> simulatedDisks.computeIfAbsent(address, s -> model.get()));
-        final String identity = identities.computeIfAbsent(address, s -> "id-" + s + "-" + ++lastOrder);
+        final String identity = logs.open(address, () -> "id-" + address + "-" + (scheduler.nextOrder() + 1));
         final ChainReplica replica = new ChainReplica(
                 settings.apply(ReplicaSettings.of(new Replica(identity, address), seeds))
                         .withBootstrap(mayBootstrap),
-                List.copyOf(disk),
+                List.copyOf(logs.records(address)),
                 () -> new Stamp(++stamp),
-                now);
+                now());
+        run(address, replica);
+    }
+
+    private void run(final String address, final ChainReplica replica) {
         replicas.put(address, replica);
-        clients.put(address, new ChainClient(address, replica::view, lastOrder++ * 1_000_000));
+        clients.put(address, new ChainClient(address, replica::view, scheduler.nextOrder() * CALLS_OF_ONE_CLIENT));
         scheduleTick(address, replica);
     }
 
@@ -166,9 +132,9 @@
         seeds = List.copyOf(next);
     }
 
-    /** How long a sync takes from now on. */
-    void setSyncMicros(final long span) {
-        syncMicros = span;
+    /** How long a sync takes from now on, in microseconds. */
+    void setSyncMicros(final long spanMicros) {
+        logs.setSyncMicros(spanMicros);
     }
 
     /** The machine's process stands still: what comes meanwhile waits for it. */
@@ -178,7 +144,7 @@
 
     /** The machine's process goes on with what waits for it. */
     void thaw(final String address) {
-        Optional.ofNullable(frozen.remove(address)).ifPresent(jobs -> jobs.forEach(Runnable::run));
+        Optional.ofNullable(frozen.remove(address)).ifPresent(tasks -> tasks.forEach(Runnable::run));
     }
 
     /** The machine's process ends, and its power with it. */
@@ -186,66 +152,45 @@
         frozen.remove(address);
         replicas.remove(address);
         clients.remove(address);
-        links.ifPresent(l -> l.drop(address));
+        links.drop(address);
     }
 
     /** The machine's process stands still for so long; what comes meanwhile waits for it. */
     void freeze(final String address, final long span) {
         freeze(address);
-        schedule(now + span, () -> thaw(address));
+        scheduler.schedule(now() + span, () -> thaw(address));
     }
 
     /** The disk is lost; the next start is under a new identity. */
     void loseDisk(final String address) {
-        disks.remove(address);
-        newest.remove(address);
-        simulatedDisks.remove(address);
-        identities.remove(address);
+        logs.lose(address);
     }
 
     /** Nothing goes between two machines, or all does again. */
-    void cut(final String one, final String other, final boolean off) {
-        final Set<String> link = Set.of(one, other);
-        if (off) {
-            cuts.add(link);
-        } else {
-            cuts.remove(link);
-        }
+    void cut(final String one, final String other, final boolean isCut) {
+        links.cut(one, other, isCut);
     }
 
     /** What is sent between two machines from now on comes later by so much; what is sent after a heal overtakes it. */
-    void slow(final String one, final String other, final long extra) {
-        slowLinks.put(Set.of(one, other), extra);
+    void slow(final String one, final String other, final long extraMicros) {
+        links.slow(one, other, extraMicros);
     }
 
-    /** Every link is whole again. */
+    /** No link is cut or slow any more. */
     void heal() {
-        cuts.clear();
-        slowLinks.clear();
+        links.heal();
     }
 
-    void advance(final long span) {
-        final long end = now + span;
-        while (!queue.isEmpty() && queue.peek().at() <= end) {
-            final ScheduledTask task = queue.poll();
-            now = task.at();
-            task.task().run();
-        }
-        now = end;
+    void advance(final long spanMicros) {
+        scheduler.advance(spanMicros);
     }
 
     /** Passes time until something holds; how long it took, or -1 when it did not come. */
-    long advanceUntil(final long limit, final java.util.function.BooleanSupplier condition) {
-        final long startedAt = now;
-        while (!condition.getAsBoolean()) {
-            if (now - startedAt > limit) {
-                return -1;
-            }
-            advance(1_000);
-        }
-        return now - startedAt;
+    long advanceUntil(final long limitMicros, final BooleanSupplier condition) {
+        return scheduler.advanceUntil(limitMicros, condition);
     }
 
+    /** A valid configuration of one route and one pool under a number, to be put on another one. */
     static Command.PutConfiguration configuration(final long number, final long match) {
         final Value.BackendPool pool = new Value.BackendPool("pool", "/", 1, 0, 1, 1, 0, 1);
         final Value.Route route = new Value.Route(
@@ -276,43 +221,38 @@
         return submit(at, configuration(number, match), span);
     }
 
-    /** Hands a command to the client of one machine. */
+    /** Submits a command to the client of one machine. */
     PendingCall submit(final String at, final Command command, final long span) {
-        final PendingCall call = new PendingCall(now);
-        pendingCalls.put(++token, call);
-        final long callToken = token;
-        final long deadline = now + span;
-        final ChainReplica called = replicas.get(at);
-        whenThawed(at, () -> {
-            if (replicas.get(at) == called) {
-                clients.get(at).submit(command, callToken, now, deadline);
-                performEffects(at, called);
-            }
-        });
-        return call;
+        final long deadline = now() + span;
+        return call(at, token -> clients.get(at).submit(command, token, now(), deadline));
     }
 
+    /** Reads the configuration document. */
     PendingCall read(final String at, final long span) {
         return read(at, ConfigurationValidator.DOCUMENT_KEY, span);
     }
 
     /** Asks the tail for the entries whose keys start so. */
     PendingCall read(final String at, final String keyPrefix, final long span) {
-        final PendingCall call = new PendingCall(now);
-        pendingCalls.put(++token, call);
-        final long callToken = token;
-        final long deadline = now + span;
+        final long deadline = now() + span;
+        return call(at, token -> clients.get(at).read(keyPrefix, token, now(), deadline));
+    }
+
+    private PendingCall call(final String at, final LongConsumer callClient) {
+        final PendingCall call = new PendingCall(now());
+        final long token = ++lastToken;
+        pendingCalls.put(token, call);
         final ChainReplica called = replicas.get(at);
         whenThawed(at, () -> {
             if (replicas.get(at) == called) {
-                clients.get(at).read(keyPrefix, callToken, now, deadline);
+                callClient.accept(token);
                 performEffects(at, called);
             }
         });
         return call;
     }
 
-    /** The number of the charter that a machine holds as acknowledged. */
+    /** The number of the configuration that a machine has committed. */
     long committedNumber(final String address) {
         return replicas.get(address)
                 .stateMachine()
@@ -321,44 +261,21 @@
                 .orElse(0L);
     }
 
-    /** On how many of the disks a charter is synced, as a change or within a picture. */
+    /** On how many of the disks a configuration is synced, as an entry or within a snapshot. */
     long synced(final long number) {
-        return disks.keySet().stream()
+        return logs.addresses().stream()
                 .filter(address -> synced(address, number))
                 .count();
     }
 
-    /** Whether a charter, or a later one, is synced on the disk of one machine. */
+    /** Whether a configuration, or a later one, is synced on the disk of one machine. */
     boolean synced(final String address, final long number) {
-        return newest.getOrDefault(address, 0L) >= number;
-    }
-
-    /** The number of the newest charter of these entries, or 0. */
-    private static long newest(final List<Entry> entries) {
-        return entries.stream()
-                .filter(e -> e.key().equals(ConfigurationValidator.CONFIGURATION_KEY))
-                .mapToLong(e -> ((Value.RoutingConfiguration) e.value().get(0)).number())
-                .max()
-                .orElse(0);
+        return logs.newestNumber(address) >= number;
     }
 
-    private void sync(final String address, final LogRecord record) {
-        if (record instanceof LogRecord.Snapshot p) {
-            disks.get(address).clear();
-            newest.put(address, newest(p.entries()));
-        } else if (record instanceof LogRecord.Appended x) {
-            newest.merge(address, newest(x.entry().puts()), Math::max);
-        }
-        disks.get(address).add(record);
-    }
-
-    private void schedule(final long when, final Runnable task) {
-        queue.add(new ScheduledTask(when, lastOrder++, task));
-    }
-
-    /** Does something on a machine, or when it thaws. */
+    /** Runs a task of a machine at a time, or when it thaws after that. */
     private void schedule(final long when, final String address, final Runnable task) {
-        schedule(when, () -> whenThawed(address, task));
+        scheduler.schedule(when, () -> whenThawed(address, task));
     }
 
     private void whenThawed(final String address, final Runnable task) {
@@ -370,10 +287,10 @@
     }
 
     private void scheduleTick(final String address, final ChainReplica replica) {
-        schedule(now + TICK_MICROS, address, () -> {
+        schedule(now() + TICK_MICROS, address, () -> {
             if (replicas.get(address) == replica) {
-                replica.tick(now);
-                clients.get(address).tick(now);
+                replica.tick(now());
+                clients.get(address).tick(now());
                 performEffects(address, replica);
                 scheduleTick(address, replica);
             }
@@ -383,63 +300,58 @@
     private void performEffects(final String address, final ChainReplica replica) {
         boolean more = true;
         while (more) {
-            final List<Effect> all = new ArrayList<>(replica.drain());
-            all.addAll(clients.get(address).drain());
-            more = !all.isEmpty();
-            all.forEach(effect -> performEffect(address, replica, effect));
+            final List<Effect> effects = new ArrayList<>(replica.drain());
+            effects.addAll(clients.get(address).drain());
+            more = !effects.isEmpty();
+            effects.forEach(effect -> performEffect(address, replica, effect));
         }
     }
 
     private void performEffect(final String address, final ChainReplica replica, final Effect effect) {
         switch (effect) {
-            case Effect.Send s -> {
-                if (s.to().equals(address)) {
-                    dispatch(address, replica, s.message(), address);
-                } else if (!cuts.contains(Set.of(address, s.to()))) {
-                    deliver(address, s, () -> {
-                        if (replicas.containsKey(s.to())) {
-                            dispatch(s.to(), replicas.get(s.to()), s.message(), address);
-                            performEffects(s.to(), replicas.get(s.to()));
-                        }
-                    });
-                }
-            }
+            case Effect.Send send -> send(address, replica, send);
             case Effect.Persist write -> writeLog(address, replica, write);
-            case Effect.Respond a ->
-                Optional.ofNullable(pendingCalls.remove(a.token())).ifPresent(x -> {
-                    x.reply = Optional.of(a.response());
-                    x.answeredAt = now;
-                });
-            case Effect.Log l -> logged.merge(l.event(), 1L, Long::sum);
+            case Effect.Respond response -> respond(response);
+            case Effect.Log entry -> loggedEvents.merge(entry.event(), 1L, Long::sum);
         }
     }
 
-    private void deliver(final String from, final Effect.Send send, final Runnable task) {
-        links.ifPresentOrElse(
-                l -> l.send(
-                        from,
-                        send.to(),
-                        codec.encode(send.message()).length,
-                        Message.urgent(send.message()),
-                        now,
-                        () -> whenThawed(send.to(), task)),
-                () -> schedule(now + linkDelay + slowLinks.getOrDefault(Set.of(from, send.to()), 0L), send.to(), task));
+    private void respond(final Effect.Respond response) {
+        Optional.ofNullable(pendingCalls.remove(response.token()))
+                .ifPresent(call -> call.complete(response.response(), now()));
+    }
+
+    private void send(final String address, final ChainReplica replica, final Effect.Send send) {
+        final String receiver = send.to();
+        if (receiver.equals(address)) {
+            dispatch(address, replica, send.message(), address);
+        } else if (!links.isCut(address, receiver)) {
+            links.deliver(
+                    address,
+                    send,
+                    () -> whenThawed(receiver, () -> {
+                        if (replicas.containsKey(receiver)) {
+                            dispatch(receiver, replicas.get(receiver), send.message(), address);
+                            performEffects(receiver, replicas.get(receiver));
+                        }
+                    }));
+        }
     }
 
     private void writeLog(final String address, final ChainReplica replica, final Effect.Persist write) {
-        final Optional<SimulatedDisk> disk = Optional.ofNullable(simulatedDisks.get(address));
-        schedule(disk.map(d -> d.syncedAt(now, write.records())).orElse(now + syncMicros), address, () -> {
+        final Optional<SimulatedDisk> disk = logs.simulatedDisk(address);
+        schedule(logs.syncedAt(address, now(), write.records()), address, () -> {
             if (replicas.get(address) != replica) {
                 return;
             }
-            if (!disk.map(d -> d.write(write.records())).orElse(true)) {
+            if (!disk.map(limited -> limited.write(write.records())).orElse(true)) {
                 replica.diskFailed("no space left");
                 performEffects(address, replica);
-                schedule(now + 1_000_000, () -> recover(address, replica));
+                scheduler.schedule(now() + RECOVERY_RETRY_MICROS, () -> recover(address, replica));
                 return;
             }
-            write.records().forEach(n -> sync(address, n));
-            replica.synced(write.token(), now);
+            write.records().forEach(record -> logs.sync(address, record));
+            replica.synced(write.token(), now());
             performEffects(address, replica);
         });
     }
@@ -449,24 +361,19 @@
         if (replicas.get(address) != broken) {
             return;
         }
-        if (simulatedDisks.get(address).full()) {
-            schedule(now + 1_000_000, () -> recover(address, broken));
+        if (logs.simulatedDisk(address).orElseThrow().full()) {
+            scheduler.schedule(now() + RECOVERY_RETRY_MICROS, () -> recover(address, broken));
             return;
         }
-        final ChainReplica next = broken.recovered(List.copyOf(disks.get(address)), now);
-        replicas.put(address, next);
-        clients.put(address, new ChainClient(address, next::view, lastOrder++ * 1_000_000));
-        scheduleTick(address, next);
+        run(address, broken.recovered(List.copyOf(logs.records(address)), now()));
     }
 
     private void dispatch(
             final String address, final ChainReplica replica, final Message message, final String sender) {
         switch (message) {
-            case ChainClientMessage.WriteReply m -> clients.get(address).onMessage(m, now);
-            case ChainClientMessage.ReadReply m -> clients.get(address).onMessage(m, now);
-            default -> replica.onMessage(message, sender, now);
+            case ChainClientMessage.WriteReply reply -> clients.get(address).onMessage(reply, now());
+            case ChainClientMessage.ReadReply reply -> clients.get(address).onMessage(reply, now());
+            default -> replica.onMessage(message, sender, now());
         }
     }
-
-    private record ScheduledTask(long at, long order, Runnable task) {}
 }
--- a/core/src/test/java/silverlatch/replication/ReplicaStorm.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaStorm.java
@@ -38,9 +38,9 @@
                 SEEDS, 1_000 + random.nextInt(60_000), settings -> settings.withCounts(minReplicas, MACHINES.size()));
     }
 
-    private record Read(ReplicaCluster.PendingCall call, long leastNumber) {}
+    private record Read(PendingCall call, long leastNumber) {}
 
-    private record Write(ReplicaCluster.PendingCall call, long number) {}
+    private record Write(PendingCall call, long number) {}
 
     /** How many writes were acknowledged. */
     long acknowledgedWrites() {
@@ -77,7 +77,7 @@
                 address + " has the newest in the end" + cluster,
                 cluster.committedNumber(address),
                 greaterThanOrEqualTo(newest)));
-        final ReplicaCluster.PendingCall last = cluster.putConfiguration("d", ++lastNumber, -1, 5 * SECOND);
+        final PendingCall last = cluster.putConfiguration("d", ++lastNumber, -1, 5 * SECOND);
         cluster.advance(6 * SECOND);
         assertThat("writes go on" + cluster, last.isAcknowledged(), is(true));
     }
--- a/core/src/test/java/silverlatch/replication/ShortChainTest.java
+++ b/core/src/test/java/silverlatch/replication/ShortChainTest.java
@@ -37,7 +37,7 @@
         final ReplicaCluster cluster = new ReplicaCluster(SEEDS, MILLISECOND, s -> s.withCounts(COPIES, 3));
         SEEDS.forEach(s -> cluster.start(s, true));
         cluster.advance(3 * SECOND);
-        final ReplicaCluster.PendingCall first = cluster.putConfiguration("a", 1, 0, SECOND);
+        final PendingCall first = cluster.putConfiguration("a", 1, 0, SECOND);
         cluster.advance(SECOND);
         assertThat("the first put" + cluster, first.isAcknowledged(), is(true));
 
@@ -59,7 +59,7 @@
         cluster.heal();
         cluster.start("b", false);
         cluster.advance(10 * SECOND);
-        final ReplicaCluster.PendingCall last = cluster.putConfiguration("c", 2, 1, 5 * SECOND);
+        final PendingCall last = cluster.putConfiguration("c", 2, 1, 5 * SECOND);
         cluster.advance(6 * SECOND);
         assertThat("writes go on after the loss of b's disk" + cluster, last.isAcknowledged(), is(true));
     }
--- a/core/src/test/java/silverlatch/replication/VotersTest.java
+++ b/core/src/test/java/silverlatch/replication/VotersTest.java
@@ -52,14 +52,14 @@
     }
 
     private static void put(final ReplicaCluster cluster, final String at, final long number, final long match) {
-        final ReplicaCluster.PendingCall call = cluster.putConfiguration(at, number, match, 6 * SECOND);
+        final PendingCall call = cluster.putConfiguration(at, number, match, 6 * SECOND);
         cluster.advanceUntil(7 * SECOND, () -> call.latency() > 0);
         assertThat(number + " by " + at + ": " + call.reply(), call.isAcknowledged(), is(true));
     }
 
     private static void assertNewest(final ReplicaCluster cluster, final long number) {
         cluster.running().forEach(s -> {
-            final ReplicaCluster.PendingCall call = cluster.read(s, 3 * SECOND);
+            final PendingCall call = cluster.read(s, 3 * SECOND);
             cluster.advanceUntil(4 * SECOND, () -> call.latency() > 0);
             final ChainClient.ReadResult result = (ChainClient.ReadResult) call.reply();
             assertThat(s + " tells it" + cluster, result.answered(), is(true));
@@ -247,7 +247,7 @@
         SEEDS.forEach(s -> cluster.start(s, true));
         cluster.advance(3 * SECOND);
         put(cluster, "a", 1, 0);
-        final ReplicaCluster.PendingCall cut = cluster.putConfiguration("a", 2, 1, 2 * SECOND);
+        final PendingCall cut = cluster.putConfiguration("a", 2, 1, 2 * SECOND);
         cluster.advance(60_000);
         cluster.kill("c");
         cluster.advance(5 * SECOND);
@@ -264,7 +264,7 @@
     }
 
     private static Object read(final ReplicaCluster cluster, final String at) {
-        final ReplicaCluster.PendingCall call = cluster.read(at, SECOND);
+        final PendingCall call = cluster.read(at, SECOND);
         cluster.advanceUntil(2 * SECOND, () -> call.latency() > 0);
         return call.reply();
     }
--- a/core/src/test/java/silverlatch/replication/ZoneOperator.java
+++ b/core/src/test/java/silverlatch/replication/ZoneOperator.java
@@ -24,11 +24,11 @@
         this.zone = zone;
     }
 
-    private record ZoneRead(ReplicaCluster.PendingCall call, ZoneOrder newestAcknowledged) {}
+    private record ZoneRead(PendingCall call, ZoneOrder newestAcknowledged) {}
 
     private static final class ZoneOrder {
         private final boolean isActive;
-        private Optional<ReplicaCluster.PendingCall> call = Optional.empty();
+        private Optional<PendingCall> call = Optional.empty();
         private boolean isAnswerHeard;
         private boolean isAcknowledged;
 
@@ -71,7 +71,7 @@
     }
 
     private void checkOrder(final ZoneOrder order) {
-        final ReplicaCluster.PendingCall call = order.call.orElseThrow();
+        final PendingCall call = order.call.orElseThrow();
         if (call.answer().filter(CommandResult.Rejected.class::isInstance).isPresent()) {
             storm.fail("an evacuation was refused: " + call.reply());
         }
