--- a/core/src/main/java/silverlatch/replication/ChainClient.java
+++ b/core/src/main/java/silverlatch/replication/ChainClient.java
@@ -105,7 +105,8 @@
             case ChainClientMessage.ReadReply m -> {
                 if (m.answered() && pendingCalls.containsKey(m.requestId())) {
                     effects.add(new Effect.Respond(
-                            pendingCalls.remove(m.requestId()).token(), new ReadResult(true, m.sequence(), m.entries())));
+                            pendingCalls.remove(m.requestId()).token(),
+                            new ReadResult(true, m.sequence(), m.entries())));
                 }
             }
             default -> {}
--- a/core/src/main/java/silverlatch/wire/Codec.java
+++ b/core/src/main/java/silverlatch/wire/Codec.java
@@ -19,12 +19,17 @@
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
 
-/** Turns frames and notes into bytes and back: registered classes only, every size bounded by the bytes at hand. */
+/**
+ * Encodes and decodes frames and log records with Kryo. Only registered types are read, and every size is bounded by the bytes at
+ * hand, so that bytes from outside can neither make other objects nor exhaust the memory. An instance serves one thread at a time.
+ */
 public final class Codec {
-    /** The largest frame or note. */
+    /** The largest frame or log record, in bytes. */
     public static final int MAX_BYTES = 16 << 20;
 
+    /** How deep objects may be nested. */
     private static final int MAX_DEPTH = 24;
+
     private static final int FIRST_LOG_PART = 50;
     private static final int FIRST_LOG_RECORD = 100;
     private static final int FIRST_LOG_VALUE = 200;
@@ -57,7 +62,7 @@
 
     private final Kryo kryo = new Kryo();
 
-    /** Makes a codec of frames; it serves one thread. */
+    /** Makes a codec of frames. */
     public Codec() {
         registerBasics();
         registerFrames();
@@ -73,14 +78,14 @@
     }
 
     /**
-     * Makes a codec of the records in a data folder. Its types have numbers of their own, so that a new message leaves
+     * Returns a codec of the records in a data folder. Its types have numbers of their own, so that a new message leaves
      * the folders as they are; a new type of record or value goes last among its kind.
      */
     public static Codec forLog() {
         return new Codec(logTypes());
     }
 
-    /** The types that are written to data folders, by the number of the first of each kind. */
+    /** Returns the types that are written to data folders, by the number of the first of each kind. */
     public static Map<Integer, List<Class<?>>> logTypes() {
         final Map<Integer, List<Class<?>>> types = new TreeMap<>();
         types.put(
@@ -117,19 +122,21 @@
                 .forEach(wireType -> kryo.register(wireType.type(), wireType.serializer(), wireType.number()));
     }
 
-    /** The bytes of a frame or a note. */
+    /**
+     * Returns the bytes of a frame or a log record; throws KryoException where they are more than {@link #MAX_BYTES}.
+     */
     public byte[] encode(final Object value) {
         return encode(value, MAX_BYTES);
     }
 
-    /** The bytes of a thing that may be larger than a frame. */
+    /** Returns the bytes of a value; throws KryoException where they are more than the given number. */
     public byte[] encode(final Object value, final int maxBytes) {
         final Output output = new Output(512, maxBytes);
         kryo.writeClassAndObject(output, value);
         return output.toBytes();
     }
 
-    /** What the bytes say, or why they can't be read. */
+    /** Decodes a value of the given type; never throws, whatever the bytes are. */
     public <T> DecodeResult<T> decode(final byte[] bytes, final Class<T> type) {
         try {
             final Input input = new Input(bytes);
@@ -147,19 +154,19 @@
                 | IndexOutOfBoundsException
                 | NegativeArraySizeException
                 | ClassCastException
-                | IllegalStateException e) {
-            return new DecodeResult.Malformed<>(e.getClass().getSimpleName());
+                | IllegalStateException failure) {
+            return new DecodeResult.Malformed<>(failure.getClass().getSimpleName());
         } finally {
             kryo.reset();
         }
     }
 
-    /** What reading gave. */
+    /** The result of decoding. */
     public sealed interface DecodeResult<T> {
-        /** It was read. */
+        /** The bytes are a value of the type asked for. */
         record Decoded<T>(T value) implements DecodeResult<T> {}
 
-        /** It is not one of ours. */
+        /** The bytes are no such value; the reason is for the log. */
         record Malformed<T>(String reason) implements DecodeResult<T> {}
     }
 
--- a/core/src/main/java/silverlatch/wire/CodecPool.java
+++ b/core/src/main/java/silverlatch/wire/CodecPool.java
@@ -17,7 +17,7 @@
     private final AtomicInteger idleCount = new AtomicInteger();
     private final AtomicInteger made = new AtomicInteger();
 
-    /** The bytes of a frame or a record; see {@link Codec#encode(Object)}. */
+    /** Returns the bytes of a frame or a record; see {@link Codec#encode(Object)}. */
     public byte[] encode(final Object value) {
         final Codec codec = borrow();
         try {
@@ -27,7 +27,7 @@
         }
     }
 
-    /** What the bytes say, or why they can't be read; see {@link Codec#decode(byte[], Class)}. */
+    /** Decodes a value; see {@link Codec#decode(byte[], Class)}. */
     public <T> Codec.DecodeResult<T> decode(final byte[] bytes, final Class<T> type) {
         final Codec codec = borrow();
         try {
@@ -37,7 +37,7 @@
         }
     }
 
-    /** How many codecs were made so far. */
+    /** Returns how many codecs were made so far. */
     public int made() {
         return made.get();
     }
--- a/core/src/main/java/silverlatch/wire/Frame.java
+++ b/core/src/main/java/silverlatch/wire/Frame.java
@@ -4,14 +4,14 @@
 import silverlatch.clock.Stamp;
 
 /**
- * What travels between daemons. A frame can't be made without a stamp.
+ * The envelope of every message between daemons. A frame can't be made without a stamp.
  *
- * @param stamp the send event's stamp
+ * @param stamp the stamp of the send event
  * @param fleet the fleet's number, 0 before it is known
- * @param from  the sender's name
- * @param replyTo  where the sender takes frames
- * @param incarnation  the sender's incarnation
- * @param body  what it says
+ * @param from the sender's name
+ * @param replyTo the address at which the sender takes frames
+ * @param incarnation the sender's incarnation
+ * @param body the message
  */
 public record Frame(Stamp stamp, long fleet, String from, String replyTo, long incarnation, Message body) {
     /** Rejects a frame without its stamp. */
--- a/core/src/main/java/silverlatch/wire/RecordSerializer.java
+++ b/core/src/main/java/silverlatch/wire/RecordSerializer.java
@@ -72,16 +72,16 @@
     private Object component(final int position, final T value) {
         try {
             return accessors[position].invoke(value);
-        } catch (final ReflectiveOperationException e) {
-            throw new KryoException("component " + position + " of " + type.getName() + " can't be read", e);
+        } catch (final ReflectiveOperationException failure) {
+            throw new KryoException("component " + position + " of " + type.getName() + " can't be read", failure);
         }
     }
 
     private T construct(final Object[] components) {
         try {
             return constructor.newInstance(components);
-        } catch (final ReflectiveOperationException e) {
-            throw new KryoException("a " + type.getName() + " can't be made of the components read", e);
+        } catch (final ReflectiveOperationException failure) {
+            throw new KryoException("a " + type.getName() + " can't be made of the components read", failure);
         }
     }
 
@@ -100,8 +100,8 @@
         try {
             constructor = type.getDeclaredConstructor(componentTypes);
             constructor.setAccessible(true);
-        } catch (final NoSuchMethodException e) {
-            throw new KryoException(type.getName() + " has no canonical constructor", e);
+        } catch (final NoSuchMethodException missing) {
+            throw new KryoException(type.getName() + " has no canonical constructor", missing);
         }
     }
 }
