--- a/core/src/test/java/silverlatch/replication/OrdersTest.java
+++ b/core/src/test/java/silverlatch/replication/OrdersTest.java
@@ -195,10 +195,10 @@
 
     @ParameterizedTest
     @CsvSource({
-        "MATCH, 1, both acknowledged",
-        "TAKEN, 1, acknowledged and refused",
-        "SETTLED, 5, refused",
-        "NEWEST, 53, the zone stands at"
+        "COMPARE_AND_SET, 1, both acknowledged",
+        "ACCEPTED_REMEMBERED, 1, acknowledged and refused",
+        "COMMITTED_REFUSAL, 5, refused",
+        "LATEST_EVACUATION, 53, the zone stands at"
     })
     void theCheckerNoticesASafeguardLetDown(final Safeguard safeguard, final long seed, final String told) {
         final Safeguards standing = new Safeguards(Set.of(safeguard));
