--- a/core/src/main/java/silverlatch/dispatch/DispatchedRequest.java
+++ b/core/src/main/java/silverlatch/dispatch/DispatchedRequest.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Optional;
 import silverlatch.dispatch.permit.Permit;
-import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.state.Value;
+import silverlatch.util.Digests;
 
 /**
  * A request under way, or ended and kept so that its stream can be read again. Its state changes only by
@@ -219,7 +219,7 @@
 
     /** The key under which its idempotency key is claimed. */
     String claimKey() {
-        return PermitSigner.sha256Hex(permit.tenant() + "|" + permit.idempotencyKey());
+        return Digests.sha256Hex(permit.tenant() + "|" + permit.idempotencyKey());
     }
 
     /** Whether the chain may hold a claim for it, which has to be completed when it ends. */
--- a/core/src/main/java/silverlatch/dispatch/Dispatcher.java
+++ b/core/src/main/java/silverlatch/dispatch/Dispatcher.java
@@ -9,6 +9,7 @@
 import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.safeguard.Safeguard;
 import silverlatch.state.CommandResult;
+import silverlatch.util.Digests;
 
 /**
  * Places and dispatches the requests of one gateway that come by the product's own API. It does no input or output:
@@ -143,8 +144,7 @@
     public void attach(
             final String requestId, final String secret, final long firstRecord, final long callId, final long now) {
         final Optional<DispatchedRequest> found = requests.byId(requestId)
-                .filter(request ->
-                        PermitSigner.constantTimeEquals(request.tenant().keyHash(), PermitSigner.sha256Hex(secret)))
+                .filter(request -> Digests.constantTimeEquals(request.tenant().keyHash(), Digests.sha256Hex(secret)))
                 .filter(request -> cluster.stillServes(request) || !isEnabled(Safeguard.RETENTION_HOME_REGION));
         if (found.isEmpty()
                 || firstRecord < 0
--- a/core/src/main/java/silverlatch/dispatch/PlacementHandler.java
+++ b/core/src/main/java/silverlatch/dispatch/PlacementHandler.java
@@ -14,6 +14,7 @@
 import silverlatch.placement.WeightedScorers;
 import silverlatch.safeguard.Safeguard;
 import silverlatch.state.Value;
+import silverlatch.util.Digests;
 
 /**
  * Answers a client that asks where to submit a request: with a permit for this gateway and the worker that is best now,
@@ -61,8 +62,7 @@
         output.count("picks");
         final Optional<Value.Tenant> tenant = cluster.snapshot()
                 .tenant(placement.tenant())
-                .filter(known ->
-                        PermitSigner.constantTimeEquals(PermitSigner.sha256Hex(placement.secret()), known.keyHash()));
+                .filter(known -> Digests.constantTimeEquals(Digests.sha256Hex(placement.secret()), known.keyHash()));
         if (tenant.isEmpty()) {
             output.reject(callId, "", unknownTenant(now));
             return;
@@ -147,7 +147,7 @@
             final long now) {
         final String requestId = nextRequestId();
         final PlacementContext context = cluster.placementContext(
-                requestId, tenant, row, PermitSigner.saltedDigests(tenant.prefixSalt(), placement.prefixDigests()));
+                requestId, tenant, row, PrefixDigests.salted(tenant.prefixSalt(), placement.prefixDigests()));
         final Stamp timestamp = timestamps.get();
         final WeightedScorers.Decision decision = decider.decide(context, decider.candidates(now), timestamp.bits());
         if (decision instanceof WeightedScorers.Decision.NoneAllowed) {
--- a/core/src/main/java/silverlatch/dispatch/ResponseStream.java
+++ b/core/src/main/java/silverlatch/dispatch/ResponseStream.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
-import silverlatch.dispatch.permit.PermitSigner;
+import silverlatch.util.Digests;
 
 /**
  * The records of one response in the order in which they came, and the running digest that the worker's trailer has to
@@ -13,7 +13,7 @@
  */
 final class ResponseStream {
     private final List<StreamRecord> records = new ArrayList<>();
-    private final MessageDigest digest = PermitSigner.newSha256();
+    private final MessageDigest digest = Digests.newSha256();
     private long bytes;
 
     /** Adds a chunk to the response. */
--- a/core/src/main/java/silverlatch/dispatch/SubmissionHandler.java
+++ b/core/src/main/java/silverlatch/dispatch/SubmissionHandler.java
@@ -7,6 +7,7 @@
 import silverlatch.gossip.Gossip;
 import silverlatch.safeguard.Safeguard;
 import silverlatch.state.Value;
+import silverlatch.util.Digests;
 
 /**
  * Admits a request that is submitted with a permit: the permit is checked and spent, the request is queued, and where
@@ -58,8 +59,7 @@
         final Permit permit = verified.get();
         final Optional<Value.Tenant> tenant = cluster.snapshot()
                 .tenant(permit.tenant())
-                .filter(known ->
-                        PermitSigner.constantTimeEquals(known.keyHash(), PermitSigner.sha256Hex(submitted.secret())));
+                .filter(known -> Digests.constantTimeEquals(known.keyHash(), Digests.sha256Hex(submitted.secret())));
         if (tenant.isEmpty()) {
             output.reject(
                     callId, "", Rejection.permanent(Rejection.UNAUTHORIZED, "the tenant or its key is not known"));
@@ -106,7 +106,7 @@
             reject(callId, permit, refusal.get());
             return false;
         }
-        final List<Long> prefixDigests = PermitSigner.saltedDigests(tenant.prefixSalt(), submitted.prefixDigests());
+        final List<Long> prefixDigests = PrefixDigests.salted(tenant.prefixSalt(), submitted.prefixDigests());
         final DispatchedRequest request =
                 new DispatchedRequest(permit, tenant, row.orElseThrow(), submitted, prefixDigests, callId, now);
         if (!requests.add(request)) {
--- a/core/src/main/java/silverlatch/dispatch/permit/PermitSigner.java
+++ b/core/src/main/java/silverlatch/dispatch/permit/PermitSigner.java
@@ -5,15 +5,13 @@
 import java.security.MessageDigest;
 import java.util.Base64;
 import java.util.HexFormat;
-import java.util.List;
 import java.util.Optional;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 import silverlatch.clock.Stamp;
 
 /**
- * Signs permits with HMAC-SHA-256 under the cluster's key, and verifies them. The static methods are the digests that the
- * product uses. Immutable.
+ * Signs permits with HMAC-SHA-256 under the cluster's key, and verifies them. Immutable.
  */
 public final class PermitSigner {
     private static final String SEPARATOR = "|";
@@ -73,35 +71,6 @@
         }
     }
 
-    /** Whether two secrets are equal; the time it takes does not tell where they differ. */
-    public static boolean constantTimeEquals(final String one, final String other) {
-        return MessageDigest.isEqual(one.getBytes(StandardCharsets.UTF_8), other.getBytes(StandardCharsets.UTF_8));
-    }
-
-    /** SHA-256 of a text in UTF-8, in hexadecimal digits. */
-    public static String sha256Hex(final String text) {
-        return HexFormat.of().formatHex(newSha256().digest(text.getBytes(StandardCharsets.UTF_8)));
-    }
-
-    /** The first 48 bits of the SHA-256 of a prefix digest and its tenant's salt. */
-    public static long saltedDigest(final String salt, final String text) {
-        return Long.parseUnsignedLong(sha256Hex(salt + SEPARATOR + text).substring(0, 12), 16);
-    }
-
-    /** Prefix digests salted for their tenant, in the same order. */
-    public static List<Long> saltedDigests(final String salt, final List<String> texts) {
-        return texts.stream().map(text -> saltedDigest(salt, text)).toList();
-    }
-
-    /** A fresh SHA-256. */
-    public static MessageDigest newSha256() {
-        try {
-            return MessageDigest.getInstance("SHA-256");
-        } catch (final GeneralSecurityException missing) {
-            throw new IllegalStateException("the JDK lacks an algorithm that each one has", missing);
-        }
-    }
-
     private byte[] mac(final String body) {
         try {
             final Mac mac = Mac.getInstance("HmacSHA256");
--- a/core/src/test/java/silverlatch/dispatch/DispatcherFixture.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherFixture.java
@@ -16,6 +16,7 @@
 import silverlatch.state.StateMachine;
 import silverlatch.state.TableRules;
 import silverlatch.state.Value;
+import silverlatch.util.Digests;
 import silverlatch.util.Lists;
 
 /** A dispatcher of one gateway with scripted clients, workers and replicated state, on a fake clock. */
@@ -55,7 +56,7 @@
                 new Entry(
                         "t/" + name,
                         revision,
-                        List.of(new Value.Tenant(name, homes, share, PermitSigner.sha256Hex("key-" + name), "salt"))));
+                        List.of(new Value.Tenant(name, homes, share, Digests.sha256Hex("key-" + name), "salt"))));
     }
 
     void row(final Value.Row row) {
@@ -118,7 +119,7 @@
                 attempt.attemptId(),
                 texts.length,
                 HexFormat.of()
-                        .formatHex(PermitSigner.newSha256()
+                        .formatHex(Digests.newSha256()
                                 .digest(String.join("", texts).getBytes(java.nio.charset.StandardCharsets.UTF_8))));
     }
 
--- a/core/src/test/java/silverlatch/dispatch/ResponseCheckerTest.java
+++ b/core/src/test/java/silverlatch/dispatch/ResponseCheckerTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.clock.Stamp;
 import silverlatch.dispatch.permit.Permit;
-import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.safeguard.Safeguards;
 import silverlatch.state.TableRules;
 import silverlatch.state.Value;
+import silverlatch.util.Digests;
 
 final class ResponseCheckerTest {
     private final ResponseChecker checker = new ResponseChecker(Safeguards.ALL);
@@ -41,7 +41,7 @@
     @Test
     void theNextChunkAndTheTrailerOverAllChunksFit() {
         assertThat(violation(new StreamRecord.Chunk("r1", "r1.1", 1, "b")), is("none"));
-        final String sha256 = PermitSigner.sha256Hex("a\u00fc");
+        final String sha256 = Digests.sha256Hex("a\u00fc");
         assertThat(request.response().sha256(), is(sha256));
         assertThat(violation(new StreamRecord.Trailer("w1", "r1", "r1.1", 1, sha256)), is("none"));
         assertThat("to look changes nothing", request.response().sha256(), is(sha256));
@@ -57,13 +57,13 @@
 
     @Test
     void aTrailerOfAnotherWorkerCountOrTextDoesNotFit() {
-        final String sha256 = PermitSigner.sha256Hex("a\u00fc");
+        final String sha256 = Digests.sha256Hex("a\u00fc");
         assertThat(violation(new StreamRecord.Trailer("w2", "r1", "r1.1", 1, sha256)), containsString("worker"));
         assertThat(violation(new StreamRecord.Trailer("w1", "r2", "r1.1", 1, sha256)), containsString("ticket"));
         assertThat(violation(new StreamRecord.Trailer("w1", "r1", "r1.2", 1, sha256)), containsString("run"));
         assertThat(violation(new StreamRecord.Trailer("w1", "r1", "r1.1", 2, sha256)), containsString("1 came"));
         assertThat(
-                violation(new StreamRecord.Trailer("w1", "r1", "r1.1", 1, PermitSigner.sha256Hex("au"))),
+                violation(new StreamRecord.Trailer("w1", "r1", "r1.1", 1, Digests.sha256Hex("au"))),
                 containsString("does not fit"));
     }
 
--- a/core/src/test/java/silverlatch/dispatch/permit/PermitSignerTest.java
+++ b/core/src/test/java/silverlatch/dispatch/permit/PermitSignerTest.java
@@ -38,15 +38,4 @@
             assertThat(SIGNER.verify(malformed), is(Optional.empty()));
         }
     }
-
-    @Test
-    void digestsStayAsTheyAre() {
-        assertThat(
-                PermitSigner.sha256Hex("abc"), is("ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad"));
-        assertThat(
-                PermitSigner.saltedDigests("salt", List.of("a", "b")),
-                is(List.of(PermitSigner.saltedDigest("salt", "a"), PermitSigner.saltedDigest("salt", "b"))));
-        assertThat(PermitSigner.constantTimeEquals("abc", "abc"), is(true));
-        assertThat(PermitSigner.constantTimeEquals("abc", "abd"), is(false));
-    }
 }
--- /dev/null
+++ b/core/src/test/java/silverlatch/util/DigestsTest.java
@@ -0,0 +1,20 @@
+package silverlatch.util;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+
+import org.junit.jupiter.api.Test;
+
+final class DigestsTest {
+    @Test
+    void digestsStayAsTheyAre() {
+        assertThat(Digests.sha256Hex("abc"), is("ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad"));
+    }
+
+    @Test
+    void secretsAreEqualOnlyWhereAllOfTheirTextIs() {
+        assertThat(Digests.constantTimeEquals("abc", "abc"), is(true));
+        assertThat(Digests.constantTimeEquals("abc", "abd"), is(false));
+        assertThat(Digests.constantTimeEquals("abc", "ab"), is(false));
+    }
+}
--- a/server/src/main/java/silverlatch/server/controller/AnnouncementResource.java
+++ b/server/src/main/java/silverlatch/server/controller/AnnouncementResource.java
@@ -1,13 +1,13 @@
 package silverlatch.server.controller;
 
 import java.util.Map;
-import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.gossip.Worker;
 import silverlatch.json.JsonDocument;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.eventloop.EventLoopHandle;
 import silverlatch.server.web.AnnouncementJson;
 import silverlatch.server.web.HttpExchange;
+import silverlatch.util.Digests;
 
 /** Where workers announce themselves ({@code /v1/announcements}), with the workers' key. */
 final class AnnouncementResource {
@@ -23,7 +23,7 @@
 
     /** Takes a worker's report, and replies with the echo for its next one and the table's revision. */
     void post(final HttpExchange exchange) {
-        if (!PermitSigner.constantTimeEquals(exchange.bearerToken(), workerKey)) {
+        if (!Digests.constantTimeEquals(exchange.bearerToken(), workerKey)) {
             ApiReplies.reject(exchange, ApiReplies.UNAUTHORIZED, "the workers' key is needed");
             return;
         }
--- a/server/src/main/java/silverlatch/server/controller/ApiRouter.java
+++ b/server/src/main/java/silverlatch/server/controller/ApiRouter.java
@@ -5,11 +5,11 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.server.eventloop.EventLoopHandle;
 import silverlatch.server.settings.Settings;
 import silverlatch.server.transport.Transport;
 import silverlatch.server.web.HttpExchange;
+import silverlatch.util.Digests;
 
 /**
  * The controller's HTTP API: finds the resource of a request by method and path, and lets only operators to those that show
@@ -82,7 +82,7 @@
         final String route = exchange.method() + " " + exchange.path();
         if (openRoutes.containsKey(route)) {
             openRoutes.get(route).accept(exchange);
-        } else if (PermitSigner.constantTimeEquals(exchange.bearerToken(), operatorKey)) {
+        } else if (Digests.constantTimeEquals(exchange.bearerToken(), operatorKey)) {
             routeOperator(exchange, route);
         } else {
             ApiReplies.reject(exchange, ApiReplies.UNAUTHORIZED, "the operator's key is needed");
--- a/server/src/main/java/silverlatch/server/controller/TenantResource.java
+++ b/server/src/main/java/silverlatch/server/controller/TenantResource.java
@@ -1,10 +1,10 @@
 package silverlatch.server.controller;
 
-import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.json.JsonDocument;
 import silverlatch.server.web.HttpExchange;
 import silverlatch.state.Command;
 import silverlatch.state.Value;
+import silverlatch.util.Digests;
 
 /** The tenants ({@code /v1/tenants}); of a tenant's key only a hash is stored. */
 final class TenantResource {
@@ -46,7 +46,7 @@
                 name,
                 body.strings("homes", MAX_REGIONS, MAX_REGION_LENGTH),
                 body.number("share", 1),
-                PermitSigner.sha256Hex(body.string("key", MAX_KEY_LENGTH)),
-                PermitSigner.sha256Hex(clusterKey + "|" + name).substring(0, SALT_LENGTH));
+                Digests.sha256Hex(body.string("key", MAX_KEY_LENGTH)),
+                Digests.sha256Hex(clusterKey + "|" + name).substring(0, SALT_LENGTH));
     }
 }
--- a/server/src/main/java/silverlatch/server/gateway/ApiRouter.java
+++ b/server/src/main/java/silverlatch/server/gateway/ApiRouter.java
@@ -9,7 +9,6 @@
 import silverlatch.dispatch.Dispatcher;
 import silverlatch.dispatch.PlacementRequest;
 import silverlatch.dispatch.SubmittedRequest;
-import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.gossip.Worker;
 import silverlatch.json.JsonDocument;
 import silverlatch.node.Node;
@@ -18,6 +17,7 @@
 import silverlatch.server.settings.Settings;
 import silverlatch.server.web.AnnouncementJson;
 import silverlatch.server.web.HttpExchange;
+import silverlatch.util.Digests;
 
 /**
  * The gateway's own HTTP API (docs/api.md): placements, requests and their streams for clients, announcements of workers, and the
@@ -136,7 +136,7 @@
     }
 
     private void announceWorker(final HttpExchange exchange) {
-        if (!PermitSigner.constantTimeEquals(exchange.bearerToken(), settings.workerKey())) {
+        if (!Digests.constantTimeEquals(exchange.bearerToken(), settings.workerKey())) {
             ApiReplies.reject(exchange, 401, List.of("the workers' key is needed"));
             return;
         }
--- a/server/src/main/java/silverlatch/server/gateway/OperatorApi.java
+++ b/server/src/main/java/silverlatch/server/gateway/OperatorApi.java
@@ -6,7 +6,6 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 import silverlatch.dispatch.Dispatcher;
-import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.gossip.Gossip;
 import silverlatch.membership.Member;
 import silverlatch.node.Node;
@@ -19,6 +18,7 @@
 import silverlatch.server.settings.Settings;
 import silverlatch.server.transport.Transport;
 import silverlatch.server.web.HttpExchange;
+import silverlatch.util.Digests;
 
 /**
  * What operators see of a gateway: its status and the trace of a request, both with the operator's key, and metrics without one.
@@ -78,7 +78,7 @@
     }
 
     private boolean isOperator(final HttpExchange exchange) {
-        final boolean authorized = PermitSigner.constantTimeEquals(exchange.bearerToken(), settings.operatorKey());
+        final boolean authorized = Digests.constantTimeEquals(exchange.bearerToken(), settings.operatorKey());
         if (!authorized) {
             ApiReplies.reject(exchange, 401, List.of("the operator's key is needed"));
         }
--- a/simulation/src/main/java/silverlatch/simulation/client/LoadPlan.java
+++ b/simulation/src/main/java/silverlatch/simulation/client/LoadPlan.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import silverlatch.dispatch.permit.PermitSigner;
+import silverlatch.util.Digests;
 
 /** Draws the requests of a load from its tenants and kinds: the same seed gives the same requests. */
 final class LoadPlan {
@@ -78,7 +78,7 @@
         final List<String> parts = new ArrayList<>();
         final int conversation = random.nextInt(CONVERSATIONS);
         for (int i = 0; i < kind.prefixParts(); i++) {
-            parts.add(PermitSigner.sha256Hex(kind.name() + "/" + conversation + "/" + i)
+            parts.add(Digests.sha256Hex(kind.name() + "/" + conversation + "/" + i)
                     .substring(0, DIGEST_LENGTH));
         }
         return parts;
--- a/simulation/src/main/java/silverlatch/simulation/client/TrackedRequest.java
+++ b/simulation/src/main/java/silverlatch/simulation/client/TrackedRequest.java
@@ -15,11 +15,11 @@
 import org.eclipse.jetty.client.Result;
 import org.eclipse.jetty.client.StringRequestContent;
 import silverlatch.dispatch.StreamRecord;
-import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.json.JsonDocument;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.workerclient.StreamRecordDecoder;
 import silverlatch.simulation.response.ResponseVerifier;
+import silverlatch.util.Digests;
 
 /** One request over HTTP, from its placement to its end; its response is verified and its receipt written. */
 final class TrackedRequest {
@@ -160,7 +160,7 @@
         receipt.put("worker", worker);
         receipt.put("table", revision);
         receipt.put("pieces", verifier.nextChunk());
-        receipt.put("prompt", PermitSigner.sha256Hex(content.prompt()).substring(0, 12));
+        receipt.put("prompt", Digests.sha256Hex(content.prompt()).substring(0, 12));
         receipt.put("picked", placedAtMillis);
         receipt.put("why", answer.has("faults") ? String.join("; ", answer.strings("faults", 10, 500)) : "");
         receipts.requestEnded(content.kind(), outcome, receipt);
--- a/simulation/src/main/java/silverlatch/simulation/response/ExpectedResponse.java
+++ b/simulation/src/main/java/silverlatch/simulation/response/ExpectedResponse.java
@@ -2,7 +2,7 @@
 
 import java.security.MessageDigest;
 import java.util.HexFormat;
-import silverlatch.dispatch.permit.PermitSigner;
+import silverlatch.util.Digests;
 
 /** What a stand-in worker says: a function of the prompt alone, so that a consumer can tell its own reply. */
 public final class ExpectedResponse {
@@ -10,7 +10,7 @@
 
     /** The text of one piece. */
     public static String chunk(final String prompt, final long number) {
-        return PermitSigner.sha256Hex(prompt).substring(0, 12) + "#" + number + " ";
+        return Digests.sha256Hex(prompt).substring(0, 12) + "#" + number + " ";
     }
 
     /** How many pieces a prompt asks for; the prompt starts with the number and a blank. */
@@ -22,7 +22,7 @@
 
     /** The hash over the first pieces. */
     public static String sha256(final String prompt, final int chunkCount) {
-        final MessageDigest digest = PermitSigner.newSha256();
+        final MessageDigest digest = Digests.newSha256();
         for (int i = 0; i < chunkCount; i++) {
             digest.update(chunk(prompt, i).getBytes(java.nio.charset.StandardCharsets.UTF_8));
         }
--- a/simulation/src/main/java/silverlatch/simulation/response/ResponseVerifier.java
+++ b/simulation/src/main/java/silverlatch/simulation/response/ResponseVerifier.java
@@ -5,7 +5,7 @@
 import java.util.HexFormat;
 import java.util.function.BiConsumer;
 import silverlatch.dispatch.StreamRecord;
-import silverlatch.dispatch.permit.PermitSigner;
+import silverlatch.util.Digests;
 
 /**
  * Verifies the records of one response as a client gets them: chunks without gaps, of its own request and of one attempt,
@@ -28,7 +28,7 @@
 
     private final String prompt;
     private final BiConsumer<Problem, String> report;
-    private final MessageDigest digest = PermitSigner.newSha256();
+    private final MessageDigest digest = Digests.newSha256();
     private String requestId = "";
     private String attemptId = "";
     private long nextChunk;
--- a/simulation/src/main/java/silverlatch/simulation/sim/TableValues.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/TableValues.java
@@ -2,10 +2,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.simulation.fleet.Plan;
 import silverlatch.state.TableRules;
 import silverlatch.state.Value;
+import silverlatch.util.Digests;
 
 /** The tables and tenants that the operators of a simulated day put. */
 final class TableValues {
@@ -64,10 +64,6 @@
     /** A tenant of the plan, at home in the given regions. */
     static Value.Tenant tenant(final Plan.Tenant tenant, final List<String> homeRegions) {
         return new Value.Tenant(
-                tenant.name(),
-                homeRegions,
-                tenant.share(),
-                PermitSigner.sha256Hex(tenant.key()),
-                "salt-" + tenant.name());
+                tenant.name(), homeRegions, tenant.share(), Digests.sha256Hex(tenant.key()), "salt-" + tenant.name());
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/worker/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/worker/Main.java
@@ -24,12 +24,12 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
-import silverlatch.dispatch.permit.PermitSigner;
 import silverlatch.json.JsonDocument;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.web.ApiServer;
 import silverlatch.server.web.HttpExchange;
 import silverlatch.server.workerclient.StreamRecordEncoder;
+import silverlatch.util.Digests;
 import silverlatch.util.Threads;
 
 /** A stand-in worker: reads prompts, keeps prefixes, streams pieces, seals, announces itself, and misbehaves on demand. */
@@ -155,7 +155,7 @@
                         "tenant", document.string("tenant", 64),
                         "kind", document.string("kind", 64),
                         "region", region,
-                        "prompt", PermitSigner.sha256Hex(response.prompt()).substring(0, 12)));
+                        "prompt", Digests.sha256Hex(response.prompt()).substring(0, 12)));
         exchange.writeLines("", false, () -> {}, () -> {});
         final Runnable start = () -> prefill(exchange, response, prefixDigests);
         if (running < slots) {
