--- a/simulation/src/test/java/silverlatch/simulation/fleet/FleetTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/fleet/FleetTest.java
@@ -2,7 +2,6 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.containsString;
-import static org.hamcrest.Matchers.everyItem;
 import static org.hamcrest.Matchers.is;
 
 import java.nio.file.Files;
@@ -10,7 +9,6 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import silverlatch.simulation.check.Main;
 import silverlatch.util.Lists;
 
 /** The whole path on real processes; verdicts rest on receipts and records, never on how long something took. */
@@ -27,109 +25,102 @@
         }
     }
 
-    private Main.CheckResult check(final Fleet fleet, final Path receipts) throws Exception {
-        return Main.check(
-                receipts,
-                Main.parseHomes(fleet.plan().homeArguments()),
-                fleet.names("worker").stream()
-                        .map(w -> fleet.folder().resolve(w + ".runs"))
-                        .toList());
-    }
-
     @Test
     void aFleetServesObeysAndSurvivesKillsAndALostDisk() throws Exception {
         try (Fleet fleet =
                 new Fleet(Plan.read(Path.of("../examples/ferry")), folder, System.getProperty("java.class.path"))) {
-            fleet.startAll("controller");
-            fleet.startAll("gateway");
-            fleet.startAll("worker");
-            assertThat("controllers", fleet.awaitReady("controller", 90), is(true));
-            assertThat(fleet.loadTenantsAndTable(), everyItem(is(200)));
-            assertThat("gateways", fleet.awaitReady("gateway", 90), is(true));
-            assertAnswer(
-                    fleet,
-                    () -> fleet.callAsOperator(
-                            "controller-1",
-                            "PUT",
-                            "/v1/calendars/minute",
-                            "{\"cron\":\"0 0 31 2 *\",\"zone\":\"syros\"}"),
-                    422,
-                    "never comes");
-            assertAnswer(
-                    fleet,
-                    () -> fleet.callAsOperator(
-                            "controller-1",
-                            "PUT",
-                            "/v1/calendars/minute",
-                            "{\"cron\":\"* * * * *\",\"cells\":[{\"tenant\":\"*\",\"kind\":\"ruling\","
-                                    + "\"field\":\"burst\",\"value\":777}]}"),
-                    200,
-                    "kept");
-            final Path receipts = folder.resolve("receipts");
-            final Process load = fleet.startLoad(receipts, 12, "30", 5);
-            assertThat(fleet.await(() -> countLines(receipts) > 60, 60), is(true));
-            fleet.kill("gateway-2");
-            fleet.freeze("gateway-3", true);
-            final long seen = countLines(receipts);
-            assertThat(fleet.await(() -> countLines(receipts) > seen + 40, 60), is(true));
-            fleet.freeze("gateway-3", false);
-            fleet.kill("controller-2");
-            fleet.deleteDataFolder("controller-2");
-            fleet.start("controller-2");
-            fleet.start("gateway-2");
-            fleet.kill("worker-5");
-            load.waitFor();
-            assertThat(Files.readString(folder.resolve("consumer.out")), containsString("open 0"));
-            final Main.CheckResult found = check(fleet, receipts);
-            assertThat(found.violations(), is(List.of()));
-            assertThat("something ran", found.runs() > 50, is(true));
-            assertThat("the wiped controller is back", fleet.awaitReady("controller", 90), is(true));
-            assertThat("the killed gateway is back", fleet.awaitReady("gateway", 90), is(true));
-            assertThat(
-                    fleet.callAsOperator(
-                                    "controller-2",
-                                    "PATCH",
-                                    "/v1/table",
-                                    "{\"cells\":[{\"tenant\":\"*\",\"kind\":\"fare\",\"field\":\"load\",\"value\":3}]}")
-                            .statusCode(),
-                    is(200));
-            assertThat(
-                    fleet.callAsOperator("controller-3", "GET", "/v1/table", "").body(), containsString("\"load\":3"));
+            FleetSteps.start(fleet);
+            putsCalendar(fleet);
+            servesWhileNodesFail(fleet);
             checksClaims(fleet);
             readsBack(fleet);
             sendsGarbage(fleet);
-            rejectsBadInput(fleet);
+            BadInputSteps.rejectsBadInput(fleet);
             putsLargeTable(fleet);
             usesOperatorTool(fleet);
-            assertThat(fleet.stop("gateway-1"), is(143));
-            assertThat(fleet.stop("controller-1"), is(143));
-            assertThat(
-                    "the chain goes on without the stopped controller",
-                    fleet.await(() -> fleet.bodyOf("controller-2", "/status").contains("\"leased\":true"), 30),
-                    is(true));
-            assertThat(
-                    fleet.callAsOperator("controller-2", "PUT", "/v1/zones/syros", "{\"empty\":true}")
-                            .statusCode(),
-                    is(200));
-            assertThat(
-                    "the calendar's minute came",
-                    fleet.await(() -> fleet.bodyOf("controller-3", "/v1/table").contains("\"burst\":777"), 150),
-                    is(true));
-            for (final String name : fleet.names("")) {
-                fleet.kill(name);
-            }
-            fleet.startAll("controller");
-            fleet.startAll("gateway");
-            assertThat(
-                    "all are back after all were killed",
-                    fleet.awaitReady("controller", 90) && fleet.awaitReady("gateway", 90),
-                    is(true));
-            assertThat(
-                    fleet.callAsOperator("controller-1", "GET", "/v1/table", "").body(), containsString("\"load\":3"));
-            assertThat(
-                    fleet.callAsOperator("controller-1", "GET", "/v1/zones", "").body(),
-                    containsString("\"empty\":true"));
+            stopsAndObeysTheCalendar(fleet);
+            survivesKillOfAll(fleet);
+        }
+    }
+
+    private static void putsCalendar(final Fleet fleet) throws Exception {
+        FleetSteps.assertAnswer(
+                fleet,
+                () -> fleet.callAsOperator(
+                        "controller-1", "PUT", "/v1/calendars/minute", "{\"cron\":\"0 0 31 2 *\",\"zone\":\"syros\"}"),
+                422,
+                "never comes");
+        FleetSteps.assertAnswer(
+                fleet,
+                () -> fleet.callAsOperator(
+                        "controller-1",
+                        "PUT",
+                        "/v1/calendars/minute",
+                        "{\"cron\":\"* * * * *\",\"cells\":[{\"tenant\":\"*\",\"kind\":\"ruling\","
+                                + "\"field\":\"burst\",\"value\":777}]}"),
+                200,
+                "kept");
+    }
+
+    private void servesWhileNodesFail(final Fleet fleet) throws Exception {
+        final Path receipts = folder.resolve("receipts");
+        final Process load = fleet.startLoad(receipts, 12, "30", 5);
+        assertThat(fleet.await(() -> countLines(receipts) > 60, 60), is(true));
+        fleet.kill("gateway-2");
+        fleet.freeze("gateway-3", true);
+        final long seen = countLines(receipts);
+        assertThat(fleet.await(() -> countLines(receipts) > seen + 40, 60), is(true));
+        fleet.freeze("gateway-3", false);
+        fleet.kill("controller-2");
+        fleet.deleteDataFolder("controller-2");
+        fleet.start("controller-2");
+        fleet.start("gateway-2");
+        fleet.kill("worker-5");
+        load.waitFor();
+        FleetSteps.assertReceipts(fleet, receipts);
+        assertThat("the wiped controller is back", fleet.awaitReady("controller", 90), is(true));
+        assertThat("the killed gateway is back", fleet.awaitReady("gateway", 90), is(true));
+        assertThat(
+                fleet.callAsOperator(
+                                "controller-2",
+                                "PATCH",
+                                "/v1/table",
+                                "{\"cells\":[{\"tenant\":\"*\",\"kind\":\"fare\",\"field\":\"load\",\"value\":3}]}")
+                        .statusCode(),
+                is(200));
+        assertThat(fleet.callAsOperator("controller-3", "GET", "/v1/table", "").body(), containsString("\"load\":3"));
+    }
+
+    private static void stopsAndObeysTheCalendar(final Fleet fleet) throws Exception {
+        assertThat(fleet.stop("gateway-1"), is(143));
+        assertThat(fleet.stop("controller-1"), is(143));
+        assertThat(
+                "the chain goes on without the stopped controller",
+                fleet.await(() -> fleet.bodyOf("controller-2", "/status").contains("\"leased\":true"), 30),
+                is(true));
+        assertThat(
+                fleet.callAsOperator("controller-2", "PUT", "/v1/zones/syros", "{\"empty\":true}")
+                        .statusCode(),
+                is(200));
+        assertThat(
+                "the calendar's minute came",
+                fleet.await(() -> fleet.bodyOf("controller-3", "/v1/table").contains("\"burst\":777"), 150),
+                is(true));
+    }
+
+    private static void survivesKillOfAll(final Fleet fleet) throws Exception {
+        for (final String name : fleet.names("")) {
+            fleet.kill(name);
         }
+        fleet.startAll("controller");
+        fleet.startAll("gateway");
+        assertThat(
+                "all are back after all were killed",
+                fleet.awaitReady("controller", 90) && fleet.awaitReady("gateway", 90),
+                is(true));
+        assertThat(fleet.callAsOperator("controller-1", "GET", "/v1/table", "").body(), containsString("\"load\":3"));
+        assertThat(
+                fleet.callAsOperator("controller-1", "GET", "/v1/zones", "").body(), containsString("\"empty\":true"));
     }
 
     private void checksClaims(final Fleet fleet) throws Exception {
@@ -168,7 +159,7 @@
     private static void readsBack(final Fleet fleet) throws Exception {
         final List<String> picks = new java.util.ArrayList<>();
         final List<java.net.http.HttpResponse<String>> wholes = new java.util.ArrayList<>();
-        assertAnswer(
+        FleetSteps.assertAnswer(
                 fleet,
                 () -> {
                     picks.add(fleet.callAs(
@@ -193,12 +184,12 @@
         final java.net.http.HttpResponse<String> rest =
                 fleet.callAs("key-travellers", "gateway-1", "GET", "/v1/tickets/" + ticket + "?from=2", "");
         assertThat(rest.body().lines().toList(), is(lines.subList(2, 7)));
-        assertAnswer(
+        FleetSteps.assertAnswer(
                 fleet,
                 () -> fleet.callAs("key-clerks", "gateway-1", "GET", "/v1/tickets/" + ticket + "?from=2", ""),
                 404,
                 "no such ticket");
-        assertAnswer(
+        FleetSteps.assertAnswer(
                 fleet,
                 () -> fleet.callAs("key-travellers", "gateway-1", "POST", "/v1/tickets", body),
                 409,
@@ -228,7 +219,8 @@
         for (int i = 0; i < 15_000; i++) {
             rows.append(",{\"tenant\":\"*\",\"kind\":\"kind-").append(i).append("\"}");
         }
-        assertAnswer(fleet, () -> fleet.callAsOperator("controller-2", "PUT", "/v1/table", rows + "]}"), 200, "kept");
+        FleetSteps.assertAnswer(
+                fleet, () -> fleet.callAsOperator("controller-2", "PUT", "/v1/table", rows + "]}"), 200, "kept");
         final java.net.http.HttpResponse<String> back = fleet.callAsOperator("controller-3", "GET", "/v1/table", "");
         assertThat(back.body().split("\"kind\":").length, is(15_000 + 3 + 1));
         assertThat(
@@ -243,7 +235,7 @@
                                                         .replace("\"", "") + ",")),
                         60),
                 is(true));
-        assertAnswer(
+        FleetSteps.assertAnswer(
                 fleet,
                 () -> fleet.callAs(
                         "key-travellers",
@@ -256,138 +248,13 @@
         for (int i = 0; i < 6_000; i++) {
             rows.append(",{\"tenant\":\"*\",\"kind\":\"more-").append(i).append("\"}");
         }
-        assertAnswer(
+        FleetSteps.assertAnswer(
                 fleet,
                 () -> fleet.callAsOperator("controller-2", "PUT", "/v1/table", rows + "]}"),
                 422,
                 "$.rows: at most");
-        assertAnswer(fleet, () -> fleet.callAsOperator("controller-2", "PUT", "/v1/table", was), 200, "kept");
-    }
-
-    private interface ApiCall {
-        java.net.http.HttpResponse<String> send() throws Exception;
-    }
-
-    private static void assertAnswer(final Fleet fleet, final ApiCall ask, final int code, final String text)
-            throws Exception {
-        final List<java.net.http.HttpResponse<String>> replies = new java.util.ArrayList<>();
-        fleet.await(
-                () -> {
-                    try {
-                        replies.add(ask.send());
-                        return Lists.last(replies).statusCode() == code
-                                && Lists.last(replies).body().contains(text);
-                    } catch (final Exception failure) {
-                        return false;
-                    }
-                },
-                60);
-        assertThat(Lists.last(replies).body(), Lists.last(replies).statusCode(), is(code));
-        assertThat(Lists.last(replies).body(), containsString(text));
-    }
-
-    private static void rejectsBadInput(final Fleet fleet) throws Exception {
-        final String pick = "{\"tenant\":\"travellers\",\"kind\":\"fare\"}";
-        assertAnswer(
-                fleet, () -> fleet.callAsOperator("gateway-1", "POST", "/v1/picks", "{nonsense"), 400, "$: not JSON");
-        assertAnswer(
-                fleet,
-                () -> fleet.callAsOperator("gateway-1", "POST", "/v1/picks", "[".repeat(40) + "]".repeat(40)),
-                422,
-                "$: deeper than");
-        assertAnswer(
-                fleet,
-                () -> fleet.callAsOperator(
-                        "gateway-1", "POST", "/v1/picks", "{\"tenant\":7,\"kind\":\"fare\",\"prefix\":[1],\"odd\":1}"),
-                422,
-                "$.tenant: a text is needed");
-        assertAnswer(
-                fleet,
-                () -> fleet.callAsOperator(
-                        "gateway-1", "POST", "/v1/picks", "{\"tenant\":\"t\",\"kind\":\"fare\",\"odd\":1}"),
-                422,
-                "$.odd: unknown key");
-        assertAnswer(
-                fleet,
-                () -> fleet.callAsOperator("gateway-1", "POST", "/v1/picks", pick),
-                401,
-                "the tenant or its key is not known");
-        assertAnswer(
-                fleet,
-                () -> fleet.callAs("key-travellers", "gateway-1", "POST", "/v1/picks", pick.replace("fare", "nothing")),
-                422,
-                "$.kind: no kind nothing");
-        assertAnswer(
-                fleet,
-                () -> fleet.callAs("key-travellers", "gateway-1", "POST", "/v1/picks", pick.replace("fare", "ruling")),
-                422,
-                "$.key");
-        assertAnswer(
-                fleet, () -> fleet.callAs("key-travellers", "gateway-1", "POST", "/v1/picks", pick), 200, "picked");
-        assertAnswer(
-                fleet,
-                () -> fleet.callAs(
-                        "key-travellers",
-                        "gateway-1",
-                        "POST",
-                        "/v1/tickets",
-                        "{\"permit\":\"forged.forged\",\"prompt\":\"x\"}"),
-                403,
-                "no seal of ours");
-        assertAnswer(
-                fleet,
-                () -> fleet.callAs("key-travellers", "gateway-1", "GET", "/v1/tickets/someone-elses", ""),
-                404,
-                "no such ticket");
-        assertAnswer(
-                fleet,
-                () -> fleet.callAs(
-                        "key-travellers",
-                        "gateway-1",
-                        "POST",
-                        "/v1/tickets",
-                        "{\"prompt\":\"" + "x".repeat(5 << 20) + "\"}"),
-                413,
-                "larger than");
-        assertAnswer(
-                fleet,
-                () -> fleet.callAs(
-                        "key-kiosks", "gateway-1", "POST", "/v1/picks", pick.replace("travellers", "kiosks-rhodes")),
-                200,
-                "pointed");
-        assertAnswer(
-                fleet,
-                () -> fleet.callAs("wrong", "gateway-1", "POST", "/v1/announcements", "{}"),
-                401,
-                "workers' key");
-        assertAnswer(fleet, () -> fleet.callAs("wrong", "gateway-1", "GET", "/status", ""), 401, "operator's key");
-        assertAnswer(fleet, () -> fleet.callAs("wrong", "controller-1", "GET", "/v1/table", ""), 401, "operator's key");
-        assertAnswer(
-                fleet,
-                () -> fleet.callAsOperator(
-                        "controller-1",
-                        "PATCH",
-                        "/v1/table",
-                        "{\"cells\":[{\"tenant\":\"*\",\"kind\":\"fare\",\"field\":\"rate\",\"value\":\"fast\"},"
-                                + "{\"tenant\":\"nobody\",\"kind\":\"fare\",\"field\":\"load\",\"value\":1}]}"),
-                422,
-                "$.cells[0]: rate takes a number, not fast");
-        assertAnswer(
-                fleet,
-                () -> fleet.callAsOperator(
-                        "controller-1",
-                        "PUT",
-                        "/v1/table",
-                        "{\"rows\":[{\"tenant\":\"*\",\"kind\":\"fare\",\"rate\":-1,\"colour\":2}]}"),
-                422,
-                "$.rows[0].colour: unknown key");
-        assertAnswer(
-                fleet,
-                () -> fleet.callAsOperator("controller-1", "PUT", "/v1/zones/syros", "{}"),
-                422,
-                "$.empty: missing");
-        assertAnswer(
-                fleet, () -> fleet.callAsOperator("controller-1", "GET", "/v1/changes/none-such", ""), 404, "absent");
+        FleetSteps.assertAnswer(
+                fleet, () -> fleet.callAsOperator("controller-2", "PUT", "/v1/table", was), 200, "kept");
     }
 
     private void usesOperatorTool(final Fleet fleet) throws Exception {
@@ -413,6 +280,11 @@
         assertThat(runTool(fleet, out, start, "claims", "odd"), is(2));
         assertThat(runTool(fleet, out, start, "--match", "1", "table", "set", "*", "fare", "cross", "0.5"), is(1));
         assertThat(Files.readString(out), containsString("409"));
+        explainsARequest(fleet, out, start);
+        checksSettings(fleet, out);
+    }
+
+    private void explainsARequest(final Fleet fleet, final Path out, final List<String> start) throws Exception {
         final String ticket = Files.readAllLines(folder.resolve("receipts")).stream()
                 .filter(r -> r.contains("\"done\"") && r.contains("\"gateway-1-"))
                 .map(r -> r.replaceAll(".*\"ticket\":\"([^\"]*)\".*", "$1"))
@@ -435,6 +307,9 @@
         assertThat(runTool(fleet, out, List.of("--help")), is(0));
         assertThat(runTool(fleet, out, start, "drain", "syros"), is(0));
         assertThat(runTool(fleet, out, start, "undrain", "syros"), is(0));
+    }
+
+    private static void checksSettings(final Fleet fleet, final Path out) throws Exception {
         assertThat(
                 fleet.runProgram(
                         "silverlatch.server.gateway.Main",
--- a/simulation/src/test/java/silverlatch/simulation/fleet/RollTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/fleet/RollTest.java
@@ -3,10 +3,10 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.anyOf;
 import static org.hamcrest.Matchers.containsString;
-import static org.hamcrest.Matchers.everyItem;
 import static org.hamcrest.Matchers.is;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.http.HttpResponse;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -17,7 +17,6 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import silverlatch.simulation.check.Main;
 import silverlatch.util.Lists;
 
 /** The telecom's fleet of processes while it is operated: rolled, stopped and frozen mid-stream, swapped, a region lost, a disk full. */
@@ -53,42 +52,11 @@
     /** Starts a long stream at a gateway, and waits until its first pieces came. */
     private static ResponseStream stream(final Fleet fleet, final String gateway, final int pieces) throws Exception {
         final List<ResponseStream> attempts = new ArrayList<>();
-        final Plan.Tenant tenant = fleet.plan().tenants().get(0);
         assertThat(
                 fleet.await(
                         () -> {
                             try {
-                                final HttpResponse<String> pick = fleet.callAs(
-                                        tenant.key(),
-                                        gateway,
-                                        "POST",
-                                        "/v1/picks",
-                                        "{\"tenant\":\"" + tenant.name() + "\",\"kind\":\""
-                                                + fleet.plan().kinds().get(0).kind() + "\"}");
-                                if (!pick.body().contains("\"permit\"")) {
-                                    return false;
-                                }
-                                final ConcurrentLinkedQueue<String> lines = new ConcurrentLinkedQueue<>();
-                                attempts.add(new ResponseStream(lines, CompletableFuture.supplyAsync(() -> {
-                                    try {
-                                        fleet.streamLines(
-                                                tenant.key(),
-                                                gateway,
-                                                "/v1/tickets",
-                                                "{\"permit\":\""
-                                                        + pick.body().replaceAll(".*\"permit\":\"([^\"]*)\".*", "$1")
-                                                        + "\",\"prompt\":\"" + pieces
-                                                        + " pieces of a long story\",\"expiryMs\":50000}",
-                                                lines::add);
-                                        return true;
-                                    } catch (final IOException
-                                            | InterruptedException
-                                            | java.io.UncheckedIOException failure) {
-                                        return false;
-                                    }
-                                })));
-                                return fleet.await(() -> lines.size() > 2, 5)
-                                        && lines.peek().contains("\"number\":0");
+                                return startStream(fleet, gateway, pieces, attempts);
                             } catch (final IOException | InterruptedException failure) {
                                 return false;
                             }
@@ -98,6 +66,31 @@
         return Lists.last(attempts);
     }
 
+    private static boolean startStream(
+            final Fleet fleet, final String gateway, final int pieces, final List<ResponseStream> attempts)
+            throws IOException, InterruptedException {
+        final Plan.Tenant tenant = fleet.plan().tenants().get(0);
+        final String placement = "{\"tenant\":\"" + tenant.name() + "\",\"kind\":\""
+                + fleet.plan().kinds().get(0).kind() + "\"}";
+        final HttpResponse<String> pick = fleet.callAs(tenant.key(), gateway, "POST", "/v1/picks", placement);
+        if (!pick.body().contains("\"permit\"")) {
+            return false;
+        }
+        final String request = "{\"permit\":\""
+                + pick.body().replaceAll(".*\"permit\":\"([^\"]*)\".*", "$1")
+                + "\",\"prompt\":\"" + pieces + " pieces of a long story\",\"expiryMs\":50000}";
+        final ConcurrentLinkedQueue<String> lines = new ConcurrentLinkedQueue<>();
+        attempts.add(new ResponseStream(lines, CompletableFuture.supplyAsync(() -> {
+            try {
+                fleet.streamLines(tenant.key(), gateway, "/v1/tickets", request, lines::add);
+                return true;
+            } catch (final IOException | InterruptedException | UncheckedIOException failure) {
+                return false;
+            }
+        })));
+        return fleet.await(() -> lines.size() > 2, 5) && lines.peek().contains("\"number\":0");
+    }
+
     private static void assertNoGaps(final String reply) {
         int next = 0;
         for (final String line :
@@ -110,12 +103,7 @@
     void aFleetIsRolledSwappedAndLosesARegionWithEveryReceiptInOrder() throws Exception {
         try (Fleet fleet =
                 new Fleet(Plan.read(Path.of("../examples/telecom")), folder, System.getProperty("java.class.path"))) {
-            fleet.startAll("controller");
-            fleet.startAll("gateway");
-            fleet.startAll("worker");
-            assertThat("controllers", fleet.awaitReady("controller", 90), is(true));
-            assertThat(fleet.loadTenantsAndTable(), everyItem(is(200)));
-            assertThat("gateways", fleet.awaitReady("gateway", 90), is(true));
+            FleetSteps.start(fleet);
             final Path receipts = folder.resolve("receipts");
             final Process load = fleet.startLoad(receipts, 45, "15", 9);
             restartsInTurn(fleet);
@@ -123,15 +111,7 @@
             replacesController(fleet);
             losesRegion(fleet);
             load.waitFor();
-            assertThat(Files.readString(folder.resolve("consumer.out")), containsString("open 0"));
-            final Main.CheckResult found = Main.check(
-                    receipts,
-                    Main.parseHomes(fleet.plan().homeArguments()),
-                    fleet.names("worker").stream()
-                            .map(w -> fleet.folder().resolve(w + ".runs"))
-                            .toList());
-            assertThat(found.violations(), is(List.of()));
-            assertThat("something ran", found.runs() > 50, is(true));
+            FleetSteps.assertReceipts(fleet, receipts);
             fillsDisk(fleet);
         }
     }
