--- a/server/src/test/java/silverlatch/server/proxy/ProxyFixture.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyFixture.java
@@ -12,7 +12,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
@@ -24,14 +23,10 @@
 import silverlatch.clock.Stamp;
 import silverlatch.dispatch.ClusterSnapshot;
 import silverlatch.gossip.Gossip;
-import silverlatch.gossip.Worker;
-import silverlatch.membership.Member;
 import silverlatch.routing.Router;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.web.ApiServer;
 import silverlatch.server.web.MultiListenerServer;
-import silverlatch.state.Entry;
-import silverlatch.state.Policy;
 import silverlatch.state.Value;
 
 /** A proxy between stub workers and a client on real sockets, made anew for each test, with a router on a thread of its own. */
@@ -62,9 +57,7 @@
             return true;
         }));
         proxy.get().setMaxBodyBytes(4_096);
-        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            port = socket.getLocalPort();
-        }
+        port = freePort();
         httpServer = new MultiListenerServer(8);
         httpServer.addListener("127.0.0.1:" + port, 8_192, 5_000, proxy.get());
         httpServer.start();
@@ -89,42 +82,25 @@
     }
 
     ClusterSnapshot facts(final long revision) {
-        final Map<String, Gossip.ObservedWorker> heard = new HashMap<>();
+        final Map<String, Gossip.ObservedWorker> observed = new HashMap<>();
         for (int i = 0; i < stubWorkers.size(); i++) {
-            heard.put(
+            observed.put(
                     "w" + i,
-                    new Gossip.ObservedWorker(
-                            new Worker(
-                                    "w" + i,
-                                    "127.0.0.1:" + stubWorkers.get(i).port(),
-                                    "z",
-                                    "r",
-                                    1,
-                                    1,
-                                    0,
-                                    0,
-                                    8,
-                                    List.of(),
-                                    false,
-                                    0,
-                                    "pool",
-                                    0,
-                                    0),
-                            Optional.of(EventLoop.nowMicros())));
+                    ProxySnapshots.observedWorker("w" + i, stubWorkers.get(i).port()));
         }
-        final List<Entry> all = List.of(
-                new Entry(
-                        "p/charter", 1, List.of(new Value.RoutingConfiguration(1, 8_192, 4_096, 1_000_000, 1_000_000))),
-                new Entry("b/pool", 1, List.of(new Value.BackendPool("pool", "/health", 10, 0, 9, 8, 1_000, 5))),
-                new Entry("u/a|/once/", 1, List.of(route("/once/", false))),
-                new Entry("u/a|/again/", 1, List.of(route("/again/", true))));
-        return new ClusterSnapshot(
-                new Member("me", "gateway", "z", "r", "127.0.0.1:1", "127.0.0.1:2", 1, 0, "up", true),
+        return ProxySnapshots.of(
                 revision,
-                Optional.of(1L),
-                Policy.of(all),
-                heard,
-                List.of());
+                new Value.RoutingConfiguration(1, 8_192, 4_096, 1_000_000, 1_000_000),
+                ProxySnapshots.pool(10),
+                List.of(route("/once/", false), route("/again/", true)),
+                observed);
+    }
+
+    /** A port of the loopback interface that nothing listened on just now. */
+    static int freePort() throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            return socket.getLocalPort();
+        }
     }
 
     static Value.Route route(final String path, final boolean resumable) {
