--- a/server/src/test/java/silverlatch/server/proxy/ProxyFixture.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyFixture.java
@@ -15,6 +15,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
+import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Function;
@@ -25,13 +26,15 @@
 import silverlatch.gossip.Gossip;
 import silverlatch.routing.Router;
 import silverlatch.server.eventloop.EventLoop;
-import silverlatch.server.web.ApiServer;
 import silverlatch.server.web.MultiListenerServer;
 import silverlatch.state.Value;
+import silverlatch.util.Threads;
 
 /** A proxy between stub workers and a client on real sockets, made anew for each test, with a router on a thread of its own. */
 abstract class ProxyFixture {
-    final ExecutorService routerLoop = Executors.newSingleThreadExecutor();
+    private static final long SHUTDOWN_SECONDS = 10;
+
+    final ExecutorService routerLoop = Executors.newSingleThreadExecutor(task -> Threads.daemon("router-loop", task));
     final List<StubWorker> stubWorkers = new ArrayList<>();
     final AtomicInteger postedEvents = new AtomicInteger();
     final AtomicReference<Runnable> beforeThirdEvent = new AtomicReference<>(() -> {});
@@ -45,7 +48,7 @@
     void open() throws Exception {
         workerClient = new WorkerHttpClient(WorkerHttpClient.Settings.DEFAULT);
         workerClient.start();
-        router = new Router(Router.Settings.DEFAULT, facts(1), () -> new Stamp(1), new SplittableRandom(5));
+        router = new Router(Router.Settings.DEFAULT, snapshot(1), () -> new Stamp(1), new SplittableRandom(5));
         proxy.set(new ProxyServer(ProxyHeaderNames.DEFAULT, workerClient, event -> {
             if (postedEvents.incrementAndGet() == 3) {
                 beforeThirdEvent.get().run();
@@ -64,10 +67,13 @@
     }
 
     @AfterEach
-    void shut() throws ApiServer.HttpServerException, WorkerHttpClient.WorkerHttpClientException, IOException {
+    void shut() throws Exception {
         httpServer.stop();
         workerClient.stop();
         routerLoop.shutdownNow();
+        if (!routerLoop.awaitTermination(SHUTDOWN_SECONDS, TimeUnit.SECONDS)) {
+            throw new IOException("the router's thread did not end");
+        }
         for (final StubWorker worker : stubWorkers) {
             worker.close();
         }
@@ -76,12 +82,12 @@
     StubWorker startWorker(final Function<String, String> script) throws IOException {
         final StubWorker started = new StubWorker(script);
         stubWorkers.add(started);
-        final ClusterSnapshot next = facts(stubWorkers.size() + 1);
+        final ClusterSnapshot next = snapshot(stubWorkers.size() + 1);
         routerLoop.execute(() -> router.update(next, EventLoop.nowMicros()));
         return started;
     }
 
-    ClusterSnapshot facts(final long revision) {
+    ClusterSnapshot snapshot(final long revision) {
         final Map<String, Gossip.ObservedWorker> observed = new HashMap<>();
         for (int i = 0; i < stubWorkers.size(); i++) {
             observed.put(
