--- /dev/null
+++ b/core/src/test/java/silverlatch/replication/WaitingWritesTest.java
@@ -0,0 +1,67 @@
+package silverlatch.replication;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+import silverlatch.node.Event;
+import silverlatch.state.Command;
+import silverlatch.state.CommandResult;
+import silverlatch.state.Entry;
+import silverlatch.wire.ChainClientMessage;
+
+final class WaitingWritesTest {
+    private static final CommandResult REJECTION = new CommandResult.Rejected(409, List.of("changed"), 3);
+    private final ReplicaParts parts = new ReplicaParts();
+    private final Map<String, Entry> committed = new HashMap<>();
+    private final WaitingWrites writes =
+            new WaitingWrites(key -> Optional.ofNullable(committed.get(key)), parts.effects);
+
+    private static ChainClientMessage.WriteRequest request(final long requestId) {
+        return new ChainClientMessage.WriteRequest(
+                requestId, "client", new Command.SetEvacuation("command-" + requestId, "zone", true, -1));
+    }
+
+    private List<CommandResult> results() {
+        return parts.sent().stream()
+                .map(message -> ((ChainClientMessage.WriteReply) message).result())
+                .toList();
+    }
+
+    @Test
+    void eachWriteIsAnsweredOnceWhenItsEntryIsCommitted() {
+        writes.await(4, request(1));
+        writes.await(4, request(2));
+        writes.await(5, request(3));
+        writes.committed(4);
+        assertThat(results(), is(List.of(new CommandResult.Applied(4), new CommandResult.Applied(4))));
+        writes.committed(4);
+        assertThat(results(), is(List.of()));
+        writes.committed(5);
+        assertThat(results(), is(List.of(new CommandResult.Applied(5))));
+    }
+
+    @Test
+    void aRejectionIsHeldUntilWhatItRestsOnIsCommittedAndThenLogged() {
+        writes.awaitRejection(4, request(1), REJECTION);
+        assertThat(results(), is(List.of()));
+        writes.committed(4);
+        assertThat(results(), is(List.of(REJECTION)));
+        assertThat(parts.logged(), is(List.of(Event.CHANGE_REJECTED)));
+    }
+
+    @Test
+    void whatWaitsForADroppedEntryIsUnknown() {
+        writes.await(4, request(1));
+        writes.awaitRejection(4, request(2), REJECTION);
+        writes.abandon();
+        assertThat(
+                results(), is(List.of(new CommandResult.Unknown("command-1"), new CommandResult.Unknown("command-2"))));
+        writes.committed(4);
+        assertThat(results(), is(List.of()));
+    }
+}
