--- a/core/src/main/java/silverlatch/state/ClaimManager.java
+++ b/core/src/main/java/silverlatch/state/ClaimManager.java
@@ -21,7 +21,7 @@
     /** Binds a key to a request, unless another one has it. */
     Evaluation claim(final Command.Claim command, final EvaluationContext context) {
         final Optional<Value.Claim> existing =
-                find(command.key(), context).filter(claim -> safeguards.isEnabled(Safeguard.CLAIM));
+                safeguards.isEnabled(Safeguard.CLAIM) ? find(command.key(), context) : Optional.empty();
         if (existing.isPresent()) {
             if (isRunning(existing.get()) && isOf(existing.get(), command.requestId())) {
                 return alreadyApplied(command.key(), context);
--- a/core/src/test/java/silverlatch/log/DataFolderGenerator.java
+++ b/core/src/test/java/silverlatch/log/DataFolderGenerator.java
@@ -258,14 +258,14 @@
                     network.add(new Delivery(machine.address(), send.to(), send.message()));
                 } else if (effect instanceof Effect.Persist keep) {
                     machine.log().write(keep.records());
-                    keep.records().forEach(written -> noteAccepted(machine.address(), written));
+                    keep.records().forEach(written -> rememberAccepted(machine.address(), written));
                     machine.replica().synced(keep.token(), nowMicros);
                 }
             }
         }
     }
 
-    private void noteAccepted(final String address, final LogRecord written) {
+    private void rememberAccepted(final String address, final LogRecord written) {
         if (written instanceof LogRecord.Accepted accepted) {
             acceptedViews.put(address, accepted.viewNumber());
         }
