--- a/core/src/main/java/silverlatch/safeguard/Safeguard.java
+++ b/core/src/main/java/silverlatch/safeguard/Safeguard.java
@@ -2,7 +2,8 @@
 
 /**
  * A check that the product always makes, and that the simulation can disable to see that its observer notices what it
- * prevents. Operators name the constants on the command line ({@code bin/days --down SURE}), so they stay as they are.
+ * prevents. The constants are named on the command line of the simulation ({@code bin/days --down CONFIRMED_REVISION}), which
+ * accepts the former name of a renamed one for one version.
  */
 public enum Safeguard {
     /** A report on a worker counts for a bounded age only. */
