--- a/core/src/main/java/silverlatch/dispatch/ClusterView.java
+++ b/core/src/main/java/silverlatch/dispatch/ClusterView.java
@@ -4,6 +4,7 @@
 import java.util.Optional;
 import java.util.Set;
 import silverlatch.membership.Member;
+import silverlatch.membership.MemberState;
 import silverlatch.placement.PlacementContext;
 import silverlatch.safeguard.Safeguard;
 import silverlatch.safeguard.Safeguards;
@@ -85,7 +86,7 @@
         final Set<String> evacuatingZones = snapshot.evacuatingZones();
         return snapshot.peers().stream()
                 .filter(Member::ready)
-                .filter(peer -> peer.state().equals("up") && !evacuatingZones.contains(peer.zone()))
+                .filter(peer -> peer.is(MemberState.UP) && !evacuatingZones.contains(peer.zone()))
                 .filter(peer -> isHome(tenant, peer.region()))
                 .map(Member::httpAddress)
                 .toList();
--- a/core/src/main/java/silverlatch/membership/Member.java
+++ b/core/src/main/java/silverlatch/membership/Member.java
@@ -33,6 +33,19 @@
     /** Precedences of one sequence lie so far apart from those of the next; part of the wire format. */
     private static final int PRECEDENCES_PER_SEQUENCE = 4;
 
+    /** Returns a member as it starts an incarnation: up, but not ready yet. */
+    public static Member starting(
+            final String id,
+            final String role,
+            final String zone,
+            final String region,
+            final String address,
+            final String httpAddress,
+            final long incarnation) {
+        return new Member(
+                id, role, zone, region, address, httpAddress, incarnation, 0, MemberState.UP.wireName(), false);
+    }
+
     /** Returns whether this update on a member supersedes another on the same one. */
     public boolean supersedes(final Member other) {
         if (incarnation != other.incarnation) {
--- a/core/src/main/java/silverlatch/util/ChildJvm.java
+++ b/core/src/main/java/silverlatch/util/ChildJvm.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What a process has to say to a JVM of its own version that it starts on its own class path. */
+/** The command-line options for a child process that runs our classes on a JVM of the same version as this one. */
 public final class ChildJvm {
     /** From this JDK on, patterns in switch are no preview any more. */
     private static final int PATTERNS_FINAL = 21;
--- a/core/src/test/java/silverlatch/node/NodeCluster.java
+++ b/core/src/test/java/silverlatch/node/NodeCluster.java
@@ -258,17 +258,14 @@
         }
 
         private Member newMember() {
-            return new Member(
+            return Member.starting(
                     name,
                     isController() ? "controller" : "gateway",
                     "z" + index,
                     "r" + index,
                     name,
                     name,
-                    UNIX_EPOCH + now(),
-                    0,
-                    "up",
-                    false);
+                    UNIX_EPOCH + now());
         }
 
         private Router newRouter(final Node running) {
--- a/server/src/main/java/silverlatch/server/controller/Controller.java
+++ b/server/src/main/java/silverlatch/server/controller/Controller.java
@@ -13,6 +13,7 @@
 import silverlatch.gossip.Worker;
 import silverlatch.log.WriteAheadLog;
 import silverlatch.membership.Member;
+import silverlatch.membership.MemberState;
 import silverlatch.node.Effect;
 import silverlatch.node.Event;
 import silverlatch.node.Node;
@@ -189,7 +190,7 @@
         announcements.afterTick();
         liveControllers = Stream.concat(
                         Stream.of(ticked.membership().self()), ticked.membership().liveMembers().stream())
-                .filter(member -> !member.isGateway() && member.state().equals("up"))
+                .filter(member -> !member.isGateway() && member.is(MemberState.UP))
                 .toList();
         readiness.update(ticked, now);
         roster.ifPresent(file -> file.saveIfChanged(ticked.gossip(), now));
--- a/server/src/main/java/silverlatch/server/settings/Settings.java
+++ b/server/src/main/java/silverlatch/server/settings/Settings.java
@@ -90,8 +90,8 @@
 
     /** The settings of the node of a process in this role, {@code controller} or {@code gateway}, that starts at a wall time. */
     public Node.Settings nodeSettings(final String role, final long wallNanos) {
-        final Member self = new Member(
-                name, role, zone, region, peerAddress, httpAddress, wallNanos / NANOS_PER_MICRO, 0, "up", false);
+        final Member self =
+                Member.starting(name, role, zone, region, peerAddress, httpAddress, wallNanos / NANOS_PER_MICRO);
         return new Node.Settings(self, seeds, stampLowBits, maxClockSkew, intervals.membership(), intervals.gossip());
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
@@ -184,7 +184,7 @@
 
     private Member newMember() {
         final String role = isController() ? "controller" : "gateway";
-        return new Member(name, role, zone, region, address(), address(), clock.wallNanos() / 1000, 0, "up", false);
+        return Member.starting(name, role, zone, region, address(), address(), clock.wallNanos() / 1000);
     }
 
     /** The process ends at once; with the power also what was not synced is gone. */
