--- a/simulation/src/main/java/silverlatch/simulation/sim/InjectionPoint.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/InjectionPoint.java
@@ -1,17 +1,17 @@
 package silverlatch.simulation.sim;
 
-/** The steps of a ticket and of a change at which a fault can be aimed. */
+/** The steps of a request and of a command at which a fault can strike. */
 public enum InjectionPoint {
-    /** A gateway made a pick; its ticket is not handed over yet. */
+    /** A gateway has placed a request; the client has not submitted it yet. */
     PLACED,
-    /** A gateway is about to claim a key. */
+    /** A gateway is about to claim an idempotency key. */
     CLAIMING,
-    /** A gateway had its last look; no byte went to the worker yet. */
+    /** A gateway has decided to send a request; no byte went to the worker yet. */
     SENDING,
-    /** A gateway passes a piece on. */
+    /** A gateway forwards a chunk. */
     STREAMING,
-    /** The head synced a change that it has not passed on. */
+    /** The head has synced an entry that it has not replicated. */
     HEAD_SYNCED,
-    /** The tail synced a change that it has not acknowledged. */
+    /** The tail has synced an entry that it has not acknowledged. */
     TAIL_SYNCED
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/NetworkFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/NetworkFaults.java
@@ -7,7 +7,7 @@
 import java.util.stream.Collectors;
 import silverlatch.util.Lists;
 
-/** What happens to the network and to clocks. */
+/** Faults of the network and of clocks. Durations are microseconds. */
 final class NetworkFaults {
     private NetworkFaults() {}
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/Observer.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Observer.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 
 /**
- * The observer: it sees what workers ran, what consumers and operators were told, and nothing of what the daemons say
- * of themselves. Times are true time. For each mark it counts how often it was put to the test.
+ * The observer: it sees what workers ran and what clients and operators were answered, and believes nothing that the nodes say
+ * of themselves. Times are true time in microseconds. For each invariant it counts how often it was exercised.
  */
 public final class Observer {
     private static final long SECOND = 1_000_000L;
@@ -46,7 +46,7 @@
         return trueTime.getAsLong();
     }
 
-    /** A run as the worker and the consumer know it. */
+    /** An attempt as the worker and the client know it. */
     public record Run(
             String requestId,
             String tenant,
@@ -59,12 +59,12 @@
             String gatewayRegion,
             long revision) {}
 
-    /** What operators were told, held against what came of it. */
+    /** What operators were answered, held against what came of it. */
     public OperatorHistory operatorHistory() {
         return operatorHistory;
     }
 
-    /** All that was found wrong. */
+    /** What was found wrong, in order; at most fifty. */
     public List<String> violations() {
         return List.copyOf(violations);
     }
@@ -91,19 +91,19 @@
         counters.merge("most-" + what, value, Math::max);
     }
 
-    /** A mark was put to the test. */
+    /** An invariant was exercised: it could have been broken here. */
     public void exercise(final Invariant invariant) {
         exercised.merge(invariant, 1L, Long::sum);
     }
 
-    /** A mark was hit. */
+    /** An invariant was broken. */
     public void violated(final Invariant invariant, final String text) {
         if (violations.size() < 50) {
             violations.add(invariant + " " + text);
         }
     }
 
-    /** A worker started a run. */
+    /** A worker started a request. */
     public void runStarted(final Run run, final long now) {
         count("runs");
         if (!run.gatewayRegion().equals(run.region())) {
@@ -144,7 +144,7 @@
         operatorHistory.runStarted(run, now);
     }
 
-    /** A run was sent to a worker: a first one, or one more. */
+    /** A request was sent to a worker: for the first time, or as a retry. */
     public void attemptSent(final String tenant, final String idempotencyKey, final boolean isRetry, final long now) {
         final boolean keySeen = !idempotencyKey.isEmpty()
                 && keysByTenant.computeIfAbsent(tenant, k -> new HashMap<>()).putIfAbsent(idempotencyKey, true) != null;
@@ -170,7 +170,7 @@
         }
     }
 
-    /** A consumer was told how its ticket ended. */
+    /** A client was answered how its request ended. */
     public void requestEnded(final String requestId, final String tenant, final String outcome, final long now) {
         count(outcome);
         outcomes.put(requestId, outcome);
@@ -185,7 +185,7 @@
         }
     }
 
-    /** A late copy of a ticket was handed over. */
+    /** A request was submitted once more, late. */
     public void duplicateSent(final String requestId) {
         count("twins");
         exercise(Invariant.AT_MOST_ONCE);
@@ -194,7 +194,7 @@
         }
     }
 
-    /** A worker says that it leaves, or comes anew. */
+    /** A worker says that it drains, or starts anew. */
     public void workerDraining(final String worker, final boolean draining, final long now) {
         if (draining) {
             drainingSince.putIfAbsent(worker, now);
@@ -210,7 +210,7 @@
 
     /**
      * How many runs a worker has at once. A worker that is warm by a part can read and write for that part of its slots;
-     * what is above only waits, but each gateway may send one that the worker's last word did not count yet. More is a flood.
+     * what is above only waits, but each gateway may send one that the worker's last report did not count yet.
      */
     public void workerLoad(
             final String worker, final int running, final int slots, final int gateways, final long now) {
@@ -230,7 +230,7 @@
         }
     }
 
-    /** How a ticket of a kind and tenant ended, and when its first piece came. */
+    /** How a request of a kind and tenant ended, and how many microseconds after its start the first chunk came. */
     public void requestOutcome(
             final String kind, final String tenant, final String outcome, final long firstChunkMicros) {
         outcomesByKind.merge(kind + " " + outcome, 1L, Long::sum);
@@ -240,22 +240,22 @@
         }
     }
 
-    /** Ends by kind and by tenant. */
+    /** Counts of outcomes by kind and by tenant. */
     public Map<String, Long> outcomesByKind() {
         return Map.copyOf(outcomesByKind);
     }
 
-    /** Microseconds to the first piece, of a kind's tickets that were done, in order. */
+    /** Microseconds to the first chunk, of a kind's requests that were done, in order. */
     public List<Long> firstChunkTimes(final String kind) {
         return firstChunkTimes.getOrDefault(kind, List.of()).stream().sorted().toList();
     }
 
-    /** How many tickets were done between two times. */
+    /** How many requests were done between two times. */
     public long completedBetween(final long from, final long to) {
         return completed.stream().filter(d -> d.time() >= from && d.time() < to).count();
     }
 
-    /** How many tickets of a tenant were done between two times. */
+    /** How many requests of a tenant were done between two times. */
     public long completedBetween(final String tenant, final long from, final long to) {
         return completed.stream()
                 .filter(d -> d.time() >= from && d.time() < to && d.tenant().equals(tenant))
--- a/simulation/src/main/java/silverlatch/simulation/sim/OperatorFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/OperatorFaults.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import silverlatch.simulation.fleet.Plan;
 
-/** What operators do to each other and to tickets under way. */
+/** What operators do to each other and to requests under way. Durations are microseconds. */
 final class OperatorFaults {
     private OperatorFaults() {}
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/ProcessFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ProcessFaults.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import silverlatch.simulation.fleet.Plan;
 
-/** What happens to daemons and their disks, alone, in a region, or all at once. */
+/** Faults of processes and their disks, one by one, in a region, or all at once. Durations are microseconds. */
 final class ProcessFaults {
     private static final long SECOND = 1_000_000L;
     private static final long CONTROLLER_START = 3 * SECOND;
--- a/simulation/src/main/java/silverlatch/simulation/sim/TargetedFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/TargetedFaults.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Faults aimed at a step of a ticket or of a change. */
+/** Faults that strike when a node reaches an {@link InjectionPoint}. Durations are microseconds. */
 final class TargetedFaults {
     private TargetedFaults() {}
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/WorkloadFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/WorkloadFaults.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import silverlatch.simulation.worker.WorkerFault;
 
-/** What workers and consumers do: crashes, limping, broken streams, crowds, swings. */
+/** Faults of workers, and what clients do: crashes, slowness, broken streams, bursts of load. Durations are microseconds. */
 final class WorkloadFaults {
     private WorkloadFaults() {}
 
--- a/simulation/src/test/java/silverlatch/simulation/fleet/FleetTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/fleet/FleetTest.java
@@ -223,17 +223,10 @@
                 fleet, () -> fleet.callAsOperator("controller-2", "PUT", "/v1/table", rows + "]}"), 200, "kept");
         final java.net.http.HttpResponse<String> back = fleet.callAsOperator("controller-3", "GET", "/v1/table", "");
         assertThat(back.body().split("\"kind\":").length, is(15_000 + 3 + 1));
+        final String revision = back.headers().firstValue("ETag").orElse("").replace("\"", "");
         assertThat(
                 "the gateways know the large table",
-                fleet.await(
-                        () -> fleet.names("gateway").stream()
-                                .allMatch(permit -> fleet.bodyOf(permit, "/status")
-                                        .contains("\"table\":"
-                                                + back.headers()
-                                                        .firstValue("ETag")
-                                                        .orElse("")
-                                                        .replace("\"", "") + ",")),
-                        60),
+                fleet.await(() -> isKnownToGateways(fleet, revision), 60),
                 is(true));
         FleetSteps.assertAnswer(
                 fleet,
@@ -257,6 +250,11 @@
                 fleet, () -> fleet.callAsOperator("controller-2", "PUT", "/v1/table", was), 200, "kept");
     }
 
+    private static boolean isKnownToGateways(final Fleet fleet, final String revision) {
+        return fleet.names("gateway").stream()
+                .allMatch(gateway -> fleet.bodyOf(gateway, "/status").contains("\"table\":" + revision + ","));
+    }
+
     private void usesOperatorTool(final Fleet fleet) throws Exception {
         final Path out = folder.resolve("tool.out");
         final String door = fleet.endpoints("controller");
