--- a/server/src/main/java/silverlatch/server/controller/ApiRouter.java
+++ b/server/src/main/java/silverlatch/server/controller/ApiRouter.java
@@ -22,6 +22,12 @@
     /** The parts of a path like {@code /v1/tenants/NAME}, the empty one before the first slash included. */
     private static final int NAMED_PATH_PARTS = 4;
 
+    /** Present paths of resources by their former ones, which are served alike for one version. */
+    private static final Map<String, String> PRESENT_PATHS = Map.of(
+            "/v1/charter", "/v1/configuration",
+            "/v1/rules", "/v1/routes",
+            "/v1/calendars", "/v1/schedules");
+
     private final String operatorKey;
     private final Map<String, Consumer<HttpExchange>> openRoutes;
     private final Map<String, Consumer<HttpExchange>> operatorRoutes;
@@ -52,17 +58,17 @@
                 "PUT /v1/table", table::put,
                 "PATCH /v1/table", table::patch,
                 "GET /v1/tenants", tenants::list,
-                "GET /v1/calendars", schedules::list,
+                "GET /v1/schedules", schedules::list,
                 "GET /v1/zones", evacuations::list,
-                "GET /v1/rules", configuration::listRoutes,
-                "GET /v1/charter", configuration::get,
-                "PUT /v1/charter", configuration::put);
+                "GET /v1/routes", configuration::listRoutes,
+                "GET /v1/configuration", configuration::get,
+                "PUT /v1/configuration", configuration::put);
         this.namedOperatorRoutes = Map.of(
                 "PUT /v1/tenants", tenants::put,
                 "DELETE /v1/tenants", tenants::remove,
                 "PUT /v1/zones", evacuations::put,
-                "PUT /v1/calendars", schedules::put,
-                "DELETE /v1/calendars", schedules::remove,
+                "PUT /v1/schedules", schedules::put,
+                "DELETE /v1/schedules", schedules::remove,
                 "GET /v1/claims", new ClaimResource(state)::list,
                 "GET /v1/changes", new OutcomeResource(state)::get);
     }
@@ -79,7 +85,7 @@
 
     /** Hands an exchange to its resource, which replies. */
     void route(final HttpExchange exchange) {
-        final String route = exchange.method() + " " + exchange.path();
+        final String route = exchange.method() + " " + presentPath(exchange.path());
         if (openRoutes.containsKey(route)) {
             openRoutes.get(route).accept(exchange);
         } else if (Digests.constantTimeEquals(exchange.bearerToken(), operatorKey)) {
@@ -95,12 +101,17 @@
             return;
         }
         final String[] parts = exchange.path().split("/");
-        final String collection =
-                parts.length == NAMED_PATH_PARTS ? exchange.method() + " /" + parts[1] + "/" + parts[2] : "";
+        final String collection = parts.length == NAMED_PATH_PARTS
+                ? exchange.method() + " " + presentPath("/" + parts[1] + "/" + parts[2])
+                : "";
         if (namedOperatorRoutes.containsKey(collection)) {
             namedOperatorRoutes.get(collection).accept(exchange, parts[NAMED_PATH_PARTS - 1]);
         } else {
             rejectUnknownPath(exchange);
         }
     }
+
+    private static String presentPath(final String path) {
+        return PRESENT_PATHS.getOrDefault(path, path);
+    }
 }
--- a/server/src/main/java/silverlatch/server/controller/ConfigurationResource.java
+++ b/server/src/main/java/silverlatch/server/controller/ConfigurationResource.java
@@ -7,7 +7,7 @@
 import silverlatch.state.ConfigurationValidator;
 import silverlatch.state.Value;
 
-/** The routing configuration ({@code /v1/charter}) and the routes in force ({@code /v1/rules}). */
+/** The routing configuration ({@code /v1/configuration}) and the routes in force ({@code /v1/routes}). */
 final class ConfigurationResource {
     private static final long NO_REVISION_YET = -1;
     private final StateApi state;
--- a/server/src/main/java/silverlatch/server/controller/ScheduleResource.java
+++ b/server/src/main/java/silverlatch/server/controller/ScheduleResource.java
@@ -7,7 +7,7 @@
 import silverlatch.state.Command;
 import silverlatch.state.Value;
 
-/** The schedules of table changes and evacuations ({@code /v1/calendars}). */
+/** The schedules of table changes and evacuations ({@code /v1/schedules}). */
 final class ScheduleResource {
     private static final String KEY_PREFIX = "k/";
     private static final int MAX_CRON_LENGTH = 128;
--- a/server/src/main/java/silverlatch/server/controller/StatusResource.java
+++ b/server/src/main/java/silverlatch/server/controller/StatusResource.java
@@ -17,6 +17,9 @@
 
 /** Whether the controller lives and is ready, and what it knows of the cluster ({@code /live, /ready, /status}). */
 final class StatusResource {
+    /** The former key of the members, which stands beside the present one for one version. */
+    private static final String FORMER_MEMBERS_KEY = "crew";
+
     private final String name;
     private final EventLoopHandle eventLoop;
     private final Supplier<Optional<String>> unreadyReason;
@@ -55,7 +58,9 @@
         node.chainReplica().ifPresent(replica -> putReplica(body, replica.status(EventLoop.nowMicros())));
         body.put("table", node.gossip().stateMachine().policyRevision());
         body.put("stamp", "" + node.processClock().last().bits());
-        body.put("crew", members(node));
+        final List<String> members = members(node);
+        body.put("members", members);
+        body.put(FORMER_MEMBERS_KEY, members);
         body.put("workers", workers(node));
         return body;
     }
--- a/server/src/main/java/silverlatch/server/gateway/OperatorApi.java
+++ b/server/src/main/java/silverlatch/server/gateway/OperatorApi.java
@@ -26,6 +26,10 @@
  */
 final class OperatorApi {
     private static final long MICROS_PER_MILLI = 1_000L;
+
+    /** The former key of the members, which stands beside the present one for one version. */
+    private static final String FORMER_MEMBERS_KEY = "crew";
+
     private final Settings settings;
     private final DispatchLoop dispatchLoop;
     private final EventLoopHandle nodeLoop;
@@ -98,9 +102,10 @@
         body.put("wallJumps", node.physicalClock().jumps());
         body.put("view", node.view().number());
         body.put("chain", node.view().chain().stream().map(Replica::address).toList());
-        body.put(
-                "crew",
-                node.membership().all().stream().map(OperatorApi::describe).toList());
+        final List<String> members =
+                node.membership().all().stream().map(OperatorApi::describe).toList();
+        body.put("members", members);
+        body.put(FORMER_MEMBERS_KEY, members);
         body.put(
                 "workers",
                 gossip.workers().values().stream()
--- a/server/src/main/java/silverlatch/server/tool/CommandParser.java
+++ b/server/src/main/java/silverlatch/server/tool/CommandParser.java
@@ -12,12 +12,28 @@
 final class CommandParser {
     private static final String TABLE = "/v1/table";
     private static final String TENANTS = "/v1/tenants/";
+
+    // The former paths: controllers of the version before know no others.
     private static final String CONFIGURATION = "/v1/charter";
-    private static final String SCHEDULES = "/v1/calendars/";
+    private static final String ROUTES = "/v1/rules";
+    private static final String SCHEDULES = "/v1/calendars";
     private static final String DEFAULT_CLAIM_STATE = "running";
 
     /** Words that name a command only together with the next one. */
-    private static final Set<String> GROUPS = Set.of("table", "tenant", "charter", "calendar");
+    private static final Set<String> GROUPS =
+            Set.of("table", "tenant", "configuration", "schedule", "charter", "calendar");
+
+    /** Present names of commands by their former ones, which are accepted for one version. */
+    private static final Map<String, String> PRESENT_NAMES = Map.of(
+            "charter get", "configuration get",
+            "charter put", "configuration put",
+            "charter rules", "configuration routes",
+            "calendar list", "schedule list",
+            "calendar put", "schedule put",
+            "calendar drop", "schedule delete",
+            "tenant drop", "tenant delete",
+            "drain", "evacuate",
+            "undrain", "restore");
 
     private final String name;
     private final List<String> arguments;
@@ -38,10 +54,11 @@
         }
         final int nameLength = GROUPS.contains(words.get(0)) ? Math.min(2, words.size()) : 1;
         final String name = String.join(" ", words.subList(0, nameLength));
-        return new CommandParser(name, words.subList(nameLength, words.size())).parse();
+        final String presentName = PRESENT_NAMES.getOrDefault(name, name);
+        return new CommandParser(presentName, words.subList(nameLength, words.size())).parse();
     }
 
-    /** By the command's name and how many arguments it has. */
+    /** By the command's present name and how many arguments it has. */
     private Optional<ToolCommand> parse() throws IOException {
         return switch (name + "/" + arguments.size()) {
             case "table get/0" -> request(ApiRequest.get(TABLE));
@@ -49,17 +66,17 @@
             case "table diff/1" -> Optional.of(new TableDiffCommand(file(0)));
             case "table set/4" -> request(ApiRequest.patch(TABLE, cell()));
             case "tenant list/0" -> request(ApiRequest.get("/v1/tenants"));
-            case "tenant drop/1" -> request(ApiRequest.delete(TENANTS + arguments.get(0)));
-            case "charter get/0" -> Optional.of(new RequestCommand(ApiRequest.get(CONFIGURATION), true));
-            case "charter rules/0" -> request(ApiRequest.get("/v1/rules"));
-            case "charter put/1" -> request(ApiRequest.put(CONFIGURATION, file(0)));
-            case "charter put/2" -> putConfigurationAfter(arguments.get(1));
-            case "drain/1" -> evacuate(true);
-            case "undrain/1" -> evacuate(false);
+            case "tenant delete/1" -> request(ApiRequest.delete(TENANTS + arguments.get(0)));
+            case "configuration get/0" -> Optional.of(new RequestCommand(ApiRequest.get(CONFIGURATION), true));
+            case "configuration routes/0" -> request(ApiRequest.get(ROUTES));
+            case "configuration put/1" -> request(ApiRequest.put(CONFIGURATION, file(0)));
+            case "configuration put/2" -> putConfigurationAfter(arguments.get(1));
+            case "evacuate/1" -> evacuate(true);
+            case "restore/1" -> evacuate(false);
             case "zones/0" -> request(ApiRequest.get("/v1/zones"));
-            case "calendar list/0" -> request(ApiRequest.get("/v1/calendars"));
-            case "calendar put/2" -> request(ApiRequest.put(SCHEDULES + arguments.get(0), file(1)));
-            case "calendar drop/1" -> request(ApiRequest.delete(SCHEDULES + arguments.get(0)));
+            case "schedule list/0" -> request(ApiRequest.get(SCHEDULES));
+            case "schedule put/2" -> request(ApiRequest.put(schedulePath(), file(1)));
+            case "schedule delete/1" -> request(ApiRequest.delete(schedulePath()));
             case "change/1" -> request(ApiRequest.get("/v1/changes/" + arguments.get(0)));
             case "claims/0" -> Optional.of(new ClaimsCommand(DEFAULT_CLAIM_STATE));
             case "claims/1" -> Optional.of(new ClaimsCommand(arguments.get(0)));
@@ -69,6 +86,10 @@
         };
     }
 
+    private String schedulePath() {
+        return SCHEDULES + "/" + arguments.get(0);
+    }
+
     private Optional<ToolCommand> putTenant() {
         if (arguments.size() < 3 || !arguments.get(2).matches("\\d+(\\.\\d+)?")) {
             return Optional.empty();
--- a/server/src/main/java/silverlatch/server/tool/Main.java
+++ b/server/src/main/java/silverlatch/server/tool/Main.java
@@ -21,20 +21,21 @@
               table set TENANT KIND FIELD VALUE      change one cell (TENANT * is the row for all)
               tenant list                            show the tenants
               tenant put NAME KEY SHARE [HOME ...]   make or change a tenant
-              tenant drop NAME                       remove a tenant
-              charter get                            show the routing configuration in force, as it was put
-              charter put FILE [MATCH]               put a routing configuration, where MATCH is the number it builds on
-              charter rules                          show the routes in force
-              drain ZONE                             evacuate a zone
-              undrain ZONE                           end its evacuation
+              tenant delete NAME                     remove a tenant
+              configuration get                      show the routing configuration in force, as it was put
+              configuration put FILE [MATCH]         put a routing configuration, where MATCH is the number it builds on
+              configuration routes                   show the routes in force
+              evacuate ZONE                          evacuate a zone
+              restore ZONE                           end its evacuation
               zones                                  show the evacuations
-              calendar list                          show the schedules
-              calendar put NAME FILE                 make or change one (JSON with cron, and cells or zone and empty)
-              calendar drop NAME                     remove one
+              schedule list                          show the schedules
+              schedule put NAME FILE                 make or change one (JSON with cron, and cells or zone and empty)
+              schedule delete NAME                   remove one
               change ID                              show the outcome of a change by its id
               claims [STATE]                         list claimed idempotency keys by state (running if none is given)
               status                                 show what the process at --door knows
               explain TICKET                         show why a request was placed where it was (ask the gateway that has it)
+            former names, accepted in this version: charter get|put|rules, calendar list|put|drop, tenant drop, drain, undrain
             exit codes: 0 done, 1 rejected, 2 wrong use, 3 not reached, 4 not known whether it takes effect""";
 
     @Option(
--- a/server/src/test/java/silverlatch/server/controller/ControllerTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ControllerTest.java
@@ -7,6 +7,7 @@
 import static org.hamcrest.Matchers.instanceOf;
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.lessThan;
+import static org.hamcrest.Matchers.not;
 import static org.hamcrest.Matchers.startsWith;
 
 import java.io.IOException;
@@ -24,6 +25,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -233,6 +236,72 @@
         controller.stop();
     }
 
+    private String alikeBody(final String formerPath, final String presentPath) throws Exception {
+        final String body = body("GET", presentPath, "");
+        assertThat(presentPath, body("GET", formerPath, ""), is(body));
+        return body;
+    }
+
+    @Test
+    void theConfigurationAndItsRoutesAreServedAlikeUnderFormerAndPresentPaths() throws Exception {
+        final Controller controller = startController(List.of());
+        awaitReady();
+        assertThat(alikeBody("/v1/charter", "/v1/configuration"), startsWith("404 "));
+        final String third = String.format(CONFIGURATION, 3);
+        final String fourth = String.format(CONFIGURATION, 4);
+        assertThat(
+                request("PUT", "/v1/configuration", third, "operator-key", "0").statusCode(), is(200));
+        assertThat("the same again", put(third, "0").statusCode(), is(200));
+        assertThat(alikeBody("/v1/charter", "/v1/configuration"), is("200 " + third));
+        assertThat(put(fourth, "3").statusCode(), is(200));
+        assertThat(
+                request("PUT", "/v1/configuration", third, "operator-key", "2").statusCode(), is(409));
+        assertThat(alikeBody("/v1/charter", "/v1/configuration"), is("200 " + fourth));
+        for (final String path : List.of("/v1/charter", "/v1/configuration")) {
+            final HttpResponse<String> got = request("GET", path, "", "operator-key", "*");
+            assertThat(path, got.headers().firstValue("ETag").orElse(""), is("\"4\""));
+            assertThat(path, request("GET", path, "", "worker-key", "*").statusCode(), is(401));
+        }
+        assertThat(alikeBody("/v1/rules", "/v1/routes"), containsString("\"host\":\"h.example\""));
+        assertThat(alikeBody("/v1/rules/r", "/v1/routes/r"), startsWith("404 "));
+        assertThat(body("PUT", "/v1/routes", third), startsWith("404 "));
+        controller.stop();
+    }
+
+    @Test
+    void schedulesAreServedAlikeUnderFormerAndPresentPaths() throws Exception {
+        final Controller controller = startController(List.of());
+        awaitReady();
+        final List<String> paths = List.of("/v1/calendars", "/v1/schedules");
+        final String none = alikeBody("/v1/calendars", "/v1/schedules");
+        final String schedule = "{\"cron\":\"30 2 * * *\",\"zone\":\"syros\",\"empty\":true}";
+        for (int i = 0; i < 2; i++) {
+            final String put = paths.get(i) + "/night";
+            final String delete = paths.get(1 - i) + "/night";
+            assertThat(put, body("PUT", put, schedule), startsWith("200 "));
+            assertThat(alikeBody("/v1/calendars", "/v1/schedules"), containsString("\"name\":\"night\""));
+            assertThat(delete, body("DELETE", delete, ""), startsWith("200 "));
+            assertThat(alikeBody("/v1/calendars", "/v1/schedules"), not(containsString("\"name\":\"night\"")));
+            assertThat(put, body("PUT", put, schedule.replace("30", "99")), startsWith("422 "));
+            assertThat(put, request("PUT", put, schedule, "worker-key", "*").statusCode(), is(401));
+        }
+        assertThat(none, startsWith("200 "));
+        assertThat(alikeBody("/v1/calendars/night", "/v1/schedules/night"), startsWith("404 "));
+        controller.stop();
+    }
+
+    @Test
+    void theStatusShowsTheMembersBesideTheirFormerKey() throws Exception {
+        final Controller controller = startController(List.of());
+        awaitReady();
+        final String status = body("GET", "/status", "");
+        final Matcher members = Pattern.compile("\"members\":(\\[[^]]+])").matcher(status);
+        assertThat(status, members.find(), is(true));
+        assertThat(status, containsString("\"crew\":" + members.group(1)));
+        assertThat(members.group(1), startsWith("[\"one "));
+        controller.stop();
+    }
+
     @Test
     void everyResourceOfTheApiRepliesUnderItsPath() throws Exception {
         final Controller controller = startController(List.of());
--- a/server/src/test/java/silverlatch/server/gateway/GatewayMetricsTest.java
+++ b/server/src/test/java/silverlatch/server/gateway/OperatorApiTest.java
@@ -1,8 +1,10 @@
 package silverlatch.server.gateway;
 
 import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.containsString;
 import static org.hamcrest.Matchers.hasItems;
 import static org.hamcrest.Matchers.is;
+import static org.hamcrest.Matchers.startsWith;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -15,11 +17,13 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 import silverlatch.server.settings.Settings;
 
 /** A gateway in this process that knows no controller. */
-final class GatewayMetricsTest {
+final class OperatorApiTest {
     private static String freeAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return "127.0.0.1:" + socket.getLocalPort();
@@ -51,14 +55,19 @@
         return ((Settings.ReadResult.Valid) Settings.read(Optional.empty(), keys, false)).settings();
     }
 
+    private static String body(final HttpRequest.Builder request) throws Exception {
+        return HttpClient.newHttpClient()
+                .send(request.build(), HttpResponse.BodyHandlers.ofString())
+                .body();
+    }
+
+    private static HttpRequest.Builder get(final String httpAddress, final String path) {
+        return HttpRequest.newBuilder(URI.create("http://" + httpAddress + path));
+    }
+
     private static Map<String, Long> metrics(final String httpAddress) throws Exception {
-        final HttpResponse<String> response = HttpClient.newHttpClient()
-                .send(
-                        HttpRequest.newBuilder(URI.create("http://" + httpAddress + "/metrics"))
-                                .build(),
-                        HttpResponse.BodyHandlers.ofString());
         final Map<String, Long> values = new TreeMap<>();
-        for (final String line : response.body().split("\n")) {
+        for (final String line : body(get(httpAddress, "/metrics")).split("\n")) {
             values.put(line.substring(0, line.indexOf(' ')), Long.parseLong(line.substring(line.indexOf(' ') + 1)));
         }
         return values;
@@ -88,4 +97,17 @@
         assertThat(values.keySet(), hasItems("silverlatch_wire_bad", "silverlatch_wire_dropped"));
         gateway.stop();
     }
+
+    @Test
+    void theStatusShowsTheMembersBesideTheirFormerKey() throws Exception {
+        final String httpAddress = freeAddress();
+        final Gateway gateway = Main.build(settings(httpAddress));
+        gateway.start();
+        final String status = body(get(httpAddress, "/status").header("Authorization", "Bearer operator-key"));
+        final Matcher members = Pattern.compile("\"members\":(\\[[^]]+])").matcher(status);
+        assertThat(status, members.find(), is(true));
+        assertThat(status, containsString("\"crew\":" + members.group(1)));
+        assertThat(members.group(1), startsWith("[\"gateway-1 "));
+        gateway.stop();
+    }
 }
--- a/server/src/test/java/silverlatch/server/tool/CommandParserTest.java
+++ b/server/src/test/java/silverlatch/server/tool/CommandParserTest.java
@@ -80,6 +80,32 @@
         assertThat(((RequestCommand) table).verbatim(), is(false));
     }
 
+    @Test
+    void aFormerNameAndThePresentOneGiveTheSameRequest() throws IOException {
+        for (final List<String> names : List.of(
+                List.of("charter get", "configuration get"),
+                List.of("charter rules", "configuration routes"),
+                List.of("charter put FILE", "configuration put FILE"),
+                List.of("charter put FILE 7", "configuration put FILE 7"),
+                List.of("calendar list", "schedule list"),
+                List.of("calendar put night FILE", "schedule put night FILE"),
+                List.of("calendar drop night", "schedule delete night"),
+                List.of("tenant drop ferry", "tenant delete ferry"),
+                List.of("drain syros", "evacuate syros"),
+                List.of("undrain syros", "restore syros"))) {
+            final String[] former = names.get(0).replace("FILE", file()).split(" ");
+            final String[] present = names.get(1).replace("FILE", file()).split(" ");
+            assertThat(names.get(1), line(present), is(line(former)));
+            assertThat(
+                    names.get(1),
+                    ((RequestCommand) CommandParser.parse(List.of(present)).orElseThrow()).verbatim(),
+                    is(((RequestCommand) CommandParser.parse(List.of(former)).orElseThrow()).verbatim()));
+        }
+        assertThat(line("configuration", "get"), is("GET /v1/charter"));
+        assertThat(line("schedule", "delete", "night"), is("DELETE /v1/calendars/night"));
+        assertThat(line("evacuate", "syros"), is("PUT /v1/zones/syros {\"empty\":true}"));
+    }
+
     @Test
     void runningClaimsAreListedWhereNoStateIsNamed() throws IOException {
         assertThat(CommandParser.parse(List.of("claims")), is(Optional.of(new ClaimsCommand("running"))));
@@ -103,6 +129,14 @@
                 "charter put file 1 2",
                 "drain",
                 "drain a b",
+                "configuration",
+                "configuration rules",
+                "configuration put file x",
+                "charter routes",
+                "schedule drop night",
+                "calendar delete night",
+                "evacuate",
+                "restore a b",
                 "zones a",
                 "status now",
                 "claims running now",
