--- a/core/src/main/java/silverlatch/state/Value.java
+++ b/core/src/main/java/silverlatch/state/Value.java
@@ -91,7 +91,7 @@
      *
      * @param requestId the request
      * @param gatewayId the gateway that holds the request
-     * @param state     {@link #RUNNING}, {@link #REJECTED_NEVER_RUNS}, or how the request ended
+     * @param state     {@link #RUNNING}, {@link #REJECTED}, or how the request ended
      * @param claimedAt the bits of the stamp that the request came with
      * @param epoch     the epoch in which the claim was written
      */
--- a/simulation/src/main/java/silverlatch/simulation/explore/Arguments.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Arguments.java
@@ -66,7 +66,7 @@
             int threads,
             Mutant mutant) {}
 
-    /** Checks all values; {@link #attemptFailed()} tells what is wrong with them, each with its name. */
+    /** Checks all values; {@link #errors()} tells what is wrong with them, each with its name. */
     Checked check() {
         final Checked checked = new Checked(
                 parseNumber("--seeds", seeds, 0, Long.MAX_VALUE / 2),
