--- a/core/src/main/java/silverlatch/clock/ProcessClock.java
+++ b/core/src/main/java/silverlatch/clock/ProcessClock.java
@@ -118,9 +118,9 @@
 
     private ClockReading advance(final ClockReading reading) {
         switch (reading) {
-            case ClockReading.Stamped made -> clock = made.clock();
+            case ClockReading.Stamped stamped -> clock = stamped.clock();
             case ClockReading.Wait wait -> waits++;
-            case ClockReading.TooFarAhead far -> tooFarAhead++;
+            case ClockReading.TooFarAhead rejected -> tooFarAhead++;
         }
         return reading;
     }
--- a/core/src/main/java/silverlatch/replication/ChainClient.java
+++ b/core/src/main/java/silverlatch/replication/ChainClient.java
@@ -64,7 +64,8 @@
         lastRequestId++;
         final boolean onLatest = command instanceof Command.SetEvacuation order
                 && order.expectedRevision() == Command.SetEvacuation.LATEST;
-        final Command firstAttempt = onLatest ? ((Command.SetEvacuation) command).expecting(NO_REVISION) : command;
+        final Command firstAttempt =
+                onLatest ? ((Command.SetEvacuation) command).withExpectedRevision(NO_REVISION) : command;
         sendOrEnd(
                 lastRequestId,
                 new PendingCall(
@@ -121,8 +122,8 @@
                 && call.request() instanceof ChainClientMessage.WriteRequest w
                 && w.command() instanceof Command.SetEvacuation order) {
             lastRequestId++;
-            final Message retry =
-                    new ChainClientMessage.WriteRequest(lastRequestId, address, order.expecting(r.sequence()));
+            final Message retry = new ChainClientMessage.WriteRequest(
+                    lastRequestId, address, order.withExpectedRevision(r.sequence()));
             sendOrEnd(lastRequestId, new PendingCall(retry, true, call.token(), now, call.deadline(), true, 0), now);
         } else {
             effects.add(new Effect.Respond(call.token(), result));
--- a/core/src/main/java/silverlatch/state/AcceptedConfigurations.java
+++ b/core/src/main/java/silverlatch/state/AcceptedConfigurations.java
@@ -23,9 +23,9 @@
      * How many are remembered, the oldest being forgotten. A day holds hundreds of changes and a command is sent again
      * within the day, so 4,096 are several days'; at about 100 bytes each they take 0.4 MB of a disk of 64.
      */
-    static final int MAX_REMEMBERED = 4_096;
+    static final int MAX_RETAINED = 4_096;
 
-    private static final String REFUSAL_PREFIX = EntryKeys.OUTCOMES + "refused/";
+    private static final String REJECTION_PREFIX = EntryKeys.OUTCOMES + "refused/";
 
     private AcceptedConfigurations() {}
 
@@ -35,8 +35,8 @@
     }
 
     /** The key under which the refusal of a command is kept, whatever id it comes with. */
-    static String refusalKey(final Command.PutConfiguration command) {
-        return REFUSAL_PREFIX + command.expectedRevision() + "-"
+    static String rejectionKey(final Command.PutConfiguration command) {
+        return REJECTION_PREFIX + command.expectedRevision() + "-"
                 + command.configuration().number() + "-" + digest(command.document());
     }
 
@@ -44,7 +44,7 @@
      * Whether a command is the one that was accepted: the same document, on top of the same number. The same document on
      * top of another number is another command. One that asks for no comparison is known by its document.
      */
-    static boolean isSame(final Value.AcceptedConfiguration accepted, final Command.PutConfiguration command) {
+    static boolean isSameCommand(final Value.AcceptedConfiguration accepted, final Command.PutConfiguration command) {
         return (command.expectedRevision() < 0 || command.expectedRevision() == accepted.expectedRevision())
                 && accepted.digest().equals(digest(command.document()));
     }
@@ -52,25 +52,25 @@
     /**
      * The highest number that may have been accepted and forgotten since; 0 where none was.
      *
-     * @param remembered    the entries under {@link #KEY_PREFIX}
+     * @param retained    the entries under {@link #KEY_PREFIX}
      * @param currentNumber the number in force
      */
-    static long highestForgotten(final SortedMap<String, Entry> remembered, final long currentNumber) {
-        return remembered.isEmpty()
+    static long highestEvictedNumber(final SortedMap<String, Entry> retained, final long currentNumber) {
+        return retained.isEmpty()
                 ? Math.max(0, currentNumber - 1)
-                : value(remembered.get(remembered.firstKey())).previousNumber();
+                : value(retained.get(retained.firstKey())).previousNumber();
     }
 
     /** What accepting a command writes: its own entry, and the deletion of those beyond the bound. */
     static List<Entry> writes(
             final Command.PutConfiguration command,
-            final Map<String, Entry> remembered,
+            final Map<String, Entry> retained,
             final long currentNumber,
             final long sequence) {
-        final SortedMap<String, Entry> byNumber = new TreeMap<>(remembered);
+        final SortedMap<String, Entry> byNumber = new TreeMap<>(retained);
         final List<Entry> writes = new ArrayList<>();
         byNumber.keySet().stream()
-                .limit(Math.max(0, byNumber.size() + 1 - MAX_REMEMBERED))
+                .limit(Math.max(0, byNumber.size() + 1 - MAX_RETAINED))
                 .forEach(key -> writes.add(new Entry(key, sequence, List.of())));
         final Value.AcceptedConfiguration accepted = new Value.AcceptedConfiguration(
                 command.configuration().number(),
--- a/core/src/main/java/silverlatch/state/ClaimManager.java
+++ b/core/src/main/java/silverlatch/state/ClaimManager.java
@@ -23,10 +23,10 @@
         final Optional<Value.Claim> existing =
                 safeguards.isEnabled(Safeguard.CLAIM) ? find(command.key(), context) : Optional.empty();
         if (existing.isPresent()) {
-            if (isRunning(existing.get()) && isOf(existing.get(), command.requestId())) {
+            if (isRunning(existing.get()) && isHeldBy(existing.get(), command.requestId())) {
                 return alreadyApplied(command.key(), context);
             }
-            if (!isFreeFor(existing.get(), command)) {
+            if (!isAvailableTo(existing.get(), command)) {
                 return new Evaluation.Reply(new CommandResult.AlreadyClaimed(existing.get()));
             }
         } else if (context.claimCount() >= StateMachine.MAX_CLAIMS) {
@@ -44,9 +44,9 @@
     }
 
     /** A claim that ended as rejected never ran: a request that claims later may have its key, and none other. */
-    private static boolean isFreeFor(final Value.Claim existing, final Command.Claim command) {
+    private static boolean isAvailableTo(final Value.Claim existing, final Command.Claim command) {
         return existing.state().equals(Value.Claim.REJECTED)
-                && !isOf(existing, command.requestId())
+                && !isHeldBy(existing, command.requestId())
                 && command.claimedAt() > existing.claimedAt();
     }
 
@@ -67,7 +67,7 @@
                             context.epoch()),
                     context);
         }
-        if (existing.isEmpty() || !isOf(existing.get(), command.requestId())) {
+        if (existing.isEmpty() || !isHeldBy(existing.get(), command.requestId())) {
             return RejectionCause.CONFLICT.reply("the claim is not this request's", context.committedSequence());
         }
         return isRunning(existing.get())
@@ -76,7 +76,7 @@
     }
 
     /** The deletions of claims that are older than is kept in an epoch; at most a number of them, the rest go later. */
-    static List<Entry> expired(final long epoch, final EvaluationContext context) {
+    static List<Entry> expiredClaimDeletions(final long epoch, final EvaluationContext context) {
         return context.committedWithPrefix(EntryKeys.CLAIMS).stream()
                 .map(committed -> context.find(committed.key()))
                 .flatMap(Optional::stream)
@@ -99,7 +99,7 @@
         return claim.state().equals(Value.Claim.RUNNING);
     }
 
-    private static boolean isOf(final Value.Claim claim, final String requestId) {
+    private static boolean isHeldBy(final Value.Claim claim, final String requestId) {
         return claim.requestId().equals(requestId);
     }
 
--- a/core/src/main/java/silverlatch/state/Command.java
+++ b/core/src/main/java/silverlatch/state/Command.java
@@ -46,7 +46,7 @@
         public static final long LATEST = -2;
 
         /** The same command with another expected revision. */
-        public SetEvacuation expecting(final long revision) {
+        public SetEvacuation withExpectedRevision(final long revision) {
             return new SetEvacuation(id, zone, active, revision);
         }
     }
@@ -142,7 +142,7 @@
         }
 
         /** The command to be sent: the one that older versions know where that says it all. */
-        public Command simplest() {
+        public Command toCompatibleCommand() {
             return equals(of(base)) ? base : this;
         }
     }
--- a/core/src/main/java/silverlatch/state/CommandOutcomes.java
+++ b/core/src/main/java/silverlatch/state/CommandOutcomes.java
@@ -33,12 +33,13 @@
     }
 
     /** The writes of an accepted command with its outcome. */
-    static Evaluation accept(final EvaluationContext context, final List<Entry> writes, final String id) {
+    static Evaluation writeAcceptance(final EvaluationContext context, final List<Entry> writes, final String id) {
         return write(context, writes, id, new Value.CommandOutcome(context.writeSequence(), ACCEPTED, List.of()));
     }
 
     /** The outcome of a rejected command, written so that a duplicate that comes later finds it. */
-    static Evaluation reject(final EvaluationContext context, final String id, final CommandResult.Rejected rejected) {
+    static Evaluation writeRejection(
+            final EvaluationContext context, final String id, final CommandResult.Rejected rejected) {
         return write(
                 context,
                 List.of(),
--- a/core/src/main/java/silverlatch/state/CompareAndSet.java
+++ b/core/src/main/java/silverlatch/state/CompareAndSet.java
@@ -53,7 +53,7 @@
         }
         final List<String> faults = validation.get();
         return faults.isEmpty()
-                ? CommandOutcomes.accept(context, List.of(write), id)
+                ? CommandOutcomes.writeAcceptance(context, List.of(write), id)
                 : RejectionCause.INVALID.reply(faults, currentRevision);
     }
 }
--- a/core/src/main/java/silverlatch/state/ConfigurationValidator.java
+++ b/core/src/main/java/silverlatch/state/ConfigurationValidator.java
@@ -123,7 +123,7 @@
             final String path, final Value.BackendPool pool, final Set<String> names, final ValidationFaults faults) {
         faults.checkLength(path + ".name", pool.name(), MAX_NAME_LENGTH);
         if (!names.add(pool.name())) {
-            faults.add(path + ".name", "a second pool " + ValidationFaults.quoted(pool.name()));
+            faults.add(path + ".name", "a second pool " + ValidationFaults.abbreviated(pool.name()));
         }
         faults.checkAtLeast(path + ".lines", pool.maxConnections(), 0);
         faults.checkAtLeast(path + ".cold", pool.warmupMicros(), 0);
@@ -140,8 +140,8 @@
             if (!routeKeys.contains(comparableKey(route.host(), route.pathPrefix()))) {
                 faults.add(
                         "$.rules",
-                        "there is no rule for " + ValidationFaults.quoted(route.host()) + " and "
-                                + ValidationFaults.quoted(route.pathPrefix()) + " that could be open");
+                        "there is no rule for " + ValidationFaults.abbreviated(route.host()) + " and "
+                                + ValidationFaults.abbreviated(route.pathPrefix()) + " that could be open");
             }
         }
     }
@@ -153,9 +153,9 @@
             final String path = "$.scalings[" + i + "]";
             final Value.PoolScaling scaling = scalings.get(i);
             if (!poolNames.contains(scaling.pool())) {
-                faults.add(path + ".pool", "there is no pool " + ValidationFaults.quoted(scaling.pool()));
+                faults.add(path + ".pool", "there is no pool " + ValidationFaults.abbreviated(scaling.pool()));
             } else if (!scaledPools.add(scaling.pool())) {
-                faults.add(path + ".pool", "a second time for " + ValidationFaults.quoted(scaling.pool()));
+                faults.add(path + ".pool", "a second time for " + ValidationFaults.abbreviated(scaling.pool()));
             }
             faults.checkAtLeast(path + ".min", scaling.minWorkers(), 0);
             faults.checkAtLeast(path + ".max", scaling.maxWorkers(), Math.max(0, scaling.minWorkers()));
@@ -174,8 +174,8 @@
         if (!routeKeys.add(comparableKey(route.host(), route.pathPrefix()))) {
             faults.add(
                     path,
-                    "a second rule for " + ValidationFaults.quoted(route.host()) + " and "
-                            + ValidationFaults.quoted(route.pathPrefix()));
+                    "a second rule for " + ValidationFaults.abbreviated(route.host()) + " and "
+                            + ValidationFaults.abbreviated(route.pathPrefix()));
         }
         faults.checkAtLeast(path + ".hold", route.timeoutMicros(), 1);
         faults.checkAtLeast(path + ".aim", route.latencyTargetMicros(), 0);
@@ -197,7 +197,7 @@
         if (!route.pathPrefix().startsWith("/") || !route.pathPrefix().endsWith("/")) {
             faults.add(
                     path + ".path",
-                    "it must begin and end with '/', not '" + ValidationFaults.quoted(route.pathPrefix()) + "'");
+                    "it must begin and end with '/', not '" + ValidationFaults.abbreviated(route.pathPrefix()) + "'");
         }
     }
 
@@ -213,7 +213,8 @@
         for (int i = 0; i < backends.size() && !faults.isFull(); i++) {
             final Value.WeightedBackend backend = backends.get(i);
             if (!poolNames.contains(backend.pool())) {
-                faults.add(path + "[" + i + "].pool", "there is no pool " + ValidationFaults.quoted(backend.pool()));
+                faults.add(
+                        path + "[" + i + "].pool", "there is no pool " + ValidationFaults.abbreviated(backend.pool()));
             }
             faults.checkAtLeast(path + "[" + i + "].weight", backend.weight(), 0);
         }
--- a/core/src/main/java/silverlatch/state/ConfigurationWrites.java
+++ b/core/src/main/java/silverlatch/state/ConfigurationWrites.java
@@ -40,7 +40,7 @@
     }
 
     /** Whether a configuration has other parts than the entries in force. */
-    static boolean differs(final Command.PutFullConfiguration command, final EvaluationContext context) {
+    static boolean changesParts(final Command.PutFullConfiguration command, final EvaluationContext context) {
         return !partWrites(command, context).isEmpty();
     }
 
@@ -55,7 +55,7 @@
                 .forEach(key -> writes.add(context.delete(key)));
         updated.keySet().stream()
                 .sorted()
-                .filter(key -> !isHeld(current.get(key), updated.get(key)))
+                .filter(key -> !isUnchanged(current.get(key), updated.get(key)))
                 .forEach(key -> writes.add(context.write(key, updated.get(key))));
         return writes;
     }
@@ -115,7 +115,7 @@
                 tenant.homeRegions());
     }
 
-    private static boolean isHeld(final Entry current, final Value value) {
+    private static boolean isUnchanged(final Entry current, final Value value) {
         return Stream.ofNullable(current).anyMatch(entry -> entry.value().equals(List.of(value)));
     }
 }
--- a/core/src/main/java/silverlatch/state/EpochManager.java
+++ b/core/src/main/java/silverlatch/state/EpochManager.java
@@ -18,7 +18,7 @@
         }
         final List<Entry> writes = new ArrayList<>();
         writes.add(context.write(EntryKeys.EPOCH, new Value.Epoch(command.epoch())));
-        writes.addAll(ClaimManager.expired(command.epoch(), context));
+        writes.addAll(ClaimManager.expiredClaimDeletions(command.epoch(), context));
         return new Evaluation.Write(writes);
     }
 }
--- a/core/src/main/java/silverlatch/state/Policy.java
+++ b/core/src/main/java/silverlatch/state/Policy.java
@@ -63,12 +63,12 @@
 
     /** The value of a key. */
     public Optional<Value> value(final String key) {
-        return values.get(key).or(() -> tenants.ofEntry(key));
+        return values.get(key).or(() -> tenants.findByEntryKey(key));
     }
 
     /** The tenant of the routing configuration that has a key, by the key's SHA-256 in hexadecimal. */
     public Optional<Value.TenantAccess> tenantOfKey(final String keyDigest) {
-        return tenants.ofKey(keyDigest);
+        return tenants.findByKeyDigest(keyDigest);
     }
 
     /** The evacuations, active or ended, one a zone. */
--- a/core/src/main/java/silverlatch/state/RoutingConfigurationManager.java
+++ b/core/src/main/java/silverlatch/state/RoutingConfigurationManager.java
@@ -25,17 +25,17 @@
     Evaluation put(final Command.PutFullConfiguration full, final EvaluationContext context) {
         final Command.PutConfiguration command = full.base();
         final long currentNumber = currentNumber(context);
-        final Optional<CommandResult> earlier = earlierResult(command, context, currentNumber);
+        final Optional<CommandResult> earlier = findEarlierResult(command, context, currentNumber);
         if (earlier.isPresent()) {
             final List<Entry> missing = earlier.get() instanceof CommandResult.Applied
                     ? missingParts(full, context, currentNumber)
                     : List.of();
             return missing.isEmpty()
                     ? new Evaluation.Reply(earlier.get())
-                    : CommandOutcomes.accept(context, missing, command.id());
+                    : CommandOutcomes.writeAcceptance(context, missing, command.id());
         }
-        final Map<String, Entry> remembered = context.withPrefix(AcceptedConfigurations.KEY_PREFIX);
-        if (mayBeForgotten(full, remembered, currentNumber)) {
+        final Map<String, Entry> retained = context.withPrefix(AcceptedConfigurations.KEY_PREFIX);
+        if (mayHaveBeenEvicted(full, retained, currentNumber)) {
             return new Evaluation.Reply(new CommandResult.Unknown(command.id()));
         }
         if (compareAndSet.isConflict(command.expectedRevision(), currentNumber)) {
@@ -50,8 +50,8 @@
         if (!sizeFaults.isEmpty()) {
             return RejectionCause.INVALID.reply(sizeFaults, currentNumber);
         }
-        writes.addAll(AcceptedConfigurations.writes(command, remembered, currentNumber, context.writeSequence()));
-        return CommandOutcomes.accept(context, writes, command.id());
+        writes.addAll(AcceptedConfigurations.writes(command, retained, currentNumber, context.writeSequence()));
+        return CommandOutcomes.writeAcceptance(context, writes, command.id());
     }
 
     /** The number in force, 0 where there is none. */
@@ -62,11 +62,11 @@
     }
 
     /** The result of an earlier copy of the command, if one is remembered. */
-    private Optional<CommandResult> earlierResult(
+    private Optional<CommandResult> findEarlierResult(
             final Command.PutConfiguration command, final EvaluationContext context, final long currentNumber) {
-        return firstAcceptance(command, context, currentNumber)
+        return findFirstAcceptance(command, context, currentNumber)
                 .map(entry -> (CommandResult) new CommandResult.Applied(entry.sequence()))
-                .or(() -> refusal(command, context));
+                .or(() -> findRejection(command, context));
     }
 
     /**
@@ -80,7 +80,7 @@
                 command.configuration().number() == currentNumber && isDocumentInForce(command.document(), context);
         if (!isInForce
                 || full.equals(Command.PutFullConfiguration.of(command))
-                || !ConfigurationWrites.differs(full, context)
+                || !ConfigurationWrites.changesParts(full, context)
                 || !ConfigurationValidator.faults(full, 0).isEmpty()) {
             return List.of();
         }
@@ -95,15 +95,15 @@
      * The entry of a command's first acceptance, if it was accepted. The configuration in force is known by its own text
      * where a folder of an older version does not remember it.
      */
-    private Optional<Entry> firstAcceptance(
+    private Optional<Entry> findFirstAcceptance(
             final Command.PutConfiguration command, final EvaluationContext context, final long currentNumber) {
         final long number = command.configuration().number();
-        final Optional<Entry> remembered = safeguards.isEnabled(Safeguard.ACCEPTED_REMEMBERED)
+        final Optional<Entry> retained = safeguards.isEnabled(Safeguard.ACCEPTED_REMEMBERED)
                 ? context.find(AcceptedConfigurations.key(number))
                 : Optional.empty();
-        if (remembered.isPresent()) {
-            return remembered.filter(
-                    entry -> AcceptedConfigurations.isSame(AcceptedConfigurations.value(entry), command));
+        if (retained.isPresent()) {
+            return retained.filter(
+                    entry -> AcceptedConfigurations.isSameCommand(AcceptedConfigurations.value(entry), command));
         }
         final boolean mayBeInForce = number == currentNumber && command.expectedRevision() < currentNumber;
         return mayBeInForce && isDocumentInForce(command.document(), context)
@@ -118,19 +118,19 @@
     }
 
     /** The refusal that was written for a copy of the command. */
-    private static Optional<CommandResult> refusal(
+    private static Optional<CommandResult> findRejection(
             final Command.PutConfiguration command, final EvaluationContext context) {
-        return context.value(AcceptedConfigurations.refusalKey(command), Value.CommandOutcome.class)
+        return context.value(AcceptedConfigurations.rejectionKey(command), Value.CommandOutcome.class)
                 .map(outcome -> new CommandResult.Rejected(outcome.code(), outcome.faults(), outcome.sequence()));
     }
 
     /** Whether a command that isn't remembered may have been accepted, so that a refusal could be wrong. */
-    private boolean mayBeForgotten(
-            final Command.PutFullConfiguration full, final Map<String, Entry> remembered, final long currentNumber) {
+    private boolean mayHaveBeenEvicted(
+            final Command.PutFullConfiguration full, final Map<String, Entry> retained, final long currentNumber) {
         final long number = full.base().configuration().number();
         return safeguards.isEnabled(Safeguard.ACCEPTED_REMEMBERED)
                 && full.base().expectedRevision() < number
-                && number <= AcceptedConfigurations.highestForgotten(new TreeMap<>(remembered), currentNumber)
+                && number <= AcceptedConfigurations.highestEvictedNumber(new TreeMap<>(retained), currentNumber)
                 && ConfigurationValidator.faults(full, 0).isEmpty();
     }
 
@@ -145,9 +145,9 @@
         if (command.expectedRevision() < currentNumber) {
             return RejectionCause.CONFLICT.reply(fault, currentNumber);
         }
-        final Value.CommandOutcome refusal =
+        final Value.CommandOutcome rejection =
                 new Value.CommandOutcome(currentNumber, RejectionCause.CONFLICT.code(), List.of(fault));
-        final Entry write = context.write(AcceptedConfigurations.refusalKey(command), refusal);
-        return CommandOutcomes.write(context, List.of(write), command.id(), refusal);
+        final Entry write = context.write(AcceptedConfigurations.rejectionKey(command), rejection);
+        return CommandOutcomes.write(context, List.of(write), command.id(), rejection);
     }
 }
--- a/core/src/main/java/silverlatch/state/RowBuilder.java
+++ b/core/src/main/java/silverlatch/state/RowBuilder.java
@@ -54,7 +54,7 @@
             case "running" -> maxRunning = Integer.parseInt(text);
             case "queue" -> maxQueued = Integer.parseInt(text);
             case "hold" -> timeoutMicros = Long.parseLong(text);
-            case "once" -> atMostOnce = flag(text);
+            case "once" -> atMostOnce = parseFlag(text);
             case "rank" -> priority = Integer.parseInt(text);
             default ->
                 throw new IllegalArgumentException(
@@ -63,7 +63,7 @@
         return this;
     }
 
-    private static boolean flag(final String text) {
+    private static boolean parseFlag(final String text) {
         if (!text.equals("true") && !text.equals("false")) {
             throw new IllegalArgumentException("once is true or false, not " + text);
         }
--- a/core/src/main/java/silverlatch/state/StateMachine.java
+++ b/core/src/main/java/silverlatch/state/StateMachine.java
@@ -141,13 +141,13 @@
         final Evaluation evaluation = evaluateNew(command, context);
         return evaluation instanceof Evaluation.Reply reply
                         && reply.result() instanceof CommandResult.Rejected rejected
-                        && mustBeWritten(command, rejected)
-                ? CommandOutcomes.reject(context, command.id(), rejected)
+                        && mustPersistRejection(command, rejected)
+                ? CommandOutcomes.writeRejection(context, command.id(), rejected)
                 : evaluation;
     }
 
     /** Conflicts are final, and claims and epochs are known by their own entries. */
-    private static boolean mustBeWritten(final Command command, final CommandResult.Rejected rejected) {
+    private static boolean mustPersistRejection(final Command command, final CommandResult.Rejected rejected) {
         return rejected.code() != RejectionCause.CONFLICT.code()
                 && !(command instanceof Command.Claim)
                 && !(command instanceof Command.CompleteClaim)
--- a/core/src/main/java/silverlatch/state/TableManager.java
+++ b/core/src/main/java/silverlatch/state/TableManager.java
@@ -40,7 +40,7 @@
         }
         final List<Entry> writes = new ArrayList<>();
         rows.forEach((key, row) -> writes.add(context.write(key, row)));
-        return CommandOutcomes.accept(context, writes, command.id());
+        return CommandOutcomes.writeAcceptance(context, writes, command.id());
     }
 
     private static Map<String, Value.Row> patchedRows(
@@ -94,7 +94,7 @@
         context.withPrefix(EntryKeys.ROWS).keySet().stream()
                 .filter(key -> !keys.contains(key))
                 .forEach(key -> writes.add(context.delete(key)));
-        return CommandOutcomes.accept(context, writes, command.id());
+        return CommandOutcomes.writeAcceptance(context, writes, command.id());
     }
 
     private static List<String> faults(final List<Value.Row> rows, final EvaluationContext context) {
--- a/core/src/main/java/silverlatch/state/TableRules.java
+++ b/core/src/main/java/silverlatch/state/TableRules.java
@@ -35,8 +35,8 @@
             return new CellChange.Changed(new RowBuilder(row).cell(field, value).build());
         } catch (final NumberFormatException notNumber) {
             return new CellChange.Invalid(field + " takes a number, not " + value);
-        } catch (final IllegalArgumentException refused) {
-            return new CellChange.Invalid(refused.getMessage());
+        } catch (final IllegalArgumentException invalid) {
+            return new CellChange.Invalid(invalid.getMessage());
         }
     }
 
--- a/core/src/main/java/silverlatch/state/TenantAccessValidator.java
+++ b/core/src/main/java/silverlatch/state/TenantAccessValidator.java
@@ -39,7 +39,7 @@
         if (!NAME.matcher(tenant.name()).matches()) {
             faults.add(path + ".name", "1 to 256 visible ASCII characters are needed, with spaces between them only");
         } else if (!names.add(tenant.name())) {
-            faults.add(path + ".name", "a second tenant " + ValidationFaults.quoted(tenant.name()));
+            faults.add(path + ".name", "a second tenant " + ValidationFaults.abbreviated(tenant.name()));
         }
         for (int i = 0; i < tenant.keyDigests().size() && !faults.isFull(); i++) {
             checkKey(path + ".keys[" + i + "]", tenant.keyDigests().get(i), tenant.name());
@@ -57,7 +57,7 @@
         } else {
             final String first = namesByKeyDigest.putIfAbsent(digest, tenant);
             if (first != null && !first.equals(tenant)) {
-                faults.add(path, "also a key of tenant '" + ValidationFaults.quoted(first) + "'");
+                faults.add(path, "also a key of tenant '" + ValidationFaults.abbreviated(first) + "'");
             }
         }
     }
--- a/core/src/main/java/silverlatch/state/TenantIndex.java
+++ b/core/src/main/java/silverlatch/state/TenantIndex.java
@@ -33,12 +33,12 @@
     }
 
     /** The tenant of an entry. */
-    Optional<Value.TenantAccess> ofEntry(final String entryKey) {
+    Optional<Value.TenantAccess> findByEntryKey(final String entryKey) {
         return byEntryKey.get(entryKey);
     }
 
     /** The tenant of a key. */
-    Optional<Value.TenantAccess> ofKey(final String keyDigest) {
+    Optional<Value.TenantAccess> findByKeyDigest(final String keyDigest) {
         return byKeyDigest.get(keyDigest);
     }
 
--- a/core/src/main/java/silverlatch/state/UsageManager.java
+++ b/core/src/main/java/silverlatch/state/UsageManager.java
@@ -11,7 +11,7 @@
  */
 final class UsageManager {
     /** How many closed windows are remembered, the oldest being forgotten; one that is older can't be closed any more. */
-    static final int MAX_REMEMBERED = 256;
+    static final int MAX_RETAINED = 256;
 
     /** The key of a window's entry. */
     static String key(final long number) {
@@ -23,18 +23,18 @@
         if (context.find(key).isPresent()) {
             return new Evaluation.Reply(new CommandResult.Applied(context.revisionOf(key)));
         }
-        final TreeMap<String, Entry> remembered = new TreeMap<>(context.withPrefix(EntryKeys.USAGE_WINDOWS));
-        if (remembered.size() >= MAX_REMEMBERED && key.compareTo(remembered.firstKey()) < 0) {
+        final TreeMap<String, Entry> retained = new TreeMap<>(context.withPrefix(EntryKeys.USAGE_WINDOWS));
+        if (retained.size() >= MAX_RETAINED && key.compareTo(retained.firstKey()) < 0) {
             return RejectionCause.CONFLICT.reply("the window is older than all that are remembered", 0);
         }
-        return new Evaluation.Write(writes(key, command.window(), remembered, context));
+        return new Evaluation.Write(writes(key, command.window(), retained, context));
     }
 
     Evaluation markReported(final Command.MarkUsageReported command, final EvaluationContext context) {
-        final boolean isKnown = context.value(EntryKeys.USAGE_REPORTED, Value.UsageReported.class)
+        final boolean isAlreadyMarked = context.value(EntryKeys.USAGE_REPORTED, Value.UsageReported.class)
                 .filter(reported -> reported.window() >= command.window())
                 .isPresent();
-        return isKnown
+        return isAlreadyMarked
                 ? new Evaluation.Reply(new CommandResult.Applied(context.revisionOf(EntryKeys.USAGE_REPORTED)))
                 : new Evaluation.Write(
                         List.of(context.write(EntryKeys.USAGE_REPORTED, new Value.UsageReported(command.window()))));
@@ -43,11 +43,11 @@
     private static List<Entry> writes(
             final String key,
             final Value.UsageWindow window,
-            final Map<String, Entry> remembered,
+            final Map<String, Entry> retained,
             final EvaluationContext context) {
         final List<Entry> writes = new ArrayList<>();
-        remembered.keySet().stream()
-                .limit(Math.max(0, remembered.size() + 1 - MAX_REMEMBERED))
+        retained.keySet().stream()
+                .limit(Math.max(0, retained.size() + 1 - MAX_RETAINED))
                 .forEach(oldest -> writes.add(context.delete(oldest)));
         writes.add(context.write(key, window));
         return writes;
--- a/core/src/main/java/silverlatch/state/ValidationFaults.java
+++ b/core/src/main/java/silverlatch/state/ValidationFaults.java
@@ -5,7 +5,7 @@
 
 /** The faults found in a document so far, each with the path of what is wrong; a limited number is reported. */
 final class ValidationFaults {
-    private static final int MAX_QUOTED_LENGTH = 64;
+    private static final int MAX_ABBREVIATED_LENGTH = 64;
     private final int limit;
     private final List<String> faults = new ArrayList<>();
 
@@ -41,16 +41,16 @@
     /** Checks that a number is not less than a minimum; NaN is. */
     void checkAtLeast(final String path, final double value, final long minimum) {
         if (!(value >= minimum)) {
-            add(path, number(value) + " is less than " + minimum);
+            add(path, formatNumber(value) + " is less than " + minimum);
         }
     }
 
-    private static String number(final double value) {
+    private static String formatNumber(final double value) {
         return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
     }
 
     /** The beginning of a text, so that no fault is much longer than its path. */
-    static String quoted(final String text) {
-        return text.length() <= MAX_QUOTED_LENGTH ? text : text.substring(0, MAX_QUOTED_LENGTH) + "...";
+    static String abbreviated(final String text) {
+        return text.length() <= MAX_ABBREVIATED_LENGTH ? text : text.substring(0, MAX_ABBREVIATED_LENGTH) + "...";
     }
 }
--- a/core/src/test/java/silverlatch/state/AcceptedConfigurationsTest.java
+++ b/core/src/test/java/silverlatch/state/AcceptedConfigurationsTest.java
@@ -13,7 +13,7 @@
 import silverlatch.wire.Codec;
 
 final class AcceptedConfigurationsTest {
-    private static final int MORE_THAN_REMEMBERED = AcceptedConfigurations.MAX_REMEMBERED + 10;
+    private static final int MORE_THAN_REMEMBERED = AcceptedConfigurations.MAX_RETAINED + 10;
     private final StateMachine state = new StateMachine();
     private long id;
 
@@ -83,7 +83,7 @@
         }
         assertThat(
                 state.entriesWithPrefix(AcceptedConfigurations.KEY_PREFIX).size(),
-                is(AcceptedConfigurations.MAX_REMEMBERED));
+                is(AcceptedConfigurations.MAX_RETAINED));
         assertThat("the newest forgotten", result(command(20, 18)), is(instanceOf(CommandResult.Unknown.class)));
         assertThat("the first", result(command(2, 0)), is(instanceOf(CommandResult.Unknown.class)));
         assertThat("perhaps one of them", result(command(20, 18, "x")), is(instanceOf(CommandResult.Unknown.class)));
@@ -109,7 +109,7 @@
         }
         assertThat(
                 state.entriesWithPrefix(AcceptedConfigurations.KEY_PREFIX).size(),
-                is(AcceptedConfigurations.MAX_REMEMBERED));
+                is(AcceptedConfigurations.MAX_RETAINED));
         assertThat("outcomes", state.entriesWithPrefix("o/").size(), is(1_000));
     }
 
@@ -144,7 +144,7 @@
     @Test
     void allRememberedTakeLessThanAMegabyteOfASnapshot() {
         final List<Entry> remembered = new ArrayList<>();
-        for (long n = 1; n <= AcceptedConfigurations.MAX_REMEMBERED; n++) {
+        for (long n = 1; n <= AcceptedConfigurations.MAX_RETAINED; n++) {
             final long number = 1_000_000_000L + n;
             remembered.addAll(AcceptedConfigurations.writes(command(number, number - 1), Map.of(), number - 1, number));
         }
--- a/core/src/test/java/silverlatch/state/UsageManagerTest.java
+++ b/core/src/test/java/silverlatch/state/UsageManagerTest.java
@@ -44,7 +44,7 @@
 
     @Test
     void aWindowThatIsForgottenIsNeverClosedAgainWithOtherCounts() {
-        for (int number = 1; number <= UsageManager.MAX_REMEMBERED + 1; number++) {
+        for (int number = 1; number <= UsageManager.MAX_RETAINED + 1; number++) {
             close(number, number);
         }
         assertThat(UsageState.firstClosedAfter(executor.state(), 0), is(Optional.of(window(2, 2))));
--- a/core/src/test/java/silverlatch/util/ChildJvmTest.java
+++ b/core/src/test/java/silverlatch/util/ChildJvmTest.java
@@ -15,9 +15,9 @@
 final class ChildJvmTest {
     @Test
     void eachVersionGetsItsOptions() {
-        assertThat(ChildJvm.optionsOf(17), contains("--enable-preview"));
-        assertThat(ChildJvm.optionsOf(21), empty());
-        assertThat(ChildJvm.optionsOf(25), contains("--sun-misc-unsafe-memory-access=allow"));
+        assertThat(ChildJvm.optionsFor(17), contains("--enable-preview"));
+        assertThat(ChildJvm.optionsFor(21), empty());
+        assertThat(ChildJvm.optionsFor(25), contains("--sun-misc-unsafe-memory-access=allow"));
     }
 
     @Test
--- a/server/src/main/java/silverlatch/server/controller/ConfigurationResource.java
+++ b/server/src/main/java/silverlatch/server/controller/ConfigurationResource.java
@@ -60,7 +60,7 @@
         if (!ApiReplies.rejectIfFaulty(exchange, body)) {
             state.write(
                     exchange,
-                    (id, expectedRevision) -> parsed.with(id, expectedRevision).simplest());
+                    (id, expectedRevision) -> parsed.with(id, expectedRevision).toCompatibleCommand());
         }
     }
 }
--- a/server/src/main/java/silverlatch/server/controller/Controller.java
+++ b/server/src/main/java/silverlatch/server/controller/Controller.java
@@ -155,7 +155,7 @@
                     0));
             return;
         }
-        submit(command.simplest(), onResult);
+        submit(command.toCompatibleCommand(), onResult);
     }
 
     @Override
--- a/server/src/test/java/silverlatch/server/controller/ConfigurationJsonTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ConfigurationJsonTest.java
@@ -48,7 +48,7 @@
         final Command.PutFullConfiguration command = ConfigurationJson.read(document, text, "id", 6);
         assertThat(document.finish(), is(List.of()));
         assertThat(
-                command.simplest(),
+                command.toCompatibleCommand(),
                 is(new Command.PutConfiguration(
                         "id",
                         new Value.RoutingConfiguration(7, 8_192, 65_536, 5_000, 6_000),
