--- a/core/src/main/java/silverlatch/clock/NtpTime.java
+++ b/core/src/main/java/silverlatch/clock/NtpTime.java
@@ -1,8 +1,8 @@
 package silverlatch.clock;
 
 /**
- * Converts to and from the format of stamps, which is like NTP's: fixed point, 32 bits of seconds and 32 bits of
- * fraction. A unit is 2^-32 seconds.
+ * Converts to and from the time format of stamps, which resembles that of NTP: fixed point with 32 bits of seconds and
+ * 32 bits of fraction. One unit is 2^-32 seconds.
  */
 public final class NtpTime {
     /** Seconds between the Unix epoch and this project's epoch, 2020-01-01 UTC. */
@@ -15,21 +15,21 @@
 
     private NtpTime() {}
 
-    /** The units of a span of microseconds, rounded down. */
+    /** Converts a duration in microseconds to units, rounded down. */
     public static long fromMicros(final long micros) {
         final long seconds = Math.floorDiv(micros, MICROS_PER_SECOND);
         final long remainder = Math.floorMod(micros, MICROS_PER_SECOND);
         return seconds << FRACTION_BITS | (remainder << FRACTION_BITS) / MICROS_PER_SECOND;
     }
 
-    /** The value of a Unix time in nanoseconds, rounded down. */
+    /** Converts a Unix time in nanoseconds to units since this project's epoch, rounded down. */
     public static long fromUnixNanos(final long nanos) {
         final long seconds = Math.floorDiv(nanos, NANOS_PER_SECOND) - EPOCH_UNIX_SECONDS;
         final long remainder = Math.floorMod(nanos, NANOS_PER_SECOND);
         return seconds << FRACTION_BITS | (remainder << FRACTION_BITS) / NANOS_PER_SECOND;
     }
 
-    /** The microseconds of a span of units that is not negative, rounded up. */
+    /** Converts a non-negative duration in units to microseconds, rounded up. */
     public static long toMicros(final long units) {
         final long seconds = units >> FRACTION_BITS;
         final long fraction = units & FRACTION_MASK;
--- a/core/src/main/java/silverlatch/clock/PhysicalClock.java
+++ b/core/src/main/java/silverlatch/clock/PhysicalClock.java
@@ -3,8 +3,8 @@
 import silverlatch.util.Numbers;
 
 /**
- * The physical clock under the stamps: the wall clock read once, advanced by the monotonic clock from that anchor on.
- * A wall clock that drifts is followed slowly; one that jumps is not followed.
+ * Physical clock from which stamps are made: reads the wall clock once as an anchor, and from then on advances by the
+ * monotonic clock. It follows a wall clock that drifts slowly, and doesn't follow one that jumps. Immutable.
  *
  * @param unixNanos       the Unix time of the anchor, in nanoseconds
  * @param monotonicMicros the monotonic time of the anchor, in microseconds
@@ -13,15 +13,15 @@
 public record PhysicalClock(long unixNanos, long monotonicMicros, long jumps) {
     private static final long NANOS_PER_MICRO = 1_000;
 
-    /** At 500 parts in a million a nanosecond of slew takes two microseconds. */
+    /** Microseconds per nanosecond of slew, at a maximum slew rate of 500 parts per million. */
     private static final long MICROS_PER_NANO_OF_SLEW = 2;
 
-    /** The physical time at a monotonic time, in units of {@link NtpTime}. */
+    /** Returns the physical time at a monotonic time, in units of {@link NtpTime}. */
     public long physicalTime(final long nowMicros) {
         return NtpTime.fromUnixNanos(unixNanosAt(nowMicros));
     }
 
-    /** The Unix time at a monotonic time, in microseconds. */
+    /** Returns the Unix time at a monotonic time, in microseconds. */
     public long unixMicros(final long nowMicros) {
         return unixNanosAt(nowMicros) / NANOS_PER_MICRO;
     }
@@ -30,7 +30,10 @@
         return unixNanos + (nowMicros - monotonicMicros) * NANOS_PER_MICRO;
     }
 
-    /** Slews by at most 500 parts in a million towards a wall clock within the bound; counts one beyond it as a jump. */
+    /**
+     * Returns the clock slewed by at most 500 parts per million towards the wall clock. If the wall clock is off by
+     * more than the bound, counts a jump and doesn't slew.
+     */
     public PhysicalClock slew(final long wallNanos, final long nowMicros, final long boundMicros) {
         final long ownNanos = unixNanosAt(nowMicros);
         final long offsetNanos = wallNanos - ownNanos;
@@ -41,7 +44,10 @@
         return new PhysicalClock(ownNanos + Numbers.clamp(offsetNanos, -maxSlewNanos, maxSlewNanos), nowMicros, jumps);
     }
 
-    /** This clock set by an offset in microseconds, as a rejoin does that takes the median of its seeds. */
+    /**
+     * Returns this clock shifted by an offset in microseconds, as on a rejoin that adopts the median of the peers'
+     * clocks.
+     */
     public PhysicalClock shiftedBy(final long micros) {
         return new PhysicalClock(unixNanos + micros * NANOS_PER_MICRO, monotonicMicros, jumps);
     }
--- a/core/src/main/java/silverlatch/clock/ProcessClock.java
+++ b/core/src/main/java/silverlatch/clock/ProcessClock.java
@@ -5,11 +5,11 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * The clock of one process: every stamp of the process is made here, one event at a time. Physical times are in units of
- * {@link NtpTime}. Thread-safe.
+ * The clock of one process, which makes all of its stamps, one event at a time. Physical times are in units of {@link
+ * NtpTime}. Thread-safe.
  */
 public final class ProcessClock {
-    /** The longest wait for the masked clock to pass an overflow, in microseconds. */
+    /** Maximum time to wait for the masked physical clock to pass an overflow, in microseconds. */
     public static final long MAX_WAIT_MICROS = 5_000L;
 
     private static final long DROP_WINDOW_MICROS = 10_000_000L;
@@ -24,19 +24,22 @@
     private int dropsInWindow;
     private long highestReceived;
 
-    /** A process clock that begins with a state. */
+    /** Creates a process clock in a given state. */
     public ProcessClock(final PwcClock clock) {
         this(clock, Safeguards.ALL);
     }
 
-    /** A process clock that begins with a state, under the safeguards that are enabled. */
+    /** Creates a process clock in a given state and with the given safeguards. */
     public ProcessClock(final PwcClock clock, final Safeguards safeguards) {
         this.safeguards = safeguards;
         this.clock = clock;
         this.highestReceived = clock.last();
     }
 
-    /** The stamp of a local event, which never waits: one that carries into the high bits is counted as an overflow. */
+    /**
+     * Returns the stamp of a local event. This never waits: a stamp that carries into the high bits is counted as an
+     * overflow.
+     */
     public synchronized Stamp local(final long physicalTime) {
         if (clock.wouldOverflow(physicalTime)) {
             overflows++;
@@ -46,12 +49,14 @@
         return stamped.stamp();
     }
 
-    /** The stamp of a send event, or how long to wait for it. */
+    /** Returns the stamp of a send event, or how long to wait for it. */
     public synchronized ClockReading send(final long physicalTime) {
         return advance(clock.send(physicalTime));
     }
 
-    /** The stamp of a receive event, or how long to wait, or that the message is from too far ahead. */
+    /**
+     * Returns the stamp of a receive event, or how long to wait for it, or that the message's stamp is too far ahead.
+     */
     public synchronized ClockReading receive(final Stamp received, final long physicalTime) {
         final ClockReading reading = advance(merge(received, physicalTime));
         if (reading instanceof ClockReading.Stamped) {
@@ -60,7 +65,7 @@
         return reading;
     }
 
-    /** Counts a message that was dropped since its wait exceeded the bound. */
+    /** Counts a message that was dropped because its wait exceeded the limit. */
     public synchronized void recordDrop(final long nowMicros) {
         dropped++;
         if (nowMicros - windowStart > DROP_WINDOW_MICROS) {
@@ -70,12 +75,18 @@
         dropsInWindow++;
     }
 
-    /** Whether messages were dropped so often, or the clock is so far ahead, that the process must rejoin. */
+    /**
+     * Returns whether the process must rejoin: because too many messages were dropped in the current window, or because
+     * the clock is ahead of the physical clock by more than the allowed skew.
+     */
     public synchronized boolean needsRejoin(final long physicalTime) {
         return dropsInWindow >= MAX_DROPS_PER_WINDOW || clock.isBeyondSkew(physicalTime);
     }
 
-    /** Starts again at the masked clock, but above all that was received from peers within the bound. */
+    /**
+     * Restarts the clock at the masked physical clock, but above all accepted stamps of peers that are within the
+     * bound.
+     */
     public synchronized void reset(final long physicalTime) {
         clock = PwcClock.start(
                 physicalTime,
@@ -85,7 +96,10 @@
         dropsInWindow = 0;
     }
 
-    /** Raises the clock above a floor learned at joining; empty where the floor is out of bounds. */
+    /**
+     * Raises the clock above a floor, e.g. the one learned on joining. Returns the clock's newest stamp, or empty if
+     * the floor is too far ahead.
+     */
     public synchronized Optional<Stamp> raiseAbove(final Stamp floor, final long physicalTime) {
         if (floor.bits() > clock.highestAcceptable(physicalTime)) {
             return Optional.empty();
@@ -95,12 +109,12 @@
         return Optional.of(new Stamp(clock.last()));
     }
 
-    /** The newest stamp. */
+    /** Returns the newest stamp. */
     public synchronized Stamp last() {
         return new Stamp(clock.last());
     }
 
-    /** How often something happened so far. */
+    /** Returns the counts of clock events. */
     public synchronized Counts counts() {
         return new Counts(waits, overflows, tooFarAhead, dropped);
     }
@@ -126,12 +140,12 @@
     }
 
     /**
-     * Counts since the start.
+     * Counts of clock events since the start.
      *
-     * @param waits       stamps that had to wait for the masked clock
+     * @param waits       stamps that had to wait for the masked physical clock
      * @param overflows   local events that carried into the high bits
      * @param tooFarAhead messages whose stamps were rejected
-     * @param dropped     messages that were dropped since their wait exceeded the bound
+     * @param dropped     messages that were dropped because their wait exceeded the limit
      */
     public record Counts(long waits, long overflows, long tooFarAhead, long dropped) {}
 }
--- a/core/src/main/java/silverlatch/json/JsonDocument.java
+++ b/core/src/main/java/silverlatch/json/JsonDocument.java
@@ -13,9 +13,9 @@
 import java.util.Set;
 
 /**
- * A JSON object that is read and checked field by field. A field that is wrong reads as its least value or as empty, its
- * fault is collected with its path, and reading goes on to find the rest: whoever reads must look at {@link #finish}
- * before using what was read. Documents within a document collect into the same faults.
+ * A JSON object whose fields are read and validated one by one. An invalid field reads as its minimum or as empty, its
+ * fault is recorded with the field's path, and reading continues to find the remaining faults. Callers must check the
+ * result of {@link #finish} before they use any of the values. Nested documents record into the same list of faults.
  */
 public final class JsonDocument {
     private static final Jsonb JSON = Jsonb.builder().build();
@@ -36,16 +36,18 @@
         this.faults = faults;
     }
 
-    /** What parsing gives. */
+    /** Result of parsing. */
     public sealed interface ParseResult {
-        /** An object to read. */
+        /** A JSON object, ready to be read. */
         record Valid(JsonDocument document) implements ParseResult {}
 
-        /** No object, with the HTTP status and the reason for whoever sent it. */
+        /**
+         * The input is not a JSON object that is accepted; has the HTTP status and the reason to reply to the sender.
+         */
         record Invalid(int code, String reason) implements ParseResult {}
     }
 
-    /** Parses an object of at most so many bytes of UTF-8. */
+    /** Parses a JSON object from at most {@code maxBytes} bytes of UTF-8. */
     public static ParseResult parse(final byte[] body, final int maxBytes) {
         if (body.length > maxBytes) {
             return new ParseResult.Invalid(CONTENT_TOO_LARGE, "$: larger than " + maxBytes + " bytes");
@@ -74,24 +76,24 @@
         }
     }
 
-    /** The JSON of a value made of maps, lists, strings, numbers and booleans. */
+    /** Returns the JSON text of a value that consists of maps, lists, strings, numbers and booleans. */
     public static String write(final Object value) {
         return JSON.type(Object.class).toJson(value);
     }
 
-    /** The same document with some fields in place of its own. */
+    /** Returns a copy of this document with some fields added or replaced. It records into the same list of faults. */
     public JsonDocument with(final Map<String, Object> replacements) {
         final Map<Object, Object> merged = new LinkedHashMap<>(fields);
         merged.putAll(replacements);
         return new JsonDocument(path, merged, faults);
     }
 
-    /** A document without any field. */
+    /** Returns an empty document. */
     public static JsonDocument empty() {
         return new JsonDocument("$", Map.of(), new ArrayList<>());
     }
 
-    /** The fields in their order, those that are null as empty strings. */
+    /** Returns the fields in their order, with an empty string for each null. */
     public Map<String, Object> asMap() {
         final Map<String, Object> copy = new LinkedHashMap<>();
         fields.forEach((k, v) ->
@@ -99,12 +101,12 @@
         return copy;
     }
 
-    /** All faults found so far, also in documents within this one. */
+    /** Returns all faults found so far, including those of nested documents. */
     public List<String> faults() {
         return List.copyOf(faults);
     }
 
-    /** Ends the reading: every key that was not read is a fault. Returns all faults. */
+    /** Completes reading: records a fault for every key that was not read, and returns all faults. */
     public List<String> finish() {
         fields.keySet().stream()
                 .map(String::valueOf)
@@ -114,12 +116,12 @@
         return faults();
     }
 
-    /** Whether a key is there and not null; it counts as read. */
+    /** Returns whether a key is present and not null. The key counts as read. */
     public boolean has(final String key) {
         return value(key).isPresent();
     }
 
-    /** Whether a key is there, be it null; it counts as read. */
+    /** Returns whether a key is present, even if its value is null. The key counts as read. */
     public boolean contains(final String key) {
         readKeys.add(key);
         return fields.containsKey(key);
@@ -129,39 +131,39 @@
         return path + "." + key;
     }
 
-    /** Adds a fault of a key. */
+    /** Records a fault of a key. */
     public void addFault(final String key, final String reason) {
         faults.add(pathOf(key) + ": " + reason);
     }
 
-    /** Adds a fault if a key isn't there. */
+    /** Records a fault if a key is missing or null. */
     public void require(final String key) {
         if (!has(key)) {
             addFault(key, "missing");
         }
     }
 
-    /** A required string of at most so many characters. */
+    /** Reads a required string of at most {@code maxLength} characters. */
     public String string(final String key, final int maxLength) {
         return value(key).map(value -> string(pathOf(key), value, maxLength)).orElseGet(() -> missing(key, ""));
     }
 
-    /** A string of at most so many characters, or the fallback when the key isn't there. */
+    /** Reads a string of at most {@code maxLength} characters, or returns the fallback if the key is missing. */
     public String string(final String key, final int maxLength, final String fallback) {
         return value(key).map(value -> string(pathOf(key), value, maxLength)).orElse(fallback);
     }
 
-    /** A required integer within bounds. */
+    /** Reads a required integer within inclusive bounds. */
     public long integer(final String key, final long minimum, final long maximum) {
         return value(key).map(value -> integer(key, value, minimum, maximum)).orElseGet(() -> missing(key, minimum));
     }
 
-    /** An integer within bounds, or the fallback when the key isn't there. */
+    /** Reads an integer within inclusive bounds, or returns the fallback if the key is missing. */
     public long integer(final String key, final long minimum, final long maximum, final long fallback) {
         return value(key).map(value -> integer(key, value, minimum, maximum)).orElse(fallback);
     }
 
-    /** A finite number, or the fallback when the key isn't there. */
+    /** Reads a finite number, or returns the fallback if the key is missing or invalid. */
     public double number(final String key, final double fallback) {
         return value(key)
                 .map(v -> {
@@ -174,7 +176,7 @@
                 .orElse(fallback);
     }
 
-    /** A boolean, or the fallback when the key isn't there. */
+    /** Reads a boolean, or returns the fallback if the key is missing or invalid. */
     public boolean flag(final String key, final boolean fallback) {
         return value(key)
                 .map(v -> {
@@ -187,7 +189,10 @@
                 .orElse(fallback);
     }
 
-    /** A list of at most so many strings of at most so many characters; empty when the key isn't there. */
+    /**
+     * Reads a list of at most {@code maxCount} strings of at most {@code maxLength} characters each; empty if the key
+     * is missing.
+     */
     public List<String> strings(final String key, final int maxCount, final int maxLength) {
         final List<String> strings = new ArrayList<>();
         final List<?> elements = list(key, maxCount);
@@ -197,7 +202,7 @@
         return strings;
     }
 
-    /** A list of at most so many integers; empty when the key isn't there. */
+    /** Reads a list of at most {@code maxCount} integers; empty if the key is missing. */
     public List<Long> integers(final String key, final int maxCount) {
         final List<Long> integers = new ArrayList<>();
         final List<?> elements = list(key, maxCount);
@@ -207,7 +212,7 @@
         return integers;
     }
 
-    /** A list of at most so many objects; empty when the key isn't there. */
+    /** Reads a list of at most {@code maxCount} objects; empty if the key is missing. */
     public List<JsonDocument> objects(final String key, final int maxCount) {
         final List<JsonDocument> objects = new ArrayList<>();
         final List<?> elements = list(key, maxCount);
@@ -222,7 +227,7 @@
         return objects;
     }
 
-    /** A required object within this one. */
+    /** Reads a required nested object. */
     public JsonDocument object(final String key) {
         return value(key)
                 .filter(v -> v instanceof Map<?, ?>)
@@ -233,7 +238,7 @@
                 });
     }
 
-    /** A required string, number or boolean, as text; an integral number has no fraction. */
+    /** Reads a required string, number or boolean as text. Integral numbers have no fraction. */
     public String scalarText(final String key) {
         return value(key)
                 .map(v -> scalarText(v).orElseGet(() -> {
--- a/core/src/main/java/silverlatch/json/JsonSyntax.java
+++ b/core/src/main/java/silverlatch/json/JsonSyntax.java
@@ -1,17 +1,17 @@
 package silverlatch.json;
 
 /**
- * Checks that bytes are exactly one JSON value (RFC 8259) and not nested too deeply. The parser behind
- * {@link JsonDocument} is more lenient than the standard and has no limit of depth. UTF-8 is not checked here.
+ * Checks that bytes are exactly one JSON value (RFC 8259) and not nested too deeply. The parser behind {@link
+ * JsonDocument} is more lenient than the standard and has no depth limit. Doesn't check that strings are valid UTF-8.
  */
 final class JsonSyntax {
-    /** The result of a check. */
+    /** Result of a check. */
     enum Result {
-        /** One value, and white space. */
+        /** Exactly one value, with optional white space around it. */
         VALID,
-        /** Nested more deeply than is accepted; what follows was not looked at. */
+        /** Nested more deeply than allowed. What follows was not checked. */
         TOO_DEEP,
-        /** Anything else. */
+        /** Not exactly one value. */
         INVALID
     }
 
@@ -25,7 +25,7 @@
         this.maxDepth = maxDepth;
     }
 
-    /** Checks bytes that may have so many levels of objects and arrays. */
+    /** Checks bytes; {@code maxDepth} is the maximum nesting level of objects and arrays. */
     static Result check(final byte[] body, final int maxDepth) {
         final JsonSyntax syntax = new JsonSyntax(body, maxDepth);
         final boolean valid = syntax.value(0) && syntax.peek() < 0;
@@ -139,7 +139,7 @@
         return matches;
     }
 
-    /** The next byte that isn't white space; -1 at the end. */
+    /** Skips white space and returns the next byte without consuming it; -1 at the end. */
     private int peek() {
         while (current() == ' ' || current() == '\t' || current() == '\n' || current() == '\r') {
             position++;
--- a/core/src/main/java/silverlatch/safeguard/Safeguard.java
+++ b/core/src/main/java/silverlatch/safeguard/Safeguard.java
@@ -1,85 +1,97 @@
 package silverlatch.safeguard;
 
 /**
- * A check that the product always makes, and that the simulation can disable to see that its observer notices what it
- * prevents. The constants are named on the command line of the simulation ({@code bin/days --down CONFIRMED_REVISION}), which
- * accepts the former name of a renamed one for one version.
+ * A check that the product always makes. The simulation can disable it to verify that its observer detects the
+ * violations that the check prevents. The constants are named on the command line of the simulation ({@code bin/days
+ * --down CONFIRMED_REVISION}), which accepts the former name of a renamed constant for one version.
  */
 public enum Safeguard {
-    /** A report on a worker counts for a bounded age only. */
+    /** A worker's report is used only until it has reached a maximum age. */
     REPORT_AGE,
-    /** A configuration that is not confirmed is not acted on. */
+    /** A gateway acts only on a configuration that was recently confirmed to be the newest. */
     CONFIRMED_REVISION,
     /** A zone under evacuation gets no new requests. */
     EVACUATION,
-    /** A worker outside the tenant's home regions gets no requests of it. */
+    /** A worker outside a tenant's home regions gets no requests of the tenant. */
     WORKER_HOME_REGION,
-    /** A gateway outside the tenant's home regions takes no requests of it. */
+    /** A gateway outside a tenant's home regions accepts no requests of the tenant. */
     GATEWAY_HOME_REGION,
-    /** What is kept of a tenant is dropped with its home regions, its key or itself. */
+    /**
+     * Requests and responses held for a tenant are dropped when its home regions no longer allow them, its key changes,
+     * or it is deleted.
+     */
     RETENTION_HOME_REGION,
     /** An idempotency key is bound to one request. */
     CLAIM,
-    /** A request is handed over once. */
+    /** A permit can be used to submit its request only once. */
     PERMIT_ONCE,
-    /** A permit is valid for one incarnation of its carrier. */
+    /** A permit is valid only until it expires, and only for the incarnation of its gateway that issued it. */
     PERMIT_INCARNATION,
-    /** A line of a response stream bears its own request and attempt. */
+    /** Each record of a response stream must have the ids of the request and attempt that it belongs to. */
     STREAM_IDENTITY,
-    /** Chunks of a stream come without a gap and without a repetition. */
+    /** The chunks of a stream must arrive without gaps and repetitions. */
     STREAM_ORDER,
-    /** The checksum of a chunk covers what came before it. */
+    /** The checksum of a stream's trailer must match the chunks received before it. */
     TRAILER_DIGEST,
-    /** What may have begun is neither retried nor called rejected. */
+    /** A request whose execution may have begun is neither retried nor reported as rejected. */
     NO_RETRY_AFTER_START,
-    /** A worker that warms up gets less than its share (slow start). */
+    /** A worker that is warming up gets less than its full share of requests (slow start). */
     SLOW_START,
-    /** A worker whose slow start is over gets its full share. */
+    /** A worker whose slow start is over gets its full share of requests. */
     SLOW_START_END,
-    /** Retries have a budget. */
+    /** Retries are limited by a retry budget. */
     RETRY_BUDGET,
-    /** The tail answers reads only under a lease. */
+    /** The tail of the chain answers reads only while it holds a lease. */
     LEASE,
     /** A lower revision never replaces a higher one. */
     MONOTONIC_REVISION,
-    /** A command against an older sequence is rejected. */
+    /** A command that expects an outdated revision is rejected. */
     COMPARE_AND_SET,
-    /** A configuration that was accepted is recognized when it is sent again. */
+    /** A configuration that was accepted is recognized when it is sent again, also after others have replaced it. */
     ACCEPTED_REMEMBERED,
-    /** A rejection rests on committed entries only. */
+    /** A rejection is sent only if it depends on committed entries alone. */
     COMMITTED_REFUSAL,
-    /** A command on a zone is applied on top of the newest entry that its caller knew of. */
+    /** A command on a zone takes effect only on top of the newest entry of the zone that its caller knew. */
     LATEST_EVACUATION,
-    /** A received message is stamped above its own stamp. */
+    /** The receive event of a message gets a higher stamp than the message. */
     STAMP_ABOVE,
-    /** A stamp from too far ahead is not merged. */
+    /** A stamp that is too far ahead of the physical clock is not merged into the process clock. */
     STAMP_BOUND,
     /** A chain that lost a replica is repaired. */
     CHAIN_REPAIR,
-    /** A dead voter is replaced, or loses its vote, before the quorum is widened. */
+    /** A dead voter is replaced, or loses its vote, before voters are added. */
     DEAD_VOTES,
-    /** A replica that leaves stops only when enough others hold everything and the voters know that it left. */
+    /**
+     * A replica that leaves stops only when enough other replicas hold all acknowledged entries and a majority of
+     * voters know that it left.
+     */
     HANDOVER,
-    /** A voter accepts a successor view only when the leases it granted to the replicas that go have expired. */
+    /**
+     * A voter accepts a successor view only when the leases that it granted to the replicas removed by that view have
+     * expired.
+     */
     LEASE_WAIT,
     /** Replication messages of another view are rejected. */
     FENCE,
-    /** A promise or an acceptance is synced before it is sent. */
+    /** A promise or an acceptance is synced to disk before it is sent. */
     PROMISE,
-    /** A chain shorter than the required number of replicas acknowledges nothing. */
+    /** A chain with fewer than the required number of replicas acknowledges no writes. */
     COPIES,
-    /** A replica that was out takes over the ranges in which its digests differ before it joins. */
+    /** A replica that was outside the chain copies the ranges in which its digests differ before it joins. */
     REPAIR_DIGEST,
-    /** A replica under repair takes over what its source has synced and doesn't know to be committed. */
+    /** A replica under repair also copies the entries that its source has synced but doesn't know to be committed. */
     REPAIR_PENDING,
-    /** A member tells its successor how far its log goes only when its view is on disk. */
+    /** A member reports the end of its log to its successor only after its view is synced to disk. */
     VIEW_SYNC,
-    /** A worker's drain is acknowledged only once a majority of the controllers holds it. */
+    /** A worker's drain is acknowledged only once a majority of the controllers have stored it. */
     REPORT_QUORUM,
-    /** A gateway routes by a configuration that nobody has confirmed for a bounded time after its start only. */
+    /** A gateway that has started routes by an unconfirmed configuration only for a limited time. */
     STARTUP_GRACE,
-    /** A gateway accepts keys for a bounded time after its configuration was confirmed as the newest. */
+    /** A gateway accepts keys only for a limited time after its configuration was last confirmed to be the newest. */
     REVOCATION_LEASE,
-    /** A replica that holds everything takes over where all members of a chain that acknowledges nothing are lost. */
+    /**
+     * A replica that holds all acknowledged entries takes over if all members of a chain that acknowledges nothing are
+     * lost.
+     */
     TAKEOVER
 }
--- a/core/src/main/java/silverlatch/safeguard/Safeguards.java
+++ b/core/src/main/java/silverlatch/safeguard/Safeguards.java
@@ -3,13 +3,13 @@
 import java.util.Set;
 
 /**
- * Which safeguards are enabled. The programs run with {@link #ALL} only, and a test holds them to that; the simulation disables
- * one at a time to see that its observer notices.
+ * The set of enabled safeguards. Production programs run with {@link #ALL} only, which a test enforces. The simulation
+ * disables one at a time to verify that its observer detects the violations that it prevents.
  *
  * @param disabled the safeguards that are not enforced
  */
 public record Safeguards(Set<Safeguard> disabled) {
-    /** All safeguards are enabled. */
+    /** All safeguards enabled. */
     public static final Safeguards ALL = new Safeguards(Set.of());
 
     /** Copies the set. */
--- a/core/src/main/java/silverlatch/safeguard/package-info.java
+++ b/core/src/main/java/silverlatch/safeguard/package-info.java
@@ -1,2 +1,5 @@
-/** The checks that the simulation can disable one by one, to see that its observer notices what each prevents. */
+/**
+ * Checks that the simulation can disable one by one, to verify that its observer detects the violations that each
+ * prevents.
+ */
 package silverlatch.safeguard;
--- a/core/src/main/java/silverlatch/state/AcceptedConfigurations.java
+++ b/core/src/main/java/silverlatch/state/AcceptedConfigurations.java
@@ -11,17 +11,23 @@
 import java.util.TreeMap;
 
 /**
- * The replicated history of accepted routing configurations, by which a command that is sent again is known however many
- * have followed it. It holds one {@link Value.AcceptedConfiguration} a number, as entries of the state machine: so it is
- * in snapshots, in repairs by range and in every replica's log. It is no policy, and gateways don't have it.
+ * Replicated history of accepted routing configurations. A configuration command that is sent again is recognized by
+ * it, regardless of how many other configurations were accepted since.
+ *
+ * <p>The history holds one {@link Value.AcceptedConfiguration} for each configuration number, stored as entries of the
+ * state machine. It is therefore part of snapshots, of the repair of digest ranges and of every replica's log. It is
+ * not policy (see {@link Entry#isPolicy}), so gateways don't receive it.
  */
 final class AcceptedConfigurations {
-    /** How the keys begin; the number follows in decimal with leading zeros, so that keys sort as numbers do. */
+    /**
+     * Prefix of the keys. The number follows in decimal, padded with leading zeros, so that keys sort as numbers do.
+     */
     static final String KEY_PREFIX = "a/";
 
     /**
-     * How many are remembered, the oldest being forgotten. A day holds hundreds of changes and a command is sent again
-     * within the day, so 4,096 are several days'; at about 100 bytes each they take 0.4 MB of a disk of 64.
+     * Maximum number of retained configurations; the oldest are evicted first. There are hundreds of changes a day and
+     * a command is sent again within the day, so 4,096 cover several days. At about 100 bytes each they take 0.4 MB of
+     * a disk of 64 MB.
      */
     static final int MAX_RETAINED = 4_096;
 
@@ -29,20 +35,24 @@
 
     private AcceptedConfigurations() {}
 
-    /** The key of a number's entry. */
+    /** Returns the key of the entry for a configuration number. */
     static String key(final long number) {
         return KEY_PREFIX + String.format("%019d", number);
     }
 
-    /** The key under which the refusal of a command is kept, whatever id it comes with. */
+    /**
+     * Returns the key under which the rejection of a command is stored. It does not depend on the command's id, so that
+     * a copy sent under another id finds the rejection too.
+     */
     static String rejectionKey(final Command.PutConfiguration command) {
         return REJECTION_PREFIX + command.expectedRevision() + "-"
                 + command.configuration().number() + "-" + digest(command.document());
     }
 
     /**
-     * Whether a command is the one that was accepted: the same document, on top of the same number. The same document on
-     * top of another number is another command. One that asks for no comparison is known by its document.
+     * Returns whether a command is the one that was accepted: it has the same document and expects the same revision.
+     * The same document on top of another revision is a different command. A command without an expected revision
+     * (negative) is compared by its document alone.
      */
     static boolean isSameCommand(final Value.AcceptedConfiguration accepted, final Command.PutConfiguration command) {
         return (command.expectedRevision() < 0 || command.expectedRevision() == accepted.expectedRevision())
@@ -50,9 +60,9 @@
     }
 
     /**
-     * The highest number that may have been accepted and forgotten since; 0 where none was.
+     * Returns the highest number whose configuration may have been accepted and evicted since; 0 if there is none.
      *
-     * @param retained    the entries under {@link #KEY_PREFIX}
+     * @param retained      the entries under {@link #KEY_PREFIX}
      * @param currentNumber the number in force
      */
     static long highestEvictedNumber(final SortedMap<String, Entry> retained, final long currentNumber) {
@@ -61,7 +71,10 @@
                 : value(retained.get(retained.firstKey())).previousNumber();
     }
 
-    /** What accepting a command writes: its own entry, and the deletion of those beyond the bound. */
+    /**
+     * Returns the entries that accepting a command writes: its own entry, and deletions of the oldest entries over the
+     * limit.
+     */
     static List<Entry> writes(
             final Command.PutConfiguration command,
             final Map<String, Entry> retained,
@@ -90,7 +103,8 @@
             final byte[] hash = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
             return Base64.getUrlEncoder().withoutPadding().encodeToString(hash);
         } catch (final NoSuchAlgorithmException missing) {
-            throw new IllegalStateException("every Java platform has SHA-256", missing);
+            throw new IllegalStateException(
+                    "SHA-256 is not available, although every Java platform must provide it", missing);
         }
     }
 }
--- a/core/src/main/java/silverlatch/state/ClaimManager.java
+++ b/core/src/main/java/silverlatch/state/ClaimManager.java
@@ -6,9 +6,10 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * Evaluates claims: a client's key is bound to the one request that may run under it. A claim goes from running to
- * completed or rejected; it stays for {@link StateMachine#CLAIM_RETENTION_EPOCHS} epochs, so that a retry of the
- * client finds it. Claims have no outcomes by id: the claim itself is what a duplicate finds.
+ * Evaluates claims. A claim binds a client's idempotency key to the one request that may run under it. Its state
+ * changes from running to completed or rejected. It is kept for {@link StateMachine#CLAIM_RETENTION_EPOCHS} epochs, so
+ * that a client's retry finds it. No outcome by command id is stored for claims: a duplicate command finds the claim
+ * itself.
  */
 final class ClaimManager {
     private static final int MAX_EXPIRED_PER_EPOCH = 5_000;
@@ -18,7 +19,7 @@
         this.safeguards = safeguards;
     }
 
-    /** Binds a key to a request, unless another one has it. */
+    /** Binds a key to a request, unless it is bound to another one. */
     Evaluation claim(final Command.Claim command, final EvaluationContext context) {
         final Optional<Value.Claim> existing =
                 safeguards.isEnabled(Safeguard.CLAIM) ? find(command.key(), context) : Optional.empty();
@@ -43,7 +44,10 @@
                 context);
     }
 
-    /** A claim that ended as rejected never ran: a request that claims later may have its key, and none other. */
+    /**
+     * Returns whether a later request may take over the key of an existing claim. It may if the claim was rejected, as
+     * that request never ran. The request that was rejected can't claim the key again, nor can one whose stamp is not newer.
+     */
     private static boolean isAvailableTo(final Value.Claim existing, final Command.Claim command) {
         return existing.state().equals(Value.Claim.REJECTED)
                 && !isHeldBy(existing, command.requestId())
@@ -51,8 +55,8 @@
     }
 
     /**
-     * Ends a running claim of the command's request. A rejection that overtakes its claim is written, so that the claim
-     * finds its key taken.
+     * Changes the running claim of the command's request to its final state. A rejection that arrives before its claim
+     * is written as a rejected claim, so that the claim finds the key taken.
      */
     Evaluation complete(final Command.CompleteClaim command, final EvaluationContext context) {
         final Optional<Value.Claim> existing = find(command.key(), context);
@@ -75,7 +79,10 @@
                 : alreadyApplied(command.key(), context);
     }
 
-    /** The deletions of claims that are older than is kept in an epoch; at most a number of them, the rest go later. */
+    /**
+     * Returns deletions of the claims whose retention is over in an epoch. At most {@link #MAX_EXPIRED_PER_EPOCH}
+     * claims are deleted at once; the rest are deleted in later epochs.
+     */
     static List<Entry> expiredClaimDeletions(final long epoch, final EvaluationContext context) {
         return context.committedWithPrefix(EntryKeys.CLAIMS).stream()
                 .map(committed -> context.find(committed.key()))
--- a/core/src/main/java/silverlatch/state/Command.java
+++ b/core/src/main/java/silverlatch/state/Command.java
@@ -3,18 +3,22 @@
 import java.util.List;
 
 /**
- * A change of the state that a client asks for. It is sent to the head of the chain; the same command may come several
- * times and takes effect once, by its id.
+ * A client's request to change the state. It is sent to the head of the chain. The same command may arrive several
+ * times and takes effect once, as duplicates are recognized by its id.
  *
- * <p>Commands with an expected revision take effect only while it is the current one (optimistic concurrency control):
- * that of the table for {@link PatchTable} and {@link PutTable}, the number in force for {@link PutConfiguration}, else
- * the sequence that last wrote the entry. -1 asks for no comparison.
+ * <p>A command with an expected revision takes effect only while that is the current one (optimistic concurrency
+ * control). The current revision is the newest sequence that wrote a row for {@link PatchTable} and {@link PutTable},
+ * the number in force for {@link PutConfiguration}, and otherwise the sequence that last wrote the command's entry. An
+ * expected revision of -1 disables the check.
+ *
+ * <p>Commands with a fencing token are sent by the owner of the singleton role: the one member of the chain that does
+ * the cluster's periodic work. The token is the number of the view in which it owns the role.
  */
 public sealed interface Command {
-    /** The id by which duplicates are known and the outcome can be asked for later. */
+    /** Returns the id by which duplicates are recognized and under which the outcome can be queried later. */
     String id();
 
-    /** Sets some cells of the table. */
+    /** Sets individual cells of the table. */
     record PatchTable(String id, List<Cell> cells, long expectedRevision) implements Command {
         /** Copies the cells. */
         public PatchTable {
@@ -30,7 +34,7 @@
         }
     }
 
-    /** Writes a tenant, new or changed. */
+    /** Creates or replaces a tenant. */
     record PutTenant(String id, Value.Tenant tenant, long expectedRevision) implements Command {}
 
     /** Deletes a tenant. */
@@ -39,47 +43,50 @@
     /** Begins or ends the evacuation of a zone. */
     record SetEvacuation(String id, String zone, boolean active, long expectedRevision) implements Command {
         /**
-         * The expected revision of a command that is to take effect on top of the newest change of its zone. The client
-         * that sends it learns that change's sequence while the call lasts, so a duplicate that comes after the call,
-         * when another command has taken effect, does nothing.
+         * Expected revision of a command that is applied on top of the newest change of its zone, whichever that is.
+         * The client that sends it learns the sequence of that change during the call and then expects it. A duplicate
+         * that arrives after the call, when another command has taken effect, is
+         * therefore rejected and has no effect.
          */
         public static final long LATEST = -2;
 
-        /** The same command with another expected revision. */
+        /** Returns a copy of the command with another expected revision. */
         public SetEvacuation withExpectedRevision(final long revision) {
             return new SetEvacuation(id, zone, active, revision);
         }
     }
 
-    /** Binds a client's idempotency key to a request; the time is the bits of the stamp that the request came with. */
+    /**
+     * Binds a client's idempotency key to a request. {@code claimedAt} is the bits of the stamp with which the request
+     * arrived.
+     */
     record Claim(String id, String key, String requestId, String gatewayId, long claimedAt) implements Command {}
 
-    /** Ends the claim of a request in a state; the time is the one of its claim. */
+    /** Sets the final state of a request's claim. {@code claimedAt} is that of the claim. */
     record CompleteClaim(String id, String key, String requestId, String gatewayId, String state, long claimedAt)
             implements Command {}
 
     /**
-     * Advances the epoch by one and deletes expired claims. The singleton role's owner sends it; its fencing token is the
-     * number of the view.
+     * Advances the epoch by one and deletes expired claims. Sent by the owner of the singleton role, with its fencing
+     * token.
      */
     record AdvanceEpoch(String id, long epoch, long fencingToken) implements Command {}
 
-    /** Writes a schedule, new or changed. */
+    /** Creates or replaces a schedule. */
     record PutSchedule(String id, Value.Schedule schedule, long expectedRevision) implements Command {}
 
     /** Deletes a schedule. */
     record RemoveSchedule(String id, String name, long expectedRevision) implements Command {}
 
     /**
-     * A command that is due by a schedule. The singleton role's owner sends it; its fencing token is the number of the
-     * view.
+     * Executes a command that is due by a schedule. Sent by the owner of the singleton role, with its fencing token.
      */
     record Scheduled(String id, long fencingToken, Command command) implements Command {}
 
     /**
-     * Replaces the routing configuration: routes, pools and limits, and the document that the operator wrote. The expected
-     * revision is the number that it builds on, 0 where there is none; a conflict is replied to with the number in force
-     * in place of a sequence.
+     * Replaces the routing configuration: routes, pools, limits, and the document as the operator wrote it. The
+     * expected revision is the number of the configuration that this one builds on, 0 if there is none. A conflict is
+     * answered with the number in force instead of a sequence.
      */
     record PutConfiguration(
             String id,
@@ -97,14 +104,15 @@
     }
 
     /**
-     * A routing configuration together with the parts that came with a later version; one that has none of them is sent as
-     * a {@link PutConfiguration}, which older versions know too.
+     * Replaces the routing configuration, including the parts that were added in a later version. A configuration
+     * without any of these parts is sent as a {@link PutConfiguration}, which older versions understand too.
      *
-     * @param base         what older versions know of it; its id and its expected revision are those of this command
+     * @param base         the part that older versions understand; its id and its expected revision are those of this
+     *                     command
      * @param keysRequired whether requests need keys, see {@link Value.AccessControl}
      * @param tenants      the tenants whose keys are accepted
      * @param publicRoutes the routes on which no key is needed
-     * @param scalings     the bounds of pools whose number of workers may be set
+     * @param scalings     the limits for pools whose number of workers may be changed
      */
     record PutFullConfiguration(
             PutConfiguration base,
@@ -120,7 +128,7 @@
             scalings = List.copyOf(scalings);
         }
 
-        /** A configuration without any of the later parts. */
+        /** Returns a configuration without any of the parts that were added later. */
         public static PutFullConfiguration of(final PutConfiguration base) {
             return new PutFullConfiguration(base, false, List.of(), List.of(), List.of());
         }
@@ -130,7 +138,7 @@
             return base.id();
         }
 
-        /** The same configuration under another id, on top of another revision. */
+        /** Returns the same configuration under another id and with another expected revision. */
         public PutFullConfiguration with(final String id, final long expectedRevision) {
             return new PutFullConfiguration(
                     new PutConfiguration(
@@ -141,24 +149,28 @@
                     scalings);
         }
 
-        /** The command to be sent: the one that older versions know where that says it all. */
+        /**
+         * Returns the command to send: {@link #base}, which older versions understand, if there is nothing else in this
+         * command, otherwise this command.
+         */
         public Command toCompatibleCommand() {
             return equals(of(base)) ? base : this;
         }
     }
 
     /**
-     * Closes a window of usage, once: the counts of the first command for a window are final. The singleton role's owner sends
-     * it; its fencing token is the number of the view.
+     * Closes a usage window. The counts of the first command that is accepted for a window are final. Sent by the owner
+     * of the singleton role, with its fencing token.
      */
     record CloseUsageWindow(String id, long fencingToken, Value.UsageWindow window) implements Command {}
 
     /**
-     * Notes that the provider has the usage of a window and of all closed ones before it, so that who owns the singleton role next
-     * doesn't report them again. The mark never goes back. The singleton role's owner sends it.
+     * Records that the provider has received the usage of a window and of all closed windows before it, so that the
+     * next owner of the singleton role doesn't report them again. The recorded window number never decreases. Sent by
+     * the owner of the singleton role, with its fencing token.
      */
     record MarkUsageReported(String id, long fencingToken, long window) implements Command {}
 
-    /** The new value of one cell of the table, as text. */
+    /** New value of one cell of the table, as text. */
     record Cell(String tenant, String kind, String field, String value) {}
 }
--- a/core/src/main/java/silverlatch/state/CommandOutcomes.java
+++ b/core/src/main/java/silverlatch/state/CommandOutcomes.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 
 /**
- * The outcomes of commands by id, replicated with the commands' writes: so a command takes effect once, however often
- * it is sent. The newest {@link #MAX_OUTCOMES} are kept.
+ * Outcomes of commands by command id. They are replicated together with the commands' writes, so that a command takes
+ * effect once even if it is sent several times. Only the newest {@link #MAX_OUTCOMES} are kept.
  */
 final class CommandOutcomes {
     private static final int MAX_OUTCOMES = 1_000;
@@ -18,7 +18,7 @@
 
     private CommandOutcomes() {}
 
-    /** The result of the command of this id, if it has been decided. */
+    /** Returns the result of the command with this id, if its outcome is stored. */
     static Optional<CommandResult> find(final EvaluationContext context, final String id) {
         return context.find(EntryKeys.OUTCOMES + id)
                 .filter(entry -> entry.value().get(0) instanceof Value.CommandOutcome)
@@ -32,12 +32,12 @@
                 : new CommandResult.Rejected(outcome.code(), outcome.faults(), outcome.sequence());
     }
 
-    /** The writes of an accepted command with its outcome. */
+    /** Returns the writes of an accepted command together with its outcome. */
     static Evaluation writeAcceptance(final EvaluationContext context, final List<Entry> writes, final String id) {
         return write(context, writes, id, new Value.CommandOutcome(context.writeSequence(), ACCEPTED, List.of()));
     }
 
-    /** The outcome of a rejected command, written so that a duplicate that comes later finds it. */
+    /** Returns the write of a rejected command's outcome, so that a duplicate that arrives later finds it. */
     static Evaluation writeRejection(
             final EvaluationContext context, final String id, final CommandResult.Rejected rejected) {
         return write(
@@ -47,7 +47,9 @@
                 new Value.CommandOutcome(rejected.sequence(), rejected.code(), rejected.faults()));
     }
 
-    /** Writes of a command with its outcome, and the end of the oldest outcomes beyond the bound. */
+    /**
+     * Returns the writes of a command together with its outcome, and deletions of the oldest outcomes over the limit.
+     */
     static Evaluation write(
             final EvaluationContext context,
             final List<Entry> writes,
--- a/core/src/main/java/silverlatch/state/CompareAndSet.java
+++ b/core/src/main/java/silverlatch/state/CompareAndSet.java
@@ -6,8 +6,8 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * Writes under optimistic concurrency control: a command that expects a revision takes effect only while that is the
- * current one. A negative expected revision asks for no comparison.
+ * Writes single entries under optimistic concurrency control: a command that expects a revision takes effect only while
+ * that is the current one. A negative expected revision disables the check.
  */
 final class CompareAndSet {
     private static final int PREFIX_LENGTH = 2;
@@ -17,14 +17,14 @@
         this.safeguards = safeguards;
     }
 
-    /** Whether a command expects another revision than the current one. */
+    /** Returns whether a command expects another revision than the current one. */
     boolean isConflict(final long expectedRevision, final long currentRevision) {
         return expectedRevision >= 0
                 && expectedRevision != currentRevision
                 && safeguards.isEnabled(Safeguard.COMPARE_AND_SET);
     }
 
-    /** Writes a valid value to one key, or rejects the command. */
+    /** Writes a value to one key. Rejects the command on a conflict, or if the validation finds faults. */
     Evaluation put(
             final EvaluationContext context,
             final String id,
@@ -35,7 +35,7 @@
         return set(context, id, context.write(key, value), expectedRevision, faults);
     }
 
-    /** Deletes one key, or rejects the command. */
+    /** Deletes one key. Rejects the command on a conflict. */
     Evaluation delete(final EvaluationContext context, final String id, final String key, final long expectedRevision) {
         return set(context, id, context.delete(key), expectedRevision, List::of);
     }
--- a/core/src/main/java/silverlatch/state/ConfigurationValidator.java
+++ b/core/src/main/java/silverlatch/state/ConfigurationValidator.java
@@ -6,27 +6,27 @@
 import java.util.Set;
 
 /**
- * Routing configurations: the keys of their entries, and what is wrong with one. Faults have the path of what is wrong in
- * the operators' document, whose fields have names of their own (docs/api.md).
+ * Validates routing configurations and defines the keys of their entries. Each fault begins with the path of the
+ * invalid field in the operator's document, whose field names differ from those of the types here (docs/api.md).
  */
 public final class ConfigurationValidator {
-    /** The key of the configuration in force, without its routes and pools. */
+    /** Key of the configuration in force, without its routes and pools. */
     public static final String CONFIGURATION_KEY = "p/charter";
-    /** The key of the document as the operator wrote it; it stays with the control plane. */
+    /** Key of the document as the operator wrote it. Gateways don't receive this entry. */
     public static final String DOCUMENT_KEY = "q/paper";
-    /** How the keys of routes begin. */
+    /** Prefix of the keys of routes. */
     public static final String ROUTE_PREFIX = "u/";
-    /** How the keys of backend pools begin. */
+    /** Prefix of the keys of backend pools. */
     public static final String POOL_PREFIX = "b/";
-    /** How many routes a configuration may have. */
+    /** Maximum number of routes of a configuration. */
     public static final int MAX_ROUTES = 20_000;
-    /** How many backend pools a configuration may have. */
+    /** Maximum number of backend pools of a configuration. */
     public static final int MAX_POOLS = 5_000;
-    /** How many tenants a configuration may have. */
+    /** Maximum number of tenants of a configuration. */
     public static final int MAX_TENANTS = 50_000;
-    /** How many keys the tenants of a configuration may have in all. */
+    /** Maximum number of keys of all tenants of a configuration together. */
     public static final int MAX_KEYS = 100_000;
-    /** How many bytes a configuration's document may have. */
+    /** Maximum size of a configuration's document, in bytes of UTF-8. */
     public static final int MAX_DOCUMENT_BYTES = 4 << 20;
 
     private static final int MAX_BACKENDS = 1_000;
@@ -36,30 +36,30 @@
 
     private ConfigurationValidator() {}
 
-    /** The key of a route. */
+    /** Returns the key of a route's entry. */
     public static String routeKey(final String host, final String path) {
         return ROUTE_PREFIX + host + "|" + path;
     }
 
-    /** Equal for two routes that requests can't tell apart. */
+    /** Returns a key that is equal for two routes if they match the same requests. */
     private static String comparableKey(final String host, final String path) {
         return routeKey(RouteHosts.normalized(host), path);
     }
 
-    /** The key of a backend pool. */
+    /** Returns the key of a backend pool's entry. */
     public static String poolKey(final String name) {
         return POOL_PREFIX + name;
     }
 
-    /** Whether a document is longer than any that is accepted. */
+    /** Returns whether a document exceeds {@link #MAX_DOCUMENT_BYTES}. */
     public static boolean isTooLong(final String document) {
         return document.length() > MAX_DOCUMENT_BYTES
                 || document.getBytes(StandardCharsets.UTF_8).length > MAX_DOCUMENT_BYTES;
     }
 
     /**
-     * What is wrong with a configuration that follows the one of the current number; a limited number of faults. One that
-     * is too large is not looked into.
+     * Returns the faults of a configuration that is to replace the one with the current number, up to a maximum. If the
+     * number or one of the sizes is invalid, nothing else is checked.
      */
     static List<String> faults(final Command.PutFullConfiguration full, final long currentNumber) {
         final Command.PutConfiguration command = full.base();
--- a/core/src/main/java/silverlatch/state/ConfigurationWrites.java
+++ b/core/src/main/java/silverlatch/state/ConfigurationWrites.java
@@ -7,8 +7,9 @@
 import java.util.stream.Stream;
 
 /**
- * The entries that a routing configuration writes, all in one change: what differs from the entries in force, the deletion of what
- * is gone, and always the configuration itself, so that gateways learn of any change by the revision.
+ * Computes the entries that a routing configuration writes, all in one change: the parts that differ from the entries
+ * in force, deletions of the parts that are gone, and always the configuration itself, so that gateways detect any
+ * change by the revision.
  */
 final class ConfigurationWrites {
     private static final List<String> PART_PREFIXES = List.of(
@@ -19,16 +20,22 @@
             EntryKeys.POOL_SCALINGS,
             EntryKeys.ACCESS_CONTROL);
 
-    /** How many bytes all parts may take together, so that a gateway without a configuration gets them in one frame. */
+    /**
+     * Maximum size of all parts together, in bytes, so that a gateway without a configuration gets them in one frame.
+     */
     private static final long MAX_PART_BYTES = 10L << 20;
-    /** How many bytes one change may take beside its document, so that it is one frame and one log record. */
+    /** Maximum size of one change without its document, in bytes, so that it fits one frame and one log record. */
     private static final long MAX_CHANGE_BYTES = 11L << 20;
-    /** By how much less than estimated an entry takes in any case: there, too little is worse than too much. */
+    /**
+     * Minimum number of bytes by which an entry in a frame is smaller than its estimate. Estimates are high on purpose,
+     * since their other users are harmed more by a low estimate than by a high one; here a high one would reject
+     * configurations that fit.
+     */
     private static final long ESTIMATE_MARGIN = 64;
 
     private ConfigurationWrites() {}
 
-    /** The writes of a configuration without a fault. */
+    /** Returns the writes of a configuration that has no faults. */
     static List<Entry> of(final Command.PutFullConfiguration command, final EvaluationContext context) {
         final List<Entry> writes = partWrites(command, context);
         final Command.PutConfiguration base = command.base();
@@ -39,7 +46,7 @@
         return writes;
     }
 
-    /** Whether a configuration has other parts than the entries in force. */
+    /** Returns whether a configuration's parts differ from the entries in force. */
     static boolean changesParts(final Command.PutFullConfiguration command, final EvaluationContext context) {
         return !partWrites(command, context).isEmpty();
     }
@@ -61,8 +68,8 @@
     }
 
     /**
-     * What is wrong with the size of a configuration: one that no frame holds could never be replicated, and would hold up every
-     * change after it.
+     * Returns the faults in the size of a configuration. One that does not fit in a frame could never be replicated,
+     * and would block every change after it.
      *
      * @param writes what the configuration writes
      */
@@ -106,7 +113,10 @@
         return EntryKeys.PUBLIC_ROUTES + route.host() + "|" + route.pathPrefix();
     }
 
-    /** Each key once and in one order, so that a document that only names them differently writes nothing. */
+    /**
+     * Removes duplicate keys and sorts the rest, so that a document that merely lists the same keys in another way
+     * writes nothing.
+     */
     private static Value.TenantAccess normalized(final Value.TenantAccess tenant) {
         return new Value.TenantAccess(
                 tenant.name(),
--- a/core/src/main/java/silverlatch/state/Entry.java
+++ b/core/src/main/java/silverlatch/state/Entry.java
@@ -3,11 +3,12 @@
 import java.util.List;
 
 /**
- * One entry of the state. A deleted entry has no value; it is a write that deletes, or the tombstone that is left of it.
+ * One entry of the state. A deleted entry has no value: it is a write that deletes its key, or the tombstone that such
+ * a write leaves.
  *
- * @param key      its key; {@link EntryKeys} has how keys begin
+ * @param key      its key; {@link EntryKeys} defines the prefixes
  * @param sequence the sequence of the change that wrote it
- * @param value    what it holds: one value, or none when it is deleted
+ * @param value    its value as a list of one, or an empty list if it is deleted
  */
 public record Entry(String key, long sequence, List<Value> value) {
     private static final long BASE_BYTES = 96;
@@ -25,7 +26,7 @@
             EntryKeys.PUBLIC_ROUTES,
             EntryKeys.CONFIGURATION_PREFIX);
 
-    /** Copies the value; there is at most one. */
+    /** Copies the list, which has one element at most. */
     public Entry {
         value = List.copyOf(value);
         if (value.size() > 1) {
@@ -33,17 +34,17 @@
         }
     }
 
-    /** Whether the entry was deleted. */
+    /** Returns whether the entry is deleted. */
     public boolean isDeleted() {
         return value.isEmpty();
     }
 
-    /** Whether the entry is policy: what the data plane follows. */
+    /** Returns whether the entry is policy, i.e. part of what gateways receive and act on. */
     public boolean isPolicy() {
         return POLICY_PREFIXES.stream().anyMatch(key::startsWith);
     }
 
-    /** About how many bytes the entry takes in a frame. */
+    /** Returns the estimated size of the entry in a frame, in bytes. */
     public long estimatedBytes() {
         return BASE_BYTES
                 + key.length()
--- a/core/src/main/java/silverlatch/state/EntryKeys.java
+++ b/core/src/main/java/silverlatch/state/EntryKeys.java
@@ -1,38 +1,38 @@
 package silverlatch.state;
 
 /**
- * How the keys of entries begin, or are, by what the entry holds. Keys are stored in data folders, sent between
- * processes and part of the range digests: none may change. Those of a routing configuration are in
- * {@link ConfigurationValidator}, those of accepted configurations in {@link AcceptedConfigurations}.
+ * Keys and key prefixes of entries, by what the entry holds. Keys are stored in data directories, sent between
+ * processes and part of the range digests, so none may change. The keys of routing configurations are in {@link
+ * ConfigurationValidator}, those of accepted configurations in {@link AcceptedConfigurations}.
  */
 final class EntryKeys {
-    /** Tenants, by name. */
+    /** Prefix for tenants; the name follows. */
     static final String TENANTS = "t/";
-    /** Rows of the table, by tenant and kind. */
+    /** Prefix for rows of the table; tenant and request kind follow. */
     static final String ROWS = "r/";
-    /** Evacuations, by zone. */
+    /** Prefix for evacuations; the zone follows. */
     static final String EVACUATIONS = "z/";
-    /** Schedules, by name. */
+    /** Prefix for schedules; the name follows. */
     static final String SCHEDULES = "k/";
-    /** Claims, by the client's key. */
+    /** Prefix for claims; the client's idempotency key follows. */
     static final String CLAIMS = "c/";
-    /** Outcomes of commands, by the command's id. */
+    /** Prefix for outcomes of commands; the command's id follows. */
     static final String OUTCOMES = "o/";
-    /** The epoch. */
+    /** Key of the epoch. */
     static final String EPOCH = "h/glass";
-    /** Tenants of the routing configuration, by name. */
+    /** Prefix for tenants of the routing configuration; the name follows. */
     static final String TENANT_ACCESS = "n/";
-    /** Public routes of the routing configuration, by host and path. */
+    /** Prefix for public routes of the routing configuration; host and path follow. */
     static final String PUBLIC_ROUTES = "v/";
-    /** Whether requests need keys, under the routing configuration in force. */
+    /** Key of the setting whether requests need keys, part of the routing configuration in force. */
     static final String ACCESS_CONTROL = "p/access";
-    /** Bounds on the number of workers, by pool. */
+    /** Prefix for limits on the number of workers; the pool follows. */
     static final String POOL_SCALINGS = "s/";
-    /** Closed windows of usage, by number in decimal with leading zeros. */
+    /** Prefix for closed usage windows; the number follows in decimal with leading zeros. */
     static final String USAGE_WINDOWS = "w/";
-    /** Up to where usage was reported. */
+    /** Key of the newest usage window that has been reported to the provider. */
     static final String USAGE_REPORTED = "m/usage-reported";
-    /** The routing configuration in force, without its routes and pools. */
+    /** Prefix for the routing configuration in force, without its routes and pools. */
     static final String CONFIGURATION_PREFIX = "p/";
 
     private EntryKeys() {}
--- a/core/src/main/java/silverlatch/state/EntryTable.java
+++ b/core/src/main/java/silverlatch/state/EntryTable.java
@@ -9,11 +9,11 @@
 import java.util.TreeSet;
 
 /**
- * The entries of the state by key, and what is counted and indexed of them.
+ * The entries of the state by key, with counts and an index of policy entries by sequence.
  *
- * <p>A deleted entry of policy stays as a tombstone, so that a data plane that follows by revision learns of it; any
- * other is removed. Between {@link #replaceRange} and {@link #completeRepair} the index and the counts are not up to
- * date. Not thread-safe: it belongs to the event loop of its state machine.
+ * <p>A deleted policy entry remains as a tombstone, so that a gateway that requests the changes since a revision learns
+ * of the deletion; any other deleted entry is removed. Between {@link #replaceRange} and {@link #completeRepair} the
+ * index and the counts are out of date. Not thread-safe: confined to the event loop of its state machine.
  */
 final class EntryTable {
     private final TreeMap<String, Entry> entries = new TreeMap<>();
@@ -24,27 +24,27 @@
     private long tableRevision;
     private int claimCount;
 
-    /** The newest sequence applied. */
+    /** Returns the newest sequence applied. */
     long sequence() {
         return sequence;
     }
 
-    /** The newest sequence that wrote an entry of policy. */
+    /** Returns the newest sequence that wrote a policy entry. */
     long policyRevision() {
         return policyRevision;
     }
 
-    /** The newest sequence that wrote a row of the table. */
+    /** Returns the newest sequence that wrote a row of the table. */
     long tableRevision() {
         return tableRevision;
     }
 
-    /** How many claims there are. */
+    /** Returns the number of claims. */
     int claimCount() {
         return claimCount;
     }
 
-    /** Applies the entries that one change wrote. */
+    /** Applies the entries that one change wrote. An entry older than the current one of its key is ignored. */
     void apply(final long newSequence, final Collection<Entry> writes) {
         sequence = Math.max(sequence, newSequence);
         writes.forEach(this::apply);
@@ -87,7 +87,7 @@
         return entry.key().startsWith(EntryKeys.CLAIMS);
     }
 
-    /** Replaces everything. */
+    /** Replaces all entries. */
     void reset(final long newSequence, final Collection<Entry> newEntries) {
         entries.clear();
         policyRevision = 0;
@@ -95,13 +95,13 @@
         apply(newSequence, newEntries);
     }
 
-    /** Replaces the entries of one range of digests. */
+    /** Replaces the entries of one digest range. */
     void replaceRange(final int range, final int rangeCount, final Collection<Entry> rangeEntries) {
         entries.values().removeIf(entry -> EntryDigests.rangeOf(entry.key(), rangeCount) == range);
         rangeEntries.forEach(entry -> entries.put(entry.key(), entry));
     }
 
-    /** Ends a repair: the entries are those of a sequence, which may be lower than the one before. */
+    /** Completes a repair: rebuilds index and counts. The new sequence may be lower than the one before the repair. */
     void completeRepair(final long newSequence) {
         rebuildIndex(newSequence);
         policyRevision =
@@ -116,32 +116,32 @@
         entries.values().forEach(this::addToIndex);
     }
 
-    /** All entries, in the order of their keys. */
+    /** Returns all entries, sorted by key. */
     List<Entry> all() {
         return List.copyOf(entries.values());
     }
 
-    /** The entries of policy, tombstones too, that were written after a sequence, oldest first. */
+    /** Returns the policy entries, including tombstones, that were written after a revision, oldest first. */
     List<Entry> policySince(final long revision) {
         return List.copyOf(policyBySequence.tailSet(new Entry("", revision + 1, List.of())));
     }
 
-    /** The entry of a key; it may be a tombstone. */
+    /** Returns the entry of a key, which may be a tombstone. */
     Optional<Entry> find(final String key) {
         return Optional.ofNullable(entries.get(key));
     }
 
-    /** The entries whose keys start so, tombstones too; a view of this table. */
+    /** Returns the entries whose keys start with a prefix, including tombstones, as a view of this table. */
     SortedMap<String, Entry> withPrefix(final String prefix) {
         return entries.subMap(prefix, prefix + Character.MAX_VALUE);
     }
 
-    /** The digest of each range. */
+    /** Returns the digest of each range. */
     long[] digests(final int rangeCount) {
         return EntryDigests.of(entries.values(), rangeCount);
     }
 
-    /** The entries of one range. */
+    /** Returns the entries of one digest range. */
     List<Entry> inRange(final int range, final int rangeCount) {
         return entries.values().stream()
                 .filter(entry -> EntryDigests.rangeOf(entry.key(), rangeCount) == range)
--- a/core/src/main/java/silverlatch/state/EpochManager.java
+++ b/core/src/main/java/silverlatch/state/EpochManager.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Evaluates advances of the epoch, the fleet's count of time by monotonic clocks: each goes on by one, and deletes the
- * claims that have expired with it.
+ * Evaluates commands that advance the epoch: the fleet's shared time, counted by monotonic clocks. Each command
+ * advances it by one and deletes the claims that expire with it.
  */
 final class EpochManager {
     Evaluation advance(final Command.AdvanceEpoch command, final EvaluationContext context) {
--- a/core/src/main/java/silverlatch/state/EvacuationManager.java
+++ b/core/src/main/java/silverlatch/state/EvacuationManager.java
@@ -3,7 +3,7 @@
 import silverlatch.safeguard.Safeguard;
 import silverlatch.safeguard.Safeguards;
 
-/** Evaluates commands that evacuate a zone or end its evacuation: one entry for each zone, under its name. */
+/** Evaluates commands that begin or end the evacuation of a zone. There is one entry for each zone, under its name. */
 final class EvacuationManager {
     private static final long ANY_REVISION = -1;
     private final CompareAndSet compareAndSet;
--- a/core/src/main/java/silverlatch/state/Evaluation.java
+++ b/core/src/main/java/silverlatch/state/Evaluation.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** What comes of evaluating a command at the head of the chain. */
+/** Outcome of evaluating a command at the head of the chain. */
 public sealed interface Evaluation {
-    /** The command writes these entries; its result is known once they are committed. */
+    /** The command writes these entries. Its result is known once they are committed. */
     record Write(List<Entry> entries) implements Evaluation {}
 
-    /** The command writes nothing; what its result rests on may still have to be committed. */
+    /** The command writes nothing. Its result may depend on entries that are not committed yet. */
     record Reply(CommandResult result) implements Evaluation {}
 }
--- a/core/src/main/java/silverlatch/state/EvaluationContext.java
+++ b/core/src/main/java/silverlatch/state/EvaluationContext.java
@@ -8,8 +8,8 @@
 import silverlatch.clock.Stamp;
 
 /**
- * What one command is evaluated against: the committed entries, those that were accepted after them and are not
- * committed yet, and the sequence and stamp that the command's own writes would have. It changes nothing.
+ * Read-only view of the state that one command is evaluated against: the committed entries, the entries that were
+ * accepted after them and are not committed yet, and the sequence and stamp that the command's own writes would have.
  */
 final class EvaluationContext {
     private final EntryTable committed;
@@ -18,10 +18,10 @@
     private final Stamp stamp;
 
     /**
-     * A context.
+     * Creates a context.
      *
      * @param committed     the committed entries
-     * @param overlay       the uncommitted entries by key, which hide the committed ones
+     * @param overlay       the uncommitted entries by key, which take precedence over the committed ones
      * @param writeSequence the sequence of the command's own writes
      * @param stamp         the stamp of the command's own writes
      */
@@ -33,42 +33,42 @@
         this.stamp = stamp;
     }
 
-    /** The sequence that the command's own writes would have. */
+    /** Returns the sequence that the command's own writes would have. */
     long writeSequence() {
         return writeSequence;
     }
 
-    /** The stamp that the command's own writes would have. */
+    /** Returns the stamp that the command's own writes would have. */
     Stamp stamp() {
         return stamp;
     }
 
-    /** The newest committed sequence. */
+    /** Returns the newest committed sequence. */
     long committedSequence() {
         return committed.sequence();
     }
 
-    /** An entry that the command writes. */
+    /** Returns a write of a value to a key by the command. */
     Entry write(final String key, final Value value) {
         return new Entry(key, writeSequence, List.of(value));
     }
 
-    /** The deletion of an entry by the command. */
+    /** Returns a deletion of a key by the command. */
     Entry delete(final String key) {
         return new Entry(key, writeSequence, List.of());
     }
 
-    /** The entry of a key, if it is there and not deleted. */
+    /** Returns the entry of a key, if it exists and is not deleted. */
     Optional<Entry> find(final String key) {
         return findAny(key).filter(entry -> !entry.isDeleted());
     }
 
-    /** What a key holds, if it is there and not deleted. */
+    /** Returns the value of a key, if its entry exists and is not deleted. */
     <T extends Value> Optional<T> value(final String key, final Class<T> type) {
         return find(key).map(entry -> type.cast(entry.value().get(0)));
     }
 
-    /** The sequence that last wrote a key or deleted it; 0 where nothing is known of it. */
+    /** Returns the sequence that last wrote or deleted a key, 0 if there is neither an entry nor a tombstone. */
     long revisionOf(final String key) {
         return findAny(key).map(Entry::sequence).orElse(0L);
     }
@@ -77,7 +77,7 @@
         return Optional.ofNullable(overlay.get(key)).or(() -> committed.find(key));
     }
 
-    /** The newest sequence that wrote a row of the table. */
+    /** Returns the newest sequence that wrote a row of the table. */
     long tableRevision() {
         return overlay.values().stream()
                 .filter(entry -> entry.key().startsWith(EntryKeys.ROWS))
@@ -85,7 +85,7 @@
                 .reduce(committed.tableRevision(), Math::max);
     }
 
-    /** How many claims there are; one that is rewritten and not committed yet counts twice. */
+    /** Returns the number of claims. A claim that has an uncommitted change and is committed already counts twice. */
     long claimCount() {
         return committed.claimCount()
                 + overlay.keySet().stream()
@@ -93,14 +93,14 @@
                         .count();
     }
 
-    /** The epoch. */
+    /** Returns the epoch. */
     long epoch() {
         return value(EntryKeys.EPOCH, Value.Epoch.class)
                 .map(Value.Epoch::number)
                 .orElse(0L);
     }
 
-    /** The entries whose keys start so, without deleted ones; the caller may change the map. */
+    /** Returns the entries whose keys start with a prefix, without deleted ones. The caller may modify the map. */
     Map<String, Entry> withPrefix(final String prefix) {
         final Map<String, Entry> live = new HashMap<>(committed.withPrefix(prefix));
         overlay.values().stream()
@@ -110,7 +110,7 @@
         return live;
     }
 
-    /** The committed entries whose keys start so, tombstones too, in the order of their keys. */
+    /** Returns the committed entries whose keys start with a prefix, including tombstones, sorted by key. */
     Collection<Entry> committedWithPrefix(final String prefix) {
         return committed.withPrefix(prefix).values();
     }
--- a/core/src/main/java/silverlatch/state/LayeredMap.java
+++ b/core/src/main/java/silverlatch/state/LayeredMap.java
@@ -6,13 +6,13 @@
 import java.util.stream.Stream;
 
 /**
- * An immutable map by text. A step to a newer one costs what changes, not what there is: changes are kept in an overlay, which is
- * merged into the base when it is large.
+ * Immutable map with string keys. The cost of deriving an updated map depends on the size of the change, not of the
+ * map: changes are collected in an overlay, which is merged into the base once it exceeds {@link #MAX_OVERLAY_ENTRIES}.
  */
 final class LayeredMap<V> {
     private static final int MAX_OVERLAY_ENTRIES = 256;
     private final Map<String, V> base;
-    /** What differs from the base; nothing where the base's value was removed. */
+    /** Changes to the base by key; an empty value means that the base's value is removed. */
     private final Map<String, Optional<V>> overlay;
 
     private LayeredMap(final Map<String, V> base, final Map<String, Optional<V>> overlay) {
@@ -20,12 +20,12 @@
         this.overlay = overlay;
     }
 
-    /** A map without any value. */
+    /** Returns an empty map. */
     static <V> LayeredMap<V> empty() {
         return new LayeredMap<>(Map.of(), Map.of());
     }
 
-    /** The map after changes: the new value of each key, or nothing where it is removed. */
+    /** Returns the map with changes applied: the new value of each key, or empty to remove the key. */
     LayeredMap<V> with(final Map<String, Optional<V>> changes) {
         if (changes.isEmpty()) {
             return this;
@@ -45,13 +45,13 @@
         changes.forEach((key, change) -> change.ifPresentOrElse(value -> map.put(key, value), () -> map.remove(key)));
     }
 
-    /** The value of a key. */
+    /** Returns the value of a key. */
     Optional<V> get(final String key) {
         final Optional<V> changed = overlay.get(key);
         return changed != null ? changed : Optional.ofNullable(base.get(key));
     }
 
-    /** All values. */
+    /** Returns all values. */
     Stream<V> values() {
         return Stream.concat(
                 overlay.values().stream().flatMap(Optional::stream),
--- a/core/src/main/java/silverlatch/state/Policy.java
+++ b/core/src/main/java/silverlatch/state/Policy.java
@@ -11,12 +11,13 @@
 import java.util.stream.Stream;
 
 /**
- * What the data plane follows, as one immutable value that event loops hand to each other. A step to a newer revision costs what
- * changed, not what there is. Tenants of the routing configuration are kept apart from all else, as there may be tens of thousands
- * of them, and are found by their keys.
+ * The policy entries of the state (see {@link Entry#isPolicy}), which gateways act on, as one immutable value that
+ * event loops can share. The cost of deriving a newer revision depends on the size of the change, not of the policy.
+ * Tenants of the routing configuration have an index of their own, since there may be tens of thousands of them and
+ * they are looked up by their keys.
  */
 public final class Policy {
-    /** The policy without any entry. */
+    /** The empty policy. */
     public static final Policy NONE = new Policy(LayeredMap.empty(), TenantIndex.EMPTY, List.of());
 
     private final LayeredMap<Value> values;
@@ -35,12 +36,12 @@
                 .collect(Collectors.toUnmodifiableSet());
     }
 
-    /** A policy of these entries. */
+    /** Returns a policy with these entries. */
     public static Policy of(final Collection<Entry> entries) {
         return NONE.with(entries);
     }
 
-    /** The policy after changes; a deleted entry removes its value. */
+    /** Returns the policy with changes applied. A deleted entry removes its value. */
     public Policy with(final Collection<Entry> changes) {
         final Map<String, Optional<Value.TenantAccess>> changedTenants = new HashMap<>();
         final Map<String, Optional<Value>> changedValues = new HashMap<>();
@@ -61,32 +62,32 @@
         return new Policy(values.with(changedValues), tenants.with(changedTenants), List.copyOf(updatedEvacuations));
     }
 
-    /** The value of a key. */
+    /** Returns the value of an entry's key. */
     public Optional<Value> value(final String key) {
         return values.get(key).or(() -> tenants.findByEntryKey(key));
     }
 
-    /** The tenant of the routing configuration that has a key, by the key's SHA-256 in hexadecimal. */
+    /** Returns the tenant of the routing configuration that has a key, given as its SHA-256 in hexadecimal. */
     public Optional<Value.TenantAccess> tenantOfKey(final String keyDigest) {
         return tenants.findByKeyDigest(keyDigest);
     }
 
-    /** The evacuations, active or ended, one a zone. */
+    /** Returns the evacuations, one for each zone, including those that have ended. */
     public List<Value.Evacuation> evacuations() {
         return evacuations;
     }
 
-    /** The zones that are being evacuated. */
+    /** Returns the zones that are being evacuated. */
     public Set<String> evacuatedZones() {
         return evacuatedZones;
     }
 
-    /** All values. */
+    /** Returns all values. */
     public Stream<Value> values() {
         return Stream.concat(valuesExceptTenants(), tenants.tenants());
     }
 
-    /** All values but the tenants of the routing configuration. */
+    /** Returns all values except the tenants of the routing configuration. */
     public Stream<Value> valuesExceptTenants() {
         return values.values();
     }
--- a/core/src/main/java/silverlatch/state/RejectionCause.java
+++ b/core/src/main/java/silverlatch/state/RejectionCause.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * Why a command is rejected. The code is stored with the command's outcome and is the HTTP status of the reply to its
- * client.
+ * Reason for rejecting a command. The code is stored with the command's outcome and is the HTTP status of the reply to
+ * the client.
  */
 enum RejectionCause {
-    /** What the command names isn't there. */
+    /** The entry that the command refers to doesn't exist. */
     NOT_FOUND(404),
-    /** The current revision is another than the command expects, or the claim is another request's. */
+    /** The current revision is not the one that the command expects, or the claim belongs to another request. */
     CONFLICT(409),
-    /** The command brings more than is taken at once. */
+    /** The command contains more than is accepted in one command. */
     TOO_LARGE(413),
-    /** What the command brings is invalid. */
+    /** The content of the command is invalid. */
     INVALID(422),
-    /** There is no space for more. */
+    /** A limit on the number of stored entries is reached. */
     FULL(507);
 
     private final int code;
@@ -24,17 +24,17 @@
         this.code = code;
     }
 
-    /** The code that is stored and sent. */
+    /** Returns the code that is stored and sent. */
     int code() {
         return code;
     }
 
-    /** A rejection without a write. */
+    /** Returns a rejection without a write. */
     Evaluation reply(final String fault, final long currentRevision) {
         return reply(List.of(fault), currentRevision);
     }
 
-    /** A rejection without a write, for several faults. */
+    /** Returns a rejection without a write, for several faults. */
     Evaluation reply(final List<String> faults, final long currentRevision) {
         return new Evaluation.Reply(new CommandResult.Rejected(code, faults, currentRevision));
     }
--- a/core/src/main/java/silverlatch/state/RouteHosts.java
+++ b/core/src/main/java/silverlatch/state/RouteHosts.java
@@ -2,11 +2,11 @@
 
 import java.util.Locale;
 
-/** Compares the hosts of routes and requests: letter case doesn't count, nor does a port. */
+/** Normalizes the hosts of routes and requests for comparison: letter case and port are ignored. */
 public final class RouteHosts {
     private RouteHosts() {}
 
-    /** The host in lower case and without its port; hosts that requests can't tell apart give the same. */
+    /** Returns the host in lower case and without its port. Hosts that match the same requests give the same result. */
     public static String normalized(final String host) {
         final int colon = host.lastIndexOf(':');
         final boolean hasPort = colon > 0 && host.indexOf(']') < colon;
--- a/core/src/main/java/silverlatch/state/RoutingConfigurationManager.java
+++ b/core/src/main/java/silverlatch/state/RoutingConfigurationManager.java
@@ -9,9 +9,10 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * Evaluates routing configurations. Each has a number of the operators' own, which only rises; the expected revision of
- * a command is the number it builds on. A command that is sent again, under whatever id, gets the result of its first
- * acceptance or refusal; where neither is remembered any more, the result is unknown.
+ * Evaluates routing configurations. Each has a number chosen by the operators, which must increase with every
+ * configuration; the expected revision of a command is the number that it builds on. A command that is sent again,
+ * under the same or another id, gets the result of its first acceptance or rejection. If neither is stored any more,
+ * the result is {@link CommandResult.Unknown}.
  */
 final class RoutingConfigurationManager {
     private final CompareAndSet compareAndSet;
@@ -54,14 +55,14 @@
         return CommandOutcomes.writeAcceptance(context, writes, command.id());
     }
 
-    /** The number in force, 0 where there is none. */
+    /** Returns the number in force, 0 if there is none. */
     private static long currentNumber(final EvaluationContext context) {
         return context.value(ConfigurationValidator.CONFIGURATION_KEY, Value.RoutingConfiguration.class)
                 .map(Value.RoutingConfiguration::number)
                 .orElse(0L);
     }
 
-    /** The result of an earlier copy of the command, if one is remembered. */
+    /** Returns the result of an earlier copy of the command, if it is stored. */
     private Optional<CommandResult> findEarlierResult(
             final Command.PutConfiguration command, final EvaluationContext context, final long currentNumber) {
         return findFirstAcceptance(command, context, currentNumber)
@@ -70,8 +71,9 @@
     }
 
     /**
-     * What a repeat of the configuration in force writes of the parts that came with a later version: all that is missing where a
-     * process of an older version, which passed them over, had it accepted. A command of such a process takes nothing away.
+     * Returns the writes of the parts that are missing although the command's configuration is in force. This happens
+     * when a process of an older version, which ignores the parts that were added later, submitted it first. Returns
+     * nothing for a command of such a process, so that it doesn't remove these parts.
      */
     private static List<Entry> missingParts(
             final Command.PutFullConfiguration full, final EvaluationContext context, final long currentNumber) {
@@ -92,8 +94,8 @@
     }
 
     /**
-     * The entry of a command's first acceptance, if it was accepted. The configuration in force is known by its own text
-     * where a folder of an older version does not remember it.
+     * Returns the entry of a command's first acceptance, if it was accepted. The data directory of an older version may
+     * lack the history of accepted configurations; then the configuration in force is recognized by its document.
      */
     private Optional<Entry> findFirstAcceptance(
             final Command.PutConfiguration command, final EvaluationContext context, final long currentNumber) {
@@ -117,14 +119,17 @@
                 .isPresent();
     }
 
-    /** The refusal that was written for a copy of the command. */
+    /** Returns the rejection that was stored for a copy of the command. */
     private static Optional<CommandResult> findRejection(
             final Command.PutConfiguration command, final EvaluationContext context) {
         return context.value(AcceptedConfigurations.rejectionKey(command), Value.CommandOutcome.class)
                 .map(outcome -> new CommandResult.Rejected(outcome.code(), outcome.faults(), outcome.sequence()));
     }
 
-    /** Whether a command that isn't remembered may have been accepted, so that a refusal could be wrong. */
+    /**
+     * Returns whether a command that is not in the history may have been accepted and evicted since, in which case a
+     * rejection could be wrong.
+     */
     private boolean mayHaveBeenEvicted(
             final Command.PutFullConfiguration full, final Map<String, Entry> retained, final long currentNumber) {
         final long number = full.base().configuration().number();
@@ -135,9 +140,9 @@
     }
 
     /**
-     * Rejects a command that builds on another number than the one in force. A conflict with a higher number is final,
-     * as numbers only rise. A command on top of a number that isn't in force yet could be accepted later, so its refusal
-     * is written, and each copy of it finds that.
+     * Rejects a command that builds on another number than the one in force. If the number in force is higher, the
+     * conflict is final, as numbers only increase. A command that builds on a number that is not in force yet could be
+     * accepted later, so its rejection is stored, and each copy of the command finds it.
      */
     private static Evaluation rejectConflict(
             final Command.PutConfiguration command, final EvaluationContext context, final long currentNumber) {
--- a/core/src/main/java/silverlatch/state/RowBuilder.java
+++ b/core/src/main/java/silverlatch/state/RowBuilder.java
@@ -1,6 +1,6 @@
 package silverlatch.state;
 
-/** A row of the table being changed; it begins as another row. */
+/** Builder of a changed row of the table, initialized from an existing row. */
 final class RowBuilder {
     private final String kind;
     private String tenant;
@@ -38,10 +38,11 @@
     }
 
     /**
-     * Sets the cell of a field.
+     * Sets a field from text.
      *
-     * @throws NumberFormatException if the field takes a number and the text is none
-     * @throws IllegalArgumentException if there is no such field, or the text is neither true nor false for a flag
+     * @throws NumberFormatException if the field is numeric and the text is not a number
+     * @throws IllegalArgumentException if there is no such field, or the field is boolean and the text is neither true
+     *     nor false
      */
     RowBuilder cell(final String field, final String text) {
         switch (field) {
--- a/core/src/main/java/silverlatch/state/ScalingConfiguration.java
+++ b/core/src/main/java/silverlatch/state/ScalingConfiguration.java
@@ -7,22 +7,22 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** Reads from a state what numbers of workers are decided by. */
+/** Reads from a state the configuration that autoscaling depends on. */
 public final class ScalingConfiguration {
     private ScalingConfiguration() {}
 
-    /** The pools whose numbers of workers may be set, with their bounds. */
+    /** Returns the pools whose number of workers may be changed, with their limits. */
     public static List<Value.PoolScaling> scalings(final StateMachine state) {
         return values(state, EntryKeys.POOL_SCALINGS, Value.PoolScaling.class).toList();
     }
 
-    /** The backend pools by name. */
+    /** Returns the backend pools by name. */
     public static Map<String, Value.BackendPool> pools(final StateMachine state) {
         return values(state, ConfigurationValidator.POOL_PREFIX, Value.BackendPool.class)
                 .collect(Collectors.toMap(Value.BackendPool::name, Function.identity()));
     }
 
-    /** The zones that are being evacuated. */
+    /** Returns the zones that are being evacuated. */
     public static Set<String> evacuatedZones(final StateMachine state) {
         return values(state, EntryKeys.EVACUATIONS, Value.Evacuation.class)
                 .filter(Value.Evacuation::active)
--- a/core/src/main/java/silverlatch/state/ScheduleManager.java
+++ b/core/src/main/java/silverlatch/state/ScheduleManager.java
@@ -1,6 +1,6 @@
 package silverlatch.state;
 
-/** Evaluates commands on schedules: one entry for each, under its name. */
+/** Evaluates commands that write or delete schedules. There is one entry for each schedule, under its name. */
 final class ScheduleManager {
     private final CompareAndSet compareAndSet;
 
--- a/core/src/main/java/silverlatch/state/StateMachine.java
+++ b/core/src/main/java/silverlatch/state/StateMachine.java
@@ -9,18 +9,19 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * The replicated state of the control plane. A command is evaluated once, at the head of the chain, into the entries
- * that it writes; every replica applies these entries in the order of their sequences. For each kind of state there is
- * a manager that evaluates its commands; all of them are functions of the entries alone.
+ * The replicated state of the control plane. A command is evaluated once, at the head of the chain, and gives the
+ * entries that it writes; every replica applies these entries in the order of their sequences. Each kind of state has a
+ * manager that evaluates its commands. Evaluation depends only on the entries, the command, and the sequence and stamp
+ * that are passed in.
  *
- * <p>Not thread-safe: it belongs to the event loop of its replica.
+ * <p>Not thread-safe: confined to the event loop of its replica.
  */
 public final class StateMachine {
-    /** How many rows a table may have. */
+    /** Maximum number of rows of the table. */
     public static final int MAX_ROWS = 20_000;
-    /** How many claims are kept at once. */
+    /** Maximum number of claims that are stored at the same time. */
     public static final int MAX_CLAIMS = 200_000;
-    /** For how many epochs a claim is kept: 7 days of ten minutes each. */
+    /** Number of epochs for which a claim is kept: 7 days of 144 epochs of ten minutes each. */
     public static final int CLAIM_RETENTION_EPOCHS = 7 * 144;
 
     private final EntryTable entries = new EntryTable();
@@ -33,12 +34,12 @@
     private final RoutingConfigurationManager configurations;
     private final UsageManager usage = new UsageManager();
 
-    /** An empty state. */
+    /** Creates an empty state with all safeguards enabled. */
     public StateMachine() {
         this(Safeguards.ALL);
     }
 
-    /** An empty state under the safeguards that are enabled. */
+    /** Creates an empty state with the given safeguards. */
     public StateMachine(final Safeguards safeguards) {
         final CompareAndSet compareAndSet = new CompareAndSet(safeguards);
         this.tenants = new TenantManager(compareAndSet);
@@ -50,17 +51,17 @@
         this.configurations = new RoutingConfigurationManager(compareAndSet, safeguards);
     }
 
-    /** The newest sequence applied. */
+    /** Returns the newest sequence applied. */
     public long sequence() {
         return entries.sequence();
     }
 
-    /** The newest sequence that changed what the data plane follows. */
+    /** Returns the newest sequence that wrote a policy entry, i.e. one that gateways receive. */
     public long policyRevision() {
         return entries.policyRevision();
     }
 
-    /** The epoch: how often it was advanced. */
+    /** Returns the epoch, which is the number of times it has been advanced. */
     public long epoch() {
         return get(EntryKeys.EPOCH)
                 .map(entry -> ((Value.Epoch) entry.value().get(0)).number())
@@ -72,59 +73,65 @@
         entries.apply(newSequence, writes);
     }
 
-    /** Replaces everything, as a snapshot does. */
+    /** Replaces all entries by those of a snapshot. */
     public void reset(final long newSequence, final Collection<Entry> newEntries) {
         entries.reset(newSequence, newEntries);
     }
 
-    /** Replaces the entries of one range of digests; {@link #completeRepair} must follow once all ranges are in. */
+    /**
+     * Replaces the entries of one digest range. {@link #completeRepair} must be called after all ranges have been
+     * replaced.
+     */
     public void replaceRange(final int range, final int rangeCount, final Collection<Entry> rangeEntries) {
         entries.replaceRange(range, rangeCount, rangeEntries);
     }
 
-    /** Ends a repair: the entries are now those of this sequence. */
+    /** Completes a repair: the entries are now those of the given sequence. */
     public void completeRepair(final long newSequence) {
         entries.completeRepair(newSequence);
     }
 
-    /** All entries, in the order of their keys. */
+    /** Returns all entries, sorted by key. */
     public List<Entry> allEntries() {
         return entries.all();
     }
 
-    /** What the data plane follows and was written after the given revision, oldest first. */
+    /** Returns the policy entries that were written after a revision, including tombstones, oldest first. */
     public List<Entry> policySince(final long revision) {
         return entries.policySince(revision);
     }
 
-    /** One digest for each range of keys. */
+    /** Returns the digest of each key range. */
     public long[] digests(final int rangeCount) {
         return entries.digests(rangeCount);
     }
 
-    /** The entries of one range. */
+    /** Returns the entries of one digest range. */
     public List<Entry> entriesInRange(final int range, final int rangeCount) {
         return entries.inRange(range, rangeCount);
     }
 
-    /** The entry of a key, if it is there and not deleted. */
+    /** Returns the entry of a key, if it exists and is not deleted. */
     public Optional<Entry> get(final String key) {
         return entries.find(key).filter(entry -> !entry.isDeleted());
     }
 
-    /** All entries whose keys start so, deleted ones of policy too; a view of this state. */
+    /**
+     * Returns the entries whose keys start with a prefix, including tombstones of policy entries, as a view of this
+     * state.
+     */
     public SortedMap<String, Entry> entriesWithPrefix(final String prefix) {
         return entries.withPrefix(prefix);
     }
 
-    /** The key of a row. */
+    /** Returns the key of a row's entry. */
     public static String rowKey(final String tenant, final String kind) {
         return EntryKeys.ROWS + tenant + "/" + kind;
     }
 
     /**
-     * Evaluates a command: either the entries that it writes, or a result without a write. A rejection that could turn
-     * out otherwise later is written too, so that a duplicate of the command that comes late finds it.
+     * Evaluates a command. The result is either the entries that it writes, or a reply without a write. A rejection
+     * that could become an acceptance later is also written, so that a late duplicate of the command finds it.
      *
      * @param command       the command
      * @param overlay       the entries by key that were accepted and are not applied yet
@@ -146,7 +153,11 @@
                 : evaluation;
     }
 
-    /** Conflicts are final, and claims and epochs are known by their own entries. */
+    /**
+     * Returns whether a rejection must be written, so that duplicates find it. Conflicts need not be, as they are
+     * final; nor need rejected commands on claims and epochs, whose duplicates are recognized by the entries of the
+     * claims and the epoch.
+     */
     private static boolean mustPersistRejection(final Command command, final CommandResult.Rejected rejected) {
         return rejected.code() != RejectionCause.CONFLICT.code()
                 && !(command instanceof Command.Claim)
--- a/core/src/main/java/silverlatch/state/TableManager.java
+++ b/core/src/main/java/silverlatch/state/TableManager.java
@@ -8,8 +8,9 @@
 import java.util.Set;
 
 /**
- * Evaluates commands on the table of weights and limits: one entry for each row, under its tenant and kind. The table's
- * revision is the newest sequence that wrote any of its rows. A command takes effect with all of its rows or none.
+ * Evaluates commands on the table of weights and limits. There is one entry for each row, under its tenant and request
+ * kind. The table's revision is the newest sequence that wrote any of its rows. A command takes effect on all of its
+ * rows or on none.
  */
 final class TableManager {
     private static final int MAX_REPORTED_FAULTS = 50;
@@ -19,7 +20,10 @@
         this.compareAndSet = compareAndSet;
     }
 
-    /** Changes cells; a row that isn't there begins as the row of its kind for all tenants, or as the default. */
+    /**
+     * Changes cells. A row that doesn't exist yet is initialized from the row that applies to all tenants for the same
+     * kind, or else with the default values.
+     */
     Evaluation patch(final Command.PatchTable command, final EvaluationContext context) {
         final long revision = context.tableRevision();
         if (compareAndSet.isConflict(command.expectedRevision(), revision)) {
@@ -71,7 +75,7 @@
         return added > 0 && context.withPrefix(EntryKeys.ROWS).size() + added > StateMachine.MAX_ROWS;
     }
 
-    /** Replaces all rows: those that aren't among the command's are deleted. */
+    /** Replaces all rows. Rows that are not in the command are deleted. */
     Evaluation replace(final Command.PutTable command, final EvaluationContext context) {
         final long revision = context.tableRevision();
         if (compareAndSet.isConflict(command.expectedRevision(), revision)) {
--- a/core/src/main/java/silverlatch/state/TableRules.java
+++ b/core/src/main/java/silverlatch/state/TableRules.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** What tenants and rows of the table may hold, and rows changed cell by cell. */
+/** Validation rules for names, tenants and rows of the table, the default row, and changes of single cells. */
 public final class TableRules {
-    /** The fields of a row that hold a weight or a limit, as they are called in cells and documents, in their order. */
+    /** Names of a row's weights and limits in cells and documents, in their order. */
     public static final List<String> FIELDS =
             List.of("prefix", "load", "cold", "cross", "rate", "burst", "running", "queue", "hold", "once", "rank");
 
-    /** The tenant of a row that holds for all tenants without a row of their own. */
+    /** Tenant name of a row that applies to all tenants without a row of their own. */
     static final String ALL_TENANTS = "*";
 
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
@@ -19,17 +19,19 @@
 
     private TableRules() {}
 
-    /** A row with the weights and limits that hold when nothing is said. */
+    /** Returns a row with the default weights and limits. */
     public static Value.Row defaultRow(final String tenant, final String kind) {
         return new Value.Row(tenant, kind, 1, 1, 0.5, 0.5, 50, 100, 32, 64, 2_000_000, false, 1);
     }
 
-    /** The same row under another tenant. */
+    /** Returns a copy of a row for another tenant. */
     public static Value.Row withTenant(final Value.Row row, final String tenant) {
         return new RowBuilder(row).tenant(tenant).build();
     }
 
-    /** The row with one cell changed, or why it can't be; the new value is not checked against its bounds. */
+    /**
+     * Returns the row with one cell changed, or why the cell can't be set. The range of the new value is not checked.
+     */
     public static CellChange withCell(final Value.Row row, final String field, final String value) {
         try {
             return new CellChange.Changed(new RowBuilder(row).cell(field, value).build());
@@ -40,7 +42,7 @@
         }
     }
 
-    /** The value of one cell as text. */
+    /** Returns the value of one cell as text. */
     public static String cellText(final Value.Row row, final String field) {
         return switch (field) {
             case "prefix" -> "" + row.prefixWeight();
@@ -57,7 +59,7 @@
         };
     }
 
-    /** What is wrong with a row; each fault begins with the name of its field. */
+    /** Returns the faults of a row. Each begins with the name of its field. */
     public static List<String> faults(final Value.Row row) {
         final List<String> faults = new ArrayList<>();
         if (!row.tenant().equals(ALL_TENANTS)) {
@@ -77,7 +79,7 @@
         return faults;
     }
 
-    /** What is wrong with a tenant; each fault begins with the name of its field. */
+    /** Returns the faults of a tenant. Each begins with the name of its field. */
     public static List<String> faults(final Value.Tenant tenant) {
         final List<String> faults = new ArrayList<>(nameFaults("name", tenant.name()));
         if (tenant.homeRegions().size() > MAX_HOME_REGIONS) {
@@ -91,7 +93,7 @@
         return faults;
     }
 
-    /** What is wrong with a name: of a tenant, a kind, a region, a zone, a schedule or a process. */
+    /** Returns the faults of a name of a tenant, request kind, region, zone, schedule or process. */
     public static List<String> nameFaults(final String field, final String text) {
         return NAME.matcher(text).matches()
                 ? List.of()
@@ -109,12 +111,12 @@
         }
     }
 
-    /** A row with a cell set, or why not. */
+    /** Result of changing one cell. */
     public sealed interface CellChange {
-        /** The new row. */
+        /** The cell was set. */
         record Changed(Value.Row row) implements CellChange {}
 
-        /** Why the cell can't hold the value. */
+        /** The cell can't have the value, for the given reason. */
         record Invalid(String fault) implements CellChange {}
     }
 }
--- a/core/src/main/java/silverlatch/state/TenantAccessValidator.java
+++ b/core/src/main/java/silverlatch/state/TenantAccessValidator.java
@@ -9,8 +9,9 @@
 import silverlatch.util.Digests;
 
 /**
- * What is wrong with the tenants of a routing configuration: each needs a name of its own, which is forwarded in a header, and
- * keys that no other tenant has, as a key tells whose a request is. No fault shows a key or its digest.
+ * Validates the tenants of a routing configuration. Each needs a unique name, which is forwarded in a header. No key
+ * may belong to two tenants, as the key identifies the tenant of a request. The faults contain neither keys nor their
+ * digests.
  */
 final class TenantAccessValidator {
     private static final int MAX_HOME_REGIONS = 64;
@@ -27,7 +28,7 @@
         this.faults = faults;
     }
 
-    /** Adds the faults of tenants whose count is within bounds. */
+    /** Adds the faults of tenants. Their number must have been checked before. */
     static void check(final List<Value.TenantAccess> tenants, final ValidationFaults faults) {
         final TenantAccessValidator validator = new TenantAccessValidator(faults);
         for (int i = 0; i < tenants.size() && !faults.isFull(); i++) {
@@ -48,7 +49,7 @@
         checkRegions(path + ".homes", tenant.homeRegions());
     }
 
-    /** An empty key would let in whoever sends none. */
+    /** Checks a key's digest. An empty key is a fault, since it would authenticate requests without a key. */
     private void checkKey(final String path, final String digest, final String tenant) {
         if (!KEY_DIGEST.matcher(digest).matches()) {
             faults.add(path, "64 hexadecimal digits are needed");
--- a/core/src/main/java/silverlatch/state/TenantIndex.java
+++ b/core/src/main/java/silverlatch/state/TenantIndex.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** The tenants of a routing configuration by the keys of their entries, and by the digests of their own keys. Immutable. */
+/** Immutable index of the tenants of a routing configuration, by entry key and by the digests of the tenants' keys. */
 final class TenantIndex {
-    /** The index without any tenant. */
+    /** The empty index. */
     static final TenantIndex EMPTY = new TenantIndex(LayeredMap.empty(), LayeredMap.empty());
 
     private final LayeredMap<Value.TenantAccess> byEntryKey;
@@ -19,7 +19,10 @@
         this.byKeyDigest = byKeyDigest;
     }
 
-    /** The index after changes: each entry's new tenant, or nothing where it is deleted. A key may move between them. */
+    /**
+     * Returns the index with changes applied: each entry's new tenant, or empty where the entry is deleted. A key may
+     * move from one tenant to another within the changes.
+     */
     TenantIndex with(final Map<String, Optional<Value.TenantAccess>> changes) {
         final Map<String, Optional<Value.TenantAccess>> digests = new HashMap<>();
         changes.keySet().stream()
@@ -32,17 +35,17 @@
         return new TenantIndex(byEntryKey.with(changes), byKeyDigest.with(digests));
     }
 
-    /** The tenant of an entry. */
+    /** Returns the tenant of an entry. */
     Optional<Value.TenantAccess> findByEntryKey(final String entryKey) {
         return byEntryKey.get(entryKey);
     }
 
-    /** The tenant of a key. */
+    /** Returns the tenant that has a key. */
     Optional<Value.TenantAccess> findByKeyDigest(final String keyDigest) {
         return byKeyDigest.get(keyDigest);
     }
 
-    /** All tenants. */
+    /** Returns all tenants. */
     Stream<Value.TenantAccess> tenants() {
         return byEntryKey.values();
     }
--- a/core/src/main/java/silverlatch/state/TenantManager.java
+++ b/core/src/main/java/silverlatch/state/TenantManager.java
@@ -1,6 +1,6 @@
 package silverlatch.state;
 
-/** Evaluates commands on tenants: one entry for each, under its name. */
+/** Evaluates commands that write or delete tenants. There is one entry for each tenant, under its name. */
 final class TenantManager {
     private final CompareAndSet compareAndSet;
 
--- a/core/src/main/java/silverlatch/state/UsageManager.java
+++ b/core/src/main/java/silverlatch/state/UsageManager.java
@@ -6,14 +6,18 @@
 import java.util.TreeMap;
 
 /**
- * Evaluates closings of usage windows. The counts of the first closing that is committed are final: whoever reports the window
- * reports these, so two reports of one window never differ.
+ * Evaluates commands that close usage windows or record which window was reported. The counts of the first committed
+ * close of a window are final: every process that reports the window reports these, so two reports of one window never
+ * differ.
  */
 final class UsageManager {
-    /** How many closed windows are remembered, the oldest being forgotten; one that is older can't be closed any more. */
+    /**
+     * Maximum number of retained closed windows; the oldest are evicted first. A window older than all retained ones
+     * can't be closed any more.
+     */
     static final int MAX_RETAINED = 256;
 
-    /** The key of a window's entry. */
+    /** Returns the key of a window's entry. */
     static String key(final long number) {
         return EntryKeys.USAGE_WINDOWS + String.format("%019d", number);
     }
--- a/core/src/main/java/silverlatch/state/UsageState.java
+++ b/core/src/main/java/silverlatch/state/UsageState.java
@@ -5,18 +5,20 @@
 import java.util.OptionalLong;
 import java.util.SortedMap;
 
-/** Reads from a state what it holds of usage: which windows are closed, and up to where they were reported. */
+/** Reads usage data from a state: which windows are closed, and which have been reported. */
 public final class UsageState {
     private UsageState() {}
 
-    /** Whether the routing configuration in force has tenants, whose usage is counted. */
+    /**
+     * Returns whether the routing configuration in force requires keys, so that it has tenants whose usage is counted.
+     */
     public static boolean hasTenants(final StateMachine state) {
         return value(state, EntryKeys.ACCESS_CONTROL, Value.AccessControl.class)
                 .filter(Value.AccessControl::keysRequired)
                 .isPresent();
     }
 
-    /** The newest window that is closed, if one is. */
+    /** Returns the newest closed window, if there is one. */
     public static OptionalLong newestClosed(final StateMachine state) {
         final SortedMap<String, Entry> closed = state.entriesWithPrefix(EntryKeys.USAGE_WINDOWS);
         return closed.isEmpty()
@@ -24,7 +26,7 @@
                 : OptionalLong.of(window(closed.get(closed.lastKey())).number());
     }
 
-    /** The oldest remembered window that is closed and comes after another one. */
+    /** Returns the oldest retained closed window after the window with the given number. */
     public static Optional<Value.UsageWindow> firstClosedAfter(final StateMachine state, final long number) {
         final Collection<Entry> later = state.entriesWithPrefix(EntryKeys.USAGE_WINDOWS)
                 .tailMap(UsageManager.key(number + 1))
@@ -32,7 +34,7 @@
         return later.stream().findFirst().map(UsageState::window);
     }
 
-    /** The newest window that the provider has as far as was committed; -1 before there is one. */
+    /** Returns the newest window whose report to the provider is committed; -1 if there is none. */
     public static long reportedUpTo(final StateMachine state) {
         return value(state, EntryKeys.USAGE_REPORTED, Value.UsageReported.class)
                 .map(Value.UsageReported::window)
--- a/core/src/main/java/silverlatch/state/ValidationFaults.java
+++ b/core/src/main/java/silverlatch/state/ValidationFaults.java
@@ -3,7 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The faults found in a document so far, each with the path of what is wrong; a limited number is reported. */
+/**
+ * Collects the faults found in a document, each with the path of the invalid field. Only a limited number is reported.
+ */
 final class ValidationFaults {
     private static final int MAX_ABBREVIATED_LENGTH = 64;
     private final int limit;
@@ -21,24 +23,24 @@
         return faults.isEmpty();
     }
 
-    /** Whether as many were found as are reported, so that looking for more is of no use. */
+    /** Returns whether the limit on reported faults is reached, so that further checks are of no use. */
     boolean isFull() {
         return faults.size() >= limit;
     }
 
-    /** The faults that are reported. */
+    /** Returns the faults to report. */
     List<String> reported() {
         return List.copyOf(faults.subList(0, Math.min(limit, faults.size())));
     }
 
-    /** Checks that a text has 1 to so many characters. */
+    /** Checks that a text has 1 to {@code maxLength} characters. */
     void checkLength(final String path, final String text, final int maxLength) {
         if (text.isEmpty() || text.length() > maxLength) {
             add(path, "1 to " + maxLength + " characters are needed, not " + text.length());
         }
     }
 
-    /** Checks that a number is not less than a minimum; NaN is. */
+    /** Checks that a number is not less than a minimum. NaN counts as less. */
     void checkAtLeast(final String path, final double value, final long minimum) {
         if (!(value >= minimum)) {
             add(path, formatNumber(value) + " is less than " + minimum);
@@ -49,7 +51,10 @@
         return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
     }
 
-    /** The beginning of a text, so that no fault is much longer than its path. */
+    /**
+     * Returns a text shortened to {@link #MAX_ABBREVIATED_LENGTH} characters, so that no fault is much longer than its
+     * path.
+     */
     static String abbreviated(final String text) {
         return text.length() <= MAX_ABBREVIATED_LENGTH ? text : text.substring(0, MAX_ABBREVIATED_LENGTH) + "...";
     }
--- a/core/src/main/java/silverlatch/util/ChildJvm.java
+++ b/core/src/main/java/silverlatch/util/ChildJvm.java
@@ -2,22 +2,24 @@
 
 import java.util.List;
 
-/** The command-line options for a child process that runs our classes on a JVM of the same version as this one. */
+/**
+ * Command-line options for a child process that runs this project's classes on a JVM of the same version as this one.
+ */
 public final class ChildJvm {
-    /** From this JDK on, patterns in switch are no preview any more. */
+    /** First JDK version in which patterns in switch are no longer a preview feature. */
     private static final int FIRST_VERSION_WITH_FINAL_SWITCH_PATTERNS = 21;
 
-    /** From this JDK on, libraries that use sun.misc.Unsafe cause a warning unless they are allowed to. */
+    /** First JDK version that prints a warning for libraries that use sun.misc.Unsafe, unless an option allows it. */
     private static final int FIRST_VERSION_WITH_UNSAFE_WARNINGS = 23;
 
     private ChildJvm() {}
 
-    /** The options with which this JVM's version loads and runs our classes. */
+    /** Returns the options that a JVM of this version needs to run this project's classes. */
     public static List<String> options() {
         return optionsFor(Runtime.version().feature());
     }
 
-    /** The options with which a JDK of the version loads and runs classes that it compiled. */
+    /** Returns the options that a JDK of a version needs to run classes that it compiled. */
     static List<String> optionsFor(final int version) {
         if (version < FIRST_VERSION_WITH_FINAL_SWITCH_PATTERNS) {
             return List.of("--enable-preview");
--- a/core/src/main/java/silverlatch/util/Lists.java
+++ b/core/src/main/java/silverlatch/util/Lists.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** Access to the ends of a list, for JDK 17, whose lists lack {@code getLast} and {@code removeLast}. */
+/** Access to the last element of a list, for JDK 17, whose lists lack {@code getLast} and {@code removeLast}. */
 public final class Lists {
     private Lists() {}
 
     /**
-     * The last element.
+     * Returns the last element.
      *
      * @throws IndexOutOfBoundsException if the list is empty
      */
--- a/core/src/main/java/silverlatch/util/package-info.java
+++ b/core/src/main/java/silverlatch/util/package-info.java
@@ -1,2 +1,2 @@
-/** Small helpers without a concept of their own, most of them for library calls that JDK 17 lacks. */
+/** General-purpose helpers, most of them for library calls that JDK 17 lacks. */
 package silverlatch.util;
