--- a/core/src/main/java/silverlatch/safeguard/Safeguard.java
+++ b/core/src/main/java/silverlatch/safeguard/Safeguard.java
@@ -2,8 +2,8 @@
 
 /**
  * A check that the product always makes. The simulation can disable it to verify that its observer detects the
- * violations that the check prevents. The constants are named on the command line of the simulation ({@code bin/days
- * --down CONFIRMED_REVISION}), which accepts the former name of a renamed constant for one version.
+ * violations that the check prevents. The command line of the simulation takes the names of the constants
+ * ({@code bin/days --down CONFIRMED_REVISION}), and the former name of a renamed constant for one version.
  */
 public enum Safeguard {
     /** A worker's report is used only until it has reached a maximum age. */
