--- a/core/src/main/java/silverlatch/state/TenantAccessValidator.java
+++ b/core/src/main/java/silverlatch/state/TenantAccessValidator.java
@@ -56,9 +56,9 @@
         } else if (digest.equals(EMPTY_KEY_DIGEST)) {
             faults.add(path, "an empty key");
         } else {
-            final String first = namesByKeyDigest.putIfAbsent(digest, tenant);
-            if (first != null && !first.equals(tenant)) {
-                faults.add(path, "also a key of tenant '" + ValidationFaults.abbreviated(first) + "'");
+            final String firstTenant = namesByKeyDigest.putIfAbsent(digest, tenant);
+            if (firstTenant != null && !firstTenant.equals(tenant)) {
+                faults.add(path, "also a key of tenant '" + ValidationFaults.abbreviated(firstTenant) + "'");
             }
         }
     }
--- a/core/src/test/java/silverlatch/clock/PwcClockTest.java
+++ b/core/src/test/java/silverlatch/clock/PwcClockTest.java
@@ -19,7 +19,7 @@
     private static final long ONE_MICROSECOND = NtpTime.fromMicros(1);
 
     @Test
-    void everyEffectIsLessThanItsCauseOnRandomGraphsWithSkewUpToTheBound() {
+    void causesAreStampedBelowTheirEffectsOnRandomGraphsWithSkewUpToTheBound() {
         for (long seed = 1; seed <= 20; seed++) {
             final SimulatedClocks clocks = new SimulatedClocks(seed);
             for (long micros = 0; micros < 2_000_000; micros += 20) {
@@ -102,19 +102,19 @@
         private void assertWithinSkew(final long realTime) {
             for (int i = 0; i < COUNT; i++) {
                 for (int k = 0; k < COUNT; k++) {
-                    final long difference = Math.abs(highest(i, realTime) - highest(k, realTime));
+                    final long difference = Math.abs(highestTime(i, realTime) - highestTime(k, realTime));
                     assertThat(name, difference, lessThanOrEqualTo(SKEW + (2L << LOW_BITS)));
                 }
             }
         }
 
-        private long highest(final int process, final long realTime) {
+        private long highestTime(final int process, final long realTime) {
             return Math.max(clocks[process].last(), clocks[process].masked(realTime + offsets[process]));
         }
     }
 
     @Test
-    void anOverflowWaitsUntilTheMaskedClockPasses() {
+    void sendThatWouldOverflowWaitsUntilTheMaskedClockHasPassed() {
         final long physicalTime = NtpTime.fromMicros(5_000_000) & ~MASK;
         PwcClock clock =
                 new PwcClock(physicalTime + NtpTime.fromMicros(2_000) | MASK, LOW_BITS, NtpTime.fromMicros(10_000));
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void aStampFromTooFarAheadIsRejectedAndNotMerged() {
+    void stampTooFarAheadIsRejectedAndNotMerged() {
         final long physicalTime = NtpTime.fromMicros(5_000_000);
         final ProcessClock clock =
                 new ProcessClock(PwcClock.start(physicalTime, LOW_BITS, NtpTime.fromMicros(10_000), 0));
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void aRestartWithAClockBehindStartsAboveTheFloorAndAResetNeverLowers() {
+    void clockIsRaisedAboveTheFloorAndAResetDoesNotLowerIt() {
         final long physicalTime = NtpTime.fromMicros(5_000_000);
         final ProcessClock clock =
                 new ProcessClock(PwcClock.start(physicalTime, LOW_BITS, NtpTime.fromMicros(10_000), 0));
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void aWallClockThatJumpsIsNotFollowedAndOneThatWandersIsFollowedSlowly() {
+    void jumpOfTheWallClockIsIgnoredAndDriftIsFollowedSlowly() {
         final PhysicalClock start = new PhysicalClock(1_700_000_000_000_000_000L, 1_000_000, 0);
         final PhysicalClock jumped = start.slew(1_700_000_100_000_000_000L, 2_000_000, 50_000);
         assertThat(jumped.jumps(), is(1L));
@@ -165,23 +165,23 @@
     }
 
     @Test
-    void repeatedOverflowsMakeARejoinDue() {
+    void repeatedDropsRequireARejoin() {
         final long physicalTime = NtpTime.fromMicros(5_000_000);
         final ProcessClock clock =
                 new ProcessClock(PwcClock.start(physicalTime, LOW_BITS, NtpTime.fromMicros(10_000), 0));
-        final List<Boolean> due = new ArrayList<>();
+        final List<Boolean> rejoinNeeded = new ArrayList<>();
         for (int i = 0; i < 64; i++) {
-            due.add(clock.needsRejoin(physicalTime));
+            rejoinNeeded.add(clock.needsRejoin(physicalTime));
             clock.recordDrop(20_000_000 + i);
         }
-        assertThat(due.contains(true), is(false));
+        assertThat(rejoinNeeded.contains(true), is(false));
         assertThat(clock.needsRejoin(physicalTime), is(true));
         clock.reset(physicalTime);
         assertThat(clock.needsRejoin(physicalTime), is(false));
     }
 
     @Test
-    void microsecondsSurviveTheFixedPointFormat() {
+    void microsecondsAreConvertedToUnitsAndBackUnchanged() {
         for (final long micros : new long[] {1, 2, 999, 5_000, 1_000_000, 86_400_000_000L}) {
             assertThat(NtpTime.toMicros(NtpTime.fromMicros(micros)), is(micros));
         }
--- a/core/src/test/java/silverlatch/json/JsonDocumentTest.java
+++ b/core/src/test/java/silverlatch/json/JsonDocumentTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void whatIsNoObjectOfJsonIsRejectedWithAStatus() {
+    void inputThatIsNotAJsonObjectIsRejectedWithAStatus() {
         assertThat(
                 invalid(new byte[MAX_BYTES + 1]),
                 is(new JsonDocument.ParseResult.Invalid(413, "$: larger than 1000 bytes")));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void fieldsAreReadByTheirKinds() {
+    void fieldsAreReadByType() {
         final JsonDocument document =
                 document("{\"s\":\"text\",\"i\":7,\"n\":0.5,\"f\":true,\"l\":[\"a\",\"b\"],\"w\":[1,2],"
                         + "\"o\":{\"x\":1},\"os\":[{\"x\":2}],\"c\":3.0,\"null\":null}");
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void whatIsNotThereIsTheFallbackOrAFault() {
+    void missingFieldGivesTheFallbackOrAFault() {
         final JsonDocument document = document("{}");
         assertThat(document.string("s", 4, "x"), is("x"));
         assertThat(document.integer("i", 0, 10, 5), is(5L));
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void eachFaultHasThePathOfWhatIsWrong() {
+    void eachFaultHasThePathOfTheInvalidField() {
         final JsonDocument document =
                 document("{\"s\":\"long text\",\"t\":1,\"i\":11,\"j\":1.5,\"n\":\"1\",\"f\":1,\"l\":[\"ok\",2],"
                         + "\"m\":[1,2,3],\"o\":{\"x\":-1},\"os\":[1,{\"y\":[]}],\"z\":1,\"k\":1}");
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void fieldsAreReplacedInACopy() {
+    void replacingFieldsLeavesTheOriginalUnchanged() {
         final JsonDocument document = document("{\"a\":1,\"b\":null}");
         assertThat(document.with(Map.of("a", 2.0)).integer("a", 0, 9), is(2L));
         assertThat(document.integer("a", 0, 9), is(1L));
--- a/core/src/test/java/silverlatch/json/JsonSyntaxTest.java
+++ b/core/src/test/java/silverlatch/json/JsonSyntaxTest.java
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void levelsAreCounted() {
+    void valuesNestedTooDeeplyAreDetected() {
         assertThat(check("[[[[]]]]"), is(JsonSyntax.Result.VALID));
         assertThat(check("[[[[[]]]]]"), is(JsonSyntax.Result.TOO_DEEP));
         assertThat(check("[{\"a\":[{\"b\":[]}]}]"), is(JsonSyntax.Result.TOO_DEEP));
--- a/core/src/test/java/silverlatch/state/AcceptedConfigurationsTest.java
+++ b/core/src/test/java/silverlatch/state/AcceptedConfigurationsTest.java
@@ -13,11 +13,11 @@
 import silverlatch.wire.Codec;
 
 final class AcceptedConfigurationsTest {
-    private static final int MORE_THAN_REMEMBERED = AcceptedConfigurations.MAX_RETAINED + 10;
+    private static final int MORE_THAN_RETAINED = AcceptedConfigurations.MAX_RETAINED + 10;
     private final StateMachine state = new StateMachine();
-    private long id;
+    private long lastId;
 
-    private Command.PutConfiguration command(final long number, final long match, final String text) {
+    private Command.PutConfiguration command(final long number, final long expectedRevision, final String document) {
         final Value.Route route = new Value.Route(
                 "route",
                 "host",
@@ -34,22 +34,22 @@
                 List.of(),
                 List.of(new Value.WeightedBackend("pool", 1)));
         return new Command.PutConfiguration(
-                "id-" + ++id,
+                "id-" + ++lastId,
                 new Value.RoutingConfiguration(number, 1, 1, 1, 1),
                 List.of(route),
                 List.of(new Value.BackendPool("pool", "/", 1, 0, 1, 1, 0, 1)),
-                text,
-                match);
+                document,
+                expectedRevision);
     }
 
-    private Command.PutConfiguration command(final long number, final long match) {
-        return command(number, match, "text " + number);
+    private Command.PutConfiguration command(final long number, final long expectedRevision) {
+        return command(number, expectedRevision, "text " + number);
     }
 
-    private Command.PutConfiguration invalid(final long number, final long match) {
-        final Command.PutConfiguration valid = command(number, match);
+    private Command.PutConfiguration invalid(final long number, final long expectedRevision) {
+        final Command.PutConfiguration valid = command(number, expectedRevision);
         return new Command.PutConfiguration(
-                valid.id(), valid.configuration(), valid.routes(), List.of(), valid.document(), match);
+                valid.id(), valid.configuration(), valid.routes(), List.of(), valid.document(), expectedRevision);
     }
 
     private Evaluation evaluate(final Command command) {
@@ -77,8 +77,8 @@
     }
 
     @Test
-    void whatIsOlderThanTheRememberedHasAnUnknownResultAndTheRestIsKnown() {
-        for (long n = 1; n <= MORE_THAN_REMEMBERED; n++) {
+    void commandsOlderThanTheHistoryHaveAnUnknownResultAndRetainedOnesAreRecognized() {
+        for (long n = 1; n <= MORE_THAN_RETAINED; n++) {
             assertThat(result(command(2 * n, 2 * (n - 1))), is(new CommandResult.Applied(n)));
         }
         assertThat(
@@ -96,13 +96,13 @@
     }
 
     @Test
-    void theRememberedAreBoundedAlsoWhereManyArePending() {
+    void historyStaysBoundedWhileManyCommandsArePending() {
         final Map<String, Entry> overlay = new java.util.HashMap<>();
-        for (long n = 1; n <= MORE_THAN_REMEMBERED; n++) {
+        for (long n = 1; n <= MORE_THAN_RETAINED; n++) {
             final Evaluation.Write write =
                     (Evaluation.Write) state.evaluate(command(n, n - 1), overlay, n, new Stamp(n));
             write.entries().forEach(e -> overlay.put(e.key(), e));
-            if (n % 8 == 0 || n == MORE_THAN_REMEMBERED) {
+            if (n % 8 == 0 || n == MORE_THAN_RETAINED) {
                 state.apply(n, overlay.values());
                 overlay.clear();
             }
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void aFolderWithoutRememberedConfigurationsKnowsTheCurrentOneAndRefusesNothingElseThatItMayHaveAccepted() {
+    void withoutHistoryTheConfigurationInForceIsRecognizedAndNoneThatMayHaveBeenAcceptedIsRejected() {
         final Command.PutConfiguration inForce = command(7, 5);
         state.apply(
                 1,
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void aRefusalAheadOfItsBaseIsKeptForEveryDuplicate() {
+    void rejectionOfACommandAheadOfItsBaseIsStoredForEveryDuplicate() {
         result(command(5, 0));
         assertThat(code(result(command(9, 8))), is(409));
         result(command(8, 5));
@@ -142,15 +142,15 @@
     }
 
     @Test
-    void allRememberedTakeLessThanAMegabyteOfASnapshot() {
-        final List<Entry> remembered = new ArrayList<>();
+    void fullHistoryTakesLessThanAMegabyteOfASnapshot() {
+        final List<Entry> retained = new ArrayList<>();
         for (long n = 1; n <= AcceptedConfigurations.MAX_RETAINED; n++) {
             final long number = 1_000_000_000L + n;
-            remembered.addAll(AcceptedConfigurations.writes(command(number, number - 1), Map.of(), number - 1, number));
+            retained.addAll(AcceptedConfigurations.writes(command(number, number - 1), Map.of(), number - 1, number));
         }
         final int bytes = new Codec()
                 .encode(new silverlatch.log.LogRecord.Batch(List.of(new silverlatch.log.LogRecord.Appended(
-                        new silverlatch.replication.LogEntry(1, 1, new Stamp(1), remembered)))))
+                        new silverlatch.replication.LogEntry(1, 1, new Stamp(1), retained)))))
                 .length;
         System.out.println("memory of accepted configurations: " + bytes + " bytes");
         assertThat(bytes, is(lessThan(1 << 20)));
--- a/core/src/test/java/silverlatch/state/ClaimManagerTest.java
+++ b/core/src/test/java/silverlatch/state/ClaimManagerTest.java
@@ -12,7 +12,7 @@
     private final CommandExecutor commands = new CommandExecutor();
 
     @Test
-    void claimsAreNeverExpiredEarlyAndAFullTableIsRejected() {
+    void claimsDoNotExpireEarlyAndNewClaimsAreRejectedWhenTheSpaceIsFull() {
         final List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < StateMachine.MAX_CLAIMS; i++) {
             entries.add(new Entry("c/" + i, 1, List.of(new Value.Claim("t" + i, "p", "running", 5, 0))));
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aKeyWhoseRequestWasRejectedGoesToOneLaterRequestAndToNoOther() {
+    void keyOfARejectedRequestCanBeClaimedByOneLaterRequestOnly() {
         commands.execute(new Command.Claim("h1", "key", "one", "p", 10));
         assertThat(
                 commands.reply(new Command.Claim("h2", "key", "two", "q", 20)),
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aCompletionThatOvertakesItsClaimLeavesARecord() {
+    void rejectionThatArrivesBeforeItsClaimBlocksTheClaim() {
         assertThat(
                 commands.execute(new Command.CompleteClaim("e1", "key", "one", "p", "rejected", 10)),
                 instanceOf(Evaluation.Write.class));
--- a/core/src/test/java/silverlatch/state/CompareAndSetTest.java
+++ b/core/src/test/java/silverlatch/state/CompareAndSetTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aCommandTakesEffectOnTheRevisionThatItExpectsAndOnNoOther() {
+    void commandTakesEffectOnlyOnTheRevisionThatItExpects() {
         commands.execute(tenant("t1", "acme", 0));
         commands.execute(tenant("t2", "acme", 1));
         assertConflict(tenant("t3", "acme", 1), "acme is at sequence 2", 2);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aTombstoneKeepsTheRevisionOfADeletedTenant() {
+    void tombstoneKeepsTheRevisionOfADeletedTenant() {
         commands.execute(tenant("t1", "acme", -1));
         commands.execute(new Command.RemoveTenant("t2", "acme", 1));
         assertThat(commands.state().get("t/acme").isPresent(), is(false));
@@ -48,14 +48,14 @@
     }
 
     @Test
-    void whatIsNotThereCannotBeRemoved() {
+    void removalOfAMissingEntryIsRejected() {
         assertThat(commands.rejected(new Command.RemoveTenant("t", "acme", -1)).code(), is(404));
         assertThat(
                 commands.rejected(new Command.RemoveSchedule("s", "night", -1)).code(), is(404));
     }
 
     @Test
-    void anInvalidValueIsRejectedWithItsFaults() {
+    void invalidValueIsRejectedAndNotStored() {
         assertThat(commands.rejected(tenant("t", "a b", -1)).code(), is(422));
         assertThat(commands.rejected(schedule("s", "", -1)).code(), is(422));
         assertThat(
--- a/core/src/test/java/silverlatch/state/ConfigurationValidatorTest.java
+++ b/core/src/test/java/silverlatch/state/ConfigurationValidatorTest.java
@@ -18,7 +18,7 @@
     private final StateMachine state = new StateMachine();
     private final Map<String, Entry> overlay = new HashMap<>();
     private long sequence;
-    private long id;
+    private long lastId;
 
     private static Value.BackendPool pool(final String name) {
         return new Value.BackendPool(name, "/health/", 8, 1_000_000, 2, 16, 100_000, 4);
@@ -53,7 +53,7 @@
             final List<Value.BackendPool> pools,
             final long expectedRevision) {
         return new Command.PutConfiguration(
-                "id-" + ++id,
+                "id-" + ++lastId,
                 new Value.RoutingConfiguration(number, 8_192, 1 << 20, 1, 1),
                 routes,
                 pools,
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void onlyWhatDiffersIsWrittenAndWhatWasRemovedLeavesATombstone() {
+    void onlyDifferencesAreWrittenAndRemovedPartsLeaveATombstone() {
         assertThat(
                 writtenKeys(putConfiguration(1, List.of(validRoute("a"), validRoute("b")), POOLS, 0)),
                 containsInAnyOrder(
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void theSameDocumentAgainIsAppliedAndALowerNumberIsNot() {
+    void repeatedDocumentIsAppliedAndANumberThatIsNotHigherIsRejected() {
         writtenKeys(putConfiguration(5, List.of(validRoute("a")), POOLS, 0));
         final Command.PutConfiguration repeated = putConfiguration(5, List.of(validRoute("a")), POOLS, 0);
         assertThat(reply(repeated), is(new CommandResult.Applied(1)));
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void ofTwoThatRaceOnOneNumberOneIsAcceptedAndTheOtherLearnsTheCurrentNumber() {
+    void oneOfTwoConcurrentConfigurationsIsAcceptedAndTheOtherGetsTheCurrentNumber() {
         final Evaluation.Write winner =
                 (Evaluation.Write) evaluate(putConfiguration(1, List.of(validRoute("a")), POOLS, 0));
         winner.entries().forEach(e -> overlay.put(e.key(), e));
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void aRouteThatNoRequestCouldReachIsRejected() {
+    void routeThatNoRequestCouldMatchIsRejected() {
         assertThat(
                 "hosts are compared without regard to case, so one of these would never be served",
                 faultPaths(List.of(validRoute("a.example"), validRoute("A.Example")), POOLS),
@@ -201,7 +201,7 @@
     }
 
     @Test
-    void aRejectedConfigurationStoresLittle() {
+    void rejectionOfALargeConfigurationStoresLittle() {
         final List<Value.Route> routes = new ArrayList<>();
         for (int i = 0; i < 5_000; i++) {
             routes.add(route(
--- a/core/src/test/java/silverlatch/state/EntryTableTest.java
+++ b/core/src/test/java/silverlatch/state/EntryTableTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aDeletedEntryOfPolicyStaysAsATombstoneAndAnyOtherIsRemoved() {
+    void deletedPolicyEntryRemainsAsATombstoneAndAnyOtherIsRemoved() {
         table.apply(1, List.of(zone("a", 1), claim("b", 1)));
         table.apply(2, List.of(deleted("z/a", 2), deleted("c/b", 2)));
         assertThat(table.all(), is(List.of(deleted("z/a", 2))));
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void anOlderWriteDoesNotReplaceANewerOne() {
+    void olderWriteDoesNotReplaceANewerOne() {
         table.apply(5, List.of(zone("a", 5)));
         table.apply(4, List.of(zone("a", 4)));
         assertThat(table.find("z/a"), is(Optional.of(zone("a", 5))));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void revisionsAreTheNewestSequencesOfTheirKinds() {
+    void revisionsAreTheNewestSequencesOfTheirKindsOfEntry() {
         table.apply(1, List.of(row("chat", 1)));
         table.apply(2, List.of(zone("a", 2)));
         table.apply(3, List.of(claim("b", 3)));
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aRepairOfTheRangesThatDifferEndsInTheStateOfItsSource() {
+    void repairOfTheDifferingRangesRestoresTheStateOfTheSource() {
         final EntryTable source = new EntryTable();
         source.apply(9, List.of(zone("a", 7), row("chat", 8), claim("b", 9)));
         table.apply(12, List.of(zone("a", 7), row("chat", 11), claim("c", 12)));
--- a/core/src/test/java/silverlatch/state/PolicyTest.java
+++ b/core/src/test/java/silverlatch/state/PolicyTest.java
@@ -19,7 +19,7 @@
     private final SplittableRandom random = new SplittableRandom(4);
 
     @Test
-    void manySmallStepsGiveTheSameAsOneLargeStep() {
+    void incrementalUpdatesGiveTheSamePolicyAsTheFinalState() {
         final StateMachine state = new StateMachine();
         final Map<String, Value> model = new HashMap<>();
         Policy policy = Policy.NONE;
@@ -33,7 +33,7 @@
                 revision = state.policyRevision();
             }
         }
-        assertHolds(policy.with(state.policySince(revision)), model);
+        assertEqualsModel(policy.with(state.policySince(revision)), model);
     }
 
     /** A few writes, and many each five hundredth time; a quarter of them delete. */
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void eachKeyLeadsToTheTenantThatHasItWhereverKeysMove() {
+    void everyKeyIsFoundUnderItsTenantAfterKeysMoveBetweenTenants() {
         final int[] tenantOfKey = new int[500];
         Policy policy = Policy.NONE;
         for (int step = 1; step <= 200; step++) {
@@ -103,7 +103,7 @@
         }
     }
 
-    private static void assertHolds(final Policy policy, final Map<String, Value> model) {
+    private static void assertEqualsModel(final Policy policy, final Map<String, Value> model) {
         model.forEach((key, value) -> assertThat(key, policy.value(key), is(Optional.of(value))));
         assertThat(policy.values().count(), is((long) model.size()));
         assertThat(
--- a/core/src/test/java/silverlatch/state/StateMachineTest.java
+++ b/core/src/test/java/silverlatch/state/StateMachineTest.java
@@ -10,7 +10,7 @@
     private final CommandExecutor commands = new CommandExecutor();
 
     @Test
-    void theSameIdTakesEffectOnce() {
+    void commandsWithTheSameIdTakeEffectOnce() {
         assertThat(
                 commands.execute(new Command.SetEvacuation("drain", "z", true, -1)) instanceof Evaluation.Write,
                 is(true));
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void digestsDetectStatesThatDifferAndRepairMakesThemEqual() {
+    void digestsDetectDifferencesAndRepairRemovesThem() {
         for (int i = 0; i < 50; i++) {
             commands.execute(new Command.SetEvacuation("d" + i, "z" + i, true, -1));
         }
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aRejectionThatCouldTurnOutOtherwiseLaterIsWrittenForDuplicates() {
+    void rejectionThatCouldBecomeAnAcceptanceIsStoredForDuplicates() {
         final Command remove = new Command.RemoveTenant("remove", "acme", -1);
         assertThat(commands.execute(remove) instanceof Evaluation.Write, is(true));
         commands.execute(new Command.PutTenant(
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aCommandOfAScheduleIsEvaluatedAsItself() {
+    void commandOfAScheduleIsEvaluatedLikeADirectOne() {
         final Command evacuate = new Command.SetEvacuation("inner", "zone", true, -1);
         commands.execute(new Command.Scheduled("outer", 1, evacuate));
         assertThat(commands.reply(evacuate), is(new CommandResult.Applied(1)));
--- a/core/src/test/java/silverlatch/state/TableManagerTest.java
+++ b/core/src/test/java/silverlatch/state/TableManagerTest.java
@@ -11,7 +11,7 @@
     private final CommandExecutor commands = new CommandExecutor();
 
     @Test
-    void aTableIsReplacedCompletelyOrNotAtAll() {
+    void tableIsReplacedCompletelyOrNotAtAll() {
         assertThat(
                 commands.execute(new Command.PutTable(
                                 "one", List.of(TableRules.defaultRow("*", "a"), TableRules.defaultRow("*", "b")), -1))
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aRowThatIsNotThereBeginsAsTheOneOfAllTenantsOrAsTheDefault() {
+    void newRowIsInitializedFromTheRowOfAllTenantsOrTheDefault() {
         commands.execute(new Command.PutTenant(
                 "tenant", new Value.Tenant("acme", List.of(), 1, "0123456789abcdef".repeat(4), ""), -1));
         commands.execute(patch("one", "*", "load", "7", -1));
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aPatchIsAppliedCompletelyOrNotAtAll() {
+    void patchIsAppliedCompletelyOrNotAtAll() {
         assertThat(
                 commands.rejected(new Command.PatchTable("none", List.of(), -1)).faults(),
                 is(List.of("$.cells: none given")));
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aPatchOnAnOlderRevisionIsAConflictWithTheCurrentOne() {
+    void patchThatExpectsAnOutdatedRevisionIsAConflict() {
         commands.execute(patch("one", "*", "load", "1", 0));
         commands.execute(patch("two", "*", "load", "2", 1));
         assertThat(
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void aPatchThatWouldAddMoreRowsThanATableMayHaveIsRejected() {
+    void patchThatWouldExceedTheMaximumNumberOfRowsIsRejected() {
         final List<Value.Row> rows = new ArrayList<>();
         for (int i = 0; i < StateMachine.MAX_ROWS; i++) {
             rows.add(TableRules.defaultRow("*", "k" + i));
--- a/core/src/test/java/silverlatch/state/TenantAccessTest.java
+++ b/core/src/test/java/silverlatch/state/TenantAccessTest.java
@@ -109,22 +109,22 @@
         return outcome(write).faults();
     }
 
-    private Optional<Value> held(final String key) {
+    private Optional<Value> storedValue(final String key) {
         return state.get(key).map(entry -> entry.value().get(0));
     }
 
     @Test
-    void twoTenantsThatShareAKeyAreRejectedAndNothingChanges() {
+    void twoTenantsWithTheSameKeyAreRejectedAndNothingChanges() {
         accept(put(1, tenant("a", "k1")));
         assertThat(
                 faults(put(2, tenant("a", "k1"), tenant("b", "k2", "k1"))),
                 contains("$.tenants[1].keys[1]: also a key of tenant 'a'"));
-        assertThat(held("n/a"), is(Optional.of(tenant("a", "k1"))));
-        assertThat(held("n/b"), is(Optional.empty()));
+        assertThat(storedValue("n/a"), is(Optional.of(tenant("a", "k1"))));
+        assertThat(storedValue("n/b"), is(Optional.empty()));
     }
 
     @Test
-    void aTenantWithoutAUsableNameOrKeyIsRejected() {
+    void tenantWithAnInvalidNameOrKeyIsRejected() {
         final Value.TenantAccess malformed = new Value.TenantAccess("c", List.of("K1"), -2, List.of("attica", ""));
         assertThat(
                 faults(put(
@@ -149,33 +149,33 @@
     }
 
     @Test
-    void aKeyThatIsNamedTwiceInOneTenantIsKeptOnce() {
+    void keyListedTwiceForOneTenantIsStoredOnce() {
         accept(put(1, tenant("a", "k1", "k1")));
-        assertThat(held("n/a"), is(Optional.of(tenant("a", "k1"))));
+        assertThat(storedValue("n/a"), is(Optional.of(tenant("a", "k1"))));
     }
 
     @Test
-    void aKeyMayMoveToAnotherTenantAndOnlyWhatDiffersIsWritten() {
+    void keyMayMoveToAnotherTenantAndOnlyDifferencesAreWritten() {
         assertThat(
                 accept(put(1, List.of(PUBLIC), List.of(), tenant("a", "k1", "k2"), tenant("b"), tenant("c", "k3"))),
                 containsInAnyOrder("n/a", "n/b", "n/c", "v/a|/", "p/access"));
         assertThat(
                 accept(put(2, List.of(PUBLIC), List.of(), tenant("a", "k1"), tenant("b", "k2"), tenant("c", "k3"))),
                 containsInAnyOrder("n/a", "n/b"));
-        assertThat(held("n/b"), is(Optional.of(tenant("b", "k2"))));
+        assertThat(storedValue("n/b"), is(Optional.of(tenant("b", "k2"))));
         assertThat(accept(put(3, tenant("b", "k2"), tenant("c", "k3"))), containsInAnyOrder("-n/a", "-v/a|/"));
     }
 
     @Test
-    void aConfigurationWithoutTenantsTakesThemAwayAndNoKeyIsNeeded() {
+    void configurationWithoutTenantsRemovesThemAndTheNeedForKeys() {
         accept(put(1, List.of(PUBLIC), List.of(new Value.PoolScaling("warm", 1, 2, 3)), tenant("a", "k1")));
-        assertThat(held("p/access"), is(Optional.of(new Value.AccessControl(true))));
+        assertThat(storedValue("p/access"), is(Optional.of(new Value.AccessControl(true))));
         assertThat(accept(base(2, "plain")), containsInAnyOrder("-n/a", "-v/a|/", "-p/access", "-s/warm"));
         assertThat("tenants, but none", accept(put(3)), contains("p/access"));
     }
 
     @Test
-    void aGatewayLearnsOfAKeyThatAloneChangedByTheRevision() {
+    void changeOfASingleKeyRaisesThePolicyRevision() {
         accept(put(1, tenant("a", "k1"), tenant("b", "k2")));
         final long before = state.policyRevision();
         accept(put(2, tenant("a", "k3"), tenant("b", "k2")));
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void aRepeatIsAppliedAgainAndARefusalIsKept() {
+    void repeatedCommandGetsItsFirstResultAndAnotherDocumentIsRejected() {
         final Command.PutFullConfiguration first = put(1, tenant("a", "k1"));
         accept(first);
         accept(put(2, tenant("a", "k2")));
@@ -194,10 +194,10 @@
     }
 
     @Test
-    void partsThatAnOlderVersionPassedOverAreWrittenWhenTheDocumentInForceComesAgain() {
+    void partsThatAnOlderVersionIgnoredAreWrittenWhenTheDocumentInForceIsSentAgain() {
         final Command.PutFullConfiguration full = put(1, tenant("a", "k1"));
         accept(full.base());
-        assertThat(held("p/access"), is(Optional.empty()));
+        assertThat(storedValue("p/access"), is(Optional.empty()));
         assertThat(accept(full.with("again", 0)), containsInAnyOrder("n/a", "p/access"));
         assertThat(
                 "in force now",
@@ -210,7 +210,7 @@
     }
 
     @Test
-    void boundsOnWorkersAndPublicRoutesHaveToFitTheRest() {
+    void scalingLimitsAndPublicRoutesMustReferToExistingPoolsAndRoutes() {
         assertThat(
                 faults(put(
                                 1,
@@ -240,7 +240,7 @@
     }
 
     @Test
-    void aConfigurationThatIsAcceptedFitsInOneFrame() {
+    void acceptedConfigurationFitsInOneFrame() {
         accept(put(1, tenants("tenant", 1)));
         final Command.PutConfiguration base = base(2, "d".repeat(ConfigurationValidator.MAX_DOCUMENT_BYTES));
         final Evaluation.Write allRenamed = (Evaluation.Write) evaluate(
@@ -253,7 +253,7 @@
     }
 
     @Test
-    void theNumberOfTenantsAndKeysIsBounded() {
+    void numberOfTenantsAndKeysIsLimited() {
         final Value.TenantAccess[] tenants = IntStream.rangeClosed(0, ConfigurationValidator.MAX_TENANTS)
                 .mapToObj(i -> tenant("t" + i, "k" + i))
                 .toArray(Value.TenantAccess[]::new);
--- a/core/src/test/java/silverlatch/state/UsageManagerTest.java
+++ b/core/src/test/java/silverlatch/state/UsageManagerTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void theCountsOfTheFirstClosingAreFinal() {
+    void countsOfTheFirstCloseAreFinal() {
         close(7, 100);
         assertThat(close(7, 101), is(new Evaluation.Reply(new CommandResult.Applied(1))));
         assertThat(UsageState.firstClosedAfter(executor.state(), 6), is(Optional.of(window(7, 100))));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aWindowThatIsForgottenIsNeverClosedAgainWithOtherCounts() {
+    void evictedWindowCannotBeClosedAgainWithOtherCounts() {
         for (int number = 1; number <= UsageManager.MAX_RETAINED + 1; number++) {
             close(number, number);
         }
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void theMarkOfWhatIsReportedNeverGoesBack() {
+    void newestReportedWindowNeverDecreases() {
         assertThat(UsageState.reportedUpTo(executor.state()), is(-1L));
         mark(8);
         mark(7);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void whatIsReportedIsNeitherLostWithAConfigurationNorNewsForGateways() {
+    void usageEntriesSurviveAConfigurationChangeAndAreNotPolicy() {
         mark(8);
         close(9, 1);
         assertThat(executor.state().policyRevision(), is(0L));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void noKindOfEntryHasTheKeysOfAnother() {
+    void noKeyOrPrefixIsAPrefixOfAnother() {
         final List<String> prefixes = List.of(
                 EntryKeys.TENANTS,
                 EntryKeys.ROWS,
--- a/core/src/test/java/silverlatch/util/ChildJvmTest.java
+++ b/core/src/test/java/silverlatch/util/ChildJvmTest.java
@@ -14,14 +14,14 @@
 /** Each JDK gets options that it knows. */
 final class ChildJvmTest {
     @Test
-    void eachVersionGetsItsOptions() {
+    void eachVersionGetsTheOptionsThatItKnows() {
         assertThat(ChildJvm.optionsFor(17), contains("--enable-preview"));
         assertThat(ChildJvm.optionsFor(21), empty());
         assertThat(ChildJvm.optionsFor(25), contains("--sun-misc-unsafe-memory-access=allow"));
     }
 
     @Test
-    void thisJvmAcceptsItsOptions() throws IOException, InterruptedException {
+    void currentJvmAcceptsItsOptions() throws IOException, InterruptedException {
         final List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(ChildJvm.options());
--- a/core/src/test/java/silverlatch/util/DigestsTest.java
+++ b/core/src/test/java/silverlatch/util/DigestsTest.java
@@ -7,12 +7,12 @@
 
 final class DigestsTest {
     @Test
-    void digestsStayAsTheyAre() {
+    void sha256HexMatchesAKnownDigest() {
         assertThat(Digests.sha256Hex("abc"), is("ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad"));
     }
 
     @Test
-    void secretsAreEqualOnlyWhereAllOfTheirTextIs() {
+    void secretsAreEqualOnlyIfTheirWholeTextIs() {
         assertThat(Digests.constantTimeEquals("abc", "abc"), is(true));
         assertThat(Digests.constantTimeEquals("abc", "abd"), is(false));
         assertThat(Digests.constantTimeEquals("abc", "ab"), is(false));
--- a/core/src/test/java/silverlatch/util/Fnv1aTest.java
+++ b/core/src/test/java/silverlatch/util/Fnv1aTest.java
@@ -15,12 +15,12 @@
     }
 
     @Test
-    void codeUnitsAboveAByteAreHashedWhole() {
+    void codeUnitsAboveOneByteAreHashedAsAWhole() {
         assertThat(Fnv1a.hash("\u0161"), is((0xCBF29CE484222325L ^ 0x161) * 0x100000001B3L));
     }
 
     @Test
-    void aSeedChangesTheHash() {
+    void seedChangesTheHash() {
         assertThat(Fnv1a.hash("a", 0), is(Fnv1a.hash("a")));
         assertThat(Fnv1a.hash("a", 1), not(Fnv1a.hash("a")));
     }
