--- a/core/src/test/java/silverlatch/clock/PwcClockTest.java
+++ b/core/src/test/java/silverlatch/clock/PwcClockTest.java
@@ -13,6 +13,11 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against stamps that violate causality, i.e. an effect whose stamp isn't higher than its cause's, and against
+ * clocks that run ahead of real time by more than the allowed skew, be it by overflows, a peer's wrong clock or a jump
+ * of the wall clock.
+ */
 final class PwcClockTest {
     private static final int LOW_BITS = 7;
     private static final long MASK = (1L << LOW_BITS) - 1;
@@ -29,7 +34,7 @@
         }
     }
 
-    /** Processes with skewed physical clocks that send each other messages at random. */
+    /** Simulates processes whose physical clocks are skewed and that send messages to each other at random times. */
     private static final class SimulatedClocks {
         private static final int COUNT = 8;
         private static final long SKEW = NtpTime.fromMicros(10_000);
@@ -95,7 +100,8 @@
             final long bits = stamped.stamp().bits();
             assertThat(name, bits, greaterThan(clocks[process].last()));
             final boolean carried = bits == previous + 1 && (bits & MASK) == 0;
-            assertThat(name + ": a carry into the high bits", carried && previous >= (physicalTime & ~MASK), is(false));
+            assertThat(
+                    name + ": no carry into the high bits", carried && previous >= (physicalTime & ~MASK), is(false));
             clocks[process] = stamped.clock();
         }
 
--- a/core/src/test/java/silverlatch/json/JsonDocumentTest.java
+++ b/core/src/test/java/silverlatch/json/JsonDocumentTest.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Guards against accepting invalid documents, and against faults that don't tell the sender which field is wrong. */
 final class JsonDocumentTest {
     private static final int MAX_BYTES = 1_000;
 
--- a/core/src/test/java/silverlatch/json/JsonSyntaxTest.java
+++ b/core/src/test/java/silverlatch/json/JsonSyntaxTest.java
@@ -8,6 +8,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * Guards against accepting input that is not JSON or nested too deeply, which the lenient parser behind {@link
+ * JsonDocument} would accept.
+ */
 final class JsonSyntaxTest {
     @ParameterizedTest
     @ValueSource(
--- a/core/src/test/java/silverlatch/state/AcceptedConfigurationsTest.java
+++ b/core/src/test/java/silverlatch/state/AcceptedConfigurationsTest.java
@@ -12,6 +12,11 @@
 import silverlatch.clock.Stamp;
 import silverlatch.wire.Codec;
 
+/**
+ * Guards against applying a configuration command twice, and against rejecting one that was accepted: a command may be
+ * sent again under another id after other configurations have followed it, or after its entry has been evicted from the
+ * bounded history.
+ */
 final class AcceptedConfigurationsTest {
     private static final int MORE_THAN_RETAINED = AcceptedConfigurations.MAX_RETAINED + 10;
     private final StateMachine state = new StateMachine();
@@ -84,15 +89,33 @@
         assertThat(
                 state.entriesWithPrefix(AcceptedConfigurations.KEY_PREFIX).size(),
                 is(AcceptedConfigurations.MAX_RETAINED));
-        assertThat("the newest forgotten", result(command(20, 18)), is(instanceOf(CommandResult.Unknown.class)));
-        assertThat("the first", result(command(2, 0)), is(instanceOf(CommandResult.Unknown.class)));
-        assertThat("perhaps one of them", result(command(20, 18, "x")), is(instanceOf(CommandResult.Unknown.class)));
-        assertThat("the oldest remembered", result(command(22, 20)), is(new CommandResult.Applied(11)));
-        assertThat("never taken under this number", code(result(command(22, 20, "x"))), is(409));
-        assertThat("never taken on top of this", code(result(command(22, 18))), is(409));
-        assertThat("a number that nobody took", code(result(command(21, 20))), is(409));
-        assertThat("never valid", code(result(invalid(20, 18))), is(409));
-        assertThat("never higher than its base", code(result(command(20, 20))), is(409));
+        assertThat(
+                "the newest evicted configuration",
+                result(command(20, 18)),
+                is(instanceOf(CommandResult.Unknown.class)));
+        assertThat(
+                "the first configuration, evicted too",
+                result(command(2, 0)),
+                is(instanceOf(CommandResult.Unknown.class)));
+        assertThat(
+                "another document that may have been accepted under an evicted number",
+                result(command(20, 18, "x")),
+                is(instanceOf(CommandResult.Unknown.class)));
+        assertThat("the oldest retained configuration", result(command(22, 20)), is(new CommandResult.Applied(11)));
+        assertThat(
+                "a document that was not accepted under this retained number",
+                code(result(command(22, 20, "x"))),
+                is(409));
+        assertThat(
+                "the document was accepted under this number on top of another one",
+                code(result(command(22, 18))),
+                is(409));
+        assertThat(
+                "a number that was never accepted, above the highest evicted one",
+                code(result(command(21, 20))),
+                is(409));
+        assertThat("invalid, so it was never accepted", code(result(invalid(20, 18))), is(409));
+        assertThat("not higher than its base, so it was never accepted", code(result(command(20, 20))), is(409));
     }
 
     @Test
@@ -110,7 +133,7 @@
         assertThat(
                 state.entriesWithPrefix(AcceptedConfigurations.KEY_PREFIX).size(),
                 is(AcceptedConfigurations.MAX_RETAINED));
-        assertThat("outcomes", state.entriesWithPrefix("o/").size(), is(1_000));
+        assertThat("retained command outcomes", state.entriesWithPrefix("o/").size(), is(1_000));
     }
 
     @Test
@@ -122,13 +145,15 @@
                         Command.PutFullConfiguration.of(inForce),
                         new EvaluationContext(new EntryTable(), Map.of(), 1, new Stamp(1))));
         assertThat(result(command(7, 5)), is(new CommandResult.Applied(1)));
-        assertThat("on top of itself", code(result(command(7, 7))), is(422));
-        assertThat("another under its number", code(result(command(7, 5, "x"))), is(409));
+        assertThat("builds on its own number", code(result(command(7, 7))), is(422));
+        assertThat("another document under the number in force", code(result(command(7, 5, "x"))), is(409));
         assertThat(result(command(5, 3)), is(instanceOf(CommandResult.Unknown.class)));
         assertThat(result(command(8, 7)), is(instanceOf(CommandResult.Applied.class)));
         assertThat(result(command(5, 3)), is(instanceOf(CommandResult.Unknown.class)));
         assertThat(
-                "in force when the memory began", result(command(7, 5)), is(instanceOf(CommandResult.Unknown.class)));
+                "was in force before the history began and is not in it",
+                result(command(7, 5)),
+                is(instanceOf(CommandResult.Unknown.class)));
         assertThat(result(command(8, 7)), is(instanceOf(CommandResult.Applied.class)));
     }
 
@@ -138,7 +163,10 @@
         assertThat(code(result(command(9, 8))), is(409));
         result(command(8, 5));
         assertThat(code(result(command(9, 8))), is(409));
-        assertThat("another text", result(command(9, 8, "x")), is(instanceOf(CommandResult.Applied.class)));
+        assertThat(
+                "another document, so not the rejected command",
+                result(command(9, 8, "x")),
+                is(instanceOf(CommandResult.Applied.class)));
     }
 
     @Test
@@ -152,7 +180,7 @@
                 .encode(new silverlatch.log.LogRecord.Batch(List.of(new silverlatch.log.LogRecord.Appended(
                         new silverlatch.replication.LogEntry(1, 1, new Stamp(1), retained)))))
                 .length;
-        System.out.println("memory of accepted configurations: " + bytes + " bytes");
+        System.out.println("accepted configurations in a snapshot: " + bytes + " bytes");
         assertThat(bytes, is(lessThan(1 << 20)));
     }
 }
--- a/core/src/test/java/silverlatch/state/ClaimManagerTest.java
+++ b/core/src/test/java/silverlatch/state/ClaimManagerTest.java
@@ -8,6 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against two requests running under one idempotency key: because a claim expires too early, or because a
+ * duplicate or late claim or completion takes the key from the request that it is bound to.
+ */
 final class ClaimManagerTest {
     private final CommandExecutor commands = new CommandExecutor();
 
@@ -57,7 +61,7 @@
                 commands.reply(new Command.Claim("h4", "key", "three", "q", 30)),
                 instanceOf(CommandResult.AlreadyClaimed.class));
         assertThat(
-                "a late end of the first",
+                "a late completion of the first claim",
                 ((CommandResult.Rejected)
                                 commands.reply(new Command.CompleteClaim("e1", "key", "one", "p", "rejected", 10)))
                         .code(),
@@ -81,7 +85,7 @@
                 commands.execute(new Command.CompleteClaim("e1", "key", "one", "p", "rejected", 10)),
                 instanceOf(Evaluation.Write.class));
         assertThat(
-                "the claim comes late",
+                "the claim arrives after its rejection",
                 commands.reply(new Command.Claim("h1", "key", "one", "p", 10)),
                 instanceOf(CommandResult.AlreadyClaimed.class));
         assertThat(
--- a/core/src/test/java/silverlatch/state/CommandExecutor.java
+++ b/core/src/test/java/silverlatch/state/CommandExecutor.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import silverlatch.clock.Stamp;
 
-/** A state machine of one replica: what a command writes is applied at once. */
+/** Executes commands on a single state machine and applies their writes at once, without replication. */
 final class CommandExecutor {
     private final StateMachine state = new StateMachine();
     private long sequence;
@@ -13,12 +13,12 @@
         return state;
     }
 
-    /** The sequence of the next write. */
+    /** Returns the sequence of the next write. */
     long nextSequence() {
         return sequence + 1;
     }
 
-    /** Applies entries that no command wrote. */
+    /** Applies entries that were not written by a command. */
     void apply(final List<Entry> writes) {
         state.apply(++sequence, writes);
     }
@@ -31,12 +31,12 @@
         return evaluation;
     }
 
-    /** The result of a command that writes nothing. */
+    /** Executes a command that must write nothing, and returns its result. */
     CommandResult reply(final Command command) {
         return ((Evaluation.Reply) execute(command)).result();
     }
 
-    /** The rejection of a command, as a duplicate of it finds it. */
+    /** Executes a command that must be rejected, and returns the rejection that a duplicate of it gets. */
     CommandResult.Rejected rejected(final Command command) {
         execute(command);
         return (CommandResult.Rejected) reply(command);
--- a/core/src/test/java/silverlatch/state/CompareAndSetTest.java
+++ b/core/src/test/java/silverlatch/state/CompareAndSetTest.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Commands on tenants, schedules and evacuations, which expect the sequence that last wrote their entry. */
+/**
+ * Guards against lost updates of tenants, schedules and evacuations: a command that expects another sequence than the
+ * one that last wrote its entry must be rejected, also if the entry was deleted in between.
+ */
 final class CompareAndSetTest {
     private static final String KEY_HASH = "0123456789abcdef".repeat(4);
     private final CommandExecutor commands = new CommandExecutor();
--- a/core/src/test/java/silverlatch/state/ConfigurationValidatorTest.java
+++ b/core/src/test/java/silverlatch/state/ConfigurationValidatorTest.java
@@ -13,6 +13,10 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.clock.Stamp;
 
+/**
+ * Guards against invalid routing configurations taking effect, against two of them replacing the same one, and against
+ * rejections that take much space in the replicated log.
+ */
 final class ConfigurationValidatorTest {
     private static final List<Value.BackendPool> POOLS = List.of(pool("warm"), pool("spare"));
     private final StateMachine state = new StateMachine();
@@ -76,7 +80,7 @@
 
     private List<String> faults(final Command command) {
         final Evaluation.Write write = (Evaluation.Write) evaluate(command);
-        assertThat("nothing but the deed is written", write.entries().size(), is(1));
+        assertThat("only the outcome is written", write.entries().size(), is(1));
         final Value.CommandOutcome outcome =
                 (Value.CommandOutcome) write.entries().get(0).value().get(0);
         assertThat(outcome.code(), is(422));
@@ -121,11 +125,11 @@
                 (Evaluation.Write) evaluate(putConfiguration(1, List.of(validRoute("a")), POOLS, 0));
         winner.entries().forEach(e -> overlay.put(e.key(), e));
         assertThat(
-                "let in, not yet acknowledged",
+                "the first one is accepted but not committed yet",
                 reply(putConfiguration(2, List.of(validRoute("b")), POOLS, 0)),
                 is(new CommandResult.Rejected(409, List.of("the configuration in force is number 1"), 1)));
         assertThat(
-                "the same document by another way",
+                "the same document under another command id",
                 reply(putConfiguration(1, List.of(validRoute("a")), POOLS, 0)),
                 is(new CommandResult.Applied(1)));
         assertThat(
@@ -174,11 +178,11 @@
     @Test
     void routeThatNoRequestCouldMatchIsRejected() {
         assertThat(
-                "hosts are compared without regard to case, so one of these would never be served",
+                "hosts are compared ignoring case, so one of these routes would never match",
                 faultPaths(List.of(validRoute("a.example"), validRoute("A.Example")), POOLS),
                 is(List.of("$.rules[1]")));
         assertThat(
-                "the port of a host doesn't count, so the later ones would never be served",
+                "the port of a host is ignored, so the later routes would never match",
                 faultPaths(
                         List.of(
                                 validRoute("a.example:8443"),
@@ -188,7 +192,7 @@
                         POOLS),
                 is(List.of("$.rules[1]", "$.rules[3]")));
         assertThat(
-                "a port is no fault",
+                "routes whose hosts differ in more than the port are valid",
                 faultPaths(List.of(validRoute("b.example:80"), validRoute("a:8443"), validRoute("a")), POOLS),
                 is(List.of("$.rules[2]")));
     }
--- a/core/src/test/java/silverlatch/state/EntryTableTest.java
+++ b/core/src/test/java/silverlatch/state/EntryTableTest.java
@@ -8,6 +8,10 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.clock.Stamp;
 
+/**
+ * Guards against replicas with different entries, counts or revisions, after late writes or a repair, and against
+ * gateways that miss a deletion because it left no tombstone.
+ */
 final class EntryTableTest {
     private static final int RANGE_COUNT = 16;
     private final EntryTable table = new EntryTable();
--- a/core/src/test/java/silverlatch/state/PolicyTest.java
+++ b/core/src/test/java/silverlatch/state/PolicyTest.java
@@ -15,6 +15,11 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.clock.Stamp;
 
+/**
+ * Guards against differences between a policy that is updated incrementally and the state that it is derived from, in
+ * particular when the overlay of changes is merged into the base. Applies random changes and compares with a simple
+ * model.
+ */
 final class PolicyTest {
     private final SplittableRandom random = new SplittableRandom(4);
 
@@ -36,7 +41,7 @@
         assertEqualsModel(policy.with(state.policySince(revision)), model);
     }
 
-    /** A few writes, and many each five hundredth time; a quarter of them delete. */
+    /** Returns up to 3 writes, or up to 401 for every five hundredth sequence. A quarter of them are deletions. */
     private List<Entry> randomWrites(final int sequence) {
         final List<Entry> writes = new ArrayList<>();
         for (int k = 0; k < 1 + (sequence % 500 == 0 ? 400 : random.nextInt(3)); k++) {
@@ -82,7 +87,10 @@
         assertThat(policy.values().count() <= 59, is(true));
     }
 
-    /** The entry of a tenant with its keys; it is deleted where it has none, and tenant 0 stands for nobody. */
+    /**
+     * Returns the entry of a tenant with its keys. It is deleted if the tenant has no keys; a key of tenant 0 belongs
+     * to no tenant.
+     */
     private static Entry tenant(final int tenant, final int[] tenantOfKey) {
         final List<String> digests = new ArrayList<>();
         for (int key = 0; key < tenantOfKey.length; key++) {
--- a/core/src/test/java/silverlatch/state/StateMachineTest.java
+++ b/core/src/test/java/silverlatch/state/StateMachineTest.java
@@ -6,6 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a command that takes effect twice or gets two different results when it is sent again, and against
+ * replicas that differ without the difference being detected by their digests.
+ */
 final class StateMachineTest {
     private final CommandExecutor commands = new CommandExecutor();
 
--- a/core/src/test/java/silverlatch/state/TableManagerTest.java
+++ b/core/src/test/java/silverlatch/state/TableManagerTest.java
@@ -7,6 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a command that changes only some of its rows, against lost updates by an outdated expected revision,
+ * and against a table that grows beyond its limit.
+ */
 final class TableManagerTest {
     private final CommandExecutor commands = new CommandExecutor();
 
--- a/core/src/test/java/silverlatch/state/TenantAccessTest.java
+++ b/core/src/test/java/silverlatch/state/TenantAccessTest.java
@@ -18,7 +18,11 @@
 import silverlatch.util.Digests;
 import silverlatch.wire.Codec;
 
-/** Tenants, public routes and bounds on workers as parts of a routing configuration. */
+/**
+ * Tests the parts of a routing configuration that were added in a later version: tenants, public routes and scaling
+ * limits. Guards against ambiguous or empty keys, and against parts that are lost when processes of an older version
+ * submit the configuration.
+ */
 final class TenantAccessTest {
     private static final List<String> ALL_LATER_PARTS = List.of(
             EntryKeys.TENANT_ACCESS, EntryKeys.PUBLIC_ROUTES, EntryKeys.ACCESS_CONTROL, EntryKeys.POOL_SCALINGS);
@@ -83,7 +87,10 @@
         return state.evaluate(command, Map.of(), sequence + 1, new Stamp(sequence + 1));
     }
 
-    /** Applies a command that must be accepted; returns what it wrote of the later parts, deletions with a dash. */
+    /**
+     * Applies a command that must be accepted. Returns the keys of the later parts that it wrote; a leading dash marks
+     * a deletion.
+     */
     private List<String> accept(final Command command) {
         final Evaluation.Write write = (Evaluation.Write) evaluate(command);
         assertThat(outcome(write).faults(), is(empty()));
@@ -105,7 +112,7 @@
 
     private List<String> faults(final Command command) {
         final Evaluation.Write write = (Evaluation.Write) evaluate(command);
-        assertThat("nothing but the refusal is written", write.entries().size(), is(1));
+        assertThat("only the outcome is written", write.entries().size(), is(1));
         return outcome(write).faults();
     }
 
@@ -171,7 +178,7 @@
         accept(put(1, List.of(PUBLIC), List.of(new Value.PoolScaling("warm", 1, 2, 3)), tenant("a", "k1")));
         assertThat(storedValue("p/access"), is(Optional.of(new Value.AccessControl(true))));
         assertThat(accept(base(2, "plain")), containsInAnyOrder("-n/a", "-v/a|/", "-p/access", "-s/warm"));
-        assertThat("tenants, but none", accept(put(3)), contains("p/access"));
+        assertThat("keys are required although there are no tenants", accept(put(3)), contains("p/access"));
     }
 
     @Test
@@ -200,17 +207,17 @@
         assertThat(storedValue("p/access"), is(Optional.empty()));
         assertThat(accept(full.with("again", 0)), containsInAnyOrder("n/a", "p/access"));
         assertThat(
-                "in force now",
+                "the missing parts are in force now",
                 evaluate(full.with("once more", 0)),
                 is(new Evaluation.Reply(new CommandResult.Applied(2))));
         assertThat(
-                "an older version's command takes nothing away",
+                "a command of an older version removes nothing",
                 evaluate(full.with("older", 0).base()),
                 is(new Evaluation.Reply(new CommandResult.Applied(2))));
     }
 
     @Test
-    void scalingLimitsAndPublicRoutesMustReferToExistingPoolsAndRoutes() {
+    void invalidScalingLimitsAndPublicRoutesAreRejected() {
         assertThat(
                 faults(put(
                                 1,
--- a/core/src/test/java/silverlatch/state/UsageManagerTest.java
+++ b/core/src/test/java/silverlatch/state/UsageManagerTest.java
@@ -9,6 +9,10 @@
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against reporting different usage for the same window: closed windows must keep their counts, and the newest
+ * reported window must never decrease, whichever process closes or reports.
+ */
 final class UsageManagerTest {
     private final CommandExecutor executor = new CommandExecutor();
 
--- a/core/src/test/java/silverlatch/util/ChildJvmTest.java
+++ b/core/src/test/java/silverlatch/util/ChildJvmTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each JDK gets options that it knows. */
+/** Guards against child processes that fail to start because their JDK doesn't know an option. */
 final class ChildJvmTest {
     @Test
     void eachVersionGetsTheOptionsThatItKnows() {
--- a/core/src/test/java/silverlatch/util/DigestsTest.java
+++ b/core/src/test/java/silverlatch/util/DigestsTest.java
@@ -5,6 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against changed digests, which would invalidate the stored hashes of keys, and against secrets that match only
+ * in part.
+ */
 final class DigestsTest {
     @Test
     void sha256HexMatchesAKnownDigest() {
--- a/core/src/test/java/silverlatch/util/Fnv1aTest.java
+++ b/core/src/test/java/silverlatch/util/Fnv1aTest.java
@@ -6,6 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Guards against changed hash values: processes of different versions compare digests that are made with them. */
 final class Fnv1aTest {
     @Test
     void asciiTextsHaveThePublishedHashes() {
