--- a/core/src/main/java/silverlatch/json/JsonDocument.java
+++ b/core/src/main/java/silverlatch/json/JsonDocument.java
@@ -13,9 +13,10 @@
 import java.util.Set;
 
 /**
- * A JSON object whose fields are read and validated one by one. An invalid field reads as its minimum or as empty, its
- * fault is recorded with the field's path, and reading continues to find the remaining faults. Callers must check the
- * result of {@link #finish} before they use any of the values. Nested documents record into the same list of faults.
+ * A JSON object whose fields are read and validated one by one. An invalid field reads as its minimum, as its fallback
+ * or as empty, its fault is recorded with the field's path, and reading continues to find the remaining faults. Callers
+ * must check the result of {@link #finish} before they use any of the values. Nested documents record into the same
+ * list of faults.
  */
 public final class JsonDocument {
     private static final Jsonb JSON = Jsonb.builder().build();
--- a/core/src/main/java/silverlatch/state/ClaimManager.java
+++ b/core/src/main/java/silverlatch/state/ClaimManager.java
@@ -46,7 +46,8 @@
 
     /**
      * Returns whether a later request may take over the key of an existing claim. It may if the claim was rejected, as
-     * that request never ran. The request that was rejected can't claim the key again, nor can one whose stamp is not newer.
+     * that request never ran. The request that was rejected can't claim the key again, nor can one whose stamp is not
+     * newer.
      */
     private static boolean isAvailableTo(final Value.Claim existing, final Command.Claim command) {
         return existing.state().equals(Value.Claim.REJECTED)
--- a/core/src/main/java/silverlatch/state/EntryTable.java
+++ b/core/src/main/java/silverlatch/state/EntryTable.java
@@ -44,7 +44,10 @@
         return claimCount;
     }
 
-    /** Applies the entries that one change wrote. An entry older than the current one of its key is ignored. */
+    /**
+     * Applies the entries that one change wrote. A write that is older than the current entry of its key is ignored,
+     * except the deletion of an entry that is not policy.
+     */
     void apply(final long newSequence, final Collection<Entry> writes) {
         sequence = Math.max(sequence, newSequence);
         writes.forEach(this::apply);
--- a/core/src/main/java/silverlatch/state/EpochManager.java
+++ b/core/src/main/java/silverlatch/state/EpochManager.java
@@ -8,6 +8,10 @@
  * advances it by one and deletes the claims that expire with it.
  */
 final class EpochManager {
+    /**
+     * Advances the epoch to the command's, which must be the next one. A command for an epoch that is already
+     * reached is acknowledged again.
+     */
     Evaluation advance(final Command.AdvanceEpoch command, final EvaluationContext context) {
         final long current = context.epoch();
         if (command.epoch() <= current) {
--- a/core/src/main/java/silverlatch/state/RoutingConfigurationManager.java
+++ b/core/src/main/java/silverlatch/state/RoutingConfigurationManager.java
@@ -23,6 +23,7 @@
         this.safeguards = safeguards;
     }
 
+    /** Accepts or rejects a configuration, or returns the result of an earlier copy of the command. */
     Evaluation put(final Command.PutFullConfiguration full, final EvaluationContext context) {
         final Command.PutConfiguration command = full.base();
         final long currentNumber = currentNumber(context);
--- a/core/src/main/java/silverlatch/state/UsageManager.java
+++ b/core/src/main/java/silverlatch/state/UsageManager.java
@@ -22,6 +22,7 @@
         return EntryKeys.USAGE_WINDOWS + String.format("%019d", number);
     }
 
+    /** Closes a window. A window that is closed already keeps its counts, and the command is acknowledged. */
     Evaluation close(final Command.CloseUsageWindow command, final EvaluationContext context) {
         final String key = key(command.window().number());
         if (context.find(key).isPresent()) {
@@ -34,6 +35,7 @@
         return new Evaluation.Write(writes(key, command.window(), retained, context));
     }
 
+    /** Records that a window was reported, unless it or a later one is recorded already. */
     Evaluation markReported(final Command.MarkUsageReported command, final EvaluationContext context) {
         final boolean isAlreadyMarked = context.value(EntryKeys.USAGE_REPORTED, Value.UsageReported.class)
                 .filter(reported -> reported.window() >= command.window())
--- a/core/src/main/java/silverlatch/state/UsageState.java
+++ b/core/src/main/java/silverlatch/state/UsageState.java
@@ -34,7 +34,7 @@
         return later.stream().findFirst().map(UsageState::window);
     }
 
-    /** Returns the newest window whose report to the provider is committed; -1 if there is none. */
+    /** Returns the newest window that is recorded as reported to the provider; -1 if there is none. */
     public static long reportedUpTo(final StateMachine state) {
         return value(state, EntryKeys.USAGE_REPORTED, Value.UsageReported.class)
                 .map(Value.UsageReported::window)
