--- a/core/src/main/java/silverlatch/state/ConfigurationValidator.java
+++ b/core/src/main/java/silverlatch/state/ConfigurationValidator.java
@@ -6,27 +6,27 @@
 import java.util.Set;
 
 /**
- * Routing configurations: the keys of their entries, and what is wrong with one. Faults have the path of what is wrong in
- * the operators' document, whose fields have names of their own (docs/api.md).
+ * Validates routing configurations and defines the keys of their entries. Each fault begins with the path of the
+ * invalid field in the operator's document, whose field names differ from those of the types here (docs/api.md).
  */
 public final class ConfigurationValidator {
-    /** The key of the configuration in force, without its routes and pools. */
+    /** Key of the configuration in force, without its routes and pools. */
     public static final String CONFIGURATION_KEY = "p/charter";
-    /** The key of the document as the operator wrote it; it stays with the control plane. */
+    /** Key of the document as the operator wrote it. Gateways don't receive this entry. */
     public static final String DOCUMENT_KEY = "q/paper";
-    /** How the keys of routes begin. */
+    /** Prefix of the keys of routes. */
     public static final String ROUTE_PREFIX = "u/";
-    /** How the keys of backend pools begin. */
+    /** Prefix of the keys of backend pools. */
     public static final String POOL_PREFIX = "b/";
-    /** How many routes a configuration may have. */
+    /** Maximum number of routes of a configuration. */
     public static final int MAX_ROUTES = 20_000;
-    /** How many backend pools a configuration may have. */
+    /** Maximum number of backend pools of a configuration. */
     public static final int MAX_POOLS = 5_000;
-    /** How many tenants a configuration may have. */
+    /** Maximum number of tenants of a configuration. */
     public static final int MAX_TENANTS = 50_000;
-    /** How many keys the tenants of a configuration may have in all. */
+    /** Maximum number of keys of all tenants of a configuration together. */
     public static final int MAX_KEYS = 100_000;
-    /** How many bytes a configuration's document may have. */
+    /** Maximum size of a configuration's document, in bytes of UTF-8. */
     public static final int MAX_DOCUMENT_BYTES = 4 << 20;
 
     private static final int MAX_BACKENDS = 1_000;
@@ -36,30 +36,30 @@
 
     private ConfigurationValidator() {}
 
-    /** The key of a route. */
+    /** Returns the key of a route's entry. */
     public static String routeKey(final String host, final String path) {
         return ROUTE_PREFIX + host + "|" + path;
     }
 
-    /** Equal for two routes that requests can't tell apart. */
+    /** Returns a key that is equal for two routes if they match the same requests. */
     private static String comparableKey(final String host, final String path) {
         return routeKey(RouteHosts.normalized(host), path);
     }
 
-    /** The key of a backend pool. */
+    /** Returns the key of a backend pool's entry. */
     public static String poolKey(final String name) {
         return POOL_PREFIX + name;
     }
 
-    /** Whether a document is longer than any that is accepted. */
+    /** Returns whether a document exceeds {@link #MAX_DOCUMENT_BYTES}. */
     public static boolean isTooLong(final String document) {
         return document.length() > MAX_DOCUMENT_BYTES
                 || document.getBytes(StandardCharsets.UTF_8).length > MAX_DOCUMENT_BYTES;
     }
 
     /**
-     * What is wrong with a configuration that follows the one of the current number; a limited number of faults. One that
-     * is too large is not looked into.
+     * Returns the faults of a configuration that is to replace the one with the current number, up to a maximum. If the
+     * number or one of the sizes is invalid, nothing else is checked.
      */
     static List<String> faults(final Command.PutFullConfiguration full, final long currentNumber) {
         final Command.PutConfiguration command = full.base();
@@ -123,7 +123,7 @@
             final String path, final Value.BackendPool pool, final Set<String> names, final ValidationFaults faults) {
         faults.checkLength(path + ".name", pool.name(), MAX_NAME_LENGTH);
         if (!names.add(pool.name())) {
-            faults.add(path + ".name", "a second pool " + ValidationFaults.quoted(pool.name()));
+            faults.add(path + ".name", "a second pool " + ValidationFaults.abbreviated(pool.name()));
         }
         faults.checkAtLeast(path + ".lines", pool.maxConnections(), 0);
         faults.checkAtLeast(path + ".cold", pool.warmupMicros(), 0);
@@ -140,8 +140,8 @@
             if (!routeKeys.contains(comparableKey(route.host(), route.pathPrefix()))) {
                 faults.add(
                         "$.rules",
-                        "there is no rule for " + ValidationFaults.quoted(route.host()) + " and "
-                                + ValidationFaults.quoted(route.pathPrefix()) + " that could be open");
+                        "there is no rule for " + ValidationFaults.abbreviated(route.host()) + " and "
+                                + ValidationFaults.abbreviated(route.pathPrefix()) + " that could be open");
             }
         }
     }
@@ -153,9 +153,9 @@
             final String path = "$.scalings[" + i + "]";
             final Value.PoolScaling scaling = scalings.get(i);
             if (!poolNames.contains(scaling.pool())) {
-                faults.add(path + ".pool", "there is no pool " + ValidationFaults.quoted(scaling.pool()));
+                faults.add(path + ".pool", "there is no pool " + ValidationFaults.abbreviated(scaling.pool()));
             } else if (!scaledPools.add(scaling.pool())) {
-                faults.add(path + ".pool", "a second time for " + ValidationFaults.quoted(scaling.pool()));
+                faults.add(path + ".pool", "a second time for " + ValidationFaults.abbreviated(scaling.pool()));
             }
             faults.checkAtLeast(path + ".min", scaling.minWorkers(), 0);
             faults.checkAtLeast(path + ".max", scaling.maxWorkers(), Math.max(0, scaling.minWorkers()));
@@ -174,8 +174,8 @@
         if (!routeKeys.add(comparableKey(route.host(), route.pathPrefix()))) {
             faults.add(
                     path,
-                    "a second rule for " + ValidationFaults.quoted(route.host()) + " and "
-                            + ValidationFaults.quoted(route.pathPrefix()));
+                    "a second rule for " + ValidationFaults.abbreviated(route.host()) + " and "
+                            + ValidationFaults.abbreviated(route.pathPrefix()));
         }
         faults.checkAtLeast(path + ".hold", route.timeoutMicros(), 1);
         faults.checkAtLeast(path + ".aim", route.latencyTargetMicros(), 0);
@@ -197,7 +197,7 @@
         if (!route.pathPrefix().startsWith("/") || !route.pathPrefix().endsWith("/")) {
             faults.add(
                     path + ".path",
-                    "it must begin and end with '/', not '" + ValidationFaults.quoted(route.pathPrefix()) + "'");
+                    "it must begin and end with '/', not '" + ValidationFaults.abbreviated(route.pathPrefix()) + "'");
         }
     }
 
@@ -213,7 +213,8 @@
         for (int i = 0; i < backends.size() && !faults.isFull(); i++) {
             final Value.WeightedBackend backend = backends.get(i);
             if (!poolNames.contains(backend.pool())) {
-                faults.add(path + "[" + i + "].pool", "there is no pool " + ValidationFaults.quoted(backend.pool()));
+                faults.add(
+                        path + "[" + i + "].pool", "there is no pool " + ValidationFaults.abbreviated(backend.pool()));
             }
             faults.checkAtLeast(path + "[" + i + "].weight", backend.weight(), 0);
         }
--- a/core/src/main/java/silverlatch/state/EpochManager.java
+++ b/core/src/main/java/silverlatch/state/EpochManager.java
@@ -4,10 +4,14 @@
 import java.util.List;
 
 /**
- * Evaluates advances of the epoch, the fleet's count of time by monotonic clocks: each goes on by one, and deletes the
- * claims that have expired with it.
+ * Evaluates commands that advance the epoch: the fleet's shared time, counted by monotonic clocks. Each command
+ * advances it by one and deletes the claims that expire with it.
  */
 final class EpochManager {
+    /**
+     * Advances the epoch to the command's, which must be the next one. A command for an epoch that is already
+     * reached is acknowledged again.
+     */
     Evaluation advance(final Command.AdvanceEpoch command, final EvaluationContext context) {
         final long current = context.epoch();
         if (command.epoch() <= current) {
@@ -18,7 +22,7 @@
         }
         final List<Entry> writes = new ArrayList<>();
         writes.add(context.write(EntryKeys.EPOCH, new Value.Epoch(command.epoch())));
-        writes.addAll(ClaimManager.expired(command.epoch(), context));
+        writes.addAll(ClaimManager.expiredClaimDeletions(command.epoch(), context));
         return new Evaluation.Write(writes);
     }
 }
--- a/core/src/main/java/silverlatch/state/RowBuilder.java
+++ b/core/src/main/java/silverlatch/state/RowBuilder.java
@@ -1,6 +1,6 @@
 package silverlatch.state;
 
-/** A row of the table being changed; it begins as another row. */
+/** Builder of a changed row of the table, initialized from an existing row. */
 final class RowBuilder {
     private final String kind;
     private String tenant;
@@ -38,10 +38,11 @@
     }
 
     /**
-     * Sets the cell of a field.
+     * Sets a field from text.
      *
-     * @throws NumberFormatException if the field takes a number and the text is none
-     * @throws IllegalArgumentException if there is no such field, or the text is neither true nor false for a flag
+     * @throws NumberFormatException if the field is numeric and the text is not a number
+     * @throws IllegalArgumentException if there is no such field, or the field is boolean and the text is neither true
+     *     nor false
      */
     RowBuilder cell(final String field, final String text) {
         switch (field) {
@@ -54,7 +55,7 @@
             case "running" -> maxRunning = Integer.parseInt(text);
             case "queue" -> maxQueued = Integer.parseInt(text);
             case "hold" -> timeoutMicros = Long.parseLong(text);
-            case "once" -> atMostOnce = flag(text);
+            case "once" -> atMostOnce = parseFlag(text);
             case "rank" -> priority = Integer.parseInt(text);
             default ->
                 throw new IllegalArgumentException(
@@ -63,7 +64,7 @@
         return this;
     }
 
-    private static boolean flag(final String text) {
+    private static boolean parseFlag(final String text) {
         if (!text.equals("true") && !text.equals("false")) {
             throw new IllegalArgumentException("once is true or false, not " + text);
         }
--- a/core/src/main/java/silverlatch/state/TenantAccessValidator.java
+++ b/core/src/main/java/silverlatch/state/TenantAccessValidator.java
@@ -9,8 +9,9 @@
 import silverlatch.util.Digests;
 
 /**
- * What is wrong with the tenants of a routing configuration: each needs a name of its own, which is forwarded in a header, and
- * keys that no other tenant has, as a key tells whose a request is. No fault shows a key or its digest.
+ * Validates the tenants of a routing configuration. Each needs a unique name, which is forwarded in a header. No key
+ * may belong to two tenants, as the key identifies the tenant of a request. The faults contain neither keys nor their
+ * digests.
  */
 final class TenantAccessValidator {
     private static final int MAX_HOME_REGIONS = 64;
@@ -27,7 +28,7 @@
         this.faults = faults;
     }
 
-    /** Adds the faults of tenants whose count is within bounds. */
+    /** Adds the faults of tenants. Their number must have been checked before. */
     static void check(final List<Value.TenantAccess> tenants, final ValidationFaults faults) {
         final TenantAccessValidator validator = new TenantAccessValidator(faults);
         for (int i = 0; i < tenants.size() && !faults.isFull(); i++) {
@@ -39,7 +40,7 @@
         if (!NAME.matcher(tenant.name()).matches()) {
             faults.add(path + ".name", "1 to 256 visible ASCII characters are needed, with spaces between them only");
         } else if (!names.add(tenant.name())) {
-            faults.add(path + ".name", "a second tenant " + ValidationFaults.quoted(tenant.name()));
+            faults.add(path + ".name", "a second tenant " + ValidationFaults.abbreviated(tenant.name()));
         }
         for (int i = 0; i < tenant.keyDigests().size() && !faults.isFull(); i++) {
             checkKey(path + ".keys[" + i + "]", tenant.keyDigests().get(i), tenant.name());
@@ -48,16 +49,16 @@
         checkRegions(path + ".homes", tenant.homeRegions());
     }
 
-    /** An empty key would let in whoever sends none. */
+    /** Checks a key's digest. An empty key is a fault, since it would authenticate requests without a key. */
     private void checkKey(final String path, final String digest, final String tenant) {
         if (!KEY_DIGEST.matcher(digest).matches()) {
             faults.add(path, "64 hexadecimal digits are needed");
         } else if (digest.equals(EMPTY_KEY_DIGEST)) {
             faults.add(path, "an empty key");
         } else {
-            final String first = namesByKeyDigest.putIfAbsent(digest, tenant);
-            if (first != null && !first.equals(tenant)) {
-                faults.add(path, "also a key of tenant '" + ValidationFaults.quoted(first) + "'");
+            final String firstTenant = namesByKeyDigest.putIfAbsent(digest, tenant);
+            if (firstTenant != null && !firstTenant.equals(tenant)) {
+                faults.add(path, "also a key of tenant '" + ValidationFaults.abbreviated(firstTenant) + "'");
             }
         }
     }
--- a/core/src/test/java/silverlatch/clock/PwcClockTest.java
+++ b/core/src/test/java/silverlatch/clock/PwcClockTest.java
@@ -13,13 +13,18 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against stamps that violate causality, i.e. an effect whose stamp isn't higher than its cause's, and against
+ * clocks that run ahead of real time by more than the allowed skew, be it by overflows, a peer's wrong clock or a jump
+ * of the wall clock.
+ */
 final class PwcClockTest {
     private static final int LOW_BITS = 7;
     private static final long MASK = (1L << LOW_BITS) - 1;
     private static final long ONE_MICROSECOND = NtpTime.fromMicros(1);
 
     @Test
-    void everyEffectIsLessThanItsCauseOnRandomGraphsWithSkewUpToTheBound() {
+    void causesAreStampedBelowTheirEffectsOnRandomGraphsWithSkewUpToTheBound() {
         for (long seed = 1; seed <= 20; seed++) {
             final SimulatedClocks clocks = new SimulatedClocks(seed);
             for (long micros = 0; micros < 2_000_000; micros += 20) {
@@ -29,7 +34,7 @@
         }
     }
 
-    /** Processes with skewed physical clocks that send each other messages at random. */
+    /** Simulates processes whose physical clocks are skewed and that send messages to each other at random times. */
     private static final class SimulatedClocks {
         private static final int COUNT = 8;
         private static final long SKEW = NtpTime.fromMicros(10_000);
@@ -95,26 +100,27 @@
             final long bits = stamped.stamp().bits();
             assertThat(name, bits, greaterThan(clocks[process].last()));
             final boolean carried = bits == previous + 1 && (bits & MASK) == 0;
-            assertThat(name + ": a carry into the high bits", carried && previous >= (physicalTime & ~MASK), is(false));
+            assertThat(
+                    name + ": no carry into the high bits", carried && previous >= (physicalTime & ~MASK), is(false));
             clocks[process] = stamped.clock();
         }
 
         private void assertWithinSkew(final long realTime) {
             for (int i = 0; i < COUNT; i++) {
                 for (int k = 0; k < COUNT; k++) {
-                    final long difference = Math.abs(highest(i, realTime) - highest(k, realTime));
+                    final long difference = Math.abs(highestTime(i, realTime) - highestTime(k, realTime));
                     assertThat(name, difference, lessThanOrEqualTo(SKEW + (2L << LOW_BITS)));
                 }
             }
         }
 
-        private long highest(final int process, final long realTime) {
+        private long highestTime(final int process, final long realTime) {
             return Math.max(clocks[process].last(), clocks[process].masked(realTime + offsets[process]));
         }
     }
 
     @Test
-    void anOverflowWaitsUntilTheMaskedClockPasses() {
+    void sendThatWouldOverflowWaitsUntilTheMaskedClockHasPassed() {
         final long physicalTime = NtpTime.fromMicros(5_000_000) & ~MASK;
         PwcClock clock =
                 new PwcClock(physicalTime + NtpTime.fromMicros(2_000) | MASK, LOW_BITS, NtpTime.fromMicros(10_000));
@@ -126,7 +132,7 @@
     }
 
     @Test
-    void aStampFromTooFarAheadIsRejectedAndNotMerged() {
+    void stampTooFarAheadIsRejectedAndNotMerged() {
         final long physicalTime = NtpTime.fromMicros(5_000_000);
         final ProcessClock clock =
                 new ProcessClock(PwcClock.start(physicalTime, LOW_BITS, NtpTime.fromMicros(10_000), 0));
@@ -141,7 +147,7 @@
     }
 
     @Test
-    void aRestartWithAClockBehindStartsAboveTheFloorAndAResetNeverLowers() {
+    void clockIsRaisedAboveTheFloorAndAResetDoesNotLowerIt() {
         final long physicalTime = NtpTime.fromMicros(5_000_000);
         final ProcessClock clock =
                 new ProcessClock(PwcClock.start(physicalTime, LOW_BITS, NtpTime.fromMicros(10_000), 0));
@@ -153,7 +159,7 @@
     }
 
     @Test
-    void aWallClockThatJumpsIsNotFollowedAndOneThatWandersIsFollowedSlowly() {
+    void jumpOfTheWallClockIsIgnoredAndDriftIsFollowedSlowly() {
         final PhysicalClock start = new PhysicalClock(1_700_000_000_000_000_000L, 1_000_000, 0);
         final PhysicalClock jumped = start.slew(1_700_000_100_000_000_000L, 2_000_000, 50_000);
         assertThat(jumped.jumps(), is(1L));
@@ -165,23 +171,23 @@
     }
 
     @Test
-    void repeatedOverflowsMakeARejoinDue() {
+    void repeatedDropsRequireARejoin() {
         final long physicalTime = NtpTime.fromMicros(5_000_000);
         final ProcessClock clock =
                 new ProcessClock(PwcClock.start(physicalTime, LOW_BITS, NtpTime.fromMicros(10_000), 0));
-        final List<Boolean> due = new ArrayList<>();
+        final List<Boolean> rejoinNeeded = new ArrayList<>();
         for (int i = 0; i < 64; i++) {
-            due.add(clock.needsRejoin(physicalTime));
+            rejoinNeeded.add(clock.needsRejoin(physicalTime));
             clock.recordDrop(20_000_000 + i);
         }
-        assertThat(due.contains(true), is(false));
+        assertThat(rejoinNeeded.contains(true), is(false));
         assertThat(clock.needsRejoin(physicalTime), is(true));
         clock.reset(physicalTime);
         assertThat(clock.needsRejoin(physicalTime), is(false));
     }
 
     @Test
-    void microsecondsSurviveTheFixedPointFormat() {
+    void microsecondsAreConvertedToUnitsAndBackUnchanged() {
         for (final long micros : new long[] {1, 2, 999, 5_000, 1_000_000, 86_400_000_000L}) {
             assertThat(NtpTime.toMicros(NtpTime.fromMicros(micros)), is(micros));
         }
--- a/core/src/test/java/silverlatch/state/ClaimManagerTest.java
+++ b/core/src/test/java/silverlatch/state/ClaimManagerTest.java
@@ -8,11 +8,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against two requests running under one idempotency key: because a claim expires too early, or because a
+ * duplicate or late claim or completion takes the key from the request that it is bound to.
+ */
 final class ClaimManagerTest {
     private final CommandExecutor commands = new CommandExecutor();
 
     @Test
-    void claimsAreNeverExpiredEarlyAndAFullTableIsRejected() {
+    void claimsDoNotExpireEarlyAndNewClaimsAreRejectedWhenTheSpaceIsFull() {
         final List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < StateMachine.MAX_CLAIMS; i++) {
             entries.add(new Entry("c/" + i, 1, List.of(new Value.Claim("t" + i, "p", "running", 5, 0))));
@@ -41,7 +45,7 @@
     }
 
     @Test
-    void aKeyWhoseRequestWasRejectedGoesToOneLaterRequestAndToNoOther() {
+    void keyOfARejectedRequestCanBeClaimedByOneLaterRequestOnly() {
         commands.execute(new Command.Claim("h1", "key", "one", "p", 10));
         assertThat(
                 commands.reply(new Command.Claim("h2", "key", "two", "q", 20)),
@@ -57,7 +61,7 @@
                 commands.reply(new Command.Claim("h4", "key", "three", "q", 30)),
                 instanceOf(CommandResult.AlreadyClaimed.class));
         assertThat(
-                "a late end of the first",
+                "a late completion of the first claim",
                 ((CommandResult.Rejected)
                                 commands.reply(new Command.CompleteClaim("e1", "key", "one", "p", "rejected", 10)))
                         .code(),
@@ -76,12 +80,12 @@
     }
 
     @Test
-    void aCompletionThatOvertakesItsClaimLeavesARecord() {
+    void rejectionThatArrivesBeforeItsClaimBlocksTheClaim() {
         assertThat(
                 commands.execute(new Command.CompleteClaim("e1", "key", "one", "p", "rejected", 10)),
                 instanceOf(Evaluation.Write.class));
         assertThat(
-                "the claim comes late",
+                "the claim arrives after its rejection",
                 commands.reply(new Command.Claim("h1", "key", "one", "p", 10)),
                 instanceOf(CommandResult.AlreadyClaimed.class));
         assertThat(
--- a/core/src/test/java/silverlatch/state/CompareAndSetTest.java
+++ b/core/src/test/java/silverlatch/state/CompareAndSetTest.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Commands on tenants, schedules and evacuations, which expect the sequence that last wrote their entry. */
+/**
+ * Guards against lost updates of tenants, schedules and evacuations: a command that expects another sequence than the
+ * one that last wrote its entry must be rejected, also if the entry was deleted in between.
+ */
 final class CompareAndSetTest {
     private static final String KEY_HASH = "0123456789abcdef".repeat(4);
     private final CommandExecutor commands = new CommandExecutor();
@@ -25,7 +28,7 @@
     }
 
     @Test
-    void aCommandTakesEffectOnTheRevisionThatItExpectsAndOnNoOther() {
+    void commandTakesEffectOnlyOnTheRevisionThatItExpects() {
         commands.execute(tenant("t1", "acme", 0));
         commands.execute(tenant("t2", "acme", 1));
         assertConflict(tenant("t3", "acme", 1), "acme is at sequence 2", 2);
@@ -39,7 +42,7 @@
     }
 
     @Test
-    void aTombstoneKeepsTheRevisionOfADeletedTenant() {
+    void tombstoneKeepsTheRevisionOfADeletedTenant() {
         commands.execute(tenant("t1", "acme", -1));
         commands.execute(new Command.RemoveTenant("t2", "acme", 1));
         assertThat(commands.state().get("t/acme").isPresent(), is(false));
@@ -48,14 +51,14 @@
     }
 
     @Test
-    void whatIsNotThereCannotBeRemoved() {
+    void removalOfAMissingEntryIsRejected() {
         assertThat(commands.rejected(new Command.RemoveTenant("t", "acme", -1)).code(), is(404));
         assertThat(
                 commands.rejected(new Command.RemoveSchedule("s", "night", -1)).code(), is(404));
     }
 
     @Test
-    void anInvalidValueIsRejectedWithItsFaults() {
+    void invalidValueIsRejectedAndNotStored() {
         assertThat(commands.rejected(tenant("t", "a b", -1)).code(), is(422));
         assertThat(commands.rejected(schedule("s", "", -1)).code(), is(422));
         assertThat(
--- a/core/src/test/java/silverlatch/state/ConfigurationValidatorTest.java
+++ b/core/src/test/java/silverlatch/state/ConfigurationValidatorTest.java
@@ -13,12 +13,16 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.clock.Stamp;
 
+/**
+ * Guards against invalid routing configurations taking effect, against two of them replacing the same one, and against
+ * rejections that take much space in the replicated log.
+ */
 final class ConfigurationValidatorTest {
     private static final List<Value.BackendPool> POOLS = List.of(pool("warm"), pool("spare"));
     private final StateMachine state = new StateMachine();
     private final Map<String, Entry> overlay = new HashMap<>();
     private long sequence;
-    private long id;
+    private long lastId;
 
     private static Value.BackendPool pool(final String name) {
         return new Value.BackendPool(name, "/health/", 8, 1_000_000, 2, 16, 100_000, 4);
@@ -53,7 +57,7 @@
             final List<Value.BackendPool> pools,
             final long expectedRevision) {
         return new Command.PutConfiguration(
-                "id-" + ++id,
+                "id-" + ++lastId,
                 new Value.RoutingConfiguration(number, 8_192, 1 << 20, 1, 1),
                 routes,
                 pools,
@@ -76,7 +80,7 @@
 
     private List<String> faults(final Command command) {
         final Evaluation.Write write = (Evaluation.Write) evaluate(command);
-        assertThat("nothing but the deed is written", write.entries().size(), is(1));
+        assertThat("only the outcome is written", write.entries().size(), is(1));
         final Value.CommandOutcome outcome =
                 (Value.CommandOutcome) write.entries().get(0).value().get(0);
         assertThat(outcome.code(), is(422));
@@ -88,7 +92,7 @@
     }
 
     @Test
-    void onlyWhatDiffersIsWrittenAndWhatWasRemovedLeavesATombstone() {
+    void onlyDifferencesAreWrittenAndRemovedPartsLeaveATombstone() {
         assertThat(
                 writtenKeys(putConfiguration(1, List.of(validRoute("a"), validRoute("b")), POOLS, 0)),
                 containsInAnyOrder(
@@ -103,7 +107,7 @@
     }
 
     @Test
-    void theSameDocumentAgainIsAppliedAndALowerNumberIsNot() {
+    void repeatedDocumentIsAppliedAndANumberThatIsNotHigherIsRejected() {
         writtenKeys(putConfiguration(5, List.of(validRoute("a")), POOLS, 0));
         final Command.PutConfiguration repeated = putConfiguration(5, List.of(validRoute("a")), POOLS, 0);
         assertThat(reply(repeated), is(new CommandResult.Applied(1)));
@@ -116,16 +120,16 @@
     }
 
     @Test
-    void ofTwoThatRaceOnOneNumberOneIsAcceptedAndTheOtherLearnsTheCurrentNumber() {
+    void oneOfTwoConcurrentConfigurationsIsAcceptedAndTheOtherGetsTheCurrentNumber() {
         final Evaluation.Write winner =
                 (Evaluation.Write) evaluate(putConfiguration(1, List.of(validRoute("a")), POOLS, 0));
         winner.entries().forEach(e -> overlay.put(e.key(), e));
         assertThat(
-                "let in, not yet acknowledged",
+                "the first one is accepted but not committed yet",
                 reply(putConfiguration(2, List.of(validRoute("b")), POOLS, 0)),
                 is(new CommandResult.Rejected(409, List.of("the configuration in force is number 1"), 1)));
         assertThat(
-                "the same document by another way",
+                "the same document under another command id",
                 reply(putConfiguration(1, List.of(validRoute("a")), POOLS, 0)),
                 is(new CommandResult.Applied(1)));
         assertThat(
@@ -172,13 +176,13 @@
     }
 
     @Test
-    void aRouteThatNoRequestCouldReachIsRejected() {
+    void routeThatNoRequestCouldMatchIsRejected() {
         assertThat(
-                "hosts are compared without regard to case, so one of these would never be served",
+                "hosts are compared ignoring case, so one of these routes would never match",
                 faultPaths(List.of(validRoute("a.example"), validRoute("A.Example")), POOLS),
                 is(List.of("$.rules[1]")));
         assertThat(
-                "the port of a host doesn't count, so the later ones would never be served",
+                "the port of a host is ignored, so the later routes would never match",
                 faultPaths(
                         List.of(
                                 validRoute("a.example:8443"),
@@ -188,7 +192,7 @@
                         POOLS),
                 is(List.of("$.rules[1]", "$.rules[3]")));
         assertThat(
-                "a port is no fault",
+                "routes whose hosts differ in more than the port are valid",
                 faultPaths(List.of(validRoute("b.example:80"), validRoute("a:8443"), validRoute("a")), POOLS),
                 is(List.of("$.rules[2]")));
     }
@@ -201,7 +205,7 @@
     }
 
     @Test
-    void aRejectedConfigurationStoresLittle() {
+    void rejectionOfALargeConfigurationStoresLittle() {
         final List<Value.Route> routes = new ArrayList<>();
         for (int i = 0; i < 5_000; i++) {
             routes.add(route(
--- a/core/src/test/java/silverlatch/state/PolicyTest.java
+++ b/core/src/test/java/silverlatch/state/PolicyTest.java
@@ -15,11 +15,16 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.clock.Stamp;
 
+/**
+ * Guards against differences between a policy that is updated incrementally and the state that it is derived from, in
+ * particular when the overlay of changes is merged into the base. Applies random changes and compares with a simple
+ * model.
+ */
 final class PolicyTest {
     private final SplittableRandom random = new SplittableRandom(4);
 
     @Test
-    void manySmallStepsGiveTheSameAsOneLargeStep() {
+    void incrementalUpdatesGiveTheSamePolicyAsTheFinalState() {
         final StateMachine state = new StateMachine();
         final Map<String, Value> model = new HashMap<>();
         Policy policy = Policy.NONE;
@@ -33,10 +38,10 @@
                 revision = state.policyRevision();
             }
         }
-        assertHolds(policy.with(state.policySince(revision)), model);
+        assertEqualsModel(policy.with(state.policySince(revision)), model);
     }
 
-    /** A few writes, and many each five hundredth time; a quarter of them delete. */
+    /** Returns up to 3 writes, or up to 401 for every five hundredth sequence. A quarter of them are deletions. */
     private List<Entry> randomWrites(final int sequence) {
         final List<Entry> writes = new ArrayList<>();
         for (int k = 0; k < 1 + (sequence % 500 == 0 ? 400 : random.nextInt(3)); k++) {
@@ -59,7 +64,7 @@
     }
 
     @Test
-    void eachKeyLeadsToTheTenantThatHasItWhereverKeysMove() {
+    void everyKeyIsFoundUnderItsTenantAfterKeysMoveBetweenTenants() {
         final int[] tenantOfKey = new int[500];
         Policy policy = Policy.NONE;
         for (int step = 1; step <= 200; step++) {
@@ -82,7 +87,10 @@
         assertThat(policy.values().count() <= 59, is(true));
     }
 
-    /** The entry of a tenant with its keys; it is deleted where it has none, and tenant 0 stands for nobody. */
+    /**
+     * Returns the entry of a tenant with its keys. It is deleted if the tenant has no keys; a key of tenant 0 belongs
+     * to no tenant.
+     */
     private static Entry tenant(final int tenant, final int[] tenantOfKey) {
         final List<String> digests = new ArrayList<>();
         for (int key = 0; key < tenantOfKey.length; key++) {
@@ -103,7 +111,7 @@
         }
     }
 
-    private static void assertHolds(final Policy policy, final Map<String, Value> model) {
+    private static void assertEqualsModel(final Policy policy, final Map<String, Value> model) {
         model.forEach((key, value) -> assertThat(key, policy.value(key), is(Optional.of(value))));
         assertThat(policy.values().count(), is((long) model.size()));
         assertThat(
--- a/core/src/test/java/silverlatch/state/TableManagerTest.java
+++ b/core/src/test/java/silverlatch/state/TableManagerTest.java
@@ -7,11 +7,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a command that changes only some of its rows, against lost updates by an outdated expected revision,
+ * and against a table that grows beyond its limit.
+ */
 final class TableManagerTest {
     private final CommandExecutor commands = new CommandExecutor();
 
     @Test
-    void aTableIsReplacedCompletelyOrNotAtAll() {
+    void tableIsReplacedCompletelyOrNotAtAll() {
         assertThat(
                 commands.execute(new Command.PutTable(
                                 "one", List.of(TableRules.defaultRow("*", "a"), TableRules.defaultRow("*", "b")), -1))
@@ -59,7 +63,7 @@
     }
 
     @Test
-    void aRowThatIsNotThereBeginsAsTheOneOfAllTenantsOrAsTheDefault() {
+    void newRowIsInitializedFromTheRowOfAllTenantsOrTheDefault() {
         commands.execute(new Command.PutTenant(
                 "tenant", new Value.Tenant("acme", List.of(), 1, "0123456789abcdef".repeat(4), ""), -1));
         commands.execute(patch("one", "*", "load", "7", -1));
@@ -75,7 +79,7 @@
     }
 
     @Test
-    void aPatchIsAppliedCompletelyOrNotAtAll() {
+    void patchIsAppliedCompletelyOrNotAtAll() {
         assertThat(
                 commands.rejected(new Command.PatchTable("none", List.of(), -1)).faults(),
                 is(List.of("$.cells: none given")));
@@ -98,7 +102,7 @@
     }
 
     @Test
-    void aPatchOnAnOlderRevisionIsAConflictWithTheCurrentOne() {
+    void patchThatExpectsAnOutdatedRevisionIsAConflict() {
         commands.execute(patch("one", "*", "load", "1", 0));
         commands.execute(patch("two", "*", "load", "2", 1));
         assertThat(
@@ -108,7 +112,7 @@
     }
 
     @Test
-    void aPatchThatWouldAddMoreRowsThanATableMayHaveIsRejected() {
+    void patchThatWouldExceedTheMaximumNumberOfRowsIsRejected() {
         final List<Value.Row> rows = new ArrayList<>();
         for (int i = 0; i < StateMachine.MAX_ROWS; i++) {
             rows.add(TableRules.defaultRow("*", "k" + i));
--- a/core/src/test/java/silverlatch/state/UsageManagerTest.java
+++ b/core/src/test/java/silverlatch/state/UsageManagerTest.java
@@ -9,6 +9,10 @@
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against reporting different usage for the same window: closed windows must keep their counts, and the newest
+ * reported window must never decrease, whichever process closes or reports.
+ */
 final class UsageManagerTest {
     private final CommandExecutor executor = new CommandExecutor();
 
@@ -25,7 +29,7 @@
     }
 
     @Test
-    void theCountsOfTheFirstClosingAreFinal() {
+    void countsOfTheFirstCloseAreFinal() {
         close(7, 100);
         assertThat(close(7, 101), is(new Evaluation.Reply(new CommandResult.Applied(1))));
         assertThat(UsageState.firstClosedAfter(executor.state(), 6), is(Optional.of(window(7, 100))));
@@ -43,8 +47,8 @@
     }
 
     @Test
-    void aWindowThatIsForgottenIsNeverClosedAgainWithOtherCounts() {
-        for (int number = 1; number <= UsageManager.MAX_REMEMBERED + 1; number++) {
+    void evictedWindowCannotBeClosedAgainWithOtherCounts() {
+        for (int number = 1; number <= UsageManager.MAX_RETAINED + 1; number++) {
             close(number, number);
         }
         assertThat(UsageState.firstClosedAfter(executor.state(), 0), is(Optional.of(window(2, 2))));
@@ -52,7 +56,7 @@
     }
 
     @Test
-    void theMarkOfWhatIsReportedNeverGoesBack() {
+    void newestReportedWindowNeverDecreases() {
         assertThat(UsageState.reportedUpTo(executor.state()), is(-1L));
         mark(8);
         mark(7);
@@ -60,7 +64,7 @@
     }
 
     @Test
-    void whatIsReportedIsNeitherLostWithAConfigurationNorNewsForGateways() {
+    void usageEntriesSurviveAConfigurationChangeAndAreNotPolicy() {
         mark(8);
         close(9, 1);
         assertThat(executor.state().policyRevision(), is(0L));
@@ -71,7 +75,7 @@
     }
 
     @Test
-    void noKindOfEntryHasTheKeysOfAnother() {
+    void noKeyOrPrefixIsAPrefixOfAnother() {
         final List<String> prefixes = List.of(
                 EntryKeys.TENANTS,
                 EntryKeys.ROWS,
--- a/core/src/test/java/silverlatch/util/ChildJvmTest.java
+++ b/core/src/test/java/silverlatch/util/ChildJvmTest.java
@@ -11,17 +11,17 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each JDK gets options that it knows. */
+/** Guards against child processes that fail to start because their JDK doesn't know an option. */
 final class ChildJvmTest {
     @Test
-    void eachVersionGetsItsOptions() {
-        assertThat(ChildJvm.optionsOf(17), contains("--enable-preview"));
-        assertThat(ChildJvm.optionsOf(21), empty());
-        assertThat(ChildJvm.optionsOf(25), contains("--sun-misc-unsafe-memory-access=allow"));
+    void eachVersionGetsTheOptionsThatItKnows() {
+        assertThat(ChildJvm.optionsFor(17), contains("--enable-preview"));
+        assertThat(ChildJvm.optionsFor(21), empty());
+        assertThat(ChildJvm.optionsFor(25), contains("--sun-misc-unsafe-memory-access=allow"));
     }
 
     @Test
-    void thisJvmAcceptsItsOptions() throws IOException, InterruptedException {
+    void currentJvmAcceptsItsOptions() throws IOException, InterruptedException {
         final List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(ChildJvm.options());
--- a/core/src/test/java/silverlatch/util/Fnv1aTest.java
+++ b/core/src/test/java/silverlatch/util/Fnv1aTest.java
@@ -6,6 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Guards against changed hash values: processes of different versions compare digests that are made with them. */
 final class Fnv1aTest {
     @Test
     void asciiTextsHaveThePublishedHashes() {
@@ -15,12 +16,12 @@
     }
 
     @Test
-    void codeUnitsAboveAByteAreHashedWhole() {
+    void codeUnitsAboveOneByteAreHashedAsAWhole() {
         assertThat(Fnv1a.hash("\u0161"), is((0xCBF29CE484222325L ^ 0x161) * 0x100000001B3L));
     }
 
     @Test
-    void aSeedChangesTheHash() {
+    void seedChangesTheHash() {
         assertThat(Fnv1a.hash("a", 0), is(Fnv1a.hash("a")));
         assertThat(Fnv1a.hash("a", 1), not(Fnv1a.hash("a")));
     }
