--- a/core/src/main/java/silverlatch/dispatch/AttemptMonitor.java
+++ b/core/src/main/java/silverlatch/dispatch/AttemptMonitor.java
@@ -82,11 +82,11 @@
     private void failed(final DispatchedRequest request, final boolean started, final String reason, final long now) {
         final boolean isRunning = request.state() == RequestState.RUNNING;
         if ((started || isRunning) && isEnabled(Safeguard.NO_RETRY_AFTER_START)) {
-            lose(request, reason, now);
+            markLost(request, reason, now);
             return;
         }
         if (isRunning) {
-            request.forgetStart();
+            request.revertToStarting();
         }
         requests.endOperation(request);
         usage.eject(request.worker(), now);
@@ -110,7 +110,7 @@
 
     /** Rejects what has waited too long, and gives up what does not start, has passed its deadline or isn't read any more. */
     void tick(final long now) {
-        queues.forEachWaiting(request -> {
+        queues.forEachQueued(request -> {
             if (now >= request.queueDeadline()) {
                 lifecycle.reject(request, Rejection.unavailable("no room came in time"));
             }
@@ -140,11 +140,11 @@
 
     private void cancel(final DispatchedRequest request, final String reason, final long now) {
         output.add(new DispatchEffect.CancelAttempt(request.operationId()));
-        lose(request, reason, now);
+        markLost(request, reason, now);
     }
 
-    private void lose(final DispatchedRequest request, final String reason, final long now) {
-        lifecycle.lose(request, reason, now);
+    private void markLost(final DispatchedRequest request, final String reason, final long now) {
+        lifecycle.markLost(request, reason, now);
         queueDispatcher.run(now);
     }
 
--- a/core/src/main/java/silverlatch/dispatch/ClaimCoordinator.java
+++ b/core/src/main/java/silverlatch/dispatch/ClaimCoordinator.java
@@ -66,8 +66,8 @@
                 request.markMayHoldClaim();
                 attemptStarter.start(request, now);
             }
-            case CommandResult.AlreadyClaimed taken -> rejectAfterRelease(request, refusal(taken.claim()));
-            case CommandResult.Rejected rejected -> rejectAfterRelease(request, refusal(rejected));
+            case CommandResult.AlreadyClaimed taken -> rejectAfterRelease(request, rejectionFor(taken.claim()));
+            case CommandResult.Rejected rejected -> rejectAfterRelease(request, rejectionFor(rejected));
             case CommandResult.Unknown unknown -> {
                 request.markMayHoldClaim();
                 rejectAfterRelease(request, Rejection.unavailable("the claim could not be confirmed in time"));
@@ -80,17 +80,17 @@
         lifecycle.reject(request, rejection);
     }
 
-    private static Rejection refusal(final Value.Claim claim) {
+    private static Rejection rejectionFor(final Value.Claim claim) {
         return claim.state().equals(RequestState.REJECTED.label())
                 ? Rejection.brieflyUnavailable("the key was claimed by a request that was rejected")
-                : Rejection.keyTaken(
+                : Rejection.keyAlreadyClaimed(
                         "the key is taken", claim.state() + " at " + claim.gatewayId() + " as " + claim.requestId());
     }
 
-    private static Rejection refusal(final CommandResult.Rejected rejected) {
+    private static Rejection rejectionFor(final CommandResult.Rejected rejected) {
         final int statusCode = rejected.code() == Rejection.INSUFFICIENT_STORAGE
                 ? Rejection.INSUFFICIENT_STORAGE
                 : Rejection.UNAVAILABLE;
-        return Rejection.retryable(statusCode, String.join("; ", rejected.faults()), Rejection.SECOND);
+        return Rejection.retryable(statusCode, String.join("; ", rejected.faults()), Rejection.SECOND_MICROS);
     }
 }
--- a/core/src/main/java/silverlatch/dispatch/ClusterView.java
+++ b/core/src/main/java/silverlatch/dispatch/ClusterView.java
@@ -76,8 +76,9 @@
         final Set<String> evacuatingZones = snapshot.evacuatingZones();
         return 1
                 + (int) snapshot.peers().stream()
-                        .filter(peer ->
-                                peer.ready() && !evacuatingZones.contains(peer.zone()) && isHome(tenant, peer.region()))
+                        .filter(peer -> peer.ready()
+                                && !evacuatingZones.contains(peer.zone())
+                                && isHomeRegion(tenant, peer.region()))
                         .count();
     }
 
@@ -87,7 +88,7 @@
         return snapshot.peers().stream()
                 .filter(Member::ready)
                 .filter(peer -> peer.is(MemberState.UP) && !evacuatingZones.contains(peer.zone()))
-                .filter(peer -> isHome(tenant, peer.region()))
+                .filter(peer -> isHomeRegion(tenant, peer.region()))
                 .map(Member::httpAddress)
                 .toList();
     }
@@ -106,7 +107,7 @@
     }
 
     /** Whether a region is one of the tenant's homes; all are where it names none. */
-    static boolean isHome(final Value.Tenant tenant, final String region) {
+    static boolean isHomeRegion(final Value.Tenant tenant, final String region) {
         return tenant.homeRegions().isEmpty() || tenant.homeRegions().contains(region);
     }
 }
--- a/core/src/main/java/silverlatch/dispatch/DispatchOutput.java
+++ b/core/src/main/java/silverlatch/dispatch/DispatchOutput.java
@@ -30,12 +30,12 @@
                 rejection.statusCode(),
                 requestId,
                 rejection.reason(),
-                spread(rejection.retryAfter()),
+                withJitter(rejection.retryAfter()),
                 rejection.claimState()));
     }
 
     /** One to two times the delay, so that clients rejected together don't come back together. */
-    private long spread(final long retryAfter) {
+    private long withJitter(final long retryAfter) {
         return retryAfter == 0 ? 0 : retryAfter + random.nextLong(retryAfter);
     }
 }
--- a/core/src/main/java/silverlatch/dispatch/DispatchedRequest.java
+++ b/core/src/main/java/silverlatch/dispatch/DispatchedRequest.java
@@ -12,7 +12,7 @@
  */
 final class DispatchedRequest {
     /** Bytes of prompt that count as much as the request itself in the fair order. */
-    private static final double BYTES_PER_COST = 4096.0;
+    private static final double BYTES_PER_COST_UNIT = 4096.0;
 
     private final Permit permit;
     private final Value.Tenant tenant;
@@ -115,7 +115,7 @@
     }
 
     /** Makes a run count as not begun: what a test sees that lets down {@link silverlatch.safeguard.Safeguard#NO_RETRY_AFTER_START}. */
-    void forgetStart() {
+    void revertToStarting() {
         state = RequestState.STARTING;
     }
 
@@ -131,7 +131,7 @@
 
     /** Its cost in the weighted fair order, where 1 is a request without a prompt. */
     double cost() {
-        return 1 + prompt.length() / BYTES_PER_COST;
+        return 1 + prompt.length() / BYTES_PER_COST_UNIT;
     }
 
     /** Why it ended as it did, or empty. */
@@ -171,7 +171,7 @@
     }
 
     /** No slot is counted for it any more. */
-    void releaseWorker() {
+    void releaseWorkerSlot() {
         holdsWorkerSlot = false;
     }
 
--- a/core/src/main/java/silverlatch/dispatch/Dispatcher.java
+++ b/core/src/main/java/silverlatch/dispatch/Dispatcher.java
@@ -40,7 +40,7 @@
     private final RequestTable requests;
     private final FairQueues queues = new FairQueues();
     private final WorkerUsageTable usage;
-    private final SpentPermits spentPermits;
+    private final UsedPermits usedPermits;
     private final StreamDelivery delivery;
     private final RequestLifecycle lifecycle;
     private final ClaimCoordinator claims;
@@ -63,7 +63,7 @@
         output = new DispatchOutput(random);
         requests = new RequestTable(settings.maxOpenRequests());
         usage = new WorkerUsageTable(settings.ejectionTime());
-        spentPermits = new SpentPermits(settings.permitRetention());
+        usedPermits = new UsedPermits(settings.permitRetention());
         delivery = new StreamDelivery(requests, output);
         lifecycle = new RequestLifecycle(settings, cluster, requests, queues, usage, delivery, output);
         final RetryBudget retryBudget = new RetryBudget(settings.retryRatio(), 1);
@@ -81,14 +81,14 @@
         placements = new PlacementHandler(
                 settings, cluster, readiness, queues, decider, retryBudget, signer, timestamps, random, output);
         submissions = new SubmissionHandler(
-                settings, cluster, readiness, requests, queues, spentPermits, lifecycle, delivery, signer, output);
+                settings, cluster, readiness, requests, queues, usedPermits, lifecycle, delivery, signer, output);
     }
 
     /** Takes a newer snapshot of the cluster, and ends what it no longer allows here. */
     public void update(final ClusterSnapshot next, final long now) {
         final ClusterSnapshot previous = cluster.snapshot();
         if (next.self().incarnation() != previous.self().incarnation()) {
-            revoker.rejectWaiting("the carrier joined anew");
+            revoker.rejectQueued("the carrier joined anew");
         }
         if (next.workers() != previous.workers()) {
             usage.observe(next.workers(), now);
@@ -162,7 +162,7 @@
                     Rejection.retryable(
                             Rejection.TOO_EARLY,
                             "the table held here is not confirmed; read again a little later",
-                            Rejection.SECOND));
+                            Rejection.SECOND_MICROS));
             return;
         }
         final DispatchedRequest request = found.get();
@@ -209,10 +209,10 @@
 
     /** A timer event, several times a second: what is over its time ends, what is old is forgotten. */
     public void tick(final long now) {
-        spentPermits.forgetOld(now, requests::isOpen);
+        usedPermits.removeExpired(now, requests::isOpen);
         lifecycle.tick(now);
         attempts.tick(now);
-        queues.sweep(now);
+        queues.removeIdle(now);
         queueDispatcher.run(now);
     }
 
--- a/core/src/main/java/silverlatch/dispatch/FairQueues.java
+++ b/core/src/main/java/silverlatch/dispatch/FairQueues.java
@@ -19,14 +19,14 @@
  * Owned by the dispatch event loop.
  */
 final class FairQueues {
-    private static final long SWEEP_INTERVAL_MICROS = 1_000_000L;
+    private static final long IDLE_CHECK_INTERVAL_MICROS = 1_000_000L;
     private static final double MIN_QUOTA_SHARE = 0.001;
     private final Map<String, RequestQueue> queues = new TreeMap<>();
     private final TreeMap<String, RequestQueue> nonEmptyQueues = new TreeMap<>();
     private final Map<String, TenantShare> tenantShares = new HashMap<>();
     private double virtualTime;
     private int size;
-    private long sweptAt;
+    private long lastIdleCheckAt;
 
     /** The queue of a tenant and kind; an empty one if there was none. */
     RequestQueue queueOf(final String tenant, final String kind) {
@@ -47,17 +47,17 @@
     void addLast(final DispatchedRequest request) {
         final RequestQueue queue = queueOf(request);
         queue.addLast(request);
-        added(queue);
+        recordAddition(queue);
     }
 
     /** Puts a request before the others of its tenant and kind. */
     void addFirst(final DispatchedRequest request) {
         final RequestQueue queue = queueOf(request);
         queue.addFirst(request);
-        added(queue);
+        recordAddition(queue);
     }
 
-    private void added(final RequestQueue queue) {
+    private void recordAddition(final RequestQueue queue) {
         size++;
         nonEmptyQueues.put(queue.name(), queue);
     }
@@ -89,10 +89,10 @@
         remove(request);
         final TenantShare share = shareOf(queue);
         virtualTime = Math.max(virtualTime, share.virtualFinishTime());
-        share.serve(
+        share.charge(
                 virtualTime,
                 request.cost() / Math.max(MIN_QUOTA_SHARE, request.tenant().quotaShare()));
-        queue.served(virtualTime);
+        queue.recordServed(virtualTime);
     }
 
     /** The request of the lowest priority that waits, the newest of these. */
@@ -105,18 +105,18 @@
     }
 
     /** Calls the action for each request that waits now; the action may take it out. */
-    void forEachWaiting(final Consumer<DispatchedRequest> action) {
+    void forEachQueued(final Consumer<DispatchedRequest> action) {
         for (final RequestQueue queue : List.copyOf(nonEmptyQueues.values())) {
             queue.requests().forEach(action);
         }
     }
 
     /** Forgets queues and tenants that have been idle for long; called on each tick. */
-    void sweep(final long now) {
-        if (now - sweptAt < SWEEP_INTERVAL_MICROS) {
+    void removeIdle(final long now) {
+        if (now - lastIdleCheckAt < IDLE_CHECK_INTERVAL_MICROS) {
             return;
         }
-        sweptAt = now;
+        lastIdleCheckAt = now;
         if (queues.values().removeIf(queue -> queue.isIdle(now))) {
             tenantShares
                     .keySet()
--- a/core/src/main/java/silverlatch/dispatch/PlacementHandler.java
+++ b/core/src/main/java/silverlatch/dispatch/PlacementHandler.java
@@ -32,7 +32,7 @@
     private final Supplier<Stamp> timestamps;
     private final RandomGenerator random;
     private final DispatchOutput output;
-    private long requestSerial;
+    private long lastRequestNumber;
 
     PlacementHandler(
             final DispatcherSettings settings,
@@ -79,9 +79,9 @@
                     callId, "", Rejection.permanent(Rejection.UNPROCESSABLE, "$.kind: no kind " + placement.kind()));
             return;
         }
-        final Optional<Rejection> refusal = refusal(placement, tenant.get(), row.get(), now);
-        if (refusal.isPresent()) {
-            output.reject(callId, "", refusal.get());
+        final Optional<Rejection> rejection = admissionRejection(placement, tenant.get(), row.get(), now);
+        if (rejection.isPresent()) {
+            output.reject(callId, "", rejection.get());
         } else {
             place(placement, tenant.get(), row.get(), callId, now);
         }
@@ -114,7 +114,7 @@
                 callId, endpoints.subList(0, Math.min(MAX_REDIRECT_ENDPOINTS, endpoints.size()))));
     }
 
-    private Optional<Rejection> refusal(
+    private Optional<Rejection> admissionRejection(
             final PlacementRequest placement, final Value.Tenant tenant, final Value.Row row, final long now) {
         if (row.atMostOnce() && placement.idempotencyKey().isEmpty()) {
             return Optional.of(Rejection.permanent(
@@ -127,13 +127,13 @@
             return Optional.of(Rejection.retryable(
                     Rejection.TOO_MANY_REQUESTS,
                     "over the rate of " + row.requestsPerSecond() + " a second",
-                    Rejection.SECOND));
+                    Rejection.SECOND_MICROS));
         }
         if (placement.previousAttempts() > 0
                 && !retryBudget.tryAcquire(now)
                 && settings.safeguards().isEnabled(Safeguard.RETRY_BUDGET)) {
             return Optional.of(Rejection.retryable(
-                    Rejection.TOO_MANY_REQUESTS, "too many requests are retried", 2 * Rejection.SECOND));
+                    Rejection.TOO_MANY_REQUESTS, "too many requests are retried", 2 * Rejection.SECOND_MICROS));
         }
         return Optional.empty();
     }
@@ -161,10 +161,10 @@
     }
 
     private String nextRequestId() {
-        requestSerial++;
+        lastRequestNumber++;
         return cluster.snapshot().self().id()
                 + "-" + Long.toString(cluster.snapshot().self().incarnation(), Character.MAX_RADIX)
-                + "-" + Long.toString(requestSerial, Character.MAX_RADIX)
+                + "-" + Long.toString(lastRequestNumber, Character.MAX_RADIX)
                 + Long.toString(random.nextLong() >>> 20, Character.MAX_RADIX);
     }
 
--- a/core/src/main/java/silverlatch/dispatch/Rejection.java
+++ b/core/src/main/java/silverlatch/dispatch/Rejection.java
@@ -19,7 +19,7 @@
     static final int TOO_MANY_REQUESTS = 429;
     static final int UNAVAILABLE = 503;
     static final int INSUFFICIENT_STORAGE = 507;
-    static final long SECOND = 1_000_000L;
+    static final long SECOND_MICROS = 1_000_000L;
 
     /** A refusal that trying again doesn't change. */
     static Rejection permanent(final int statusCode, final String reason) {
@@ -33,16 +33,16 @@
 
     /** 503, to be tried again in about a second. */
     static Rejection unavailable(final String reason) {
-        return retryable(UNAVAILABLE, reason, SECOND);
+        return retryable(UNAVAILABLE, reason, SECOND_MICROS);
     }
 
     /** 503, to be tried again in about half a second. */
     static Rejection brieflyUnavailable(final String reason) {
-        return retryable(UNAVAILABLE, reason, SECOND / 2);
+        return retryable(UNAVAILABLE, reason, SECOND_MICROS / 2);
     }
 
     /** 409: another request holds the idempotency key. */
-    static Rejection keyTaken(final String reason, final String claimState) {
+    static Rejection keyAlreadyClaimed(final String reason, final String claimState) {
         return new Rejection(CONFLICT, reason, 0, claimState);
     }
 }
--- a/core/src/main/java/silverlatch/dispatch/RequestLifecycle.java
+++ b/core/src/main/java/silverlatch/dispatch/RequestLifecycle.java
@@ -48,9 +48,9 @@
     /** The request holds its worker's slot no longer, if it did. */
     void releaseWorkerSlot(final DispatchedRequest request) {
         if (request.holdsWorkerSlot()) {
-            request.releaseWorker();
+            request.releaseWorkerSlot();
             usage.attemptEnded(request.worker());
-            queues.queueOf(request).released();
+            queues.queueOf(request).recordReleased();
         }
     }
 
@@ -63,7 +63,7 @@
     }
 
     /** Ends a request that may have run and whose response can't be completed. */
-    void lose(final DispatchedRequest request, final String reason, final long now) {
+    void markLost(final DispatchedRequest request, final String reason, final long now) {
         releaseWorkerSlot(request);
         request.setReason(reason);
         request.response().end(new StreamRecord.Lost(request.id(), reason));
--- a/core/src/main/java/silverlatch/dispatch/RequestQueue.java
+++ b/core/src/main/java/silverlatch/dispatch/RequestQueue.java
@@ -77,13 +77,13 @@
     }
 
     /** A request of it is in flight from now on. */
-    void served(final double virtualTime) {
+    void recordServed(final double virtualTime) {
         lastServedVirtualTime = virtualTime;
         inFlight++;
     }
 
     /** A request of it is no longer in flight. */
-    void released() {
+    void recordReleased() {
         inFlight--;
     }
 
--- a/core/src/main/java/silverlatch/dispatch/RequestRevoker.java
+++ b/core/src/main/java/silverlatch/dispatch/RequestRevoker.java
@@ -31,20 +31,20 @@
     }
 
     /** Rejects all requests that wait. */
-    void rejectWaiting(final String reason) {
-        queues.forEachWaiting(request -> lifecycle.reject(request, Rejection.unavailable(reason)));
+    void rejectQueued(final String reason) {
+        queues.forEachQueued(request -> lifecycle.reject(request, Rejection.unavailable(reason)));
     }
 
     /** Ends all open requests, as a process does at the end of its graceful shutdown. */
     void shutdown(final long now) {
-        rejectWaiting("stopping");
+        rejectQueued("stopping");
         requests.forEachOpen(request -> revoke(request, "stopping", now));
     }
 
     /** Ends what a new revision of the tenants' settings no longer allows here, and forgets such ended requests. */
     void revokeNoLongerAllowed(final long now) {
         requests.forEachOpen(request -> {
-            final Optional<String> reason = reasonAgainst(request);
+            final Optional<String> reason = revocationReason(request);
             if (reason.isPresent()) {
                 output.count("homeless");
                 revoke(request, reason.get(), now);
@@ -59,19 +59,19 @@
                 });
     }
 
-    private Optional<String> reasonAgainst(final DispatchedRequest request) {
+    private Optional<String> revocationReason(final DispatchedRequest request) {
         final Optional<Value.Tenant> tenant = cluster.currentTenant(request).filter(cluster::servesTenant);
         if (tenant.isEmpty()) {
             return Optional.of("the tenant may not be carried here any more");
         }
-        return request.holdsWorkerSlot() && isWorkerOutsideHomes(request.worker(), tenant.get())
+        return request.holdsWorkerSlot() && isWorkerOutsideHomeRegions(request.worker(), tenant.get())
                 ? Optional.of("the worker is no longer in the tenant's homes")
                 : Optional.empty();
     }
 
-    private boolean isWorkerOutsideHomes(final String worker, final Value.Tenant tenant) {
+    private boolean isWorkerOutsideHomeRegions(final String worker, final Value.Tenant tenant) {
         return Optional.ofNullable(cluster.snapshot().workers().get(worker))
-                .map(report -> !ClusterView.isHome(tenant, report.worker().region()))
+                .map(report -> !ClusterView.isHomeRegion(tenant, report.worker().region()))
                 .orElse(false);
     }
 
@@ -85,7 +85,7 @@
             }
             case STARTING, RUNNING -> {
                 output.add(new DispatchEffect.CancelAttempt(request.operationId()));
-                lifecycle.lose(request, reason, now);
+                lifecycle.markLost(request, reason, now);
                 queueDispatcher.run(now);
             }
             default -> {}
--- a/core/src/main/java/silverlatch/dispatch/ResponseChecker.java
+++ b/core/src/main/java/silverlatch/dispatch/ResponseChecker.java
@@ -34,9 +34,9 @@
                 && !chunk.attemptId().equals(request.attemptId())) {
             return Optional.of("a piece of another run");
         }
-        final int due = request.response().size();
-        if (safeguards.isEnabled(Safeguard.STREAM_ORDER) && chunk.index() != due) {
-            return Optional.of("piece " + chunk.index() + " where " + due + " was due");
+        final int expectedIndex = request.response().size();
+        if (safeguards.isEnabled(Safeguard.STREAM_ORDER) && chunk.index() != expectedIndex) {
+            return Optional.of("piece " + chunk.index() + " where " + expectedIndex + " was due");
         }
         return Optional.empty();
     }
--- a/core/src/main/java/silverlatch/dispatch/StreamDelivery.java
+++ b/core/src/main/java/silverlatch/dispatch/StreamDelivery.java
@@ -58,17 +58,17 @@
         final StreamReader reader = request.reader();
         final int size = request.response().size();
         final boolean isEnded = request.state().isFinal();
-        if (!reader.isReady() || request.state() == RequestState.REJECTED || size == reader.recordsSent() && !isEnded) {
+        if (!reader.isReady() || request.state() == RequestState.REJECTED || size == reader.nextRecord() && !isEnded) {
             return;
         }
-        final int end = Math.min(size, reader.recordsSent() + MAX_RECORDS_PER_WRITE);
+        final int end = Math.min(size, reader.nextRecord() + MAX_RECORDS_PER_WRITE);
         final boolean endOfStream = isEnded && end == size;
         final long callId = reader.callId().orElseThrow();
         output.add(new DispatchEffect.StreamWrite(
-                callId, request.response().records(reader.recordsSent(), end), endOfStream));
-        reader.sentUpTo(end);
+                callId, request.response().records(reader.nextRecord(), end), endOfStream));
+        reader.markSentUpTo(end);
         if (endOfStream) {
-            forgetReader(request, callId);
+            detachReader(request, callId);
         }
     }
 
@@ -91,7 +91,7 @@
         output.add(new DispatchEffect.StreamWrite(callId, List.of(), true));
     }
 
-    private void forgetReader(final DispatchedRequest request, final long callId) {
+    private void detachReader(final DispatchedRequest request, final long callId) {
         handlesByCall.remove(callId);
         request.reader().detach();
     }
--- a/core/src/main/java/silverlatch/dispatch/StreamReader.java
+++ b/core/src/main/java/silverlatch/dispatch/StreamReader.java
@@ -8,9 +8,9 @@
  */
 final class StreamReader {
     private Optional<Long> callId;
-    private Optional<Long> leftAt = Optional.empty();
+    private Optional<Long> disconnectedAt = Optional.empty();
     private boolean ready = true;
-    private int recordsSent;
+    private int nextRecord;
 
     /** A reader from the first record on. */
     StreamReader(final long callId) {
@@ -30,8 +30,8 @@
     /** Another call reads from a record on. */
     void attach(final long newCallId, final int firstRecord) {
         callId = Optional.of(newCallId);
-        leftAt = Optional.empty();
-        recordsSent = firstRecord;
+        disconnectedAt = Optional.empty();
+        nextRecord = firstRecord;
         ready = true;
     }
 
@@ -43,12 +43,12 @@
     /** The client's connection went away. */
     void disconnected(final long now) {
         callId = Optional.empty();
-        leftAt = Optional.of(now);
+        disconnectedAt = Optional.of(now);
     }
 
     /** Whether the client has been gone for longer than the time. */
     boolean isAbsentLongerThan(final long time, final long now) {
-        return leftAt.map(at -> now - at > time).orElse(false);
+        return disconnectedAt.map(at -> now - at > time).orElse(false);
     }
 
     /** The transport can take more. */
@@ -62,13 +62,13 @@
     }
 
     /** Records up to and without this index were sent; the transport has to become ready before the next write. */
-    void sentUpTo(final int end) {
-        recordsSent = end;
+    void markSentUpTo(final int end) {
+        nextRecord = end;
         ready = false;
     }
 
     /** How many records were sent, which is the index of the next one. */
-    int recordsSent() {
-        return recordsSent;
+    int nextRecord() {
+        return nextRecord;
     }
 }
--- a/core/src/main/java/silverlatch/dispatch/SubmissionHandler.java
+++ b/core/src/main/java/silverlatch/dispatch/SubmissionHandler.java
@@ -19,7 +19,7 @@
     private final GatewayReadiness readiness;
     private final RequestTable requests;
     private final FairQueues queues;
-    private final SpentPermits spentPermits;
+    private final UsedPermits usedPermits;
     private final RequestLifecycle lifecycle;
     private final StreamDelivery delivery;
     private final PermitSigner signer;
@@ -31,7 +31,7 @@
             final GatewayReadiness readiness,
             final RequestTable requests,
             final FairQueues queues,
-            final SpentPermits spentPermits,
+            final UsedPermits usedPermits,
             final RequestLifecycle lifecycle,
             final StreamDelivery delivery,
             final PermitSigner signer,
@@ -41,7 +41,7 @@
         this.readiness = readiness;
         this.requests = requests;
         this.queues = queues;
-        this.spentPermits = spentPermits;
+        this.usedPermits = usedPermits;
         this.lifecycle = lifecycle;
         this.delivery = delivery;
         this.signer = signer;
@@ -65,21 +65,21 @@
                     callId, "", Rejection.permanent(Rejection.UNAUTHORIZED, "the tenant or its key is not known"));
             return false;
         }
-        final Optional<Rejection> permitRefusal = permitRefusal(permit, now);
-        if (permitRefusal.isPresent()) {
-            output.reject(callId, permit.requestId(), permitRefusal.get());
+        final Optional<Rejection> permitRejection = permitRejection(permit, now);
+        if (permitRejection.isPresent()) {
+            output.reject(callId, permit.requestId(), permitRejection.get());
             return false;
         }
-        spentPermits.add(permit.requestId(), permit.expiry());
+        usedPermits.add(permit.requestId(), permit.expiry());
         return admit(permit, tenant.get(), submitted, callId, now);
     }
 
-    private Optional<Rejection> permitRefusal(final Permit permit, final long now) {
-        if (spentPermits.contains(permit.requestId()) && isEnabled(Safeguard.PERMIT_ONCE)) {
+    private Optional<Rejection> permitRejection(final Permit permit, final long now) {
+        if (usedPermits.contains(permit.requestId()) && isEnabled(Safeguard.PERMIT_ONCE)) {
             return Optional.of(Rejection.permanent(Rejection.CONFLICT, Dispatcher.ALREADY_SUBMITTED));
         }
         if (!permit.gateway().equals(cluster.snapshot().self().id())
-                || isEnabled(Safeguard.PERMIT_INCARNATION) && isOfAnotherTime(permit, now)) {
+                || isEnabled(Safeguard.PERMIT_INCARNATION) && isOutsideUsedPermitHistory(permit, now)) {
             return Optional.of(Rejection.permanent(
                     Rejection.GONE, "the permit is of another time; whether its request ran is not known here"));
         }
@@ -89,7 +89,7 @@
     }
 
     /** Whether the permit is older than the memory of spent permits, so that it may have been used. */
-    private boolean isOfAnotherTime(final Permit permit, final long now) {
+    private boolean isOutsideUsedPermitHistory(final Permit permit, final long now) {
         return permit.incarnation() != cluster.snapshot().self().incarnation()
                 || now - permit.expiry() > settings.permitRetention();
     }
@@ -101,9 +101,9 @@
             final long callId,
             final long now) {
         final Optional<Value.Row> row = cluster.snapshot().row(permit.tenant(), permit.kind());
-        final Optional<Rejection> refusal = admissionRefusal(permit, tenant, row, now);
-        if (refusal.isPresent()) {
-            reject(callId, permit, refusal.get());
+        final Optional<Rejection> rejection = admissionRejection(permit, tenant, row, now);
+        if (rejection.isPresent()) {
+            reject(callId, permit, rejection.get());
             return false;
         }
         final List<Long> prefixDigests = PrefixDigests.salted(tenant.prefixSalt(), submitted.prefixDigests());
@@ -120,40 +120,41 @@
         return true;
     }
 
-    private Optional<Rejection> admissionRefusal(
+    private Optional<Rejection> admissionRejection(
             final Permit permit, final Value.Tenant tenant, final Optional<Value.Row> row, final long now) {
         final Optional<String> unreadyReason = readiness.unreadyReason(now);
         if (unreadyReason.isPresent()) {
             return unreadyReason.map(Rejection::unavailable);
         }
         if (row.isEmpty()) {
-            return refusal(Rejection.UNPROCESSABLE, "no kind " + permit.kind() + " any more");
+            return retryableRejection(Rejection.UNPROCESSABLE, "no kind " + permit.kind() + " any more");
         }
         if (row.get().atMostOnce() && !permit.hasIdempotencyKey()) {
-            return refusal(Rejection.UNPROCESSABLE, "kind " + permit.kind() + " runs once only by now and needs a key");
+            return retryableRejection(
+                    Rejection.UNPROCESSABLE, "kind " + permit.kind() + " runs once only by now and needs a key");
         }
         if (!cluster.servesTenant(tenant)) {
-            return refusal(Rejection.UNAVAILABLE, "this region is no home");
+            return retryableRejection(Rejection.UNAVAILABLE, "this region is no home");
         }
         if (cluster.isZoneEvacuating()) {
-            return refusal(Rejection.UNAVAILABLE, "this zone is being emptied");
+            return retryableRejection(Rejection.UNAVAILABLE, "this zone is being emptied");
         }
         return hasCapacity(permit, tenant, row.get())
                 ? Optional.empty()
-                : refusal(Rejection.TOO_MANY_REQUESTS, "the queue is full");
+                : retryableRejection(Rejection.TOO_MANY_REQUESTS, "the queue is full");
     }
 
-    private static Optional<Rejection> refusal(final int statusCode, final String reason) {
-        return Optional.of(Rejection.retryable(statusCode, reason, Rejection.SECOND));
+    private static Optional<Rejection> retryableRejection(final int statusCode, final String reason) {
+        return Optional.of(Rejection.retryable(statusCode, reason, Rejection.SECOND_MICROS));
     }
 
     /** Whether the queue has capacity, if need be after a request of lower priority was shed. */
     private boolean hasCapacity(final Permit permit, final Value.Tenant tenant, final Value.Row row) {
         final int maxQueued = Math.max(1, row.maxQueued() / cluster.gatewayCount(tenant));
-        return queues.queueOf(permit.tenant(), permit.kind()).size() < maxQueued && makeRoom(row.priority());
+        return queues.queueOf(permit.tenant(), permit.kind()).size() < maxQueued && shedIfFull(row.priority());
     }
 
-    private boolean makeRoom(final int priority) {
+    private boolean shedIfFull(final int priority) {
         if (queues.size() < settings.maxQueuedRequests() && !requests.isFull()) {
             return true;
         }
--- a/core/src/main/java/silverlatch/dispatch/TenantShare.java
+++ b/core/src/main/java/silverlatch/dispatch/TenantShare.java
@@ -15,7 +15,7 @@
     }
 
     /** A request is served that starts at a virtual time and costs so much over the tenant's quota share. */
-    void serve(final double start, final double weightedCost) {
+    void charge(final double start, final double weightedCost) {
         virtualFinishTime = start + weightedCost;
     }
 }
--- a/core/src/main/java/silverlatch/dispatch/SpentPermits.java
+++ b/core/src/main/java/silverlatch/dispatch/UsedPermits.java
@@ -9,13 +9,13 @@
  * The permits that were used: a permit admits its request once. They are remembered for longer than a permit is accepted.
  * Owned by the dispatch event loop; times in microseconds.
  */
-final class SpentPermits {
-    private static final int RETENTIONS = 3;
+final class UsedPermits {
+    private static final int RETENTION_FACTOR = 3;
     private final long retention;
     private final Map<String, Long> expiryByRequest = new LinkedHashMap<>();
 
     /** Remembers permits for three times the retention after their expiry, and as long as their request is open. */
-    SpentPermits(final long retention) {
+    UsedPermits(final long retention) {
         this.retention = retention;
     }
 
@@ -30,12 +30,12 @@
     }
 
     /** Forgets permits whose time is over, oldest first; those of open requests stay. */
-    void forgetOld(final long now, final Predicate<String> isOpen) {
+    void removeExpired(final long now, final Predicate<String> isOpen) {
         final Iterator<Map.Entry<String, Long>> permits =
                 expiryByRequest.entrySet().iterator();
         while (permits.hasNext()) {
             final Map.Entry<String, Long> oldest = permits.next();
-            if (now - oldest.getValue() <= RETENTIONS * retention) {
+            if (now - oldest.getValue() <= RETENTION_FACTOR * retention) {
                 return;
             }
             if (!isOpen.test(oldest.getKey())) {
--- a/core/src/main/java/silverlatch/dispatch/WorkerUsage.java
+++ b/core/src/main/java/silverlatch/dispatch/WorkerUsage.java
@@ -11,7 +11,7 @@
  */
 final class WorkerUsage {
     /** A worker whose reports were further apart than this counts as returned and starts slowly again. */
-    private static final long SILENCE_MICROS = 3_000_000L;
+    private static final long MAX_REPORT_GAP_MICROS = 3_000_000L;
 
     private final Deque<Long> sendTimes = new ArrayDeque<>();
     private long incarnation;
@@ -19,7 +19,7 @@
     private int endedSinceReport;
     private long ejectedUntil;
     private long newestReportAt = Long.MIN_VALUE;
-    private long returnedAt = Long.MIN_VALUE / 2;
+    private long recoveredAt = Long.MIN_VALUE / 2;
 
     /** No attempts yet at a worker of this incarnation. */
     WorkerUsage(final long incarnation) {
@@ -30,11 +30,11 @@
     void observe(final Gossip.ObservedWorker report, final long now) {
         if (report.worker().incarnation() != incarnation) {
             incarnation = report.worker().incarnation();
-            returnedAt = now;
+            recoveredAt = now;
         }
         report.asOf().ifPresent(reportedAt -> {
-            if (newestReportAt != Long.MIN_VALUE && reportedAt - newestReportAt > SILENCE_MICROS) {
-                returnedAt = now;
+            if (newestReportAt != Long.MIN_VALUE && reportedAt - newestReportAt > MAX_REPORT_GAP_MICROS) {
+                recoveredAt = now;
             }
             if (reportedAt > newestReportAt) {
                 newestReportAt = reportedAt;
@@ -75,7 +75,7 @@
                 report.age(now),
                 Math.max(0, sendTimes.size() - endedSinceReport),
                 inFlight,
-                now - returnedAt,
+                now - recoveredAt,
                 now < ejectedUntil,
                 gatewayCount);
     }
--- a/core/src/test/java/silverlatch/dispatch/DispatcherAttemptTest.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherAttemptTest.java
@@ -12,7 +12,7 @@
 /** What a dispatcher does with attempts, their streams and their readers. */
 final class DispatcherAttemptTest extends DispatcherFixture {
     @Test
-    void aRequestRunsStreamsAndEndsWithATrailer() {
+    void runsARequestAndStreamsItsResponseUpToTheTrailer() {
         final long callId = submit("one", place("one", "ask", "").permit());
         final DispatchEffect.StartAttempt attempt = lastAttempt();
         dispatcher.attemptStarted(attempt.operationId());
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aStreamThatBreaksTheProtocolEndsAsLostAndNeverWithATrailer() {
+    void endsAStreamThatViolatesTheProtocolAsLostAndNeverWithATrailer() {
         final List<java.util.function.Function<DispatchEffect.StartAttempt, StreamRecord>> violations = List.of(
                 attempt -> new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 1, "b"),
                 attempt -> new StreamRecord.Chunk(attempt.requestId() + "x", attempt.attemptId(), 0, "b"),
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aRetryOnlyWhereTheFirstAttemptDidNotStartAndWithinTheBudget() {
+    void retriesOnlyAttemptsThatDidNotStartAndWithinTheBudget() {
         int retries = 0;
         for (int i = 0; i < 60; i++) {
             now += 1_100_000;
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void whatStillComesOfAnAttemptThatFailedUnstartedIsIgnored() {
+    void ignoresLateEventsOfAnAttemptThatFailedBeforeItStarted() {
         submit("one", place("one", "ask", "").permit());
         final DispatchEffect.StartAttempt failed = lastAttempt();
         dispatcher.attemptFailed(failed.operationId(), false, "denied", now);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void aClientThatReconnectsReadsOnFromItsChunk() {
+    void letsAReconnectingClientContinueFromItsChunk() {
         final long callId = submit("one", place("one", "ask", "").permit());
         final DispatchEffect.StartAttempt attempt = lastAttempt();
         dispatcher.recordReceived(
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void anAttemptThatDoesNotStartInTimeIsCancelled() {
+    void cancelsAnAttemptThatDoesNotStartInTime() {
         final long callId = submit("one", place("one", "ask", "").permit());
         now += 1_100_000;
         dispatcher.tick(now);
--- a/core/src/test/java/silverlatch/dispatch/DispatcherFixture.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherFixture.java
@@ -74,7 +74,7 @@
     }
 
     void refreshReports() {
-        workers.replaceAll((k, h) -> new Gossip.ObservedWorker(h.worker(), Optional.of(now)));
+        workers.replaceAll((id, report) -> new Gossip.ObservedWorker(report.worker(), Optional.of(now)));
         dispatcher.update(clusterSnapshot(SELF), now);
         collectEffects();
     }
@@ -125,8 +125,8 @@
 
     List<StreamRecord> recordsSentTo(final long callId) {
         return effectsOf(DispatchEffect.StreamWrite.class).stream()
-                .filter(f -> f.callId() == callId)
-                .flatMap(f -> f.records().stream())
+                .filter(write -> write.callId() == callId)
+                .flatMap(write -> write.records().stream())
                 .toList();
     }
 }
--- a/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
@@ -18,7 +18,7 @@
 /** Placement, admission and order of requests at a dispatcher, and what of them is kept. */
 final class DispatcherTest extends DispatcherFixture {
     @Test
-    void aForgedPermitIsRejectedAndAReusedOneNeverRuns() {
+    void rejectsForgedPermitsAndNeverRunsAReusedOne() {
         final String permit = place("one", "ask", "").permit();
         assertThat(
                 rejectionOf(submit("one", permit.substring(0, permit.length() - 2) + "AA"))
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aPlacementMadeBeforeAnEvacuationIsMadeAgainOrRejected() {
+    void repeatsOrRejectsAPlacementMadeBeforeAnEvacuation() {
         worker("w2", "z2", "r1", 4);
         refreshReports();
         final DispatchEffect.Placed placed = place("one", "ask", "");
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void anUnconfirmedTableIsNotActedOn() {
+    void rejectsPlacementsWhileTheSnapshotIsUnconfirmed() {
         final String permit = place("one", "ask", "").permit();
         now += 1_900_000;
         submit("one", permit);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void aKeyIsClaimedBeforeTheWorkerIsAskedAndATakenOneNeverRuns() {
+    void claimsAnIdempotencyKeyBeforeTheAttemptAndNeverRunsWithoutTheClaim() {
         row(new Value.Row("*", "rule", 1, 1, 1, 1, 50, 100, 32, 64, 2_000_000, true, 9));
         refreshReports();
         submit("one", place("one", "rule", "k").permit());
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void aRequestOverTheRateLimitIsRejectedAtOnceAndTheRateRecovers() {
+    void rejectsRequestsOverTheRateLimitUntilTokensAreRefilled() {
         row(new Value.Row("one", "ask", 1, 1, 1, 1, 2, 3, 32, 64, 2_000_000, false, 1));
         refreshReports();
         for (int i = 0; i < 4; i++) {
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void aGreedyTenantDoesNotStarveAnother() {
+    void doesNotLetATenantWithManyRequestsStarveAnother() {
         row(new Value.Row("*", "ask", 1, 1, 1, 1, 10_000, 10_000, 1_000, 1_000, 60_000_000, false, 1));
         refreshReports();
         for (int i = 0; i < 100; i++) {
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void aRequestWithoutAWorkerIsRejectedAtOnceWithRetryAfter() {
+    void rejectsPlacementsWithRetryAfterWhenThereIsNoWorker() {
         workers.clear();
         dispatcher.update(clusterSnapshot(SELF), now);
         dispatcher.requestPlacement(
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void requestsFollowTheirTenantsHomesAndAreNotShownUnderAnUnconfirmedTable() {
+    void servesResponsesOnlyInHomeRegionsAndUnderAConfirmedSnapshot() {
         submit("one", place("one", "ask", "").permit());
         final DispatchEffect.StartAttempt attempt = lastAttempt();
         dispatcher.attemptStarted(attempt.operationId());
--- a/core/src/test/java/silverlatch/dispatch/FairQueuesTest.java
+++ b/core/src/test/java/silverlatch/dispatch/FairQueuesTest.java
@@ -18,11 +18,12 @@
 final class FairQueuesTest {
     private static final long SECOND = 1_000_000;
     private final FairQueues queues = new FairQueues();
-    private int serial;
+    private int lastRequestNumber;
 
     private DispatchedRequest request(final String tenant, final String kind, final double share, final int priority) {
-        serial++;
-        final Permit permit = new Permit("r" + serial, tenant, kind, "", "p1", 1, 1, new Stamp(1), serial, "");
+        lastRequestNumber++;
+        final Permit permit =
+                new Permit("r" + lastRequestNumber, tenant, kind, "", "p1", 1, 1, new Stamp(1), lastRequestNumber, "");
         final Value.Row row = new Value.Row("*", kind, 1, 1, 1, 1, 50, 100, 32, 64, 2 * SECOND, false, priority);
         return new DispatchedRequest(
                 permit,
@@ -30,7 +31,7 @@
                 row,
                 new SubmittedRequest("", "", List.of(), "", SECOND),
                 List.of(),
-                serial,
+                lastRequestNumber,
                 0);
     }
 
@@ -45,7 +46,7 @@
     }
 
     @Test
-    void tenantsAreServedByTheirShares() {
+    void servesTenantsInProportionToTheirQuotaShares() {
         for (int i = 0; i < 60; i++) {
             queues.addLast(request("one", "ask", 1, 1));
             queues.addLast(request("two", "ask", 3, 1));
@@ -57,7 +58,7 @@
     }
 
     @Test
-    void anIdleTenantSavesNothingUp() {
+    void givesATenantNoCreditForIdleTime() {
         for (int i = 0; i < 20; i++) {
             queues.addLast(request("one", "ask", 1, 1));
         }
@@ -71,7 +72,7 @@
     }
 
     @Test
-    void theHigherPriorityOfATenantGoesFirstAndABlockedQueueIsLeftOut() {
+    void servesTheHigherPriorityOfATenantFirstAndSkipsBlockedQueues() {
         queues.addLast(request("one", "low", 1, 1));
         queues.addLast(request("one", "high", 1, 2));
         final RequestQueue first = queues.next(Set.of()).orElseThrow();
@@ -84,7 +85,7 @@
     }
 
     @Test
-    void theNewestOfTheLowestPriorityIsTheOneToShed() {
+    void selectsTheNewestRequestOfTheLowestPriorityForShedding() {
         queues.addLast(request("one", "low", 1, 1));
         final DispatchedRequest newest = request("two", "low", 1, 1);
         queues.addLast(newest);
@@ -97,7 +98,7 @@
     }
 
     @Test
-    void aRequestThatIsRetriedGoesBeforeTheOthersOfItsQueue() {
+    void putsARetriedRequestAtTheHeadOfItsQueue() {
         final DispatchedRequest retried = request("one", "ask", 1, 1);
         queues.addLast(request("one", "ask", 1, 1));
         queues.addFirst(retried);
@@ -105,18 +106,18 @@
     }
 
     @Test
-    void whileWaitingRequestsAreVisitedTheyMayBeTakenOut() {
+    void allowsRemovalWhileIteratingOverQueuedRequests() {
         for (int i = 0; i < 5; i++) {
             queues.addLast(request("one", "ask", 1, 1));
             queues.addLast(request("two", "ask", 1, 1));
         }
-        queues.forEachWaiting(queues::remove);
+        queues.forEachQueued(queues::remove);
         assertThat(queues.size(), is(0));
         assertThat(queues.next(Set.of()), is(Optional.empty()));
     }
 
     @Test
-    void theTokenBucketAllowsItsBurstAndThenItsRate() {
+    void tokenBucketAllowsItsBurstAndThenItsRate() {
         final RequestQueue queue = queues.queueOf("one", "ask");
         int acquired = 0;
         while (queue.tryAcquireRateToken(2, 3, SECOND)) {
@@ -128,12 +129,12 @@
     }
 
     @Test
-    void aQueueThatIsIdleForTenMinutesIsForgottenWithItsBucket() {
+    void removesAQueueAndItsTokenBucketAfterTenIdleMinutes() {
         final RequestQueue queue = queues.queueOf("one", "ask");
         queue.tryAcquireRateToken(1, 1, SECOND);
-        queues.sweep(601 * SECOND);
+        queues.removeIdle(601 * SECOND);
         assertThat(queues.queueOf("one", "ask") == queue, is(true));
-        queues.sweep(603 * SECOND);
+        queues.removeIdle(603 * SECOND);
         assertThat(queues.queueOf("one", "ask") == queue, is(false));
     }
 }
--- a/core/src/test/java/silverlatch/dispatch/PrefixDigestsTest.java
+++ b/core/src/test/java/silverlatch/dispatch/PrefixDigestsTest.java
@@ -9,7 +9,7 @@
 
 final class PrefixDigestsTest {
     @Test
-    void theFirst48BitsOfTheSaltedHashAreTakenInOrder() {
+    void keepsTheFirst48BitsOfEachSaltedHashInOrder() {
         final List<Long> salted = PrefixDigests.salted("salt", List.of("a", "b"));
         assertThat(
                 salted.stream().map(digest -> String.format("%012x", digest)).toList(),
--- a/core/src/test/java/silverlatch/dispatch/RequestStateTest.java
+++ b/core/src/test/java/silverlatch/dispatch/RequestStateTest.java
@@ -28,7 +28,7 @@
             "running LOSE lost");
 
     @Test
-    void onlyTheListedTransitionsAreLegal() {
+    void allowsOnlyTheListedTransitions() {
         final Set<String> legal = new TreeSet<>();
         int refused = 0;
         for (final RequestState state : RequestState.values()) {
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void doneRejectedAndLostAreFinalAndNoOtherStateIs() {
+    void treatsOnlyDoneRejectedAndLostAsFinal() {
         final Set<RequestState> finals = EnumSet.noneOf(RequestState.class);
         for (final RequestState state : RequestState.values()) {
             if (state.isFinal()) {
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aRequestThatRunsIsNeverRejected() {
+    void neverRejectsARunningRequest() {
         final IllegalRequestTransitionException refused = assertThrows(
                 IllegalRequestTransitionException.class, () -> RequestState.RUNNING.after(RequestEvent.REJECT));
         assertThat(refused.getMessage(), containsString("RUNNING does not take event REJECT"));
--- a/core/src/test/java/silverlatch/dispatch/ResponseCheckerTest.java
+++ b/core/src/test/java/silverlatch/dispatch/ResponseCheckerTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void theNextChunkAndTheTrailerOverAllChunksFit() {
+    void acceptsTheNextChunkAndATrailerThatCoversAllChunks() {
         assertThat(violation(new StreamRecord.Chunk("r1", "r1.1", 1, "b")), is("none"));
         final String sha256 = Digests.sha256Hex("a\u00fc");
         assertThat(request.response().sha256(), is(sha256));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aChunkOfAnotherRequestOrAttemptOrPlaceDoesNotFit() {
+    void rejectsAChunkOfAnotherRequestOrAttemptOrIndex() {
         assertThat(violation(new StreamRecord.Chunk("r2", "r1.1", 1, "b")), containsString("request"));
         assertThat(violation(new StreamRecord.Chunk("r1", "r1.2", 1, "b")), containsString("run"));
         assertThat(violation(new StreamRecord.Chunk("r1", "r1.1", 0, "b")), containsString("0 where 1"));
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aTrailerOfAnotherWorkerCountOrTextDoesNotFit() {
+    void rejectsATrailerOfAnotherWorkerRequestAttemptCountOrText() {
         final String sha256 = Digests.sha256Hex("a\u00fc");
         assertThat(violation(new StreamRecord.Trailer("w2", "r1", "r1.1", 1, sha256)), containsString("worker"));
         assertThat(violation(new StreamRecord.Trailer("w1", "r2", "r1.1", 1, sha256)), containsString("request"));
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aLostStreamIsAViolationWithItsReason() {
+    void treatsALostRecordAsAViolationWithItsReason() {
         assertThat(checker.violation(request, new StreamRecord.Lost("r1", "gone")), is(Optional.of("gone")));
     }
 }
--- a/core/src/test/java/silverlatch/dispatch/RetryBudgetTest.java
+++ b/core/src/test/java/silverlatch/dispatch/RetryBudgetTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void requestsPayForRetriesByTheRatio() {
+    void allowsRetriesInProportionToRequests() {
         final RetryBudget budget = new RetryBudget(0.125, 0);
         assertThat(budget.tryAcquire(0), is(false));
         for (int i = 0; i < 24; i++) {
@@ -27,13 +27,13 @@
     }
 
     @Test
-    void theInitialBalanceIsThereOnceAndNoLargerThanTheLimit() {
+    void capsTheInitialBalanceAtTheLimit() {
         assertThat(acquireAll(new RetryBudget(0.125, 1), 0), is(1));
         assertThat(acquireAll(new RetryBudget(0.125, 5), 0), is(1));
     }
 
     @Test
-    void whatWasSavedUpIsGoneAfterAQuietTime() {
+    void dropsTheAccumulatedBalanceAfterTwoIdleWindows() {
         final RetryBudget budget = new RetryBudget(0.125, 0);
         for (int i = 0; i < 80; i++) {
             budget.recordRequest(SECOND);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void whatWasSavedUpLastsForTheNextWindow() {
+    void keepsTheAccumulatedBalanceInTheNextWindow() {
         final RetryBudget budget = new RetryBudget(0.125, 0);
         for (int i = 0; i < 80; i++) {
             budget.recordRequest(SECOND);
--- a/core/src/test/java/silverlatch/dispatch/StreamDeliveryTest.java
+++ b/core/src/test/java/silverlatch/dispatch/StreamDeliveryTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aReaderGetsOneWriteForEachTimeThatItIsReady() {
+    void sendsOneWriteEachTimeTheReaderBecomesReady() {
         final StreamRecord.Chunk first = append();
         assertThat(write(), is(List.of(new DispatchEffect.StreamWrite(1, List.of(first), false))));
         final StreamRecord.Chunk second = append();
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aWriteIsBoundedAndTheLastOneEndsTheStream() {
+    void boundsEachWriteAndEndsTheStreamWithTheLast() {
         for (int i = 0; i < 300; i++) {
             append();
         }
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void anotherCallThatReadsEndsTheOneBefore() {
+    void endsThePreviousReadersStreamWhenAnotherCallAttaches() {
         final StreamRecord.Chunk first = append();
         write();
         delivery.attach(request, 2, 0);
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void aRefusalGoesToTheReaderOnceAndNoStreamFollows() {
+    void rejectsTheReaderOnceAndSendsNoStreamAfterwards() {
         delivery.reject(request, Rejection.permanent(Rejection.GONE, "gone"));
         assertThat(
                 output.drain().stream()
--- a/core/src/test/java/silverlatch/dispatch/buffer/SlabTest.java
+++ b/core/src/test/java/silverlatch/dispatch/buffer/SlabTest.java
@@ -11,7 +11,7 @@
 
 final class SlabTest {
     @Test
-    void theHandleOfARemovedElementNeverFindsItsSuccessor() {
+    void neverFindsANewElementByTheHandleOfARemovedOne() {
         final Slab<String> slab = new Slab<>(1);
         final long first = slab.insert("first").orElseThrow();
         assertThat(first, greaterThan(0L));
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aFullSlabTakesNothingUntilAnElementIsRemoved() {
+    void rejectsInsertsWhenFullUntilAnElementIsRemoved() {
         final Slab<Integer> slab = new Slab<>(2);
         final long first = slab.insert(1).orElseThrow();
         slab.insert(2);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void unknownHandlesFindNothing() {
+    void returnsEmptyForUnknownHandles() {
         final Slab<Integer> slab = new Slab<>(2);
         slab.insert(1);
         for (final long handle : new long[] {0, -1, 1, Long.MAX_VALUE, Long.MIN_VALUE}) {
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void capacitiesThatHandlesCantHoldAreRefused() {
+    void rejectsCapacitiesThatHandlesCannotEncode() {
         assertThrows(IllegalArgumentException.class, () -> new Slab<>(0));
         assertThrows(IllegalArgumentException.class, () -> new Slab<>(1 << 24));
     }
--- a/core/src/test/java/silverlatch/dispatch/permit/PermitSignerTest.java
+++ b/core/src/test/java/silverlatch/dispatch/permit/PermitSignerTest.java
@@ -14,12 +14,12 @@
             "p1-7-1abc", "one", "ask", "w1", "p1", 7, 3, new Stamp(1_001), 105_000_000, "a|key of \u00fcml\u00e4uts");
 
     @Test
-    void aSignedPermitIsReadAsItWas() {
+    void verifiesASignedPermitUnchanged() {
         assertThat(SIGNER.verify(SIGNER.sign(PERMIT)), is(Optional.of(PERMIT)));
     }
 
     @Test
-    void theFormOfASignedPermitStays() {
+    void keepsTheEncodingOfSignedPermits() {
         final Permit permit = new Permit("t", "one", "ask", "w1", "p1", 7, 3, new Stamp(5), 9, "k");
         assertThat(
                 SIGNER.sign(permit).substring(0, SIGNER.sign(permit).indexOf('.')),
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aChangedTextOrAnotherKeyIsRefused() {
+    void rejectsAChangedTextOrAnotherKey() {
         final String text = SIGNER.sign(PERMIT);
         assertThat(new PermitSigner("another-key").verify(text), is(Optional.empty()));
         for (int i = 0; i < text.indexOf('.'); i++) {
