--- a/core/src/main/java/silverlatch/dispatch/AttemptMonitor.java
+++ b/core/src/main/java/silverlatch/dispatch/AttemptMonitor.java
@@ -4,7 +4,10 @@
 import silverlatch.node.Event;
 import silverlatch.safeguard.Safeguard;
 
-/** Follows attempts at workers: what they send, how they fail, and what does not come in time. Owned by the dispatch event loop. */
+/**
+ * Monitors attempts at workers: processes the records they send, handles failures and retries, and enforces timeouts. Used only
+ * by the dispatch event loop.
+ */
 final class AttemptMonitor {
     private static final int MAX_ATTEMPTS = 2;
     private final DispatcherSettings settings;
@@ -40,12 +43,12 @@
         this.output = output;
     }
 
-    /** The worker gave a sign that it runs the request. */
+    /** Handles the first indication that the worker runs the request. */
     void started(final long operationId) {
         requests.byOperation(operationId).ifPresent(this::markRunning);
     }
 
-    /** The worker sent a record of the response. */
+    /** Handles a record of the response from the worker. */
     void recordReceived(final long operationId, final StreamRecord received, final long now) {
         requests.byOperation(operationId).ifPresent(request -> recordReceived(request, received, now));
     }
@@ -74,7 +77,11 @@
         }
     }
 
-    /** The exchange with the worker ended without a trailer; started is false only where it provably did not begin. */
+    /**
+     * Handles an exchange with the worker that ended without a trailer.
+     *
+     * @param started false only if the request provably did not start at the worker
+     */
     void failed(final long operationId, final boolean started, final String reason, final long now) {
         requests.byOperation(operationId).ifPresent(request -> failed(request, started, reason, now));
     }
@@ -108,7 +115,10 @@
                 && (retryBudget.tryAcquire(now) || !isEnabled(Safeguard.RETRY_BUDGET));
     }
 
-    /** Rejects what has waited too long, and gives up what does not start, has passed its deadline or isn't read any more. */
+    /**
+     * Rejects requests that were queued for too long. Cancels attempts that did not start in time, passed the request's deadline,
+     * or whose client has been disconnected for too long.
+     */
     void tick(final long now) {
         queues.forEachQueued(request -> {
             if (now >= request.queueDeadline()) {
--- a/core/src/main/java/silverlatch/dispatch/AttemptStarter.java
+++ b/core/src/main/java/silverlatch/dispatch/AttemptStarter.java
@@ -6,7 +6,7 @@
 import silverlatch.placement.PlacementContext;
 import silverlatch.state.Value;
 
-/** Asks the chosen worker to run a request, if the choice still holds. Owned by the dispatch event loop. */
+/** Sends an attempt to the chosen worker if the worker is still allowed. Used only by the dispatch event loop. */
 final class AttemptStarter {
     private final long startTimeout;
     private final ClusterView cluster;
@@ -16,7 +16,11 @@
     private final RetryBudget retryBudget;
     private final DispatchOutput output;
 
-    /** Attempts whose first byte must leave within so many microseconds. */
+    /**
+     * Creates a starter.
+     *
+     * @param startTimeout within how many microseconds the first byte of an attempt has to be sent
+     */
     AttemptStarter(
             final long startTimeout,
             final ClusterView cluster,
@@ -34,7 +38,7 @@
         this.output = output;
     }
 
-    /** Starts an attempt at the request's worker, or rejects the request when that may not be done any more. */
+    /** Starts an attempt at the request's worker, or rejects the request if that is no longer allowed. */
     void start(final DispatchedRequest request, final long now) {
         final Optional<Gossip.ObservedWorker> report =
                 Optional.ofNullable(cluster.snapshot().workers().get(request.worker()));
--- a/core/src/main/java/silverlatch/dispatch/ClaimCoordinator.java
+++ b/core/src/main/java/silverlatch/dispatch/ClaimCoordinator.java
@@ -7,8 +7,8 @@
 import silverlatch.state.Value;
 
 /**
- * Claims the idempotency keys of requests in the replicated state before a worker is asked, so that a key runs once only.
- * Owned by the dispatch event loop.
+ * Claims the idempotency keys of requests in the replicated state before the first attempt, so that at most one request runs
+ * for a key. Used only by the dispatch event loop.
  */
 final class ClaimCoordinator {
     private final long claimTimeout;
@@ -19,7 +19,11 @@
     private final Supplier<Stamp> timestamps;
     private final DispatchOutput output;
 
-    /** Claims that count as unconfirmed after so many microseconds. */
+    /**
+     * Creates a coordinator.
+     *
+     * @param claimTimeout after how many microseconds a claim without a result counts as unconfirmed
+     */
     ClaimCoordinator(
             final long claimTimeout,
             final ClusterView cluster,
@@ -37,7 +41,7 @@
         this.output = output;
     }
 
-    /** Submits the claim of a request that holds a worker's slot. */
+    /** Submits the claim for a request that holds a worker slot. */
     void claim(final DispatchedRequest request) {
         lifecycle.transition(request, RequestEvent.CLAIM);
         final long operationId = requests.beginOperation(request);
@@ -53,7 +57,7 @@
                 claimTimeout));
     }
 
-    /** The replicated state's result of the claim of a request; ignored where the request no longer waits for it. */
+    /** Handles the result of a claim; ignored if the request no longer waits for it. */
     void decided(final long operationId, final CommandResult result, final long now) {
         requests.byOperation(operationId)
                 .filter(request -> request.state() == RequestState.CLAIMING)
@@ -66,7 +70,7 @@
                 request.markMayHoldClaim();
                 attemptStarter.start(request, now);
             }
-            case CommandResult.AlreadyClaimed taken -> rejectAfterRelease(request, rejectionFor(taken.claim()));
+            case CommandResult.AlreadyClaimed claimed -> rejectAfterRelease(request, rejectionFor(claimed.claim()));
             case CommandResult.Rejected rejected -> rejectAfterRelease(request, rejectionFor(rejected));
             case CommandResult.Unknown unknown -> {
                 request.markMayHoldClaim();
--- a/core/src/main/java/silverlatch/dispatch/ClusterSnapshot.java
+++ b/core/src/main/java/silverlatch/dispatch/ClusterSnapshot.java
@@ -12,17 +12,17 @@
 import silverlatch.state.Value;
 
 /**
- * What a gateway knows of the cluster at one moment; immutable, made by the node and handed to the event loops that
- * dispatch and route.
+ * A gateway's knowledge of the cluster at one point in time. Immutable; built by the node and passed to the event loops that
+ * dispatch and route requests.
  *
  * @param self            this gateway
- * @param revision        the revision of the replicated state that the policy is of
+ * @param revision        the revision of the replicated state from which the policy was taken
  * @param confirmedAt     when that revision was confirmed to be the newest, by the monotonic clock in microseconds; empty while a
- *                        higher one is known
- * @param lastConfirmedAt as of when the policy surely lacked no acknowledged change, by the same clock; also while a higher revision is
- *                        known, as that was acknowledged later
- * @param policy          tenants, rows, routes and evacuations
- * @param workers         the newest reports of workers, by id
+ *                        higher revision is known to exist
+ * @param lastConfirmedAt the latest time, by the same clock, at which the policy certainly contained every acknowledged change;
+ *                        also set while a higher revision is known to exist, because that was acknowledged later
+ * @param policy          tenants, rows (limits and scorer weights for a tenant and kind of request), routes and evacuations
+ * @param workers         the newest report of each worker, by worker id
  * @param peers           the other gateways that are alive
  */
 public record ClusterSnapshot(
@@ -33,13 +33,13 @@
         Policy policy,
         Map<String, Gossip.ObservedWorker> workers,
         List<Member> peers) {
-    /** Copies the collections. */
+    /** Makes defensive copies of the collections. */
     public ClusterSnapshot {
         workers = Map.copyOf(workers);
         peers = List.copyOf(peers);
     }
 
-    /** A snapshot while no higher revision is known than its own. */
+    /** Creates a snapshot while no higher revision than its own is known. */
     public ClusterSnapshot(
             final Member self,
             final long revision,
@@ -50,29 +50,29 @@
         this(self, revision, confirmedAt, confirmedAt, policy, workers, peers);
     }
 
-    /** Whether the revision was confirmed to be the newest within the microseconds before now. */
+    /** Returns whether the revision was confirmed to be the newest at most {@code maxAge} microseconds before {@code now}. */
     public boolean isConfirmedWithin(final long now, final long maxAge) {
         return confirmedAt.map(at -> now - at <= maxAge).orElse(false);
     }
 
-    /** A tenant by name. */
+    /** Returns the tenant of a name. */
     public Optional<Value.Tenant> tenant(final String name) {
         return policy.value("t/" + name).map(Value.Tenant.class::cast);
     }
 
-    /** The row for a tenant and kind: the tenant's own, or the one for all tenants. */
+    /** Returns the row (limits and scorer weights) for a tenant and kind: the tenant's own, else the one for all tenants. */
     public Optional<Value.Row> row(final String tenant, final String kind) {
         return policy.value(StateMachine.rowKey(tenant, kind))
                 .or(() -> policy.value(StateMachine.rowKey("*", kind)))
                 .map(Value.Row.class::cast);
     }
 
-    /** The zones that are being evacuated and get no new work. */
+    /** Returns the zones that are being evacuated and get no new requests. */
     public Set<String> evacuatingZones() {
         return policy.evacuatedZones();
     }
 
-    /** Whether a placement with this timestamp was made before the evacuation of a zone that is in force. */
+    /** Returns whether a zone is being evacuated by a command that is newer than a placement of this timestamp. */
     public boolean isPlacedBeforeEvacuation(final String zone, final Stamp placedAt) {
         return policy.evacuations().stream()
                 .anyMatch(evacuation ->
--- a/core/src/main/java/silverlatch/dispatch/ClusterView.java
+++ b/core/src/main/java/silverlatch/dispatch/ClusterView.java
@@ -11,67 +11,71 @@
 import silverlatch.state.Value;
 
 /**
- * The newest snapshot that this gateway has of the cluster, and what follows from it: whether it may be acted on, and whom
- * this gateway serves. Owned by the dispatch event loop.
+ * Holds the newest snapshot of the cluster at this gateway, and derives from it whether it may be acted on, which tenants this
+ * gateway serves, and which other gateways serve them. Used only by the dispatch event loop.
  */
 final class ClusterView {
     private final long maxConfirmationAge;
     private final Safeguards safeguards;
     private ClusterSnapshot snapshot;
 
-    /** A view that may be acted on for so many microseconds after the snapshot was confirmed to be the newest. */
+    /**
+     * Creates a view of a snapshot.
+     *
+     * @param maxConfirmationAge for how many microseconds a snapshot may be acted on after it was confirmed to be the newest
+     */
     ClusterView(final long maxConfirmationAge, final Safeguards safeguards, final ClusterSnapshot snapshot) {
         this.maxConfirmationAge = maxConfirmationAge;
         this.safeguards = safeguards;
         this.snapshot = snapshot;
     }
 
-    /** The newest snapshot. */
+    /** Returns the newest snapshot. */
     ClusterSnapshot snapshot() {
         return snapshot;
     }
 
-    /** Takes a newer snapshot. */
+    /** Replaces the snapshot by a newer one. */
     void update(final ClusterSnapshot next) {
         snapshot = next;
     }
 
-    /** Whether the snapshot was the newest a short time ago, so that it may be acted on. */
+    /** Returns whether the snapshot was confirmed to be the newest recently enough to be acted on. */
     boolean isConfirmed(final long now) {
         return snapshot.isConfirmedWithin(now, maxConfirmationAge)
                 || !safeguards.isEnabled(Safeguard.CONFIRMED_REVISION);
     }
 
-    /** Whether this gateway is in one of the tenant's home regions. */
+    /** Returns whether this gateway is in one of the tenant's home regions. */
     boolean servesTenant(final Value.Tenant tenant) {
         return tenant.homeRegions().isEmpty()
                 || tenant.homeRegions().contains(snapshot.self().region())
                 || !safeguards.isEnabled(Safeguard.GATEWAY_HOME_REGION);
     }
 
-    /** Whether this gateway's zone is being evacuated, so that it takes no new request. */
+    /** Returns whether this gateway's zone is being evacuated; if so, the gateway accepts no new requests. */
     boolean isZoneEvacuating() {
         return snapshot.evacuatingZones().contains(snapshot.self().zone())
                 && safeguards.isEnabled(Safeguard.EVACUATION);
     }
 
-    /** A request's tenant as it is now, unless it is gone or has another key by now. */
+    /** Returns a request's tenant as configured now; empty if the tenant was removed or its key was changed. */
     Optional<Value.Tenant> currentTenant(final DispatchedRequest request) {
         return snapshot.tenant(request.permit().tenant())
                 .filter(tenant -> tenant.keyHash().equals(request.tenant().keyHash()));
     }
 
-    /** Whether a request's tenant is still there, with the same key, and is served here. */
+    /** Returns whether a request's tenant still exists, has the same key, and is served by this gateway. */
     boolean stillServes(final DispatchedRequest request) {
         return currentTenant(request).map(this::servesTenant).orElse(false);
     }
 
-    /** How many gateways are ready, with this one. */
+    /** Returns how many gateways are ready, counting this one. */
     int gatewayCount() {
         return 1 + (int) snapshot.peers().stream().filter(Member::ready).count();
     }
 
-    /** How many gateways share the limits of a tenant: those that may serve it, with this one. */
+    /** Returns how many gateways share the limits of a tenant: those that may serve it, counting this one. */
     int gatewayCount(final Value.Tenant tenant) {
         final Set<String> evacuatingZones = snapshot.evacuatingZones();
         return 1
@@ -82,7 +86,7 @@
                         .count();
     }
 
-    /** The HTTP addresses of the other gateways that may serve a tenant now. */
+    /** Returns the HTTP addresses of the other gateways that may serve a tenant now. */
     List<String> endpointsFor(final Value.Tenant tenant) {
         final Set<String> evacuatingZones = snapshot.evacuatingZones();
         return snapshot.peers().stream()
@@ -93,7 +97,7 @@
                 .toList();
     }
 
-    /** A request as the scorers see it. */
+    /** Returns the scorers' input about a request. */
     PlacementContext placementContext(
             final String requestId, final Value.Tenant tenant, final Value.Row row, final List<Long> prefixDigests) {
         return new PlacementContext(
@@ -106,7 +110,7 @@
                 snapshot.evacuatingZones());
     }
 
-    /** Whether a region is one of the tenant's homes; all are where it names none. */
+    /** Returns whether a region is one of the tenant's home regions; a tenant that names none is at home in all. */
     static boolean isHomeRegion(final Value.Tenant tenant, final String region) {
         return tenant.homeRegions().isEmpty() || tenant.homeRegions().contains(region);
     }
--- a/core/src/main/java/silverlatch/dispatch/DispatchOutput.java
+++ b/core/src/main/java/silverlatch/dispatch/DispatchOutput.java
@@ -3,23 +3,23 @@
 import java.util.random.RandomGenerator;
 import silverlatch.node.Event;
 
-/** What a {@link Dispatcher} has to say: effects in the order in which they arose, counters, and traces of requests. */
+/** Collects the output of a {@link Dispatcher}: effects in order, counters, and traces of requests. */
 final class DispatchOutput extends EffectBuffer<DispatchEffect> {
     private static final int MAX_TRACES = 20_000;
     private final RandomGenerator random;
 
-    /** Spreads the times at which rejected clients come back by the given random numbers. */
+    /** Creates an empty output that takes the jitter of retry times from the given random numbers. */
     DispatchOutput(final RandomGenerator random) {
         super(MAX_TRACES);
         this.random = random;
     }
 
-    /** A numbered event for the log. */
+    /** Adds an event to write to the log. */
     void log(final Event event, final String text) {
         add(new DispatchEffect.Log(event, text));
     }
 
-    /** Answers a call with a refusal; the request id is empty where there is none yet. */
+    /** Adds a reply that rejects a call; the request id is empty if none was assigned yet. */
     void reject(final long callId, final String requestId, final Rejection rejection) {
         count("code" + rejection.statusCode());
         if (!requestId.isEmpty()) {
@@ -34,7 +34,7 @@
                 rejection.claimState()));
     }
 
-    /** One to two times the delay, so that clients rejected together don't come back together. */
+    /** Returns one to two times the delay, so that clients that were rejected together don't retry together. */
     private long withJitter(final long retryAfter) {
         return retryAfter == 0 ? 0 : retryAfter + random.nextLong(retryAfter);
     }
--- a/core/src/main/java/silverlatch/dispatch/DispatchedRequest.java
+++ b/core/src/main/java/silverlatch/dispatch/DispatchedRequest.java
@@ -7,11 +7,12 @@
 import silverlatch.util.Digests;
 
 /**
- * A request under way, or ended and kept so that its stream can be read again. Its state changes only by
- * {@link RequestLifecycle#transition}. Owned by the dispatch event loop; times in microseconds.
+ * A request that is open, or that has ended and is retained so that clients can read its response again. Its state is changed
+ * only by {@link RequestLifecycle#transition}. Used only by the dispatch event loop; times are readings of the monotonic clock
+ * in microseconds.
  */
 final class DispatchedRequest {
-    /** Bytes of prompt that count as much as the request itself in the fair order. */
+    /** The prompt length that adds 1 to a request's cost, which is as much as the request itself costs. */
     private static final double BYTES_PER_COST_UNIT = 4096.0;
 
     private final Permit permit;
@@ -36,7 +37,7 @@
     private boolean mayHoldClaim;
     private long claimTimestamp;
 
-    /** A request that was just submitted with a valid permit. */
+    /** Creates a request that was just submitted with a valid permit by the given call. */
     DispatchedRequest(
             final Permit permit,
             final Value.Tenant tenant,
@@ -55,189 +56,195 @@
         this.reader = new StreamReader(callId);
     }
 
-    /** Its id, which its permit names. */
+    /** Returns the request's id, which is part of its permit. */
     String id() {
         return permit.requestId();
     }
 
-    /** The permit that it was submitted with. */
+    /** Returns the permit that the request was submitted with. */
     Permit permit() {
         return permit;
     }
 
-    /** Its tenant as it was when the request was submitted. */
+    /** Returns the tenant as it was configured when the request was submitted. */
     Value.Tenant tenant() {
         return tenant;
     }
 
-    /** The limits and weights that held when the request was submitted. */
+    /** Returns the limits and weights that were configured when the request was submitted. */
     Value.Row row() {
         return row;
     }
 
-    /** Salted digests of its prefix, shortest first. */
+    /** Returns the salted digests of the prompt's prefixes, shortest first. */
     List<Long> prefixDigests() {
         return prefixDigests;
     }
 
-    /** When the client stops waiting, by the monotonic clock. */
+    /** Returns the time at which the client's timeout ends. */
     long deadline() {
         return deadline;
     }
 
-    /** When it is rejected if no worker has taken it, by the monotonic clock. */
+    /** Returns the time at which the request is rejected if it still waits in a queue. */
     long queueDeadline() {
         return queueDeadline;
     }
 
-    /** What the worker sent. */
+    /** Returns the records that the worker has sent. */
     ResponseStream response() {
         return response;
     }
 
-    /** Who reads the response. */
+    /** Returns the client's side of the response stream. */
     StreamReader reader() {
         return reader;
     }
 
-    /** Where it stands. */
+    /** Returns the current state. */
     RequestState state() {
         return state;
     }
 
     /**
-     * Moves it on; called by {@link RequestLifecycle} only.
+     * Applies an event to the state. Called only by {@link RequestLifecycle}.
      *
-     * @throws IllegalRequestTransitionException if the state does not take the event
+     * @throws IllegalRequestTransitionException if the event is illegal in the current state
      */
     void apply(final RequestEvent event) {
         state = state.after(event);
     }
 
-    /** Makes a run count as not begun: what a test sees that lets down {@link silverlatch.safeguard.Safeguard#NO_RETRY_AFTER_START}. */
+    /**
+     * Sets the state of a running request back to STARTING, so that it can be retried although it may have run. Reached only
+     * when a test has disabled {@link silverlatch.safeguard.Safeguard#NO_RETRY_AFTER_START}.
+     */
     void revertToStarting() {
         state = RequestState.STARTING;
     }
 
-    /** What the worker is to read; empty once the request has ended. */
+    /** Returns the prompt that is sent to the worker; empty once the request has ended. */
     String prompt() {
         return prompt;
     }
 
-    /** Lets go of the prompt of an ended request. */
+    /** Frees the prompt of an ended request. */
     void clearPrompt() {
         prompt = "";
     }
 
-    /** Its cost in the weighted fair order, where 1 is a request without a prompt. */
+    /** Returns the request's cost in the weighted fair order; a request without a prompt costs 1. */
     double cost() {
         return 1 + prompt.length() / BYTES_PER_COST_UNIT;
     }
 
-    /** Why it ended as it did, or empty. */
+    /** Returns why the request was rejected or lost, or an empty string. */
     String reason() {
         return reason;
     }
 
-    /** Says why it ends. */
+    /** Sets the reason for which the request is rejected or lost. */
     void setReason(final String newReason) {
         reason = newReason;
     }
 
-    /** The worker that its placement named, unless that became stale. */
+    /** Returns the worker that the placement chose, unless that choice is stale. */
     Optional<String> preferredWorker() {
         return preferredWorker;
     }
 
-    /** Sets or forgets the worker that it should go to. */
+    /** Sets the worker to prefer, or clears it. */
     void setPreferredWorker(final Optional<String> workerId) {
         preferredWorker = workerId;
     }
 
-    /** The worker of its newest attempt, or empty. */
+    /** Returns the worker that was assigned last, or an empty string before the first. */
     String worker() {
         return worker;
     }
 
-    /** Whether one of the slots of its worker is counted for it. */
+    /** Returns whether the request holds a slot of its worker. */
     boolean holdsWorkerSlot() {
         return holdsWorkerSlot;
     }
 
-    /** A slot of a worker is counted for it from now on. */
+    /** Assigns a worker, of which the request holds a slot from now on. */
     void assignWorker(final String workerId) {
         worker = workerId;
         holdsWorkerSlot = true;
     }
 
-    /** No slot is counted for it any more. */
+    /** Marks the worker slot as no longer held. */
     void releaseWorkerSlot() {
         holdsWorkerSlot = false;
     }
 
-    /** A worker is asked to run it. */
+    /** Records a new attempt and generates its id. */
     void startAttempt(final long now) {
         attempts++;
         attemptStartedAt = now;
         attemptId = id() + "." + attempts;
     }
 
-    /** The id of its newest attempt, unique in the cluster; empty before the first. */
+    /** Returns the id of the newest attempt, unique in the cluster; empty before the first attempt. */
     String attemptId() {
         return attemptId;
     }
 
-    /** How many attempts were made. */
+    /** Returns how many attempts were started. */
     int attempts() {
         return attempts;
     }
 
-    /** When the newest attempt was made, by the monotonic clock. */
+    /** Returns when the newest attempt was started. */
     long attemptStartedAt() {
         return attemptStartedAt;
     }
 
-    /** Its handle in the {@link RequestTable}. */
+    /** Returns the request's handle in the {@link RequestTable}. */
     long handle() {
         return handle;
     }
 
-    /** Set by the {@link RequestTable} when it takes the request in. */
+    /** Sets the handle. Called by the {@link RequestTable} when the request is added. */
     void setHandle(final long newHandle) {
         handle = newHandle;
     }
 
-    /** The operation (a claim or an attempt) that it waits for; events of earlier ones are ignored. */
+    /** Returns the id of the newest operation (a claim or an attempt); events of earlier operations are ignored. */
     long operationId() {
         return operationId;
     }
 
-    /** Set by the {@link RequestTable} when an operation begins. */
+    /** Sets the operation id. Called by the {@link RequestTable} when an operation begins. */
     void setOperationId(final long newOperationId) {
         operationId = newOperationId;
     }
 
-    /** The key under which its idempotency key is claimed. */
+    /** Returns the key under which the idempotency key is claimed: a digest of the tenant and the idempotency key. */
     String claimKey() {
         return Digests.sha256Hex(permit.tenant() + "|" + permit.idempotencyKey());
     }
 
-    /** Whether the chain may hold a claim for it, which has to be completed when it ends. */
+    /**
+     * Returns whether the replicated state may hold a claim for this request. If so, the claim has to be completed when the
+     * request ends.
+     */
     boolean mayHoldClaim() {
         return mayHoldClaim;
     }
 
-    /** The chain has, or may have, committed its claim. */
+    /** Records that the replicated state has committed, or may have committed, the request's claim. */
     void markMayHoldClaim() {
         mayHoldClaim = true;
     }
 
-    /** The timestamp of its claim. */
+    /** Returns the timestamp of the request's claim, by the cluster's clock. */
     long claimTimestamp() {
         return claimTimestamp;
     }
 
-    /** Set when the claim is submitted. */
+    /** Sets the timestamp of the claim when it is submitted. */
     void setClaimTimestamp(final long timestamp) {
         claimTimestamp = timestamp;
     }
--- a/core/src/main/java/silverlatch/dispatch/Dispatcher.java
+++ b/core/src/main/java/silverlatch/dispatch/Dispatcher.java
@@ -12,25 +12,25 @@
 import silverlatch.util.Digests;
 
 /**
- * Places and dispatches the requests of one gateway that come by the product's own API. It does no input or output:
- * events go in as method calls, {@link DispatchEffect effects} come out by {@link #drainEffects()}.
+ * Places and dispatches the requests that clients submit to one gateway through the product's own API. It does no I/O: events
+ * are passed in as method calls, and {@link #drainEffects()} returns the {@link DispatchEffect effects} to execute.
  *
- * <p>This class takes the events and hands each to the part that owns the state it is about:
+ * <p>This class passes each event to the component that owns the affected state:
  *
  * <ul>
  *   <li>{@link PlacementHandler} and {@link SubmissionHandler}: permits, rate limits, admission and load shedding;
  *   <li>{@link FairQueues} and {@link QueueDispatcher}: weighted fair order, choice of a worker;
  *   <li>{@link ClaimCoordinator}, {@link AttemptStarter} and {@link AttemptMonitor}: idempotency keys, attempts, retries;
- *   <li>{@link StreamDelivery}: who reads which response;
- *   <li>{@link RequestTable} and {@link RequestLifecycle}: all requests, their states and their ends;
- *   <li>{@link RequestRevoker}: what may no longer be served here.
+ *   <li>{@link StreamDelivery}: which call reads which response;
+ *   <li>{@link RequestTable} and {@link RequestLifecycle}: all requests, their states and how they end;
+ *   <li>{@link RequestRevoker}: ends requests that this gateway may no longer serve.
  * </ul>
  *
- * <p>Not thread-safe: one event loop owns it. Times are readings of the monotonic clock in microseconds. A call id names
- * a client's HTTP call at this gateway, an operation id a claim or an attempt.
+ * <p>Not thread-safe: used only by the dispatch event loop. Times are readings of the monotonic clock in microseconds. A call id
+ * identifies a client's HTTP call at this gateway; an operation id identifies a claim or an attempt.
  */
 public final class Dispatcher {
-    /** The reason of a rejection of a permit that was used before: it says nothing of what became of its request. */
+    /** The reason for rejecting a permit that was used before; it does not tell whether the permit's request ran. */
     public static final String ALREADY_SUBMITTED = "the request was submitted before";
 
     private final DispatcherSettings settings;
@@ -50,7 +50,11 @@
     private final PlacementHandler placements;
     private final SubmissionHandler submissions;
 
-    /** A dispatcher without requests; timestamps are those of local events of the cluster's clock. */
+    /**
+     * Creates a dispatcher without requests.
+     *
+     * @param timestamps returns the timestamp of a new local event by the cluster's clock
+     */
     public Dispatcher(
             final DispatcherSettings settings,
             final PermitSigner signer,
@@ -84,7 +88,7 @@
                 settings, cluster, readiness, requests, queues, usedPermits, lifecycle, delivery, signer, output);
     }
 
-    /** Takes a newer snapshot of the cluster, and ends what it no longer allows here. */
+    /** Adopts a newer snapshot of the cluster, and ends the requests that this gateway may no longer serve under it. */
     public void update(final ClusterSnapshot next, final long now) {
         final ClusterSnapshot previous = cluster.snapshot();
         if (next.self().incarnation() != previous.self().incarnation()) {
@@ -101,49 +105,49 @@
         queueDispatcher.run(now);
     }
 
-    /** Why no requests are taken, or nothing when they are. */
+    /** Returns why this gateway accepts no requests, or empty if it accepts them. */
     public Optional<String> unreadyReason(final long now) {
         return readiness.unreadyReason(now);
     }
 
-    /** No new request is taken from now on. */
+    /** Stops accepting new requests. */
     public void stopAccepting() {
         readiness.stopAccepting();
     }
 
-    /** How many requests are under way. */
+    /** Returns how many requests have not ended. */
     public int openRequests() {
         return requests.openCount();
     }
 
-    /** The counters by name. */
+    /** Returns the counters by name. */
     public Map<String, Long> counters() {
         return output.counters();
     }
 
-    /** The traces of requests. */
+    /** Returns the traces of requests. */
     public TraceLog traces() {
         return output.traces();
     }
 
-    /** What is to be done, in order; each effect is handed over once. */
+    /** Returns the effects to execute, in order; each is returned once. */
     public List<DispatchEffect> drainEffects() {
         return output.drain();
     }
 
-    /** A client asks where to submit a request. */
+    /** Handles a client's call for a placement: where to submit its request. */
     public void requestPlacement(final PlacementRequest placement, final long callId, final long now) {
         placements.handle(placement, callId, now);
     }
 
-    /** A client submits a request with its permit. */
+    /** Handles a request that a client submits with its permit. */
     public void submit(final SubmittedRequest submitted, final long callId, final long now) {
         if (submissions.handle(submitted, callId, now)) {
             queueDispatcher.run(now);
         }
     }
 
-    /** A client comes back to read a request's response from a record on. */
+    /** Handles a client that reconnects to read a request's response from the given record on. */
     public void attach(
             final String requestId, final String secret, final long firstRecord, final long callId, final long now) {
         final Optional<DispatchedRequest> found = requests.byId(requestId)
@@ -173,12 +177,12 @@
         delivery.attach(request, callId, (int) firstRecord);
     }
 
-    /** The transport of a client's call can take more. */
+    /** Handles the event that the transport of a client's call can accept the next write. */
     public void readerReady(final long callId) {
         delivery.readerReady(callId);
     }
 
-    /** The connection of a client's call went away; a request that still waits is given up. */
+    /** Handles the loss of a client's connection; a request that still waits in a queue is rejected. */
     public void readerDisconnected(final long callId, final long now) {
         delivery.readerDisconnected(callId, now)
                 .filter(request -> request.state() == RequestState.QUEUED)
@@ -186,28 +190,32 @@
                         request, Rejection.permanent(Rejection.UNAVAILABLE, "the consumer went away")));
     }
 
-    /** The result of the command that an operation submitted. */
+    /** Handles the result of the claim that an operation submitted. */
     public void claimDecided(final long operationId, final CommandResult result, final long now) {
         claims.decided(operationId, result, now);
         queueDispatcher.run(now);
     }
 
-    /** The worker of an attempt gave a sign that it runs the request. */
+    /** Handles the first indication that the worker of an attempt runs the request. */
     public void attemptStarted(final long operationId) {
         attempts.started(operationId);
     }
 
-    /** The worker of an attempt sent a record of the response. */
+    /** Handles a record of the response from the worker of an attempt. */
     public void recordReceived(final long operationId, final StreamRecord received, final long now) {
         attempts.recordReceived(operationId, received, now);
     }
 
-    /** The exchange with a worker ended without a trailer; started is false only where it provably did not begin. */
+    /**
+     * Handles an exchange with a worker that ended without a trailer.
+     *
+     * @param started false only if the request provably did not start at the worker
+     */
     public void attemptFailed(final long operationId, final boolean started, final String reason, final long now) {
         attempts.failed(operationId, started, reason, now);
     }
 
-    /** A timer event, several times a second: what is over its time ends, what is old is forgotten. */
+    /** Handles a timer event, several times a second: ends requests that timed out and drops state that is too old. */
     public void tick(final long now) {
         usedPermits.removeExpired(now, requests::isOpen);
         lifecycle.tick(now);
@@ -216,7 +224,7 @@
         queueDispatcher.run(now);
     }
 
-    /** Ends all that is under way, as a process does at the end of its graceful shutdown. */
+    /** Ends all open requests. Called at the end of a graceful shutdown. */
     public void shutdown(final long now) {
         revoker.shutdown(now);
     }
--- a/core/src/main/java/silverlatch/dispatch/DispatcherSettings.java
+++ b/core/src/main/java/silverlatch/dispatch/DispatcherSettings.java
@@ -2,9 +2,9 @@
 
 import silverlatch.safeguard.Safeguards;
 
-/** Settings of a {@link Dispatcher}; immutable. Times are in microseconds. */
+/** The settings of a {@link Dispatcher}. Immutable; times are in microseconds. */
 public final class DispatcherSettings {
-    /** What holds when nothing is set. */
+    /** The settings with all defaults. */
     public static final DispatcherSettings DEFAULT = builder().build();
 
     private final int maxOpenRequests;
@@ -39,12 +39,12 @@
         this.safeguards = builder.safeguards;
     }
 
-    /** A builder that starts from the defaults. */
+    /** Returns a builder that is initialized with the defaults. */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** The same settings with other safeguards; for tests that let some down. */
+    /** Returns these settings with other safeguards, for tests that disable some. */
     public DispatcherSettings withSafeguards(final Safeguards enabledSafeguards) {
         return toBuilder().safeguards(enabledSafeguards).build();
     }
@@ -67,77 +67,77 @@
                 .safeguards(safeguards);
     }
 
-    /** How many requests may be open or kept at once. */
+    /** Returns the maximum number of open and retained ended requests. */
     public int maxOpenRequests() {
         return maxOpenRequests;
     }
 
-    /** How many requests may wait at once. */
+    /** Returns the maximum number of queued requests. */
     public int maxQueuedRequests() {
         return maxQueuedRequests;
     }
 
-    /** How long a permit can be used, in microseconds. */
+    /** Returns how long a permit is valid, in microseconds. */
     public long permitLifetime() {
         return permitLifetime;
     }
 
-    /** The age beyond which a report of a worker does not count, in microseconds. */
+    /** Returns the maximum age of a worker's report, in microseconds; older ones make the worker unavailable. */
     public long maxReportAge() {
         return maxReportAge;
     }
 
-    /** How long a snapshot may be acted on after it was confirmed to be the newest, in microseconds. */
+    /** Returns how long a snapshot may be acted on after it was confirmed to be the newest, in microseconds. */
     public long maxConfirmationAge() {
         return maxConfirmationAge;
     }
 
-    /** How long the claim of an idempotency key may take, in microseconds. */
+    /** Returns the timeout of the claim of an idempotency key, in microseconds. */
     public long claimTimeout() {
         return claimTimeout;
     }
 
-    /** How long an ended request can still be read, in microseconds. */
+    /** Returns how long the response of an ended request can still be read, in microseconds. */
     public long endedRetention() {
         return endedRetention;
     }
 
-    /** The longest response that is buffered, in bytes of text. */
+    /** Returns the maximum size of a buffered response, in bytes of text. */
     public int maxResponseBytes() {
         return maxResponseBytes;
     }
 
-    /** The part of the requests that may be retried. */
+    /** Returns the fraction of the requests that may be retried. */
     public double retryRatio() {
         return retryRatio;
     }
 
-    /** How long a worker that failed an attempt is ejected, in microseconds. */
+    /** Returns how long a worker is ejected after an attempt failed there, in microseconds. */
     public long ejectionTime() {
         return ejectionTime;
     }
 
-    /** How long a request runs on while its client is gone, in microseconds. */
+    /** Returns how long a request keeps running after its client has disconnected, in microseconds. */
     public long readerAbsenceTimeout() {
         return readerAbsenceTimeout;
     }
 
-    /** For how long after its expiry a permit is told from an unknown one, in microseconds. */
+    /** Returns how long after its expiry a permit is still recognized as expired, in microseconds; an older one may have been used. */
     public long permitRetention() {
         return permitRetention;
     }
 
-    /** How long a worker may take to give a sign of a start, in microseconds. */
+    /** Returns how long a worker may take to indicate that it has started a request, in microseconds. */
     public long startTimeout() {
         return startTimeout;
     }
 
-    /** The safeguards that are in force. */
+    /** Returns the enabled safeguards. */
     public Safeguards safeguards() {
         return safeguards;
     }
 
-    /** Collects settings; each has a default. */
+    /** Builds settings; each one has a default. */
     public static final class Builder {
         private static final long SECOND = 1_000_000L;
         private int maxOpenRequests = 4_096;
@@ -157,91 +157,91 @@
 
         private Builder() {}
 
-        /** How many requests may be open or kept at once. */
+        /** Sets the maximum number of open and retained ended requests. */
         public Builder maxOpenRequests(final int value) {
             maxOpenRequests = value;
             return this;
         }
 
-        /** How many requests may wait at once. */
+        /** Sets the maximum number of queued requests. */
         public Builder maxQueuedRequests(final int value) {
             maxQueuedRequests = value;
             return this;
         }
 
-        /** How long a permit can be used, in microseconds. */
+        /** Sets how long a permit is valid, in microseconds. */
         public Builder permitLifetime(final long value) {
             permitLifetime = value;
             return this;
         }
 
-        /** The age beyond which a report of a worker does not count, in microseconds. */
+        /** Sets the maximum age of a worker's report, in microseconds; older ones make the worker unavailable. */
         public Builder maxReportAge(final long value) {
             maxReportAge = value;
             return this;
         }
 
-        /** How long a snapshot may be acted on after it was confirmed to be the newest, in microseconds. */
+        /** Sets how long a snapshot may be acted on after it was confirmed to be the newest, in microseconds. */
         public Builder maxConfirmationAge(final long value) {
             maxConfirmationAge = value;
             return this;
         }
 
-        /** How long the claim of an idempotency key may take, in microseconds. */
+        /** Sets the timeout of the claim of an idempotency key, in microseconds. */
         public Builder claimTimeout(final long value) {
             claimTimeout = value;
             return this;
         }
 
-        /** How long an ended request can still be read, in microseconds. */
+        /** Sets how long the response of an ended request can still be read, in microseconds. */
         public Builder endedRetention(final long value) {
             endedRetention = value;
             return this;
         }
 
-        /** The longest response that is buffered, in bytes of text. */
+        /** Sets the maximum size of a buffered response, in bytes of text. */
         public Builder maxResponseBytes(final int value) {
             maxResponseBytes = value;
             return this;
         }
 
-        /** The part of the requests that may be retried. */
+        /** Sets the fraction of the requests that may be retried. */
         public Builder retryRatio(final double value) {
             retryRatio = value;
             return this;
         }
 
-        /** How long a worker that failed an attempt is ejected, in microseconds. */
+        /** Sets how long a worker is ejected after an attempt failed there, in microseconds. */
         public Builder ejectionTime(final long value) {
             ejectionTime = value;
             return this;
         }
 
-        /** How long a request runs on while its client is gone, in microseconds. */
+        /** Sets how long a request keeps running after its client has disconnected, in microseconds. */
         public Builder readerAbsenceTimeout(final long value) {
             readerAbsenceTimeout = value;
             return this;
         }
 
-        /** For how long after its expiry a permit is told from an unknown one, in microseconds. */
+        /** Sets how long after its expiry a permit is still recognized as expired, in microseconds; an older one may have been used. */
         public Builder permitRetention(final long value) {
             permitRetention = value;
             return this;
         }
 
-        /** How long a worker may take to give a sign of a start, in microseconds. */
+        /** Sets how long a worker may take to indicate that it has started a request, in microseconds. */
         public Builder startTimeout(final long value) {
             startTimeout = value;
             return this;
         }
 
-        /** The safeguards that are in force. */
+        /** Sets the enabled safeguards. */
         public Builder safeguards(final Safeguards value) {
             safeguards = value;
             return this;
         }
 
-        /** The settings as collected so far. */
+        /** Returns the settings as set so far. */
         public DispatcherSettings build() {
             return new DispatcherSettings(this);
         }
--- a/core/src/main/java/silverlatch/dispatch/EffectBuffer.java
+++ b/core/src/main/java/silverlatch/dispatch/EffectBuffer.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * What a decision-making core has to say until its event loop takes it: effects in the order in which they arose, counters, and traces of
- * requests. Owned by one event loop.
+ * Collects the output of a component that makes decisions and does no I/O: the effects to execute, in order, until the event
+ * loop drains them; and its counters and traces of requests. Used by one event loop only.
  *
  * @param <E> the type of the effects
  */
@@ -16,34 +16,34 @@
     private final Map<String, Long> counters = new TreeMap<>();
     private final TraceLog traces;
 
-    /** An empty buffer that keeps so many traces. */
+    /** Creates an empty buffer that keeps at most the given number of traces. */
     protected EffectBuffer(final int maxTraces) {
         this.traces = new TraceLog(maxTraces);
     }
 
-    /** Something to be done outside. */
+    /** Adds an effect to execute. */
     public final void add(final E effect) {
         effects.add(effect);
     }
 
-    /** Adds one to a counter. */
+    /** Increments a counter by one. */
     public final void count(final String name) {
         counters.merge(name, 1L, Long::sum);
     }
 
-    /** Hands over the effects, each once. */
+    /** Returns the collected effects and removes them, so that each is returned once. */
     public final List<E> drain() {
         final List<E> drained = List.copyOf(effects);
         effects.clear();
         return drained;
     }
 
-    /** The counters by name. */
+    /** Returns the counters by name. */
     public final Map<String, Long> counters() {
         return Map.copyOf(counters);
     }
 
-    /** The traces of requests. */
+    /** Returns the traces of requests. */
     public final TraceLog traces() {
         return traces;
     }
--- a/core/src/main/java/silverlatch/dispatch/FairQueues.java
+++ b/core/src/main/java/silverlatch/dispatch/FairQueues.java
@@ -11,12 +11,13 @@
 import java.util.stream.Collectors;
 
 /**
- * The requests that wait for a worker, one queue for each tenant and kind, in weighted fair order between tenants.
+ * Holds the requests that wait for a worker in one queue for each tenant and kind, and serves tenants in weighted fair order.
  *
- * <p>Start-time fair queuing: each tenant has a virtual finish time that grows by a request's cost over the tenant's quota
- * share when one is served, and the tenant with the least goes next; a tenant that was idle starts at the virtual time of
- * the newest service. Between kinds of one tenant the higher priority goes first, then the one served longest ago.
- * Owned by the dispatch event loop.
+ * <p>The order is start-time fair queuing. Each tenant has a virtual finish time. When a request is served, its tenant's finish
+ * time grows by the request's cost divided by the tenant's quota share; the tenant with the lowest finish time is served next.
+ * A tenant that was idle starts at the virtual time of the most recently served request, so that idle time earns no credit.
+ * Among the queues of one tenant, the one with the higher priority is served first, and of equal ones the one that was served
+ * least recently. Used only by the dispatch event loop.
  */
 final class FairQueues {
     private static final long IDLE_CHECK_INTERVAL_MICROS = 1_000_000L;
@@ -28,29 +29,29 @@
     private int size;
     private long lastIdleCheckAt;
 
-    /** The queue of a tenant and kind; an empty one if there was none. */
+    /** Returns the queue of a tenant and kind, which is created if it doesn't exist. */
     RequestQueue queueOf(final String tenant, final String kind) {
         return queues.computeIfAbsent(tenant + "/" + kind, name -> new RequestQueue(name, tenant, virtualTime));
     }
 
-    /** The queue that a request belongs to. */
+    /** Returns the queue that a request belongs to. */
     RequestQueue queueOf(final DispatchedRequest request) {
         return queueOf(request.permit().tenant(), request.permit().kind());
     }
 
-    /** How many requests wait. */
+    /** Returns how many requests are queued. */
     int size() {
         return size;
     }
 
-    /** Adds a request behind the others of its tenant and kind. */
+    /** Adds a request at the tail of its queue. */
     void addLast(final DispatchedRequest request) {
         final RequestQueue queue = queueOf(request);
         queue.addLast(request);
         recordAddition(queue);
     }
 
-    /** Puts a request before the others of its tenant and kind. */
+    /** Adds a request at the head of its queue. */
     void addFirst(final DispatchedRequest request) {
         final RequestQueue queue = queueOf(request);
         queue.addFirst(request);
@@ -62,7 +63,7 @@
         nonEmptyQueues.put(queue.name(), queue);
     }
 
-    /** Takes a request out, if it waits. */
+    /** Removes a request if it is queued. */
     void remove(final DispatchedRequest request) {
         final RequestQueue queue = queueOf(request);
         if (queue.remove(request)) {
@@ -73,7 +74,7 @@
         }
     }
 
-    /** The queue whose first request goes next, without those that can't be served now. */
+    /** Returns the queue whose first request is next in the fair order, ignoring the blocked queues. */
     Optional<RequestQueue> next(final Set<RequestQueue> blocked) {
         return nonEmptyQueues.values().stream()
                 .filter(queue -> !blocked.contains(queue))
@@ -83,7 +84,7 @@
                         .thenComparingDouble(RequestQueue::lastServedVirtualTime));
     }
 
-    /** Takes the first request of a queue out because it is served, and charges its tenant. */
+    /** Removes the first request of a queue because it is dispatched, and charges its tenant for it. */
     void serve(final RequestQueue queue) {
         final DispatchedRequest request = queue.first();
         remove(request);
@@ -95,7 +96,7 @@
         queue.recordServed(virtualTime);
     }
 
-    /** The request of the lowest priority that waits, the newest of these. */
+    /** Returns the queued request of the lowest priority; of several, the one whose permit expires last. */
     Optional<DispatchedRequest> lowestPriority() {
         return nonEmptyQueues.values().stream()
                 .flatMap(queue -> queue.requests().stream())
@@ -104,14 +105,17 @@
                         .thenComparing(request -> -request.permit().expiry()));
     }
 
-    /** Calls the action for each request that waits now; the action may take it out. */
+    /** Calls the action for each request that is queued now; the action may remove it. */
     void forEachQueued(final Consumer<DispatchedRequest> action) {
         for (final RequestQueue queue : List.copyOf(nonEmptyQueues.values())) {
             queue.requests().forEach(action);
         }
     }
 
-    /** Forgets queues and tenants that have been idle for long; called on each tick. */
+    /**
+     * Removes idle queues, and then the shares of tenants that have no queue left. Called on each tick; does its work at most
+     * once a second.
+     */
     void removeIdle(final long now) {
         if (now - lastIdleCheckAt < IDLE_CHECK_INTERVAL_MICROS) {
             return;
--- a/core/src/main/java/silverlatch/dispatch/GatewayReadiness.java
+++ b/core/src/main/java/silverlatch/dispatch/GatewayReadiness.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Whether this gateway takes new requests. Owned by the dispatch event loop. */
+/** Decides whether this gateway accepts new requests. Used only by the dispatch event loop. */
 final class GatewayReadiness {
     private final ClusterView cluster;
     private boolean stopping;
@@ -11,12 +11,12 @@
         this.cluster = cluster;
     }
 
-    /** No new request is taken from now on. */
+    /** Stops accepting new requests. */
     void stopAccepting() {
         stopping = true;
     }
 
-    /** Why no requests are taken, or nothing when they are. */
+    /** Returns why this gateway accepts no requests, or empty if it accepts them. */
     Optional<String> unreadyReason(final long now) {
         if (stopping) {
             return Optional.of("stopping");
--- a/core/src/main/java/silverlatch/dispatch/IllegalRequestTransitionException.java
+++ b/core/src/main/java/silverlatch/dispatch/IllegalRequestTransitionException.java
@@ -1,10 +1,10 @@
 package silverlatch.dispatch;
 
-/** A request was given an event that its state does not take: a fault of the program, not of its input. */
+/** Thrown for an event that is illegal in a request's state: a bug in this program, not invalid input. */
 final class IllegalRequestTransitionException extends IllegalStateException {
     private static final long serialVersionUID = 1;
 
     IllegalRequestTransitionException(final RequestState state, final RequestEvent event) {
-        super("a request in state " + state + " does not take event " + event);
+        super("request in state " + state + " does not accept event " + event);
     }
 }
--- a/core/src/main/java/silverlatch/dispatch/PlacementDecider.java
+++ b/core/src/main/java/silverlatch/dispatch/PlacementDecider.java
@@ -10,8 +10,8 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * Chooses workers by the scorers and reports each choice with all that it rests on, so that {@code replay} can make it
- * again. Owned by the dispatch event loop.
+ * Chooses workers by the scorers and records each choice with all of its inputs, so that the {@code replay} tool can reproduce
+ * it. Used only by the dispatch event loop.
  */
 final class PlacementDecider {
     private final ClusterView cluster;
@@ -21,7 +21,11 @@
     private final RandomGenerator random;
     private final DispatchOutput output;
 
-    /** A decider for which a worker's report counts for so many microseconds. */
+    /**
+     * Creates a decider.
+     *
+     * @param maxReportAge the maximum age of a worker's report in microseconds
+     */
     PlacementDecider(
             final ClusterView cluster,
             final WorkerUsageTable usage,
@@ -37,12 +41,16 @@
         this.output = output;
     }
 
-    /** The workers that can be chosen from, ordered by id. */
+    /** Returns the candidate workers, ordered by id. */
     List<PlacementInput> candidates(final long now) {
         return usage.placementInputs(cluster, now);
     }
 
-    /** Chooses one of the candidates at a timestamp of the cluster's clock. */
+    /**
+     * Chooses one of the candidates, and records the choice unless all are busy.
+     *
+     * @param timestamp the time of the choice, by the cluster's clock
+     */
     WeightedScorers.Decision decide(
             final PlacementContext context, final List<PlacementInput> candidates, final long timestamp) {
         final long seed = random.nextLong() >>> 12;
@@ -54,19 +62,22 @@
         return decision;
     }
 
-    /** Whether no scorer is against a candidate now. */
+    /** Returns whether no scorer vetoes or defers a candidate. */
     boolean accepts(final PlacementContext context, final PlacementInput candidate) {
         return scorers.accepts(context, candidate);
     }
 
-    /** Whether a worker is still allowed at the moment of dispatch, by the constraints that are never traded off. */
+    /**
+     * Returns whether a worker is still allowed at the time of dispatch. Checks only the hard constraints, which no other score
+     * can outweigh, and not the worker's load.
+     */
     boolean isAllowed(final PlacementContext context, final Gossip.ObservedWorker report, final long now) {
         final PlacementInput input =
                 new PlacementInput(report.worker(), report.age(now), 0, 0, Long.MAX_VALUE, false, 1);
         return constraints.accepts(context, input);
     }
 
-    /** The id of the worker that was chosen, or an empty text. */
+    /** Returns the id of the chosen worker, or an empty string if none was chosen. */
     static String chosenWorker(final WeightedScorers.Decision decision) {
         return decision instanceof WeightedScorers.Decision.Selected selected
                 ? selected.candidate().worker().id()
--- a/core/src/main/java/silverlatch/dispatch/PlacementHandler.java
+++ b/core/src/main/java/silverlatch/dispatch/PlacementHandler.java
@@ -17,8 +17,8 @@
 import silverlatch.util.Digests;
 
 /**
- * Answers a client that asks where to submit a request: with a permit for this gateway and the worker that is best now,
- * with the addresses of other gateways, or with a refusal. Owned by the dispatch event loop.
+ * Handles clients' calls for a placement. Replies with a permit for this gateway, which names the worker that is best now; with
+ * the addresses of other gateways; or with a rejection. Used only by the dispatch event loop.
  */
 final class PlacementHandler {
     private static final int MAX_REDIRECT_ENDPOINTS = 3;
@@ -57,7 +57,7 @@
         this.output = output;
     }
 
-    /** Answers a call that asks for a placement. */
+    /** Handles a call for a placement. */
     void handle(final PlacementRequest placement, final long callId, final long now) {
         output.count("picks");
         final Optional<Value.Tenant> tenant = cluster.snapshot()
@@ -87,7 +87,10 @@
         }
     }
 
-    /** A gateway that isn't ready may not know a new tenant or key yet. */
+    /**
+     * Returns the rejection of an unknown tenant or key. It is retryable if this gateway isn't ready, because its snapshot may
+     * lack a new tenant or key.
+     */
     private Rejection unknownTenant(final long now) {
         return readiness
                 .unreadyReason(now)
@@ -95,7 +98,7 @@
                 .orElseGet(() -> Rejection.permanent(Rejection.UNAUTHORIZED, "the tenant or its key is not known"));
     }
 
-    /** Names a few other gateways that may serve the tenant. */
+    /** Redirects the client to a few other gateways that may serve the tenant, or rejects the call if there are none. */
     private void redirect(final long callId, final Value.Tenant tenant, final long now) {
         final List<String> endpoints = new ArrayList<>(cluster.endpointsFor(tenant));
         if (endpoints.isEmpty()) {
@@ -138,7 +141,7 @@
         return Optional.empty();
     }
 
-    /** Chooses a worker and signs a permit; where all are busy now, the permit names none. */
+    /** Chooses a worker and replies with a signed permit, which names no worker if all are busy now. */
     private void place(
             final PlacementRequest placement,
             final Value.Tenant tenant,
--- a/core/src/main/java/silverlatch/dispatch/QueueDispatcher.java
+++ b/core/src/main/java/silverlatch/dispatch/QueueDispatcher.java
@@ -12,8 +12,8 @@
 import silverlatch.state.Value;
 
 /**
- * Takes requests from the queues in fair order as long as workers have capacity. {@link #run} is called after each event
- * that adds a request or frees capacity. Owned by the dispatch event loop.
+ * Dispatches requests from the queues to workers in fair order as long as workers have capacity. {@link #run} has to be called
+ * after each event that adds a request or frees capacity. Used only by the dispatch event loop.
  */
 final class QueueDispatcher {
     private final ClusterView cluster;
@@ -47,7 +47,7 @@
         this.output = output;
     }
 
-    /** Dispatches what can be dispatched now; nothing under a snapshot that isn't confirmed. */
+    /** Dispatches all requests for which there is capacity now; none if the snapshot isn't confirmed. */
     void run(final long now) {
         if (!cluster.isConfirmed(now)) {
             return;
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Dispatches or rejects the first request of a queue; false when it has to wait. */
+    /** Dispatches or rejects the first request of a queue; returns false if the request has to wait. */
     private boolean tryDispatchFirst(final RequestQueue queue, final long now) {
         final DispatchedRequest request = queue.first();
         final Value.Row row = cluster.snapshot()
@@ -82,7 +82,7 @@
         };
     }
 
-    /** This gateway's part of what the tenant may run of this kind at once, rounded up. */
+    /** Returns this gateway's part, rounded up, of the tenant's limit of concurrent requests of this kind. */
     private int maxInFlight(final DispatchedRequest request, final Value.Row row) {
         final int gatewayCount = cluster.gatewayCount(request.tenant());
         return Math.max(1, (row.maxRunning() + gatewayCount - 1) / gatewayCount);
@@ -123,7 +123,7 @@
         return decision;
     }
 
-    /** The worker that the request's placement named, if no scorer is against it now. */
+    /** Returns the worker that the request's placement chose, if no scorer vetoes or defers it now. */
     private Optional<PlacementInput> preferred(
             final DispatchedRequest request, final PlacementContext context, final List<PlacementInput> candidates) {
         return request.preferredWorker()
--- a/core/src/main/java/silverlatch/dispatch/Rejection.java
+++ b/core/src/main/java/silverlatch/dispatch/Rejection.java
@@ -1,12 +1,12 @@
 package silverlatch.dispatch;
 
 /**
- * Why a request is refused: it did not run and never will.
+ * A rejection of a request, which did not run and never will.
  *
- * @param statusCode the HTTP status code of the answer
- * @param reason     the reason, for the client and the log
- * @param retryAfter the shortest time after which the client may try again, in microseconds; 0 when it should not
- * @param claimState how the claim that holds the idempotency key stands, or empty
+ * @param statusCode the HTTP status code of the response
+ * @param reason     the reason, for the client and for the log
+ * @param retryAfter the shortest time after which the client may retry, in microseconds; 0 if a retry is useless
+ * @param claimState the state of the claim that holds the idempotency key, or empty
  */
 record Rejection(int statusCode, String reason, long retryAfter, String claimState) {
     static final int UNAUTHORIZED = 401;
@@ -21,27 +21,27 @@
     static final int INSUFFICIENT_STORAGE = 507;
     static final long SECOND_MICROS = 1_000_000L;
 
-    /** A refusal that trying again doesn't change. */
+    /** Returns a rejection that a retry does not change. */
     static Rejection permanent(final int statusCode, final String reason) {
         return new Rejection(statusCode, reason, 0, "");
     }
 
-    /** A refusal that may be gone after the given microseconds. */
+    /** Returns a rejection that the client may retry after the given time in microseconds. */
     static Rejection retryable(final int statusCode, final String reason, final long retryAfter) {
         return new Rejection(statusCode, reason, retryAfter, "");
     }
 
-    /** 503, to be tried again in about a second. */
+    /** Returns a rejection with status 503, to be retried after about a second. */
     static Rejection unavailable(final String reason) {
         return retryable(UNAVAILABLE, reason, SECOND_MICROS);
     }
 
-    /** 503, to be tried again in about half a second. */
+    /** Returns a rejection with status 503, to be retried after about half a second. */
     static Rejection brieflyUnavailable(final String reason) {
         return retryable(UNAVAILABLE, reason, SECOND_MICROS / 2);
     }
 
-    /** 409: another request holds the idempotency key. */
+    /** Returns a rejection with status 409: another request holds the idempotency key. */
     static Rejection keyAlreadyClaimed(final String reason, final String claimState) {
         return new Rejection(CONFLICT, reason, 0, claimState);
     }
--- a/core/src/main/java/silverlatch/dispatch/RequestEvent.java
+++ b/core/src/main/java/silverlatch/dispatch/RequestEvent.java
@@ -1,21 +1,21 @@
 package silverlatch.dispatch;
 
-/** What moves a request from one {@link RequestState} to the next. */
+/** An event that moves a request from one {@link RequestState} to the next. */
 enum RequestEvent {
-    /** It was admitted and waits for a worker. */
+    /** The request was admitted and now waits for a worker. */
     ENQUEUE,
-    /** A worker is chosen; its idempotency key is being claimed first. */
+    /** A worker was chosen, and the claim of the request's idempotency key is submitted before the attempt. */
     CLAIM,
-    /** A worker is asked to run it. */
+    /** An attempt is sent to the chosen worker. */
     START_ATTEMPT,
-    /** The worker surely did not run it, and it waits for another one. */
+    /** The worker certainly did not run the request, which goes back to its queue. */
     RETRY,
-    /** The worker gave a sign that it runs it. */
+    /** The worker indicated that it runs the request. */
     RUN,
-    /** The worker's trailer came and matched. */
+    /** The worker's trailer was received and matches the response. */
     COMPLETE,
-    /** It did not run and never will. */
+    /** The request did not run and never will. */
     REJECT,
-    /** It may have run, and its response can't be completed. */
+    /** The request may have run, and its response cannot be completed. */
     LOSE
 }
--- a/core/src/main/java/silverlatch/dispatch/RequestLifecycle.java
+++ b/core/src/main/java/silverlatch/dispatch/RequestLifecycle.java
@@ -4,8 +4,8 @@
 import silverlatch.state.Command;
 
 /**
- * Moves requests from state to state and ends them. Whoever ends a request here frees capacity and has to call
- * {@link QueueDispatcher#run} afterwards where the request may have held some. Owned by the dispatch event loop.
+ * Changes the states of requests and ends them. Ending a request may free capacity of a worker; callers that end one which may
+ * hold a worker slot have to call {@link QueueDispatcher#run} afterwards. Used only by the dispatch event loop.
  */
 final class RequestLifecycle {
     private static final long COMPLETE_CLAIM_TIMEOUT_MICROS = 30_000_000L;
@@ -36,16 +36,16 @@
     }
 
     /**
-     * Moves a request on and notes so in its trace.
+     * Applies an event to a request's state and records the new state in the request's trace.
      *
-     * @throws IllegalRequestTransitionException if its state does not take the event
+     * @throws IllegalRequestTransitionException if the event is illegal in the request's state
      */
     void transition(final DispatchedRequest request, final RequestEvent event) {
         request.apply(event);
         output.traces().recordState(request.id(), request.state().label(), request.reason());
     }
 
-    /** The request holds its worker's slot no longer, if it did. */
+    /** Releases the worker slot that a request holds, if it holds one. */
     void releaseWorkerSlot(final DispatchedRequest request) {
         if (request.holdsWorkerSlot()) {
             request.releaseWorkerSlot();
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Ends a request that did not run and never will. */
+    /** Ends a request as rejected: it did not run and never will. */
     void reject(final DispatchedRequest request, final Rejection rejection) {
         queues.remove(request);
         request.setReason(rejection.reason());
@@ -62,7 +62,10 @@
         delivery.reject(request, rejection);
     }
 
-    /** Ends a request that may have run and whose response can't be completed. */
+    /**
+     * Ends a request as lost: it may have run, and its response cannot be completed. If its worker has not indicated a start,
+     * the worker is ejected.
+     */
     void markLost(final DispatchedRequest request, final String reason, final long now) {
         releaseWorkerSlot(request);
         request.setReason(reason);
@@ -75,14 +78,14 @@
         delivery.write(request);
     }
 
-    /** Ends a request whose worker sent a trailer that matches. */
+    /** Ends a request as done: its worker sent a matching trailer. */
     void complete(final DispatchedRequest request) {
         releaseWorkerSlot(request);
         finish(request, RequestEvent.COMPLETE);
         delivery.write(request);
     }
 
-    /** Forgets the requests that ended long ago. */
+    /** Removes the ended requests whose retention is over. */
     void tick(final long now) {
         lastTick = now;
         final long before = now - settings.endedRetention();
@@ -93,7 +96,7 @@
         }
     }
 
-    /** Forgets an ended request now. */
+    /** Removes an ended request immediately. */
     void discard(final DispatchedRequest request) {
         delivery.close(request);
         requests.removeEnded(request);
--- a/core/src/main/java/silverlatch/dispatch/RequestQueue.java
+++ b/core/src/main/java/silverlatch/dispatch/RequestQueue.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The queue of a tenant's requests of one kind, how many of them are in flight, its place in the fair order, and its token
- * bucket. Owned by the dispatch event loop; times in microseconds.
+ * Queues a tenant's requests of one kind. Also holds how many of them are in flight, when one was last served in virtual time,
+ * and the token bucket of the rate limit. Used only by the dispatch event loop; times are in microseconds.
  */
 final class RequestQueue {
     private static final long SECOND = 1_000_000L;
@@ -19,84 +19,84 @@
     private double rateTokens = -1;
     private long refilledAt;
 
-    /** An empty queue that comes into the fair order at a virtual time; its token bucket is full. */
+    /** Creates an empty queue with a full token bucket, whose last service counts as the given virtual time. */
     RequestQueue(final String name, final String tenant, final double virtualTime) {
         this.name = name;
         this.tenant = tenant;
         this.lastServedVirtualTime = virtualTime;
     }
 
-    /** Its name: tenant and kind. */
+    /** Returns the queue's name, which consists of tenant and kind. */
     String name() {
         return name;
     }
 
-    /** Whose requests it holds. */
+    /** Returns the tenant whose requests the queue holds. */
     String tenant() {
         return tenant;
     }
 
-    /** How many requests wait. */
+    /** Returns how many requests are queued. */
     int size() {
         return requests.size();
     }
 
-    /** Whether no request waits. */
+    /** Returns whether no request is queued. */
     boolean isEmpty() {
         return requests.isEmpty();
     }
 
-    /** The request that goes next; the queue isn't empty. */
+    /** Returns the request at the head; the queue must not be empty. */
     DispatchedRequest first() {
         return requests.element();
     }
 
-    /** A copy of the requests that wait, first one first. */
+    /** Returns a copy of the queued requests, from head to tail. */
     List<DispatchedRequest> requests() {
         return List.copyOf(requests);
     }
 
-    /** Adds a request behind the others. */
+    /** Adds a request at the tail. */
     void addLast(final DispatchedRequest request) {
         requests.addLast(request);
     }
 
-    /** Puts a request before the others. */
+    /** Adds a request at the head. */
     void addFirst(final DispatchedRequest request) {
         requests.addFirst(request);
     }
 
-    /** Takes a request out; false if it didn't wait here. */
+    /** Removes a request; returns false if it wasn't queued here. */
     boolean remove(final DispatchedRequest request) {
         return requests.remove(request);
     }
 
-    /** The virtual time at which a request of it was last served. */
+    /** Returns the virtual time at which a request of this queue was last served. */
     double lastServedVirtualTime() {
         return lastServedVirtualTime;
     }
 
-    /** A request of it is in flight from now on. */
+    /** Counts a request as in flight and records the virtual time at which it was served. */
     void recordServed(final double virtualTime) {
         lastServedVirtualTime = virtualTime;
         inFlight++;
     }
 
-    /** A request of it is no longer in flight. */
+    /** Counts a request as no longer in flight. */
     void recordReleased() {
         inFlight--;
     }
 
-    /** How many of its requests hold a worker's slot. */
+    /** Returns how many requests of this queue hold a worker slot. */
     int inFlight() {
         return inFlight;
     }
 
     /**
-     * Takes a token from the bucket; false when there is none.
+     * Takes a token from the bucket; returns false if there is none.
      *
-     * @param rate  tokens a second
-     * @param burst the most tokens that the bucket holds
+     * @param rate  tokens added per second
+     * @param burst the capacity of the bucket in tokens
      */
     boolean tryAcquireRateToken(final double rate, final double burst, final long now) {
         rateTokens = rateTokens < 0 ? burst : Math.min(burst, rateTokens + (now - refilledAt) * rate / SECOND);
@@ -108,7 +108,10 @@
         return true;
     }
 
-    /** Whether nothing waits or is in flight and no placement was asked for in the last ten minutes. */
+    /**
+     * Returns whether no request is queued or in flight and no rate limit token was requested in the last ten minutes, that is,
+     * no placement.
+     */
     boolean isIdle(final long now) {
         return requests.isEmpty() && inFlight == 0 && now - refilledAt > IDLE_MICROS;
     }
--- a/core/src/main/java/silverlatch/dispatch/RequestRevoker.java
+++ b/core/src/main/java/silverlatch/dispatch/RequestRevoker.java
@@ -4,8 +4,9 @@
 import silverlatch.state.Value;
 
 /**
- * Ends requests that may not be served here any more: because their tenant's homes or key changed, because this gateway
- * joined anew, or because it stops. Owned by the dispatch event loop.
+ * Ends requests that this gateway may no longer serve: because their tenant was removed, its home regions or its key were
+ * changed, because this gateway has rejoined the cluster with a new incarnation, or because it shuts down. Used only by the
+ * dispatch event loop.
  */
 final class RequestRevoker {
     private final ClusterView cluster;
@@ -30,18 +31,18 @@
         this.output = output;
     }
 
-    /** Rejects all requests that wait. */
+    /** Rejects all queued requests. */
     void rejectQueued(final String reason) {
         queues.forEachQueued(request -> lifecycle.reject(request, Rejection.unavailable(reason)));
     }
 
-    /** Ends all open requests, as a process does at the end of its graceful shutdown. */
+    /** Ends all open requests. Called at the end of a graceful shutdown. */
     void shutdown(final long now) {
         rejectQueued("stopping");
         requests.forEachOpen(request -> revoke(request, "stopping", now));
     }
 
-    /** Ends what a new revision of the tenants' settings no longer allows here, and forgets such ended requests. */
+    /** Ends the open requests that a new revision of the policy no longer allows here, and removes such ended requests. */
     void revokeNoLongerAllowed(final long now) {
         requests.forEachOpen(request -> {
             final Optional<String> reason = revocationReason(request);
--- a/core/src/main/java/silverlatch/dispatch/RequestState.java
+++ b/core/src/main/java/silverlatch/dispatch/RequestState.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * Where a dispatched request stands. This is the only place that says which transitions are legal:
+ * The state of a dispatched request. The transitions below are the only legal ones, and they are defined only here:
  *
  * <pre>
  * NEW -> QUEUED -> STARTING -> RUNNING -> DONE
@@ -14,24 +14,24 @@
  *                        STARTING, RUNNING -> LOST
  * </pre>
  *
- * <p>A request that may have run is never REJECTED: clients submit a rejected request again.
+ * <p>Invariant: a request that may have run is never REJECTED, because clients submit a rejected request again.
  */
 enum RequestState {
-    /** Not admitted yet. */
+    /** Created, but not yet admitted to a queue. */
     NEW("new"),
-    /** Waits for a worker. */
+    /** Waits in a queue for a worker. */
     QUEUED("queued"),
-    /** Holds a slot of a worker and waits for the claim of its idempotency key to be committed. */
+    /** Holds a worker slot and waits until the claim of its idempotency key is committed. */
     CLAIMING("claiming"),
-    /** A worker was asked and gave no sign of having started. */
+    /** An attempt was sent to a worker, which has not yet indicated that it runs the request. */
     STARTING("asking"),
-    /** A worker runs it. */
+    /** A worker runs the request. */
     RUNNING("running"),
     /** Final: the response is complete. */
     DONE("done"),
-    /** Final: it did not run and never will. */
+    /** Final: the request did not run and never will. */
     REJECTED("rejected"),
-    /** Final: it may have run, and the response is incomplete. */
+    /** Final: the request may have run, and its response is incomplete. */
     LOST("lost");
 
     private static final Map<RequestState, Map<RequestEvent, RequestState>> TRANSITIONS = transitions();
@@ -70,9 +70,9 @@
     }
 
     /**
-     * The state that an event leads to.
+     * Returns the state that follows this one after an event.
      *
-     * @throws IllegalRequestTransitionException if this state does not take the event
+     * @throws IllegalRequestTransitionException if the event is illegal in this state
      */
     RequestState after(final RequestEvent event) {
         final RequestState next = TRANSITIONS.getOrDefault(this, Map.of()).get(event);
@@ -82,12 +82,12 @@
         return next;
     }
 
-    /** Whether nothing follows on this state. */
+    /** Returns whether this state has no transition to another one. */
     boolean isFinal() {
         return !TRANSITIONS.containsKey(this);
     }
 
-    /** The state's name in the API, in counters, in traces and in stored claims. */
+    /** Returns the state's name in the API, in counters, in traces and in stored claims. */
     String label() {
         return label;
     }
--- a/core/src/main/java/silverlatch/dispatch/RequestTable.java
+++ b/core/src/main/java/silverlatch/dispatch/RequestTable.java
@@ -10,8 +10,9 @@
 import silverlatch.dispatch.buffer.Slab;
 
 /**
- * All requests that a gateway has: open ones by id and by the operation they wait for, and ended ones that are kept to be
- * read again. It is bounded; ended requests count. Owned by the dispatch event loop.
+ * Holds all requests of a gateway: open ones, found by id and by the operation that they wait for, and ended ones, which are
+ * retained so that clients can read their responses again. Bounded; the bound includes the ended requests. Used only by the
+ * dispatch event loop.
  */
 final class RequestTable {
     private final Slab<DispatchedRequest> slab;
@@ -20,30 +21,30 @@
     private final Deque<EndedRequest> ended = new ArrayDeque<>();
     private long lastOperationId;
 
-    /** A request that has ended, and when, by the monotonic clock in microseconds. */
+    /** An ended request, and when it ended by the monotonic clock in microseconds. */
     private record EndedRequest(DispatchedRequest request, long endedAt) {}
 
-    /** A table for so many requests. */
+    /** Creates an empty table for at most the given number of requests. */
     RequestTable(final int capacity) {
         this.slab = new Slab<>(capacity);
     }
 
-    /** Whether no further request can be added. */
+    /** Returns whether no further request can be added. */
     boolean isFull() {
         return slab.used() >= slab.capacity();
     }
 
-    /** How many requests are open. */
+    /** Returns how many requests are open. */
     int openCount() {
         return openHandles.size();
     }
 
-    /** Whether a request of this id is open. */
+    /** Returns whether the request of an id is open. */
     boolean isOpen(final String requestId) {
         return openHandles.containsKey(requestId);
     }
 
-    /** Adds an open request; false when the table is full. */
+    /** Adds an open request and sets its handle; returns false if the table is full. */
     boolean add(final DispatchedRequest request) {
         final Optional<Long> handle = slab.insert(request);
         handle.ifPresent(inserted -> {
@@ -53,12 +54,12 @@
         return handle.isPresent();
     }
 
-    /** The request of a handle, open or ended. */
+    /** Returns the request of a handle, open or ended. */
     Optional<DispatchedRequest> byHandle(final long handle) {
         return slab.get(handle);
     }
 
-    /** The request of an id, open or ended. */
+    /** Returns the request of an id, open or ended. */
     Optional<DispatchedRequest> byId(final String requestId) {
         return Optional.ofNullable(openHandles.get(requestId))
                 .flatMap(slab::get)
@@ -68,7 +69,7 @@
                         .findFirst());
     }
 
-    /** Begins an operation of a request; the one before it is over. */
+    /** Begins a new operation of a request, which ends the previous one, and returns its id. */
     long beginOperation(final DispatchedRequest request) {
         handlesByOperation.remove(request.operationId());
         lastOperationId++;
@@ -77,12 +78,12 @@
         return lastOperationId;
     }
 
-    /** The operation that a request waits for is over; what still comes of it is ignored. */
+    /** Ends the operation that a request waits for; later events of it are ignored. */
     void endOperation(final DispatchedRequest request) {
         handlesByOperation.remove(request.operationId());
     }
 
-    /** The request that waits for an operation. */
+    /** Returns the request that waits for an operation. */
     Optional<DispatchedRequest> byOperation(final long operationId) {
         return Optional.ofNullable(handlesByOperation.get(operationId))
                 .flatMap(slab::get)
@@ -96,19 +97,19 @@
         }
     }
 
-    /** An open request has ended; it is kept to be read again. */
+    /** Marks an open request as ended; it is retained so that its response can be read again. */
     void end(final DispatchedRequest request, final long endedAt) {
         handlesByOperation.remove(request.operationId());
         openHandles.remove(request.id());
         ended.add(new EndedRequest(request, endedAt));
     }
 
-    /** The ended requests that are kept, oldest first. */
+    /** Returns the retained ended requests, oldest first. */
     List<DispatchedRequest> ended() {
         return ended.stream().map(EndedRequest::request).toList();
     }
 
-    /** Takes out the oldest ended request if it ended before the time, or if more than the capacity are kept. */
+    /** Removes the oldest ended request if it ended before the given time, or if more ended ones than the capacity are held. */
     Optional<DispatchedRequest> removeOldestEnded(final long before) {
         final EndedRequest oldest = ended.peek();
         if (oldest == null || oldest.endedAt() >= before && ended.size() <= slab.capacity()) {
@@ -119,7 +120,7 @@
         return Optional.of(oldest.request());
     }
 
-    /** Takes out an ended request. */
+    /** Removes an ended request. */
     void removeEnded(final DispatchedRequest request) {
         ended.removeIf(kept -> kept.request() == request);
         slab.remove(request.handle());
--- a/core/src/main/java/silverlatch/dispatch/ResponseChecker.java
+++ b/core/src/main/java/silverlatch/dispatch/ResponseChecker.java
@@ -5,8 +5,8 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * Holds what a worker sends to the protocol: chunks of this request and attempt, numbered without a gap or a repeat, and
- * a trailer that fits all of them.
+ * Checks that the records from a worker follow the protocol: chunks of this request and attempt, numbered without gap or
+ * repetition, followed by a trailer whose chunk count and digest match them.
  */
 final class ResponseChecker {
     private final Safeguards safeguards;
@@ -15,7 +15,7 @@
         this.safeguards = safeguards;
     }
 
-    /** What is wrong with a record as the next one of a request's response, or nothing. */
+    /** Returns why a record is invalid as the next one of a request's response, or empty if it is valid. */
     Optional<String> violation(final DispatchedRequest request, final StreamRecord received) {
         return switch (received) {
             case StreamRecord.Chunk chunk -> violation(request, chunk);
--- a/core/src/main/java/silverlatch/dispatch/ResponseStream.java
+++ b/core/src/main/java/silverlatch/dispatch/ResponseStream.java
@@ -8,15 +8,15 @@
 import silverlatch.util.Digests;
 
 /**
- * The records of one response in the order in which they came, and the running digest that the worker's trailer has to
- * match. It is kept whole for clients that come back. Owned by the dispatch event loop.
+ * Buffers the records of one response in the order of their arrival, and computes the digest that the worker's trailer has to
+ * match. All records are kept for clients that reconnect. Used only by the dispatch event loop.
  */
 final class ResponseStream {
     private final List<StreamRecord> records = new ArrayList<>();
     private final MessageDigest digest = Digests.newSha256();
     private long bytes;
 
-    /** Adds a chunk to the response. */
+    /** Appends a chunk to the response. */
     void append(final StreamRecord.Chunk chunk) {
         final byte[] text = chunk.text().getBytes(StandardCharsets.UTF_8);
         records.add(chunk);
@@ -24,32 +24,33 @@
         bytes += text.length;
     }
 
-    /** Adds the record after which nothing follows. */
+    /** Appends the last record, a trailer or a lost record. */
     void end(final StreamRecord last) {
         records.add(last);
     }
 
-    /** How many records there are. */
+    /** Returns the number of records. */
     int size() {
         return records.size();
     }
 
-    /** Bytes of text in the chunks. */
+    /** Returns the size of the text of all chunks, in bytes of UTF-8. */
     long bytes() {
         return bytes;
     }
 
-    /** A view of the records from the first index up to and without the second. */
+    /** Returns a view of the records from index {@code from}, inclusive, to index {@code to}, exclusive. */
     List<StreamRecord> records(final int from, final int to) {
         return records.subList(from, to);
     }
 
-    /** SHA-256 of the chunks so far, in hexadecimal digits. */
+    /** Returns the SHA-256 digest of the text of the chunks received so far, in hexadecimal digits. */
     String sha256() {
         try {
             return HexFormat.of().formatHex(((MessageDigest) digest.clone()).digest());
         } catch (final CloneNotSupportedException unsupported) {
-            throw new IllegalStateException("SHA-256 can't be cloned", unsupported);
+            throw new IllegalStateException(
+                    "the SHA-256 implementation of this Java runtime does not support clone()", unsupported);
         }
     }
 }
--- a/core/src/main/java/silverlatch/dispatch/RetryBudget.java
+++ b/core/src/main/java/silverlatch/dispatch/RetryBudget.java
@@ -1,9 +1,10 @@
 package silverlatch.dispatch;
 
 /**
- * The budget for retries and hedged requests, as in Finagle: each request adds a part of a retry, each retry takes a whole
- * one. The balance never exceeds that part of the requests of the last two to four seconds, or 1, so that a burst after a
- * quiet time stays small. Not thread-safe; times in microseconds.
+ * Limits retries and hedged requests to a fraction of the requests, like the retry budget of Finagle: each request adds the
+ * retry ratio to the balance, and each retry takes 1 from it. The balance never exceeds the retry ratio times the number of
+ * requests in the last two to four seconds, or 1 if that is more, so that a burst of retries after an idle time stays small.
+ * Not thread-safe; times are in microseconds.
  */
 public final class RetryBudget {
     private static final long WINDOW_MICROS = 2_000_000L;
@@ -14,24 +15,24 @@
     private long requestsInPreviousWindow;
 
     /**
-     * A budget.
+     * Creates a budget.
      *
-     * @param retryRatio     the part of a retry that each request adds
-     * @param initialBalance the retries that can be made before any request
+     * @param retryRatio     the number of retries that each request adds, less than 1
+     * @param initialBalance the number of retries that are allowed before any request
      */
     public RetryBudget(final double retryRatio, final double initialBalance) {
         this.retryRatio = retryRatio;
         this.balance = initialBalance;
     }
 
-    /** A request is sent for the first time. */
+    /** Records the first attempt of a request, which adds to the balance. */
     public void recordRequest(final long now) {
         rollWindow(now);
         requestsInWindow++;
         balance = Math.min(limit(), balance + retryRatio);
     }
 
-    /** Takes a retry out of the budget; false, with nothing taken, when there is none. */
+    /** Takes one retry from the balance; returns false, and takes nothing, if the balance is below 1. */
     public boolean tryAcquire(final long now) {
         rollWindow(now);
         balance = Math.min(limit(), balance);
--- a/core/src/main/java/silverlatch/dispatch/StreamDelivery.java
+++ b/core/src/main/java/silverlatch/dispatch/StreamDelivery.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * Writes responses to the calls that read them, one write of bounded size for each time that a transport says it can take
- * more. Owned by the dispatch event loop.
+ * Writes responses to the calls that read them. A call gets one write of bounded size each time its transport signals that it
+ * can accept more. Used only by the dispatch event loop.
  */
 final class StreamDelivery {
     private static final int MAX_RECORDS_PER_WRITE = 256;
@@ -20,12 +20,12 @@
         this.output = output;
     }
 
-    /** The call that submitted a request reads its response. */
+    /** Registers the call that submitted a request as the reader of its response. */
     void open(final DispatchedRequest request, final long callId) {
         handlesByCall.put(callId, request.handle());
     }
 
-    /** A call reads a response from a record on; the one that read it before, if another, is ended. */
+    /** Makes a call the reader of a response from the given record on; ends the stream of the previous reader if there is one. */
     void attach(final DispatchedRequest request, final long callId, final int firstRecord) {
         request.reader().callId().filter(previous -> previous != callId).ifPresent(this::endCall);
         request.reader().attach(callId, firstRecord);
@@ -33,7 +33,7 @@
         write(request);
     }
 
-    /** The transport of a call can take more. */
+    /** Handles the event that the transport of a call can accept the next write. */
     void readerReady(final long callId) {
         Optional.ofNullable(handlesByCall.get(callId))
                 .flatMap(requests::byHandle)
@@ -44,7 +44,7 @@
                 });
     }
 
-    /** The connection of a call went away; gives the request that it read. */
+    /** Handles the loss of a call's connection; returns the request whose response the call read. */
     Optional<DispatchedRequest> readerDisconnected(final long callId, final long now) {
         final Optional<DispatchedRequest> read = Optional.ofNullable(handlesByCall.remove(callId))
                 .flatMap(requests::byHandle)
@@ -53,7 +53,7 @@
         return read;
     }
 
-    /** Sends what the reader has not got yet, if it is ready. */
+    /** Writes the next records that the reader has not received, if it is ready. */
     void write(final DispatchedRequest request) {
         final StreamReader reader = request.reader();
         final int size = request.response().size();
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Answers the reader, if there is one, with a refusal instead of a stream. */
+    /** Replies to the reader, if there is one, with a rejection instead of a stream. */
     void reject(final DispatchedRequest request, final Rejection rejection) {
         request.reader().callId().ifPresent(callId -> {
             handlesByCall.remove(callId);
@@ -81,7 +81,7 @@
         request.reader().detach();
     }
 
-    /** Ends the reader's stream, if there is one, without a further record. */
+    /** Ends the reader's stream, if there is a reader, without a further record. */
     void close(final DispatchedRequest request) {
         request.reader().callId().ifPresent(this::endCall);
     }
--- a/core/src/main/java/silverlatch/dispatch/StreamReader.java
+++ b/core/src/main/java/silverlatch/dispatch/StreamReader.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 
 /**
- * The client's side of one response stream: at most one call reads it at a time. A reader is ready when the transport
- * can take more; it gets one write for each time that it becomes ready. Times in microseconds.
+ * The client's side of one response stream, which at most one call reads at a time. A reader is ready when its transport can
+ * accept more; it gets one write each time it becomes ready. Times are in microseconds.
  */
 final class StreamReader {
     private Optional<Long> callId;
@@ -12,22 +12,22 @@
     private boolean ready = true;
     private int nextRecord;
 
-    /** A reader from the first record on. */
+    /** Creates a reader that starts with the first record. */
     StreamReader(final long callId) {
         this.callId = Optional.of(callId);
     }
 
-    /** The call that reads, if there is one. */
+    /** Returns the call that reads the response, if there is one. */
     Optional<Long> callId() {
         return callId;
     }
 
-    /** Whether this call is the one that reads. */
+    /** Returns whether the given call reads the response. */
     boolean isCall(final long other) {
         return callId.map(current -> current == other).orElse(false);
     }
 
-    /** Another call reads from a record on. */
+    /** Makes another call read the response from the given record on. */
     void attach(final long newCallId, final int firstRecord) {
         callId = Optional.of(newCallId);
         disconnectedAt = Optional.empty();
@@ -35,39 +35,39 @@
         ready = true;
     }
 
-    /** Nobody reads any more because the stream has ended or was refused. */
+    /** Removes the call because the stream has ended or the request was rejected. */
     void detach() {
         callId = Optional.empty();
     }
 
-    /** The client's connection went away. */
+    /** Records that the client's connection was lost. */
     void disconnected(final long now) {
         callId = Optional.empty();
         disconnectedAt = Optional.of(now);
     }
 
-    /** Whether the client has been gone for longer than the time. */
+    /** Returns whether the client has been disconnected for longer than the given time. */
     boolean isAbsentLongerThan(final long time, final long now) {
         return disconnectedAt.map(at -> now - at > time).orElse(false);
     }
 
-    /** The transport can take more. */
+    /** Records that the transport can accept the next write. */
     void markReady() {
         ready = true;
     }
 
-    /** Whether a call reads and its transport can take more. */
+    /** Returns whether a call reads the response and its transport can accept the next write. */
     boolean isReady() {
         return callId.isPresent() && ready;
     }
 
-    /** Records up to and without this index were sent; the transport has to become ready before the next write. */
+    /** Records that all records before index {@code end} were sent; the reader isn't ready until its transport signals so. */
     void markSentUpTo(final int end) {
         nextRecord = end;
         ready = false;
     }
 
-    /** How many records were sent, which is the index of the next one. */
+    /** Returns the index of the next record to send. */
     int nextRecord() {
         return nextRecord;
     }
--- a/core/src/main/java/silverlatch/dispatch/SubmissionHandler.java
+++ b/core/src/main/java/silverlatch/dispatch/SubmissionHandler.java
@@ -10,8 +10,8 @@
 import silverlatch.util.Digests;
 
 /**
- * Admits a request that is submitted with a permit: the permit is checked and spent, the request is queued, and where
- * there is no capacity one of lower priority is shed for it. Owned by the dispatch event loop.
+ * Admits requests that clients submit with a permit: verifies the permit, marks it as used, and queues the request. If the
+ * queues are full, sheds a queued request of lower priority instead. Used only by the dispatch event loop.
  */
 final class SubmissionHandler {
     private final DispatcherSettings settings;
@@ -48,7 +48,7 @@
         this.output = output;
     }
 
-    /** Takes a submitted request; true when it was queued. */
+    /** Admits or rejects a submitted request; returns true if it was queued. */
     boolean handle(final SubmittedRequest submitted, final long callId, final long now) {
         output.count("tickets");
         final Optional<Permit> verified = signer.verify(submitted.permit());
@@ -88,7 +88,10 @@
                 : Optional.empty();
     }
 
-    /** Whether the permit is older than the memory of spent permits, so that it may have been used. */
+    /**
+     * Returns whether this gateway may have forgotten that the permit was used: the permit is of another incarnation of the
+     * gateway, or its expiry is too long ago.
+     */
     private boolean isOutsideUsedPermitHistory(final Permit permit, final long now) {
         return permit.incarnation() != cluster.snapshot().self().incarnation()
                 || now - permit.expiry() > settings.permitRetention();
@@ -148,7 +151,7 @@
         return Optional.of(Rejection.retryable(statusCode, reason, Rejection.SECOND_MICROS));
     }
 
-    /** Whether the queue has capacity, if need be after a request of lower priority was shed. */
+    /** Returns whether there is capacity to queue a request, if necessary after shedding one of lower priority. */
     private boolean hasCapacity(final Permit permit, final Value.Tenant tenant, final Value.Row row) {
         final int maxQueued = Math.max(1, row.maxQueued() / cluster.gatewayCount(tenant));
         return queues.queueOf(permit.tenant(), permit.kind()).size() < maxQueued && shedIfFull(row.priority());
@@ -167,7 +170,10 @@
         return shed.isPresent();
     }
 
-    /** The worker that the permit names, unless what its choice rested on has changed since. */
+    /**
+     * Returns the worker that the permit names, unless the choice is stale: the replicated state has a newer revision, or the
+     * worker's zone was evacuated since.
+     */
     private Optional<String> preferredWorker(final Permit permit) {
         final ClusterSnapshot snapshot = cluster.snapshot();
         final boolean isEvacuated = Optional.ofNullable(snapshot.workers().get(permit.worker()))
@@ -181,7 +187,7 @@
         return Optional.of(permit.worker()).filter(worker -> !worker.isEmpty());
     }
 
-    /** Refuses a request whose permit is spent by now. */
+    /** Rejects a request whose permit was already marked as used. */
     private void reject(final long callId, final Permit permit, final Rejection rejection) {
         output.traces().recordState(permit.requestId(), RequestState.REJECTED.label(), rejection.reason());
         output.count(RequestState.REJECTED.label());
--- a/core/src/main/java/silverlatch/dispatch/TenantShare.java
+++ b/core/src/main/java/silverlatch/dispatch/TenantShare.java
@@ -1,20 +1,25 @@
 package silverlatch.dispatch;
 
-/** A tenant's place in the weighted fair order of {@link FairQueues}. */
+/** The virtual finish time of a tenant, by which {@link FairQueues} orders tenants. */
 final class TenantShare {
     private double virtualFinishTime;
 
-    /** A tenant that comes into the order at a virtual time. */
+    /** Creates the share of a tenant that becomes active at the given virtual time. */
     TenantShare(final double virtualTime) {
         this.virtualFinishTime = virtualTime;
     }
 
-    /** The virtual time at which the newest request of the tenant that was served is paid for. */
+    /** Returns the virtual time at which the tenant's most recently served request finishes. */
     double virtualFinishTime() {
         return virtualFinishTime;
     }
 
-    /** A request is served that starts at a virtual time and costs so much over the tenant's quota share. */
+    /**
+     * Charges the tenant for a request.
+     *
+     * @param start        the virtual time at which the request starts
+     * @param weightedCost the request's cost divided by the tenant's quota share
+     */
     void charge(final double start, final double weightedCost) {
         virtualFinishTime = start + weightedCost;
     }
--- a/core/src/main/java/silverlatch/dispatch/TraceLog.java
+++ b/core/src/main/java/silverlatch/dispatch/TraceLog.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 import silverlatch.placement.WeightedScorers;
 
-/** What is remembered of the newest requests so that their placement can be explained. Bounded; not thread-safe. */
+/** Keeps traces of the newest requests, by which their placement can be explained. Bounded; not thread-safe. */
 public final class TraceLog {
     private final int capacity;
     private final LinkedHashMap<String, RequestTrace> traces = new LinkedHashMap<>();
 
-    /** A log of so many requests. */
+    /** Creates a log of at most the given number of requests. */
     public TraceLog(final int capacity) {
         this.capacity = capacity;
     }
@@ -18,16 +18,16 @@
     /**
      * The trace of one request.
      *
-     * @param requestId its id
-     * @param tenant    its tenant, or empty
-     * @param kind      its kind, or the name of its route
-     * @param worker    the worker that was chosen, or empty
-     * @param revision  the revision of the configuration at that time
-     * @param timestamp the timestamp of the choice
-     * @param state     where the request stands
-     * @param reason    why it ended so, or empty
-     * @param attempts  how many attempts were made before the choice
-     * @param scores    what the scorers said of each worker
+     * @param requestId the request's id
+     * @param tenant    the request's tenant, or empty
+     * @param kind      the request's kind, or the name of its route
+     * @param worker    the chosen worker, or empty
+     * @param revision  the revision of the configuration when the worker was chosen
+     * @param timestamp when the worker was chosen, by the cluster's clock
+     * @param state     the label of the request's state
+     * @param reason    why the request ended in that state, or empty
+     * @param attempts  the number of attempts before the choice
+     * @param scores    the results of the scorers for each worker
      */
     public record RequestTrace(
             String requestId,
@@ -40,7 +40,7 @@
             String reason,
             int attempts,
             List<WeightedScorers.WeightedScore> scores) {
-        /** Copies the scores. */
+        /** Makes a defensive copy of the scores. */
         public RequestTrace {
             scores = List.copyOf(scores);
         }
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Puts a trace in the place of an older one of the request; the oldest request is forgotten when there are too many. */
+    /** Adds a trace, which replaces an older one of the same request; removes the oldest trace if the capacity is exceeded. */
     public void put(final RequestTrace trace) {
         traces.remove(trace.requestId());
         traces.put(trace.requestId(), trace);
@@ -60,12 +60,12 @@
         }
     }
 
-    /** Notes where a request stands, if it is remembered. */
+    /** Records a request's state and the reason for it, if there is a trace of the request. */
     public void recordState(final String requestId, final String state, final String reason) {
         traces.computeIfPresent(requestId, (id, trace) -> trace.withState(state, reason));
     }
 
-    /** The trace of a request. */
+    /** Returns the trace of a request, if it is kept. */
     public Optional<RequestTrace> get(final String requestId) {
         return Optional.ofNullable(traces.get(requestId));
     }
--- a/core/src/main/java/silverlatch/dispatch/UsedPermits.java
+++ b/core/src/main/java/silverlatch/dispatch/UsedPermits.java
@@ -6,30 +6,34 @@
 import java.util.function.Predicate;
 
 /**
- * The permits that were used: a permit admits its request once. They are remembered for longer than a permit is accepted.
- * Owned by the dispatch event loop; times in microseconds.
+ * Remembers the permits that were used, since a permit admits its request only once. They are kept for longer than a permit is
+ * accepted. Used only by the dispatch event loop; times are in microseconds.
  */
 final class UsedPermits {
     private static final int RETENTION_FACTOR = 3;
     private final long retention;
     private final Map<String, Long> expiryByRequest = new LinkedHashMap<>();
 
-    /** Remembers permits for three times the retention after their expiry, and as long as their request is open. */
+    /**
+     * Creates an empty set of permits.
+     *
+     * @param retention a third of the time for which a permit is kept after its expiry; one whose request is open is kept longer
+     */
     UsedPermits(final long retention) {
         this.retention = retention;
     }
 
-    /** Whether the permit of a request was used. */
+    /** Returns whether the permit of a request was used. */
     boolean contains(final String requestId) {
         return expiryByRequest.containsKey(requestId);
     }
 
-    /** A request's permit is used now. */
+    /** Records that the permit of a request, which expires at the given time, is used. */
     void add(final String requestId, final long expiry) {
         expiryByRequest.put(requestId, expiry);
     }
 
-    /** Forgets permits whose time is over, oldest first; those of open requests stay. */
+    /** Removes the permits whose retention has ended, except those of open requests. */
     void removeExpired(final long now, final Predicate<String> isOpen) {
         final Iterator<Map.Entry<String, Long>> permits =
                 expiryByRequest.entrySet().iterator();
--- a/core/src/main/java/silverlatch/dispatch/WorkerUsage.java
+++ b/core/src/main/java/silverlatch/dispatch/WorkerUsage.java
@@ -6,11 +6,12 @@
 import silverlatch.placement.PlacementInput;
 
 /**
- * What this gateway knows of its own attempts at one worker, beside the worker's reports. A report counts the attempts that
- * were sent before it was made; those sent since are counted here. Owned by the dispatch event loop; times in microseconds.
+ * Tracks this gateway's own attempts at one worker, in addition to the worker's reports. A report includes the attempts that
+ * were sent before it was made; those sent since then are counted here. Also tracks the worker's ejection and the start of its
+ * slow start. Used only by the dispatch event loop; times are readings of the monotonic clock in microseconds.
  */
 final class WorkerUsage {
-    /** A worker whose reports were further apart than this counts as returned and starts slowly again. */
+    /** A worker that was silent for longer than this between two reports goes through slow start again. */
     private static final long MAX_REPORT_GAP_MICROS = 3_000_000L;
 
     private final Deque<Long> sendTimes = new ArrayDeque<>();
@@ -21,12 +22,15 @@
     private long newestReportAt = Long.MIN_VALUE;
     private long recoveredAt = Long.MIN_VALUE / 2;
 
-    /** No attempts yet at a worker of this incarnation. */
+    /** Creates a record without attempts for a worker of this incarnation. */
     WorkerUsage(final long incarnation) {
         this.incarnation = incarnation;
     }
 
-    /** Takes a report of the worker. */
+    /**
+     * Processes a report of the worker. A new incarnation, or a report after a silence, restarts the worker's slow start. A
+     * newer report resets the counts of attempts that the previous one could not include.
+     */
     void observe(final Gossip.ObservedWorker report, final long now) {
         if (report.worker().incarnation() != incarnation) {
             incarnation = report.worker().incarnation();
@@ -46,29 +50,29 @@
         });
     }
 
-    /** An attempt takes a slot there. */
+    /** Counts an attempt that takes a slot of the worker. */
     void attemptStarted(final long now) {
         inFlight++;
         sendTimes.add(now);
     }
 
-    /** An attempt gives its slot back. */
+    /** Counts an attempt that has released its slot. */
     void attemptEnded() {
         inFlight--;
         endedSinceReport++;
     }
 
-    /** Nothing new goes there until this time. */
+    /** Ejects the worker until the given time: it gets no new attempts. */
     void ejectUntil(final long time) {
         ejectedUntil = time;
     }
 
-    /** Whether no attempt holds a slot there. */
+    /** Returns whether no attempt of this gateway holds a slot of the worker. */
     boolean isUnused() {
         return inFlight == 0;
     }
 
-    /** The worker as the scorers see it. */
+    /** Returns the scorers' input about the worker. */
     PlacementInput placementInput(final Gossip.ObservedWorker report, final long now, final int gatewayCount) {
         return new PlacementInput(
                 report.worker(),
--- a/core/src/main/java/silverlatch/dispatch/WorkerUsageTable.java
+++ b/core/src/main/java/silverlatch/dispatch/WorkerUsageTable.java
@@ -8,22 +8,26 @@
 import silverlatch.gossip.Gossip;
 import silverlatch.placement.PlacementInput;
 
-/** What this gateway knows of its own attempts at each worker. Owned by the dispatch event loop. */
+/** Tracks this gateway's own attempts at each worker. Used only by the dispatch event loop. */
 final class WorkerUsageTable {
     private final long ejectionTime;
     private final Map<String, WorkerUsage> usageByWorker = new HashMap<>();
 
-    /** A table in which a worker that failed an attempt is ejected for so many microseconds. */
+    /**
+     * Creates an empty table.
+     *
+     * @param ejectionTime for how many microseconds a worker is ejected after an attempt failed there
+     */
     WorkerUsageTable(final long ejectionTime) {
         this.ejectionTime = ejectionTime;
     }
 
-    /** Takes new reports of workers. */
+    /** Processes the newest reports of workers. */
     void observe(final Map<String, Gossip.ObservedWorker> reports, final long now) {
         reports.values().forEach(report -> usageOf(report).observe(report, now));
     }
 
-    /** Forgets the workers without a report where nothing of this gateway is in flight. */
+    /** Removes the workers that have no report and no attempt of this gateway in flight. */
     void retain(final Map<String, Gossip.ObservedWorker> reports) {
         usageByWorker
                 .entrySet()
@@ -31,22 +35,22 @@
                         !reports.containsKey(usage.getKey()) && usage.getValue().isUnused());
     }
 
-    /** An attempt takes a slot of a worker. */
+    /** Counts an attempt that takes a slot of a worker. */
     void attemptStarted(final String worker, final long now) {
         usageByWorker.get(worker).attemptStarted(now);
     }
 
-    /** An attempt gives its slot back. */
+    /** Counts an attempt that has released its slot; a worker that is no longer tracked is ignored. */
     void attemptEnded(final String worker) {
         Optional.ofNullable(usageByWorker.get(worker)).ifPresent(WorkerUsage::attemptEnded);
     }
 
-    /** An attempt failed there: nothing new goes there for a while. */
+    /** Ejects a worker for the ejection time after an attempt failed there: it gets no new attempts. */
     void eject(final String worker, final long now) {
         Optional.ofNullable(usageByWorker.get(worker)).ifPresent(usage -> usage.ejectUntil(now + ejectionTime));
     }
 
-    /** All workers that are known, as the scorers see them, ordered by id. */
+    /** Returns the scorers' input about all known workers, ordered by worker id. */
     List<PlacementInput> placementInputs(final ClusterView cluster, final long now) {
         final int gatewayCount = cluster.gatewayCount();
         return cluster.snapshot().workers().values().stream()
--- a/core/src/main/java/silverlatch/dispatch/buffer/Slab.java
+++ b/core/src/main/java/silverlatch/dispatch/buffer/Slab.java
@@ -6,8 +6,11 @@
 import silverlatch.util.Lists;
 
 /**
- * A bounded slab with generations: an element is found by a handle that holds its slot and the slot's generation, so that
- * the handle of a removed element never finds the one that came into its slot. Handles are positive. Not thread-safe.
+ * A bounded slab with generations. A handle combines the index of a slot with the generation of that slot, which grows each time
+ * the slot is reused; so the handle of a removed element never finds a later element in the same slot. Handles are positive. Not
+ * thread-safe.
+ *
+ * @param <T> the type of the elements
  */
 public final class Slab<T> {
     private static final int INDEX_BITS = 24;
@@ -18,18 +21,18 @@
     private int used;
 
     /**
-     * An empty slab.
+     * Creates an empty slab.
      *
      * @throws IllegalArgumentException if the capacity is less than 1, or 2^24 or more
      */
     public Slab(final int capacity) {
         if (capacity < 1 || capacity >= 1 << INDEX_BITS) {
-            throw new IllegalArgumentException("a slab has 1 to " + (1 << INDEX_BITS) + " places");
+            throw new IllegalArgumentException("slab capacity must be at least 1 and less than " + (1 << INDEX_BITS));
         }
         this.capacity = capacity;
     }
 
-    /** Adds an element and gives its handle, or nothing when the slab is full. */
+    /** Adds an element and returns its handle, or empty if the slab is full. */
     public Optional<Long> insert(final T element) {
         if (used == capacity) {
             return Optional.empty();
@@ -48,7 +51,7 @@
         return Optional.of(generations.get(slot) << INDEX_BITS | slot);
     }
 
-    /** The element of a handle, unless it was removed. */
+    /** Returns the element of a handle, or empty if it was removed or the handle is unknown. */
     public Optional<T> get(final long handle) {
         final int slot = slotOf(handle);
         return handle > 0 && slot < slots.size() && generations.get(slot) == handle >> INDEX_BITS
@@ -56,7 +59,7 @@
                 : Optional.empty();
     }
 
-    /** Removes and gives the element of a handle, unless it was removed before. */
+    /** Removes and returns the element of a handle, or returns empty if it was removed before or the handle is unknown. */
     public Optional<T> remove(final long handle) {
         final Optional<T> removed = get(handle);
         if (removed.isPresent()) {
@@ -72,12 +75,12 @@
         return (int) (handle & (1 << INDEX_BITS) - 1);
     }
 
-    /** How many elements there are. */
+    /** Returns the number of elements. */
     public int used() {
         return used;
     }
 
-    /** How many elements there can be. */
+    /** Returns the maximum number of elements. */
     public int capacity() {
         return capacity;
     }
--- a/core/src/main/java/silverlatch/dispatch/buffer/package-info.java
+++ b/core/src/main/java/silverlatch/dispatch/buffer/package-info.java
@@ -1,2 +1,2 @@
-/** A bounded store of requests whose handles are never mistaken for one another. */
+/** A bounded store of elements whose handles are never reused. */
 package silverlatch.dispatch.buffer;
--- a/core/src/main/java/silverlatch/dispatch/permit/Permit.java
+++ b/core/src/main/java/silverlatch/dispatch/permit/Permit.java
@@ -3,18 +3,18 @@
 import silverlatch.clock.Stamp;
 
 /**
- * The right to submit one request to one incarnation of one gateway within a short time.
+ * Allows a client to submit one request, once, to one incarnation of one gateway before an expiry.
  *
  * @param requestId      the request's id
- * @param tenant         its tenant
- * @param kind           its kind
- * @param worker         the worker that was chosen for it, or empty
- * @param gateway        the id of the gateway that takes it
+ * @param tenant         the request's tenant
+ * @param kind           the request's kind
+ * @param worker         the worker chosen for the request, or empty
+ * @param gateway        the id of the gateway that accepts the permit
  * @param incarnation    that gateway's incarnation
- * @param revision       the revision of the replicated state that the choice rests on
- * @param timestamp      the choice's timestamp of the cluster's clock
- * @param expiry         when it can no longer be used, by that gateway's monotonic clock in microseconds
- * @param idempotencyKey the client's key under which the request runs once only, or empty
+ * @param revision       the revision of the replicated state that the choice of the worker is based on
+ * @param timestamp      when the worker was chosen, by the cluster's clock
+ * @param expiry         when the permit expires, by the gateway's monotonic clock in microseconds
+ * @param idempotencyKey the client's key under which the request runs at most once, or empty
  */
 public record Permit(
         String requestId,
@@ -27,7 +27,7 @@
         Stamp timestamp,
         long expiry,
         String idempotencyKey) {
-    /** Whether the client named a key under which the request runs once only. */
+    /** Returns whether the request has an idempotency key. */
     public boolean hasIdempotencyKey() {
         return !idempotencyKey.isEmpty();
     }
--- a/core/src/main/java/silverlatch/dispatch/permit/PermitSigner.java
+++ b/core/src/main/java/silverlatch/dispatch/permit/PermitSigner.java
@@ -17,12 +17,12 @@
     private static final String SEPARATOR = "|";
     private final byte[] clusterKey;
 
-    /** A signer with the cluster's key. */
+    /** Creates a signer with the cluster's key. */
     public PermitSigner(final String clusterKey) {
         this.clusterKey = clusterKey.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The permit as text with its signature: two base64url parts and a dot between them. */
+    /** Returns the permit and its signature as text: two base64url parts, separated by a dot. */
     public String sign(final Permit permit) {
         final String body = Base64.getUrlEncoder()
                 .withoutPadding()
@@ -42,7 +42,7 @@
         return body + "." + Base64.getUrlEncoder().withoutPadding().encodeToString(mac(body));
     }
 
-    /** The permit, if the text was signed with the cluster's key. */
+    /** Returns the permit of a text, or empty if the text is malformed or wasn't signed with the cluster's key. */
     public Optional<Permit> verify(final String text) {
         final int dot = text.indexOf('.');
         if (dot < 0 || text.length() > 4096) {
@@ -76,8 +76,10 @@
             final Mac mac = Mac.getInstance("HmacSHA256");
             mac.init(new SecretKeySpec(clusterKey, "HmacSHA256"));
             return mac.doFinal(body.getBytes(StandardCharsets.UTF_8));
-        } catch (final GeneralSecurityException missing) {
-            throw new IllegalStateException("the JDK lacks an algorithm that each one has", missing);
+        } catch (final GeneralSecurityException unsupported) {
+            throw new IllegalStateException(
+                    "this Java runtime cannot compute HmacSHA256, which every Java runtime has to support",
+                    unsupported);
         }
     }
 }
--- a/core/src/main/java/silverlatch/dispatch/permit/package-info.java
+++ b/core/src/main/java/silverlatch/dispatch/permit/package-info.java
@@ -1,2 +1,2 @@
-/** Permits: what a client submits a request with, signed with the cluster's key. */
+/** Permits, signed with the cluster's key, with which clients submit requests. */
 package silverlatch.dispatch.permit;
--- a/core/src/test/java/silverlatch/dispatch/DispatcherAttemptTest.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherAttemptTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.util.Lists;
 
-/** What a dispatcher does with attempts, their streams and their readers. */
+/**
+ * Tests attempts at a dispatcher, their response streams and their readers. Guards against retrying a request that may have run,
+ * against completing a stream that violates the protocol, and against retries beyond the budget.
+ */
 final class DispatcherAttemptTest extends DispatcherFixture {
     @Test
     void runsARequestAndStreamsItsResponseUpToTheTrailer() {
@@ -43,7 +46,9 @@
             dispatcher.recordReceived(lastAttempt().operationId(), violation.apply(lastAttempt()), now);
             collectEffects();
             assertThat(Lists.last(recordsSentTo(callId)) instanceof StreamRecord.Lost, is(true));
-            assertThat(recordsSentTo(callId).stream().anyMatch(l -> l instanceof StreamRecord.Trailer), is(false));
+            assertThat(
+                    recordsSentTo(callId).stream().anyMatch(streamed -> streamed instanceof StreamRecord.Trailer),
+                    is(false));
         }
     }
 
@@ -54,13 +59,14 @@
             now += 1_100_000;
             refreshReports();
             final long callId = submit("one", place("one", "ask", "").permit());
-            final int before = effectsOf(DispatchEffect.StartAttempt.class).size();
+            final int attemptsBefore =
+                    effectsOf(DispatchEffect.StartAttempt.class).size();
             dispatcher.attemptFailed(lastAttempt().operationId(), false, "denied", now);
             now += 1_100_000;
             refreshReports();
             dispatcher.tick(now);
             collectEffects();
-            if (effectsOf(DispatchEffect.StartAttempt.class).size() > before) {
+            if (effectsOf(DispatchEffect.StartAttempt.class).size() > attemptsBefore) {
                 retries++;
                 dispatcher.attemptFailed(lastAttempt().operationId(), true, "broke", now);
                 collectEffects();
@@ -85,7 +91,7 @@
         dispatcher.tick(now);
         collectEffects();
         final DispatchEffect.StartAttempt retry = lastAttempt();
-        assertThat("it was queued and is tried once more", retry.operationId() > failed.operationId(), is(true));
+        assertThat("the request was queued and is retried once", retry.operationId() > failed.operationId(), is(true));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/dispatch/DispatcherFixture.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherFixture.java
@@ -19,7 +19,7 @@
 import silverlatch.util.Digests;
 import silverlatch.util.Lists;
 
-/** A dispatcher of one gateway with scripted clients, workers and replicated state, on a fake clock. */
+/** The dispatcher of one gateway, with scripted clients, workers and replicated state, and a simulated clock. */
 abstract class DispatcherFixture {
     static final PermitSigner SIGNER = new PermitSigner("a-cluster-key-for-tests");
     static final Member SELF = new Member("p1", "gateway", "z1", "r1", "a", "d", 7, 0, "up", true);
@@ -50,13 +50,13 @@
                 self, revision, Optional.of(now), silverlatch.state.Policy.of(policy.values()), workers, List.of());
     }
 
-    void tenant(final String name, final List<String> homes, final double share) {
+    void tenant(final String name, final List<String> homeRegions, final double share) {
         policy.put(
                 "t/" + name,
                 new Entry(
                         "t/" + name,
                         revision,
-                        List.of(new Value.Tenant(name, homes, share, Digests.sha256Hex("key-" + name), "salt"))));
+                        List.of(new Value.Tenant(name, homeRegions, share, Digests.sha256Hex("key-" + name), "salt"))));
     }
 
     void row(final Value.Row row) {
--- a/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
@@ -15,7 +15,11 @@
 import silverlatch.state.Value;
 import silverlatch.util.Lists;
 
-/** Placement, admission and order of requests at a dispatcher, and what of them is kept. */
+/**
+ * Tests placement, admission, rate limits and order of requests at a dispatcher. Guards against running a request twice or
+ * without its claim, against acting on an unconfirmed snapshot or an evacuated zone, and against showing a response outside of
+ * the tenant's home regions.
+ */
 final class DispatcherTest extends DispatcherFixture {
     @Test
     void rejectsForgedPermitsAndNeverRunsAReusedOne() {
@@ -26,15 +30,15 @@
                 is(403));
         assertThat(rejectionOf(submit("two", permit)).statusCode(), is(401));
         submit("one", permit);
-        final int runs = effectsOf(DispatchEffect.StartAttempt.class).size();
+        final int attempts = effectsOf(DispatchEffect.StartAttempt.class).size();
         assertThat(rejectionOf(submit("one", permit)).statusCode(), is(409));
         now += 3_000_000;
         refreshReports();
         assertThat(rejectionOf(submit("one", permit)).statusCode(), is(409));
-        final String old =
+        final String permitOfPreviousIncarnation =
                 SIGNER.sign(new Permit("t", "one", "ask", "w1", "p1", 6, 1, new Stamp(5), now + 1_000_000, ""));
-        assertThat(rejectionOf(submit("one", old)).statusCode(), is(410));
-        assertThat(effectsOf(DispatchEffect.StartAttempt.class).size(), is(runs));
+        assertThat(rejectionOf(submit("one", permitOfPreviousIncarnation)).statusCode(), is(410));
+        assertThat(effectsOf(DispatchEffect.StartAttempt.class).size(), is(attempts));
     }
 
     @Test
@@ -42,12 +46,15 @@
         worker("w2", "z2", "r1", 4);
         refreshReports();
         final DispatchEffect.Placed placed = place("one", "ask", "");
-        final String zone = placed.worker().equals("w1") ? "z1" : "z2";
-        final String other = placed.worker().equals("w1") ? "w2" : "w1";
+        final String evacuatedZone = placed.worker().equals("w1") ? "z1" : "z2";
+        final String otherWorker = placed.worker().equals("w1") ? "w2" : "w1";
         policy.put(
-                "z/" + zone,
-                new Entry("z/" + zone, ++revision, List.of(new Value.Evacuation(zone, true, new Stamp(++timestamp)))));
-        if (zone.equals("z1")) {
+                "z/" + evacuatedZone,
+                new Entry(
+                        "z/" + evacuatedZone,
+                        ++revision,
+                        List.of(new Value.Evacuation(evacuatedZone, true, new Stamp(++timestamp)))));
+        if (evacuatedZone.equals("z1")) {
             dispatcher.update(
                     new ClusterSnapshot(
                             SELF,
@@ -61,7 +68,7 @@
         } else {
             refreshReports();
             submit("one", placed.permit());
-            assertThat(lastAttempt().worker(), is(other));
+            assertThat(lastAttempt().worker(), is(otherWorker));
         }
     }
 
@@ -152,11 +159,11 @@
             now += 1_000;
             refreshReports();
         }
-        final long two = effectsOf(DispatchEffect.StartAttempt.class).stream()
+        final long attemptsOfSecondTenant = effectsOf(DispatchEffect.StartAttempt.class).stream()
                 .limit(28)
                 .filter(attempt -> attempt.tenant().equals("two"))
                 .count();
-        assertThat(two, is(10L));
+        assertThat(attemptsOfSecondTenant, is(10L));
     }
 
     @Test
@@ -181,7 +188,7 @@
         dispatcher.attach(attempt.requestId(), "key-one", 0, ++lastCallId, now);
         collectEffects();
         assertThat(
-                "unconfirmed",
+                "the snapshot is unconfirmed",
                 Lists.last(effectsOf(DispatchEffect.Rejected.class)).statusCode(),
                 is(425));
         refreshReports();
@@ -192,13 +199,13 @@
         tenant("one", List.of("elsewhere"), 1);
         refreshReports();
         assertThat(
-                "the run is dropped",
+                "the attempt is cancelled",
                 Lists.last(effectsOf(DispatchEffect.CancelAttempt.class)).operationId(),
                 is(attempt.operationId()));
         dispatcher.attach(attempt.requestId(), "key-one", 0, ++lastCallId, now);
         collectEffects();
         assertThat(
-                "no home any more",
+                "this region is no longer a home region",
                 Lists.last(effectsOf(DispatchEffect.Rejected.class)).statusCode(),
                 is(404));
     }
--- a/core/src/test/java/silverlatch/dispatch/FairQueuesTest.java
+++ b/core/src/test/java/silverlatch/dispatch/FairQueuesTest.java
@@ -15,6 +15,7 @@
 import silverlatch.dispatch.permit.Permit;
 import silverlatch.state.Value;
 
+/** Guards the order in which tenants and priorities are served and shed, and the rate limit and removal of queues. */
 final class FairQueuesTest {
     private static final long SECOND = 1_000_000;
     private final FairQueues queues = new FairQueues();
@@ -66,9 +67,9 @@
         for (int i = 0; i < 10; i++) {
             queues.addLast(request("two", "ask", 1, 1));
         }
-        final long ofTwo =
+        final long servedOfSecondTenant =
                 serve(10).stream().filter(name -> name.equals("two/ask")).count();
-        assertThat(ofTwo, is(5L));
+        assertThat(servedOfSecondTenant, is(5L));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/dispatch/PrefixDigestsTest.java
+++ b/core/src/test/java/silverlatch/dispatch/PrefixDigestsTest.java
@@ -7,6 +7,7 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.util.Digests;
 
+/** Guards the derivation of salted prefix digests, by which workers and gateways recognize cached prefixes of a tenant. */
 final class PrefixDigestsTest {
     @Test
     void keepsTheFirst48BitsOfEachSaltedHashInOrder() {
--- a/core/src/test/java/silverlatch/dispatch/RequestStateTest.java
+++ b/core/src/test/java/silverlatch/dispatch/RequestStateTest.java
@@ -10,7 +10,10 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Holds the legal transitions of a request to a list of their own, and the names of states to the API's. */
+/**
+ * Compares the legal transitions and the labels of states, which are part of the API, with an independent list. Guards against
+ * an added transition by which a request that may have run is rejected, so that clients would run it twice.
+ */
 final class RequestStateTest {
     private static final Set<String> LEGAL = Set.of(
             "new ENQUEUE queued",
@@ -47,19 +50,19 @@
 
     @Test
     void treatsOnlyDoneRejectedAndLostAsFinal() {
-        final Set<RequestState> finals = EnumSet.noneOf(RequestState.class);
+        final Set<RequestState> finalStates = EnumSet.noneOf(RequestState.class);
         for (final RequestState state : RequestState.values()) {
             if (state.isFinal()) {
-                finals.add(state);
+                finalStates.add(state);
             }
         }
-        assertThat(finals, is(EnumSet.of(RequestState.DONE, RequestState.REJECTED, RequestState.LOST)));
+        assertThat(finalStates, is(EnumSet.of(RequestState.DONE, RequestState.REJECTED, RequestState.LOST)));
     }
 
     @Test
     void neverRejectsARunningRequest() {
         final IllegalRequestTransitionException refused = assertThrows(
                 IllegalRequestTransitionException.class, () -> RequestState.RUNNING.after(RequestEvent.REJECT));
-        assertThat(refused.getMessage(), containsString("RUNNING does not take event REJECT"));
+        assertThat(refused.getMessage(), containsString("RUNNING does not accept event REJECT"));
     }
 }
--- a/core/src/test/java/silverlatch/dispatch/ResponseCheckerTest.java
+++ b/core/src/test/java/silverlatch/dispatch/ResponseCheckerTest.java
@@ -14,6 +14,10 @@
 import silverlatch.state.Value;
 import silverlatch.util.Digests;
 
+/**
+ * Guards against accepting records that do not belong to the response: a worker may send chunks of another request or attempt,
+ * skip or repeat a chunk, or send a trailer that does not match the chunks received.
+ */
 final class ResponseCheckerTest {
     private final ResponseChecker checker = new ResponseChecker(Safeguards.ALL);
     private final DispatchedRequest request = request();
@@ -44,7 +48,7 @@
         final String sha256 = Digests.sha256Hex("a\u00fc");
         assertThat(request.response().sha256(), is(sha256));
         assertThat(violation(new StreamRecord.Trailer("w1", "r1", "r1.1", 1, sha256)), is("none"));
-        assertThat("to look changes nothing", request.response().sha256(), is(sha256));
+        assertThat("reading the digest does not change it", request.response().sha256(), is(sha256));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/dispatch/RetryBudgetTest.java
+++ b/core/src/test/java/silverlatch/dispatch/RetryBudgetTest.java
@@ -5,6 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against retry storms: retries must stay a fraction of the recent requests, also after an idle time in which a large
+ * balance could otherwise be kept.
+ */
 final class RetryBudgetTest {
     private static final long SECOND = 1_000_000;
 
@@ -38,7 +42,7 @@
         for (int i = 0; i < 80; i++) {
             budget.recordRequest(SECOND);
         }
-        assertThat("all but one is gone two windows later", acquireAll(budget, 7 * SECOND), is(1));
+        assertThat("the balance is capped at one two windows later", acquireAll(budget, 7 * SECOND), is(1));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/dispatch/StreamDeliveryTest.java
+++ b/core/src/test/java/silverlatch/dispatch/StreamDeliveryTest.java
@@ -12,6 +12,10 @@
 import silverlatch.state.TableRules;
 import silverlatch.state.Value;
 
+/**
+ * Guards against losing, repeating or mixing up records of a stream when the reader is slow, is replaced by a reconnecting call,
+ * or gets a rejection instead of a stream.
+ */
 final class StreamDeliveryTest {
     private final RequestTable requests = new RequestTable(4);
     private final DispatchOutput output = new DispatchOutput(new SplittableRandom(1));
@@ -73,7 +77,7 @@
                 writes.get(1),
                 is(new DispatchEffect.StreamWrite(1, request.response().records(256, 300), true)));
         delivery.readerReady(1);
-        assertThat("nothing follows the end", output.drain(), is(List.of()));
+        assertThat("no write follows the end of the stream", output.drain(), is(List.of()));
     }
 
     @Test
@@ -88,7 +92,7 @@
                         new DispatchEffect.StreamWrite(2, List.of(first), false))));
         delivery.readerReady(1);
         append();
-        assertThat("the first call reads no more", output.drain(), is(List.of()));
+        assertThat("the first call gets no further write", output.drain(), is(List.of()));
         assertThat(delivery.readerDisconnected(1, 5), is(Optional.empty()));
         assertThat(delivery.readerDisconnected(2, 5), is(Optional.of(request)));
         assertThat(request.reader().isAbsentLongerThan(10, 15), is(false));
--- a/core/src/test/java/silverlatch/dispatch/UsedPermitsTest.java
+++ b/core/src/test/java/silverlatch/dispatch/UsedPermitsTest.java
@@ -5,6 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Guards against removing a used permit too early, which would admit its request a second time, or keeping it forever. */
 final class UsedPermitsTest {
     private static final long RETENTION = 30_000_000;
 
--- a/core/src/test/java/silverlatch/dispatch/buffer/SlabTest.java
+++ b/core/src/test/java/silverlatch/dispatch/buffer/SlabTest.java
@@ -9,6 +9,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
+/** Guards against finding the wrong element when a slot is reused after its element was removed. */
 final class SlabTest {
     @Test
     void neverFindsANewElementByTheHandleOfARemovedOne() {
--- a/core/src/test/java/silverlatch/dispatch/permit/PermitSignerTest.java
+++ b/core/src/test/java/silverlatch/dispatch/permit/PermitSignerTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.clock.Stamp;
 
+/** Guards against accepting forged or changed permits, and against a change of the text format between versions. */
 final class PermitSignerTest {
     private static final PermitSigner SIGNER = new PermitSigner("a-cluster-key-for-tests");
     private static final Permit PERMIT = new Permit(
