--- a/core/src/main/java/silverlatch/dispatch/AttemptMonitor.java
+++ b/core/src/main/java/silverlatch/dispatch/AttemptMonitor.java
@@ -44,16 +44,16 @@
     }
 
     /** Handles the first indication that the worker runs the request. */
-    void started(final long operationId) {
+    void onStarted(final long operationId) {
         requests.byOperation(operationId).ifPresent(this::markRunning);
     }
 
     /** Handles a record of the response from the worker. */
-    void recordReceived(final long operationId, final StreamRecord received, final long now) {
-        requests.byOperation(operationId).ifPresent(request -> recordReceived(request, received, now));
+    void onRecord(final long operationId, final StreamRecord received, final long now) {
+        requests.byOperation(operationId).ifPresent(request -> onRecord(request, received, now));
     }
 
-    private void recordReceived(final DispatchedRequest request, final StreamRecord received, final long now) {
+    private void onRecord(final DispatchedRequest request, final StreamRecord received, final long now) {
         markRunning(request);
         final Optional<String> violation = checker.violation(request, received);
         if (violation.isPresent()) {
@@ -82,11 +82,11 @@
      *
      * @param started false only if the request provably did not start at the worker
      */
-    void failed(final long operationId, final boolean started, final String reason, final long now) {
-        requests.byOperation(operationId).ifPresent(request -> failed(request, started, reason, now));
+    void onFailed(final long operationId, final boolean started, final String reason, final long now) {
+        requests.byOperation(operationId).ifPresent(request -> onFailed(request, started, reason, now));
     }
 
-    private void failed(final DispatchedRequest request, final boolean started, final String reason, final long now) {
+    private void onFailed(final DispatchedRequest request, final boolean started, final String reason, final long now) {
         final boolean isRunning = request.state() == RequestState.RUNNING;
         if ((started || isRunning) && isEnabled(Safeguard.NO_RETRY_AFTER_START)) {
             markLost(request, reason, now);
@@ -125,10 +125,10 @@
                 lifecycle.reject(request, Rejection.unavailable("no room came in time"));
             }
         });
-        requests.forEachOpen(request -> timeoutOf(request, now).ifPresent(reason -> cancel(request, reason, now)));
+        requests.forEachOpen(request -> cancelReason(request, now).ifPresent(reason -> cancel(request, reason, now)));
     }
 
-    private Optional<String> timeoutOf(final DispatchedRequest request, final long now) {
+    private Optional<String> cancelReason(final DispatchedRequest request, final long now) {
         final boolean isStarting = request.state() == RequestState.STARTING;
         if (!isStarting && request.state() != RequestState.RUNNING) {
             return Optional.empty();
--- a/core/src/main/java/silverlatch/dispatch/AttemptStarter.java
+++ b/core/src/main/java/silverlatch/dispatch/AttemptStarter.java
@@ -51,7 +51,7 @@
         requests.beginOperation(request);
         request.startAttempt(now);
         countAttempt(request, now);
-        output.add(effect(request, report.get().worker(), now));
+        output.add(startAttemptEffect(request, report.get().worker(), now));
     }
 
     private boolean isStillAllowed(
@@ -81,7 +81,8 @@
         }
     }
 
-    private DispatchEffect.StartAttempt effect(final DispatchedRequest request, final Worker worker, final long now) {
+    private DispatchEffect.StartAttempt startAttemptEffect(
+            final DispatchedRequest request, final Worker worker, final long now) {
         return new DispatchEffect.StartAttempt(
                 request.operationId(),
                 now + startTimeout,
--- a/core/src/main/java/silverlatch/dispatch/ClaimCoordinator.java
+++ b/core/src/main/java/silverlatch/dispatch/ClaimCoordinator.java
@@ -58,13 +58,13 @@
     }
 
     /** Handles the result of a claim; ignored if the request no longer waits for it. */
-    void decided(final long operationId, final CommandResult result, final long now) {
+    void onResult(final long operationId, final CommandResult result, final long now) {
         requests.byOperation(operationId)
                 .filter(request -> request.state() == RequestState.CLAIMING)
-                .ifPresent(request -> decided(request, result, now));
+                .ifPresent(request -> onResult(request, result, now));
     }
 
-    private void decided(final DispatchedRequest request, final CommandResult result, final long now) {
+    private void onResult(final DispatchedRequest request, final CommandResult result, final long now) {
         switch (result) {
             case CommandResult.Applied applied -> {
                 request.markMayHoldClaim();
--- a/core/src/main/java/silverlatch/dispatch/DispatchEffect.java
+++ b/core/src/main/java/silverlatch/dispatch/DispatchEffect.java
@@ -91,7 +91,7 @@
 
     /**
      * Submit a command to the replicated state. The gateway passes the result, which is {@code Unknown} if there is none
-     * within the timeout, to {@link Dispatcher#claimDecided}; a result for operation id 0 is ignored there.
+     * within the timeout, to {@link Dispatcher#onClaimResult}; a result for operation id 0 is ignored there.
      */
     record SubmitCommand(long operationId, Command command, long timeout) implements DispatchEffect {}
 
--- a/core/src/main/java/silverlatch/dispatch/Dispatcher.java
+++ b/core/src/main/java/silverlatch/dispatch/Dispatcher.java
@@ -178,32 +178,32 @@
     }
 
     /** Handles the event that the transport of a client's call can accept the next write. */
-    public void readerReady(final long callId) {
-        delivery.readerReady(callId);
+    public void onReaderReady(final long callId) {
+        delivery.onReaderReady(callId);
     }
 
     /** Handles the loss of a client's connection; a request that still waits in a queue is rejected. */
-    public void readerDisconnected(final long callId, final long now) {
-        delivery.readerDisconnected(callId, now)
+    public void onReaderDisconnected(final long callId, final long now) {
+        delivery.onReaderDisconnected(callId, now)
                 .filter(request -> request.state() == RequestState.QUEUED)
                 .ifPresent(request -> lifecycle.reject(
                         request, Rejection.permanent(Rejection.UNAVAILABLE, "the consumer went away")));
     }
 
     /** Handles the result of the claim that an operation submitted. */
-    public void claimDecided(final long operationId, final CommandResult result, final long now) {
-        claims.decided(operationId, result, now);
+    public void onClaimResult(final long operationId, final CommandResult result, final long now) {
+        claims.onResult(operationId, result, now);
         queueDispatcher.run(now);
     }
 
     /** Handles the first indication that the worker of an attempt runs the request. */
-    public void attemptStarted(final long operationId) {
-        attempts.started(operationId);
+    public void onAttemptStarted(final long operationId) {
+        attempts.onStarted(operationId);
     }
 
     /** Handles a record of the response from the worker of an attempt. */
-    public void recordReceived(final long operationId, final StreamRecord received, final long now) {
-        attempts.recordReceived(operationId, received, now);
+    public void onRecord(final long operationId, final StreamRecord received, final long now) {
+        attempts.onRecord(operationId, received, now);
     }
 
     /**
@@ -211,8 +211,8 @@
      *
      * @param started false only if the request provably did not start at the worker
      */
-    public void attemptFailed(final long operationId, final boolean started, final String reason, final long now) {
-        attempts.failed(operationId, started, reason, now);
+    public void onAttemptFailed(final long operationId, final boolean started, final String reason, final long now) {
+        attempts.onFailed(operationId, started, reason, now);
     }
 
     /** Handles a timer event, several times a second: ends requests that timed out and drops state that is too old. */
--- a/core/src/main/java/silverlatch/dispatch/PlacementHandler.java
+++ b/core/src/main/java/silverlatch/dispatch/PlacementHandler.java
@@ -64,7 +64,7 @@
                 .tenant(placement.tenant())
                 .filter(known -> Digests.constantTimeEquals(Digests.sha256Hex(placement.secret()), known.keyHash()));
         if (tenant.isEmpty()) {
-            output.reject(callId, "", unknownTenant(now));
+            output.reject(callId, "", unknownTenantRejection(now));
             return;
         }
         if (!cluster.servesTenant(tenant.get())
@@ -91,7 +91,7 @@
      * Returns the rejection of an unknown tenant or key. It is retryable if this gateway isn't ready, because its snapshot may
      * lack a new tenant or key.
      */
-    private Rejection unknownTenant(final long now) {
+    private Rejection unknownTenantRejection(final long now) {
         return readiness
                 .unreadyReason(now)
                 .map(Rejection::unavailable)
@@ -155,12 +155,12 @@
         final WeightedScorers.Decision decision = decider.decide(context, decider.candidates(now), timestamp.bits());
         if (decision instanceof WeightedScorers.Decision.NoneAllowed) {
             final Rejection rejection = Rejection.unavailable("no worker is allowed");
-            trace(placement, requestId, timestamp, decision, RequestState.REJECTED.label(), rejection.reason());
+            recordTrace(placement, requestId, timestamp, decision, RequestState.REJECTED.label(), rejection.reason());
             output.reject(callId, requestId, rejection);
             return;
         }
-        trace(placement, requestId, timestamp, decision, "picked", "");
-        output.add(placed(placement, requestId, timestamp, decision, callId, now));
+        recordTrace(placement, requestId, timestamp, decision, "picked", "");
+        output.add(placedEffect(placement, requestId, timestamp, decision, callId, now));
     }
 
     private String nextRequestId() {
@@ -171,7 +171,7 @@
                 + Long.toString(random.nextLong() >>> 20, Character.MAX_RADIX);
     }
 
-    private DispatchEffect.Placed placed(
+    private DispatchEffect.Placed placedEffect(
             final PlacementRequest placement,
             final String requestId,
             final Stamp timestamp,
@@ -201,7 +201,7 @@
                 timestamp.bits());
     }
 
-    private void trace(
+    private void recordTrace(
             final PlacementRequest placement,
             final String requestId,
             final Stamp timestamp,
--- a/core/src/main/java/silverlatch/dispatch/QueueDispatcher.java
+++ b/core/src/main/java/silverlatch/dispatch/QueueDispatcher.java
@@ -92,7 +92,7 @@
             final RequestQueue queue, final DispatchedRequest request, final String worker, final long now) {
         queues.serve(queue);
         request.assignWorker(worker);
-        usage.attemptStarted(worker, now);
+        usage.recordAttemptStart(worker, now);
         if (request.permit().hasIdempotencyKey() && !request.mayHoldClaim()) {
             claims.claim(request);
         } else {
@@ -110,7 +110,7 @@
         final PlacementContext context =
                 cluster.placementContext(request.id(), tenant.get(), row, request.prefixDigests());
         final List<PlacementInput> candidates = decider.candidates(now);
-        final Optional<PlacementInput> preferred = preferred(request, context, candidates);
+        final Optional<PlacementInput> preferred = preferredCandidate(request, context, candidates);
         if (preferred.isPresent()
                 && request.permit().revision() == cluster.snapshot().revision()) {
             return new WeightedScorers.Decision.Selected(preferred.get(), List.of());
@@ -118,13 +118,13 @@
         final long timestamp = timestamps.get().bits();
         final WeightedScorers.Decision decision = decider.decide(context, candidates, timestamp);
         if (decision instanceof WeightedScorers.Decision.Selected) {
-            trace(request, decision, timestamp);
+            recordTrace(request, decision, timestamp);
         }
         return decision;
     }
 
     /** Returns the worker that the request's placement chose, if no scorer vetoes or defers it now. */
-    private Optional<PlacementInput> preferred(
+    private Optional<PlacementInput> preferredCandidate(
             final DispatchedRequest request, final PlacementContext context, final List<PlacementInput> candidates) {
         return request.preferredWorker()
                 .flatMap(worker -> candidates.stream()
@@ -133,7 +133,8 @@
                 .filter(candidate -> decider.accepts(context, candidate));
     }
 
-    private void trace(final DispatchedRequest request, final WeightedScorers.Decision decision, final long timestamp) {
+    private void recordTrace(
+            final DispatchedRequest request, final WeightedScorers.Decision decision, final long timestamp) {
         output.traces()
                 .put(new TraceLog.RequestTrace(
                         request.id(),
--- a/core/src/main/java/silverlatch/dispatch/RequestLifecycle.java
+++ b/core/src/main/java/silverlatch/dispatch/RequestLifecycle.java
@@ -49,7 +49,7 @@
     void releaseWorkerSlot(final DispatchedRequest request) {
         if (request.holdsWorkerSlot()) {
             request.releaseWorkerSlot();
-            usage.attemptEnded(request.worker());
+            usage.recordAttemptEnd(request.worker());
             queues.queueOf(request).recordReleased();
         }
     }
@@ -108,13 +108,13 @@
         output.count(state);
         output.add(new DispatchEffect.RequestEnded(request.id(), state, request.reason()));
         if (request.mayHoldClaim()) {
-            output.add(completeClaim(request));
+            output.add(completeClaimEffect(request));
         }
         requests.end(request, lastTick);
         request.clearPrompt();
     }
 
-    private DispatchEffect.SubmitCommand completeClaim(final DispatchedRequest request) {
+    private DispatchEffect.SubmitCommand completeClaimEffect(final DispatchedRequest request) {
         final String state = request.state().label();
         return new DispatchEffect.SubmitCommand(
                 0,
--- a/core/src/main/java/silverlatch/dispatch/StreamDelivery.java
+++ b/core/src/main/java/silverlatch/dispatch/StreamDelivery.java
@@ -34,7 +34,7 @@
     }
 
     /** Handles the event that the transport of a call can accept the next write. */
-    void readerReady(final long callId) {
+    void onReaderReady(final long callId) {
         Optional.ofNullable(handlesByCall.get(callId))
                 .flatMap(requests::byHandle)
                 .filter(request -> request.reader().isCall(callId))
@@ -45,11 +45,11 @@
     }
 
     /** Handles the loss of a call's connection; returns the request whose response the call read. */
-    Optional<DispatchedRequest> readerDisconnected(final long callId, final long now) {
+    Optional<DispatchedRequest> onReaderDisconnected(final long callId, final long now) {
         final Optional<DispatchedRequest> read = Optional.ofNullable(handlesByCall.remove(callId))
                 .flatMap(requests::byHandle)
                 .filter(request -> request.reader().isCall(callId));
-        read.ifPresent(request -> request.reader().disconnected(now));
+        read.ifPresent(request -> request.reader().markDisconnected(now));
         return read;
     }
 
--- a/core/src/main/java/silverlatch/dispatch/StreamReader.java
+++ b/core/src/main/java/silverlatch/dispatch/StreamReader.java
@@ -41,7 +41,7 @@
     }
 
     /** Records that the client's connection was lost. */
-    void disconnected(final long now) {
+    void markDisconnected(final long now) {
         callId = Optional.empty();
         disconnectedAt = Optional.of(now);
     }
--- a/core/src/main/java/silverlatch/dispatch/WorkerUsage.java
+++ b/core/src/main/java/silverlatch/dispatch/WorkerUsage.java
@@ -51,13 +51,13 @@
     }
 
     /** Counts an attempt that takes a slot of the worker. */
-    void attemptStarted(final long now) {
+    void recordAttemptStart(final long now) {
         inFlight++;
         sendTimes.add(now);
     }
 
     /** Counts an attempt that has released its slot. */
-    void attemptEnded() {
+    void recordAttemptEnd() {
         inFlight--;
         endedSinceReport++;
     }
--- a/core/src/main/java/silverlatch/dispatch/WorkerUsageTable.java
+++ b/core/src/main/java/silverlatch/dispatch/WorkerUsageTable.java
@@ -36,13 +36,13 @@
     }
 
     /** Counts an attempt that takes a slot of a worker. */
-    void attemptStarted(final String worker, final long now) {
-        usageByWorker.get(worker).attemptStarted(now);
+    void recordAttemptStart(final String worker, final long now) {
+        usageByWorker.get(worker).recordAttemptStart(now);
     }
 
     /** Counts an attempt that has released its slot; a worker that is no longer tracked is ignored. */
-    void attemptEnded(final String worker) {
-        Optional.ofNullable(usageByWorker.get(worker)).ifPresent(WorkerUsage::attemptEnded);
+    void recordAttemptEnd(final String worker) {
+        Optional.ofNullable(usageByWorker.get(worker)).ifPresent(WorkerUsage::recordAttemptEnd);
     }
 
     /** Ejects a worker for the ejection time after an attempt failed there: it gets no new attempts. */
--- a/core/src/test/java/silverlatch/dispatch/DispatcherAttemptTest.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherAttemptTest.java
@@ -18,12 +18,12 @@
     void runsARequestAndStreamsItsResponseUpToTheTrailer() {
         final long callId = submit("one", place("one", "ask", "").permit());
         final DispatchEffect.StartAttempt attempt = lastAttempt();
-        dispatcher.attemptStarted(attempt.operationId());
-        dispatcher.recordReceived(
+        dispatcher.onAttemptStarted(attempt.operationId());
+        dispatcher.onRecord(
                 attempt.operationId(), new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 0, "hi"), now);
         collectEffects();
-        dispatcher.readerReady(callId);
-        dispatcher.recordReceived(attempt.operationId(), trailerOf(attempt, "hi"), now);
+        dispatcher.onReaderReady(callId);
+        dispatcher.onRecord(attempt.operationId(), trailerOf(attempt, "hi"), now);
         collectEffects();
         assertThat(
                 recordsSentTo(callId),
@@ -43,7 +43,7 @@
                         new StreamRecord.Trailer(attempt.worker(), attempt.requestId(), attempt.attemptId(), 0, "00"));
         for (final java.util.function.Function<DispatchEffect.StartAttempt, StreamRecord> violation : violations) {
             final long callId = submit("one", place("one", "ask", "").permit());
-            dispatcher.recordReceived(lastAttempt().operationId(), violation.apply(lastAttempt()), now);
+            dispatcher.onRecord(lastAttempt().operationId(), violation.apply(lastAttempt()), now);
             collectEffects();
             assertThat(Lists.last(recordsSentTo(callId)) instanceof StreamRecord.Lost, is(true));
             assertThat(
@@ -61,14 +61,14 @@
             final long callId = submit("one", place("one", "ask", "").permit());
             final int attemptsBefore =
                     effectsOf(DispatchEffect.StartAttempt.class).size();
-            dispatcher.attemptFailed(lastAttempt().operationId(), false, "denied", now);
+            dispatcher.onAttemptFailed(lastAttempt().operationId(), false, "denied", now);
             now += 1_100_000;
             refreshReports();
             dispatcher.tick(now);
             collectEffects();
             if (effectsOf(DispatchEffect.StartAttempt.class).size() > attemptsBefore) {
                 retries++;
-                dispatcher.attemptFailed(lastAttempt().operationId(), true, "broke", now);
+                dispatcher.onAttemptFailed(lastAttempt().operationId(), true, "broke", now);
                 collectEffects();
                 assertThat(Lists.last(recordsSentTo(callId)) instanceof StreamRecord.Lost, is(true));
             }
@@ -81,11 +81,11 @@
     void ignoresLateEventsOfAnAttemptThatFailedBeforeItStarted() {
         submit("one", place("one", "ask", "").permit());
         final DispatchEffect.StartAttempt failed = lastAttempt();
-        dispatcher.attemptFailed(failed.operationId(), false, "denied", now);
-        dispatcher.recordReceived(
+        dispatcher.onAttemptFailed(failed.operationId(), false, "denied", now);
+        dispatcher.onRecord(
                 failed.operationId(), new StreamRecord.Chunk(failed.requestId(), failed.attemptId(), 0, "late"), now);
-        dispatcher.attemptStarted(failed.operationId());
-        dispatcher.attemptFailed(failed.operationId(), true, "again", now);
+        dispatcher.onAttemptStarted(failed.operationId());
+        dispatcher.onAttemptFailed(failed.operationId(), true, "again", now);
         now += 1_100_000;
         refreshReports();
         dispatcher.tick(now);
@@ -98,10 +98,10 @@
     void letsAReconnectingClientContinueFromItsChunk() {
         final long callId = submit("one", place("one", "ask", "").permit());
         final DispatchEffect.StartAttempt attempt = lastAttempt();
-        dispatcher.recordReceived(
+        dispatcher.onRecord(
                 attempt.operationId(), new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 0, "a"), now);
-        dispatcher.readerDisconnected(callId, now);
-        dispatcher.recordReceived(
+        dispatcher.onReaderDisconnected(callId, now);
+        dispatcher.onRecord(
                 attempt.operationId(), new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 1, "b"), now);
         dispatcher.attach(attempt.requestId(), "key-two", 1, ++lastCallId, now);
         collectEffects();
--- a/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
@@ -94,11 +94,11 @@
         assertThat(effectsOf(DispatchEffect.StartAttempt.class).isEmpty(), is(true));
         final long firstOperation =
                 Lists.last(effectsOf(DispatchEffect.SubmitCommand.class)).operationId();
-        dispatcher.claimDecided(firstOperation, new CommandResult.Applied(5), now);
+        dispatcher.onClaimResult(firstOperation, new CommandResult.Applied(5), now);
         collectEffects();
         assertThat(effectsOf(DispatchEffect.StartAttempt.class).size(), is(1));
         final long callId = submit("one", place("one", "rule", "k").permit());
-        dispatcher.claimDecided(
+        dispatcher.onClaimResult(
                 Lists.last(effectsOf(DispatchEffect.SubmitCommand.class)).operationId(),
                 new CommandResult.AlreadyClaimed(new Value.Claim("x", "p1", "running", 0, 0)),
                 now);
@@ -106,14 +106,14 @@
         assertThat(rejectionOf(callId).statusCode(), is(409));
         assertThat(rejectionOf(callId).claimState(), containsString("running"));
         final long unconfirmedCallId = submit("one", place("one", "rule", "k2").permit());
-        dispatcher.claimDecided(
+        dispatcher.onClaimResult(
                 Lists.last(effectsOf(DispatchEffect.SubmitCommand.class)).operationId(),
                 new CommandResult.Unknown("id"),
                 now);
         collectEffects();
         assertThat(rejectionOf(unconfirmedCallId).statusCode(), is(503));
         final long fullCallId = submit("one", place("one", "rule", "k3").permit());
-        dispatcher.claimDecided(
+        dispatcher.onClaimResult(
                 Lists.last(effectsOf(DispatchEffect.SubmitCommand.class)).operationId(),
                 new CommandResult.Rejected(507, List.of("full"), 5),
                 now);
@@ -155,7 +155,7 @@
         for (int i = 0; i < 24; i++) {
             final DispatchEffect.StartAttempt attempt =
                     effectsOf(DispatchEffect.StartAttempt.class).get(i);
-            dispatcher.recordReceived(attempt.operationId(), trailerOf(attempt), now);
+            dispatcher.onRecord(attempt.operationId(), trailerOf(attempt), now);
             now += 1_000;
             refreshReports();
         }
@@ -181,8 +181,8 @@
     void servesResponsesOnlyInHomeRegionsAndUnderAConfirmedSnapshot() {
         submit("one", place("one", "ask", "").permit());
         final DispatchEffect.StartAttempt attempt = lastAttempt();
-        dispatcher.attemptStarted(attempt.operationId());
-        dispatcher.recordReceived(
+        dispatcher.onAttemptStarted(attempt.operationId());
+        dispatcher.onRecord(
                 attempt.operationId(), new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 0, "a"), now);
         now += 2_500_000;
         dispatcher.attach(attempt.requestId(), "key-one", 0, ++lastCallId, now);
--- a/core/src/test/java/silverlatch/dispatch/StreamDeliveryTest.java
+++ b/core/src/test/java/silverlatch/dispatch/StreamDeliveryTest.java
@@ -56,7 +56,7 @@
         final StreamRecord.Chunk second = append();
         final StreamRecord.Chunk third = append();
         assertThat(write(), is(List.of()));
-        delivery.readerReady(1);
+        delivery.onReaderReady(1);
         assertThat(output.drain(), is(List.of(new DispatchEffect.StreamWrite(1, List.of(second, third), false))));
     }
 
@@ -67,7 +67,7 @@
         }
         request.apply(RequestEvent.COMPLETE);
         delivery.write(request);
-        delivery.readerReady(1);
+        delivery.onReaderReady(1);
         final List<DispatchEffect> writes = output.drain();
         assertThat(writes.size(), is(2));
         assertThat(
@@ -76,7 +76,7 @@
         assertThat(
                 writes.get(1),
                 is(new DispatchEffect.StreamWrite(1, request.response().records(256, 300), true)));
-        delivery.readerReady(1);
+        delivery.onReaderReady(1);
         assertThat("no write follows the end of the stream", output.drain(), is(List.of()));
     }
 
@@ -90,11 +90,11 @@
                 is(List.of(
                         new DispatchEffect.StreamWrite(1, List.of(), true),
                         new DispatchEffect.StreamWrite(2, List.of(first), false))));
-        delivery.readerReady(1);
+        delivery.onReaderReady(1);
         append();
         assertThat("the first call gets no further write", output.drain(), is(List.of()));
-        assertThat(delivery.readerDisconnected(1, 5), is(Optional.empty()));
-        assertThat(delivery.readerDisconnected(2, 5), is(Optional.of(request)));
+        assertThat(delivery.onReaderDisconnected(1, 5), is(Optional.empty()));
+        assertThat(delivery.onReaderDisconnected(2, 5), is(Optional.of(request)));
         assertThat(request.reader().isAbsentLongerThan(10, 15), is(false));
         assertThat(request.reader().isAbsentLongerThan(10, 16), is(true));
     }
--- a/server/src/main/java/silverlatch/server/gateway/ApiRouter.java
+++ b/server/src/main/java/silverlatch/server/gateway/ApiRouter.java
@@ -162,7 +162,7 @@
         final long callId = exchanges.add(
                 exchange,
                 gone -> dispatchLoop.withDispatcher(
-                        dispatcher -> dispatcher.readerDisconnected(gone, EventLoop.nowMicros())));
+                        dispatcher -> dispatcher.onReaderDisconnected(gone, EventLoop.nowMicros())));
         if (!dispatchLoop.withDispatcher(dispatcher -> task.accept(dispatcher, callId))) {
             exchanges.remove(callId);
             ApiReplies.rejectAsOverloaded(exchange);
--- a/server/src/main/java/silverlatch/server/gateway/DispatchEffectHandler.java
+++ b/server/src/main/java/silverlatch/server/gateway/DispatchEffectHandler.java
@@ -84,13 +84,13 @@
         exchange.ifPresent(client -> client.writeLines(
                 write.records().stream().map(StreamRecordEncoder::encode).collect(Collectors.joining()),
                 write.endOfStream(),
-                () -> dispatchLoop.withDispatcher(dispatcher -> dispatcher.readerReady(callId)),
+                () -> dispatchLoop.withDispatcher(dispatcher -> dispatcher.onReaderReady(callId)),
                 () -> readerDisconnected(callId)));
     }
 
     private void readerDisconnected(final long callId) {
         exchanges.remove(callId);
-        dispatchLoop.withDispatcher(dispatcher -> dispatcher.readerDisconnected(callId, EventLoop.nowMicros()));
+        dispatchLoop.withDispatcher(dispatcher -> dispatcher.onReaderDisconnected(callId, EventLoop.nowMicros()));
     }
 
     private void submit(final DispatchEffect.SubmitCommand submission) {
@@ -98,6 +98,6 @@
                 submission.command(),
                 submission.timeout(),
                 result -> dispatchLoop.withDispatcher(dispatcher ->
-                        dispatcher.claimDecided(submission.operationId(), result, EventLoop.nowMicros())));
+                        dispatcher.onClaimResult(submission.operationId(), result, EventLoop.nowMicros())));
     }
 }
--- a/server/src/main/java/silverlatch/server/gateway/WorkerRuns.java
+++ b/server/src/main/java/silverlatch/server/gateway/WorkerRuns.java
@@ -47,18 +47,17 @@
 
     @Override
     public void onStarted(final long operationId) {
-        dispatchLoop.withDispatcher(dispatcher -> dispatcher.attemptStarted(operationId));
+        dispatchLoop.withDispatcher(dispatcher -> dispatcher.onAttemptStarted(operationId));
     }
 
     @Override
     public void onRecord(final long operationId, final StreamRecord record) {
-        dispatchLoop.withDispatcher(
-                dispatcher -> dispatcher.recordReceived(operationId, record, EventLoop.nowMicros()));
+        dispatchLoop.withDispatcher(dispatcher -> dispatcher.onRecord(operationId, record, EventLoop.nowMicros()));
     }
 
     @Override
     public void onEnded(final long operationId, final boolean started, final String reason) {
         dispatchLoop.withDispatcher(
-                dispatcher -> dispatcher.attemptFailed(operationId, started, reason, EventLoop.nowMicros()));
+                dispatcher -> dispatcher.onAttemptFailed(operationId, started, reason, EventLoop.nowMicros()));
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/AttemptTransport.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/AttemptTransport.java
@@ -69,7 +69,7 @@
             final long failedIn = gateway.generation();
             gateway.withDispatcher(dispatcher -> {
                 if (failedIn == gateway.generation()) {
-                    dispatcher.attemptFailed(attempt.operationId(), started, reason, gateway.now());
+                    dispatcher.onAttemptFailed(attempt.operationId(), started, reason, gateway.now());
                 }
             });
         }
@@ -131,7 +131,7 @@
             return;
         }
         connection.toGateway(
-                () -> connection.gateway.withDispatcher(d -> d.attemptStarted(connection.attempt.operationId())));
+                () -> connection.gateway.withDispatcher(d -> d.onAttemptStarted(connection.attempt.operationId())));
         regionByAttempt.put(connection.attempt.attemptId(), connection.worker.region());
         observeStarted(connection, revision, idempotencyKey);
         watchWorker(connection);
@@ -147,7 +147,7 @@
         }
         final SimulatedNode gateway = connection.gateway;
         world.disturbances().reached(InjectionPoint.STREAMING, gateway);
-        gateway.withDispatcher(d -> d.recordReceived(connection.attempt.operationId(), record, gateway.now()));
+        gateway.withDispatcher(d -> d.onRecord(connection.attempt.operationId(), record, gateway.now()));
     }
 
     private void observeStarted(final Connection connection, final long revision, final String idempotencyKey) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/ClientRequest.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ClientRequest.java
@@ -282,7 +282,7 @@
                 if (stream.endOfStream()) {
                     end(verifier.isComplete() ? "done" : "lost");
                 } else {
-                    node.withDispatcher(d -> d.readerReady(stream.callId()));
+                    node.withDispatcher(d -> d.onReaderReady(stream.callId()));
                 }
             }
             case DispatchEffect.Rejected rejected -> rejected(rejected);
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedGateway.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedGateway.java
@@ -93,7 +93,7 @@
     /** A client hangs up. */
     void hangUp(final long callToken) {
         openCalls.remove(callToken);
-        dispatcher.ifPresent(running -> running.readerDisconnected(callToken, host.now()));
+        dispatcher.ifPresent(running -> running.onReaderDisconnected(callToken, host.now()));
     }
 
     void withDispatcher(final Consumer<Dispatcher> task) {
@@ -160,7 +160,7 @@
     private void start(final DispatchEffect.StartAttempt attempt) {
         if (host.now() > attempt.sendDeadline()) {
             dispatcher.ifPresent(running ->
-                    running.attemptFailed(attempt.operationId(), false, "it was not sent in time", host.now()));
+                    running.onAttemptFailed(attempt.operationId(), false, "it was not sent in time", host.now()));
         } else {
             world.attempts().start(host, attempt, openRuns);
         }
@@ -171,7 +171,7 @@
                 submitted.command(),
                 submitted.timeout(),
                 result -> dispatcher.ifPresent(
-                        running -> running.claimDecided(submitted.operationId(), (CommandResult) result, host.now())));
+                        running -> running.onClaimResult(submitted.operationId(), (CommandResult) result, host.now())));
     }
 
     private void answer(final long callToken, final DispatchEffect effect, final boolean last) {
