--- a/core/src/main/java/silverlatch/dispatch/AttemptMonitor.java
+++ b/core/src/main/java/silverlatch/dispatch/AttemptMonitor.java
@@ -43,7 +43,7 @@
         this.output = output;
     }
 
-    /** Handles the first indication that the worker runs the request. */
+    /** Handles the worker's indication that it runs the request. */
     void onStarted(final long operationId) {
         requests.byOperation(operationId).ifPresent(this::markRunning);
     }
--- a/core/src/main/java/silverlatch/dispatch/ClusterView.java
+++ b/core/src/main/java/silverlatch/dispatch/ClusterView.java
@@ -35,7 +35,7 @@
         return snapshot;
     }
 
-    /** Replaces the snapshot by a newer one. */
+    /** Replaces the snapshot with a newer one. */
     void update(final ClusterSnapshot next) {
         snapshot = next;
     }
--- a/core/src/main/java/silverlatch/dispatch/Dispatcher.java
+++ b/core/src/main/java/silverlatch/dispatch/Dispatcher.java
@@ -196,7 +196,7 @@
         queueDispatcher.run(now);
     }
 
-    /** Handles the first indication that the worker of an attempt runs the request. */
+    /** Handles the indication by the worker of an attempt that it runs the request. */
     public void onAttemptStarted(final long operationId) {
         attempts.onStarted(operationId);
     }
--- a/core/src/main/java/silverlatch/dispatch/RequestQueue.java
+++ b/core/src/main/java/silverlatch/dispatch/RequestQueue.java
@@ -109,8 +109,8 @@
     }
 
     /**
-     * Returns whether no request is queued or in flight and no rate limit token was requested in the last ten minutes, that is,
-     * no placement.
+     * Returns whether no request is queued or in flight and no placement, for which a token is taken, was requested in the last
+     * ten minutes.
      */
     boolean isIdle(final long now) {
         return requests.isEmpty() && inFlight == 0 && now - refilledAt > IDLE_MICROS;
--- a/core/src/main/java/silverlatch/dispatch/UsedPermits.java
+++ b/core/src/main/java/silverlatch/dispatch/UsedPermits.java
@@ -17,7 +17,8 @@
     /**
      * Creates an empty set of permits.
      *
-     * @param retention a third of the time for which a permit is kept after its expiry; one whose request is open is kept longer
+     * @param retention for how long after its expiry a permit is still recognized; used permits are kept for three times as long,
+     *                  and for as long as their request is open
      */
     UsedPermits(final long retention) {
         this.retention = retention;
--- a/core/src/main/java/silverlatch/dispatch/WorkerUsage.java
+++ b/core/src/main/java/silverlatch/dispatch/WorkerUsage.java
@@ -29,7 +29,7 @@
 
     /**
      * Processes a report of the worker. A new incarnation, or a report after a silence, restarts the worker's slow start. A
-     * newer report resets the counts of attempts that the previous one could not include.
+     * newer report clears the counts of the attempts that it includes.
      */
     void observe(final Gossip.ObservedWorker report, final long now) {
         if (report.worker().incarnation() != incarnation) {
