--- a/core/src/test/java/silverlatch/dispatch/RequestStateTest.java
+++ b/core/src/test/java/silverlatch/dispatch/RequestStateTest.java
@@ -33,19 +33,19 @@
     @Test
     void allowsOnlyTheListedTransitions() {
         final Set<String> legal = new TreeSet<>();
-        int refused = 0;
+        int illegalTransitions = 0;
         for (final RequestState state : RequestState.values()) {
             for (final RequestEvent event : RequestEvent.values()) {
                 try {
                     legal.add(state.label() + " " + event + " "
                             + state.after(event).label());
                 } catch (final IllegalRequestTransitionException illegal) {
-                    refused++;
+                    illegalTransitions++;
                 }
             }
         }
         assertThat(legal, is(new TreeSet<>(LEGAL)));
-        assertThat(refused, is(RequestState.values().length * RequestEvent.values().length - LEGAL.size()));
+        assertThat(illegalTransitions, is(RequestState.values().length * RequestEvent.values().length - LEGAL.size()));
     }
 
     @Test
@@ -61,8 +61,8 @@
 
     @Test
     void neverRejectsARunningRequest() {
-        final IllegalRequestTransitionException refused = assertThrows(
+        final IllegalRequestTransitionException exception = assertThrows(
                 IllegalRequestTransitionException.class, () -> RequestState.RUNNING.after(RequestEvent.REJECT));
-        assertThat(refused.getMessage(), containsString("RUNNING does not accept event REJECT"));
+        assertThat(exception.getMessage(), containsString("RUNNING does not accept event REJECT"));
     }
 }
