--- a/core/src/main/java/silverlatch/dispatch/AttemptMonitor.java
+++ b/core/src/main/java/silverlatch/dispatch/AttemptMonitor.java
@@ -4,7 +4,10 @@
 import silverlatch.node.Event;
 import silverlatch.safeguard.Safeguard;
 
-/** Follows attempts at workers: what they send, how they fail, and what does not come in time. Owned by the dispatch event loop. */
+/**
+ * Monitors attempts at workers: processes the records they send, handles failures and retries, and enforces timeouts. Used only
+ * by the dispatch event loop.
+ */
 final class AttemptMonitor {
     private static final int MAX_ATTEMPTS = 2;
     private final DispatcherSettings settings;
@@ -40,17 +43,17 @@
         this.output = output;
     }
 
-    /** The worker gave a sign that it runs the request. */
-    void started(final long operationId) {
+    /** Handles the worker's indication that it runs the request. */
+    void onStarted(final long operationId) {
         requests.byOperation(operationId).ifPresent(this::markRunning);
     }
 
-    /** The worker sent a record of the response. */
-    void recordReceived(final long operationId, final StreamRecord received, final long now) {
-        requests.byOperation(operationId).ifPresent(request -> recordReceived(request, received, now));
+    /** Handles a record of the response from the worker. */
+    void onRecord(final long operationId, final StreamRecord received, final long now) {
+        requests.byOperation(operationId).ifPresent(request -> onRecord(request, received, now));
     }
 
-    private void recordReceived(final DispatchedRequest request, final StreamRecord received, final long now) {
+    private void onRecord(final DispatchedRequest request, final StreamRecord received, final long now) {
         markRunning(request);
         final Optional<String> violation = checker.violation(request, received);
         if (violation.isPresent()) {
@@ -74,19 +77,23 @@
         }
     }
 
-    /** The exchange with the worker ended without a trailer; started is false only where it provably did not begin. */
-    void failed(final long operationId, final boolean started, final String reason, final long now) {
-        requests.byOperation(operationId).ifPresent(request -> failed(request, started, reason, now));
+    /**
+     * Handles an exchange with the worker that ended without a trailer.
+     *
+     * @param started false only if the request provably did not start at the worker
+     */
+    void onFailed(final long operationId, final boolean started, final String reason, final long now) {
+        requests.byOperation(operationId).ifPresent(request -> onFailed(request, started, reason, now));
     }
 
-    private void failed(final DispatchedRequest request, final boolean started, final String reason, final long now) {
+    private void onFailed(final DispatchedRequest request, final boolean started, final String reason, final long now) {
         final boolean isRunning = request.state() == RequestState.RUNNING;
         if ((started || isRunning) && isEnabled(Safeguard.NO_RETRY_AFTER_START)) {
-            lose(request, reason, now);
+            markLost(request, reason, now);
             return;
         }
         if (isRunning) {
-            request.forgetStart();
+            request.revertToStarting();
         }
         requests.endOperation(request);
         usage.eject(request.worker(), now);
@@ -108,17 +115,20 @@
                 && (retryBudget.tryAcquire(now) || !isEnabled(Safeguard.RETRY_BUDGET));
     }
 
-    /** Rejects what has waited too long, and gives up what does not start, has passed its deadline or isn't read any more. */
+    /**
+     * Rejects requests that were queued for too long. Cancels attempts that did not start in time, passed the request's deadline,
+     * or whose client has been disconnected for too long.
+     */
     void tick(final long now) {
-        queues.forEachWaiting(request -> {
+        queues.forEachQueued(request -> {
             if (now >= request.queueDeadline()) {
                 lifecycle.reject(request, Rejection.unavailable("no room came in time"));
             }
         });
-        requests.forEachOpen(request -> timeoutOf(request, now).ifPresent(reason -> cancel(request, reason, now)));
+        requests.forEachOpen(request -> cancelReason(request, now).ifPresent(reason -> cancel(request, reason, now)));
     }
 
-    private Optional<String> timeoutOf(final DispatchedRequest request, final long now) {
+    private Optional<String> cancelReason(final DispatchedRequest request, final long now) {
         final boolean isStarting = request.state() == RequestState.STARTING;
         if (!isStarting && request.state() != RequestState.RUNNING) {
             return Optional.empty();
@@ -140,11 +150,11 @@
 
     private void cancel(final DispatchedRequest request, final String reason, final long now) {
         output.add(new DispatchEffect.CancelAttempt(request.operationId()));
-        lose(request, reason, now);
+        markLost(request, reason, now);
     }
 
-    private void lose(final DispatchedRequest request, final String reason, final long now) {
-        lifecycle.lose(request, reason, now);
+    private void markLost(final DispatchedRequest request, final String reason, final long now) {
+        lifecycle.markLost(request, reason, now);
         queueDispatcher.run(now);
     }
 
--- a/core/src/main/java/silverlatch/dispatch/PlacementHandler.java
+++ b/core/src/main/java/silverlatch/dispatch/PlacementHandler.java
@@ -17,8 +17,8 @@
 import silverlatch.util.Digests;
 
 /**
- * Answers a client that asks where to submit a request: with a permit for this gateway and the worker that is best now,
- * with the addresses of other gateways, or with a refusal. Owned by the dispatch event loop.
+ * Handles clients' calls for a placement. Replies with a permit for this gateway, which names the worker that is best now; with
+ * the addresses of other gateways; or with a rejection. Used only by the dispatch event loop.
  */
 final class PlacementHandler {
     private static final int MAX_REDIRECT_ENDPOINTS = 3;
@@ -32,7 +32,7 @@
     private final Supplier<Stamp> timestamps;
     private final RandomGenerator random;
     private final DispatchOutput output;
-    private long requestSerial;
+    private long lastRequestNumber;
 
     PlacementHandler(
             final DispatcherSettings settings,
@@ -57,14 +57,14 @@
         this.output = output;
     }
 
-    /** Answers a call that asks for a placement. */
+    /** Handles a call for a placement. */
     void handle(final PlacementRequest placement, final long callId, final long now) {
         output.count("picks");
         final Optional<Value.Tenant> tenant = cluster.snapshot()
                 .tenant(placement.tenant())
                 .filter(known -> Digests.constantTimeEquals(Digests.sha256Hex(placement.secret()), known.keyHash()));
         if (tenant.isEmpty()) {
-            output.reject(callId, "", unknownTenant(now));
+            output.reject(callId, "", unknownTenantRejection(now));
             return;
         }
         if (!cluster.servesTenant(tenant.get())
@@ -79,23 +79,26 @@
                     callId, "", Rejection.permanent(Rejection.UNPROCESSABLE, "$.kind: no kind " + placement.kind()));
             return;
         }
-        final Optional<Rejection> refusal = refusal(placement, tenant.get(), row.get(), now);
-        if (refusal.isPresent()) {
-            output.reject(callId, "", refusal.get());
+        final Optional<Rejection> rejection = admissionRejection(placement, tenant.get(), row.get(), now);
+        if (rejection.isPresent()) {
+            output.reject(callId, "", rejection.get());
         } else {
             place(placement, tenant.get(), row.get(), callId, now);
         }
     }
 
-    /** A gateway that isn't ready may not know a new tenant or key yet. */
-    private Rejection unknownTenant(final long now) {
+    /**
+     * Returns the rejection of an unknown tenant or key. It is retryable if this gateway isn't ready, because its snapshot may
+     * lack a new tenant or key.
+     */
+    private Rejection unknownTenantRejection(final long now) {
         return readiness
                 .unreadyReason(now)
                 .map(Rejection::unavailable)
                 .orElseGet(() -> Rejection.permanent(Rejection.UNAUTHORIZED, "the tenant or its key is not known"));
     }
 
-    /** Names a few other gateways that may serve the tenant. */
+    /** Redirects the client to a few other gateways that may serve the tenant, or rejects the call if there are none. */
     private void redirect(final long callId, final Value.Tenant tenant, final long now) {
         final List<String> endpoints = new ArrayList<>(cluster.endpointsFor(tenant));
         if (endpoints.isEmpty()) {
@@ -114,7 +117,7 @@
                 callId, endpoints.subList(0, Math.min(MAX_REDIRECT_ENDPOINTS, endpoints.size()))));
     }
 
-    private Optional<Rejection> refusal(
+    private Optional<Rejection> admissionRejection(
             final PlacementRequest placement, final Value.Tenant tenant, final Value.Row row, final long now) {
         if (row.atMostOnce() && placement.idempotencyKey().isEmpty()) {
             return Optional.of(Rejection.permanent(
@@ -127,18 +130,18 @@
             return Optional.of(Rejection.retryable(
                     Rejection.TOO_MANY_REQUESTS,
                     "over the rate of " + row.requestsPerSecond() + " a second",
-                    Rejection.SECOND));
+                    Rejection.SECOND_MICROS));
         }
         if (placement.previousAttempts() > 0
                 && !retryBudget.tryAcquire(now)
                 && settings.safeguards().isEnabled(Safeguard.RETRY_BUDGET)) {
             return Optional.of(Rejection.retryable(
-                    Rejection.TOO_MANY_REQUESTS, "too many requests are retried", 2 * Rejection.SECOND));
+                    Rejection.TOO_MANY_REQUESTS, "too many requests are retried", 2 * Rejection.SECOND_MICROS));
         }
         return Optional.empty();
     }
 
-    /** Chooses a worker and signs a permit; where all are busy now, the permit names none. */
+    /** Chooses a worker and replies with a signed permit, which names no worker if all are busy now. */
     private void place(
             final PlacementRequest placement,
             final Value.Tenant tenant,
@@ -152,23 +155,23 @@
         final WeightedScorers.Decision decision = decider.decide(context, decider.candidates(now), timestamp.bits());
         if (decision instanceof WeightedScorers.Decision.NoneAllowed) {
             final Rejection rejection = Rejection.unavailable("no worker is allowed");
-            trace(placement, requestId, timestamp, decision, RequestState.REJECTED.label(), rejection.reason());
+            recordTrace(placement, requestId, timestamp, decision, RequestState.REJECTED.label(), rejection.reason());
             output.reject(callId, requestId, rejection);
             return;
         }
-        trace(placement, requestId, timestamp, decision, "picked", "");
-        output.add(placed(placement, requestId, timestamp, decision, callId, now));
+        recordTrace(placement, requestId, timestamp, decision, "picked", "");
+        output.add(placedEffect(placement, requestId, timestamp, decision, callId, now));
     }
 
     private String nextRequestId() {
-        requestSerial++;
+        lastRequestNumber++;
         return cluster.snapshot().self().id()
                 + "-" + Long.toString(cluster.snapshot().self().incarnation(), Character.MAX_RADIX)
-                + "-" + Long.toString(requestSerial, Character.MAX_RADIX)
+                + "-" + Long.toString(lastRequestNumber, Character.MAX_RADIX)
                 + Long.toString(random.nextLong() >>> 20, Character.MAX_RADIX);
     }
 
-    private DispatchEffect.Placed placed(
+    private DispatchEffect.Placed placedEffect(
             final PlacementRequest placement,
             final String requestId,
             final Stamp timestamp,
@@ -198,7 +201,7 @@
                 timestamp.bits());
     }
 
-    private void trace(
+    private void recordTrace(
             final PlacementRequest placement,
             final String requestId,
             final Stamp timestamp,
--- a/core/src/main/java/silverlatch/dispatch/QueueDispatcher.java
+++ b/core/src/main/java/silverlatch/dispatch/QueueDispatcher.java
@@ -12,8 +12,8 @@
 import silverlatch.state.Value;
 
 /**
- * Takes requests from the queues in fair order as long as workers have capacity. {@link #run} is called after each event
- * that adds a request or frees capacity. Owned by the dispatch event loop.
+ * Dispatches requests from the queues to workers in fair order as long as workers have capacity. {@link #run} has to be called
+ * after each event that adds a request or frees capacity. Used only by the dispatch event loop.
  */
 final class QueueDispatcher {
     private final ClusterView cluster;
@@ -47,7 +47,7 @@
         this.output = output;
     }
 
-    /** Dispatches what can be dispatched now; nothing under a snapshot that isn't confirmed. */
+    /** Dispatches all requests for which there is capacity now; none if the snapshot isn't confirmed. */
     void run(final long now) {
         if (!cluster.isConfirmed(now)) {
             return;
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Dispatches or rejects the first request of a queue; false when it has to wait. */
+    /** Dispatches or rejects the first request of a queue; returns false if the request has to wait. */
     private boolean tryDispatchFirst(final RequestQueue queue, final long now) {
         final DispatchedRequest request = queue.first();
         final Value.Row row = cluster.snapshot()
@@ -82,7 +82,7 @@
         };
     }
 
-    /** This gateway's part of what the tenant may run of this kind at once, rounded up. */
+    /** Returns this gateway's part, rounded up, of the tenant's limit of concurrent requests of this kind. */
     private int maxInFlight(final DispatchedRequest request, final Value.Row row) {
         final int gatewayCount = cluster.gatewayCount(request.tenant());
         return Math.max(1, (row.maxRunning() + gatewayCount - 1) / gatewayCount);
@@ -92,7 +92,7 @@
             final RequestQueue queue, final DispatchedRequest request, final String worker, final long now) {
         queues.serve(queue);
         request.assignWorker(worker);
-        usage.attemptStarted(worker, now);
+        usage.recordAttemptStart(worker, now);
         if (request.permit().hasIdempotencyKey() && !request.mayHoldClaim()) {
             claims.claim(request);
         } else {
@@ -110,7 +110,7 @@
         final PlacementContext context =
                 cluster.placementContext(request.id(), tenant.get(), row, request.prefixDigests());
         final List<PlacementInput> candidates = decider.candidates(now);
-        final Optional<PlacementInput> preferred = preferred(request, context, candidates);
+        final Optional<PlacementInput> preferred = preferredCandidate(request, context, candidates);
         if (preferred.isPresent()
                 && request.permit().revision() == cluster.snapshot().revision()) {
             return new WeightedScorers.Decision.Selected(preferred.get(), List.of());
@@ -118,13 +118,13 @@
         final long timestamp = timestamps.get().bits();
         final WeightedScorers.Decision decision = decider.decide(context, candidates, timestamp);
         if (decision instanceof WeightedScorers.Decision.Selected) {
-            trace(request, decision, timestamp);
+            recordTrace(request, decision, timestamp);
         }
         return decision;
     }
 
-    /** The worker that the request's placement named, if no scorer is against it now. */
-    private Optional<PlacementInput> preferred(
+    /** Returns the worker that the request's placement chose, if no scorer vetoes or defers it now. */
+    private Optional<PlacementInput> preferredCandidate(
             final DispatchedRequest request, final PlacementContext context, final List<PlacementInput> candidates) {
         return request.preferredWorker()
                 .flatMap(worker -> candidates.stream()
@@ -133,7 +133,8 @@
                 .filter(candidate -> decider.accepts(context, candidate));
     }
 
-    private void trace(final DispatchedRequest request, final WeightedScorers.Decision decision, final long timestamp) {
+    private void recordTrace(
+            final DispatchedRequest request, final WeightedScorers.Decision decision, final long timestamp) {
         output.traces()
                 .put(new TraceLog.RequestTrace(
                         request.id(),
--- a/core/src/main/java/silverlatch/dispatch/RequestRevoker.java
+++ b/core/src/main/java/silverlatch/dispatch/RequestRevoker.java
@@ -4,8 +4,9 @@
 import silverlatch.state.Value;
 
 /**
- * Ends requests that may not be served here any more: because their tenant's homes or key changed, because this gateway
- * joined anew, or because it stops. Owned by the dispatch event loop.
+ * Ends requests that this gateway may no longer serve: because their tenant was removed, its home regions or its key were
+ * changed, because this gateway has rejoined the cluster with a new incarnation, or because it shuts down. Used only by the
+ * dispatch event loop.
  */
 final class RequestRevoker {
     private final ClusterView cluster;
@@ -30,21 +31,21 @@
         this.output = output;
     }
 
-    /** Rejects all requests that wait. */
-    void rejectWaiting(final String reason) {
-        queues.forEachWaiting(request -> lifecycle.reject(request, Rejection.unavailable(reason)));
+    /** Rejects all queued requests. */
+    void rejectQueued(final String reason) {
+        queues.forEachQueued(request -> lifecycle.reject(request, Rejection.unavailable(reason)));
     }
 
-    /** Ends all open requests, as a process does at the end of its graceful shutdown. */
+    /** Ends all open requests. Called at the end of a graceful shutdown. */
     void shutdown(final long now) {
-        rejectWaiting("stopping");
+        rejectQueued("stopping");
         requests.forEachOpen(request -> revoke(request, "stopping", now));
     }
 
-    /** Ends what a new revision of the tenants' settings no longer allows here, and forgets such ended requests. */
+    /** Ends the open requests that a new revision of the policy no longer allows here, and removes such ended requests. */
     void revokeNoLongerAllowed(final long now) {
         requests.forEachOpen(request -> {
-            final Optional<String> reason = reasonAgainst(request);
+            final Optional<String> reason = revocationReason(request);
             if (reason.isPresent()) {
                 output.count("homeless");
                 revoke(request, reason.get(), now);
@@ -59,19 +60,19 @@
                 });
     }
 
-    private Optional<String> reasonAgainst(final DispatchedRequest request) {
+    private Optional<String> revocationReason(final DispatchedRequest request) {
         final Optional<Value.Tenant> tenant = cluster.currentTenant(request).filter(cluster::servesTenant);
         if (tenant.isEmpty()) {
             return Optional.of("the tenant may not be carried here any more");
         }
-        return request.holdsWorkerSlot() && isWorkerOutsideHomes(request.worker(), tenant.get())
+        return request.holdsWorkerSlot() && isWorkerOutsideHomeRegions(request.worker(), tenant.get())
                 ? Optional.of("the worker is no longer in the tenant's homes")
                 : Optional.empty();
     }
 
-    private boolean isWorkerOutsideHomes(final String worker, final Value.Tenant tenant) {
+    private boolean isWorkerOutsideHomeRegions(final String worker, final Value.Tenant tenant) {
         return Optional.ofNullable(cluster.snapshot().workers().get(worker))
-                .map(report -> !ClusterView.isHome(tenant, report.worker().region()))
+                .map(report -> !ClusterView.isHomeRegion(tenant, report.worker().region()))
                 .orElse(false);
     }
 
@@ -85,7 +86,7 @@
             }
             case STARTING, RUNNING -> {
                 output.add(new DispatchEffect.CancelAttempt(request.operationId()));
-                lifecycle.lose(request, reason, now);
+                lifecycle.markLost(request, reason, now);
                 queueDispatcher.run(now);
             }
             default -> {}
--- a/core/src/main/java/silverlatch/dispatch/StreamDelivery.java
+++ b/core/src/main/java/silverlatch/dispatch/StreamDelivery.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * Writes responses to the calls that read them, one write of bounded size for each time that a transport says it can take
- * more. Owned by the dispatch event loop.
+ * Writes responses to the calls that read them. A call gets one write of bounded size each time its transport signals that it
+ * can accept more. Used only by the dispatch event loop.
  */
 final class StreamDelivery {
     private static final int MAX_RECORDS_PER_WRITE = 256;
@@ -20,12 +20,12 @@
         this.output = output;
     }
 
-    /** The call that submitted a request reads its response. */
+    /** Registers the call that submitted a request as the reader of its response. */
     void open(final DispatchedRequest request, final long callId) {
         handlesByCall.put(callId, request.handle());
     }
 
-    /** A call reads a response from a record on; the one that read it before, if another, is ended. */
+    /** Makes a call the reader of a response from the given record on; ends the stream of the previous reader if there is one. */
     void attach(final DispatchedRequest request, final long callId, final int firstRecord) {
         request.reader().callId().filter(previous -> previous != callId).ifPresent(this::endCall);
         request.reader().attach(callId, firstRecord);
@@ -33,8 +33,8 @@
         write(request);
     }
 
-    /** The transport of a call can take more. */
-    void readerReady(final long callId) {
+    /** Handles the event that the transport of a call can accept the next write. */
+    void onReaderReady(final long callId) {
         Optional.ofNullable(handlesByCall.get(callId))
                 .flatMap(requests::byHandle)
                 .filter(request -> request.reader().isCall(callId))
@@ -44,35 +44,35 @@
                 });
     }
 
-    /** The connection of a call went away; gives the request that it read. */
-    Optional<DispatchedRequest> readerDisconnected(final long callId, final long now) {
+    /** Handles the loss of a call's connection; returns the request whose response the call read. */
+    Optional<DispatchedRequest> onReaderDisconnected(final long callId, final long now) {
         final Optional<DispatchedRequest> read = Optional.ofNullable(handlesByCall.remove(callId))
                 .flatMap(requests::byHandle)
                 .filter(request -> request.reader().isCall(callId));
-        read.ifPresent(request -> request.reader().disconnected(now));
+        read.ifPresent(request -> request.reader().markDisconnected(now));
         return read;
     }
 
-    /** Sends what the reader has not got yet, if it is ready. */
+    /** Writes the next records that the reader has not received, if it is ready. */
     void write(final DispatchedRequest request) {
         final StreamReader reader = request.reader();
         final int size = request.response().size();
         final boolean isEnded = request.state().isFinal();
-        if (!reader.isReady() || request.state() == RequestState.REJECTED || size == reader.recordsSent() && !isEnded) {
+        if (!reader.isReady() || request.state() == RequestState.REJECTED || size == reader.nextRecord() && !isEnded) {
             return;
         }
-        final int end = Math.min(size, reader.recordsSent() + MAX_RECORDS_PER_WRITE);
+        final int end = Math.min(size, reader.nextRecord() + MAX_RECORDS_PER_WRITE);
         final boolean endOfStream = isEnded && end == size;
         final long callId = reader.callId().orElseThrow();
         output.add(new DispatchEffect.StreamWrite(
-                callId, request.response().records(reader.recordsSent(), end), endOfStream));
-        reader.sentUpTo(end);
+                callId, request.response().records(reader.nextRecord(), end), endOfStream));
+        reader.markSentUpTo(end);
         if (endOfStream) {
-            forgetReader(request, callId);
+            detachReader(request, callId);
         }
     }
 
-    /** Answers the reader, if there is one, with a refusal instead of a stream. */
+    /** Replies to the reader, if there is one, with a rejection instead of a stream. */
     void reject(final DispatchedRequest request, final Rejection rejection) {
         request.reader().callId().ifPresent(callId -> {
             handlesByCall.remove(callId);
@@ -81,7 +81,7 @@
         request.reader().detach();
     }
 
-    /** Ends the reader's stream, if there is one, without a further record. */
+    /** Ends the reader's stream, if there is a reader, without a further record. */
     void close(final DispatchedRequest request) {
         request.reader().callId().ifPresent(this::endCall);
     }
@@ -91,7 +91,7 @@
         output.add(new DispatchEffect.StreamWrite(callId, List.of(), true));
     }
 
-    private void forgetReader(final DispatchedRequest request, final long callId) {
+    private void detachReader(final DispatchedRequest request, final long callId) {
         handlesByCall.remove(callId);
         request.reader().detach();
     }
--- a/core/src/main/java/silverlatch/dispatch/SubmissionHandler.java
+++ b/core/src/main/java/silverlatch/dispatch/SubmissionHandler.java
@@ -10,8 +10,8 @@
 import silverlatch.util.Digests;
 
 /**
- * Admits a request that is submitted with a permit: the permit is checked and spent, the request is queued, and where
- * there is no capacity one of lower priority is shed for it. Owned by the dispatch event loop.
+ * Admits requests that clients submit with a permit: verifies the permit, marks it as used, and queues the request. If the
+ * queues are full, sheds a queued request of lower priority instead. Used only by the dispatch event loop.
  */
 final class SubmissionHandler {
     private final DispatcherSettings settings;
@@ -19,7 +19,7 @@
     private final GatewayReadiness readiness;
     private final RequestTable requests;
     private final FairQueues queues;
-    private final SpentPermits spentPermits;
+    private final UsedPermits usedPermits;
     private final RequestLifecycle lifecycle;
     private final StreamDelivery delivery;
     private final PermitSigner signer;
@@ -31,7 +31,7 @@
             final GatewayReadiness readiness,
             final RequestTable requests,
             final FairQueues queues,
-            final SpentPermits spentPermits,
+            final UsedPermits usedPermits,
             final RequestLifecycle lifecycle,
             final StreamDelivery delivery,
             final PermitSigner signer,
@@ -41,14 +41,14 @@
         this.readiness = readiness;
         this.requests = requests;
         this.queues = queues;
-        this.spentPermits = spentPermits;
+        this.usedPermits = usedPermits;
         this.lifecycle = lifecycle;
         this.delivery = delivery;
         this.signer = signer;
         this.output = output;
     }
 
-    /** Takes a submitted request; true when it was queued. */
+    /** Admits or rejects a submitted request; returns true if it was queued. */
     boolean handle(final SubmittedRequest submitted, final long callId, final long now) {
         output.count("tickets");
         final Optional<Permit> verified = signer.verify(submitted.permit());
@@ -65,21 +65,21 @@
                     callId, "", Rejection.permanent(Rejection.UNAUTHORIZED, "the tenant or its key is not known"));
             return false;
         }
-        final Optional<Rejection> permitRefusal = permitRefusal(permit, now);
-        if (permitRefusal.isPresent()) {
-            output.reject(callId, permit.requestId(), permitRefusal.get());
+        final Optional<Rejection> permitRejection = permitRejection(permit, now);
+        if (permitRejection.isPresent()) {
+            output.reject(callId, permit.requestId(), permitRejection.get());
             return false;
         }
-        spentPermits.add(permit.requestId(), permit.expiry());
+        usedPermits.add(permit.requestId(), permit.expiry());
         return admit(permit, tenant.get(), submitted, callId, now);
     }
 
-    private Optional<Rejection> permitRefusal(final Permit permit, final long now) {
-        if (spentPermits.contains(permit.requestId()) && isEnabled(Safeguard.PERMIT_ONCE)) {
+    private Optional<Rejection> permitRejection(final Permit permit, final long now) {
+        if (usedPermits.contains(permit.requestId()) && isEnabled(Safeguard.PERMIT_ONCE)) {
             return Optional.of(Rejection.permanent(Rejection.CONFLICT, Dispatcher.ALREADY_SUBMITTED));
         }
         if (!permit.gateway().equals(cluster.snapshot().self().id())
-                || isEnabled(Safeguard.PERMIT_INCARNATION) && isOfAnotherTime(permit, now)) {
+                || isEnabled(Safeguard.PERMIT_INCARNATION) && isOutsideUsedPermitHistory(permit, now)) {
             return Optional.of(Rejection.permanent(
                     Rejection.GONE, "the permit is of another time; whether its request ran is not known here"));
         }
@@ -88,8 +88,11 @@
                 : Optional.empty();
     }
 
-    /** Whether the permit is older than the memory of spent permits, so that it may have been used. */
-    private boolean isOfAnotherTime(final Permit permit, final long now) {
+    /**
+     * Returns whether this gateway may have forgotten that the permit was used: the permit is of another incarnation of the
+     * gateway, or its expiry is too long ago.
+     */
+    private boolean isOutsideUsedPermitHistory(final Permit permit, final long now) {
         return permit.incarnation() != cluster.snapshot().self().incarnation()
                 || now - permit.expiry() > settings.permitRetention();
     }
@@ -101,9 +104,9 @@
             final long callId,
             final long now) {
         final Optional<Value.Row> row = cluster.snapshot().row(permit.tenant(), permit.kind());
-        final Optional<Rejection> refusal = admissionRefusal(permit, tenant, row, now);
-        if (refusal.isPresent()) {
-            reject(callId, permit, refusal.get());
+        final Optional<Rejection> rejection = admissionRejection(permit, tenant, row, now);
+        if (rejection.isPresent()) {
+            reject(callId, permit, rejection.get());
             return false;
         }
         final List<Long> prefixDigests = PrefixDigests.salted(tenant.prefixSalt(), submitted.prefixDigests());
@@ -120,40 +123,41 @@
         return true;
     }
 
-    private Optional<Rejection> admissionRefusal(
+    private Optional<Rejection> admissionRejection(
             final Permit permit, final Value.Tenant tenant, final Optional<Value.Row> row, final long now) {
         final Optional<String> unreadyReason = readiness.unreadyReason(now);
         if (unreadyReason.isPresent()) {
             return unreadyReason.map(Rejection::unavailable);
         }
         if (row.isEmpty()) {
-            return refusal(Rejection.UNPROCESSABLE, "no kind " + permit.kind() + " any more");
+            return retryableRejection(Rejection.UNPROCESSABLE, "no kind " + permit.kind() + " any more");
         }
         if (row.get().atMostOnce() && !permit.hasIdempotencyKey()) {
-            return refusal(Rejection.UNPROCESSABLE, "kind " + permit.kind() + " runs once only by now and needs a key");
+            return retryableRejection(
+                    Rejection.UNPROCESSABLE, "kind " + permit.kind() + " runs once only by now and needs a key");
         }
         if (!cluster.servesTenant(tenant)) {
-            return refusal(Rejection.UNAVAILABLE, "this region is no home");
+            return retryableRejection(Rejection.UNAVAILABLE, "this region is no home");
         }
         if (cluster.isZoneEvacuating()) {
-            return refusal(Rejection.UNAVAILABLE, "this zone is being emptied");
+            return retryableRejection(Rejection.UNAVAILABLE, "this zone is being emptied");
         }
         return hasCapacity(permit, tenant, row.get())
                 ? Optional.empty()
-                : refusal(Rejection.TOO_MANY_REQUESTS, "the queue is full");
+                : retryableRejection(Rejection.TOO_MANY_REQUESTS, "the queue is full");
     }
 
-    private static Optional<Rejection> refusal(final int statusCode, final String reason) {
-        return Optional.of(Rejection.retryable(statusCode, reason, Rejection.SECOND));
+    private static Optional<Rejection> retryableRejection(final int statusCode, final String reason) {
+        return Optional.of(Rejection.retryable(statusCode, reason, Rejection.SECOND_MICROS));
     }
 
-    /** Whether the queue has capacity, if need be after a request of lower priority was shed. */
+    /** Returns whether there is capacity to queue a request, if necessary after shedding one of lower priority. */
     private boolean hasCapacity(final Permit permit, final Value.Tenant tenant, final Value.Row row) {
         final int maxQueued = Math.max(1, row.maxQueued() / cluster.gatewayCount(tenant));
-        return queues.queueOf(permit.tenant(), permit.kind()).size() < maxQueued && makeRoom(row.priority());
+        return queues.queueOf(permit.tenant(), permit.kind()).size() < maxQueued && shedIfFull(row.priority());
     }
 
-    private boolean makeRoom(final int priority) {
+    private boolean shedIfFull(final int priority) {
         if (queues.size() < settings.maxQueuedRequests() && !requests.isFull()) {
             return true;
         }
@@ -166,7 +170,10 @@
         return shed.isPresent();
     }
 
-    /** The worker that the permit names, unless what its choice rested on has changed since. */
+    /**
+     * Returns the worker that the permit names, unless the choice is stale: the replicated state has a newer revision, or the
+     * worker's zone was evacuated since.
+     */
     private Optional<String> preferredWorker(final Permit permit) {
         final ClusterSnapshot snapshot = cluster.snapshot();
         final boolean isEvacuated = Optional.ofNullable(snapshot.workers().get(permit.worker()))
@@ -180,7 +187,7 @@
         return Optional.of(permit.worker()).filter(worker -> !worker.isEmpty());
     }
 
-    /** Refuses a request whose permit is spent by now. */
+    /** Rejects a request whose permit was already marked as used. */
     private void reject(final long callId, final Permit permit, final Rejection rejection) {
         output.traces().recordState(permit.requestId(), RequestState.REJECTED.label(), rejection.reason());
         output.count(RequestState.REJECTED.label());
--- a/core/src/main/java/silverlatch/dispatch/WorkerUsage.java
+++ b/core/src/main/java/silverlatch/dispatch/WorkerUsage.java
@@ -6,12 +6,13 @@
 import silverlatch.placement.PlacementInput;
 
 /**
- * What this gateway knows of its own attempts at one worker, beside the worker's reports. A report counts the attempts that
- * were sent before it was made; those sent since are counted here. Owned by the dispatch event loop; times in microseconds.
+ * Tracks this gateway's own attempts at one worker, in addition to the worker's reports. A report includes the attempts that
+ * were sent before it was made; those sent since then are counted here. Also tracks the worker's ejection and the start of its
+ * slow start. Used only by the dispatch event loop; times are readings of the monotonic clock in microseconds.
  */
 final class WorkerUsage {
-    /** A worker whose reports were further apart than this counts as returned and starts slowly again. */
-    private static final long SILENCE_MICROS = 3_000_000L;
+    /** A worker that was silent for longer than this between two reports goes through slow start again. */
+    private static final long MAX_REPORT_GAP_MICROS = 3_000_000L;
 
     private final Deque<Long> sendTimes = new ArrayDeque<>();
     private long incarnation;
@@ -19,22 +20,25 @@
     private int endedSinceReport;
     private long ejectedUntil;
     private long newestReportAt = Long.MIN_VALUE;
-    private long returnedAt = Long.MIN_VALUE / 2;
+    private long recoveredAt = Long.MIN_VALUE / 2;
 
-    /** No attempts yet at a worker of this incarnation. */
+    /** Creates a record without attempts for a worker of this incarnation. */
     WorkerUsage(final long incarnation) {
         this.incarnation = incarnation;
     }
 
-    /** Takes a report of the worker. */
+    /**
+     * Processes a report of the worker. A new incarnation, or a report after a silence, restarts the worker's slow start. A
+     * newer report clears the counts of the attempts that it includes.
+     */
     void observe(final Gossip.ObservedWorker report, final long now) {
         if (report.worker().incarnation() != incarnation) {
             incarnation = report.worker().incarnation();
-            returnedAt = now;
+            recoveredAt = now;
         }
         report.asOf().ifPresent(reportedAt -> {
-            if (newestReportAt != Long.MIN_VALUE && reportedAt - newestReportAt > SILENCE_MICROS) {
-                returnedAt = now;
+            if (newestReportAt != Long.MIN_VALUE && reportedAt - newestReportAt > MAX_REPORT_GAP_MICROS) {
+                recoveredAt = now;
             }
             if (reportedAt > newestReportAt) {
                 newestReportAt = reportedAt;
@@ -46,36 +50,36 @@
         });
     }
 
-    /** An attempt takes a slot there. */
-    void attemptStarted(final long now) {
+    /** Counts an attempt that takes a slot of the worker. */
+    void recordAttemptStart(final long now) {
         inFlight++;
         sendTimes.add(now);
     }
 
-    /** An attempt gives its slot back. */
-    void attemptEnded() {
+    /** Counts an attempt that has released its slot. */
+    void recordAttemptEnd() {
         inFlight--;
         endedSinceReport++;
     }
 
-    /** Nothing new goes there until this time. */
+    /** Ejects the worker until the given time: it gets no new attempts. */
     void ejectUntil(final long time) {
         ejectedUntil = time;
     }
 
-    /** Whether no attempt holds a slot there. */
+    /** Returns whether no attempt of this gateway holds a slot of the worker. */
     boolean isUnused() {
         return inFlight == 0;
     }
 
-    /** The worker as the scorers see it. */
+    /** Returns the scorers' input about the worker. */
     PlacementInput placementInput(final Gossip.ObservedWorker report, final long now, final int gatewayCount) {
         return new PlacementInput(
                 report.worker(),
                 report.age(now),
                 Math.max(0, sendTimes.size() - endedSinceReport),
                 inFlight,
-                now - returnedAt,
+                now - recoveredAt,
                 now < ejectedUntil,
                 gatewayCount);
     }
--- a/core/src/test/java/silverlatch/dispatch/DispatcherAttemptTest.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherAttemptTest.java
@@ -9,18 +9,21 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.util.Lists;
 
-/** What a dispatcher does with attempts, their streams and their readers. */
+/**
+ * Tests attempts at a dispatcher, their response streams and their readers. Guards against retrying a request that may have run,
+ * against completing a stream that violates the protocol, and against retries beyond the budget.
+ */
 final class DispatcherAttemptTest extends DispatcherFixture {
     @Test
-    void aRequestRunsStreamsAndEndsWithATrailer() {
+    void runsARequestAndStreamsItsResponseUpToTheTrailer() {
         final long callId = submit("one", place("one", "ask", "").permit());
         final DispatchEffect.StartAttempt attempt = lastAttempt();
-        dispatcher.attemptStarted(attempt.operationId());
-        dispatcher.recordReceived(
+        dispatcher.onAttemptStarted(attempt.operationId());
+        dispatcher.onRecord(
                 attempt.operationId(), new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 0, "hi"), now);
         collectEffects();
-        dispatcher.readerReady(callId);
-        dispatcher.recordReceived(attempt.operationId(), trailerOf(attempt, "hi"), now);
+        dispatcher.onReaderReady(callId);
+        dispatcher.onRecord(attempt.operationId(), trailerOf(attempt, "hi"), now);
         collectEffects();
         assertThat(
                 recordsSentTo(callId),
@@ -30,7 +33,7 @@
     }
 
     @Test
-    void aStreamThatBreaksTheProtocolEndsAsLostAndNeverWithATrailer() {
+    void endsAStreamThatViolatesTheProtocolAsLostAndNeverWithATrailer() {
         final List<java.util.function.Function<DispatchEffect.StartAttempt, StreamRecord>> violations = List.of(
                 attempt -> new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 1, "b"),
                 attempt -> new StreamRecord.Chunk(attempt.requestId() + "x", attempt.attemptId(), 0, "b"),
@@ -40,29 +43,32 @@
                         new StreamRecord.Trailer(attempt.worker(), attempt.requestId(), attempt.attemptId(), 0, "00"));
         for (final java.util.function.Function<DispatchEffect.StartAttempt, StreamRecord> violation : violations) {
             final long callId = submit("one", place("one", "ask", "").permit());
-            dispatcher.recordReceived(lastAttempt().operationId(), violation.apply(lastAttempt()), now);
+            dispatcher.onRecord(lastAttempt().operationId(), violation.apply(lastAttempt()), now);
             collectEffects();
             assertThat(Lists.last(recordsSentTo(callId)) instanceof StreamRecord.Lost, is(true));
-            assertThat(recordsSentTo(callId).stream().anyMatch(l -> l instanceof StreamRecord.Trailer), is(false));
+            assertThat(
+                    recordsSentTo(callId).stream().anyMatch(streamed -> streamed instanceof StreamRecord.Trailer),
+                    is(false));
         }
     }
 
     @Test
-    void aRetryOnlyWhereTheFirstAttemptDidNotStartAndWithinTheBudget() {
+    void retriesOnlyAttemptsThatDidNotStartAndWithinTheBudget() {
         int retries = 0;
         for (int i = 0; i < 60; i++) {
             now += 1_100_000;
             refreshReports();
             final long callId = submit("one", place("one", "ask", "").permit());
-            final int before = effectsOf(DispatchEffect.StartAttempt.class).size();
-            dispatcher.attemptFailed(lastAttempt().operationId(), false, "denied", now);
+            final int attemptsBefore =
+                    effectsOf(DispatchEffect.StartAttempt.class).size();
+            dispatcher.onAttemptFailed(lastAttempt().operationId(), false, "denied", now);
             now += 1_100_000;
             refreshReports();
             dispatcher.tick(now);
             collectEffects();
-            if (effectsOf(DispatchEffect.StartAttempt.class).size() > before) {
+            if (effectsOf(DispatchEffect.StartAttempt.class).size() > attemptsBefore) {
                 retries++;
-                dispatcher.attemptFailed(lastAttempt().operationId(), true, "broke", now);
+                dispatcher.onAttemptFailed(lastAttempt().operationId(), true, "broke", now);
                 collectEffects();
                 assertThat(Lists.last(recordsSentTo(callId)) instanceof StreamRecord.Lost, is(true));
             }
@@ -72,30 +78,30 @@
     }
 
     @Test
-    void whatStillComesOfAnAttemptThatFailedUnstartedIsIgnored() {
+    void ignoresLateEventsOfAnAttemptThatFailedBeforeItStarted() {
         submit("one", place("one", "ask", "").permit());
         final DispatchEffect.StartAttempt failed = lastAttempt();
-        dispatcher.attemptFailed(failed.operationId(), false, "denied", now);
-        dispatcher.recordReceived(
+        dispatcher.onAttemptFailed(failed.operationId(), false, "denied", now);
+        dispatcher.onRecord(
                 failed.operationId(), new StreamRecord.Chunk(failed.requestId(), failed.attemptId(), 0, "late"), now);
-        dispatcher.attemptStarted(failed.operationId());
-        dispatcher.attemptFailed(failed.operationId(), true, "again", now);
+        dispatcher.onAttemptStarted(failed.operationId());
+        dispatcher.onAttemptFailed(failed.operationId(), true, "again", now);
         now += 1_100_000;
         refreshReports();
         dispatcher.tick(now);
         collectEffects();
         final DispatchEffect.StartAttempt retry = lastAttempt();
-        assertThat("it was queued and is tried once more", retry.operationId() > failed.operationId(), is(true));
+        assertThat("the request was queued and is retried once", retry.operationId() > failed.operationId(), is(true));
     }
 
     @Test
-    void aClientThatReconnectsReadsOnFromItsChunk() {
+    void letsAReconnectingClientContinueFromItsChunk() {
         final long callId = submit("one", place("one", "ask", "").permit());
         final DispatchEffect.StartAttempt attempt = lastAttempt();
-        dispatcher.recordReceived(
+        dispatcher.onRecord(
                 attempt.operationId(), new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 0, "a"), now);
-        dispatcher.readerDisconnected(callId, now);
-        dispatcher.recordReceived(
+        dispatcher.onReaderDisconnected(callId, now);
+        dispatcher.onRecord(
                 attempt.operationId(), new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 1, "b"), now);
         dispatcher.attach(attempt.requestId(), "key-two", 1, ++lastCallId, now);
         collectEffects();
@@ -107,7 +113,7 @@
     }
 
     @Test
-    void anAttemptThatDoesNotStartInTimeIsCancelled() {
+    void cancelsAnAttemptThatDoesNotStartInTime() {
         final long callId = submit("one", place("one", "ask", "").permit());
         now += 1_100_000;
         dispatcher.tick(now);
--- a/core/src/test/java/silverlatch/dispatch/DispatcherFixture.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherFixture.java
@@ -19,7 +19,7 @@
 import silverlatch.util.Digests;
 import silverlatch.util.Lists;
 
-/** A dispatcher of one gateway with scripted clients, workers and replicated state, on a fake clock. */
+/** The dispatcher of one gateway, with scripted clients, workers and replicated state, and a simulated clock. */
 abstract class DispatcherFixture {
     static final PermitSigner SIGNER = new PermitSigner("a-cluster-key-for-tests");
     static final Member SELF = new Member("p1", "gateway", "z1", "r1", "a", "d", 7, 0, "up", true);
@@ -50,13 +50,13 @@
                 self, revision, Optional.of(now), silverlatch.state.Policy.of(policy.values()), workers, List.of());
     }
 
-    void tenant(final String name, final List<String> homes, final double share) {
+    void tenant(final String name, final List<String> homeRegions, final double share) {
         policy.put(
                 "t/" + name,
                 new Entry(
                         "t/" + name,
                         revision,
-                        List.of(new Value.Tenant(name, homes, share, Digests.sha256Hex("key-" + name), "salt"))));
+                        List.of(new Value.Tenant(name, homeRegions, share, Digests.sha256Hex("key-" + name), "salt"))));
     }
 
     void row(final Value.Row row) {
@@ -74,7 +74,7 @@
     }
 
     void refreshReports() {
-        workers.replaceAll((k, h) -> new Gossip.ObservedWorker(h.worker(), Optional.of(now)));
+        workers.replaceAll((id, report) -> new Gossip.ObservedWorker(report.worker(), Optional.of(now)));
         dispatcher.update(clusterSnapshot(SELF), now);
         collectEffects();
     }
@@ -125,8 +125,8 @@
 
     List<StreamRecord> recordsSentTo(final long callId) {
         return effectsOf(DispatchEffect.StreamWrite.class).stream()
-                .filter(f -> f.callId() == callId)
-                .flatMap(f -> f.records().stream())
+                .filter(write -> write.callId() == callId)
+                .flatMap(write -> write.records().stream())
                 .toList();
     }
 }
--- a/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
+++ b/core/src/test/java/silverlatch/dispatch/DispatcherTest.java
@@ -15,10 +15,14 @@
 import silverlatch.state.Value;
 import silverlatch.util.Lists;
 
-/** Placement, admission and order of requests at a dispatcher, and what of them is kept. */
+/**
+ * Tests placement, admission, rate limits and order of requests at a dispatcher. Guards against running a request twice or
+ * without its claim, against acting on an unconfirmed snapshot or an evacuated zone, and against showing a response outside of
+ * the tenant's home regions.
+ */
 final class DispatcherTest extends DispatcherFixture {
     @Test
-    void aForgedPermitIsRejectedAndAReusedOneNeverRuns() {
+    void rejectsForgedPermitsAndNeverRunsAReusedOne() {
         final String permit = place("one", "ask", "").permit();
         assertThat(
                 rejectionOf(submit("one", permit.substring(0, permit.length() - 2) + "AA"))
@@ -26,28 +30,31 @@
                 is(403));
         assertThat(rejectionOf(submit("two", permit)).statusCode(), is(401));
         submit("one", permit);
-        final int runs = effectsOf(DispatchEffect.StartAttempt.class).size();
+        final int attempts = effectsOf(DispatchEffect.StartAttempt.class).size();
         assertThat(rejectionOf(submit("one", permit)).statusCode(), is(409));
         now += 3_000_000;
         refreshReports();
         assertThat(rejectionOf(submit("one", permit)).statusCode(), is(409));
-        final String old =
+        final String permitOfPreviousIncarnation =
                 SIGNER.sign(new Permit("t", "one", "ask", "w1", "p1", 6, 1, new Stamp(5), now + 1_000_000, ""));
-        assertThat(rejectionOf(submit("one", old)).statusCode(), is(410));
-        assertThat(effectsOf(DispatchEffect.StartAttempt.class).size(), is(runs));
+        assertThat(rejectionOf(submit("one", permitOfPreviousIncarnation)).statusCode(), is(410));
+        assertThat(effectsOf(DispatchEffect.StartAttempt.class).size(), is(attempts));
     }
 
     @Test
-    void aPlacementMadeBeforeAnEvacuationIsMadeAgainOrRejected() {
+    void repeatsOrRejectsAPlacementMadeBeforeAnEvacuation() {
         worker("w2", "z2", "r1", 4);
         refreshReports();
         final DispatchEffect.Placed placed = place("one", "ask", "");
-        final String zone = placed.worker().equals("w1") ? "z1" : "z2";
-        final String other = placed.worker().equals("w1") ? "w2" : "w1";
+        final String evacuatedZone = placed.worker().equals("w1") ? "z1" : "z2";
+        final String otherWorker = placed.worker().equals("w1") ? "w2" : "w1";
         policy.put(
-                "z/" + zone,
-                new Entry("z/" + zone, ++revision, List.of(new Value.Evacuation(zone, true, new Stamp(++timestamp)))));
-        if (zone.equals("z1")) {
+                "z/" + evacuatedZone,
+                new Entry(
+                        "z/" + evacuatedZone,
+                        ++revision,
+                        List.of(new Value.Evacuation(evacuatedZone, true, new Stamp(++timestamp)))));
+        if (evacuatedZone.equals("z1")) {
             dispatcher.update(
                     new ClusterSnapshot(
                             SELF,
@@ -61,12 +68,12 @@
         } else {
             refreshReports();
             submit("one", placed.permit());
-            assertThat(lastAttempt().worker(), is(other));
+            assertThat(lastAttempt().worker(), is(otherWorker));
         }
     }
 
     @Test
-    void anUnconfirmedTableIsNotActedOn() {
+    void rejectsPlacementsWhileTheSnapshotIsUnconfirmed() {
         final String permit = place("one", "ask", "").permit();
         now += 1_900_000;
         submit("one", permit);
@@ -80,18 +87,18 @@
     }
 
     @Test
-    void aKeyIsClaimedBeforeTheWorkerIsAskedAndATakenOneNeverRuns() {
+    void claimsAnIdempotencyKeyBeforeTheAttemptAndNeverRunsWithoutTheClaim() {
         row(new Value.Row("*", "rule", 1, 1, 1, 1, 50, 100, 32, 64, 2_000_000, true, 9));
         refreshReports();
         submit("one", place("one", "rule", "k").permit());
         assertThat(effectsOf(DispatchEffect.StartAttempt.class).isEmpty(), is(true));
         final long firstOperation =
                 Lists.last(effectsOf(DispatchEffect.SubmitCommand.class)).operationId();
-        dispatcher.claimDecided(firstOperation, new CommandResult.Applied(5), now);
+        dispatcher.onClaimResult(firstOperation, new CommandResult.Applied(5), now);
         collectEffects();
         assertThat(effectsOf(DispatchEffect.StartAttempt.class).size(), is(1));
         final long callId = submit("one", place("one", "rule", "k").permit());
-        dispatcher.claimDecided(
+        dispatcher.onClaimResult(
                 Lists.last(effectsOf(DispatchEffect.SubmitCommand.class)).operationId(),
                 new CommandResult.AlreadyClaimed(new Value.Claim("x", "p1", "running", 0, 0)),
                 now);
@@ -99,14 +106,14 @@
         assertThat(rejectionOf(callId).statusCode(), is(409));
         assertThat(rejectionOf(callId).claimState(), containsString("running"));
         final long unconfirmedCallId = submit("one", place("one", "rule", "k2").permit());
-        dispatcher.claimDecided(
+        dispatcher.onClaimResult(
                 Lists.last(effectsOf(DispatchEffect.SubmitCommand.class)).operationId(),
                 new CommandResult.Unknown("id"),
                 now);
         collectEffects();
         assertThat(rejectionOf(unconfirmedCallId).statusCode(), is(503));
         final long fullCallId = submit("one", place("one", "rule", "k3").permit());
-        dispatcher.claimDecided(
+        dispatcher.onClaimResult(
                 Lists.last(effectsOf(DispatchEffect.SubmitCommand.class)).operationId(),
                 new CommandResult.Rejected(507, List.of("full"), 5),
                 now);
@@ -116,7 +123,7 @@
     }
 
     @Test
-    void aRequestOverTheRateLimitIsRejectedAtOnceAndTheRateRecovers() {
+    void rejectsRequestsOverTheRateLimitUntilTokensAreRefilled() {
         row(new Value.Row("one", "ask", 1, 1, 1, 1, 2, 3, 32, 64, 2_000_000, false, 1));
         refreshReports();
         for (int i = 0; i < 4; i++) {
@@ -136,7 +143,7 @@
     }
 
     @Test
-    void aGreedyTenantDoesNotStarveAnother() {
+    void doesNotLetATenantWithManyRequestsStarveAnother() {
         row(new Value.Row("*", "ask", 1, 1, 1, 1, 10_000, 10_000, 1_000, 1_000, 60_000_000, false, 1));
         refreshReports();
         for (int i = 0; i < 100; i++) {
@@ -148,19 +155,19 @@
         for (int i = 0; i < 24; i++) {
             final DispatchEffect.StartAttempt attempt =
                     effectsOf(DispatchEffect.StartAttempt.class).get(i);
-            dispatcher.recordReceived(attempt.operationId(), trailerOf(attempt), now);
+            dispatcher.onRecord(attempt.operationId(), trailerOf(attempt), now);
             now += 1_000;
             refreshReports();
         }
-        final long two = effectsOf(DispatchEffect.StartAttempt.class).stream()
+        final long attemptsOfSecondTenant = effectsOf(DispatchEffect.StartAttempt.class).stream()
                 .limit(28)
                 .filter(attempt -> attempt.tenant().equals("two"))
                 .count();
-        assertThat(two, is(10L));
+        assertThat(attemptsOfSecondTenant, is(10L));
     }
 
     @Test
-    void aRequestWithoutAWorkerIsRejectedAtOnceWithRetryAfter() {
+    void rejectsPlacementsWithRetryAfterWhenThereIsNoWorker() {
         workers.clear();
         dispatcher.update(clusterSnapshot(SELF), now);
         dispatcher.requestPlacement(
@@ -171,17 +178,17 @@
     }
 
     @Test
-    void requestsFollowTheirTenantsHomesAndAreNotShownUnderAnUnconfirmedTable() {
+    void servesResponsesOnlyInHomeRegionsAndUnderAConfirmedSnapshot() {
         submit("one", place("one", "ask", "").permit());
         final DispatchEffect.StartAttempt attempt = lastAttempt();
-        dispatcher.attemptStarted(attempt.operationId());
-        dispatcher.recordReceived(
+        dispatcher.onAttemptStarted(attempt.operationId());
+        dispatcher.onRecord(
                 attempt.operationId(), new StreamRecord.Chunk(attempt.requestId(), attempt.attemptId(), 0, "a"), now);
         now += 2_500_000;
         dispatcher.attach(attempt.requestId(), "key-one", 0, ++lastCallId, now);
         collectEffects();
         assertThat(
-                "unconfirmed",
+                "the snapshot is unconfirmed",
                 Lists.last(effectsOf(DispatchEffect.Rejected.class)).statusCode(),
                 is(425));
         refreshReports();
@@ -192,13 +199,13 @@
         tenant("one", List.of("elsewhere"), 1);
         refreshReports();
         assertThat(
-                "the run is dropped",
+                "the attempt is cancelled",
                 Lists.last(effectsOf(DispatchEffect.CancelAttempt.class)).operationId(),
                 is(attempt.operationId()));
         dispatcher.attach(attempt.requestId(), "key-one", 0, ++lastCallId, now);
         collectEffects();
         assertThat(
-                "no home any more",
+                "this region is no longer a home region",
                 Lists.last(effectsOf(DispatchEffect.Rejected.class)).statusCode(),
                 is(404));
     }
--- a/core/src/test/java/silverlatch/dispatch/PrefixDigestsTest.java
+++ b/core/src/test/java/silverlatch/dispatch/PrefixDigestsTest.java
@@ -7,9 +7,10 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.util.Digests;
 
+/** Guards the derivation of salted prefix digests, by which workers and gateways recognize cached prefixes of a tenant. */
 final class PrefixDigestsTest {
     @Test
-    void theFirst48BitsOfTheSaltedHashAreTakenInOrder() {
+    void keepsTheFirst48BitsOfEachSaltedHashInOrder() {
         final List<Long> salted = PrefixDigests.salted("salt", List.of("a", "b"));
         assertThat(
                 salted.stream().map(digest -> String.format("%012x", digest)).toList(),
--- a/core/src/test/java/silverlatch/dispatch/RequestStateTest.java
+++ b/core/src/test/java/silverlatch/dispatch/RequestStateTest.java
@@ -10,7 +10,10 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Holds the legal transitions of a request to a list of their own, and the names of states to the API's. */
+/**
+ * Compares the legal transitions and the labels of states, which are part of the API, with an independent list. Guards against
+ * an added transition by which a request that may have run is rejected, so that clients would run it twice.
+ */
 final class RequestStateTest {
     private static final Set<String> LEGAL = Set.of(
             "new ENQUEUE queued",
@@ -28,38 +31,38 @@
             "running LOSE lost");
 
     @Test
-    void onlyTheListedTransitionsAreLegal() {
+    void allowsOnlyTheListedTransitions() {
         final Set<String> legal = new TreeSet<>();
-        int refused = 0;
+        int illegalTransitions = 0;
         for (final RequestState state : RequestState.values()) {
             for (final RequestEvent event : RequestEvent.values()) {
                 try {
                     legal.add(state.label() + " " + event + " "
                             + state.after(event).label());
                 } catch (final IllegalRequestTransitionException illegal) {
-                    refused++;
+                    illegalTransitions++;
                 }
             }
         }
         assertThat(legal, is(new TreeSet<>(LEGAL)));
-        assertThat(refused, is(RequestState.values().length * RequestEvent.values().length - LEGAL.size()));
+        assertThat(illegalTransitions, is(RequestState.values().length * RequestEvent.values().length - LEGAL.size()));
     }
 
     @Test
-    void doneRejectedAndLostAreFinalAndNoOtherStateIs() {
-        final Set<RequestState> finals = EnumSet.noneOf(RequestState.class);
+    void treatsOnlyDoneRejectedAndLostAsFinal() {
+        final Set<RequestState> finalStates = EnumSet.noneOf(RequestState.class);
         for (final RequestState state : RequestState.values()) {
             if (state.isFinal()) {
-                finals.add(state);
+                finalStates.add(state);
             }
         }
-        assertThat(finals, is(EnumSet.of(RequestState.DONE, RequestState.REJECTED, RequestState.LOST)));
+        assertThat(finalStates, is(EnumSet.of(RequestState.DONE, RequestState.REJECTED, RequestState.LOST)));
     }
 
     @Test
-    void aRequestThatRunsIsNeverRejected() {
-        final IllegalRequestTransitionException refused = assertThrows(
+    void neverRejectsARunningRequest() {
+        final IllegalRequestTransitionException exception = assertThrows(
                 IllegalRequestTransitionException.class, () -> RequestState.RUNNING.after(RequestEvent.REJECT));
-        assertThat(refused.getMessage(), containsString("RUNNING does not take event REJECT"));
+        assertThat(exception.getMessage(), containsString("RUNNING does not accept event REJECT"));
     }
 }
--- a/core/src/test/java/silverlatch/dispatch/ResponseCheckerTest.java
+++ b/core/src/test/java/silverlatch/dispatch/ResponseCheckerTest.java
@@ -14,6 +14,10 @@
 import silverlatch.state.Value;
 import silverlatch.util.Digests;
 
+/**
+ * Guards against accepting records that do not belong to the response: a worker may send chunks of another request or attempt,
+ * skip or repeat a chunk, or send a trailer that does not match the chunks received.
+ */
 final class ResponseCheckerTest {
     private final ResponseChecker checker = new ResponseChecker(Safeguards.ALL);
     private final DispatchedRequest request = request();
@@ -39,16 +43,16 @@
     }
 
     @Test
-    void theNextChunkAndTheTrailerOverAllChunksFit() {
+    void acceptsTheNextChunkAndATrailerThatCoversAllChunks() {
         assertThat(violation(new StreamRecord.Chunk("r1", "r1.1", 1, "b")), is("none"));
         final String sha256 = Digests.sha256Hex("a\u00fc");
         assertThat(request.response().sha256(), is(sha256));
         assertThat(violation(new StreamRecord.Trailer("w1", "r1", "r1.1", 1, sha256)), is("none"));
-        assertThat("to look changes nothing", request.response().sha256(), is(sha256));
+        assertThat("reading the digest does not change it", request.response().sha256(), is(sha256));
     }
 
     @Test
-    void aChunkOfAnotherRequestOrAttemptOrPlaceDoesNotFit() {
+    void rejectsAChunkOfAnotherRequestOrAttemptOrIndex() {
         assertThat(violation(new StreamRecord.Chunk("r2", "r1.1", 1, "b")), containsString("request"));
         assertThat(violation(new StreamRecord.Chunk("r1", "r1.2", 1, "b")), containsString("run"));
         assertThat(violation(new StreamRecord.Chunk("r1", "r1.1", 0, "b")), containsString("0 where 1"));
@@ -56,7 +60,7 @@
     }
 
     @Test
-    void aTrailerOfAnotherWorkerCountOrTextDoesNotFit() {
+    void rejectsATrailerOfAnotherWorkerRequestAttemptCountOrText() {
         final String sha256 = Digests.sha256Hex("a\u00fc");
         assertThat(violation(new StreamRecord.Trailer("w2", "r1", "r1.1", 1, sha256)), containsString("worker"));
         assertThat(violation(new StreamRecord.Trailer("w1", "r2", "r1.1", 1, sha256)), containsString("request"));
@@ -68,7 +72,7 @@
     }
 
     @Test
-    void aLostStreamIsAViolationWithItsReason() {
+    void treatsALostRecordAsAViolationWithItsReason() {
         assertThat(checker.violation(request, new StreamRecord.Lost("r1", "gone")), is(Optional.of("gone")));
     }
 }
--- a/core/src/test/java/silverlatch/dispatch/RetryBudgetTest.java
+++ b/core/src/test/java/silverlatch/dispatch/RetryBudgetTest.java
@@ -5,6 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against retry storms: retries must stay a fraction of the recent requests, also after an idle time in which a large
+ * balance could otherwise be kept.
+ */
 final class RetryBudgetTest {
     private static final long SECOND = 1_000_000;
 
@@ -17,7 +21,7 @@
     }
 
     @Test
-    void requestsPayForRetriesByTheRatio() {
+    void allowsRetriesInProportionToRequests() {
         final RetryBudget budget = new RetryBudget(0.125, 0);
         assertThat(budget.tryAcquire(0), is(false));
         for (int i = 0; i < 24; i++) {
@@ -27,22 +31,22 @@
     }
 
     @Test
-    void theInitialBalanceIsThereOnceAndNoLargerThanTheLimit() {
+    void capsTheInitialBalanceAtTheLimit() {
         assertThat(acquireAll(new RetryBudget(0.125, 1), 0), is(1));
         assertThat(acquireAll(new RetryBudget(0.125, 5), 0), is(1));
     }
 
     @Test
-    void whatWasSavedUpIsGoneAfterAQuietTime() {
+    void dropsTheAccumulatedBalanceAfterTwoIdleWindows() {
         final RetryBudget budget = new RetryBudget(0.125, 0);
         for (int i = 0; i < 80; i++) {
             budget.recordRequest(SECOND);
         }
-        assertThat("all but one is gone two windows later", acquireAll(budget, 7 * SECOND), is(1));
+        assertThat("the balance is capped at one two windows later", acquireAll(budget, 7 * SECOND), is(1));
     }
 
     @Test
-    void whatWasSavedUpLastsForTheNextWindow() {
+    void keepsTheAccumulatedBalanceInTheNextWindow() {
         final RetryBudget budget = new RetryBudget(0.125, 0);
         for (int i = 0; i < 80; i++) {
             budget.recordRequest(SECOND);
--- a/core/src/test/java/silverlatch/dispatch/StreamDeliveryTest.java
+++ b/core/src/test/java/silverlatch/dispatch/StreamDeliveryTest.java
@@ -12,6 +12,10 @@
 import silverlatch.state.TableRules;
 import silverlatch.state.Value;
 
+/**
+ * Guards against losing, repeating or mixing up records of a stream when the reader is slow, is replaced by a reconnecting call,
+ * or gets a rejection instead of a stream.
+ */
 final class StreamDeliveryTest {
     private final RequestTable requests = new RequestTable(4);
     private final DispatchOutput output = new DispatchOutput(new SplittableRandom(1));
@@ -46,24 +50,24 @@
     }
 
     @Test
-    void aReaderGetsOneWriteForEachTimeThatItIsReady() {
+    void sendsOneWriteEachTimeTheReaderBecomesReady() {
         final StreamRecord.Chunk first = append();
         assertThat(write(), is(List.of(new DispatchEffect.StreamWrite(1, List.of(first), false))));
         final StreamRecord.Chunk second = append();
         final StreamRecord.Chunk third = append();
         assertThat(write(), is(List.of()));
-        delivery.readerReady(1);
+        delivery.onReaderReady(1);
         assertThat(output.drain(), is(List.of(new DispatchEffect.StreamWrite(1, List.of(second, third), false))));
     }
 
     @Test
-    void aWriteIsBoundedAndTheLastOneEndsTheStream() {
+    void boundsEachWriteAndEndsTheStreamWithTheLast() {
         for (int i = 0; i < 300; i++) {
             append();
         }
         request.apply(RequestEvent.COMPLETE);
         delivery.write(request);
-        delivery.readerReady(1);
+        delivery.onReaderReady(1);
         final List<DispatchEffect> writes = output.drain();
         assertThat(writes.size(), is(2));
         assertThat(
@@ -72,12 +76,12 @@
         assertThat(
                 writes.get(1),
                 is(new DispatchEffect.StreamWrite(1, request.response().records(256, 300), true)));
-        delivery.readerReady(1);
-        assertThat("nothing follows the end", output.drain(), is(List.of()));
+        delivery.onReaderReady(1);
+        assertThat("no write follows the end of the stream", output.drain(), is(List.of()));
     }
 
     @Test
-    void anotherCallThatReadsEndsTheOneBefore() {
+    void endsThePreviousReadersStreamWhenAnotherCallAttaches() {
         final StreamRecord.Chunk first = append();
         write();
         delivery.attach(request, 2, 0);
@@ -86,17 +90,17 @@
                 is(List.of(
                         new DispatchEffect.StreamWrite(1, List.of(), true),
                         new DispatchEffect.StreamWrite(2, List.of(first), false))));
-        delivery.readerReady(1);
+        delivery.onReaderReady(1);
         append();
-        assertThat("the first call reads no more", output.drain(), is(List.of()));
-        assertThat(delivery.readerDisconnected(1, 5), is(Optional.empty()));
-        assertThat(delivery.readerDisconnected(2, 5), is(Optional.of(request)));
+        assertThat("the first call gets no further write", output.drain(), is(List.of()));
+        assertThat(delivery.onReaderDisconnected(1, 5), is(Optional.empty()));
+        assertThat(delivery.onReaderDisconnected(2, 5), is(Optional.of(request)));
         assertThat(request.reader().isAbsentLongerThan(10, 15), is(false));
         assertThat(request.reader().isAbsentLongerThan(10, 16), is(true));
     }
 
     @Test
-    void aRefusalGoesToTheReaderOnceAndNoStreamFollows() {
+    void rejectsTheReaderOnceAndSendsNoStreamAfterwards() {
         delivery.reject(request, Rejection.permanent(Rejection.GONE, "gone"));
         assertThat(
                 output.drain().stream()
--- a/core/src/test/java/silverlatch/dispatch/buffer/SlabTest.java
+++ b/core/src/test/java/silverlatch/dispatch/buffer/SlabTest.java
@@ -9,9 +9,10 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
+/** Guards against finding the wrong element when a slot is reused after its element was removed. */
 final class SlabTest {
     @Test
-    void theHandleOfARemovedElementNeverFindsItsSuccessor() {
+    void neverFindsANewElementByTheHandleOfARemovedOne() {
         final Slab<String> slab = new Slab<>(1);
         final long first = slab.insert("first").orElseThrow();
         assertThat(first, greaterThan(0L));
@@ -25,7 +26,7 @@
     }
 
     @Test
-    void aFullSlabTakesNothingUntilAnElementIsRemoved() {
+    void rejectsInsertsWhenFullUntilAnElementIsRemoved() {
         final Slab<Integer> slab = new Slab<>(2);
         final long first = slab.insert(1).orElseThrow();
         slab.insert(2);
@@ -36,7 +37,7 @@
     }
 
     @Test
-    void unknownHandlesFindNothing() {
+    void returnsEmptyForUnknownHandles() {
         final Slab<Integer> slab = new Slab<>(2);
         slab.insert(1);
         for (final long handle : new long[] {0, -1, 1, Long.MAX_VALUE, Long.MIN_VALUE}) {
@@ -45,7 +46,7 @@
     }
 
     @Test
-    void capacitiesThatHandlesCantHoldAreRefused() {
+    void rejectsCapacitiesThatHandlesCannotEncode() {
         assertThrows(IllegalArgumentException.class, () -> new Slab<>(0));
         assertThrows(IllegalArgumentException.class, () -> new Slab<>(1 << 24));
     }
