--- a/core/src/main/java/silverlatch/node/TrafficExchange.java
+++ b/core/src/main/java/silverlatch/node/TrafficExchange.java
@@ -93,7 +93,7 @@
     /** The node is about to stop: what a gateway has counted is reported once more. */
     void leave(final long now) {
         reporter.ifPresent(gateway -> owner().flatMap(
-                        owner -> gateway.finish(hasTenants(), now).map(due -> new Effect.Send(owner, due)))
+                        owner -> gateway.finalReport(hasTenants(), now).map(due -> new Effect.Send(owner, due)))
                 .ifPresent(effects::add));
     }
 
@@ -120,9 +120,9 @@
     private void closeWindows(final UsageCloser usage, final ChainReplica replica, final long now) {
         final Optional<Long> token = replica.fencingToken(now);
         final long unixMicros = clock.physicalClock().unixMicros(now);
-        usage.next(new UsageCloser.Situation(replica.stateMachine(), membership.all(), token, unixMicros, now))
+        usage.next(new UsageCloser.Observation(replica.stateMachine(), membership.all(), token, unixMicros, now))
                 .ifPresent(command -> submit(command, replica));
-        outbox.mark(replica.stateMachine(), token, now).ifPresent(command -> submit(command, replica));
+        outbox.nextMarkCommand(replica.stateMachine(), token, now).ifPresent(command -> submit(command, replica));
     }
 
     /** Sends a command to the head; whether it took effect shows in the committed state. */
--- a/core/src/main/java/silverlatch/placement/PlacementInput.java
+++ b/core/src/main/java/silverlatch/placement/PlacementInput.java
@@ -9,7 +9,7 @@
  * @param reportAge           how old that report can be, in microseconds
  * @param attemptsSinceReport attempts that this gateway sent there and that the report can't count yet
  * @param ownAttempts         attempts of this gateway that are in flight there
- * @param sinceReturn         microseconds since it came back after a silence or a restart
+ * @param sinceRecovery         microseconds since it came back after a silence or a restart
  * @param isEjected           whether an attempt there failed a short time ago
  * @param gatewayCount        how many gateways share it
  */
@@ -18,11 +18,11 @@
         long reportAge,
         int attemptsSinceReport,
         int ownAttempts,
-        long sinceReturn,
+        long sinceRecovery,
         boolean isEjected,
         int gatewayCount) {
     private static final long SLOW_START_MICROS = 6_000_000L;
-    private static final double MIN_WARMTH = 0.1;
+    private static final double MIN_WARMUP_PROGRESS = 0.1;
 
     /** How many of its slots are taken, as far as is known here. */
     public int occupiedSlots() {
@@ -30,19 +30,19 @@
     }
 
     /** How far its slow start has come, from a tenth to one, where it takes as much as any other. */
-    public double warmth() {
-        final long uptime = Math.max(0, Math.min(worker.uptime(), sinceReturn));
-        return Math.min(1, MIN_WARMTH + (1 - MIN_WARMTH) * uptime / SLOW_START_MICROS);
+    public double warmupProgress() {
+        final long uptime = Math.max(0, Math.min(worker.uptime(), sinceRecovery));
+        return Math.min(1, MIN_WARMUP_PROGRESS + (1 - MIN_WARMUP_PROGRESS) * uptime / SLOW_START_MICROS);
     }
 
     /** How many requests it may have at once as far as its slow start has come. */
     public int slotLimit() {
-        return Math.max(1, (int) Math.floor(worker.slots() * warmth()));
+        return Math.max(1, (int) Math.floor(worker.slots() * warmupProgress()));
     }
 
     /** How many requests this gateway alone may have there: twice its even part, until the slow start is over. */
     public int ownSlotLimit() {
-        return warmth() >= 1
+        return warmupProgress() >= 1
                 ? worker.slots()
                 : Math.max(1, (int) Math.ceil(2.0 * slotLimit() / Math.max(1, gatewayCount)));
     }
--- a/core/src/main/java/silverlatch/placement/WeightedScorers.java
+++ b/core/src/main/java/silverlatch/placement/WeightedScorers.java
@@ -97,7 +97,7 @@
         boolean anyDeferred = false;
         for (final PlacementInput candidate : candidates) {
             final Rating rating = rate(context, candidate, scores);
-            if (rating.isTakeable()) {
+            if (rating.isAvailable()) {
                 rated.add(new RatedWorker(candidate, rating.score()));
             }
             anyDeferred |= rating.isOnlyDeferred();
@@ -169,7 +169,7 @@
 
     /** What all scorers together say of a worker. */
     private record Rating(double score, boolean isVetoed, boolean isDeferred) {
-        boolean isTakeable() {
+        boolean isAvailable() {
             return !isVetoed && !isDeferred;
         }
 
--- a/core/src/main/java/silverlatch/placement/scorer/SlowStartScorer.java
+++ b/core/src/main/java/silverlatch/placement/scorer/SlowStartScorer.java
@@ -8,13 +8,13 @@
 /** Slow start: a worker that just came takes few requests at once, and step by step as many as the others. */
 public final class SlowStartScorer implements Scorer {
     /** A worker that was never silent seems to have come back longer ago than this. */
-    private static final long NEVER_RETURNED_MICROS = 1_000_000_000_000L;
+    private static final long NO_RECOVERY_MICROS = 1_000_000_000_000L;
 
-    private final boolean warmsUp;
+    private final boolean completesSlowStart;
 
     /** A scorer; with false, for tests, a worker that came back never takes its full part again. */
     public SlowStartScorer(final boolean warmsUp) {
-        this.warmsUp = warmsUp;
+        this.completesSlowStart = warmsUp;
     }
 
     @Override
@@ -29,8 +29,8 @@
 
     @Override
     public ScorerResult score(final PlacementContext context, final PlacementInput candidate) {
-        final double warmth = candidate.warmth();
-        if (!warmsUp && candidate.sinceReturn() < NEVER_RETURNED_MICROS) {
+        final double warmth = candidate.warmupProgress();
+        if (!completesSlowStart && candidate.sinceRecovery() < NO_RECOVERY_MICROS) {
             return new ScorerResult.Deferred("it is never warm");
         }
         if (warmth < 1
--- a/core/src/main/java/silverlatch/routing/AttemptSender.java
+++ b/core/src/main/java/silverlatch/routing/AttemptSender.java
@@ -79,7 +79,7 @@
      */
     void endWithoutWorker(final OpenRequest open, final String rejectReason, final String failReason) {
         requests.remove(open);
-        if (open.surelyDidNotRun()) {
+        if (open.isKnownNotRun()) {
             output.reject(open.request().callId(), UNAVAILABLE, retryAfter(open), rejectReason);
         } else {
             output.add(new RoutingEffect.Fail(open.request().callId(), BAD_GATEWAY, failReason));
--- a/core/src/main/java/silverlatch/routing/Authenticator.java
+++ b/core/src/main/java/silverlatch/routing/Authenticator.java
@@ -31,7 +31,7 @@
     private static final long MAX_RETRY_AFTER = 3 * SECOND;
 
     /** The part of the time that a client has left for which it waits at most when it is told to come back. */
-    private static final int HEEDED_PART = 3;
+    private static final int RETRY_AFTER_TIMEOUT_DIVISOR = 3;
 
     private final RevocationLease lease;
     private final RandomGenerator random;
@@ -85,7 +85,7 @@
     }
 
     private Decision unavailable(final RoutedRequest request) {
-        final long longest = Math.min(request.timeout() / HEEDED_PART, MAX_RETRY_AFTER);
+        final long longest = Math.min(request.timeout() / RETRY_AFTER_TIMEOUT_DIVISOR, MAX_RETRY_AFTER);
         final long retryAfter = longest / 2 + random.nextLong(longest / 2 + 1);
         return new Decision.Rejected(UNAVAILABLE, retryAfter, "keys can't be checked now");
     }
--- a/core/src/main/java/silverlatch/routing/FailurePoint.java
+++ b/core/src/main/java/silverlatch/routing/FailurePoint.java
@@ -15,14 +15,14 @@
     /** A part of the response was passed on. */
     BEGUN(false);
 
-    private final boolean isSurelyNotRun;
+    private final boolean isKnownNotRun;
 
     FailurePoint(final boolean isSurelyNotRun) {
-        this.isSurelyNotRun = isSurelyNotRun;
+        this.isKnownNotRun = isSurelyNotRun;
     }
 
     /** Whether the attempt surely did not run, so that another one can't be a second run. */
-    boolean isSurelyNotRun() {
-        return isSurelyNotRun;
+    boolean isKnownNotRun() {
+        return isKnownNotRun;
     }
 }
--- a/core/src/main/java/silverlatch/routing/LatencyPredictor.java
+++ b/core/src/main/java/silverlatch/routing/LatencyPredictor.java
@@ -18,11 +18,11 @@
     /** How much longer a token takes for each token before it, as a part of a token's time. */
     private static final double ATTENTION_PER_TOKEN = 4.4e-5;
 
-    private static final double PREFILL_PAUSE_MICROS = 60_000;
-    private static final double FULL_PAUSE_TOKENS = 8_000;
+    private static final double MAX_PREFILL_PAUSE_MICROS = 60_000;
+    private static final double MAX_PAUSE_TOKENS = 8_000;
     private static final int MAX_PAUSED_STREAMS = 16;
     private static final long MICROS_PER_WAITING_REQUEST = 30_000;
-    private static final long FULL_WORKER_MICROS = 60_000;
+    private static final long FULL_UTILIZATION_MICROS = 60_000;
     private static final long OVERLOAD_MICROS = 2_000_000;
     private static final double OVERLOAD_UTILIZATION = 0.8;
     private static final long CROSS_ZONE_MICROS = 1_500;
@@ -79,21 +79,22 @@
                 isRemote(worker, gateway),
                 crossZoneMicros(worker, gateway)
                         + queue
-                        + utilization * FULL_WORKER_MICROS
+                        + utilization * FULL_UTILIZATION_MICROS
                         + Math.max(0, utilization - OVERLOAD_UTILIZATION) * OVERLOAD_MICROS);
         final long latency = Math.round(model.predictMicros(features));
         final int streams = Math.max(hasLoadReport ? worker.running() : 0, worker.attemptCount());
-        final long penalty = given(
+        final long penalty = ifEnabled(
                         RoutingPolicy.CROSS_REGION_PENALTY, isRemote(worker, gateway) ? CROSS_REGION_PENALTY_MICROS : 0)
                 + (mixesTraffic(request, worker, decodeWorkers) ? MIXED_TRAFFIC_PENALTY_MICROS : 0)
-                + given(RoutingPolicy.PAUSE_PENALTY, pausePenalty(request, tokensToPrefill, streams))
-                + given(RoutingPolicy.OVERDUE_PENALTY, Math.max(0, worker.maxOverdue(now)) * OVERDUE_PENALTY_FACTOR)
-                + given(RoutingPolicy.WARMUP_PENALTY, worker.isWarmingUp(now) ? route.latencyTargetMicros() / 2 : 0);
+                + ifEnabled(RoutingPolicy.PAUSE_PENALTY, pausePenalty(request, tokensToPrefill, streams))
+                + ifEnabled(RoutingPolicy.OVERDUE_PENALTY, Math.max(0, worker.maxOverdue(now)) * OVERDUE_PENALTY_FACTOR)
+                + ifEnabled(
+                        RoutingPolicy.WARMUP_PENALTY, worker.isWarmingUp(now) ? route.latencyTargetMicros() / 2 : 0);
         return new Prediction(latency, latency + penalty, tokensToPrefill, features);
     }
 
     /** What a policy adds, or nothing where it isn't in force. */
-    private long given(final RoutingPolicy policy, final long micros) {
+    private long ifEnabled(final RoutingPolicy policy, final long micros) {
         return policies.isEnabled(policy) ? micros : 0;
     }
 
@@ -139,7 +140,7 @@
     private static long pausePenalty(final RoutedRequest request, final int tokensToPrefill, final int streams) {
         return TrafficStatistics.isLongPrompt(request)
                 ? Math.min(MAX_PAUSED_STREAMS, streams)
-                        * Math.round(PREFILL_PAUSE_MICROS * Math.min(1, tokensToPrefill / FULL_PAUSE_TOKENS))
+                        * Math.round(MAX_PREFILL_PAUSE_MICROS * Math.min(1, tokensToPrefill / MAX_PAUSE_TOKENS))
                 : 0;
     }
 
--- a/core/src/main/java/silverlatch/routing/OpenRequest.java
+++ b/core/src/main/java/silverlatch/routing/OpenRequest.java
@@ -26,7 +26,7 @@
     private String worker = "";
     private boolean responseStarted;
     private boolean mayHaveRun;
-    private boolean clientLeft;
+    private boolean clientDisconnected;
 
     /** A request that just came, for which a pool was drawn, and whose tenant is the one of its key. */
     OpenRequest(
@@ -153,13 +153,13 @@
     }
 
     /** The client has left: no further attempt is made. */
-    void markClientLeft() {
-        clientLeft = true;
+    void markClientDisconnected() {
+        clientDisconnected = true;
     }
 
     /** Whether the client has left. */
-    boolean hasClientLeft() {
-        return clientLeft;
+    boolean hasClientDisconnected() {
+        return clientDisconnected;
     }
 
     /** An attempt may have run. */
@@ -168,7 +168,7 @@
     }
 
     /** Whether it surely did not run, so that the client may be told to send it again. */
-    boolean surelyDidNotRun() {
+    boolean isKnownNotRun() {
         return !mayHaveRun && !responseStarted;
     }
 }
--- a/core/src/main/java/silverlatch/routing/Reachability.java
+++ b/core/src/main/java/silverlatch/routing/Reachability.java
@@ -14,7 +14,7 @@
     private static final int MAX_DOUBLINGS = 4;
     private static final long NEVER = Long.MIN_VALUE / 2;
     private final String region;
-    private long lastHeardAt = NEVER;
+    private long lastResponseAt = NEVER;
     private long unreachableUntil = NEVER;
     private int connectFailures;
 
@@ -23,15 +23,15 @@
     }
 
     /** A worker there answered. */
-    void heard(final long now) {
-        lastHeardAt = now;
+    void recordResponse(final long now) {
+        lastResponseAt = now;
         connectFailures = 0;
         unreachableUntil = NEVER;
     }
 
     /** A connection there could not be made; each time in a row the region counts as unreachable for twice as long. */
-    void connectFailed(final long now) {
-        if (now - lastHeardAt > SLACK_MICROS) {
+    void recordConnectFailure(final long now) {
+        if (now - lastResponseAt > SLACK_MICROS) {
             final long backoff = INITIAL_BACKOFF_MICROS << Math.min(MAX_DOUBLINGS, connectFailures);
             unreachableUntil = now + Math.min(MAX_BACKOFF_MICROS, backoff);
             connectFailures++;
@@ -50,7 +50,7 @@
     private boolean isOverdue(final WorkerState.Attempt attempt, final long now) {
         final long predicted = attempt.predictedLatency();
         return !attempt.firstEventSeen()
-                && attempt.startedAt() > lastHeardAt
+                && attempt.startedAt() > lastResponseAt
                 && now - attempt.startedAt() > predicted + predicted / 2 + SLACK_MICROS;
     }
 }
--- a/core/src/main/java/silverlatch/routing/RetryPolicy.java
+++ b/core/src/main/java/silverlatch/routing/RetryPolicy.java
@@ -13,7 +13,7 @@
     /** Whether it may be retried after a worker's complete response with this status, which wasn't passed on. */
     static boolean allowsAfterResponse(final OpenRequest open, final int statusCode, final long now) {
         return statusCode >= SERVER_ERROR
-                && !open.hasClientLeft()
+                && !open.hasClientDisconnected()
                 && open.route().isRetryable()
                 && hasAttemptsLeft(open)
                 && now < open.deadline();
@@ -24,14 +24,14 @@
      * allows it, and after a response has begun only where its stream can be resumed.
      */
     static boolean allowsAfterFailure(final OpenRequest open, final FailurePoint point, final long now) {
-        final boolean mayRunAgain = point.isSurelyNotRun()
+        final boolean mayRunAgain = point.isKnownNotRun()
                 || open.route().isRetryable()
                         && (point != FailurePoint.BEGUN
                                 || open.route().resumable() && open.route().streaming());
         final boolean hasAttemptsLeft = hasAttemptsLeft(open)
                 || point == FailurePoint.UNSENT
                         && open.attempts() <= open.route().maxAttempts() + 1;
-        return mayRunAgain && hasAttemptsLeft && !open.hasClientLeft() && now < open.deadline();
+        return mayRunAgain && hasAttemptsLeft && !open.hasClientDisconnected() && now < open.deadline();
     }
 
     /** Whether it may be moved from a worker that has been silent for too long. */
--- a/core/src/main/java/silverlatch/routing/Router.java
+++ b/core/src/main/java/silverlatch/routing/Router.java
@@ -25,7 +25,7 @@
  */
 public final class Router {
     private static final long SECOND = 1_000_000L;
-    private static final long REFUSED_EJECTION_MICROS = 150_000L;
+    private static final long REJECTED_EJECTION_MICROS = 150_000L;
     private static final int NOT_FOUND = 404;
     private static final int BAD_GATEWAY = 502;
     private static final int UNAVAILABLE = 503;
@@ -233,7 +233,7 @@
     /** The response's head came from the worker and is passed on. */
     public void responseStarted(final long attemptId, final Optional<ReportedLoad> load, final long now) {
         requests.byAttempt(attemptId).ifPresent(open -> {
-            noteAnswer(open, load, now);
+            recordResponse(open, load, now);
             open.markResponseStarted();
         });
     }
@@ -243,11 +243,11 @@
         requests.byAttempt(attemptId).ifPresent(open -> {
             final WorkerState worker = workers.get(open.worker());
             final WorkerState.Attempt attempt = worker.attempt(attemptId);
-            workers.reachabilityOf(worker).heard(now);
-            if (attempt.eventSeen(now)) {
+            workers.reachabilityOf(worker).recordResponse(now);
+            if (attempt.recordEvent(now)) {
                 usage.ifPresent(counter -> open.tenant().ifPresent(tenant -> counter.count(tenant.name(), now)));
                 worker.recordSuccess(attempt, now);
-                selector.firstEventSeen(worker, attempt, now);
+                selector.recordFirstEvent(worker, attempt, now);
             }
         });
     }
@@ -256,7 +256,7 @@
     public void errorResponse(
             final long attemptId, final int statusCode, final Optional<ReportedLoad> load, final long now) {
         requests.byAttempt(attemptId).ifPresent(open -> {
-            noteAnswer(open, load, now);
+            recordResponse(open, load, now);
             if (mayRetryAfterResponse(open, statusCode, now)) {
                 output.count("again_ill");
                 open.markMayHaveRun();
@@ -268,9 +268,9 @@
         });
     }
 
-    private void noteAnswer(final OpenRequest open, final Optional<ReportedLoad> load, final long now) {
+    private void recordResponse(final OpenRequest open, final Optional<ReportedLoad> load, final long now) {
         final WorkerState worker = workers.get(open.worker());
-        workers.reachabilityOf(worker).heard(now);
+        workers.reachabilityOf(worker).recordResponse(now);
         load.ifPresent(reported -> worker.updateLoad(reported, now));
     }
 
@@ -302,7 +302,7 @@
         output.count("broke_" + point.name().toLowerCase(Locale.ROOT));
         output.traces().recordState(open.request().requestId(), "broke", point + " at " + open.worker());
         output.log(Event.RUN_BROKE, open.worker() + " " + point + " after " + (now - open.arrivedAt()) / 1000 + " ms");
-        noteFailure(open, point, now);
+        recordFailure(open, point, now);
         final List<Candidate> others =
                 RetryPolicy.allowsAfterFailure(open, point, now) ? selector.candidates(open, now) : List.of();
         if (others.isEmpty() || point != FailurePoint.UNSENT && !retryBudget.tryAcquire(now)) {
@@ -316,19 +316,19 @@
         sender.send(open, others, cluster.revision(), now);
     }
 
-    private void noteFailure(final OpenRequest open, final FailurePoint point, final long now) {
+    private void recordFailure(final OpenRequest open, final FailurePoint point, final long now) {
         final WorkerState worker = workers.get(open.worker());
         if (point == FailurePoint.UNSENT) {
-            workers.reachabilityOf(worker).connectFailed(now);
-        } else if (point.isSurelyNotRun()) {
-            workers.reachabilityOf(worker).heard(now);
+            workers.reachabilityOf(worker).recordConnectFailure(now);
+        } else if (point.isKnownNotRun()) {
+            workers.reachabilityOf(worker).recordResponse(now);
         }
         sender.endAttempt(open, point != FailurePoint.NOT_RUN, now);
         open.markWorkerFailed();
         if (point == FailurePoint.NOT_RUN) {
-            worker.ejectFor(REFUSED_EJECTION_MICROS, now);
+            worker.ejectFor(REJECTED_EJECTION_MICROS, now);
         }
-        if (!point.isSurelyNotRun()) {
+        if (!point.isKnownNotRun()) {
             open.markMayHaveRun();
         }
     }
@@ -342,8 +342,8 @@
     }
 
     /** The client has left; an attempt that may not be repeated runs to its end, but no further one is made. */
-    public void clientLeft(final long callId) {
-        requests.byCall(callId).ifPresent(OpenRequest::markClientLeft);
+    public void stopRetrying(final long callId) {
+        requests.byCall(callId).ifPresent(OpenRequest::markClientDisconnected);
     }
 
     /** A timer event, several times a second. */
--- a/core/src/main/java/silverlatch/routing/RoutingEffect.java
+++ b/core/src/main/java/silverlatch/routing/RoutingEffect.java
@@ -13,9 +13,9 @@
      * @param worker    the worker's id
      * @param address   where the worker is
      * @param timeout   how long the client still waits
-     * @param rank      the priority of the request's tenant or route
-     * @param once      whether it may not be sent again once it may have run
-     * @param stream    whether the response is a stream of events
+     * @param priority      the priority of the request's tenant or route
+     * @param executeAtMostOnce      whether it may not be sent again once it may have run
+     * @param streaming    whether the response is a stream of events
      * @param tenant    the name of the tenant whose key the request brought, if there is one
      */
     record StartAttempt(
@@ -24,9 +24,9 @@
             String worker,
             String address,
             long timeout,
-            int rank,
-            boolean once,
-            boolean stream,
+            int priority,
+            boolean executeAtMostOnce,
+            boolean streaming,
             Optional<String> tenant)
             implements RoutingEffect {}
 
--- a/core/src/main/java/silverlatch/routing/RoutingPolicies.java
+++ b/core/src/main/java/silverlatch/routing/RoutingPolicies.java
@@ -27,8 +27,8 @@
      *
      * @throws IllegalArgumentException when a name is no policy's
      */
-    public static RoutingPolicies withDisabled(final String names) {
-        return new RoutingPolicies(Arrays.stream(names.split(","))
+    public static RoutingPolicies withDisabled(final String policyNames) {
+        return new RoutingPolicies(Arrays.stream(policyNames.split(","))
                 .map(String::strip)
                 .filter(name -> !name.isEmpty())
                 .map(RoutingPolicy::valueOf)
--- a/core/src/main/java/silverlatch/routing/TrafficStatistics.java
+++ b/core/src/main/java/silverlatch/routing/TrafficStatistics.java
@@ -68,10 +68,10 @@
             recentUses.add(new SharedPrefixUse(prefixKey, now));
             usesByPrefix.merge(prefixKey, 1, Integer::sum);
         }
-        forgetOld(now);
+        evictExpired(now);
     }
 
-    private void forgetOld(final long now) {
+    private void evictExpired(final long now) {
         final long windowStart = now - WINDOW_MICROS;
         while (!recentUses.isEmpty() && (recentUses.peek().usedAt() < windowStart || recentUses.size() > MAX_TRACKED)) {
             usesByPrefix.computeIfPresent(
--- a/core/src/main/java/silverlatch/routing/WarmupLimiter.java
+++ b/core/src/main/java/silverlatch/routing/WarmupLimiter.java
@@ -33,13 +33,13 @@
                 .map(Value.BackendPool::warmupRequestsPerSecond)
                 .filter(configured -> configured > 0)
                 .orElse(DEFAULT_RATE);
-        final int sharers = Math.max(1, Math.min(gatewayCount.max(), (int) Math.floor(rate)));
-        final long interval = Math.max(SECOND, Math.round(sharers * SECOND / rate));
-        return gatewaysAhead(worker, cluster) < sharers && now - worker.lastSentAt() >= interval;
+        final int sharingGateways = Math.max(1, Math.min(gatewayCount.max(), (int) Math.floor(rate)));
+        final long interval = Math.max(SECOND, Math.round(sharingGateways * SECOND / rate));
+        return countGatewaysAhead(worker, cluster) < sharingGateways && now - worker.lastSentAt() >= interval;
     }
 
     /** How many other gateways come before this one for a worker. */
-    private static long gatewaysAhead(final WorkerState worker, final ClusterSnapshot cluster) {
+    private static long countGatewaysAhead(final WorkerState worker, final ClusterSnapshot cluster) {
         final long own = hash(worker, cluster.self().id());
         return cluster.peers().stream()
                 .filter(peer -> hash(worker, peer.id()) > own)
--- a/core/src/main/java/silverlatch/routing/WorkerSelector.java
+++ b/core/src/main/java/silverlatch/routing/WorkerSelector.java
@@ -109,7 +109,7 @@
     }
 
     /** Learns from the first event of an attempt at a worker. */
-    void firstEventSeen(final WorkerState worker, final WorkerState.Attempt attempt, final long now) {
+    void recordFirstEvent(final WorkerState worker, final WorkerState.Attempt attempt, final long now) {
         predictor.observe(worker, attempt, now);
     }
 
--- a/core/src/main/java/silverlatch/routing/WorkerState.java
+++ b/core/src/main/java/silverlatch/routing/WorkerState.java
@@ -242,7 +242,7 @@
         }
 
         /** An event came; true when it was the first. */
-        boolean eventSeen(final long now) {
+        boolean recordEvent(final long now) {
             final boolean isFirst = !firstEventSeen;
             firstEventSeen = true;
             lastEventAt = now;
--- a/core/src/main/java/silverlatch/scaling/ArrivalTrend.java
+++ b/core/src/main/java/silverlatch/scaling/ArrivalTrend.java
@@ -38,7 +38,7 @@
      * By which factor the arrivals will have grown after so many microseconds if they go on as they did, at least 1. What chance
      * alone may do to the averages doesn't count as growth.
      */
-    double growth(final long ahead) {
+    double growth(final long horizon) {
         if (samples.isEmpty()) {
             return 1;
         }
@@ -48,8 +48,8 @@
         if (last.at() - first.at() < MIN_SPAN_MICROS || last.arrivals() <= 0) {
             return 1;
         }
-        final double chance = Math.sqrt(2 * last.arrivals() / seconds);
-        final double slope = Math.max(0, last.arrivals() - first.arrivals() - chance) / seconds;
-        return Math.min(MAX_GROWTH, 1 + slope * ahead / MICROS_PER_SECOND / last.arrivals());
+        final double noise = Math.sqrt(2 * last.arrivals() / seconds);
+        final double slope = Math.max(0, last.arrivals() - first.arrivals() - noise) / seconds;
+        return Math.min(MAX_GROWTH, 1 + slope * horizon / MICROS_PER_SECOND / last.arrivals());
     }
 }
--- a/core/src/main/java/silverlatch/scaling/LoadMap.java
+++ b/core/src/main/java/silverlatch/scaling/LoadMap.java
@@ -12,7 +12,7 @@
  * other zones of its region, or else on all. Immutable.
  */
 final class LoadMap {
-    private final Map<String, String> regions;
+    private final Map<String, String> regionByZone;
     private final Map<String, Load> loads = new HashMap<>();
 
     /**
@@ -26,17 +26,17 @@
             final List<GatewayDemand> demand,
             final ToDoubleFunction<String> growth,
             final Map<String, String> regions) {
-        this.regions = Map.copyOf(regions);
+        this.regionByZone = Map.copyOf(regions);
         demand.forEach(gateway ->
-                spread(Load.of(gateway, pool).times(growth.applyAsDouble(gateway.region())), zonesFor(gateway)));
+                spread(Load.of(gateway, pool).times(growth.applyAsDouble(gateway.region())), zonesServing(gateway)));
     }
 
-    private List<String> zonesFor(final GatewayDemand gateway) {
-        if (regions.containsKey(gateway.zone())) {
+    private List<String> zonesServing(final GatewayDemand gateway) {
+        if (regionByZone.containsKey(gateway.zone())) {
             return List.of(gateway.zone());
         }
         final List<String> near = zonesIn(gateway.region());
-        return near.isEmpty() ? List.copyOf(regions.keySet()) : near;
+        return near.isEmpty() ? List.copyOf(regionByZone.keySet()) : near;
     }
 
     private void spread(final Load load, final List<String> zones) {
@@ -44,8 +44,8 @@
     }
 
     private List<String> zonesIn(final String region) {
-        return regions.keySet().stream()
-                .filter(zone -> regions.get(zone).equals(region))
+        return regionByZone.keySet().stream()
+                .filter(zone -> regionByZone.get(zone).equals(region))
                 .toList();
     }
 
@@ -58,28 +58,30 @@
     }
 
     /** What would come to a zone in addition if the zone or region were lost whose loss brings the most. */
-    Load atWorstLoss(final String zone) {
+    Load addedByWorstLoss(final String zone) {
         Load worst = Load.NONE;
-        for (final String other : regions.keySet()) {
+        for (final String other : regionByZone.keySet()) {
             worst = larger(worst, other.equals(zone) ? Load.NONE : movedFromZone(other, zone));
         }
-        for (final String region : new TreeSet<>(regions.values())) {
-            worst = larger(worst, region.equals(regions.get(zone)) ? Load.NONE : movedFromRegion(region));
+        for (final String region : new TreeSet<>(regionByZone.values())) {
+            worst = larger(worst, region.equals(regionByZone.get(zone)) ? Load.NONE : movedFromRegion(region));
         }
         return worst;
     }
 
     private Load movedFromZone(final String lost, final String zone) {
-        final int siblings = zonesIn(regions.get(lost)).size() - 1;
-        if (siblings == 0) {
-            return movedFromRegion(regions.get(lost));
+        final int remainingZones = zonesIn(regionByZone.get(lost)).size() - 1;
+        if (remainingZones == 0) {
+            return movedFromRegion(regionByZone.get(lost));
         }
-        return regions.get(lost).equals(regions.get(zone)) ? ofZone(lost).times(1.0 / siblings) : Load.NONE;
+        return regionByZone.get(lost).equals(regionByZone.get(zone))
+                ? ofZone(lost).times(1.0 / remainingZones)
+                : Load.NONE;
     }
 
     private Load movedFromRegion(final String lost) {
-        final int others = regions.size() - zonesIn(lost).size();
-        return ofRegion(lost).times(1.0 / Math.max(1, others));
+        final int remainingZones = regionByZone.size() - zonesIn(lost).size();
+        return ofRegion(lost).times(1.0 / Math.max(1, remainingZones));
     }
 
     private static Load larger(final Load one, final Load other) {
--- a/core/src/main/java/silverlatch/scaling/ScalingPolicy.java
+++ b/core/src/main/java/silverlatch/scaling/ScalingPolicy.java
@@ -18,14 +18,15 @@
     /**
      * Decides anew.
      *
-     * @param before what the last decision returned, or {@link ScalingState#NONE} where this process made none
+     * @param previous what the last decision returned, or {@link ScalingState#NONE} where this process made none
      */
-    public static ScalingState decide(final ScalingState before, final ScalingObservation seen, final long now) {
+    public static ScalingState decide(
+            final ScalingState previous, final ScalingObservation observation, final long now) {
         final Map<String, ScalingState.PoolState> pools = new HashMap<>();
-        for (final Value.PoolScaling bounds : seen.scalings()) {
+        for (final Value.PoolScaling bounds : observation.scalings()) {
             final String name = bounds.pool();
-            if (seen.pools().containsKey(name)) {
-                pools.put(name, new PoolDecision(bounds, before.pool(name), seen, now).decide());
+            if (observation.pools().containsKey(name)) {
+                pools.put(name, new PoolDecision(bounds, previous.pool(name), observation, now).decide());
             }
         }
         return new ScalingState(pools);
--- a/core/src/main/java/silverlatch/scaling/ScalingState.java
+++ b/core/src/main/java/silverlatch/scaling/ScalingState.java
@@ -64,16 +64,16 @@
      * @param region      the zone's region
      * @param target      the count that is wanted, once one was decided
      * @param raisedAt    when it was last raised, or {@link #NEVER}
-     * @param lowerSince  since when fewer workers would have been enough, or {@link #NEVER}
-     * @param peak        the most that would have been enough since then
+     * @param excessSince  since when fewer workers would have been enough, or {@link #NEVER}
+     * @param peakSufficient        the most that would have been enough since then
      * @param hasGateways whether a gateway of the zone ever reported
      */
     record ZoneState(
             String region,
             Optional<WorkerTarget> target,
             long raisedAt,
-            long lowerSince,
-            int peak,
+            long excessSince,
+            int peakSufficient,
             boolean hasGateways) {
         static ZoneState in(final String region) {
             return new ZoneState(region, Optional.empty(), NEVER, NEVER, 0, false);
@@ -83,24 +83,25 @@
             return new ZoneState(region, Optional.of(higher), now, NEVER, 0, hasGateways);
         }
 
-        ZoneState loweredTo(final WorkerTarget lower, final int enough, final long now) {
-            return new ZoneState(region, Optional.of(lower), raisedAt, now, enough, hasGateways);
+        ZoneState loweredTo(final WorkerTarget lower, final int sufficient, final long now) {
+            return new ZoneState(region, Optional.of(lower), raisedAt, now, sufficient, hasGateways);
         }
 
         /** All workers are needed, or it isn't known that they aren't. */
-        ZoneState kept() {
+        ZoneState withoutExcess() {
             return new ZoneState(region, target, raisedAt, NEVER, 0, hasGateways);
         }
 
         /** Fewer workers would be enough now. */
-        ZoneState mayBeLowered(final int enough, final long now) {
-            return lowerSince == NEVER
-                    ? new ZoneState(region, target, raisedAt, now, enough, hasGateways)
-                    : new ZoneState(region, target, raisedAt, lowerSince, Math.max(peak, enough), hasGateways);
+        ZoneState withExcess(final int sufficient, final long now) {
+            return excessSince == NEVER
+                    ? new ZoneState(region, target, raisedAt, now, sufficient, hasGateways)
+                    : new ZoneState(
+                            region, target, raisedAt, excessSince, Math.max(peakSufficient, sufficient), hasGateways);
         }
 
-        ZoneState withGateways(final boolean reportsNow) {
-            return new ZoneState(region, target, raisedAt, lowerSince, peak, hasGateways || reportsNow);
+        ZoneState withGateways(final boolean isReporting) {
+            return new ZoneState(region, target, raisedAt, excessSince, peakSufficient, hasGateways || isReporting);
         }
     }
 }
--- a/core/src/main/java/silverlatch/traffic/TrafficCollector.java
+++ b/core/src/main/java/silverlatch/traffic/TrafficCollector.java
@@ -25,12 +25,12 @@
     /** What clients ask is known for so long after a report. */
     private static final long DEMAND_LIFETIME_MICROS = 6_000_000L;
 
-    private final Map<String, Map<Long, Received>> reports = new HashMap<>();
+    private final Map<String, Map<Long, ReceivedReport>> reports = new HashMap<>();
     private long removedUpTo = -1;
     private boolean hasNewReports;
 
-    private record Received(TrafficMessage.TrafficReport report, String address, long heardAt) {
-        boolean holds(final long window) {
+    private record ReceivedReport(TrafficMessage.TrafficReport report, String address, long receivedAt) {
+        boolean containsWindow(final long window) {
             return report.windows().stream().anyMatch(counts -> counts.window() == window);
         }
 
@@ -48,15 +48,15 @@
             return new Effect.Send(address, new TrafficMessage.TrafficReportAck(report.incarnation(), closed));
         }
 
-        Received withoutClosed(final long newestClosed) {
+        ReceivedReport withoutClosed(final long newestClosed) {
             final List<TrafficMessage.WindowCounts> open = report.windows().stream()
                     .filter(counts -> counts.window() > newestClosed)
                     .toList();
-            return new Received(
+            return new ReceivedReport(
                     new TrafficMessage.TrafficReport(
                             report.gateway(), report.incarnation(), report.sequence(), open, report.demand()),
                     address,
-                    heardAt);
+                    receivedAt);
         }
     }
 
@@ -66,7 +66,7 @@
         reports.computeIfAbsent(report.gateway(), name -> new HashMap<>())
                 .merge(
                         report.incarnation(),
-                        new Received(report, address, now),
+                        new ReceivedReport(report, address, now),
                         (before, next) ->
                                 next.report().sequence() > before.report().sequence() ? next : before);
     }
@@ -79,20 +79,20 @@
         removedUpTo = newestClosed;
         hasNewReports = false;
         final List<Effect> acknowledgements = new ArrayList<>();
-        for (final Map<Long, Received> incarnations : reports.values()) {
+        for (final Map<Long, ReceivedReport> incarnations : reports.values()) {
             incarnations.replaceAll((incarnation, received) -> {
-                final Received open = received.withoutClosed(newestClosed);
+                final ReceivedReport open = received.withoutClosed(newestClosed);
                 if (open.report().windows().size() < received.report().windows().size()) {
                     acknowledgements.add(received.acknowledgement(newestClosed));
                 }
                 return open;
             });
-            final Received newest = newest(incarnations);
+            final ReceivedReport newest = newest(incarnations);
             incarnations
                     .values()
                     .removeIf(received -> received != newest
                             ? received.report().windows().isEmpty()
-                            : now - received.heardAt() > RETENTION_MICROS);
+                            : now - received.receivedAt() > RETENTION_MICROS);
         }
         reports.values().removeIf(Map::isEmpty);
         return acknowledgements;
@@ -100,13 +100,14 @@
 
     /** Whether any gateway has reported a window that isn't closed. */
     boolean hasReports(final long window) {
-        return all().anyMatch(received -> received.holds(window));
+        return allReports().anyMatch(received -> received.containsWindow(window));
     }
 
     /** The requests of a window by tenant, as all gateways have reported them. */
     Map<String, Long> counts(final long window) {
         final Map<String, Long> sums = new HashMap<>();
-        all().flatMap(received -> received.report().windows().stream())
+        allReports()
+                .flatMap(received -> received.report().windows().stream())
                 .filter(counts -> counts.window() == window)
                 .flatMap(counts -> counts.counts().stream())
                 .forEach(count -> sums.merge(count.tenant(), count.requests(), Long::sum));
@@ -121,9 +122,10 @@
     }
 
     /** The gateways that were heard within the last so many microseconds. */
-    Set<String> heardWithin(final long micros, final long now) {
+    Set<String> gatewaysReportedWithin(final long micros, final long now) {
         final Set<String> heard = new HashSet<>();
-        all().filter(received -> now - received.heardAt() <= micros)
+        allReports()
+                .filter(received -> now - received.receivedAt() <= micros)
                 .forEach(received -> heard.add(received.report().gateway()));
         return heard;
     }
@@ -132,7 +134,7 @@
     public List<GatewayDemand> demand(final Function<String, Optional<Member>> member, final long now) {
         return reports.values().stream()
                 .map(TrafficCollector::newest)
-                .filter(received -> now - received.heardAt() <= DEMAND_LIFETIME_MICROS)
+                .filter(received -> now - received.receivedAt() <= DEMAND_LIFETIME_MICROS)
                 .flatMap(received -> member
                         .apply(received.report().gateway())
                         .map(gateway -> new GatewayDemand(
@@ -143,14 +145,14 @@
                 .toList();
     }
 
-    private Stream<Received> all() {
+    private Stream<ReceivedReport> allReports() {
         return reports.values().stream().flatMap(incarnations -> incarnations.values().stream());
     }
 
     /** What the gateway's present process has reported; numbers of incarnations may fall where a clock was set back. */
-    private static Received newest(final Map<Long, Received> incarnations) {
+    private static ReceivedReport newest(final Map<Long, ReceivedReport> incarnations) {
         return incarnations.values().stream()
-                .max(Comparator.comparingLong(Received::heardAt))
+                .max(Comparator.comparingLong(ReceivedReport::receivedAt))
                 .orElseThrow();
     }
 }
--- a/core/src/main/java/silverlatch/traffic/TrafficReporter.java
+++ b/core/src/main/java/silverlatch/traffic/TrafficReporter.java
@@ -14,12 +14,12 @@
  * while anyway. The more windows wait to be closed, the longer the pauses, so that the traffic stays the same.
  */
 public final class TrafficReporter {
-    private static final long LOOK_INTERVAL_MICROS = 200_000L;
+    private static final long CHECK_INTERVAL_MICROS = 200_000L;
     private static final long REPORT_INTERVAL_MICROS = 1_000_000L;
     private static final long IDLE_INTERVAL_MICROS = 4_000_000L;
 
     /** So many windows may be in a report before reports become rarer: the present one, and two that are about to be closed. */
-    private static final int USUAL_WINDOWS = 3;
+    private static final int TYPICAL_WINDOWS = 3;
 
     private final String gateway;
     private final long incarnation;
@@ -27,9 +27,9 @@
     private final Supplier<List<TrafficMessage.PoolDemand>> demand;
     private String owner = "";
     private long sequence;
-    private long lookedAt;
+    private long checkedAt;
     private long reportedAt;
-    private TrafficMessage.TrafficReport last;
+    private TrafficMessage.TrafficReport lastReport;
 
     /**
      * A reporter that has reported nothing.
@@ -48,7 +48,7 @@
         this.incarnation = incarnation;
         this.counter = counter;
         this.demand = demand;
-        this.last = new TrafficMessage.TrafficReport(gateway, incarnation, 0, List.of(), List.of());
+        this.lastReport = new TrafficMessage.TrafficReport(gateway, incarnation, 0, List.of(), List.of());
     }
 
     /**
@@ -59,10 +59,10 @@
      */
     public Optional<TrafficMessage.TrafficReport> tick(
             final String ownerAddress, final boolean hasTenants, final long now) {
-        if (now - lookedAt < LOOK_INTERVAL_MICROS) {
+        if (now - checkedAt < CHECK_INTERVAL_MICROS) {
             return Optional.empty();
         }
-        lookedAt = now;
+        checkedAt = now;
         final TrafficMessage.TrafficReport next = next(hasTenants, now);
         if (next.windows().isEmpty() && next.demand().isEmpty()) {
             return Optional.empty();
@@ -76,7 +76,7 @@
     }
 
     /** The last report of a gateway that stops; empty where there is nothing to be said. */
-    public Optional<TrafficMessage.TrafficReport> finish(final boolean hasTenants, final long now) {
+    public Optional<TrafficMessage.TrafficReport> finalReport(final boolean hasTenants, final long now) {
         final TrafficMessage.TrafficReport next = next(hasTenants, now);
         return next.windows().isEmpty() ? Optional.empty() : Optional.of(record(next, now));
     }
@@ -98,22 +98,22 @@
     private TrafficMessage.TrafficReport record(final TrafficMessage.TrafficReport next, final long now) {
         sequence = next.sequence();
         reportedAt = now;
-        last = next;
+        lastReport = next;
         return next;
     }
 
     private boolean hasNewComplete(final TrafficMessage.TrafficReport next) {
         return next.windows().stream()
                 .filter(TrafficMessage.WindowCounts::isComplete)
-                .anyMatch(window -> last.windows().stream()
+                .anyMatch(window -> lastReport.windows().stream()
                         .noneMatch(before -> before.window() == window.window() && before.isComplete()));
     }
 
     private boolean isDue(final TrafficMessage.TrafficReport next, final long now) {
         final boolean hasChanged =
-                !next.windows().equals(last.windows()) || !next.demand().equals(last.demand());
+                !next.windows().equals(lastReport.windows()) || !next.demand().equals(lastReport.demand());
         final boolean hasComplete = next.windows().stream().anyMatch(TrafficMessage.WindowCounts::isComplete);
-        final int backlogFactor = Math.max(1, next.windows().size() / USUAL_WINDOWS);
+        final int backlogFactor = Math.max(1, next.windows().size() / TYPICAL_WINDOWS);
         return now - reportedAt
                 >= (hasChanged || hasComplete ? backlogFactor * REPORT_INTERVAL_MICROS : IDLE_INTERVAL_MICROS);
     }
--- a/core/src/main/java/silverlatch/traffic/UsageCloser.java
+++ b/core/src/main/java/silverlatch/traffic/UsageCloser.java
@@ -16,17 +16,17 @@
 /**
  * Decides when the owner of the singleton role closes a window of usage, and with which counts. Windows are closed in their order, one
  * at a time: once every gateway that may have counted in it has reported it complete, and at the latest at
- * {@link UsageSchedule#closingLimitOf}. Owned by the node's event loop; times are microseconds of the monotonic clock.
+ * {@link UsageSchedule#closingDeadlineOf}. Owned by the node's event loop; times are microseconds of the monotonic clock.
  *
  * <p>A window of which no gateway reports anything is closed with empty counts, unless its usage is overdue: then nothing is known of it,
  * and it is left out.
  */
 public final class UsageCloser {
     /** A gateway that was heard this lately and is missing now may only be cut off, so its counts are waited for. */
-    private static final long MISSED_MICROS = 20_000_000L;
+    private static final long RECENT_GATEWAY_MICROS = 20_000_000L;
 
     /** A new owner gives gateways this time to learn of it and to report to it. */
-    private static final long SETTLING_MICROS = 2_500_000L;
+    private static final long TAKEOVER_GRACE_MICROS = 2_500_000L;
 
     private static final long RETRY_MICROS = 500_000L;
     private final UsageSchedule schedule;
@@ -50,11 +50,11 @@
      * @param unixMicros   the wall clock
      * @param now          the monotonic clock
      */
-    public record Situation(
+    public record Observation(
             StateMachine state, Collection<Member> members, Optional<Long> fencingToken, long unixMicros, long now) {}
 
     /** The command that closes the next window, where one is to be sent now; it is sent again until the window is closed. */
-    public Optional<Command.CloseUsageWindow> next(final Situation situation) {
+    public Optional<Command.CloseUsageWindow> next(final Observation situation) {
         if (situation.fencingToken().isEmpty()) {
             ownedSince = OptionalLong.empty();
             return Optional.empty();
@@ -63,7 +63,7 @@
             ownedSince = OptionalLong.of(situation.now());
         }
         final OptionalLong oldest = oldestOpen(situation);
-        if (oldest.isEmpty() || !mayClose(oldest.getAsLong(), situation) || isUnderWay(oldest.getAsLong(), situation)) {
+        if (oldest.isEmpty() || !mayClose(oldest.getAsLong(), situation) || isInFlight(oldest.getAsLong(), situation)) {
             return Optional.empty();
         }
         proposedWindow = oldest.getAsLong();
@@ -75,7 +75,7 @@
     }
 
     /** The oldest window that has ended and is to be closed. */
-    private OptionalLong oldestOpen(final Situation situation) {
+    private OptionalLong oldestOpen(final Observation situation) {
         final boolean hasTenants = UsageState.hasTenants(situation.state());
         final long present = schedule.windowAt(situation.unixMicros());
         final long first = Math.max(
@@ -90,17 +90,18 @@
         return OptionalLong.empty();
     }
 
-    private boolean mayClose(final long window, final Situation situation) {
-        if (situation.unixMicros() >= schedule.closingLimitOf(window)
-                && situation.now() - ownedSince.getAsLong() >= SETTLING_MICROS) {
+    private boolean mayClose(final long window, final Observation situation) {
+        if (situation.unixMicros() >= schedule.closingDeadlineOf(window)
+                && situation.now() - ownedSince.getAsLong() >= TAKEOVER_GRACE_MICROS) {
             return true;
         }
         final Set<String> expected = expectedGateways(situation);
         return !expected.isEmpty() && expected.stream().allMatch(gateway -> collector.isComplete(gateway, window));
     }
 
-    private Set<String> expectedGateways(final Situation situation) {
-        final Set<String> expected = new HashSet<>(collector.heardWithin(MISSED_MICROS, situation.now()));
+    private Set<String> expectedGateways(final Observation situation) {
+        final Set<String> expected =
+                new HashSet<>(collector.gatewaysReportedWithin(RECENT_GATEWAY_MICROS, situation.now()));
         final Set<String> ready = situation.members().stream()
                 .filter(member -> member.isGateway() && member.ready() && member.isLive())
                 .map(Member::id)
@@ -113,7 +114,7 @@
         return expected;
     }
 
-    private boolean isUnderWay(final long window, final Situation situation) {
+    private boolean isInFlight(final long window, final Observation situation) {
         return window == proposedWindow && situation.now() - proposedAt < RETRY_MICROS;
     }
 }
--- a/core/src/main/java/silverlatch/traffic/UsageOutbox.java
+++ b/core/src/main/java/silverlatch/traffic/UsageOutbox.java
@@ -13,30 +13,30 @@
  */
 public final class UsageOutbox {
     private static final long RETRY_MICROS = 500_000L;
-    private long reportedHere = -1;
+    private long reportedLocally = -1;
     private long markSentAt = -RETRY_MICROS;
-    private long markSent = -1;
+    private long sentMark = -1;
 
     /** The oldest window that is closed in a state and isn't known to be reported. */
     public Optional<Value.UsageWindow> next(final StateMachine state) {
-        return UsageState.firstClosedAfter(state, Math.max(reportedHere, UsageState.reportedUpTo(state)));
+        return UsageState.firstClosedAfter(state, Math.max(reportedLocally, UsageState.reportedUpTo(state)));
     }
 
     /** The provider has the usage of a window, or refuses it for good. */
     public void onReported(final long window) {
-        reportedHere = Math.max(reportedHere, window);
+        reportedLocally = Math.max(reportedLocally, window);
     }
 
     /** The command that marks what this process has reported, where it is to be sent now; it is sent again until it is committed. */
-    public Optional<Command.MarkUsageReported> mark(
+    public Optional<Command.MarkUsageReported> nextMarkCommand(
             final StateMachine state, final Optional<Long> fencingToken, final long now) {
-        final boolean isUnderWay = markSent == reportedHere && now - markSentAt < RETRY_MICROS;
-        if (fencingToken.isEmpty() || reportedHere <= UsageState.reportedUpTo(state) || isUnderWay) {
+        final boolean isUnderWay = sentMark == reportedLocally && now - markSentAt < RETRY_MICROS;
+        if (fencingToken.isEmpty() || reportedLocally <= UsageState.reportedUpTo(state) || isUnderWay) {
             return Optional.empty();
         }
-        markSent = reportedHere;
+        sentMark = reportedLocally;
         markSentAt = now;
-        return Optional.of(
-                new Command.MarkUsageReported("usage-reported-" + reportedHere, fencingToken.get(), reportedHere));
+        return Optional.of(new Command.MarkUsageReported(
+                "usage-reported-" + reportedLocally, fencingToken.get(), reportedLocally));
     }
 }
--- a/core/src/main/java/silverlatch/traffic/UsageSchedule.java
+++ b/core/src/main/java/silverlatch/traffic/UsageSchedule.java
@@ -33,7 +33,7 @@
      * When a window is closed even if gateways are missing: after two thirds of the delay. A gateway that was cut off that long is
      * still waited for, and a third is left to commit the closing and to report it.
      */
-    public long closingLimitOf(final long window) {
+    public long closingDeadlineOf(final long window) {
         return endOf(window) + delayMicros * 2 / 3;
     }
 }
--- a/core/src/test/java/silverlatch/routing/ReachabilityTest.java
+++ b/core/src/test/java/silverlatch/routing/ReachabilityTest.java
@@ -25,21 +25,21 @@
     void failedConnectionsMakeARegionUnreachableForTwiceAsLongEachTime() {
         long now = START;
         for (final long backoff : new long[] {500, 1_000, 2_000, 4_000, 4_000}) {
-            west.connectFailed(now);
+            west.recordConnectFailure(now);
             assertThat(west.isUnreachable(List.of(), now + backoff * MILLISECOND - 1), is(true));
             assertThat(west.isUnreachable(List.of(), now + backoff * MILLISECOND), is(false));
             now += 10_000 * MILLISECOND;
         }
-        west.heard(now);
-        west.connectFailed(now + 300 * MILLISECOND);
+        west.recordResponse(now);
+        west.recordConnectFailure(now + 300 * MILLISECOND);
         assertThat(west.isUnreachable(List.of(), now + 799 * MILLISECOND), is(true));
         assertThat(west.isUnreachable(List.of(), now + 800 * MILLISECOND), is(false));
     }
 
     @Test
     void aFailedConnectionRightAfterAnAnswerDoesNotCount() {
-        west.heard(START);
-        west.connectFailed(START + 200 * MILLISECOND);
+        west.recordResponse(START);
+        west.recordConnectFailure(START + 200 * MILLISECOND);
         assertThat(west.isUnreachable(List.of(), START + 200 * MILLISECOND), is(false));
     }
 
@@ -53,10 +53,10 @@
         assertThat(west.isUnreachable(List.of(here), overdue - 1), is(false));
         assertThat(west.isUnreachable(List.of(here), overdue), is(true));
         assertThat(new Reachability("east").isUnreachable(List.of(here), overdue), is(false));
-        west.heard(overdue);
+        west.recordResponse(overdue);
         assertThat(west.isUnreachable(List.of(here), overdue), is(false));
         here.startAttempt(2, prediction, overdue + 1);
-        here.attempt(2).eventSeen(overdue + 2);
+        here.attempt(2).recordEvent(overdue + 2);
         assertThat(west.isUnreachable(List.of(here), overdue + 900 * MILLISECOND), is(false));
     }
 }
--- a/core/src/test/java/silverlatch/routing/RouterTest.java
+++ b/core/src/test/java/silverlatch/routing/RouterTest.java
@@ -39,8 +39,8 @@
     @Test
     void theLongestPathWinsAndNoRouteIs404() {
         worker("w", "west", 0, false, 1);
-        assertThat(attemptIn(arrive("/once/x", List.of())).once(), is(true));
-        assertThat(attemptIn(arrive("/again/x", List.of())).once(), is(false));
+        assertThat(attemptIn(arrive("/once/x", List.of())).executeAtMostOnce(), is(true));
+        assertThat(attemptIn(arrive("/again/x", List.of())).executeAtMostOnce(), is(false));
         router.requestArrived(new RoutedRequest(99, "b", "/once/x", "t", SECOND, List.of(), 1, 1), now);
         assertThat(rejectionIn(router.drainEffects()).statusCode(), is(404));
     }
--- a/core/src/test/java/silverlatch/routing/TenantRoutingTest.java
+++ b/core/src/test/java/silverlatch/routing/TenantRoutingTest.java
@@ -46,8 +46,8 @@
         worker("w", "west", 0, false, 1);
         tenant("urgent", "d1", PRIORITY, List.of());
         tenant("plain", "d2", Value.TenantAccess.ROUTE_PRIORITY, List.of());
-        assertThat(attemptIn(arriveWithKey("/once/x", "d1")).rank(), is(PRIORITY));
-        assertThat(attemptIn(arriveWithKey("/once/x", "d2")).rank(), is(0));
+        assertThat(attemptIn(arriveWithKey("/once/x", "d1")).priority(), is(PRIORITY));
+        assertThat(attemptIn(arriveWithKey("/once/x", "d2")).priority(), is(0));
     }
 
     @Test
@@ -110,7 +110,7 @@
         final RoutingEffect.StartAttempt second = attemptIn(router.drainEffects());
         assertThat(first.tenant(), is(Optional.of("acme")));
         assertThat(second.tenant(), is(Optional.of("acme")));
-        assertThat(second.rank(), is(PRIORITY));
+        assertThat(second.priority(), is(PRIORITY));
         assertThat(second.worker().equals("far"), is(false));
     }
 
--- a/core/src/test/java/silverlatch/routing/WorkerStateTest.java
+++ b/core/src/test/java/silverlatch/routing/WorkerStateTest.java
@@ -67,8 +67,8 @@
         worker.startAttempt(1, PREDICTION, START);
         worker.startAttempt(2, PREDICTION, START);
         assertThat(worker.pendingPrefillTokens(), is(1_400L));
-        assertThat(worker.attempt(1).eventSeen(START + 1), is(true));
-        assertThat("only once", worker.attempt(1).eventSeen(START + 2), is(false));
+        assertThat(worker.attempt(1).recordEvent(START + 1), is(true));
+        assertThat("only once", worker.attempt(1).recordEvent(START + 2), is(false));
         assertThat(worker.pendingPrefillTokens(), is(700L));
         assertThat(worker.maxOverdue(START + SECOND), is(SECOND - SECOND / 5 - 150_000));
         worker.endAttempt(2);
--- a/core/src/test/java/silverlatch/traffic/TrafficReporterTest.java
+++ b/core/src/test/java/silverlatch/traffic/TrafficReporterTest.java
@@ -31,7 +31,7 @@
     @Test
     void nothingIsReportedWhereNoConfigurationHasTenants() {
         assertThat(reporter.tick(OWNER, false, SECOND), is(Optional.empty()));
-        assertThat(reporter.finish(false, SECOND), is(Optional.empty()));
+        assertThat(reporter.finalReport(false, SECOND), is(Optional.empty()));
     }
 
     @Test
@@ -86,7 +86,7 @@
                 reporter.tick(OWNER, true, SECOND).get();
         counter.count("acme", SECOND);
         final TrafficMessage.TrafficReport last =
-                reporter.finish(true, SECOND + 1).get();
+                reporter.finalReport(true, SECOND + 1).get();
         assertThat(last.windows().get(0).counts().get(0).requests(), is(2L));
         assertThat(last.sequence() > first.sequence(), is(true));
     }
--- a/core/src/test/java/silverlatch/traffic/UsageCloserTest.java
+++ b/core/src/test/java/silverlatch/traffic/UsageCloserTest.java
@@ -66,7 +66,7 @@
     }
 
     private Optional<Value.UsageWindow> next(final long now) {
-        return closer.next(new UsageCloser.Situation(state, members, token, now, now))
+        return closer.next(new UsageCloser.Observation(state, members, token, now, now))
                 .map(Command.CloseUsageWindow::window);
     }
 
--- a/core/src/test/java/silverlatch/traffic/UsageOutboxTest.java
+++ b/core/src/test/java/silverlatch/traffic/UsageOutboxTest.java
@@ -53,15 +53,15 @@
 
     @Test
     void theMarkIsSentUntilItIsCommitted() {
-        assertThat(outbox.mark(state, TOKEN, 0), is(Optional.empty()));
+        assertThat(outbox.nextMarkCommand(state, TOKEN, 0), is(Optional.empty()));
         outbox.onReported(10);
-        assertThat(outbox.mark(state, Optional.empty(), 0), is(Optional.empty()));
+        assertThat(outbox.nextMarkCommand(state, Optional.empty(), 0), is(Optional.empty()));
         assertThat(
-                outbox.mark(state, TOKEN, 0),
+                outbox.nextMarkCommand(state, TOKEN, 0),
                 is(Optional.of(new Command.MarkUsageReported("usage-reported-10", 4, 10))));
-        assertThat("under way", outbox.mark(state, TOKEN, 400_000), is(Optional.empty()));
-        assertThat(outbox.mark(state, TOKEN, 500_000).isPresent(), is(true));
+        assertThat("under way", outbox.nextMarkCommand(state, TOKEN, 400_000), is(Optional.empty()));
+        assertThat(outbox.nextMarkCommand(state, TOKEN, 500_000).isPresent(), is(true));
         commitMark(10);
-        assertThat(outbox.mark(state, TOKEN, 1_000_000), is(Optional.empty()));
+        assertThat(outbox.nextMarkCommand(state, TOKEN, 1_000_000), is(Optional.empty()));
     }
 }
--- a/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
+++ b/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
@@ -220,7 +220,7 @@
 
     /** Tells the router that no further attempt is to be made, as a client has left; the one in flight goes on. */
     void endAttempts(final long callId) {
-        postToRouter(router -> router.clientLeft(callId));
+        postToRouter(router -> router.stopRetrying(callId));
     }
 
     private void postClientGone(final long callId) {
--- a/server/src/main/java/silverlatch/server/proxy/WorkerExchange.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerExchange.java
@@ -44,7 +44,7 @@
         this.owner = owner;
         this.attempt = attempt;
         this.eventSplitter = new EventStreamSplitter(proxy.headerNames().weightVersion());
-        this.splitsEvents = attempt.stream() && !attempt.once();
+        this.splitsEvents = attempt.streaming() && !attempt.executeAtMostOnce();
         this.request = proxy.workerRequests()
                 .create(attempt, clientRequest, body, position)
                 .onRequestBegin(sent -> requestStarted.set(true))
@@ -71,7 +71,7 @@
 
     /** Whether the request may have reached its worker and can't be repeated, nor is it a stream that its client reads as it comes. */
     boolean mustRunToItsEnd() {
-        return requestStarted.get() && attempt.once() && !attempt.stream();
+        return requestStarted.get() && attempt.executeAtMostOnce() && !attempt.streaming();
     }
 
     /** The worker's response; present once its head has come. */
--- a/server/src/main/java/silverlatch/server/proxy/WorkerRequests.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerRequests.java
@@ -63,7 +63,7 @@
                 headers);
         headers.put(headerNames.deadline(), "" + Math.max(1, attempt.timeout() / MICROS_PER_MILLI));
         headers.put(headerNames.expectedWorker(), attempt.worker());
-        headers.put(headerNames.priority(), "" + Math.min(LOWEST_PRIORITY, attempt.rank()));
+        headers.put(headerNames.priority(), "" + Math.min(LOWEST_PRIORITY, attempt.priority()));
         attempt.tenant().ifPresent(tenant -> headers.put(headerNames.tenant(), tenant));
         position.lastEventId().ifPresent(id -> {
             headers.put(LAST_EVENT_ID, id);
--- a/server/src/main/java/silverlatch/server/replay/PlacementJson.java
+++ b/server/src/main/java/silverlatch/server/replay/PlacementJson.java
@@ -70,7 +70,7 @@
         fields.put("age", Math.min(MAX_MICROS, candidate.reportAge()));
         fields.put("since", candidate.attemptsSinceReport());
         fields.put("mine", candidate.ownAttempts());
-        fields.put("back", Numbers.clamp(candidate.sinceReturn(), 0, MAX_MICROS));
+        fields.put("back", Numbers.clamp(candidate.sinceRecovery(), 0, MAX_MICROS));
         fields.put("shunned", candidate.isEjected());
         fields.put("peers", candidate.gatewayCount());
         return fields;
