--- a/core/src/main/java/silverlatch/placement/PlacementContext.java
+++ b/core/src/main/java/silverlatch/placement/PlacementContext.java
@@ -5,14 +5,14 @@
 import silverlatch.state.Value;
 
 /**
- * A request as the scorers see it.
+ * The request for which workers are scored.
  *
- * @param requestId       its id, by which ties between workers are broken
- * @param tenant          its tenant
- * @param row             the weights and limits for its tenant and kind
- * @param prefixDigests   salted digests of its prefix, shortest first
- * @param gatewayZone     the zone of the gateway that places it
- * @param gatewayRegion   that gateway's region
+ * @param requestId       the id of the request, which breaks ties between workers
+ * @param tenant          the tenant
+ * @param row             the weights and limits for the tenant and kind of request
+ * @param prefixDigests   salted digests of the request's prefix, shortest first
+ * @param gatewayZone     the zone of the gateway that places the request
+ * @param gatewayRegion   the region of that gateway
  * @param evacuatingZones the zones that get no new work
  */
 public record PlacementContext(
--- a/core/src/main/java/silverlatch/placement/Scorer.java
+++ b/core/src/main/java/silverlatch/placement/Scorer.java
@@ -1,13 +1,13 @@
 package silverlatch.placement;
 
-/** Scores workers for requests by one criterion. Implementations are immutable and pure. */
+/** Scores workers for requests by one criterion. Implementations are immutable and free of side effects. */
 public interface Scorer {
-    /** The name of its scores in traces, recorded days and the API. */
+    /** Returns the name of the scores in traces, recorded days and the API. */
     String name();
 
-    /** Its weight by the request's row of the table; 0 where it only vetoes. */
+    /** Returns the weight of this scorer according to the request's table row; 0 if it only vetoes. */
     double weight(PlacementContext context);
 
-    /** Its score of a worker for a request, or why the worker can't be taken. */
+    /** Returns the score of a worker for a request, or why the worker can't be chosen. */
     ScorerResult score(PlacementContext context, PlacementInput candidate);
 }
--- a/core/src/main/java/silverlatch/placement/ScorerResult.java
+++ b/core/src/main/java/silverlatch/placement/ScorerResult.java
@@ -1,13 +1,13 @@
 package silverlatch.placement;
 
-/** What a {@link Scorer} says of one worker for one request. */
+/** The result of a {@link Scorer} for one worker and one request. */
 public sealed interface ScorerResult {
     /** A score from 0 to 1, where 1 is best. */
     record Score(double value) implements ScorerResult {}
 
-    /** The worker is not allowed. */
+    /** The worker must not run the request. */
     record Veto(String reason) implements ScorerResult {}
 
-    /** The worker is allowed, but can't take the request now. */
+    /** The worker may run the request, but not now. */
     record Deferred(String reason) implements ScorerResult {}
 }
--- a/core/src/main/java/silverlatch/placement/WeightedScorers.java
+++ b/core/src/main/java/silverlatch/placement/WeightedScorers.java
@@ -16,27 +16,35 @@
 import silverlatch.util.Fnv1a;
 
 /**
- * Chooses a worker by several scorers. A worker that one of them vetoes or defers isn't chosen; of the others two are drawn
- * among those whose weighted scores are nearly the best, and the one with more free slots is taken (power of two choices).
- * Immutable; the same input and random numbers give the same choice.
+ * Selects a worker by several scorers. A worker that any scorer vetoes or defers isn't selected. Among the workers
+ * whose weighted score is nearly the best, two are drawn at random and the one with more free slots is taken (power of
+ * two choices). Immutable; the same input and random numbers give the same selection.
  */
 public final class WeightedScorers {
-    /** Scores within this much of the best one count as equal. */
+    /** Scores at most this much below the best one count as equal. */
     private static final double NEAR_BEST = 0.08;
 
     private final List<Scorer> scorers;
 
-    /** A choice by the given scorers. */
+    /** Creates a selection by the given scorers. */
     public WeightedScorers(final List<Scorer> scorers) {
         this.scorers = List.copyOf(scorers);
     }
 
-    /** All scorers; a report of a worker counts up to the given age in microseconds. */
+    /**
+     * Returns a selection by all scorers.
+     *
+     * @param maxReportAge the age in microseconds beyond which a worker's report is ignored
+     */
     public static WeightedScorers allScorers(final long maxReportAge) {
         return allScorers(maxReportAge, Safeguards.ALL);
     }
 
-    /** The same, without the scorers whose safeguard is let down; for tests. */
+    /**
+     * Returns a selection by all scorers except those whose safeguard is disabled; for tests.
+     *
+     * @param maxReportAge the age in microseconds beyond which a worker's report is ignored
+     */
     public static WeightedScorers allScorers(final long maxReportAge, final Safeguards safeguards) {
         final List<Scorer> all =
                 new ArrayList<>(List.of(new PrefixCacheScorer(), new LoadScorer(), new LocalityScorer()));
@@ -47,7 +55,7 @@
         return new WeightedScorers(all);
     }
 
-    /** The scorers that hold to constraints; they are asked once more at the moment of dispatch. */
+    /** Returns a selection by the scorers that enforce constraints. They are checked again at the moment of dispatch. */
     public static WeightedScorers constraints(final long maxReportAge, final Safeguards safeguards) {
         return new WeightedScorers(constraintScorers(maxReportAge, safeguards));
     }
@@ -65,31 +73,31 @@
     }
 
     /**
-     * What one scorer said of one worker.
+     * The result of one scorer for one worker.
      *
      * @param worker the worker's id
      * @param scorer the scorer's name
-     * @param result what it said
-     * @param weight the weight that it had
+     * @param result the result
+     * @param weight the weight of the result
      */
     public record WeightedScore(String worker, String scorer, ScorerResult result, double weight) {}
 
-    /** What was chosen, with all scores that led to it. */
+    /** The outcome of a selection, with all results that led to it. */
     public sealed interface Decision {
-        /** What each scorer said of each worker. */
+        /** Returns the result of each scorer for each worker. */
         List<WeightedScore> scores();
 
-        /** A worker was chosen. */
+        /** A worker was selected. */
         record Selected(PlacementInput candidate, List<WeightedScore> scores) implements Decision {}
 
-        /** None was chosen; one that is allowed may have capacity later. */
+        /** No worker was selected, but at least one that is allowed may have capacity later. */
         record AllBusy(List<WeightedScore> scores) implements Decision {}
 
-        /** None was chosen, because none is allowed. */
+        /** No worker was selected, because none is allowed. */
         record NoneAllowed(List<WeightedScore> scores) implements Decision {}
     }
 
-    /** Chooses one of the candidates for a request. */
+    /** Selects one of the candidates for a request. */
     public Decision select(
             final PlacementContext context, final List<PlacementInput> candidates, final RandomGenerator random) {
         final List<WeightedScore> scores = new ArrayList<>();
@@ -108,7 +116,7 @@
         return new Decision.Selected(twoChoices(nearBest(context, rated), random), scores);
     }
 
-    /** Asks all scorers about one candidate, and adds what they say to the scores. */
+    /** Rates a candidate by all scorers, and adds their results to the scores. */
     private Rating rate(
             final PlacementContext context, final PlacementInput candidate, final List<WeightedScore> scores) {
         double weightedSum = 0;
@@ -129,7 +137,7 @@
         return new Rating(totalWeight == 0 ? 0 : weightedSum / totalWeight, isVetoed, isDeferred);
     }
 
-    /** The workers whose score is nearly the best one, in an order that differs from request to request. */
+    /** Returns the workers whose score is nearly the best one, in an order that differs between requests. */
     private static List<RatedWorker> nearBest(final PlacementContext context, final List<RatedWorker> rated) {
         final double best = rated.stream().mapToDouble(RatedWorker::score).max().orElse(0);
         return rated.stream()
@@ -139,7 +147,10 @@
                 .toList();
     }
 
-    /** Draws two of the workers and takes the one with more free slots, or the better score where these are equal. */
+    /**
+     * Draws two of the workers and returns the one with more free slots, or the one with the higher score if these are
+     * equal.
+     */
     private static PlacementInput twoChoices(final List<RatedWorker> workers, final RandomGenerator random) {
         final List<RatedWorker> left = new ArrayList<>(workers);
         final RatedWorker first = left.remove(random.nextInt(left.size()));
@@ -152,7 +163,7 @@
         return (isSecondBetter ? second : first).candidate();
     }
 
-    /** Whether no scorer vetoes or defers the candidate. */
+    /** Returns whether no scorer vetoes or defers the candidate. */
     public boolean accepts(final PlacementContext context, final PlacementInput candidate) {
         for (final Scorer scorer : scorers) {
             if (!(scorer.score(context, candidate) instanceof ScorerResult.Score)) {
@@ -167,7 +178,7 @@
         return hash ^ hash >>> 31;
     }
 
-    /** What all scorers together say of a worker. */
+    /** The combined result of all scorers for a worker. */
     private record Rating(double score, boolean isVetoed, boolean isDeferred) {
         boolean isAvailable() {
             return !isVetoed && !isDeferred;
@@ -178,7 +189,7 @@
         }
     }
 
-    /** A worker that can take the request, with its weighted score. */
+    /** A worker that can run the request now, with its weighted score. */
     private record RatedWorker(PlacementInput candidate, double score) {
         double freeRatio() {
             return 1
--- a/core/src/main/java/silverlatch/placement/package-info.java
+++ b/core/src/main/java/silverlatch/placement/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The choice of a worker by scorers, each with one criterion: {@link silverlatch.placement.WeightedScorers} chooses, {@code
- * silverlatch.placement.scorer} holds the scorers. Pure functions of their input and of random numbers, so that recorded choices
- * can be made again.
+ * Selection of workers by scorers, each with one criterion: {@link silverlatch.placement.WeightedScorers} selects, and
+ * {@code silverlatch.placement.scorer} contains the scorers. Everything here is a pure function of its input and of
+ * random numbers, so that recorded selections can be reproduced.
  */
 package silverlatch.placement;
--- a/core/src/main/java/silverlatch/placement/scorer/AvailabilityScorer.java
+++ b/core/src/main/java/silverlatch/placement/scorer/AvailabilityScorer.java
@@ -5,11 +5,15 @@
 import silverlatch.placement.Scorer;
 import silverlatch.placement.ScorerResult;
 
-/** Vetoes workers that drain or whose report is too old, and defers to others where an attempt failed a short time ago. */
+/** Vetoes workers that are draining or whose report is too old, and defers workers where an attempt failed recently. */
 public final class AvailabilityScorer implements Scorer {
     private final long maxReportAge;
 
-    /** A scorer for which reports count up to the given age in microseconds. */
+    /**
+     * Creates a scorer.
+     *
+     * @param maxReportAge the age in microseconds beyond which a worker's report is ignored
+     */
     public AvailabilityScorer(final long maxReportAge) {
         this.maxReportAge = maxReportAge;
     }
--- a/core/src/main/java/silverlatch/placement/scorer/LoadScorer.java
+++ b/core/src/main/java/silverlatch/placement/scorer/LoadScorer.java
@@ -5,7 +5,7 @@
 import silverlatch.placement.Scorer;
 import silverlatch.placement.ScorerResult;
 
-/** Prefers workers with free slots, and defers to others where all slots are taken. */
+/** Prefers workers with free slots, and defers workers whose slots are all occupied. */
 public final class LoadScorer implements Scorer {
     @Override
     public String name() {
--- a/core/src/main/java/silverlatch/placement/scorer/PrefixCacheScorer.java
+++ b/core/src/main/java/silverlatch/placement/scorer/PrefixCacheScorer.java
@@ -6,7 +6,7 @@
 import silverlatch.placement.Scorer;
 import silverlatch.placement.ScorerResult;
 
-/** Prefers workers whose prefix cache holds the longest part of the request's prefix. */
+/** Prefers workers whose prefix cache contains the longest part of the request's prefix. */
 public final class PrefixCacheScorer implements Scorer {
     @Override
     public String name() {
--- a/core/src/main/java/silverlatch/placement/scorer/SlowStartScorer.java
+++ b/core/src/main/java/silverlatch/placement/scorer/SlowStartScorer.java
@@ -5,14 +5,19 @@
 import silverlatch.placement.Scorer;
 import silverlatch.placement.ScorerResult;
 
-/** Slow start: a worker that just came takes few requests at once, and step by step as many as the others. */
+/** Slow start: a worker that has just started gets few requests at once, then gradually as many as the other workers. */
 public final class SlowStartScorer implements Scorer {
-    /** A worker that was never silent seems to have come back longer ago than this. */
+    /** The time since recovery of a worker that was never silent is longer than this. */
     private static final long NO_RECOVERY_MICROS = 1_000_000_000_000L;
 
     private final boolean completesSlowStart;
 
-    /** A scorer; with false, for tests, a worker that came back never takes its full part again. */
+    /**
+     * Creates a scorer.
+     *
+     * @param completesSlowStart whether a worker that recovered ever gets its full share of requests again; false in
+     *                           tests only
+     */
     public SlowStartScorer(final boolean warmsUp) {
         this.completesSlowStart = warmsUp;
     }
--- a/core/src/main/java/silverlatch/placement/scorer/package-info.java
+++ b/core/src/main/java/silverlatch/placement/scorer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The scorers: three hold to constraints (home region, evacuation, availability); four weigh (prefix cache, load, locality, slow
- * start), of which load and slow start also defer to other workers.
+ * The scorers. Three enforce constraints: home region, evacuation and availability. Four are weighted: prefix cache,
+ * load, locality and slow start; of these, load and slow start also defer workers.
  */
 package silverlatch.placement.scorer;
--- a/core/src/main/java/silverlatch/routing/AccessTable.java
+++ b/core/src/main/java/silverlatch/routing/AccessTable.java
@@ -7,7 +7,7 @@
 import silverlatch.state.Policy;
 import silverlatch.state.Value;
 
-/** Who may use the routes of one revision: the tenants by their keys, and the routes on which no key is needed. Immutable. */
+/** The access rules of one revision: the tenants by their keys, and the routes that need no key. Immutable. */
 final class AccessTable {
     private final Policy policy;
     private final Set<Value.PublicRoute> publicRoutes = new HashSet<>();
@@ -26,22 +26,22 @@
         keysRequired = required;
     }
 
-    /** Whether requests need keys, except on public routes. */
+    /** Returns whether requests need keys, except on public routes. */
     boolean areKeysRequired() {
         return keysRequired;
     }
 
-    /** The tenant of a key, by the key's digest. */
+    /** Returns the tenant of a key, given the key's digest. */
     Optional<Value.TenantAccess> tenant(final String keyDigest) {
         return policy.tenantOfKey(keyDigest);
     }
 
-    /** Whether a route needs no key. */
+    /** Returns whether a route needs no key. */
     boolean isPublic(final Value.Route route) {
         return publicRoutes.contains(publicRoute(route.host(), route.pathPrefix()));
     }
 
-    /** Letter case doesn't count in hosts. */
+    /** Normalizes the host, as letter case is insignificant in hosts. */
     private static Value.PublicRoute publicRoute(final String host, final String pathPrefix) {
         return new Value.PublicRoute(host.toLowerCase(Locale.ROOT), pathPrefix);
     }
--- a/core/src/main/java/silverlatch/routing/AttemptSender.java
+++ b/core/src/main/java/silverlatch/routing/AttemptSender.java
@@ -9,7 +9,10 @@
 import silverlatch.placement.WeightedScorers;
 import silverlatch.state.Value;
 
-/** Sends requests to workers and ends them where no worker is there. Owned by the routing event loop. */
+/**
+ * Starts attempts at workers, and completes requests for which no worker is available. Confined to the routing event
+ * loop; times are microseconds.
+ */
 final class AttemptSender {
     private static final long SECOND = 1_000_000L;
     private static final long MIN_RETRY_AFTER = SECOND / 20;
@@ -35,12 +38,16 @@
         this.output = output;
     }
 
-    /** Sends a request to the best of the workers that may run it now, or ends it where there is none. */
+    /** Sends a request to one of the best workers that are eligible now; rejects or fails it if there is none. */
     void send(final OpenRequest open, final long revision, final long now) {
         send(open, selector.candidates(open, now), revision, now);
     }
 
-    /** Sends a request to one of the candidates, or ends it where there is none. */
+    /**
+     * Sends a request to one of the candidates; rejects or fails it if there are none.
+     *
+     * @param candidates the eligible workers, best first
+     */
     void send(final OpenRequest open, final List<Candidate> candidates, final long revision, final long now) {
         final Optional<Candidate> chosen = selector.choose(open, candidates);
         output.traces().put(trace(open, candidates, chosen, revision));
@@ -72,10 +79,11 @@
     }
 
     /**
-     * Ends a request that no further worker is asked to run: as rejected where it surely did not run, else as failed.
+     * Completes a request that is not sent to any further worker: it is rejected if it is known not to have run, and
+     * fails otherwise.
      *
-     * @param rejectReason the reason in the first case
-     * @param failReason   the reason in the second case
+     * @param rejectReason the reason if it is rejected
+     * @param failReason   the reason if it fails
      */
     void endWithoutWorker(final OpenRequest open, final String rejectReason, final String failReason) {
         requests.remove(open);
@@ -86,7 +94,10 @@
         }
     }
 
-    /** Ends a request's attempt; the worker is ejected for a while where that was a failure of its own. */
+    /**
+     * Ends the current attempt of a request, and ejects its worker for a while if the attempt failed through the
+     * worker's fault.
+     */
     void endAttempt(final OpenRequest open, final boolean isWorkerFailure, final long now) {
         requests.endAttempt(open);
         workers.find(open.worker()).ifPresent(worker -> {
@@ -97,14 +108,18 @@
         });
     }
 
-    /** Cancels a request's attempt and forgets the request. */
+    /** Cancels the current attempt of a request and removes the request. */
     void cancel(final OpenRequest open, final long now) {
         output.add(new RoutingEffect.CancelAttempt(open.attemptId()));
         endAttempt(open, false, now);
         requests.remove(open);
     }
 
-    /** Soon where another worker may take it, later where none is known; in microseconds. */
+    /**
+     * Returns after how many microseconds the client should retry: a fraction of the latency target if the pool has a
+     * worker that isn't draining, else one to one and a half seconds. The time is random, so that clients don't retry
+     * at the same moment.
+     */
     private long retryAfter(final OpenRequest open) {
         final boolean hasKnownWorker = workers.ofPool(open.pool()).stream()
                 .anyMatch(worker -> !worker.worker().draining());
--- a/core/src/main/java/silverlatch/routing/Authenticator.java
+++ b/core/src/main/java/silverlatch/routing/Authenticator.java
@@ -6,20 +6,21 @@
 import silverlatch.state.Value;
 
 /**
- * Decides for whom a request runs, and whether it may.
+ * Decides whether a request may run, and for which tenant.
  *
- * <p>A key is accepted by the configuration in force here, and only while {@link RevocationLease} holds. One that is unknown here counts
- * as unknown only where the configuration was confirmed as the newest lately, since a newer one may know it. Where neither is
- * certain the client is asked to come again, on public routes too, as a worker would be given the wrong tenant; without a key it is
- * served there in any case.
+ * <p>A key is accepted by the configuration in force at this gateway, and only while the {@link RevocationLease} is
+ * valid. An unknown key is rejected as unauthorized only if this configuration was recently confirmed as the newest,
+ * since a newer one may contain the key. If neither holds, the client is told to retry later. This also applies on
+ * public routes, as the worker would otherwise get the wrong tenant; a request without a key is always served there.
  *
- * <p>It is asked once a request, when the request arrives, and that suffices for each attempt that is made of it. Proof: let the
- * configuration in force here have been the newest at {@code c}. One that takes a key of it away is acknowledged after {@code c}. The
- * request arrives at {@code a} and was sent before; the lease holds at {@code a} only if {@code a} is less than the deadline after
- * {@code c}. So the request was sent less than the deadline after the acknowledgement, whenever its attempts are made. A client
- * that resumes a stream sends a new request.
+ * <p>A request is checked once, when it arrives, and this suffices for all of its attempts. Proof: let the
+ * configuration in force here have been the newest one at time {@code c}. A configuration that revokes one of its keys
+ * is acknowledged after {@code c}. The request arrives at time {@code a} and was sent before {@code a}. The lease is
+ * valid at {@code a} only if {@code a} is less than the revocation deadline after {@code c}. So the request was sent
+ * less than the deadline after the acknowledgement, whenever its attempts are made. A client that resumes a stream
+ * sends a new request.
  *
- * <p>Keys are looked up by their digests; how long that takes tells nothing of a key. Times are microseconds.
+ * <p>Keys are looked up by digest, so the lookup time reveals nothing about a key. Times are microseconds.
  */
 final class Authenticator {
     private static final int UNAUTHORIZED = 401;
@@ -27,10 +28,13 @@
     private static final long SECOND = 1_000_000L;
     private static final long MAX_CONFIRMATION_AGE = 2 * SECOND;
 
-    /** Clients have few further tries, and touch is regained after a second or two: they are asked to wait as long as they heed. */
+    /**
+     * The longest delay that clients are told to wait before they retry. Clients make few further attempts, and the
+     * connection to the controllers usually recovers within a second or two.
+     */
     private static final long MAX_RETRY_AFTER = 3 * SECOND;
 
-    /** The part of the time that a client has left for which it waits at most when it is told to come back. */
+    /** A client is told to wait for at most this fraction (1/n) of its timeout; it wouldn't wait longer. */
     private static final int RETRY_AFTER_TIMEOUT_DIVISOR = 3;
 
     private final RevocationLease lease;
@@ -41,16 +45,19 @@
         this.random = random;
     }
 
-    /** What is decided for a request. */
+    /** The decision on a request. */
     sealed interface Decision {
-        /** It may run, for the tenant where it brought the key of one. */
+        /** The request may run: for the given tenant if it has a tenant's key, else for none. */
         record Allowed(Optional<Value.TenantAccess> tenant) implements Decision {}
 
-        /** It doesn't run; the client may send it again after the time in microseconds, or not at all where that is 0. */
+        /**
+         * The request must not run. The client may retry after the given time in microseconds; 0 means that it must not
+         * retry.
+         */
         record Rejected(int statusCode, long retryAfter, String reason) implements Decision {}
     }
 
-    /** Decides for a request that arrives now on a route; the table is of the snapshot's revision. */
+    /** Decides on a request that arrives on a route now. The access table must be of the snapshot's revision. */
     Decision decide(
             final RoutedRequest request,
             final Value.Route route,
@@ -76,7 +83,10 @@
                 : new Decision.Rejected(UNAUTHORIZED, 0, "a tenant's key is needed");
     }
 
-    /** A key that this configuration doesn't ask for may have been taken away by one that isn't known here. */
+    /**
+     * Decides where the configuration requires no keys. A newer configuration, unknown here, may require them and may
+     * have revoked the request's key.
+     */
     private Decision decideWithoutTenants(final RoutedRequest request, final ClusterSnapshot snapshot, final long now) {
         final boolean hasCredential = !(request.credential() instanceof Credential.None);
         return hasCredential && !lease.isValid(snapshot, now)
--- a/core/src/main/java/silverlatch/routing/Credential.java
+++ b/core/src/main/java/silverlatch/routing/Credential.java
@@ -1,23 +1,23 @@
 package silverlatch.routing;
 
-/** What a request says of who sends it, without the key itself, which stays outside of the router. Immutable. */
+/** The credential of a request, without the key itself, which the router never sees. Immutable. */
 public sealed interface Credential {
-    /** The request names no key. */
+    /** The request has no key. */
     record None() implements Credential {}
 
     /**
-     * The request names one key.
+     * The request has one key.
      *
-     * @param digest the SHA-256 of the key, in hexadecimal
+     * @param digest the SHA-256 digest of the key, in hexadecimal
      */
     record Key(String digest) implements Credential {
-        /** Leaves the digest out, as short keys can be guessed from it. */
+        /** Omits the digest, as short keys can be guessed from it. */
         @Override
         public String toString() {
             return "Key";
         }
     }
 
-    /** The request names several keys, or something that is no key. */
+    /** The request has several keys, or a credential that is not a key. */
     record Invalid() implements Credential {}
 }
--- a/core/src/main/java/silverlatch/routing/FailurePoint.java
+++ b/core/src/main/java/silverlatch/routing/FailurePoint.java
@@ -1,18 +1,18 @@
 package silverlatch.routing;
 
-/** How far an attempt had come when it broke. The names go into counters and log lines. */
+/** How far an attempt had got when it failed. Counters and log lines contain the constant names. */
 public enum FailurePoint {
     /** No byte of the request left this gateway. */
     UNSENT(true),
-    /** The worker said that it did not run the request and never will. */
+    /** The worker replied that it did not run the request and never will. */
     NOT_RUN(true),
-    /** Another worker is at the address; it did not run the request. */
+    /** The address now belongs to another worker, which did not run the request. */
     STRANGER(true),
-    /** Bytes of the request left, and no response came. */
+    /** Bytes of the request were sent, but no response arrived. */
     SENT(false),
-    /** The worker's response tells of a failure of its own. */
+    /** The worker's response reports an error of the worker itself. */
     ILL(false),
-    /** A part of the response was passed on. */
+    /** A part of the response was already forwarded to the client. */
     BEGUN(false);
 
     private final boolean isKnownNotRun;
@@ -21,7 +21,7 @@
         this.isKnownNotRun = isSurelyNotRun;
     }
 
-    /** Whether the attempt surely did not run, so that another one can't be a second run. */
+    /** Returns whether the attempt is known not to have run, so that another attempt can't execute the request twice. */
     boolean isKnownNotRun() {
         return isKnownNotRun;
     }
--- a/core/src/main/java/silverlatch/routing/GatewayCountWindow.java
+++ b/core/src/main/java/silverlatch/routing/GatewayCountWindow.java
@@ -1,8 +1,8 @@
 package silverlatch.routing;
 
 /**
- * The most gateways that were there lately. Limits that gateways share are divided by it, so that a gateway that is gone
- * for a moment doesn't raise what the others send. Owned by the routing event loop.
+ * Tracks the highest recent number of gateways. Limits that the gateways share are divided by this number, so that a
+ * gateway that disappears for a moment doesn't raise the rate of the others. Confined to the routing event loop.
  */
 final class GatewayCountWindow {
     private static final long WINDOW_MICROS = 30_000_000L;
@@ -10,7 +10,7 @@
     private int maxInWindow = 1;
     private long windowStart;
 
-    /** So many gateways are there now. */
+    /** Records the number of gateways at a time in microseconds. */
     void observe(final int gatewayCount, final long now) {
         if (now - windowStart > WINDOW_MICROS) {
             windowStart = now;
@@ -21,7 +21,7 @@
         max = Math.max(max, maxInWindow);
     }
 
-    /** The most that were there in this window or the one before it. */
+    /** Returns the highest number recorded in the current or the previous window; at least 1. */
     int max() {
         return max;
     }
--- a/core/src/main/java/silverlatch/routing/LatencyPredictor.java
+++ b/core/src/main/java/silverlatch/routing/LatencyPredictor.java
@@ -9,13 +9,15 @@
 import silverlatch.util.Fnv1a;
 
 /**
- * Predicts when a worker would send the first event of a request: the network both ways, what it still has to prefill for
- * others, what it has to prefill of this prompt (a token costs the more the more stand before it), and how full it is.
- * While a worker prefills a long prompt the streams that it decodes pause, so each stream there is counted against it.
- * What it has learnt of each pool is in a {@link PoolLatencyModel}. Owned by the routing event loop; times in microseconds.
+ * Predicts how long a worker takes to send the first event of a request. The prediction covers the network round trip,
+ * the tokens that the worker still has to prefill for other requests, the tokens of this prompt that it has to prefill
+ * (a token takes longer the more tokens precede it), and its utilization. While a worker prefills a long prompt, the
+ * streams that it decodes pause; therefore a long prompt costs more at a worker with many streams. Each pool has its
+ * own {@link PoolLatencyModel}, which is fitted to the observed latencies. Confined to the routing event loop; times
+ * are microseconds.
  */
 final class LatencyPredictor {
-    /** How much longer a token takes for each token before it, as a part of a token's time. */
+    /** By which fraction of its own prefill time a token takes longer for each token that precedes it. */
     private static final double ATTENTION_PER_TOKEN = 4.4e-5;
 
     private static final double MAX_PREFILL_PAUSE_MICROS = 60_000;
@@ -37,26 +39,26 @@
     private final RoutingPolicies policies;
     private final Map<String, PoolLatencyModel> modelsByPool = new HashMap<>();
 
-    /** A predictor that takes into account what the policies in force say. */
+    /** Creates a predictor that applies the enabled policies only. */
     LatencyPredictor(final RoutingPolicies policies) {
         this.policies = policies;
     }
 
     /**
-     * What is predicted for a request at a worker.
+     * The prediction for one request at one worker.
      *
-     * @param latency         microseconds until its first event comes
-     * @param cost            the latency and what the choice costs beside it, in microseconds
-     * @param tokensToPrefill the tokens of its prompt that the worker's cache likely doesn't hold
-     * @param features        what the latency was predicted from
+     * @param latency         the predicted time until the first event, in microseconds
+     * @param cost            the latency plus the penalties for choosing this worker, in microseconds
+     * @param tokensToPrefill the number of prompt tokens that are probably not in the worker's cache
+     * @param features        the inputs that the latency was predicted from
      */
     record Prediction(long latency, long cost, int tokensToPrefill, PoolLatencyModel.Features features) {}
 
     /**
-     * The prediction for a request at a worker as seen from a gateway.
+     * Predicts the latency and cost of a request at a worker, as seen from a gateway.
      *
-     * @param prefixOwners  the worker that is to keep each shared part of the prompt, by the part's digest
-     * @param decodeWorkers the ids of workers that long prompts are kept away from
+     * @param prefixOwners  the id of the worker that should cache each shared part of the prompt, by the part's digest
+     * @param decodeWorkers the ids of the workers that should not get long prompts
      */
     Prediction predict(
             final RoutedRequest request,
@@ -93,7 +95,7 @@
         return new Prediction(latency, latency + penalty, tokensToPrefill, features);
     }
 
-    /** What a policy adds, or nothing where it isn't in force. */
+    /** Returns the penalty if the policy is enabled, else 0. */
     private long ifEnabled(final RoutingPolicy policy, final long micros) {
         return policies.isEnabled(policy) ? micros : 0;
     }
@@ -112,7 +114,10 @@
         return isNear ? 0 : CROSS_ZONE_MICROS;
     }
 
-    /** Learns from the first event of an attempt, which came so long after it was sent. */
+    /**
+     * Fits the model of the worker's pool to the first event of an attempt, which arrived now. Does nothing while the
+     * worker is warming up.
+     */
     void observe(final WorkerState worker, final WorkerState.Attempt attempt, final long now) {
         if (policies.isEnabled(RoutingPolicy.OBSERVED_LATENCY) && !worker.isWarmingUp(now)) {
             modelOf(worker).observe(attempt.features(), now - attempt.startedAt());
@@ -123,14 +128,17 @@
         return modelsByPool.computeIfAbsent(worker.worker().pool(), pool -> new PoolLatencyModel());
     }
 
-    /** The tokens before the first event, each counted by how long it takes beside one that has none before it. */
+    /**
+     * Returns the tokens to prefill before the first event: those of this prompt, weighted by how much longer they take
+     * because of the tokens that precede them, plus those that are pending for other requests of this gateway.
+     */
     private double prefillTokens(final RoutedRequest request, final WorkerState worker, final int tokensToPrefill) {
         final double attention = 1 + ATTENTION_PER_TOKEN * (request.promptTokens() - tokensToPrefill / 2.0);
         final long pending = policies.isEnabled(RoutingPolicy.PREFILL_BACKLOG) ? worker.pendingPrefillTokens() : 0;
         return tokensToPrefill * attention + pending;
     }
 
-    /** Whether the request is a long prompt at a worker that decodes, or a short one at a worker that prefills. */
+    /** Returns whether the request is a long prompt at a worker for decoding, or a short one at a worker for prefilling. */
     private static boolean mixesTraffic(
             final RoutedRequest request, final WorkerState worker, final Set<String> decodeWorkers) {
         return !decodeWorkers.isEmpty()
@@ -144,7 +152,7 @@
                 : 0;
     }
 
-    /** The tokens of a prompt that a worker has likely still to prefill. */
+    /** Returns how many tokens of a prompt the worker probably still has to prefill. */
     static int tokensToPrefill(
             final RoutedRequest request,
             final WorkerState worker,
@@ -164,7 +172,10 @@
         return (int) Math.round(tokens);
     }
 
-    /** How much of a part a worker likely has in its cache; the last part is the prompt's own. */
+    /**
+     * Returns which fraction of a part is probably in the worker's cache. The last part is specific to this prompt; the
+     * others may be shared with other prompts.
+     */
     private static double cachedRatio(
             final RoutedRequest.PromptPart part,
             final boolean isLast,
@@ -180,7 +191,7 @@
         return worker.id().equals(prefixOwners.get(part.digest())) ? CACHED_RATIO_AT_OWNER : CACHED_RATIO_ELSEWHERE;
     }
 
-    /** Whether a prompt's shared parts are large enough to be kept together at one worker. */
+    /** Returns whether the shared parts of a prompt are large enough to be cached together at one worker. */
     static boolean hasLargeSharedPrefix(final List<RoutedRequest.PromptPart> parts) {
         int sharedTokens = 0;
         for (int i = 0; i < parts.size() - 1; i++) {
@@ -189,12 +200,18 @@
         return parts.size() > 1 && sharedTokens >= MIN_SHARED_TOKENS;
     }
 
-    /** The digest of the longest prefix that a prompt shares with others; it has two parts at least. */
+    /**
+     * Returns the digest of the longest prefix that the prompt shares with others. The prompt must have at least two
+     * parts.
+     */
     static long sharedPrefixKey(final RoutedRequest request) {
         return request.promptParts().get(request.promptParts().size() - 2).digest();
     }
 
-    /** A hash of a name (FNV-1a, then the finalizer of SplitMix64) by which all gateways rank alike. */
+    /**
+     * Returns a hash of a name (FNV-1a, then the finalizer of SplitMix64). All gateways compute the same rendezvous
+     * ranking from it.
+     */
     static long rendezvousHash(final long seed, final String name) {
         long hash = Fnv1a.hash(name, seed);
         hash = (hash ^ hash >>> 30) * 0xBF58476D1CE4E5B9L;
--- a/core/src/main/java/silverlatch/routing/OpenRequest.java
+++ b/core/src/main/java/silverlatch/routing/OpenRequest.java
@@ -7,9 +7,9 @@
 import silverlatch.state.Value;
 
 /**
- * A routed request under way: its route, its deadline, and its attempts at workers, of which one is in flight at a time.
- * Once it may have run it is never called rejected, and where its route isn't retryable it isn't sent again. Owned by the
- * routing event loop; times in microseconds.
+ * A routed request that is not completed yet: its route, its deadline, and its attempts at workers, of which at most
+ * one is in flight. Invariants: a request that may have run is never reported as rejected, and it is not sent again if
+ * its route isn't retryable. Confined to the routing event loop; times are microseconds.
  */
 final class OpenRequest {
     private final RoutedRequest request;
@@ -28,7 +28,12 @@
     private boolean mayHaveRun;
     private boolean clientDisconnected;
 
-    /** A request that just came, for which a pool was drawn, and whose tenant is the one of its key. */
+    /**
+     * Creates a request that just arrived.
+     *
+     * @param tenant the tenant of the request's key, if any
+     * @param pool   the pool that was drawn for it
+     */
     OpenRequest(
             final RoutedRequest request,
             final Value.Route route,
@@ -45,29 +50,29 @@
         this.deadline = arrivedAt + Math.min(request.timeout(), route.timeoutMicros());
     }
 
-    /** What came. */
+    /** Returns the request as it arrived. */
     RoutedRequest request() {
         return request;
     }
 
-    /** The route that it matched when it came. */
+    /** Returns the route that the request matched when it arrived. */
     Value.Route route() {
         return route;
     }
 
-    /** The tenant whose key it brought when it came, if there was one. */
+    /** Returns the tenant to which the request's key belonged when it arrived, if any. */
     Optional<Value.TenantAccess> tenant() {
         return tenant;
     }
 
-    /** The priority of its tenant where that has one, else of its route. */
+    /** Returns the tenant's priority if it has one, else the route's. */
     int priority() {
         return tenant.map(Value.TenantAccess::priority)
                 .filter(priority -> priority != Value.TenantAccess.ROUTE_PRIORITY)
                 .orElse(route.priority());
     }
 
-    /** Whether its tenant allows that it runs in a region; what its route allows is another question. */
+    /** Returns whether the tenant's home regions include a region. The route's home regions are checked separately. */
     boolean tenantAllows(final String region) {
         return tenant.map(Value.TenantAccess::homeRegions)
                 .filter(regions -> !regions.isEmpty())
@@ -75,99 +80,99 @@
                 .orElse(true);
     }
 
-    /** The pool that its worker is from. */
+    /** Returns the pool from which the worker is chosen. */
     String pool() {
         return pool;
     }
 
-    /** When it came. */
+    /** Returns when the request arrived. */
     long arrivedAt() {
         return arrivedAt;
     }
 
-    /** When it fails if its response isn't complete. */
+    /** Returns the time at which the request fails if its response isn't complete. */
     long deadline() {
         return deadline;
     }
 
-    /** The cluster's timestamp of its arrival. */
+    /** Returns the cluster clock's timestamp of the arrival. */
     Stamp timestamp() {
         return timestamp;
     }
 
-    /** Its handle in the {@link OpenRequestTable}. */
+    /** Returns the handle in the {@link OpenRequestTable}. */
     long handle() {
         return handle;
     }
 
-    /** Set by the {@link OpenRequestTable}. */
+    /** Sets the handle; called by the {@link OpenRequestTable}. */
     void setHandle(final long newHandle) {
         handle = newHandle;
     }
 
-    /** A worker is asked to run it. */
+    /** Records a new attempt at a worker. */
     void startAttempt(final long newAttemptId, final String workerId) {
         attempts++;
         attemptId = newAttemptId;
         worker = workerId;
     }
 
-    /** The newest attempt does not count: nothing of it left this gateway. */
+    /** Excludes the current attempt from the count, as nothing of it left this gateway. */
     void uncountAttempt() {
         attempts--;
     }
 
-    /** How many attempts count. */
+    /** Returns the number of attempts that count against the route's maximum. */
     int attempts() {
         return attempts;
     }
 
-    /** The newest attempt; events of earlier ones are ignored. */
+    /** Returns the id of the current attempt; events of earlier attempts are ignored. */
     long attemptId() {
         return attemptId;
     }
 
-    /** The worker of the newest attempt, or empty. */
+    /** Returns the worker of the current attempt, or an empty string before the first attempt. */
     String worker() {
         return worker;
     }
 
-    /** The worker of the newest attempt is not tried again. */
+    /** Excludes the worker of the current attempt from further attempts. */
     void markWorkerFailed() {
         failedWorkers.add(worker);
     }
 
-    /** Whether a worker is not to be tried again. */
+    /** Returns whether a worker is excluded from further attempts. */
     boolean hasFailedAt(final String workerId) {
         return failedWorkers.contains(workerId);
     }
 
-    /** A part of a response was passed on to the client. */
+    /** Records that a part of a response was forwarded to the client. */
     void markResponseStarted() {
         responseStarted = true;
     }
 
-    /** Whether a part of a response was passed on to the client. */
+    /** Returns whether a part of a response was forwarded to the client. */
     boolean responseStarted() {
         return responseStarted;
     }
 
-    /** The client has left: no further attempt is made. */
+    /** Records that the client has disconnected, so that no further attempt is made. */
     void markClientDisconnected() {
         clientDisconnected = true;
     }
 
-    /** Whether the client has left. */
+    /** Returns whether the client has disconnected. */
     boolean hasClientDisconnected() {
         return clientDisconnected;
     }
 
-    /** An attempt may have run. */
+    /** Records that an attempt may have run. */
     void markMayHaveRun() {
         mayHaveRun = true;
     }
 
-    /** Whether it surely did not run, so that the client may be told to send it again. */
+    /** Returns whether the request is known not to have run, so that the client may be told to send it again. */
     boolean isKnownNotRun() {
         return !mayHaveRun && !responseStarted;
     }
--- a/core/src/main/java/silverlatch/routing/OpenRequestTable.java
+++ b/core/src/main/java/silverlatch/routing/OpenRequestTable.java
@@ -8,7 +8,10 @@
 import silverlatch.dispatch.buffer.Slab;
 import silverlatch.traffic.DemandMeter;
 
-/** The open requests of a gateway by the client's call and by the attempt in flight; bounded. Owned by the routing event loop. */
+/**
+ * The open requests of a gateway, indexed by client call and by attempt in flight; bounded. Confined to the routing
+ * event loop.
+ */
 final class OpenRequestTable {
     private final Slab<OpenRequest> slab;
     private final Map<Long, Long> handlesByCall = new HashMap<>();
@@ -16,22 +19,22 @@
     private final DemandMeter demand = new DemandMeter();
     private long lastAttemptId;
 
-    /** A table for so many requests. */
+    /** Creates a table with room for the given number of requests. */
     OpenRequestTable(final int capacity) {
         this.slab = new Slab<>(capacity);
     }
 
-    /** What the requests that come and go ask of each pool. */
+    /** Returns the meter of the demand that these requests make on each pool. */
     DemandMeter demand() {
         return demand;
     }
 
-    /** How many requests are open. */
+    /** Returns how many requests are open. */
     int size() {
         return slab.used();
     }
 
-    /** Adds a request; false when the table is full. */
+    /** Adds a request; returns false if the table is full. */
     boolean add(final OpenRequest open) {
         final Optional<Long> handle = slab.insert(open);
         handle.ifPresent(inserted -> {
@@ -42,19 +45,19 @@
         return handle.isPresent();
     }
 
-    /** The request of a client's call. */
+    /** Returns the open request of a client's call. */
     Optional<OpenRequest> byCall(final long callId) {
         return Optional.ofNullable(handlesByCall.get(callId)).flatMap(slab::get);
     }
 
-    /** The request whose newest attempt this is. */
+    /** Returns the open request whose current attempt has this id. */
     Optional<OpenRequest> byAttempt(final long attemptId) {
         return Optional.ofNullable(handlesByAttempt.get(attemptId))
                 .flatMap(slab::get)
                 .filter(open -> open.attemptId() == attemptId);
     }
 
-    /** Begins an attempt of a request at a worker; gives its id. */
+    /** Records a new attempt of a request at a worker and returns its id. */
     long startAttempt(final OpenRequest open, final String worker) {
         lastAttemptId++;
         open.startAttempt(lastAttemptId, worker);
@@ -62,12 +65,12 @@
         return lastAttemptId;
     }
 
-    /** Ends a request's newest attempt. */
+    /** Ends the current attempt of a request. */
     void endAttempt(final OpenRequest open) {
         handlesByAttempt.remove(open.attemptId());
     }
 
-    /** Takes a request out. */
+    /** Removes a request. */
     void remove(final OpenRequest open) {
         if (slab.remove(open.handle()).isPresent()) {
             demand.requestClosed(open.pool(), open.request().tokens());
@@ -75,7 +78,7 @@
         handlesByCall.remove(open.request().callId());
     }
 
-    /** Calls the action for each request that is open now; the action may take it out. */
+    /** Calls the action for each request that is open now. The action may remove it. */
     void forEach(final Consumer<OpenRequest> action) {
         for (final long handle : List.copyOf(handlesByCall.values())) {
             slab.get(handle).ifPresent(action);
--- a/core/src/main/java/silverlatch/routing/PoolLatencyModel.java
+++ b/core/src/main/java/silverlatch/routing/PoolLatencyModel.java
@@ -3,13 +3,14 @@
 import silverlatch.util.Numbers;
 
 /**
- * How long the workers of one pool take to the first event, as observed by this gateway: a fixed part, a time for each token
- * that they have to prefill, and the round trip to other regions.
+ * Models the time that the workers of one pool take to the first event, as observed by this gateway: a fixed part, a
+ * time for each token to prefill, and the round trip to other regions.
  *
- * <p>Bayesian linear regression over the first events seen here, in milliseconds: the first guesses count as much as
- * {@link #PRIOR_SAMPLES} observations, so that a few change little, and older observations fade. One observation moves the
- * estimates by a bounded step only, and no estimate leaves a factor of {@link #MAX_PRIOR_RATIO} around its first guess: a worker that
- * hangs or lies can't bend the model. Owned by the routing event loop.
+ * <p>Bayesian linear regression over the first events observed here, in milliseconds. The prior estimates weigh as much
+ * as {@link #PRIOR_SAMPLES} observations, so that a few observations change little; older observations decay. A single
+ * observation moves the estimates by a bounded step only, and each estimate stays within a factor of {@link
+ * #MAX_PRIOR_RATIO} of its prior. So a worker that hangs or reports wrong data can't distort the model. Confined to the
+ * routing event loop.
  */
 final class PoolLatencyModel {
     private static final double[] PRIOR_ESTIMATES = {55, 27, 72};
@@ -31,38 +32,40 @@
     private double deviation = INITIAL_DEVIATION_MS;
 
     /**
-     * What a prediction was made of.
+     * The inputs of a prediction.
      *
-     * @param latencyFactor        how slow the worker is compared with its pool; multiplies the fixed part and the prefill
-     * @param tokens      the tokens before the first event: those to prefill of this prompt and of others before it
-     * @param isRemote    whether the worker is in another region
-     * @param additionalMicros what the prediction adds beside, in microseconds
+     * @param latencyFactor    how slow the worker is compared with its pool; multiplies the fixed part and the prefill
+     *                         time
+     * @param tokens           the tokens to prefill before the first event: those of this prompt and of other requests
+     *                         before it
+     * @param isRemote         whether the worker is in another region
+     * @param additionalMicros the part of the prediction that isn't fitted, in microseconds
      */
     record Features(double latencyFactor, double tokens, boolean isRemote, double additionalMicros) {}
 
-    /** The fixed part, in microseconds. */
+    /** Returns the estimated fixed part, in microseconds. */
     double baseMicros() {
         return estimates[0] * MICROS_PER_MS;
     }
 
-    /** The time to prefill one token, in microseconds. */
+    /** Returns the estimated time to prefill one token, in microseconds. */
     double microsPerToken() {
         return estimates[1] * MICROS_PER_MS / TOKENS_PER_UNIT;
     }
 
-    /** The round trip to another region, in microseconds. */
+    /** Returns the estimated round trip to another region, in microseconds. */
     double roundTripMicros() {
         return estimates[2] * MICROS_PER_MS;
     }
 
-    /** The time to the first event, in microseconds. */
+    /** Returns the predicted time to the first event, in microseconds. */
     double predictMicros(final Features features) {
         return features.latencyFactor() * (baseMicros() + features.tokens() * microsPerToken())
                 + (features.isRemote() ? roundTripMicros() : 0)
                 + features.additionalMicros();
     }
 
-    /** The first event of an attempt came so many microseconds after it was sent. */
+    /** Fits the model to the first event of an attempt, which arrived the given time after the attempt was sent. */
     void observe(final Features features, final long elapsedMicros) {
         final double[] inputs = {
             features.latencyFactor(),
@@ -84,7 +87,7 @@
         estimates = solve();
     }
 
-    /** The estimates that the observations and the first guesses lead to together, by Gaussian elimination. */
+    /** Returns the estimates that fit both the observations and the prior, by Gaussian elimination. */
     private double[] solve() {
         final double[][] rows = new double[SIZE][SIZE + 1];
         for (int row = 0; row < SIZE; row++) {
--- a/core/src/main/java/silverlatch/routing/PrefixOwners.java
+++ b/core/src/main/java/silverlatch/routing/PrefixOwners.java
@@ -8,9 +8,9 @@
 import silverlatch.dispatch.ClusterSnapshot;
 
 /**
- * Says which worker is to keep the shared prefix of a prompt in its cache. All gateways come to the same one by rendezvous
- * hashing, so that a prefix is prefilled once: one worker of this region where shared prefixes are often used again, else
- * one of all regions.
+ * Selects the worker that should cache the shared prefix of a prompt. All gateways select the same worker by rendezvous
+ * hashing, so that a prefix is prefilled only once: one worker of this gateway's region if shared prefixes are reused
+ * often there, else one of all regions.
  */
 final class PrefixOwners {
     private final TrafficStatistics traffic;
@@ -20,11 +20,11 @@
     }
 
     /**
-     * The owner of each shared part of a request's prompt by the part's digest; empty where the shared parts are too small
-     * to be kept together.
+     * Returns the owner of each shared part of a request's prompt, by the part's digest. Empty if the shared parts are
+     * too small to be cached together.
      *
      * @param eligible      the workers that may run the request
-     * @param decodeWorkers the ids of those that long prompts are kept away from; they own nothing
+     * @param decodeWorkers the ids of the workers that should not get long prompts; they own no prefixes
      */
     Map<Long, String> of(
             final RoutedRequest request,
--- a/core/src/main/java/silverlatch/routing/Reachability.java
+++ b/core/src/main/java/silverlatch/routing/Reachability.java
@@ -3,9 +3,10 @@
 import java.util.Collection;
 
 /**
- * Whether a region's workers are heard from here. Where requests wait there past what was predicted and none of its workers
- * has sent anything since, or where a connection there fails, the region counts as unreachable until a worker there answers
- * or the backoff is over. Owned by the routing event loop; times in microseconds.
+ * Tracks whether the workers of a region can be reached from this gateway. The region counts as unreachable when the
+ * first event of a request there is overdue and none of its workers has responded since the request was sent, or when
+ * connecting to one of its workers fails. It counts as reachable again when a worker there responds or the backoff has
+ * elapsed. Confined to the routing event loop; times are microseconds.
  */
 final class Reachability {
     private static final long SLACK_MICROS = 200_000L;
@@ -22,14 +23,17 @@
         this.region = region;
     }
 
-    /** A worker there answered. */
+    /** Records that a worker of the region responded. */
     void recordResponse(final long now) {
         lastResponseAt = now;
         connectFailures = 0;
         unreachableUntil = NEVER;
     }
 
-    /** A connection there could not be made; each time in a row the region counts as unreachable for twice as long. */
+    /**
+     * Records that connecting to a worker of the region failed; ignored shortly after a response. The backoff doubles
+     * with each consecutive failure.
+     */
     void recordConnectFailure(final long now) {
         if (now - lastResponseAt > SLACK_MICROS) {
             final long backoff = INITIAL_BACKOFF_MICROS << Math.min(MAX_DOUBLINGS, connectFailures);
@@ -38,7 +42,11 @@
         }
     }
 
-    /** Whether the region counts as unreachable, given all workers that are known. */
+    /**
+     * Returns whether the region counts as unreachable.
+     *
+     * @param workers all known workers
+     */
     boolean isUnreachable(final Collection<WorkerState> workers, final long now) {
         return now < unreachableUntil
                 || workers.stream()
--- a/core/src/main/java/silverlatch/routing/RetryPolicy.java
+++ b/core/src/main/java/silverlatch/routing/RetryPolicy.java
@@ -1,8 +1,9 @@
 package silverlatch.routing;
 
 /**
- * Says whether a request may be sent to another worker, as far as its route and its history allow. Whether the retry
- * budget has one left and another worker is there is asked afterwards. Pure functions; times in microseconds.
+ * Decides whether a request may be sent to another worker, by its route and its earlier attempts. The caller checks
+ * separately that the retry budget allows it and that another worker is available. Pure functions; times are
+ * microseconds.
  */
 final class RetryPolicy {
     private static final long SECOND = 1_000_000L;
@@ -10,7 +11,10 @@
 
     private RetryPolicy() {}
 
-    /** Whether it may be retried after a worker's complete response with this status, which wasn't passed on. */
+    /**
+     * Returns whether the request may be retried after a worker's complete response, which has not been forwarded, with
+     * this status.
+     */
     static boolean allowsAfterResponse(final OpenRequest open, final int statusCode, final long now) {
         return statusCode >= SERVER_ERROR
                 && !open.hasClientDisconnected()
@@ -20,8 +24,9 @@
     }
 
     /**
-     * Whether it may be retried after an attempt broke: always where the attempt surely did not run, else where the route
-     * allows it, and after a response has begun only where its stream can be resumed.
+     * Returns whether the request may be retried after a failed attempt: always if the attempt is known not to have
+     * run, else only if the route allows it. After a part of the response was forwarded, the response must also be a
+     * stream that can be resumed.
      */
     static boolean allowsAfterFailure(final OpenRequest open, final FailurePoint point, final long now) {
         final boolean mayRunAgain = point.isKnownNotRun()
@@ -34,7 +39,7 @@
         return mayRunAgain && hasAttemptsLeft && !open.hasClientDisconnected() && now < open.deadline();
     }
 
-    /** Whether it may be moved from a worker that has been silent for too long. */
+    /** Returns whether the request may be moved away from a worker that has been silent for too long. */
     static boolean allowsAfterSilence(final OpenRequest open, final WorkerState.Attempt attempt, final long now) {
         return open.route().isRetryable()
                 && (!open.responseStarted() || open.route().resumable())
@@ -43,7 +48,10 @@
                 && !open.hasFailedAt(open.worker());
     }
 
-    /** How long a worker may be silent: before the first event by the latency target, after it by the route's gap. */
+    /**
+     * Returns how long the worker may be silent: before the first event this depends on the latency target and the
+     * prediction, after it on the route's maximum gap between events.
+     */
     private static long silenceLimit(final OpenRequest open, final WorkerState.Attempt attempt) {
         return attempt.firstEventSeen()
                 ? Math.max(SECOND, 2 * open.route().maxEventGapMicros())
--- a/core/src/main/java/silverlatch/routing/RoutedRequest.java
+++ b/core/src/main/java/silverlatch/routing/RoutedRequest.java
@@ -3,17 +3,18 @@
 import java.util.List;
 
 /**
- * A request that came by host and path, as far as its routing needs to know it; the prompt itself stays outside.
+ * The data of a request that is routed by host and path, as far as routing needs it; excludes the prompt text.
  *
- * @param callId            the number of the client's HTTP call at this gateway
- * @param host              the host that it names, with or without a port
- * @param path              its path
- * @param requestId         the client's own id of this attempt
+ * @param callId            the id of the client's HTTP call at this gateway
+ * @param host              the host that the request names, with or without a port
+ * @param path              the path of the request
+ * @param requestId         the id that the client gave to this attempt of its own
  * @param timeout           how long the client waits, in microseconds
- * @param promptParts       the parts of its prompt in order; the last is its own, the others may be shared with other prompts
- * @param promptTokens      how many tokens the prompt has
- * @param maxResponseTokens how many tokens the response may have
- * @param credential        what it says of who sends it
+ * @param promptParts       the parts of the prompt in order; the last is specific to this prompt, the others may be
+ *                          shared with other prompts
+ * @param promptTokens      the number of tokens of the prompt
+ * @param maxResponseTokens the maximum number of tokens of the response
+ * @param credential        the credential of the sender
  */
 public record RoutedRequest(
         long callId,
@@ -30,7 +31,7 @@
         promptParts = List.copyOf(promptParts);
     }
 
-    /** A request that names no key. */
+    /** Creates a request without a key. */
     public RoutedRequest(
             final long callId,
             final String host,
@@ -52,7 +53,7 @@
                 new Credential.None());
     }
 
-    /** How many tokens its prompt and its response may have together. */
+    /** Returns the maximum number of tokens of prompt and response together. */
     int tokens() {
         return promptTokens + maxResponseTokens;
     }
@@ -60,8 +61,8 @@
     /**
      * A part of a prompt.
      *
-     * @param digest names the prompt from its start to the end of this part
-     * @param tokens how many tokens the part has
+     * @param digest the digest of the prompt from its start to the end of this part
+     * @param tokens the number of tokens of this part
      */
     public record PromptPart(long digest, int tokens) {}
 }
--- a/core/src/main/java/silverlatch/routing/Router.java
+++ b/core/src/main/java/silverlatch/routing/Router.java
@@ -16,12 +16,13 @@
 import silverlatch.wire.TrafficMessage;
 
 /**
- * Routes the requests that come by host and path to workers, and decides what follows when an attempt breaks. It does no
- * input or output: events go in as method calls, {@link RoutingEffect effects} come out by {@link #drainEffects()}.
+ * Routes requests to workers by host and path, and decides whether to retry when an attempt fails. It does no input or
+ * output: events are passed in as method calls, and {@link #drainEffects()} returns the {@link RoutingEffect effects}
+ * to apply.
  *
- * <p>Not thread-safe: one event loop owns it. Times are readings of the monotonic clock in microseconds. A call id names a
- * client's HTTP call at this gateway; an attempt id names one attempt at a worker, and events of an attempt that is over
- * are ignored.
+ * <p>Not thread-safe: confined to one event loop. Times are monotonic clock readings in microseconds. A call id
+ * identifies a client's HTTP call at this gateway; an attempt id identifies one attempt at a worker. Events of an
+ * attempt that has ended are ignored.
  */
 public final class Router {
     private static final long SECOND = 1_000_000L;
@@ -49,15 +50,16 @@
     private boolean stopping;
 
     /**
-     * Settings.
+     * The settings of a router.
      *
-     * @param maxOpenRequests how many requests may be open at once
-     * @param retryRatio      the part of the requests that may be retried
-     * @param maxReportAge    the age beyond which a report of a worker does not count, in microseconds
-     * @param prefixLifetime  for how long after its last use a part of a prompt counts as cached at a worker, in microseconds
-     * @param policies        the routing policies in force
-     * @param revocationDeadline how long after the acknowledgement of a configuration a key that it took away may still be accepted,
-     *                        in microseconds; 0 where that isn't bounded
+     * @param maxOpenRequests    how many requests may be open at once
+     * @param retryRatio         the fraction of the requests that may be retried
+     * @param maxReportAge       the age in microseconds beyond which a worker's report is ignored
+     * @param prefixLifetime     for how long after its last use a part of a prompt counts as cached at a worker, in
+     *                           microseconds
+     * @param policies           the enabled routing policies
+     * @param revocationDeadline how long after a configuration that revokes a key was acknowledged the key may still be
+     *                           accepted, in microseconds; 0 for no limit
      */
     public record Settings(
             int maxOpenRequests,
@@ -66,43 +68,50 @@
             long prefixLifetime,
             RoutingPolicies policies,
             long revocationDeadline) {
-        /** How long a part of a prompt counts as cached when nothing is said. */
+        /** The default lifetime of a cached part of a prompt, in microseconds. */
         public static final long DEFAULT_PREFIX_LIFETIME = 45 * SECOND;
 
-        /** What holds when nothing is said. */
+        /** The default settings. */
         public static final Settings DEFAULT = new Settings(2_048, 0.1, Long.MAX_VALUE);
 
-        /** Settings with all policies in force. */
+        /**
+         * Creates settings with all policies enabled, the default prefix lifetime and no limit on the acceptance of
+         * revoked keys.
+         */
         public Settings(final int maxOpenRequests, final double retryRatio, final long maxReportAge) {
             this(maxOpenRequests, retryRatio, maxReportAge, DEFAULT_PREFIX_LIFETIME, RoutingPolicies.ALL, 0);
         }
 
-        /** The same with other policies in force. */
-        public Settings withPolicies(final RoutingPolicies inForce) {
-            return new Settings(maxOpenRequests, retryRatio, maxReportAge, prefixLifetime, inForce, revocationDeadline);
+        /** Returns a copy with other policies enabled. */
+        public Settings withPolicies(final RoutingPolicies enabled) {
+            return new Settings(maxOpenRequests, retryRatio, maxReportAge, prefixLifetime, enabled, revocationDeadline);
         }
 
-        /** The same with another time for which a part of a prompt counts as cached, in microseconds. */
+        /** Returns a copy with another lifetime of cached parts of prompts, in microseconds. */
         public Settings withPrefixLifetime(final long lifetime) {
             return new Settings(maxOpenRequests, retryRatio, maxReportAge, lifetime, policies, revocationDeadline);
         }
 
-        /** The same with another time for which a key may be accepted after it was taken away, in microseconds. */
+        /** Returns a copy with another revocation deadline, in microseconds; 0 for no limit. */
         public Settings withRevocationDeadline(final long deadline) {
             return new Settings(maxOpenRequests, retryRatio, maxReportAge, prefixLifetime, policies, deadline);
         }
     }
 
     /**
-     * What a worker's response told of its load.
+     * The load that a worker reported with a response.
      *
-     * @param running how many requests it runs
-     * @param waiting how many wait there
-     * @param slots   how many it can run at once
+     * @param running how many requests it is running
+     * @param waiting how many requests are queued there
+     * @param slots   how many requests it can run at once
      */
     public record ReportedLoad(int running, int waiting, int slots) {}
 
-    /** A router without requests; timestamps are those of local events of the cluster's clock. */
+    /**
+     * Creates a router without requests.
+     *
+     * @param timestamps returns a new timestamp of the cluster's clock for a local event
+     */
     public Router(
             final Settings settings,
             final ClusterSnapshot cluster,
@@ -121,12 +130,12 @@
         this.sender = new AttemptSender(requests, workers, selector, random, output);
     }
 
-    /** Has the requests of tenants counted that workers begin to run: each attempt at its first event. */
+    /** Enables usage counting: each attempt for a tenant is counted when its first event is forwarded. */
     public void countUsage(final UsageCounter counter) {
         usage = Optional.of(counter);
     }
 
-    /** Takes a newer snapshot of the cluster. */
+    /** Applies a newer snapshot of the cluster. */
     public void update(final ClusterSnapshot next, final long now) {
         if (next.revision() != cluster.revision() || routingTable == RoutingTable.NONE) {
             routingTable = new RoutingTable(next.policy());
@@ -137,17 +146,17 @@
         gatewayCount.observe(next.peers().size() + 1, now);
     }
 
-    /** The number of the routing configuration in force here, or 0. */
+    /** Returns the number of the routing configuration in force, or 0 if there is none. */
     public long configurationNumber() {
         return routingTable.configurationNumber();
     }
 
-    /** What clients may send and how long they may idle, by the configuration in force here. */
+    /** Returns the limits on requests and idle connections of the configuration in force. */
     public Optional<Value.RoutingConfiguration> limits() {
         return routingTable.limits();
     }
 
-    /** Why this gateway isn't ready, or nothing when it is. */
+    /** Returns why this gateway isn't ready; empty if it is ready. */
     public Optional<String> unreadyReason() {
         if (draining || stopping) {
             return Optional.of("stopping");
@@ -155,42 +164,42 @@
         return configurationNumber() == 0 ? Optional.of("no configuration is known here yet") : Optional.empty();
     }
 
-    /** This gateway is about to stop: it is no longer ready, but still takes what comes. */
+    /** Marks this gateway as not ready, as it is about to stop. New requests are still accepted. */
     public void startDraining() {
         draining = true;
     }
 
-    /** No new request is taken from now on. */
+    /** Rejects all new requests from now on. */
     public void stopAccepting() {
         stopping = true;
     }
 
-    /** How many requests are under way. */
+    /** Returns how many requests are open. */
     public int openRequests() {
         return requests.size();
     }
 
-    /** What clients ask of each pool; any thread may read it. */
+    /** Returns the demand of clients for each pool. May be called by any thread. */
     public List<TrafficMessage.PoolDemand> demand() {
         return requests.demand().latest();
     }
 
-    /** The counters by name. */
+    /** Returns the counters by name. */
     public Map<String, Long> counters() {
         return output.counters();
     }
 
-    /** The traces of requests. */
+    /** Returns the traces of recent requests. */
     public TraceLog traces() {
         return output.traces();
     }
 
-    /** What is to be done, in order; each effect is handed over once. */
+    /** Returns the effects to apply, in order, and clears them: each effect is returned once. */
     public List<RoutingEffect> drainEffects() {
         return output.drain();
     }
 
-    /** A request came in complete. */
+    /** Handles a request that was received completely: starts an attempt or rejects the request. */
     public void requestArrived(final RoutedRequest request, final long now) {
         output.count("tickets");
         if (stopping) {
@@ -230,7 +239,11 @@
         sender.send(open, cluster.revision(), now);
     }
 
-    /** The response's head came from the worker and is passed on. */
+    /**
+     * Handles the head of a worker's response, which is forwarded to the client.
+     *
+     * @param load the load that the worker reported with it
+     */
     public void responseStarted(final long attemptId, final Optional<ReportedLoad> load, final long now) {
         requests.byAttempt(attemptId).ifPresent(open -> {
             recordResponse(open, load, now);
@@ -238,7 +251,7 @@
         });
     }
 
-    /** An event of the response's stream was passed on. */
+    /** Handles an event of the response stream that was forwarded to the client. */
     public void eventForwarded(final long attemptId, final long now) {
         requests.byAttempt(attemptId).ifPresent(open -> {
             final WorkerState worker = workers.get(open.worker());
@@ -252,7 +265,12 @@
         });
     }
 
-    /** A worker's complete response that is no success is there; it was not passed on yet. */
+    /**
+     * Handles a complete error response of a worker, which was not forwarded yet: retries the request or forwards the
+     * response.
+     *
+     * @param load the load that the worker reported with it
+     */
     public void errorResponse(
             final long attemptId, final int statusCode, final Optional<ReportedLoad> load, final long now) {
         requests.byAttempt(attemptId).ifPresent(open -> {
@@ -282,7 +300,11 @@
         return !selector.candidates(open, now).isEmpty() && retryBudget.tryAcquire(now);
     }
 
-    /** The worker's response was passed on complete. */
+    /**
+     * Handles the end of a response that was forwarded completely.
+     *
+     * @param succeeded whether the response was a success
+     */
     public void responseCompleted(final long attemptId, final boolean succeeded, final long now) {
         requests.byAttempt(attemptId).ifPresent(open -> {
             final String state = succeeded ? "done" : "passed";
@@ -293,7 +315,7 @@
         });
     }
 
-    /** An attempt broke. */
+    /** Handles the failure of an attempt: retries the request at another worker, or rejects or fails it. */
     public void attemptFailed(final long attemptId, final FailurePoint point, final long now) {
         requests.byAttempt(attemptId).ifPresent(open -> attemptFailed(open, point, now));
     }
@@ -301,7 +323,10 @@
     private void attemptFailed(final OpenRequest open, final FailurePoint point, final long now) {
         output.count("broke_" + point.name().toLowerCase(Locale.ROOT));
         output.traces().recordState(open.request().requestId(), "broke", point + " at " + open.worker());
-        output.log(Event.RUN_BROKE, open.worker() + " " + point + " after " + (now - open.arrivedAt()) / 1000 + " ms");
+        output.log(
+                Event.RUN_BROKE,
+                open.worker() + ": attempt failed, " + point + ", " + (now - open.arrivedAt()) / 1000
+                        + " ms after the request arrived");
         recordFailure(open, point, now);
         final List<Candidate> others =
                 RetryPolicy.allowsAfterFailure(open, point, now) ? selector.candidates(open, now) : List.of();
@@ -333,7 +358,7 @@
         }
     }
 
-    /** The client is gone. */
+    /** Handles a disconnected client: cancels the attempt in flight and removes the request. */
     public void clientDisconnected(final long callId, final long now) {
         requests.byCall(callId).ifPresent(open -> {
             output.count("left");
@@ -341,18 +366,21 @@
         });
     }
 
-    /** The client has left; an attempt that may not be repeated runs to its end, but no further one is made. */
+    /**
+     * Makes no further attempt for a request, as its client has disconnected. The attempt in flight continues, since a
+     * request that can't be repeated must not be interrupted.
+     */
     public void stopRetrying(final long callId) {
         requests.byCall(callId).ifPresent(OpenRequest::markClientDisconnected);
     }
 
-    /** A timer event, several times a second. */
+    /** Handles a timer event: checks deadlines and silent workers. Must be called several times a second. */
     public void tick(final long now) {
         requests.demand().sample(now);
         requests.forEach(open -> checkTimeouts(open, now));
     }
 
-    /** Ends all that is under way. */
+    /** Cancels and fails all open requests. */
     public void shutdown(final long now) {
         requests.forEach(open -> {
             sender.cancel(open, now);
@@ -369,7 +397,8 @@
         final WorkerState.Attempt attempt = worker.attempt(open.attemptId());
         if (policies.isEnabled(RoutingPolicy.RETRY_AFTER_SILENCE)
                 && RetryPolicy.allowsAfterSilence(open, attempt, now)) {
-            output.log(Event.RUN_BROKE, open.worker() + " silent for " + (now - attempt.lastEventAt()) / 1000 + " ms");
+            output.log(
+                    Event.RUN_BROKE, open.worker() + ": no event for " + (now - attempt.lastEventAt()) / 1000 + " ms");
             if (hasOtherCandidate(open, now) && retryBudget.tryAcquire(now)) {
                 moveFromSilentWorker(open, worker, now);
             }
--- a/core/src/main/java/silverlatch/routing/RoutingEffect.java
+++ b/core/src/main/java/silverlatch/routing/RoutingEffect.java
@@ -3,20 +3,20 @@
 import java.util.Optional;
 import silverlatch.node.Event;
 
-/** What a {@link Router} wants to be done outside; the gateway does it in order. Times in microseconds. */
+/** An action that a {@link Router} requests from the gateway, which applies the effects in order. Times are microseconds. */
 public sealed interface RoutingEffect {
     /**
-     * Send the request to a worker. A stream that has begun goes on after what was passed on.
+     * Sends the request to a worker. A stream that has already begun is resumed after the last forwarded event.
      *
-     * @param callId    the client's call
-     * @param attemptId names the attempt in the events that follow
-     * @param worker    the worker's id
-     * @param address   where the worker is
-     * @param timeout   how long the client still waits
-     * @param priority      the priority of the request's tenant or route
-     * @param executeAtMostOnce      whether it may not be sent again once it may have run
-     * @param streaming    whether the response is a stream of events
-     * @param tenant    the name of the tenant whose key the request brought, if there is one
+     * @param callId            the id of the client's call
+     * @param attemptId         the id of the attempt, by which later events refer to it
+     * @param worker            the worker's id
+     * @param address           the worker's address
+     * @param timeout           how long the client still waits
+     * @param priority          the priority of the request's tenant or route
+     * @param executeAtMostOnce whether the request must not be sent again once it may have run
+     * @param streaming         whether the response is a stream of events
+     * @param tenant            the name of the tenant whose key the request has, if any
      */
     record StartAttempt(
             long callId,
@@ -30,18 +30,21 @@
             Optional<String> tenant)
             implements RoutingEffect {}
 
-    /** The request did not run and never will; the client may send it again after the time, or not at all where it is 0. */
+    /**
+     * Rejects a request that did not run and never will. The client may retry after the given time; 0 means that it
+     * must not retry.
+     */
     record Reject(long callId, int statusCode, long retryAfter, String reason) implements RoutingEffect {}
 
-    /** The request may have run and failed: answer with the status, or break off a response that has begun. */
+    /** Fails a request that may have run: sends the status, or aborts a response that has already begun. */
     record Fail(long callId, int statusCode, String reason) implements RoutingEffect {}
 
-    /** Pass on the worker's own response as it is. */
+    /** Forwards the worker's response unchanged. */
     record ForwardResponse(long callId, long attemptId) implements RoutingEffect {}
 
-    /** Drop the exchange with the worker. */
+    /** Cancels the exchange with the worker. */
     record CancelAttempt(long attemptId) implements RoutingEffect {}
 
-    /** Write a numbered event to the log. */
+    /** Writes a numbered event to the log. */
     record Log(Event event, String text) implements RoutingEffect {}
 }
--- a/core/src/main/java/silverlatch/routing/RoutingPolicies.java
+++ b/core/src/main/java/silverlatch/routing/RoutingPolicies.java
@@ -6,15 +6,15 @@
 import java.util.stream.Collectors;
 
 /**
- * Which routing policies are in force: all of them, but in a trial that measures what one is worth.
+ * The routing policies that are enabled. All of them are, except in a trial that measures the effect of one.
  *
- * @param disabled the policies that are not in force
+ * @param disabled the policies that are not enabled
  */
 public record RoutingPolicies(Set<RoutingPolicy> disabled) {
-    /** All policies are in force. */
+    /** All policies are enabled. */
     public static final RoutingPolicies ALL = new RoutingPolicies(Set.of());
 
-    /** The system property that names the disabled ones, by commas; only trials set it. */
+    /** The system property that lists the disabled policies, separated by commas. Only trials set it. */
     public static final String DISABLED_PROPERTY = "silverlatch.trial.disabledPolicies";
 
     /** Copies the set. */
@@ -23,9 +23,10 @@
     }
 
     /**
-     * The policies for a list of the disabled ones' names, by commas; an empty list disables none.
+     * Parses the names of the disabled policies.
      *
-     * @throws IllegalArgumentException when a name is no policy's
+     * @param policyNames the names, separated by commas; an empty list disables none
+     * @throws IllegalArgumentException if a name is not that of a policy
      */
     public static RoutingPolicies withDisabled(final String policyNames) {
         return new RoutingPolicies(Arrays.stream(policyNames.split(","))
@@ -35,7 +36,7 @@
                 .collect(Collectors.toCollection(() -> EnumSet.noneOf(RoutingPolicy.class))));
     }
 
-    /** Whether a policy is in force. */
+    /** Returns whether a policy is enabled. */
     public boolean isEnabled(final RoutingPolicy policy) {
         return disabled.isEmpty() || !disabled.contains(policy);
     }
--- a/core/src/main/java/silverlatch/routing/RoutingPolicy.java
+++ b/core/src/main/java/silverlatch/routing/RoutingPolicy.java
@@ -1,34 +1,37 @@
 package silverlatch.routing;
 
 /**
- * The parts of the choice of a worker that can be switched off one at a time in a trial, to measure what each is worth (the
- * table in docs/decisions.md). None of them is needed for a rule: those are safeguards, which no program can disable.
+ * The parts of worker selection that can be disabled one at a time in a trial, to measure the effect of each (see the
+ * table in docs/decisions.md). No rule depends on them: rules are enforced by safeguards, which no program can disable.
  */
 public enum RoutingPolicy {
-    /** Each shared prefix of prompts has a worker that likely holds it in its cache. */
+    /** Each shared prefix of prompts is assigned to a worker that probably has it in its cache. */
     PREFIX_OWNERS,
     /** Some workers of a region decode long responses and the others prefill long prompts. */
     TRAFFIC_SEPARATION,
-    /** Of two workers that are nearly as good, one is drawn. */
+    /** One of two workers that are nearly as good as the best is drawn at random. */
     NEAR_BEST_DRAW,
     /** A long prompt costs more at a worker that decodes streams, since they pause. */
     PAUSE_PENALTY,
-    /** A worker costs more while an attempt there is overdue. */
+    /** A worker costs more while the first event of an attempt there is overdue. */
     OVERDUE_PENALTY,
-    /** A region that isn't heard from is taken last. */
+    /** Workers of unreachable regions are ranked last. */
     UNREACHABLE_REGIONS,
-    /** A worker is taken last for a while after an attempt failed there. */
+    /** A worker is ranked last for a while after an attempt failed there. */
     OUTLIER_EJECTION,
-    /** Fixed part, prefill and round trips are learnt from first events; without, the first guesses hold. */
+    /**
+     * The fixed part, prefill time and round trips are estimated from first events; if disabled, the prior estimates
+     * are used.
+     */
     OBSERVED_LATENCY,
-    /** How slow a worker is compared with its prediction is learnt from its first events. */
+    /** The slowness of a worker compared with its prediction is estimated from its first events. */
     LATENCY_FACTOR,
-    /** A retryable request is moved from a worker that is silent. */
+    /** A retryable request is moved away from a silent worker. */
     RETRY_AFTER_SILENCE,
-    /** A worker that warms up costs more. */
+    /** A worker that is warming up costs more. */
     WARMUP_PENALTY,
-    /** Another region costs more than its round trip. */
+    /** A worker in another region costs more than the round trip. */
     CROSS_REGION_PENALTY,
-    /** What a worker has still to prefill for this gateway counts as a queue. */
+    /** The tokens that a worker still has to prefill for this gateway count as a queue. */
     PREFILL_BACKLOG
 }
--- a/core/src/main/java/silverlatch/routing/RoutingTable.java
+++ b/core/src/main/java/silverlatch/routing/RoutingTable.java
@@ -10,12 +10,12 @@
 import silverlatch.state.RouteHosts;
 import silverlatch.state.Value;
 
-/** The routes and backend pools of one revision, found by host and path, and who may use them. Immutable. */
+/** The routes, backend pools and access rules of one revision, with lookup by host and path. Immutable. */
 final class RoutingTable {
-    /** The table of a gateway that knows no configuration. */
+    /** The table of a gateway without a configuration. */
     static final RoutingTable NONE = new RoutingTable(Policy.NONE);
 
-    /** Routes by host in lower case, those with the longest path first. */
+    /** The routes by normalized host, those with the longest path prefix first. */
     private final Map<String, List<Value.Route>> routesByHost = new HashMap<>();
 
     private final Map<String, Value.BackendPool> pools = new HashMap<>();
@@ -42,7 +42,7 @@
         routesByHost.values().forEach(routes -> routes.sort(longestPathFirst));
     }
 
-    /** The route of the host, whose port doesn't count, with the longest path that the path begins with. */
+    /** Returns the route of the host with the longest prefix of the path. The port of the host is ignored. */
     Optional<Value.Route> route(final String host, final String path) {
         final List<Value.Route> routes = routesByHost.getOrDefault(RouteHosts.normalized(host), List.of());
         return routes.stream()
@@ -50,22 +50,22 @@
                 .findFirst();
     }
 
-    /** A backend pool by name. */
+    /** Returns a backend pool by name. */
     Optional<Value.BackendPool> pool(final String name) {
         return Optional.ofNullable(pools.get(name));
     }
 
-    /** The number of the configuration, or 0 where there is none. */
+    /** Returns the number of the configuration, or 0 if there is none. */
     long configurationNumber() {
         return limits.map(Value.RoutingConfiguration::number).orElse(0L);
     }
 
-    /** Who may use the routes. */
+    /** Returns the access rules of the routes. */
     AccessTable access() {
         return access;
     }
 
-    /** What clients may send and how long they may idle. */
+    /** Returns the limits on requests and idle connections, if there is a configuration. */
     Optional<Value.RoutingConfiguration> limits() {
         return limits;
     }
--- a/core/src/main/java/silverlatch/routing/TrafficStatistics.java
+++ b/core/src/main/java/silverlatch/routing/TrafficStatistics.java
@@ -15,13 +15,13 @@
 import silverlatch.util.Numbers;
 
 /**
- * What requests came by lately, from which all gateways come to the same conclusions without talking to each other: which
- * workers of a region are to decode long responses while the others prefill long prompts, and whether shared prefixes are
- * used often enough to be kept in every region. While a worker prefills a long prompt its streams pause; so the two kinds
- * of traffic are kept apart. Owned by the routing event loop; times in microseconds.
+ * Statistics of recent requests, from which all gateways derive the same decisions without communicating: which workers
+ * of a region decode long responses while the others prefill long prompts, and whether shared prefixes are reused often
+ * enough to be cached in every region. The two kinds of traffic are separated because the streams of a worker pause
+ * while it prefills a long prompt. Confined to the routing event loop; times are microseconds.
  */
 final class TrafficStatistics {
-    /** A prompt of so many tokens is long: a worker prefills it in more than one step. */
+    /** The size from which a prompt is long: a worker prefills it in more than one step. */
     static final int LONG_PROMPT_TOKENS = 2_048;
 
     private static final long WINDOW_MICROS = 45_000_000L;
@@ -36,7 +36,7 @@
 
     private record SharedPrefixUse(long prefixKey, long usedAt) {}
 
-    /** When a route last brought a long prompt and a short one, and its home regions. */
+    /** When a route last had a long and a short prompt, and its home regions. */
     private record RouteTraffic(long longPromptAt, long shortPromptAt, List<String> homeRegions) {
         boolean servesRegion(final String region) {
             return homeRegions.isEmpty() || homeRegions.contains(region);
@@ -47,12 +47,12 @@
         }
     }
 
-    /** Whether the prompt of a request is long. */
+    /** Returns whether the prompt of a request is long. */
     static boolean isLongPrompt(final RoutedRequest request) {
         return request.promptTokens() >= LONG_PROMPT_TOKENS;
     }
 
-    /** A request came by that matched a route. */
+    /** Records a request that matched a route. */
     void observe(final RoutedRequest request, final Value.Route route, final long now) {
         final RouteTraffic previous =
                 trafficByRoute.getOrDefault(route.name(), new RouteTraffic(NEVER, NEVER, route.homeRegions()));
@@ -82,7 +82,10 @@
         }
     }
 
-    /** Whether the shared prefixes that come by are used often enough in a region with so many gateways to be kept there. */
+    /**
+     * Returns whether recent requests reuse shared prefixes often enough to cache these in a region with the given
+     * number of gateways.
+     */
     boolean arePrefixesReused(final int gateways) {
         final double uses = recentUses.size();
         final double estimatedPrefixes = uses * uses / (2 * Math.max(1, uses - usesByPrefix.size()));
@@ -90,8 +93,9 @@
     }
 
     /**
-     * The ids of the workers of a pool that decode long responses, in each region where both long and short prompts come
-     * by; the others there prefill long prompts. The same set at all gateways, by rendezvous hashing.
+     * Returns the ids of the workers of a pool that decode long responses. They are selected in each region that
+     * recently had both long and short prompts; the region's other workers prefill long prompts. All gateways select
+     * the same workers, by rendezvous hashing.
      */
     Set<String> decodeWorkers(final List<WorkerState> pool, final long now) {
         final Map<String, List<String>> workersByRegion = new TreeMap<>();
--- a/core/src/main/java/silverlatch/routing/WarmupLimiter.java
+++ b/core/src/main/java/silverlatch/routing/WarmupLimiter.java
@@ -4,9 +4,9 @@
 import silverlatch.state.Value;
 
 /**
- * Slow start: how often this gateway may send to a worker that warms up. The worker's pool names a rate that all gateways
- * share without talking to each other: a few gateways, chosen for each worker by rendezvous hashing, may each send an equal
- * part of it. Owned by the routing event loop.
+ * Slow start: limits how often this gateway sends requests to a worker that is warming up. The worker's pool configures
+ * a rate that all gateways share without communicating: rendezvous hashing selects a few gateways for each worker, and
+ * each of these may use an equal share of the rate. Confined to the routing event loop; times are microseconds.
  */
 final class WarmupLimiter {
     private static final long SECOND = 1_000_000L;
@@ -14,14 +14,14 @@
     private static final double DEFAULT_RATE = 1;
     private final GatewayCountWindow gatewayCount;
 
-    /** A limiter that divides the rate by the most gateways that were there lately. */
+    /** Creates a limiter that divides the rate by the highest recent number of gateways. */
     WarmupLimiter(final GatewayCountWindow gatewayCount) {
         this.gatewayCount = gatewayCount;
     }
 
     /**
-     * Whether this gateway may send a request to a worker that warms up now. One whose state nobody has confirmed knows too few of the other
-     * gateways to share a rate with them.
+     * Returns whether this gateway may send a request to the warming-up worker now. Always false while this gateway's
+     * state isn't confirmed, since it may then know too few of the other gateways to share the rate with them.
      */
     boolean maySend(
             final WorkerState worker, final RoutingTable routingTable, final ClusterSnapshot cluster, final long now) {
@@ -38,7 +38,7 @@
         return countGatewaysAhead(worker, cluster) < sharingGateways && now - worker.lastSentAt() >= interval;
     }
 
-    /** How many other gateways come before this one for a worker. */
+    /** Returns how many other gateways rank before this one for the worker. */
     private static long countGatewaysAhead(final WorkerState worker, final ClusterSnapshot cluster) {
         final long own = hash(worker, cluster.self().id());
         return cluster.peers().stream()
--- a/core/src/main/java/silverlatch/routing/WorkerSelector.java
+++ b/core/src/main/java/silverlatch/routing/WorkerSelector.java
@@ -18,12 +18,13 @@
 import silverlatch.state.Value;
 
 /**
- * Chooses the worker for a request: draws a pool by weight, ranks the pool's eligible workers by predicted cost, and takes
- * the best one, or one of the two with the fewest attempts in flight among those that are nearly as good (power of two
- * choices). Owned by the routing event loop.
+ * Selects the worker for a request: draws a pool by weight, ranks the pool's eligible workers by predicted cost, and
+ * takes the best one. If the request has no large shared prefix, it instead draws one of the two workers with the
+ * fewest attempts in flight among those that are nearly as good as the best (power of two choices). Confined to the
+ * routing event loop; times are microseconds.
  */
 final class WorkerSelector {
-    /** Costs within this part of the latency target of the lowest one count as equal. */
+    /** Costs within this fraction of the latency target above the lowest cost count as equal. */
     private static final double NEAR_BEST_RATIO = 0.08;
 
     private static final int CHOICES = 2;
@@ -41,7 +42,11 @@
     private RoutingTable routingTable = RoutingTable.NONE;
     private ClusterSnapshot cluster;
 
-    /** A selector for which a worker's report counts for as long as the settings say. */
+    /**
+     * Creates a selector.
+     *
+     * @param settings the settings, of which the maximum report age and the enabled policies are used
+     */
     WorkerSelector(
             final ClusterSnapshot cluster,
             final WorkerTable workers,
@@ -60,7 +65,7 @@
         this.random = random;
     }
 
-    /** Takes a newer snapshot of the cluster with the routing table that follows from it. */
+    /** Applies a newer snapshot of the cluster and its routing table. */
     void update(final ClusterSnapshot next, final RoutingTable table) {
         if (table != routingTable) {
             tenantsByRoute.clear();
@@ -69,7 +74,7 @@
         routingTable = table;
     }
 
-    /** Draws one of a route's pools by their weights; an empty name where the route has none. */
+    /** Draws one of a route's pools by weight; returns an empty name if the route has no pools. */
     String drawPool(final Value.Route route) {
         final List<Value.WeightedBackend> backends = route.backends();
         final int totalWeight =
@@ -84,7 +89,7 @@
         return backends.isEmpty() ? "" : backends.get(0).pool();
     }
 
-    /** The workers that may run a request now, best first. Changes nothing. */
+    /** Returns the workers that are eligible for a request now, best first. Has no side effects. */
     List<Candidate> candidates(final OpenRequest open, final long now) {
         final List<WorkerState> inPool = workers.ofPool(open.pool());
         final List<WorkerState> eligible = eligible(open, inPool, now);
@@ -108,7 +113,7 @@
         return candidates;
     }
 
-    /** Learns from the first event of an attempt at a worker. */
+    /** Updates the latency model with the first event of an attempt at a worker. */
     void recordFirstEvent(final WorkerState worker, final WorkerState.Attempt attempt, final long now) {
         predictor.observe(worker, attempt, now);
     }
@@ -162,7 +167,7 @@
         return new Candidate(worker, prediction, isEjected, rankCost);
     }
 
-    /** Chooses one of the candidates, which are ordered best first; nothing where there is none. */
+    /** Chooses one of the candidates, which are ordered best first; returns empty if there are none. */
     Optional<Candidate> choose(final OpenRequest open, final List<Candidate> candidates) {
         if (candidates.isEmpty()) {
             return Optional.empty();
--- a/core/src/main/java/silverlatch/routing/WorkerState.java
+++ b/core/src/main/java/silverlatch/routing/WorkerState.java
@@ -9,8 +9,9 @@
 import silverlatch.util.Numbers;
 
 /**
- * What this gateway knows of one worker: its newest report, the gateway's own attempts there, the load that its responses
- * told of, and what its prefix cache likely holds. Owned by the routing event loop; times in microseconds.
+ * The state of one worker as known to this gateway: its newest report, the gateway's own attempts there, the load that
+ * its responses reported, and the probable content of its prefix cache. Confined to the routing event loop; times are
+ * microseconds.
  */
 final class WorkerState {
     private static final int MAX_CACHED_PARTS = 512;
@@ -36,7 +37,11 @@
     private boolean isSilent;
     private double latencyFactor = 1;
 
-    /** A worker that was just heard of, whose cache is taken to hold a part of a prompt for so long after its last use. */
+    /**
+     * Creates the state of a newly reported worker.
+     *
+     * @param prefixLifetime for how long after its last use a part of a prompt counts as cached at the worker
+     */
     WorkerState(final Gossip.ObservedWorker report, final long prefixLifetime, final long now) {
         this.prefixLifetime = prefixLifetime;
         this.worker = report.worker();
@@ -45,7 +50,7 @@
         this.isSilent = report.silent();
     }
 
-    /** Takes a report, if it says anything new. A worker that was restarted has lost its cache. */
+    /** Applies a report if it contains anything new. A restarted worker has lost its cache. */
     void update(final Gossip.ObservedWorker report, final long now) {
         if (worker.equals(report.worker()) && isSilent == report.silent()) {
             return;
@@ -60,63 +65,66 @@
         isSilent = report.silent();
     }
 
-    /** Its newest report. */
+    /** Returns the newest report. */
     Worker worker() {
         return worker;
     }
 
-    /** Its id. */
+    /** Returns the worker's id. */
     String id() {
         return worker.id();
     }
 
-    /** Whether it warms up, so that it gets few requests. */
+    /** Returns whether the worker is warming up, so that it gets few requests. */
     boolean isWarmingUp(final long now) {
         return now < warmingUpUntil;
     }
 
-    /** Whether it is taken last because it is silent or attempts there failed lately. */
+    /**
+     * Returns whether other workers are preferred: while this one is silent, for a while after an attempt there failed,
+     * and then, until one succeeds, whenever an attempt is in flight there.
+     */
     boolean isEjected(final long now) {
         return isSilent || now < ejectedUntil || consecutiveFailures > 0 && !attempts.isEmpty();
     }
 
-    /** Ejects it for the microseconds from now on, at least. */
+    /** Ejects the worker for at least the given time from now on. */
     void ejectFor(final long time, final long now) {
         ejectedUntil = Math.max(ejectedUntil, now + time);
     }
 
-    /** An attempt begins that has to prefill so many tokens and is predicted to take so long to its first event. */
+    /** Records an attempt that starts now, with its prediction. */
     void startAttempt(final long attemptId, final LatencyPredictor.Prediction prediction, final long now) {
         attempts.put(attemptId, new Attempt(now, prediction));
         lastSentAt = now;
     }
 
-    /** An attempt has ended. */
+    /** Removes an attempt that has ended. */
     void endAttempt(final long attemptId) {
         attempts.remove(attemptId);
     }
 
-    /** An attempt that is in flight there. */
+    /** Returns an attempt that is in flight at the worker. */
     Attempt attempt(final long attemptId) {
         return attempts.get(attemptId);
     }
 
-    /** The attempts that are in flight there. */
+    /** Returns the attempts that are in flight at the worker. */
     Collection<Attempt> attempts() {
         return attempts.values();
     }
 
-    /** How many attempts are in flight there. */
+    /** Returns how many attempts are in flight at the worker. */
     int attemptCount() {
         return attempts.size();
     }
 
-    /** When a request was last sent there. */
+    /** Returns when this gateway last sent a request to the worker. */
     long lastSentAt() {
         return lastSentAt;
     }
 
-    /** Tokens of this gateway's own requests that it has still to prefill. */
+    /** Returns the number of tokens of this gateway's own requests that the worker still has to prefill. */
     long pendingPrefillTokens() {
         long tokens = 0;
         for (final Attempt attempt : attempts.values()) {
@@ -125,7 +133,10 @@
         return tokens;
     }
 
-    /** By how much the most overdue first event of an attempt there is overdue, in microseconds; 0 with no attempt waiting. */
+    /**
+     * Returns by how much the most overdue first event of the attempts in flight is overdue; 0 if no attempt waits for
+     * its first event. Negative if none is overdue yet.
+     */
     long maxOverdue(final long now) {
         long max = Long.MIN_VALUE;
         for (final Attempt attempt : attempts.values()) {
@@ -136,13 +147,16 @@
         return max == Long.MIN_VALUE ? 0 : max;
     }
 
-    /** Whether its cache likely holds a part of a prompt, because one with this part went there lately. */
+    /**
+     * Returns whether the worker's cache probably holds a part of a prompt, because a prompt with this part was sent
+     * there recently.
+     */
     boolean hasCached(final long partDigest, final long now) {
         final Long lastUsedAt = cachedParts.get(partDigest);
         return lastUsedAt != null && now - lastUsedAt < prefixLifetime;
     }
 
-    /** A prompt with this part goes there. */
+    /** Records that a prompt with this part is sent to the worker. */
     void recordCached(final long partDigest, final long now) {
         cachedParts.put(partDigest, now);
         if (cachedParts.size() > MAX_CACHED_PARTS) {
@@ -150,7 +164,7 @@
         }
     }
 
-    /** The first event of an attempt came: it is healthy, and as slow as this attempt shows. */
+    /** Records the first event of an attempt: ends the ejection and updates the latency factor. */
     void recordSuccess(final Attempt attempt, final long now) {
         consecutiveFailures = 0;
         ejectedUntil = 0;
@@ -159,14 +173,14 @@
         latencyFactor = Numbers.clamp(latencyFactor + SMOOTHING * (ratio - 1) * 0.5, 0.5, 4);
     }
 
-    /** An attempt failed: it is ejected, each time for twice as long. */
+    /** Records a failed attempt: ejects the worker, for twice as long with each consecutive failure. */
     void recordFailure(final long now) {
         consecutiveFailures++;
         final int doublings = Math.min(MAX_EJECTION_DOUBLINGS, consecutiveFailures - 1);
         ejectFor(Math.min(MAX_EJECTION_MICROS, INITIAL_EJECTION_MICROS << doublings), now);
     }
 
-    /** A response told of its load. */
+    /** Records the load that a response reported. */
     void updateLoad(final Router.ReportedLoad load, final long now) {
         running = load.running();
         waiting = load.waiting();
@@ -174,32 +188,32 @@
         loadReportedAt = now;
     }
 
-    /** Whether its responses told of its load within the microseconds. */
+    /** Returns whether a response reported the load within the given time before now. */
     boolean hasLoadReport(final long maxAge, final long now) {
         return now - loadReportedAt < maxAge;
     }
 
-    /** Requests that it ran by its newest load report. */
+    /** Returns how many requests were running at the worker by its newest load report. */
     int running() {
         return running;
     }
 
-    /** Requests that waited there by its newest load report. */
+    /** Returns how many requests were waiting at the worker by its newest load report. */
     int waiting() {
         return waiting;
     }
 
-    /** How many requests it can run at once. */
+    /** Returns how many requests the worker can run at once. */
     int slots() {
         return slots;
     }
 
-    /** How much slower it is than predicted, by its recent attempts; 1 is as predicted. */
+    /** Returns how much slower the worker is than predicted, by its recent attempts; 1 means as predicted. */
     double latencyFactor() {
         return latencyFactor;
     }
 
-    /** One attempt of this gateway that is in flight there. */
+    /** An attempt of this gateway that is in flight at the worker. */
     static final class Attempt {
         private final long startedAt;
         private final int tokensToPrefill;
@@ -216,32 +230,32 @@
             this.lastEventAt = startedAt;
         }
 
-        /** When it was sent. */
+        /** Returns when the attempt was sent. */
         long startedAt() {
             return startedAt;
         }
 
-        /** The predicted time from the start to the first event. */
+        /** Returns the predicted time from the start to the first event. */
         long predictedLatency() {
             return predictedLatency;
         }
 
-        /** What its latency was predicted from. */
+        /** Returns the inputs from which the latency was predicted. */
         PoolLatencyModel.Features features() {
             return features;
         }
 
-        /** Whether its first event came. */
+        /** Returns whether the first event has arrived. */
         boolean firstEventSeen() {
             return firstEventSeen;
         }
 
-        /** When its newest event came, or when it was sent. */
+        /** Returns when the newest event arrived, or when the attempt was sent if none has. */
         long lastEventAt() {
             return lastEventAt;
         }
 
-        /** An event came; true when it was the first. */
+        /** Records an event; returns whether it is the first. */
         boolean recordEvent(final long now) {
             final boolean isFirst = !firstEventSeen;
             firstEventSeen = true;
--- a/core/src/main/java/silverlatch/routing/package-info.java
+++ b/core/src/main/java/silverlatch/routing/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Requests that come by host and path, without input or output: {@link silverlatch.routing.Router} takes events and hands out
- * what is to be done ({@link silverlatch.routing.RoutingEffect}). It finds the route, draws a backend pool by weight, chooses
- * the worker whose first event is predicted to come soonest, and retries where the route allows it.
+ * Routes requests by host and path, without doing input or output. {@link silverlatch.routing.Router} handles events
+ * and returns the {@link silverlatch.routing.RoutingEffect effects} to apply. It looks up the route, draws a backend
+ * pool by weight, chooses the worker with the lowest predicted time to the first event, and retries where the route
+ * allows it.
  */
 package silverlatch.routing;
--- a/core/src/main/java/silverlatch/scaling/ArrivalTrend.java
+++ b/core/src/main/java/silverlatch/scaling/ArrivalTrend.java
@@ -4,23 +4,26 @@
 import java.util.List;
 
 /**
- * How the arrivals of a region have developed in the last seconds; immutable.
+ * The arrival rate of a region in the last seconds; immutable.
  *
- * @param samples in the order of time
+ * @param samples the samples in chronological order
  */
 record ArrivalTrend(List<Sample> samples) {
     static final ArrivalTrend NONE = new ArrivalTrend(List.of());
 
-    /** Long enough to tell growth from chance, short against a new worker's start. */
+    /** Long enough to distinguish growth from random variation, and short compared with the start of a new worker. */
     private static final long WINDOW_MICROS = 5_000_000L;
 
     private static final long MIN_SPAN_MICROS = 3_000_000L;
     private static final double MICROS_PER_SECOND = 1_000_000.0;
 
-    /** A step looks like steep growth while the averages follow it; beyond this what runs and waits tells how much is needed. */
+    /**
+     * The maximum growth factor. While the averages follow a step in demand, it looks like steep growth; beyond this
+     * factor the open requests determine how many workers are needed.
+     */
     private static final double MAX_GROWTH = 1.5;
 
-    /** The arrivals per second at a moment. */
+    /** The arrivals per second at a time. */
     record Sample(long at, double arrivals) {}
 
     ArrivalTrend {
@@ -35,8 +38,8 @@
     }
 
     /**
-     * By which factor the arrivals will have grown after so many microseconds if they go on as they did, at least 1. What chance
-     * alone may do to the averages doesn't count as growth.
+     * Returns the factor by which the arrivals will have grown after the given microseconds if the trend continues; at
+     * least 1. Changes that random variation of the averages alone can explain don't count as growth.
      */
     double growth(final long horizon) {
         if (samples.isEmpty()) {
--- a/core/src/main/java/silverlatch/scaling/Load.java
+++ b/core/src/main/java/silverlatch/scaling/Load.java
@@ -4,16 +4,16 @@
 import silverlatch.traffic.GatewayDemand;
 
 /**
- * What clients ask of a pool, in one place or another.
+ * The load of clients on a pool, for a gateway, zone or region.
  *
- * @param arrivals requests a second
- * @param requests requests that run or wait
- * @param tokens   the tokens of these
+ * @param arrivals requests per second
+ * @param requests requests that are running or waiting
+ * @param tokens   the tokens of the running and waiting requests
  */
 record Load(double arrivals, double requests, double tokens) {
     static final Load NONE = new Load(0, 0, 0);
 
-    /** What the clients of a gateway ask of a pool. */
+    /** Returns the load that the clients of a gateway put on a pool. */
     static Load of(final GatewayDemand gateway, final String pool) {
         return gateway.pools().stream()
                 .filter(demand -> demand.pool().equals(pool))
@@ -30,8 +30,8 @@
     }
 
     /**
-     * How many workers serve this, in fractions, if each has so large a part of its slots and of its cache in use; the pool may say nothing
-     * of its workers' caches.
+     * Returns how many workers, as a fraction, can serve this load if each uses the given part of its slots and of its
+     * cache. The cache is ignored if the pool doesn't specify its size.
      */
     double workers(final Value.BackendPool pool, final double utilization) {
         final double bySlots = requests / Math.max(1, pool.slots());
--- a/core/src/main/java/silverlatch/scaling/LoadMap.java
+++ b/core/src/main/java/silverlatch/scaling/LoadMap.java
@@ -8,18 +8,20 @@
 import silverlatch.traffic.GatewayDemand;
 
 /**
- * Where the load of one pool falls: on the zone of the gateway that it came to, or, where that has no worker that takes requests, on the
- * other zones of its region, or else on all. Immutable.
+ * Distributes the load of one pool over zones: the load of a gateway counts for its own zone; if that has no worker
+ * that takes requests, for the other zones of its region; and if these have none, for all zones. Immutable.
  */
 final class LoadMap {
     private final Map<String, String> regionByZone;
     private final Map<String, Load> loads = new HashMap<>();
 
     /**
-     * Spreads the demand for a pool.
+     * Distributes the demand for a pool.
      *
-     * @param growth  by which factor the demand of a gateway's region is taken to grow
-     * @param regions the regions of the zones that take requests, by zone
+     * @param pool         the name of the pool
+     * @param demand       the demand by gateway
+     * @param growth       the factor by which the demand of a region is assumed to grow
+     * @param regionByZone the regions of the zones that take requests, by zone
      */
     LoadMap(
             final String pool,
@@ -27,8 +29,8 @@
             final ToDoubleFunction<String> growth,
             final Map<String, String> regions) {
         this.regionByZone = Map.copyOf(regions);
-        demand.forEach(gateway ->
-                spread(Load.of(gateway, pool).times(growth.applyAsDouble(gateway.region())), zonesServing(gateway)));
+        demand.forEach(gateway -> distribute(
+                Load.of(gateway, pool).times(growth.applyAsDouble(gateway.region())), zonesServing(gateway)));
     }
 
     private List<String> zonesServing(final GatewayDemand gateway) {
@@ -39,7 +41,7 @@
         return near.isEmpty() ? List.copyOf(regionByZone.keySet()) : near;
     }
 
-    private void spread(final Load load, final List<String> zones) {
+    private void distribute(final Load load, final List<String> zones) {
         zones.forEach(zone -> loads.merge(zone, load.times(1.0 / zones.size()), Load::plus));
     }
 
@@ -57,7 +59,7 @@
         return zonesIn(region).stream().map(this::ofZone).reduce(Load.NONE, Load::plus);
     }
 
-    /** What would come to a zone in addition if the zone or region were lost whose loss brings the most. */
+    /** Returns the largest load that the loss of another zone or region would add to a zone. */
     Load addedByWorstLoss(final String zone) {
         Load worst = Load.NONE;
         for (final String other : regionByZone.keySet()) {
--- a/core/src/main/java/silverlatch/scaling/PoolDecision.java
+++ b/core/src/main/java/silverlatch/scaling/PoolDecision.java
@@ -13,42 +13,49 @@
 import silverlatch.traffic.GatewayDemand;
 import silverlatch.util.Numbers;
 
-/** One decision on one pool. */
+/** One scaling decision for one pool. */
 final class PoolDecision {
-    /** For so long the demand has to be known before anything is decided by it. */
+    /** How long the demand must be known before a decision is based on it. */
     static final long OBSERVATION_MICROS = 4_000_000L;
 
-    /** For so long fewer workers have to be enough before a count is lowered that never had to be raised. */
+    /** How long fewer workers must have been sufficient before a worker count that was never raised is lowered. */
     static final long LOWER_DELAY_MICROS = 4_000_000L;
 
-    /** The same once it had to be raised: longer than a wave of the demand, so that the count doesn't go down and up with each. */
+    /**
+     * The same for a worker count that was raised before. It is longer than a wave of the demand, so that the count
+     * doesn't go down and up with each wave.
+     */
     static final long LOWER_DELAY_AFTER_RAISE_MICROS = 30_000_000L;
 
-    /** Counts aren't raised more often than this, unless much is missing. */
+    /** The minimum time between two raises of a worker count, unless many workers are missing. */
     static final long RAISE_INTERVAL_MICROS = 3_000_000L;
 
-    /** A zone that has been lost for longer holds the counts of the others no more. */
+    /** How long the loss of a zone prevents the worker counts of the other zones from being lowered. */
     static final long LOSS_HOLD_MICROS = 60_000_000L;
 
     /**
-     * The part of its slots and of its cache that a worker is to have in use after the worst loss. It is small, as the running requests share a
-     * worker's processor: they slow each other down, and the latency targets are missed, long before slots or cache are full.
+     * The fraction of its slots and of its cache that a worker should use after the worst loss. It is small because the
+     * running requests share a worker's processor: they slow each other down, so that latency targets are missed long
+     * before slots or cache are full.
      */
     private static final double TARGET_UTILIZATION = 0.35;
 
-    /** When workers would have more than this in use, their count is raised; the distance keeps chance from moving counts. */
+    /**
+     * The worker count is raised when workers would use more than this fraction. The gap to the target utilization
+     * prevents random variation from changing worker counts.
+     */
     private static final double MAX_UTILIZATION = 0.5;
 
-    /** How long it takes until a decision is made, ordered and begun. */
+    /** The time from a change in demand until a decision is made, sent and executed. */
     private static final long REACTION_MICROS = 2_000_000L;
 
-    /** A count falls to no less than this part of itself in one step. */
+    /** A worker count is lowered to no less than this fraction of itself in one step. */
     private static final double MIN_LOWER_RATIO = 0.5;
 
     private static final double URGENT_RAISE_RATIO = 1.25;
     private static final double MIN_REPORTING_RATIO = 0.75;
 
-    /** Counts are wholes; what is a hair above one is one. */
+    /** Worker counts are rounded up; an excess above an integer of at most this size is ignored. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final Value.PoolScaling bounds;
@@ -88,7 +95,7 @@
         this.loads = new LoadMap(bounds.pool(), observation.demand(), region -> 1, usableZones);
     }
 
-    /** Whether requests are sent to the zone's workers. */
+    /** Returns whether the zone's workers get requests. */
     private boolean isUsable(final String zone) {
         return liveWorkers.containsKey(zone) && !observation.evacuatedZones().contains(zone);
     }
@@ -136,14 +143,20 @@
         return since == ScalingState.NEVER ? now : since;
     }
 
-    /** Where nothing at all is asked, figures are missing or traffic hasn't begun. */
+    /**
+     * Returns whether enough gateways report demand. If there are no arrivals at all, either reports are missing or
+     * traffic hasn't begun.
+     */
     private boolean isDemandKnown() {
         return observation.liveGateways() > 0
                 && observation.demand().size() >= observation.liveGateways() * MIN_REPORTING_RATIO
                 && demandByRegion.values().stream().anyMatch(demand -> demand.arrivals() > 0);
     }
 
-    /** While the averages still rise from nothing there is no trend. */
+    /**
+     * Returns the updated arrival trends. Samples are taken only once the demand has been observed, since the averages
+     * rise from zero before.
+     */
     private Map<String, ArrivalTrend> trends(final boolean isObserved) {
         final Map<String, ArrivalTrend> trends = new HashMap<>();
         demandByRegion.forEach((region, demand) -> {
--- a/core/src/main/java/silverlatch/scaling/ScalingObservation.java
+++ b/core/src/main/java/silverlatch/scaling/ScalingObservation.java
@@ -8,14 +8,14 @@
 import silverlatch.traffic.GatewayDemand;
 
 /**
- * What is known at a moment of the workers and of what clients ask.
+ * The workers and the demand as known at a point in time.
  *
- * @param scalings       the pools whose numbers of workers may be set, with their bounds
+ * @param scalings       the pools whose worker counts may be set, with their bounds
  * @param pools          the backend pools by name
- * @param workers        the workers that were heard lately
+ * @param workers        the workers that reported recently
  * @param evacuatedZones the zones that get no new requests
  * @param liveGateways   how many gateways are alive
- * @param demand         what gateways reported lately, one element a gateway
+ * @param demand         the recently reported demand, one element per gateway
  */
 public record ScalingObservation(
         List<Value.PoolScaling> scalings,
--- a/core/src/main/java/silverlatch/scaling/ScalingPolicy.java
+++ b/core/src/main/java/silverlatch/scaling/ScalingPolicy.java
@@ -5,20 +5,23 @@
 import silverlatch.state.Value;
 
 /**
- * Decides how many workers each pool is to have in each zone.
+ * Decides how many workers each pool should have in each zone.
  *
- * <p>The count follows what runs and waits there, what would come in addition if the worst zone or region were lost, and how the arrivals
- * grow within the time that a new worker takes to start. It is raised at once. It is lowered only when fewer workers have been enough
- * for a while, in steps; and not at all while figures are missing, or while the load of an evacuated or silent zone is being moved. A worker that
- * crashes changes nothing: the provider restores it.
+ * <p>The worker count depends on the requests that are running and waiting in the zone, the load that the worst loss of
+ * a zone or region would add, and the growth of the arrivals within the time that a new worker takes to start. A count
+ * is raised immediately. It is lowered in steps, and only when fewer workers have been sufficient for a while. It is
+ * not lowered while reports are missing, or while the load of an evacuated or silent zone is being moved. A worker that
+ * crashes has no effect on the count: the provider restores it.
  */
 public final class ScalingPolicy {
     private ScalingPolicy() {}
 
     /**
-     * Decides anew.
+     * Makes a new decision.
      *
-     * @param previous what the last decision returned, or {@link ScalingState#NONE} where this process made none
+     * @param previous    the result of the last decision, or {@link ScalingState#NONE} if this process has made none
+     * @param observation the current workers and demand
+     * @param now         the monotonic clock time, in microseconds
      */
     public static ScalingState decide(
             final ScalingState previous, final ScalingObservation observation, final long now) {
--- a/core/src/main/java/silverlatch/scaling/ScalingState.java
+++ b/core/src/main/java/silverlatch/scaling/ScalingState.java
@@ -6,15 +6,15 @@
 import java.util.TreeMap;
 
 /**
- * What {@link ScalingPolicy} remembers from one decision to the next, the counts that it wants among it.
+ * The state that {@link ScalingPolicy} keeps from one decision to the next, including the wanted worker counts.
  *
- * @param pools by the pool's name
+ * @param pools the state of each pool, by the pool's name
  */
 public record ScalingState(Map<String, PoolState> pools) {
-    /** Nothing was observed yet. */
+    /** The state before the first decision. */
     public static final ScalingState NONE = new ScalingState(Map.of());
 
-    /** A time before all others; differences to it don't overflow. */
+    /** A time before all others; differences from it don't overflow. */
     static final long NEVER = Long.MIN_VALUE / 2;
 
     /** Copies the map. */
@@ -22,7 +22,7 @@
         pools = Map.copyOf(pools);
     }
 
-    /** The counts that are wanted, by pool and zone; zones for which nothing was decided yet are left out. */
+    /** Returns the wanted worker counts, ordered by pool and zone. Zones without a decision are omitted. */
     public List<WorkerTarget> targets() {
         return new TreeMap<>(pools)
                 .values().stream()
@@ -36,13 +36,13 @@
     }
 
     /**
-     * What is remembered of a pool.
+     * The state of a pool.
      *
-     * @param demandSince since when the demand has been known without a gap, or {@link #NEVER}
-     * @param isObserved  whether the demand was ever known for long enough to decide by it
-     * @param lossSince   since when some zone has been evacuated or silent, or {@link #NEVER}
-     * @param zones       by the zone's name
-     * @param trends      the arrivals by region
+     * @param demandSince since when the demand has been known without interruption, or {@link #NEVER}
+     * @param isObserved  whether the demand was ever known for long enough to base decisions on it
+     * @param lossSince   since when any zone has been evacuated or silent, or {@link #NEVER}
+     * @param zones       the state of each zone, by the zone's name
+     * @param trends      the arrival trend of each region, by the region's name
      */
     record PoolState(
             long demandSince,
@@ -59,14 +59,14 @@
     }
 
     /**
-     * What is remembered of a pool in a zone.
+     * The state of a pool in a zone.
      *
-     * @param region      the zone's region
-     * @param target      the count that is wanted, once one was decided
-     * @param raisedAt    when it was last raised, or {@link #NEVER}
-     * @param excessSince  since when fewer workers would have been enough, or {@link #NEVER}
-     * @param peakSufficient        the most that would have been enough since then
-     * @param hasGateways whether a gateway of the zone ever reported
+     * @param region         the zone's region
+     * @param target         the wanted worker count, once there was a decision
+     * @param raisedAt       when the count was last raised, or {@link #NEVER}
+     * @param excessSince    since when fewer workers would have been sufficient, or {@link #NEVER}
+     * @param peakSufficient the highest worker count that would have been sufficient since then
+     * @param hasGateways    whether a gateway of the zone ever reported
      */
     record ZoneState(
             String region,
@@ -87,12 +87,12 @@
             return new ZoneState(region, Optional.of(lower), raisedAt, now, sufficient, hasGateways);
         }
 
-        /** All workers are needed, or it isn't known that they aren't. */
+        /** Returns the state in which all workers are needed, or may be. */
         ZoneState withoutExcess() {
             return new ZoneState(region, target, raisedAt, NEVER, 0, hasGateways);
         }
 
-        /** Fewer workers would be enough now. */
+        /** Returns the state in which fewer workers are sufficient now. */
         ZoneState withExcess(final int sufficient, final long now) {
             return excessSince == NEVER
                     ? new ZoneState(region, target, raisedAt, now, sufficient, hasGateways)
--- a/core/src/main/java/silverlatch/scaling/WorkerTarget.java
+++ b/core/src/main/java/silverlatch/scaling/WorkerTarget.java
@@ -1,11 +1,11 @@
 package silverlatch.scaling;
 
 /**
- * How many workers of a pool a zone is to have.
+ * The worker count that a pool should have in a zone.
  *
- * @param pool   the workers' pool
+ * @param pool   the pool
  * @param zone   the zone
- * @param count  how many
- * @param reason the figures that the decision came from, for operators
+ * @param count  the wanted number of workers
+ * @param reason the figures on which the decision is based, for operators
  */
 public record WorkerTarget(String pool, String zone, int count, String reason) {}
--- a/core/src/main/java/silverlatch/scaling/package-info.java
+++ b/core/src/main/java/silverlatch/scaling/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How many workers each pool is to have in each zone: a pure function of what is observed and of what was decided before. Nothing here
- * does input or output; times are microseconds of one process's monotonic clock.
+ * Decides how many workers each pool should have in each zone, as a pure function of the observation and of the
+ * previous decisions. Nothing here does input or output. Times are microseconds of one process's monotonic clock.
  */
 package silverlatch.scaling;
--- a/core/src/main/java/silverlatch/traffic/DemandMeter.java
+++ b/core/src/main/java/silverlatch/traffic/DemandMeter.java
@@ -7,17 +7,21 @@
 import silverlatch.wire.TrafficMessage;
 
 /**
- * Measures what the clients of a gateway ask of each pool: exponential moving averages over the last seconds. The routing event
- * loop alone calls it, but any thread may read {@link #latest}; times are microseconds of the monotonic clock.
+ * Measures the demand of a gateway's clients for each pool, as exponential moving averages over the last seconds.
+ * Confined to the routing event loop, except {@link #latest}, which any thread may call. Times are microseconds of the
+ * monotonic clock.
  */
 public final class DemandMeter {
-    /** How often the averages move. */
+    /** The interval at which the averages are updated. */
     static final long SAMPLE_INTERVAL_MICROS = 200_000L;
 
-    /** After so long a step has reached two thirds of its height: long against single requests, short against a new worker's start. */
+    /**
+     * The time after which an average has followed a step to about two thirds (63 %). It is long compared with a single
+     * request, and short compared with the start of a new worker.
+     */
     static final double TIME_CONSTANT_MICROS = 2_000_000.0;
 
-    /** What is read is rounded, as its digits travel. */
+    /** Published averages are rounded to this resolution, as their digits are sent over the network. */
     private static final double STEPS_PER_UNIT = 100;
 
     private static final double MICROS_PER_SECOND = 1_000_000.0;
@@ -25,17 +29,17 @@
     private volatile List<TrafficMessage.PoolDemand> latest = List.of();
     private long sampledAt = Long.MIN_VALUE;
 
-    /** A request for a pool came. */
+    /** Records that a request for a pool arrived. */
     public void requestOpened(final String pool, final int tokens) {
         meters.computeIfAbsent(pool, name -> new PoolMeter()).opened(tokens);
     }
 
-    /** A request ended that had been opened. */
+    /** Records that an open request ended. */
     public void requestClosed(final String pool, final int tokens) {
         meters.computeIfAbsent(pool, name -> new PoolMeter()).closed(tokens);
     }
 
-    /** Moves the averages up to now; to be called several times a second. */
+    /** Updates the averages. Must be called several times a second. */
     public void sample(final long now) {
         if (sampledAt == Long.MIN_VALUE) {
             sampledAt = now;
@@ -52,7 +56,7 @@
         latest = List.copyOf(demand);
     }
 
-    /** The averages as of the last sample, in the order of the pools' names; pools that nothing is asked of are left out. */
+    /** Returns the averages of the last sample, ordered by pool name. Pools without demand are omitted. */
     public List<TrafficMessage.PoolDemand> latest() {
         return latest;
     }
--- a/core/src/main/java/silverlatch/traffic/GatewayDemand.java
+++ b/core/src/main/java/silverlatch/traffic/GatewayDemand.java
@@ -4,7 +4,7 @@
 import silverlatch.wire.TrafficMessage;
 
 /**
- * What the clients of one gateway ask for, as the owner of the singleton role last heard it.
+ * The demand of one gateway's clients, as last received by the owner of the singleton role.
  *
  * @param zone   the gateway's zone
  * @param region the gateway's region
--- a/core/src/main/java/silverlatch/traffic/TrafficCollector.java
+++ b/core/src/main/java/silverlatch/traffic/TrafficCollector.java
@@ -15,14 +15,14 @@
 import silverlatch.wire.TrafficMessage;
 
 /**
- * The newest report of each start of each gateway. Every controller takes reports; they matter at the one that owns the singleton
- * role. Owned by the node's event loop; times are microseconds of the monotonic clock.
+ * Keeps the newest report of each incarnation of each gateway. Every controller receives reports; only the owner of the
+ * singleton role uses them. Confined to the node's event loop; times are microseconds of the monotonic clock.
  */
 public final class TrafficCollector {
-    /** For so long a gateway that isn't heard any more is remembered. */
+    /** For how long the newest report of a gateway is kept after it was received. */
     private static final long RETENTION_MICROS = 60_000_000L;
 
-    /** What clients ask is known for so long after a report. */
+    /** For how long the demand in a report counts after the report was received. */
     private static final long DEMAND_LIFETIME_MICROS = 6_000_000L;
 
     private final Map<String, Map<Long, ReceivedReport>> reports = new HashMap<>();
@@ -34,7 +34,10 @@
             return report.windows().stream().anyMatch(counts -> counts.window() == window);
         }
 
-        /** Whether nothing more is counted in a window: it is complete, or later ones alone aren't closed there. */
+        /**
+         * Returns whether the gateway counts nothing more in a window: the window is reported as complete, or the
+         * report contains later windows only, so that this one is closed already.
+         */
         boolean isComplete(final long window) {
             return report.windows().stream()
                     .anyMatch(counts -> counts.window() == window ? counts.isComplete() : counts.window() > window);
@@ -60,7 +63,10 @@
         }
     }
 
-    /** Takes a report that came from an address; one that is older than the newest of its incarnation changes nothing. */
+    /**
+     * Stores a report received from an address. Has no effect if a newer report of the same incarnation was received
+     * before.
+     */
     public void onReport(final TrafficMessage.TrafficReport report, final String address, final long now) {
         hasNewReports = true;
         reports.computeIfAbsent(report.gateway(), name -> new HashMap<>())
@@ -71,7 +77,10 @@
                                 next.report().sequence() > before.report().sequence() ? next : before);
     }
 
-    /** Forgets what is closed and who is long gone; returns the acknowledgements for gateways that still hold closed windows. */
+    /**
+     * Removes closed windows and the gateways that haven't reported for long. Returns the acknowledgements for the
+     * gateways that still reported closed windows.
+     */
     public List<Effect> removeClosed(final long newestClosed, final long now) {
         if (newestClosed == removedUpTo && !hasNewReports) {
             return List.of();
@@ -98,12 +107,12 @@
         return acknowledgements;
     }
 
-    /** Whether any gateway has reported a window that isn't closed. */
+    /** Returns whether any gateway has reported a window that isn't closed. */
     boolean hasReports(final long window) {
         return allReports().anyMatch(received -> received.containsWindow(window));
     }
 
-    /** The requests of a window by tenant, as all gateways have reported them. */
+    /** Returns the requests of a window by tenant, summed over the reports of all gateways. */
     Map<String, Long> counts(final long window) {
         final Map<String, Long> sums = new HashMap<>();
         allReports()
@@ -114,23 +123,27 @@
         return sums;
     }
 
-    /** Whether a gateway has reported all that it counts in a window; one that was never heard hasn't. */
+    /** Returns whether a gateway has reported the final counts of a window. False for a gateway that never reported. */
     boolean isComplete(final String gateway, final long window) {
         return Optional.ofNullable(reports.get(gateway))
                 .filter(incarnations -> newest(incarnations).isComplete(window))
                 .isPresent();
     }
 
-    /** The gateways that were heard within the last so many microseconds. */
+    /** Returns the names of the gateways that reported within the given number of microseconds before now. */
     Set<String> gatewaysReportedWithin(final long micros, final long now) {
-        final Set<String> heard = new HashSet<>();
+        final Set<String> gateways = new HashSet<>();
         allReports()
                 .filter(received -> now - received.receivedAt() <= micros)
-                .forEach(received -> heard.add(received.report().gateway()));
-        return heard;
+                .forEach(received -> gateways.add(received.report().gateway()));
+        return gateways;
     }
 
-    /** What the clients of each gateway ask, as far as it was heard lately; gateways that aren't members are left out. */
+    /**
+     * Returns the demand of each gateway that reported it recently. Gateways that aren't members are omitted.
+     *
+     * @param member finds a member by its name
+     */
     public List<GatewayDemand> demand(final Function<String, Optional<Member>> member, final long now) {
         return reports.values().stream()
                 .map(TrafficCollector::newest)
@@ -149,7 +162,10 @@
         return reports.values().stream().flatMap(incarnations -> incarnations.values().stream());
     }
 
-    /** What the gateway's present process has reported; numbers of incarnations may fall where a clock was set back. */
+    /**
+     * Returns the report that was received last, which is that of the gateway's current process. Incarnation numbers
+     * can't tell this, as they may decrease when a clock is set back.
+     */
     private static ReceivedReport newest(final Map<Long, ReceivedReport> incarnations) {
         return incarnations.values().stream()
                 .max(Comparator.comparingLong(ReceivedReport::receivedAt))
--- a/core/src/main/java/silverlatch/traffic/TrafficReporter.java
+++ b/core/src/main/java/silverlatch/traffic/TrafficReporter.java
@@ -6,19 +6,23 @@
 import silverlatch.wire.TrafficMessage;
 
 /**
- * Decides when a gateway tells the owner of the singleton role what it serves. A report holds every window that isn't closed, so one that
- * is lost is made good by the next, and a new owner knows all after one. Owned by the node's event loop; times are microseconds of
- * the monotonic clock.
+ * Decides when a gateway reports its traffic to the owner of the singleton role. Each report contains all windows that
+ * aren't closed, so a lost report is made up for by the next, and a new owner has all data after a single report.
+ * Confined to the node's event loop; times are microseconds of the monotonic clock.
  *
- * <p>Reports are made when a window has just become complete, to a new owner at once, once a second where something changed, and once in a
- * while anyway. The more windows wait to be closed, the longer the pauses, so that the traffic stays the same.
+ * <p>A report is sent immediately when a window has become complete or when the owner has changed, once a second while
+ * the data changes, and at a longer interval otherwise. The more windows wait to be closed, the longer the intervals
+ * are, so that the network traffic stays the same.
  */
 public final class TrafficReporter {
     private static final long CHECK_INTERVAL_MICROS = 200_000L;
     private static final long REPORT_INTERVAL_MICROS = 1_000_000L;
     private static final long IDLE_INTERVAL_MICROS = 4_000_000L;
 
-    /** So many windows may be in a report before reports become rarer: the present one, and two that are about to be closed. */
+    /**
+     * The number of windows in a report above which reports become less frequent: the current window, and two that are
+     * about to be closed.
+     */
     private static final int TYPICAL_WINDOWS = 3;
 
     private final String gateway;
@@ -32,12 +36,12 @@
     private TrafficMessage.TrafficReport lastReport;
 
     /**
-     * A reporter that has reported nothing.
+     * Creates a reporter that has sent no report.
      *
      * @param gateway     the gateway's name
-     * @param incarnation which start of the gateway's process this is; it stays the same where the node rejoins
-     * @param counter     what has been counted, where usage is reported
-     * @param demand      what clients ask of each pool now; called on the node's event loop
+     * @param incarnation the incarnation of the gateway's process; it doesn't change when the node rejoins the cluster
+     * @param counter     the counter of usage, if usage is reported
+     * @param demand      returns the current demand for each pool; called on the node's event loop
      */
     public TrafficReporter(
             final String gateway,
@@ -52,9 +56,9 @@
     }
 
     /**
-     * The report that is due, if one is.
+     * Returns the report to send now, if one is due.
      *
-     * @param ownerAddress where the singleton role's owner takes messages
+     * @param ownerAddress the address at which the owner of the singleton role receives messages
      * @param hasTenants   whether the configuration in force has tenants, so that their usage is counted
      */
     public Optional<TrafficMessage.TrafficReport> tick(
@@ -75,13 +79,13 @@
         return Optional.of(record(next, now));
     }
 
-    /** The last report of a gateway that stops; empty where there is nothing to be said. */
+    /** Returns the last report of a gateway that is stopping; empty if it has no windows to report. */
     public Optional<TrafficMessage.TrafficReport> finalReport(final boolean hasTenants, final long now) {
         final TrafficMessage.TrafficReport next = next(hasTenants, now);
         return next.windows().isEmpty() ? Optional.empty() : Optional.of(record(next, now));
     }
 
-    /** Takes an acknowledgement of the owner. */
+    /** Handles an acknowledgement by the owner: removes the windows that are closed. */
     public void onAck(final TrafficMessage.TrafficReportAck ack) {
         if (ack.incarnation() == incarnation) {
             counter.ifPresent(usage -> usage.remove(ack.closedWindows()));
--- a/core/src/main/java/silverlatch/traffic/UsageCloser.java
+++ b/core/src/main/java/silverlatch/traffic/UsageCloser.java
@@ -14,18 +14,19 @@
 import silverlatch.state.Value;
 
 /**
- * Decides when the owner of the singleton role closes a window of usage, and with which counts. Windows are closed in their order, one
- * at a time: once every gateway that may have counted in it has reported it complete, and at the latest at
- * {@link UsageSchedule#closingDeadlineOf}. Owned by the node's event loop; times are microseconds of the monotonic clock.
+ * Decides when the owner of the singleton role closes a usage window, and with which counts. Windows are closed in
+ * order, one at a time: as soon as every gateway that may have counted in the window has reported it complete, and at
+ * the latest at {@link UsageSchedule#closingDeadlineOf}. Confined to the node's event loop; times are microseconds of
+ * the monotonic clock.
  *
- * <p>A window of which no gateway reports anything is closed with empty counts, unless its usage is overdue: then nothing is known of it,
- * and it is left out.
+ * <p>A window that no gateway reports is closed with empty counts before its usage is due. Once its usage is overdue
+ * the window is skipped, as nothing is known about it.
  */
 public final class UsageCloser {
-    /** A gateway that was heard this lately and is missing now may only be cut off, so its counts are waited for. */
+    /** A gateway that reported within this time and is missing now may only be partitioned, so its counts are waited for. */
     private static final long RECENT_GATEWAY_MICROS = 20_000_000L;
 
-    /** A new owner gives gateways this time to learn of it and to report to it. */
+    /** The time for which a new owner waits, so that gateways can discover it and report to it. */
     private static final long TAKEOVER_GRACE_MICROS = 2_500_000L;
 
     private static final long RETRY_MICROS = 500_000L;
@@ -35,54 +36,59 @@
     private long proposedWindow = -1;
     private long proposedAt;
 
-    /** A closer of a process that doesn't own the role. */
+    /** Creates a closer for a process that doesn't own the role yet. */
     public UsageCloser(final UsageSchedule schedule, final TrafficCollector collector) {
         this.schedule = schedule;
         this.collector = collector;
     }
 
     /**
-     * What is known at a moment.
+     * The input of one decision.
      *
      * @param state        the committed state
      * @param members      the members of the cluster
-     * @param fencingToken the token of this process where it owns the role
-     * @param unixMicros   the wall clock
-     * @param now          the monotonic clock
+     * @param fencingToken the fencing token of this process if it owns the role
+     * @param unixMicros   the wall clock time
+     * @param now          the monotonic clock time
      */
     public record Observation(
             StateMachine state, Collection<Member> members, Optional<Long> fencingToken, long unixMicros, long now) {}
 
-    /** The command that closes the next window, where one is to be sent now; it is sent again until the window is closed. */
-    public Optional<Command.CloseUsageWindow> next(final Observation situation) {
-        if (situation.fencingToken().isEmpty()) {
+    /**
+     * Returns the command that closes the next window, if it is to be sent now. The command is repeated until the
+     * window is closed.
+     */
+    public Optional<Command.CloseUsageWindow> next(final Observation observation) {
+        if (observation.fencingToken().isEmpty()) {
             ownedSince = OptionalLong.empty();
             return Optional.empty();
         }
         if (ownedSince.isEmpty()) {
-            ownedSince = OptionalLong.of(situation.now());
+            ownedSince = OptionalLong.of(observation.now());
         }
-        final OptionalLong oldest = oldestOpen(situation);
-        if (oldest.isEmpty() || !mayClose(oldest.getAsLong(), situation) || isInFlight(oldest.getAsLong(), situation)) {
+        final OptionalLong oldest = oldestOpen(observation);
+        if (oldest.isEmpty()
+                || !mayClose(oldest.getAsLong(), observation)
+                || isInFlight(oldest.getAsLong(), observation)) {
             return Optional.empty();
         }
         proposedWindow = oldest.getAsLong();
-        proposedAt = situation.now();
+        proposedAt = observation.now();
         return Optional.of(new Command.CloseUsageWindow(
                 "usage-" + proposedWindow,
-                situation.fencingToken().get(),
+                observation.fencingToken().get(),
                 new Value.UsageWindow(proposedWindow, UsageCounter.tenantCounts(collector.counts(proposedWindow)))));
     }
 
-    /** The oldest window that has ended and is to be closed. */
-    private OptionalLong oldestOpen(final Observation situation) {
-        final boolean hasTenants = UsageState.hasTenants(situation.state());
-        final long present = schedule.windowAt(situation.unixMicros());
+    /** Returns the oldest window that has ended and must be closed. */
+    private OptionalLong oldestOpen(final Observation observation) {
+        final boolean hasTenants = UsageState.hasTenants(observation.state());
+        final long current = schedule.windowAt(observation.unixMicros());
         final long first = Math.max(
-                present - UsageCounter.MAX_WINDOWS,
-                UsageState.newestClosed(situation.state()).orElse(-1) + 1);
-        for (long window = first; window < present; window++) {
-            final boolean isOverdue = situation.unixMicros() >= schedule.dueAt(window);
+                current - UsageCounter.MAX_WINDOWS,
+                UsageState.newestClosed(observation.state()).orElse(-1) + 1);
+        for (long window = first; window < current; window++) {
+            final boolean isOverdue = observation.unixMicros() >= schedule.dueAt(window);
             if (collector.hasReports(window) || hasTenants && !isOverdue) {
                 return OptionalLong.of(window);
             }
@@ -90,31 +96,31 @@
         return OptionalLong.empty();
     }
 
-    private boolean mayClose(final long window, final Observation situation) {
-        if (situation.unixMicros() >= schedule.closingDeadlineOf(window)
-                && situation.now() - ownedSince.getAsLong() >= TAKEOVER_GRACE_MICROS) {
+    private boolean mayClose(final long window, final Observation observation) {
+        if (observation.unixMicros() >= schedule.closingDeadlineOf(window)
+                && observation.now() - ownedSince.getAsLong() >= TAKEOVER_GRACE_MICROS) {
             return true;
         }
-        final Set<String> expected = expectedGateways(situation);
+        final Set<String> expected = expectedGateways(observation);
         return !expected.isEmpty() && expected.stream().allMatch(gateway -> collector.isComplete(gateway, window));
     }
 
-    private Set<String> expectedGateways(final Observation situation) {
+    private Set<String> expectedGateways(final Observation observation) {
         final Set<String> expected =
-                new HashSet<>(collector.gatewaysReportedWithin(RECENT_GATEWAY_MICROS, situation.now()));
-        final Set<String> ready = situation.members().stream()
+                new HashSet<>(collector.gatewaysReportedWithin(RECENT_GATEWAY_MICROS, observation.now()));
+        final Set<String> ready = observation.members().stream()
                 .filter(member -> member.isGateway() && member.ready() && member.isLive())
                 .map(Member::id)
                 .collect(Collectors.toSet());
         expected.addAll(ready);
-        situation.members().stream()
+        observation.members().stream()
                 .filter(member -> member.is(MemberState.LEFT))
                 .map(Member::id)
                 .forEach(expected::remove);
         return expected;
     }
 
-    private boolean isInFlight(final long window, final Observation situation) {
-        return window == proposedWindow && situation.now() - proposedAt < RETRY_MICROS;
+    private boolean isInFlight(final long window, final Observation observation) {
+        return window == proposedWindow && observation.now() - proposedAt < RETRY_MICROS;
     }
 }
--- a/core/src/main/java/silverlatch/traffic/UsageCounter.java
+++ b/core/src/main/java/silverlatch/traffic/UsageCounter.java
@@ -12,67 +12,82 @@
 import silverlatch.wire.TrafficMessage;
 
 /**
- * Counts the requests that workers began to run for a gateway, by tenant and window, until the windows are closed. The routing event
- * loop counts, the node's event loop reads. Thread-safe.
+ * Counts the requests that workers began to run for a gateway, by tenant and window, until the windows are closed. The
+ * routing event loop counts and the node's event loop reads. Thread-safe.
  *
- * <p>The wall clock is the node's physical clock: it doesn't follow a time of day that is set while the process runs, and where it was
- * off at the start it is moved to the median of the peers. What was counted before that stays in the window of the wrong time.
+ * <p>The wall clock is the node's physical clock. It ignores changes to the system's time of day while the process
+ * runs; if it was wrong at the start, it is adjusted to the median of the peers. Requests counted before the adjustment
+ * stay in the window of the wrong time.
  */
 public final class UsageCounter {
-    /** How many windows are kept; beyond that the oldest is given up, which nobody closed for so long. */
+    /** How many windows are kept. Beyond that the oldest, which has not been closed for that long, is dropped. */
     static final int MAX_WINDOWS = 60;
 
-    /** How long after its end a window counts as complete: the event loop that counts may be so far behind, in microseconds. */
+    /**
+     * How long after its end a window counts as complete, in microseconds. The event loop that counts may lag by this
+     * much.
+     */
     static final long COMPLETION_SLACK_MICROS = 200_000L;
 
     private final UsageSchedule schedule;
     private final Supplier<PhysicalClock> clock;
     private final TreeMap<Long, TreeMap<String, Long>> windows = new TreeMap<>();
 
-    /** A counter that has counted nothing; the clock may be read by any thread. */
+    /**
+     * Creates an empty counter.
+     *
+     * @param clock returns the node's clock; called by any thread
+     */
     public UsageCounter(final UsageSchedule schedule, final Supplier<PhysicalClock> clock) {
         this.schedule = schedule;
         this.clock = clock;
     }
 
-    /** Counts a request of a tenant that began to run now, by the monotonic clock in microseconds. */
+    /**
+     * Counts a request of a tenant that began to run now.
+     *
+     * @param now the monotonic clock time, in microseconds
+     */
     public synchronized void count(final String tenant, final long now) {
         final long window = schedule.windowAt(clock.get().unixMicros(now));
         windows.computeIfAbsent(window, number -> new TreeMap<>()).merge(tenant, 1L, Long::sum);
         removeExcess();
     }
 
-    /** Whether anything was counted that isn't closed yet. */
+    /** Returns whether any window that isn't closed has counts. */
     synchronized boolean hasCounts() {
         return windows.values().stream().anyMatch(counts -> !counts.isEmpty());
     }
 
-    /** The windows that aren't closed yet in their order, the present one among them, also those in which nothing was counted. */
+    /** Returns the windows that aren't closed in order, including the current one and those without requests. */
     synchronized List<TrafficMessage.WindowCounts> windows(final long now) {
         final long unixMicros = clock.get().unixMicros(now);
-        final long present = schedule.windowAt(unixMicros);
-        addWindowsUpTo(present);
+        final long current = schedule.windowAt(unixMicros);
+        addWindowsUpTo(current);
         final List<TrafficMessage.WindowCounts> counted = new ArrayList<>();
         windows.forEach((window, counts) -> counted.add(new TrafficMessage.WindowCounts(
                 window, unixMicros >= schedule.endOf(window) + COMPLETION_SLACK_MICROS, tenantCounts(counts))));
         return counted;
     }
 
-    /** Forgets windows that are closed. */
+    /** Removes windows that are closed. */
     synchronized void remove(final Collection<Long> closedWindows) {
         closedWindows.forEach(windows::remove);
     }
 
-    /** Adds those in which nothing was counted; what was counted before the clock was moved back goes to the present one. */
-    private void addWindowsUpTo(final long present) {
-        final long newest = Optional.ofNullable(windows.floorKey(present)).orElse(present);
-        for (long window = Math.max(newest, present - MAX_WINDOWS); window <= present; window++) {
+    /**
+     * Adds the missing empty windows up to the current one. Counts of later windows, made before the clock was moved
+     * back, are added to the current one.
+     */
+    private void addWindowsUpTo(final long current) {
+        final long newest = Optional.ofNullable(windows.floorKey(current)).orElse(current);
+        for (long window = Math.max(newest, current - MAX_WINDOWS); window <= current; window++) {
             windows.computeIfAbsent(window, number -> new TreeMap<>());
         }
-        while (windows.lastKey() > present) {
+        while (windows.lastKey() > current) {
             windows.pollLastEntry()
                     .getValue()
-                    .forEach((tenant, count) -> windows.get(present).merge(tenant, count, Long::sum));
+                    .forEach((tenant, count) -> windows.get(current).merge(tenant, count, Long::sum));
         }
         removeExcess();
     }
@@ -83,7 +98,7 @@
         }
     }
 
-    /** Counts by tenant as they are sent, in the order of names. */
+    /** Returns counts by tenant in the form in which they are sent, ordered by tenant name. */
     static List<Value.TenantCount> tenantCounts(final Map<String, Long> counts) {
         return new TreeMap<>(counts)
                 .entrySet().stream()
--- a/core/src/main/java/silverlatch/traffic/UsageOutbox.java
+++ b/core/src/main/java/silverlatch/traffic/UsageOutbox.java
@@ -7,9 +7,10 @@
 import silverlatch.state.Value;
 
 /**
- * Which closed windows the provider doesn't have yet. Only what is committed is reported, so every owner of the singleton role reports a
- * window with the same counts. How far the provider has them is committed too, so a successor repeats the one or two windows at most
- * whose mark was under way. Owned by the node's event loop; times are microseconds of the monotonic clock.
+ * Tracks which closed usage windows have not been reported to the provider yet. Only committed windows are reported, so
+ * every owner of the singleton role reports a window with the same counts. The last reported window is committed too; a
+ * new owner therefore repeats only the one or two windows at most whose mark was not committed yet. Confined to the
+ * node's event loop; times are microseconds of the monotonic clock.
  */
 public final class UsageOutbox {
     private static final long RETRY_MICROS = 500_000L;
@@ -17,21 +18,24 @@
     private long markSentAt = -RETRY_MICROS;
     private long sentMark = -1;
 
-    /** The oldest window that is closed in a state and isn't known to be reported. */
+    /** Returns the oldest closed window of a state that isn't known to be reported. */
     public Optional<Value.UsageWindow> next(final StateMachine state) {
         return UsageState.firstClosedAfter(state, Math.max(reportedLocally, UsageState.reportedUpTo(state)));
     }
 
-    /** The provider has the usage of a window, or refuses it for good. */
+    /** Records that the provider has accepted the usage of a window, or rejected it permanently. */
     public void onReported(final long window) {
         reportedLocally = Math.max(reportedLocally, window);
     }
 
-    /** The command that marks what this process has reported, where it is to be sent now; it is sent again until it is committed. */
+    /**
+     * Returns the command that marks the windows reported by this process, if it is to be sent now. The command is
+     * repeated until it is committed.
+     */
     public Optional<Command.MarkUsageReported> nextMarkCommand(
             final StateMachine state, final Optional<Long> fencingToken, final long now) {
-        final boolean isUnderWay = sentMark == reportedLocally && now - markSentAt < RETRY_MICROS;
-        if (fencingToken.isEmpty() || reportedLocally <= UsageState.reportedUpTo(state) || isUnderWay) {
+        final boolean isInFlight = sentMark == reportedLocally && now - markSentAt < RETRY_MICROS;
+        if (fencingToken.isEmpty() || reportedLocally <= UsageState.reportedUpTo(state) || isInFlight) {
             return Optional.empty();
         }
         sentMark = reportedLocally;
