--- a/core/src/test/java/silverlatch/placement/WeightedScorersTest.java
+++ b/core/src/test/java/silverlatch/placement/WeightedScorersTest.java
@@ -11,6 +11,10 @@
 import silverlatch.gossip.Worker;
 import silverlatch.state.Value;
 
+/**
+ * Guards against selecting a worker that must not or can't run a request, and against overloading one that has just
+ * started.
+ */
 final class WeightedScorersTest {
     private static final long SECOND = 1_000_000;
     private static final long WARM = 60 * SECOND;
@@ -46,7 +50,7 @@
     }
 
     @Test
-    void freeSlotsAndTheOwnZoneArePreferred() {
+    void freeSlotsAndTheGatewaysZoneArePreferred() {
         final PlacementContext context = context(List.of(), Set.of());
         assertThat(
                 selected(select(
@@ -63,30 +67,30 @@
     }
 
     @Test
-    void whatIsNotAllowedIsNeverChosen() {
-        final PlacementInput here = input(worker("w", "z1", "r1", 0), 0, false);
-        assertThat(selected(select(context(List.of("r2"), Set.of()), here)), is("NoneAllowed"));
-        assertThat(selected(select(context(List.of(), Set.of("z1")), here)), is("NoneAllowed"));
+    void aWorkerThatIsNotAllowedIsNeverSelected() {
+        final PlacementInput allowed = input(worker("w", "z1", "r1", 0), 0, false);
+        assertThat(selected(select(context(List.of("r2"), Set.of()), allowed)), is("NoneAllowed"));
+        assertThat(selected(select(context(List.of(), Set.of("z1")), allowed)), is("NoneAllowed"));
         final PlacementInput old = input(worker("w", "z1", "r1", 0), 2 * SECOND + 1, false);
         assertThat(selected(select(context(List.of(), Set.of()), old)), is("NoneAllowed"));
         assertThat(selected(select(context(List.of(), Set.of()))), is("NoneAllowed"));
         assertThat(scorers.accepts(context(List.of(), Set.of()), old), is(false));
-        assertThat(scorers.accepts(context(List.of(), Set.of()), here), is(true));
+        assertThat(scorers.accepts(context(List.of(), Set.of()), allowed), is(true));
     }
 
     @Test
-    void aFullOrEjectedWorkerIsWaitedFor() {
+    void ifAllAllowedWorkersAreFullOrEjectedTheResultIsAllBusy() {
         final PlacementContext context = context(List.of(), Set.of());
         assertThat(selected(select(context, input(worker("full", "z1", "r1", 4), 0, false))), is("AllBusy"));
         assertThat(selected(select(context, input(worker("out", "z1", "r1", 0), 0, true))), is("AllBusy"));
         assertThat(
-                "a full one outside the homes is not waited for",
+                "a full worker outside the home regions is not allowed",
                 selected(select(context(List.of("r1"), Set.of()), input(worker("full", "z2", "r2", 4), 0, false))),
                 is("NoneAllowed"));
     }
 
     @Test
-    void eachScorerSaysSomethingOfEachWorkerUnderItsName() {
+    void eachScorerReturnsAResultForEachWorkerUnderItsName() {
         final WeightedScorers.Decision decision =
                 select(context(List.of(), Set.of()), input(worker("w", "z1", "r1", 0), 0, false));
         assertThat(
@@ -98,16 +102,16 @@
     }
 
     @Test
-    void slowStartLimitsWhatANewWorkerTakesAtOnce() {
+    void slowStartLimitsTheRequestsOfANewWorker() {
         final PlacementContext context = context(List.of(), Set.of());
         final Worker worker = new Worker("w", "w", "z1", "r1", 1, 1, 1, 0, 8, List.of(), false, 0);
-        final PlacementInput justCame = new PlacementInput(worker, 0, 0, 0, WARM, false, 1);
-        assertThat(justCame.slotLimit(), is(1));
-        assertThat(selected(select(context, justCame)), is("AllBusy"));
+        final PlacementInput justStarted = new PlacementInput(worker, 0, 0, 0, WARM, false, 1);
+        assertThat(justStarted.slotLimit(), is(1));
+        assertThat(selected(select(context, justStarted)), is("AllBusy"));
         final Worker warm = new Worker("w", "w", "z1", "r1", 1, 1, 1, 0, 8, List.of(), false, WARM);
         assertThat(selected(select(context, new PlacementInput(warm, 0, 0, 0, WARM, false, 1))), is("w"));
         assertThat(
-                "one that came back starts slowly too",
+                "a recovered worker has a slow start too",
                 new PlacementInput(warm, 0, 0, 0, 0, false, 1).slotLimit(),
                 is(1));
     }
--- a/core/src/test/java/silverlatch/routing/AuthenticatorTest.java
+++ b/core/src/test/java/silverlatch/routing/AuthenticatorTest.java
@@ -20,7 +20,10 @@
 import silverlatch.state.Policy;
 import silverlatch.state.Value;
 
-/** For whom a request runs, and which ones are rejected, by key, route and the age of the configuration. */
+/**
+ * Guards against serving a request for the wrong tenant or with a revoked key, and against permanently rejecting a key
+ * that a newer configuration contains: decisions by key, route and age of the configuration.
+ */
 final class AuthenticatorTest {
     private static final long SECOND = 1_000_000;
     private static final long NOW = 100 * SECOND;
@@ -69,7 +72,7 @@
     }
 
     @Test
-    void aKnownKeyNamesItsTenantOnEachRoute() {
+    void aKnownKeyIdentifiesItsTenantOnAllRoutes() {
         for (final Value.Route route : List.of(KEYED, PUBLIC)) {
             assertThat(decide(new Credential.Key("d1"), route), is(allowed(Optional.of(ACME))));
             assertThat(decide(new Credential.Key("d2"), route), is(allowed(Optional.of(ACME))));
@@ -77,7 +80,7 @@
     }
 
     @Test
-    void aRequestWithoutAKnownKeyRunsOnPublicRoutesOnly() {
+    void aRequestWithoutAKeyRunsOnPublicRoutesOnlyAndOneWithAnUnknownKeyNowhere() {
         for (final Credential credential : WITHOUT_KNOWN_KEY) {
             assertThat(status(decide(credential, KEYED)), is(401));
             final boolean isKey = credential instanceof Credential.Key;
@@ -86,7 +89,7 @@
     }
 
     @Test
-    void noKeyIsNeededWhereTheConfigurationHasNoTenants() {
+    void noKeyIsNeededIfTheConfigurationHasNoTenants() {
         entries.clear();
         for (final long deadline : new long[] {0, SECOND}) {
             revocationDeadline = deadline;
@@ -99,9 +102,9 @@
         WITHOUT_KNOWN_KEY.forEach(credential -> assertThat(decide(credential, KEYED), is(allowed(Optional.empty()))));
     }
 
-    /** A newer configuration may have given the key to a tenant, and one after it may have taken it away. */
+    /** A newer configuration may have assigned the key to a tenant, and a later one may have revoked it. */
     @Test
-    void noKeyIsPassedOverByAConfigurationWithoutTenantsWhenTheRevocationLeaseHasExpired() {
+    void keysAreNotIgnoredByAConfigurationThatRequiresNoneWhenTheRevocationLeaseHasExpired() {
         entries.set(0, entry("p/access", new Value.AccessControl(false)));
         revocationDeadline = 5 * SECOND;
         confirmedAt = Optional.of(NOW - 5 * SECOND);
@@ -112,7 +115,7 @@
         assertThat(decide(new Credential.Key("d1"), KEYED), is(allowed(Optional.empty())));
     }
 
-    /** A newer configuration may have had tenants, and taken this key away from one of them since. */
+    /** A newer configuration may have introduced tenants, and this key of one of them may have been revoked since. */
     @Test
     void aKeyIsNotAcceptedByAnOldConfigurationWithoutTenantsWhenTheRevocationLeaseHasExpired() {
         entries.clear();
@@ -122,7 +125,7 @@
     }
 
     @Test
-    void keysAreNeededWhereTheListOfTenantsIsEmpty() {
+    void keysAreNeededEvenIfTheListOfTenantsIsEmpty() {
         entries.removeIf(entry -> entry.key().equals("n/acme"));
         assertThat(status(decide(new Credential.Key("d1"), KEYED)), is(401));
     }
@@ -144,7 +147,7 @@
     }
 
     @Test
-    void aKeyThatANewerConfigurationMayKnowIsNotRejectedForGood() {
+    void aKeyThatANewerConfigurationMayContainIsNotRejectedPermanently() {
         for (final Optional<Long> confirmation : List.of(Optional.<Long>empty(), Optional.of(NOW - 3 * SECOND))) {
             confirmedAt = confirmation;
             WITHOUT_KNOWN_KEY.forEach(credential -> assertUnavailable(decide(credential, KEYED)));
@@ -154,7 +157,7 @@
     }
 
     @Test
-    void retriesOfManyClientsAreSpread() {
+    void retryDelaysAreRandom() {
         confirmedAt = Optional.empty();
         final Authenticator authenticator = new Authenticator(new RevocationLease(0), new SplittableRandom(1));
         final Policy policy = Policy.of(entries);
@@ -168,7 +171,7 @@
     }
 
     @Test
-    void aRequestsTextTellsNothingOfItsKey() {
+    void theTextOfARequestDoesNotContainItsKeyDigest() {
         final RoutedRequest request =
                 new RoutedRequest(1, "a", "/", "t", SECOND, List.of(), 1, 1, new Credential.Key("d1"));
         assertThat(request.toString(), not(containsString("d1")));
--- a/core/src/test/java/silverlatch/routing/KeyAcceptance.java
+++ b/core/src/test/java/silverlatch/routing/KeyAcceptance.java
@@ -3,16 +3,16 @@
 import silverlatch.dispatch.ClusterSnapshot;
 import silverlatch.safeguard.Safeguards;
 
-/** Lets tests of whole nodes ask a {@link RevocationLease}. */
+/** Makes a {@link RevocationLease} accessible to tests of whole nodes. */
 public final class KeyAcceptance {
     private final RevocationLease lease;
 
-    /** By a lease for this deadline, in microseconds. */
+    /** Creates a lease for the given revocation deadline in microseconds. */
     public KeyAcceptance(final long deadline, final Safeguards safeguards) {
         this.lease = new RevocationLease(deadline, safeguards);
     }
 
-    /** Whether a gateway with this snapshot accepts the keys in it now. */
+    /** Returns whether a gateway with this snapshot accepts the snapshot's keys now. */
     public boolean isPossible(final ClusterSnapshot snapshot, final long now) {
         return lease.isValid(snapshot, now);
     }
--- a/core/src/test/java/silverlatch/routing/PoolLatencyModelTest.java
+++ b/core/src/test/java/silverlatch/routing/PoolLatencyModelTest.java
@@ -12,15 +12,18 @@
 import org.hamcrest.Matcher;
 import org.junit.jupiter.api.Test;
 
-/** What a pool's model learns from first events, and that no worker can bend it. */
+/**
+ * Guards against a latency model that doesn't fit its pool, or that a worker distorts by hanging or by reporting wrong
+ * data.
+ */
 final class PoolLatencyModelTest {
     private static final double MILLISECOND = 1_000;
-    private static final int MANY = 150;
+    private static final int REQUESTS = 150;
     private final SplittableRandom random = new SplittableRandom(11);
     private final PoolLatencyModel model = new PoolLatencyModel();
 
-    /** The first event of an engine with these figures: a base and a time a token in microseconds, and a round trip. */
-    private void serve(final double base, final double perToken, final double roundTrip) {
+    /** Observes a first event of a pool with the given base time, time per token and round trip, all in microseconds. */
+    private void observeRequest(final double base, final double perToken, final double roundTrip) {
         final double tokens = random.nextInt(200, 9_000);
         final boolean isRemote = random.nextInt(3) == 0;
         final double noise = random.nextDouble(0.8, 1.3);
@@ -29,9 +32,9 @@
     }
 
     @Test
-    void aFastEngineIsLearntWithinAHundredAndFiftyRequests() {
-        for (int i = 0; i < MANY; i++) {
-            serve(15 * MILLISECOND, 12, 25 * MILLISECOND);
+    void theModelFitsAFastPoolAfter150Requests() {
+        for (int i = 0; i < REQUESTS; i++) {
+            observeRequest(15 * MILLISECOND, 12, 25 * MILLISECOND);
         }
         assertThat(model.microsPerToken(), is(12, 3));
         assertThat(model.baseMicros(), is(15 * MILLISECOND, 20 * MILLISECOND));
@@ -39,9 +42,9 @@
     }
 
     @Test
-    void aSlowEngineIsLearntWithinAHundredAndFiftyRequests() {
-        for (int i = 0; i < MANY; i++) {
-            serve(80 * MILLISECOND, 70, 150 * MILLISECOND);
+    void theModelFitsASlowPoolAfter150Requests() {
+        for (int i = 0; i < REQUESTS; i++) {
+            observeRequest(80 * MILLISECOND, 70, 150 * MILLISECOND);
         }
         assertThat(model.microsPerToken(), is(70, 15));
         assertThat(model.roundTripMicros(), greaterThan(90 * MILLISECOND));
@@ -51,15 +54,15 @@
     void fewObservationsChangeLittle() {
         final double before = model.microsPerToken();
         for (int i = 0; i < 3; i++) {
-            serve(15 * MILLISECOND, 5, 25 * MILLISECOND);
+            observeRequest(15 * MILLISECOND, 5, 25 * MILLISECOND);
         }
         assertThat(model.microsPerToken(), is(before, before / 3));
     }
 
     @Test
-    void aWorkerThatHangsOrLiesMovesTheModelByABoundedStepOnly() {
-        for (int i = 0; i < MANY; i++) {
-            serve(15 * MILLISECOND, 17, 70 * MILLISECOND);
+    void anExtremeObservationMovesTheModelByABoundedStepOnly() {
+        for (int i = 0; i < REQUESTS; i++) {
+            observeRequest(15 * MILLISECOND, 17, 70 * MILLISECOND);
         }
         final double before = model.microsPerToken();
         for (final long elapsed : List.of(Long.MAX_VALUE / 4, 0L, -1_000_000_000L, 3_600_000_000L)) {
@@ -69,7 +72,7 @@
     }
 
     @Test
-    void noEstimateLeavesItsBounds() {
+    void allEstimatesStayWithinTheirBounds() {
         for (int i = 0; i < 5_000; i++) {
             model.observe(new PoolLatencyModel.Features(4, 100_000, true, 0), i % 2 == 0 ? 0 : Long.MAX_VALUE / 4);
         }
--- a/core/src/test/java/silverlatch/routing/ReachabilityTest.java
+++ b/core/src/test/java/silverlatch/routing/ReachabilityTest.java
@@ -9,6 +9,7 @@
 import silverlatch.gossip.Gossip;
 import silverlatch.gossip.Worker;
 
+/** Guards against routing to a region that this gateway can't reach: when it counts as unreachable, and for how long. */
 final class ReachabilityTest {
     private static final long MILLISECOND = 1_000;
     private static final long START = 100_000 * MILLISECOND;
@@ -37,26 +38,26 @@
     }
 
     @Test
-    void aFailedConnectionRightAfterAnAnswerDoesNotCount() {
+    void aFailedConnectionRightAfterAResponseDoesNotCount() {
         west.recordResponse(START);
         west.recordConnectFailure(START + 200 * MILLISECOND);
         assertThat(west.isUnreachable(List.of(), START + 200 * MILLISECOND), is(false));
     }
 
     @Test
-    void anOverdueFirstEventMakesItsRegionUnreachableUntilAnAnswer() {
-        final WorkerState here = worker("west");
+    void anOverdueFirstEventMakesItsRegionUnreachableUntilAResponse() {
+        final WorkerState western = worker("west");
         final LatencyPredictor.Prediction prediction = new LatencyPredictor.Prediction(
                 100 * MILLISECOND, 100 * MILLISECOND, 0, new PoolLatencyModel.Features(1, 0, false, 0));
-        here.startAttempt(1, prediction, START);
+        western.startAttempt(1, prediction, START);
         final long overdue = START + 350 * MILLISECOND + 1;
-        assertThat(west.isUnreachable(List.of(here), overdue - 1), is(false));
-        assertThat(west.isUnreachable(List.of(here), overdue), is(true));
-        assertThat(new Reachability("east").isUnreachable(List.of(here), overdue), is(false));
+        assertThat(west.isUnreachable(List.of(western), overdue - 1), is(false));
+        assertThat(west.isUnreachable(List.of(western), overdue), is(true));
+        assertThat(new Reachability("east").isUnreachable(List.of(western), overdue), is(false));
         west.recordResponse(overdue);
-        assertThat(west.isUnreachable(List.of(here), overdue), is(false));
-        here.startAttempt(2, prediction, overdue + 1);
-        here.attempt(2).recordEvent(overdue + 2);
-        assertThat(west.isUnreachable(List.of(here), overdue + 900 * MILLISECOND), is(false));
+        assertThat(west.isUnreachable(List.of(western), overdue), is(false));
+        western.startAttempt(2, prediction, overdue + 1);
+        western.attempt(2).recordEvent(overdue + 2);
+        assertThat(west.isUnreachable(List.of(western), overdue + 900 * MILLISECOND), is(false));
     }
 }
--- a/core/src/test/java/silverlatch/routing/RetryPolicyTest.java
+++ b/core/src/test/java/silverlatch/routing/RetryPolicyTest.java
@@ -11,10 +11,14 @@
 import silverlatch.clock.Stamp;
 import silverlatch.state.Value;
 
+/**
+ * Guards against executing a request twice whose route forbids it, and against retries after the deadline or the last
+ * attempt.
+ */
 final class RetryPolicyTest {
     private static final long SECOND = 1_000_000;
     private static final long NOW = 100 * SECOND;
-    private static final Set<FailurePoint> SURELY_NOT_RUN =
+    private static final Set<FailurePoint> KNOWN_NOT_RUN =
             EnumSet.of(FailurePoint.UNSENT, FailurePoint.NOT_RUN, FailurePoint.STRANGER);
 
     private static OpenRequest open(final boolean atMostOnce, final boolean streaming, final boolean resumable) {
@@ -50,19 +54,19 @@
     }
 
     @Test
-    void whatIsNotRetryableIsSentAgainOnlyWhereItSurelyDidNotRun() {
+    void aNonRetryableRequestIsRetriedOnlyIfItIsKnownNotToHaveRun() {
         final OpenRequest atMostOnce = open(true, true, false);
         assertThat(atMostOnce.route().isRetryable(), is(false));
-        assertThat(retried(atMostOnce, NOW), is(SURELY_NOT_RUN));
+        assertThat(retried(atMostOnce, NOW), is(KNOWN_NOT_RUN));
         assertThat(RetryPolicy.allowsAfterResponse(atMostOnce, 500, NOW), is(false));
         assertThat(
-                "a route that resumes is retryable",
+                "a resumable route is retryable",
                 retried(open(true, true, true), NOW),
                 is(EnumSet.allOf(FailurePoint.class)));
     }
 
     @Test
-    void aResponseThatHasBegunIsRetriedOnlyWhereItsStreamCanBeResumed() {
+    void aResponseThatHasBegunIsRetriedOnlyIfItsStreamCanBeResumed() {
         assertThat(retried(open(false, true, true), NOW), is(EnumSet.allOf(FailurePoint.class)));
         assertThat(retried(open(false, true, false), NOW).contains(FailurePoint.BEGUN), is(false));
         assertThat(retried(open(false, false, true), NOW).contains(FailurePoint.BEGUN), is(false));
@@ -73,7 +77,7 @@
         assertThat(retried(open(false, true, true), NOW + 15 * SECOND), is(Set.of()));
         final OpenRequest open = open(false, true, true);
         open.startAttempt(2, "v");
-        assertThat("only what was not sent counts as no attempt", retried(open, NOW), is(Set.of(FailurePoint.UNSENT)));
+        assertThat("only unsent attempts don't count", retried(open, NOW), is(Set.of(FailurePoint.UNSENT)));
         open.startAttempt(3, "u");
         assertThat(retried(open, NOW), is(Set.of(FailurePoint.UNSENT)));
         open.startAttempt(4, "t");
@@ -81,7 +85,7 @@
     }
 
     @Test
-    void onlyErrorsOfTheServerAreRetried() {
+    void onlyServerErrorsAreRetried() {
         assertThat(RetryPolicy.allowsAfterResponse(open(false, true, true), 500, NOW), is(true));
         assertThat(RetryPolicy.allowsAfterResponse(open(false, true, true), 499, NOW), is(false));
         assertThat(RetryPolicy.allowsAfterResponse(open(false, true, true), 503, NOW + 15 * SECOND), is(false));
--- a/core/src/test/java/silverlatch/routing/RevocationLeaseTest.java
+++ b/core/src/test/java/silverlatch/routing/RevocationLeaseTest.java
@@ -10,6 +10,7 @@
 import silverlatch.dispatch.ClusterSnapshot;
 import silverlatch.state.Policy;
 
+/** Guards against accepting a revoked key after its deadline because the gateway's configuration is no longer the newest. */
 final class RevocationLeaseTest {
     private static final long SECOND = 1_000_000L;
     private static final long CONFIRMED_AT = 100 * SECOND;
@@ -21,7 +22,7 @@
     }
 
     @Test
-    void keysAreAcceptedForNineTenthsOfTheDeadlineAfterAConfirmationAsClocksMayDriftByATenth() {
+    void keysAreAcceptedForNineTenthsOfTheDeadlineAfterAConfirmation() {
         final ClusterSnapshot confirmed = snapshot(Optional.of(CONFIRMED_AT), Optional.of(CONFIRMED_AT));
         assertThat(lease.isValid(confirmed, CONFIRMED_AT), is(true));
         assertThat(lease.isValid(confirmed, CONFIRMED_AT + 4_499_999L), is(true));
@@ -29,14 +30,14 @@
     }
 
     @Test
-    void anAnnouncedRevisionEndsTheLeaseNoEarlier() {
+    void anAnnouncedRevisionDoesNotEndTheLeaseEarly() {
         final ClusterSnapshot behind = snapshot(Optional.empty(), Optional.of(CONFIRMED_AT));
         assertThat(lease.isValid(behind, CONFIRMED_AT + 4 * SECOND), is(true));
         assertThat(lease.isValid(behind, CONFIRMED_AT + 5 * SECOND), is(false));
     }
 
     @Test
-    void noKeyIsAcceptedByAConfigurationThatNobodyConfirmed() {
+    void noKeyIsAcceptedByAnUnconfirmedConfiguration() {
         assertThat(lease.isValid(snapshot(Optional.empty(), Optional.empty()), 0), is(false));
     }
 
--- a/core/src/test/java/silverlatch/routing/RouterDemandTest.java
+++ b/core/src/test/java/silverlatch/routing/RouterDemandTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a router tells of the demand for a pool. */
+/** The demand for a pool that a router reports, from which the worker counts are derived. */
 final class RouterDemandTest extends RouterFixture {
     private void tickFor(final long duration) {
         for (final long end = now + duration; now < end; ) {
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void aRequestCountsWithItsTokensFromItsArrivalToItsEndHoweverItEnds() {
+    void aRequestAndItsTokensCountFromItsArrivalUntilItEndsInAnyWay() {
         worker("w", "west", 0, false, 1);
         router.tick(now);
         final long completed = attemptIn(arrive("/once/x", List.of())).attemptId();
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aRequestWithoutAWorkerHasArrivedButIsNotOpen() {
+    void aRequestWithoutAWorkerCountsAsAnArrivalButNotAsOpen() {
         refreshReports();
         router.tick(now);
         arrive("/again/x", List.of());
--- a/core/src/test/java/silverlatch/routing/RouterFixture.java
+++ b/core/src/test/java/silverlatch/routing/RouterFixture.java
@@ -15,7 +15,7 @@
 import silverlatch.state.Policy;
 import silverlatch.state.Value;
 
-/** A router of one gateway with scripted workers, on a fake clock. */
+/** A router of one gateway with scripted workers and a fake clock. */
 abstract class RouterFixture {
     static final long MILLISECOND = 1_000;
     static final long SECOND = 1_000_000;
@@ -38,7 +38,7 @@
         entries.add(new Entry("u/a|/", 1, List.of(route("all", "/", true, false, 1, List.of()))));
     }
 
-    /** Whether a controller has confirmed what the gateway follows. */
+    /** Whether a controller has confirmed the gateway's configuration. */
     boolean isConfirmed = true;
 
     static Value.Route route(
@@ -70,14 +70,14 @@
     }
 
     ClusterSnapshot clusterSnapshot() {
-        final Map<String, Gossip.ObservedWorker> heard = new HashMap<>();
-        workers.forEach((k, w) -> heard.put(k, new Gossip.ObservedWorker(w, Optional.of(now))));
+        final Map<String, Gossip.ObservedWorker> reports = new HashMap<>();
+        workers.forEach((k, w) -> reports.put(k, new Gossip.ObservedWorker(w, Optional.of(now))));
         return new ClusterSnapshot(
                 gateway("me"),
                 revision,
                 isConfirmed ? Optional.of(now) : Optional.empty(),
                 Policy.of(entries),
-                heard,
+                reports,
                 peers);
     }
 
--- a/core/src/test/java/silverlatch/routing/RouterRetryTest.java
+++ b/core/src/test/java/silverlatch/routing/RouterRetryTest.java
@@ -11,10 +11,13 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What a router does when attempts fail, are silent or take too long. */
+/**
+ * What a router does when attempts fail, are silent or exceed their deadline. Guards against a second execution of a
+ * request, against reporting one that may have run as rejected, and against too many retries.
+ */
 final class RouterRetryTest extends RouterFixture {
     @Test
-    void aRequestThatMayHaveRunIsNeverRetriedNorCalledRejected() {
+    void aNonRetryableRequestThatMayHaveRunIsNeitherRetriedNorRejected() {
         worker("w", "west", 0, false, 1);
         worker("v", "west", 0, false, 1);
         final RoutingEffect.StartAttempt first = attemptIn(arrive("/once/x", List.of()));
@@ -36,7 +39,7 @@
     }
 
     @Test
-    void aWorkerThatFailedARequestIsNotSentItAgain() {
+    void aRequestIsNotSentAgainToAWorkerThatFailedIt() {
         worker("w", "west", 0, false, 1);
         final RoutingEffect.StartAttempt only = attemptIn(arrive("/again/x", List.of()));
         router.errorResponse(only.attemptId(), 500, Optional.empty(), now);
@@ -53,7 +56,7 @@
     }
 
     @Test
-    void aRequestThatSurelyDidNotRunGoesToAnotherWorkerOrIsRejected() {
+    void aRequestKnownNotToHaveRunIsRetriedElsewhereOrRejected() {
         worker("w", "west", 0, false, 1);
         worker("v", "west", 0, false, 1);
         final RoutingEffect.StartAttempt first = attemptIn(arrive("/once/x", List.of()));
@@ -67,7 +70,7 @@
     }
 
     @Test
-    void aBrokenStreamResumesElsewhereWhereTheRouteSaysSo() {
+    void aBrokenStreamResumesAtAnotherWorkerIfTheRouteIsResumable() {
         worker("w", "west", 0, false, 1);
         worker("v", "west", 0, false, 1);
         final RoutingEffect.StartAttempt first = attemptIn(arrive("/again/x", List.of()));
@@ -81,25 +84,25 @@
     }
 
     @Test
-    void aSilentWorkerIsAbandonedWhereTheRequestIsIdempotent() {
+    void aRetryableRequestIsMovedAwayFromASilentWorker() {
         worker("w", "west", 0, false, 1);
         worker("v", "west", 0, false, 1);
         final RoutingEffect.StartAttempt first = attemptIn(arrive("/again/x", List.of()));
-        final RoutingEffect.StartAttempt still = attemptIn(arrive("/once/x", List.of()));
+        final RoutingEffect.StartAttempt notRetryable = attemptIn(arrive("/once/x", List.of()));
         now += SECOND;
         router.tick(now);
         final List<RoutingEffect> effects = router.drainEffects();
         assertThat(effects.contains(new RoutingEffect.CancelAttempt(first.attemptId())), is(true));
         assertThat(attemptIn(effects).worker().equals(first.worker()), is(false));
-        assertThat(effects.contains(new RoutingEffect.CancelAttempt(still.attemptId())), is(false));
+        assertThat(effects.contains(new RoutingEffect.CancelAttempt(notRetryable.attemptId())), is(false));
     }
 
     @Test
-    void retriesStayWithinATenthOfTheRequests() {
+    void retriesAreLimitedToATenthOfTheRequests() {
         for (int i = 0; i < 6; i++) {
             worker("w" + i, "west", 0, false, 1);
         }
-        int again = 0;
+        int retries = 0;
         final int all = 300;
         for (int i = 0; i < all; i++) {
             now += 20 * MILLISECOND;
@@ -111,18 +114,18 @@
                     .map(RoutingEffect.StartAttempt.class::cast)
                     .findFirst();
             if (second.isPresent()) {
-                again++;
+                retries++;
                 router.eventForwarded(second.get().attemptId(), now);
                 router.responseCompleted(second.get().attemptId(), true, now);
                 router.drainEffects();
             }
         }
-        assertThat(again, lessThanOrEqualTo(all / 10 + 3));
-        assertThat(again, greaterThan(all / 20));
+        assertThat(retries, lessThanOrEqualTo(all / 10 + 3));
+        assertThat(retries, greaterThan(all / 20));
     }
 
     @Test
-    void aRequestPastItsDeadlineFailsAtOnce() {
+    void aRequestFailsAtItsDeadline() {
         worker("w", "west", 0, false, 1);
         final RoutingEffect.StartAttempt first = attemptIn(arrive("/once/x", List.of()));
         now += 16 * SECOND;
@@ -139,7 +142,7 @@
     }
 
     @Test
-    void aRequestThatMayHaveRunEarlierIsNeverCalledRejectedAfterALaterRefusal() {
+    void aRequestThatMayHaveRunIsNotRejectedWhenALaterAttemptIsRefused() {
         worker("w", "west", 0, false, 1);
         worker("v", "west", 0, false, 1);
         final RoutingEffect.StartAttempt first = attemptIn(arrive("/again/x", List.of()));
--- a/core/src/test/java/silverlatch/routing/RouterTest.java
+++ b/core/src/test/java/silverlatch/routing/RouterTest.java
@@ -23,10 +23,10 @@
 import silverlatch.state.Policy;
 import silverlatch.state.Value;
 
-/** Which worker a router chooses, and what it refuses. */
+/** Which worker a router selects, and which requests it rejects. */
 final class RouterTest extends RouterFixture {
     @Test
-    void aGatewayWhoseStateNobodyHasConfirmedSendsNothingToAWorkerThatWarmsUp() {
+    void anUnconfirmedGatewaySendsNothingToAWarmingUpWorker() {
         worker("cold", "west", 10 * SECOND, false, 1);
         isConfirmed = false;
         refreshReports();
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void theLongestPathWinsAndNoRouteIs404() {
+    void theRouteWithTheLongestPathIsUsedAndNoRouteGives404() {
         worker("w", "west", 0, false, 1);
         assertThat(attemptIn(arrive("/once/x", List.of())).executeAtMostOnce(), is(true));
         assertThat(attemptIn(arrive("/again/x", List.of())).executeAtMostOnce(), is(false));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void workersOutsideTheHomesDrainingOrInEvacuatedZonesAreNeverUsed() {
+    void workersOutsideHomeRegionsDrainingOrInEvacuatedZonesAreNeverUsed() {
         worker("e", "east", 0, false, 1);
         assertThat(rejectionIn(arrive("/again/x", List.of())).statusCode(), is(503));
         worker("w", "west", 0, false, 1);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void theLimitsOfTheConfigurationInForceAreShown() {
+    void theLimitsOfTheConfigurationInForceAreReturned() {
         assertThat(router.limits().isPresent(), is(false));
         worker("w", "west", 0, false, 1);
         assertThat(
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void allGatewaysTogetherKeepToTheRateOfAWorkerThatWarmsUp() {
+    void allGatewaysTogetherRespectTheRateOfAWarmingUpWorker() {
         for (int i = 0; i < 19; i++) {
             peers.add(gateway("p" + i));
         }
@@ -99,7 +99,7 @@
         assertThat(seconds.values().stream().mapToInt(Integer::intValue).sum(), greaterThan(40));
     }
 
-    /** The cluster as one of the gateways sees it. */
+    /** Returns the cluster as seen by one of the gateways. */
     private ClusterSnapshot clusterSnapshot(final String self, final List<String> gateways) {
         final ClusterSnapshot snapshot = clusterSnapshot();
         return new ClusterSnapshot(
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void gatewaysComeToTheSameWorkerForALargePrefix() {
+    void requestsWithTheSameLargePrefixAreSentToTheSameWorker() {
         for (int i = 0; i < 6; i++) {
             worker("w" + i, "west", 0, false, 1);
         }
@@ -144,14 +144,14 @@
     }
 
     @Test
-    void aLongPromptIsKeptAwayFromAWorkerThatDecodesManyStreams() {
+    void aLongPromptIsNotSentToAWorkerThatDecodesManyStreams() {
         for (int i = 0; i < 4; i++) {
             worker("w" + i, "west", 0, false, 1);
         }
-        final Set<String> writers = new HashSet<>();
+        final Set<String> decoders = new HashSet<>();
         for (int i = 0; i < 40; i++) {
             final RoutingEffect.StartAttempt attempt = attemptIn(arrive("/once/x", List.of()));
-            writers.add(attempt.worker());
+            decoders.add(attempt.worker());
             router.responseStarted(attempt.attemptId(), Optional.of(new Router.ReportedLoad(10, 0, 128)), now);
             router.eventForwarded(attempt.attemptId(), now);
             router.requestArrived(
@@ -168,18 +168,18 @@
                             50),
                     now);
             final RoutingEffect.StartAttempt longAttempt = attemptIn(router.drainEffects());
-            assertThat(i < 4 || !writers.contains(longAttempt.worker()), is(true));
+            assertThat(i < 4 || !decoders.contains(longAttempt.worker()), is(true));
             router.responseStarted(longAttempt.attemptId(), Optional.empty(), now);
             router.eventForwarded(longAttempt.attemptId(), now);
             router.responseCompleted(longAttempt.attemptId(), true, now);
             router.drainEffects();
             now += 100 * MILLISECOND;
         }
-        assertThat(writers.size(), lessThanOrEqualTo(3));
+        assertThat(decoders.size(), lessThanOrEqualTo(3));
     }
 
     @Test
-    void anUnreachableRegionGetsNothingMoreUntilAWorkerThereAnswers() {
+    void anUnreachableRegionGetsNoRequestsUntilAWorkerThereResponds() {
         for (int i = 0; i < 3; i++) {
             worker("e" + i, "east", 0, false, 1);
         }
@@ -201,27 +201,27 @@
     }
 
     @Test
-    void withoutAConfigurationNothingIsAccepted() {
-        final Router bare = new Router(
+    void withoutAConfigurationRequestsAreRejected() {
+        final Router unconfigured = new Router(
                 Router.Settings.DEFAULT,
                 new ClusterSnapshot(gateway("me"), 0, Optional.empty(), Policy.NONE, Map.of(), List.of()),
                 () -> new Stamp(1),
                 new SplittableRandom(1));
-        bare.requestArrived(new RoutedRequest(1, "a", "/once/x", "t", SECOND, List.of(), 1, 1), now);
-        assertThat(rejectionIn(bare.drainEffects()).statusCode(), is(503));
-        assertThat(bare.unreadyReason().isPresent(), is(true));
+        unconfigured.requestArrived(new RoutedRequest(1, "a", "/once/x", "t", SECOND, List.of(), 1, 1), now);
+        assertThat(rejectionIn(unconfigured.drainEffects()).statusCode(), is(503));
+        assertThat(unconfigured.unreadyReason().isPresent(), is(true));
     }
 
     @Test
-    void aClientThatComesBeforeTheFirstConfigurationIsAskedToWaitForAStart() {
-        final Router bare = new Router(
+    void beforeTheFirstConfigurationClientsAreToldToRetryAfterOneToOneAndAHalfSeconds() {
+        final Router unconfigured = new Router(
                 Router.Settings.DEFAULT,
                 new ClusterSnapshot(gateway("me"), 0, Optional.empty(), Policy.NONE, Map.of(), List.of()),
                 () -> new Stamp(1),
                 new SplittableRandom(1));
         for (int i = 1; i <= 50; i++) {
-            bare.requestArrived(new RoutedRequest(i, "a", "/once/x", "t" + i, SECOND, List.of(), 1, 1), now);
-            final long retryAfter = rejectionIn(bare.drainEffects()).retryAfter();
+            unconfigured.requestArrived(new RoutedRequest(i, "a", "/once/x", "t" + i, SECOND, List.of(), 1, 1), now);
+            final long retryAfter = rejectionIn(unconfigured.drainEffects()).retryAfter();
             assertThat(retryAfter, is(greaterThanOrEqualTo(SECOND)));
             assertThat(retryAfter, is(lessThan(3 * SECOND / 2)));
         }
--- a/core/src/test/java/silverlatch/routing/RouterUsageTest.java
+++ b/core/src/test/java/silverlatch/routing/RouterUsageTest.java
@@ -22,7 +22,7 @@
             new UsageCounter(new UsageSchedule(5 * SECOND, 10 * SECOND), () -> new PhysicalClock(0, 0, 0));
 
     @BeforeEach
-    void countTenantsOfTheConfiguration() {
+    void configureATenantAndTwoWorkers() {
         entries.add(new Entry("p/access", 1, List.of(new Value.AccessControl(true))));
         entries.add(new Entry("v/a|/", 1, List.of(new Value.PublicRoute("a", "/"))));
         entries.add(new Entry(
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aRequestOfATenantCountsOnceAtItsFirstEvent() {
+    void aTenantsRequestIsCountedOnceAtItsFirstEvent() {
         final RoutingEffect.StartAttempt attempt = arriveWith("/once/x", new Credential.Key("digest"));
         router.responseStarted(attempt.attemptId(), Optional.empty(), now);
         assertThat("no event yet", counts(), is(List.of()));
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aStreamThatIsResumedCountsAtEachWorkerThatBeganToRunIt() {
+    void aResumedStreamIsCountedForEachWorkerThatBeganToRunIt() {
         final RoutingEffect.StartAttempt first = arriveWith("/again/x", new Credential.Key("digest"));
         router.eventForwarded(first.attemptId(), now);
         router.attemptFailed(first.attemptId(), FailurePoint.BEGUN, now);
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void attemptsWithoutAnEventAndRequestsWithoutATenantDoNotCount() {
+    void attemptsWithoutAnEventAndRequestsWithoutATenantAreNotCounted() {
         final RoutingEffect.StartAttempt broken = arriveWith("/once/x", new Credential.Key("digest"));
         router.attemptFailed(broken.attemptId(), FailurePoint.SENT, now);
         router.drainEffects();
--- a/core/src/test/java/silverlatch/routing/RoutingPoliciesTest.java
+++ b/core/src/test/java/silverlatch/routing/RoutingPoliciesTest.java
@@ -8,16 +8,16 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The switch of trials: it disables what it names and nothing else. */
+/** Parsing of the list of policies that a trial disables: those that it names and no others. */
 final class RoutingPoliciesTest {
     @Test
-    void nothingNamedDisablesNothing() {
+    void anEmptyListDisablesNothing() {
         assertThat(RoutingPolicies.withDisabled(""), is(RoutingPolicies.ALL));
         assertThat(EnumSet.allOf(RoutingPolicy.class).stream().allMatch(RoutingPolicies.ALL::isEnabled), is(true));
     }
 
     @Test
-    void whatIsNamedIsDisabled() {
+    void listedPoliciesAreDisabled() {
         final RoutingPolicies policies = RoutingPolicies.withDisabled("PREFIX_OWNERS, PAUSE_PENALTY");
         assertThat(policies.disabled(), is(Set.of(RoutingPolicy.PREFIX_OWNERS, RoutingPolicy.PAUSE_PENALTY)));
         assertThat(policies.isEnabled(RoutingPolicy.PREFIX_OWNERS), is(false));
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void anUnknownNameIsRefused() {
+    void anUnknownNameIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> RoutingPolicies.withDisabled("NO_SUCH_POLICY"));
     }
 }
--- a/core/src/test/java/silverlatch/routing/TenantRoutingTest.java
+++ b/core/src/test/java/silverlatch/routing/TenantRoutingTest.java
@@ -10,7 +10,7 @@
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
 
-/** What a router does for a tenant's requests: which workers may run them, how urgent they are, and whose they stay. */
+/** Routing of tenants' requests: which workers may run them, at which priority, and that a retry keeps the tenant. */
 final class TenantRoutingTest extends RouterFixture {
     private static final int PRIORITY = 4;
 
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void theTenantsPriorityOutranksThatOfTheRoute() {
+    void theTenantsPriorityOverridesTheRoutes() {
         worker("w", "west", 0, false, 1);
         tenant("urgent", "d1", PRIORITY, List.of());
         tenant("plain", "d2", Value.TenantAccess.ROUTE_PRIORITY, List.of());
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aTenantsRequestsRunInItsHomeRegionsOnly() {
+    void aTenantsRequestsRunOnlyInItsHomeRegions() {
         worker("w", "west", 0, false, 1);
         tenant("eastern", "d1", PRIORITY, List.of("east"));
         assertThat(rejectionIn(arriveWithKey("/once/x", "d1")).statusCode(), is(503));
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void theHomeRegionsOfTenantAndRouteBothBind() {
+    void theHomeRegionsOfTenantAndRouteBothApply() {
         worker("w", "west", 0, false, 1);
         worker("e", "east", 0, false, 1);
         tenant("eastern", "d1", PRIORITY, List.of("east"));
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aLargePrefixIsKeptInTheTenantsHomeRegions() {
+    void aRequestWithALargePrefixStaysInTheTenantsHomeRegions() {
         tenant("eastern", "d1", PRIORITY, List.of("east"));
         for (int i = 0; i < 3; i++) {
             worker("w" + i, "west", 0, false, 1);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aRetryStaysWithTheTenantThatTheKeyHadWhenTheRequestArrived() {
+    void aRetryKeepsTheTenantToWhichTheKeyBelongedWhenTheRequestArrived() {
         worker("one", "west", 0, false, 1);
         worker("two", "west", 0, false, 1);
         worker("far", "east", 0, false, 1);
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void theTraceOfARequestNamesItsTenant() {
+    void theTraceOfARequestContainsItsTenant() {
         worker("w", "west", 0, false, 1);
         tenant("acme", "d1", PRIORITY, List.of());
         arriveWithKey("/once/x", "d1");
--- a/core/src/test/java/silverlatch/routing/WorkerSelectorTest.java
+++ b/core/src/test/java/silverlatch/routing/WorkerSelectorTest.java
@@ -21,6 +21,7 @@
 import silverlatch.state.Policy;
 import silverlatch.state.Value;
 
+/** Which workers are eligible for a request, in which order, and which of them is chosen. */
 final class WorkerSelectorTest {
     private static final long SECOND = 1_000_000;
     private static final long NOW = 100 * SECOND;
@@ -65,7 +66,7 @@
     }
 
     @Test
-    void eachPoolIsDrawnByItsWeight() {
+    void poolsAreDrawnByTheirWeights() {
         final Value.Route route = route(List.of(
                 new Value.WeightedBackend("large", 70),
                 new Value.WeightedBackend("none", 0),
@@ -79,7 +80,7 @@
     }
 
     @Test
-    void aRouteWithoutWeightsGoesToItsFirstPoolAndOneWithoutPoolsToNone() {
+    void aRouteWithZeroWeightsUsesItsFirstPoolAndOneWithoutPoolsNone() {
         assertThat(
                 selector.drawPool(
                         route(List.of(new Value.WeightedBackend("first", 0), new Value.WeightedBackend("second", 0)))),
@@ -88,7 +89,7 @@
     }
 
     @Test
-    void onlyWorkersOfThePoolThatHaveNotFailedAreCandidates() {
+    void onlyWorkersOfThePoolThatHaveNotFailedTheRequestAreCandidates() {
         worker("other", "b", 0);
         worker("failed", "a", 0);
         worker("good", "a", 0);
@@ -104,7 +105,7 @@
     }
 
     @Test
-    void anEjectedWorkerComesLast() {
+    void anEjectedWorkerIsRankedLast() {
         worker("one", "a", 0);
         worker("two", "a", 0);
         workers.get("one").recordFailure(NOW);
@@ -122,7 +123,7 @@
     }
 
     @Test
-    void amongEqualsOneOfTheTwoWithTheFewestAttemptsIsChosen() {
+    void amongEqualWorkersOneOfTheTwoWithTheFewestAttemptsIsChosen() {
         for (final String id : List.of("idle1", "idle2", "loaded")) {
             worker(id, "a", 0);
         }
@@ -140,7 +141,7 @@
     }
 
     @Test
-    void aWorkerThatWarmsUpIsACandidateAtItsPoolsRateOnly() {
+    void aWarmingUpWorkerIsACandidateOnlyAtItsPoolsWarmupRate() {
         worker("new", "a", 60 * SECOND);
         assertThat(selector.candidates(open("a"), NOW).size(), is(1));
         workers.get("new")
--- a/core/src/test/java/silverlatch/routing/WorkerStateTest.java
+++ b/core/src/test/java/silverlatch/routing/WorkerStateTest.java
@@ -11,6 +11,7 @@
 import silverlatch.gossip.Gossip;
 import silverlatch.gossip.Worker;
 
+/** How attempts and reports change the state of a worker: ejection, cache, backlog, latency factor and warm-up. */
 final class WorkerStateTest {
     private static final long SECOND = 1_000_000;
     private static final long START = 100 * SECOND;
@@ -26,7 +27,7 @@
     private final WorkerState worker = new WorkerState(report(1, 0), Router.Settings.DEFAULT_PREFIX_LIFETIME, START);
 
     @Test
-    void eachFailureInARowEjectsForTwiceAsLongAndASuccessEndsIt() {
+    void consecutiveFailuresDoubleTheEjectionAndASuccessEndsIt() {
         long now = START;
         for (final long tenths : new long[] {5, 10, 20, 40, 80, 80, 80}) {
             worker.recordFailure(now);
@@ -36,13 +37,13 @@
             now = end;
         }
         worker.startAttempt(1, PREDICTION, now);
-        assertThat("one attempt is enough while it fails", worker.isEjected(now), is(true));
+        assertThat("ejected while the next attempt is in flight", worker.isEjected(now), is(true));
         worker.recordSuccess(worker.attempt(1), now + SECOND / 10);
         assertThat(worker.isEjected(now), is(false));
     }
 
     @Test
-    void theCacheIsForgottenWithTheIncarnationAndAfterItsLifetime() {
+    void cachedPartsAreDroppedOnANewIncarnationAndAfterTheirLifetime() {
         worker.recordCached(7, START);
         assertThat(worker.hasCached(7, START + 45 * SECOND - 1), is(true));
         assertThat(worker.hasCached(7, START + 45 * SECOND), is(false));
@@ -53,7 +54,7 @@
     }
 
     @Test
-    void theCacheHoldsTheNewestParts() {
+    void theNewestPartsAreKept() {
         for (int part = 0; part < 513; part++) {
             worker.recordCached(part, START);
         }
@@ -63,12 +64,12 @@
     }
 
     @Test
-    void onlyAttemptsWithoutAFirstEventAreStillPrefilled() {
+    void onlyAttemptsWithoutAFirstEventCountAsPendingPrefill() {
         worker.startAttempt(1, PREDICTION, START);
         worker.startAttempt(2, PREDICTION, START);
         assertThat(worker.pendingPrefillTokens(), is(1_400L));
         assertThat(worker.attempt(1).recordEvent(START + 1), is(true));
-        assertThat("only once", worker.attempt(1).recordEvent(START + 2), is(false));
+        assertThat("the second event is not the first", worker.attempt(1).recordEvent(START + 2), is(false));
         assertThat(worker.pendingPrefillTokens(), is(700L));
         assertThat(worker.maxOverdue(START + SECOND), is(SECOND - SECOND / 5 - 150_000));
         worker.endAttempt(2);
@@ -77,7 +78,7 @@
     }
 
     @Test
-    void theLatencyFactorFollowsTheAttempts() {
+    void theLatencyFactorFollowsTheLatenciesOfAttempts() {
         worker.startAttempt(1, PREDICTION, START);
         worker.recordSuccess(worker.attempt(1), START + SECOND / 2);
         final double slower = worker.latencyFactor();
@@ -88,7 +89,7 @@
     }
 
     @Test
-    void aWorkerWarmsUpForAsLongAsItsReportSays() {
+    void aWorkerWarmsUpForTheReportedTime() {
         worker.update(report(1, 3 * SECOND), START);
         assertThat(worker.isWarmingUp(START + SECOND), is(true));
         assertThat(worker.isWarmingUp(START + 3 * SECOND), is(false));
--- a/core/src/test/java/silverlatch/scaling/ScalingPolicyTest.java
+++ b/core/src/test/java/silverlatch/scaling/ScalingPolicyTest.java
@@ -26,13 +26,19 @@
 import silverlatch.traffic.GatewayDemand;
 import silverlatch.wire.TrafficMessage;
 
-/** What is decided in single situations; two regions of two zones, one gateway a zone, slots for ten requests a worker. */
+/**
+ * Decisions in single situations. There are two regions of two zones each, one gateway per zone, and ten slots per
+ * worker.
+ */
 final class ScalingPolicyTest {
     private static final long SECOND = 1_000_000L;
     private static final int SLOTS = 10;
 
-    /** With which ten workers a zone are enough: each carries the loss of its neighbour too. */
-    private static final double USUAL = 17.5;
+    /**
+     * The open requests per zone for which ten workers per zone are sufficient, including the load added by the loss of
+     * the neighbouring zone.
+     */
+    private static final double USUAL_REQUESTS = 17.5;
 
     private static final int MIN = 2;
     private static final int MAX = 40;
@@ -47,10 +53,10 @@
     private long now = 50 * SECOND;
 
     @BeforeEach
-    void fill() {
+    void startWithUsualLoad() {
         ZONES.forEach(zone -> {
             workers.put(zone, 20);
-            openRequests.put(zone, USUAL);
+            openRequests.put(zone, USUAL_REQUESTS);
         });
     }
 
@@ -87,7 +93,7 @@
                 demand);
     }
 
-    /** Decides once a second; the provider does as it is told at once. */
+    /** Decides once a second; the provider applies each target immediately. */
     private void runFor(final int seconds) {
         for (int i = 0; i < seconds; i++) {
             now += SECOND;
@@ -108,7 +114,7 @@
     }
 
     @Test
-    void nothingIsDecidedBeforeTheDemandHasBeenKnownForSomeSeconds() {
+    void thereIsNoDecisionBeforeTheDemandHasBeenKnownForSomeSeconds() {
         runFor(4);
         assertThat(state.targets(), is(empty()));
         runFor(1);
@@ -117,14 +123,14 @@
     }
 
     @Test
-    void nothingIsDecidedBeforeTrafficBegins() {
+    void thereIsNoDecisionBeforeTrafficBegins() {
         openRequests.replaceAll((zone, open) -> 0.0);
         runFor(60);
         assertThat(state.targets(), is(empty()));
     }
 
     @Test
-    void tooManyWorkersAreGivenUpInStepsOfAtMostHalf() {
+    void excessWorkersAreRemovedInStepsOfAtMostHalf() {
         runFor(5);
         assertThat(target("east1"), is(10));
         runFor(60);
@@ -134,17 +140,20 @@
         assertThat(targets(), is(Map.of("east1", 2, "east2", 2, "west1", 2, "west2", 2)));
     }
 
-    /** Each zone carries its own load, and what comes from the other zone of its region, or half of the other region. */
+    /**
+     * Each zone needs capacity for its own load, and for what the loss of the other zone of its region or of the other
+     * region would add.
+     */
     @ParameterizedTest
     @CsvSource({"17.5,10", "8.6,5", "8.9,6", "0.1,2", "1000,40"})
-    void theCountFollowsTheOpenRequestsWithinTheBounds(final double open, final int count) {
+    void theWorkerCountFollowsTheOpenRequestsWithinTheBounds(final double open, final int count) {
         openRequests.replaceAll((zone, before) -> open);
         runFor(60);
         assertThat(targets(), is(Map.of("east1", count, "east2", count, "west1", count, "west2", count)));
     }
 
     @Test
-    void largeRequestsAreCountedByTheirTokens() {
+    void largeRequestsCountByTheirTokens() {
         cacheTokens = 1_000;
         tokensPerRequest = 150;
         runFor(60);
@@ -152,13 +161,13 @@
     }
 
     @Test
-    void moreDemandRaisesTheCountAtOnceAndItStays() {
+    void higherDemandRaisesTheCountImmediatelyAndItIsLoweredOnlyAfterADelay() {
         runFor(60);
-        openRequests.replaceAll((zone, open) -> 2 * USUAL);
+        openRequests.replaceAll((zone, open) -> 2 * USUAL_REQUESTS);
         runFor(1);
         final int raised = target("west2");
         assertThat(raised, is(both(greaterThanOrEqualTo(20)).and(lessThanOrEqualTo(30))));
-        openRequests.replaceAll((zone, open) -> USUAL);
+        openRequests.replaceAll((zone, open) -> USUAL_REQUESTS);
         runFor(29);
         assertThat(target("west2"), is(raised));
         runFor(70);
@@ -166,14 +175,14 @@
     }
 
     @Test
-    void risingArrivalsAreMetBeforeTheyAreThere() {
+    void aRisingArrivalRateRaisesTheCountInAdvance() {
         runFor(60);
         for (int i = 0; i < 5; i++) {
             openRequests.replaceAll((zone, open) -> open * 1.08);
             runFor(1);
         }
-        final int enoughForWhatIsThere = 15;
-        assertThat(target("east1"), is(greaterThan(enoughForWhatIsThere)));
+        final int sufficientForCurrentArrivals = 15;
+        assertThat(target("east1"), is(greaterThan(sufficientForCurrentArrivals)));
     }
 
     @Test
@@ -191,9 +200,9 @@
     }
 
     @Test
-    void aZoneWhoseGatewaysFellSilentIsNotLowered() {
+    void theCountOfAZoneWithoutReportsIsNotLowered() {
         runFor(60);
-        openRequests.replaceAll((zone, open) -> 0.2 * USUAL);
+        openRequests.replaceAll((zone, open) -> 0.2 * USUAL_REQUESTS);
         silentGateways.add("east1");
         runFor(60);
         assertThat(target("east1"), is(10));
@@ -201,7 +210,7 @@
     }
 
     @Test
-    void demandThatVanishesAltogetherLowersNothing() {
+    void noCountIsLoweredWhenAllDemandVanishes() {
         runFor(60);
         openRequests.replaceAll((zone, open) -> 0.0);
         runFor(60);
@@ -209,21 +218,21 @@
     }
 
     @Test
-    void whileAZoneIsEvacuatedAllKeepTheWorkersThatItsLossWasReckonedWith() {
-        openRequests.put("east2", 1.6 * USUAL);
+    void anEvacuationDoesNotChangeCountsThatAlreadyAllowForTheLossOfTheZone() {
+        openRequests.put("east2", 1.6 * USUAL_REQUESTS);
         runFor(60);
-        final Map<String, Integer> calm = Map.of("east1", 13, "east2", 13, "west1", 12, "west2", 12);
-        assertThat(targets(), is(calm));
+        final Map<String, Integer> beforeEvacuation = Map.of("east1", 13, "east2", 13, "west1", 12, "west2", 12);
+        assertThat(targets(), is(beforeEvacuation));
         evacuated.add("east2");
         runFor(8);
-        assertThat(targets(), is(calm));
+        assertThat(targets(), is(beforeEvacuation));
         evacuated.clear();
         runFor(8);
-        assertThat(targets(), is(calm));
+        assertThat(targets(), is(beforeEvacuation));
     }
 
     @Test
-    void aSecondEvacuationRaisesTheOthersAtOnce() {
+    void theEvacuationOfFurtherZonesRaisesTheRemainingZoneImmediately() {
         runFor(60);
         evacuated.addAll(List.of("east1", "east2", "west1"));
         runFor(1);
@@ -231,23 +240,23 @@
     }
 
     @Test
-    void aRegionThatFellSilentIsKeptAndItsLoadGoesToTheOther() {
+    void aSilentRegionKeepsItsCountsAndItsLoadIsMovedToTheOtherRegion() {
         runFor(60);
         workers.put("east1", 0);
         workers.put("east2", 0);
         runFor(20);
         assertThat(targets(), is(Map.of("east1", 10, "east2", 10, "west1", 10, "west2", 10)));
-        openRequests.replaceAll((zone, open) -> 1.5 * USUAL);
+        openRequests.replaceAll((zone, open) -> 1.5 * USUAL_REQUESTS);
         runFor(1);
         assertThat(target("east1"), is(10));
         assertThat(target("west1"), is(greaterThanOrEqualTo(15)));
     }
 
     @Test
-    void aLossThatStaysDoesNotKeepTheOthersForEver() {
+    void aPermanentLossDoesNotPreventLoweringTheOtherZonesForever() {
         runFor(60);
         workers.put("east1", 0);
-        openRequests.replaceAll((zone, open) -> 0.1 * USUAL);
+        openRequests.replaceAll((zone, open) -> 0.1 * USUAL_REQUESTS);
         runFor(58);
         assertThat(target("west1"), is(10));
         runFor(20);
@@ -256,7 +265,7 @@
     }
 
     @Test
-    void workersThatCrashChangeNothingAsTheProviderRestoresThem() {
+    void crashedWorkersDoNotChangeTheCountAsTheProviderRestoresThem() {
         runFor(60);
         workers.put("east1", 8);
         final ScalingState before = state;
@@ -266,7 +275,7 @@
     }
 
     @Test
-    void aNewOwnerStartsFromTheWorkersThatItKnows() {
+    void aNewOwnerStartsFromTheKnownWorkerCounts() {
         workers.replaceAll((zone, count) -> 10);
         workers.put("west1", 5);
         runFor(8);
@@ -274,10 +283,10 @@
     }
 
     @Test
-    void aZoneWithoutWorkersCountsToItsRegionOrElseToAll() {
+    void theLoadOfAZoneWithoutWorkersIsMovedToItsRegionOrElseToAllZones() {
         workers.replaceAll((zone, count) -> 30);
         workers.remove("east2");
-        openRequests.put("north", 0.4 * USUAL);
+        openRequests.put("north", 0.4 * USUAL_REQUESTS);
         runFor(60);
         assertThat(targets().keySet(), is(Set.of("east1", "west1", "west2")));
         assertThat(target("east1"), is(22));
@@ -285,7 +294,7 @@
     }
 
     @Test
-    void aPoolThatMayNoLongerBeScaledIsForgotten() {
+    void aPoolThatMayNoLongerBeScaledIsRemovedFromTheState() {
         runFor(10);
         final ScalingObservation seen = observation();
         state = ScalingPolicy.decide(
@@ -297,7 +306,7 @@
     }
 
     @Test
-    void noStepTowardsAMaximumThatWasLoweredOrdersMoreThanTheMaximum() {
+    void noTargetExceedsAMaximumThatWasLowered() {
         ZONES.forEach(zone -> workers.put(zone, 3 * MAX));
         for (int second = 0; second < 10; second++) {
             runFor(1);
--- a/core/src/test/java/silverlatch/traffic/DemandMeterTest.java
+++ b/core/src/test/java/silverlatch/traffic/DemandMeterTest.java
@@ -9,13 +9,17 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.wire.TrafficMessage;
 
+/**
+ * The averages of the demand: their values, how fast they follow a step, and that a pause of the process doesn't
+ * distort them.
+ */
 final class DemandMeterTest {
     private static final long TICK = 50_000L;
     private static final long SECOND = 1_000_000L;
     private final DemandMeter meter = new DemandMeter();
     private long now = 7 * SECOND;
 
-    /** Opens a request of 100 tokens for pool p with each tick, and closes it so many ticks later. */
+    /** Opens a request of 100 tokens for pool p at each tick, and closes it after the given number of ticks. */
     private void run(final int ticks, final int duration) {
         for (int i = 0; i < ticks + duration; i++) {
             if (i < ticks) {
@@ -32,7 +36,7 @@
     }
 
     @Test
-    void steadyTrafficIsMeasuredAfterSomeSeconds() {
+    void steadyTrafficIsMeasuredCorrectly() {
         run(400, 10);
         final TrafficMessage.PoolDemand demand = meter.latest().get(0);
         assertThat(demand.pool(), is("p"));
@@ -42,7 +46,7 @@
     }
 
     @Test
-    void aStepIsSeenToTwoThirdsAfterTheTimeConstant() {
+    void anAverageFollowsAStepToTwoThirdsWithinTheTimeConstant() {
         meter.sample(now);
         for (int i = 0; i < 10; i++) {
             meter.requestOpened("p", 100);
@@ -55,7 +59,7 @@
     }
 
     @Test
-    void aLongPauseOfTheProcessCountsAsLongAsItWas() {
+    void aLongPauseOfTheProcessCountsWithItsFullLength() {
         meter.sample(now);
         meter.requestOpened("p", 100);
         now += 20 * SECOND;
@@ -65,7 +69,7 @@
     }
 
     @Test
-    void poolsThatNothingIsAskedOfAreForgotten() {
+    void poolsWithoutDemandAreRemoved() {
         meter.sample(now);
         meter.requestOpened("p", 100);
         now += SECOND;
--- a/core/src/test/java/silverlatch/traffic/TrafficReporterTest.java
+++ b/core/src/test/java/silverlatch/traffic/TrafficReporterTest.java
@@ -9,7 +9,7 @@
 import silverlatch.clock.PhysicalClock;
 import silverlatch.wire.TrafficMessage;
 
-/** When a gateway reports; its monotonic clock is 0 where a window begins. */
+/** When a gateway reports. Its monotonic clock is 0 at the beginning of a window. */
 final class TrafficReporterTest {
     private static final long SECOND = 1_000_000;
     private static final long WINDOW = 5 * SECOND;
@@ -19,7 +19,7 @@
     private final UsageCounter counter = new UsageCounter(new UsageSchedule(WINDOW, 2 * WINDOW), () -> clock);
     private final TrafficReporter reporter = new TrafficReporter("gateway", 7, Optional.of(counter), List::of);
 
-    /** How many reports are made in a span of time. */
+    /** Returns how many reports are sent in a time span. */
     private int reports(final long from, final long until) {
         int reports = 0;
         for (long now = from; now < until; now += STEP) {
@@ -29,19 +29,19 @@
     }
 
     @Test
-    void nothingIsReportedWhereNoConfigurationHasTenants() {
+    void nothingIsReportedIfTheConfigurationHasNoTenants() {
         assertThat(reporter.tick(OWNER, false, SECOND), is(Optional.empty()));
         assertThat(reporter.finalReport(false, SECOND), is(Optional.empty()));
     }
 
     @Test
-    void whatWasCountedIsReportedEvenWhenTheTenantsWereRemovedMeanwhile() {
+    void countsAreReportedEvenIfTheTenantsWereRemovedMeanwhile() {
         counter.count("acme", 0);
         assertThat(reporter.tick(OWNER, false, SECOND).isPresent(), is(true));
     }
 
     @Test
-    void aGatewayThatCountsReportsOnceASecond() {
+    void aGatewayWithNewCountsReportsOnceASecond() {
         int reports = 0;
         for (long now = SECOND; now < 4 * SECOND; now += STEP) {
             counter.count("acme", now);
@@ -51,20 +51,23 @@
     }
 
     @Test
-    void aCompleteWindowIsReportedAtOnceAndAgainUntilItIsAcknowledged() {
+    void aCompleteWindowIsReportedImmediatelyAndRepeatedUntilAcknowledged() {
         reports(SECOND, WINDOW);
         final long complete = WINDOW + 2 * STEP;
         final Optional<TrafficMessage.TrafficReport> report = reporter.tick(OWNER, true, complete);
         assertThat(report.get().windows().get(0).isComplete(), is(true));
         assertThat("resent", reports(complete + STEP, complete + 2 * SECOND + STEP), is(2));
         reporter.onAck(new TrafficMessage.TrafficReportAck(6, List.of(1_000L)));
-        assertThat("of an earlier start", counter.windows(complete).size(), is(2));
+        assertThat(
+                "acknowledgement to an earlier incarnation",
+                counter.windows(complete).size(),
+                is(2));
         reporter.onAck(new TrafficMessage.TrafficReportAck(7, List.of(1_000L)));
         assertThat("idle", reports(complete + 3 * SECOND, 2 * WINDOW), is(1));
     }
 
     @Test
-    void aNewOwnerHearsAtOnceAllThatIsNotClosed() {
+    void aNewOwnerGetsAllWindowsThatAreNotClosedImmediately() {
         counter.count("acme", 0);
         reporter.tick(OWNER, true, WINDOW + SECOND);
         final Optional<TrafficMessage.TrafficReport> report =
@@ -73,14 +76,17 @@
     }
 
     @Test
-    void reportsBecomeRarerWhileNobodyClosesWindows() {
+    void reportsBecomeLessFrequentWhileWindowsAreNotClosed() {
         reports(SECOND, 59 * WINDOW);
         final int reports = reports(59 * WINDOW, 63 * WINDOW);
-        assertThat("one for each new window at most, besides the rare ones: " + reports, reports <= 6, is(true));
+        assertThat(
+                "at most one for each new window, and a few at the longer interval: " + reports,
+                reports <= 6,
+                is(true));
     }
 
     @Test
-    void aGatewayThatStopsReportsAllOnceMore() {
+    void aStoppingGatewayReportsAllWindowsOnceMore() {
         counter.count("acme", 0);
         final TrafficMessage.TrafficReport first =
                 reporter.tick(OWNER, true, SECOND).get();
--- a/core/src/test/java/silverlatch/traffic/UsageCloserTest.java
+++ b/core/src/test/java/silverlatch/traffic/UsageCloserTest.java
@@ -16,13 +16,16 @@
 import silverlatch.state.Value;
 import silverlatch.wire.TrafficMessage;
 
-/** When the owner closes windows, and with which counts; its monotonic clock is the wall clock, and window 100 has ended. */
+/**
+ * When the owner of the singleton role closes windows, and with which counts. Guards against lost or doubled usage, and
+ * against windows that stay open. The monotonic clock equals the wall clock, and window 100 has ended.
+ */
 final class UsageCloserTest {
     private static final long SECOND = 1_000_000;
     private static final long WINDOW = 5 * SECOND;
     private static final long DELAY = 10 * SECOND;
     private static final long END = 101 * WINDOW;
-    private static final long LIMIT = END + DELAY * 2 / 3;
+    private static final long DEADLINE = END + DELAY * 2 / 3;
     private final StateMachine state = new StateMachine();
     private final TrafficCollector collector = new TrafficCollector();
     private final UsageCloser closer = new UsageCloser(new UsageSchedule(WINDOW, DELAY), collector);
@@ -30,7 +33,7 @@
     private Optional<Long> token = Optional.of(4L);
 
     @BeforeEach
-    void ownTheRoleAndHaveClosedWindow99() {
+    void ownTheRoleAndCloseWindow99() {
         state.apply(1, List.of(new Entry("p/access", 1, List.of(new Value.AccessControl(true)))));
         closeInState(99);
         next(END - 4 * SECOND);
@@ -80,13 +83,13 @@
         addGateway("g2");
         report("g1", 1, 1, END, counts(100, true, 10));
         report("g2", 1, 1, END, counts(100, false, 4));
-        assertThat("one is still counting", next(END + SECOND), is(Optional.empty()));
+        assertThat("one gateway is still counting", next(END + SECOND), is(Optional.empty()));
         report("g2", 1, 2, END + SECOND, counts(100, true, 5));
         assertThat(next(END + SECOND), is(closed(100, 15)));
     }
 
     @Test
-    void reportsThatComeTwiceOrInAnotherOrderChangeNothing() {
+    void duplicateAndReorderedReportsHaveNoEffect() {
         addGateway("g1");
         report("g1", 1, 2, END, counts(100, true, 10));
         report("g1", 1, 2, END, counts(100, true, 10));
@@ -95,21 +98,21 @@
     }
 
     @Test
-    void whatAnEarlierStartOfAGatewayCountedAddsUpAndIsNotWaitedFor() {
+    void theCountsOfAnEarlierIncarnationAreAddedAndNotWaitedFor() {
         addGateway("g1");
         report("g1", 1, 9, END - 2 * SECOND, counts(100, false, 10));
-        assertThat("it may only be cut off", next(END + SECOND), is(Optional.empty()));
+        assertThat("the gateway may only be partitioned", next(END + SECOND), is(Optional.empty()));
         report("g1", 2, 1, END + SECOND, counts(101, false, 1));
         assertThat(next(END + SECOND), is(closed(100, 10)));
     }
 
     @Test
-    void aGatewayThatWasHeardLatelyIsWaitedForUntilTheLimitThoughItCountsAsDead() {
+    void aGatewayThatReportedRecentlyIsWaitedForUntilTheDeadlineEvenIfItIsDead() {
         addGateway("g1");
         report("g1", 1, 1, END, counts(100, true, 10));
         report("lost", 1, 1, END - SECOND, counts(100, false, 3));
-        assertThat(next(LIMIT - 1), is(Optional.empty()));
-        assertThat(next(LIMIT), is(closed(100, 13)));
+        assertThat(next(DEADLINE - 1), is(Optional.empty()));
+        assertThat(next(DEADLINE), is(closed(100, 13)));
     }
 
     @Test
@@ -123,15 +126,15 @@
     }
 
     @Test
-    void aNewOwnerGivesGatewaysTimeToReportBeforeItClosesWithoutThem() {
+    void aNewOwnerGivesGatewaysTimeToReportBeforeItClosesAWindow() {
         addGateway("g1");
         token = Optional.empty();
-        next(LIMIT - SECOND);
+        next(DEADLINE - SECOND);
         token = Optional.of(5L);
-        assertThat(next(LIMIT), is(Optional.empty()));
-        assertThat(next(LIMIT + 2 * SECOND), is(Optional.empty()));
-        report("g1", 1, 1, LIMIT + 2 * SECOND, counts(100, true, 10));
-        assertThat(next(LIMIT + 2 * SECOND), is(closed(100, 10)));
+        assertThat(next(DEADLINE), is(Optional.empty()));
+        assertThat(next(DEADLINE + 2 * SECOND), is(Optional.empty()));
+        report("g1", 1, 1, DEADLINE + 2 * SECOND, counts(100, true, 10));
+        assertThat(next(DEADLINE + 2 * SECOND), is(closed(100, 10)));
     }
 
     @Test
@@ -143,28 +146,28 @@
     }
 
     @Test
-    void theCommandIsSentAgainUntilTheWindowIsClosed() {
+    void theCommandIsRepeatedUntilTheWindowIsClosed() {
         addGateway("g1");
         report("g1", 1, 1, END, counts(100, true, 10));
         assertThat(next(END + SECOND), is(closed(100, 10)));
-        assertThat("under way", next(END + SECOND + SECOND / 4), is(Optional.empty()));
+        assertThat("in flight", next(END + SECOND + SECOND / 4), is(Optional.empty()));
         assertThat(next(END + SECOND + SECOND / 2), is(closed(100, 10)));
         closeInState(100);
         assertThat(next(END + 3 * SECOND), is(Optional.empty()));
     }
 
     @Test
-    void windowsWithoutAnOwnerAreClosedLateInTheirOrder() {
+    void windowsThatEndedWithoutAnOwnerAreClosedLaterInOrder() {
         addGateway("g1");
         final long late = END + 4 * WINDOW;
         report("g1", 1, 1, late, counts(100, true, 10), counts(102, true, 12), counts(105, false, 0));
         assertThat(next(late), is(closed(100, 10)));
         closeInState(100);
-        assertThat("nothing is known of 101, and it is overdue", next(late), is(closed(102, 12)));
+        assertThat("window 101 was not reported and is overdue", next(late), is(closed(102, 12)));
     }
 
     @Test
-    void aWindowWithoutRequestsIsClosedEmptyWhereThereAreTenants() {
+    void aWindowWithoutRequestsIsClosedEmptyIfThereAreTenants() {
         addGateway("g1");
         report("g1", 1, 1, END + SECOND, new TrafficMessage.WindowCounts(101, false, List.of()));
         assertThat(next(END + SECOND), is(Optional.of(new Value.UsageWindow(100, List.of()))));
@@ -173,13 +176,15 @@
     }
 
     @Test
-    void closedWindowsAreAcknowledgedToWhoeverStillReportsThem() {
+    void closedWindowsAreAcknowledgedToGatewaysThatStillReportThem() {
         report("g1", 1, 1, END, counts(100, true, 10));
         assertThat(collector.removeClosed(99, END).size(), is(0));
         assertThat(collector.removeClosed(100, END).size(), is(1));
         assertThat(collector.counts(100).isEmpty(), is(true));
         report("g1", 1, 2, END + SECOND, counts(100, true, 10));
         assertThat(
-                "the first was lost", collector.removeClosed(100, END + SECOND).size(), is(1));
+                "the first acknowledgement was lost",
+                collector.removeClosed(100, END + SECOND).size(),
+                is(1));
     }
 }
--- a/core/src/test/java/silverlatch/traffic/UsageCounterTest.java
+++ b/core/src/test/java/silverlatch/traffic/UsageCounterTest.java
@@ -11,7 +11,7 @@
 import silverlatch.state.Value;
 import silverlatch.wire.TrafficMessage;
 
-/** The counter of a process whose monotonic clock is 0 where window 1000 begins. */
+/** The counts by window. The monotonic clock of the process is 0 at the beginning of window 1000. */
 final class UsageCounterTest {
     private static final long WINDOW = 5_000_000;
     private static final long START = 1_000 * WINDOW;
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void requestsCountInTheWindowInWhichTheyBeginToRun() {
+    void requestsAreCountedInTheWindowInWhichTheyBeginToRun() {
         counter.count("acme", 0);
         counter.count("acme", WINDOW - 1);
         counter.count("zeta", WINDOW - 1);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aWindowIsCompleteOnlyOnceTheLoopThatCountsMustHaveCaughtUp() {
+    void aWindowIsCompleteOnlyAfterTheSlackForTheCountingLoop() {
         counter.windows(0);
         final long complete = WINDOW + UsageCounter.COMPLETION_SLACK_MICROS;
         assertThat(counter.windows(complete - 1).get(0).isComplete(), is(false));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void windowsAreKeptUntilTheyAreClosedButOnlySoMany() {
+    void windowsAreKeptUntilTheyAreClosedUpToAMaximum() {
         counter.count("acme", 0);
         counter.remove(List.of(999L));
         assertThat(counter.windows(0), hasSize(1));
@@ -53,11 +53,11 @@
         assertThat(counter.hasCounts(), is(false));
         counter.count("acme", 0);
         assertThat(counter.windows(1_000 * WINDOW), hasSize(UsageCounter.MAX_WINDOWS));
-        assertThat("given up", counter.hasCounts(), is(false));
+        assertThat("the oldest window was dropped", counter.hasCounts(), is(false));
     }
 
     @Test
-    void whatAClockThatWasAheadHasCountedGoesToThePresentWindow() {
+    void countsOfAClockThatWasAheadAreMovedToTheCurrentWindow() {
         counter.count("acme", 100 * WINDOW);
         clock = clock.shiftedBy(-100 * WINDOW);
         assertThat(counter.windows(100 * WINDOW), contains(counts(1_000, false, new Value.TenantCount("acme", 1))));
--- a/core/src/test/java/silverlatch/traffic/UsageOutboxTest.java
+++ b/core/src/test/java/silverlatch/traffic/UsageOutboxTest.java
@@ -12,6 +12,10 @@
 import silverlatch.state.StateMachine;
 import silverlatch.state.Value;
 
+/**
+ * Guards against windows that are never reported to the provider, and against a new owner that reports old windows
+ * again.
+ */
 final class UsageOutboxTest {
     private static final Optional<Long> TOKEN = Optional.of(4L);
     private final StateMachine state = new StateMachine();
@@ -35,9 +39,9 @@
     }
 
     @Test
-    void closedWindowsAreReportedOnceInTheirOrder() {
+    void closedWindowsAreReportedOnceAndInOrder() {
         assertThat(next(outbox), is(Optional.of(10L)));
-        assertThat("the outcome isn't known", next(outbox), is(Optional.of(10L)));
+        assertThat("the outcome isn't known yet", next(outbox), is(Optional.of(10L)));
         outbox.onReported(10);
         outbox.onReported(11);
         assertThat(next(outbox), is(Optional.of(12L)));
@@ -46,20 +50,20 @@
     }
 
     @Test
-    void aSuccessorRepeatsOnlyWhatIsNotMarked() {
+    void aNewOwnerRepeatsOnlyWindowsThatAreNotMarked() {
         commitMark(11);
         assertThat(next(new UsageOutbox()), is(Optional.of(12L)));
     }
 
     @Test
-    void theMarkIsSentUntilItIsCommitted() {
+    void theMarkCommandIsRepeatedUntilItIsCommitted() {
         assertThat(outbox.nextMarkCommand(state, TOKEN, 0), is(Optional.empty()));
         outbox.onReported(10);
         assertThat(outbox.nextMarkCommand(state, Optional.empty(), 0), is(Optional.empty()));
         assertThat(
                 outbox.nextMarkCommand(state, TOKEN, 0),
                 is(Optional.of(new Command.MarkUsageReported("usage-reported-10", 4, 10))));
-        assertThat("under way", outbox.nextMarkCommand(state, TOKEN, 400_000), is(Optional.empty()));
+        assertThat("in flight", outbox.nextMarkCommand(state, TOKEN, 400_000), is(Optional.empty()));
         assertThat(outbox.nextMarkCommand(state, TOKEN, 500_000).isPresent(), is(true));
         commitMark(10);
         assertThat(outbox.nextMarkCommand(state, TOKEN, 1_000_000), is(Optional.empty()));
