--- a/core/src/main/java/silverlatch/routing/Authenticator.java
+++ b/core/src/main/java/silverlatch/routing/Authenticator.java
@@ -10,8 +10,9 @@
  *
  * <p>A key is accepted by the configuration in force at this gateway, and only while the {@link RevocationLease} is
  * valid. An unknown key is rejected as unauthorized only if this configuration was recently confirmed as the newest,
- * since a newer one may contain the key. If neither holds, the client is told to retry later. This also applies on
- * public routes, as the worker would otherwise get the wrong tenant; a request without a key is always served there.
+ * since a newer one may contain the key. If the key can be neither accepted nor rejected, the client is told to retry
+ * later. This also applies on public routes, as the worker would otherwise get the wrong tenant; a request without a key
+ * is always served there.
  *
  * <p>A request is checked once, when it arrives, and this suffices for all of its attempts. Proof: let the
  * configuration in force here have been the newest one at time {@code c}. A configuration that revokes one of its keys
--- a/core/src/main/java/silverlatch/routing/LatencyPredictor.java
+++ b/core/src/main/java/silverlatch/routing/LatencyPredictor.java
@@ -109,9 +109,9 @@
     }
 
     private static long crossZoneMicros(final WorkerState worker, final Member gateway) {
-        final boolean isNear =
+        final boolean isRemoteOrSameZone =
                 isRemote(worker, gateway) || worker.worker().zone().equals(gateway.zone());
-        return isNear ? 0 : CROSS_ZONE_MICROS;
+        return isRemoteOrSameZone ? 0 : CROSS_ZONE_MICROS;
     }
 
     /**
--- a/core/src/main/java/silverlatch/routing/RoutedRequest.java
+++ b/core/src/main/java/silverlatch/routing/RoutedRequest.java
@@ -8,7 +8,7 @@
  * @param callId            the id of the client's HTTP call at this gateway
  * @param host              the host that the request names, with or without a port
  * @param path              the path of the request
- * @param requestId         the id that the client gave to this attempt of its own
+ * @param requestId         the id that the client assigned to this attempt
  * @param timeout           how long the client waits, in microseconds
  * @param promptParts       the parts of the prompt in order; the last is specific to this prompt, the others may be
  *                          shared with other prompts
--- a/core/src/main/java/silverlatch/routing/Router.java
+++ b/core/src/main/java/silverlatch/routing/Router.java
@@ -17,12 +17,11 @@
 
 /**
  * Routes requests to workers by host and path, and decides whether to retry when an attempt fails. It does no input or
- * output: events are passed in as method calls, and {@link #drainEffects()} returns the {@link RoutingEffect effects}
- * to apply.
+ * output: events are method calls, and {@link #drainEffects()} returns the {@link RoutingEffect effects} to apply.
  *
  * <p>Not thread-safe: confined to one event loop. Times are monotonic clock readings in microseconds. A call id
- * identifies a client's HTTP call at this gateway; an attempt id identifies one attempt at a worker. Events of an
- * attempt that has ended are ignored.
+ * identifies a client's call at this gateway, an attempt id one attempt at a worker. Events of attempts that have ended
+ * are ignored.
  */
 public final class Router {
     private static final long SECOND = 1_000_000L;
@@ -55,11 +54,9 @@
      * @param maxOpenRequests    how many requests may be open at once
      * @param retryRatio         the fraction of the requests that may be retried
      * @param maxReportAge       the age in microseconds beyond which a worker's report is ignored
-     * @param prefixLifetime     for how long after its last use a part of a prompt counts as cached at a worker, in
-     *                           microseconds
+     * @param prefixLifetime     how long a part of a prompt counts as cached after its last use, in microseconds
      * @param policies           the enabled routing policies
-     * @param revocationDeadline how long after a configuration that revokes a key was acknowledged the key may still be
-     *                           accepted, in microseconds; 0 for no limit
+     * @param revocationDeadline how long a key may be accepted after its revocation was acknowledged, in microseconds; 0 for no limit
      */
     public record Settings(
             int maxOpenRequests,
@@ -74,10 +71,7 @@
         /** The default settings. */
         public static final Settings DEFAULT = new Settings(2_048, 0.1, Long.MAX_VALUE);
 
-        /**
-         * Creates settings with all policies enabled, the default prefix lifetime and no limit on the acceptance of
-         * revoked keys.
-         */
+        /** Creates settings with all policies enabled, the default prefix lifetime and no revocation deadline. */
         public Settings(final int maxOpenRequests, final double retryRatio, final long maxReportAge) {
             this(maxOpenRequests, retryRatio, maxReportAge, DEFAULT_PREFIX_LIFETIME, RoutingPolicies.ALL, 0);
         }
@@ -107,11 +101,7 @@
      */
     public record ReportedLoad(int running, int waiting, int slots) {}
 
-    /**
-     * Creates a router without requests.
-     *
-     * @param timestamps returns a new timestamp of the cluster's clock for a local event
-     */
+    /** Creates a router without requests; the supplier returns a new timestamp of the cluster's clock. */
     public Router(
             final Settings settings,
             final ClusterSnapshot cluster,
@@ -239,11 +229,7 @@
         sender.send(open, cluster.revision(), now);
     }
 
-    /**
-     * Handles the head of a worker's response, which is forwarded to the client.
-     *
-     * @param load the load that the worker reported with it
-     */
+    /** Handles the head of a worker's response, which is forwarded to the client, and the load reported with it. */
     public void responseStarted(final long attemptId, final Optional<ReportedLoad> load, final long now) {
         requests.byAttempt(attemptId).ifPresent(open -> {
             recordResponse(open, load, now);
@@ -265,12 +251,7 @@
         });
     }
 
-    /**
-     * Handles a complete error response of a worker, which was not forwarded yet: retries the request or forwards the
-     * response.
-     *
-     * @param load the load that the worker reported with it
-     */
+    /** Handles a complete error response that was not forwarded yet: retries the request or forwards the response. */
     public void errorResponse(
             final long attemptId, final int statusCode, final Optional<ReportedLoad> load, final long now) {
         requests.byAttempt(attemptId).ifPresent(open -> {
@@ -300,11 +281,7 @@
         return !selector.candidates(open, now).isEmpty() && retryBudget.tryAcquire(now);
     }
 
-    /**
-     * Handles the end of a response that was forwarded completely.
-     *
-     * @param succeeded whether the response was a success
-     */
+    /** Handles the end of a response that was forwarded completely; it may be a success or an error. */
     public void responseCompleted(final long attemptId, final boolean succeeded, final long now) {
         requests.byAttempt(attemptId).ifPresent(open -> {
             final String state = succeeded ? "done" : "passed";
@@ -323,10 +300,7 @@
     private void attemptFailed(final OpenRequest open, final FailurePoint point, final long now) {
         output.count("broke_" + point.name().toLowerCase(Locale.ROOT));
         output.traces().recordState(open.request().requestId(), "broke", point + " at " + open.worker());
-        output.log(
-                Event.RUN_BROKE,
-                open.worker() + ": attempt failed, " + point + ", " + (now - open.arrivedAt()) / 1000
-                        + " ms after the request arrived");
+        output.log(Event.RUN_BROKE, open.worker() + ": " + point + " after " + (now - open.arrivedAt()) / 1000 + " ms");
         recordFailure(open, point, now);
         final List<Candidate> others =
                 RetryPolicy.allowsAfterFailure(open, point, now) ? selector.candidates(open, now) : List.of();
@@ -366,10 +340,7 @@
         });
     }
 
-    /**
-     * Makes no further attempt for a request, as its client has disconnected. The attempt in flight continues, since a
-     * request that can't be repeated must not be interrupted.
-     */
+    /** Makes no further attempt for a request whose client has disconnected; one in flight that can't be repeated continues. */
     public void stopRetrying(final long callId) {
         requests.byCall(callId).ifPresent(OpenRequest::markClientDisconnected);
     }
--- a/core/src/main/java/silverlatch/scaling/Load.java
+++ b/core/src/main/java/silverlatch/scaling/Load.java
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Returns how many workers, as a fraction, can serve this load if each uses the given part of its slots and of its
+     * Returns the fractional number of workers that can serve this load if each uses the given part of its slots and of its
      * cache. The cache is ignored if the pool doesn't specify its size.
      */
     double workers(final Value.BackendPool pool, final double utilization) {
--- a/core/src/main/java/silverlatch/scaling/LoadMap.java
+++ b/core/src/main/java/silverlatch/scaling/LoadMap.java
@@ -37,8 +37,8 @@
         if (regionByZone.containsKey(gateway.zone())) {
             return List.of(gateway.zone());
         }
-        final List<String> near = zonesIn(gateway.region());
-        return near.isEmpty() ? List.copyOf(regionByZone.keySet()) : near;
+        final List<String> zonesOfRegion = zonesIn(gateway.region());
+        return zonesOfRegion.isEmpty() ? List.copyOf(regionByZone.keySet()) : zonesOfRegion;
     }
 
     private void distribute(final Load load, final List<String> zones) {
--- a/core/src/main/java/silverlatch/scaling/PoolDecision.java
+++ b/core/src/main/java/silverlatch/scaling/PoolDecision.java
@@ -106,7 +106,7 @@
                 previous.isObserved() || demandSince != ScalingState.NEVER && now - demandSince >= OBSERVATION_MICROS;
         final boolean hasLoss = usableZones.size() < regionByZone.size();
         final long lossSince = sinceIf(hasLoss, previous.lossSince());
-        final boolean isLossNew = hasLoss && now - lossSince < LOSS_HOLD_MICROS;
+        final boolean isLossRecent = hasLoss && now - lossSince < LOSS_HOLD_MICROS;
         final Map<String, ArrivalTrend> trends = trends(isObserved);
         final long horizon = bounds.bootMicros() + REACTION_MICROS;
         final LoadMap projected = new LoadMap(
@@ -114,24 +114,24 @@
                 observation.demand(),
                 region -> trends.get(region).growth(horizon),
                 usableZones);
-        final boolean mayLower = demandSince != ScalingState.NEVER && !isLossNew;
+        final boolean mayLower = demandSince != ScalingState.NEVER && !isLossRecent;
         final Map<String, ZoneState> zones = new HashMap<>();
         regionByZone.forEach((zone, region) -> {
             final ZoneState state =
                     Optional.ofNullable(previous.zones().get(zone)).orElseGet(() -> ZoneState.in(region));
             final boolean hasGateways = observation.demand().stream()
                     .anyMatch(gateway -> gateway.zone().equals(zone));
-            final boolean mayLowerHere = mayLower && (hasGateways || !state.hasGateways());
+            final boolean mayLowerZone = mayLower && (hasGateways || !state.hasGateways());
             zones.put(
                     zone,
                     decideZone(
                             zone,
                             state.withGateways(hasGateways),
-                            isLossNew
+                            isLossRecent
                                     ? projected.ofZone(zone)
                                     : projected.ofZone(zone).plus(projected.addedByWorstLoss(zone)),
                             isObserved,
-                            mayLowerHere));
+                            mayLowerZone));
         });
         return new PoolState(demandSince, isObserved, lossSince, zones, trends);
     }
