--- a/core/src/main/java/silverlatch/routing/Reachability.java
+++ b/core/src/main/java/silverlatch/routing/Reachability.java
@@ -3,9 +3,10 @@
 import java.util.Collection;
 
 /**
- * Whether a region's workers are heard from here. Where requests wait there past what was predicted and none of its workers
- * has sent anything since, or where a connection there fails, the region counts as unreachable until a worker there answers
- * or the backoff is over. Owned by the routing event loop; times in microseconds.
+ * Tracks whether the workers of a region can be reached from this gateway. The region counts as unreachable when the
+ * first event of a request there is overdue and none of its workers has responded since the request was sent, or when
+ * connecting to one of its workers fails. It counts as reachable again when a worker there responds or the backoff has
+ * elapsed. Confined to the routing event loop; times are microseconds.
  */
 final class Reachability {
     private static final long SLACK_MICROS = 200_000L;
@@ -14,7 +15,7 @@
     private static final int MAX_DOUBLINGS = 4;
     private static final long NEVER = Long.MIN_VALUE / 2;
     private final String region;
-    private long lastHeardAt = NEVER;
+    private long lastResponseAt = NEVER;
     private long unreachableUntil = NEVER;
     private int connectFailures;
 
@@ -22,23 +23,30 @@
         this.region = region;
     }
 
-    /** A worker there answered. */
-    void heard(final long now) {
-        lastHeardAt = now;
+    /** Records that a worker of the region responded. */
+    void recordResponse(final long now) {
+        lastResponseAt = now;
         connectFailures = 0;
         unreachableUntil = NEVER;
     }
 
-    /** A connection there could not be made; each time in a row the region counts as unreachable for twice as long. */
-    void connectFailed(final long now) {
-        if (now - lastHeardAt > SLACK_MICROS) {
+    /**
+     * Records that connecting to a worker of the region failed; ignored shortly after a response. The backoff doubles
+     * with each consecutive failure.
+     */
+    void recordConnectFailure(final long now) {
+        if (now - lastResponseAt > SLACK_MICROS) {
             final long backoff = INITIAL_BACKOFF_MICROS << Math.min(MAX_DOUBLINGS, connectFailures);
             unreachableUntil = now + Math.min(MAX_BACKOFF_MICROS, backoff);
             connectFailures++;
         }
     }
 
-    /** Whether the region counts as unreachable, given all workers that are known. */
+    /**
+     * Returns whether the region counts as unreachable.
+     *
+     * @param workers all known workers
+     */
     boolean isUnreachable(final Collection<WorkerState> workers, final long now) {
         return now < unreachableUntil
                 || workers.stream()
@@ -50,7 +58,7 @@
     private boolean isOverdue(final WorkerState.Attempt attempt, final long now) {
         final long predicted = attempt.predictedLatency();
         return !attempt.firstEventSeen()
-                && attempt.startedAt() > lastHeardAt
+                && attempt.startedAt() > lastResponseAt
                 && now - attempt.startedAt() > predicted + predicted / 2 + SLACK_MICROS;
     }
 }
--- a/core/src/main/java/silverlatch/traffic/TrafficCollector.java
+++ b/core/src/main/java/silverlatch/traffic/TrafficCollector.java
@@ -15,26 +15,29 @@
 import silverlatch.wire.TrafficMessage;
 
 /**
- * The newest report of each start of each gateway. Every controller takes reports; they matter at the one that owns the singleton
- * role. Owned by the node's event loop; times are microseconds of the monotonic clock.
+ * Keeps the newest report of each incarnation of each gateway. Every controller receives reports; only the owner of the
+ * singleton role uses them. Confined to the node's event loop; times are microseconds of the monotonic clock.
  */
 public final class TrafficCollector {
-    /** For so long a gateway that isn't heard any more is remembered. */
+    /** For how long the newest report of a gateway is kept after it was received. */
     private static final long RETENTION_MICROS = 60_000_000L;
 
-    /** What clients ask is known for so long after a report. */
+    /** For how long the demand in a report counts after the report was received. */
     private static final long DEMAND_LIFETIME_MICROS = 6_000_000L;
 
-    private final Map<String, Map<Long, Received>> reports = new HashMap<>();
+    private final Map<String, Map<Long, ReceivedReport>> reports = new HashMap<>();
     private long removedUpTo = -1;
     private boolean hasNewReports;
 
-    private record Received(TrafficMessage.TrafficReport report, String address, long heardAt) {
-        boolean holds(final long window) {
+    private record ReceivedReport(TrafficMessage.TrafficReport report, String address, long receivedAt) {
+        boolean containsWindow(final long window) {
             return report.windows().stream().anyMatch(counts -> counts.window() == window);
         }
 
-        /** Whether nothing more is counted in a window: it is complete, or later ones alone aren't closed there. */
+        /**
+         * Returns whether the gateway counts nothing more in a window: the window is reported as complete, or the
+         * report contains later windows only, so that this one is closed already.
+         */
         boolean isComplete(final long window) {
             return report.windows().stream()
                     .anyMatch(counts -> counts.window() == window ? counts.isComplete() : counts.window() > window);
@@ -48,30 +51,36 @@
             return new Effect.Send(address, new TrafficMessage.TrafficReportAck(report.incarnation(), closed));
         }
 
-        Received withoutClosed(final long newestClosed) {
+        ReceivedReport withoutClosed(final long newestClosed) {
             final List<TrafficMessage.WindowCounts> open = report.windows().stream()
                     .filter(counts -> counts.window() > newestClosed)
                     .toList();
-            return new Received(
+            return new ReceivedReport(
                     new TrafficMessage.TrafficReport(
                             report.gateway(), report.incarnation(), report.sequence(), open, report.demand()),
                     address,
-                    heardAt);
+                    receivedAt);
         }
     }
 
-    /** Takes a report that came from an address; one that is older than the newest of its incarnation changes nothing. */
+    /**
+     * Stores a report received from an address. Has no effect if a newer report of the same incarnation was received
+     * before.
+     */
     public void onReport(final TrafficMessage.TrafficReport report, final String address, final long now) {
         hasNewReports = true;
         reports.computeIfAbsent(report.gateway(), name -> new HashMap<>())
                 .merge(
                         report.incarnation(),
-                        new Received(report, address, now),
+                        new ReceivedReport(report, address, now),
                         (before, next) ->
                                 next.report().sequence() > before.report().sequence() ? next : before);
     }
 
-    /** Forgets what is closed and who is long gone; returns the acknowledgements for gateways that still hold closed windows. */
+    /**
+     * Removes closed windows and the gateways that haven't reported for long. Returns the acknowledgements for the
+     * gateways that still reported closed windows.
+     */
     public List<Effect> removeClosed(final long newestClosed, final long now) {
         if (newestClosed == removedUpTo && !hasNewReports) {
             return List.of();
@@ -79,60 +88,66 @@
         removedUpTo = newestClosed;
         hasNewReports = false;
         final List<Effect> acknowledgements = new ArrayList<>();
-        for (final Map<Long, Received> incarnations : reports.values()) {
+        for (final Map<Long, ReceivedReport> incarnations : reports.values()) {
             incarnations.replaceAll((incarnation, received) -> {
-                final Received open = received.withoutClosed(newestClosed);
+                final ReceivedReport open = received.withoutClosed(newestClosed);
                 if (open.report().windows().size() < received.report().windows().size()) {
                     acknowledgements.add(received.acknowledgement(newestClosed));
                 }
                 return open;
             });
-            final Received newest = newest(incarnations);
+            final ReceivedReport newest = newest(incarnations);
             incarnations
                     .values()
                     .removeIf(received -> received != newest
                             ? received.report().windows().isEmpty()
-                            : now - received.heardAt() > RETENTION_MICROS);
+                            : now - received.receivedAt() > RETENTION_MICROS);
         }
         reports.values().removeIf(Map::isEmpty);
         return acknowledgements;
     }
 
-    /** Whether any gateway has reported a window that isn't closed. */
+    /** Returns whether any gateway has reported a window that isn't closed. */
     boolean hasReports(final long window) {
-        return all().anyMatch(received -> received.holds(window));
+        return allReports().anyMatch(received -> received.containsWindow(window));
     }
 
-    /** The requests of a window by tenant, as all gateways have reported them. */
+    /** Returns the requests of a window by tenant, summed over the reports of all gateways. */
     Map<String, Long> counts(final long window) {
         final Map<String, Long> sums = new HashMap<>();
-        all().flatMap(received -> received.report().windows().stream())
+        allReports()
+                .flatMap(received -> received.report().windows().stream())
                 .filter(counts -> counts.window() == window)
                 .flatMap(counts -> counts.counts().stream())
                 .forEach(count -> sums.merge(count.tenant(), count.requests(), Long::sum));
         return sums;
     }
 
-    /** Whether a gateway has reported all that it counts in a window; one that was never heard hasn't. */
+    /** Returns whether a gateway has reported the final counts of a window. False for a gateway that never reported. */
     boolean isComplete(final String gateway, final long window) {
         return Optional.ofNullable(reports.get(gateway))
                 .filter(incarnations -> newest(incarnations).isComplete(window))
                 .isPresent();
     }
 
-    /** The gateways that were heard within the last so many microseconds. */
-    Set<String> heardWithin(final long micros, final long now) {
-        final Set<String> heard = new HashSet<>();
-        all().filter(received -> now - received.heardAt() <= micros)
-                .forEach(received -> heard.add(received.report().gateway()));
-        return heard;
+    /** Returns the names of the gateways that reported within the given number of microseconds before now. */
+    Set<String> gatewaysReportedWithin(final long micros, final long now) {
+        final Set<String> gateways = new HashSet<>();
+        allReports()
+                .filter(received -> now - received.receivedAt() <= micros)
+                .forEach(received -> gateways.add(received.report().gateway()));
+        return gateways;
     }
 
-    /** What the clients of each gateway ask, as far as it was heard lately; gateways that aren't members are left out. */
+    /**
+     * Returns the demand of each gateway that reported it recently. Gateways that aren't members are omitted.
+     *
+     * @param member finds a member by its name
+     */
     public List<GatewayDemand> demand(final Function<String, Optional<Member>> member, final long now) {
         return reports.values().stream()
                 .map(TrafficCollector::newest)
-                .filter(received -> now - received.heardAt() <= DEMAND_LIFETIME_MICROS)
+                .filter(received -> now - received.receivedAt() <= DEMAND_LIFETIME_MICROS)
                 .flatMap(received -> member
                         .apply(received.report().gateway())
                         .map(gateway -> new GatewayDemand(
@@ -143,14 +158,17 @@
                 .toList();
     }
 
-    private Stream<Received> all() {
+    private Stream<ReceivedReport> allReports() {
         return reports.values().stream().flatMap(incarnations -> incarnations.values().stream());
     }
 
-    /** What the gateway's present process has reported; numbers of incarnations may fall where a clock was set back. */
-    private static Received newest(final Map<Long, Received> incarnations) {
+    /**
+     * Returns the report that was received last, which is that of the gateway's current process. Incarnation numbers
+     * can't tell this, as they may decrease when a clock is set back.
+     */
+    private static ReceivedReport newest(final Map<Long, ReceivedReport> incarnations) {
         return incarnations.values().stream()
-                .max(Comparator.comparingLong(Received::heardAt))
+                .max(Comparator.comparingLong(ReceivedReport::receivedAt))
                 .orElseThrow();
     }
 }
--- a/core/src/main/java/silverlatch/traffic/TrafficReporter.java
+++ b/core/src/main/java/silverlatch/traffic/TrafficReporter.java
@@ -6,20 +6,24 @@
 import silverlatch.wire.TrafficMessage;
 
 /**
- * Decides when a gateway tells the owner of the singleton role what it serves. A report holds every window that isn't closed, so one that
- * is lost is made good by the next, and a new owner knows all after one. Owned by the node's event loop; times are microseconds of
- * the monotonic clock.
+ * Decides when a gateway reports its traffic to the owner of the singleton role. Each report contains all windows that
+ * aren't closed, so a lost report is made up for by the next, and a new owner has all data after a single report.
+ * Confined to the node's event loop; times are microseconds of the monotonic clock.
  *
- * <p>Reports are made when a window has just become complete, to a new owner at once, once a second where something changed, and once in a
- * while anyway. The more windows wait to be closed, the longer the pauses, so that the traffic stays the same.
+ * <p>A report is sent immediately when a window has become complete or when the owner has changed, once a second while
+ * the data changes, and at a longer interval otherwise. The more windows wait to be closed, the longer the intervals
+ * are, so that the network traffic stays the same.
  */
 public final class TrafficReporter {
-    private static final long LOOK_INTERVAL_MICROS = 200_000L;
+    private static final long CHECK_INTERVAL_MICROS = 200_000L;
     private static final long REPORT_INTERVAL_MICROS = 1_000_000L;
     private static final long IDLE_INTERVAL_MICROS = 4_000_000L;
 
-    /** So many windows may be in a report before reports become rarer: the present one, and two that are about to be closed. */
-    private static final int USUAL_WINDOWS = 3;
+    /**
+     * The number of windows in a report above which reports become less frequent: the current window, and two that are
+     * about to be closed.
+     */
+    private static final int TYPICAL_WINDOWS = 3;
 
     private final String gateway;
     private final long incarnation;
@@ -27,17 +31,17 @@
     private final Supplier<List<TrafficMessage.PoolDemand>> demand;
     private String owner = "";
     private long sequence;
-    private long lookedAt;
+    private long checkedAt;
     private long reportedAt;
-    private TrafficMessage.TrafficReport last;
+    private TrafficMessage.TrafficReport lastReport;
 
     /**
-     * A reporter that has reported nothing.
+     * Creates a reporter that has sent no report.
      *
      * @param gateway     the gateway's name
-     * @param incarnation which start of the gateway's process this is; it stays the same where the node rejoins
-     * @param counter     what has been counted, where usage is reported
-     * @param demand      what clients ask of each pool now; called on the node's event loop
+     * @param incarnation the incarnation of the gateway's process; it doesn't change when the node rejoins the cluster
+     * @param counter     the counter of usage, if usage is reported
+     * @param demand      returns the current demand for each pool; called on the node's event loop
      */
     public TrafficReporter(
             final String gateway,
@@ -48,21 +52,21 @@
         this.incarnation = incarnation;
         this.counter = counter;
         this.demand = demand;
-        this.last = new TrafficMessage.TrafficReport(gateway, incarnation, 0, List.of(), List.of());
+        this.lastReport = new TrafficMessage.TrafficReport(gateway, incarnation, 0, List.of(), List.of());
     }
 
     /**
-     * The report that is due, if one is.
+     * Returns the report to send now, if one is due.
      *
-     * @param ownerAddress where the singleton role's owner takes messages
+     * @param ownerAddress the address at which the owner of the singleton role receives messages
      * @param hasTenants   whether the configuration in force has tenants, so that their usage is counted
      */
     public Optional<TrafficMessage.TrafficReport> tick(
             final String ownerAddress, final boolean hasTenants, final long now) {
-        if (now - lookedAt < LOOK_INTERVAL_MICROS) {
+        if (now - checkedAt < CHECK_INTERVAL_MICROS) {
             return Optional.empty();
         }
-        lookedAt = now;
+        checkedAt = now;
         final TrafficMessage.TrafficReport next = next(hasTenants, now);
         if (next.windows().isEmpty() && next.demand().isEmpty()) {
             return Optional.empty();
@@ -75,13 +79,13 @@
         return Optional.of(record(next, now));
     }
 
-    /** The last report of a gateway that stops; empty where there is nothing to be said. */
-    public Optional<TrafficMessage.TrafficReport> finish(final boolean hasTenants, final long now) {
+    /** Returns the last report of a gateway that is stopping; empty if it has no windows to report. */
+    public Optional<TrafficMessage.TrafficReport> finalReport(final boolean hasTenants, final long now) {
         final TrafficMessage.TrafficReport next = next(hasTenants, now);
         return next.windows().isEmpty() ? Optional.empty() : Optional.of(record(next, now));
     }
 
-    /** Takes an acknowledgement of the owner. */
+    /** Handles an acknowledgement by the owner: removes the windows that are closed. */
     public void onAck(final TrafficMessage.TrafficReportAck ack) {
         if (ack.incarnation() == incarnation) {
             counter.ifPresent(usage -> usage.remove(ack.closedWindows()));
@@ -98,22 +102,22 @@
     private TrafficMessage.TrafficReport record(final TrafficMessage.TrafficReport next, final long now) {
         sequence = next.sequence();
         reportedAt = now;
-        last = next;
+        lastReport = next;
         return next;
     }
 
     private boolean hasNewComplete(final TrafficMessage.TrafficReport next) {
         return next.windows().stream()
                 .filter(TrafficMessage.WindowCounts::isComplete)
-                .anyMatch(window -> last.windows().stream()
+                .anyMatch(window -> lastReport.windows().stream()
                         .noneMatch(before -> before.window() == window.window() && before.isComplete()));
     }
 
     private boolean isDue(final TrafficMessage.TrafficReport next, final long now) {
         final boolean hasChanged =
-                !next.windows().equals(last.windows()) || !next.demand().equals(last.demand());
+                !next.windows().equals(lastReport.windows()) || !next.demand().equals(lastReport.demand());
         final boolean hasComplete = next.windows().stream().anyMatch(TrafficMessage.WindowCounts::isComplete);
-        final int backlogFactor = Math.max(1, next.windows().size() / USUAL_WINDOWS);
+        final int backlogFactor = Math.max(1, next.windows().size() / TYPICAL_WINDOWS);
         return now - reportedAt
                 >= (hasChanged || hasComplete ? backlogFactor * REPORT_INTERVAL_MICROS : IDLE_INTERVAL_MICROS);
     }
