--- a/core/src/main/java/silverlatch/node/Node.java
+++ b/core/src/main/java/silverlatch/node/Node.java
@@ -261,14 +261,14 @@
     /** Takes notice that the write of an {@link Effect.Persist} is synced. */
     public void onPersisted(final long token, final long now) {
         advanceTime(now);
-        chainReplica.ifPresent(replica -> replica.synced(token, now));
+        chainReplica.ifPresent(replica -> replica.onSynced(token, now));
         processEffects(now);
     }
 
     /** Takes notice that the disk of the log failed. */
     public void onDiskFailed(final String reason, final long now) {
         advanceTime(now);
-        chainReplica.ifPresent(replica -> replica.diskFailed(reason));
+        chainReplica.ifPresent(replica -> replica.onDiskFailed(reason));
         processEffects(now);
     }
 
--- a/core/src/main/java/silverlatch/replication/Bootstrap.java
+++ b/core/src/main/java/silverlatch/replication/Bootstrap.java
@@ -27,10 +27,10 @@
     private final Discovery discovery;
     private final EffectQueue effects;
     /** The empty seeds that were heard of late, by identity. */
-    private final Map<String, DiscoveredPeer> discovered = new TreeMap<>();
+    private final Map<String, DiscoveredPeer> peersById = new TreeMap<>();
 
     private final Set<String> agreedPeers = new HashSet<>();
-    private Optional<View> foundingView = Optional.empty();
+    private Optional<View> agreedView = Optional.empty();
 
     Bootstrap(
             final ReplicaSettings settings,
@@ -48,14 +48,14 @@
         if (!discovery.beginRound(ReplicaSettings.RETRY_MICROS, now)) {
             return;
         }
-        discovered.values().removeIf(peer -> now - peer.receivedAt() > DISCOVERY_EXPIRY_MICROS);
+        peersById.values().removeIf(peer -> now - peer.receivedAt() > DISCOVERY_EXPIRY_MICROS);
         discovery.sendToSeeds(new ReplicationMessage.Discover(
-                settings.self(), foundingView.isEmpty() && settings.mayBootstrap(), discoveredPeers()));
-        foundingView.filter(this::isProposer).ifPresent(this::propose);
+                settings.self(), agreedView.isEmpty() && settings.mayBootstrap(), discoveredPeers()));
+        agreedView.filter(this::isProposer).ifPresent(this::propose);
     }
 
     private List<Replica> discoveredPeers() {
-        return discovered.values().stream().map(peer -> peer.request().sender()).toList();
+        return peersById.values().stream().map(peer -> peer.request().sender()).toList();
     }
 
     private boolean isProposer(final View founding) {
@@ -75,18 +75,18 @@
             effects.send(request.sender().address(), new ReplicationMessage.ViewDecided(role.view()));
             return;
         }
-        if (!request.empty() || !mayFoundWith(request.sender())) {
+        if (!request.empty() || !mayBootstrapWith(request.sender())) {
             return;
         }
-        discovered.put(request.sender().id(), new DiscoveredPeer(request, now));
+        peersById.put(request.sender().id(), new DiscoveredPeer(request, now));
         final List<Replica> peers = discoveredPeers();
         if (isComplete(peers) && settings.isSelf(peers.get(0).id())) {
-            propose(firstView(peers));
+            propose(initialView(peers));
         }
     }
 
-    private boolean mayFoundWith(final Replica peer) {
-        return foundingView.isEmpty()
+    private boolean mayBootstrapWith(final Replica peer) {
+        return agreedView.isEmpty()
                 && settings.mayBootstrap()
                 && settings.seeds().contains(settings.self().address())
                 && settings.seeds().contains(peer.address());
@@ -98,11 +98,11 @@
         final Set<String> addresses = peers.stream().map(Replica::address).collect(Collectors.toSet());
         return peers.size() == settings.seeds().size()
                 && addresses.equals(Set.copyOf(settings.seeds()))
-                && discovered.values().stream()
+                && peersById.values().stream()
                         .allMatch(peer -> Set.copyOf(peer.request().heard()).equals(known));
     }
 
-    private View firstView(final List<Replica> peers) {
+    private View initialView(final List<Replica> peers) {
         final List<Replica> members = peers.stream()
                 .sorted(Comparator.comparingInt(peer -> settings.seeds().indexOf(peer.address())))
                 .toList();
@@ -114,25 +114,25 @@
     void handleBootstrap(final ReplicationMessage.Bootstrap request, final String sender, final long now) {
         final ReplicationMessage.BootstrapAgreed agreement =
                 new ReplicationMessage.BootstrapAgreed(request.view().fleet(), settings.self());
-        if (isFounding(request.view())) {
+        if (isAgreedView(request.view())) {
             effects.send(sender, agreement);
         } else if (isAcceptable(request.view())) {
-            foundingView = Optional.of(request.view());
+            agreedView = Optional.of(request.view());
             effects.persist(
                     List.of(new LogRecord.Founding(request.view())), now, syncedAt -> effects.send(sender, agreement));
         }
     }
 
     private boolean isAcceptable(final View founding) {
-        return foundingView.isEmpty()
+        return agreedView.isEmpty()
                 && !role.hasView()
                 && founding.isVoter(settings.self().id())
-                && founding.voters().stream().allMatch(voter -> discovered.containsKey(voter.id()));
+                && founding.voters().stream().allMatch(voter -> peersById.containsKey(voter.id()));
     }
 
     /** A seed agreed to the founding; the first view, where all have. All voters are sent it. */
     Optional<View> handleAgreed(final ReplicationMessage.BootstrapAgreed message) {
-        final Optional<View> founding = foundingView.filter(view -> view.fleet() == message.fleet());
+        final Optional<View> founding = agreedView.filter(view -> view.fleet() == message.fleet());
         founding.ifPresent(view -> agreedPeers.add(message.sender().id()));
         final Optional<View> founded =
                 founding.filter(view -> view.voters().stream().allMatch(voter -> agreedPeers.contains(voter.id())));
@@ -146,18 +146,18 @@
     }
 
     /** Whether this is the founding that this replica agreed to. */
-    boolean isFounding(final View view) {
-        return foundingView.map(view::equals).orElse(false);
+    boolean isAgreedView(final View view) {
+        return agreedView.map(view::equals).orElse(false);
     }
 
     /** A view was installed: the founding has ended. */
     void installView() {
-        foundingView = Optional.empty();
+        agreedView = Optional.empty();
     }
 
     /** Takes over an agreement while the log is read. */
     void replay(final LogRecord.Founding founding) {
-        foundingView = Optional.of(founding.view());
+        agreedView = Optional.of(founding.view());
     }
 
     private record DiscoveredPeer(ReplicationMessage.Discover request, long receivedAt) {}
--- a/core/src/main/java/silverlatch/replication/CatchUpProgress.java
+++ b/core/src/main/java/silverlatch/replication/CatchUpProgress.java
@@ -32,11 +32,11 @@
     /** A view was installed. */
     void installView(final long now) {
         target = Optional.empty();
-        restart(now);
+        restartTimer(now);
     }
 
     /** The time in which entries are fetched begins anew. */
-    void restart(final long now) {
+    void restartTimer(final long now) {
         startedAt = now;
     }
 
@@ -59,7 +59,7 @@
         final boolean reached =
                 target.map(sequence -> log.syncedSequence() >= sequence).orElse(false);
         if (!role.isCaughtUp() && reached) {
-            role.catchUp();
+            role.markCaughtUp();
             effects.persist(List.of(new LogRecord.ViewInstalled(role.view(), true)), now);
         }
     }
--- a/core/src/main/java/silverlatch/replication/ChainClient.java
+++ b/core/src/main/java/silverlatch/replication/ChainClient.java
@@ -62,10 +62,10 @@
     /** Sends a command; a {@link CommandResult} comes as the response under the token. */
     public void submit(final Command command, final long token, final long now, final long deadline) {
         lastRequestId++;
-        final boolean onLatest = command instanceof Command.SetEvacuation order
-                && order.expectedRevision() == Command.SetEvacuation.LATEST;
-        final Command firstAttempt = onLatest ? ((Command.SetEvacuation) command).expecting(NO_REVISION) : command;
-        sendOrEnd(
+        final boolean expectsLatest = command instanceof Command.SetEvacuation evacuation
+                && evacuation.expectedRevision() == Command.SetEvacuation.LATEST;
+        final Command firstAttempt = expectsLatest ? ((Command.SetEvacuation) command).expecting(NO_REVISION) : command;
+        sendOrExpire(
                 lastRequestId,
                 new PendingCall(
                         new ChainClientMessage.WriteRequest(lastRequestId, address, firstAttempt),
@@ -73,7 +73,7 @@
                         token,
                         now,
                         deadline,
-                        onLatest,
+                        expectsLatest,
                         0),
                 now);
     }
@@ -81,7 +81,7 @@
     /** Reads the entries whose keys begin with the prefix; a {@link ReadResult} comes as the response under the token. */
     public void read(final String keyPrefix, final long token, final long now, final long deadline) {
         lastRequestId++;
-        sendOrEnd(
+        sendOrExpire(
                 lastRequestId,
                 new PendingCall(
                         new ChainClientMessage.ReadRequest(lastRequestId, address, keyPrefix),
@@ -99,7 +99,7 @@
         switch (message) {
             case ChainClientMessage.WriteReply m -> {
                 if (pendingCalls.containsKey(m.requestId()) && !(m.result() instanceof CommandResult.Unknown)) {
-                    decided(pendingCalls.remove(m.requestId()), m.result(), now);
+                    complete(pendingCalls.remove(m.requestId()), m.result(), now);
                 }
             }
             case ChainClientMessage.ReadReply m -> {
@@ -114,16 +114,16 @@
     }
 
     /** Responds with the result; an evacuation on the latest revision that met a conflict is tried again on the one it learned. */
-    private void decided(final PendingCall call, final CommandResult result, final long now) {
-        if (call.onLatest()
+    private void complete(final PendingCall call, final CommandResult result, final long now) {
+        if (call.expectsLatest()
                 && result instanceof CommandResult.Rejected r
                 && r.code() == CONFLICT
                 && call.request() instanceof ChainClientMessage.WriteRequest w
-                && w.command() instanceof Command.SetEvacuation order) {
+                && w.command() instanceof Command.SetEvacuation evacuation) {
             lastRequestId++;
             final Message retry =
-                    new ChainClientMessage.WriteRequest(lastRequestId, address, order.expecting(r.sequence()));
-            sendOrEnd(lastRequestId, new PendingCall(retry, true, call.token(), now, call.deadline(), true, 0), now);
+                    new ChainClientMessage.WriteRequest(lastRequestId, address, evacuation.expecting(r.sequence()));
+            sendOrExpire(lastRequestId, new PendingCall(retry, true, call.token(), now, call.deadline(), true, 0), now);
         } else {
             effects.add(new Effect.Respond(call.token(), result));
         }
@@ -136,7 +136,7 @@
         for (final Map.Entry<Long, PendingCall> entry : List.copyOf(pendingCalls.entrySet())) {
             final PendingCall call = entry.getValue();
             if (now >= call.deadline() || viewChanged || now - call.sentAt() >= retryDelay(call)) {
-                sendOrEnd(entry.getKey(), call.retried(), now);
+                sendOrExpire(entry.getKey(), call.withRetry(), now);
             }
         }
     }
@@ -167,7 +167,7 @@
     }
 
     /** Sends a call before its deadline; past it, also where the process was frozen meanwhile, responds that the outcome is unknown. */
-    private void sendOrEnd(final long requestId, final PendingCall call, final long now) {
+    private void sendOrExpire(final long requestId, final PendingCall call, final long now) {
         if (now >= call.deadline()) {
             pendingCalls.remove(requestId);
             effects.add(new Effect.Respond(
@@ -185,7 +185,7 @@
                         call.token(),
                         now,
                         call.deadline(),
-                        call.onLatest(),
+                        call.expectsLatest(),
                         call.retries()));
         final View view = currentView.get();
         (call.isWrite() ? view.head() : view.tail())
@@ -193,9 +193,15 @@
     }
 
     private record PendingCall(
-            Message request, boolean isWrite, long token, long sentAt, long deadline, boolean onLatest, int retries) {
-        PendingCall retried() {
-            return new PendingCall(request, isWrite, token, sentAt, deadline, onLatest, retries + 1);
+            Message request,
+            boolean isWrite,
+            long token,
+            long sentAt,
+            long deadline,
+            boolean expectsLatest,
+            int retries) {
+        PendingCall withRetry() {
+            return new PendingCall(request, isWrite, token, sentAt, deadline, expectsLatest, retries + 1);
         }
     }
 }
--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -29,12 +29,12 @@
     private final FailureDetector failureDetector;
     private final ViewAcceptor acceptor;
     private final ViewProposer proposer;
-    private final Departure departure;
+    private final GracefulLeave gracefulLeave;
     private final Discovery discovery;
     private final Bootstrap bootstrap;
     private final SnapshotWriter snapshots;
     private final ReplicaLog log;
-    private final WaitingWrites waitingWrites;
+    private final PendingWrites pendingWrites;
     private final WriteAdmission writeAdmission;
     private final ReadAdmission readAdmission;
     private final Committer committer;
@@ -70,21 +70,21 @@
         failureDetector = new FailureDetector(settings, role);
         acceptor = new ViewAcceptor(settings, role, grantedLeases, effects);
         proposer = new ViewProposer(settings, role, acceptor, failureDetector, effects);
-        departure = new Departure(settings, role, effects);
+        gracefulLeave = new GracefulLeave(settings, role, effects);
         discovery = new Discovery(settings, role, effects);
         bootstrap = new Bootstrap(settings, role, discovery, effects);
         snapshots = new SnapshotWriter(role, acceptor, effects);
         final StateMachine stateMachine = new StateMachine(settings.safeguards());
-        waitingWrites = new WaitingWrites(stateMachine::get, effects);
-        log = new ReplicaLog(snapshots, effects, stateMachine, this::entriesSynced, waitingWrites::committed);
-        writeAdmission = new WriteAdmission(settings, role, lease, log, waitingWrites, stamps);
+        pendingWrites = new PendingWrites(stateMachine::get, effects);
+        log = new ReplicaLog(snapshots, effects, stateMachine, this::onEntriesSynced, pendingWrites::onCommitted);
+        writeAdmission = new WriteAdmission(settings, role, lease, log, pendingWrites, stamps);
         readAdmission = new ReadAdmission(settings, role, lease, log, effects);
         committer = new Committer(settings, role, log, effects);
         catchUp = new CatchUpProgress(role, log, effects);
         successorLink = new SuccessorLink(role, log, effects);
         predecessorLink = new PredecessorLink(settings, role, log, catchUp, committer, effects);
         repairRequester =
-                new RepairRequester(settings, role, log, successorLink, catchUp, committer, departure, effects);
+                new RepairRequester(settings, role, log, successorLink, catchUp, committer, gracefulLeave, effects);
         repairResponder = new RepairResponder(settings, role, log, effects);
         replication = new ChainReplication(role, successorLink, predecessorLink, catchUp, committer, repairRequester);
         epochAdvancer = new EpochAdvancer(settings, role, log, effects, now);
@@ -199,8 +199,8 @@
     }
 
     /** A write to the log was synced. */
-    public void synced(final long token, final long now) {
-        effects.synced(token, now);
+    public void onSynced(final long token, final long now) {
+        effects.completeWrite(token, now);
     }
 
     /**
@@ -210,19 +210,19 @@
     public ChainReplica recovered(final List<LogRecord> records, final long now) {
         final ChainReplica next = new ChainReplica(settings, records, stamps, now, effects.lastToken());
         next.updateSeeds(discovery.seeds());
-        if (departure.isLeaving()) {
+        if (gracefulLeave.isLeaving()) {
             next.leave();
         }
         return next;
     }
 
     /** A write to the log failed: this replica takes no part until it has recovered. */
-    public void diskFailed(final String reason) {
+    public void onDiskFailed(final String reason) {
         if (!role.isDiskFailed()) {
-            role.failDisk();
+            role.markDiskFailed();
             effects.log(Event.DISK_BROKEN, reason);
             effects.abandonWrites();
-            waitingWrites.abandon();
+            pendingWrites.abandon();
         }
     }
 
@@ -233,12 +233,12 @@
 
     /** The process is about to stop: the others are asked to take it out of the chain and to name another owner. */
     public void leave() {
-        departure.begin();
+        gracefulLeave.begin();
     }
 
-    /** Whether the process may stop, after {@link #leave()}: see {@link Departure}. */
+    /** Whether the process may stop, after {@link #leave()}: see {@link GracefulLeave}. */
     public boolean hasLeft() {
-        return departure.hasLeft(!proposer.joinRequests().isEmpty());
+        return gracefulLeave.hasLeft(!proposer.joinRequests().isEmpty());
     }
 
     /** A clock event, a few each lease. */
@@ -251,17 +251,17 @@
             bootstrap.discover(now);
         } else if (role.isLogOutdated()) {
             discovery.requestLaterView(now);
-        } else if (departure.isLeaving() && !role.isInChain()) {
-            announceDeparture(now);
+        } else if (gracefulLeave.isLeaving() && !role.isInChain()) {
+            announceLeave(now);
         } else {
             tickWithView(now);
         }
     }
 
-    private void announceDeparture(final long now) {
+    private void announceLeave(final long now) {
         if (lease.isRequestDue(settings.leaseRequestMicros(), now)) {
             lease.markRequested(now);
-            departure.announce();
+            gracefulLeave.announce();
         }
     }
 
@@ -275,21 +275,21 @@
             epochAdvancer.tick(fencingToken(now), now);
             replication.retry(now);
             if (!isStalled) {
-                proposer.proposeNextView(departure.isLeaving(), now);
+                proposer.proposeNextView(gracefulLeave.isLeaving(), now);
             }
         } else if (!isStalled) {
-            seekPlace(now);
-            proposer.proposeTakeover(departure.isLeaving(), now);
+            tickOutsideChain(now);
+            proposer.proposeTakeover(gracefulLeave.isLeaving(), now);
         }
     }
 
     /** Out of the chain: asks for a repair, and shows the seeds the view held here. */
-    private void seekPlace(final long now) {
+    private void tickOutsideChain(final long now) {
         final long interval =
                 repairRequester.isJoining() ? 5 * ReplicaSettings.RETRY_MICROS : ReplicaSettings.RETRY_MICROS;
         if (discovery.beginRound(interval, now)) {
             view().tail().ifPresent(tail -> repairRequester.request(tail.address(), now));
-            discovery.showViewToSeeds(failureDetector.hearsMajority(now), now);
+            discovery.sendHeartbeatToSeeds(failureDetector.hearsMajority(now), now);
         }
     }
 
@@ -317,7 +317,7 @@
             return;
         }
         lease.add(grant, now);
-        writeAdmission.leaseGranted(now);
+        writeAdmission.onLeaseGranted(now);
     }
 
     /**
@@ -336,14 +336,14 @@
     private void handlePrepare(final ReplicationMessage.Prepare request, final String sender, final long now) {
         final boolean isPromised = acceptor.handlePrepare(request, sender, now);
         if (isPromised && !sender.equals(settings.self().address())) {
-            proposer.holdBack(now);
+            proposer.backOff(now);
         }
     }
 
     private void handleViewDecided(final ReplicationMessage.ViewDecided decided, final String sender, final long now) {
         installView(decided.view(), now);
         if (decided.view().number() == view().number()) {
-            departure.addInformed(sender);
+            gracefulLeave.addInformed(sender);
         }
     }
 
@@ -359,38 +359,38 @@
         }
         final boolean wasInChain = role.isNamedInChain();
         grantedLeases.installView(view(), next, now);
-        role.install(next, bootstrap.isFounding(next));
+        role.install(next, bootstrap.isAgreedView(next));
         bootstrap.installView();
         lease.clear();
         acceptor.installView();
         proposer.installView();
-        departure.installView();
+        gracefulLeave.installView();
         catchUp.installView(now);
         repairRequester.installView();
         repairResponder.installView();
         successorLink.reset(log.committedSequence(), now);
         failureDetector.installView(wasInChain, now);
         effects.persist(List.of(new LogRecord.ViewInstalled(next, role.isCaughtUp())), now, syncedAt -> {
-            if (role.syncView(next.number()) && role.isInChain()) {
-                replication.restart(syncedAt);
+            if (role.markViewSynced(next.number()) && role.isInChain()) {
+                replication.retryNow(syncedAt);
             }
         });
         effects.log(Event.VIEW, "view " + next.number() + " chain " + next.chainAddresses());
         lease.request(failureDetector.hearsMajority(now), now);
         if (role.isInChain()) {
-            replication.restart(now);
+            replication.retryNow(now);
         } else {
             dropPending();
         }
     }
 
-    private void entriesSynced(final long now) {
-        replication.entriesSynced(now);
+    private void onEntriesSynced(final long now) {
+        replication.onEntriesSynced(now);
     }
 
     /** Out of the chain only a standby keeps what is pending. */
     private void dropPending() {
-        waitingWrites.abandon();
+        pendingWrites.abandon();
         if (!role.isStandby()) {
             log.dropPending();
         }
--- a/core/src/main/java/silverlatch/replication/ChainReplication.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplication.java
@@ -31,7 +31,7 @@
     }
 
     /** A view that names this replica in its chain begins: all neighbours are told at once. */
-    void restart(final long now) {
+    void retryNow(final long now) {
         retriedAt = 0;
         retry(now);
         committer.commitAsTail(now);
@@ -57,12 +57,12 @@
         if (catchUp.needsRepair(now)) {
             repairRequester.request(predecessor.address(), now);
         } else {
-            predecessorLink.fetch();
+            predecessorLink.fetchMissing();
         }
     }
 
     /** Entries were synced here. */
-    void entriesSynced(final long now) {
+    void onEntriesSynced(final long now) {
         successorLink.sendEntries();
         catchUp.finishIfReached(now);
         committer.commitAsTail(now);
--- a/core/src/main/java/silverlatch/replication/Discovery.java
+++ b/core/src/main/java/silverlatch/replication/Discovery.java
@@ -13,7 +13,7 @@
     private final ReplicaRole role;
     private final EffectQueue effects;
     private List<String> seeds;
-    private long lastAt;
+    private long lastRoundAt;
 
     Discovery(final ReplicaSettings settings, final ReplicaRole role, final EffectQueue effects) {
         this.settings = settings;
@@ -34,10 +34,10 @@
 
     /** Begins a round where the last one is at least so many microseconds ago; false where it is too early. */
     boolean beginRound(final long intervalMicros, final long now) {
-        if (now - lastAt < intervalMicros) {
+        if (now - lastRoundAt < intervalMicros) {
             return false;
         }
-        lastAt = now;
+        lastRoundAt = now;
         return true;
     }
 
@@ -59,7 +59,7 @@
     }
 
     /** Shows the seeds the installed view; one that knows a later view replies with it. */
-    void showViewToSeeds(final boolean hearsMajority, final long now) {
+    void sendHeartbeatToSeeds(final boolean hearsMajority, final long now) {
         sendToSeeds(
                 new ReplicationMessage.LeaseRequest(role.view().number(), now, settings.self(), false, hearsMajority));
     }
--- a/core/src/main/java/silverlatch/replication/EffectQueue.java
+++ b/core/src/main/java/silverlatch/replication/EffectQueue.java
@@ -17,7 +17,7 @@
  * What a replica wants done in the world, in order, and what it does once a write to the log is synced. All parts of a replica add to
  * it; the event loop drains it after each event.
  *
- * <p>Invariant: each token is used once, and its continuation runs at most once, when {@link #synced} reports it.
+ * <p>Invariant: each token is used once, and its continuation runs at most once, when {@link #completeWrite} reports it.
  */
 final class EffectQueue {
     private final Safeguards safeguards;
@@ -44,11 +44,11 @@
     /** Writes records to the log; the continuation runs with the time at which they were synced. */
     void persist(final List<LogRecord> records, final long now, final LongConsumer onSynced) {
         lastToken++;
-        final boolean reportedEarly = !safeguards.isEnabled(Safeguard.PROMISE) && isVote(records.get(0));
-        if (reportedEarly) {
+        final boolean completesBeforeSync = !safeguards.isEnabled(Safeguard.PROMISE) && isVote(records.get(0));
+        if (completesBeforeSync) {
             onSynced.accept(now);
         }
-        unsyncedWrites.put(lastToken, new UnsyncedWrite(now, reportedEarly ? syncedAt -> {} : onSynced));
+        unsyncedWrites.put(lastToken, new UnsyncedWrite(now, completesBeforeSync ? syncedAt -> {} : onSynced));
         effects.add(new Effect.Persist(lastToken, records));
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** The write of this token was synced. */
-    void synced(final long token, final long now) {
+    void completeWrite(final long token, final long now) {
         Optional.ofNullable(unsyncedWrites.remove(token))
                 .ifPresent(write -> write.onSynced().accept(now));
     }
--- a/core/src/main/java/silverlatch/replication/FailureDetector.java
+++ b/core/src/main/java/silverlatch/replication/FailureDetector.java
@@ -18,9 +18,9 @@
     private final ReplicaSettings settings;
     private final ReplicaRole role;
     /** When a replica was last heard that hears a majority, or asks to join. */
-    private final Map<String, Long> heardAt = new HashMap<>();
+    private final Map<String, Long> lastAliveAt = new HashMap<>();
     /** When a request of a voter was last received, whether it hears a majority or not. */
-    private final Map<String, Long> receivedAt = new HashMap<>();
+    private final Map<String, Long> lastRequestAt = new HashMap<>();
 
     private final Set<String> caughtUpMembers = new HashSet<>();
 
@@ -31,39 +31,40 @@
 
     /** The process starts: all voters count as heard now. */
     void start(final long now) {
-        role.view().voters().forEach(voter -> heardAt.put(voter.id(), now));
+        role.view().voters().forEach(voter -> lastAliveAt.put(voter.id(), now));
     }
 
     /** A view was installed: its voters are watched, from now on where this replica wasn't in the chain of the one before. */
     void installView(final boolean wasInChain, final long now) {
         caughtUpMembers.clear();
-        heardAt.keySet()
+        lastAliveAt
+                .keySet()
                 .retainAll(role.view().voters().stream().map(Replica::id).toList());
-        receivedAt.keySet().retainAll(heardAt.keySet());
+        lastRequestAt.keySet().retainAll(lastAliveAt.keySet());
         role.view().voters().forEach(voter -> {
             if (wasInChain) {
-                heardAt.putIfAbsent(voter.id(), now);
+                lastAliveAt.putIfAbsent(voter.id(), now);
             } else {
-                heardAt.put(voter.id(), now);
+                lastAliveAt.put(voter.id(), now);
             }
         });
     }
 
     /** A replica asks to join. */
     void handleJoinRequest(final ReplicationMessage.JoinRequest request, final long now) {
-        heardAt.put(request.sender().id(), now);
+        lastAliveAt.put(request.sender().id(), now);
     }
 
     /** A lease request of the installed view came in. */
     void handleLeaseRequest(final ReplicationMessage.LeaseRequest request, final boolean isJoining, final long now) {
         final String id = request.sender().id();
         if (isJoining) {
-            heardAt.put(id, now);
+            lastAliveAt.put(id, now);
         }
         if (role.view().isVoter(id)) {
-            receivedAt.put(id, now);
+            lastRequestAt.put(id, now);
             if (request.hearsMajority()) {
-                heardAt.put(id, now);
+                lastAliveAt.put(id, now);
             }
         }
         if (request.caughtUp()) {
@@ -85,21 +86,21 @@
 
     /** Whether a majority of the voters, this one among them, was received within half the time of suspicion. */
     boolean hearsMajority(final long now) {
-        final long heardVoters = role.view().voters().stream()
+        final long recentVoters = role.view().voters().stream()
                 .map(Replica::id)
-                .filter(id -> settings.isSelf(id) || isReceived(id, now))
+                .filter(id -> settings.isSelf(id) || isRequestRecent(id, now))
                 .count();
-        return role.view().isMajority((int) heardVoters);
+        return role.view().isMajority((int) recentVoters);
     }
 
-    private boolean isReceived(final String id, final long now) {
-        return Optional.ofNullable(receivedAt.get(id))
+    private boolean isRequestRecent(final String id, final long now) {
+        return Optional.ofNullable(lastRequestAt.get(id))
                 .filter(at -> now - at <= settings.suspicionMicros() / 2)
                 .isPresent();
     }
 
     /** For how long a replica was silent, in microseconds; one that was never heard since the start of the clock. */
-    long microsSinceHeard(final String id, final long now) {
-        return settings.isSelf(id) ? 0 : now - heardAt.getOrDefault(id, 0L);
+    long silenceMicros(final String id, final long now) {
+        return settings.isSelf(id) ? 0 : now - lastAliveAt.getOrDefault(id, 0L);
     }
 }
--- a/core/src/main/java/silverlatch/replication/Departure.java
+++ b/core/src/main/java/silverlatch/replication/GracefulLeave.java
@@ -12,7 +12,7 @@
  *
  * <p>Invariant: a replica has left only when the chain goes on without it, and a majority of the voters that remain knows that.
  */
-final class Departure {
+final class GracefulLeave {
     private final ReplicaSettings settings;
     private final ReplicaRole role;
     private final EffectQueue effects;
@@ -21,7 +21,7 @@
 
     private boolean leaving;
 
-    Departure(final ReplicaSettings settings, final ReplicaRole role, final EffectQueue effects) {
+    GracefulLeave(final ReplicaSettings settings, final ReplicaRole role, final EffectQueue effects) {
         this.settings = settings;
         this.role = role;
         this.effects = effects;
@@ -51,13 +51,13 @@
      * Whether the process may stop. A member that the chain needs for its copies stays until its grace ends; the last voter may go when
      * nobody asks to join.
      */
-    boolean hasLeft(final boolean anyoneJoins) {
+    boolean hasLeft(final boolean hasJoinRequests) {
         if (!role.hasView() || role.isDiskFailed()) {
             return true;
         }
         final View view = role.view();
         if (role.isNamedInChain()) {
-            return view.voters().equals(List.of(settings.self())) && !anyoneJoins;
+            return view.voters().equals(List.of(settings.self())) && !hasJoinRequests;
         }
         if (!settings.safeguards().isEnabled(Safeguard.HANDOVER)) {
             return true;
--- a/core/src/main/java/silverlatch/replication/GrantedLeases.java
+++ b/core/src/main/java/silverlatch/replication/GrantedLeases.java
@@ -12,21 +12,21 @@
  *
  * <p>Invariant: a member that the next view takes out of the chain holds no grant of this voter any more when {@link
  * #removedGrantsExpireAt} has passed. Grants from before a restart or a change of the voters aren't known one by one; all have run out
- * at {@code earlierGrantsExpireAt}.
+ * at {@code untrackedGrantsExpireAt}.
  */
 final class GrantedLeases {
     private final ReplicaSettings settings;
     private final ReplicaRole role;
     private final EffectQueue effects;
-    private final Map<String, Long> grantExpiries = new HashMap<>();
-    private long earlierGrantsExpireAt;
+    private final Map<String, Long> expiryByMember = new HashMap<>();
+    private long untrackedGrantsExpireAt;
 
     /** A voter that may have granted leases until this moment, before it restarted. */
     GrantedLeases(final ReplicaSettings settings, final ReplicaRole role, final EffectQueue effects, final long now) {
         this.settings = settings;
         this.role = role;
         this.effects = effects;
-        this.earlierGrantsExpireAt = now + settings.leaseMicros();
+        this.untrackedGrantsExpireAt = now + settings.leaseMicros();
     }
 
     /** Grants a lease to a member of the chain, and tells it up to where changes are committed here. */
@@ -35,7 +35,7 @@
         if (view.positionOf(request.sender().id()) < 0) {
             return;
         }
-        grantExpiries.put(request.sender().id(), now + settings.leaseMicros());
+        expiryByMember.put(request.sender().id(), now + settings.leaseMicros());
         effects.send(
                 request.sender().address(),
                 new ReplicationMessage.LeaseGrant(
@@ -44,9 +44,9 @@
 
     /** A view takes the place of another one. */
     void installView(final View previous, final View next, final long now) {
-        grantExpiries.values().removeIf(expiry -> expiry <= now);
+        expiryByMember.values().removeIf(expiry -> expiry <= now);
         if (!Set.copyOf(previous.voters()).equals(Set.copyOf(next.voters()))) {
-            earlierGrantsExpireAt = now + settings.leaseMicros();
+            untrackedGrantsExpireAt = now + settings.leaseMicros();
         }
     }
 
@@ -54,14 +54,14 @@
      * When none that the next view takes out can answer under a lease from here any more. Members that stay can't answer for the old
      * view alone: what the new one acknowledges has passed them.
      */
-    long removedGrantsExpireAt(final View next) {
+    long leaseExpiryOfRemovedMembers(final View next) {
         final View view = role.view();
         if (ViewPlanner.isExtension(view, next) || !settings.safeguards().isEnabled(Safeguard.LEASE_WAIT)) {
             return 0;
         }
         return view.chain().stream()
                 .filter(member -> next.positionOf(member.id()) < 0)
-                .mapToLong(member -> grantExpiries.getOrDefault(member.id(), 0L))
-                .reduce(earlierGrantsExpireAt, Math::max);
+                .mapToLong(member -> expiryByMember.getOrDefault(member.id(), 0L))
+                .reduce(untrackedGrantsExpireAt, Math::max);
     }
 }
--- a/core/src/main/java/silverlatch/replication/WaitingWrites.java
+++ b/core/src/main/java/silverlatch/replication/PendingWrites.java
@@ -19,14 +19,14 @@
  * <p>Invariant: a result is sent only when all that it rests on is committed; whoever waits for an entry that may be dropped is told that
  * the outcome is unknown.
  */
-final class WaitingWrites {
+final class PendingWrites {
     private static final String OUTCOME_PREFIX = "o/";
     private final Function<String, Optional<Entry>> committedEntries;
     private final EffectQueue effects;
-    private final Map<Long, List<WaitingWrite>> writes = new HashMap<>();
+    private final Map<Long, List<PendingWrite>> writesBySequence = new HashMap<>();
 
     /** Replies from the committed state, which gives the entry of a key. */
-    WaitingWrites(final Function<String, Optional<Entry>> committedEntries, final EffectQueue effects) {
+    PendingWrites(final Function<String, Optional<Entry>> committedEntries, final EffectQueue effects) {
         this.committedEntries = committedEntries;
         this.effects = effects;
     }
@@ -37,27 +37,27 @@
     }
 
     /** Replies with the recorded outcome once the entry of this sequence is committed. */
-    void await(final long sequence, final ChainClientMessage.WriteRequest request) {
-        add(sequence, new WaitingWrite(request, Optional.empty()));
+    void replyWhenCommitted(final long sequence, final ChainClientMessage.WriteRequest request) {
+        add(sequence, new PendingWrite(request, Optional.empty()));
     }
 
     /** Replies with this rejection once the entry of this sequence, on which it rests, is committed. */
-    void awaitRejection(
+    void rejectWhenCommitted(
             final long sequence, final ChainClientMessage.WriteRequest request, final CommandResult rejection) {
-        add(sequence, new WaitingWrite(request, Optional.of(rejection)));
+        add(sequence, new PendingWrite(request, Optional.of(rejection)));
     }
 
-    private void add(final long sequence, final WaitingWrite waiting) {
-        writes.computeIfAbsent(sequence, key -> new ArrayList<>()).add(waiting);
+    private void add(final long sequence, final PendingWrite waiting) {
+        writesBySequence.computeIfAbsent(sequence, key -> new ArrayList<>()).add(waiting);
     }
 
     /** The entry of this sequence was committed. */
-    void committed(final long sequence) {
-        Optional.ofNullable(writes.remove(sequence))
+    void onCommitted(final long sequence) {
+        Optional.ofNullable(writesBySequence.remove(sequence))
                 .ifPresent(ready -> ready.forEach(waiting -> replyCommitted(waiting, sequence)));
     }
 
-    private void replyCommitted(final WaitingWrite waiting, final long sequence) {
+    private void replyCommitted(final PendingWrite waiting, final long sequence) {
         final ChainClientMessage.WriteRequest request = waiting.request();
         reply(
                 request,
@@ -76,11 +76,12 @@
 
     /** The entries that are waited for may be dropped: all that wait are told that the outcome is unknown. */
     void abandon() {
-        writes.values()
+        writesBySequence
+                .values()
                 .forEach(abandoned -> abandoned.forEach(waiting -> reply(
                         waiting.request(),
                         new CommandResult.Unknown(waiting.request().command().id()))));
-        writes.clear();
+        writesBySequence.clear();
     }
 
     /** Replies to a write at once. */
@@ -88,13 +89,13 @@
         if (result instanceof CommandResult.Rejected rejected) {
             effects.log(Event.CHANGE_REJECTED, request.command().id() + " " + rejected.code());
         }
-        send(request, result);
+        replyWithoutLogging(request, result);
     }
 
     /** Sends a result without logging it. */
-    void send(final ChainClientMessage.WriteRequest request, final CommandResult result) {
+    void replyWithoutLogging(final ChainClientMessage.WriteRequest request, final CommandResult result) {
         effects.send(request.replyTo(), new ChainClientMessage.WriteReply(request.requestId(), result));
     }
 
-    private record WaitingWrite(ChainClientMessage.WriteRequest request, Optional<CommandResult> rejection) {}
+    private record PendingWrite(ChainClientMessage.WriteRequest request, Optional<CommandResult> rejection) {}
 }
--- a/core/src/main/java/silverlatch/replication/PredecessorLink.java
+++ b/core/src/main/java/silverlatch/replication/PredecessorLink.java
@@ -43,14 +43,14 @@
             if (entry.sequence() == expected) {
                 fresh.add(entry);
             } else if (entry.sequence() > expected) {
-                fetch();
+                fetchMissing();
                 break;
             }
         }
         acknowledge(log.lastSequence() + fresh.size());
         if (!fresh.isEmpty()) {
             // The log catches up; a repair beside it would bring the same entries again, in one frame.
-            catchUp.restart(now);
+            catchUp.restartTimer(now);
             log.append(fresh, now);
         } else if (role.isActiveTail()) {
             committer.notifyMembers();
@@ -58,7 +58,7 @@
     }
 
     /** Asks the predecessor for the entries after the last one here. */
-    void fetch() {
+    void fetchMissing() {
         sendToPredecessor(new ReplicationMessage.FetchEntries(
                 role.view().number(), settings.self().id(), log.lastSequence()));
     }
--- a/core/src/main/java/silverlatch/replication/Proposal.java
+++ b/core/src/main/java/silverlatch/replication/Proposal.java
@@ -38,7 +38,7 @@
     }
 
     /** Whether no view that an earlier ballot may have decided binds this proposal. */
-    boolean isUnbound() {
+    boolean mayChooseView() {
         return highestAcceptedBallot == 0;
     }
 
--- a/core/src/main/java/silverlatch/replication/RepairSource.java
+++ b/core/src/main/java/silverlatch/replication/RepairPayload.java
@@ -15,19 +15,19 @@
  * @param pending  the entries after that sequence which are synced at the source, in order; sent with the last piece
  * @param digests  the digests of all ranges at that sequence
  */
-record RepairSource(
+record RepairPayload(
         long sequence, List<List<ReplicationMessage.RangeEntries>> pieces, List<LogEntry> pending, long[] digests) {
     /** How many bytes a piece has; one entry may be larger. */
     static final long PIECE_BYTES = 64L << 10;
 
     /** Copies the pieces. */
-    RepairSource {
+    RepairPayload {
         pieces = List.copyOf(pieces);
         pending = List.copyOf(pending);
     }
 
     /** The ranges of a state whose digests differ from the given ones. */
-    static RepairSource of(final StateMachine state, final long[] otherDigests, final List<LogEntry> pending) {
+    static RepairPayload of(final StateMachine state, final long[] otherDigests, final List<LogEntry> pending) {
         final int ranges = otherDigests.length;
         final long[] own = state.digests(ranges);
         final List<List<ReplicationMessage.RangeEntries>> pieces = new ArrayList<>();
@@ -52,7 +52,7 @@
             piece.add(new ReplicationMessage.RangeEntries(range, rangeEntries));
         }
         pieces.add(piece);
-        return new RepairSource(state.sequence(), pieces, pending, own);
+        return new RepairPayload(state.sequence(), pieces, pending, own);
     }
 
     /** The message with one piece; the last one brings the pending entries and the digests of all ranges too. */
--- a/core/src/main/java/silverlatch/replication/RepairRequester.java
+++ b/core/src/main/java/silverlatch/replication/RepairRequester.java
@@ -21,7 +21,7 @@
     private final SuccessorLink successorLink;
     private final CatchUpProgress catchUp;
     private final Committer committer;
-    private final Departure departure;
+    private final GracefulLeave gracefulLeave;
     private final EffectQueue effects;
     private Optional<RepairProgress> progress = Optional.empty();
     private long requestedAt;
@@ -34,7 +34,7 @@
             final SuccessorLink successorLink,
             final CatchUpProgress catchUp,
             final Committer committer,
-            final Departure departure,
+            final GracefulLeave gracefulLeave,
             final EffectQueue effects) {
         this.settings = settings;
         this.role = role;
@@ -42,7 +42,7 @@
         this.successorLink = successorLink;
         this.catchUp = catchUp;
         this.committer = committer;
-        this.departure = departure;
+        this.gracefulLeave = gracefulLeave;
         this.effects = effects;
     }
 
@@ -90,7 +90,7 @@
         if (piece.view() != role.view().number() || role.isActive() || piece.sequence() < log.committedSequence()) {
             return;
         }
-        if (confirmsState(piece)) {
+        if (matchesRepairedState(piece)) {
             requestJoin();
             return;
         }
@@ -110,7 +110,7 @@
     }
 
     /** Whether the source has nothing that differs from the repaired and synced state here. */
-    private boolean confirmsState(final ReplicationMessage.RepairRanges piece) {
+    private boolean matchesRepairedState(final ReplicationMessage.RepairRanges piece) {
         return joining
                 && effects.isAllSynced()
                 && piece.pieces() == 1
@@ -138,18 +138,18 @@
             return;
         }
         successorLink.reset(lastPiece.sequence(), now);
-        catchUp.restart(now);
+        catchUp.restartTimer(now);
         joining = true;
-        role.repaired();
+        role.markRepaired();
         final long viewNumber = role.view().number();
         log.completeRepair(
                 lastPiece.sequence(),
                 lastPiece.pending(),
                 now,
-                syncedAt -> repaired(lastPiece.sequence(), viewNumber, syncedAt));
+                syncedAt -> onRepairSynced(lastPiece.sequence(), viewNumber, syncedAt));
     }
 
-    private void repaired(final long sequence, final long viewNumber, final long now) {
+    private void onRepairSynced(final long sequence, final long viewNumber, final long now) {
         if (role.isInChain()) {
             catchUp.finishIfReached(now);
             committer.commitAsTail(now);
@@ -160,7 +160,7 @@
     }
 
     private void requestJoin() {
-        if (departure.isLeaving()) {
+        if (gracefulLeave.isLeaving()) {
             return;
         }
         final View view = role.view();
--- a/core/src/main/java/silverlatch/replication/RepairResponder.java
+++ b/core/src/main/java/silverlatch/replication/RepairResponder.java
@@ -8,7 +8,7 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * Repairs other replicas from the state of an active member: keeps a {@link RepairSource} for each one under repair and sends it piece by
+ * Repairs other replicas from the state of an active member: keeps a {@link RepairPayload} for each one under repair and sends it piece by
  * piece, as it is asked for.
  *
  * <p>Invariant: all pieces of a repair stand for one sequence of one view; a new comparison replaces the source.
@@ -18,7 +18,7 @@
     private final ReplicaRole role;
     private final ReplicaLog log;
     private final EffectQueue effects;
-    private final Map<String, RepairSource> sources = new HashMap<>();
+    private final Map<String, RepairPayload> payloads = new HashMap<>();
 
     RepairResponder(
             final ReplicaSettings settings, final ReplicaRole role, final ReplicaLog log, final EffectQueue effects) {
@@ -30,7 +30,7 @@
 
     /** A view was installed: repairs under the one before end. */
     void installView() {
-        sources.clear();
+        payloads.clear();
     }
 
     /** Begins a repair with the ranges in which the state here differs, and sends the first piece. */
@@ -43,9 +43,9 @@
         if (request.sequence() > log.committedSequence()) {
             log.commit(request.sequence(), now);
         }
-        final RepairSource source = RepairSource.of(log.stateMachine(), request.digests(), syncedPending());
-        sources.put(request.sender().id(), source);
-        sendPiece(request.sender(), source, 0);
+        final RepairPayload payload = RepairPayload.of(log.stateMachine(), request.digests(), syncedPending());
+        payloads.put(request.sender().id(), payload);
+        sendPiece(request.sender(), payload, 0);
     }
 
     /**
@@ -61,16 +61,16 @@
         if (request.view() != role.view().number() || request.piece() < 0) {
             return;
         }
-        Optional.ofNullable(sources.get(request.sender().id()))
+        Optional.ofNullable(payloads.get(request.sender().id()))
                 .filter(source -> source.sequence() == request.sequence())
                 .filter(source -> request.piece() < source.pieces().size())
                 .ifPresent(source -> sendPiece(request.sender(), source, request.piece()));
     }
 
-    private void sendPiece(final Replica receiver, final RepairSource source, final int piece) {
-        effects.send(receiver.address(), source.message(role.view().number(), piece));
-        if (source.pieces().size() == 1) {
-            sources.remove(receiver.id());
+    private void sendPiece(final Replica receiver, final RepairPayload payload, final int piece) {
+        effects.send(receiver.address(), payload.message(role.view().number(), piece));
+        if (payload.pieces().size() == 1) {
+            payloads.remove(receiver.id());
         }
     }
 }
--- a/core/src/main/java/silverlatch/replication/ReplicaLog.java
+++ b/core/src/main/java/silverlatch/replication/ReplicaLog.java
@@ -30,7 +30,7 @@
     private final EffectQueue effects;
     private final StateMachine stateMachine;
     /** Runs with the time when entries of the present generation were synced. */
-    private final LongConsumer onAppended;
+    private final LongConsumer onEntriesSynced;
     /** Runs with the sequence of each entry that is committed. */
     private final LongConsumer onCommitted;
 
@@ -50,12 +50,12 @@
             final SnapshotWriter snapshots,
             final EffectQueue effects,
             final StateMachine stateMachine,
-            final LongConsumer onAppended,
+            final LongConsumer onEntriesSynced,
             final LongConsumer onCommitted) {
         this.snapshots = snapshots;
         this.effects = effects;
         this.stateMachine = stateMachine;
-        this.onAppended = onAppended;
+        this.onEntriesSynced = onEntriesSynced;
         this.onCommitted = onCommitted;
     }
 
@@ -130,14 +130,14 @@
     void append(final List<LogEntry> entries, final long now) {
         entries.forEach(this::addPending);
         final long lastAppended = lastSequence;
-        final long begun = generation;
+        final long startedGeneration = generation;
         final List<LogRecord> records = entries.stream()
                 .map(entry -> (LogRecord) new LogRecord.Appended(entry))
                 .toList();
         effects.persist(records, now, syncedAt -> {
-            if (begun == generation) {
+            if (startedGeneration == generation) {
                 syncedSequence = Math.max(syncedSequence, lastAppended);
-                onAppended.accept(syncedAt);
+                onEntriesSynced.accept(syncedAt);
             }
         });
     }
@@ -165,7 +165,7 @@
         stateMachine.apply(entry.sequence(), entry.puts());
         entry.puts().forEach(put -> pendingValues.remove(put.key(), put));
         retainRecent(entry);
-        snapshots.count(entry);
+        snapshots.countCommitted(entry);
         if (changesPolicy(entry)) {
             effects.log(
                     Event.CHANGED,
@@ -220,9 +220,9 @@
         sourcePending.forEach(this::addPending);
         syncedSequence = 0;
         final long lastRepaired = lastSequence;
-        final long begun = generation;
+        final long startedGeneration = generation;
         snapshots.write(stateMachine, pendingEntries, highestStamp, now, syncedAt -> {
-            if (begun == generation) {
+            if (startedGeneration == generation) {
                 syncedSequence = Math.max(syncedSequence, lastRepaired);
                 onSynced.accept(syncedAt);
             }
--- a/core/src/main/java/silverlatch/replication/ReplicaRole.java
+++ b/core/src/main/java/silverlatch/replication/ReplicaRole.java
@@ -114,8 +114,8 @@
         return hasRequiredCopies(view) || !settings.safeguards().isEnabled(Safeguard.COPIES);
     }
 
-    private boolean hasRequiredCopies(final View of) {
-        return of.chain().size() >= settings.minInSyncReplicas();
+    private boolean hasRequiredCopies(final View candidate) {
+        return candidate.chain().size() >= settings.minInSyncReplicas();
     }
 
     /** Whether a message of this view must not be taken, as another view is installed. */
@@ -129,8 +129,8 @@
     }
 
     /** Installs a decided view; a founder has caught up from the start. */
-    void install(final View next, final boolean isFounded) {
-        caughtUp = isFounded && isNamedInChainOf(next) || caughtUp && staysCaughtUp(next);
+    void install(final View next, final boolean isInitialView) {
+        caughtUp = isInitialView && isNamedInChainOf(next) || caughtUp && staysCaughtUp(next);
         view = next;
         viewSynced = false;
         logOutdated = false;
@@ -145,24 +145,24 @@
         if (isNamedInChainOf(next) && isNamedInChain()) {
             return true;
         }
-        final boolean isVeryNext = next.number() == view.number() + 1;
-        return isVeryNext && (isNamedInChainOf(next) || !hasRequiredCopies(next));
+        final boolean isDirectSuccessor = next.number() == view.number() + 1;
+        return isDirectSuccessor && (isNamedInChainOf(next) || !hasRequiredCopies(next));
     }
 
     /** The view of this number is on disk here; whether that is the installed one, and news. */
-    boolean syncView(final long number) {
-        final boolean isNews = number == view.number() && !isViewSynced();
+    boolean markViewSynced(final long number) {
+        final boolean isNewlySynced = number == view.number() && !isViewSynced();
         viewSynced |= number == view.number();
-        return isNews;
+        return isNewlySynced;
     }
 
     /** The replica holds all that its predecessor held when the view began. */
-    void catchUp() {
+    void markCaughtUp() {
         caughtUp = true;
     }
 
     /** The replica was repaired under the installed view by a member that holds everything; under a short one it is a standby now. */
-    void repaired() {
+    void markRepaired() {
         caughtUp |= state == ReplicaState.OUTSIDE_CHAIN && !hasRequiredCopies(view);
     }
 
@@ -173,7 +173,7 @@
     }
 
     /** The log can't be written any more. */
-    void failDisk() {
+    void markDiskFailed() {
         state = state.afterDiskFailure();
     }
 
--- a/core/src/main/java/silverlatch/replication/SingletonTenure.java
+++ b/core/src/main/java/silverlatch/replication/SingletonTenure.java
@@ -42,13 +42,13 @@
             return false;
         }
         final long token = fencingToken.get();
-        final boolean goesOn =
+        final boolean isContinuous =
                 lastToken.isPresent() && token >= lastToken.getAsLong() && token <= lastToken.getAsLong() + 1;
-        if (!goesOn) {
+        if (!isContinuous) {
             ownedSince = now;
         }
         lastToken = OptionalLong.of(token);
-        return !goesOn;
+        return !isContinuous;
     }
 
     /** Whether this process may act under a token now: the one that was observed last, after a whole tenure. */
--- a/core/src/main/java/silverlatch/replication/SnapshotWriter.java
+++ b/core/src/main/java/silverlatch/replication/SnapshotWriter.java
@@ -28,7 +28,7 @@
     }
 
     /** An entry was committed. */
-    void count(final LogEntry entry) {
+    void countCommitted(final LogEntry entry) {
         bytesSinceLast += entry.estimatedBytes();
         entriesSinceLast++;
     }
--- a/core/src/main/java/silverlatch/replication/SuccessorLink.java
+++ b/core/src/main/java/silverlatch/replication/SuccessorLink.java
@@ -66,7 +66,7 @@
     void retry(final long now) {
         role.successor().ifPresent(successor -> {
             if (role.isCaughtUp()) {
-                sendTarget(successor.address());
+                sendCatchUpTarget(successor.address());
             }
             if (log.hasSyncedPending() && window.isRetryDue(now)) {
                 window.restart(log.committedSequence(), now);
@@ -79,7 +79,7 @@
      * Says how far the log goes, once the view is on disk here. A member that told its target earlier could fall back to the view before
      * by a restart, and take further entries under it, which the successor would lack.
      */
-    private void sendTarget(final String address) {
+    private void sendCatchUpTarget(final String address) {
         if (!role.isViewSynced()) {
             return;
         }
@@ -102,7 +102,7 @@
         if (request.view() != role.view().number() || !role.isActive()) {
             return;
         }
-        sendTarget(sender);
+        sendCatchUpTarget(sender);
         if (request.sequence() < window.acknowledgedSequence() || request.sequence() > window.sentSequence()) {
             window.restart(request.sequence(), now);
         } else {
--- a/core/src/main/java/silverlatch/replication/ViewAcceptor.java
+++ b/core/src/main/java/silverlatch/replication/ViewAcceptor.java
@@ -92,7 +92,7 @@
             effects.send(sender, new ReplicationMessage.Preempted(request.number(), promisedBallot));
             return;
         }
-        accepted(request.ballot(), request.view());
+        recordAccepted(request.ballot(), request.view());
         final ReplicationMessage.Accepted reply = new ReplicationMessage.Accepted(
                 request.number(), request.ballot(), settings.self().id());
         effects.persist(
@@ -106,7 +106,7 @@
             final String sender,
             final ReplicationMessage.Accepted reply,
             final long now) {
-        final long sendAt = grantedLeases.removedGrantsExpireAt(request.view());
+        final long sendAt = grantedLeases.leaseExpiryOfRemovedMembers(request.view());
         if (now >= sendAt) {
             effects.send(sender, reply);
         } else {
@@ -156,11 +156,11 @@
     /** Takes over an acceptance while the log is read. */
     void replay(final LogRecord.Accepted accepted) {
         if (isNext(accepted.viewNumber())) {
-            accepted(accepted.ballot(), accepted.view());
+            recordAccepted(accepted.ballot(), accepted.view());
         }
     }
 
-    private void accepted(final long ballot, final View view) {
+    private void recordAccepted(final long ballot, final View view) {
         promisedBallot = ballot;
         acceptedBallot = ballot;
         acceptedView = Optional.of(view);
--- a/core/src/main/java/silverlatch/replication/ViewPlanner.java
+++ b/core/src/main/java/silverlatch/replication/ViewPlanner.java
@@ -19,23 +19,23 @@
 final class ViewPlanner {
     private final ReplicaSettings settings;
     private final View view;
-    private final ToLongFunction<String> microsSinceHeard;
+    private final ToLongFunction<String> silenceMicros;
     private final Set<String> caughtUpMembers;
 
     /**
      * A planner for the successor of a view.
      *
-     * @param microsSinceHeard for how long a voter or a replica that asks to join was silent, by identity
+     * @param silenceMicros for how long a voter or a replica that asks to join was silent, by identity
      * @param caughtUpMembers  the identities of the members that hold all that the chain holds
      */
     ViewPlanner(
             final ReplicaSettings settings,
             final View view,
-            final ToLongFunction<String> microsSinceHeard,
+            final ToLongFunction<String> silenceMicros,
             final Set<String> caughtUpMembers) {
         this.settings = settings;
         this.view = view;
-        this.microsSinceHeard = microsSinceHeard;
+        this.silenceMicros = silenceMicros;
         this.caughtUpMembers = caughtUpMembers;
     }
 
@@ -55,7 +55,7 @@
      */
     Optional<View> next(final boolean leaving, final Collection<ReplicationMessage.JoinRequest> joinRequests) {
         final Optional<View> shortened = without(leaving);
-        final Optional<View> joined = withNewcomer(joinRequests);
+        final Optional<View> joined = withFirstJoinRequest(joinRequests);
         if (shortened.map(v -> v.chain().size() < settings.minInSyncReplicas()).orElse(false) && joined.isPresent()) {
             return joined;
         }
@@ -66,17 +66,17 @@
     Optional<View> takeover() {
         final boolean isShort = view.chain().size() < settings.minInSyncReplicas();
         return isShort && view.chain().stream().allMatch(this::suspected)
-                ? Optional.of(shortened(List.of(settings.self()), false))
+                ? Optional.of(withChain(List.of(settings.self()), false))
                 : Optional.empty();
     }
 
-    private Optional<View> withNewcomer(final Collection<ReplicationMessage.JoinRequest> joinRequests) {
+    private Optional<View> withFirstJoinRequest(final Collection<ReplicationMessage.JoinRequest> joinRequests) {
         return joinRequests.stream()
                 .filter(request -> request.view() == view.number()
                         && view.positionOf(request.sender().id()) < 0)
                 .filter(request -> !suspected(request.sender()))
                 .filter(request -> !addressInChain(request.sender().address()))
-                .map(request -> withMember(request.sender()))
+                .map(request -> withJoiningReplica(request.sender()))
                 .flatMap(Optional::stream)
                 .findFirst();
     }
@@ -98,7 +98,7 @@
         final long silenceLimit = Math.max(
                 settings.suspicionMicros() / 2, settings.suspicionMicros() - 2 * settings.leaseRequestMicros());
         final List<Replica> heard = view.chain().stream()
-                .filter(member -> !anySuspected || microsSinceHeard.applyAsLong(member.id()) <= silenceLimit)
+                .filter(member -> !anySuspected || silenceMicros.applyAsLong(member.id()) <= silenceLimit)
                 .toList();
         final List<Replica> others = heard.stream()
                 .filter(member -> !member.id().equals(settings.self().id()))
@@ -109,11 +109,11 @@
                 || chain.stream().noneMatch(member -> caughtUpMembers.contains(member.id()))) {
             return Optional.empty();
         }
-        return Optional.of(shortened(chain, leaves));
+        return Optional.of(withChain(chain, leaves));
     }
 
     /** The next view with only these members of the chain, in their order; a member that leaves gives up its vote. */
-    private View shortened(final List<Replica> chain, final boolean leaves) {
+    private View withChain(final List<Replica> chain, final boolean leaves) {
         final String singletonOwner =
                 chain.stream().anyMatch(member -> member.id().equals(view.singletonOwner()))
                         ? view.singletonOwner()
@@ -135,7 +135,7 @@
      * than the required copies. A member that was not heard for a while, and so was left out, may have been slow only; without it the
      * next loss of a disk could leave no member at all.
      */
-    View withPromised(final View proposed, final Set<String> promisedIds) {
+    View withPromisingMembers(final View proposed, final Set<String> promisedIds) {
         if (proposed.chain().size() >= settings.minInSyncReplicas()) {
             return proposed;
         }
@@ -143,7 +143,7 @@
                 .filter(member -> proposed.positionOf(member.id()) >= 0
                         || promisedIds.contains(member.id()) && caughtUpMembers.contains(member.id()))
                 .toList();
-        return chain.size() > proposed.chain().size() ? shortened(chain, false) : proposed;
+        return chain.size() > proposed.chain().size() ? withChain(chain, false) : proposed;
     }
 
     /** Whether enough of these members have caught up to be the required copies of all that was acknowledged. */
@@ -160,10 +160,10 @@
      * of a dead voter. A new vote is added only while every voter is in the chain and heard: the quorum must not grow while a dead voter
      * counts, nor one that has left, nor while it isn't known whether one died just now.
      */
-    private Optional<View> withMember(final Replica newcomer) {
+    private Optional<View> withJoiningReplica(final Replica joining) {
         final Optional<Replica> replaced = Stream.of(
-                        view.voters().stream().filter(voter -> voter.id().equals(newcomer.id())),
-                        votersOutsideChain().filter(voter -> voter.address().equals(newcomer.address())),
+                        view.voters().stream().filter(voter -> voter.id().equals(joining.id())),
+                        votersOutsideChain().filter(voter -> voter.address().equals(joining.address())),
                         votersOutsideChain()
                                 .filter(voter -> suspected(voter)
                                         && settings.safeguards().isEnabled(Safeguard.DEAD_VOTES)))
@@ -171,22 +171,22 @@
                 .findFirst();
         final List<Replica> voters = new ArrayList<>(view.voters());
         if (replaced.isPresent()) {
-            voters.set(voters.indexOf(replaced.get()), newcomer);
-        } else if (mayAddVoter(newcomer)) {
-            voters.add(newcomer);
+            voters.set(voters.indexOf(replaced.get()), joining);
+        } else if (mayAddVoter(joining)) {
+            voters.add(joining);
         } else {
             return Optional.empty();
         }
         final List<Replica> chain = new ArrayList<>(view.chain());
-        chain.add(newcomer);
+        chain.add(joining);
         return Optional.of(new View(view.number() + 1, view.fleet(), voters, chain, view.singletonOwner()));
     }
 
-    private boolean mayAddVoter(final Replica newcomer) {
+    private boolean mayAddVoter(final Replica joining) {
         final boolean allPresent = view.voters().stream()
                 .allMatch(voter -> view.positionOf(voter.id()) >= 0
-                        && microsSinceHeard.applyAsLong(voter.id()) <= settings.suspicionMicros() / 2
-                        && !voter.address().equals(newcomer.address()));
+                        && silenceMicros.applyAsLong(voter.id()) <= settings.suspicionMicros() / 2
+                        && !voter.address().equals(joining.address()));
         return view.voters().size() < settings.maxVoters()
                 && (allPresent || !settings.safeguards().isEnabled(Safeguard.DEAD_VOTES));
     }
@@ -215,7 +215,7 @@
         final long votersToKeep = Math.max(oddCount, minVoters());
         final Set<Replica> dropped = voters.stream()
                 .filter(removed::contains)
-                .sorted(Comparator.comparingLong((Replica voter) -> microsSinceHeard.applyAsLong(voter.id()))
+                .sorted(Comparator.comparingLong((Replica voter) -> silenceMicros.applyAsLong(voter.id()))
                         .reversed())
                 .limit(Math.max(0, voters.size() - votersToKeep))
                 .collect(Collectors.toSet());
@@ -241,6 +241,6 @@
     }
 
     private boolean suspected(final Replica replica) {
-        return microsSinceHeard.applyAsLong(replica.id()) > settings.suspicionMicros();
+        return silenceMicros.applyAsLong(replica.id()) > settings.suspicionMicros();
     }
 }
--- a/core/src/main/java/silverlatch/replication/ViewProposer.java
+++ b/core/src/main/java/silverlatch/replication/ViewProposer.java
@@ -34,7 +34,7 @@
     private Optional<Proposal> proposal = Optional.empty();
     private long highestRound;
     /** Since when the chain should change, or 0. */
-    private long suspectedSince;
+    private long changeDueSince;
     /** When another proposer's ballot was promised or preempted this one's, or 0. */
     private long preemptedAt;
 
@@ -54,7 +54,7 @@
     /** A view was installed: what was under way for its number has ended. */
     void installView() {
         proposal = Optional.empty();
-        suspectedSince = 0;
+        changeDueSince = 0;
         preemptedAt = 0;
         joinRequests.clear();
     }
@@ -76,7 +76,7 @@
 
     /** Proposes the next view where the chain should change and no other proposer is to go first. */
     void proposeNextView(final boolean isLeaving, final long now) {
-        if (!mayBegin(now)) {
+        if (!mayStartProposal(now)) {
             return;
         }
         if (role.isCaughtUp()) {
@@ -85,7 +85,7 @@
         final ViewPlanner planner = planner(now);
         final Optional<View> next =
                 planner.next(isLeaving, joinRequests.values()).or(acceptor::acceptedView);
-        noteSuspicion(next.isPresent(), planner, now);
+        trackDueChange(next.isPresent(), planner, now);
         final int rank = isLeaving && planner.suspected().isEmpty()
                 ? 0
                 : rankAmong(planner.reachableVoters().stream()
@@ -99,17 +99,17 @@
                 && effects.isAllSynced()
                 && !isLeaving
                 && settings.safeguards().isEnabled(Safeguard.TAKEOVER);
-        if (!mayTakeOver || !mayBegin(now)) {
+        if (!mayTakeOver || !mayStartProposal(now)) {
             return;
         }
         final ViewPlanner planner = planner(now);
         final Optional<View> next = planner.takeover();
-        noteSuspicion(next.isPresent(), planner, now);
+        trackDueChange(next.isPresent(), planner, now);
         final int rank = rankAmong(planner.reachableVoters().stream());
         next.filter(view -> mayPropose(planner, rank, now)).ifPresent(view -> prepare(view, now));
     }
 
-    private boolean mayBegin(final long now) {
+    private boolean mayStartProposal(final long now) {
         if (proposal.isPresent() && now - proposal.get().startedAt() < proposalTimeoutMicros()) {
             return false;
         }
@@ -117,11 +117,11 @@
         return role.isVoter() && settings.safeguards().isEnabled(Safeguard.CHAIN_REPAIR);
     }
 
-    private void noteSuspicion(final boolean isChangeDue, final ViewPlanner planner, final long now) {
+    private void trackDueChange(final boolean isChangeDue, final ViewPlanner planner, final long now) {
         if (!isChangeDue) {
-            suspectedSince = 0;
-        } else if (suspectedSince == 0) {
-            suspectedSince = now;
+            changeDueSince = 0;
+        } else if (changeDueSince == 0) {
+            changeDueSince = now;
             planner.suspected().forEach(member -> effects.log(Event.CHAIN_SUSPECT, member.address()));
         }
     }
@@ -132,17 +132,14 @@
 
     private ViewPlanner planner(final long now) {
         return new ViewPlanner(
-                settings,
-                role.view(),
-                id -> failureDetector.microsSinceHeard(id, now),
-                failureDetector.caughtUpMembers());
+                settings, role.view(), id -> failureDetector.silenceMicros(id, now), failureDetector.caughtUpMembers());
     }
 
     private boolean mayPropose(final ViewPlanner planner, final int rank, final long now) {
         final long suspicion = settings.suspicionMicros();
         final boolean othersPropose = preemptedAt > 0 && now - preemptedAt < suspicion + rank * suspicion / 2;
         return !othersPropose
-                && now - suspectedSince >= rank * suspicion
+                && now - changeDueSince >= rank * suspicion
                 && role.view().isMajority(planner.reachableVoters().size());
     }
 
@@ -167,28 +164,28 @@
     }
 
     /** Another proposer's ballot was promised: it goes first. */
-    void holdBack(final long now) {
+    void backOff(final long now) {
         preemptedAt = now;
     }
 
     /** A voter has promised a higher ballot. */
     void handlePreempted(final ReplicationMessage.Preempted reply, final long now) {
         highestRound = Math.max(highestRound, reply.ballot() >> BALLOT_PROPOSER_BITS);
-        holdBack(now);
+        backOff(now);
         proposal = proposal.filter(current -> current.number() != reply.number());
     }
 
     /** Takes a promise. */
     void handlePromise(final ReplicationMessage.Promise reply, final long now) {
         proposal.filter(current -> current.matches(reply.number(), reply.ballot()) && !current.isAccepting())
-                .ifPresent(current -> promised(current, reply, now));
+                .ifPresent(current -> recordPromise(current, reply, now));
     }
 
     /**
      * Asks for acceptances once a majority has promised. The proposer's own promise must be among them: it is synced, so a ballot is not
      * used again for another view after a restart.
      */
-    private void promised(final Proposal current, final ReplicationMessage.Promise reply, final long now) {
+    private void recordPromise(final Proposal current, final ReplicationMessage.Promise reply, final long now) {
         current.supporters().add(reply.voter());
         final boolean reportsHigher = reply.acceptedBallot() > current.highestAcceptedBallot()
                 && !reply.acceptedView().isEmpty();
@@ -200,7 +197,8 @@
                 || !highest.supporters().contains(settings.self().id())) {
             return;
         }
-        final Proposal chosen = highest.isUnbound() ? highest.withView(0, withPromised(highest, now)) : highest;
+        final Proposal chosen =
+                highest.mayChooseView() ? highest.withView(0, withPromisingMembers(highest, now)) : highest;
         proposal = Optional.of(chosen.toAccept());
         role.view()
                 .voters()
@@ -209,8 +207,8 @@
                         new ReplicationMessage.Accept(chosen.number(), chosen.ballot(), chosen.view())));
     }
 
-    private View withPromised(final Proposal promised, final long now) {
-        return planner(now).withPromised(promised.view(), promised.supporters());
+    private View withPromisingMembers(final Proposal promised, final long now) {
+        return planner(now).withPromisingMembers(promised.view(), promised.supporters());
     }
 
     /** Takes an acceptance; the view, where a majority has accepted it. All that it concerns are sent it. */
--- a/core/src/main/java/silverlatch/replication/WriteAdmission.java
+++ b/core/src/main/java/silverlatch/replication/WriteAdmission.java
@@ -22,28 +22,28 @@
  */
 final class WriteAdmission {
     private static final int MAX_PENDING_ENTRIES = 4_096;
-    private static final int MAX_UNLEASED_WRITES = 64;
+    private static final int MAX_WRITES_AWAITING_LEASE = 64;
     private static final int CONFLICT = 409;
     private final ReplicaSettings settings;
     private final ReplicaRole role;
     private final HeldLease lease;
     private final ReplicaLog log;
-    private final WaitingWrites waitingWrites;
+    private final PendingWrites pendingWrites;
     private final Supplier<Stamp> stamps;
-    private final List<UnleasedWrite> unleasedWrites = new ArrayList<>();
+    private final List<WriteAwaitingLease> writesAwaitingLease = new ArrayList<>();
 
     WriteAdmission(
             final ReplicaSettings settings,
             final ReplicaRole role,
             final HeldLease lease,
             final ReplicaLog log,
-            final WaitingWrites waitingWrites,
+            final PendingWrites pendingWrites,
             final Supplier<Stamp> stamps) {
         this.settings = settings;
         this.role = role;
         this.lease = lease;
         this.log = log;
-        this.waitingWrites = waitingWrites;
+        this.pendingWrites = pendingWrites;
         this.stamps = stamps;
     }
 
@@ -54,18 +54,18 @@
         }
         if (lease.isHeld(now)) {
             admit(request, now);
-        } else if (unleasedWrites.size() < MAX_UNLEASED_WRITES) {
-            unleasedWrites.add(new UnleasedWrite(now, request));
+        } else if (writesAwaitingLease.size() < MAX_WRITES_AWAITING_LEASE) {
+            writesAwaitingLease.add(new WriteAwaitingLease(now, request));
         }
     }
 
     /** A voter has granted the lease: the writes that wait for it are admitted where that makes a majority. */
-    void leaseGranted(final long now) {
-        if (unleasedWrites.isEmpty() || !lease.isHeld(now)) {
+    void onLeaseGranted(final long now) {
+        if (writesAwaitingLease.isEmpty() || !lease.isHeld(now)) {
             return;
         }
-        final List<UnleasedWrite> ready = List.copyOf(unleasedWrites);
-        unleasedWrites.clear();
+        final List<WriteAwaitingLease> ready = List.copyOf(writesAwaitingLease);
+        writesAwaitingLease.clear();
         ready.stream()
                 .filter(write -> now - write.receivedAt() < settings.leaseMicros())
                 .forEach(write -> handleWriteRequest(write.request(), now));
@@ -78,23 +78,23 @@
                 || stamp.bits() <= log.highestStamp()) {
             return;
         }
-        if (hasOldFencingToken(request.command())) {
+        if (hasStaleFencingToken(request.command())) {
             final CommandResult rejection = new CommandResult.Rejected(
                     CONFLICT, List.of("the duty has another holder"), log.committedSequence());
-            waitingWrites.send(request, rejection);
+            pendingWrites.replyWithoutLogging(request, rejection);
             return;
         }
         final long sequence = log.lastSequence() + 1;
         switch (log.stateMachine().evaluate(request.command(), log.pendingValues(), sequence, stamp)) {
             case Evaluation.Reply reply -> replyEvaluated(request, reply.result(), stamp);
             case Evaluation.Write write -> {
-                waitingWrites.await(sequence, request);
+                pendingWrites.replyWhenCommitted(sequence, request);
                 log.append(List.of(new LogEntry(sequence, role.view().number(), stamp, write.entries())), now);
             }
         }
     }
 
-    private boolean hasOldFencingToken(final Command command) {
+    private boolean hasStaleFencingToken(final Command command) {
         final long fencingToken = role.view().number();
         return switch (command) {
             case Command.AdvanceEpoch epoch -> epoch.fencingToken() != fencingToken;
@@ -109,22 +109,22 @@
     private void replyEvaluated(
             final ChainClientMessage.WriteRequest request, final CommandResult result, final Stamp stamp) {
         final Optional<Entry> pendingOutcome = Optional.ofNullable(log.pendingValues()
-                .get(WaitingWrites.outcomeKey(request.command().id())));
+                .get(PendingWrites.outcomeKey(request.command().id())));
         if (pendingOutcome.isPresent()) {
-            waitingWrites.await(pendingOutcome.get().sequence(), request);
+            pendingWrites.replyWhenCommitted(pendingOutcome.get().sequence(), request);
             return;
         }
         switch (result) {
             case CommandResult.Applied applied -> {
                 if (applied.sequence() > log.committedSequence()) {
-                    waitingWrites.await(applied.sequence(), request);
+                    pendingWrites.replyWhenCommitted(applied.sequence(), request);
                 } else {
-                    waitingWrites.reply(request, applied);
+                    pendingWrites.reply(request, applied);
                 }
             }
             case CommandResult.Rejected rejected -> replyRejected(request, rejected, stamp);
             case CommandResult.AlreadyClaimed claimed -> replyRejected(request, claimed, stamp);
-            case CommandResult.Unknown unknown -> waitingWrites.reply(request, unknown);
+            case CommandResult.Unknown unknown -> pendingWrites.reply(request, unknown);
         }
     }
 
@@ -135,15 +135,15 @@
     private void replyRejected(
             final ChainClientMessage.WriteRequest request, final CommandResult rejection, final Stamp stamp) {
         if (log.pendingCount() == 0 || !settings.safeguards().isEnabled(Safeguard.COMMITTED_REFUSAL)) {
-            waitingWrites.reply(request, rejection);
+            pendingWrites.reply(request, rejection);
             return;
         }
         final Evaluation committed =
                 log.stateMachine().evaluate(request.command(), Map.of(), log.lastSequence() + 1, stamp);
         if (committed instanceof Evaluation.Reply reply && isRejection(reply.result())) {
-            waitingWrites.reply(request, reply.result());
+            pendingWrites.reply(request, reply.result());
         } else {
-            waitingWrites.awaitRejection(log.lastSequence(), request, rejection);
+            pendingWrites.rejectWhenCommitted(log.lastSequence(), request, rejection);
         }
     }
 
@@ -151,5 +151,5 @@
         return result instanceof CommandResult.Rejected || result instanceof CommandResult.AlreadyClaimed;
     }
 
-    private record UnleasedWrite(long receivedAt, ChainClientMessage.WriteRequest request) {}
+    private record WriteAwaitingLease(long receivedAt, ChainClientMessage.WriteRequest request) {}
 }
--- a/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
+++ b/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
@@ -249,7 +249,7 @@
         final List<Effect> effects = new ArrayList<>(replica.drain());
         effects.stream()
                 .filter(Effect.Persist.class::isInstance)
-                .forEach(write -> replica.synced(((Effect.Persist) write).token(), 0));
+                .forEach(write -> replica.onSynced(((Effect.Persist) write).token(), 0));
         effects.addAll(replica.drain());
         return effects.stream()
                 .filter(Effect.Send.class::isInstance)
--- a/core/src/test/java/silverlatch/log/DataFolderGenerator.java
+++ b/core/src/test/java/silverlatch/log/DataFolderGenerator.java
@@ -259,7 +259,7 @@
                 } else if (effect instanceof Effect.Persist keep) {
                     machine.log().write(keep.records());
                     keep.records().forEach(written -> rememberAccepted(machine.address(), written));
-                    machine.replica().synced(keep.token(), nowMicros);
+                    machine.replica().onSynced(keep.token(), nowMicros);
                 }
             }
         }
--- a/core/src/test/java/silverlatch/replication/BootstrapTest.java
+++ b/core/src/test/java/silverlatch/replication/BootstrapTest.java
@@ -68,8 +68,8 @@
         assertThat(parts.sent(), is(List.of()));
         bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(founding), "proposer", START);
         assertThat("the same one again", parts.sent(), is(List.of(agreement)));
-        assertThat(bootstrap.isFounding(founding), is(true));
-        assertThat(bootstrap.isFounding(other), is(false));
+        assertThat(bootstrap.isAgreedView(founding), is(true));
+        assertThat(bootstrap.isAgreedView(other), is(false));
     }
 
     @Test
@@ -142,6 +142,6 @@
                         .count(),
                 is(3L));
         bootstrap.installView();
-        assertThat(bootstrap.isFounding(founding), is(false));
+        assertThat(bootstrap.isAgreedView(founding), is(false));
     }
 }
--- a/core/src/test/java/silverlatch/replication/CatchUpProgressTest.java
+++ b/core/src/test/java/silverlatch/replication/CatchUpProgressTest.java
@@ -46,7 +46,7 @@
         assertThat(catchUp.handleTarget(new ReplicationMessage.CatchUpTarget(1, 0)), is(false));
         catchUp.finishIfReached(START);
         assertThat("no target, no end", parts.role.isCaughtUp(), is(false));
-        parts.role.catchUp();
+        parts.role.markCaughtUp();
         assertThat(catchUp.handleTarget(new ReplicationMessage.CatchUpTarget(2, 0)), is(false));
     }
 
@@ -55,7 +55,7 @@
         join();
         assertThat(catchUp.needsRepair(START + FETCH), is(false));
         assertThat(catchUp.needsRepair(START + FETCH + 1), is(true));
-        catchUp.restart(START + FETCH);
+        catchUp.restartTimer(START + FETCH);
         assertThat(catchUp.needsRepair(START + FETCH + 1), is(false));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
@@ -116,7 +116,7 @@
                 }
                 disks.get(address).add(record);
             });
-            replica.synced(write.token(), now);
+            replica.onSynced(write.token(), now);
         }
     }
 
--- a/core/src/test/java/silverlatch/replication/ChainReplicationTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainReplicationTest.java
@@ -29,7 +29,7 @@
         final SuccessorLink successor = new SuccessorLink(parts.role, log, parts.effects);
         final PredecessorLink predecessor =
                 new PredecessorLink(parts.settings, parts.role, log, catchUp, committer, parts.effects);
-        final Departure departure = new Departure(parts.settings, parts.role, parts.effects);
+        final GracefulLeave departure = new GracefulLeave(parts.settings, parts.role, parts.effects);
         final RepairRequester requester = new RepairRequester(
                 parts.settings, parts.role, log, successor, catchUp, committer, departure, parts.effects);
         return new ChainReplication(parts.role, successor, predecessor, catchUp, committer, requester);
@@ -43,7 +43,7 @@
     @Test
     void missingEntriesAreFetchedAtOnceAndThenOncePerRetry() {
         join();
-        replication.restart(START);
+        replication.retryNow(START);
         replication.retry(START + RETRY - 1);
         assertThat(parts.sent(), is(List.of(FETCH_ALL)));
         replication.retry(START + RETRY);
@@ -62,10 +62,10 @@
         join();
         replication.handleCatchUpTarget(new ReplicationMessage.CatchUpTarget(2, 1), START);
         log.append(List.of(entry(1)), START);
-        replication.entriesSynced(START);
+        replication.onEntriesSynced(START);
         assertThat("nothing is synced", parts.role.isCaughtUp(), is(false));
         parts.sync(START);
-        replication.entriesSynced(START);
+        replication.onEntriesSynced(START);
         assertThat(parts.role.isCaughtUp(), is(true));
         assertThat(log.committedSequence(), is(1L));
         assertThat(parts.sent(), is(List.of(new ReplicationMessage.CommitNotice(2, 1))));
@@ -74,7 +74,7 @@
     @Test
     void anActiveTailTellsTheOthersAgainWhatIsCommitted() {
         parts.in(view(2, SECOND, SELF));
-        replication.restart(START);
+        replication.retryNow(START);
         replication.retry(START + RETRY);
         assertThat(
                 parts.sent(),
--- a/core/src/test/java/silverlatch/replication/DiscoveryTest.java
+++ b/core/src/test/java/silverlatch/replication/DiscoveryTest.java
@@ -32,10 +32,10 @@
 
     @Test
     void theSeedsOfTheStartAreAskedUntilThereAreOthers() {
-        discovery.showViewToSeeds(true, START);
+        discovery.sendHeartbeatToSeeds(true, START);
         assertThat(parts.receivers(), is(List.of("address-0", "address-1", "address-2")));
         discovery.updateSeeds(List.of("elsewhere"));
-        discovery.showViewToSeeds(false, START);
+        discovery.sendHeartbeatToSeeds(false, START);
         assertThat(parts.sent(), is(List.of(new ReplicationMessage.LeaseRequest(5, START, SELF, false, false))));
         assertThat(discovery.seeds(), is(List.of("elsewhere")));
     }
--- a/core/src/test/java/silverlatch/replication/EffectQueueTest.java
+++ b/core/src/test/java/silverlatch/replication/EffectQueueTest.java
@@ -39,10 +39,10 @@
     @Test
     void aContinuationRunsOnceWithTheTimeOfItsSync() {
         effects.persist(PROMISE, 10, syncedAt::add);
-        effects.synced(7, 15);
+        effects.completeWrite(7, 15);
         assertThat("the token of an earlier queue", syncedAt, is(List.of()));
-        effects.synced(8, 20);
-        effects.synced(8, 30);
+        effects.completeWrite(8, 20);
+        effects.completeWrite(8, 30);
         assertThat(syncedAt, is(List.of(20L)));
     }
 
@@ -50,7 +50,7 @@
     void noContinuationRunsAfterTheDiskFailedAndTokensGoOn() {
         effects.persist(PROMISE, 10, syncedAt::add);
         effects.abandonWrites();
-        effects.synced(8, 20);
+        effects.completeWrite(8, 20);
         assertThat(syncedAt, is(List.of()));
         assertThat(effects.isAllSynced(), is(true));
         assertThat(effects.lastToken(), is(8L));
@@ -63,7 +63,7 @@
         effects.persist(PROMISE, 500);
         assertThat(effects.isStalled(LIMIT, 10 + LIMIT), is(false));
         assertThat(effects.isStalled(LIMIT, 11 + LIMIT), is(true));
-        effects.synced(8, 11 + LIMIT);
+        effects.completeWrite(8, 11 + LIMIT);
         assertThat("the next one is younger", effects.isStalled(LIMIT, 11 + LIMIT), is(false));
         assertThat(effects.isAllSynced(), is(false));
     }
@@ -73,7 +73,7 @@
         final EffectQueue unguarded = new EffectQueue(new Safeguards(Set.of(Safeguard.PROMISE)), 0);
         unguarded.persist(PROMISE, 10, syncedAt::add);
         assertThat(syncedAt, is(List.of(10L)));
-        unguarded.synced(1, 20);
+        unguarded.completeWrite(1, 20);
         assertThat("only once", syncedAt, is(List.of(10L)));
         unguarded.persist(List.of(new LogRecord.ViewInstalled(View.NONE, false)), 30, syncedAt::add);
         assertThat("other records aren't votes", syncedAt, is(List.of(10L)));
--- a/core/src/test/java/silverlatch/replication/FailureDetectorTest.java
+++ b/core/src/test/java/silverlatch/replication/FailureDetectorTest.java
@@ -28,9 +28,9 @@
         detector.start(START);
         receive(SECOND, true, true, START + 100);
         receive(THIRD, true, false, START + 100);
-        assertThat(detector.microsSinceHeard(SECOND.id(), START + 300), is(200L));
-        assertThat(detector.microsSinceHeard(THIRD.id(), START + 300), is(300L));
-        assertThat("this replica itself", detector.microsSinceHeard(SELF.id(), START + 300), is(0L));
+        assertThat(detector.silenceMicros(SECOND.id(), START + 300), is(200L));
+        assertThat(detector.silenceMicros(THIRD.id(), START + 300), is(300L));
+        assertThat("this replica itself", detector.silenceMicros(SELF.id(), START + 300), is(0L));
     }
 
     @Test
@@ -45,11 +45,11 @@
     @Test
     void aReplicaThatAsksToJoinIsWatchedUntilAnotherViewWithoutIt() {
         detector.handleJoinRequest(new ReplicationMessage.JoinRequest(1, STRANGER, 9), START);
-        assertThat(detector.microsSinceHeard(STRANGER.id(), START + 50), is(50L));
+        assertThat(detector.silenceMicros(STRANGER.id(), START + 50), is(50L));
         detector.handleLeaseRequest(new ReplicationMessage.LeaseRequest(1, 0, STRANGER, false, true), true, START + 60);
-        assertThat(detector.microsSinceHeard(STRANGER.id(), START + 70), is(10L));
+        assertThat(detector.silenceMicros(STRANGER.id(), START + 70), is(10L));
         detector.installView(true, START + 80);
-        assertThat(detector.microsSinceHeard(STRANGER.id(), START + 90), is(START + 90));
+        assertThat(detector.silenceMicros(STRANGER.id(), START + 90), is(START + 90));
     }
 
     @Test
@@ -68,8 +68,8 @@
     void aReplicaThatWasOutOfTheChainCountsAllVotersAsHeardNow() {
         detector.start(START);
         detector.installView(true, START + 500);
-        assertThat(detector.microsSinceHeard(SECOND.id(), START + 500), is(500L));
+        assertThat(detector.silenceMicros(SECOND.id(), START + 500), is(500L));
         detector.installView(false, START + 500);
-        assertThat(detector.microsSinceHeard(SECOND.id(), START + 500), is(0L));
+        assertThat(detector.silenceMicros(SECOND.id(), START + 500), is(0L));
     }
 }
--- a/core/src/test/java/silverlatch/replication/DepartureTest.java
+++ b/core/src/test/java/silverlatch/replication/GracefulLeaveTest.java
@@ -12,16 +12,16 @@
 import silverlatch.safeguard.Safeguard;
 import silverlatch.wire.ReplicationMessage;
 
-final class DepartureTest {
+final class GracefulLeaveTest {
     private final ReplicaParts parts = new ReplicaParts();
-    private final Departure departure = new Departure(parts.settings, parts.role, parts.effects);
+    private final GracefulLeave departure = new GracefulLeave(parts.settings, parts.role, parts.effects);
 
     @Test
     void aReplicaWithoutAViewOrADiskMayStopAtOnce() {
         assertThat(departure.hasLeft(false), is(true));
         parts.in(view(1, SELF, SECOND));
         assertThat(departure.hasLeft(false), is(false));
-        parts.role.failDisk();
+        parts.role.markDiskFailed();
         assertThat(departure.hasLeft(false), is(true));
     }
 
@@ -59,7 +59,7 @@
     @Test
     void withoutTheSafeguardItLeavesBeforeAnyoneKnows() {
         final ReplicaParts unguarded = new ReplicaParts(Safeguard.HANDOVER).in(view(2, SECOND, THIRD));
-        final Departure hasty = new Departure(unguarded.settings, unguarded.role, unguarded.effects);
+        final GracefulLeave hasty = new GracefulLeave(unguarded.settings, unguarded.role, unguarded.effects);
         assertThat(hasty.hasLeft(false), is(true));
     }
 }
--- a/core/src/test/java/silverlatch/replication/GrantedLeasesTest.java
+++ b/core/src/test/java/silverlatch/replication/GrantedLeasesTest.java
@@ -37,25 +37,27 @@
     void aViewThatTakesAMemberOutWaitsForItsGrant() {
         leases.grant(request(SECOND, 5), 0, LATER);
         leases.grant(request(THIRD, 5), 0, LATER + 100);
-        assertThat(leases.removedGrantsExpireAt(view(2, SELF, SECOND)), is(LATER + 100 + LEASE));
-        assertThat(leases.removedGrantsExpireAt(view(2, SELF, THIRD)), is(LATER + LEASE));
+        assertThat(leases.leaseExpiryOfRemovedMembers(view(2, SELF, SECOND)), is(LATER + 100 + LEASE));
+        assertThat(leases.leaseExpiryOfRemovedMembers(view(2, SELF, THIRD)), is(LATER + LEASE));
         assertThat(
-                "the chain only grows", leases.removedGrantsExpireAt(view(2, SELF, SECOND, THIRD, STRANGER)), is(0L));
+                "the chain only grows",
+                leases.leaseExpiryOfRemovedMembers(view(2, SELF, SECOND, THIRD, STRANGER)),
+                is(0L));
     }
 
     @Test
     void grantsFromBeforeTheRestartCountForAWholeLease() {
-        assertThat(leases.removedGrantsExpireAt(view(2, SELF, SECOND)), is(START + LEASE));
+        assertThat(leases.leaseExpiryOfRemovedMembers(view(2, SELF, SECOND)), is(START + LEASE));
     }
 
     @Test
     void allGrantsCountForAWholeLeaseAfterAChangeOfTheVoters() {
         final View same = view(2, SELF, SECOND, THIRD);
         leases.installView(parts.role.view(), same, LATER);
-        assertThat(leases.removedGrantsExpireAt(view(3, SELF)), is(START + LEASE));
+        assertThat(leases.leaseExpiryOfRemovedMembers(view(3, SELF)), is(START + LEASE));
         final View other = new View(3, 7, REPLICAS, List.of(SELF, SECOND, THIRD), SELF.id());
         leases.installView(same, other, LATER);
-        assertThat(leases.removedGrantsExpireAt(view(4, SELF)), is(LATER + LEASE));
+        assertThat(leases.leaseExpiryOfRemovedMembers(view(4, SELF)), is(LATER + LEASE));
     }
 
     @Test
@@ -63,6 +65,6 @@
         final ReplicaParts unguarded = new ReplicaParts(Safeguard.LEASE_WAIT).in(view(1, SELF, SECOND, THIRD));
         final GrantedLeases unwaited = new GrantedLeases(unguarded.settings, unguarded.role, unguarded.effects, START);
         unwaited.grant(request(SECOND, 5), 0, START);
-        assertThat(unwaited.removedGrantsExpireAt(view(2, SELF)), is(0L));
+        assertThat(unwaited.leaseExpiryOfRemovedMembers(view(2, SELF)), is(0L));
     }
 }
--- a/core/src/test/java/silverlatch/replication/WaitingWritesTest.java
+++ b/core/src/test/java/silverlatch/replication/PendingWritesTest.java
@@ -14,12 +14,12 @@
 import silverlatch.state.Entry;
 import silverlatch.wire.ChainClientMessage;
 
-final class WaitingWritesTest {
+final class PendingWritesTest {
     private static final CommandResult REJECTION = new CommandResult.Rejected(409, List.of("changed"), 3);
     private final ReplicaParts parts = new ReplicaParts();
     private final Map<String, Entry> committed = new HashMap<>();
-    private final WaitingWrites writes =
-            new WaitingWrites(key -> Optional.ofNullable(committed.get(key)), parts.effects);
+    private final PendingWrites writes =
+            new PendingWrites(key -> Optional.ofNullable(committed.get(key)), parts.effects);
 
     private static ChainClientMessage.WriteRequest request(final long requestId) {
         return new ChainClientMessage.WriteRequest(
@@ -34,34 +34,34 @@
 
     @Test
     void eachWriteIsAnsweredOnceWhenItsEntryIsCommitted() {
-        writes.await(4, request(1));
-        writes.await(4, request(2));
-        writes.await(5, request(3));
-        writes.committed(4);
+        writes.replyWhenCommitted(4, request(1));
+        writes.replyWhenCommitted(4, request(2));
+        writes.replyWhenCommitted(5, request(3));
+        writes.onCommitted(4);
         assertThat(results(), is(List.of(new CommandResult.Applied(4), new CommandResult.Applied(4))));
-        writes.committed(4);
+        writes.onCommitted(4);
         assertThat(results(), is(List.of()));
-        writes.committed(5);
+        writes.onCommitted(5);
         assertThat(results(), is(List.of(new CommandResult.Applied(5))));
     }
 
     @Test
     void aRejectionIsHeldUntilWhatItRestsOnIsCommittedAndThenLogged() {
-        writes.awaitRejection(4, request(1), REJECTION);
+        writes.rejectWhenCommitted(4, request(1), REJECTION);
         assertThat(results(), is(List.of()));
-        writes.committed(4);
+        writes.onCommitted(4);
         assertThat(results(), is(List.of(REJECTION)));
         assertThat(parts.logged(), is(List.of(Event.CHANGE_REJECTED)));
     }
 
     @Test
     void whatWaitsForADroppedEntryIsUnknown() {
-        writes.await(4, request(1));
-        writes.awaitRejection(4, request(2), REJECTION);
+        writes.replyWhenCommitted(4, request(1));
+        writes.rejectWhenCommitted(4, request(2), REJECTION);
         writes.abandon();
         assertThat(
                 results(), is(List.of(new CommandResult.Unknown("command-1"), new CommandResult.Unknown("command-2"))));
-        writes.committed(4);
+        writes.onCommitted(4);
         assertThat(results(), is(List.of()));
     }
 }
--- a/core/src/test/java/silverlatch/replication/RepairBesideLogTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairBesideLogTest.java
@@ -84,7 +84,7 @@
                 if (effect instanceof Effect.Send send) {
                     sent.add(send.message());
                 } else if (effect instanceof Effect.Persist keep) {
-                    follower.synced(keep.token(), now);
+                    follower.onSynced(keep.token(), now);
                 }
             }
         }
--- a/core/src/test/java/silverlatch/replication/RepairOfPendingTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairOfPendingTest.java
@@ -107,7 +107,7 @@
                 if (sender.equals(REPAIRED) && written.isEmpty() && replacesTheLog(keep)) {
                     written.addAll(keep.records());
                 }
-                from.synced(keep.token(), now);
+                from.onSynced(keep.token(), now);
             } else if (effect instanceof Effect.Send send && send.to().equals(receiver.address())) {
                 to.onMessage(send.message(), sender.address(), now);
             } else if (effect instanceof Effect.Send send && send.to().equals(sender.address())) {
--- a/core/src/test/java/silverlatch/replication/RepairTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairTest.java
@@ -30,7 +30,7 @@
     private final ReplicaLog sourceLog = ReplicaParts.log(source, syncedAt -> {}, sequence -> {});
     private final ReplicaParts target = new ReplicaParts();
     private final ReplicaLog targetLog = ReplicaParts.log(target, syncedAt -> {}, sequence -> {});
-    private final Departure departure = new Departure(target.settings, target.role, target.effects);
+    private final GracefulLeave departure = new GracefulLeave(target.settings, target.role, target.effects);
     private final RepairRequester requester = requester();
     private final RepairResponder responder = responder(source, sourceLog);
 
--- a/core/src/test/java/silverlatch/replication/ReplicaCluster.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaCluster.java
@@ -345,13 +345,13 @@
                 return;
             }
             if (!disk.map(limited -> limited.write(write.records())).orElse(true)) {
-                replica.diskFailed("no space left");
+                replica.onDiskFailed("no space left");
                 performEffects(address, replica);
                 scheduler.schedule(now() + RECOVERY_RETRY_MICROS, () -> recover(address, replica));
                 return;
             }
             write.records().forEach(record -> logs.sync(address, record));
-            replica.synced(write.token(), now());
+            replica.onSynced(write.token(), now());
             performEffects(address, replica);
         });
     }
--- a/core/src/test/java/silverlatch/replication/ReplicaParts.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaParts.java
@@ -69,7 +69,7 @@
     /** A part that stands in this view, which is on disk, as a member that has caught up, or outside of it. */
     ReplicaParts in(final View view) {
         role.install(view, true);
-        role.syncView(view.number());
+        role.markViewSynced(view.number());
         return this;
     }
 
@@ -112,7 +112,7 @@
         collect();
         final List<Long> unsynced = List.copyOf(tokens);
         tokens.clear();
-        unsynced.forEach(token -> effects.synced(token, now));
+        unsynced.forEach(token -> effects.completeWrite(token, now));
     }
 
     private void collect() {
--- a/core/src/test/java/silverlatch/replication/ReplicaRoleTest.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaRoleTest.java
@@ -35,7 +35,7 @@
         assertThat(role.isCaughtUp(), is(false));
         role.install(view(4, SECOND, THIRD, SELF), false);
         assertThat("it came back and may lack entries", role.isCaughtUp(), is(false));
-        role.catchUp();
+        role.markCaughtUp();
         assertThat(role.isActiveTail(), is(true));
     }
 
@@ -74,15 +74,15 @@
     @Test
     void aRepairMakesAStandbyOnlyUnderAShortChain() {
         role.install(view(1, SECOND), false);
-        role.repaired();
+        role.markRepaired();
         assertThat(role.isStandby(), is(true));
         final ReplicaRole full = new ReplicaParts().role;
         full.install(view(1, SECOND, THIRD), false);
-        full.repaired();
+        full.markRepaired();
         assertThat("this chain goes on acknowledging", full.isCaughtUp(), is(false));
         final ReplicaRole member = new ReplicaParts().role;
         member.install(view(1, SECOND, SELF), false);
-        member.repaired();
+        member.markRepaired();
         assertThat("a member catches up with its predecessor", member.isCaughtUp(), is(false));
     }
 
@@ -91,9 +91,9 @@
         role.install(view(1, SELF, SECOND), true);
         assertThat(role.isViewSynced(), is(false));
         role.install(view(2, SELF, SECOND), false);
-        role.syncView(1);
+        role.markViewSynced(1);
         assertThat("the record of the view before", role.isViewSynced(), is(false));
-        role.syncView(2);
+        role.markViewSynced(2);
         assertThat(role.isViewSynced(), is(true));
     }
 
@@ -122,7 +122,7 @@
     @Test
     void aFailedDiskOutlastsViews() {
         role.install(view(1, SELF, SECOND), true);
-        role.failDisk();
+        role.markDiskFailed();
         role.install(view(2, SELF, SECOND), false);
         assertThat(role.isDiskFailed(), is(true));
         assertThat(role.isInChain(), is(false));
--- a/core/src/test/java/silverlatch/replication/SuccessorLinkTest.java
+++ b/core/src/test/java/silverlatch/replication/SuccessorLinkTest.java
@@ -63,7 +63,7 @@
         link.retry(START + BACKOFF);
         link.handleFetchEntries(new ReplicationMessage.FetchEntries(3, SECOND.id(), 0), SECOND.address(), START);
         assertThat(parts.sent(), is(List.of()));
-        parts.role.syncView(3);
+        parts.role.markViewSynced(3);
         link.retry(START + 2 * BACKOFF);
         assertThat(parts.sent(), is(List.of(new ReplicationMessage.CatchUpTarget(3, 0))));
     }
--- a/core/src/test/java/silverlatch/replication/WriteAdmissionTest.java
+++ b/core/src/test/java/silverlatch/replication/WriteAdmissionTest.java
@@ -22,13 +22,14 @@
     private static final long LEASE = 600_000;
     private final ReplicaParts parts = new ReplicaParts().in(view(1, SELF, SECOND));
     private final HeldLease lease = new HeldLease(parts.settings, parts.role, parts.effects);
-    private final WaitingWrites[] waiting = new WaitingWrites[1];
-    private final ReplicaLog log = ReplicaParts.log(parts, syncedAt -> {}, sequence -> waiting[0].committed(sequence));
+    private final PendingWrites[] waiting = new PendingWrites[1];
+    private final ReplicaLog log =
+            ReplicaParts.log(parts, syncedAt -> {}, sequence -> waiting[0].onCommitted(sequence));
     private long stamp = 100;
     private final WriteAdmission admission = admission();
 
     private WriteAdmission admission() {
-        waiting[0] = new WaitingWrites(log.stateMachine()::get, parts.effects);
+        waiting[0] = new PendingWrites(log.stateMachine()::get, parts.effects);
         return new WriteAdmission(parts.settings, parts.role, lease, log, waiting[0], () -> new Stamp(++stamp));
     }
 
@@ -85,15 +86,15 @@
     @Test
     void aWriteWithoutALeaseWaitsForOneForNoLongerThanALease() {
         admission.handleWriteRequest(evacuation("early", -1), START);
-        admission.leaseGranted(START + 1);
+        admission.onLeaseGranted(START + 1);
         assertThat("no lease yet", log.lastSequence(), is(0L));
         grantLease(START + LEASE - 1);
-        admission.leaseGranted(START + LEASE - 1);
+        admission.onLeaseGranted(START + LEASE - 1);
         assertThat(log.lastSequence(), is(1L));
         final WriteAdmissionTest other = new WriteAdmissionTest();
         other.admission.handleWriteRequest(evacuation("old", -1), START);
         other.grantLease(START + LEASE);
-        other.admission.leaseGranted(START + LEASE);
+        other.admission.onLeaseGranted(START + LEASE);
         assertThat("it waited for too long", other.log.lastSequence(), is(0L));
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/explore/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/World.java
@@ -186,7 +186,7 @@
         final Effect.Persist write = machine.pending().poll();
         machine.write(write.records());
         if (options.mutant() != Mutant.SYNC) {
-            machine.process().orElseThrow().replica().synced(write.token(), machine.clock(now));
+            machine.process().orElseThrow().replica().onSynced(write.token(), machine.clock(now));
         }
         flush(machine);
         monitor.diskChanged();
@@ -355,7 +355,7 @@
             case Effect.Persist keep -> {
                 machine.pending().add(keep);
                 if (options.mutant() == Mutant.SYNC) {
-                    machine.process().orElseThrow().replica().synced(keep.token(), machine.clock(now));
+                    machine.process().orElseThrow().replica().onSynced(keep.token(), machine.clock(now));
                 }
             }
             case Effect.Respond answer -> {
