--- a/core/src/main/java/silverlatch/replication/Bootstrap.java
+++ b/core/src/main/java/silverlatch/replication/Bootstrap.java
@@ -13,11 +13,11 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * Founds the cluster: all seeds of an empty cluster find each other, the one with the lowest identity proposes the first view, and it is
- * decided when every one of them has agreed and synced that. Called by {@link ChainReplica} while no view is installed.
+ * Bootstraps a cluster: all seeds of an empty cluster discover each other, the one with the lowest identity proposes the initial view, and
+ * the view is decided once every seed has agreed and synced its agreement. {@link ChainReplica} calls it while no view is installed.
  *
- * <p>Legal transitions: discovering, agreed to a founding (synced; no other one is agreed to), founded, or any other view installed.
- * A replica whose disk may have been lost ({@link ReplicaSettings#mayBootstrap} is false) only discovers.
+ * <p>Legal transitions: discovering; agreed to an initial view (synced to disk, and no other one is agreed to); view installed, either the
+ * agreed or any other one. A replica whose disk may have been lost ({@link ReplicaSettings#mayBootstrap} is false) only discovers.
  */
 final class Bootstrap {
     private static final long DISCOVERY_EXPIRY_MICROS = 2_000_000L;
@@ -26,7 +26,7 @@
     private final ReplicaRole role;
     private final Discovery discovery;
     private final EffectQueue effects;
-    /** The empty seeds that were heard of late, by identity. */
+    /** The recently discovered seeds that may take part in a bootstrap, by identity. */
     private final Map<String, DiscoveredPeer> peersById = new TreeMap<>();
 
     private final Set<String> agreedPeers = new HashSet<>();
@@ -43,7 +43,7 @@
         this.effects = effects;
     }
 
-    /** Looks for the other seeds, and proposes the founding agreed to again; called by each tick. */
+    /** Sends discovery messages to the seeds, and proposes the agreed initial view again; called on each tick. */
     void discover(final long now) {
         if (!discovery.beginRound(ReplicaSettings.RETRY_MICROS, now)) {
             return;
@@ -69,7 +69,10 @@
         founding.voters().forEach(voter -> effects.send(voter.address(), new ReplicationMessage.Bootstrap(founding)));
     }
 
-    /** Another replica looks for its peers: it is told the view, or counts towards a founding. */
+    /**
+     * Handles the discovery message of another replica: replies with the installed view, or, if there is none, counts the replica as a
+     * peer for the bootstrap and proposes the initial view once all seeds are discovered.
+     */
     void handleDiscover(final ReplicationMessage.Discover request, final long now) {
         if (role.hasView()) {
             effects.send(request.sender().address(), new ReplicationMessage.ViewDecided(role.view()));
@@ -92,7 +95,7 @@
                 && settings.seeds().contains(peer.address());
     }
 
-    /** Whether all seeds were heard, and each has heard the same ones. */
+    /** Returns whether all seeds were discovered, and each of them reported to have discovered the same ones. */
     private boolean isComplete(final List<Replica> peers) {
         final Set<Replica> known = Set.copyOf(peers);
         final Set<String> addresses = peers.stream().map(Replica::address).collect(Collectors.toSet());
@@ -110,7 +113,7 @@
         return new View(1, fleet, members, members, members.get(0).id());
     }
 
-    /** Agrees to a founding of replicas that were all heard, once that is synced. */
+    /** Handles a proposed initial view: agrees if all its voters were discovered, and replies once the agreement is synced. */
     void handleBootstrap(final ReplicationMessage.Bootstrap request, final String sender, final long now) {
         final ReplicationMessage.BootstrapAgreed agreement =
                 new ReplicationMessage.BootstrapAgreed(request.view().fleet(), settings.self());
@@ -130,7 +133,11 @@
                 && founding.voters().stream().allMatch(voter -> peersById.containsKey(voter.id()));
     }
 
-    /** A seed agreed to the founding; the first view, where all have. All voters are sent it. */
+    /**
+     * Records that a seed agreed to the initial view. Once all voters have agreed, sends them the decided view.
+     *
+     * @return the initial view, if all its voters have agreed
+     */
     Optional<View> handleAgreed(final ReplicationMessage.BootstrapAgreed message) {
         final Optional<View> founding = agreedView.filter(view -> view.fleet() == message.fleet());
         founding.ifPresent(view -> agreedPeers.add(message.sender().id()));
@@ -145,17 +152,17 @@
         founded.voters().forEach(voter -> effects.send(voter.address(), new ReplicationMessage.ViewDecided(founded)));
     }
 
-    /** Whether this is the founding that this replica agreed to. */
+    /** Returns whether this is the initial view that this replica agreed to. */
     boolean isAgreedView(final View view) {
         return agreedView.map(view::equals).orElse(false);
     }
 
-    /** A view was installed: the founding has ended. */
+    /** Drops the agreed initial view after a view was installed. */
     void installView() {
         agreedView = Optional.empty();
     }
 
-    /** Takes over an agreement while the log is read. */
+    /** Restores an agreement while the log is replayed. */
     void replay(final LogRecord.Founding founding) {
         agreedView = Optional.of(founding.view());
     }
--- a/core/src/main/java/silverlatch/replication/CatchUpProgress.java
+++ b/core/src/main/java/silverlatch/replication/CatchUpProgress.java
@@ -6,19 +6,20 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * How a member that a view put into the chain comes to hold all that its predecessor held when the view began. Until then it neither
- * commits nor answers.
+ * Tracks the catch-up of a member that a view added to the chain: it must sync all entries that its predecessor had when the view was
+ * installed. Until then it neither commits entries nor answers reads.
  *
- * <p>Legal transitions: waiting for the target, below the target, caught up; another view, or a repair, begins it anew.
+ * <p>Legal transitions: waiting for the target, below the target, caught up; back to waiting for the target when another view is
+ * installed. A repair restarts only the timer.
  */
 final class CatchUpProgress {
-    /** For how long entries are fetched before a repair is asked for, in microseconds. */
+    /** For how long entries are fetched before a repair is requested, in microseconds. */
     private static final long FETCH_MICROS = 4 * ReplicaSettings.RETRY_MICROS;
 
     private final ReplicaRole role;
     private final ReplicaLog log;
     private final EffectQueue effects;
-    /** How far the predecessor's log went. */
+    /** The last sequence number of the predecessor's log, once it is known. */
     private Optional<Long> target = Optional.empty();
 
     private long startedAt;
@@ -29,23 +30,23 @@
         this.effects = effects;
     }
 
-    /** A view was installed. */
+    /** Drops the target and restarts the timer after a view was installed. */
     void installView(final long now) {
         target = Optional.empty();
         restartTimer(now);
     }
 
-    /** The time in which entries are fetched begins anew. */
+    /** Restarts the timer after which a repair is requested. */
     void restartTimer(final long now) {
         startedAt = now;
     }
 
-    /** Whether fetching entries has taken so long that a repair is asked for. */
+    /** Returns whether fetching entries has taken so long that a repair should be requested. */
     boolean needsRepair(final long now) {
         return now - startedAt > FETCH_MICROS;
     }
 
-    /** The predecessor says how far its log goes; true where this member waited for that. */
+    /** Sets the target that the predecessor sent; returns whether this member is still catching up under the same view. */
     boolean handleTarget(final ReplicationMessage.CatchUpTarget message) {
         if (message.view() != role.view().number() || !role.isInChain() || role.isCaughtUp()) {
             return false;
@@ -54,7 +55,7 @@
         return true;
     }
 
-    /** Ends the catch-up where the target is synced, and writes that to the log. */
+    /** Marks this member as caught up once the target is synced, and records that in the log. */
     void finishIfReached(final long now) {
         final boolean reached =
                 target.map(sequence -> log.syncedSequence() >= sequence).orElse(false);
--- a/core/src/main/java/silverlatch/replication/ChainClient.java
+++ b/core/src/main/java/silverlatch/replication/ChainClient.java
@@ -12,11 +12,11 @@
 import silverlatch.wire.Message;
 
 /**
- * Sends the commands of one process to the head of the chain and its reads to the tail, again and again until they are answered or their
- * deadline has passed. It does no input or output, and is called by the one thread of the node's event loop; times are of its steady
- * clock, in microseconds.
+ * A client of the chain: sends the commands of one process to the head and its reads to the tail, and retries them until a reply arrives
+ * or their deadline passes. It does no I/O and is called on the thread of the node's event loop; times are those of its monotonic clock,
+ * in microseconds.
  *
- * <p>Invariant: a call gets exactly one response: a result, or, past its deadline, that the outcome is unknown.
+ * <p>Invariant: each call gets exactly one response: its result, or, after its deadline, that the outcome is unknown.
  */
 public final class ChainClient {
     private static final long RETRY_MICROS = 250_000L;
@@ -24,8 +24,8 @@
     private static final long NO_REVISION = 0;
 
     /**
-     * By how much later a document is sent again, in microseconds a character; it doubles with each retry, as the copy before may still
-     * be in flight.
+     * The additional retry delay of a configuration document, in microseconds per character. It doubles with each retry, as the previous
+     * copy may still be in flight.
      */
     private static final long RETRY_MICROS_PER_CHARACTER = 4;
 
@@ -38,7 +38,7 @@
     private long lastRequestId;
     private long lastViewNumber;
 
-    /** A client of the process that listens at the address; ids of its requests go on from the first. */
+    /** Creates a client of the process that listens at the address; request ids start after {@code firstRequestId}. */
     public ChainClient(final String address, final Supplier<View> currentView, final long firstRequestId) {
         this.address = address;
         this.currentView = currentView;
@@ -48,9 +48,9 @@
     /**
      * The result of a read.
      *
-     * @param answered whether the tail answered before the deadline; else the rest is empty
-     * @param sequence the committed sequence of the answer
-     * @param entries  the entries whose keys begin with the prefix
+     * @param answered whether the tail answered before the deadline; otherwise sequence is 0 and entries is empty
+     * @param sequence the committed sequence number that the entries were read at
+     * @param entries  the entries whose keys start with the prefix
      */
     public record ReadResult(boolean answered, long sequence, List<silverlatch.state.Entry> entries) {
         /** Copies the entries. */
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Sends a command; a {@link CommandResult} comes as the response under the token. */
+    /** Sends a command; the response for the token will be a {@link CommandResult}. */
     public void submit(final Command command, final long token, final long now, final long deadline) {
         lastRequestId++;
         final boolean expectsLatest = command instanceof Command.SetEvacuation evacuation
@@ -78,7 +78,7 @@
                 now);
     }
 
-    /** Reads the entries whose keys begin with the prefix; a {@link ReadResult} comes as the response under the token. */
+    /** Reads the entries whose keys start with the prefix; the response for the token will be a {@link ReadResult}. */
     public void read(final String keyPrefix, final long token, final long now, final long deadline) {
         lastRequestId++;
         sendOrExpire(
@@ -94,7 +94,7 @@
                 now);
     }
 
-    /** Takes a reply of the head or the tail. */
+    /** Handles a reply of the head or the tail. */
     public void onMessage(final Message message, final long now) {
         switch (message) {
             case ChainClientMessage.WriteReply m -> {
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Responds with the result; an evacuation on the latest revision that met a conflict is tried again on the one it learned. */
+    /** Responds with the result; retries a conflicting evacuation that expects the latest revision with the revision of the rejection. */
     private void complete(final PendingCall call, final CommandResult result, final long now) {
         if (call.expectsLatest()
                 && result instanceof CommandResult.Rejected r
@@ -129,7 +129,7 @@
         }
     }
 
-    /** A clock event: sends again what is due, at once under another view, and ends the calls past their deadline. */
+    /** Handles a timer event: retries the calls that are due, or all calls if the view changed, and ends those past their deadline. */
     public void tick(final long now) {
         final boolean viewChanged = currentView.get().number() != lastViewNumber;
         lastViewNumber = currentView.get().number();
@@ -159,14 +159,14 @@
         };
     }
 
-    /** What is to be done; it is handed over once. */
+    /** Returns the effects to carry out and removes them from the queue. */
     public List<Effect> drain() {
         final List<Effect> drained = List.copyOf(effects);
         effects.clear();
         return drained;
     }
 
-    /** Sends a call before its deadline; past it, also where the process was frozen meanwhile, responds that the outcome is unknown. */
+    /** Sends a call, or responds that its outcome is unknown if the deadline has passed, for example while the process was frozen. */
     private void sendOrExpire(final long requestId, final PendingCall call, final long now) {
         if (now >= call.deadline()) {
             pendingCalls.remove(requestId);
--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -13,11 +13,11 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * One replica of the control state: joins the parts of this package and hands each event to the part that owns it. It does no input or
- * output: events go in, {@link Effect}s come out, and a write to the log comes back by its token. All methods are called by the one
- * thread of the node's event loop, with its steady clock in microseconds.
+ * One replica of the control state: connects the components of this package and dispatches each event to the component responsible. It
+ * does no I/O: it takes events and produces {@link Effect}s; {@link #onSynced} reports a completed write to the log by its token. All
+ * methods are called on the thread of the node's event loop, with the time of its monotonic clock in microseconds.
  *
- * <p>It alone makes the transitions of {@link ReplicaRole}: when a view is installed, all parts are told in one step.
+ * <p>Only this class changes the view of {@link ReplicaRole}; when a view is installed, all components are updated in one step.
  */
 public final class ChainReplica {
     private final ReplicaSettings settings;
@@ -46,7 +46,7 @@
     private final ChainReplication replication;
     private final EpochAdvancer epochAdvancer;
 
-    /** A replica as its log left it. */
+    /** Creates a replica and restores its state from the records of its log. */
     public ChainReplica(
             final ReplicaSettings settings,
             final List<LogRecord> records,
@@ -109,7 +109,7 @@
             case LogRecord.Accepted accepted -> acceptor.replay(accepted);
             case LogRecord.Founding founding -> bootstrap.replay(founding);
             case LogRecord.Batch batch -> batch.records().forEach(this::replay);
-            case LogRecord.SnapshotPart part -> throw new IllegalArgumentException("a part without its snapshot");
+            case LogRecord.SnapshotPart part -> throw new IllegalArgumentException("snapshot part without snapshot");
         }
     }
 
@@ -125,29 +125,29 @@
         committer.commitReplayed(now);
     }
 
-    /** What is to be done in the world; it is handed over once. */
+    /** Returns the effects to carry out and removes them from the queue. */
     public List<Effect> drain() {
         return effects.drain();
     }
 
-    /** The committed state; the caller does not change it. */
+    /** Returns the committed state, which the caller must not change. */
     public StateMachine stateMachine() {
         return log.stateMachine();
     }
 
-    /** The installed view. */
+    /** Returns the installed view. */
     public View view() {
         return role.view();
     }
 
-    /** The fencing token under which this replica owns the singleton role, if it does. */
+    /** Returns the fencing token under which this replica owns the singleton role, if it is the owner and holds a lease. */
     public Optional<Long> fencingToken(final long now) {
         return role.isActive() && lease.isHeld(now) && settings.isSelf(view().singletonOwner())
                 ? Optional.of(view().number())
                 : Optional.empty();
     }
 
-    /** How this replica stands. */
+    /** Returns the current status of this replica. */
     public ReplicaStatus status(final long now) {
         return new ReplicaStatus(
                 role.state(),
@@ -159,12 +159,12 @@
                 lease.isHeld(now));
     }
 
-    /** Whether every acknowledged change of policy is surely in the committed state here at this moment. */
+    /** Returns whether the committed state here is known to include every policy change acknowledged so far. */
     public boolean isUpToDate(final long now) {
         return role.isActive() && lease.isHeld(now) && !log.hasPendingPolicy();
     }
 
-    /** Takes a message of the process that listens at the sender's address. */
+    /** Handles a message; {@code sender} is the address at which the sending process listens. */
     public void onMessage(final Message message, final String sender, final long now) {
         if (role.isDiskFailed() || role.isLogOutdated() && !(message instanceof ReplicationMessage.ViewDecided)) {
             return;
@@ -198,14 +198,14 @@
         }
     }
 
-    /** A write to the log was synced. */
+    /** Handles the completion of a write: the records of this token are synced to disk. */
     public void onSynced(final long token, final long now) {
         effects.completeWrite(token, now);
     }
 
     /**
-     * This replica after its disk failed and takes writes again: as a restarted process would be, from what its log holds. Tokens of
-     * writes go on from the old ones, so that no late report of an old write is taken for a new one's.
+     * Returns the replica that replaces this one once its failed disk accepts writes again, restored from the log as after a restart.
+     * Write tokens continue from the old ones, so that a late completion of an old write isn't mistaken for one of a new write.
      */
     public ChainReplica recovered(final List<LogRecord> records, final long now) {
         final ChainReplica next = new ChainReplica(settings, records, stamps, now, effects.lastToken());
@@ -216,7 +216,7 @@
         return next;
     }
 
-    /** A write to the log failed: this replica takes no part until it has recovered. */
+    /** Handles a failed write to the log: this replica ignores all messages until {@link #recovered} replaces it. */
     public void onDiskFailed(final String reason) {
         if (!role.isDiskFailed()) {
             role.markDiskFailed();
@@ -226,22 +226,22 @@
         }
     }
 
-    /** Takes the addresses to ask for a view from now on; a founding keeps to those of the start. */
+    /** Replaces the addresses that are asked for the current view; bootstrap keeps using the seeds of the settings. */
     public void updateSeeds(final List<String> addresses) {
         discovery.updateSeeds(addresses);
     }
 
-    /** The process is about to stop: the others are asked to take it out of the chain and to name another owner. */
+    /** Starts a graceful leave before the process stops: this replica is removed from the chain and another owner is appointed. */
     public void leave() {
         gracefulLeave.begin();
     }
 
-    /** Whether the process may stop, after {@link #leave()}: see {@link GracefulLeave}. */
+    /** Returns whether the process may stop after {@link #leave()}; see {@link GracefulLeave}. */
     public boolean hasLeft() {
         return gracefulLeave.hasLeft(!proposer.joinRequests().isEmpty());
     }
 
-    /** A clock event, a few each lease. */
+    /** Handles a timer event; must be called several times per lease duration. */
     public void tick(final long now) {
         if (role.isDiskFailed()) {
             return;
@@ -283,7 +283,7 @@
         }
     }
 
-    /** Out of the chain: asks for a repair, and shows the seeds the view held here. */
+    /** Requests a repair from the tail, and sends the seeds a heartbeat with the number of the installed view. */
     private void tickOutsideChain(final long now) {
         final long interval =
                 repairRequester.isJoining() ? 5 * ReplicaSettings.RETRY_MICROS : ReplicaSettings.RETRY_MICROS;
@@ -321,13 +321,14 @@
     }
 
     /**
-     * What is acknowledged has been synced by each member that has caught up; this one lacks some of it, so its folder is not the one
-     * that it had. It neither asks, grants nor votes until a later view, in which it is repaired.
+     * Fences this replica, as it lacks acknowledged entries. A caught-up member has synced every acknowledged entry, so the data directory
+     * isn't the one that it had. It doesn't request or grant leases or vote until a later view is installed, in which it is repaired.
      */
     private void fenceOutdatedLog(final ReplicationMessage.LeaseGrant grant) {
         effects.log(
                 Event.LOG_OUTDATED,
-                "the log ends at " + log.lastSequence() + ", but " + grant.committed() + " was acknowledged with it");
+                "the log ends at sequence " + log.lastSequence() + ", but sequence " + grant.committed()
+                        + " was acknowledged; check whether an older copy of the data directory was restored");
         role.fenceOutdatedLog();
         lease.clear();
         dropPending();
@@ -352,7 +353,7 @@
         failureDetector.handleJoinRequest(request, now);
     }
 
-    /** Installs a decided view where it is a later one of this cluster. */
+    /** Installs a decided view if it is newer than the installed one and belongs to this cluster. */
     private void installView(final View next, final long now) {
         if (!role.mayInstall(next)) {
             return;
@@ -388,7 +389,7 @@
         replication.onEntriesSynced(now);
     }
 
-    /** Out of the chain only a standby keeps what is pending. */
+    /** Drops the pending entries, unless this replica is a standby, and the pending client writes. */
     private void dropPending() {
         pendingWrites.abandon();
         if (!role.isStandby()) {
--- a/core/src/main/java/silverlatch/replication/ChainReplication.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplication.java
@@ -3,8 +3,8 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * The way of entries through one member of the chain: from its predecessor, to its successor, and their commit. {@link ChainReplica} calls
- * it by each tick of a member, when entries are synced, and when a view begins.
+ * Replicates entries through one member of the chain: receives them from the predecessor, sends them to the successor, and commits them.
+ * {@link ChainReplica} calls it on each tick while the replica is a member, when entries are synced, and when a view is installed.
  */
 final class ChainReplication {
     private final ReplicaRole role;
@@ -30,14 +30,14 @@
         this.repairRequester = repairRequester;
     }
 
-    /** A view that names this replica in its chain begins: all neighbours are told at once. */
+    /** Contacts the other members without waiting for the retry interval, when a view with this replica in its chain is installed. */
     void retryNow(final long now) {
         retriedAt = 0;
         retry(now);
         committer.commitAsTail(now);
     }
 
-    /** Sends again what the other members may have missed, where the last time was a while ago. */
+    /** Resends what the other members may have missed, if the retry interval has passed. */
     void retry(final long now) {
         if (now - retriedAt < ReplicaSettings.RETRY_MICROS) {
             return;
@@ -61,14 +61,14 @@
         }
     }
 
-    /** Entries were synced here. */
+    /** Handles the local sync of entries: sends them to the successor, and commits them if this replica is the tail. */
     void onEntriesSynced(final long now) {
         successorLink.sendEntries();
         catchUp.finishIfReached(now);
         committer.commitAsTail(now);
     }
 
-    /** The predecessor says how far its log went when the view began. */
+    /** Handles the predecessor's message with the last sequence number of its log, up to which this replica must catch up. */
     void handleCatchUpTarget(final ReplicationMessage.CatchUpTarget target, final long now) {
         if (catchUp.handleTarget(target)) {
             catchUp.finishIfReached(now);
--- a/core/src/main/java/silverlatch/replication/Committer.java
+++ b/core/src/main/java/silverlatch/replication/Committer.java
@@ -3,11 +3,11 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * Commits entries: at the tail what is synced there, elsewhere what the tail says. Called when entries are synced, by commit notices and
- * by retries.
+ * Commits entries: the tail commits what it has synced, the other members commit what the tail reports as committed. Called when entries
+ * are synced, when commit notices arrive, and on retries.
  *
- * <p>Invariant: only an active tail of a chain with the required copies commits by its own sync, as then every member that has caught up
- * has synced the entry.
+ * <p>Invariant: only an active tail of a chain with the required copies commits entries because it has synced them; at that point every
+ * caught-up member has synced them.
  */
 final class Committer {
     private final ReplicaSettings settings;
@@ -22,14 +22,14 @@
         this.effects = effects;
     }
 
-    /** The log has been read: a tail had all of it synced, so all of it is committed. */
+    /** Commits the replayed entries if this replica is the tail: all of them were synced, so all of them are committed. */
     void commitReplayed(final long now) {
         if (commitsBySync()) {
             log.commit(log.syncedSequence(), now);
         }
     }
 
-    /** Commits what is synced at the tail, and tells the other members where that is more than before. */
+    /** Commits the synced entries if this replica is the tail, and notifies the other members if that committed any. */
     void commitAsTail(final long now) {
         if (commitsBySync()) {
             final long before = log.committedSequence();
@@ -44,7 +44,7 @@
         return role.isActiveTail() && role.hasRequiredCopies();
     }
 
-    /** Tells all other members up to where entries are committed. */
+    /** Sends the committed sequence number to all other members of the chain. */
     void notifyMembers() {
         role.view().chain().stream()
                 .filter(member -> !settings.isSelf(member.id()))
@@ -53,7 +53,7 @@
                         new ReplicationMessage.CommitNotice(role.view().number(), log.committedSequence())));
     }
 
-    /** The tail has committed entries up to a sequence. */
+    /** Commits the entries that the tail reports as committed, as far as they are synced here. */
     void handleCommitNotice(final ReplicationMessage.CommitNotice notice, final long now) {
         if (!role.isFenced(notice.view()) && role.isInChain()) {
             log.commit(notice.sequence(), now);
--- a/core/src/main/java/silverlatch/replication/Discovery.java
+++ b/core/src/main/java/silverlatch/replication/Discovery.java
@@ -5,8 +5,8 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * Where a replica that has no place in a chain asks for the view, and when it asked last. {@link Bootstrap} and {@link ChainReplica}
- * share its timer, so that a replica asks once in a while whatever it asks for.
+ * Asks the seeds or the voters for the current view on behalf of a replica outside the chain. {@link Bootstrap} and {@link ChainReplica}
+ * share its timer, so that a replica sends one round of requests per interval, whatever their purpose.
  */
 final class Discovery {
     private final ReplicaSettings settings;
@@ -22,17 +22,17 @@
         this.seeds = settings.seeds();
     }
 
-    /** The addresses to ask from now on. */
+    /** Replaces the addresses to ask. */
     void updateSeeds(final List<String> addresses) {
         seeds = List.copyOf(addresses);
     }
 
-    /** The addresses to ask. */
+    /** Returns the addresses to ask. */
     List<String> seeds() {
         return seeds;
     }
 
-    /** Begins a round where the last one is at least so many microseconds ago; false where it is too early. */
+    /** Starts a round if the last one started at least the interval ago; returns whether it did. */
     boolean beginRound(final long intervalMicros, final long now) {
         if (now - lastRoundAt < intervalMicros) {
             return false;
@@ -46,7 +46,10 @@
         seeds.forEach(seed -> effects.send(seed, message));
     }
 
-    /** Asks the voters under the view before this one: the reply is the view as it is now, and the asker counts as silent. */
+    /**
+     * Asks the voters for a later view, with a lease request under the number of the previous view: the voters reply to an outdated number
+     * with their installed view, and don't count the request as a heartbeat.
+     */
     void requestLaterView(final long now) {
         if (beginRound(ReplicaSettings.RETRY_MICROS, now)) {
             final View view = role.view();
@@ -58,7 +61,7 @@
         }
     }
 
-    /** Shows the seeds the installed view; one that knows a later view replies with it. */
+    /** Sends the seeds a lease request as a heartbeat; a seed that has installed a later view replies with that view. */
     void sendHeartbeatToSeeds(final boolean hearsMajority, final long now) {
         sendToSeeds(
                 new ReplicationMessage.LeaseRequest(role.view().number(), now, settings.self(), false, hearsMajority));
--- a/core/src/main/java/silverlatch/replication/EffectQueue.java
+++ b/core/src/main/java/silverlatch/replication/EffectQueue.java
@@ -14,10 +14,10 @@
 import silverlatch.wire.Message;
 
 /**
- * What a replica wants done in the world, in order, and what it does once a write to the log is synced. All parts of a replica add to
- * it; the event loop drains it after each event.
+ * The queue of effects (messages, log writes, log events) that a replica requests, in order, and the callbacks of unsynced writes to the
+ * log. All components of a replica add to it; the event loop drains it after each event.
  *
- * <p>Invariant: each token is used once, and its continuation runs at most once, when {@link #completeWrite} reports it.
+ * <p>Invariant: each token is used for one write, and the callback of a write is called at most once, by {@link #completeWrite}.
  */
 final class EffectQueue {
     private final Safeguards safeguards;
@@ -25,23 +25,23 @@
     private final Map<Long, UnsyncedWrite> unsyncedWrites = new LinkedHashMap<>();
     private long lastToken;
 
-    /** A queue whose tokens go on from the last one of an earlier queue of this process. */
+    /** Creates a queue whose tokens continue after the last one of an earlier queue of this process, or start at 1 after 0. */
     EffectQueue(final Safeguards safeguards, final long lastToken) {
         this.safeguards = safeguards;
         this.lastToken = lastToken;
     }
 
-    /** Sends a message to the process that listens at the address. */
+    /** Requests to send a message to the process that listens at the address. */
     void send(final String address, final Message message) {
         effects.add(new Effect.Send(address, message));
     }
 
-    /** Logs a numbered event. */
+    /** Requests to log a numbered event. */
     void log(final Event event, final String text) {
         effects.add(new Effect.Log(event, text));
     }
 
-    /** Writes records to the log; the continuation runs with the time at which they were synced. */
+    /** Requests to write records to the log and to sync them; calls {@code onSynced} with the time at which they were synced. */
     void persist(final List<LogRecord> records, final long now, final LongConsumer onSynced) {
         lastToken++;
         final boolean completesBeforeSync = !safeguards.isEnabled(Safeguard.PROMISE) && isVote(records.get(0));
@@ -52,7 +52,7 @@
         effects.add(new Effect.Persist(lastToken, records));
     }
 
-    /** Writes records to the log, where nothing waits for the sync. */
+    /** Requests to write records to the log, without a callback. */
     void persist(final List<LogRecord> records, final long now) {
         persist(records, now, syncedAt -> {});
     }
@@ -61,18 +61,18 @@
         return record instanceof LogRecord.Promised || record instanceof LogRecord.Accepted;
     }
 
-    /** The write of this token was synced. */
+    /** Completes the write of this token, which was synced, and calls its callback. */
     void completeWrite(final long token, final long now) {
         Optional.ofNullable(unsyncedWrites.remove(token))
                 .ifPresent(write -> write.onSynced().accept(now));
     }
 
-    /** Whether all that was written is synced. */
+    /** Returns whether all writes are synced. */
     boolean isAllSynced() {
         return unsyncedWrites.isEmpty();
     }
 
-    /** Whether the oldest unsynced write has waited for longer than this, in microseconds. */
+    /** Returns whether the oldest unsynced write has been unsynced for longer than the limit, in microseconds. */
     boolean isStalled(final long limitMicros, final long now) {
         return unsyncedWrites.values().stream()
                 .findFirst()
@@ -80,17 +80,17 @@
                 .orElse(false);
     }
 
-    /** Forgets the continuations of all unsynced writes, as the disk failed. */
+    /** Drops all unsynced writes and their callbacks, as the disk failed. */
     void abandonWrites() {
         unsyncedWrites.clear();
     }
 
-    /** The token of the last write. */
+    /** Returns the token of the last write. */
     long lastToken() {
         return lastToken;
     }
 
-    /** Hands over what is to be done, once. */
+    /** Returns the queued effects and clears the queue. */
     List<Effect> drain() {
         final List<Effect> drained = List.copyOf(effects);
         effects.clear();
--- a/core/src/main/java/silverlatch/replication/EpochAdvancer.java
+++ b/core/src/main/java/silverlatch/replication/EpochAdvancer.java
@@ -5,8 +5,8 @@
 import silverlatch.wire.ChainClientMessage;
 
 /**
- * Advances the replicated epoch by which claims grow old, every ten minutes by the steady clock of the singleton's owner. One that
- * becomes the owner waits for a whole interval first, so epochs may be longer at a change of the owner, but never shorter.
+ * Advances the replicated epoch, by which the age of claims is measured, every ten minutes of the monotonic clock of the singleton owner.
+ * A new owner waits for a full interval first, so an epoch may be longer when the owner changes, but never shorter.
  */
 final class EpochAdvancer {
     private static final long INTERVAL_MICROS = 600_000_000L;
@@ -29,7 +29,12 @@
         this.advancedAt = now;
     }
 
-    /** Sends the head a write that advances the epoch where one is due; the fencing token is there for the owner only. */
+    /**
+     * Sends the head a write that advances the epoch, if the interval has passed.
+     *
+     * @param fencingToken the fencing token of the singleton owner; empty on all other replicas
+     * @param now          the time in microseconds
+     */
     void tick(final Optional<Long> fencingToken, final long now) {
         if (fencingToken.isEmpty()) {
             advancedAt = now;
--- a/core/src/main/java/silverlatch/replication/FailureDetector.java
+++ b/core/src/main/java/silverlatch/replication/FailureDetector.java
@@ -8,18 +8,18 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * When this replica heard the voters and the replicas that ask to join, by their lease requests, and which members say that they have
- * caught up. {@link ViewPlanner} decides by it who is suspected.
+ * Tracks when the voters and the replicas that request to join were last alive, and which members report that they have caught up. Lease
+ * requests serve as heartbeats. {@link ViewPlanner} uses it to decide which replicas are suspected.
  *
- * <p>A voter that doesn't hear a majority itself counts as silent: else a member that sends but hears nothing would stay in the chain and
- * hold up all writes. Times are of this replica's steady clock, in microseconds.
+ * <p>A voter that reports that it doesn't receive messages from a majority counts as silent: otherwise a member that can send but not
+ * receive would stay in the chain and block all writes. Times are those of this replica's monotonic clock, in microseconds.
  */
 final class FailureDetector {
     private final ReplicaSettings settings;
     private final ReplicaRole role;
-    /** When a replica was last heard that hears a majority, or asks to join. */
+    /** When a replica last showed that it is alive: by a heartbeat that reports contact with a majority, or by joining. */
     private final Map<String, Long> lastAliveAt = new HashMap<>();
-    /** When a request of a voter was last received, whether it hears a majority or not. */
+    /** When a lease request of a voter was last received, no matter whether it reports contact with a majority. */
     private final Map<String, Long> lastRequestAt = new HashMap<>();
 
     private final Set<String> caughtUpMembers = new HashSet<>();
@@ -29,12 +29,15 @@
         this.role = role;
     }
 
-    /** The process starts: all voters count as heard now. */
+    /** Starts detection when the process starts: all voters count as alive now. */
     void start(final long now) {
         role.view().voters().forEach(voter -> lastAliveAt.put(voter.id(), now));
     }
 
-    /** A view was installed: its voters are watched, from now on where this replica wasn't in the chain of the one before. */
+    /**
+     * Tracks the voters of a view that was installed. If this replica was not in the chain of the previous view, all of them count as
+     * alive now, otherwise only the new ones.
+     */
     void installView(final boolean wasInChain, final long now) {
         caughtUpMembers.clear();
         lastAliveAt
@@ -50,12 +53,12 @@
         });
     }
 
-    /** A replica asks to join. */
+    /** Records that a replica requested to join the chain. */
     void handleJoinRequest(final ReplicationMessage.JoinRequest request, final long now) {
         lastAliveAt.put(request.sender().id(), now);
     }
 
-    /** A lease request of the installed view came in. */
+    /** Records a lease request under the installed view as a heartbeat of its sender. */
     void handleLeaseRequest(final ReplicationMessage.LeaseRequest request, final boolean isJoining, final long now) {
         final String id = request.sender().id();
         if (isJoining) {
@@ -74,17 +77,17 @@
         }
     }
 
-    /** This replica has caught up itself. */
+    /** Records that this replica itself has caught up. */
     void addSelfAsCaughtUp() {
         caughtUpMembers.add(settings.self().id());
     }
 
-    /** The members of the chain that said that they have caught up; it changes with what comes in. */
+    /** Returns the identities of the replicas that reported to have caught up; a live view that changes with each request. */
     Set<String> caughtUpMembers() {
         return caughtUpMembers;
     }
 
-    /** Whether a majority of the voters, this one among them, was received within half the time of suspicion. */
+    /** Returns whether a majority of the voters, including this one, sent a lease request within half of the suspicion timeout. */
     boolean hearsMajority(final long now) {
         final long recentVoters = role.view().voters().stream()
                 .map(Replica::id)
@@ -99,7 +102,10 @@
                 .isPresent();
     }
 
-    /** For how long a replica was silent, in microseconds; one that was never heard since the start of the clock. */
+    /**
+     * Returns for how long a replica has been silent, in microseconds; 0 for this replica. A replica that was never alive counts as silent
+     * since the start of the monotonic clock.
+     */
     long silenceMicros(final String id, final long now) {
         return settings.isSelf(id) ? 0 : now - lastAliveAt.getOrDefault(id, 0L);
     }
--- a/core/src/main/java/silverlatch/replication/GracefulLeave.java
+++ b/core/src/main/java/silverlatch/replication/GracefulLeave.java
@@ -7,16 +7,17 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * The graceful leave of a replica before its process stops. Legal transitions: staying, leaving (the next views take it out of chain and
- * voters), left. It begins with {@link ChainReplica#leave} and isn't taken back.
+ * The graceful leave of a replica before its process stops. Legal transitions: staying, leaving (the next views remove it from the chain
+ * and the voters), left. A leave starts with {@link ChainReplica#leave} and can't be cancelled.
  *
- * <p>Invariant: a replica has left only when the chain goes on without it, and a majority of the voters that remain knows that.
+ * <p>Invariant: a replica has left only when a view without it in the chain is installed, and a majority of that view's voters, this
+ * replica not counted, is known to have installed it.
  */
 final class GracefulLeave {
     private final ReplicaSettings settings;
     private final ReplicaRole role;
     private final EffectQueue effects;
-    /** The addresses that have shown that they know the installed view. */
+    /** The addresses of the processes known to have installed the same view. */
     private final Set<String> informedVoters = new HashSet<>();
 
     private boolean leaving;
@@ -27,29 +28,29 @@
         this.effects = effects;
     }
 
-    /** The process is about to stop. */
+    /** Starts the leave, as the process is about to stop. */
     void begin() {
         leaving = true;
     }
 
-    /** Whether the process is about to stop. */
+    /** Returns whether the leave has started. */
     boolean isLeaving() {
         return leaving;
     }
 
-    /** A view was installed: nobody is known to know it yet. */
+    /** Clears the informed voters after a view was installed, as no other voter is known to have installed it yet. */
     void installView() {
         informedVoters.clear();
     }
 
-    /** A process has shown that it knows the installed view. */
+    /** Records that the process at this address has installed the same view. */
     void addInformed(final String address) {
         informedVoters.add(address);
     }
 
     /**
-     * Whether the process may stop. A member that the chain needs for its copies stays until its grace ends; the last voter may go when
-     * nobody asks to join.
+     * Returns whether the process may stop. A member that the chain needs for the required copies stays until the grace period of its
+     * process ends. The last voter may leave if there is no join request.
      */
     boolean hasLeft(final boolean hasJoinRequests) {
         if (!role.hasView() || role.isDiskFailed()) {
@@ -69,8 +70,9 @@
     }
 
     /**
-     * Tells the voters of the view without this replica, until they show that they know it. It asks for no lease meanwhile, so that its
-     * silence counts. A prepare for a number that was decided is replied to with the view of whoever knows it.
+     * Sends the view without this replica in its chain to the voters; repeated until they are known to have installed it. The replica
+     * requests no leases meanwhile, so that it counts as silent. The message includes a prepare for the view's number: a voter that has
+     * installed a view with this or a higher number replies to it with that view, which confirms the installation.
      */
     void announce() {
         final View view = role.view();
--- a/core/src/main/java/silverlatch/replication/GrantedLeases.java
+++ b/core/src/main/java/silverlatch/replication/GrantedLeases.java
@@ -7,12 +7,12 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * The leases that this replica, as a voter, has granted to members of the chain. {@link ViewAcceptor} asks it when the next view may be
- * accepted aloud.
+ * The leases that this replica, as a voter, has granted to members of the chain. {@link ViewAcceptor} asks it when the acceptance of the
+ * next view may be sent.
  *
- * <p>Invariant: a member that the next view takes out of the chain holds no grant of this voter any more when {@link
- * #removedGrantsExpireAt} has passed. Grants from before a restart or a change of the voters aren't known one by one; all have run out
- * at {@code untrackedGrantsExpireAt}.
+ * <p>Invariant: a member that the next view removes from the chain holds no unexpired grant of this voter after {@link
+ * #leaseExpiryOfRemovedMembers}. Grants from before a restart or a change of the voters aren't tracked one by one; all of them have
+ * expired at {@code untrackedGrantsExpireAt}.
  */
 final class GrantedLeases {
     private final ReplicaSettings settings;
@@ -21,7 +21,7 @@
     private final Map<String, Long> expiryByMember = new HashMap<>();
     private long untrackedGrantsExpireAt;
 
-    /** A voter that may have granted leases until this moment, before it restarted. */
+    /** Creates the grants of a voter that may have granted leases until now, before it restarted. */
     GrantedLeases(final ReplicaSettings settings, final ReplicaRole role, final EffectQueue effects, final long now) {
         this.settings = settings;
         this.role = role;
@@ -29,7 +29,7 @@
         this.untrackedGrantsExpireAt = now + settings.leaseMicros();
     }
 
-    /** Grants a lease to a member of the chain, and tells it up to where changes are committed here. */
+    /** Grants a lease to a member of the chain; the reply includes the sequence number up to which entries are committed here. */
     void grant(final ReplicationMessage.LeaseRequest request, final long committed, final long now) {
         final View view = role.view();
         if (view.positionOf(request.sender().id()) < 0) {
@@ -42,7 +42,7 @@
                         view.number(), request.askedAt(), settings.self().id(), committed));
     }
 
-    /** A view takes the place of another one. */
+    /** Updates the grants when a view replaces another one. */
     void installView(final View previous, final View next, final long now) {
         expiryByMember.values().removeIf(expiry -> expiry <= now);
         if (!Set.copyOf(previous.voters()).equals(Set.copyOf(next.voters()))) {
@@ -51,8 +51,9 @@
     }
 
     /**
-     * When none that the next view takes out can answer under a lease from here any more. Members that stay can't answer for the old
-     * view alone: what the new one acknowledges has passed them.
+     * Returns the time, in microseconds, from which no member that the next view removes can act under a lease of this voter. Members that
+     * remain needn't be waited for: they can't answer from the old view alone, as every entry that the new view acknowledges has passed
+     * through them. The time is 0 if the next chain extends the installed one.
      */
     long leaseExpiryOfRemovedMembers(final View next) {
         final View view = role.view();
--- a/core/src/main/java/silverlatch/replication/HeldLease.java
+++ b/core/src/main/java/silverlatch/replication/HeldLease.java
@@ -5,11 +5,11 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * The lease that this replica holds under its view: without it, it neither admits writes nor answers reads, and doesn't call its state
- * up to date. Used by {@link ChainReplica} and the admission of reads and writes.
+ * The lease that this replica holds under its view. Without a lease it neither admits writes nor answers reads, and doesn't report its
+ * state as up to date. Used by {@link ChainReplica}, {@link WriteAdmission} and {@link ReadAdmission}.
  *
- * <p>Invariant: a grant counts from when it was asked for by this replica's own clock, and for nine tenths of the time for which the
- * voter keeps it, so the lease ends here before it ends there, as long as no two clocks differ in rate by a tenth.
+ * <p>Invariant: a grant counts from the time of its request by this replica's own clock, and for nine tenths of the time for which the
+ * voter is bound by it. So the lease expires here before it expires at the voter, as long as no two clocks differ in rate by a tenth.
  */
 final class HeldLease {
     private final ReplicaSettings settings;
@@ -24,17 +24,17 @@
         this.effects = effects;
     }
 
-    /** Whether the last request is at least so many microseconds ago. */
+    /** Returns whether the last request was sent at least the interval ago. */
     boolean isRequestDue(final long intervalMicros, final long now) {
         return now - requestedAt >= intervalMicros;
     }
 
-    /** The voters were sent a message in the place of a request. */
+    /** Restarts the request interval, as the voters were sent another message instead of a lease request. */
     void markRequested(final long now) {
         requestedAt = now;
     }
 
-    /** Asks all voters for a grant, and tells them whether this replica hears a majority of them. */
+    /** Requests a grant from all voters, and reports to them whether this replica receives messages from a majority of them. */
     void request(final boolean hearsMajority, final long now) {
         requestedAt = now;
         final View view = role.view();
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Takes a grant of a voter of the installed view. One that was asked for later than now was asked for by an earlier process of this
-     * machine, whose monotonic clock has begun anew since.
+     * Adds a grant of a voter of the installed view. A grant whose request time is in the future is ignored: it was requested by an earlier
+     * process, before the machine restarted and its monotonic clock started again from zero.
      */
     void add(final ReplicationMessage.LeaseGrant grant, final long now) {
         if (grant.askedAt() <= now) {
@@ -55,12 +55,12 @@
         }
     }
 
-    /** Gives the lease up: another view begins, or the log is outdated. */
+    /** Gives up the lease, as another view is installed or the log is outdated. */
     void clear() {
         grantTimes.clear();
     }
 
-    /** Whether a majority of the voters vouches for the installed view at this moment. */
+    /** Returns whether unexpired grants of a majority of the voters are held under the installed view. */
     boolean isHeld(final long now) {
         final long countedMicros = settings.leaseMicros() * 9 / 10;
         final long grants = grantTimes.values().stream()
--- a/core/src/main/java/silverlatch/replication/PendingWrites.java
+++ b/core/src/main/java/silverlatch/replication/PendingWrites.java
@@ -13,11 +13,11 @@
 import silverlatch.wire.ChainClientMessage;
 
 /**
- * The writes whose reply waits until an entry is committed, and the replies themselves. {@link WriteAdmission} adds to it; {@link
- * ChainReplica} reports what is committed, or dropped with the log or the disk.
+ * The client writes whose reply is pending until an entry is committed; it also sends the replies. {@link WriteAdmission} adds to it;
+ * {@link ChainReplica} reports entries that were committed, or that may be dropped because of a new view or a disk failure.
  *
- * <p>Invariant: a result is sent only when all that it rests on is committed; whoever waits for an entry that may be dropped is told that
- * the outcome is unknown.
+ * <p>Invariant: a result is sent only after all entries that it depends on are committed. If such an entry may be dropped, the reply is
+ * that the outcome is unknown.
  */
 final class PendingWrites {
     private static final String OUTCOME_PREFIX = "o/";
@@ -25,23 +25,23 @@
     private final EffectQueue effects;
     private final Map<Long, List<PendingWrite>> writesBySequence = new HashMap<>();
 
-    /** Replies from the committed state, which gives the entry of a key. */
+    /** Creates an empty instance; {@code committedEntries} returns the committed state entry of a key. */
     PendingWrites(final Function<String, Optional<Entry>> committedEntries, final EffectQueue effects) {
         this.committedEntries = committedEntries;
         this.effects = effects;
     }
 
-    /** The key under which the outcome of a command is kept. */
+    /** Returns the key of the state entry that stores the outcome of a command. */
     static String outcomeKey(final String commandId) {
         return OUTCOME_PREFIX + commandId;
     }
 
-    /** Replies with the recorded outcome once the entry of this sequence is committed. */
+    /** Replies with the recorded outcome of the command once the entry with this sequence number is committed. */
     void replyWhenCommitted(final long sequence, final ChainClientMessage.WriteRequest request) {
         add(sequence, new PendingWrite(request, Optional.empty()));
     }
 
-    /** Replies with this rejection once the entry of this sequence, on which it rests, is committed. */
+    /** Replies with this rejection once the entry with this sequence number, on which it depends, is committed. */
     void rejectWhenCommitted(
             final long sequence, final ChainClientMessage.WriteRequest request, final CommandResult rejection) {
         add(sequence, new PendingWrite(request, Optional.of(rejection)));
@@ -51,7 +51,7 @@
         writesBySequence.computeIfAbsent(sequence, key -> new ArrayList<>()).add(waiting);
     }
 
-    /** The entry of this sequence was committed. */
+    /** Sends the replies that were waiting for the entry with this sequence number, which was committed. */
     void onCommitted(final long sequence) {
         Optional.ofNullable(writesBySequence.remove(sequence))
                 .ifPresent(ready -> ready.forEach(waiting -> replyCommitted(waiting, sequence)));
@@ -74,7 +74,7 @@
                 .orElse(new CommandResult.Applied(sequence));
     }
 
-    /** The entries that are waited for may be dropped: all that wait are told that the outcome is unknown. */
+    /** Replies to all pending writes that their outcome is unknown, as the entries they wait for may be dropped. */
     void abandon() {
         writesBySequence
                 .values()
@@ -84,7 +84,7 @@
         writesBySequence.clear();
     }
 
-    /** Replies to a write at once. */
+    /** Replies to a write at once, and logs a rejection. */
     void reply(final ChainClientMessage.WriteRequest request, final CommandResult result) {
         if (result instanceof CommandResult.Rejected rejected) {
             effects.log(Event.CHANGE_REJECTED, request.command().id() + " " + rejected.code());
@@ -92,7 +92,7 @@
         replyWithoutLogging(request, result);
     }
 
-    /** Sends a result without logging it. */
+    /** Replies to a write at once, without logging a rejection. */
     void replyWithoutLogging(final ChainClientMessage.WriteRequest request, final CommandResult result) {
         effects.send(request.replyTo(), new ChainClientMessage.WriteReply(request.requestId(), result));
     }
--- a/core/src/main/java/silverlatch/replication/PredecessorLink.java
+++ b/core/src/main/java/silverlatch/replication/PredecessorLink.java
@@ -6,8 +6,8 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * Replication from the member of the chain before this one: takes its entries in order, acknowledges them, and fetches those that are
- * missing. It holds no state of its own.
+ * Replicates from the previous member of the chain: accepts its entries in order, acknowledges them, and fetches missing ones. It has no
+ * state of its own.
  */
 final class PredecessorLink {
     private final ReplicaSettings settings;
@@ -32,7 +32,7 @@
         this.effects = effects;
     }
 
-    /** Appends the entries that follow the log, acknowledges them, and fetches what is missing before the others. */
+    /** Appends the received entries that follow the log without a gap, acknowledges them, and fetches missing entries at the first gap. */
     void handleReplicate(final ReplicationMessage.Replicate message, final long now) {
         if (role.isFenced(message.view()) || !role.isInChain() || role.isHead()) {
             return;
@@ -49,7 +49,7 @@
         }
         acknowledge(log.lastSequence() + fresh.size());
         if (!fresh.isEmpty()) {
-            // The log catches up; a repair beside it would bring the same entries again, in one frame.
+            // Entries are arriving; a repair at the same time would transfer the same entries again, in one frame.
             catchUp.restartTimer(now);
             log.append(fresh, now);
         } else if (role.isActiveTail()) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Asks the predecessor for the entries after the last one here. */
+    /** Requests the entries after the last one here from the predecessor. */
     void fetchMissing() {
         sendToPredecessor(new ReplicationMessage.FetchEntries(
                 role.view().number(), settings.self().id(), log.lastSequence()));
--- a/core/src/main/java/silverlatch/replication/ReadAdmission.java
+++ b/core/src/main/java/silverlatch/replication/ReadAdmission.java
@@ -6,10 +6,11 @@
 import silverlatch.wire.ChainClientMessage;
 
 /**
- * Answers reads from the committed state of the tail. It holds no state of its own.
+ * Answers reads from the committed state of the tail. It has no state of its own.
  *
- * <p>Invariant: a read is answered only by an active tail under a lease, and, where the chain is too short to commit, only while nothing
- * is pending that may have been acknowledged before a restart. Others reply that they can't answer.
+ * <p>Invariant: a read is answered only by an active tail that holds a lease. If the chain is too short to commit, it is answered only
+ * while no synced entry is pending, as such an entry may have been acknowledged before a restart. In all other cases the reply is that
+ * this replica can't answer.
  */
 final class ReadAdmission {
     private final ReplicaSettings settings;
@@ -31,7 +32,7 @@
         this.effects = effects;
     }
 
-    /** Replies with the entries whose keys begin with the prefix, or that this replica can't answer. */
+    /** Replies with the entries whose keys start with the prefix, or that this replica can't answer. */
     void handleReadRequest(final ChainClientMessage.ReadRequest request, final long now) {
         final boolean answers = mayAnswer(now);
         final List<Entry> entries = answers
--- a/core/src/main/java/silverlatch/replication/RepairPayload.java
+++ b/core/src/main/java/silverlatch/replication/RepairPayload.java
@@ -7,26 +7,27 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * What one replica is repaired with: the ranges in which its digests differ, as they are at one sequence, in pieces that leave room on
- * the link for leases and votes. Entries are immutable, so the pieces keep only those in memory that are replaced meanwhile.
+ * The data with which one replica is repaired: the key ranges whose digests differ, as of one sequence number, split into pieces small
+ * enough to leave bandwidth on the link for leases and votes. Entries are immutable and shared with the state machine, so the pieces take
+ * extra memory only for entries that are replaced in the state machine meanwhile.
  *
- * @param sequence the sequence that the pieces together stand for
- * @param pieces   the pieces in order, one at least
- * @param pending  the entries after that sequence which are synced at the source, in order; sent with the last piece
- * @param digests  the digests of all ranges at that sequence
+ * @param sequence the committed sequence number of the state that the pieces were taken from
+ * @param pieces   the pieces in order; at least one
+ * @param pending  the entries after that sequence number that are synced at the source, in order; sent with the last piece
+ * @param digests  the digests of all key ranges at that sequence number
  */
 record RepairPayload(
         long sequence, List<List<ReplicationMessage.RangeEntries>> pieces, List<LogEntry> pending, long[] digests) {
-    /** How many bytes a piece has; one entry may be larger. */
+    /** The maximum size of a piece in bytes; a single larger entry is sent in a piece of its own. */
     static final long PIECE_BYTES = 64L << 10;
 
-    /** Copies the pieces. */
+    /** Copies the lists. */
     RepairPayload {
         pieces = List.copyOf(pieces);
         pending = List.copyOf(pending);
     }
 
-    /** The ranges of a state whose digests differ from the given ones. */
+    /** Returns the payload with the key ranges of a state whose digests differ from the given ones. */
     static RepairPayload of(final StateMachine state, final long[] otherDigests, final List<LogEntry> pending) {
         final int ranges = otherDigests.length;
         final long[] own = state.digests(ranges);
@@ -55,7 +56,7 @@
         return new RepairPayload(state.sequence(), pieces, pending, own);
     }
 
-    /** The message with one piece; the last one brings the pending entries and the digests of all ranges too. */
+    /** Returns the message with one piece; that of the last piece also has the pending entries and the digests of all key ranges. */
     ReplicationMessage.RepairRanges message(final long viewNumber, final int piece) {
         final boolean isLast = piece == pieces.size() - 1;
         return new ReplicationMessage.RepairRanges(
--- a/core/src/main/java/silverlatch/replication/RepairProgress.java
+++ b/core/src/main/java/silverlatch/replication/RepairProgress.java
@@ -7,7 +7,7 @@
 import silverlatch.state.Entry;
 import silverlatch.wire.ReplicationMessage;
 
-/** The pieces of one repair that were received. They come in order, from one source, for one sequence. */
+/** The received pieces of one repair. Pieces are accepted only in order, from one source and for one sequence number. */
 final class RepairProgress {
     private final long sequence;
     private final int pieces;
@@ -22,7 +22,7 @@
         this.source = source;
     }
 
-    /** Takes a piece; false where it is not the next one of this repair. */
+    /** Accepts a piece if it is the next one of this repair; returns whether it is. */
     boolean accept(final ReplicationMessage.RepairRanges piece, final String sender, final long now) {
         if (piece.sequence() != sequence || piece.piece() != nextPiece || !sender.equals(source)) {
             return false;
@@ -35,27 +35,27 @@
         return true;
     }
 
-    /** Whether all pieces were received. */
+    /** Returns whether all pieces were received. */
     boolean isComplete() {
         return nextPiece == pieces;
     }
 
-    /** The entries of each range that differed. */
+    /** Returns the received entries by the number of their key range. */
     Map<Integer, List<Entry>> ranges() {
         return ranges;
     }
 
-    /** The request for the next piece. */
+    /** Returns the request for the next piece. */
     ReplicationMessage.RepairNext nextRequest(final long view, final Replica self) {
         return new ReplicationMessage.RepairNext(view, self, sequence, nextPiece);
     }
 
-    /** The address of the replica that sends the pieces. */
+    /** Returns the address of the replica that sends the pieces. */
     String source() {
         return source;
     }
 
-    /** When the last piece was received, in microseconds. */
+    /** Returns when the last piece was received, in microseconds. */
     long receivedAt() {
         return receivedAt;
     }
--- a/core/src/main/java/silverlatch/replication/RepairRequester.java
+++ b/core/src/main/java/silverlatch/replication/RepairRequester.java
@@ -6,11 +6,11 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * The repair of a replica that isn't in the chain, or doesn't catch up by entries alone: it sends digests of its state to a source,
- * takes over the ranges that differ piece by piece, and asks to join once its log is written anew.
+ * Repairs this replica if it isn't in the chain, or can't catch up by fetching entries: sends the digests of its state to a source,
+ * receives the key ranges that differ in pieces, and requests to join the chain once the repaired log is synced.
  *
- * <p>Legal transitions: idle, asked for pieces, all pieces received (the state is replaced at once), joining (out of the chain only);
- * another view begins it anew. The state stays as it is until the last piece is there.
+ * <p>Legal transitions: idle, receiving pieces, all pieces received (the state is replaced in one step), joining (only outside the chain);
+ * back to idle when another view is installed. The state is unchanged until the last piece is received.
  */
 final class RepairRequester {
     private static final long RETRY_MICROS = 900_000L;
@@ -46,19 +46,19 @@
         this.effects = effects;
     }
 
-    /** A view was installed. */
+    /** Returns to idle after a view was installed. */
     void installView() {
         progress = Optional.empty();
         requestedAt = 0;
         joining = false;
     }
 
-    /** Whether the replica was repaired under the installed view, and asks to join its chain. */
+    /** Returns whether this replica was repaired under the installed view; outside the chain, it then requests to join. */
     boolean isJoining() {
         return joining;
     }
 
-    /** Asks for a repair, or for the next piece of the one under way, a while after the last request or piece. */
+    /** Requests a repair, or the next piece of the current one, if the retry interval has passed since the last request or piece. */
     void request(final String source, final long now) {
         final long lastPieceAt = progress.map(RepairProgress::receivedAt).orElse(0L);
         if (now - Math.max(requestedAt, lastPieceAt) < RETRY_MICROS) {
@@ -85,7 +85,7 @@
         effects.send(source, current.nextRequest(role.view().number(), settings.self()));
     }
 
-    /** Takes a piece of a repair. */
+    /** Handles a received piece: requests the next one, or replaces the state after the last one. */
     void handleRepairRanges(final ReplicationMessage.RepairRanges piece, final String sender, final long now) {
         if (piece.view() != role.view().number() || role.isActive() || piece.sequence() < log.committedSequence()) {
             return;
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Whether the source has nothing that differs from the repaired and synced state here. */
+    /** Returns whether the source reports no difference to the repaired and synced state of this replica outside the chain. */
     private boolean matchesRepairedState(final ReplicationMessage.RepairRanges piece) {
         return joining
                 && effects.isAllSynced()
@@ -122,8 +122,8 @@
     }
 
     /**
-     * Whether the state here is that of the source. It is not when a late piece answers a request from before a restart, with other
-     * entries: then the replica asks again.
+     * Returns whether the state here has the digests of the source. It doesn't if a late piece answers a request from before a restart,
+     * when this replica had other entries; then it requests a new repair.
      */
     private boolean hasSourceDigests(final ReplicationMessage.RepairRanges lastPiece) {
         return log.hasDigests(lastPiece.digests()) || !settings.safeguards().isEnabled(Safeguard.REPAIR_DIGEST);
--- a/core/src/main/java/silverlatch/replication/RepairResponder.java
+++ b/core/src/main/java/silverlatch/replication/RepairResponder.java
@@ -8,10 +8,10 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * Repairs other replicas from the state of an active member: keeps a {@link RepairPayload} for each one under repair and sends it piece by
- * piece, as it is asked for.
+ * Repairs other replicas from the state of an active member: keeps a {@link RepairPayload} for each replica under repair and sends it one
+ * piece per request.
  *
- * <p>Invariant: all pieces of a repair stand for one sequence of one view; a new comparison replaces the source.
+ * <p>Invariant: all pieces of a repair belong to one sequence number and one view; a new comparison of digests replaces the payload.
  */
 final class RepairResponder {
     private final ReplicaSettings settings;
@@ -28,12 +28,12 @@
         this.effects = effects;
     }
 
-    /** A view was installed: repairs under the one before end. */
+    /** Ends all repairs after a view was installed, as they belong to the previous view. */
     void installView() {
         payloads.clear();
     }
 
-    /** Begins a repair with the ranges in which the state here differs, and sends the first piece. */
+    /** Starts a repair with the key ranges whose digests differ from those here, and sends the first piece. */
     void handleCompareDigests(final ReplicationMessage.CompareDigests request, final long now) {
         if (request.view() != role.view().number()
                 || !role.isActive()
@@ -49,14 +49,14 @@
     }
 
     /**
-     * The entries that are synced here but not known to be committed. One of them may have been acknowledged before this replica
-     * restarted, so a replica that is repaired from here keeps them too.
+     * Returns the entries that are synced here but not known to be committed. Any of them may have been acknowledged before this replica
+     * restarted, so a replica that is repaired from here must keep them too.
      */
     private List<LogEntry> syncedPending() {
         return settings.safeguards().isEnabled(Safeguard.REPAIR_PENDING) ? log.syncedPendingEntries() : List.of();
     }
 
-    /** The replica under repair asks for a piece of the repair under way. */
+    /** Handles the request of a replica under repair for a further piece; ignores one that doesn't belong to the current payload. */
     void handleRepairNext(final ReplicationMessage.RepairNext request) {
         if (request.view() != role.view().number() || request.piece() < 0) {
             return;
--- a/core/src/main/java/silverlatch/replication/Replica.java
+++ b/core/src/main/java/silverlatch/replication/Replica.java
@@ -3,7 +3,7 @@
 /**
  * A controller that replicates the control state.
  *
- * @param id      its identity, made with its data folder and never used again after the folder is lost
- * @param address where it listens; a replica with another identity may follow at the same address
+ * @param id      its identity, created together with its data directory and never reused after the directory is lost
+ * @param address the address at which it listens; after a data loss, a replica with a new identity may listen at the same address
  */
 public record Replica(String id, String address) {}
--- a/core/src/main/java/silverlatch/replication/ReplicaLog.java
+++ b/core/src/main/java/silverlatch/replication/ReplicaLog.java
@@ -14,14 +14,15 @@
 import silverlatch.state.StateMachine;
 
 /**
- * The replicated log of one replica: the committed state, the entries that are pending after it, and how far they are synced here.
+ * The replicated log of one replica: the committed state, the pending entries that follow it, and the sequence number up to which the log
+ * is synced to the local disk.
  *
- * <p>Invariants: committed, then synced, then last sequence, in this order; entries follow each other without a gap; only what is
- * committed is in the state machine. Pending entries are dropped when the replica leaves the chain or is repaired: then a new generation
- * begins, and syncs of the one before change nothing.
+ * <p>Invariants: committed sequence &lt;= synced sequence &lt;= last sequence; sequence numbers have no gaps; only committed entries are
+ * applied to the state machine. Pending entries are dropped when the replica leaves the chain or is repaired. This starts a new
+ * generation, and syncs of writes of an earlier generation are ignored.
  */
 final class ReplicaLog {
-    /** Into how many ranges the state is cut for digests. */
+    /** The number of key ranges into which the state is divided for digests. */
     static final int DIGEST_RANGES = 64;
 
     private static final long MAX_RECENT_BYTES = 8L << 20;
@@ -29,15 +30,15 @@
     private final SnapshotWriter snapshots;
     private final EffectQueue effects;
     private final StateMachine stateMachine;
-    /** Runs with the time when entries of the present generation were synced. */
+    /** Called after entries of the current generation were synced, with the time of the sync in microseconds. */
     private final LongConsumer onEntriesSynced;
-    /** Runs with the sequence of each entry that is committed. */
+    /** Called with the sequence number of each committed entry. */
     private final LongConsumer onCommitted;
 
     private final Deque<LogEntry> pendingEntries = new ArrayDeque<>();
-    /** The newest pending value of each key. */
+    /** The newest pending state entry of each key. */
     private final Map<String, Entry> pendingValues = new HashMap<>();
-    /** The newest committed entries, for a successor that lacks them. */
+    /** The most recently committed entries, kept to be sent to a successor that lacks them. */
     private final Deque<LogEntry> recentEntries = new ArrayDeque<>();
 
     private long recentBytes;
@@ -59,59 +60,59 @@
         this.onCommitted = onCommitted;
     }
 
-    /** The committed state. */
+    /** Returns the state machine, which holds the committed state. */
     StateMachine stateMachine() {
         return stateMachine;
     }
 
-    /** The newest committed sequence. */
+    /** Returns the newest committed sequence number. */
     long committedSequence() {
         return stateMachine.sequence();
     }
 
-    /** The newest sequence up to which the log is synced here. */
+    /** Returns the sequence number up to which the log is synced to the local disk. */
     long syncedSequence() {
         return syncedSequence;
     }
 
-    /** The newest sequence of the log. */
+    /** Returns the sequence number of the last entry, pending or committed. */
     long lastSequence() {
         return lastSequence;
     }
 
-    /** The highest stamp of an entry that was ever in this log. */
+    /** Returns the highest timestamp of any entry that was ever in this log, as the bits of its {@code Stamp}. */
     long highestStamp() {
         return highestStamp;
     }
 
-    /** The pending values by key, over those of the state machine. */
+    /** Returns the newest pending state entries by key; they override the entries of the state machine. */
     Map<String, Entry> pendingValues() {
         return pendingValues;
     }
 
-    /** The pending entries in order. */
+    /** Returns the pending entries in order. */
     List<LogEntry> pendingEntries() {
         return List.copyOf(pendingEntries);
     }
 
-    /** How many entries are pending. */
+    /** Returns the number of pending entries. */
     int pendingCount() {
         return pendingEntries.size();
     }
 
-    /** The pending entries that are synced here, in order. */
+    /** Returns the pending entries that are synced to the local disk, in order. */
     List<LogEntry> syncedPendingEntries() {
         return pendingEntries.stream()
                 .filter(entry -> entry.sequence() <= syncedSequence)
                 .toList();
     }
 
-    /** Whether an entry is synced here and not known to be committed. */
+    /** Returns whether any entry is synced to the local disk but not known to be committed. */
     boolean hasSyncedPending() {
         return !pendingEntries.isEmpty() && pendingEntries.peek().sequence() <= syncedSequence;
     }
 
-    /** Whether a change of policy is pending. */
+    /** Returns whether a pending entry changes policy, that is configuration which the data plane applies. */
     boolean hasPendingPolicy() {
         return pendingEntries.stream().anyMatch(ReplicaLog::changesPolicy);
     }
@@ -120,13 +121,16 @@
         return entry.puts().stream().anyMatch(Entry::isPolicy);
     }
 
-    /** The entries from some one not after this sequence on, in order; recent ones are lacking where they are too old. */
+    /**
+     * Returns retained entries in order, including all that follow this sequence number and are retained; entries up to it may come first.
+     * There is a gap after the sequence number if the committed entries that followed it are no longer retained.
+     */
     Stream<LogEntry> entriesSince(final long sequence) {
         final Stream<LogEntry> committed = sequence < committedSequence() ? recentEntries.stream() : Stream.empty();
         return Stream.concat(committed, pendingEntries.stream());
     }
 
-    /** Appends entries that follow the last one, and syncs them. */
+    /** Appends entries that directly follow the last one, and writes them to the disk. */
     void append(final List<LogEntry> entries, final long now) {
         entries.forEach(this::addPending);
         final long lastAppended = lastSequence;
@@ -149,7 +153,7 @@
         entry.puts().forEach(put -> pendingValues.put(put.key(), put));
     }
 
-    /** Commits the pending entries up to a sequence, as far as they are synced here; writes a snapshot where one is due. */
+    /** Commits the pending entries up to a sequence number, as far as they are synced locally; writes a snapshot if one is due. */
     void commit(final long limit, final long now) {
         final long committable = Math.min(limit, syncedSequence);
         while (!pendingEntries.isEmpty() && pendingEntries.peek().sequence() <= committable) {
@@ -184,7 +188,7 @@
         }
     }
 
-    /** Drops what is pending; a new generation begins after what is committed. */
+    /** Drops all pending entries and starts a new generation; the last sequence number is then the committed one. */
     void dropPending() {
         clearPending(committedSequence());
         syncedSequence = lastSequence;
@@ -197,19 +201,19 @@
         generation++;
     }
 
-    /** Takes over whole ranges of the committed state from a repair. */
+    /** Replaces complete key ranges of the committed state with those received in a repair. */
     void replaceRanges(final Map<Integer, List<Entry>> ranges) {
         ranges.forEach((range, entries) -> stateMachine.replaceRange(range, DIGEST_RANGES, entries));
     }
 
-    /** Whether the committed state has these digests. */
+    /** Returns whether the key ranges of the committed state have these digests. */
     boolean hasDigests(final long[] digests) {
         return Arrays.equals(digests, stateMachine.digests(DIGEST_RANGES));
     }
 
     /**
-     * Ends a repair: the state stands at this sequence, and the entries that the source has pending follow. The log is written anew; the
-     * continuation runs when it is synced, unless yet another generation has begun.
+     * Completes a repair: sets the committed sequence number, and appends the entries that are pending at the source of the repair. Writes
+     * the log as a new snapshot, and calls {@code onSynced} with the time once that is synced, unless a newer generation has started.
      */
     void completeRepair(
             final long sequence, final List<LogEntry> sourcePending, final long now, final LongConsumer onSynced) {
@@ -229,7 +233,7 @@
         });
     }
 
-    /** Takes over a snapshot while the log is read. */
+    /** Restores a snapshot while the log is replayed. */
     void replay(final LogRecord.Snapshot snapshot) {
         stateMachine.reset(snapshot.sequence(), snapshot.entries());
         stateMachine.completeRepair(snapshot.sequence());
@@ -239,14 +243,14 @@
         highestStamp = Math.max(highestStamp, snapshot.highestStamp());
     }
 
-    /** Takes over an entry while the log is read; one that doesn't follow the last is of a dropped generation. */
+    /** Restores an entry while the log is replayed; ignores one that doesn't follow the last entry, as its generation was dropped. */
     void replay(final LogRecord.Appended appended) {
         if (appended.entry().sequence() == lastSequence + 1) {
             addPending(appended.entry());
         }
     }
 
-    /** The log has been read: all of it is synced, and all after its last snapshot is pending. */
+    /** Completes the replay: the whole log counts as synced, and all entries after its last snapshot are pending. */
     void finishReplay() {
         syncedSequence = lastSequence;
     }
--- a/core/src/main/java/silverlatch/replication/ReplicaRole.java
+++ b/core/src/main/java/silverlatch/replication/ReplicaRole.java
@@ -5,16 +5,16 @@
 import silverlatch.safeguard.Safeguard;
 
 /**
- * Where a replica stands: its installed view, its {@link ReplicaState}, and whether it has caught up. Every part of a replica reads
- * it. {@link ChainReplica} alone installs views and moves the state; {@link CatchUpProgress} and {@link RepairRequester} say when it has
+ * The role of a replica: its installed view, its {@link ReplicaState}, and whether it has caught up. All components of a replica read it.
+ * Only {@link ChainReplica} installs views and changes the state; {@link CatchUpProgress} and {@link RepairRequester} mark the replica as
  * caught up.
  *
- * <p>A chain shorter than the required copies acknowledges nothing. So a replica that held everything when such a view began, or was
- * repaired under it, holds everything still, in the chain or out of it: it is a standby, and may take over where all members of the
- * chain are lost.
+ * <p>A chain shorter than the number of required copies acknowledges nothing. So a replica that held every acknowledged write when such a
+ * view was installed, or was repaired under it, still holds every acknowledged write, whether it is in the chain or not. Outside the chain
+ * it is a standby and may take over if all members of the chain are lost.
  *
- * <p>Invariants: numbers of views only rise, and all views are of one cluster; a replica whose log is outdated has not caught up; one
- * that is out of a chain of enough copies has not caught up.
+ * <p>Invariants: view numbers only increase, and all views belong to one cluster; a replica whose log is outdated has not caught up; a
+ * replica outside a chain that has the required copies has not caught up.
  */
 final class ReplicaRole {
     private final ReplicaSettings settings;
@@ -22,94 +22,94 @@
     private ReplicaState state = ReplicaState.EMPTY;
     private boolean caughtUp;
     private boolean logOutdated;
-    /** Whether the installed view is on disk here, so that a restart doesn't fall back to the one before. */
+    /** Whether the installed view is synced to disk, so that the replica doesn't fall back to the previous view on a restart. */
     private boolean viewSynced = true;
 
     ReplicaRole(final ReplicaSettings settings) {
         this.settings = settings;
     }
 
-    /** The installed view, or {@link View#NONE}. */
+    /** Returns the installed view, or {@link View#NONE}. */
     View view() {
         return view;
     }
 
-    /** What part the replica takes. */
+    /** Returns the state with respect to the chain. */
     ReplicaState state() {
         return state;
     }
 
-    /** Whether a view is installed. */
+    /** Returns whether a view is installed. */
     boolean hasView() {
         return view.number() > 0;
     }
 
-    /** Whether the installed view names this replica as a voter. */
+    /** Returns whether this replica is a voter of the installed view. */
     boolean isVoter() {
         return view.isVoter(settings.self().id());
     }
 
-    /** Whether the replica is a member of the chain. */
+    /** Returns whether the replica is a member of the chain and its disk has not failed. */
     boolean isInChain() {
         return state == ReplicaState.IN_CHAIN;
     }
 
-    /** Whether the log can't be written. */
+    /** Returns whether a write to the log has failed. */
     boolean isDiskFailed() {
         return state == ReplicaState.DISK_FAILED;
     }
 
-    /** Whether the replica holds all that was acknowledged, and all that its chain held when the view began. */
+    /** Returns whether the replica holds every acknowledged write, and all that its chain held when the view was installed. */
     boolean isCaughtUp() {
         return caughtUp;
     }
 
-    /** Whether the replica is out of the chain and may take over where all of its members are lost. */
+    /** Returns whether the replica is outside the chain and may take over if all members of the chain are lost. */
     boolean isStandby() {
         return state == ReplicaState.OUTSIDE_CHAIN && caughtUp;
     }
 
-    /** Whether the installed view is on disk here. */
+    /** Returns whether the installed view is synced to disk. */
     boolean isViewSynced() {
         return viewSynced || !settings.safeguards().isEnabled(Safeguard.VIEW_SYNC);
     }
 
-    /** Whether the log lacks what was acknowledged with it. */
+    /** Returns whether the log lacks entries that were acknowledged while this replica was a caught-up member. */
     boolean isLogOutdated() {
         return logOutdated;
     }
 
-    /** Whether the replica is a member of the chain and has caught up. */
+    /** Returns whether the replica is a member of the chain and has caught up. */
     boolean isActive() {
         return isInChain() && caughtUp;
     }
 
-    /** Whether the view names this replica in its chain, also while its disk is failed. */
+    /** Returns whether the chain of the installed view contains this replica, also after its disk failed. */
     boolean isNamedInChain() {
         return position() >= 0;
     }
 
-    /** Whether writes enter here. */
+    /** Returns whether the replica is the head of the chain, which admits writes. */
     boolean isHead() {
         return position() == 0;
     }
 
-    /** Whether the replica is the tail and has caught up, so that it commits and answers reads. */
+    /** Returns whether the replica is the tail and has caught up; only then it commits entries and answers reads. */
     boolean isActiveTail() {
         return isActive() && successor().isEmpty();
     }
 
-    /** The next member of the chain. */
+    /** Returns the next member of the chain, if any. */
     Optional<Replica> successor() {
         return view.successorOf(settings.self().id());
     }
 
-    /** The member of the chain before this one. */
+    /** Returns the previous member of the chain, if any. */
     Optional<Replica> predecessor() {
         return view.predecessorOf(settings.self().id());
     }
 
-    /** Whether the chain is long enough for an acknowledgement. */
+    /** Returns whether the chain has enough members for writes to be acknowledged. */
     boolean hasRequiredCopies() {
         return hasRequiredCopies(view) || !settings.safeguards().isEnabled(Safeguard.COPIES);
     }
@@ -118,17 +118,17 @@
         return candidate.chain().size() >= settings.minInSyncReplicas();
     }
 
-    /** Whether a message of this view must not be taken, as another view is installed. */
+    /** Returns whether messages of this view must be ignored, as another view is installed. */
     boolean isFenced(final long viewNumber) {
         return viewNumber != view.number() && settings.safeguards().isEnabled(Safeguard.FENCE);
     }
 
-    /** Whether a decided view is newer than the installed one, and of the same cluster. */
+    /** Returns whether a decided view is newer than the installed one and belongs to the same cluster. */
     boolean mayInstall(final View next) {
         return next.number() > view.number() && (view.fleet() == 0 || next.fleet() == view.fleet());
     }
 
-    /** Installs a decided view; a founder has caught up from the start. */
+    /** Installs a decided view. The members of the initial view of a cluster have caught up from the start. */
     void install(final View next, final boolean isInitialView) {
         caughtUp = isInitialView && isNamedInChainOf(next) || caughtUp && staysCaughtUp(next);
         view = next;
@@ -138,8 +138,9 @@
     }
 
     /**
-     * A member of the chain stays caught up while it stays there. A standby does so under the very next view, whether that puts it into
-     * the chain, or leaves it out of one that can acknowledge nothing: no view that it doesn't know acknowledged anything in between.
+     * Returns whether a caught-up replica remains caught up under the next view. A member of the chain does while it remains a member. A
+     * standby does only under the directly following view number, if it becomes a member, or remains outside a chain that is too short to
+     * acknowledge anything: then no view unknown to it can have acknowledged writes in between.
      */
     private boolean staysCaughtUp(final View next) {
         if (isNamedInChainOf(next) && isNamedInChain()) {
@@ -149,47 +150,54 @@
         return isDirectSuccessor && (isNamedInChainOf(next) || !hasRequiredCopies(next));
     }
 
-    /** The view of this number is on disk here; whether that is the installed one, and news. */
+    /**
+     * Records that the view with this number is synced to disk.
+     *
+     * @return whether it is the installed view and was not known to be synced before
+     */
     boolean markViewSynced(final long number) {
         final boolean isNewlySynced = number == view.number() && !isViewSynced();
         viewSynced |= number == view.number();
         return isNewlySynced;
     }
 
-    /** The replica holds all that its predecessor held when the view began. */
+    /** Marks the replica as caught up: it holds all that its predecessor held when the view was installed. */
     void markCaughtUp() {
         caughtUp = true;
     }
 
-    /** The replica was repaired under the installed view by a member that holds everything; under a short one it is a standby now. */
+    /**
+     * Records that the replica was repaired under the installed view by an active member. If the chain is too short to acknowledge
+     * anything, a replica outside of it is a standby from now on.
+     */
     void markRepaired() {
         caughtUp |= state == ReplicaState.OUTSIDE_CHAIN && !hasRequiredCopies(view);
     }
 
-    /** What was acknowledged with this log isn't in it: the replica takes no part until a later view. */
+    /** Marks the log as outdated, as it lacks acknowledged entries: the replica is inactive until a later view is installed. */
     void fenceOutdatedLog() {
         logOutdated = true;
         caughtUp = false;
     }
 
-    /** The log can't be written any more. */
+    /** Records that a write to the log failed. */
     void markDiskFailed() {
         state = state.afterDiskFailure();
     }
 
-    /** Takes over a view of a snapshot while the log is read. */
+    /** Restores the view of a snapshot while the log is replayed. */
     void replay(final LogRecord.Snapshot snapshot) {
         view = snapshot.view();
         caughtUp = snapshot.caughtUp();
     }
 
-    /** Takes over an installed view while the log is read. */
+    /** Restores an installed view while the log is replayed. */
     void replay(final LogRecord.ViewInstalled installed) {
         view = installed.view();
         caughtUp = installed.caughtUp();
     }
 
-    /** The log has been read. */
+    /** Sets the state from the restored view after the whole log was replayed. */
     void finishReplay() {
         if (hasView()) {
             state = state.afterView(isNamedInChain());
--- a/core/src/main/java/silverlatch/replication/ReplicaSettings.java
+++ b/core/src/main/java/silverlatch/replication/ReplicaSettings.java
@@ -4,18 +4,18 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * What a replica is made with; times in microseconds.
+ * The settings of a replica; all durations are in microseconds.
  *
- * @param self               its identity and address
- * @param seeds              the addresses that found the cluster together, and that are asked for the view
- * @param leaseMicros        how long a grant of a lease binds the voter that gave it
- * @param leaseRequestMicros how often a voter asks for its lease
- * @param suspicionMicros    after how long a silent member is suspected
+ * @param self               the replica's own identity and address
+ * @param seeds              the addresses of the replicas that bootstrap the cluster together, and that are asked for the current view
+ * @param leaseMicros        for how long a voter is bound by a lease that it granted
+ * @param leaseRequestMicros the interval at which a voter requests its own lease
+ * @param suspicionMicros    after how long without a sign of life a replica is suspected
  * @param diskStallMicros    after how long an unsynced write counts as a stalled disk
- * @param minInSyncReplicas  how many synced copies there are before an acknowledgement
- * @param maxVoters          how many replicas vote where so many are there
- * @param mayBootstrap       whether this replica may take part in founding the cluster
- * @param safeguards         the safeguards that are enabled; all but in tests
+ * @param minInSyncReplicas  the number of synced copies required before a write is acknowledged
+ * @param maxVoters          the maximum number of voters
+ * @param mayBootstrap       whether this replica may take part in the bootstrap of a new cluster
+ * @param safeguards         the enabled safeguards; all of them except in tests
  */
 public record ReplicaSettings(
         Replica self,
@@ -28,7 +28,7 @@
         int maxVoters,
         boolean mayBootstrap,
         Safeguards safeguards) {
-    /** How long a replica waits before it sends a request of the chain again, in microseconds. */
+    /** The interval at which a replica retries requests to other replicas, in microseconds. */
     static final long RETRY_MICROS = 300_000L;
 
     private static final long DEFAULT_LEASE_MICROS = 600_000L;
@@ -41,7 +41,7 @@
         seeds = List.copyOf(seeds);
     }
 
-    /** The defaults: two copies, three voters. */
+    /** Returns the default settings: two synced copies and at most three voters. */
     public static ReplicaSettings of(final Replica self, final List<String> seeds) {
         return new ReplicaSettings(
                 self,
@@ -56,7 +56,7 @@
                 Safeguards.ALL);
     }
 
-    /** The same with these safeguards enabled. */
+    /** Returns a copy with only these safeguards enabled. */
     public ReplicaSettings withSafeguards(final Safeguards enabled) {
         return new ReplicaSettings(
                 self,
@@ -71,7 +71,7 @@
                 enabled);
     }
 
-    /** The same with other numbers of required copies and of voters. */
+    /** Returns a copy with another number of required copies and another maximum number of voters. */
     public ReplicaSettings withCounts(final int inSyncReplicas, final int voters) {
         return new ReplicaSettings(
                 self,
@@ -86,7 +86,7 @@
                 safeguards);
     }
 
-    /** The same, where founding the cluster is allowed or not. */
+    /** Returns a copy where taking part in the bootstrap of a new cluster is allowed or not. */
     public ReplicaSettings withBootstrap(final boolean allowed) {
         return new ReplicaSettings(
                 self,
@@ -101,7 +101,7 @@
                 safeguards);
     }
 
-    /** Whether this identity is the replica itself. */
+    /** Returns whether this is the replica's own identity. */
     boolean isSelf(final String id) {
         return self.id().equals(id);
     }
--- a/core/src/main/java/silverlatch/replication/ReplicaState.java
+++ b/core/src/main/java/silverlatch/replication/ReplicaState.java
@@ -1,18 +1,18 @@
 package silverlatch.replication;
 
 /**
- * What part a replica takes. Legal transitions: an installed view leads from every state but {@link #DISK_FAILED} to {@link
- * #IN_CHAIN} or {@link #OUTSIDE_CHAIN}; a failed write leads from every state to {@link #DISK_FAILED}, which only a new replica, read
- * from the log again, leaves.
+ * The state of a replica with respect to the chain. Legal transitions: when a view is installed, from every state but {@link
+ * #DISK_FAILED} to {@link #IN_CHAIN} or {@link #OUTSIDE_CHAIN}; when a write to the log fails, from every state to {@link
+ * #DISK_FAILED}. {@link #DISK_FAILED} is final: recovery creates a new replica object by replaying the log.
  */
 public enum ReplicaState {
-    /** No view is known: the replica discovers its peers. */
+    /** No view is installed: the replica discovers its peers. */
     EMPTY("empty"),
-    /** The view is known and its chain doesn't name this replica: it is repaired and asks to join. */
+    /** The chain of the installed view doesn't contain this replica: it is repaired and then requests to join. */
     OUTSIDE_CHAIN("outside"),
-    /** The replica is a member of the chain. */
+    /** The chain of the installed view contains this replica. */
     IN_CHAIN("chained"),
-    /** The log can't be written: the replica takes no part. */
+    /** A write to the log failed: the replica ignores all messages. */
     DISK_FAILED("broken");
 
     private final String label;
@@ -21,12 +21,12 @@
         this.label = label;
     }
 
-    /** The name that the status API and log lines show. */
+    /** Returns the name shown by the status API and in log messages. */
     public String label() {
         return label;
     }
 
-    /** The state after a view was installed. */
+    /** Returns the state after a view was installed whose chain contains this replica or not. */
     ReplicaState afterView(final boolean inChain) {
         if (this == DISK_FAILED) {
             return this;
@@ -34,7 +34,7 @@
         return inChain ? IN_CHAIN : OUTSIDE_CHAIN;
     }
 
-    /** The state after a write to the log failed. */
+    /** Returns the state after a write to the log failed. */
     ReplicaState afterDiskFailure() {
         return DISK_FAILED;
     }
--- a/core/src/main/java/silverlatch/replication/ReplicationWindow.java
+++ b/core/src/main/java/silverlatch/replication/ReplicationWindow.java
@@ -4,12 +4,12 @@
 import java.util.Deque;
 
 /**
- * The entries that a member has sent to its successor under one view and that aren't acknowledged yet. It bounds the bytes in flight, so
- * that leases and votes on the same link don't wait behind large entries for longer than a lease lasts, and has them sent again only
- * after a backoff without progress, which doubles each time.
+ * The entries in flight from a member of the chain to its successor under one view: sent and not yet acknowledged. It limits the bytes in
+ * flight, so that leases and votes on the same link aren't delayed behind large entries for longer than a lease lasts. Entries are resent
+ * only after a backoff without progress, which doubles each time.
  */
 final class ReplicationWindow {
-    /** How many bytes may be in flight; one entry may be larger. */
+    /** The maximum number of bytes in flight; a single larger entry is sent alone. */
     static final long LIMIT_BYTES = 128L << 10;
 
     private static final long INITIAL_BACKOFF_MICROS = 600_000L;
@@ -21,7 +21,7 @@
     private long progressAt;
     private long backoff = INITIAL_BACKOFF_MICROS;
 
-    /** Sends again from the sequence after this one, which the successor has. */
+    /** Restarts after this sequence number, up to which the successor has all entries; later entries count as not sent. */
     void restart(final long sequence, final long now) {
         inFlight.clear();
         inFlightBytes = 0;
@@ -30,35 +30,35 @@
         progressAt = now;
     }
 
-    /** Begins under another view, with the first backoff. */
+    /** Restarts after this sequence number under another view, with the initial backoff. */
     void reset(final long sequence, final long now) {
         restart(sequence, now);
         backoff = INITIAL_BACKOFF_MICROS;
     }
 
-    /** The newest sequence that was sent. */
+    /** Returns the newest sequence number that was sent. */
     long sentSequence() {
         return sentSequence;
     }
 
-    /** The newest sequence that the successor has acknowledged. */
+    /** Returns the newest sequence number that the successor has acknowledged. */
     long acknowledgedSequence() {
         return acknowledgedSequence;
     }
 
-    /** Whether an entry may be sent now. */
+    /** Returns whether an entry may be sent now. */
     boolean admits(final LogEntry entry) {
         return inFlight.isEmpty() || inFlightBytes + entry.estimatedBytes() <= LIMIT_BYTES;
     }
 
-    /** An entry is sent. */
+    /** Records that an entry is sent. */
     void add(final LogEntry entry) {
         sentSequence = entry.sequence();
         inFlight.add(new InFlightEntry(entry.sequence(), entry.estimatedBytes()));
         inFlightBytes += entry.estimatedBytes();
     }
 
-    /** The successor has acknowledged all entries up to a sequence. */
+    /** Records that the successor has acknowledged all entries up to a sequence number. */
     void acknowledge(final long sequence, final long now) {
         if (sequence <= acknowledgedSequence) {
             return;
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Whether the backoff has passed without progress; where it has, the next one is twice as long. */
+    /** Returns whether the backoff has passed without progress; if so, doubles the next backoff up to the maximum. */
     boolean isRetryDue(final long now) {
         if (now - progressAt < backoff) {
             return false;
--- a/core/src/main/java/silverlatch/replication/SnapshotWriter.java
+++ b/core/src/main/java/silverlatch/replication/SnapshotWriter.java
@@ -9,8 +9,8 @@
 import silverlatch.state.StateMachine;
 
 /**
- * Writes the log anew as a snapshot of the committed state, the view and the register of the next view, followed by the pending entries,
- * once enough was committed since the last one. Used by {@link ReplicaLog}.
+ * Rewrites the log as a snapshot of the committed state, the installed view and the acceptor's state for the next view, followed by the
+ * pending entries, once enough entries were committed since the last snapshot. Used by {@link ReplicaLog}.
  */
 final class SnapshotWriter {
     private static final long INTERVAL_BYTES = 8L << 20;
@@ -27,18 +27,18 @@
         this.effects = effects;
     }
 
-    /** An entry was committed. */
+    /** Counts a committed entry towards the next snapshot. */
     void countCommitted(final LogEntry entry) {
         bytesSinceLast += entry.estimatedBytes();
         entriesSinceLast++;
     }
 
-    /** Whether the log has grown enough for another snapshot. */
+    /** Returns whether the log has grown enough for another snapshot. */
     boolean isDue() {
         return bytesSinceLast > INTERVAL_BYTES || entriesSinceLast > INTERVAL_ENTRIES;
     }
 
-    /** Writes a snapshot; the continuation runs when it is synced, after the event was logged. */
+    /** Writes a snapshot; once it is synced, logs the event and then calls {@code onSynced}. */
     void write(
             final StateMachine stateMachine,
             final Collection<LogEntry> pendingEntries,
--- a/core/src/main/java/silverlatch/replication/SuccessorLink.java
+++ b/core/src/main/java/silverlatch/replication/SuccessorLink.java
@@ -7,8 +7,8 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * Replication to the next member of the chain: sends it the entries that it lacks and that are synced here, as far as the {@link
- * ReplicationWindow} admits them. Called when entries are synced or acknowledged, and by retries.
+ * Replicates to the next member of the chain: sends it the entries that it lacks and that are synced here, as far as the {@link
+ * ReplicationWindow} admits them. Called when entries are synced or acknowledged, and on retries.
  */
 final class SuccessorLink {
     private static final int MAX_BATCH_ENTRIES = 512;
@@ -23,7 +23,7 @@
         this.effects = effects;
     }
 
-    /** The successor is taken to have all up to a sequence, as a view or a repaired state begins there. */
+    /** Assumes that the successor has all entries up to a sequence number, after a view was installed or a repair was completed. */
     void reset(final long sequence, final long now) {
         window.reset(sequence, now);
     }
@@ -62,7 +62,7 @@
         return batch;
     }
 
-    /** Tells the successor how far the log goes, and sends again what it hasn't acknowledged for a while. */
+    /** Sends the successor the catch-up target, and resends the entries that it hasn't acknowledged within the backoff. */
     void retry(final long now) {
         role.successor().ifPresent(successor -> {
             if (role.isCaughtUp()) {
@@ -76,8 +76,9 @@
     }
 
     /**
-     * Says how far the log goes, once the view is on disk here. A member that told its target earlier could fall back to the view before
-     * by a restart, and take further entries under it, which the successor would lack.
+     * Sends the last sequence number of the log as the catch-up target, if the installed view is synced to disk. A member that sent its
+     * target before that could fall back to the previous view on a restart and accept more entries under it, which the successor would
+     * lack.
      */
     private void sendCatchUpTarget(final String address) {
         if (!role.isViewSynced()) {
@@ -86,7 +87,7 @@
         effects.send(address, new ReplicationMessage.CatchUpTarget(role.view().number(), log.lastSequence()));
     }
 
-    /** The successor has received entries. */
+    /** Handles the successor's acknowledgement of received entries, and sends further ones. */
     void handleReplicateAck(final ReplicationMessage.ReplicateAck acknowledgement, final long now) {
         final boolean isFromSuccessor = role.successor()
                 .map(successor -> successor.id().equals(acknowledgement.id()))
@@ -97,7 +98,7 @@
         }
     }
 
-    /** The successor asks for the entries after the last one that it has. */
+    /** Handles the successor's request for the entries after the last one that it has. */
     void handleFetchEntries(final ReplicationMessage.FetchEntries request, final String sender, final long now) {
         if (request.view() != role.view().number() || !role.isActive()) {
             return;
--- a/core/src/main/java/silverlatch/replication/ViewAcceptor.java
+++ b/core/src/main/java/silverlatch/replication/ViewAcceptor.java
@@ -7,12 +7,12 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * The acceptor of single-decree Paxos for the number after the installed view: each number is decided once, by a majority of the voters
- * of the view before. {@link ChainReplica} hands it the requests of proposers and the records of the log.
+ * The acceptor of single-decree Paxos for the view number after the installed one. Each number is decided once, by a majority of the
+ * voters of the previous view. {@link ChainReplica} passes it the requests of proposers and, on start, the records of the log.
  *
- * <p>Invariants: the promised ballot never falls while a view stands; a promise or an acceptance is synced before it is sent; an
- * acceptance is sent only once all leases have run out that this voter granted to members that the accepted view takes out. A voter
- * that has accepted a view grants no more leases.
+ * <p>Invariants: the promised ballot never decreases while the same view is installed; a promise or an acceptance is synced to disk
+ * before it is sent; an acceptance is sent only after all leases have expired that this voter granted to members which the accepted
+ * view removes from the chain. A voter that has accepted a view grants no more leases under the installed view.
  */
 final class ViewAcceptor {
     private final ReplicaSettings settings;
@@ -35,22 +35,27 @@
         this.effects = effects;
     }
 
-    /** The highest ballot promised or accepted for the next number, or 0. */
+    /** Returns the highest ballot promised or accepted for the next view number, or 0. */
     long promisedBallot() {
         return promisedBallot;
     }
 
-    /** The ballot of the accepted view, or 0. */
+    /** Returns the ballot of the accepted view, or 0 if none was accepted. */
     long acceptedBallot() {
         return acceptedBallot;
     }
 
-    /** The view accepted for the next number. */
+    /** Returns the view accepted for the next view number, if any. */
     Optional<View> acceptedView() {
         return acceptedView;
     }
 
-    /** Answers a prepare; true where it made a new promise. */
+    /**
+     * Handles a prepare request: promises a ballot that is higher than any promised before, and sends the highest promised ballot to
+     * the proposer of a lower one. If the number is already decided, replies with the installed view.
+     *
+     * @return whether a new promise was made
+     */
     boolean handlePrepare(final ReplicationMessage.Prepare request, final String sender, final long now) {
         if (request.number() <= role.view().number()) {
             effects.send(sender, new ReplicationMessage.ViewDecided(role.view()));
@@ -83,7 +88,7 @@
                 syncedAt -> effects.send(sender, reply));
     }
 
-    /** Accepts a view, unless a higher ballot was promised. */
+    /** Handles an accept request: accepts the view unless a higher ballot was promised. */
     void handleAccept(final ReplicationMessage.Accept request, final String sender, final long now) {
         if (!votesOn(request.number())) {
             return;
@@ -114,7 +119,7 @@
         }
     }
 
-    /** Sends the acceptances whose leases have run out; called by each tick. */
+    /** Sends the delayed acceptances for which the leases of the removed members have expired; called on each tick. */
     void sendDelayed(final long now) {
         for (final DelayedAccept accept : List.copyOf(delayedAccepts)) {
             if (accept.sendAt() <= now) {
@@ -126,34 +131,34 @@
         }
     }
 
-    /** A view was installed: the register of the number after it begins empty. */
+    /** Clears promise, acceptance and delayed replies after a view was installed: they were for that view's number. */
     void installView() {
         clear();
         delayedAccepts.clear();
     }
 
-    /** Takes over the register of a snapshot while the log is read. */
+    /** Restores promise and acceptance from a snapshot while the log is replayed. */
     void replay(final LogRecord.Snapshot snapshot) {
         promisedBallot = snapshot.promisedBallot();
         acceptedBallot = snapshot.acceptedBallot();
         acceptedView = snapshot.acceptedView().stream().findFirst();
     }
 
-    /** Takes over an installed view while the log is read, before the role does. */
+    /** Clears promise and acceptance for a newer installed view while the log is replayed; called before the role's replay. */
     void replay(final LogRecord.ViewInstalled installed) {
         if (installed.view().number() > role.view().number()) {
             clear();
         }
     }
 
-    /** Takes over a promise while the log is read. */
+    /** Restores a promise while the log is replayed. */
     void replay(final LogRecord.Promised promised) {
         if (isNext(promised.viewNumber())) {
             promisedBallot = promised.ballot();
         }
     }
 
-    /** Takes over an acceptance while the log is read. */
+    /** Restores an acceptance while the log is replayed. */
     void replay(final LogRecord.Accepted accepted) {
         if (isNext(accepted.viewNumber())) {
             recordAccepted(accepted.ballot(), accepted.view());
@@ -180,5 +185,6 @@
         return number == role.view().number() + 1;
     }
 
+    /** An acceptance that is sent once the leases of the removed members have expired, {@code sendAt} in microseconds. */
     private record DelayedAccept(long sendAt, String address, ReplicationMessage.Accepted reply) {}
 }
--- a/core/src/main/java/silverlatch/replication/ViewPlanner.java
+++ b/core/src/main/java/silverlatch/replication/ViewPlanner.java
@@ -13,8 +13,8 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * Plans the view that should follow the installed one, by what one replica has heard. It holds no state: {@link ViewProposer} makes one
- * for each decision, and proposes what it plans.
+ * Plans the view that should follow the installed one, from what one replica knows about the other replicas. A planner has no state of
+ * its own: {@link ViewProposer} creates one for each decision and proposes the planned view.
  */
 final class ViewPlanner {
     private final ReplicaSettings settings;
@@ -23,10 +23,10 @@
     private final Set<String> caughtUpMembers;
 
     /**
-     * A planner for the successor of a view.
+     * Creates a planner for the view that follows the given one.
      *
-     * @param silenceMicros for how long a voter or a replica that asks to join was silent, by identity
-     * @param caughtUpMembers  the identities of the members that hold all that the chain holds
+     * @param silenceMicros   for how long a replica has been silent, by identity, in microseconds
+     * @param caughtUpMembers the identities of the members that have caught up
      */
     ViewPlanner(
             final ReplicaSettings settings,
@@ -39,22 +39,23 @@
         this.caughtUpMembers = caughtUpMembers;
     }
 
-    /** The voters that are heard. */
+    /** Returns the voters that are not suspected. */
     List<Replica> reachableVoters() {
         return view.voters().stream().filter(voter -> !suspected(voter)).toList();
     }
 
-    /** The members of the chain that are not heard. */
+    /** Returns the members of the chain that are suspected. */
     List<Replica> suspected() {
         return view.chain().stream().filter(this::suspected).toList();
     }
 
     /**
-     * The next view, if there should be one: without the suspected members, else with a replica that joins, else without the votes of
-     * dead voters. A repaired replica joins first where the chain without the suspected would be shorter than the required copies.
+     * Returns the next view, or empty if the installed view needs no change. The first change that applies is made: remove the suspected
+     * members, add a replica that requests to join, remove the votes of dead voters. If the chain without the suspected members would be
+     * shorter than the number of required copies, a joining replica is added first.
      */
     Optional<View> next(final boolean leaving, final Collection<ReplicationMessage.JoinRequest> joinRequests) {
-        final Optional<View> shortened = without(leaving);
+        final Optional<View> shortened = withoutSuspected(leaving);
         final Optional<View> joined = withFirstJoinRequest(joinRequests);
         if (shortened.map(v -> v.chain().size() < settings.minInSyncReplicas()).orElse(false) && joined.isPresent()) {
             return joined;
@@ -62,7 +63,10 @@
         return shortened.or(() -> joined).or(this::withoutDeadVotes);
     }
 
-    /** The view in which this replica alone takes over, where all members of a chain that can acknowledge nothing are silent. */
+    /**
+     * Returns a view whose chain is this replica alone, if the installed chain is too short to acknowledge anything and all its members
+     * are suspected.
+     */
     Optional<View> takeover() {
         final boolean isShort = view.chain().size() < settings.minInSyncReplicas();
         return isShort && view.chain().stream().allMatch(this::suspected)
@@ -81,30 +85,34 @@
                 .findFirst();
     }
 
-    /** Whether the next chain begins with the whole old one in its order, so that no member answers for the old view alone. */
+    /**
+     * Returns whether the next chain starts with the complete old chain in the same order. Then no removed member can answer reads on
+     * behalf of the old view.
+     */
     static boolean isExtension(final View old, final View next) {
         return next.chain().size() >= old.chain().size()
                 && next.chain().subList(0, old.chain().size()).equals(old.chain());
     }
 
     /**
-     * The chain without the suspected, and without this member if it leaves and enough of the others have caught up. Where one is
-     * suspected, others that were silent for most of that time go with it. At least one that has caught up stays, or what was
-     * acknowledged could be lost with those that go. A leaving member gives up its vote at once where three or more remain: the others
-     * hear it until its process stops, and would let another replica join beside it, or another one leave.
+     * Returns a view without the suspected members, and without this member if it is leaving and enough of the others have caught up.
+     * If any member is suspected, other members that have been silent for most of the suspicion timeout are removed with it. At least one
+     * member that has caught up must remain; otherwise acknowledged writes could be lost with the removed members. A leaving member gives
+     * up its vote at once if at least {@link #minVoters}, so at least three, voters remain: the others receive its heartbeats until its
+     * process stops, and until then they would count it as a live voter when another replica joins or leaves.
      */
-    private Optional<View> without(final boolean leaving) {
+    private Optional<View> withoutSuspected(final boolean leaving) {
         final boolean anySuspected = view.chain().stream().anyMatch(this::suspected);
         final long silenceLimit = Math.max(
                 settings.suspicionMicros() / 2, settings.suspicionMicros() - 2 * settings.leaseRequestMicros());
-        final List<Replica> heard = view.chain().stream()
+        final List<Replica> responsive = view.chain().stream()
                 .filter(member -> !anySuspected || silenceMicros.applyAsLong(member.id()) <= silenceLimit)
                 .toList();
-        final List<Replica> others = heard.stream()
+        final List<Replica> others = responsive.stream()
                 .filter(member -> !member.id().equals(settings.self().id()))
                 .toList();
         final boolean leaves = leaving && hasEnoughCaughtUp(others);
-        final List<Replica> chain = leaves ? others : heard;
+        final List<Replica> chain = leaves ? others : responsive;
         if (chain.size() == view.chain().size()
                 || chain.stream().noneMatch(member -> caughtUpMembers.contains(member.id()))) {
             return Optional.empty();
@@ -112,7 +120,7 @@
         return Optional.of(withChain(chain, leaves));
     }
 
-    /** The next view with only these members of the chain, in their order; a member that leaves gives up its vote. */
+    /** Returns the next view with only these members of the chain, in the same order; a member that leaves gives up its vote. */
     private View withChain(final List<Replica> chain, final boolean leaves) {
         final String singletonOwner =
                 chain.stream().anyMatch(member -> member.id().equals(view.singletonOwner()))
@@ -127,13 +135,13 @@
                         .filter(voter -> !voter.id().equals(settings.self().id()))
                         .toList()
                 : view.voters();
-        return new View(view.number() + 1, view.fleet(), without(voters, removed), chain, singletonOwner);
+        return new View(view.number() + 1, view.fleet(), reduceVoters(voters, removed), chain, singletonOwner);
     }
 
     /**
-     * A proposed view with the members of the present chain that promised it and have caught up, where its own chain would be shorter
-     * than the required copies. A member that was not heard for a while, and so was left out, may have been slow only; without it the
-     * next loss of a disk could leave no member at all.
+     * Adds the members of the installed chain that promised the proposal and have caught up to a proposed view whose chain would be
+     * shorter than the number of required copies. A member that the proposal removed because it was silent may only have been slow;
+     * without it, the next loss of a disk could leave no member at all.
      */
     View withPromisingMembers(final View proposed, final Set<String> promisedIds) {
         if (proposed.chain().size() >= settings.minInSyncReplicas()) {
@@ -146,7 +154,7 @@
         return chain.size() > proposed.chain().size() ? withChain(chain, false) : proposed;
     }
 
-    /** Whether enough of these members have caught up to be the required copies of all that was acknowledged. */
+    /** Returns whether enough of these members have caught up to hold the required copies of all acknowledged writes. */
     private boolean hasEnoughCaughtUp(final List<Replica> members) {
         return members.stream()
                                 .filter(member -> caughtUpMembers.contains(member.id()))
@@ -156,9 +164,10 @@
     }
 
     /**
-     * The view with one more replica at the end of the chain. It takes its own vote, that of the lost identity at its address, or that
-     * of a dead voter. A new vote is added only while every voter is in the chain and heard: the quorum must not grow while a dead voter
-     * counts, nor one that has left, nor while it isn't known whether one died just now.
+     * Returns the view with one more replica at the end of the chain, or empty if the replica can't get a vote. The replica keeps the vote
+     * that it has, or takes over the vote of the lost identity at its address, or that of a dead voter. A new vote is added only while
+     * every voter is in the chain and was alive recently: the quorum must not grow while a voter that is dead or has left still counts,
+     * nor while a voter may have died just now.
      */
     private Optional<View> withJoiningReplica(final Replica joining) {
         final Optional<Replica> replaced = Stream.of(
@@ -191,9 +200,9 @@
                 && (allPresent || !settings.safeguards().isEnabled(Safeguard.DEAD_VOTES));
     }
 
-    /** The same chain without the votes of dead voters, where fewer votes tolerate more losses. */
+    /** Returns the view with the same chain and without the votes of dead voters, if fewer votes tolerate more losses. */
     private Optional<View> withoutDeadVotes() {
-        final List<Replica> voters = without(
+        final List<Replica> voters = reduceVoters(
                 view.voters(), votersOutsideChain().filter(this::suspected).toList());
         return voters.size() == view.voters().size()
                 ? Optional.empty()
@@ -201,11 +210,12 @@
     }
 
     /**
-     * The voters without as many of the removed as makes the majority smaller: down to the smallest odd number that is not below those
-     * that remain, nor below the fewest that tolerate the losses. One dead vote beside an even number of others costs nothing, and may
-     * come back; so of three voters with one dead all three stay, until a replica that joins takes the dead one's vote.
+     * Returns the voters without those of the removed whose votes only enlarge the majority; the longest silent are dropped first. The
+     * number of voters is reduced to the smallest odd number that is neither below the number of remaining voters nor below {@link
+     * #minVoters}. One dead voter next to an even number of live ones doesn't enlarge the majority and may recover. So if one of three
+     * voters is dead, all three keep their votes until a joining replica takes over the vote of the dead one.
      */
-    private List<Replica> without(final List<Replica> voters, final List<Replica> removed) {
+    private List<Replica> reduceVoters(final List<Replica> voters, final List<Replica> removed) {
         if (!settings.safeguards().isEnabled(Safeguard.DEAD_VOTES)) {
             return voters;
         }
@@ -223,19 +233,22 @@
     }
 
     /**
-     * The fewest voters of which as many may be lost as there are copies to spare. Votes are never taken below it: a
-     * voter may have been slow only, and the next losses must leave a majority.
+     * Returns the minimum number of voters: enough for a majority to survive as many losses as the required copies tolerate, and at least
+     * three. Votes are never removed below it: a voter considered dead may only have been slow, and the next losses must leave a majority.
      */
     private int minVoters() {
         return Math.max(3, 2 * settings.minInSyncReplicas() - 1);
     }
 
-    /** The voters that are out of the chain. */
+    /** Returns the voters that are not in the chain. */
     private Stream<Replica> votersOutsideChain() {
         return view.voters().stream().filter(voter -> view.positionOf(voter.id()) < 0);
     }
 
-    /** Whether a member listens there: messages go by address, so a second member there would get those of the first. */
+    /**
+     * Returns whether a member of the chain has this address. Messages are addressed by address, so a second member at the same address
+     * would receive the messages for the first one.
+     */
     private boolean addressInChain(final String address) {
         return view.chain().stream().anyMatch(member -> member.address().equals(address));
     }
--- a/core/src/main/java/silverlatch/replication/ViewProposer.java
+++ b/core/src/main/java/silverlatch/replication/ViewProposer.java
@@ -14,15 +14,15 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * The proposer of single-decree Paxos for the number after the installed view. Each tick of a member of the chain, or of a
- * standby, asks it whether the chain should change; {@link ViewPlanner} says how.
+ * The proposer of single-decree Paxos for the view number after the installed one. Members of the chain and standbys call it on each
+ * tick; it proposes a new view if {@link ViewPlanner} plans a change.
  *
- * <p>Legal transitions of a proposal: none, preparing (collects promises), accepting (collects acceptances), none, once it is decided,
- * preempted, or too old. Members with a higher rank propose later, and one that was preempted holds back, so that proposers don't preempt
- * each other for ever.
+ * <p>Legal transitions of a proposal: none, preparing (collects promises), accepting (collects acceptances), and back to none once it is
+ * decided, preempted or timed out. To keep proposers from preempting each other forever, a replica with a higher rank proposes later, and
+ * a preempted one backs off.
  */
 final class ViewProposer {
-    /** The low bits of a ballot name its proposer's index among the voters, the others count its rounds. */
+    /** The number of low bits of a ballot that hold the proposer's index among the voters; the high bits hold the round. */
     private static final int BALLOT_PROPOSER_BITS = 8;
 
     private final ReplicaSettings settings;
@@ -33,9 +33,9 @@
     private final Map<String, ReplicationMessage.JoinRequest> joinRequests = new TreeMap<>();
     private Optional<Proposal> proposal = Optional.empty();
     private long highestRound;
-    /** Since when the chain should change, or 0. */
+    /** Since when a change of the view has been due, in microseconds, or 0 if none is due. */
     private long changeDueSince;
-    /** When another proposer's ballot was promised or preempted this one's, or 0. */
+    /** When the ballot of another proposer was promised here or preempted this proposer's, in microseconds, or 0. */
     private long preemptedAt;
 
     ViewProposer(
@@ -51,7 +51,7 @@
         this.effects = effects;
     }
 
-    /** A view was installed: what was under way for its number has ended. */
+    /** Clears the proposal and the join requests after a view was installed: they were for that view's number. */
     void installView() {
         proposal = Optional.empty();
         changeDueSince = 0;
@@ -59,22 +59,22 @@
         joinRequests.clear();
     }
 
-    /** A repaired replica asks to be put at the end of the chain. */
+    /** Records the request of a repaired replica to be added at the end of the chain. */
     void handleJoinRequest(final ReplicationMessage.JoinRequest request) {
         joinRequests.put(request.sender().id(), request);
     }
 
-    /** Whether a replica asks to join. */
+    /** Returns whether the replica with this identity has requested to join. */
     boolean isJoining(final String id) {
         return joinRequests.containsKey(id);
     }
 
-    /** The replicas that ask to join, by identity. */
+    /** Returns the pending join requests, in the order of their senders' identities. */
     Collection<ReplicationMessage.JoinRequest> joinRequests() {
         return joinRequests.values();
     }
 
-    /** Proposes the next view where the chain should change and no other proposer is to go first. */
+    /** Proposes the next view if a change is due and no other proposer should go first. */
     void proposeNextView(final boolean isLeaving, final long now) {
         if (!mayStartProposal(now)) {
             return;
@@ -93,7 +93,7 @@
         next.filter(view -> mayPropose(planner, rank, now)).ifPresent(view -> prepare(view, now));
     }
 
-    /** Proposes this replica as the only member where all of a chain are lost, if it is a standby whose repair is on disk. */
+    /** Proposes this replica as the only member if all members of the chain are lost and it is a standby whose repair is synced. */
     void proposeTakeover(final boolean isLeaving, final long now) {
         final boolean mayTakeOver = role.isStandby()
                 && effects.isAllSynced()
@@ -117,6 +117,7 @@
         return role.isVoter() && settings.safeguards().isEnabled(Safeguard.CHAIN_REPAIR);
     }
 
+    /** Remembers since when a change has been due, and logs the suspected members when it becomes due. */
     private void trackDueChange(final boolean isChangeDue, final ViewPlanner planner, final long now) {
         if (!isChangeDue) {
             changeDueSince = 0;
@@ -143,7 +144,7 @@
                 && role.view().isMajority(planner.reachableVoters().size());
     }
 
-    /** This replica's index among those that may propose: those with a higher one let the others go first. */
+    /** Returns this replica's index among the possible proposers; a replica with a higher index waits longer before it proposes. */
     private int rankAmong(final Stream<Replica> proposers) {
         final List<String> ids = proposers.map(Replica::id).toList();
         return Math.max(0, ids.indexOf(settings.self().id()));
@@ -163,27 +164,27 @@
         view.voters().forEach(voter -> effects.send(voter.address(), new ReplicationMessage.Prepare(number, ballot)));
     }
 
-    /** Another proposer's ballot was promised: it goes first. */
+    /** Delays this replica's own proposals, as the ballot of another proposer was promised. */
     void backOff(final long now) {
         preemptedAt = now;
     }
 
-    /** A voter has promised a higher ballot. */
+    /** Handles the reply of a voter that has promised a higher ballot: drops the proposal and backs off. */
     void handlePreempted(final ReplicationMessage.Preempted reply, final long now) {
         highestRound = Math.max(highestRound, reply.ballot() >> BALLOT_PROPOSER_BITS);
         backOff(now);
         proposal = proposal.filter(current -> current.number() != reply.number());
     }
 
-    /** Takes a promise. */
+    /** Handles the promise of a voter, if it is for the current proposal. */
     void handlePromise(final ReplicationMessage.Promise reply, final long now) {
         proposal.filter(current -> current.matches(reply.number(), reply.ballot()) && !current.isAccepting())
                 .ifPresent(current -> recordPromise(current, reply, now));
     }
 
     /**
-     * Asks for acceptances once a majority has promised. The proposer's own promise must be among them: it is synced, so a ballot is not
-     * used again for another view after a restart.
+     * Records a promise, and sends accept requests once a majority has promised. The proposer's own promise must be among them: it is
+     * synced to disk, so that after a restart the proposer doesn't reuse the ballot for another view.
      */
     private void recordPromise(final Proposal current, final ReplicationMessage.Promise reply, final long now) {
         current.supporters().add(reply.voter());
@@ -211,7 +212,12 @@
         return planner(now).withPromisingMembers(promised.view(), promised.supporters());
     }
 
-    /** Takes an acceptance; the view, where a majority has accepted it. All that it concerns are sent it. */
+    /**
+     * Records the acceptance of a voter. Once a majority has accepted, sends the decided view to the voters of the installed view and to
+     * the voters and members of the decided one.
+     *
+     * @return the decided view, if a majority has accepted it
+     */
     Optional<View> handleAccepted(final ReplicationMessage.Accepted reply) {
         final Optional<Proposal> accepting =
                 proposal.filter(current -> current.matches(reply.number(), reply.ballot()) && current.isAccepting());
--- a/core/src/main/java/silverlatch/replication/WriteAdmission.java
+++ b/core/src/main/java/silverlatch/replication/WriteAdmission.java
@@ -14,11 +14,11 @@
 import silverlatch.wire.ChainClientMessage;
 
 /**
- * The admission of writes at the head of the chain: evaluates each command against the committed and the pending state, appends an entry
- * where it changes something, and replies once all that the reply rests on is committed.
+ * Admits writes at the head of the chain: evaluates each command against the committed and the pending state, appends an entry if the
+ * command changes something, and replies once all entries that the reply depends on are committed.
  *
- * <p>Invariants: nothing is evaluated without a lease, and stamps of entries only rise. A write without a lease waits for one for no
- * longer than a lease lasts; one that can't be admitted now is dropped, and its client sends it again.
+ * <p>Invariants: no command is evaluated without a lease, and the timestamps of entries only increase. A write that arrives while no
+ * lease is held is queued for at most the duration of a lease. A write that can't be admitted otherwise is dropped; its client retries it.
  */
 final class WriteAdmission {
     private static final int MAX_PENDING_ENTRIES = 4_096;
@@ -47,7 +47,7 @@
         this.stamps = stamps;
     }
 
-    /** Admits a write, or keeps it until the lease is granted. */
+    /** Admits a write, or queues it until a lease is held; ignores it if this replica is not an active head or the queue is full. */
     void handleWriteRequest(final ChainClientMessage.WriteRequest request, final long now) {
         if (!role.isActive() || !role.isHead()) {
             return;
@@ -59,7 +59,7 @@
         }
     }
 
-    /** A voter has granted the lease: the writes that wait for it are admitted where that makes a majority. */
+    /** Admits the queued writes after a voter granted a lease, if the grants are now from a majority. */
     void onLeaseGranted(final long now) {
         if (writesAwaitingLease.isEmpty() || !lease.isHeld(now)) {
             return;
@@ -105,7 +105,7 @@
         };
     }
 
-    /** Replies to a write that needs no entry of its own, once all that the reply rests on is committed. */
+    /** Replies to a write that needs no entry of its own, once all entries that the reply depends on are committed. */
     private void replyEvaluated(
             final ChainClientMessage.WriteRequest request, final CommandResult result, final Stamp stamp) {
         final Optional<Entry> pendingOutcome = Optional.ofNullable(log.pendingValues()
@@ -129,8 +129,8 @@
     }
 
     /**
-     * Rejects a write at once where the committed state alone rejects it. Else the rejection rests on entries that a new view may drop,
-     * and waits until the newest of them is committed.
+     * Rejects a write at once if the committed state alone is reason enough. Otherwise the rejection depends on pending entries, which a
+     * new view may drop, and is delayed until the newest of them is committed.
      */
     private void replyRejected(
             final ChainClientMessage.WriteRequest request, final CommandResult rejection, final Stamp stamp) {
