--- a/core/src/main/java/silverlatch/replication/Bootstrap.java
+++ b/core/src/main/java/silverlatch/replication/Bootstrap.java
@@ -58,15 +58,15 @@
         return peersById.values().stream().map(peer -> peer.request().sender()).toList();
     }
 
-    private boolean isProposer(final View founding) {
-        final Replica lowest = founding.voters().stream()
-                .min(Comparator.comparing(Replica::id))
-                .orElseThrow();
+    /** Returns whether this replica has the lowest identity among the voters of the agreed view, so that it proposes the view. */
+    private boolean isProposer(final View agreed) {
+        final Replica lowest =
+                agreed.voters().stream().min(Comparator.comparing(Replica::id)).orElseThrow();
         return lowest.equals(settings.self());
     }
 
-    private void propose(final View founding) {
-        founding.voters().forEach(voter -> effects.send(voter.address(), new ReplicationMessage.Bootstrap(founding)));
+    private void propose(final View proposed) {
+        proposed.voters().forEach(voter -> effects.send(voter.address(), new ReplicationMessage.Bootstrap(proposed)));
     }
 
     /**
@@ -126,11 +126,11 @@
         }
     }
 
-    private boolean isAcceptable(final View founding) {
+    private boolean isAcceptable(final View proposed) {
         return agreedView.isEmpty()
                 && !role.hasView()
-                && founding.isVoter(settings.self().id())
-                && founding.voters().stream().allMatch(voter -> peersById.containsKey(voter.id()));
+                && proposed.isVoter(settings.self().id())
+                && proposed.voters().stream().allMatch(voter -> peersById.containsKey(voter.id()));
     }
 
     /**
@@ -139,17 +139,17 @@
      * @return the initial view, if all its voters have agreed
      */
     Optional<View> handleAgreed(final ReplicationMessage.BootstrapAgreed message) {
-        final Optional<View> founding = agreedView.filter(view -> view.fleet() == message.fleet());
-        founding.ifPresent(view -> agreedPeers.add(message.sender().id()));
-        final Optional<View> founded =
-                founding.filter(view -> view.voters().stream().allMatch(voter -> agreedPeers.contains(voter.id())));
-        founded.ifPresent(this::announce);
-        return founded;
+        final Optional<View> agreed = agreedView.filter(view -> view.fleet() == message.fleet());
+        agreed.ifPresent(view -> agreedPeers.add(message.sender().id()));
+        final Optional<View> decided =
+                agreed.filter(view -> view.voters().stream().allMatch(voter -> agreedPeers.contains(voter.id())));
+        decided.ifPresent(this::announce);
+        return decided;
     }
 
-    private void announce(final View founded) {
-        effects.log(Event.FOUNDED, "fleet " + Long.toHexString(founded.fleet()));
-        founded.voters().forEach(voter -> effects.send(voter.address(), new ReplicationMessage.ViewDecided(founded)));
+    private void announce(final View decided) {
+        effects.log(Event.FOUNDED, "fleet " + Long.toHexString(decided.fleet()));
+        decided.voters().forEach(voter -> effects.send(voter.address(), new ReplicationMessage.ViewDecided(decided)));
     }
 
     /** Returns whether this is the initial view that this replica agreed to. */
--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -173,7 +173,7 @@
             case ReplicationMessage.Discover request -> bootstrap.handleDiscover(request, now);
             case ReplicationMessage.Bootstrap request -> bootstrap.handleBootstrap(request, sender, now);
             case ReplicationMessage.BootstrapAgreed reply ->
-                bootstrap.handleAgreed(reply).ifPresent(founded -> installView(founded, now));
+                bootstrap.handleAgreed(reply).ifPresent(initialView -> installView(initialView, now));
             case ReplicationMessage.LeaseRequest request -> handleLeaseRequest(request, now);
             case ReplicationMessage.LeaseGrant grant -> handleLeaseGrant(grant, now);
             case ReplicationMessage.ViewDecided decided -> handleViewDecided(decided, sender, now);
@@ -216,7 +216,7 @@
         return next;
     }
 
-    /** Handles a failed write to the log: this replica ignores all messages until {@link #recovered} replaces it. */
+    /** Handles a failed write to the log: this replica ignores messages and timer events until {@link #recovered} replaces it. */
     public void onDiskFailed(final String reason) {
         if (!role.isDiskFailed()) {
             role.markDiskFailed();
@@ -231,7 +231,7 @@
         discovery.updateSeeds(addresses);
     }
 
-    /** Starts a graceful leave before the process stops: this replica is removed from the chain and another owner is appointed. */
+    /** Starts a graceful leave before the process stops: a next view shall remove this replica and name another singleton owner. */
     public void leave() {
         gracefulLeave.begin();
     }
--- a/core/src/main/java/silverlatch/replication/PendingWrites.java
+++ b/core/src/main/java/silverlatch/replication/PendingWrites.java
@@ -47,21 +47,21 @@
         add(sequence, new PendingWrite(request, Optional.of(rejection)));
     }
 
-    private void add(final long sequence, final PendingWrite waiting) {
-        writesBySequence.computeIfAbsent(sequence, key -> new ArrayList<>()).add(waiting);
+    private void add(final long sequence, final PendingWrite write) {
+        writesBySequence.computeIfAbsent(sequence, key -> new ArrayList<>()).add(write);
     }
 
     /** Sends the replies that were waiting for the entry with this sequence number, which was committed. */
     void onCommitted(final long sequence) {
         Optional.ofNullable(writesBySequence.remove(sequence))
-                .ifPresent(ready -> ready.forEach(waiting -> replyCommitted(waiting, sequence)));
+                .ifPresent(ready -> ready.forEach(write -> replyCommitted(write, sequence)));
     }
 
-    private void replyCommitted(final PendingWrite waiting, final long sequence) {
-        final ChainClientMessage.WriteRequest request = waiting.request();
+    private void replyCommitted(final PendingWrite write, final long sequence) {
+        final ChainClientMessage.WriteRequest request = write.request();
         reply(
                 request,
-                waiting.rejection().orElseGet(() -> outcomeOf(request.command().id(), sequence)));
+                write.rejection().orElseGet(() -> outcomeOf(request.command().id(), sequence)));
     }
 
     private CommandResult outcomeOf(final String commandId, final long sequence) {
@@ -78,9 +78,9 @@
     void abandon() {
         writesBySequence
                 .values()
-                .forEach(abandoned -> abandoned.forEach(waiting -> reply(
-                        waiting.request(),
-                        new CommandResult.Unknown(waiting.request().command().id()))));
+                .forEach(abandoned -> abandoned.forEach(write -> reply(
+                        write.request(),
+                        new CommandResult.Unknown(write.request().command().id()))));
         writesBySequence.clear();
     }
 
--- a/core/src/main/java/silverlatch/replication/RepairResponder.java
+++ b/core/src/main/java/silverlatch/replication/RepairResponder.java
@@ -40,6 +40,7 @@
                 || request.digests().length != ReplicaLog.DIGEST_RANGES) {
             return;
         }
+        // Entries that the other replica has committed are known to be committed.
         if (request.sequence() > log.committedSequence()) {
             log.commit(request.sequence(), now);
         }
--- a/core/src/main/java/silverlatch/replication/ReplicaRole.java
+++ b/core/src/main/java/silverlatch/replication/ReplicaRole.java
@@ -94,7 +94,7 @@
         return position() == 0;
     }
 
-    /** Returns whether the replica is the tail and has caught up; only then it commits entries and answers reads. */
+    /** Returns whether the replica is the tail and has caught up; only then may it commit entries and answer reads. */
     boolean isActiveTail() {
         return isActive() && successor().isEmpty();
     }
--- a/core/src/main/java/silverlatch/replication/ReplicaState.java
+++ b/core/src/main/java/silverlatch/replication/ReplicaState.java
@@ -12,7 +12,7 @@
     OUTSIDE_CHAIN("outside"),
     /** The chain of the installed view contains this replica. */
     IN_CHAIN("chained"),
-    /** A write to the log failed: the replica ignores all messages. */
+    /** A write to the log failed: the replica ignores all messages and timer events. */
     DISK_FAILED("broken");
 
     private final String label;
--- a/core/src/main/java/silverlatch/replication/ViewPlanner.java
+++ b/core/src/main/java/silverlatch/replication/ViewPlanner.java
@@ -51,8 +51,8 @@
 
     /**
      * Returns the next view, or empty if the installed view needs no change. The first change that applies is made: remove the suspected
-     * members, add a replica that requests to join, remove the votes of dead voters. If the chain without the suspected members would be
-     * shorter than the number of required copies, a joining replica is added first.
+     * members, and this one if it is leaving; add a replica that requests to join; remove the votes of dead voters. If the chain would
+     * become shorter than the number of required copies, a joining replica is added before members are removed.
      */
     Optional<View> next(final boolean leaving, final Collection<ReplicationMessage.JoinRequest> joinRequests) {
         final Optional<View> shortened = withoutSuspected(leaving);
