--- a/core/src/test/java/silverlatch/replication/ChainReplicationTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainReplicationTest.java
@@ -29,9 +29,9 @@
         final SuccessorLink successor = new SuccessorLink(parts.role, log, parts.effects);
         final PredecessorLink predecessor =
                 new PredecessorLink(parts.settings, parts.role, log, catchUp, committer, parts.effects);
-        final GracefulLeave departure = new GracefulLeave(parts.settings, parts.role, parts.effects);
+        final GracefulLeave gracefulLeave = new GracefulLeave(parts.settings, parts.role, parts.effects);
         final RepairRequester requester = new RepairRequester(
-                parts.settings, parts.role, log, successor, catchUp, committer, departure, parts.effects);
+                parts.settings, parts.role, log, successor, catchUp, committer, gracefulLeave, parts.effects);
         return new ChainReplication(parts.role, successor, predecessor, catchUp, committer, requester);
     }
 
--- a/core/src/test/java/silverlatch/replication/GracefulLeaveTest.java
+++ b/core/src/test/java/silverlatch/replication/GracefulLeaveTest.java
@@ -14,43 +14,43 @@
 
 final class GracefulLeaveTest {
     private final ReplicaParts parts = new ReplicaParts();
-    private final GracefulLeave departure = new GracefulLeave(parts.settings, parts.role, parts.effects);
+    private final GracefulLeave gracefulLeave = new GracefulLeave(parts.settings, parts.role, parts.effects);
 
     @Test
     void aReplicaWithoutAViewOrADiskMayStopAtOnce() {
-        assertThat(departure.hasLeft(false), is(true));
+        assertThat(gracefulLeave.hasLeft(false), is(true));
         parts.in(view(1, SELF, SECOND));
-        assertThat(departure.hasLeft(false), is(false));
+        assertThat(gracefulLeave.hasLeft(false), is(false));
         parts.role.markDiskFailed();
-        assertThat(departure.hasLeft(false), is(true));
+        assertThat(gracefulLeave.hasLeft(false), is(true));
     }
 
     @Test
     void itHasLeftWhenAMajorityOfTheVotersKnowsTheViewWithoutIt() {
         parts.in(view(2, SECOND, THIRD));
-        departure.addInformed(SELF.address());
-        departure.addInformed(SECOND.address());
-        assertThat("its own knowledge doesn't count", departure.hasLeft(false), is(false));
-        departure.addInformed(THIRD.address());
-        assertThat(departure.hasLeft(false), is(true));
-        departure.installView();
-        assertThat("nobody knows the next view yet", departure.hasLeft(false), is(false));
+        gracefulLeave.addInformed(SELF.address());
+        gracefulLeave.addInformed(SECOND.address());
+        assertThat("its own knowledge doesn't count", gracefulLeave.hasLeft(false), is(false));
+        gracefulLeave.addInformed(THIRD.address());
+        assertThat(gracefulLeave.hasLeft(false), is(true));
+        gracefulLeave.installView();
+        assertThat("nobody knows the next view yet", gracefulLeave.hasLeft(false), is(false));
     }
 
     @Test
     void theLastVoterMayStopUnlessAnotherReplicaJoins() {
         parts.in(new View(2, 7, List.of(SELF), List.of(SELF), SELF.id()));
-        assertThat(departure.hasLeft(true), is(false));
-        assertThat(departure.hasLeft(false), is(true));
+        assertThat(gracefulLeave.hasLeft(true), is(false));
+        assertThat(gracefulLeave.hasLeft(false), is(true));
     }
 
     @Test
     void theVotersAreToldTheViewAndAskedWhetherTheyKnowIt() {
         final View view = view(2, SECOND, THIRD);
         parts.in(view);
-        departure.begin();
-        departure.announce();
-        assertThat(departure.isLeaving(), is(true));
+        gracefulLeave.begin();
+        gracefulLeave.announce();
+        assertThat(gracefulLeave.isLeaving(), is(true));
         assertThat(
                 parts.sent().subList(0, 2),
                 is(List.of(new ReplicationMessage.ViewDecided(view), new ReplicationMessage.Prepare(2, 0))));
--- a/core/src/test/java/silverlatch/replication/RepairTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairTest.java
@@ -30,7 +30,7 @@
     private final ReplicaLog sourceLog = ReplicaParts.log(source, syncedAt -> {}, sequence -> {});
     private final ReplicaParts target = new ReplicaParts();
     private final ReplicaLog targetLog = ReplicaParts.log(target, syncedAt -> {}, sequence -> {});
-    private final GracefulLeave departure = new GracefulLeave(target.settings, target.role, target.effects);
+    private final GracefulLeave gracefulLeave = new GracefulLeave(target.settings, target.role, target.effects);
     private final RepairRequester requester = requester();
     private final RepairResponder responder = responder(source, sourceLog);
 
@@ -49,7 +49,7 @@
                 new SuccessorLink(target.role, targetLog, target.effects),
                 new CatchUpProgress(target.role, targetLog, target.effects),
                 committer,
-                departure,
+                gracefulLeave,
                 target.effects);
     }
 
@@ -129,7 +129,7 @@
     void aReplicaThatLeavesIsRepairedButDoesNotAskToJoin() {
         appendAtSource(entry(1));
         sourceLog.commit(1, START);
-        departure.begin();
+        gracefulLeave.begin();
         requester.request(SOURCE, START);
         exchange(START);
         target.sync(START);
