--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -231,7 +231,7 @@
         discovery.updateSeeds(addresses);
     }
 
-    /** Starts a graceful leave before the process stops: a next view shall remove this replica and name another singleton owner. */
+    /** Starts a graceful leave before the process stops: later views remove this replica and name another singleton owner. */
     public void leave() {
         gracefulLeave.begin();
     }
--- a/core/src/main/java/silverlatch/replication/EffectQueue.java
+++ b/core/src/main/java/silverlatch/replication/EffectQueue.java
@@ -44,8 +44,7 @@
     /** Requests to write records to the log and to sync them; calls {@code onSynced} with the time at which they were synced. */
     void persist(final List<LogRecord> records, final long now, final LongConsumer onSynced) {
         lastToken++;
-        // With the safeguard disabled, promises and acceptances count as synced at once, which a crash can then
-        // contradict.
+        // Without this safeguard, promises and acceptances count as synced at once, and a crash may lose them.
         final boolean completesBeforeSync = !safeguards.isEnabled(Safeguard.PROMISE) && isVote(records.get(0));
         if (completesBeforeSync) {
             onSynced.accept(now);
--- a/core/src/main/java/silverlatch/replication/GrantedLeases.java
+++ b/core/src/main/java/silverlatch/replication/GrantedLeases.java
@@ -42,7 +42,10 @@
                         view.number(), request.askedAt(), settings.self().id(), committed));
     }
 
-    /** Updates the grants when a view replaces another one. */
+    /**
+     * Drops the expired grants when a view replaces another one. If the voters change, grants that aren't tracked here may be valid for
+     * the duration of a lease.
+     */
     void installView(final View previous, final View next, final long now) {
         expiryByMember.values().removeIf(expiry -> expiry <= now);
         if (!Set.copyOf(previous.voters()).equals(Set.copyOf(next.voters()))) {
--- a/core/src/main/java/silverlatch/replication/ReplicaLog.java
+++ b/core/src/main/java/silverlatch/replication/ReplicaLog.java
@@ -17,9 +17,10 @@
  * The replicated log of one replica: the committed state, the pending entries that follow it, and the sequence number up to which the log
  * is synced to the local disk.
  *
- * <p>Invariants: committed sequence &lt;= synced sequence &lt;= last sequence; sequence numbers have no gaps; only committed entries are
- * applied to the state machine. Pending entries are dropped when the replica leaves the chain or is repaired. This starts a new
- * generation, and syncs of writes of an earlier generation are ignored.
+ * <p>Invariants: committed sequence &lt;= synced sequence &lt;= last sequence, except that the synced sequence is 0 while the snapshot of a
+ * repair is not synced yet; sequence numbers have no gaps; only committed entries are applied to the state machine. Pending entries are
+ * dropped when the replica leaves the chain or is repaired. This starts a new generation, and syncs of writes of an earlier generation are
+ * ignored.
  */
 final class ReplicaLog {
     /** The number of key ranges into which the state is divided for digests. */
--- a/core/src/main/java/silverlatch/replication/ViewProposer.java
+++ b/core/src/main/java/silverlatch/replication/ViewProposer.java
@@ -15,7 +15,7 @@
 
 /**
  * The proposer of single-decree Paxos for the view number after the installed one. Members of the chain and standbys call it on each
- * tick; it proposes a new view if {@link ViewPlanner} plans a change.
+ * tick; it proposes the view that {@link ViewPlanner} plans, or else a view that was accepted here and may already be decided.
  *
  * <p>Legal transitions of a proposal: none, preparing (collects promises), accepting (collects acceptances), and back to none once it is
  * decided, preempted or timed out. To keep proposers from preempting each other forever, a replica with a higher rank proposes later, and
--- a/core/src/main/java/silverlatch/replication/WriteAdmission.java
+++ b/core/src/main/java/silverlatch/replication/WriteAdmission.java
@@ -18,8 +18,8 @@
  * command changes something, and replies once all entries that the reply depends on are committed.
  *
  * <p>Invariants: no command is evaluated without a lease, and the timestamps of entries only increase. A write that arrives while no
- * lease is held is queued for at most the duration of a lease. A write that can't be admitted for another reason is dropped without a
- * reply, and its client retries it.
+ * lease is held is queued, and admitted if a lease is granted within the duration of a lease. Any other write that can't be admitted is
+ * dropped without a reply, and its client retries it.
  */
 final class WriteAdmission {
     private static final int MAX_PENDING_ENTRIES = 4_096;
