--- a/core/src/main/java/silverlatch/replication/Bootstrap.java
+++ b/core/src/main/java/silverlatch/replication/Bootstrap.java
@@ -13,11 +13,11 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * Founds the cluster: all seeds of an empty cluster find each other, the one with the lowest identity proposes the first view, and it is
- * decided when every one of them has agreed and synced that. Called by {@link ChainReplica} while no view is installed.
+ * Bootstraps a cluster: all seeds of an empty cluster discover each other, the one with the lowest identity proposes the initial view, and
+ * the view is decided once every seed has agreed and synced its agreement. {@link ChainReplica} calls it while no view is installed.
  *
- * <p>Legal transitions: discovering, agreed to a founding (synced; no other one is agreed to), founded, or any other view installed.
- * A replica whose disk may have been lost ({@link ReplicaSettings#mayBootstrap} is false) only discovers.
+ * <p>Legal transitions: discovering; agreed to an initial view (synced to disk, and no other one is agreed to); view installed, either the
+ * agreed or any other one. A replica whose disk may have been lost ({@link ReplicaSettings#mayBootstrap} is false) only discovers.
  */
 final class Bootstrap {
     private static final long DISCOVERY_EXPIRY_MICROS = 2_000_000L;
@@ -26,11 +26,11 @@
     private final ReplicaRole role;
     private final Discovery discovery;
     private final EffectQueue effects;
-    /** The empty seeds that were heard of late, by identity. */
-    private final Map<String, DiscoveredPeer> discovered = new TreeMap<>();
+    /** The recently discovered seeds that may take part in a bootstrap, by identity. */
+    private final Map<String, DiscoveredPeer> peersById = new TreeMap<>();
 
     private final Set<String> agreedPeers = new HashSet<>();
-    private Optional<View> foundingView = Optional.empty();
+    private Optional<View> agreedView = Optional.empty();
 
     Bootstrap(
             final ReplicaSettings settings,
@@ -43,66 +43,69 @@
         this.effects = effects;
     }
 
-    /** Looks for the other seeds, and proposes the founding agreed to again; called by each tick. */
+    /** Sends discovery messages to the seeds, and proposes the agreed initial view again; called on each tick. */
     void discover(final long now) {
         if (!discovery.beginRound(ReplicaSettings.RETRY_MICROS, now)) {
             return;
         }
-        discovered.values().removeIf(peer -> now - peer.receivedAt() > DISCOVERY_EXPIRY_MICROS);
+        peersById.values().removeIf(peer -> now - peer.receivedAt() > DISCOVERY_EXPIRY_MICROS);
         discovery.sendToSeeds(new ReplicationMessage.Discover(
-                settings.self(), foundingView.isEmpty() && settings.mayBootstrap(), discoveredPeers()));
-        foundingView.filter(this::isProposer).ifPresent(this::propose);
+                settings.self(), agreedView.isEmpty() && settings.mayBootstrap(), discoveredPeers()));
+        agreedView.filter(this::isProposer).ifPresent(this::propose);
     }
 
     private List<Replica> discoveredPeers() {
-        return discovered.values().stream().map(peer -> peer.request().sender()).toList();
+        return peersById.values().stream().map(peer -> peer.request().sender()).toList();
     }
 
-    private boolean isProposer(final View founding) {
-        final Replica lowest = founding.voters().stream()
-                .min(Comparator.comparing(Replica::id))
-                .orElseThrow();
+    /** Returns whether this replica has the lowest identity among the voters of the agreed view, so that it proposes the view. */
+    private boolean isProposer(final View agreed) {
+        final Replica lowest =
+                agreed.voters().stream().min(Comparator.comparing(Replica::id)).orElseThrow();
         return lowest.equals(settings.self());
     }
 
-    private void propose(final View founding) {
-        founding.voters().forEach(voter -> effects.send(voter.address(), new ReplicationMessage.Bootstrap(founding)));
+    private void propose(final View proposed) {
+        proposed.voters().forEach(voter -> effects.send(voter.address(), new ReplicationMessage.Bootstrap(proposed)));
     }
 
-    /** Another replica looks for its peers: it is told the view, or counts towards a founding. */
+    /**
+     * Handles the discovery message of another replica: replies with the installed view, or, if there is none, counts the replica as a
+     * peer for the bootstrap and proposes the initial view once all seeds are discovered.
+     */
     void handleDiscover(final ReplicationMessage.Discover request, final long now) {
         if (role.hasView()) {
             effects.send(request.sender().address(), new ReplicationMessage.ViewDecided(role.view()));
             return;
         }
-        if (!request.empty() || !mayFoundWith(request.sender())) {
+        if (!request.empty() || !mayBootstrapWith(request.sender())) {
             return;
         }
-        discovered.put(request.sender().id(), new DiscoveredPeer(request, now));
+        peersById.put(request.sender().id(), new DiscoveredPeer(request, now));
         final List<Replica> peers = discoveredPeers();
         if (isComplete(peers) && settings.isSelf(peers.get(0).id())) {
-            propose(firstView(peers));
+            propose(initialView(peers));
         }
     }
 
-    private boolean mayFoundWith(final Replica peer) {
-        return foundingView.isEmpty()
+    private boolean mayBootstrapWith(final Replica peer) {
+        return agreedView.isEmpty()
                 && settings.mayBootstrap()
                 && settings.seeds().contains(settings.self().address())
                 && settings.seeds().contains(peer.address());
     }
 
-    /** Whether all seeds were heard, and each has heard the same ones. */
+    /** Returns whether all seeds were discovered, and each of them reported to have discovered the same ones. */
     private boolean isComplete(final List<Replica> peers) {
         final Set<Replica> known = Set.copyOf(peers);
         final Set<String> addresses = peers.stream().map(Replica::address).collect(Collectors.toSet());
         return peers.size() == settings.seeds().size()
                 && addresses.equals(Set.copyOf(settings.seeds()))
-                && discovered.values().stream()
+                && peersById.values().stream()
                         .allMatch(peer -> Set.copyOf(peer.request().heard()).equals(known));
     }
 
-    private View firstView(final List<Replica> peers) {
+    private View initialView(final List<Replica> peers) {
         final List<Replica> members = peers.stream()
                 .sorted(Comparator.comparingInt(peer -> settings.seeds().indexOf(peer.address())))
                 .toList();
@@ -110,54 +113,58 @@
         return new View(1, fleet, members, members, members.get(0).id());
     }
 
-    /** Agrees to a founding of replicas that were all heard, once that is synced. */
+    /** Handles a proposed initial view: agrees if all its voters were discovered, and replies once the agreement is synced. */
     void handleBootstrap(final ReplicationMessage.Bootstrap request, final String sender, final long now) {
         final ReplicationMessage.BootstrapAgreed agreement =
                 new ReplicationMessage.BootstrapAgreed(request.view().fleet(), settings.self());
-        if (isFounding(request.view())) {
+        if (isAgreedView(request.view())) {
             effects.send(sender, agreement);
         } else if (isAcceptable(request.view())) {
-            foundingView = Optional.of(request.view());
+            agreedView = Optional.of(request.view());
             effects.persist(
                     List.of(new LogRecord.Founding(request.view())), now, syncedAt -> effects.send(sender, agreement));
         }
     }
 
-    private boolean isAcceptable(final View founding) {
-        return foundingView.isEmpty()
+    private boolean isAcceptable(final View proposed) {
+        return agreedView.isEmpty()
                 && !role.hasView()
-                && founding.isVoter(settings.self().id())
-                && founding.voters().stream().allMatch(voter -> discovered.containsKey(voter.id()));
+                && proposed.isVoter(settings.self().id())
+                && proposed.voters().stream().allMatch(voter -> peersById.containsKey(voter.id()));
     }
 
-    /** A seed agreed to the founding; the first view, where all have. All voters are sent it. */
+    /**
+     * Records that a seed agreed to the initial view. Once all voters have agreed, sends them the decided view.
+     *
+     * @return the initial view, if all its voters have agreed
+     */
     Optional<View> handleAgreed(final ReplicationMessage.BootstrapAgreed message) {
-        final Optional<View> founding = foundingView.filter(view -> view.fleet() == message.fleet());
-        founding.ifPresent(view -> agreedPeers.add(message.sender().id()));
-        final Optional<View> founded =
-                founding.filter(view -> view.voters().stream().allMatch(voter -> agreedPeers.contains(voter.id())));
-        founded.ifPresent(this::announce);
-        return founded;
+        final Optional<View> agreed = agreedView.filter(view -> view.fleet() == message.fleet());
+        agreed.ifPresent(view -> agreedPeers.add(message.sender().id()));
+        final Optional<View> decided =
+                agreed.filter(view -> view.voters().stream().allMatch(voter -> agreedPeers.contains(voter.id())));
+        decided.ifPresent(this::announce);
+        return decided;
     }
 
-    private void announce(final View founded) {
-        effects.log(Event.FOUNDED, "fleet " + Long.toHexString(founded.fleet()));
-        founded.voters().forEach(voter -> effects.send(voter.address(), new ReplicationMessage.ViewDecided(founded)));
+    private void announce(final View decided) {
+        effects.log(Event.FOUNDED, "fleet " + Long.toHexString(decided.fleet()));
+        decided.voters().forEach(voter -> effects.send(voter.address(), new ReplicationMessage.ViewDecided(decided)));
     }
 
-    /** Whether this is the founding that this replica agreed to. */
-    boolean isFounding(final View view) {
-        return foundingView.map(view::equals).orElse(false);
+    /** Returns whether this is the initial view that this replica agreed to. */
+    boolean isAgreedView(final View view) {
+        return agreedView.map(view::equals).orElse(false);
     }
 
-    /** A view was installed: the founding has ended. */
+    /** Drops the agreed initial view after a view was installed. */
     void installView() {
-        foundingView = Optional.empty();
+        agreedView = Optional.empty();
     }
 
-    /** Takes over an agreement while the log is read. */
+    /** Restores an agreement while the log is replayed. */
     void replay(final LogRecord.Founding founding) {
-        foundingView = Optional.of(founding.view());
+        agreedView = Optional.of(founding.view());
     }
 
     private record DiscoveredPeer(ReplicationMessage.Discover request, long receivedAt) {}
--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -13,11 +13,11 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * One replica of the control state: joins the parts of this package and hands each event to the part that owns it. It does no input or
- * output: events go in, {@link Effect}s come out, and a write to the log comes back by its token. All methods are called by the one
- * thread of the node's event loop, with its steady clock in microseconds.
+ * One replica of the control state: connects the components of this package and dispatches each event to the component responsible. It
+ * does no I/O: it takes events and produces {@link Effect}s; {@link #onSynced} reports a completed write to the log by its token. All
+ * methods are called on the thread of the node's event loop, with the time of its monotonic clock in microseconds.
  *
- * <p>It alone makes the transitions of {@link ReplicaRole}: when a view is installed, all parts are told in one step.
+ * <p>Only this class changes the view of {@link ReplicaRole}; when a view is installed, all components are updated in one step.
  */
 public final class ChainReplica {
     private final ReplicaSettings settings;
@@ -29,12 +29,12 @@
     private final FailureDetector failureDetector;
     private final ViewAcceptor acceptor;
     private final ViewProposer proposer;
-    private final Departure departure;
+    private final GracefulLeave gracefulLeave;
     private final Discovery discovery;
     private final Bootstrap bootstrap;
     private final SnapshotWriter snapshots;
     private final ReplicaLog log;
-    private final WaitingWrites waitingWrites;
+    private final PendingWrites pendingWrites;
     private final WriteAdmission writeAdmission;
     private final ReadAdmission readAdmission;
     private final Committer committer;
@@ -46,7 +46,7 @@
     private final ChainReplication replication;
     private final EpochAdvancer epochAdvancer;
 
-    /** A replica as its log left it. */
+    /** Creates a replica and restores its state from the records of its log. */
     public ChainReplica(
             final ReplicaSettings settings,
             final List<LogRecord> records,
@@ -70,21 +70,21 @@
         failureDetector = new FailureDetector(settings, role);
         acceptor = new ViewAcceptor(settings, role, grantedLeases, effects);
         proposer = new ViewProposer(settings, role, acceptor, failureDetector, effects);
-        departure = new Departure(settings, role, effects);
+        gracefulLeave = new GracefulLeave(settings, role, effects);
         discovery = new Discovery(settings, role, effects);
         bootstrap = new Bootstrap(settings, role, discovery, effects);
         snapshots = new SnapshotWriter(role, acceptor, effects);
         final StateMachine stateMachine = new StateMachine(settings.safeguards());
-        waitingWrites = new WaitingWrites(stateMachine::get, effects);
-        log = new ReplicaLog(snapshots, effects, stateMachine, this::entriesSynced, waitingWrites::committed);
-        writeAdmission = new WriteAdmission(settings, role, lease, log, waitingWrites, stamps);
+        pendingWrites = new PendingWrites(stateMachine::get, effects);
+        log = new ReplicaLog(snapshots, effects, stateMachine, this::onEntriesSynced, pendingWrites::onCommitted);
+        writeAdmission = new WriteAdmission(settings, role, lease, log, pendingWrites, stamps);
         readAdmission = new ReadAdmission(settings, role, lease, log, effects);
         committer = new Committer(settings, role, log, effects);
         catchUp = new CatchUpProgress(role, log, effects);
         successorLink = new SuccessorLink(role, log, effects);
         predecessorLink = new PredecessorLink(settings, role, log, catchUp, committer, effects);
         repairRequester =
-                new RepairRequester(settings, role, log, successorLink, catchUp, committer, departure, effects);
+                new RepairRequester(settings, role, log, successorLink, catchUp, committer, gracefulLeave, effects);
         repairResponder = new RepairResponder(settings, role, log, effects);
         replication = new ChainReplication(role, successorLink, predecessorLink, catchUp, committer, repairRequester);
         epochAdvancer = new EpochAdvancer(settings, role, log, effects, now);
@@ -109,7 +109,7 @@
             case LogRecord.Accepted accepted -> acceptor.replay(accepted);
             case LogRecord.Founding founding -> bootstrap.replay(founding);
             case LogRecord.Batch batch -> batch.records().forEach(this::replay);
-            case LogRecord.SnapshotPart part -> throw new IllegalArgumentException("a part without its snapshot");
+            case LogRecord.SnapshotPart part -> throw new IllegalArgumentException("snapshot part without snapshot");
         }
     }
 
@@ -125,29 +125,29 @@
         committer.commitReplayed(now);
     }
 
-    /** What is to be done in the world; it is handed over once. */
+    /** Returns the effects to carry out and removes them from the queue. */
     public List<Effect> drain() {
         return effects.drain();
     }
 
-    /** The committed state; the caller does not change it. */
+    /** Returns the committed state, which the caller must not change. */
     public StateMachine stateMachine() {
         return log.stateMachine();
     }
 
-    /** The installed view. */
+    /** Returns the installed view. */
     public View view() {
         return role.view();
     }
 
-    /** The fencing token under which this replica owns the singleton role, if it does. */
+    /** Returns the fencing token under which this replica owns the singleton role, if it is the owner and holds a lease. */
     public Optional<Long> fencingToken(final long now) {
         return role.isActive() && lease.isHeld(now) && settings.isSelf(view().singletonOwner())
                 ? Optional.of(view().number())
                 : Optional.empty();
     }
 
-    /** How this replica stands. */
+    /** Returns the current status of this replica. */
     public ReplicaStatus status(final long now) {
         return new ReplicaStatus(
                 role.state(),
@@ -159,12 +159,12 @@
                 lease.isHeld(now));
     }
 
-    /** Whether every acknowledged change of policy is surely in the committed state here at this moment. */
+    /** Returns whether the committed state here is known to include every policy change acknowledged so far. */
     public boolean isUpToDate(final long now) {
         return role.isActive() && lease.isHeld(now) && !log.hasPendingPolicy();
     }
 
-    /** Takes a message of the process that listens at the sender's address. */
+    /** Handles a message; {@code sender} is the address at which the sending process listens. */
     public void onMessage(final Message message, final String sender, final long now) {
         if (role.isDiskFailed() || role.isLogOutdated() && !(message instanceof ReplicationMessage.ViewDecided)) {
             return;
@@ -173,7 +173,7 @@
             case ReplicationMessage.Discover request -> bootstrap.handleDiscover(request, now);
             case ReplicationMessage.Bootstrap request -> bootstrap.handleBootstrap(request, sender, now);
             case ReplicationMessage.BootstrapAgreed reply ->
-                bootstrap.handleAgreed(reply).ifPresent(founded -> installView(founded, now));
+                bootstrap.handleAgreed(reply).ifPresent(initialView -> installView(initialView, now));
             case ReplicationMessage.LeaseRequest request -> handleLeaseRequest(request, now);
             case ReplicationMessage.LeaseGrant grant -> handleLeaseGrant(grant, now);
             case ReplicationMessage.ViewDecided decided -> handleViewDecided(decided, sender, now);
@@ -198,50 +198,50 @@
         }
     }
 
-    /** A write to the log was synced. */
-    public void synced(final long token, final long now) {
-        effects.synced(token, now);
+    /** Handles the completion of a write: the records of this token are synced to disk. */
+    public void onSynced(final long token, final long now) {
+        effects.completeWrite(token, now);
     }
 
     /**
-     * This replica after its disk failed and takes writes again: as a restarted process would be, from what its log holds. Tokens of
-     * writes go on from the old ones, so that no late report of an old write is taken for a new one's.
+     * Returns the replica that replaces this one once its failed disk accepts writes again, restored from the log as after a restart.
+     * Write tokens continue from the old ones, so that a late completion of an old write isn't mistaken for one of a new write.
      */
     public ChainReplica recovered(final List<LogRecord> records, final long now) {
         final ChainReplica next = new ChainReplica(settings, records, stamps, now, effects.lastToken());
         next.updateSeeds(discovery.seeds());
-        if (departure.isLeaving()) {
+        if (gracefulLeave.isLeaving()) {
             next.leave();
         }
         return next;
     }
 
-    /** A write to the log failed: this replica takes no part until it has recovered. */
-    public void diskFailed(final String reason) {
+    /** Handles a failed write to the log: this replica ignores messages and timer events until {@link #recovered} replaces it. */
+    public void onDiskFailed(final String reason) {
         if (!role.isDiskFailed()) {
-            role.failDisk();
+            role.markDiskFailed();
             effects.log(Event.DISK_BROKEN, reason);
             effects.abandonWrites();
-            waitingWrites.abandon();
+            pendingWrites.abandon();
         }
     }
 
-    /** Takes the addresses to ask for a view from now on; a founding keeps to those of the start. */
+    /** Replaces the addresses that are asked for the current view; bootstrap keeps using the seeds of the settings. */
     public void updateSeeds(final List<String> addresses) {
         discovery.updateSeeds(addresses);
     }
 
-    /** The process is about to stop: the others are asked to take it out of the chain and to name another owner. */
+    /** Starts a graceful leave before the process stops: later views remove this replica and name another singleton owner. */
     public void leave() {
-        departure.begin();
+        gracefulLeave.begin();
     }
 
-    /** Whether the process may stop, after {@link #leave()}: see {@link Departure}. */
+    /** Returns whether the process may stop after {@link #leave()}; see {@link GracefulLeave}. */
     public boolean hasLeft() {
-        return departure.hasLeft(!proposer.joinRequests().isEmpty());
+        return gracefulLeave.hasLeft(!proposer.joinRequests().isEmpty());
     }
 
-    /** A clock event, a few each lease. */
+    /** Handles a timer event; must be called several times per lease duration. */
     public void tick(final long now) {
         if (role.isDiskFailed()) {
             return;
@@ -251,17 +251,17 @@
             bootstrap.discover(now);
         } else if (role.isLogOutdated()) {
             discovery.requestLaterView(now);
-        } else if (departure.isLeaving() && !role.isInChain()) {
-            announceDeparture(now);
+        } else if (gracefulLeave.isLeaving() && !role.isInChain()) {
+            announceLeave(now);
         } else {
             tickWithView(now);
         }
     }
 
-    private void announceDeparture(final long now) {
+    private void announceLeave(final long now) {
         if (lease.isRequestDue(settings.leaseRequestMicros(), now)) {
             lease.markRequested(now);
-            departure.announce();
+            gracefulLeave.announce();
         }
     }
 
@@ -275,21 +275,21 @@
             epochAdvancer.tick(fencingToken(now), now);
             replication.retry(now);
             if (!isStalled) {
-                proposer.proposeNextView(departure.isLeaving(), now);
+                proposer.proposeNextView(gracefulLeave.isLeaving(), now);
             }
         } else if (!isStalled) {
-            seekPlace(now);
-            proposer.proposeTakeover(departure.isLeaving(), now);
+            tickOutsideChain(now);
+            proposer.proposeTakeover(gracefulLeave.isLeaving(), now);
         }
     }
 
-    /** Out of the chain: asks for a repair, and shows the seeds the view held here. */
-    private void seekPlace(final long now) {
+    /** Requests a repair from the tail, and sends the seeds a heartbeat with the number of the installed view. */
+    private void tickOutsideChain(final long now) {
         final long interval =
                 repairRequester.isJoining() ? 5 * ReplicaSettings.RETRY_MICROS : ReplicaSettings.RETRY_MICROS;
         if (discovery.beginRound(interval, now)) {
             view().tail().ifPresent(tail -> repairRequester.request(tail.address(), now));
-            discovery.showViewToSeeds(failureDetector.hearsMajority(now), now);
+            discovery.sendHeartbeatToSeeds(failureDetector.hearsMajority(now), now);
         }
     }
 
@@ -317,17 +317,18 @@
             return;
         }
         lease.add(grant, now);
-        writeAdmission.leaseGranted(now);
+        writeAdmission.onLeaseGranted(now);
     }
 
     /**
-     * What is acknowledged has been synced by each member that has caught up; this one lacks some of it, so its folder is not the one
-     * that it had. It neither asks, grants nor votes until a later view, in which it is repaired.
+     * Fences this replica, as it lacks acknowledged entries. A caught-up member has synced every acknowledged entry, so the data directory
+     * isn't the one that it had. It doesn't request or grant leases or vote until a later view is installed, in which it is repaired.
      */
     private void fenceOutdatedLog(final ReplicationMessage.LeaseGrant grant) {
         effects.log(
                 Event.LOG_OUTDATED,
-                "the log ends at " + log.lastSequence() + ", but " + grant.committed() + " was acknowledged with it");
+                "the log ends at sequence " + log.lastSequence() + ", but sequence " + grant.committed()
+                        + " was acknowledged; check whether an older copy of the data directory was restored");
         role.fenceOutdatedLog();
         lease.clear();
         dropPending();
@@ -336,14 +337,14 @@
     private void handlePrepare(final ReplicationMessage.Prepare request, final String sender, final long now) {
         final boolean isPromised = acceptor.handlePrepare(request, sender, now);
         if (isPromised && !sender.equals(settings.self().address())) {
-            proposer.holdBack(now);
+            proposer.backOff(now);
         }
     }
 
     private void handleViewDecided(final ReplicationMessage.ViewDecided decided, final String sender, final long now) {
         installView(decided.view(), now);
         if (decided.view().number() == view().number()) {
-            departure.addInformed(sender);
+            gracefulLeave.addInformed(sender);
         }
     }
 
@@ -352,45 +353,45 @@
         failureDetector.handleJoinRequest(request, now);
     }
 
-    /** Installs a decided view where it is a later one of this cluster. */
+    /** Installs a decided view if it is newer than the installed one and belongs to this cluster. */
     private void installView(final View next, final long now) {
         if (!role.mayInstall(next)) {
             return;
         }
         final boolean wasInChain = role.isNamedInChain();
         grantedLeases.installView(view(), next, now);
-        role.install(next, bootstrap.isFounding(next));
+        role.install(next, bootstrap.isAgreedView(next));
         bootstrap.installView();
         lease.clear();
         acceptor.installView();
         proposer.installView();
-        departure.installView();
+        gracefulLeave.installView();
         catchUp.installView(now);
         repairRequester.installView();
         repairResponder.installView();
         successorLink.reset(log.committedSequence(), now);
         failureDetector.installView(wasInChain, now);
         effects.persist(List.of(new LogRecord.ViewInstalled(next, role.isCaughtUp())), now, syncedAt -> {
-            if (role.syncView(next.number()) && role.isInChain()) {
-                replication.restart(syncedAt);
+            if (role.markViewSynced(next.number()) && role.isInChain()) {
+                replication.retryNow(syncedAt);
             }
         });
         effects.log(Event.VIEW, "view " + next.number() + " chain " + next.chainAddresses());
         lease.request(failureDetector.hearsMajority(now), now);
         if (role.isInChain()) {
-            replication.restart(now);
+            replication.retryNow(now);
         } else {
             dropPending();
         }
     }
 
-    private void entriesSynced(final long now) {
-        replication.entriesSynced(now);
+    private void onEntriesSynced(final long now) {
+        replication.onEntriesSynced(now);
     }
 
-    /** Out of the chain only a standby keeps what is pending. */
+    /** Drops the pending entries, unless this replica is a standby, and the pending client writes. */
     private void dropPending() {
-        waitingWrites.abandon();
+        pendingWrites.abandon();
         if (!role.isStandby()) {
             log.dropPending();
         }
--- a/core/src/main/java/silverlatch/replication/WriteAdmission.java
+++ b/core/src/main/java/silverlatch/replication/WriteAdmission.java
@@ -14,58 +14,59 @@
 import silverlatch.wire.ChainClientMessage;
 
 /**
- * The admission of writes at the head of the chain: evaluates each command against the committed and the pending state, appends an entry
- * where it changes something, and replies once all that the reply rests on is committed.
+ * Admits writes at the head of the chain: evaluates each command against the committed and the pending state, appends an entry if the
+ * command changes something, and replies once all entries that the reply depends on are committed.
  *
- * <p>Invariants: nothing is evaluated without a lease, and stamps of entries only rise. A write without a lease waits for one for no
- * longer than a lease lasts; one that can't be admitted now is dropped, and its client sends it again.
+ * <p>Invariants: no command is evaluated without a lease, and the timestamps of entries only increase. A write that arrives while no
+ * lease is held is queued, and admitted if a lease is granted within the duration of a lease. Any other write that can't be admitted is
+ * dropped without a reply, and its client retries it.
  */
 final class WriteAdmission {
     private static final int MAX_PENDING_ENTRIES = 4_096;
-    private static final int MAX_UNLEASED_WRITES = 64;
+    private static final int MAX_WRITES_AWAITING_LEASE = 64;
     private static final int CONFLICT = 409;
     private final ReplicaSettings settings;
     private final ReplicaRole role;
     private final HeldLease lease;
     private final ReplicaLog log;
-    private final WaitingWrites waitingWrites;
+    private final PendingWrites pendingWrites;
     private final Supplier<Stamp> stamps;
-    private final List<UnleasedWrite> unleasedWrites = new ArrayList<>();
+    private final List<WriteAwaitingLease> writesAwaitingLease = new ArrayList<>();
 
     WriteAdmission(
             final ReplicaSettings settings,
             final ReplicaRole role,
             final HeldLease lease,
             final ReplicaLog log,
-            final WaitingWrites waitingWrites,
+            final PendingWrites pendingWrites,
             final Supplier<Stamp> stamps) {
         this.settings = settings;
         this.role = role;
         this.lease = lease;
         this.log = log;
-        this.waitingWrites = waitingWrites;
+        this.pendingWrites = pendingWrites;
         this.stamps = stamps;
     }
 
-    /** Admits a write, or keeps it until the lease is granted. */
+    /** Admits a write, or queues it until a lease is held; ignores it if this replica is not an active head or the queue is full. */
     void handleWriteRequest(final ChainClientMessage.WriteRequest request, final long now) {
         if (!role.isActive() || !role.isHead()) {
             return;
         }
         if (lease.isHeld(now)) {
             admit(request, now);
-        } else if (unleasedWrites.size() < MAX_UNLEASED_WRITES) {
-            unleasedWrites.add(new UnleasedWrite(now, request));
+        } else if (writesAwaitingLease.size() < MAX_WRITES_AWAITING_LEASE) {
+            writesAwaitingLease.add(new WriteAwaitingLease(now, request));
         }
     }
 
-    /** A voter has granted the lease: the writes that wait for it are admitted where that makes a majority. */
-    void leaseGranted(final long now) {
-        if (unleasedWrites.isEmpty() || !lease.isHeld(now)) {
+    /** Admits the queued writes after a voter granted a lease, if the grants are now from a majority. */
+    void onLeaseGranted(final long now) {
+        if (writesAwaitingLease.isEmpty() || !lease.isHeld(now)) {
             return;
         }
-        final List<UnleasedWrite> ready = List.copyOf(unleasedWrites);
-        unleasedWrites.clear();
+        final List<WriteAwaitingLease> ready = List.copyOf(writesAwaitingLease);
+        writesAwaitingLease.clear();
         ready.stream()
                 .filter(write -> now - write.receivedAt() < settings.leaseMicros())
                 .forEach(write -> handleWriteRequest(write.request(), now));
@@ -78,23 +79,23 @@
                 || stamp.bits() <= log.highestStamp()) {
             return;
         }
-        if (hasOldFencingToken(request.command())) {
+        if (hasStaleFencingToken(request.command())) {
             final CommandResult rejection = new CommandResult.Rejected(
                     CONFLICT, List.of("the duty has another holder"), log.committedSequence());
-            waitingWrites.send(request, rejection);
+            pendingWrites.replyWithoutLogging(request, rejection);
             return;
         }
         final long sequence = log.lastSequence() + 1;
         switch (log.stateMachine().evaluate(request.command(), log.pendingValues(), sequence, stamp)) {
             case Evaluation.Reply reply -> replyEvaluated(request, reply.result(), stamp);
             case Evaluation.Write write -> {
-                waitingWrites.await(sequence, request);
+                pendingWrites.replyWhenCommitted(sequence, request);
                 log.append(List.of(new LogEntry(sequence, role.view().number(), stamp, write.entries())), now);
             }
         }
     }
 
-    private boolean hasOldFencingToken(final Command command) {
+    private boolean hasStaleFencingToken(final Command command) {
         final long fencingToken = role.view().number();
         return switch (command) {
             case Command.AdvanceEpoch epoch -> epoch.fencingToken() != fencingToken;
@@ -105,45 +106,45 @@
         };
     }
 
-    /** Replies to a write that needs no entry of its own, once all that the reply rests on is committed. */
+    /** Replies to a write that needs no entry of its own, once all entries that the reply depends on are committed. */
     private void replyEvaluated(
             final ChainClientMessage.WriteRequest request, final CommandResult result, final Stamp stamp) {
         final Optional<Entry> pendingOutcome = Optional.ofNullable(log.pendingValues()
-                .get(WaitingWrites.outcomeKey(request.command().id())));
+                .get(PendingWrites.outcomeKey(request.command().id())));
         if (pendingOutcome.isPresent()) {
-            waitingWrites.await(pendingOutcome.get().sequence(), request);
+            pendingWrites.replyWhenCommitted(pendingOutcome.get().sequence(), request);
             return;
         }
         switch (result) {
             case CommandResult.Applied applied -> {
                 if (applied.sequence() > log.committedSequence()) {
-                    waitingWrites.await(applied.sequence(), request);
+                    pendingWrites.replyWhenCommitted(applied.sequence(), request);
                 } else {
-                    waitingWrites.reply(request, applied);
+                    pendingWrites.reply(request, applied);
                 }
             }
             case CommandResult.Rejected rejected -> replyRejected(request, rejected, stamp);
             case CommandResult.AlreadyClaimed claimed -> replyRejected(request, claimed, stamp);
-            case CommandResult.Unknown unknown -> waitingWrites.reply(request, unknown);
+            case CommandResult.Unknown unknown -> pendingWrites.reply(request, unknown);
         }
     }
 
     /**
-     * Rejects a write at once where the committed state alone rejects it. Else the rejection rests on entries that a new view may drop,
-     * and waits until the newest of them is committed.
+     * Rejects a write at once if the committed state alone is reason enough. Otherwise the rejection depends on pending entries, which a
+     * new view may drop, and is delayed until the newest of them is committed.
      */
     private void replyRejected(
             final ChainClientMessage.WriteRequest request, final CommandResult rejection, final Stamp stamp) {
         if (log.pendingCount() == 0 || !settings.safeguards().isEnabled(Safeguard.COMMITTED_REFUSAL)) {
-            waitingWrites.reply(request, rejection);
+            pendingWrites.reply(request, rejection);
             return;
         }
         final Evaluation committed =
                 log.stateMachine().evaluate(request.command(), Map.of(), log.lastSequence() + 1, stamp);
         if (committed instanceof Evaluation.Reply reply && isRejection(reply.result())) {
-            waitingWrites.reply(request, reply.result());
+            pendingWrites.reply(request, reply.result());
         } else {
-            waitingWrites.awaitRejection(log.lastSequence(), request, rejection);
+            pendingWrites.rejectWhenCommitted(log.lastSequence(), request, rejection);
         }
     }
 
@@ -151,5 +152,5 @@
         return result instanceof CommandResult.Rejected || result instanceof CommandResult.AlreadyClaimed;
     }
 
-    private record UnleasedWrite(long receivedAt, ChainClientMessage.WriteRequest request) {}
+    private record WriteAwaitingLease(long receivedAt, ChainClientMessage.WriteRequest request) {}
 }
