--- a/core/src/main/java/silverlatch/gossip/AnnouncedWorkers.java
+++ b/core/src/main/java/silverlatch/gossip/AnnouncedWorkers.java
@@ -29,7 +29,7 @@
     private final RandomGenerator random;
     private final Consumer<Effect> effects;
     private final Map<String, Gossip.ObservedWorker> workers = new TreeMap<>();
-    private final Map<String, AnnouncementEcho> echoes = new HashMap<>();
+    private final Map<String, IssuedToken> issuedTokens = new HashMap<>();
     private final Map<String, Long> confirmedIncarnations = new HashMap<>();
     private final List<Worker> newlyDraining = new ArrayList<>();
     private Map<String, Gossip.ObservedWorker> snapshot = Map.of();
@@ -50,12 +50,12 @@
 
     /** Takes an announcement made to this node; returns the token that the worker hands back with its next one. */
     long announce(final Worker worker, final long echo, final long now) {
-        final Optional<Long> asOf = Optional.ofNullable(echoes.get(worker.id()))
+        final Optional<Long> asOf = Optional.ofNullable(issuedTokens.get(worker.id()))
                 .filter(e -> e.incarnation() == worker.incarnation() && e.token() == echo)
-                .map(AnnouncementEcho::issuedAt);
+                .map(IssuedToken::issuedAt);
         merge(worker, asOf);
         final long token = random.nextLong() >>> TOKEN_SHIFT;
-        echoes.put(worker.id(), new AnnouncementEcho(worker.incarnation(), token, now));
+        issuedTokens.put(worker.id(), new IssuedToken(worker.incarnation(), token, now));
         return token;
     }
 
@@ -80,7 +80,7 @@
     }
 
     /** Returns whether this was called before for the present incarnation of a worker. */
-    boolean wasConfirmed(final String id) {
+    boolean markConfirmed(final String id) {
         final Optional<Long> incarnation =
                 find(id).map(Gossip.ObservedWorker::worker).map(Worker::incarnation);
         return incarnation
@@ -120,13 +120,13 @@
     }
 
     /** Renews announcements by their ages at a node that was asked at the given moment. */
-    void onAges(final List<GossipMessage.ReportAge> ages, final long askedAt) {
+    void onAges(final List<GossipMessage.ReportAge> ages, final long pullSentAt) {
         ages.stream()
                 .filter(reported -> reported.age() >= 0)
                 .forEach(reported -> find(reported.id())
                         .filter(w -> w.worker().incarnation() == reported.incarnation()
                                 && w.worker().sequence() == reported.sequence())
-                        .ifPresent(w -> renew(w, askedAt - reported.age())));
+                        .ifPresent(w -> renew(w, pullSentAt - reported.age())));
     }
 
     /** Forgets workers that were renewed once but not for long. */
@@ -134,7 +134,7 @@
         if (workers.values().removeIf(w -> w.asOf().isPresent() && w.age(now) > RETENTION_MICROS)) {
             snapshot = Map.of();
         }
-        echoes.keySet().retainAll(workers.keySet());
+        issuedTokens.keySet().retainAll(workers.keySet());
         confirmedIncarnations.keySet().retainAll(workers.keySet());
     }
 
@@ -192,5 +192,5 @@
     }
 
     /** A token handed to a worker's incarnation, and when. */
-    private record AnnouncementEcho(long incarnation, long token, long issuedAt) {}
+    private record IssuedToken(long incarnation, long token, long issuedAt) {}
 }
--- a/core/src/main/java/silverlatch/gossip/AntiEntropy.java
+++ b/core/src/main/java/silverlatch/gossip/AntiEntropy.java
@@ -62,22 +62,22 @@
 
     /** Takes the answer to a pull; returns the versions held in the ranges that differ, or nothing where all are equal. */
     Optional<GossipMessage.ReportVersions> onDigestContent(
-            final GossipMessage.PullContent.DigestContent content, final long askedAt, final String sender) {
+            final GossipMessage.PullContent.DigestContent content, final long pullSentAt, final String sender) {
         if (peerSelector.isController()) {
-            content.heartbeats().forEach(ages -> reports.onHeartbeatAges(ages, sender, askedAt));
+            content.heartbeats().forEach(ages -> reports.onHeartbeatAges(ages, sender, pullSentAt));
         }
-        final PendingPull pull = new PendingPull(sender, askedAt, content.age());
+        final PendingPull pull = new PendingPull(sender, pullSentAt, content.age());
         final long reportRanges =
-                firstOrZero(content, ranges -> reports.digests().differingRanges(ranges.reports()));
+                differingRanges(content, ranges -> reports.digests().differingRanges(ranges.reports()));
         final long memberRanges =
-                firstOrZero(content, ranges -> memberVersions.digests().differingRanges(ranges.members()));
+                differingRanges(content, ranges -> memberVersions.digests().differingRanges(ranges.members()));
         if (reportRanges == 0 && memberRanges == 0) {
             complete(pull);
             return Optional.empty();
         }
         pendingPull = Optional.of(pull);
         return Optional.of(new GossipMessage.ReportVersions(
-                askedAt,
+                pullSentAt,
                 reportRanges,
                 memberRanges,
                 reports.versions(reportRanges),
@@ -97,16 +97,16 @@
     /** Takes what was missing here; returns what the sender named as missing there, or nothing where it named nothing. */
     Optional<GossipMessage.MissingReports> onMissingReports(
             final GossipMessage.MissingReports missing, final String sender, final long now) {
-        missing.members().forEach(member -> membership.learnWithoutForwarding(member, now));
+        missing.members().forEach(member -> membership.applyUpdateWithoutForwarding(member, now));
         missing.reports().forEach(report -> reports.merge(report, false, now));
         reports.forgetExpired(missing.newerWorkers(), now);
         pendingPull
                 .filter(pull ->
-                        pull.askedAt() == missing.askedAt() && pull.address().equals(sender))
+                        pull.sentAt() == missing.askedAt() && pull.address().equals(sender))
                 .ifPresent(this::complete);
         return missing.newerWorkers().isEmpty() && missing.newerDaemons().isEmpty()
                 ? Optional.empty()
-                : Optional.of(reportsNamed(missing, now));
+                : Optional.of(requestedReports(missing, now));
     }
 
     /** Forgets the open exchange. */
@@ -114,7 +114,7 @@
         pendingPull = Optional.empty();
     }
 
-    private GossipMessage.MissingReports reportsNamed(final GossipMessage.MissingReports missing, final long now) {
+    private GossipMessage.MissingReports requestedReports(final GossipMessage.MissingReports missing, final long now) {
         return new GossipMessage.MissingReports(
                 NO_PULL,
                 reports.reportsOf(missing.newerWorkers(), now),
@@ -128,19 +128,19 @@
     private void complete(final PendingPull pull) {
         pendingPull = Optional.empty();
         if (peerSelector.isOtherController(pull.address())) {
-            reports.markSynced(pull.address(), pull.askedAt());
+            reports.markSynced(pull.address(), pull.sentAt());
         }
         if (pull.age() >= 0) {
-            reports.confirm(pull.askedAt() - pull.age());
+            reports.confirm(pull.sentAt() - pull.age());
         }
     }
 
-    private static long firstOrZero(
+    private static long differingRanges(
             final GossipMessage.PullContent.DigestContent content,
             final ToLongFunction<GossipMessage.RangeDigests> differing) {
         return content.ranges().stream().mapToLong(differing).findFirst().orElse(0);
     }
 
     /** An exchange whose missing reports haven't come yet: whom was asked when, and how old its reports were. */
-    private record PendingPull(String address, long askedAt, long age) {}
+    private record PendingPull(String address, long sentAt, long age) {}
 }
--- a/core/src/main/java/silverlatch/gossip/Gossip.java
+++ b/core/src/main/java/silverlatch/gossip/Gossip.java
@@ -41,7 +41,7 @@
     private final Optional<AntiEntropy> antiEntropy;
     private final Optional<ReportQuorum> reportQuorum;
     /** The tokens of callers that are answered once the next tick has pushed what was announced. */
-    private final List<Long> tokensUntilTick = new ArrayList<>();
+    private final List<Long> tokensAwaitingPush = new ArrayList<>();
 
     private final List<Effect> effects = new ArrayList<>();
 
@@ -177,7 +177,7 @@
 
     /** Returns the state to be kept over a restart of this node. */
     public GossipMessage.GossipPullReply stateToSave() {
-        return state.toSave();
+        return state.snapshot();
     }
 
     /** Takes the state that was kept over a restart, before the first tick; it is not confirmed by that. */
@@ -186,8 +186,8 @@
     }
 
     /** A node that was greeted has replied: while the state here was never confirmed, it is asked for its own at once. */
-    public void onGreetingAnswered(final String address, final long now) {
-        if (stateAge(now) == Long.MAX_VALUE && pullSchedule.isGreetedNodeToPull(now)) {
+    public void onJoinReply(final String address, final long now) {
+        if (stateAge(now) == Long.MAX_VALUE && pullSchedule.tryPullAfterJoinReply(now)) {
             send(address, pullRequest(now));
         }
     }
@@ -247,10 +247,10 @@
     }
 
     private void confirmForwarded(final String workerId, final long token) {
-        if (announcedWorkers.wasConfirmed(workerId)) {
+        if (announcedWorkers.markConfirmed(workerId)) {
             effects.add(new Effect.Respond(token, true));
         } else {
-            tokensUntilTick.add(token);
+            tokensAwaitingPush.add(token);
         }
     }
 
@@ -281,12 +281,12 @@
                 .controllersToPull(state.view(), () -> isStale(now), now)
                 .forEach(m -> send(m.address(), pullRequest(now)));
         if (lastConfirmedAt().isEmpty()) {
-            pullSchedule.controllersToPullFirst(state.view(), now).forEach(m -> send(m.address(), pullRequest(now)));
+            pullSchedule.controllersForInitialPull(state.view(), now).forEach(m -> send(m.address(), pullRequest(now)));
         }
         announcedWorkers.expire(now);
         reportQuorum.ifPresent(quorum -> quorum.tick(now));
-        tokensUntilTick.forEach(token -> effects.add(new Effect.Respond(token, true)));
-        tokensUntilTick.clear();
+        tokensAwaitingPush.forEach(token -> effects.add(new Effect.Respond(token, true)));
+        tokensAwaitingPush.clear();
     }
 
     /** Returns what is to be sent and logged; each effect is handed out once. */
@@ -317,7 +317,7 @@
     }
 
     private void pushRevision() {
-        state.drainUnannouncedRevision()
+        state.drainUnpushedRevision()
                 .ifPresent(revision -> push(new GossipMessage.GossipPush(List.of(), List.of(), revision)));
     }
 
@@ -330,21 +330,21 @@
 
     private void onPush(final GossipMessage.GossipPush push, final String sender, final long now) {
         reports.ifPresent(r -> push.reports().forEach(report -> r.merge(report, true, now)));
-        push.members().forEach(member -> membership.learn(member, now));
+        push.members().forEach(member -> membership.applyUpdate(member, now));
         push.workers().forEach(announcedWorkers::merge);
-        if (state.hearOf(push.revision())) {
+        if (state.observeRevision(push.revision())) {
             send(sender, pullRequest(now));
         }
     }
 
     private GossipMessage.GossipPull pullRequest(final long now) {
-        pulls.add(now);
+        pulls.record(now);
         return new GossipMessage.GossipPull(
                 now,
                 state.revision(),
                 state.view().number(),
                 reports.isPresent() ? List.of() : announcedWorkers.versions(),
-                reports.isPresent() ? memberVersions.digests().total() : memberVersions.plainDigest(),
+                reports.isPresent() ? memberVersions.digests().total() : memberVersions.membershipDigest(),
                 reportsDigest());
     }
 
@@ -356,15 +356,15 @@
                 state.revision(),
                 age == Long.MAX_VALUE ? UNKNOWN_AGE : Math.max(0, age),
                 state.fleet(),
-                state.entriesFor(pull.revision()),
-                state.viewFor(pull.view()),
+                state.entriesSince(pull.revision()),
+                state.viewNewerThan(pull.view()),
                 antiEntropy
                         .<GossipMessage.PullContent>map(a -> a.digestContent(pull, sender, reportsAge(now), now))
                         .orElseGet(() -> fullContent(pull, now)));
     }
 
     private GossipMessage.PullContent.FullContent fullContent(final GossipMessage.GossipPull pull, final long now) {
-        final boolean membersDiffer = pull.membershipDigest() != memberVersions.plainDigest();
+        final boolean membersDiffer = pull.membershipDigest() != memberVersions.membershipDigest();
         return new GossipMessage.PullContent.FullContent(
                 announcedWorkers.agesFor(pull.versions(), now),
                 announcedWorkers.newerThan(pull.versions()),
@@ -388,9 +388,9 @@
     }
 
     private void onFullContent(
-            final GossipMessage.PullContent.FullContent content, final long askedAt, final long now) {
-        content.members().forEach(member -> membership.learn(member, now));
+            final GossipMessage.PullContent.FullContent content, final long pullSentAt, final long now) {
+        content.members().forEach(member -> membership.applyUpdate(member, now));
         content.workers().forEach(announcedWorkers::merge);
-        announcedWorkers.onAges(content.ages(), askedAt);
+        announcedWorkers.onAges(content.ages(), pullSentAt);
     }
 }
--- a/core/src/main/java/silverlatch/gossip/HeartbeatAgePacker.java
+++ b/core/src/main/java/silverlatch/gossip/HeartbeatAgePacker.java
@@ -29,7 +29,7 @@
     long[] pack(final List<TrackedReport> workers, final long now) {
         final long[] packed = new long[longsFor(workers.size())];
         for (int i = 0; i < workers.size(); i++) {
-            final long age = Math.max(0, now - workers.get(i).heardAt());
+            final long age = Math.max(0, now - workers.get(i).lastHeartbeatAt());
             final long step = Math.min(UNKNOWN, age / stepMicros);
             packed[i / AGES_PER_LONG] |= step << i % AGES_PER_LONG * BITS_PER_AGE;
         }
@@ -45,7 +45,7 @@
      * Returns the earliest moment at which the worker at a position can have been heard, or nothing where its age is
      * beyond all steps. The ages were packed after {@code askedAt}, so they are dated from then.
      */
-    OptionalLong heardAt(final long[] packed, final int position, final long askedAt) {
+    OptionalLong lastHeartbeatAt(final long[] packed, final int position, final long askedAt) {
         final long step = packed[position / AGES_PER_LONG] >>> position % AGES_PER_LONG * BITS_PER_AGE & UNKNOWN;
         return step < UNKNOWN ? OptionalLong.of(askedAt - (step + 1) * stepMicros) : OptionalLong.empty();
     }
--- a/core/src/main/java/silverlatch/gossip/MemberVersions.java
+++ b/core/src/main/java/silverlatch/gossip/MemberVersions.java
@@ -29,8 +29,8 @@
     }
 
     /** Returns the one digest that nodes exchange where workers announce to any node; it is part of the wire format. */
-    long plainDigest() {
-        return membership.all().stream().mapToLong(MemberVersions::plainHash).sum();
+    long membershipDigest() {
+        return membership.all().stream().mapToLong(MemberVersions::memberHash).sum();
     }
 
     /** Returns the versions of the members in some ranges. */
@@ -67,7 +67,7 @@
         return new ReportVersion(member.id(), member.incarnation(), member.precedence());
     }
 
-    private static long plainHash(final Member member) {
+    private static long memberHash(final Member member) {
         return (member.id().hashCode() * 31L
                         + member.incarnation() * 17
                         + member.sequence() * 7
--- a/core/src/main/java/silverlatch/gossip/PeerSelector.java
+++ b/core/src/main/java/silverlatch/gossip/PeerSelector.java
@@ -22,7 +22,7 @@
     private List<Member> otherControllers = List.of();
     private long indexedVersion = -1;
     private long liveGatewayCount;
-    private int turn;
+    private int nextIndex;
 
     PeerSelector(final Membership membership, final RandomGenerator random) {
         this.membership = membership;
@@ -65,10 +65,10 @@
     }
 
     /** Returns so many of the candidates, round robin over all calls. */
-    List<Member> nextInTurn(final List<Member> candidates, final int count) {
+    List<Member> roundRobin(final List<Member> candidates, final int count) {
         final List<Member> chosen = new ArrayList<>();
         for (int i = 0; i < Math.min(count, candidates.size()); i++) {
-            chosen.add(candidates.get(turn++ % candidates.size()));
+            chosen.add(candidates.get(nextIndex++ % candidates.size()));
         }
         return chosen;
     }
--- a/core/src/main/java/silverlatch/gossip/PullHistory.java
+++ b/core/src/main/java/silverlatch/gossip/PullHistory.java
@@ -14,13 +14,13 @@
     private final TreeSet<Long> sentAt = new TreeSet<>();
 
     /** Notes that pulls are sent now. */
-    void add(final long now) {
+    void record(final long now) {
         sentAt.headSet(now - RETENTION_MICROS).clear();
         sentAt.add(now);
     }
 
     /** Whether a pull was sent at that moment, lately. */
-    boolean contains(final long askedAt) {
-        return sentAt.contains(askedAt);
+    boolean contains(final long pullSentAt) {
+        return sentAt.contains(pullSentAt);
     }
 }
--- a/core/src/main/java/silverlatch/gossip/PullSchedule.java
+++ b/core/src/main/java/silverlatch/gossip/PullSchedule.java
@@ -15,13 +15,13 @@
     private static final int INTERVALS_WHEN_FRESH = 4;
 
     /** Between two pulls from controllers by a node whose state was never confirmed: its requests wait for that. */
-    private static final long FIRST_PULL_INTERVAL_MICROS = 200_000L;
+    private static final long INITIAL_PULL_INTERVAL_MICROS = 200_000L;
 
     /** So many such pulls are made at most: where no majority is up, it won't be soon. */
-    private static final int MAX_FIRST_PULLS = 25;
+    private static final int MAX_INITIAL_PULLS = 25;
 
     /** Between two pulls from nodes that were greeted, which often answer at the same time. */
-    private static final long GREETED_PULL_INTERVAL_MICROS = 100_000L;
+    private static final long JOIN_REPLY_PULL_INTERVAL_MICROS = 100_000L;
 
     private final Gossip.Settings settings;
     private final Membership membership;
@@ -29,8 +29,8 @@
     private final boolean workersAnnounceToControllers;
     private long lastGatewayPull;
     private long lastControllerPull;
-    private long lastFirstPull;
-    private int firstPulls;
+    private long lastInitialPull;
+    private int initialPullCount;
 
     PullSchedule(final Gossip.Settings settings, final Membership membership, final PeerSelector peerSelector) {
         this.settings = settings;
@@ -56,11 +56,11 @@
     }
 
     /** Returns whether a node that answered a greeting is to be pulled from at once, as the state here was never confirmed. */
-    boolean isGreetedNodeToPull(final long now) {
-        if (now - lastFirstPull < GREETED_PULL_INTERVAL_MICROS) {
+    boolean tryPullAfterJoinReply(final long now) {
+        if (now - lastInitialPull < JOIN_REPLY_PULL_INTERVAL_MICROS) {
             return false;
         }
-        lastFirstPull = now;
+        lastInitialPull = now;
         return true;
     }
 
@@ -68,21 +68,21 @@
      * Returns the controllers to pull from besides the others while the state here was never confirmed: each in its turn, as those of
      * the own one may not have a lease yet.
      */
-    List<Member> controllersToPullFirst(final View view, final long now) {
-        if (firstPulls >= MAX_FIRST_PULLS || now - lastFirstPull < FIRST_PULL_INTERVAL_MICROS) {
+    List<Member> controllersForInitialPull(final View view, final long now) {
+        if (initialPullCount >= MAX_INITIAL_PULLS || now - lastInitialPull < INITIAL_PULL_INTERVAL_MICROS) {
             return List.of();
         }
         final List<Member> controllers = peerSelector.liveControllers(view, workersAnnounceToControllers);
         if (!controllers.isEmpty()) {
-            lastFirstPull = now;
-            firstPulls++;
+            lastInitialPull = now;
+            initialPullCount++;
         }
-        return peerSelector.nextInTurn(controllers, 1);
+        return peerSelector.roundRobin(controllers, 1);
     }
 
     private long gatewayPullInterval(final BooleanSupplier isStale) {
-        final boolean isSparing = workersAnnounceToControllers && !isStale.getAsBoolean();
-        return settings.gatewayPullInterval() * (isSparing ? INTERVALS_WHEN_FRESH : 1);
+        final boolean isReduced = workersAnnounceToControllers && !isStale.getAsBoolean();
+        return settings.gatewayPullInterval() * (isReduced ? INTERVALS_WHEN_FRESH : 1);
     }
 
     /**
@@ -100,7 +100,7 @@
             return peerSelector.sample(controllers, 2);
         }
         if (peerSelector.isController()) {
-            return peerSelector.nextInTurn(controllers, 3);
+            return peerSelector.roundRobin(controllers, 3);
         }
         return peerSelector.sample(isStale.getAsBoolean() ? controllers : peerSelector.preferOwnRegion(controllers), 1);
     }
--- a/core/src/main/java/silverlatch/gossip/ReportQuorum.java
+++ b/core/src/main/java/silverlatch/gossip/ReportQuorum.java
@@ -33,13 +33,13 @@
     /** The last incarnation of each worker of which a majority was found to hold that it drains or is gone. */
     private final Map<String, Long> heldIncarnations = new HashMap<>();
 
-    private final Map<Long, Question> questions = new HashMap<>();
+    private final Map<Long, QuorumQuery> queries = new HashMap<>();
     private final List<Effect> effects = new ArrayList<>();
-    private long lastQuestion;
-    private long lastAskedAt;
+    private long lastQueryId;
+    private long lastSentAt;
 
     /** A caller that waits for an answer, and who holds the report as far as is known. */
-    private record Question(ReportVersion version, long token, long deadline, Set<String> holders) {}
+    private record QuorumQuery(ReportVersion version, long token, long deadline, Set<String> holders) {}
 
     /**
      * A quorum over the controllers whose addresses the supplier gives at any time, this one's among them.
@@ -62,50 +62,50 @@
         final Optional<ReportVersion> version = reports.versionOf(workerId);
         if (version.isEmpty()) {
             respond(token, false);
-        } else if (isHeld(version.get())) {
+        } else if (isHeldByMajority(version.get())) {
             respond(token, true);
         } else {
-            ask(version.get(), token, now, deadline);
+            startQuery(version.get(), token, now, deadline);
         }
     }
 
-    private boolean isHeld(final ReportVersion version) {
+    private boolean isHeldByMajority(final ReportVersion version) {
         return heldIncarnations.getOrDefault(version.id(), Long.MIN_VALUE) == version.incarnation()
                 || !safeguards.isEnabled(Safeguard.REPORT_QUORUM);
     }
 
-    private void ask(final ReportVersion version, final long token, final long now, final long deadline) {
-        lastQuestion++;
-        final Question question = new Question(version, token, deadline, new HashSet<>(Set.of(ownAddress)));
-        questions.put(lastQuestion, question);
+    private void startQuery(final ReportVersion version, final long token, final long now, final long deadline) {
+        lastQueryId++;
+        final QuorumQuery question = new QuorumQuery(version, token, deadline, new HashSet<>(Set.of(ownAddress)));
+        queries.put(lastQueryId, question);
         pushReport(question, now);
-        send(lastQuestion, question);
-        finishIfHeld(lastQuestion, question);
-        lastAskedAt = now;
+        sendQuery(lastQueryId, question);
+        completeIfHeldByMajority(lastQueryId, question);
+        lastSentAt = now;
     }
 
     /** Takes the reply to a question; any other reply is ignored. */
     void onMissingReports(final GossipMessage.MissingReports reply, final String sender) {
-        final long number = -reply.askedAt();
-        final Optional<Question> question = Optional.ofNullable(questions.get(number));
-        question.filter(asked -> !reply.newerWorkers().contains(asked.version().id()))
-                .ifPresent(asked -> {
-                    asked.holders().add(sender);
-                    finishIfHeld(number, asked);
+        final long queryId = -reply.askedAt();
+        final Optional<QuorumQuery> query = Optional.ofNullable(queries.get(queryId));
+        query.filter(pending -> !reply.newerWorkers().contains(pending.version().id()))
+                .ifPresent(pending -> {
+                    pending.holders().add(sender);
+                    completeIfHeldByMajority(queryId, pending);
                 });
     }
 
     /** Ends the questions whose time is up, and asks again those who didn't reply. */
     void tick(final long now) {
-        List.copyOf(questions.entrySet()).stream()
+        List.copyOf(queries.entrySet()).stream()
                 .filter(entry -> now >= entry.getValue().deadline())
                 .forEach(entry -> {
-                    questions.remove(entry.getKey());
+                    queries.remove(entry.getKey());
                     respond(entry.getValue().token(), false);
                 });
-        if (now - lastAskedAt >= RESEND_MICROS) {
-            lastAskedAt = now;
-            questions.forEach(this::send);
+        if (now - lastSentAt >= RESEND_MICROS) {
+            lastSentAt = now;
+            queries.forEach(this::sendQuery);
         }
         heldIncarnations.keySet().removeIf(id -> reports.versionOf(id).isEmpty());
     }
@@ -117,29 +117,30 @@
         return drained;
     }
 
-    private void finishIfHeld(final long number, final Question question) {
+    private void completeIfHeldByMajority(final long number, final QuorumQuery question) {
         final Set<String> all = controllers.get();
         final long holders = question.holders().stream().filter(all::contains).count();
         if (holders * 2 > all.size()) {
-            questions.remove(number);
+            queries.remove(number);
             heldIncarnations.put(question.version().id(), question.version().incarnation());
             respond(question.token(), true);
         }
     }
 
-    private void pushReport(final Question question, final long now) {
+    private void pushReport(final QuorumQuery query, final long now) {
         final List<WorkerReport> report =
-                reports.reportsOf(List.of(question.version().id()), now);
-        toOthers(question, new GossipMessage.GossipPush(List.of(), List.of(), report, 0));
+                reports.reportsOf(List.of(query.version().id()), now);
+        sendToNonHolders(query, new GossipMessage.GossipPush(List.of(), List.of(), report, 0));
     }
 
     /** Asks with the versions held here; who lacks some of them names their workers in its reply, and is sent them. */
-    private void send(final long number, final Question question) {
+    private void sendQuery(final long number, final QuorumQuery question) {
         final long range = 1L << VersionDigests.rangeOf(question.version().id());
-        toOthers(question, new GossipMessage.ReportVersions(-number, range, 0, reports.versions(range), List.of()));
+        sendToNonHolders(
+                question, new GossipMessage.ReportVersions(-number, range, 0, reports.versions(range), List.of()));
     }
 
-    private void toOthers(final Question question, final GossipMessage message) {
+    private void sendToNonHolders(final QuorumQuery question, final GossipMessage message) {
         controllers.get().stream()
                 .filter(address -> !question.holders().contains(address))
                 .sorted()
--- a/core/src/main/java/silverlatch/gossip/SilenceDetector.java
+++ b/core/src/main/java/silverlatch/gossip/SilenceDetector.java
@@ -22,7 +22,7 @@
     private final long silenceTimeout;
     private final Map<String, Long> lastContacts = new HashMap<>();
     private long lastScan = TrackedReport.NEVER;
-    private long awakeSince = TrackedReport.NEVER;
+    private long uninterruptedSince = TrackedReport.NEVER;
 
     /** Makes a detector with a silence time-out in microseconds. */
     SilenceDetector(final long silenceTimeout) {
@@ -30,8 +30,8 @@
     }
 
     /** Notes that the controller at an address shared its heartbeat ages as of a moment. */
-    void recordContact(final String address, final long askedAt) {
-        lastContacts.merge(address, askedAt, Math::max);
+    void recordContact(final String address, final long asOf) {
+        lastContacts.merge(address, asOf, Math::max);
     }
 
     /** Returns whether a scan is due, and if so notes that it takes place now. */
@@ -40,33 +40,34 @@
             return false;
         }
         if (now - lastScan > PAUSE_THRESHOLD_MICROS) {
-            awakeSince = now;
+            uninterruptedSince = now;
         }
         lastScan = now;
         return true;
     }
 
     /** Returns whether this process ran without a pause for so long that a silence can't be due to its own absence. */
-    boolean isAwake(final long now) {
-        return now - awakeSince >= silenceTimeout;
+    boolean hasRunUninterrupted(final long now) {
+        return now - uninterruptedSince >= silenceTimeout;
     }
 
     /** Returns whether an active worker has become silent; the controllers are the others that are known. */
     boolean isSilent(final TrackedReport tracked, final List<Member> controllers, final long now) {
         return tracked.isActive()
-                && now - tracked.heardAt() > silenceTimeout
-                && hearsControllersNear(tracked.report().worker(), controllers, now);
+                && now - tracked.lastHeartbeatAt() > silenceTimeout
+                && isInContactWithNearbyControllers(tracked.report().worker(), controllers, now);
     }
 
     /** Forgets all contacts and that this process is awake. */
     void reset() {
         lastContacts.clear();
-        awakeSince = TrackedReport.NEVER;
+        uninterruptedSince = TrackedReport.NEVER;
         lastScan = TrackedReport.NEVER;
     }
 
-    private boolean hearsControllersNear(final Worker worker, final List<Member> controllers, final long now) {
-        return controllersNear(worker, controllers).stream().allMatch(m -> isInContact(m, now));
+    private boolean isInContactWithNearbyControllers(
+            final Worker worker, final List<Member> controllers, final long now) {
+        return nearbyControllers(worker, controllers).stream().allMatch(m -> isInContact(m, now));
     }
 
     private boolean isInContact(final Member controller, final long now) {
@@ -76,7 +77,7 @@
     }
 
     /** Returns the controllers of the worker's zone; where there are none those of its region, else all. */
-    private static List<Member> controllersNear(final Worker worker, final List<Member> controllers) {
+    private static List<Member> nearbyControllers(final Worker worker, final List<Member> controllers) {
         final List<Member> sameZone =
                 controllers.stream().filter(m -> m.zone().equals(worker.zone())).toList();
         if (!sameZone.isEmpty()) {
--- a/core/src/main/java/silverlatch/gossip/StateCopy.java
+++ b/core/src/main/java/silverlatch/gossip/StateCopy.java
@@ -26,7 +26,7 @@
     private View view = View.NONE;
     private long fleet;
     private long highestRevision;
-    private long announcedRevision;
+    private long pushedRevision;
 
     StateCopy(final Safeguards safeguards) {
         this.safeguards = safeguards;
@@ -65,7 +65,7 @@
     }
 
     /** Returns the copy as the answer to a node that holds nothing; it says nothing of its age. */
-    GossipMessage.GossipPullReply toSave() {
+    GossipMessage.GossipPullReply snapshot() {
         return new GossipMessage.GossipPullReply(
                 0,
                 revision(),
@@ -113,7 +113,7 @@
     }
 
     /** Notes a revision that another node pushed; returns whether it is higher than all heard of. */
-    boolean hearOf(final long revision) {
+    boolean observeRevision(final long revision) {
         if (revision <= highestRevision) {
             return false;
         }
@@ -122,17 +122,17 @@
     }
 
     /** Returns the revision held if it was never announced to the other nodes; each is handed out once. */
-    OptionalLong drainUnannouncedRevision() {
+    OptionalLong drainUnpushedRevision() {
         highestRevision = highestRevision();
-        if (revision() <= announcedRevision) {
+        if (revision() <= pushedRevision) {
             return OptionalLong.empty();
         }
-        announcedRevision = revision();
-        return OptionalLong.of(announcedRevision);
+        pushedRevision = revision();
+        return OptionalLong.of(pushedRevision);
     }
 
     /** Returns the entries that a node at a revision lacks. */
-    List<Entry> entriesFor(final long revision) {
+    List<Entry> entriesSince(final long revision) {
         if (revision < revision()) {
             return stateMachine.policySince(revision);
         }
@@ -140,7 +140,7 @@
     }
 
     /** Returns the view as a list if it is newer than the one another node has. */
-    List<View> viewFor(final long number) {
+    List<View> viewNewerThan(final long number) {
         return number < view.number() ? List.of(view) : List.of();
     }
 
--- a/core/src/main/java/silverlatch/gossip/TrackedReport.java
+++ b/core/src/main/java/silverlatch/gossip/TrackedReport.java
@@ -6,12 +6,13 @@
  *
  * @param report          the report; its remaining warm-up and lifetime are those at {@code measuredAt}
  * @param measuredAt      when the report was taken over here
- * @param heardAt         when any controller last heard the worker, as far as is known here
- * @param announcedHereAt when the worker last announced itself to this node, or {@link #NEVER}
+ * @param lastHeartbeatAt         when any controller last heard the worker, as far as is known here
+ * @param lastAnnouncedHereAt when the worker last announced itself to this node, or {@link #NEVER}
  * @param highestSequence the highest sequence seen of this incarnation; repeated announcements raise it, while the report
  *                        keeps the sequence of the last change
  */
-record TrackedReport(WorkerReport report, long measuredAt, long heardAt, long announcedHereAt, long highestSequence) {
+record TrackedReport(
+        WorkerReport report, long measuredAt, long lastHeartbeatAt, long lastAnnouncedHereAt, long highestSequence) {
     /** A time before all others; differences to it don't overflow. */
     static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -22,7 +23,7 @@
     private static final long TOLERANCE_DIVISOR = 8;
 
     /** Returns the report of a worker that has just announced itself to this node. */
-    static TrackedReport announcedHere(final WorkerReport report, final long now) {
+    static TrackedReport ofAnnouncement(final WorkerReport report, final long now) {
         return new TrackedReport(report, now, now, now, report.worker().sequence());
     }
 
@@ -45,7 +46,7 @@
     }
 
     /** Returns whether an announcement comes too late: a later one is known, or the incarnation is over. */
-    boolean isStale(final Worker announced) {
+    boolean supersedes(final Worker announced) {
         return announced.incarnation() < incarnation()
                 || announced.incarnation() == incarnation()
                         && (report.gone() || announced.sequence() <= highestSequence);
@@ -77,13 +78,13 @@
     }
 
     /** Returns this with a later moment at which some controller heard the worker. */
-    TrackedReport withHeardAt(final long time) {
-        return new TrackedReport(report, measuredAt, time, announcedHereAt, highestSequence);
+    TrackedReport withLastHeartbeatAt(final long time) {
+        return new TrackedReport(report, measuredAt, time, lastAnnouncedHereAt, highestSequence);
     }
 
     /** Returns this with another report on the same incarnation. */
     TrackedReport withReport(final WorkerReport changed, final long now) {
-        return new TrackedReport(changed, now, heardAt, announcedHereAt, highestSequence);
+        return new TrackedReport(changed, now, lastHeartbeatAt, lastAnnouncedHereAt, highestSequence);
     }
 
     /** Returns the report as of a moment: the remaining times shorter, the age of silence or end longer. */
--- a/core/src/main/java/silverlatch/gossip/WorkerReports.java
+++ b/core/src/main/java/silverlatch/gossip/WorkerReports.java
@@ -56,15 +56,15 @@
     /** Takes an announcement that a worker made to this node; one that comes too late is ignored. */
     void announce(final Worker announced, final long now) {
         final Optional<TrackedReport> known = find(announced.id());
-        if (isFullFor(known) || known.filter(t -> t.isStale(announced)).isPresent()) {
+        if (isFullFor(known) || known.filter(t -> t.supersedes(announced)).isPresent()) {
             return;
         }
         if (known.filter(t -> !t.differsFrom(announced, now)).isPresent()) {
-            replace(known.get().onHeartbeat(announced.sequence(), now));
+            replaceUnchangedReport(known.get().onHeartbeat(announced.sequence(), now));
             return;
         }
         final WorkerReport report = WorkerReport.of(announced);
-        store(TrackedReport.announcedHere(report, now));
+        store(TrackedReport.ofAnnouncement(report, now));
         logChange(known, report);
         changedIds.add(report.id());
     }
@@ -73,7 +73,7 @@
     boolean markGone(final String id, final long now) {
         final Optional<TrackedReport> known = find(id);
         known.filter(t -> !t.isGone()).ifPresent(t -> {
-            change(t, new WorkerReport(t.reportAt(now).worker(), false, true, 0), now);
+            updateReport(t, new WorkerReport(t.reportAt(now).worker(), false, true, 0), now);
         });
         return known.isPresent();
     }
@@ -99,7 +99,7 @@
                 && sameIncarnation.filter(t -> refutes(t, report, now)).isPresent();
         final WorkerReport accepted =
                 isRefuted ? report.refutedAt(sameIncarnation.get().highestSequence()) : report;
-        store(takeOver(accepted, report, sameIncarnation, now));
+        store(toTrackedReport(accepted, report, sameIncarnation, now));
         logChange(known, accepted);
         if (forward || isRefuted) {
             changedIds.add(report.id());
@@ -117,7 +117,7 @@
     List<WorkerReport> activeReports(final long now) {
         return tracked.values().stream()
                 .filter(TrackedReport::isActive)
-                .map(t -> outgoing(t, now))
+                .map(t -> outgoingReport(t, now))
                 .toList();
     }
 
@@ -125,15 +125,15 @@
     List<WorkerReport> reportsOf(final Collection<String> ids, final long now) {
         return ids.stream()
                 .flatMap(id -> find(id).stream())
-                .map(t -> outgoing(t, now))
+                .map(t -> outgoingReport(t, now))
                 .toList();
     }
 
     /** Returns a report as of now; with an active one goes for how long its worker may have been silent as far as is known here. */
-    private WorkerReport outgoing(final TrackedReport known, final long now) {
+    private WorkerReport outgoingReport(final TrackedReport known, final long now) {
         final WorkerReport report = known.reportAt(now);
         final long asOf =
-                isController ? known.heardAt() : freshness.confirmedAt().orElse(now);
+                isController ? known.lastHeartbeatAt() : freshness.confirmedAt().orElse(now);
         return report.isActive() ? report.withAge(Math.max(0, now - asOf)) : report;
     }
 
@@ -158,7 +158,7 @@
                 .filter(t -> Optional.ofNullable(knownById.get(t.id()))
                         .map(t.report()::isNewerThan)
                         .orElse(true))
-                .map(t -> outgoing(t, now))
+                .map(t -> outgoingReport(t, now))
                 .toList();
     }
 
@@ -189,20 +189,21 @@
 
     /** Returns how long ago each worker was heard; only a node that knows the same incarnations can read it. */
     GossipMessage.HeartbeatAges heartbeatAges(final long now) {
-        return new GossipMessage.HeartbeatAges(incarnationDigests.total(), agePacker.pack(present(), now));
+        return new GossipMessage.HeartbeatAges(incarnationDigests.total(), agePacker.pack(notGone(), now));
     }
 
     /** Takes over how long ago another controller heard each worker, dated from when it was asked. */
-    void onHeartbeatAges(final GossipMessage.HeartbeatAges heartbeats, final String address, final long askedAt) {
-        final List<TrackedReport> workers = present();
+    void onHeartbeatAges(final GossipMessage.HeartbeatAges heartbeats, final String address, final long pullSentAt) {
+        final List<TrackedReport> workers = notGone();
         if (heartbeats.roster() != incarnationDigests.total() || !agePacker.fits(heartbeats.ages(), workers.size())) {
             return;
         }
-        silenceDetector.recordContact(address, askedAt);
+        silenceDetector.recordContact(address, pullSentAt);
         for (int i = 0; i < workers.size(); i++) {
-            final OptionalLong heardAt = agePacker.heardAt(heartbeats.ages(), i, askedAt);
-            if (heardAt.isPresent() && heardAt.getAsLong() > workers.get(i).heardAt()) {
-                replace(workers.get(i).withHeardAt(heardAt.getAsLong()));
+            final OptionalLong lastHeartbeatAt = agePacker.lastHeartbeatAt(heartbeats.ages(), i, pullSentAt);
+            if (lastHeartbeatAt.isPresent()
+                    && lastHeartbeatAt.getAsLong() > workers.get(i).lastHeartbeatAt()) {
+                replaceUnchangedReport(workers.get(i).withLastHeartbeatAt(lastHeartbeatAt.getAsLong()));
             }
         }
     }
@@ -217,20 +218,22 @@
         if (!silenceDetector.startScan(now)) {
             return;
         }
-        tracked.values().stream().filter(t -> isForgotten(t, now)).toList().forEach(this::remove);
-        if (isController && silenceDetector.isAwake(now)) {
+        tracked.values().stream().filter(t -> shouldForget(t, now)).toList().forEach(this::remove);
+        if (isController && silenceDetector.hasRunUninterrupted(now)) {
             tracked.values().stream()
                     .filter(t -> silenceDetector.isSilent(t, controllers, now))
                     .toList()
-                    .forEach(t ->
-                            change(t, new WorkerReport(t.reportAt(now).worker(), true, false, now - t.heardAt()), now));
+                    .forEach(t -> updateReport(
+                            t,
+                            new WorkerReport(t.reportAt(now).worker(), true, false, now - t.lastHeartbeatAt()),
+                            now));
         }
     }
 
     /** A gateway keeps the workers that it knows while it reaches no controller; a controller only those that one of them hears. */
-    private boolean isForgotten(final TrackedReport known, final long now) {
+    private boolean shouldForget(final TrackedReport known, final long now) {
         return known.isActive()
-                ? isController && now - known.heardAt() > reporting.retention()
+                ? isController && now - known.lastHeartbeatAt() > reporting.retention()
                 : known.inactiveFor(now) > reporting.retention();
     }
 
@@ -238,7 +241,7 @@
     void forgetExpired(final Collection<String> unknownElsewhere, final long now) {
         unknownElsewhere.stream()
                 .flatMap(id -> find(id).stream())
-                .filter(t -> outgoing(t, now).age() > reporting.retention())
+                .filter(t -> outgoingReport(t, now).age() > reporting.retention())
                 .toList()
                 .forEach(this::remove);
     }
@@ -257,7 +260,7 @@
     Map<String, Gossip.ObservedWorker> workers() {
         if (isSnapshotStale) {
             final Map<String, Gossip.ObservedWorker> observed = new HashMap<>();
-            present().forEach(t -> observed.put(t.id(), observe(t)));
+            notGone().forEach(t -> observed.put(t.id(), observe(t)));
             workersSnapshot = Map.copyOf(observed);
             isSnapshotStale = false;
         }
@@ -274,17 +277,17 @@
     private Gossip.ObservedWorker observe(final TrackedReport known) {
         return new Gossip.ObservedWorker(
                 known.report().worker(),
-                isController ? Optional.of(known.heardAt()) : freshness.confirmedAt(),
+                isController ? Optional.of(known.lastHeartbeatAt()) : freshness.confirmedAt(),
                 known.report().silent(),
                 known.measuredAt());
     }
 
     private boolean refutes(final TrackedReport known, final WorkerReport report, final long now) {
-        return now - known.announcedHereAt() < reporting.silenceTimeout()
+        return now - known.lastAnnouncedHereAt() < reporting.silenceTimeout()
                 && known.highestSequence() > report.worker().sequence();
     }
 
-    private static TrackedReport takeOver(
+    private static TrackedReport toTrackedReport(
             final WorkerReport accepted,
             final WorkerReport received,
             final Optional<TrackedReport> sameIncarnation,
@@ -296,8 +299,8 @@
                 now,
                 received.isActive()
                         ? now - received.age()
-                        : sameIncarnation.map(TrackedReport::heardAt).orElse(now),
-                sameIncarnation.map(TrackedReport::announcedHereAt).orElse(TrackedReport.NEVER),
+                        : sameIncarnation.map(TrackedReport::lastHeartbeatAt).orElse(now),
+                sameIncarnation.map(TrackedReport::lastAnnouncedHereAt).orElse(TrackedReport.NEVER),
                 Math.max(knownSequence, accepted.worker().sequence()));
     }
 
@@ -309,18 +312,18 @@
         return known.isEmpty() && tracked.size() >= MAX_WORKERS;
     }
 
-    private List<TrackedReport> present() {
+    private List<TrackedReport> notGone() {
         return tracked.values().stream().filter(t -> !t.isGone()).toList();
     }
 
-    private void change(final TrackedReport known, final WorkerReport report, final long now) {
+    private void updateReport(final TrackedReport known, final WorkerReport report, final long now) {
         store(known.withReport(report, now));
         logChange(Optional.of(known), report);
         changedIds.add(report.id());
     }
 
     /** Replaces an entry by one with the same report, so that no digest changes. */
-    private void replace(final TrackedReport next) {
+    private void replaceUnchangedReport(final TrackedReport next) {
         tracked.put(next.id(), next);
         isSnapshotStale = true;
     }
--- a/core/src/main/java/silverlatch/membership/FailureDetector.java
+++ b/core/src/main/java/silverlatch/membership/FailureDetector.java
@@ -42,7 +42,7 @@
     }
 
     /** Decides whether the node suspects itself; returns what is to be logged if it begins to. */
-    Optional<Effect.Log> judgeSelf(final int silent, final int watched) {
+    Optional<Effect.Log> updateSelfSuspicion(final int silent, final int watched) {
         final boolean before = suspectsSelf;
         suspectsSelf = silent >= MIN_SILENT_TO_SUSPECT_SELF && silent * 2 > watched;
         return suspectsSelf && !before
--- a/core/src/main/java/silverlatch/membership/JoinSchedule.java
+++ b/core/src/main/java/silverlatch/membership/JoinSchedule.java
@@ -13,7 +13,7 @@
  * as well, each in its turn. Times are microseconds of the node's monotonic clock.
  */
 final class JoinSchedule {
-    private static final long FIRST_INTERVAL_MICROS = 200_000L;
+    private static final long SHORT_INTERVAL_MICROS = 200_000L;
 
     /** For so long after its death a member is greeted again. */
     private static final long RECONNECT_WINDOW_MICROS = 600_000_000L;
@@ -24,8 +24,8 @@
     private List<String> seeds;
     private long lastAttempt;
     private boolean isJoining = true;
-    private boolean isHurried;
-    private int reconnectTurn;
+    private boolean useShortInterval;
+    private int nextReconnectIndex;
 
     JoinSchedule(final String selfAddress, final List<String> seeds, final long interval, final MemberTable members) {
         this.selfAddress = selfAddress;
@@ -34,7 +34,7 @@
         this.members = members;
     }
 
-    /** Takes other seeds; greets them all at the next call of {@link #addressesToGreet} if they have changed. */
+    /** Takes other seeds; greets them all at the next call of {@link #joinTargets} if they have changed. */
     void setSeeds(final List<String> newSeeds) {
         if (!seeds.equals(newSeeds)) {
             seeds = List.copyOf(newSeeds);
@@ -42,15 +42,15 @@
         }
     }
 
-    /** Joins anew at the next call of {@link #addressesToGreet}. */
+    /** Joins anew at the next call of {@link #joinTargets}. */
     void restart() {
         lastAttempt = 0;
         isJoining = true;
     }
 
     /** Sets whether seeds at which no member is up are greeted as often as by a node that joins. */
-    void setHurried(final boolean hurried) {
-        isHurried = hurried;
+    void setUseShortInterval(final boolean hurried) {
+        useShortInterval = hurried;
     }
 
     /** Notes that a member list came. */
@@ -59,8 +59,8 @@
     }
 
     /** Returns the addresses to greet now; none where no attempt is due. */
-    List<String> addressesToGreet(final long now) {
-        final long due = isJoining || isHurried ? Math.min(FIRST_INTERVAL_MICROS, interval) : interval;
+    List<String> joinTargets(final long now) {
+        final long due = isJoining || useShortInterval ? Math.min(SHORT_INTERVAL_MICROS, interval) : interval;
         if (now - lastAttempt < due) {
             return List.of();
         }
@@ -84,6 +84,6 @@
                 .filter(m -> members.liveOthers().stream()
                         .noneMatch(live -> live.address().equals(m.address())))
                 .toList();
-        return dead.isEmpty() ? Optional.empty() : Optional.of(dead.get(reconnectTurn++ % dead.size()));
+        return dead.isEmpty() ? Optional.empty() : Optional.of(dead.get(nextReconnectIndex++ % dead.size()));
     }
 }
--- a/core/src/main/java/silverlatch/membership/Membership.java
+++ b/core/src/main/java/silverlatch/membership/Membership.java
@@ -176,13 +176,13 @@
     }
 
     /** Greets all seeds at the next tick, known or not. */
-    public void rejoinSeeds() {
+    public void restartJoin() {
         joinSchedule.restart();
     }
 
     /** Sets whether this node waits for seeds that aren't up, so that it greets them more often. */
     public void setWaitingForSeeds(final boolean isWaiting) {
-        joinSchedule.setHurried(isWaiting);
+        joinSchedule.setUseShortInterval(isWaiting);
     }
 
     /** Starts a new incarnation of this node, as a rejoin does. */
@@ -212,7 +212,7 @@
             case MembershipMessage.MemberList list -> {
                 joinSchedule.onMemberList();
                 final boolean forward = settings.fullHeartbeatEvery() == 1;
-                list.members().forEach(member -> learn(member, forward, now));
+                list.members().forEach(member -> applyUpdate(member, forward, now));
             }
             case MembershipMessage.Heartbeat heartbeat -> onFullHeartbeat(heartbeat.sender(), now);
             case MembershipMessage.LivenessHeartbeat heartbeat ->
@@ -224,20 +224,18 @@
     }
 
     /** Takes an update on a member, and forwards it if it supersedes what is known. */
-    public void learn(final Member update, final long now) {
-        learn(update, true, now);
+    public void applyUpdate(final Member update, final long now) {
+        applyUpdate(update, true, now);
     }
 
     /** Takes an update from a node that exchanges all it knows with the others, so that it needn't be forwarded. */
-    public void learnWithoutForwarding(final Member update, final long now) {
-        learn(update, false, now);
+    public void applyUpdateWithoutForwarding(final Member update, final long now) {
+        applyUpdate(update, false, now);
     }
 
     /** Greets seeds, sends heartbeats and looks for failed members, each where it is due; called some twenty times a second. */
     public void tick(final long now) {
-        joinSchedule
-                .addressesToGreet(now)
-                .forEach(address -> send(address, new MembershipMessage.JoinGreeting(self, now)));
+        joinSchedule.joinTargets(now).forEach(address -> send(address, new MembershipMessage.JoinGreeting(self, now)));
         if (now - lastHeartbeat >= settings.heartbeatInterval()) {
             lastHeartbeat = now;
             final Message heartbeat = nextHeartbeat();
@@ -266,7 +264,7 @@
 
     private void onFullHeartbeat(final Member sender, final long now) {
         failureDetector.onHeartbeat(sender.id(), now);
-        learn(sender, now);
+        applyUpdate(sender, now);
     }
 
     private Message nextHeartbeat() {
@@ -275,9 +273,9 @@
                 : new MembershipMessage.LivenessHeartbeat(self.id(), self.incarnation());
     }
 
-    private void learn(final Member update, final boolean forward, final long now) {
+    private void applyUpdate(final Member update, final boolean forward, final long now) {
         if (update.id().equals(self.id())) {
-            learnOfSelf(update);
+            applyUpdateOfSelf(update);
             return;
         }
         final Optional<Member> known = members.find(update.id());
@@ -294,7 +292,7 @@
     }
 
     /** Refutes what others say of this node, unless it is outdated: by a higher sequence, or by a higher incarnation. */
-    private void learnOfSelf(final Member update) {
+    private void applyUpdateOfSelf(final Member update) {
         if (update.incarnation() > self.incarnation()) {
             startIncarnation(update.incarnation() + 1);
         } else if (update.incarnation() == self.incarnation()
@@ -308,15 +306,15 @@
     private void detectFailures(final long now) {
         final List<Member> watched = members.watchedBySelf();
         final List<Member> silent = failureDetector.silentMembers(watched, now);
-        failureDetector.judgeSelf(silent.size(), watched.size()).ifPresent(effects::add);
+        failureDetector.updateSelfSuspicion(silent.size(), watched.size()).ifPresent(effects::add);
         if (!suspectsSelf()) {
             silent.stream()
                     .filter(member -> member.is(MemberState.UP))
-                    .forEach(member -> learn(member.after(MemberState.Trigger.HEARTBEATS_MISSED), now));
+                    .forEach(member -> applyUpdate(member.after(MemberState.Trigger.HEARTBEATS_MISSED), now));
         }
         members.suspects().stream()
                 .filter(member -> members.sinceUpdate(member, now) > settings.deathTimeout())
-                .forEach(member -> learn(member.after(MemberState.Trigger.DEATH_TIMEOUT), now));
+                .forEach(member -> applyUpdate(member.after(MemberState.Trigger.DEATH_TIMEOUT), now));
     }
 
     private void updateSelf(final Member updated) {
--- a/core/src/main/java/silverlatch/node/ClockWaitQueue.java
+++ b/core/src/main/java/silverlatch/node/ClockWaitQueue.java
@@ -34,12 +34,12 @@
     /** Removes what has waited for longer than {@link ProcessClock#MAX_WAIT_MICROS}; returns how many items. */
     int removeExpired(final long now) {
         int removed = 0;
-        while (!waiting.isEmpty() && now - waiting.peek().since() > ProcessClock.MAX_WAIT_MICROS) {
+        while (!waiting.isEmpty() && now - waiting.peek().enqueuedAt() > ProcessClock.MAX_WAIT_MICROS) {
             waiting.poll();
             removed++;
         }
         return removed;
     }
 
-    private record Waiting<T>(T item, long since) {}
+    private record Waiting<T>(T item, long enqueuedAt) {}
 }
--- a/core/src/main/java/silverlatch/node/FrameReceiver.java
+++ b/core/src/main/java/silverlatch/node/FrameReceiver.java
@@ -15,7 +15,7 @@
     private final NodeClock clock;
     private final LongSupplier fleet;
     private final FrameHandler handler;
-    private final Consumer<Effect> answers;
+    private final Consumer<Effect> replies;
     private final Consumer<Effect> logs;
     private final NodeCounters counters;
     private final ClockWaitQueue<Frame> waiting = new ClockWaitQueue<>();
@@ -31,20 +31,20 @@
      * Makes a receiver.
      *
      * @param fleet   the number of this node's fleet, 0 before it is known
-     * @param answers takes what is to be sent to senders whose stamp was rejected
+     * @param replies takes what is to be sent to senders whose stamp was rejected
      * @param logs    takes what is to be logged
      */
     FrameReceiver(
             final NodeClock clock,
             final LongSupplier fleet,
             final FrameHandler handler,
-            final Consumer<Effect> answers,
+            final Consumer<Effect> replies,
             final Consumer<Effect> logs,
             final NodeCounters counters) {
         this.clock = clock;
         this.fleet = fleet;
         this.handler = handler;
-        this.answers = answers;
+        this.replies = replies;
         this.logs = logs;
         this.counters = counters;
     }
@@ -95,7 +95,7 @@
         final String text = frame.from() + " is ahead by " + NtpTime.toMicros(excess) + " us too many";
         logs.accept(new Effect.Log(Event.FAR_STAMP, text));
         if (!(frame.body() instanceof Message.StampRejected)) {
-            answers.accept(new Effect.Send(frame.replyTo(), new Message.StampRejected(excess, physicalTime)));
+            replies.accept(new Effect.Send(frame.replyTo(), new Message.StampRejected(excess, physicalTime)));
         }
     }
 
--- a/core/src/main/java/silverlatch/node/MessageDispatcher.java
+++ b/core/src/main/java/silverlatch/node/MessageDispatcher.java
@@ -93,7 +93,7 @@
         hasJoined = true;
         clock.processClock().raiseAbove(list.stampFloor(), clock.physicalTime(now));
         toMembership(list, now);
-        gossip.onGreetingAnswered(sender, now);
+        gossip.onJoinReply(sender, now);
     }
 
     private void onStampRejected(final Message.StampRejected rejected, final String sender, final long now) {
--- a/core/src/main/java/silverlatch/node/Node.java
+++ b/core/src/main/java/silverlatch/node/Node.java
@@ -339,7 +339,7 @@
         dispatcher.onRejoin();
         gossip.resetFreshness();
         membership.startIncarnation(membership.self().incarnation() + 1);
-        membership.rejoinSeeds();
+        membership.restartJoin();
         effects.add(new Effect.Log(Event.REJOIN, reason));
     }
 
--- a/core/src/main/java/silverlatch/node/TrafficExchange.java
+++ b/core/src/main/java/silverlatch/node/TrafficExchange.java
@@ -22,7 +22,7 @@
 
 /**
  * The node's part in what gateways serve: a gateway reports it to the owner of the singleton role, and a controller collects it and, while
- * it owns the role, closes the windows of usage. Neither is done before {@link #report} or {@link #collect} is called, before the first
+ * it owns the role, closes the windows of usage. Neither is done before {@link #enableReporting} or {@link #enableUsageClosing} is called, before the first
  * tick. Owned by the node's event loop.
  */
 public final class TrafficExchange {
@@ -55,12 +55,12 @@
     }
 
     /** Has a gateway's traffic reported. */
-    public void report(final TrafficReporter trafficReporter) {
+    public void enableReporting(final TrafficReporter trafficReporter) {
         reporter = Optional.of(trafficReporter);
     }
 
     /** Has the usage of windows closed while this node owns the role. */
-    public void collect(final UsageSchedule schedule) {
+    public void enableUsageClosing(final UsageSchedule schedule) {
         closer = Optional.of(new UsageCloser(schedule, collector));
     }
 
--- a/core/src/test/java/silverlatch/gossip/GossipCluster.java
+++ b/core/src/test/java/silverlatch/gossip/GossipCluster.java
@@ -49,7 +49,7 @@
                 IntStream.range(0, size).mapToObj(GossipCluster::member).toList();
         for (final Member self : members) {
             final Membership membership = new Membership(self, List.of("c0", "c1", "c2"), Membership.Settings.DEFAULTS);
-            members.forEach(member -> membership.learn(member, now));
+            members.forEach(member -> membership.applyUpdate(member, now));
             membership.drainUpdates();
             membership.drain();
             nodes.put(self.id(), new Gossip(membership, random.split(), Gossip.Settings.LARGE_FLEET, Safeguards.ALL));
--- a/core/src/test/java/silverlatch/gossip/HeartbeatAgePackerTest.java
+++ b/core/src/test/java/silverlatch/gossip/HeartbeatAgePackerTest.java
@@ -17,23 +17,23 @@
 
     private static TrackedReport heard(final int number, final long age) {
         final Worker worker = new Worker("w" + number, "a", "z", "r", 1, 1, 0, 0, 1, List.of(), false, 0);
-        return TrackedReport.announcedHere(WorkerReport.of(worker), NOW).withHeardAt(NOW - age);
+        return TrackedReport.ofAnnouncement(WorkerReport.of(worker), NOW).withLastHeartbeatAt(NOW - age);
     }
 
     @Test
     void ageIsReadAsTheUpperEndOfItsStep() {
         final long[] packed = packer.pack(List.of(heard(0, 0), heard(1, 999), heard(2, STEP), heard(3, 14_999)), NOW);
-        assertThat(packer.heardAt(packed, 0, NOW), is(OptionalLong.of(NOW - STEP)));
-        assertThat(packer.heardAt(packed, 1, NOW), is(OptionalLong.of(NOW - STEP)));
-        assertThat(packer.heardAt(packed, 2, NOW), is(OptionalLong.of(NOW - 2 * STEP)));
-        assertThat(packer.heardAt(packed, 3, NOW), is(OptionalLong.of(NOW - 15 * STEP)));
+        assertThat(packer.lastHeartbeatAt(packed, 0, NOW), is(OptionalLong.of(NOW - STEP)));
+        assertThat(packer.lastHeartbeatAt(packed, 1, NOW), is(OptionalLong.of(NOW - STEP)));
+        assertThat(packer.lastHeartbeatAt(packed, 2, NOW), is(OptionalLong.of(NOW - 2 * STEP)));
+        assertThat(packer.lastHeartbeatAt(packed, 3, NOW), is(OptionalLong.of(NOW - 15 * STEP)));
     }
 
     @Test
     void ageBeyondAllStepsIsUnknownAndOneOfTheFutureIsNone() {
         final long[] packed = packer.pack(List.of(heard(0, 15 * STEP), heard(1, -STEP)), NOW);
-        assertThat(packer.heardAt(packed, 0, NOW), is(OptionalLong.empty()));
-        assertThat(packer.heardAt(packed, 1, NOW), is(OptionalLong.of(NOW - STEP)));
+        assertThat(packer.lastHeartbeatAt(packed, 0, NOW), is(OptionalLong.empty()));
+        assertThat(packer.lastHeartbeatAt(packed, 1, NOW), is(OptionalLong.of(NOW - STEP)));
     }
 
     @Test
@@ -48,7 +48,7 @@
         assertThat(packer.fits(packed, 32), is(false));
         assertThat(packer.fits(new long[0], 0), is(true));
         for (int i = 0; i < workers.size(); i++) {
-            assertThat(packer.heardAt(packed, i, NOW), is(OptionalLong.of(NOW - (i % 15 + 1) * STEP)));
+            assertThat(packer.lastHeartbeatAt(packed, i, NOW), is(OptionalLong.of(NOW - (i % 15 + 1) * STEP)));
         }
     }
 }
--- a/core/src/test/java/silverlatch/gossip/PullScheduleTest.java
+++ b/core/src/test/java/silverlatch/gossip/PullScheduleTest.java
@@ -30,7 +30,7 @@
     @BeforeEach
     void learnControllers() {
         for (final String region : List.of("west", "north", "east")) {
-            membership.learn(member("controller-" + region, "controller", region), SECOND);
+            membership.applyUpdate(member("controller-" + region, "controller", region), SECOND);
         }
     }
 
@@ -53,7 +53,7 @@
 
     @Test
     void gatewaysAreAskedSeldomWhileControllersConfirmAndOftenElse() {
-        membership.learn(member("other", "gateway", "west"), SECOND);
+        membership.applyUpdate(member("other", "gateway", "west"), SECOND);
         assertThat(schedule.gatewaysToPull(() -> false, 10 * SECOND), hasSize(1));
         assertThat(schedule.gatewaysToPull(() -> false, 13 * SECOND), is(empty()));
         assertThat(schedule.gatewaysToPull(() -> true, 13 * SECOND), hasSize(1));
@@ -68,17 +68,17 @@
 
     @Test
     void untilTheFirstConfirmationOneControllerIsAskedFiveTimesASecond() {
-        assertThat(schedule.controllersToPullFirst(View.NONE, 10 * SECOND), hasSize(1));
-        assertThat(schedule.controllersToPullFirst(View.NONE, 10 * SECOND + 199_999L), is(empty()));
-        assertThat(schedule.controllersToPullFirst(View.NONE, 10 * SECOND + 200_000L), hasSize(1));
+        assertThat(schedule.controllersForInitialPull(View.NONE, 10 * SECOND), hasSize(1));
+        assertThat(schedule.controllersForInitialPull(View.NONE, 10 * SECOND + 199_999L), is(empty()));
+        assertThat(schedule.controllersForInitialPull(View.NONE, 10 * SECOND + 200_000L), hasSize(1));
     }
 
     @Test
     void whereNobodyConfirmsForFiveSecondsControllersAreAskedAtTheUsualIntervalsOnly() {
         for (long passed = 0; passed < 5 * SECOND; passed += 200_000L) {
-            assertThat(schedule.controllersToPullFirst(View.NONE, 10 * SECOND + passed), hasSize(1));
+            assertThat(schedule.controllersForInitialPull(View.NONE, 10 * SECOND + passed), hasSize(1));
         }
-        assertThat(schedule.controllersToPullFirst(View.NONE, 20 * SECOND), is(empty()));
+        assertThat(schedule.controllersForInitialPull(View.NONE, 20 * SECOND), is(empty()));
     }
 
     @Test
@@ -87,8 +87,8 @@
                 new Membership(member("me", "gateway", "west"), List.of("10.0.0.9:1"), Membership.Settings.LARGE_FLEET);
         final PullSchedule first =
                 new PullSchedule(Gossip.Settings.LARGE_FLEET, alone, new PeerSelector(alone, new SplittableRandom(3)));
-        assertThat(first.controllersToPullFirst(View.NONE, 10 * SECOND), is(empty()));
-        assertThat(first.isGreetedNodeToPull(10 * SECOND), is(true));
-        assertThat("several answer at the same time", first.isGreetedNodeToPull(10 * SECOND + 50_000L), is(false));
+        assertThat(first.controllersForInitialPull(View.NONE, 10 * SECOND), is(empty()));
+        assertThat(first.tryPullAfterJoinReply(10 * SECOND), is(true));
+        assertThat("several answer at the same time", first.tryPullAfterJoinReply(10 * SECOND + 50_000L), is(false));
     }
 }
--- a/core/src/test/java/silverlatch/gossip/SilenceDetectorTest.java
+++ b/core/src/test/java/silverlatch/gossip/SilenceDetectorTest.java
@@ -19,7 +19,7 @@
 
     private static TrackedReport heardAt(final long time) {
         final Worker worker = new Worker("w", "a", "z", "r", 1, 1, 0, 0, 1, List.of(), false, 0);
-        return TrackedReport.announcedHere(WorkerReport.of(worker), time);
+        return TrackedReport.ofAnnouncement(WorkerReport.of(worker), time);
     }
 
     @Test
@@ -34,13 +34,13 @@
         long now = 0;
         for (; now < TIMEOUT; now += SCAN_INTERVAL) {
             detector.startScan(now);
-            assertThat(detector.isAwake(now), is(false));
+            assertThat(detector.hasRunUninterrupted(now), is(false));
         }
         detector.startScan(now);
-        assertThat(detector.isAwake(now), is(true));
+        assertThat(detector.hasRunUninterrupted(now), is(true));
         now += 1_000_001;
         detector.startScan(now);
-        assertThat(detector.isAwake(now), is(false));
+        assertThat(detector.hasRunUninterrupted(now), is(false));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/gossip/StateCopyTest.java
+++ b/core/src/test/java/silverlatch/gossip/StateCopyTest.java
@@ -76,9 +76,9 @@
     @Test
     void copyHasNoAgeWhileAHigherRevisionIsKnown() {
         copy.onPullReply(reply(100, 3, 0, List.of()));
-        assertThat(copy.hearOf(3), is(true));
-        assertThat(copy.hearOf(3), is(false));
-        assertThat(copy.hearOf(5), is(true));
+        assertThat(copy.observeRevision(3), is(true));
+        assertThat(copy.observeRevision(3), is(false));
+        assertThat(copy.observeRevision(5), is(true));
         assertThat(copy.highestRevision(), is(5L));
         assertThat(copy.age(100), is(Long.MAX_VALUE));
         assertThat("what is announced was acknowledged later", copy.lastConfirmedAt(), is(Optional.of(100L)));
@@ -88,21 +88,21 @@
 
     @Test
     void eachRevisionIsAnnouncedOnce() {
-        assertThat(copy.drainUnannouncedRevision(), is(OptionalLong.empty()));
+        assertThat(copy.drainUnpushedRevision(), is(OptionalLong.empty()));
         copy.onPullReply(reply(100, 3, 0, List.of()));
-        assertThat(copy.drainUnannouncedRevision(), is(OptionalLong.of(3)));
-        assertThat(copy.drainUnannouncedRevision(), is(OptionalLong.empty()));
+        assertThat(copy.drainUnpushedRevision(), is(OptionalLong.of(3)));
+        assertThat(copy.drainUnpushedRevision(), is(OptionalLong.empty()));
     }
 
     @Test
     void onlyANodeBehindGetsEntriesAndAView() {
         copy.onPullReply(reply(100, 3, 0, List.of()));
-        assertThat(copy.entriesFor(2), is(entries(3)));
-        assertThat(copy.entriesFor(3), empty());
+        assertThat(copy.entriesSince(2), is(entries(3)));
+        assertThat(copy.entriesSince(3), empty());
         assertThat(copy.acceptsFleet(7), is(true));
         copy.onPullReply(reply(100, 3, 0, List.of(view(4, 7))));
-        assertThat(copy.viewFor(3), is(List.of(view(4, 7))));
-        assertThat(copy.viewFor(4), empty());
+        assertThat(copy.viewNewerThan(3), is(List.of(view(4, 7))));
+        assertThat(copy.viewNewerThan(4), empty());
     }
 
     @Test
--- a/core/src/test/java/silverlatch/membership/FailureDetectorTest.java
+++ b/core/src/test/java/silverlatch/membership/FailureDetectorTest.java
@@ -35,13 +35,13 @@
 
     @Test
     void nodeSuspectsItselfWhileMoreThanHalfOfTheWatchedAreSilent() {
-        assertThat(detector.judgeSelf(1, 1).isPresent(), is(false));
-        assertThat(detector.judgeSelf(1, 3).isPresent(), is(false));
+        assertThat(detector.updateSelfSuspicion(1, 1).isPresent(), is(false));
+        assertThat(detector.updateSelfSuspicion(1, 3).isPresent(), is(false));
         assertThat(detector.suspectsSelf(), is(false));
-        assertThat(detector.judgeSelf(2, 3).isPresent(), is(true));
-        assertThat(detector.judgeSelf(3, 3).isPresent(), is(false));
+        assertThat(detector.updateSelfSuspicion(2, 3).isPresent(), is(true));
+        assertThat(detector.updateSelfSuspicion(3, 3).isPresent(), is(false));
         assertThat(detector.suspectsSelf(), is(true));
-        assertThat(detector.judgeSelf(1, 3).isPresent(), is(false));
+        assertThat(detector.updateSelfSuspicion(1, 3).isPresent(), is(false));
         assertThat(detector.suspectsSelf(), is(false));
     }
 }
--- a/core/src/test/java/silverlatch/membership/JoinScheduleTest.java
+++ b/core/src/test/java/silverlatch/membership/JoinScheduleTest.java
@@ -23,40 +23,40 @@
     @Test
     void joiningNodeGreetsAllSeedsOftenButNeverItself() {
         members.putOther(member("s1", "up"), START);
-        assertThat(schedule.addressesToGreet(START), is(List.of("s1", "s2")));
-        assertThat(schedule.addressesToGreet(START + FIRST_INTERVAL - 1), empty());
-        assertThat(schedule.addressesToGreet(START + FIRST_INTERVAL), is(List.of("s1", "s2")));
+        assertThat(schedule.joinTargets(START), is(List.of("s1", "s2")));
+        assertThat(schedule.joinTargets(START + FIRST_INTERVAL - 1), empty());
+        assertThat(schedule.joinTargets(START + FIRST_INTERVAL), is(List.of("s1", "s2")));
     }
 
     @Test
     void nodeThatJoinedGreetsSeedsThatAreNotUp() {
         schedule.onMemberList();
         members.putOther(member("s1", "up"), START);
-        assertThat(schedule.addressesToGreet(START), is(List.of("s2")));
-        assertThat(schedule.addressesToGreet(START + INTERVAL - 1), empty());
+        assertThat(schedule.joinTargets(START), is(List.of("s2")));
+        assertThat(schedule.joinTargets(START + INTERVAL - 1), empty());
         members.putOther(member("s1", "suspect"), START);
-        assertThat(schedule.addressesToGreet(START + INTERVAL), is(List.of("s1", "s2")));
+        assertThat(schedule.joinTargets(START + INTERVAL), is(List.of("s1", "s2")));
     }
 
     @Test
     void aNodeThatWaitsForSeedsGreetsThoseThatAreNotUpOften() {
         schedule.onMemberList();
         members.putOther(member("s1", "up"), START);
-        schedule.setHurried(true);
-        assertThat(schedule.addressesToGreet(START), is(List.of("s2")));
-        assertThat(schedule.addressesToGreet(START + FIRST_INTERVAL), is(List.of("s2")));
-        schedule.setHurried(false);
-        assertThat(schedule.addressesToGreet(START + 2 * FIRST_INTERVAL), empty());
+        schedule.setUseShortInterval(true);
+        assertThat(schedule.joinTargets(START), is(List.of("s2")));
+        assertThat(schedule.joinTargets(START + FIRST_INTERVAL), is(List.of("s2")));
+        schedule.setUseShortInterval(false);
+        assertThat(schedule.joinTargets(START + 2 * FIRST_INTERVAL), empty());
     }
 
     @Test
     void otherSeedsAreGreetedAtOnceTheSameOnesAreNot() {
         schedule.onMemberList();
-        schedule.addressesToGreet(START);
+        schedule.joinTargets(START);
         schedule.setSeeds(List.of("self", "s1", "s2"));
-        assertThat(schedule.addressesToGreet(START + 1), empty());
+        assertThat(schedule.joinTargets(START + 1), empty());
         schedule.setSeeds(List.of("s3"));
-        assertThat(schedule.addressesToGreet(START + 1), is(List.of("s3")));
+        assertThat(schedule.joinTargets(START + 1), is(List.of("s3")));
     }
 
     @Test
@@ -66,10 +66,10 @@
         members.putOther(member("d1", "dead"), START);
         members.putOther(member("d2", "dead"), START);
         members.putOther(member("gone", "left"), START);
-        assertThat(schedule.addressesToGreet(START), is(List.of("d1")));
-        assertThat(schedule.addressesToGreet(START + INTERVAL), is(List.of("d2")));
-        assertThat(schedule.addressesToGreet(START + 2 * INTERVAL), is(List.of("d1")));
-        assertThat(schedule.addressesToGreet(START + RECONNECT_WINDOW), empty());
+        assertThat(schedule.joinTargets(START), is(List.of("d1")));
+        assertThat(schedule.joinTargets(START + INTERVAL), is(List.of("d2")));
+        assertThat(schedule.joinTargets(START + 2 * INTERVAL), is(List.of("d1")));
+        assertThat(schedule.joinTargets(START + RECONNECT_WINDOW), empty());
     }
 
     @Test
@@ -78,6 +78,6 @@
         schedule.onMemberList();
         members.putOther(member("d1", "dead"), START);
         members.putOther(new Member("new", "gateway", "z", "r", "d1", "d1", 1, 0, "up", true), START);
-        assertThat(schedule.addressesToGreet(START), empty());
+        assertThat(schedule.joinTargets(START), empty());
     }
 }
--- a/core/src/test/java/silverlatch/membership/LivenessHeartbeatTest.java
+++ b/core/src/test/java/silverlatch/membership/LivenessHeartbeatTest.java
@@ -42,7 +42,7 @@
                         .drainUpdates()
                         .forEach(m -> nodes.forEach((to, c) -> {
                             if (!silenced.contains(id) && !silenced.contains(to)) {
-                                c.learn(m, now);
+                                c.applyUpdate(m, now);
                             }
                         }));
             });
--- a/core/src/test/java/silverlatch/membership/MembershipTest.java
+++ b/core/src/test/java/silverlatch/membership/MembershipTest.java
@@ -42,7 +42,7 @@
                     if (!silenced.contains(id)) {
                         nodes.forEach((to, other) -> {
                             if (!silenced.contains(to)) {
-                                other.learn(m, now);
+                                other.applyUpdate(m, now);
                             }
                         });
                     }
@@ -101,7 +101,7 @@
     @Test
     void suspectedMemberThatLivesRefutes() {
         startFleet(5);
-        nodes.get("n0").learn(nodes.get("n0").get("n3").orElseThrow().withState(MemberState.SUSPECT), now);
+        nodes.get("n0").applyUpdate(nodes.get("n0").get("n3").orElseThrow().withState(MemberState.SUSPECT), now);
         advance(1_000_000);
         nodes.keySet().forEach(id -> assertThat(stateOf(id, "n3"), is("up")));
     }
--- a/core/src/test/java/silverlatch/node/ClusterSnapshotBuilderTest.java
+++ b/core/src/test/java/silverlatch/node/ClusterSnapshotBuilderTest.java
@@ -52,7 +52,7 @@
     @Test
     void aMemberThatJoinsIsSeen() {
         final ClusterSnapshot first = builder.build(true, SECOND);
-        membership.learn(gateway("other"), SECOND);
+        membership.applyUpdate(gateway("other"), SECOND);
         final ClusterSnapshot second = builder.build(true, SECOND);
         assertThat(second, is(not(sameInstance(first))));
         assertThat(second.peers(), hasSize(1));
--- a/core/src/test/java/silverlatch/node/UsageCluster.java
+++ b/core/src/test/java/silverlatch/node/UsageCluster.java
@@ -63,14 +63,14 @@
     private void attach(final String name) {
         final Node node = cluster.node(name);
         if (name.startsWith("c")) {
-            node.traffic().collect(schedule);
+            node.traffic().enableUsageClosing(schedule);
             callers.put(name, new Caller(name));
         } else {
             final UsageCounter counter = new UsageCounter(schedule, node::physicalClock);
             counters.put(name, counter);
             node.setReady(true);
             final long incarnation = node.membership().self().incarnation();
-            node.traffic().report(new TrafficReporter(name, incarnation, Optional.of(counter), List::of));
+            node.traffic().enableReporting(new TrafficReporter(name, incarnation, Optional.of(counter), List::of));
         }
     }
 
--- a/server/src/main/java/silverlatch/server/controller/Controller.java
+++ b/server/src/main/java/silverlatch/server/controller/Controller.java
@@ -87,7 +87,7 @@
                 new ApiRouter(settings, eventLoop, transport, scheduler, readiness::unreadyReason, this::providerCalls)
                         ::route);
         if (settings.singleton().reportsUsage()) {
-            node.traffic().collect(settings.singleton().usageSchedule());
+            node.traffic().enableUsageClosing(settings.singleton().usageSchedule());
         }
     }
 
--- a/server/src/main/java/silverlatch/server/gateway/Gateway.java
+++ b/server/src/main/java/silverlatch/server/gateway/Gateway.java
@@ -91,7 +91,7 @@
                 : Optional.empty();
         counter.ifPresent(router::countUsage);
         final long incarnation = node.membership().self().incarnation();
-        node.traffic().report(new TrafficReporter(settings.name(), incarnation, counter, router::demand));
+        node.traffic().enableReporting(new TrafficReporter(settings.name(), incarnation, counter, router::demand));
     }
 
     /**
