--- a/core/src/main/java/silverlatch/gossip/AnnouncedWorkers.java
+++ b/core/src/main/java/silverlatch/gossip/AnnouncedWorkers.java
@@ -12,18 +12,21 @@
 import silverlatch.wire.GossipMessage;
 
 /**
- * The workers of a fleet in which they announce themselves to any node.
+ * The table of known workers in a fleet whose workers announce themselves to any node.
  *
- * <p>A newer announcement replaces an older one whoever brings it, but only what proves its age renews it: the echo token
- * that a worker hands back dates its announcement from the answer that brought the token, and a pull dates what both nodes
- * hold from when it was sent less the age at the other node. Times are microseconds of this node's monotonic clock.
+ * <p>A newer announcement replaces an older one, no matter which node it comes from. The time as of which an
+ * announcement is known to be valid only advances on proof of its age: the echo token that a worker returns dates its
+ * announcement to the reply that carried the token, and a pull dates what both nodes hold to the time at which the
+ * pull was sent, minus the age at the other node. All times are microseconds of this node's monotonic clock.
  */
 final class AnnouncedWorkers {
+    /** How long a worker is kept after the last time as of which its announcement is known to be valid. */
     private static final long RETENTION_MICROS = 60_000_000L;
 
-    /** Bits dropped from a random long so that a token is a whole number in every JSON parser. */
+    /** Number of bits dropped from a random long, so that every JSON parser can represent the token as an integer. */
     private static final int TOKEN_SHIFT = 11;
 
+    /** The age in a message that means "the age is not known". */
     private static final long NEVER_RENEWED = -1;
 
     private final RandomGenerator random;
@@ -34,13 +37,13 @@
     private final List<Worker> newlyDraining = new ArrayList<>();
     private Map<String, Gossip.ObservedWorker> snapshot = Map.of();
 
-    /** Makes an empty table that hands its log events to a consumer. */
+    /** Creates an empty table that passes its log events to a consumer. */
     AnnouncedWorkers(final RandomGenerator random, final Consumer<Effect> effects) {
         this.random = random;
         this.effects = effects;
     }
 
-    /** Returns an immutable copy of the table. */
+    /** Returns an immutable copy of the table, by worker id. */
     Map<String, Gossip.ObservedWorker> snapshot() {
         if (snapshot.size() != workers.size()) {
             snapshot = Map.copyOf(workers);
@@ -48,7 +51,12 @@
         return snapshot;
     }
 
-    /** Takes an announcement made to this node; returns the token that the worker hands back with its next one. */
+    /**
+     * Processes an announcement made to this node.
+     *
+     * @param echo the token that the worker received with its previous announcement here
+     * @return the token that the worker has to return with its next announcement
+     */
     long announce(final Worker worker, final long echo, final long now) {
         final Optional<Long> asOf = Optional.ofNullable(issuedTokens.get(worker.id()))
                 .filter(e -> e.incarnation() == worker.incarnation() && e.token() == echo)
@@ -59,12 +67,15 @@
         return token;
     }
 
-    /** Takes an announcement that another node forwarded; it renews nothing. */
+    /**
+     * Merges an announcement that another node forwarded, without renewing the time as of which it is known to be
+     * valid.
+     */
     void merge(final Worker worker) {
         merge(worker, Optional.empty());
     }
 
-    /** Ends a worker's incarnation by draining it; returns false when the worker isn't known. */
+    /** Ends a worker's incarnation by marking it as draining. Returns false if the worker isn't known. */
     boolean markGone(final String id) {
         final Optional<Worker> known = find(id).map(Gossip.ObservedWorker::worker);
         known.filter(worker -> !worker.draining())
@@ -72,28 +83,31 @@
         return known.isPresent();
     }
 
-    /** Returns the workers that began draining since the last call; they have to be forwarded at once. */
+    /** Returns the workers that started draining since the last call; they have to be forwarded at once. */
     List<Worker> drainNewlyDraining() {
         final List<Worker> drained = List.copyOf(newlyDraining);
         newlyDraining.clear();
         return drained;
     }
 
-    /** Returns whether this was called before for the present incarnation of a worker. */
+    /**
+     * Records that the forwarding of a worker's announcement is confirmed to a caller. Returns whether that was
+     * recorded before for the worker's current incarnation.
+     */
     boolean markConfirmed(final String id) {
         final Optional<Long> incarnation =
                 find(id).map(Gossip.ObservedWorker::worker).map(Worker::incarnation);
         return incarnation
-                .filter(present -> present.equals(confirmedIncarnations.put(id, present)))
+                .filter(current -> current.equals(confirmedIncarnations.put(id, current)))
                 .isPresent();
     }
 
-    /** Returns the versions of the announcements held. */
+    /** Returns the versions of all announcements in the table. */
     List<ReportVersion> versions() {
         return workers.values().stream().map(w -> versionOf(w.worker())).toList();
     }
 
-    /** Returns the announcements that are newer than those another node holds. */
+    /** Returns the announcements that are newer than the versions that another node holds, or unknown to it. */
     List<Worker> newerThan(final List<ReportVersion> known) {
         final Map<String, ReportVersion> knownById = Versions.byId(known);
         return workers.values().stream()
@@ -104,7 +118,10 @@
                 .toList();
     }
 
-    /** Returns the ages of the announcements that another node holds as well or will hold with the newer ones. */
+    /**
+     * Returns the ages of the announcements that another node already holds, or will hold once it has merged {@link
+     * #newerThan}. Announcements of which the other node holds a newer version are left out.
+     */
     List<GossipMessage.ReportAge> agesFor(final List<ReportVersion> known, final long now) {
         final Map<String, ReportVersion> knownById = Versions.byId(known);
         return workers.values().stream()
@@ -119,7 +136,11 @@
                 .toList();
     }
 
-    /** Renews announcements by their ages at a node that was asked at the given moment. */
+    /**
+     * Updates the ages of announcements from the ages at another node.
+     *
+     * @param pullSentAt when this node sent the pull that the other node answered; its ages count from then
+     */
     void onAges(final List<GossipMessage.ReportAge> ages, final long pullSentAt) {
         ages.stream()
                 .filter(reported -> reported.age() >= 0)
@@ -129,7 +150,10 @@
                         .ifPresent(w -> renew(w, pullSentAt - reported.age())));
     }
 
-    /** Forgets workers that were renewed once but not for long. */
+    /**
+     * Removes the workers whose announcements were last known to be valid longer than the retention time ago. A
+     * worker whose announcement was never dated is kept.
+     */
     void expire(final long now) {
         if (workers.values().removeIf(w -> w.asOf().isPresent() && w.age(now) > RETENTION_MICROS)) {
             snapshot = Map.of();
@@ -138,7 +162,7 @@
         confirmedIncarnations.keySet().retainAll(workers.keySet());
     }
 
-    /** Forgets how old the announcements are. */
+    /** Discards the ages of all announcements; the announcements stay. */
     void resetFreshness() {
         workers.replaceAll((id, w) -> new Gossip.ObservedWorker(w.worker(), Optional.empty()));
         snapshot = Map.of();
@@ -191,6 +215,6 @@
         return new ReportVersion(worker.id(), worker.incarnation(), worker.sequence());
     }
 
-    /** A token handed to a worker's incarnation, and when. */
+    /** The echo token last issued to a worker, the worker's incarnation, and when the token was issued. */
     private record IssuedToken(long incarnation, long token, long issuedAt) {}
 }
--- a/core/src/main/java/silverlatch/gossip/AntiEntropy.java
+++ b/core/src/main/java/silverlatch/gossip/AntiEntropy.java
@@ -7,19 +7,30 @@
 import silverlatch.wire.GossipMessage;
 
 /**
- * Brings the reports on workers and the members of two nodes to the same state, where workers announce to controllers.
+ * Synchronizes the worker reports and the membership of two nodes, in a fleet whose workers announce themselves to
+ * controllers.
  *
- * <p>One exchange takes up to four steps, each answered only if something is left to do: the pulled node compares the
- * digests of a pull with its own and sends those of all ranges; the puller sends the versions of what it holds in the ranges
- * that differ; the pulled node sends what is newer there and names what it lacks; the puller sends that. The exchange is
- * complete for the puller once nothing differed or the missing reports came; only then it counts for freshness. One exchange
- * at a time is open: a later one replaces it. The node's event loop alone calls this class.
+ * <p>An exchange takes up to four steps, and each node replies only if the two still differ:
+ *
+ * <ol>
+ * <li>The pulled node compares the digests in the pull with its own. If they differ, it replies with the digests of
+ * all ranges of ids.
+ * <li>The puller sends the versions of what it holds in the ranges that differ.
+ * <li>The pulled node sends what is newer there, and lists the ids of which the puller holds newer versions.
+ * <li>The puller sends those.
+ * </ol>
+ *
+ * <p>For the puller the exchange is complete once it found no difference or received the missing reports; only a
+ * complete exchange counts for freshness. At most one exchange is pending: a new one replaces it. Only the node's
+ * event loop calls this class.
  */
 final class AntiEntropy {
-    /** The age in a message that stands for "never confirmed", and the pull time of reports that answer no pull. */
+    /** The age in a message that means "never confirmed". */
     private static final long UNKNOWN_AGE = -1;
 
+    /** The pull time in a message whose reports answer no pull. */
     private static final long NO_PULL = 0;
+    /** The range digests in a message if the totals are equal. */
     private static final long[] EQUAL_RANGES = {};
 
     private final WorkerReports reports;
@@ -40,9 +51,10 @@
     }
 
     /**
-     * Returns the answer to a pull.
+     * Returns the reply to a pull.
      *
-     * @param reportsAge how long ago the reports here were surely the newest, in microseconds, or the largest long
+     * @param reportsAge how long ago the reports here were last known to be the newest, in microseconds; {@link
+     *                   Long#MAX_VALUE} if never
      */
     GossipMessage.PullContent.DigestContent digestContent(
             final GossipMessage.GossipPull pull, final String sender, final long reportsAge, final long now) {
@@ -60,7 +72,11 @@
                         : List.of());
     }
 
-    /** Takes the answer to a pull; returns the versions held in the ranges that differ, or nothing where all are equal. */
+    /**
+     * Processes the reply to a pull. Returns the versions held here in the ranges that differ; empty if none differ.
+     *
+     * @param pullSentAt when this node sent the pull
+     */
     Optional<GossipMessage.ReportVersions> onDigestContent(
             final GossipMessage.PullContent.DigestContent content, final long pullSentAt, final String sender) {
         if (peerSelector.isController()) {
@@ -84,7 +100,10 @@
                 memberVersions.versions(memberRanges)));
     }
 
-    /** Returns what the puller lacks in the ranges that differ, and the names of what it has newer. */
+    /**
+     * Returns the reports and members that the puller lacks in the ranges that differ, and the ids of which the
+     * puller holds newer versions.
+     */
     GossipMessage.MissingReports missingReports(final GossipMessage.ReportVersions versions, final long now) {
         return new GossipMessage.MissingReports(
                 versions.askedAt(),
@@ -94,7 +113,10 @@
                 memberVersions.outdatedMembers(versions.members()));
     }
 
-    /** Takes what was missing here; returns what the sender named as missing there, or nothing where it named nothing. */
+    /**
+     * Merges the reports and members that this node lacked. Returns those that the sender requested; empty if it
+     * requested none.
+     */
     Optional<GossipMessage.MissingReports> onMissingReports(
             final GossipMessage.MissingReports missing, final String sender, final long now) {
         missing.members().forEach(member -> membership.applyUpdateWithoutForwarding(member, now));
@@ -109,7 +131,7 @@
                 : Optional.of(requestedReports(missing, now));
     }
 
-    /** Forgets the open exchange. */
+    /** Discards the pending exchange. */
     void reset() {
         pendingPull = Optional.empty();
     }
@@ -141,6 +163,9 @@
         return content.ranges().stream().mapToLong(differing).findFirst().orElse(0);
     }
 
-    /** An exchange whose missing reports haven't come yet: whom was asked when, and how old its reports were. */
+    /**
+     * A pull whose missing reports haven't arrived yet: the address of the pulled node, when the pull was sent, and
+     * the age of the reports at the pulled node.
+     */
     private record PendingPull(String address, long sentAt, long age) {}
 }
--- a/core/src/main/java/silverlatch/gossip/Gossip.java
+++ b/core/src/main/java/silverlatch/gossip/Gossip.java
@@ -15,19 +15,25 @@
 import silverlatch.wire.Message;
 
 /**
- * Spreads the replicated state, the reports on workers and the membership among all nodes.
+ * Propagates the replicated state, the worker reports and the membership to all nodes.
  *
- * <p>What restricts (a worker that drains, falls silent or is gone; a member that is suspected; a higher revision) is pushed
- * at once to a few members, who push it on. How fresh things are is renewed by pulls only, and dated from the moment at which
- * the puller sent its request. This class takes messages apart, builds them and says to whom they go; what it knows is in
- * {@link StateCopy}, {@link AnnouncedWorkers} and {@link WorkerReports}.
+ * <p>Changes that restrict routing (a worker that drains, falls silent or is gone; a suspected member; a higher
+ * revision) are pushed at once to a few members, which forward them. Freshness, in contrast, is only renewed by
+ * pulls, and dated to the time at which the puller sent its request. This class builds and dispatches messages and
+ * chooses their receivers; the data is held by {@link StateCopy}, {@link AnnouncedWorkers} and {@link WorkerReports}.
  *
- * <p>It does no input or output: what is to be sent and logged is collected for {@link #drain}. The node's event loop alone
- * calls it. All times are microseconds of the node's monotonic clock.
+ * <p>This class does no input or output: messages to send and events to log are collected for {@link #drain}. Only
+ * the node's event loop calls it. All times are microseconds of the node's monotonic clock.
  */
 public final class Gossip {
+    /** How many members a push goes to, if workers announce themselves to any node. */
     private static final int PUSH_FANOUT = 3;
+    /**
+     * The age above which the state or the reports count as stale, so that this node pulls more often and from more
+     * nodes.
+     */
     private static final long STALE_AGE_MICROS = 1_000_000L;
+    /** The age in a message that means "never confirmed". */
     private static final long UNKNOWN_AGE = -1;
 
     private final Membership membership;
@@ -40,27 +46,27 @@
     private final Optional<WorkerReports> reports;
     private final Optional<AntiEntropy> antiEntropy;
     private final Optional<ReportQuorum> reportQuorum;
-    /** The tokens of callers that are answered once the next tick has pushed what was announced. */
+    /** The tokens of callers that get their response after the next tick, which pushes the announcement. */
     private final List<Long> tokensAwaitingPush = new ArrayList<>();
 
     private final List<Effect> effects = new ArrayList<>();
 
     /**
-     * How often a node pulls, and how reports on workers spread.
+     * How often a node pulls, and how worker reports are propagated.
      *
-     * @param gatewayPullInterval    microseconds between two pulls from gateways
+     * @param gatewayPullInterval microseconds between two pulls from gateways
      * @param controllerPullInterval microseconds between two pulls from controllers
-     * @param reporting              to whom workers announce themselves
+     * @param reporting to which nodes workers announce themselves
      */
     public record Settings(long gatewayPullInterval, long controllerPullInterval, WorkerReporting reporting) {
-        /** The values that hold when the settings name none. */
+        /** The defaults. */
         public static final Settings DEFAULTS = new Settings(250_000L, 400_000L);
 
-        /** Values for a large fleet whose workers announce to controllers. */
+        /** The values for a large fleet, whose workers announce themselves to controllers. */
         public static final Settings LARGE_FLEET =
                 new Settings(1_000_000L, 400_000L, WorkerReporting.ToControllers.DEFAULTS);
 
-        /** Makes settings where workers announce to any node. */
+        /** Creates settings by which workers announce themselves to any node. */
         public Settings(final long gatewayPullInterval, final long controllerPullInterval) {
             this(gatewayPullInterval, controllerPullInterval, new WorkerReporting.ToAnyNode());
         }
@@ -69,29 +75,35 @@
     /**
      * A worker as this node knows it. Times are microseconds of this node's monotonic clock.
      *
-     * @param worker     what it announced
-     * @param asOf       the moment as of which that is surely true; empty when it was never renewed here
-     * @param silent     whether no controller has heard from it for the silence time-out
-     * @param measuredAt the moment as of which its remaining warm-up and lifetime are given
+     * @param worker its announcement
+     * @param asOf the latest time as of which the announcement is known to be valid; empty if there is none
+     * @param silent whether no controller received an announcement from it for the silence time-out
+     * @param measuredAt the time to which its remaining warm-up and lifetime refer
      */
     public record ObservedWorker(Worker worker, Optional<Long> asOf, boolean silent, long measuredAt) {
-        /** Makes a worker that isn't silent, whose remaining times are those as of which it is true. */
+        /**
+         * Creates a worker that isn't silent, and whose remaining times refer to {@code asOf}, or to 0 if that is
+         * empty.
+         */
         public ObservedWorker(final Worker worker, final Optional<Long> asOf) {
             this(worker, asOf, false, asOf.orElse(0L));
         }
 
-        /** Returns for how many microseconds from now it is still warming up. */
+        /** Returns for how many microseconds from {@code now} the worker is still warming up. */
         public long warmupRemaining(final long now) {
             return worker.agedBy(now - measuredAt).warmupRemaining();
         }
 
-        /** Returns how many microseconds ago this was surely true; the largest long when it was never renewed here. */
+        /**
+         * Returns how many microseconds ago the announcement was last known to be valid; {@link Long#MAX_VALUE} if
+         * never.
+         */
         public long age(final long now) {
             return asOf.map(time -> now - time).orElse(Long.MAX_VALUE);
         }
     }
 
-    /** Makes the gossip of a node that knows nothing yet. */
+    /** Creates the gossip of a node that has no state, reports or announcements yet. */
     public Gossip(
             final Membership membership,
             final RandomGenerator random,
@@ -114,44 +126,50 @@
                 safeguards));
     }
 
-    /** Returns this node's copy of the replicated state; the caller doesn't change it. */
+    /** Returns this node's copy of the replicated state. The caller must not change it. */
     public StateMachine stateMachine() {
         return state.stateMachine();
     }
 
-    /** Returns the newest view heard of. */
+    /** Returns the newest view that this node received. */
     public View view() {
         return state.view();
     }
 
-    /** Returns the fleet's number, or 0 before it is known. */
+    /** Returns the number that identifies the fleet, or 0 before it is known. */
     public long fleet() {
         return state.fleet();
     }
 
-    /** Returns the highest revision heard of, held or not. */
+    /** Returns the highest revision known to exist, whether or not this node holds it. */
     public long highestRevision() {
         return state.highestRevision();
     }
 
-    /** Returns how many microseconds ago the state here was surely the newest; the largest long where that isn't known. */
+    /**
+     * Returns how many microseconds ago the state here was last known to be the newest; {@link Long#MAX_VALUE} if
+     * that isn't known or a higher revision is known to exist.
+     */
     public long stateAge(final long now) {
         return state.age(now);
     }
 
-    /** Returns as of when the state here surely lacked no acknowledged change, also while a higher revision is known. */
+    /**
+     * Returns the latest time as of which the state here is known to contain every acknowledged change. A higher
+     * revision that is known to exist doesn't change the result.
+     */
     public Optional<Long> lastConfirmedAt() {
         return state.lastConfirmedAt();
     }
 
-    /** Returns the workers known, by name. */
+    /** Returns the known workers, by id. */
     public Map<String, ObservedWorker> workers() {
         return reports.map(r -> r.workers()).orElseGet(announcedWorkers::snapshot);
     }
 
     /**
-     * Returns how many microseconds ago the reports here were surely the newest; the largest long where that isn't known,
-     * which is always so where workers announce to any node.
+     * Returns how many microseconds ago the worker reports here were last known to be the newest. Returns {@link
+     * Long#MAX_VALUE} if that isn't known, which is always so if workers announce themselves to any node.
      */
     public long reportsAge(final long now) {
         final int controllerCount = peerSelector.otherControllers().size() + 1;
@@ -160,39 +178,51 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** Returns a digest over the reports of workers that announce to controllers; it changes when one of them does. */
+    /**
+     * Returns a digest of all worker reports, which changes if any of them changes; 0 if workers announce themselves
+     * to any node.
+     */
     public long reportsDigest() {
         return reports.map(r -> r.digests().total()).orElse(0L);
     }
 
-    /** Returns the reports that are to survive a restart of this node, as of now. */
+    /** Returns the reports to save for a restart of this node, as of {@code now}: those on active workers. */
     public List<WorkerReport> activeReports(final long now) {
         return reports.map(r -> r.activeReports(now)).orElse(List.of());
     }
 
-    /** Takes the reports that survived a restart; newer ones, known or to come, supersede them. */
+    /**
+     * Merges the reports that were saved before a restart, unless newer ones are known. Newer ones that arrive later
+     * supersede them.
+     */
     public void restoreReports(final List<WorkerReport> restored, final long now) {
         reports.ifPresent(r -> restored.forEach(report -> r.merge(report, false, now)));
     }
 
-    /** Returns the state to be kept over a restart of this node. */
+    /** Returns the state to save for a restart of this node. */
     public GossipMessage.GossipPullReply stateToSave() {
         return state.snapshot();
     }
 
-    /** Takes the state that was kept over a restart, before the first tick; it is not confirmed by that. */
+    /**
+     * Applies the state that was saved before a restart. Must be called before the first tick. The state counts as
+     * unconfirmed until a pull confirms it.
+     */
     public void restoreState(final GossipMessage.GossipPullReply saved) {
         state.restore(saved);
     }
 
-    /** A node that was greeted has replied: while the state here was never confirmed, it is asked for its own at once. */
+    /**
+     * Handles the reply to a join request: if the state here was never confirmed, sends a pull to the replying node
+     * at once.
+     */
     public void onJoinReply(final String address, final long now) {
         if (stateAge(now) == Long.MAX_VALUE && pullSchedule.tryPullAfterJoinReply(now)) {
             send(address, pullRequest(now));
         }
     }
 
-    /** Forgets how fresh everything is, as a rejoin does; what is known stays. */
+    /** Discards all ages and confirmations, as a rejoin requires; the state, reports and announcements stay. */
     public void resetFreshness() {
         reports.ifPresent(WorkerReports::resetFreshness);
         antiEntropy.ifPresent(AntiEntropy::reset);
@@ -201,9 +231,10 @@
     }
 
     /**
-     * Takes what the replica on this node holds.
+     * Adopts the state and the view of this node's replica, if they are newer.
      *
-     * @param isConfirmed whether that was surely the newest at {@code confirmedAt}; if not only the view is taken
+     * @param isConfirmed whether the replica's state is known to be the newest as of {@code confirmedAt}; if not,
+     *                    only the view is adopted
      */
     public void adoptReplicaState(
             final StateMachine replicaState,
@@ -216,10 +247,12 @@
     }
 
     /**
-     * Takes an announcement that a worker made to this node.
+     * Processes an announcement that a worker made to this node.
      *
-     * @param echo the token that this node returned for the worker's last announcement here; it proves how old this one is
-     * @return the token that the worker is to hand back; 0 where workers announce to controllers
+     * @param echo the token that this node returned for the worker's previous announcement; it proves how old this
+     *             one is
+     * @return the token that the worker has to return with its next announcement; 0 if workers announce themselves to
+     *     controllers
      */
     public long onAnnouncement(final Worker worker, final long echo, final long now) {
         if (reports.isEmpty()) {
@@ -230,7 +263,7 @@
         return 0;
     }
 
-    /** Ends a worker's incarnation; returns false when it isn't known here. */
+    /** Ends a worker's incarnation and pushes that. Returns false if the worker isn't known here. */
     public boolean onWorkerGone(final String id, final long now) {
         final boolean isKnown = reports.map(r -> r.markGone(id, now)).orElseGet(() -> announcedWorkers.markGone(id));
         pushChanges(now);
@@ -238,8 +271,10 @@
     }
 
     /**
-     * Answers by {@link Effect.Respond} whether the newest report on a worker will reach every node that a majority of the controllers
-     * reaches, whatever partition follows; at the deadline at last. Where workers announce to any node, once it is pushed.
+     * Responds by {@link Effect.Respond} whether the newest report on a worker is held by a majority of the
+     * controllers, so that it will reach every node that can reach a majority, whatever partition follows. Responds
+     * with false if that isn't so at the deadline. If workers announce themselves to any node, responds with true
+     * once the announcement was pushed.
      */
     public void confirmReport(final String workerId, final long token, final long now, final long deadline) {
         reportQuorum.ifPresentOrElse(
@@ -254,7 +289,7 @@
         }
     }
 
-    /** Takes a message of the gossip protocol; any other is ignored. */
+    /** Processes a message of the gossip protocol; ignores any other message. */
     public void onMessage(final Message message, final String sender, final long now) {
         switch (message) {
             case GossipMessage.GossipPull pull -> send(sender, pullReply(pull, sender, now));
@@ -272,7 +307,7 @@
         }
     }
 
-    /** Pushes what has changed and pulls where that is due; called some twenty times a second. */
+    /** Pushes changes, and sends the pulls that are due. Called about twenty times a second. */
     public void tick(final long now) {
         reports.ifPresent(r -> r.tick(peerSelector.otherControllers(), now));
         pushChanges(now);
@@ -289,7 +324,7 @@
         tokensAwaitingPush.clear();
     }
 
-    /** Returns what is to be sent and logged; each effect is handed out once. */
+    /** Returns the pending messages and log events, and removes them. */
     public List<Effect> drain() {
         reportQuorum.ifPresent(quorum -> effects.addAll(quorum.drain()));
         final List<Effect> drained = List.copyOf(effects);
--- a/core/src/main/java/silverlatch/gossip/HeartbeatAgePacker.java
+++ b/core/src/main/java/silverlatch/gossip/HeartbeatAgePacker.java
@@ -4,28 +4,29 @@
 import java.util.OptionalLong;
 
 /**
- * Packs how long ago each worker was heard into four bits each, for {@link silverlatch.wire.GossipMessage.HeartbeatAges}. Sender
- * and receiver must know the same incarnations of the same workers and use the same silence time-out: an age is found by
- * its position alone, in the order of the workers' names.
+ * Packs the time since each worker's last heartbeat into four bits per worker, for {@link
+ * silverlatch.wire.GossipMessage.HeartbeatAges}. An age is identified by its position alone, in the order of the
+ * workers' ids. Sender and receiver must therefore know the same incarnations of the same workers, and use the same
+ * silence time-out.
  */
 final class HeartbeatAgePacker {
     private static final int BITS_PER_AGE = 4;
     private static final int AGES_PER_LONG = Long.SIZE / BITS_PER_AGE;
 
-    /** The packed value of an age beyond all steps; also the mask of one age. */
+    /** The packed value of an age that exceeds the largest step; also the bit mask of one age. */
     private static final int UNKNOWN = (1 << BITS_PER_AGE) - 1;
 
-    /** The silence time-out is so many steps long. */
+    /** The number of steps into which the silence time-out is divided. */
     private static final int STEPS_PER_TIMEOUT = 12;
 
     private final long stepMicros;
 
-    /** Makes a packer for a silence time-out in microseconds. */
+    /** Creates a packer for a silence time-out in microseconds. */
     HeartbeatAgePacker(final long silenceTimeout) {
         this.stepMicros = silenceTimeout / STEPS_PER_TIMEOUT;
     }
 
-    /** Returns the packed ages of the workers as of now. */
+    /** Returns the packed ages of the workers as of {@code now}. */
     long[] pack(final List<TrackedReport> workers, final long now) {
         final long[] packed = new long[longsFor(workers.size())];
         for (int i = 0; i < workers.size(); i++) {
@@ -36,18 +37,19 @@
         return packed;
     }
 
-    /** Returns whether packed ages have the length that so many workers take. */
+    /** Returns whether the array has the length that packed ages of this number of workers have. */
     boolean fits(final long[] packed, final int workerCount) {
         return packed.length == longsFor(workerCount);
     }
 
     /**
-     * Returns the earliest moment at which the worker at a position can have been heard, or nothing where its age is
-     * beyond all steps. The ages were packed after {@code askedAt}, so they are dated from then.
+     * Returns the earliest possible time of the last heartbeat of the worker at a position, or empty if its age
+     * exceeds the largest step. The ages were packed after {@code pullSentAt}, so counting them from then never
+     * yields too late a time.
      */
-    OptionalLong lastHeartbeatAt(final long[] packed, final int position, final long askedAt) {
+    OptionalLong lastHeartbeatAt(final long[] packed, final int position, final long pullSentAt) {
         final long step = packed[position / AGES_PER_LONG] >>> position % AGES_PER_LONG * BITS_PER_AGE & UNKNOWN;
-        return step < UNKNOWN ? OptionalLong.of(askedAt - (step + 1) * stepMicros) : OptionalLong.empty();
+        return step < UNKNOWN ? OptionalLong.of(pullSentAt - (step + 1) * stepMicros) : OptionalLong.empty();
     }
 
     private static int longsFor(final int workerCount) {
--- a/core/src/main/java/silverlatch/gossip/MemberVersions.java
+++ b/core/src/main/java/silverlatch/gossip/MemberVersions.java
@@ -6,7 +6,10 @@
 import silverlatch.membership.Member;
 import silverlatch.membership.Membership;
 
-/** The versions of the members that a node knows, and digests over them, by which two nodes find what one of them lacks. */
+/**
+ * The versions of all members that a node knows, and digests of them, by which two nodes find out which versions one
+ * of them lacks.
+ */
 final class MemberVersions {
     private static final long UNORDERED_HASH_FACTOR = 0x9E3779B97F4A7C15L;
 
@@ -18,7 +21,7 @@
         this.membership = membership;
     }
 
-    /** Returns the digests over the versions of all members; the caller doesn't change them. */
+    /** Returns the digests of the versions of all members. The caller must not change them. */
     VersionDigests digests() {
         if (digestedVersion != membership.version()) {
             digestedVersion = membership.version();
@@ -28,12 +31,15 @@
         return digests;
     }
 
-    /** Returns the one digest that nodes exchange where workers announce to any node; it is part of the wire format. */
+    /**
+     * Returns the single digest that nodes exchange if workers announce themselves to any node. Its computation is
+     * part of the wire format.
+     */
     long membershipDigest() {
         return membership.all().stream().mapToLong(MemberVersions::memberHash).sum();
     }
 
-    /** Returns the versions of the members in some ranges. */
+    /** Returns the versions of the members whose ids are in the given ranges. */
     List<ReportVersion> versions(final long rangeBits) {
         return membership.all().stream()
                 .filter(m -> VersionDigests.isInRanges(rangeBits, m.id()))
@@ -41,7 +47,11 @@
                 .toList();
     }
 
-    /** Returns the members in some ranges that are newer here than at another node; it knows no others there. */
+    /**
+     * Returns the members in the given ranges that are newer here than at another node.
+     *
+     * @param known all versions that the other node holds in these ranges
+     */
     List<Member> membersNewerThan(final long rangeBits, final List<ReportVersion> known) {
         final Map<String, ReportVersion> knownById = Versions.byId(known);
         return membership.all().stream()
@@ -52,7 +62,7 @@
                 .toList();
     }
 
-    /** Returns the names of the members of whom another node has newer versions. */
+    /** Returns the ids of the members of which another node holds newer versions. */
     List<String> outdatedMembers(final List<ReportVersion> known) {
         return known.stream()
                 .filter(version -> membership
--- a/core/src/main/java/silverlatch/gossip/PeerSelector.java
+++ b/core/src/main/java/silverlatch/gossip/PeerSelector.java
@@ -11,7 +11,7 @@
 import silverlatch.replication.Replica;
 import silverlatch.replication.View;
 
-/** Chooses the members from which a node pulls and to which it pushes, and says how often it pulls from controllers. */
+/** Selects the members to pull from and to push to, and computes how often to pull from controllers. */
 final class PeerSelector {
     private static final long MICROS_PER_SECOND = 1_000_000L;
     private static final int SMALL_FLEET = 32;
@@ -34,18 +34,21 @@
         return !membership.self().isGateway();
     }
 
-    /** Returns the other controllers, also those thought dead; not those that left. */
+    /** Returns the other controllers, including dead ones but not those that left. */
     List<Member> otherControllers() {
         refresh();
         return otherControllers;
     }
 
-    /** Returns whether another controller takes frames at an address. */
+    /** Returns whether an address is that of another controller. */
     boolean isOtherController(final String address) {
         return otherControllers().stream().anyMatch(m -> m.address().equals(address));
     }
 
-    /** Returns the addresses of the controllers that vote in a view, and of all others that live; this node's own among them. */
+    /**
+     * Returns the addresses of this node, of the controllers that are voters of a view, and of all other live
+     * controllers.
+     */
     Set<String> controllerAddresses(final View view) {
         final Set<String> addresses = new HashSet<>();
         addresses.add(membership.self().address());
@@ -54,7 +57,7 @@
         return addresses;
     }
 
-    /** Returns so many of the candidates, drawn at random; all where there are no more. */
+    /** Returns {@code count} randomly chosen candidates, or all candidates if there are no more. */
     <T> List<T> sample(final List<T> candidates, final int count) {
         final List<T> remaining = new ArrayList<>(candidates);
         final List<T> chosen = new ArrayList<>();
@@ -64,7 +67,7 @@
         return chosen;
     }
 
-    /** Returns so many of the candidates, round robin over all calls. */
+    /** Returns up to {@code count} candidates, round robin across all calls. */
     List<Member> roundRobin(final List<Member> candidates, final int count) {
         final List<Member> chosen = new ArrayList<>();
         for (int i = 0; i < Math.min(count, candidates.size()); i++) {
@@ -73,7 +76,9 @@
         return chosen;
     }
 
-    /** Returns the microseconds between two pulls from controllers, more where there are many gateways per controller. */
+    /**
+     * Returns the microseconds between two pulls from controllers; longer if there are many gateways per controller.
+     */
     long controllerPullInterval(final Gossip.Settings settings) {
         refresh();
         if (!(settings.reporting() instanceof WorkerReporting.ToControllers reporting) || isController()) {
@@ -84,7 +89,10 @@
         return Math.max(settings.controllerPullInterval(), Math.min(MICROS_PER_SECOND, fairInterval));
     }
 
-    /** Returns the members to push to, more in a large fleet: one from anywhere, the others from this region. */
+    /**
+     * Returns the members to push to, more of them in a larger fleet: one from any region, the others from this
+     * node's region.
+     */
     List<Member> pushTargets() {
         final List<Member> live = membership.liveMembers();
         final int fanout = live.size() < SMALL_FLEET ? 3 : live.size() < MEDIUM_FLEET ? 5 : 7;
@@ -95,7 +103,11 @@
         return targets;
     }
 
-    /** Returns the live controllers: those of the chain, or all where the chain isn't known. */
+    /**
+     * Returns the live controllers that are in the chain.
+     *
+     * @param includeOutsideChain whether to return all live controllers; also done if the chain isn't known
+     */
     List<Member> liveControllers(final View view, final boolean includeOutsideChain) {
         final List<String> chain = view.chain().stream().map(Replica::address).toList();
         return membership.liveMembers().stream()
@@ -104,7 +116,7 @@
                 .toList();
     }
 
-    /** Returns the candidates of this node's region, or all where there are none. */
+    /** Returns the candidates in this node's region, or all candidates if none is. */
     List<Member> preferOwnRegion(final List<Member> candidates) {
         final List<Member> sameRegion = candidates.stream()
                 .filter(m -> m.region().equals(membership.self().region()))
--- a/core/src/main/java/silverlatch/gossip/PullSchedule.java
+++ b/core/src/main/java/silverlatch/gossip/PullSchedule.java
@@ -6,21 +6,30 @@
 import silverlatch.membership.Membership;
 import silverlatch.replication.View;
 
-/** When a node pulls, and from whom. Each call that returns members counts as a pull from them. */
+/** Decides when a node pulls and from which members. If a call returns members, they count as pulled. */
 final class PullSchedule {
     /**
-     * While controllers confirm what a gateway has, it pulls from gateways only once in so many intervals: they hardly ever know
-     * more, and each pull wakes up two processes.
+     * While controllers confirm that a gateway's data is the newest, the gateway pulls from other gateways only once
+     * in this many intervals: they rarely hold anything newer, and each pull wakes up two processes.
      */
     private static final int INTERVALS_WHEN_FRESH = 4;
 
-    /** Between two pulls from controllers by a node whose state was never confirmed: its requests wait for that. */
+    /**
+     * Interval between pulls from controllers while this node's state was never confirmed; requests wait for that
+     * confirmation.
+     */
     private static final long INITIAL_PULL_INTERVAL_MICROS = 200_000L;
 
-    /** So many such pulls are made at most: where no majority is up, it won't be soon. */
+    /**
+     * Limit on these initial pulls: if no majority of the controllers was up until then, it is unlikely to be up
+     * soon.
+     */
     private static final int MAX_INITIAL_PULLS = 25;
 
-    /** Between two pulls from nodes that were greeted, which often answer at the same time. */
+    /**
+     * Minimum interval between pulls from nodes that answered a join request, since several often answer at the same
+     * time.
+     */
     private static final long JOIN_REPLY_PULL_INTERVAL_MICROS = 100_000L;
 
     private final Gossip.Settings settings;
@@ -40,9 +49,9 @@
     }
 
     /**
-     * Returns the gateways to pull from now; none where no pull is due.
+     * Returns the gateways to pull from now; empty if no pull is due.
      *
-     * @param isStale whether this node's state or reports are old
+     * @param isStale whether this node's state or reports are stale
      */
     List<Member> gatewaysToPull(final BooleanSupplier isStale, final long now) {
         final boolean isDue = now - lastGatewayPull >= gatewayPullInterval(isStale);
@@ -55,7 +64,10 @@
         return peerSelector.sample(gateways, workersAnnounceToControllers ? 1 : 2);
     }
 
-    /** Returns whether a node that answered a greeting is to be pulled from at once, as the state here was never confirmed. */
+    /**
+     * Returns whether to pull at once from a node that answered a join request; if so, that counts as an initial pull
+     * made at {@code now}. To be called only while this node's state was never confirmed.
+     */
     boolean tryPullAfterJoinReply(final long now) {
         if (now - lastInitialPull < JOIN_REPLY_PULL_INTERVAL_MICROS) {
             return false;
@@ -65,8 +77,9 @@
     }
 
     /**
-     * Returns the controllers to pull from besides the others while the state here was never confirmed: each in its turn, as those of
-     * the own one may not have a lease yet.
+     * Returns the controllers to pull from in addition to the regular pulls, while this node's state was never
+     * confirmed. Controllers of all regions are used in turn, since those of this node's region may not hold a lease
+     * yet.
      */
     List<Member> controllersForInitialPull(final View view, final long now) {
         if (initialPullCount >= MAX_INITIAL_PULLS || now - lastInitialPull < INITIAL_PULL_INTERVAL_MICROS) {
@@ -86,9 +99,10 @@
     }
 
     /**
-     * Returns the controllers to pull from now; none where no pull is due.
+     * Returns the controllers to pull from now; empty if no pull is due.
      *
-     * @param isStale whether this node's state or reports are old, so that controllers of other regions are asked as well
+     * @param isStale whether this node's state or reports are stale, so that controllers of other regions are used as
+     *                well
      */
     List<Member> controllersToPull(final View view, final BooleanSupplier isStale, final long now) {
         if (now - lastControllerPull < peerSelector.controllerPullInterval(settings)) {
--- a/core/src/main/java/silverlatch/gossip/ReportFreshness.java
+++ b/core/src/main/java/silverlatch/gossip/ReportFreshness.java
@@ -8,14 +8,17 @@
 import java.util.Optional;
 
 /**
- * As of when the reports held here were surely complete. Only a pull makes that moment later; pushed reports may have come
- * without others. All times are microseconds of this node's monotonic clock.
+ * Tracks as of when the worker reports held here are known to be complete. Only pulls advance that time: a pushed
+ * report may have arrived without others that preceded it. All times are microseconds of this node's monotonic clock.
  */
 final class ReportFreshness {
     private final Map<String, Long> syncedAt = new HashMap<>();
     private Optional<Long> confirmedAt = Optional.empty();
 
-    /** Notes that what is held here was the newest as of a moment; returns whether that is later than known before. */
+    /**
+     * Records that the reports held here were the newest as of a time. Returns whether that advances the time
+     * recorded before.
+     */
     boolean confirm(final long asOf) {
         if (confirmedAt.isPresent() && confirmedAt.get() >= asOf) {
             return false;
@@ -24,17 +27,20 @@
         return true;
     }
 
-    /** Notes that all that the controller at an address knew as of a moment is held here. */
+    /** Records that everything that the controller at an address held as of a time is held here. */
     void markSynced(final String address, final long asOf) {
         syncedAt.merge(address, asOf, Math::max);
     }
 
-    /** Returns the moment as of which a controller last said that its reports, equal to those here, were complete. */
+    /** Returns the latest time as of which a node confirmed that its reports, equal to those here, were complete. */
     Optional<Long> confirmedAt() {
         return confirmedAt;
     }
 
-    /** Returns, at a controller, the latest moment as of which a majority of the controllers knew nothing newer. */
+    /**
+     * Returns, at a controller, the latest time as of which a majority of the controllers held nothing newer. This
+     * controller itself counts as synced as of {@code now}.
+     */
     Optional<Long> majorityConfirmedAt(final int controllerCount, final long now) {
         final List<Long> times = new ArrayList<>(syncedAt.values());
         times.add(now);
@@ -43,7 +49,7 @@
         return times.size() < majority ? Optional.empty() : Optional.of(times.get(majority - 1));
     }
 
-    /** Forgets everything, as after a rejoin. */
+    /** Discards all times, as a rejoin requires. */
     void reset() {
         confirmedAt = Optional.empty();
         syncedAt.clear();
--- a/core/src/main/java/silverlatch/gossip/ReportQuorum.java
+++ b/core/src/main/java/silverlatch/gossip/ReportQuorum.java
@@ -14,23 +14,31 @@
 import silverlatch.wire.GossipMessage;
 
 /**
- * Says when a majority of the controllers holds the report that a worker drains or is gone, so that the worker may be told so. Whatever
- * partition follows, a gateway that reaches a majority of the controllers then reaches one that holds it.
+ * Determines when a majority of the controllers holds the report that a worker drains or is gone; only then is the
+ * worker's announcement acknowledged. A gateway that can reach a majority of the controllers then reaches one that
+ * holds the report, whatever partition follows.
  *
- * <p>The report is pushed to the other controllers, which are then asked for what they hold of the worker, until enough of them hold it
- * or the deadline has passed. It takes one round trip where nothing is lost. That a worker stays in service needs no majority, and
- * nor does a drain that a majority has held before.
+ * <p>The report is pushed to the other controllers, which are then queried for the versions that they hold, until a
+ * majority holds it or the deadline has passed. If no message is lost this takes one round trip. No majority is
+ * needed to report that a worker stays in service, nor for a drain that a majority was found to hold before.
  *
- * <p>Times are microseconds of this node's monotonic clock; the node's event loop alone calls this class.
+ * <p>Times are microseconds of this node's monotonic clock. Only the node's event loop calls this class.
  */
 final class ReportQuorum {
+    /**
+     * Interval at which pending queries are sent again to the controllers that haven't confirmed that they hold the
+     * report.
+     */
     private static final long RESEND_MICROS = 150_000L;
 
     private final WorkerReports reports;
     private final Supplier<Set<String>> controllers;
     private final String ownAddress;
     private final Safeguards safeguards;
-    /** The last incarnation of each worker of which a majority was found to hold that it drains or is gone. */
+    /**
+     * The last incarnation of each worker for which a majority was found to hold the report that it drains or is
+     * gone.
+     */
     private final Map<String, Long> heldIncarnations = new HashMap<>();
 
     private final Map<Long, QuorumQuery> queries = new HashMap<>();
@@ -38,12 +46,13 @@
     private long lastQueryId;
     private long lastSentAt;
 
-    /** A caller that waits for an answer, and who holds the report as far as is known. */
+    /** A caller that waits for a response, and the addresses of the controllers known to hold the report. */
     private record QuorumQuery(ReportVersion version, long token, long deadline, Set<String> holders) {}
 
     /**
-     * A quorum over the controllers whose addresses the supplier gives at any time, this one's among them.
+     * Creates a quorum over a set of controllers that may change.
      *
+     * @param controllers supplies the current addresses of all controllers, including this one
      * @param ownAddress the address of this controller
      */
     ReportQuorum(
@@ -57,7 +66,10 @@
         this.safeguards = safeguards;
     }
 
-    /** Answers by {@link Effect.Respond} whether a majority holds the newest report on a worker; at the deadline at last. */
+    /**
+     * Responds by {@link Effect.Respond} whether a majority holds the newest report on a worker. Responds with false
+     * if the worker isn't known, or if no majority is known to hold the report by the deadline.
+     */
     void confirm(final String workerId, final long token, final long now, final long deadline) {
         final Optional<ReportVersion> version = reports.versionOf(workerId);
         if (version.isEmpty()) {
@@ -76,15 +88,18 @@
 
     private void startQuery(final ReportVersion version, final long token, final long now, final long deadline) {
         lastQueryId++;
-        final QuorumQuery question = new QuorumQuery(version, token, deadline, new HashSet<>(Set.of(ownAddress)));
-        queries.put(lastQueryId, question);
-        pushReport(question, now);
-        sendQuery(lastQueryId, question);
-        completeIfHeldByMajority(lastQueryId, question);
+        final QuorumQuery query = new QuorumQuery(version, token, deadline, new HashSet<>(Set.of(ownAddress)));
+        queries.put(lastQueryId, query);
+        pushReport(query, now);
+        sendQuery(lastQueryId, query);
+        completeIfHeldByMajority(lastQueryId, query);
         lastSentAt = now;
     }
 
-    /** Takes the reply to a question; any other reply is ignored. */
+    /**
+     * Processes the reply to a query; ignores any other reply. The sender holds the report unless it lists the worker
+     * among those on which it lacks the newest report.
+     */
     void onMissingReports(final GossipMessage.MissingReports reply, final String sender) {
         final long queryId = -reply.askedAt();
         final Optional<QuorumQuery> query = Optional.ofNullable(queries.get(queryId));
@@ -95,7 +110,10 @@
                 });
     }
 
-    /** Ends the questions whose time is up, and asks again those who didn't reply. */
+    /**
+     * Responds to the queries whose deadline has passed, and resends the others to the controllers that aren't known
+     * to hold the report.
+     */
     void tick(final long now) {
         List.copyOf(queries.entrySet()).stream()
                 .filter(entry -> now >= entry.getValue().deadline())
@@ -110,20 +128,21 @@
         heldIncarnations.keySet().removeIf(id -> reports.versionOf(id).isEmpty());
     }
 
-    /** Returns what is to be sent and answered; each effect is handed out once. */
+    /** Returns the pending messages and responses, and removes them. */
     List<Effect> drain() {
         final List<Effect> drained = List.copyOf(effects);
         effects.clear();
         return drained;
     }
 
-    private void completeIfHeldByMajority(final long number, final QuorumQuery question) {
-        final Set<String> all = controllers.get();
-        final long holders = question.holders().stream().filter(all::contains).count();
-        if (holders * 2 > all.size()) {
-            queries.remove(number);
-            heldIncarnations.put(question.version().id(), question.version().incarnation());
-            respond(question.token(), true);
+    private void completeIfHeldByMajority(final long queryId, final QuorumQuery query) {
+        final Set<String> controllerAddresses = controllers.get();
+        final long holders =
+                query.holders().stream().filter(controllerAddresses::contains).count();
+        if (holders * 2 > controllerAddresses.size()) {
+            queries.remove(queryId);
+            heldIncarnations.put(query.version().id(), query.version().incarnation());
+            respond(query.token(), true);
         }
     }
 
@@ -133,16 +152,21 @@
         sendToNonHolders(query, new GossipMessage.GossipPush(List.of(), List.of(), report, 0));
     }
 
-    /** Asks with the versions held here; who lacks some of them names their workers in its reply, and is sent them. */
-    private void sendQuery(final long number, final QuorumQuery question) {
-        final long range = 1L << VersionDigests.rangeOf(question.version().id());
+    /**
+     * Sends the versions held here. A controller that lacks some of the reports lists their workers in its reply, and
+     * is sent the reports.
+     *
+     * <p>The query id travels as a negative pull time, which distinguishes it from the times of pulls.
+     */
+    private void sendQuery(final long queryId, final QuorumQuery query) {
+        final long range = 1L << VersionDigests.rangeOf(query.version().id());
         sendToNonHolders(
-                question, new GossipMessage.ReportVersions(-number, range, 0, reports.versions(range), List.of()));
+                query, new GossipMessage.ReportVersions(-queryId, range, 0, reports.versions(range), List.of()));
     }
 
-    private void sendToNonHolders(final QuorumQuery question, final GossipMessage message) {
+    private void sendToNonHolders(final QuorumQuery query, final GossipMessage message) {
         controllers.get().stream()
-                .filter(address -> !question.holders().contains(address))
+                .filter(address -> !query.holders().contains(address))
                 .sorted()
                 .forEach(address -> effects.add(new Effect.Send(address, message)));
     }
--- a/core/src/main/java/silverlatch/gossip/ReportVersion.java
+++ b/core/src/main/java/silverlatch/gossip/ReportVersion.java
@@ -1,10 +1,10 @@
 package silverlatch.gossip;
 
 /**
- * Which version of a worker's report, or of a member's entry, a daemon holds; compared in anti-entropy.
+ * The version of a worker report or a member entry that a node holds; compared in anti-entropy.
  *
- * @param id the name of the worker or member
+ * @param id the id of the worker or member
  * @param incarnation its incarnation
- * @param sequence the version's rank within the incarnation
+ * @param sequence the rank of the version within the incarnation
  */
 public record ReportVersion(String id, long incarnation, long sequence) {}
--- a/core/src/main/java/silverlatch/gossip/SilenceDetector.java
+++ b/core/src/main/java/silverlatch/gossip/SilenceDetector.java
@@ -7,16 +7,17 @@
 import silverlatch.membership.Member;
 
 /**
- * Decides at a controller which workers are silent: no controller that should hear them did so for the silence time-out.
+ * Decides, at a controller, which workers are silent: those from which no responsible controller received an
+ * announcement for the silence time-out.
  *
- * <p>A worker is called silent only by a controller that has itself run without a pause for a whole time-out, and that
- * exchanged heartbeat ages lately with every controller near the worker. So neither a partition nor a controller that was
- * suspended makes a worker silent that another controller still hears.
+ * <p>A controller declares a worker silent only if it has itself run without a pause for a whole time-out, and has
+ * recently exchanged heartbeat ages with every controller near the worker. So neither a partition nor a suspended
+ * controller process makes a worker silent from which another controller still receives announcements.
  */
 final class SilenceDetector {
     private static final long SCAN_INTERVAL_MICROS = 250_000L;
 
-    /** A gap between two scans from which on this process counts as having been paused. */
+    /** If more time than this passes between two scans, the process is considered to have been paused. */
     private static final long PAUSE_THRESHOLD_MICROS = 1_000_000L;
 
     private final long silenceTimeout;
@@ -24,17 +25,17 @@
     private long lastScan = TrackedReport.NEVER;
     private long uninterruptedSince = TrackedReport.NEVER;
 
-    /** Makes a detector with a silence time-out in microseconds. */
+    /** Creates a detector with a silence time-out in microseconds. */
     SilenceDetector(final long silenceTimeout) {
         this.silenceTimeout = silenceTimeout;
     }
 
-    /** Notes that the controller at an address shared its heartbeat ages as of a moment. */
+    /** Records that the controller at an address shared its heartbeat ages as of a time. */
     void recordContact(final String address, final long asOf) {
         lastContacts.merge(address, asOf, Math::max);
     }
 
-    /** Returns whether a scan is due, and if so notes that it takes place now. */
+    /** Returns whether a scan is due; if so, records that it takes place now. */
     boolean startScan(final long now) {
         if (now - lastScan < SCAN_INTERVAL_MICROS) {
             return false;
@@ -46,19 +47,26 @@
         return true;
     }
 
-    /** Returns whether this process ran without a pause for so long that a silence can't be due to its own absence. */
+    /**
+     * Returns whether this process has run without a pause for a whole silence time-out, so that missing
+     * announcements can't be due to its own pause.
+     */
     boolean hasRunUninterrupted(final long now) {
         return now - uninterruptedSince >= silenceTimeout;
     }
 
-    /** Returns whether an active worker has become silent; the controllers are the others that are known. */
+    /**
+     * Returns whether an active worker has become silent.
+     *
+     * @param controllers all other known controllers
+     */
     boolean isSilent(final TrackedReport tracked, final List<Member> controllers, final long now) {
         return tracked.isActive()
                 && now - tracked.lastHeartbeatAt() > silenceTimeout
                 && isInContactWithNearbyControllers(tracked.report().worker(), controllers, now);
     }
 
-    /** Forgets all contacts and that this process is awake. */
+    /** Discards all contacts, and restarts the measurement of how long this process has run without a pause. */
     void reset() {
         lastContacts.clear();
         uninterruptedSince = TrackedReport.NEVER;
@@ -76,7 +84,10 @@
                 .orElse(false);
     }
 
-    /** Returns the controllers of the worker's zone; where there are none those of its region, else all. */
+    /**
+     * Returns the controllers in the worker's zone; if there are none, those in its region; if there are none either,
+     * all.
+     */
     private static List<Member> nearbyControllers(final Worker worker, final List<Member> controllers) {
         final List<Member> sameZone =
                 controllers.stream().filter(m -> m.zone().equals(worker.zone())).toList();
--- a/core/src/main/java/silverlatch/gossip/StateCopy.java
+++ b/core/src/main/java/silverlatch/gossip/StateCopy.java
@@ -11,13 +11,16 @@
 import silverlatch.wire.GossipMessage;
 
 /**
- * This node's copy of the replicated state, the newest view it heard of, and as of when the copy was surely the newest.
+ * This node's copy of the replicated state, the newest view that it received, and as of when the copy is known to be
+ * the newest.
  *
- * <p>The revision of the copy never goes back. It is confirmed by a pull, as of the moment at which the pull was sent less
- * the age at the other node, or by a replica of the chain on this node. While a higher revision is known than the one held
- * the copy has no age. Times are microseconds of this node's monotonic clock.
+ * <p>The revision of the copy never decreases. The copy is confirmed in two ways: by the reply to a pull, as of the
+ * time at which the pull was sent minus the age at the other node, or by this node's replica of the chain. While a
+ * revision higher than the held one is known to exist, the copy has no age. Times are microseconds of this node's
+ * monotonic clock.
  */
 final class StateCopy {
+    /** The age in a message that means "never confirmed". */
     private static final long UNKNOWN_AGE = -1;
 
     private final Safeguards safeguards;
@@ -32,39 +35,42 @@
         this.safeguards = safeguards;
     }
 
-    /** Returns the state; the caller doesn't change it. */
+    /** Returns the state. The caller must not change it. */
     StateMachine stateMachine() {
         return stateMachine;
     }
 
-    /** Returns the newest view heard of. */
+    /** Returns the newest view received. */
     View view() {
         return view;
     }
 
-    /** Returns the fleet's number, or 0 before it is known. */
+    /** Returns the number that identifies the fleet, or 0 before it is known. */
     long fleet() {
         return fleet;
     }
 
-    /** Returns the revision held. */
+    /** Returns the revision of the copy. */
     long revision() {
         return stateMachine.policyRevision();
     }
 
-    /** Returns the highest revision heard of, held or not. */
+    /** Returns the highest revision known to exist, whether or not the copy has it. */
     long highestRevision() {
         return Math.max(highestRevision, revision());
     }
 
-    /** Returns how long ago the copy was surely the newest, or the largest long where that isn't known. */
+    /**
+     * Returns how many microseconds ago the copy was last known to be the newest. Returns {@link Long#MAX_VALUE} if
+     * it was never confirmed or a higher revision is known to exist.
+     */
     long age(final long now) {
         return highestRevision > revision()
                 ? Long.MAX_VALUE
                 : confirmedAt.map(time -> now - time).orElse(Long.MAX_VALUE);
     }
 
-    /** Returns the copy as the answer to a node that holds nothing; it says nothing of its age. */
+    /** Returns the copy as the reply to a pull from a node that holds nothing; its age is given as unknown. */
     GossipMessage.GossipPullReply snapshot() {
         return new GossipMessage.GossipPullReply(
                 0,
@@ -76,26 +82,31 @@
                 new GossipMessage.PullContent.FullContent(List.of(), List.of(), List.of()));
     }
 
-    /** Takes a copy that was saved before this node started; it was committed, and may be older than others. */
+    /** Applies a copy that was saved before this node started. Its contents were committed, but may be outdated. */
     void restore(final GossipMessage.GossipPullReply saved) {
         fleet = saved.fleet();
         stateMachine.apply(saved.revision(), saved.entries());
     }
 
     /**
-     * Returns as of when the copy surely lacked no acknowledged change. A higher revision that was heard of since doesn't alter that: it
-     * was acknowledged later.
+     * Returns the latest time as of which the copy is known to contain every acknowledged change. A higher revision
+     * that became known since doesn't change that time, since it was acknowledged later.
      */
     Optional<Long> lastConfirmedAt() {
         return confirmedAt;
     }
 
-    /** Forgets that the copy was ever confirmed. */
+    /** Discards the time of the last confirmation. */
     void resetFreshness() {
         confirmedAt = Optional.empty();
     }
 
-    /** Takes what the replica on this node holds; returns whether the copy has changed. */
+    /**
+     * Adopts what this node's replica holds: the view if it is newer, and the state if it is confirmed. Returns
+     * whether the copy has changed.
+     *
+     * @param isConfirmed whether the replica's state is known to be the newest as of {@code asOf}
+     */
     boolean adopt(final StateMachine replicaState, final View replicaView, final boolean isConfirmed, final long asOf) {
         if (replicaView.number() > view.number()) {
             view = replicaView;
@@ -112,7 +123,7 @@
         return true;
     }
 
-    /** Notes a revision that another node pushed; returns whether it is higher than all heard of. */
+    /** Records a revision that another node pushed. Returns whether it is higher than all revisions known before. */
     boolean observeRevision(final long revision) {
         if (revision <= highestRevision) {
             return false;
@@ -121,7 +132,10 @@
         return true;
     }
 
-    /** Returns the revision held if it was never announced to the other nodes; each is handed out once. */
+    /**
+     * Returns the revision of the copy if it wasn't returned by this method before, so that each revision is pushed
+     * to other nodes once.
+     */
     OptionalLong drainUnpushedRevision() {
         highestRevision = highestRevision();
         if (revision() <= pushedRevision) {
@@ -131,7 +145,7 @@
         return OptionalLong.of(pushedRevision);
     }
 
-    /** Returns the entries that a node at a revision lacks. */
+    /** Returns the entries that a node with the given revision lacks. */
     List<Entry> entriesSince(final long revision) {
         if (revision < revision()) {
             return stateMachine.policySince(revision);
@@ -139,12 +153,12 @@
         return safeguards.isEnabled(Safeguard.MONOTONIC_REVISION) ? List.of() : stateMachine.policySince(0);
     }
 
-    /** Returns the view as a list if it is newer than the one another node has. */
+    /** Returns the view if its number is higher than the given one, as a list of at most one element. */
     List<View> viewNewerThan(final long number) {
         return number < view.number() ? List.of(view) : List.of();
     }
 
-    /** Returns whether a node of that fleet may be listened to, and takes the fleet's number if none was known. */
+    /** Returns whether messages of a fleet may be processed. Adopts that fleet if this node's own isn't known yet. */
     boolean acceptsFleet(final long other) {
         if (fleet != 0 && other != 0 && other != fleet) {
             return false;
@@ -155,7 +169,10 @@
         return true;
     }
 
-    /** Takes the view and the entries of the answer to a pull; returns whether the copy has changed to a newer revision. */
+    /**
+     * Applies the view and the entries of the reply to a pull. Returns whether the copy has changed to a higher
+     * revision.
+     */
     boolean onPullReply(final GossipMessage.GossipPullReply reply) {
         reply.view().stream()
                 .filter(other -> other.number() > view.number() && other.fleet() == fleet)
--- a/core/src/main/java/silverlatch/gossip/TrackedReport.java
+++ b/core/src/main/java/silverlatch/gossip/TrackedReport.java
@@ -1,28 +1,28 @@
 package silverlatch.gossip;
 
 /**
- * The newest report on a worker that this node holds, and what it knows of its freshness. All times are microseconds of
- * this node's monotonic clock.
+ * The newest report on a worker that this node holds, and how fresh it is. All times are microseconds of this node's
+ * monotonic clock.
  *
- * @param report          the report; its remaining warm-up and lifetime are those at {@code measuredAt}
- * @param measuredAt      when the report was taken over here
- * @param lastHeartbeatAt         when any controller last heard the worker, as far as is known here
+ * @param report the report; its remaining warm-up and lifetime refer to {@code measuredAt}
+ * @param measuredAt when this node stored the report
+ * @param lastHeartbeatAt when any controller last received an announcement from the worker, as far as this node knows
  * @param lastAnnouncedHereAt when the worker last announced itself to this node, or {@link #NEVER}
- * @param highestSequence the highest sequence seen of this incarnation; repeated announcements raise it, while the report
- *                        keeps the sequence of the last change
+ * @param highestSequence the highest sequence received in this incarnation; repeated announcements raise it, while
+ *                        the report keeps the sequence of the last change
  */
 record TrackedReport(
         WorkerReport report, long measuredAt, long lastHeartbeatAt, long lastAnnouncedHereAt, long highestSequence) {
-    /** A time before all others; differences to it don't overflow. */
+    /** A time before all others. Subtracting it from another time doesn't overflow. */
     static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** By how much a remaining time may differ from the one expected before that counts as a change, in microseconds. */
+    /** By how many microseconds a remaining time may differ from the expected one without counting as a change. */
     private static final long TOLERANCE = 500_000L;
 
-    /** A tolerated difference is at least one part in so many of the remaining time. */
+    /** The tolerance is at least the remaining time divided by this. */
     private static final long TOLERANCE_DIVISOR = 8;
 
-    /** Returns the report of a worker that has just announced itself to this node. */
+    /** Returns the entry of a worker that has just announced itself to this node. */
     static TrackedReport ofAnnouncement(final WorkerReport report, final long now) {
         return new TrackedReport(report, now, now, now, report.worker().sequence());
     }
@@ -35,7 +35,7 @@
         return report.worker().incarnation();
     }
 
-    /** Returns whether the worker's incarnation is over. */
+    /** Returns whether the worker's incarnation has ended. */
     boolean isGone() {
         return report.gone();
     }
@@ -45,14 +45,14 @@
         return !report.silent() && !report.gone();
     }
 
-    /** Returns whether an announcement comes too late: a later one is known, or the incarnation is over. */
+    /** Returns whether an announcement is outdated: a later one is known, or its incarnation has ended. */
     boolean supersedes(final Worker announced) {
         return announced.incarnation() < incarnation()
                 || announced.incarnation() == incarnation()
                         && (report.gone() || announced.sequence() <= highestSequence);
     }
 
-    /** Returns whether an announcement changes something that other nodes have to learn. */
+    /** Returns whether an announcement changes something that has to be propagated to other nodes. */
     boolean differsFrom(final Worker announced, final long now) {
         final Worker known = reportAt(now).worker();
         return report.silent()
@@ -72,32 +72,35 @@
         return Math.abs(announced - known) > Math.max(tolerance, known / TOLERANCE_DIVISOR);
     }
 
-    /** Returns this after an announcement that repeats the report. */
+    /** Returns this entry after an announcement that only repeats the report. */
     TrackedReport onHeartbeat(final long sequence, final long now) {
         return new TrackedReport(report, measuredAt, now, now, sequence);
     }
 
-    /** Returns this with a later moment at which some controller heard the worker. */
+    /** Returns this entry with a later time of the last heartbeat. */
     TrackedReport withLastHeartbeatAt(final long time) {
         return new TrackedReport(report, measuredAt, time, lastAnnouncedHereAt, highestSequence);
     }
 
-    /** Returns this with another report on the same incarnation. */
+    /** Returns this entry with another report on the same incarnation. */
     TrackedReport withReport(final WorkerReport changed, final long now) {
         return new TrackedReport(changed, now, lastHeartbeatAt, lastAnnouncedHereAt, highestSequence);
     }
 
-    /** Returns the report as of a moment: the remaining times shorter, the age of silence or end longer. */
+    /**
+     * Returns the report as of a time after {@code measuredAt}: the remaining times are shorter, and the time since
+     * the worker became silent or gone is longer.
+     */
     WorkerReport reportAt(final long now) {
         return report.agedBy(now - measuredAt);
     }
 
-    /** Returns how long the worker has been silent or gone, in microseconds. */
+    /** Returns for how many microseconds the worker has been silent or gone. */
     long inactiveFor(final long now) {
         return report.age() + now - measuredAt;
     }
 
-    /** Returns the version of the worker's incarnation alone, whatever is reported of it. */
+    /** Returns a version that identifies the worker's incarnation only, independent of the report. */
     ReportVersion incarnationVersion() {
         return new ReportVersion(id(), incarnation(), 0);
     }
--- a/core/src/main/java/silverlatch/gossip/VersionDigests.java
+++ b/core/src/main/java/silverlatch/gossip/VersionDigests.java
@@ -3,30 +3,32 @@
 import silverlatch.util.Fnv1a;
 
 /**
- * Digests over a set of versions: one over all, and one for each of 64 ranges of names. A digest is a sum of hashes, so it
- * doesn't depend on the order of additions, and removing a version undoes its addition. Two nodes whose digests are equal
- * hold the same versions but for a collision of 64-bit hashes.
+ * Digests of a set of versions: one of all versions, and one for each of 64 ranges of ids. An id is assigned to a
+ * range by its hash. A digest is a sum of hashes, so it doesn't depend on the order in which versions are added, and
+ * removing a version undoes adding it. Two nodes whose digests are equal hold the same versions, unless 64-bit hashes
+ * collide.
  */
 final class VersionDigests {
-    /** The number of ranges; a set of ranges is a long with one bit for each. */
+    /** The number of ranges. A set of ranges is represented by a long with one bit per range. */
     static final int RANGE_COUNT = Long.SIZE;
 
-    /** The top bits of a hash that number the range. */
+    /** Shifts a hash so that its top 6 bits remain, which are the index of the range. */
     private static final int RANGE_SHIFT = Long.SIZE - 6;
 
     private final long[] ranges = new long[RANGE_COUNT];
     private long total;
 
-    /** Returns the number of the range that a name belongs to. */
+    /** Returns the index of the range to which an id belongs. */
     static int rangeOf(final String id) {
         return (int) (mix(Fnv1a.hash(id)) >>> RANGE_SHIFT);
     }
 
-    /** Returns whether a name belongs to one of a set of ranges. */
+    /** Returns whether an id belongs to one of a set of ranges. */
     static boolean isInRanges(final long rangeBits, final String id) {
         return (rangeBits >>> rangeOf(id) & 1) == 1;
     }
 
+    /** Adds a version that isn't in the set. */
     void add(final ReportVersion version) {
         accumulate(version.id(), hashOf(version));
     }
@@ -36,17 +38,19 @@
         accumulate(version.id(), -hashOf(version));
     }
 
-    /** Returns the digest over all versions. */
+    /** Returns the digest of all versions. */
     long total() {
         return total;
     }
 
-    /** Returns the digests of the ranges, a copy. */
+    /** Returns a copy of the digests of all ranges. */
     long[] ranges() {
         return ranges.clone();
     }
 
-    /** Returns the set of ranges that differ from another node's; empty when the other's digests are not given. */
+    /**
+     * Returns the set of ranges whose digests differ from another node's; no range if the other node sent no digests.
+     */
     long differingRanges(final long[] other) {
         long differing = 0;
         for (int i = 0; i < Math.min(RANGE_COUNT, other.length); i++) {
@@ -64,7 +68,7 @@
         return mix(mix(Fnv1a.hash(version.id()) + version.incarnation()) + version.sequence());
     }
 
-    /** The finalizer of MurmurHash3: each bit of the result depends on each bit of the value. */
+    /** Applies the finalizer of MurmurHash3, by which each bit of the result depends on each bit of the value. */
     private static long mix(final long value) {
         final long first = (value ^ value >>> 33) * 0xFF51AFD7ED558CCDL;
         final long second = (first ^ first >>> 33) * 0xC4CEB9FE1A85EC53L;
--- a/core/src/main/java/silverlatch/gossip/Versions.java
+++ b/core/src/main/java/silverlatch/gossip/Versions.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Comparison of the versions of reports and members: incarnations first, then sequences within an incarnation. */
+/** Compares versions of worker reports and members: by incarnation first, then by sequence within the incarnation. */
 final class Versions {
     private Versions() {}
 
@@ -15,7 +15,7 @@
                 : first.sequence() > second.sequence();
     }
 
-    /** Returns the versions by the names that they are of. */
+    /** Returns the versions as a map by id. */
     static Map<String, ReportVersion> byId(final List<ReportVersion> versions) {
         final Map<String, ReportVersion> byId = new HashMap<>();
         versions.forEach(version -> byId.put(version.id(), version));
--- a/core/src/main/java/silverlatch/gossip/Worker.java
+++ b/core/src/main/java/silverlatch/gossip/Worker.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * A worker as it announced itself. Within an incarnation a higher sequence is newer; a worker that restarts takes a larger
- * incarnation.
+ * A worker's announcement of itself. Within an incarnation the announcement with the higher sequence is newer; a
+ * worker that restarts uses a larger incarnation.
  *
- * @param id                its name
- * @param address           host and port at which it takes requests
- * @param zone              its zone
- * @param region            its region
- * @param incarnation       a number that is larger for each start of the worker
- * @param sequence          the number of the announcement, rising within an incarnation
- * @param running           requests being served
- * @param queued            requests waiting
- * @param slots             requests it serves at once
- * @param cachedPrefixes    the salted digests of the prefixes in its cache
- * @param draining          whether it takes no new requests
- * @param uptime            microseconds since it started
- * @param pool              the backend pool it belongs to, or empty
- * @param warmupRemaining   microseconds for which it is still warming up, by its own account
- * @param lifetimeRemaining microseconds after which it will be gone, by its own account; 0 when it announces no end
+ * @param id its name
+ * @param address host and port at which it accepts requests
+ * @param zone its zone
+ * @param region its region
+ * @param incarnation a number that is larger for each start of the worker
+ * @param sequence the number of the announcement, increasing within an incarnation
+ * @param running requests being served
+ * @param queued requests waiting
+ * @param slots requests that it can serve at the same time
+ * @param cachedPrefixes the salted digests of the prefixes in its prefix cache
+ * @param draining whether it accepts no new requests
+ * @param uptime microseconds since it started
+ * @param pool the backend pool that it belongs to, or empty
+ * @param warmupRemaining microseconds for which it is still warming up, as it reports itself
+ * @param lifetimeRemaining microseconds after which it will end, as it reports itself; 0 if it announces no end
  */
 public record Worker(
         String id,
@@ -43,7 +43,7 @@
         cachedPrefixes = List.copyOf(cachedPrefixes);
     }
 
-    /** Makes a worker of no pool that isn't warming up and announces no end. */
+    /** Creates a worker that belongs to no pool, isn't warming up and announces no end. */
     public Worker(
             final String id,
             final String address,
@@ -75,22 +75,25 @@
                 0);
     }
 
-    /** Returns whether this announcement is newer than another of the same worker. */
+    /** Returns whether this announcement is newer than another by the same worker. */
     public boolean isNewerThan(final Worker other) {
         return incarnation != other.incarnation ? incarnation > other.incarnation : sequence > other.sequence;
     }
 
-    /** Returns whether this is the same announcement of the same worker as another. */
+    /** Returns whether this has the same incarnation and sequence as another announcement by the same worker. */
     public boolean isSameAnnouncement(final Worker other) {
         return incarnation == other.incarnation && sequence == other.sequence;
     }
 
-    /** Returns the same announcement of a worker that is draining. */
+    /** Returns the same announcement, but of a draining worker. */
     public Worker asDraining() {
         return copy(sequence, true, warmupRemaining, lifetimeRemaining);
     }
 
-    /** Returns the same announcement so many microseconds later: the remaining times are shorter, an end still announced. */
+    /**
+     * Returns the announcement as of {@code elapsed} microseconds later: the remaining times are shorter, but an
+     * announced end stays announced, as a lifetime of at least 1.
+     */
     public Worker agedBy(final long elapsed) {
         if (elapsed <= 0 || warmupRemaining == 0 && lifetimeRemaining == 0) {
             return this;
@@ -100,12 +103,12 @@
         return copy(sequence, draining, warmupLeft, lifetimeLeft);
     }
 
-    /** Returns the same announcement under another sequence. */
+    /** Returns the same announcement with another sequence. */
     public Worker withSequence(final long newSequence) {
         return copy(newSequence, draining, warmupRemaining, lifetimeRemaining);
     }
 
-    /** Returns the same announcement under the next sequence. */
+    /** Returns the same announcement with the next sequence. */
     public Worker withNextSequence() {
         return withSequence(sequence + 1);
     }
--- a/core/src/main/java/silverlatch/gossip/WorkerEvents.java
+++ b/core/src/main/java/silverlatch/gossip/WorkerEvents.java
@@ -3,7 +3,7 @@
 import silverlatch.node.Effect;
 import silverlatch.node.Event;
 
-/** The log events on workers. */
+/** Creates the log events about workers. */
 final class WorkerEvents {
     private static final long MICROS_PER_MILLI = 1_000;
 
@@ -22,6 +22,6 @@
     }
 
     static Effect.Log gone(final Worker worker) {
-        return new Effect.Log(Event.WORKER_GONE, worker.id() + " life " + worker.incarnation());
+        return new Effect.Log(Event.WORKER_GONE, worker.id() + " incarnation " + worker.incarnation());
     }
 }
--- a/core/src/main/java/silverlatch/gossip/WorkerReporting.java
+++ b/core/src/main/java/silverlatch/gossip/WorkerReporting.java
@@ -1,20 +1,20 @@
 package silverlatch.gossip;
 
-/** To whom workers announce themselves, and how their reports spread from there. */
+/** To which nodes workers announce themselves, and how the reports on them are propagated from there. */
 public sealed interface WorkerReporting {
-    /** Workers announce themselves to any node; pulls renew the age of each report everywhere. */
+    /** Workers announce themselves to any node. Pulls renew the age of each announcement at every node. */
     record ToAnyNode() implements WorkerReporting {}
 
     /**
-     * Workers announce themselves to controllers; only changed reports travel.
+     * Workers announce themselves to controllers. Only reports that changed are propagated.
      *
-     * @param silenceTimeout    microseconds without an announcement after which a worker is reported as silent
-     * @param retention         microseconds after which a silent or gone worker is forgotten
-     * @param maxPullsPerSecond how many pulls a second the gateways together send to each controller; where that would be
-     *                          exceeded each gateway pulls less often, down to once a second
+     * @param silenceTimeout microseconds without an announcement after which a worker is reported as silent
+     * @param retention microseconds after which a silent or gone worker is removed
+     * @param maxPullsPerSecond the limit on the pulls per second that all gateways together send to each controller;
+     *                          if it would be exceeded each gateway pulls less often, but at least once a second
      */
     record ToControllers(long silenceTimeout, long retention, int maxPullsPerSecond) implements WorkerReporting {
-        /** The values that hold when the settings name none. */
+        /** The defaults. */
         public static final ToControllers DEFAULTS = new ToControllers(5_000_000L, 60_000_000L, 40);
     }
 }
--- a/core/src/main/java/silverlatch/gossip/WorkerReports.java
+++ b/core/src/main/java/silverlatch/gossip/WorkerReports.java
@@ -15,16 +15,17 @@
 import silverlatch.wire.GossipMessage;
 
 /**
- * The reports on workers that announce themselves to controllers, one per worker. An announcement that repeats the report
- * only renews its age here; one that changes it is forwarded to other nodes.
+ * The worker reports in a fleet whose workers announce themselves to controllers, one report per worker. An
+ * announcement that only repeats the report renews its age at this node; one that changes it is forwarded to other
+ * nodes.
  *
- * <p>Per worker, reports are ordered by incarnation and then by {@link WorkerReport#precedence}; an older one never replaces
- * a newer one. Within an incarnation a worker goes from active to silent and back, and from either to gone for good. The
- * digests always cover exactly the reports held. Times are microseconds of this node's monotonic clock; the node's event
- * loop alone calls this class.
+ * <p>The reports on a worker are ordered by incarnation and then by {@link WorkerReport#precedence}; an older report
+ * never replaces a newer one. Within an incarnation a worker changes between active and silent, and from either to
+ * gone, which is final. Invariant: the digests cover exactly the reports in the table. Times are microseconds of this
+ * node's monotonic clock. Only the node's event loop calls this class.
  */
 final class WorkerReports {
-    /** Reports on further workers are ignored. */
+    /** The limit on the number of workers; reports on further workers are ignored. */
     static final int MAX_WORKERS = 4_096;
 
     private final WorkerReporting.ToControllers reporting;
@@ -40,7 +41,11 @@
     private Map<String, Gossip.ObservedWorker> workersSnapshot = Map.of();
     private boolean isSnapshotStale;
 
-    /** Makes an empty table of a controller, or of a gateway. */
+    /**
+     * Creates an empty table.
+     *
+     * @param isController whether this node is a controller; if not it is a gateway
+     */
     WorkerReports(final WorkerReporting.ToControllers reporting, final boolean isController) {
         this.reporting = reporting;
         this.isController = isController;
@@ -48,12 +53,12 @@
         this.agePacker = new HeartbeatAgePacker(reporting.silenceTimeout());
     }
 
-    /** Returns the digests over the versions of all reports; the caller doesn't change them. */
+    /** Returns the digests of the versions of all reports. The caller must not change them. */
     VersionDigests digests() {
         return digests;
     }
 
-    /** Takes an announcement that a worker made to this node; one that comes too late is ignored. */
+    /** Processes an announcement that a worker made to this node; ignores an outdated one. */
     void announce(final Worker announced, final long now) {
         final Optional<TrackedReport> known = find(announced.id());
         if (isFullFor(known) || known.filter(t -> t.supersedes(announced)).isPresent()) {
@@ -69,7 +74,10 @@
         changedIds.add(report.id());
     }
 
-    /** Ends a worker's incarnation; returns false when it isn't known, true also where it had ended before. */
+    /**
+     * Ends a worker's incarnation. Returns false if the worker isn't known; true also if the incarnation had already
+     * ended.
+     */
     boolean markGone(final String id, final long now) {
         final Optional<TrackedReport> known = find(id);
         known.filter(t -> !t.isGone()).ifPresent(t -> {
@@ -79,11 +87,14 @@
     }
 
     /**
-     * Takes a report from another node unless it is outdated. A report of silence on a worker that this node hears is
-     * refuted: the worker stays active under the highest sequence known, which supersedes the wrong report everywhere. A report that is
-     * older than others remember an ended worker is ignored, so that nobody who was partitioned off brings one back.
+     * Merges a report from another node unless it is outdated.
      *
-     * @param forward whether the report came by push and is to be forwarded
+     * <p>If it reports a worker as silent that announced itself to this node within the silence time-out, it is
+     * refuted: the worker stays active with the highest known sequence, which supersedes the wrong report at every
+     * node. A report older than the retention time is ignored, since other nodes may have removed the worker by then:
+     * so a node that was partitioned off can't restore a worker that has ended.
+     *
+     * @param forward whether to forward the report; true if it arrived by a push
      */
     void merge(final WorkerReport report, final boolean forward, final long now) {
         final Optional<TrackedReport> known = find(report.id());
@@ -106,14 +117,14 @@
         }
     }
 
-    /** Returns the changed reports that have to be forwarded, as of now; each is handed out once. */
+    /** Returns the changed reports to forward, as of {@code now}, and marks them as forwarded. */
     List<WorkerReport> drainChanged(final long now) {
         final List<WorkerReport> changed = reportsOf(changedIds, now);
         changedIds.clear();
         return changed;
     }
 
-    /** Returns the reports on all workers that are neither silent nor gone, as of now. */
+    /** Returns the reports on all workers that are neither silent nor gone, as of {@code now}. */
     List<WorkerReport> activeReports(final long now) {
         return tracked.values().stream()
                 .filter(TrackedReport::isActive)
@@ -121,7 +132,7 @@
                 .toList();
     }
 
-    /** Returns the reports on some workers, as of now; unknown names are left out. */
+    /** Returns the reports on some workers as of {@code now}, leaving out unknown workers. */
     List<WorkerReport> reportsOf(final Collection<String> ids, final long now) {
         return ids.stream()
                 .flatMap(id -> find(id).stream())
@@ -129,7 +140,10 @@
                 .toList();
     }
 
-    /** Returns a report as of now; with an active one goes for how long its worker may have been silent as far as is known here. */
+    /**
+     * Returns a report as of {@code now}. If the worker is active, the age is for how long it may have been silent,
+     * as far as this node knows.
+     */
     private WorkerReport outgoingReport(final TrackedReport known, final long now) {
         final WorkerReport report = known.reportAt(now);
         final long asOf =
@@ -142,7 +156,7 @@
         return find(id).map(t -> t.report().version());
     }
 
-    /** Returns the versions of the reports in some ranges. */
+    /** Returns the versions of the reports on workers in the given ranges of ids. */
     List<ReportVersion> versions(final long rangeBits) {
         return tracked.values().stream()
                 .filter(t -> VersionDigests.isInRanges(rangeBits, t.id()))
@@ -150,7 +164,11 @@
                 .toList();
     }
 
-    /** Returns the reports in some ranges that are newer than those another node holds; it holds no others there. */
+    /**
+     * Returns the reports in the given ranges that are newer here than at another node.
+     *
+     * @param known all versions that the other node holds in these ranges
+     */
     List<WorkerReport> reportsNewerThan(final long rangeBits, final List<ReportVersion> known, final long now) {
         final Map<String, ReportVersion> knownById = Versions.byId(known);
         return tracked.values().stream()
@@ -162,7 +180,7 @@
                 .toList();
     }
 
-    /** Returns the names of the workers on which another node holds newer reports. */
+    /** Returns the ids of the workers on which another node holds newer reports. */
     List<String> outdatedWorkers(final List<ReportVersion> known) {
         return known.stream()
                 .filter(version -> find(version.id())
@@ -172,27 +190,34 @@
                 .toList();
     }
 
-    /** Notes that the reports here were the newest as of a moment. */
+    /** Records that the reports here were the newest as of a time. */
     void confirm(final long asOf) {
         isSnapshotStale |= freshness.confirm(asOf);
     }
 
-    /** Notes that all that the controller at an address knew as of a moment is held here. */
+    /** Records that everything that the controller at an address held as of a time is held here. */
     void markSynced(final String address, final long asOf) {
         freshness.markSynced(address, asOf);
     }
 
-    /** Returns as of when the reports here were surely the newest; at a controller a majority has to confirm that. */
+    /**
+     * Returns the latest time as of which the reports here are known to be the newest. At a controller a majority of
+     * the controllers has to confirm that.
+     */
     Optional<Long> confirmedAt(final int controllerCount, final long now) {
         return isController ? freshness.majorityConfirmedAt(controllerCount, now) : freshness.confirmedAt();
     }
 
-    /** Returns how long ago each worker was heard; only a node that knows the same incarnations can read it. */
+    /** Returns the time since the last heartbeat of each worker, for a node that knows the same incarnations. */
     GossipMessage.HeartbeatAges heartbeatAges(final long now) {
         return new GossipMessage.HeartbeatAges(incarnationDigests.total(), agePacker.pack(notGone(), now));
     }
 
-    /** Takes over how long ago another controller heard each worker, dated from when it was asked. */
+    /**
+     * Merges the heartbeat ages of another controller. Ignores them if that controller knows other incarnations.
+     *
+     * @param pullSentAt when this node sent the pull that the other controller answered; the ages count from then
+     */
     void onHeartbeatAges(final GossipMessage.HeartbeatAges heartbeats, final String address, final long pullSentAt) {
         final List<TrackedReport> workers = notGone();
         if (heartbeats.roster() != incarnationDigests.total() || !agePacker.fits(heartbeats.ages(), workers.size())) {
@@ -209,10 +234,11 @@
     }
 
     /**
-     * Forgets workers that have been silent or gone for long, or that no controller can have heard for long, and at a controller reports
-     * those that became silent.
+     * Removes the workers that have been silent or gone for the retention time, and, at a controller, those from
+     * which no controller has received an announcement for that long. A controller also reports the workers that
+     * became silent.
      *
-     * @param controllers all other controllers that are known
+     * @param controllers all other known controllers
      */
     void tick(final List<Member> controllers, final long now) {
         if (!silenceDetector.startScan(now)) {
@@ -230,14 +256,20 @@
         }
     }
 
-    /** A gateway keeps the workers that it knows while it reaches no controller; a controller only those that one of them hears. */
+    /**
+     * Returns whether to remove a worker. A gateway keeps active workers even while it can reach no controller; a
+     * controller keeps them only while some controller receives their announcements.
+     */
     private boolean shouldForget(final TrackedReport known, final long now) {
         return known.isActive()
                 ? isController && now - known.lastHeartbeatAt() > reporting.retention()
                 : known.inactiveFor(now) > reporting.retention();
     }
 
-    /** Forgets those of some workers that another node doesn't know, if they may have ended before that node has forgotten them. */
+    /**
+     * Removes those of the given workers whose incarnation may have ended so long ago that the other node, which
+     * doesn't know them, has already removed them.
+     */
     void forgetExpired(final Collection<String> unknownElsewhere, final long now) {
         unknownElsewhere.stream()
                 .flatMap(id -> find(id).stream())
@@ -246,7 +278,7 @@
                 .forEach(this::remove);
     }
 
-    /** Forgets how fresh the reports are, as after a rejoin; the reports stay. */
+    /** Discards the freshness of the reports, as a rejoin requires; the reports stay. */
     void resetFreshness() {
         freshness.reset();
         silenceDetector.reset();
@@ -254,8 +286,8 @@
     }
 
     /**
-     * Returns the workers that are not gone: at a controller as of when any controller heard them, at a gateway as of when
-     * the reports were confirmed.
+     * Returns the workers that are not gone, by id. They are dated to the last heartbeat that any controller
+     * received, at a controller, and to the last confirmation of the reports, at a gateway.
      */
     Map<String, Gossip.ObservedWorker> workers() {
         if (isSnapshotStale) {
@@ -267,7 +299,7 @@
         return workersSnapshot;
     }
 
-    /** Returns what is to be logged; each effect is handed out once. */
+    /** Returns the pending log events, and removes them. */
     List<Effect> drain() {
         final List<Effect> drained = List.copyOf(logs);
         logs.clear();
--- a/core/src/main/java/silverlatch/membership/FailureDetector.java
+++ b/core/src/main/java/silverlatch/membership/FailureDetector.java
@@ -8,9 +8,9 @@
 import silverlatch.node.Event;
 
 /**
- * Finds which of the watched members are silent. While more than half of them are (two at least) the node suspects itself
- * and nobody else: it is more likely that it was cut off or paused than that they all failed. Times are microseconds of the
- * node's monotonic clock.
+ * Detects which of the watched members are silent. While more than half of them are (and at least two), the node
+ * suspects itself and no other member: it is more likely that this node was cut off or paused than that all of them
+ * failed. Times are microseconds of the node's monotonic clock.
  */
 final class FailureDetector {
     private static final int MIN_SILENT_TO_SUSPECT_SELF = 2;
@@ -23,7 +23,7 @@
         this.suspicionTimeout = suspicionTimeout;
     }
 
-    /** Returns whether more than half of the watched members are silent. */
+    /** Returns whether the node suspects itself, since more than half of the watched members are silent. */
     boolean suspectsSelf() {
         return suspectsSelf;
     }
@@ -32,7 +32,10 @@
         lastHeartbeats.put(id, now);
     }
 
-    /** Returns the watched members that are silent; one that is watched anew counts as heard now. */
+    /**
+     * Returns the watched members whose last heartbeat is older than the suspicion time-out. For a member that wasn't
+     * watched at the last call, the time-out starts now.
+     */
     List<Member> silentMembers(final List<Member> watched, final long now) {
         watched.forEach(m -> lastHeartbeats.putIfAbsent(m.id(), now));
         lastHeartbeats.keySet().retainAll(watched.stream().map(Member::id).toList());
@@ -41,12 +44,13 @@
                 .toList();
     }
 
-    /** Decides whether the node suspects itself; returns what is to be logged if it begins to. */
+    /** Updates whether the node suspects itself. Returns a log event if it starts to. */
     Optional<Effect.Log> updateSelfSuspicion(final int silent, final int watched) {
         final boolean before = suspectsSelf;
         suspectsSelf = silent >= MIN_SILENT_TO_SUSPECT_SELF && silent * 2 > watched;
         return suspectsSelf && !before
-                ? Optional.of(new Effect.Log(Event.SELF_DOUBT, silent + " of " + watched + " watched are silent"))
+                ? Optional.of(
+                        new Effect.Log(Event.SELF_DOUBT, silent + " of " + watched + " watched members are silent"))
                 : Optional.empty();
     }
 }
--- a/core/src/main/java/silverlatch/membership/JoinSchedule.java
+++ b/core/src/main/java/silverlatch/membership/JoinSchedule.java
@@ -5,17 +5,21 @@
 import java.util.Optional;
 
 /**
- * When a node greets its seeds, and which of them; and which dead members it tries to reconnect to.
+ * Decides when a node sends join requests, and to which seeds and dead members.
  *
- * <p>A node that joins greets all seeds often until one of them answers with its member list. After that it greets, less
- * often, the seeds at which no member is up. Two sides of a partition declare each other dead; where all seeds lie on a
- * node's own side nothing else would bring the sides together again, so that one of the members that died lately is greeted
- * as well, each in its turn. Times are microseconds of the node's monotonic clock.
+ * <p>A node that is joining sends join requests to all seeds at a short interval, until one of them replies with its
+ * member list. From then on it sends them, at a longer interval, to the seeds whose addresses belong to no member
+ * that is up.
+ *
+ * <p>The two sides of a partition declare each other dead. If all seeds are on a node's own side, nothing else would
+ * reconnect the sides; so each time a join request also goes to one of the members that died recently, round robin.
+ * Times are microseconds of the node's monotonic clock.
  */
 final class JoinSchedule {
+    /** The interval between join requests while joining. */
     private static final long SHORT_INTERVAL_MICROS = 200_000L;
 
-    /** For so long after its death a member is greeted again. */
+    /** How long after its death a member still gets join requests. */
     private static final long RECONNECT_WINDOW_MICROS = 600_000_000L;
 
     private final String selfAddress;
@@ -34,7 +38,7 @@
         this.members = members;
     }
 
-    /** Takes other seeds; greets them all at the next call of {@link #joinTargets} if they have changed. */
+    /** Replaces the seeds. If they have changed, the next call of {@link #joinTargets} returns all of them. */
     void setSeeds(final List<String> newSeeds) {
         if (!seeds.equals(newSeeds)) {
             seeds = List.copyOf(newSeeds);
@@ -42,23 +46,23 @@
         }
     }
 
-    /** Joins anew at the next call of {@link #joinTargets}. */
+    /** Starts joining again at the next call of {@link #joinTargets}. */
     void restart() {
         lastAttempt = 0;
         isJoining = true;
     }
 
-    /** Sets whether seeds at which no member is up are greeted as often as by a node that joins. */
-    void setUseShortInterval(final boolean hurried) {
-        useShortInterval = hurried;
+    /** Sets whether a node that has joined also uses the short interval of a joining node. */
+    void setUseShortInterval(final boolean isShort) {
+        useShortInterval = isShort;
     }
 
-    /** Notes that a member list came. */
+    /** Records that a member list arrived, so that the node has joined. */
     void onMemberList() {
         isJoining = false;
     }
 
-    /** Returns the addresses to greet now; none where no attempt is due. */
+    /** Returns the addresses to send join requests to now; empty if none are due. */
     List<String> joinTargets(final long now) {
         final long due = isJoining || useShortInterval ? Math.min(SHORT_INTERVAL_MICROS, interval) : interval;
         if (now - lastAttempt < due) {
--- a/core/src/main/java/silverlatch/membership/Member.java
+++ b/core/src/main/java/silverlatch/membership/Member.java
@@ -1,21 +1,23 @@
 package silverlatch.membership;
 
 /**
- * A node of the fleet as the others know it; at the same time an update on it that one node sends to another.
+ * A node of the fleet as the other nodes know it; also the membership update by which one node tells another about
+ * it.
  *
- * <p>Of two updates on a member the one with the larger incarnation counts, then the one with the higher sequence, then the
- * one with the more severe state. Only the member itself raises its incarnation and its sequence.
+ * <p>Of two updates on a member the one with the larger incarnation supersedes the other, then the one with the
+ * higher sequence, then the one with the more severe state. Only the member itself increases its incarnation and its
+ * sequence.
  *
- * @param id          its name
- * @param role        {@code gateway} or {@code controller}
- * @param zone        its zone
- * @param region      its region
- * @param address     host and port at which it takes frames
- * @param httpAddress host and port at which it takes HTTP requests
+ * @param id its name
+ * @param role {@code gateway} or {@code controller}
+ * @param zone its zone
+ * @param region its region
+ * @param address host and port at which it receives frames
+ * @param httpAddress host and port at which it accepts HTTP requests
  * @param incarnation a number that is larger for each start and each rejoin
- * @param sequence    how often it refuted a suspicion or changed its readiness in this incarnation
- * @param state       the {@link MemberState#wireName} of its state; that of a later version may be unknown here
- * @param ready       whether it takes requests
+ * @param sequence how often it refuted a suspicion or changed its readiness in this incarnation
+ * @param state the {@link MemberState#wireName} of its state; may be unknown here if sent by a later version
+ * @param ready whether it accepts requests
  */
 public record Member(
         String id,
@@ -30,10 +32,10 @@
         boolean ready) {
     private static final String GATEWAY_ROLE = "gateway";
 
-    /** Precedences of one sequence lie so far apart from those of the next; part of the wire format. */
+    /** The distance between the precedences of two successive sequences; part of the wire format. */
     private static final int PRECEDENCES_PER_SEQUENCE = 4;
 
-    /** Returns a member as it starts an incarnation: up, but not ready yet. */
+    /** Returns a member at the start of an incarnation: up, but not ready yet. */
     public static Member starting(
             final String id,
             final String role,
@@ -46,7 +48,7 @@
                 id, role, zone, region, address, httpAddress, incarnation, 0, MemberState.UP.wireName(), false);
     }
 
-    /** Returns whether this update on a member supersedes another on the same one. */
+    /** Returns whether this update supersedes another one on the same member. */
     public boolean supersedes(final Member other) {
         if (incarnation != other.incarnation) {
             return incarnation > other.incarnation;
@@ -57,12 +59,12 @@
         return severity() > other.severity();
     }
 
-    /** Returns the rank of this update among those of one incarnation. */
+    /** Returns the rank of this update among those on one incarnation. */
     public long precedence() {
         return sequence * PRECEDENCES_PER_SEQUENCE + severity();
     }
 
-    /** Returns whether the member is in a state. */
+    /** Returns whether the member is in the given state. */
     public boolean is(final MemberState other) {
         return state.equals(other.wireName());
     }
@@ -74,17 +76,17 @@
     }
 
     /**
-     * Returns the same member after a transition.
+     * Returns the same member after a state transition.
      *
-     * @throws IllegalStateException if the trigger can't occur in its state, or its state isn't known here
+     * @throws IllegalStateException if the trigger can't occur in its state, or the state isn't known here
      */
     public Member after(final MemberState.Trigger trigger) {
-        final MemberState current =
-                MemberState.ofWireName(state).orElseThrow(() -> new IllegalStateException("no member state " + state));
+        final MemberState current = MemberState.ofWireName(state)
+                .orElseThrow(() -> new IllegalStateException("unknown member state: " + state));
         return withState(current.after(trigger));
     }
 
-    /** Returns the member as it refutes a suspicion or changes its readiness: up, under a higher sequence. */
+    /** Returns the member after it refutes a suspicion or changes its readiness: up, with a higher sequence. */
     public Member asUp(final long newSequence, final boolean isReady) {
         return new Member(
                 id,
@@ -105,17 +107,17 @@
                 id, role, zone, region, address, httpAddress, newIncarnation, 0, MemberState.UP.wireName(), ready);
     }
 
-    /** Returns whether it is thought to be alive. */
+    /** Returns whether the member is considered alive: up or suspected. */
     public boolean isLive() {
         return is(MemberState.UP) || is(MemberState.SUSPECT);
     }
 
-    /** Returns whether it is a gateway; if not it is a controller. */
+    /** Returns whether the member is a gateway; if not, it is a controller. */
     public boolean isGateway() {
         return role.equals(GATEWAY_ROLE);
     }
 
-    /** Returns the severity of the state; a state that isn't known here comes before all. */
+    /** Returns the severity of the state; an unknown state is the least severe. */
     private int severity() {
         return MemberState.ofWireName(state).map(MemberState::ordinal).orElse(-1);
     }
--- a/core/src/main/java/silverlatch/membership/MemberState.java
+++ b/core/src/main/java/silverlatch/membership/MemberState.java
@@ -7,20 +7,23 @@
 import java.util.stream.Collectors;
 
 /**
- * What the other nodes think of a member within one sequence of it. The order is that of severity: of two updates with the
- * same incarnation and sequence the more severe one counts.
+ * The state of a member, within one sequence, as the other nodes see it. The constants are in the order of severity:
+ * of two updates with the same incarnation and sequence the one with the more severe state supersedes the other.
  *
- * <p>The legal transitions are those of {@link #after} and no others: from up to suspect to dead, and from each to left. None
- * leads back; a member that refutes a suspicion or comes back is up under a higher sequence or incarnation.
+ * <p>The only transitions are those of {@link #after}: from up to suspect to dead, and from every state to left. None
+ * leads back: a member that refutes a suspicion or restarts is up under a higher sequence or incarnation.
  */
 public enum MemberState {
-    /** It is alive as far as is known. */
+    /** Alive as far as is known. */
     UP("up"),
-    /** Its heartbeats are missing; it still counts as live until it refutes that or the death time-out is over. */
+    /**
+     * Its heartbeats are missing. It still counts as live until it refutes the suspicion or the death time-out
+     * expires.
+     */
     SUSPECT("suspect"),
-    /** It didn't refute the suspicion in time. */
+    /** It didn't refute the suspicion before the death time-out expired. */
     DEAD("dead"),
-    /** It shut down of its own accord. */
+    /** It shut down gracefully. */
     LEFT("left");
 
     private static final Map<String, MemberState> BY_WIRE_NAME =
@@ -32,28 +35,28 @@
         this.wireName = wireName;
     }
 
-    /** What moves a member from one state to another. */
+    /** What causes a state transition of a member. */
     public enum Trigger {
         /** The member's watchers miss its heartbeats. */
         HEARTBEATS_MISSED,
-        /** The member has been suspected for the death time-out. */
+        /** The member was suspected for the whole death time-out. */
         DEATH_TIMEOUT,
         /** The member announces that it leaves. */
         LEAVE
     }
 
-    /** Returns the name that stands for the state on the wire and in the API. */
+    /** Returns the name of the state on the wire and in the API. */
     public String wireName() {
         return wireName;
     }
 
-    /** Returns the state of a name, or nothing where the name is none of those known here. */
+    /** Returns the state with a wire name, or empty if no state has that name. */
     public static Optional<MemberState> ofWireName(final String name) {
         return Optional.ofNullable(BY_WIRE_NAME.get(name));
     }
 
     /**
-     * Returns the state that follows.
+     * Returns the state after a trigger.
      *
      * @throws IllegalStateException if the trigger can't occur in this state
      */
@@ -62,7 +65,8 @@
             case HEARTBEATS_MISSED -> this == UP ? SUSPECT : this;
             case DEATH_TIMEOUT -> {
                 if (this != SUSPECT) {
-                    throw new IllegalStateException("a member that is " + wireName + " can't time out");
+                    throw new IllegalStateException(
+                            "a member in state " + wireName + " can't time out; only a suspected one can");
                 }
                 yield DEAD;
             }
--- a/core/src/main/java/silverlatch/membership/MemberTable.java
+++ b/core/src/main/java/silverlatch/membership/MemberTable.java
@@ -10,10 +10,11 @@
 import silverlatch.util.Fnv1a;
 
 /**
- * The members that a node knows, itself among them, by name and on a ring.
+ * The members that a node knows, including itself, by id and on a ring.
  *
- * <p>All live members lie on a ring in the order of a hash of their names, which is the same at every node that knows the
- * same live members. Each is watched by the next ones on the ring. Lists derived from the table are kept until it changes.
+ * <p>The ring contains all live members in the order of a hash of their ids; all nodes that know the same live
+ * members compute the same ring. Each member is watched by the next ones on the ring. Lists derived from the table
+ * are cached until it changes.
  */
 final class MemberTable {
     /** How many members watch each member. */
@@ -35,12 +36,12 @@
         members.put(selfId, self);
     }
 
-    /** Returns a number that changes whenever what is known of any member does. */
+    /** Returns a number that changes whenever any member's entry does. */
     long version() {
         return version;
     }
 
-    /** Returns all members, in the order of their names. */
+    /** Returns all members, ordered by id. */
     List<Member> all() {
         return List.copyOf(members.values());
     }
@@ -49,23 +50,23 @@
         return Optional.ofNullable(members.get(id));
     }
 
-    /** Takes a change of this node itself. */
+    /** Stores a change of this node's own entry. */
     void putSelf(final Member self) {
         put(self);
     }
 
-    /** Takes an update on another member. */
+    /** Stores an update on another member. */
     void putOther(final Member member, final long now) {
         put(member);
         updatedAt.put(member.id(), now);
     }
 
-    /** Returns the microseconds since the last update on a member; 0 where there was none. */
+    /** Returns the microseconds since the last update on a member; 0 if there was none. */
     long sinceUpdate(final Member member, final long now) {
         return now - updatedAt.getOrDefault(member.id(), now);
     }
 
-    /** Returns the members thought to be alive, without this node. */
+    /** Returns the members considered alive, except this node. */
     List<Member> liveOthers() {
         if (liveOthers.isEmpty()) {
             liveOthers = Optional.of(members.values().stream()
@@ -75,7 +76,7 @@
         return liveOthers.get();
     }
 
-    /** Returns the members that are suspected. */
+    /** Returns the suspected members. */
     List<Member> suspects() {
         if (suspects.isEmpty()) {
             suspects = Optional.of(members.values().stream()
@@ -96,7 +97,7 @@
         return watchers;
     }
 
-    /** Returns the members that this node watches; none while it isn't live itself. */
+    /** Returns the members that this node watches; empty if this node itself isn't live. */
     List<Member> watchedBySelf() {
         if (watched.isEmpty()) {
             watched = Optional.of(precedingOnRing());
--- a/core/src/main/java/silverlatch/membership/Membership.java
+++ b/core/src/main/java/silverlatch/membership/Membership.java
@@ -10,13 +10,15 @@
 import silverlatch.wire.Message;
 
 /**
- * Who is in the fleet and who is alive, in the manner of SWIM: a node joins through seeds, sends heartbeats to a few
- * watchers, and its watchers suspect it when they miss them. A suspicion spreads by gossip; the suspected member refutes it
- * by a higher sequence, or is declared dead after the death time-out.
+ * Tracks which nodes belong to the fleet and which of them are alive, by a protocol similar to SWIM. A node joins
+ * through seeds and sends heartbeats to a few watchers, which suspect it if they miss its heartbeats. Gossip spreads
+ * the suspicion. The suspected member refutes it with a higher sequence, or is declared dead after the death
+ * time-out.
  *
- * <p>For each member the newest update counts ({@link Member#supersedes}); a node refutes wrong updates on itself. The class
- * does no input or output: updates to forward and what is to be sent and logged are collected for {@link #drainUpdates} and
- * {@link #drain}. The node's event loop alone calls it. All times are microseconds of the node's monotonic clock.
+ * <p>For each member the newest update is valid ({@link Member#supersedes}). A node refutes wrong updates on itself.
+ * This class does no input or output: updates to forward are collected for {@link #drainUpdates}, and messages and
+ * log events for {@link #drain}. Only the node's event loop calls it. All times are microseconds of the node's
+ * monotonic clock.
  */
 public final class Membership {
     private final Settings settings;
@@ -32,12 +34,13 @@
     /**
      * The time-outs and intervals of the membership, in microseconds.
      *
-     * @param heartbeatInterval  between two heartbeats
-     * @param suspicionTimeout   without a heartbeat after which a member is suspected
-     * @param deathTimeout       for which a suspicion stands before the member counts as dead
-     * @param joinInterval       between two attempts to greet seeds that aren't known as members
-     * @param fullHeartbeatEvery one in so many heartbeats carries the whole member, the others its incarnation alone; where
-     *                           that is more than one, the members of a member list aren't forwarded either
+     * @param heartbeatInterval the time between two heartbeats
+     * @param suspicionTimeout the time without a heartbeat after which a member is suspected
+     * @param deathTimeout the time after which a suspected member is declared dead unless it refutes the suspicion
+     * @param joinInterval the time between two join requests to seeds at which no member is up
+     * @param fullHeartbeatEvery one in this many heartbeats carries the whole member entry, the others carry its
+     *                           incarnation only; if this is more than 1, the members of a received member list
+     *                           aren't forwarded
      */
     public record Settings(
             long heartbeatInterval,
@@ -45,7 +48,7 @@
             long deathTimeout,
             long joinInterval,
             int fullHeartbeatEvery) {
-        /** The values that hold when the settings name none. */
+        /** The defaults. */
         public static final Settings DEFAULTS = new Builder()
                 .heartbeatInterval(250_000L)
                 .suspicionTimeout(1_500_000L)
@@ -54,14 +57,16 @@
                 .fullHeartbeatEvery(1)
                 .build();
 
-        /** Values for a large fleet: fewer heartbeats, of which only one in four carries the whole member. */
+        /**
+         * The values for a large fleet: fewer heartbeats, only one in four of which carries the whole member entry.
+         */
         public static final Settings LARGE_FLEET = DEFAULTS.toBuilder()
                 .heartbeatInterval(500_000L)
                 .suspicionTimeout(2_000_000L)
                 .fullHeartbeatEvery(4)
                 .build();
 
-        /** Returns a builder that starts from these values. */
+        /** Returns a builder initialized with these values. */
         public Builder toBuilder() {
             return new Builder()
                     .heartbeatInterval(heartbeatInterval)
@@ -71,7 +76,7 @@
                     .fullHeartbeatEvery(fullHeartbeatEvery);
         }
 
-        /** Builds settings; all times in microseconds. */
+        /** Builds settings. All times are in microseconds. */
         public static final class Builder {
             private long heartbeatInterval;
             private long suspicionTimeout;
@@ -119,7 +124,7 @@
         }
     }
 
-    /** Makes the membership of a node that knows itself and the addresses of its seeds. */
+    /** Creates the membership of a node that initially knows only itself and the addresses of its seeds. */
     public Membership(final Member self, final List<String> seeds, final Settings settings) {
         this.self = self;
         this.settings = settings;
@@ -128,27 +133,27 @@
         this.joinSchedule = new JoinSchedule(self.address(), seeds, settings.joinInterval(), members);
     }
 
-    /** Returns this node as the others are to know it. */
+    /** Returns this node's own entry, as it is announced to other nodes. */
     public Member self() {
         return self;
     }
 
-    /** Returns all members known, in the order of their names, this node and dead ones among them. */
+    /** Returns all known members ordered by id, including this node and dead members. */
     public List<Member> all() {
         return members.all();
     }
 
-    /** Returns a number that changes whenever what is known of any member does. */
+    /** Returns a number that changes whenever any member's entry does. */
     public long version() {
         return members.version();
     }
 
-    /** Returns the members thought to be alive, without this node. */
+    /** Returns the members considered alive, except this node. */
     public List<Member> liveMembers() {
         return members.liveOthers();
     }
 
-    /** Returns a member by its name. */
+    /** Returns a member by its id. */
     public Optional<Member> get(final String id) {
         return members.find(id);
     }
@@ -158,56 +163,61 @@
         return members.watchersOf(id);
     }
 
-    /** Returns whether this node suspects itself, since it misses most of the members that it watches. */
+    /** Returns whether this node suspects itself, since it misses the heartbeats of most members that it watches. */
     public boolean suspectsSelf() {
         return failureDetector.suspectsSelf();
     }
 
-    /** Sets whether this node takes requests, and announces it if that has changed. */
+    /** Sets whether this node accepts requests, and announces that if it has changed. */
     public void setReady(final boolean isReady) {
         if (self.ready() != isReady) {
             updateSelf(self.asUp(self.sequence() + 1, isReady));
         }
     }
 
-    /** Sets the addresses of the seeds; if they have changed they are greeted at the next tick. */
+    /**
+     * Replaces the addresses of the seeds. If they have changed, the next tick sends join requests to all of them.
+     */
     public void setSeeds(final List<String> seeds) {
         joinSchedule.setSeeds(seeds);
     }
 
-    /** Greets all seeds at the next tick, known or not. */
+    /** Sends join requests to all seeds at the next tick, whether or not they are known as members. */
     public void restartJoin() {
         joinSchedule.restart();
     }
 
-    /** Sets whether this node waits for seeds that aren't up, so that it greets them more often. */
+    /**
+     * Sets whether this node depends on seeds that aren't up; while it does, it sends join requests at the short
+     * interval.
+     */
     public void setWaitingForSeeds(final boolean isWaiting) {
         joinSchedule.setUseShortInterval(isWaiting);
     }
 
-    /** Starts a new incarnation of this node, as a rejoin does. */
+    /** Starts a new incarnation of this node, as a rejoin requires. */
     public void startIncarnation(final long incarnation) {
         updateSelf(self.withIncarnation(incarnation));
     }
 
-    /** Announces that this node leaves; from then on it refutes nothing. */
+    /** Announces that this node leaves. From then on it refutes no updates on itself. */
     public void leave() {
         updateSelf(self.after(MemberState.Trigger.LEAVE));
     }
 
     /**
-     * Takes a message of the membership protocol; any other is ignored.
+     * Processes a message of the membership protocol; ignores any other message.
      *
-     * @param physicalTime the physical time here, in fixed point units, for a node that joins
-     * @param stampFloor   the newest stamp here, for a node that joins
+     * @param physicalTime the physical time of this node in fixed-point units, sent to a node that joins
+     * @param stampFloor the newest stamp of this node, sent to a node that joins
      */
     public void onMessage(final Message message, final long now, final long physicalTime, final Stamp stampFloor) {
         switch (message) {
-            case MembershipMessage.JoinGreeting greeting -> {
-                onFullHeartbeat(greeting.sender(), now);
+            case MembershipMessage.JoinGreeting request -> {
+                onFullHeartbeat(request.sender(), now);
                 send(
-                        greeting.sender().address(),
-                        new MembershipMessage.MemberList(all(), greeting.sentAt(), physicalTime, stampFloor));
+                        request.sender().address(),
+                        new MembershipMessage.MemberList(all(), request.sentAt(), physicalTime, stampFloor));
             }
             case MembershipMessage.MemberList list -> {
                 joinSchedule.onMemberList();
@@ -223,17 +233,23 @@
         }
     }
 
-    /** Takes an update on a member, and forwards it if it supersedes what is known. */
+    /** Applies an update on a member, and forwards it, if it supersedes the known entry. */
     public void applyUpdate(final Member update, final long now) {
         applyUpdate(update, true, now);
     }
 
-    /** Takes an update from a node that exchanges all it knows with the others, so that it needn't be forwarded. */
+    /**
+     * Applies an update on a member as {@link #applyUpdate} does, but doesn't forward it. For updates from an
+     * exchange in which all nodes synchronize their members, so that forwarding is not needed.
+     */
     public void applyUpdateWithoutForwarding(final Member update, final long now) {
         applyUpdate(update, false, now);
     }
 
-    /** Greets seeds, sends heartbeats and looks for failed members, each where it is due; called some twenty times a second. */
+    /**
+     * Sends join requests and heartbeats that are due, and checks for failed members. Called about twenty times a
+     * second.
+     */
     public void tick(final long now) {
         joinSchedule.joinTargets(now).forEach(address -> send(address, new MembershipMessage.JoinGreeting(self, now)));
         if (now - lastHeartbeat >= settings.heartbeatInterval()) {
@@ -244,14 +260,14 @@
         detectFailures(now);
     }
 
-    /** Returns the updates to forward; each is handed out once. */
+    /** Returns the pending updates to forward, and removes them. */
     public List<Member> drainUpdates() {
         final List<Member> drained = List.copyOf(updates);
         updates.clear();
         return drained;
     }
 
-    /** Returns what is to be sent and logged; each effect is handed out once. */
+    /** Returns the pending messages and log events, and removes them. */
     public List<Effect> drain() {
         final List<Effect> drained = List.copyOf(effects);
         effects.clear();
@@ -291,7 +307,10 @@
         }
     }
 
-    /** Refutes what others say of this node, unless it is outdated: by a higher sequence, or by a higher incarnation. */
+    /**
+     * Refutes an update on this node unless it is outdated: by a higher incarnation if the update's incarnation is
+     * higher than this node's, and by a higher sequence if it is the same.
+     */
     private void applyUpdateOfSelf(final Member update) {
         if (update.incarnation() > self.incarnation()) {
             startIncarnation(update.incarnation() + 1);
@@ -326,7 +345,7 @@
     private void logState(final Member member) {
         final Event event =
                 MemberState.ofWireName(member.state()).map(Membership::eventOf).orElse(Event.MEMBER_LEFT);
-        effects.add(new Effect.Log(event, member.id() + " life " + member.incarnation()));
+        effects.add(new Effect.Log(event, member.id() + " incarnation " + member.incarnation()));
     }
 
     private static Event eventOf(final MemberState state) {
--- a/core/src/main/java/silverlatch/membership/package-info.java
+++ b/core/src/main/java/silverlatch/membership/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Who is in the fleet and who is alive, in the manner of SWIM. {@link silverlatch.membership.Membership} is the entry; the
- * states of a member and their transitions are {@link silverlatch.membership.MemberState}. See {@code docs/notes/gossip.md}.
+ * Tracks which nodes belong to the fleet and which of them are alive, by a protocol similar to SWIM. {@link
+ * silverlatch.membership.Membership} is the entry point; {@link silverlatch.membership.MemberState} defines the
+ * states of a member and their transitions. See {@code docs/notes/gossip.md}.
  */
 package silverlatch.membership;
--- a/core/src/main/java/silverlatch/node/ClockWaitQueue.java
+++ b/core/src/main/java/silverlatch/node/ClockWaitQueue.java
@@ -5,7 +5,10 @@
 import java.util.function.Predicate;
 import silverlatch.clock.ProcessClock;
 
-/** Frames or messages that wait, in their order, until the process clock can stamp them again after an overflow. */
+/**
+ * A FIFO queue of frames or messages that wait, after an overflow of the process clock, until the clock can stamp
+ * them.
+ */
 final class ClockWaitQueue<T> {
     private final Deque<Waiting<T>> waiting = new ArrayDeque<>();
 
@@ -17,21 +20,27 @@
         waiting.clear();
     }
 
-    /** Processes an item now if nothing waits and it can be stamped; else it waits. */
+    /**
+     * Processes an item at once if the queue is empty and the item can be stamped; otherwise appends it to the queue.
+     *
+     * @param process returns whether it could process an item
+     */
     void processOrAdd(final T item, final Predicate<T> process, final long now) {
         if (!waiting.isEmpty() || !process.test(item)) {
             waiting.add(new Waiting<>(item, now));
         }
     }
 
-    /** Processes what waits, until an item has to wait on. */
+    /** Processes the queued items in order, up to the first that can't be stamped yet. */
     void process(final Predicate<T> process) {
         while (!waiting.isEmpty() && process.test(waiting.peek().item())) {
             waiting.poll();
         }
     }
 
-    /** Removes what has waited for longer than {@link ProcessClock#MAX_WAIT_MICROS}; returns how many items. */
+    /**
+     * Removes the items that have waited for longer than {@link ProcessClock#MAX_WAIT_MICROS}. Returns their number.
+     */
     int removeExpired(final long now) {
         int removed = 0;
         while (!waiting.isEmpty() && now - waiting.peek().enqueuedAt() > ProcessClock.MAX_WAIT_MICROS) {
--- a/core/src/main/java/silverlatch/node/ClusterSnapshotBuilder.java
+++ b/core/src/main/java/silverlatch/node/ClusterSnapshotBuilder.java
@@ -11,13 +11,14 @@
 import silverlatch.state.Policy;
 
 /**
- * Copies what a node knows for the event loop that routes requests.
+ * Builds immutable copies of what a node knows, for the event loop that routes requests.
  *
- * <p>The configuration is given once it was confirmed as the newest as of a moment after this process started: so it is never older
- * than one by which an earlier process of this machine routed. Before that, and only for a bounded time after the start, one that
- * nobody has confirmed is given too where the settings allow it: it was committed, but may be older.
+ * <p>A snapshot contains the configuration only after it was confirmed as the newest as of a time after this process
+ * started. So it is never older than the configuration by which an earlier process on this machine routed. Until
+ * then, and only for a limited time after the start, a snapshot contains an unconfirmed configuration if the settings
+ * allow it: it was committed, but may be outdated.
  *
- * <p>While nothing changes the same snapshot is returned, so that a caller can tell by identity that there is nothing new.
+ * <p>As long as nothing changes the same instance is returned, so that a caller can detect changes by identity.
  */
 final class ClusterSnapshotBuilder {
     private final Node.Settings settings;
@@ -39,7 +40,11 @@
         this.startedAt = startedAt;
     }
 
-    /** Returns a snapshot as of now; without a moment of confirmation while the node hasn't joined. */
+    /**
+     * Returns a snapshot as of {@code now}.
+     *
+     * @param hasJoined whether this node has joined; if not, the snapshot has no time of confirmation
+     */
     ClusterSnapshot build(final boolean hasJoined, final long now) {
         isStateConfirmed = isStateConfirmed
                 || gossip.lastConfirmedAt().filter(at -> at >= startedAt).isPresent();
--- a/core/src/main/java/silverlatch/node/Event.java
+++ b/core/src/main/java/silverlatch/node/Event.java
@@ -1,43 +1,43 @@
 package silverlatch.node;
 
 /**
- * The numbered events of the log, catalogued in docs/log-events.md. Operators search and alert by number and name: neither
- * changes, and a number that was used once stays taken.
+ * The numbered events of the event log, documented in docs/log-events.md. Operators search and alert by number and
+ * name, so neither may change, and a number must never be reused.
  */
 public enum Event {
-    /** The process is up. */
+    /** The process has started. */
     STARTED(100, false),
-    /** The process takes requests. */
+    /** The process accepts requests. */
     READY(101, false),
-    /** The process takes no requests. */
+    /** The process accepts no requests. */
     UNREADY(102, true),
-    /** The process ends. */
+    /** The process is terminating. */
     STOPPED(103, false),
-    /** The settings have faults. */
+    /** The settings are invalid. */
     SETTINGS(104, true),
-    /** An unexpected error; the work at hand was given up. */
+    /** An unexpected error occurred; the work in progress was abandoned. */
     FAULT(105, true),
-    /** A member became known or came back. */
+    /** A member became known or is up again. */
     MEMBER_UP(200, false),
-    /** A member is suspected. */
+    /** A member is suspected to have failed. */
     MEMBER_SUSPECT(201, true),
-    /** A member is declared dead. */
+    /** A member was declared dead. */
     MEMBER_DEAD(202, true),
-    /** A member left. */
+    /** A member left the fleet. */
     MEMBER_LEFT(203, false),
-    /** Most of the watched members are silent; this node suspects itself. */
+    /** Most of the watched members are silent, so this node suspects itself of being cut off or paused. */
     SELF_DOUBT(204, true),
     /** A frame could not be decoded. */
     BAD_FRAME(300, true),
-    /** A frame was rejected since its stamp is too far ahead. */
+    /** A frame was rejected since its stamp is too far ahead of this node's clock. */
     FAR_STAMP(301, true),
-    /** A message was given up after the longest wait for an overflow of the clock. */
+    /** A message was dropped since an overflow of the process clock delayed it for longer than the maximum wait. */
     OVERFLOW(302, true),
-    /** The node rejoined with its clock set anew. */
+    /** The node rejoined with its process clock reset. */
     REJOIN(303, true),
     /** The wall clock jumped; the physical clock did not follow it. */
     WALL_JUMP(304, true),
-    /** The physical clock was moved to the median of the peers. */
+    /** The physical clock was shifted to the median of the peers. */
     ANCHORED(305, true),
     /** A peer rejected a stamp of this node as too far ahead. */
     ASTRAY(306, true),
@@ -47,11 +47,11 @@
     FOUNDED(400, false),
     /** A view was decided. */
     VIEW(401, false),
-    /** A view is proposed. */
+    /** A view was proposed. */
     PROPOSED(402, false),
-    /** A replica of the chain is suspected. */
+    /** A replica of the chain is suspected to have failed. */
     CHAIN_SUSPECT(403, true),
-    /** This replica was repaired and asks to join the chain. */
+    /** This replica was repaired and requests to join the chain. */
     MENDED(404, false),
     /** The disk failed; the replica left the chain. */
     DISK_BROKEN(405, true),
@@ -61,13 +61,16 @@
     DAMAGED(407, true),
     /** A snapshot was written. */
     PICTURE(408, false),
-    /** The list of workers beside the log can't be written. */
+    /** The list of workers next to the log can't be written. */
     ROSTER(409, true),
-    /** The disk can't be read or written; the replica waits for it. */
+    /** The disk can't be read or written; the replica waits until it can. */
     BARRED(410, true),
-    /** The log lacks what was acknowledged with it; the replica is fenced until it is repaired. */
+    /**
+     * The log lacks acknowledged entries that this replica must have synced, so its data directory was replaced or
+     * reverted; the replica is fenced until it is repaired.
+     */
     LOG_OUTDATED(411, true),
-    /** The data folder was written in another format; the process ends. */
+    /** The data directory was written in another format; the process terminates. */
     LOG_FORMAT(412, true),
     /** A command took effect. */
     CHANGED(500, false),
@@ -81,23 +84,23 @@
     TICKET_LOST(601, true),
     /** A worker became known. */
     WORKER_KNOWN(602, false),
-    /** A worker is leaving. */
+    /** A worker is draining. */
     WORKER_LEAVING(603, false),
-    /** A worker violated the protocol of the stream. */
+    /** A worker violated the stream protocol. */
     WORKER_BROKE(604, true),
-    /** No controller has heard from a worker for the silence time-out. */
+    /** No controller received an announcement from a worker for the silence time-out. */
     WORKER_SILENT(605, true),
-    /** A worker's incarnation is over. */
+    /** A worker's incarnation has ended. */
     WORKER_GONE(606, false),
-    /** An attempt failed, or was moved from a silent worker. */
+    /** An attempt failed, or was moved away from a silent worker. */
     RUN_BROKE(607, false),
-    /** The provider of the machines was called, and accepted it. */
+    /** The machine provider was called and accepted the call. */
     PROVIDER_CALLED(800, false),
-    /** A call of the provider had another outcome. */
+    /** A call to the machine provider was not accepted. */
     PROVIDER_FAILED(801, true),
-    /** Another number of workers is wanted in a zone. */
+    /** The desired number of workers in a zone changed. */
     WORKER_COUNT(802, false),
-    /** The recording can't be written; it ends here. */
+    /** The recording can't be written and stops here. */
     RECORD_BROKEN(700, true);
 
     private final int number;
@@ -108,12 +111,12 @@
         this.isWarning = isWarning;
     }
 
-    /** Returns the number, which the log prints after {@code SL}. */
+    /** Returns the number, which the log prints after the prefix {@code SL}. */
     public int number() {
         return number;
     }
 
-    /** Returns whether an operator should look. */
+    /** Returns whether an operator should look into the event. */
     public boolean isWarning() {
         return isWarning;
     }
--- a/core/src/main/java/silverlatch/node/FrameReceiver.java
+++ b/core/src/main/java/silverlatch/node/FrameReceiver.java
@@ -8,8 +8,8 @@
 import silverlatch.wire.Message;
 
 /**
- * Admits the frames that come in: merges each stamp into the process clock, rejects frames whose stamp is too far ahead or
- * that are of another fleet, and keeps frames waiting, in their order, while the clock overflows.
+ * Admits received frames. Merges each frame's stamp into the process clock, rejects frames whose stamp is too far
+ * ahead or that belong to another fleet, and queues frames in order while the clock overflows.
  */
 final class FrameReceiver {
     private final NodeClock clock;
@@ -20,19 +20,23 @@
     private final NodeCounters counters;
     private final ClockWaitQueue<Frame> waiting = new ClockWaitQueue<>();
 
-    /** Takes the frames that were admitted. */
+    /** Processes the messages of admitted frames. */
     @FunctionalInterface
     interface FrameHandler {
-        /** Takes the message of a frame, sent by the node at an address. */
+        /**
+         * Processes the message of a frame.
+         *
+         * @param sender the address of the sending node
+         */
         void onMessage(Message message, String sender, long now);
     }
 
     /**
-     * Makes a receiver.
+     * Creates a receiver.
      *
-     * @param fleet   the number of this node's fleet, 0 before it is known
-     * @param replies takes what is to be sent to senders whose stamp was rejected
-     * @param logs    takes what is to be logged
+     * @param fleet   supplies the number of this node's fleet, 0 before it is known
+     * @param replies consumes the replies to senders whose stamp was rejected
+     * @param logs    consumes the log events
      */
     FrameReceiver(
             final NodeClock clock,
@@ -49,7 +53,7 @@
         this.counters = counters;
     }
 
-    /** Takes a frame, now or once the clock can. */
+    /** Admits a frame, at once or as soon as the clock can stamp it. */
     void receive(final Frame frame, final long now) {
         waiting.processOrAdd(frame, f -> admit(f, now), now);
     }
@@ -58,22 +62,22 @@
         return waiting.isEmpty();
     }
 
-    /** Takes the frames that waited, as far as the clock can. */
+    /** Admits the queued frames in order, up to the first that the clock can't stamp yet. */
     void retry(final long now) {
         waiting.process(f -> admit(f, now));
     }
 
-    /** Removes the frames that have waited for too long; returns how many. */
+    /** Removes the queued frames that have waited for too long. Returns their number. */
     int removeExpired(final long now) {
         return waiting.removeExpired(now);
     }
 
-    /** Forgets the frames that wait. */
+    /** Discards the queued frames. */
     void clear() {
         waiting.clear();
     }
 
-    /** Returns false where the frame has to wait. */
+    /** Returns false if the frame has to wait for the clock. */
     private boolean admit(final Frame frame, final long now) {
         final long physicalTime = clock.physicalTime(now);
         final ClockReading reading = clock.processClock().receive(frame.stamp(), physicalTime);
@@ -92,7 +96,8 @@
     private void reject(final Frame frame, final long excess, final long now, final long physicalTime) {
         counters.increment(NodeCounters.FAR_STAMPS);
         clock.recordPeerOffset(frame.replyTo(), frame.stamp().bits() - physicalTime, now);
-        final String text = frame.from() + " is ahead by " + NtpTime.toMicros(excess) + " us too many";
+        final String text =
+                frame.from() + " sent a stamp that exceeds the clock skew bound by " + NtpTime.toMicros(excess) + " us";
         logs.accept(new Effect.Log(Event.FAR_STAMP, text));
         if (!(frame.body() instanceof Message.StampRejected)) {
             replies.accept(new Effect.Send(frame.replyTo(), new Message.StampRejected(excess, physicalTime)));
--- a/core/src/main/java/silverlatch/node/FrameSender.java
+++ b/core/src/main/java/silverlatch/node/FrameSender.java
@@ -7,7 +7,7 @@
 import silverlatch.membership.Membership;
 import silverlatch.wire.Frame;
 
-/** Stamps the messages that go out; keeps them waiting, in their order, while the clock overflows. */
+/** Stamps outgoing messages, and queues them in order while the process clock overflows. */
 final class FrameSender {
     private final NodeClock clock;
     private final Membership membership;
@@ -16,9 +16,9 @@
     private final List<OutgoingFrame> frames = new ArrayList<>();
 
     /**
-     * Makes a sender.
+     * Creates a sender.
      *
-     * @param fleet the number of this node's fleet, 0 before it is known
+     * @param fleet supplies the number of this node's fleet, 0 before it is known
      */
     FrameSender(final NodeClock clock, final Membership membership, final LongSupplier fleet) {
         this.clock = clock;
@@ -26,7 +26,7 @@
         this.fleet = fleet;
     }
 
-    /** Stamps a message, now or once the clock can. */
+    /** Stamps a message, at once or as soon as the clock can. */
     void send(final Effect.Send message, final long now) {
         waiting.processOrAdd(message, m -> stamp(m, now), now);
     }
@@ -35,29 +35,29 @@
         return waiting.isEmpty();
     }
 
-    /** Stamps the messages that waited, as far as the clock can. */
+    /** Stamps the queued messages in order, up to the first that the clock can't stamp yet. */
     void retry(final long now) {
         waiting.process(m -> stamp(m, now));
     }
 
-    /** Removes the messages that have waited for too long; returns how many. */
+    /** Removes the queued messages that have waited for too long. Returns their number. */
     int removeExpired(final long now) {
         return waiting.removeExpired(now);
     }
 
-    /** Forgets the messages that wait; what is stamped stays. */
+    /** Discards the queued messages; the stamped frames stay. */
     void clear() {
         waiting.clear();
     }
 
-    /** Returns the frames to be sent; each is handed out once. */
+    /** Returns the stamped frames to send, and removes them. */
     List<OutgoingFrame> drain() {
         final List<OutgoingFrame> drained = List.copyOf(frames);
         frames.clear();
         return drained;
     }
 
-    /** Returns false where the message has to wait. */
+    /** Returns false if the message has to wait for the clock. */
     private boolean stamp(final Effect.Send message, final long now) {
         final ClockReading reading = clock.processClock().send(clock.physicalTime(now));
         if (!(reading instanceof ClockReading.Stamped stamped)) {
--- a/core/src/main/java/silverlatch/node/MessageDispatcher.java
+++ b/core/src/main/java/silverlatch/node/MessageDispatcher.java
@@ -14,7 +14,10 @@
 import silverlatch.wire.Message;
 import silverlatch.wire.TrafficMessage;
 
-/** Hands each message to the part of the node that it is for: membership, gossip, chain client, or the chain's replica. */
+/**
+ * Dispatches each message to the component of the node that handles it: membership, gossip, chain client, traffic
+ * exchange, or the chain replica.
+ */
 final class MessageDispatcher {
     private final NodeClock clock;
     private final Membership membership;
@@ -42,20 +45,26 @@
         this.effects = effects;
     }
 
-    /** Returns whether a seed answered with its member list since this node started or last rejoined. */
+    /**
+     * Returns whether a node replied to a join request with its member list since this node started or last rejoined.
+     */
     boolean hasJoined() {
         return hasJoined;
     }
 
-    /** Forgets that the node has joined. */
+    /** Resets {@link #hasJoined} to false. */
     void onRejoin() {
         hasJoined = false;
     }
 
-    /** Hands over a message that the node at an address sent, which may be this one. */
+    /**
+     * Dispatches a message.
+     *
+     * @param sender the address of the sending node, which may be this one
+     */
     void dispatch(final Message message, final String sender, final long now) {
         switch (message) {
-            case MembershipMessage.JoinGreeting greeting -> toMembership(greeting, now);
+            case MembershipMessage.JoinGreeting request -> toMembership(request, now);
             case MembershipMessage.MemberList list -> onMemberList(list, sender, now);
             case MembershipMessage.LivenessHeartbeat heartbeat -> toMembership(heartbeat, now);
             case MembershipMessage.Heartbeat heartbeat -> toMembership(heartbeat, now);
@@ -76,7 +85,10 @@
         }
     }
 
-    /** Lets the gossip have what the chain's replica holds, and as of now if that is surely the newest. */
+    /**
+     * Passes the state and the view of the chain replica to the gossip; the state counts as confirmed as of {@code
+     * now} if the replica is up to date.
+     */
     void adoptReplicaState(final long now) {
         chainReplica
                 .get()
@@ -97,7 +109,8 @@
     }
 
     private void onStampRejected(final Message.StampRejected rejected, final String sender, final long now) {
-        final String text = sender + " says by " + NtpTime.toMicros(rejected.excess()) + " us too many";
+        final String text = sender + " rejected a stamp that exceeds the clock skew bound by "
+                + NtpTime.toMicros(rejected.excess()) + " us";
         effects.accept(new Effect.Log(Event.ASTRAY, text));
         clock.recordPeerOffset(sender, rejected.physicalTime() - clock.physicalTime(now), now);
     }
--- a/core/src/main/java/silverlatch/node/Node.java
+++ b/core/src/main/java/silverlatch/node/Node.java
@@ -25,18 +25,18 @@
 import silverlatch.wire.Frame;
 
 /**
- * The core that every process of a fleet runs: clock, membership, gossip, a client of the chain, and on a controller with a
- * data folder a replica of the chain.
+ * The core that runs in every process of a fleet: clocks, membership, gossip, a chain client and, on a controller
+ * with a data directory, a chain replica.
  *
- * <p>It does no input or output. The caller reports what happened (a frame, a tick, a synced write) and then takes what is to
- * be done by {@link #drainFrames} and {@link #drain}. Every such call runs to its end: the effects of the parts are processed
- * in the order in which they arose, messages to this node itself among them. One event loop owns a node; only the process
- * clock and the physical clock may be read by other threads.
+ * <p>It does no input or output. The caller reports events (a received frame, a tick, a synced write) and then takes
+ * the resulting effects from {@link #drainFrames} and {@link #drain}. Each such call completes before it returns: the
+ * effects of the components are processed in the order in which they arose, including messages to this node itself. A
+ * node belongs to one event loop; other threads may only read the process clock and the physical clock.
  *
- * <p>{@code now} is always microseconds of the monotonic clock of the process.
+ * <p>{@code now} is always microseconds of the process's monotonic clock.
  */
 public final class Node {
-    /** A bound on the effects of one call, against two parts that answer each other for ever. */
+    /** Limits the effects processed per call, in case two components respond to each other endlessly. */
     private static final int MAX_EFFECTS_PER_CALL = 10_000;
 
     private final Settings settings;
@@ -58,15 +58,15 @@
     /**
      * The identity and the settings of a node.
      *
-     * @param self         this node as the others are to know it
-     * @param seeds        the addresses through which it joins
-     * @param stampLowBits how many low bits of a stamp count events within one physical time
+     * @param self this node's own entry, as it is announced to other nodes
+     * @param seeds the addresses through which it joins
+     * @param stampLowBits how many low bits of a stamp count the events within one physical time
      * @param maxClockSkew by how many microseconds a clock may differ from the others
-     * @param membership   time-outs and intervals of the membership
-     * @param gossip       intervals of the gossip
-     * @param startupGrace for how long after its start a gateway may route by a configuration that nobody has confirmed, in
-     *                     microseconds; 0 where it may not
-     * @param safeguards   the checks that are enabled; all of them but in tests
+     * @param membership time-outs and intervals of the membership
+     * @param gossip intervals of the gossip
+     * @param startupGrace for how many microseconds after its start a gateway may route by an unconfirmed
+     *                     configuration; 0 if it may not
+     * @param safeguards the enabled safeguards; all of them except in tests
      */
     public record Settings(
             Member self,
@@ -82,7 +82,7 @@
             seeds = List.copyOf(seeds);
         }
 
-        /** Makes settings by which only confirmed configurations are followed. */
+        /** Creates settings that allow only confirmed configurations. */
         public Settings(
                 final Member self,
                 final List<String> seeds,
@@ -94,7 +94,7 @@
             this(self, seeds, stampLowBits, maxClockSkew, membership, gossip, 0, safeguards);
         }
 
-        /** Makes settings with all safeguards enabled, by which only confirmed configurations are followed. */
+        /** Creates settings that allow only confirmed configurations, with all safeguards enabled. */
         public Settings(
                 final Member self,
                 final List<String> seeds,
@@ -105,19 +105,22 @@
             this(self, seeds, stampLowBits, maxClockSkew, membership, gossip, Safeguards.ALL);
         }
 
-        /** The same with another time for which a gateway may route by an unconfirmed configuration, in microseconds. */
+        /**
+         * Returns these settings with another startup grace: for how many microseconds after its start a gateway may
+         * route by an unconfirmed configuration.
+         */
         public Settings withStartupGrace(final long micros) {
             return new Settings(self, seeds, stampLowBits, maxClockSkew, membership, gossip, micros, safeguards);
         }
     }
 
     /**
-     * Makes a node that starts.
+     * Creates a node that starts now.
      *
-     * @param chainSettings the settings of the chain's replica, where this node has a data folder
-     * @param records       what the log of the data folder holds
+     * @param chainSettings the settings of the chain replica; empty if this node has no data directory
+     * @param records the contents of the log in the data directory
      * @param physicalClock a physical clock read at the start
-     * @param random        chooses peers and numbers requests
+     * @param random chooses peers and request ids
      */
     public Node(
             final Settings settings,
@@ -146,12 +149,12 @@
                 replica -> gossip.adoptReplicaState(replica.stateMachine(), replica.view(), false, now));
     }
 
-    /** Makes the stamp of a local event at a moment of this event loop. */
+    /** Creates the stamp of a local event of this event loop. */
     public Stamp localStamp(final long now) {
         return clock.localStamp(now);
     }
 
-    /** Returns the clock that makes stamps; all event loops of the process share it. */
+    /** Returns the clock that creates stamps, which all event loops of the process share. */
     public ProcessClock processClock() {
         return clock.processClock();
     }
@@ -161,32 +164,35 @@
         return clock.physicalClock();
     }
 
-    /** Returns the membership; the caller may change seeds and read everything. */
+    /** Returns the membership. The caller may read all of it, but change only the seeds. */
     public Membership membership() {
         return membership;
     }
 
-    /** Returns the gossip; the caller reads only, but may restore reports before the first tick. */
+    /**
+     * Returns the gossip. The caller must only read it, except that it may restore saved reports and state before the
+     * first tick.
+     */
     public Gossip gossip() {
         return gossip;
     }
 
-    /** Returns the replica of the chain, at a controller with a data folder. */
+    /** Returns the chain replica; present on a controller with a data directory. */
     public Optional<ChainReplica> chainReplica() {
         return chainReplica;
     }
 
-    /** Returns the part that reports and collects what gateways serve. */
+    /** Returns the component that reports and collects the traffic served by gateways. */
     public TrafficExchange traffic() {
         return traffic;
     }
 
-    /** Returns counts of frames, by the names of {@link NodeCounters}. */
+    /** Returns the frame counters, by the names in {@link NodeCounters}. */
     public Map<String, Long> counters() {
         return counters.snapshot();
     }
 
-    /** Returns the newest view known here, be it by the replica or by gossip. */
+    /** Returns the newest view known to the chain replica or the gossip. */
     public View view() {
         final View gossiped = gossip.view();
         return chainReplica
@@ -195,17 +201,17 @@
                 .orElse(gossiped);
     }
 
-    /** Returns whether a frame, in or out, waits for the clock. */
+    /** Returns whether an incoming or outgoing frame waits for the process clock. */
     public boolean hasDelayedFrames() {
         return !sender.isEmpty() || !receiver.isEmpty();
     }
 
-    /** Returns a copy of what is known as of the last call, for the event loop that routes requests. */
+    /** Returns a snapshot as of the last call, for the event loop that routes requests. */
     public ClusterSnapshot clusterSnapshot() {
         return snapshotBuilder.build(dispatcher.hasJoined(), currentTime);
     }
 
-    /** Takes a frame that came in. */
+    /** Processes a received frame. */
     public void onFrame(final Frame frame, final long now) {
         advanceTime(now);
         receiver.receive(frame, now);
@@ -213,10 +219,10 @@
     }
 
     /**
-     * Takes an announcement that a worker made to this node.
+     * Processes an announcement that a worker made to this node.
      *
-     * @param echo the token that this node returned for the worker's last announcement here, or 0
-     * @return the token that the worker is to hand back
+     * @param echo the token that this node returned for the worker's previous announcement here, or 0
+     * @return the token that the worker has to return with its next announcement
      */
     public long onAnnouncement(final Worker worker, final long echo, final long now) {
         advanceTime(now);
@@ -226,7 +232,7 @@
         return token;
     }
 
-    /** Ends a worker's incarnation; returns false when it isn't known here. */
+    /** Ends a worker's incarnation. Returns false if the worker isn't known here. */
     public boolean onWorkerGone(final String id, final long now) {
         advanceTime(now);
         final boolean isKnown = gossip.onWorkerGone(id, now);
@@ -235,8 +241,8 @@
     }
 
     /**
-     * Answers by {@link Effect.Respond} with a boolean whether a majority of the controllers holds the newest report on a worker; at the
-     * deadline at last.
+     * Responds by {@link Effect.Respond}, with a Boolean, whether a majority of the controllers holds the newest
+     * report on a worker. The response is given at the deadline at the latest.
      */
     public void confirmReport(final String workerId, final long token, final long now, final long deadline) {
         advanceTime(now);
@@ -244,47 +250,56 @@
         processEffects(now);
     }
 
-    /** Submits a command to the chain; its result comes as {@link Effect.Respond} with the token, at the deadline at last. */
+    /**
+     * Submits a command to the chain. The result is given by {@link Effect.Respond} with the token, at the deadline
+     * at the latest.
+     */
     public void submit(final Command command, final long token, final long now, final long deadline) {
         advanceTime(now);
         chainClient.submit(command, token, now, deadline);
         processEffects(now);
     }
 
-    /** Reads the entries under a prefix from the chain; the answer comes as {@link Effect.Respond} with the token. */
+    /**
+     * Reads the entries whose keys have a prefix from the chain. The result is given by {@link Effect.Respond} with
+     * the token, at the deadline at the latest.
+     */
     public void read(final String keyPrefix, final long token, final long now, final long deadline) {
         advanceTime(now);
         chainClient.read(keyPrefix, token, now, deadline);
         processEffects(now);
     }
 
-    /** Takes notice that the write of an {@link Effect.Persist} is synced. */
+    /** Must be called when the write of an {@link Effect.Persist} has been synced. */
     public void onPersisted(final long token, final long now) {
         advanceTime(now);
         chainReplica.ifPresent(replica -> replica.synced(token, now));
         processEffects(now);
     }
 
-    /** Takes notice that the disk of the log failed. */
+    /** Must be called when the disk of the log has failed. */
     public void onDiskFailed(final String reason, final long now) {
         advanceTime(now);
         chainReplica.ifPresent(replica -> replica.diskFailed(reason));
         processEffects(now);
     }
 
-    /** Takes notice that the disk takes writes again: the replica starts anew from what the log holds. */
+    /** Must be called when the disk accepts writes again. The replica restarts from the contents of the log. */
     public void onDiskRecovered(final List<LogRecord> records, final long now) {
         advanceTime(now);
         chainReplica = chainReplica.map(replica -> replica.recovered(records, now));
         processEffects(now);
     }
 
-    /** Sets whether this node takes requests, as the others are to know it. */
+    /** Sets whether this node accepts requests, which is announced to other nodes. */
     public void setReady(final boolean isReady) {
         membership.setReady(isReady);
     }
 
-    /** Begins a graceful shutdown: announces it, and hands over what the replica holds. */
+    /**
+     * Starts a graceful shutdown: sends a last traffic report, announces that this node leaves, and requests that the
+     * chain replica is taken out of the chain.
+     */
     public void leave(final long now) {
         advanceTime(now);
         traffic.leave(now);
@@ -294,7 +309,7 @@
     }
 
     /**
-     * Does what is due; called some twenty times a second.
+     * Does the periodic work that is due. Called about twenty times a second.
      *
      * @param wallTime the wall clock, in nanoseconds since the Unix epoch
      */
@@ -314,12 +329,12 @@
         processEffects(now);
     }
 
-    /** Returns the frames to be sent; each is handed out once. */
+    /** Returns the frames to send, and removes them. */
     public List<OutgoingFrame> drainFrames() {
         return sender.drain();
     }
 
-    /** Returns all other effects; each is handed out once. */
+    /** Returns the other pending effects, and removes them. */
     public List<Effect> drain() {
         final List<Effect> drained = List.copyOf(effects);
         effects.clear();
@@ -330,7 +345,10 @@
         currentTime = Math.max(currentTime, now);
     }
 
-    /** Starts a new incarnation with a process clock set anew, as if this node had just started and knew nothing for sure. */
+    /**
+     * Starts a new incarnation with a reset process clock. As after a start, nothing that the node holds counts as
+     * confirmed.
+     */
     private void rejoin(final long now, final String reason) {
         counters.increment(NodeCounters.REJOINS);
         clock.reset(now);
@@ -350,7 +368,8 @@
         for (int i = 0; i < expired; i++) {
             clock.processClock().recordDrop(now);
             counters.increment(NodeCounters.OVERFLOWS);
-            effects.add(new Effect.Log(Event.OVERFLOW, "a message was given up"));
+            effects.add(new Effect.Log(
+                    Event.OVERFLOW, "a message was dropped after the maximum wait for the process clock"));
         }
     }
 
@@ -368,7 +387,7 @@
         }
     }
 
-    /** Hands a message to this node itself, or has it stamped for another. */
+    /** Dispatches a message to this node itself, or stamps a message to another node. */
     private void send(final Effect.Send send, final long now) {
         if (send.to().equals(settings.self().address())) {
             dispatcher.dispatch(send.message(), send.to(), now);
--- a/core/src/main/java/silverlatch/node/NodeClock.java
+++ b/core/src/main/java/silverlatch/node/NodeClock.java
@@ -15,20 +15,20 @@
 import silverlatch.log.LogRecord;
 
 /**
- * The clocks of a node: the physical clock, slewed towards the wall clock and moved to the median of the peers where it is
- * too far off, and the process clock that makes stamps from it.
+ * The clocks of a node: the physical clock, which is slewed towards the wall clock, and shifted to the median of the
+ * peers if it is too far off; and the process clock, which derives stamps from it.
  *
- * <p>Offsets to peers are differences of physical time in fixed point units; other times are microseconds of the monotonic
- * clock. The node's event loop alone changes anything here; other threads may read both clocks.
+ * <p>Offsets of peers are differences of physical time in fixed-point units; other times are microseconds of the
+ * monotonic clock. Only the node's event loop changes this object; other threads may read both clocks.
  */
 final class NodeClock {
     private static final long SLEW_INTERVAL_MICROS = 1_000_000L;
     private static final long CHECK_INTERVAL_MICROS = 500_000L;
 
-    /** For so long a peer's offset counts for the median. */
+    /** How long a peer's offset is used for the median. */
     private static final long OFFSET_RETENTION_MICROS = 4_000_000L;
 
-    /** A median is taken over so many clocks at least, this one among them. */
+    /** The minimum number of clocks for a median, including this node's own. */
     private static final int MIN_CLOCKS = 3;
 
     private final long maxSkewMicros;
@@ -41,10 +41,11 @@
     private long lastCheck;
 
     /**
-     * Makes the clocks of a node that starts.
+     * Creates the clocks of a node that starts.
      *
-     * @param records what its log holds; no stamp is made below the newest in it
-     * @param effects takes what is to be logged
+     * @param records the contents of the node's log; once {@link #raiseToLogFloor} has succeeded, all stamps are
+     *                above the newest one in it
+     * @param effects consumes the log events
      */
     NodeClock(
             final Node.Settings settings,
@@ -75,7 +76,7 @@
         return Stream.empty();
     }
 
-    /** Returns the clock that makes stamps; all event loops of the process share it. */
+    /** Returns the clock that creates stamps, which all event loops of the process share. */
     ProcessClock processClock() {
         return processClock;
     }
@@ -85,17 +86,17 @@
         return physicalClock;
     }
 
-    /** Returns the physical time at a moment, in fixed point units. */
+    /** Returns the physical time as of {@code now}, in fixed-point units. */
     long physicalTime(final long now) {
         return physicalClock.physicalTime(now);
     }
 
-    /** Makes the stamp of a local event. */
+    /** Creates the stamp of a local event. */
     Stamp localStamp(final long now) {
         return processClock.local(physicalTime(now));
     }
 
-    /** Slews the physical clock towards the wall clock, where that is due; a wall clock that jumped isn't followed. */
+    /** Slews the physical clock towards the wall clock if that is due. Doesn't follow a wall clock that jumped. */
     void slew(final long now, final long wallTime) {
         if (now - lastSlew < SLEW_INTERVAL_MICROS) {
             return;
@@ -104,22 +105,28 @@
         final long jumps = physicalClock.jumps();
         physicalClock = physicalClock.slew(wallTime, now, maxSkewMicros);
         if (physicalClock.jumps() > jumps && physicalClock.jumps() == 1) {
-            effects.accept(new Effect.Log(Event.WALL_JUMP, "the wall clock is not followed"));
+            effects.accept(
+                    new Effect.Log(Event.WALL_JUMP, "the wall clock jumped; the physical clock does not follow it"));
         }
     }
 
-    /** Raises the stamps above the newest one in the log, once that is within the bound of the physical clock. */
+    /**
+     * Raises the process clock above the newest stamp in the log, as soon as that stamp is within the skew bound of
+     * the physical clock.
+     */
     void raiseToLogFloor(final long now) {
         stampFloor = stampFloor.filter(
                 floor -> processClock.raiseAbove(floor, physicalTime(now)).isEmpty());
     }
 
-    /** Notes how far the clock of the peer at an address is ahead, in fixed point units; 0 where it is in bounds. */
+    /**
+     * Records by how many fixed-point units the clock of the peer at an address is ahead; 0 if it is within bounds.
+     */
     void recordPeerOffset(final String address, final long offset, final long now) {
         peerOffsets.put(address, new PeerOffset(offset, now));
     }
 
-    /** Checks the clocks where that is due; returns why the node has to rejoin with a new clock, if it has to. */
+    /** Checks the clocks if that is due. If the node has to rejoin with a reset clock, returns the reason. */
     Optional<String> check(final long now) {
         if (now - lastCheck < CHECK_INTERVAL_MICROS) {
             return Optional.empty();
@@ -131,19 +138,22 @@
         if (peerOffsets.size() + 1 >= MIN_CLOCKS && Math.abs(median) > NtpTime.fromMicros(maxSkewMicros)) {
             final long shift = median < 0 ? -NtpTime.toMicros(-median) : NtpTime.toMicros(median);
             physicalClock = physicalClock.shiftedBy(shift);
-            effects.accept(new Effect.Log(Event.ANCHORED, "moved by " + shift + " us"));
+            effects.accept(new Effect.Log(Event.ANCHORED, "the physical clock was shifted by " + shift + " us"));
             return Optional.of("the median of the peers");
         }
         return processClock.needsRejoin(physicalTime) ? Optional.of("overflows") : Optional.empty();
     }
 
-    /** Starts the process clock anew from the physical clock, and forgets the peers' offsets. */
+    /** Restarts the process clock from the physical clock, and discards the offsets of the peers. */
     void reset(final long now) {
         processClock.reset(physicalTime(now));
         peerOffsets.clear();
     }
 
-    /** Returns the median of the peers' offsets and this node's own, which is 0; the lower one of two in the middle. */
+    /**
+     * Returns the median of the peers' offsets and this node's own, which is 0; with an even count, the lower of the
+     * two middle ones.
+     */
     private long medianOffset() {
         final List<Long> offsets = new ArrayList<>(
                 peerOffsets.values().stream().map(PeerOffset::offset).toList());
--- a/core/src/main/java/silverlatch/node/NodeCounters.java
+++ b/core/src/main/java/silverlatch/node/NodeCounters.java
@@ -3,17 +3,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Counts of what a node's transport brought, under the names that the metrics use. */
+/** Counters of a node's transport, under the names that the metrics use. */
 final class NodeCounters {
-    /** Frames taken. */
+    /** Frames admitted. */
     static final String FRAMES = "frames";
-    /** Frames rejected since their stamp was too far ahead. */
+    /** Frames rejected since their stamp is too far ahead. */
     static final String FAR_STAMPS = "far";
-    /** Frames of other fleets. */
+    /** Frames rejected since they belong to another fleet. */
     static final String OTHER_FLEETS = "fleet";
-    /** Messages given up since the clock overflowed for too long. */
+    /** Messages dropped since an overflow of the process clock delayed them for too long. */
     static final String OVERFLOWS = "overflow";
-    /** Rejoins with a new clock. */
+    /** Rejoins with a reset clock. */
     static final String REJOINS = "rejoins";
 
     private final Map<String, Long> counts = new HashMap<>();
@@ -22,7 +22,7 @@
         counts.merge(name, 1L, Long::sum);
     }
 
-    /** Returns a copy of the counts; what never happened isn't in it. */
+    /** Returns a copy of the counters; a counter that was never incremented is missing. */
     Map<String, Long> snapshot() {
         return Map.copyOf(counts);
     }
--- a/core/src/main/java/silverlatch/node/OutgoingFrame.java
+++ b/core/src/main/java/silverlatch/node/OutgoingFrame.java
@@ -3,9 +3,9 @@
 import silverlatch.wire.Frame;
 
 /**
- * A stamped frame on its way.
+ * A stamped frame to send.
  *
- * @param to    host and port of the node that it goes to
+ * @param to host and port of the receiving node
  * @param frame the frame
  */
 public record OutgoingFrame(String to, Frame frame) {}
--- a/core/src/main/java/silverlatch/node/TrafficExchange.java
+++ b/core/src/main/java/silverlatch/node/TrafficExchange.java
@@ -21,12 +21,17 @@
 import silverlatch.wire.TrafficMessage;
 
 /**
- * The node's part in what gateways serve: a gateway reports it to the owner of the singleton role, and a controller collects it and, while
- * it owns the role, closes the windows of usage. Neither is done before {@link #enableReporting} or {@link #enableUsageClosing} is called, before the first
- * tick. Owned by the node's event loop.
+ * Exchanges traffic reports between gateways and controllers. A gateway reports the traffic that it serves to the
+ * owner of the singleton role. A controller collects these reports and, while it owns that role, closes usage
+ * windows.
+ *
+ * <p>A gateway must call {@link #enableReporting}, and a controller {@link #enableUsageClosing}, before the first
+ * tick; otherwise nothing is reported, or no window is closed. Belongs to the node's event loop.
  */
 public final class TrafficExchange {
+    /** The newest closed window if none has been closed. */
     private static final long NONE_CLOSED = -1;
+
     private final String self;
     private final NodeClock clock;
     private final Membership membership;
@@ -54,22 +59,25 @@
         this.chainReplica = chainReplica;
     }
 
-    /** Has a gateway's traffic reported. */
+    /** Enables the reports of a gateway's traffic. */
     public void enableReporting(final TrafficReporter trafficReporter) {
         reporter = Optional.of(trafficReporter);
     }
 
-    /** Has the usage of windows closed while this node owns the role. */
+    /** Enables the closing of usage windows while this node owns the singleton role. */
     public void enableUsageClosing(final UsageSchedule schedule) {
         closer = Optional.of(new UsageCloser(schedule, collector));
     }
 
-    /** What is to be reported of the windows that are closed; one caller of the provider uses it. */
+    /**
+     * Returns the closed usage windows that still have to be reported to the provider. Only one caller, the one that
+     * calls the provider, may use it.
+     */
     public UsageOutbox outbox() {
         return outbox;
     }
 
-    /** What the clients of each gateway ask, as far as this node has heard it lately. */
+    /** Returns the recent demand at each gateway, as far as this node has received reports of it. */
     public List<GatewayDemand> demand(final long now) {
         return collector.demand(membership::get, now);
     }
@@ -90,7 +98,7 @@
         closer.ifPresent(usage -> chainReplica.get().ifPresent(replica -> closeWindows(usage, replica, now)));
     }
 
-    /** The node is about to stop: what a gateway has counted is reported once more. */
+    /** Must be called when the node is about to stop. Reports once more what a gateway has counted. */
     void leave(final long now) {
         reporter.ifPresent(gateway -> owner().flatMap(
                         owner -> gateway.finish(hasTenants(), now).map(due -> new Effect.Send(owner, due)))
@@ -125,7 +133,10 @@
         outbox.mark(replica.stateMachine(), token, now).ifPresent(command -> submit(command, replica));
     }
 
-    /** Sends a command to the head; whether it took effect shows in the committed state. */
+    /**
+     * Sends a command to the head of the chain. The reply isn't awaited: whether the command took effect is read from
+     * the committed state.
+     */
     private void submit(final Command command, final ChainReplica replica) {
         replica.view()
                 .head()
