--- a/core/src/test/java/silverlatch/gossip/AnnouncedWorkersTest.java
+++ b/core/src/test/java/silverlatch/gossip/AnnouncedWorkersTest.java
@@ -14,6 +14,10 @@
 import silverlatch.node.Event;
 import silverlatch.wire.GossipMessage;
 
+/**
+ * Guards against announcements that are dated later than what proves their age, replaced by older ones, or not
+ * forwarded when a worker drains.
+ */
 final class AnnouncedWorkersTest {
     private static final long SECOND = 1_000_000;
 
@@ -33,7 +37,7 @@
     }
 
     @Test
-    void echoDatesAnAnnouncementFromTheAnswerThatBroughtTheToken() {
+    void echoTokenDatesAnnouncementToReplyThatCarriedToken() {
         final long token = workers.announce(worker(1, 1, false), 0, 10);
         assertThat(observed().asOf(), is(Optional.empty()));
         workers.announce(worker(1, 2, false), token + 1, 20);
@@ -44,14 +48,14 @@
     }
 
     @Test
-    void tokenOfAnEarlierIncarnationProvesNothing() {
+    void tokenOfEarlierIncarnationDoesNotDateAnnouncement() {
         final long token = workers.announce(worker(1, 1, false), 0, 10);
         workers.announce(worker(2, 1, false), token, 20);
         assertThat(observed().asOf(), is(Optional.empty()));
     }
 
     @Test
-    void onlyNewerAnnouncementsReplace() {
+    void onlyNewerAnnouncementReplacesKnownOne() {
         workers.merge(worker(2, 5, false));
         workers.merge(worker(1, 9, false));
         workers.merge(worker(2, 4, false));
@@ -72,7 +76,7 @@
     }
 
     @Test
-    void goneWorkerDrainsUnderTheNextSequence() {
+    void goneWorkerIsMarkedAsDrainingWithNextSequence() {
         assertThat(workers.markGone("w"), is(false));
         workers.merge(worker(1, 1, false));
         assertThat(workers.markGone("w"), is(true));
@@ -82,7 +86,7 @@
     }
 
     @Test
-    void pullAnswersWithAgesOfWhatBothHoldAndWithWhatIsNewer() {
+    void pullReplyContainsAgesOfCommonAnnouncementsAndNewerAnnouncements() {
         workers.merge(worker(1, 5, false));
         final ReportVersion older = new ReportVersion("w", 1, 4);
         final ReportVersion same = new ReportVersion("w", 1, 5);
@@ -99,7 +103,7 @@
     }
 
     @Test
-    void ageFromAPullIsDatedFromTheRequestAndNeverGoesBack() {
+    void ageFromPullIsDatedToRequestAndNeverMovesBack() {
         workers.merge(worker(1, 5, false));
         workers.onAges(
                 List.of(new GossipMessage.ReportAge("w", 1, 4, 0), new GossipMessage.ReportAge("w", 1, 5, -1)), 100);
@@ -111,7 +115,7 @@
     }
 
     @Test
-    void workerIsForgottenAMinuteAfterItWasLastRenewed() {
+    void workerIsRemovedOneMinuteAfterLastRenewal() {
         workers.merge(worker(1, 5, false));
         workers.expire(1_000 * SECOND);
         assertThat(workers.snapshot().keySet(), not(empty()));
--- a/core/src/test/java/silverlatch/gossip/ControllerReportsTest.java
+++ b/core/src/test/java/silverlatch/gossip/ControllerReportsTest.java
@@ -9,12 +9,15 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.wire.GossipMessage;
 
-/** What controllers hear of workers is known at every node: announcements, draining, warm-up, and workers that are gone. */
+/**
+ * Worker reports that controllers create must reach every node and not be undone by delayed announcements: draining,
+ * warm-up and ended incarnations. Announcements that change nothing must not be forwarded.
+ */
 final class ControllerReportsTest {
     private static final long SECOND = 1_000_000;
 
     @Test
-    void repeatedAnnouncementsAreNotForwardedAndRenewTheAge() {
+    void repeatedAnnouncementsRenewAgeWithoutBeingForwarded() {
         final GossipCluster cluster = new GossipCluster(12);
         cluster.announce("c0", 1);
         cluster.advance(3 * SECOND);
@@ -34,7 +37,7 @@
     }
 
     @Test
-    void drainingWorkerIsKnownEverywhereWithinASecondThoughItsControllerDies() {
+    void drainReachesAllNodesWithinOneSecondAlthoughControllerDies() {
         final GossipCluster cluster = new GossipCluster(12);
         cluster.announce("c0", 1);
         cluster.advance(2 * SECOND);
@@ -48,7 +51,7 @@
     }
 
     @Test
-    void lateAnnouncementDoesNotUndoDraining() {
+    void delayedAnnouncementDoesNotUndoDraining() {
         final GossipCluster cluster = new GossipCluster(5);
         cluster.announce("c0", 1);
         cluster.announce("c0", GossipCluster.worker(1, 9, true, 0));
@@ -67,7 +70,7 @@
     }
 
     @Test
-    void goneWorkerStaysGoneUntilANewIncarnationAndIsForgottenAfterAMinute() {
+    void goneWorkerStaysGoneUntilNewIncarnationAndIsRemovedAfterOneMinute() {
         final GossipCluster cluster = new GossipCluster(5);
         cluster.announce("c0", 1);
         cluster.advance(SECOND);
@@ -96,7 +99,7 @@
     }
 
     @Test
-    void warmupRunsOutOnEveryNodeAndItsEndIsNotForwarded() {
+    void warmupExpiresOnEveryNodeWithoutItsEndBeingForwarded() {
         final GossipCluster cluster = new GossipCluster(12);
         cluster.announce("c0", GossipCluster.worker(1, 1, false, 9 * SECOND));
         final long start = cluster.now();
--- a/core/src/test/java/silverlatch/gossip/GossipCluster.java
+++ b/core/src/test/java/silverlatch/gossip/GossipCluster.java
@@ -19,9 +19,10 @@
 import silverlatch.wire.Message;
 
 /**
- * The gossip of many nodes on a simulated clock, in microseconds. Nodes c0, c1 and c2 are controllers, each in its own
- * zone and region, the others are gateways; a message takes 1 ms within a region and 35 ms to another. Workers announce
- * to a controller. Every node ticks each 50 ms, all on the test's thread.
+ * Runs the gossip of several nodes on a simulated clock, in microseconds. The nodes c0, c1 and c2 are controllers,
+ * each in its own zone and region; the others are gateways. A message takes 1 ms within a region and 35 ms to another
+ * region. Workers announce themselves to a controller. Every node ticks every 50 ms; everything runs on the test's
+ * thread.
  */
 final class GossipCluster {
     private static final long SECOND = 1_000_000;
@@ -43,7 +44,7 @@
     private long now = 100 * SECOND;
     private long sendOrder;
 
-    /** Starts so many nodes that know each other, and lets them run for six seconds. */
+    /** Starts nodes that know each other, and runs them for six seconds. */
     GossipCluster(final int size) {
         final List<Member> members =
                 IntStream.range(0, size).mapToObj(GossipCluster::member).toList();
@@ -67,7 +68,7 @@
         return new Member(id, role, "z" + region, "r" + region, id, id, 1, 0, "up", true);
     }
 
-    /** The worker "w" with this state. */
+    /** Returns the worker "w" with the given state. */
     static Worker worker(
             final long incarnation, final long sequence, final boolean draining, final long warmupRemaining) {
         return new Worker(
@@ -92,12 +93,12 @@
         return now;
     }
 
-    /** The ids of all nodes. */
+    /** Returns the ids of all nodes. */
     Set<String> ids() {
         return nodes.keySet();
     }
 
-    /** All nodes, by id. */
+    /** Returns all nodes by id. */
     Map<String, Gossip> nodes() {
         return nodes;
     }
@@ -106,22 +107,22 @@
         return nodes.get(id);
     }
 
-    /** The messages that were sent since a test cleared them. */
+    /** Returns the messages sent since the test last cleared this list. */
     List<Message> sent() {
         return sent;
     }
 
-    /** The ids of the nodes that don't run; a test changes them. */
+    /** Returns the ids of the nodes that don't run; the test may change the set. */
     Set<String> dead() {
         return dead;
     }
 
-    /** The ids of the nodes on one side of a partition; a test changes them. */
+    /** Returns the ids of the nodes on one side of a partition; the test may change the set. */
     Set<String> partitioned() {
         return partitioned;
     }
 
-    /** Passes time: nodes tick, and messages are delivered that come meanwhile. */
+    /** Advances the time; meanwhile nodes tick, and messages that become due are delivered. */
     void advance(final long durationMicros) {
         for (final long end = now + durationMicros; now < end; now += STEP_MICROS) {
             if (now % TICK_MICROS == 0) {
@@ -133,18 +134,18 @@
         }
     }
 
-    /** Lets the worker "w" announce itself to a controller. */
+    /** Makes the worker "w" announce itself to a controller. */
     void announce(final String at, final long sequence) {
         announce(at, worker(1, sequence, false, 0));
     }
 
-    /** Lets a worker announce itself to a controller. */
+    /** Makes a worker announce itself to a controller. */
     void announce(final String at, final Worker worker) {
         nodes.get(at).onAnnouncement(worker, 0, now);
         deliverEffects(at);
     }
 
-    /** Lets the worker "w" announce itself so many times, each 1.2 seconds. */
+    /** Makes the worker "w" announce itself {@code count} times, every 1.2 seconds. */
     void sendHeartbeats(final String at, final long firstSequence, final int count) {
         for (int i = 0; i < count; i++) {
             announce(at, firstSequence + i);
@@ -152,12 +153,12 @@
         }
     }
 
-    /** What a node has of the worker "w". */
+    /** Returns the worker "w" as a node knows it. */
     Optional<Gossip.ObservedWorker> observedAt(final String id) {
         return Optional.ofNullable(nodes.get(id).workers().get("w"));
     }
 
-    /** How many of the sent messages bear reports of workers, or versions of them. */
+    /** Returns how many of the sent messages can carry worker reports or their versions. */
     long reportMessageCount() {
         return sent.stream()
                 .filter(message -> message instanceof GossipMessage.GossipPush
@@ -166,7 +167,7 @@
                 .count();
     }
 
-    /** Sends what a node wants to send. */
+    /** Sends the pending messages of a node. */
     void deliverEffects(final String id) {
         for (final Effect effect : nodes.get(id).drain()) {
             if (effect instanceof Effect.Send send) {
--- a/core/src/test/java/silverlatch/gossip/GossipPropagationTest.java
+++ b/core/src/test/java/silverlatch/gossip/GossipPropagationTest.java
@@ -14,12 +14,15 @@
 import silverlatch.state.TableRules;
 import silverlatch.wire.GossipMessage;
 
-/** Anti-entropy: what pulls transfer, how old reports are at each node, and how fast a revision reaches all. */
+/**
+ * Tests anti-entropy: which data pulls transfer, how old reports become at each node, and how fast a new revision
+ * reaches all nodes.
+ */
 final class GossipPropagationTest {
     private static final long SECOND = 1_000_000;
 
     @Test
-    void equalDigestsTransferNoReportsAndOneDifferenceTransfersOne() {
+    void equalDigestsTransferNoReportsAndOneDifferenceTransfersAtMostOne() {
         final GossipCluster cluster = new GossipCluster(5);
         for (int i = 0; i < 40; i++) {
             cluster.node("c0")
@@ -55,7 +58,7 @@
     }
 
     @Test
-    void reportsAreConfirmedAtConnectedGatewaysAndAgeBehindAPartition() {
+    void reportsAreConfirmedAtConnectedNodesAndAgeBehindPartition() {
         final GossipCluster cluster = new GossipCluster(9);
         cluster.announce("c0", 1);
         cluster.advance(2 * SECOND);
@@ -72,7 +75,7 @@
     }
 
     @Test
-    void newRevisionReachesNinetySixNodesInASecondAndPullsConfirmIt() {
+    void newRevisionReachesNinetySixNodesWithinOneSecondAndIsConfirmedByPulls() {
         final GossipCluster cluster = new GossipCluster(96);
         final StateMachine stateMachine = new StateMachine();
         stateMachine.apply(1, List.of(new Entry("r/*/chat", 1, List.of(TableRules.defaultRow("*", "chat")))));
--- a/core/src/test/java/silverlatch/gossip/HeartbeatAgePackerTest.java
+++ b/core/src/test/java/silverlatch/gossip/HeartbeatAgePackerTest.java
@@ -8,6 +8,10 @@
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against ages that are unpacked as younger than they were, or assigned to the wrong worker: either would keep
+ * a silent worker active.
+ */
 final class HeartbeatAgePackerTest {
     private static final long STEP = 1_000;
     private static final long TIMEOUT = 12 * STEP;
@@ -15,14 +19,20 @@
 
     private final HeartbeatAgePacker packer = new HeartbeatAgePacker(TIMEOUT);
 
-    private static TrackedReport heard(final int number, final long age) {
+    private static TrackedReport reportWithHeartbeatAge(final int number, final long age) {
         final Worker worker = new Worker("w" + number, "a", "z", "r", 1, 1, 0, 0, 1, List.of(), false, 0);
         return TrackedReport.ofAnnouncement(WorkerReport.of(worker), NOW).withLastHeartbeatAt(NOW - age);
     }
 
     @Test
-    void ageIsReadAsTheUpperEndOfItsStep() {
-        final long[] packed = packer.pack(List.of(heard(0, 0), heard(1, 999), heard(2, STEP), heard(3, 14_999)), NOW);
+    void ageIsUnpackedAsUpperBoundOfItsStep() {
+        final long[] packed = packer.pack(
+                List.of(
+                        reportWithHeartbeatAge(0, 0),
+                        reportWithHeartbeatAge(1, 999),
+                        reportWithHeartbeatAge(2, STEP),
+                        reportWithHeartbeatAge(3, 14_999)),
+                NOW);
         assertThat(packer.lastHeartbeatAt(packed, 0, NOW), is(OptionalLong.of(NOW - STEP)));
         assertThat(packer.lastHeartbeatAt(packed, 1, NOW), is(OptionalLong.of(NOW - STEP)));
         assertThat(packer.lastHeartbeatAt(packed, 2, NOW), is(OptionalLong.of(NOW - 2 * STEP)));
@@ -30,17 +40,18 @@
     }
 
     @Test
-    void ageBeyondAllStepsIsUnknownAndOneOfTheFutureIsNone() {
-        final long[] packed = packer.pack(List.of(heard(0, 15 * STEP), heard(1, -STEP)), NOW);
+    void ageAboveLargestStepIsUnknownAndNegativeAgeCountsAsZero() {
+        final long[] packed =
+                packer.pack(List.of(reportWithHeartbeatAge(0, 15 * STEP), reportWithHeartbeatAge(1, -STEP)), NOW);
         assertThat(packer.lastHeartbeatAt(packed, 0, NOW), is(OptionalLong.empty()));
         assertThat(packer.lastHeartbeatAt(packed, 1, NOW), is(OptionalLong.of(NOW - STEP)));
     }
 
     @Test
-    void sixteenWorkersTakeOneLong() {
+    void oneLongHoldsAgesOfSixteenWorkers() {
         final List<TrackedReport> workers = new ArrayList<>();
         for (int i = 0; i < 35; i++) {
-            workers.add(heard(i, i % 15 * STEP));
+            workers.add(reportWithHeartbeatAge(i, i % 15 * STEP));
         }
         final long[] packed = packer.pack(workers, NOW);
         assertThat(packed.length, is(3));
--- a/core/src/test/java/silverlatch/gossip/PullScheduleTest.java
+++ b/core/src/test/java/silverlatch/gossip/PullScheduleTest.java
@@ -15,7 +15,10 @@
 import silverlatch.membership.Membership;
 import silverlatch.replication.View;
 
-/** From whom a gateway pulls, and how often: from one controller, of its region unless what it has is old. */
+/**
+ * Tests from which members a gateway pulls, and how often. While its data is fresh it pulls from one controller in
+ * its own region; if the data is stale, from a controller in any region.
+ */
 final class PullScheduleTest {
     private static final long SECOND = 1_000_000L;
     private final Membership membership =
@@ -28,31 +31,31 @@
     }
 
     @BeforeEach
-    void learnControllers() {
+    void addControllers() {
         for (final String region : List.of("west", "north", "east")) {
             membership.applyUpdate(member("controller-" + region, "controller", region), SECOND);
         }
     }
 
     @Test
-    void withFreshStateOneControllerOfTheOwnRegionIsAsked() {
-        final List<Member> asked = schedule.controllersToPull(View.NONE, () -> false, 10 * SECOND);
-        assertThat(asked.stream().map(Member::region).toList(), is(List.of("west")));
+    void freshStateIsPulledFromOneControllerInOwnRegion() {
+        final List<Member> targets = schedule.controllersToPull(View.NONE, () -> false, 10 * SECOND);
+        assertThat(targets.stream().map(Member::region).toList(), is(List.of("west")));
     }
 
     @Test
-    void withOldStateControllersOfAllRegionsAreAskedInTheEnd() {
+    void staleStateIsEventuallyPulledFromControllersInAllRegions() {
         final Set<String> regions = new HashSet<>();
         for (int second = 10; second < 60; second++) {
-            final List<Member> asked = schedule.controllersToPull(View.NONE, () -> true, second * SECOND);
-            assertThat(asked, hasSize(1));
-            regions.add(asked.get(0).region());
+            final List<Member> targets = schedule.controllersToPull(View.NONE, () -> true, second * SECOND);
+            assertThat(targets, hasSize(1));
+            regions.add(targets.get(0).region());
         }
         assertThat(regions, is(Set.of("west", "north", "east")));
     }
 
     @Test
-    void gatewaysAreAskedSeldomWhileControllersConfirmAndOftenElse() {
+    void gatewaysArePulledFromLessOftenWhileStateIsFresh() {
         membership.applyUpdate(member("other", "gateway", "west"), SECOND);
         assertThat(schedule.gatewaysToPull(() -> false, 10 * SECOND), hasSize(1));
         assertThat(schedule.gatewaysToPull(() -> false, 13 * SECOND), is(empty()));
@@ -61,34 +64,37 @@
     }
 
     @Test
-    void nobodyIsAskedBeforeTheIntervalIsOver() {
+    void noControllerIsPulledFromBeforeIntervalExpires() {
         schedule.controllersToPull(View.NONE, () -> true, 10 * SECOND);
         assertThat(schedule.controllersToPull(View.NONE, () -> true, 10 * SECOND + 100_000L), is(empty()));
     }
 
     @Test
-    void untilTheFirstConfirmationOneControllerIsAskedFiveTimesASecond() {
+    void initialPullsGoToOneControllerFiveTimesASecond() {
         assertThat(schedule.controllersForInitialPull(View.NONE, 10 * SECOND), hasSize(1));
         assertThat(schedule.controllersForInitialPull(View.NONE, 10 * SECOND + 199_999L), is(empty()));
         assertThat(schedule.controllersForInitialPull(View.NONE, 10 * SECOND + 200_000L), hasSize(1));
     }
 
     @Test
-    void whereNobodyConfirmsForFiveSecondsControllersAreAskedAtTheUsualIntervalsOnly() {
-        for (long passed = 0; passed < 5 * SECOND; passed += 200_000L) {
-            assertThat(schedule.controllersForInitialPull(View.NONE, 10 * SECOND + passed), hasSize(1));
+    void initialPullsStopAfterFiveSeconds() {
+        for (long elapsed = 0; elapsed < 5 * SECOND; elapsed += 200_000L) {
+            assertThat(schedule.controllersForInitialPull(View.NONE, 10 * SECOND + elapsed), hasSize(1));
         }
         assertThat(schedule.controllersForInitialPull(View.NONE, 20 * SECOND), is(empty()));
     }
 
     @Test
-    void aGreetedNodeIsAskedAtOnceWhereNoControllerIsKnown() {
+    void nodeThatAnsweredJoinRequestIsPulledFromAtOnceIfNoControllerIsKnown() {
         final Membership alone =
                 new Membership(member("me", "gateway", "west"), List.of("10.0.0.9:1"), Membership.Settings.LARGE_FLEET);
         final PullSchedule first =
                 new PullSchedule(Gossip.Settings.LARGE_FLEET, alone, new PeerSelector(alone, new SplittableRandom(3)));
         assertThat(first.controllersForInitialPull(View.NONE, 10 * SECOND), is(empty()));
         assertThat(first.tryPullAfterJoinReply(10 * SECOND), is(true));
-        assertThat("several answer at the same time", first.tryPullAfterJoinReply(10 * SECOND + 50_000L), is(false));
+        assertThat(
+                "second of two replies at the same time",
+                first.tryPullAfterJoinReply(10 * SECOND + 50_000L),
+                is(false));
     }
 }
--- a/core/src/test/java/silverlatch/gossip/ReportFreshnessTest.java
+++ b/core/src/test/java/silverlatch/gossip/ReportFreshnessTest.java
@@ -6,11 +6,12 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
+/** Guards against reports that count as confirmed too early or by fewer controllers than a majority. */
 final class ReportFreshnessTest {
     private final ReportFreshness freshness = new ReportFreshness();
 
     @Test
-    void confirmationNeverGoesBack() {
+    void confirmationTimeNeverMovesBack() {
         assertThat(freshness.confirmedAt(), is(Optional.empty()));
         assertThat(freshness.confirm(5), is(true));
         assertThat(freshness.confirm(5), is(false));
@@ -21,7 +22,7 @@
     }
 
     @Test
-    void majorityOfControllersConfirmsWithThisOneAmongThem() {
+    void majorityOfControllersIncludingThisOneConfirms() {
         assertThat(freshness.majorityConfirmedAt(1, 100), is(Optional.of(100L)));
         assertThat(freshness.majorityConfirmedAt(3, 100), is(Optional.empty()));
         freshness.markSynced("a", 70);
--- a/core/src/test/java/silverlatch/gossip/StateCopyTest.java
+++ b/core/src/test/java/silverlatch/gossip/StateCopyTest.java
@@ -17,6 +17,10 @@
 import silverlatch.state.TableRules;
 import silverlatch.wire.GossipMessage;
 
+/**
+ * Guards against a copy of the state whose revision decreases, that counts as confirmed later than a pull proves, or
+ * that takes the view of another fleet.
+ */
 final class StateCopyTest {
     private static final Replica REPLICA = new Replica("id", "a:1");
 
@@ -32,14 +36,14 @@
 
     private static GossipMessage.GossipPullReply reply(
             final long askedAt, final long revision, final long age, final List<View> views) {
-        final GossipMessage.PullContent nothing =
+        final GossipMessage.PullContent emptyContent =
                 new GossipMessage.PullContent.FullContent(List.of(), List.of(), List.of());
         return new GossipMessage.GossipPullReply(
-                askedAt, revision, age, 7, revision == 0 ? List.of() : entries(revision), views, nothing);
+                askedAt, revision, age, 7, revision == 0 ? List.of() : entries(revision), views, emptyContent);
     }
 
     @Test
-    void pullConfirmsAsOfTheRequestLessTheAgeAtTheOtherNode() {
+    void pullConfirmsAsOfRequestTimeMinusAgeAtOtherNode() {
         assertThat(copy.age(100), is(Long.MAX_VALUE));
         assertThat(copy.onPullReply(reply(100, 3, 20, List.of())), is(true));
         assertThat(copy.revision(), is(3L));
@@ -50,14 +54,14 @@
     }
 
     @Test
-    void replyWithoutAnAgeConfirmsNothing() {
+    void replyWithUnknownAgeDoesNotConfirm() {
         copy.onPullReply(reply(100, 3, -1, List.of()));
         assertThat(copy.revision(), is(3L));
         assertThat(copy.age(100), is(Long.MAX_VALUE));
     }
 
     @Test
-    void lowerRevisionNeitherReplacesNorConfirms() {
+    void lowerRevisionNeitherReplacesNorConfirmsCopy() {
         copy.onPullReply(reply(100, 3, 0, List.of()));
         assertThat(copy.onPullReply(reply(200, 2, 0, List.of())), is(false));
         assertThat(copy.revision(), is(3L));
@@ -65,7 +69,7 @@
     }
 
     @Test
-    void lowerRevisionReplacesWhereTheSafeguardIsDisabled() {
+    void lowerRevisionReplacesCopyIfSafeguardIsDisabled() {
         final StateCopy unsafe = new StateCopy(new Safeguards(Set.of(Safeguard.MONOTONIC_REVISION)));
         unsafe.onPullReply(reply(100, 3, 0, List.of()));
         unsafe.onPullReply(reply(200, 2, 0, List.of()));
@@ -74,20 +78,20 @@
     }
 
     @Test
-    void copyHasNoAgeWhileAHigherRevisionIsKnown() {
+    void copyHasNoAgeWhileHigherRevisionIsKnown() {
         copy.onPullReply(reply(100, 3, 0, List.of()));
         assertThat(copy.observeRevision(3), is(true));
         assertThat(copy.observeRevision(3), is(false));
         assertThat(copy.observeRevision(5), is(true));
         assertThat(copy.highestRevision(), is(5L));
         assertThat(copy.age(100), is(Long.MAX_VALUE));
-        assertThat("what is announced was acknowledged later", copy.lastConfirmedAt(), is(Optional.of(100L)));
+        assertThat("the higher revision was acknowledged later", copy.lastConfirmedAt(), is(Optional.of(100L)));
         copy.onPullReply(reply(110, 5, 0, List.of()));
         assertThat(copy.age(110), is(0L));
     }
 
     @Test
-    void eachRevisionIsAnnouncedOnce() {
+    void eachRevisionIsPushedOnce() {
         assertThat(copy.drainUnpushedRevision(), is(OptionalLong.empty()));
         copy.onPullReply(reply(100, 3, 0, List.of()));
         assertThat(copy.drainUnpushedRevision(), is(OptionalLong.of(3)));
@@ -95,7 +99,7 @@
     }
 
     @Test
-    void onlyANodeBehindGetsEntriesAndAView() {
+    void onlyOutdatedNodeReceivesEntriesAndView() {
         copy.onPullReply(reply(100, 3, 0, List.of()));
         assertThat(copy.entriesSince(2), is(entries(3)));
         assertThat(copy.entriesSince(3), empty());
@@ -106,7 +110,7 @@
     }
 
     @Test
-    void viewsOfAnotherFleetOrOlderOnesAreIgnored() {
+    void viewOfOtherFleetAndOlderViewAreIgnored() {
         copy.acceptsFleet(7);
         copy.onPullReply(reply(100, 0, -1, List.of(view(4, 8))));
         assertThat(copy.view(), is(View.NONE));
@@ -116,7 +120,7 @@
     }
 
     @Test
-    void firstFleetHeardOfIsKept() {
+    void firstKnownFleetIsKept() {
         assertThat(copy.acceptsFleet(0), is(true));
         assertThat(copy.acceptsFleet(7), is(true));
         assertThat(copy.acceptsFleet(8), is(false));
--- a/core/src/test/java/silverlatch/gossip/WorkerSilenceTest.java
+++ b/core/src/test/java/silverlatch/gossip/WorkerSilenceTest.java
@@ -7,12 +7,15 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.wire.GossipMessage;
 
-/** When a worker is marked silent at every node, and when it must not be: partitions, pauses, dead controllers. */
+/**
+ * Tests when every node marks a worker as silent, and that none does so wrongly during a partition, after a pause of
+ * a controller, or while a controller is dead.
+ */
 final class WorkerSilenceTest {
     private static final long SECOND = 1_000_000;
 
     @Test
-    void silentWorkerIsReportedAndKeptUntilALaterAnnouncement() {
+    void silentWorkerIsReportedUntilLaterAnnouncementAndRemovedAfterRetention() {
         final GossipCluster cluster = new GossipCluster(6);
         cluster.sendHeartbeats("c0", 1, 3);
         cluster.advance(3_500_000);
@@ -37,14 +40,16 @@
     }
 
     @Test
-    void aWorkerThatEndedLongAgoIsNotBroughtBackByNodesThatWerePartitionedOff() {
+    void removedWorkerIsNotRestoredByNodesThatWerePartitionedOff() {
         final GossipCluster cluster = new GossipCluster(9);
         cluster.sendHeartbeats("c0", 1, 5);
         final List<String> side = List.of("c1", "g4", "g7");
         cluster.partitioned().addAll(side);
         cluster.advance(50 * SECOND);
         assertThat(
-                "nobody tells this side", cluster.observedAt("c1").orElseThrow().silent(), is(false));
+                "this side received no report of silence",
+                cluster.observedAt("c1").orElseThrow().silent(),
+                is(false));
         cluster.advance(25 * SECOND);
         final List<String> others =
                 cluster.ids().stream().filter(id -> !side.contains(id)).toList();
@@ -57,7 +62,7 @@
     }
 
     @Test
-    void partitionMarksNoWorkerSilentThatMayBeHeardOnTheOtherSide() {
+    void partitionMarksNoWorkerSilentThatMayAnnounceItselfOnOtherSide() {
         final GossipCluster cluster = new GossipCluster(9);
         cluster.sendHeartbeats("c0", 1, 3);
         cluster.partitioned().addAll(List.of("c0", "g3", "g6"));
@@ -73,7 +78,7 @@
     }
 
     @Test
-    void wrongSilenceReportIsRefutedByTheControllerThatHearsTheWorker() {
+    void wrongSilenceReportIsRefutedByControllerThatReceivesAnnouncements() {
         final GossipCluster cluster = new GossipCluster(5);
         cluster.sendHeartbeats("c0", 1, 3);
         final WorkerReport wrongReport = new WorkerReport(
@@ -90,7 +95,7 @@
     }
 
     @Test
-    void deadControllerSuppressesSilenceReportsOfItsOwnZoneOnly() {
+    void deadControllerSuppressesSilenceReportsInItsOwnZoneOnly() {
         final GossipCluster cluster = new GossipCluster(9);
         cluster.announce("c1", 1);
         cluster.node("c1")
@@ -109,7 +114,7 @@
     }
 
     @Test
-    void controllerThatWasPausedMarksNoWorkerSilent() {
+    void resumedControllerMarksNoWorkerSilent() {
         final GossipCluster cluster = new GossipCluster(6);
         cluster.sendHeartbeats("c1", 1, 3);
         cluster.dead().add("c0");
--- a/core/src/test/java/silverlatch/membership/FailureDetectorTest.java
+++ b/core/src/test/java/silverlatch/membership/FailureDetectorTest.java
@@ -7,6 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against members that are suspected too early or too late, and against a node that suspects all others
+ * although it is itself cut off.
+ */
 final class FailureDetectorTest {
     private static final long TIMEOUT = 1_000;
 
@@ -17,7 +21,7 @@
     }
 
     @Test
-    void memberIsSilentOnceTheTimeoutSinceItsLastHeartbeatIsOver() {
+    void memberIsSilentOnceTimeoutSinceLastHeartbeatExpired() {
         final List<Member> watched = List.of(member("a"), member("b"));
         assertThat(detector.silentMembers(watched, 0), empty());
         detector.onHeartbeat("a", 500);
@@ -27,14 +31,14 @@
     }
 
     @Test
-    void memberThatIsWatchedAnewCountsAsHeardNow() {
+    void timeoutStartsNowForNewlyWatchedMember() {
         detector.silentMembers(List.of(member("a")), 0);
         detector.silentMembers(List.of(member("b")), 100);
         assertThat(detector.silentMembers(List.of(member("a")), 5_000), empty());
     }
 
     @Test
-    void nodeSuspectsItselfWhileMoreThanHalfOfTheWatchedAreSilent() {
+    void nodeSuspectsItselfWhileMoreThanHalfOfWatchedMembersAreSilent() {
         assertThat(detector.updateSelfSuspicion(1, 1).isPresent(), is(false));
         assertThat(detector.updateSelfSuspicion(1, 3).isPresent(), is(false));
         assertThat(detector.suspectsSelf(), is(false));
--- a/core/src/test/java/silverlatch/membership/JoinScheduleTest.java
+++ b/core/src/test/java/silverlatch/membership/JoinScheduleTest.java
@@ -7,9 +7,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against nodes that stay separated: seeds that get no join requests while no member is up there, and sides of
+ * a healed partition that never reconnect.
+ */
 final class JoinScheduleTest {
     private static final long INTERVAL = 1_000_000;
-    private static final long FIRST_INTERVAL = 200_000;
+    private static final long SHORT_INTERVAL = 200_000;
     private static final long START = 10 * INTERVAL;
     private static final long RECONNECT_WINDOW = 600_000_000;
 
@@ -21,15 +25,15 @@
     }
 
     @Test
-    void joiningNodeGreetsAllSeedsOftenButNeverItself() {
+    void joiningNodeSendsRequestsToAllSeedsButItselfAtShortInterval() {
         members.putOther(member("s1", "up"), START);
         assertThat(schedule.joinTargets(START), is(List.of("s1", "s2")));
-        assertThat(schedule.joinTargets(START + FIRST_INTERVAL - 1), empty());
-        assertThat(schedule.joinTargets(START + FIRST_INTERVAL), is(List.of("s1", "s2")));
+        assertThat(schedule.joinTargets(START + SHORT_INTERVAL - 1), empty());
+        assertThat(schedule.joinTargets(START + SHORT_INTERVAL), is(List.of("s1", "s2")));
     }
 
     @Test
-    void nodeThatJoinedGreetsSeedsThatAreNotUp() {
+    void joinedNodeSendsRequestsToSeedsThatAreNotUp() {
         schedule.onMemberList();
         members.putOther(member("s1", "up"), START);
         assertThat(schedule.joinTargets(START), is(List.of("s2")));
@@ -39,18 +43,18 @@
     }
 
     @Test
-    void aNodeThatWaitsForSeedsGreetsThoseThatAreNotUpOften() {
+    void shortIntervalAppliesToSeedsThatAreNotUp() {
         schedule.onMemberList();
         members.putOther(member("s1", "up"), START);
         schedule.setUseShortInterval(true);
         assertThat(schedule.joinTargets(START), is(List.of("s2")));
-        assertThat(schedule.joinTargets(START + FIRST_INTERVAL), is(List.of("s2")));
+        assertThat(schedule.joinTargets(START + SHORT_INTERVAL), is(List.of("s2")));
         schedule.setUseShortInterval(false);
-        assertThat(schedule.joinTargets(START + 2 * FIRST_INTERVAL), empty());
+        assertThat(schedule.joinTargets(START + 2 * SHORT_INTERVAL), empty());
     }
 
     @Test
-    void otherSeedsAreGreetedAtOnceTheSameOnesAreNot() {
+    void changedSeedsGetRequestsAtOnceUnchangedOnesDoNot() {
         schedule.onMemberList();
         schedule.joinTargets(START);
         schedule.setSeeds(List.of("self", "s1", "s2"));
@@ -60,7 +64,7 @@
     }
 
     @Test
-    void deadMembersAreGreetedInTurnUntilTheWindowIsOver() {
+    void deadMembersGetRequestsRoundRobinUntilReconnectWindowExpires() {
         schedule.setSeeds(List.of());
         schedule.onMemberList();
         members.putOther(member("d1", "dead"), START);
@@ -73,7 +77,7 @@
     }
 
     @Test
-    void deadMemberWhoseAddressALiveOneTookIsLeftAlone() {
+    void deadMemberGetsNoRequestIfLiveMemberHasItsAddress() {
         schedule.setSeeds(List.of());
         schedule.onMemberList();
         members.putOther(member("d1", "dead"), START);
--- a/core/src/test/java/silverlatch/membership/LivenessHeartbeatTest.java
+++ b/core/src/test/java/silverlatch/membership/LivenessHeartbeatTest.java
@@ -16,7 +16,11 @@
 import silverlatch.wire.MembershipMessage;
 import silverlatch.wire.Message;
 
-/** Members with the settings of a large fleet, where three heartbeats in four carry the incarnation only. */
+/**
+ * Tests members with the settings of a large fleet, where three of four heartbeats carry only the incarnation. Guards
+ * against members that are suspected although such heartbeats arrive, or kept up by heartbeats of another
+ * incarnation.
+ */
 final class LivenessHeartbeatTest {
     private static final long SECOND = 1_000_000;
     private final Map<String, Membership> nodes = new LinkedHashMap<>();
@@ -40,9 +44,9 @@
                 deliverEffects(id);
                 nodes.get(id)
                         .drainUpdates()
-                        .forEach(m -> nodes.forEach((to, c) -> {
+                        .forEach(m -> nodes.forEach((to, membership) -> {
                             if (!silenced.contains(id) && !silenced.contains(to)) {
-                                c.applyUpdate(m, now);
+                                membership.applyUpdate(m, now);
                             }
                         }));
             });
@@ -67,7 +71,7 @@
     }
 
     @Test
-    void livenessHeartbeatsKeepAMemberUpUntilTheyEnd() {
+    void livenessHeartbeatsKeepMemberUpUntilTheyStop() {
         for (int i = 0; i < 8; i++) {
             start("n" + i, 1);
         }
@@ -91,7 +95,7 @@
     }
 
     @Test
-    void livenessHeartbeatOfAnotherIncarnationIsIgnored() {
+    void livenessHeartbeatOfOtherIncarnationIsIgnored() {
         start("n0", 1);
         start("n1", 1);
         advance(SECOND);
--- a/core/src/test/java/silverlatch/membership/MemberStateTest.java
+++ b/core/src/test/java/silverlatch/membership/MemberStateTest.java
@@ -17,13 +17,17 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Tests the transitions of a member's state and which of two updates supersedes the other. Nodes of all versions must
+ * agree on both, or they never converge.
+ */
 final class MemberStateTest {
     private static Member member(final long incarnation, final long sequence, final String state) {
         return new Member("m", "gateway", "z", "r", "a", "h", incarnation, sequence, state, true);
     }
 
     @Test
-    void missedHeartbeatsMakeAMemberThatIsUpSuspectAndChangeNoOther() {
+    void missedHeartbeatsMakeOnlyUpMemberSuspect() {
         assertThat(UP.after(HEARTBEATS_MISSED), is(SUSPECT));
         assertThat(SUSPECT.after(HEARTBEATS_MISSED), is(SUSPECT));
         assertThat(DEAD.after(HEARTBEATS_MISSED), is(DEAD));
@@ -31,7 +35,7 @@
     }
 
     @Test
-    void onlyASuspectedMemberTimesOut() {
+    void onlySuspectedMemberTimesOut() {
         assertThat(SUSPECT.after(DEATH_TIMEOUT), is(DEAD));
         for (final MemberState state : EnumSet.of(UP, DEAD, LEFT)) {
             assertThrows(IllegalStateException.class, () -> state.after(DEATH_TIMEOUT));
@@ -39,14 +43,14 @@
     }
 
     @Test
-    void aMemberLeavesFromEveryState() {
+    void memberCanLeaveFromEveryState() {
         for (final MemberState state : MemberState.values()) {
             assertThat(state.after(LEAVE), is(LEFT));
         }
     }
 
     @Test
-    void everyStateIsReachedFromUpAndNoTransitionIsLessSevere() {
+    void everyStateIsReachableFromUpAndNoTransitionLowersSeverity() {
         final Set<MemberState> reached = EnumSet.of(UP);
         for (final MemberState state : MemberState.values()) {
             for (final MemberState.Trigger trigger : MemberState.Trigger.values()) {
@@ -70,7 +74,7 @@
     }
 
     @Test
-    void laterIncarnationsThenSequencesThenSevererStatesSupersede() {
+    void updateSupersedesByIncarnationThenSequenceThenSeverity() {
         final List<Member> ascending = List.of(
                 member(1, 0, "unknown"),
                 member(1, 0, "up"),
@@ -88,7 +92,7 @@
     }
 
     @Test
-    void transitionOfAMemberKeepsEverythingElse() {
+    void transitionChangesOnlyState() {
         assertThat(member(3, 4, "up").after(HEARTBEATS_MISSED), is(member(3, 4, "suspect")));
         assertThat(member(3, 4, "suspect").asUp(5, true), is(member(3, 5, "up")));
         assertThrows(IllegalStateException.class, () -> member(3, 4, "unknown").after(LEAVE));
--- a/core/src/test/java/silverlatch/membership/MemberTableTest.java
+++ b/core/src/test/java/silverlatch/membership/MemberTableTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Guards against live members without enough watchers, and against cached lists that miss a change. */
 final class MemberTableTest {
     private final MemberTable table = new MemberTable(member("m0", "up"));
 
@@ -26,7 +27,7 @@
     }
 
     @Test
-    void everyMemberHasThreeWatchersAndSelfWatchesThoseWhoseWatcherItIs() {
+    void everyMemberHasThreeWatchersAndSelfWatchesThoseItIsWatcherOf() {
         fill(20);
         final List<String> watched = ids(table.watchedBySelf());
         assertThat(watched.size(), is(3));
@@ -38,7 +39,7 @@
     }
 
     @Test
-    void smallFleetIsWatchedByAllOthers() {
+    void memberOfSmallFleetIsWatchedByAllOthers() {
         assertThat(table.watchersOf("m0"), empty());
         assertThat(table.watchedBySelf(), empty());
         fill(3);
@@ -47,7 +48,7 @@
     }
 
     @Test
-    void deadMembersWatchNobodyAndAreNotWatched() {
+    void deadMemberNeitherWatchesNorIsWatched() {
         fill(3);
         table.putOther(member("m1", "dead"), 9);
         assertThat(ids(table.watchersOf("m0")), is(List.of("m2")));
@@ -57,7 +58,7 @@
     }
 
     @Test
-    void derivedListsFollowEachChange() {
+    void derivedListsReflectEachChange() {
         fill(3);
         assertThat(ids(table.liveOthers()), is(List.of("m1", "m2")));
         assertThat(table.suspects(), empty());
--- a/core/src/test/java/silverlatch/membership/MembershipTest.java
+++ b/core/src/test/java/silverlatch/membership/MembershipTest.java
@@ -16,7 +16,11 @@
 import silverlatch.node.Event;
 import silverlatch.wire.Message;
 
-/** The membership of some nodes on a fake clock; frames arrive at once unless a node is silenced, updates go to all. */
+/**
+ * Runs the membership of several nodes on a simulated clock. Messages arrive at once unless their sender or receiver
+ * is silenced; updates go to all nodes. Guards against nodes that don't find each other, live members that are
+ * declared dead, and dead ones that are not.
+ */
 final class MembershipTest {
     private final Map<String, Membership> nodes = new LinkedHashMap<>();
     private final Set<String> silenced = new HashSet<>();
@@ -35,10 +39,10 @@
 
     private void advance(final long duration) {
         for (final long end = now + duration; now < end; now += 50_000) {
-            nodes.forEach((id, c) -> {
-                c.tick(now);
-                c.drain().forEach(e -> handleEffect(id, e));
-                c.drainUpdates().forEach(m -> {
+            nodes.forEach((id, membership) -> {
+                membership.tick(now);
+                membership.drain().forEach(e -> handleEffect(id, e));
+                membership.drainUpdates().forEach(m -> {
                     if (!silenced.contains(id)) {
                         nodes.forEach((to, other) -> {
                             if (!silenced.contains(to)) {
@@ -76,16 +80,16 @@
     }
 
     @Test
-    void membersFindEachOtherThroughSeedsAndHaveThreeWatchersEach() {
+    void membersDiscoverEachOtherThroughSeedsAndHaveThreeWatchersEach() {
         startFleet(12);
-        nodes.forEach((id, c) -> {
-            assertThat(c.liveMembers().size(), is(11));
-            assertThat(c.watchers(id).size(), is(3));
+        nodes.forEach((id, membership) -> {
+            assertThat(membership.liveMembers().size(), is(11));
+            assertThat(membership.watchers(id).size(), is(3));
         });
     }
 
     @Test
-    void silentMemberIsSuspectedThenDeadAndReturnsWithANewIncarnation() {
+    void silentMemberIsSuspectedThenDeadAndUpAgainWithNewIncarnation() {
         startFleet(8);
         silenced.add("n5");
         advance(2_500_000);
@@ -99,7 +103,7 @@
     }
 
     @Test
-    void suspectedMemberThatLivesRefutes() {
+    void liveMemberRefutesSuspicion() {
         startFleet(5);
         nodes.get("n0").applyUpdate(nodes.get("n0").get("n3").orElseThrow().withState(MemberState.SUSPECT), now);
         advance(1_000_000);
@@ -107,7 +111,7 @@
     }
 
     @Test
-    void partitionedMemberSuspectsItselfAndNoOtherMember() {
+    void partitionedMemberSuspectsOnlyItself() {
         startFleet(8);
         silenced.add("n2");
         advance(2_500_000);
@@ -116,7 +120,7 @@
     }
 
     @Test
-    void restartWithAClockBehindTakesAnIncarnationAboveTheOldOne() {
+    void nodeRestartedWithLowerIncarnationRaisesItAboveOldOne() {
         startFleet(4);
         final long oldIncarnation = 50;
         start("n3", oldIncarnation);
