--- a/core/src/main/java/silverlatch/gossip/Gossip.java
+++ b/core/src/main/java/silverlatch/gossip/Gossip.java
@@ -373,7 +373,7 @@
     }
 
     private GossipMessage.GossipPull pullRequest(final long now) {
-        pulls.record(now);
+        pulls.recordPull(now);
         return new GossipMessage.GossipPull(
                 now,
                 state.revision(),
--- a/core/src/main/java/silverlatch/gossip/PullHistory.java
+++ b/core/src/main/java/silverlatch/gossip/PullHistory.java
@@ -16,7 +16,7 @@
     private final TreeSet<Long> sentAt = new TreeSet<>();
 
     /** Records that a pull is sent at {@code now}. */
-    void record(final long now) {
+    void recordPull(final long now) {
         sentAt.headSet(now - RETENTION_MICROS).clear();
         sentAt.add(now);
     }
