--- a/core/src/main/java/silverlatch/gossip/Gossip.java
+++ b/core/src/main/java/silverlatch/gossip/Gossip.java
@@ -18,20 +18,17 @@
  * Propagates the replicated state, the worker reports and the membership to all nodes.
  *
  * <p>Changes that restrict routing (a worker that drains, falls silent or is gone; a suspected member; a higher
- * revision) are pushed at once to a few members, which forward them. Freshness, in contrast, is only renewed by
- * pulls, and dated to the time at which the puller sent its request. This class builds and dispatches messages and
- * chooses their receivers; the data is held by {@link StateCopy}, {@link AnnouncedWorkers} and {@link WorkerReports}.
+ * revision) are pushed at once to a few members, which forward them. Freshness, in contrast, is only renewed by pulls,
+ * and dated to the time at which the puller sent its request. This class builds and dispatches messages and chooses
+ * their receivers; the data is held by {@link StateCopy}, {@link AnnouncedWorkers} and {@link WorkerReports}.
  *
- * <p>This class does no input or output: messages to send and events to log are collected for {@link #drain}. Only
- * the node's event loop calls it. All times are microseconds of the node's monotonic clock.
+ * <p>It does no input or output: messages and log events are collected for {@link #drain}. Only the node's event loop
+ * calls it. All times are microseconds of the node's monotonic clock.
  */
 public final class Gossip {
     /** How many members a push goes to, if workers announce themselves to any node. */
     private static final int PUSH_FANOUT = 3;
-    /**
-     * The age above which the state or the reports count as stale, so that this node pulls more often and from more
-     * nodes.
-     */
+    /** If the state or the reports are older than this, the node pulls more often and from more regions. */
     private static final long STALE_AGE_MICROS = 1_000_000L;
     /** The age in a message that means "never confirmed". */
     private static final long UNKNOWN_AGE = -1;
@@ -81,10 +78,7 @@
      * @param measuredAt the time to which its remaining warm-up and lifetime refer
      */
     public record ObservedWorker(Worker worker, Optional<Long> asOf, boolean silent, long measuredAt) {
-        /**
-         * Creates a worker that isn't silent, and whose remaining times refer to {@code asOf}, or to 0 if that is
-         * empty.
-         */
+        /** Creates a worker that isn't silent, whose remaining times refer to {@code asOf}, or 0 if that is empty. */
         public ObservedWorker(final Worker worker, final Optional<Long> asOf) {
             this(worker, asOf, false, asOf.orElse(0L));
         }
@@ -94,10 +88,7 @@
             return worker.agedBy(now - measuredAt).warmupRemaining();
         }
 
-        /**
-         * Returns how many microseconds ago the announcement was last known to be valid; {@link Long#MAX_VALUE} if
-         * never.
-         */
+        /** Returns how many microseconds ago this was last known to be valid; {@link Long#MAX_VALUE} if never. */
         public long age(final long now) {
             return asOf.map(time -> now - time).orElse(Long.MAX_VALUE);
         }
@@ -146,18 +137,12 @@
         return state.highestRevision();
     }
 
-    /**
-     * Returns how many microseconds ago the state here was last known to be the newest; {@link Long#MAX_VALUE} if
-     * that isn't known or a higher revision is known to exist.
-     */
+    /** Returns how many microseconds ago the state was last known to be the newest; the largest long if unknown. */
     public long stateAge(final long now) {
         return state.age(now);
     }
 
-    /**
-     * Returns the latest time as of which the state here is known to contain every acknowledged change. A higher
-     * revision that is known to exist doesn't change the result.
-     */
+    /** Returns as of when the state contains every acknowledged change, whether or not a higher revision is known. */
     public Optional<Long> lastConfirmedAt() {
         return state.lastConfirmedAt();
     }
@@ -168,8 +153,8 @@
     }
 
     /**
-     * Returns how many microseconds ago the worker reports here were last known to be the newest. Returns {@link
-     * Long#MAX_VALUE} if that isn't known, which is always so if workers announce themselves to any node.
+     * Returns how many microseconds ago the worker reports here were last known to be the newest; the largest long if
+     * that isn't known, as is always so if workers announce themselves to any node.
      */
     public long reportsAge(final long now) {
         final int controllerCount = peerSelector.otherControllers().size() + 1;
@@ -178,10 +163,7 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /**
-     * Returns a digest of all worker reports, which changes if any of them changes; 0 if workers announce themselves
-     * to any node.
-     */
+    /** Returns a digest that changes with any worker report; 0 if workers announce themselves to any node. */
     public long reportsDigest() {
         return reports.map(r -> r.digests().total()).orElse(0L);
     }
@@ -191,10 +173,7 @@
         return reports.map(r -> r.activeReports(now)).orElse(List.of());
     }
 
-    /**
-     * Merges the reports that were saved before a restart, unless newer ones are known. Newer ones that arrive later
-     * supersede them.
-     */
+    /** Merges reports that were saved before a restart. Newer ones, known or received later, supersede them. */
     public void restoreReports(final List<WorkerReport> restored, final long now) {
         reports.ifPresent(r -> restored.forEach(report -> r.merge(report, false, now)));
     }
@@ -204,18 +183,12 @@
         return state.snapshot();
     }
 
-    /**
-     * Applies the state that was saved before a restart. Must be called before the first tick. The state counts as
-     * unconfirmed until a pull confirms it.
-     */
+    /** Applies the state that was saved before a restart, before the first tick. The state counts as unconfirmed. */
     public void restoreState(final GossipMessage.GossipPullReply saved) {
         state.restore(saved);
     }
 
-    /**
-     * Handles the reply to a join request: if the state here was never confirmed, sends a pull to the replying node
-     * at once.
-     */
+    /** Handles the reply to a join request: pulls from that node at once if the age of the state isn't known. */
     public void onJoinReply(final String address, final long now) {
         if (stateAge(now) == Long.MAX_VALUE && pullSchedule.tryPullAfterJoinReply(now)) {
             send(address, pullRequest(now));
@@ -233,8 +206,7 @@
     /**
      * Adopts the state and the view of this node's replica, if they are newer.
      *
-     * @param isConfirmed whether the replica's state is known to be the newest as of {@code confirmedAt}; if not,
-     *                    only the view is adopted
+     * @param isConfirmed whether the state is the newest as of {@code confirmedAt}; if not, only the view is adopted
      */
     public void adoptReplicaState(
             final StateMachine replicaState,
@@ -249,10 +221,8 @@
     /**
      * Processes an announcement that a worker made to this node.
      *
-     * @param echo the token that this node returned for the worker's previous announcement; it proves how old this
-     *             one is
-     * @return the token that the worker has to return with its next announcement; 0 if workers announce themselves to
-     *     controllers
+     * @param echo the token returned for the worker's previous announcement here; it proves how old this one is
+     * @return the token that the worker has to return next time; 0 if workers announce themselves to controllers
      */
     public long onAnnouncement(final Worker worker, final long echo, final long now) {
         if (reports.isEmpty()) {
@@ -271,10 +241,9 @@
     }
 
     /**
-     * Responds by {@link Effect.Respond} whether the newest report on a worker is held by a majority of the
-     * controllers, so that it will reach every node that can reach a majority, whatever partition follows. Responds
-     * with false if that isn't so at the deadline. If workers announce themselves to any node, responds with true
-     * once the announcement was pushed.
+     * Responds by {@link Effect.Respond} whether a majority of the controllers holds the newest report on a worker, so
+     * that it will reach every node that can reach a majority, whatever partition follows; false if not by the
+     * deadline. If workers announce themselves to any node, responds with true once the announcement was pushed.
      */
     public void confirmReport(final String workerId, final long token, final long now, final long deadline) {
         reportQuorum.ifPresentOrElse(
--- a/core/src/main/java/silverlatch/gossip/PullSchedule.java
+++ b/core/src/main/java/silverlatch/gossip/PullSchedule.java
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Returns whether to pull at once from a node that answered a join request; if so, that counts as an initial pull
-     * made at {@code now}. To be called only while this node's state was never confirmed.
+     * Returns whether to pull at once from a node that answered a join request. If so, the next initial pull from
+     * controllers is due one interval from {@code now}. To be called only while this node's state isn't confirmed.
      */
     boolean tryPullAfterJoinReply(final long now) {
         if (now - lastInitialPull < JOIN_REPLY_PULL_INTERVAL_MICROS) {
--- a/core/src/main/java/silverlatch/node/Node.java
+++ b/core/src/main/java/silverlatch/node/Node.java
@@ -105,10 +105,7 @@
             this(self, seeds, stampLowBits, maxClockSkew, membership, gossip, Safeguards.ALL);
         }
 
-        /**
-         * Returns these settings with another startup grace: for how many microseconds after its start a gateway may
-         * route by an unconfirmed configuration.
-         */
+        /** Returns these settings with another startup grace, in microseconds. */
         public Settings withStartupGrace(final long micros) {
             return new Settings(self, seeds, stampLowBits, maxClockSkew, membership, gossip, micros, safeguards);
         }
@@ -241,8 +238,8 @@
     }
 
     /**
-     * Responds by {@link Effect.Respond}, with a Boolean, whether a majority of the controllers holds the newest
-     * report on a worker. The response is given at the deadline at the latest.
+     * Responds by {@link Effect.Respond}, with a Boolean and at the deadline at the latest, whether a majority of the
+     * controllers holds the newest report on a worker.
      */
     public void confirmReport(final String workerId, final long token, final long now, final long deadline) {
         advanceTime(now);
@@ -251,8 +248,8 @@
     }
 
     /**
-     * Submits a command to the chain. The result is given by {@link Effect.Respond} with the token, at the deadline
-     * at the latest.
+     * Submits a command to the chain, answered by {@link Effect.Respond} with its result, at the deadline at the
+     * latest.
      */
     public void submit(final Command command, final long token, final long now, final long deadline) {
         advanceTime(now);
@@ -260,10 +257,7 @@
         processEffects(now);
     }
 
-    /**
-     * Reads the entries whose keys have a prefix from the chain. The result is given by {@link Effect.Respond} with
-     * the token, at the deadline at the latest.
-     */
+    /** Reads the entries under a key prefix from the chain; answered like {@link #submit}. */
     public void read(final String keyPrefix, final long token, final long now, final long deadline) {
         advanceTime(now);
         chainClient.read(keyPrefix, token, now, deadline);
@@ -346,8 +340,7 @@
     }
 
     /**
-     * Starts a new incarnation with a reset process clock. As after a start, nothing that the node holds counts as
-     * confirmed.
+     * Starts a new incarnation with a reset process clock; nothing that the node holds counts as confirmed any more.
      */
     private void rejoin(final long now, final String reason) {
         counters.increment(NodeCounters.REJOINS);
--- a/core/src/main/java/silverlatch/node/NodeClock.java
+++ b/core/src/main/java/silverlatch/node/NodeClock.java
@@ -141,7 +141,9 @@
             effects.accept(new Effect.Log(Event.ANCHORED, "the physical clock was shifted by " + shift + " us"));
             return Optional.of("the median of the peers");
         }
-        return processClock.needsRejoin(physicalTime) ? Optional.of("overflows") : Optional.empty();
+        return processClock.needsRejoin(physicalTime)
+                ? Optional.of("too many dropped messages, or a process clock beyond the skew bound")
+                : Optional.empty();
     }
 
     /** Restarts the process clock from the physical clock, and discards the offsets of the peers. */
