--- a/core/src/main/java/silverlatch/gossip/StateCopy.java
+++ b/core/src/main/java/silverlatch/gossip/StateCopy.java
@@ -102,8 +102,8 @@
     }
 
     /**
-     * Adopts what this node's replica holds: the view if it is newer, and the state if it is confirmed. Returns
-     * whether the copy has changed.
+     * Adopts the view of this node's replica if it is newer, and its state if it is confirmed and newer. Returns
+     * whether the state has changed.
      *
      * @param isConfirmed whether the replica's state is known to be the newest as of {@code asOf}
      */
