--- a/core/src/test/java/silverlatch/membership/JoinScheduleTest.java
+++ b/core/src/test/java/silverlatch/membership/JoinScheduleTest.java
@@ -7,9 +7,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against nodes that stay separated: seeds that get no join requests while no member is up there, and sides of
+ * a healed partition that never reconnect.
+ */
 final class JoinScheduleTest {
     private static final long INTERVAL = 1_000_000;
-    private static final long FIRST_INTERVAL = 200_000;
+    private static final long SHORT_INTERVAL = 200_000;
     private static final long START = 10 * INTERVAL;
     private static final long RECONNECT_WINDOW = 600_000_000;
 
@@ -21,63 +25,63 @@
     }
 
     @Test
-    void joiningNodeGreetsAllSeedsOftenButNeverItself() {
+    void joiningNodeSendsRequestsToAllSeedsButItselfAtShortInterval() {
         members.putOther(member("s1", "up"), START);
-        assertThat(schedule.addressesToGreet(START), is(List.of("s1", "s2")));
-        assertThat(schedule.addressesToGreet(START + FIRST_INTERVAL - 1), empty());
-        assertThat(schedule.addressesToGreet(START + FIRST_INTERVAL), is(List.of("s1", "s2")));
+        assertThat(schedule.joinTargets(START), is(List.of("s1", "s2")));
+        assertThat(schedule.joinTargets(START + SHORT_INTERVAL - 1), empty());
+        assertThat(schedule.joinTargets(START + SHORT_INTERVAL), is(List.of("s1", "s2")));
     }
 
     @Test
-    void nodeThatJoinedGreetsSeedsThatAreNotUp() {
+    void joinedNodeSendsRequestsToSeedsThatAreNotUp() {
         schedule.onMemberList();
         members.putOther(member("s1", "up"), START);
-        assertThat(schedule.addressesToGreet(START), is(List.of("s2")));
-        assertThat(schedule.addressesToGreet(START + INTERVAL - 1), empty());
+        assertThat(schedule.joinTargets(START), is(List.of("s2")));
+        assertThat(schedule.joinTargets(START + INTERVAL - 1), empty());
         members.putOther(member("s1", "suspect"), START);
-        assertThat(schedule.addressesToGreet(START + INTERVAL), is(List.of("s1", "s2")));
+        assertThat(schedule.joinTargets(START + INTERVAL), is(List.of("s1", "s2")));
     }
 
     @Test
-    void aNodeThatWaitsForSeedsGreetsThoseThatAreNotUpOften() {
+    void shortIntervalAppliesToSeedsThatAreNotUp() {
         schedule.onMemberList();
         members.putOther(member("s1", "up"), START);
-        schedule.setHurried(true);
-        assertThat(schedule.addressesToGreet(START), is(List.of("s2")));
-        assertThat(schedule.addressesToGreet(START + FIRST_INTERVAL), is(List.of("s2")));
-        schedule.setHurried(false);
-        assertThat(schedule.addressesToGreet(START + 2 * FIRST_INTERVAL), empty());
+        schedule.setUseShortInterval(true);
+        assertThat(schedule.joinTargets(START), is(List.of("s2")));
+        assertThat(schedule.joinTargets(START + SHORT_INTERVAL), is(List.of("s2")));
+        schedule.setUseShortInterval(false);
+        assertThat(schedule.joinTargets(START + 2 * SHORT_INTERVAL), empty());
     }
 
     @Test
-    void otherSeedsAreGreetedAtOnceTheSameOnesAreNot() {
+    void changedSeedsGetRequestsAtOnceUnchangedOnesDoNot() {
         schedule.onMemberList();
-        schedule.addressesToGreet(START);
+        schedule.joinTargets(START);
         schedule.setSeeds(List.of("self", "s1", "s2"));
-        assertThat(schedule.addressesToGreet(START + 1), empty());
+        assertThat(schedule.joinTargets(START + 1), empty());
         schedule.setSeeds(List.of("s3"));
-        assertThat(schedule.addressesToGreet(START + 1), is(List.of("s3")));
+        assertThat(schedule.joinTargets(START + 1), is(List.of("s3")));
     }
 
     @Test
-    void deadMembersAreGreetedInTurnUntilTheWindowIsOver() {
+    void deadMembersGetRequestsRoundRobinUntilReconnectWindowExpires() {
         schedule.setSeeds(List.of());
         schedule.onMemberList();
         members.putOther(member("d1", "dead"), START);
         members.putOther(member("d2", "dead"), START);
         members.putOther(member("gone", "left"), START);
-        assertThat(schedule.addressesToGreet(START), is(List.of("d1")));
-        assertThat(schedule.addressesToGreet(START + INTERVAL), is(List.of("d2")));
-        assertThat(schedule.addressesToGreet(START + 2 * INTERVAL), is(List.of("d1")));
-        assertThat(schedule.addressesToGreet(START + RECONNECT_WINDOW), empty());
+        assertThat(schedule.joinTargets(START), is(List.of("d1")));
+        assertThat(schedule.joinTargets(START + INTERVAL), is(List.of("d2")));
+        assertThat(schedule.joinTargets(START + 2 * INTERVAL), is(List.of("d1")));
+        assertThat(schedule.joinTargets(START + RECONNECT_WINDOW), empty());
     }
 
     @Test
-    void deadMemberWhoseAddressALiveOneTookIsLeftAlone() {
+    void deadMemberGetsNoRequestIfLiveMemberHasItsAddress() {
         schedule.setSeeds(List.of());
         schedule.onMemberList();
         members.putOther(member("d1", "dead"), START);
         members.putOther(new Member("new", "gateway", "z", "r", "d1", "d1", 1, 0, "up", true), START);
-        assertThat(schedule.addressesToGreet(START), empty());
+        assertThat(schedule.joinTargets(START), empty());
     }
 }
