--- a/server/src/main/java/silverlatch/server/controller/ApiRouter.java
+++ b/server/src/main/java/silverlatch/server/controller/ApiRouter.java
@@ -24,13 +24,13 @@
     private static final int NAMED_PATH_PARTS = 4;
 
     /** Present paths of resources by their former ones, which are served alike for one version. */
-    private static final Map<String, String> PRESENT_PATHS = Map.of(
+    private static final Map<String, String> CURRENT_PATHS = Map.of(
             "/v1/charter", "/v1/configuration",
             "/v1/rules", "/v1/routes",
             "/v1/calendars", "/v1/schedules");
 
     private final String operatorKey;
-    private final Map<String, Consumer<HttpExchange>> openRoutes;
+    private final Map<String, Consumer<HttpExchange>> routesWithoutOperatorKey;
     private final Map<String, Consumer<HttpExchange>> operatorRoutes;
     private final Map<String, BiConsumer<HttpExchange, String>> namedOperatorRoutes;
 
@@ -40,7 +40,7 @@
             final Transport transport,
             final CronScheduler scheduler,
             final Supplier<Optional<String>> unreadyReason,
-            final Supplier<Map<CloudProvider.Outcome, Long>> providerCalls) {
+            final Supplier<Map<CloudProvider.Outcome, Long>> providerCallCounts) {
         this.operatorKey = settings.operatorKey();
         final StateApi state = new StateApi(eventLoop, maxBodyBytes(settings));
         final StatusResource status = new StatusResource(settings.name(), eventLoop, unreadyReason);
@@ -49,10 +49,10 @@
         final TenantResource tenants = new TenantResource(state, settings.clusterKey());
         final EvacuationResource evacuations = new EvacuationResource(state);
         final ScheduleResource schedules = new ScheduleResource(state, scheduler);
-        this.openRoutes = Map.of(
+        this.routesWithoutOperatorKey = Map.of(
                 "GET /live", status::live,
                 "GET /ready", status::ready,
-                "GET /metrics", new MetricsResource(eventLoop, transport, providerCalls)::get,
+                "GET /metrics", new MetricsResource(eventLoop, transport, providerCallCounts)::get,
                 "POST /v1/announcements", new AnnouncementResource(state, eventLoop, settings.workerKey())::post);
         this.operatorRoutes = Map.of(
                 "GET /status", status::status,
@@ -87,9 +87,9 @@
 
     /** Hands an exchange to its resource, which replies. */
     void route(final HttpExchange exchange) {
-        final String route = exchange.method() + " " + presentPath(exchange.path());
-        if (openRoutes.containsKey(route)) {
-            openRoutes.get(route).accept(exchange);
+        final String route = exchange.method() + " " + currentPath(exchange.path());
+        if (routesWithoutOperatorKey.containsKey(route)) {
+            routesWithoutOperatorKey.get(route).accept(exchange);
         } else if (Digests.constantTimeEquals(exchange.bearerToken(), operatorKey)) {
             routeOperator(exchange, route);
         } else {
@@ -104,7 +104,7 @@
         }
         final String[] parts = exchange.path().split("/");
         final String collection = parts.length == NAMED_PATH_PARTS
-                ? exchange.method() + " " + presentPath("/" + parts[1] + "/" + parts[2])
+                ? exchange.method() + " " + currentPath("/" + parts[1] + "/" + parts[2])
                 : "";
         if (namedOperatorRoutes.containsKey(collection)) {
             namedOperatorRoutes.get(collection).accept(exchange, parts[NAMED_PATH_PARTS - 1]);
@@ -113,7 +113,7 @@
         }
     }
 
-    private static String presentPath(final String path) {
-        return PRESENT_PATHS.getOrDefault(path, path);
+    private static String currentPath(final String path) {
+        return CURRENT_PATHS.getOrDefault(path, path);
     }
 }
--- a/server/src/main/java/silverlatch/server/controller/ConfigurationResource.java
+++ b/server/src/main/java/silverlatch/server/controller/ConfigurationResource.java
@@ -9,7 +9,7 @@
 
 /** The routing configuration ({@code /v1/configuration}) and the routes in force ({@code /v1/routes}). */
 final class ConfigurationResource {
-    private static final long NO_REVISION_YET = -1;
+    private static final long PLACEHOLDER_REVISION = -1;
     private final StateApi state;
 
     ConfigurationResource(final StateApi state) {
@@ -56,7 +56,7 @@
     }
 
     private void put(final HttpExchange exchange, final JsonDocument body, final String text) {
-        final Command.PutFullConfiguration parsed = ConfigurationJson.read(body, text, "", NO_REVISION_YET);
+        final Command.PutFullConfiguration parsed = ConfigurationJson.read(body, text, "", PLACEHOLDER_REVISION);
         if (!ApiReplies.rejectIfFaulty(exchange, body)) {
             state.write(
                     exchange,
--- a/server/src/main/java/silverlatch/server/controller/ControlService.java
+++ b/server/src/main/java/silverlatch/server/controller/ControlService.java
@@ -37,5 +37,5 @@
     void announce(Worker worker, Consumer<Boolean> onResult);
 
     /** Takes note that a worker is gone; true once a majority of the controllers holds that, false where it isn't known here. */
-    void workerLeft(String workerId, Consumer<Boolean> onResult);
+    void markWorkerGone(String workerId, Consumer<Boolean> onResult);
 }
--- a/server/src/main/java/silverlatch/server/controller/Controller.java
+++ b/server/src/main/java/silverlatch/server/controller/Controller.java
@@ -25,7 +25,7 @@
 import silverlatch.server.eventloop.EventLog;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.eventloop.EventLoopHandle;
-import silverlatch.server.persistence.WorkerRoster;
+import silverlatch.server.persistence.SavedWorkerReports;
 import silverlatch.server.process.DaemonProcess;
 import silverlatch.server.provider.CallSource;
 import silverlatch.server.provider.CloudProvider;
@@ -60,7 +60,7 @@
     private final Transport transport;
     private final ApiServer apiServer;
     private final Optional<LogWriter> logWriter;
-    private final Optional<WorkerRoster> roster;
+    private final Optional<SavedWorkerReports> savedWorkerReports;
     private final Readiness readiness;
     private final WorkerAnnouncements announcements;
     private final ScheduleRunner schedules;
@@ -75,8 +75,8 @@
         this.transport = new Transport(settings.peerAddress(), this::onFrame);
         this.eventLoop = new EventLoopHandle(
                 node, settings.intervals().nodeTick(), transport::send, this::persist, this::afterTick);
-        this.logWriter = writeAheadLog.map(log -> new LogWriter(log, new LogEvents(eventLoop)));
-        this.roster = settings.dataFolder().map(folder -> new WorkerRoster(Path.of(folder)));
+        this.logWriter = writeAheadLog.map(log -> new LogWriter(log, new NodeLogListener(eventLoop)));
+        this.savedWorkerReports = settings.dataFolder().map(folder -> new SavedWorkerReports(Path.of(folder)));
         this.readiness = new Readiness(settings.name());
         this.announcements = new WorkerAnnouncements(eventLoop, SERVICE_TIMEOUT_MICROS);
         final CronScheduler scheduler = new CronScheduler();
@@ -84,15 +84,20 @@
         this.apiServer = new ApiServer(
                 settings.httpAddress(),
                 ApiRouter.maxBodyBytes(settings),
-                new ApiRouter(settings, eventLoop, transport, scheduler, readiness::unreadyReason, this::providerCalls)
-                        ::route);
+                new ApiRouter(
+                                settings,
+                                eventLoop,
+                                transport,
+                                scheduler,
+                                readiness::unreadyReason,
+                                this::providerCallCounts)::route);
         if (settings.singleton().reportsUsage()) {
             node.traffic().collect(settings.singleton().usageSchedule());
         }
     }
 
     /** Has the provider called while this process owns the singleton role. To be called before {@link #start()}. */
-    public void callProvider(final CloudProvider provider) {
+    public void enableProviderCalls(final CloudProvider provider) {
         final List<CallSource> sources = new ArrayList<>();
         if (settings.singleton().reportsUsage()) {
             sources.add(new UsageCallSource(
@@ -115,7 +120,7 @@
     @Override
     public void start() throws IOException, ApiServer.HttpServerException {
         logWriter.ifPresent(LogWriter::start);
-        roster.ifPresent(file -> {
+        savedWorkerReports.ifPresent(file -> {
             node.gossip().restoreReports(file.read(), EventLoop.nowMicros());
             file.start();
         });
@@ -132,7 +137,7 @@
     @Override
     public void stop() {
         try {
-            readiness.stop();
+            readiness.markStopping();
             eventLoop.execute(target -> target.leave(EventLoop.nowMicros()));
             final long deadline = EventLoop.nowMicros() + settings.shutdownGrace();
             while (EventLoop.nowMicros() < deadline && logWriter.isPresent() && !readiness.hasLeftChain()) {
@@ -178,8 +183,8 @@
     }
 
     @Override
-    public void workerLeft(final String workerId, final Consumer<Boolean> onResult) {
-        announcements.workerLeft(workerId, onResult);
+    public void markWorkerGone(final String workerId, final Consumer<Boolean> onResult) {
+        announcements.markWorkerGone(workerId, onResult);
     }
 
     /** Replaces the addresses of the seeds. Callable from any thread. */
@@ -203,7 +208,7 @@
                         .findFirst());
     }
 
-    private Map<CloudProvider.Outcome, Long> providerCalls() {
+    private Map<CloudProvider.Outcome, Long> providerCallCounts() {
         return providerCaller.map(ProviderCaller::counters).orElse(Map.of());
     }
 
@@ -231,7 +236,7 @@
                 .filter(member -> !member.isGateway() && member.is(MemberState.UP))
                 .toList();
         readiness.update(ticked, now);
-        roster.ifPresent(file -> file.saveIfChanged(ticked.gossip(), now));
+        savedWorkerReports.ifPresent(file -> file.saveIfChanged(ticked.gossip(), now));
         schedules.afterTick(ticked, now);
         providerCaller.ifPresent(ProviderCaller::tick);
     }
--- a/server/src/main/java/silverlatch/server/controller/CronScheduler.java
+++ b/server/src/main/java/silverlatch/server/controller/CronScheduler.java
@@ -26,7 +26,7 @@
  */
 public final class CronScheduler {
     /** How long after its minute a schedule is still due. */
-    private static final long WINDOW_SECONDS = 90;
+    private static final long DUE_WINDOW_SECONDS = 90;
 
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final long ANY_REVISION = -1;
@@ -65,12 +65,12 @@
                 .map(entry -> (Value.Schedule) entry.value().get(0))
                 .flatMap(schedule -> dueCommand(schedule, nowSeconds, fencingToken).stream())
                 .toList();
-        submitted.values().removeIf(dueAt -> nowSeconds - dueAt > 2 * WINDOW_SECONDS);
+        submitted.values().removeIf(dueAt -> nowSeconds - dueAt > 2 * DUE_WINDOW_SECONDS);
         return commands;
     }
 
     /** Forgets that a command was submitted, as its outcome isn't known; it is due again while its time lasts. */
-    public void forget(final String id) {
+    public void allowResubmission(final String id) {
         submitted.remove(id);
     }
 
@@ -88,7 +88,7 @@
         final Optional<Long> dueAt = parse(schedule.cron())
                 .flatMap(cron -> ExecutionTime.forCron(cron).lastExecution(toUtc(nowSeconds + 1)))
                 .map(ZonedDateTime::toEpochSecond)
-                .filter(second -> nowSeconds - second <= WINDOW_SECONDS);
+                .filter(second -> nowSeconds - second <= DUE_WINDOW_SECONDS);
         if (dueAt.isEmpty()) {
             return Optional.empty();
         }
--- a/server/src/main/java/silverlatch/server/controller/LogOpener.java
+++ b/server/src/main/java/silverlatch/server/controller/LogOpener.java
@@ -15,26 +15,26 @@
     private static final int EXIT_UNUSABLE_LOG = 4;
     private final Path folder;
     private final boolean mayBootstrap;
-    private final boolean movesDamagedAside;
+    private final boolean moveDamagedLogAside;
     private boolean isUnavailableReported;
 
-    private LogOpener(final Path folder, final boolean mayBootstrap, final boolean movesDamagedAside) {
+    private LogOpener(final Path folder, final boolean mayBootstrap, final boolean moveDamagedLogAside) {
         this.folder = folder;
         this.mayBootstrap = mayBootstrap;
-        this.movesDamagedAside = movesDamagedAside;
+        this.moveDamagedLogAside = moveDamagedLogAside;
     }
 
     /**
      * Opens the log in the data folder, if the settings name one, as soon as the disk lets it. One that is damaged or of
      * another format ends the process with 4.
      *
-     * @param movesDamagedAside whether a damaged log is moved aside instead, and the machine starts with an empty one under a
+     * @param moveDamagedLogAside whether a damaged log is moved aside instead, and the machine starts with an empty one under a
      *     new identity
      */
     public static Optional<WriteAheadLog.OpenResult.Success> open(
-            final Settings settings, final boolean movesDamagedAside) {
+            final Settings settings, final boolean moveDamagedLogAside) {
         return settings.dataFolder()
-                .map(folder -> new LogOpener(Path.of(folder), settings.mayBootstrap(), movesDamagedAside).open());
+                .map(folder -> new LogOpener(Path.of(folder), settings.mayBootstrap(), moveDamagedLogAside).open());
     }
 
     private WriteAheadLog.OpenResult.Success open() {
@@ -43,7 +43,7 @@
                 case WriteAheadLog.OpenResult.Unavailable unavailable -> awaitDisk(unavailable.reason());
                 case WriteAheadLog.OpenResult.Damaged damaged -> {
                     EventLog.write(Event.DAMAGED, damaged.reason());
-                    if (!movesDamagedAside || !moveAside()) {
+                    if (!moveDamagedLogAside || !moveAside()) {
                         System.exit(EXIT_UNUSABLE_LOG);
                     }
                 }
--- a/server/src/main/java/silverlatch/server/controller/LogWriter.java
+++ b/server/src/main/java/silverlatch/server/controller/LogWriter.java
@@ -35,19 +35,19 @@
     private final long initialBackoffMs;
     private WriteAheadLog log;
     private long backoffMs;
-    private long recoveredAt;
+    private long writableSince;
     private volatile boolean overflowed;
 
     /** Is notified of what became of writes, on the writer's thread. */
     public interface Listener {
         /** The writes of these tokens are on disk. */
-        void synced(List<Long> tokens);
+        void onSynced(List<Long> tokens);
 
-        /** The disk failed; {@code fenced} is to be run once no more writes come that were submitted before. */
-        void failed(String why, Runnable fenced);
+        /** The disk failed; {@code onWritesStopped} is to be run once no more writes come that were submitted before. */
+        void onFailed(String reason, Runnable onWritesStopped);
 
         /** The disk takes writes again, and this is what the log holds; writes submitted from now on are taken. */
-        void recovered(List<LogRecord> records);
+        void onRecovered(List<LogRecord> records);
     }
 
     /** A writer of an open log, of which it is the only one. */
@@ -64,7 +64,7 @@
 
     /** Starts the thread. */
     public void start() {
-        recoveredAt = System.nanoTime();
+        writableSince = System.nanoTime();
         Threads.startDaemon("log-writer", this::run);
     }
 
@@ -100,7 +100,7 @@
             if (overflowed) {
                 throw new IOException("too many writes wait");
             }
-            listener.synced(batch.stream().map(Effect.Persist::token).toList());
+            listener.onSynced(batch.stream().map(Effect.Persist::token).toList());
         }
     }
 
@@ -125,21 +125,21 @@
                 .sum();
     }
 
-    private void recover(final String why) throws InterruptedException {
-        final CountDownLatch fenced = new CountDownLatch(1);
-        listener.failed(why, fenced::countDown);
-        fenced.await();
+    private void recover(final String reason) throws InterruptedException {
+        final CountDownLatch writesStopped = new CountDownLatch(1);
+        listener.onFailed(reason, writesStopped::countDown);
+        writesStopped.await();
         queue.clear();
         overflowed = false;
-        backoffMs = System.nanoTime() - recoveredAt > STABLE_NANOS
+        backoffMs = System.nanoTime() - writableSince > STABLE_NANOS
                 ? initialBackoffMs
                 : Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
         while (true) {
             TimeUnit.MILLISECONDS.sleep(backoffMs);
             if (log.reopen() instanceof WriteAheadLog.OpenResult.Success opened) {
                 log = opened.log();
-                recoveredAt = System.nanoTime();
-                listener.recovered(opened.records());
+                writableSince = System.nanoTime();
+                listener.onRecovered(opened.records());
                 return;
             }
         }
--- a/server/src/main/java/silverlatch/server/controller/MetricsResource.java
+++ b/server/src/main/java/silverlatch/server/controller/MetricsResource.java
@@ -14,16 +14,16 @@
 final class MetricsResource {
     private final EventLoopHandle eventLoop;
     private final Transport transport;
-    private final Supplier<Map<CloudProvider.Outcome, Long>> providerCalls;
+    private final Supplier<Map<CloudProvider.Outcome, Long>> providerCallCounts;
 
     /** The calls of the provider by outcome are read on the event loop. */
     MetricsResource(
             final EventLoopHandle eventLoop,
             final Transport transport,
-            final Supplier<Map<CloudProvider.Outcome, Long>> providerCalls) {
+            final Supplier<Map<CloudProvider.Outcome, Long>> providerCallCounts) {
         this.eventLoop = eventLoop;
         this.transport = transport;
-        this.providerCalls = providerCalls;
+        this.providerCallCounts = providerCallCounts;
     }
 
     /** Replies with the metrics as lines of text. */
@@ -36,7 +36,7 @@
                             "replication_sequence",
                             "quay_sequence",
                             replica.stateMachine().sequence()));
-            providerCalls
+            providerCallCounts
                     .get()
                     .forEach((outcome, count) ->
                             page.put("provider_" + outcome.name().toLowerCase(Locale.ROOT), count));
--- a/server/src/main/java/silverlatch/server/controller/LogEvents.java
+++ b/server/src/main/java/silverlatch/server/controller/NodeLogListener.java
@@ -10,25 +10,25 @@
 import silverlatch.server.eventloop.EventLoopHandle;
 
 /** Carries what the log writer reports to the node. Called on the writer's thread, which waits where the event loop is full. */
-final class LogEvents implements LogWriter.Listener {
+final class NodeLogListener implements LogWriter.Listener {
     private final EventLoopHandle eventLoop;
 
-    LogEvents(final EventLoopHandle eventLoop) {
+    NodeLogListener(final EventLoopHandle eventLoop) {
         this.eventLoop = eventLoop;
     }
 
     @Override
-    public void synced(final List<Long> tokens) {
+    public void onSynced(final List<Long> tokens) {
         post(node -> tokens.forEach(token -> node.onPersisted(token, EventLoop.nowMicros())), () -> {});
     }
 
     @Override
-    public void failed(final String why, final Runnable fenced) {
-        post(node -> node.onDiskFailed(why, EventLoop.nowMicros()), fenced);
+    public void onFailed(final String reason, final Runnable onWritesStopped) {
+        post(node -> node.onDiskFailed(reason, EventLoop.nowMicros()), onWritesStopped);
     }
 
     @Override
-    public void recovered(final List<LogRecord> records) {
+    public void onRecovered(final List<LogRecord> records) {
         EventLog.write(Event.RECOVERED, records.size() + " records, after the disk had failed");
         post(node -> node.onDiskRecovered(records, EventLoop.nowMicros()), () -> {});
     }
--- a/server/src/main/java/silverlatch/server/controller/Readiness.java
+++ b/server/src/main/java/silverlatch/server/controller/Readiness.java
@@ -9,7 +9,7 @@
 
 /**
  * Whether the controller takes writes, and why not. Starts unready, follows the node from tick to tick, and is unready for good once
- * the controller stops. Written by the event loop, but for {@link #stop()}; read by any thread.
+ * the controller stops. Written by the event loop, but for {@link #markStopping()}; read by any thread.
  */
 final class Readiness {
     /** A controller without a replica is ready while its state was confirmed as the newest within this time. */
@@ -36,7 +36,7 @@
     }
 
     /** From the next update on the controller is unready for good. */
-    void stop() {
+    void markStopping() {
         isStopping = true;
     }
 
--- a/server/src/main/java/silverlatch/server/controller/ScheduleRunner.java
+++ b/server/src/main/java/silverlatch/server/controller/ScheduleRunner.java
@@ -16,7 +16,7 @@
     private static final long NANOS_PER_MICRO = 1_000;
     private final CronScheduler scheduler;
     private final EventLoopHandle eventLoop;
-    private long lastCheck;
+    private long lastCheckAt;
 
     ScheduleRunner(final CronScheduler scheduler, final EventLoopHandle eventLoop) {
         this.scheduler = scheduler;
@@ -25,10 +25,10 @@
 
     /** Looks for due schedules, once a second. Called after each tick. */
     void afterTick(final Node node, final long now) {
-        if (now - lastCheck < CHECK_INTERVAL_MICROS) {
+        if (now - lastCheckAt < CHECK_INTERVAL_MICROS) {
             return;
         }
-        lastCheck = now;
+        lastCheckAt = now;
         node.chainReplica().ifPresent(replica -> submitDue(replica, wallNanos(node.physicalClock(), now), now));
     }
 
@@ -43,7 +43,7 @@
         EventLog.write(Event.CALENDAR, command.id());
         eventLoop.submit(command, COMMAND_TIMEOUT_MICROS, result -> {
             if (result instanceof CommandResult.Unknown) {
-                scheduler.forget(command.id());
+                scheduler.allowResubmission(command.id());
             }
         });
     }
--- a/server/src/main/java/silverlatch/server/controller/StatusResource.java
+++ b/server/src/main/java/silverlatch/server/controller/StatusResource.java
@@ -18,7 +18,7 @@
 /** Whether the controller lives and is ready, and what it knows of the cluster ({@code /live, /ready, /status}). */
 final class StatusResource {
     /** The former key of the members, which stands beside the present one for one version. */
-    private static final String FORMER_MEMBERS_KEY = "crew";
+    private static final String DEPRECATED_MEMBERS_KEY = "crew";
 
     private final String name;
     private final EventLoopHandle eventLoop;
@@ -60,7 +60,7 @@
         body.put("stamp", "" + node.processClock().last().bits());
         final List<String> members = members(node);
         body.put("members", members);
-        body.put(FORMER_MEMBERS_KEY, members);
+        body.put(DEPRECATED_MEMBERS_KEY, members);
         body.put("workers", workers(node));
         return body;
     }
@@ -86,22 +86,22 @@
     }
 
     private static List<String> members(final Node node) {
-        return node.membership().all().stream().map(StatusResource::line).toList();
+        return node.membership().all().stream().map(StatusResource::format).toList();
     }
 
     private static List<String> workers(final Node node) {
         return node.gossip().workers().values().stream()
-                .map(observed -> line(observed.worker()))
+                .map(observed -> format(observed.worker()))
                 .sorted()
                 .toList();
     }
 
-    private static String line(final Member member) {
+    private static String format(final Member member) {
         return member.id() + " " + member.role() + " " + member.zone() + " " + member.region() + " "
                 + member.httpAddress() + " " + member.state() + (member.ready() ? " ready" : "");
     }
 
-    private static String line(final Worker worker) {
+    private static String format(final Worker worker) {
         return worker.id() + " " + worker.zone() + " running " + worker.running() + "/" + worker.slots()
                 + (worker.draining() ? " leaving" : "");
     }
--- a/server/src/main/java/silverlatch/server/controller/WorkerAnnouncements.java
+++ b/server/src/main/java/silverlatch/server/controller/WorkerAnnouncements.java
@@ -26,7 +26,7 @@
 
     /** Takes a worker's report; the reply is whether it was accepted. */
     void announce(final Worker worker, final Consumer<Boolean> onResult) {
-        execute(
+        applyAndConfirm(
                 worker.id(),
                 node -> {
                     node.onAnnouncement(worker, 0, EventLoop.nowMicros());
@@ -36,14 +36,15 @@
     }
 
     /** Takes note that a worker is gone; the reply is whether it was known. */
-    void workerLeft(final String workerId, final Consumer<Boolean> onResult) {
-        execute(workerId, node -> node.onWorkerGone(workerId, EventLoop.nowMicros()), onResult);
+    void markWorkerGone(final String workerId, final Consumer<Boolean> onResult) {
+        applyAndConfirm(workerId, node -> node.onWorkerGone(workerId, EventLoop.nowMicros()), onResult);
     }
 
     /** Takes a report, and replies once it is held by as many as it has to be; false where it isn't accepted. */
-    private void execute(final String workerId, final Predicate<Node> takeReport, final Consumer<Boolean> onResult) {
+    private void applyAndConfirm(
+            final String workerId, final Predicate<Node> applyReport, final Consumer<Boolean> onResult) {
         final boolean isPosted = eventLoop.execute(node -> {
-            if (!takeReport.test(node)) {
+            if (!applyReport.test(node)) {
                 onResult.accept(false);
             } else if (isInService(node, workerId)) {
                 onResult.accept(true);
--- a/server/src/main/java/silverlatch/server/eventloop/EventLoop.java
+++ b/server/src/main/java/silverlatch/server/eventloop/EventLoop.java
@@ -17,7 +17,7 @@
  */
 public final class EventLoop {
     private static final long NANOS_PER_MICRO = 1_000;
-    private static final int EXIT_CODE = 3;
+    private static final int ERROR_EXIT_CODE = 3;
     private final MpscBlockingConsumerArrayQueue<Runnable> queue;
     private final Thread thread;
     private final LongSupplier tickInterval;
@@ -94,7 +94,7 @@
                 EventLog.write(Event.FAULT, thread.getName(), failure);
             } catch (final Error error) {
                 EventLog.write(Event.FAULT, thread.getName() + " ends the process", error);
-                Runtime.getRuntime().halt(EXIT_CODE);
+                Runtime.getRuntime().halt(ERROR_EXIT_CODE);
             }
         }
     }
--- a/server/src/main/java/silverlatch/server/gateway/SavedState.java
+++ b/server/src/main/java/silverlatch/server/gateway/SavedState.java
@@ -4,7 +4,7 @@
 import silverlatch.node.Node;
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.persistence.SavedConfiguration;
-import silverlatch.server.persistence.WorkerRoster;
+import silverlatch.server.persistence.SavedWorkerReports;
 
 /**
  * What a gateway with a data folder keeps of the configuration and of the workers, so that it can serve, and tell its peers, before a
@@ -13,12 +13,12 @@
 final class SavedState {
     private final Node node;
     private final SavedConfiguration configuration;
-    private final WorkerRoster roster;
+    private final SavedWorkerReports roster;
 
     SavedState(final Path folder, final Node node) {
         this.node = node;
         this.configuration = new SavedConfiguration(folder);
-        this.roster = new WorkerRoster(folder);
+        this.roster = new SavedWorkerReports(folder);
     }
 
     /** Gives the node what was saved, and begins to save. Called before the event loop starts. */
--- a/server/src/main/java/silverlatch/server/metrics/NodeMetrics.java
+++ b/server/src/main/java/silverlatch/server/metrics/NodeMetrics.java
@@ -16,7 +16,7 @@
         page.put("clock_too_far_ahead", "tide_far", clock.tooFarAhead());
         page.put("clock_dropped", "tide_dropped", clock.dropped());
         page.putAll("node_", "deck_", node.counters());
-        page.put("wire_bad", transport.badFrames());
+        page.put("wire_bad", transport.malformedFrames());
         page.put("wire_dropped", transport.droppedFrames());
     }
 }
--- a/server/src/main/java/silverlatch/server/persistence/MessageFile.java
+++ b/server/src/main/java/silverlatch/server/persistence/MessageFile.java
@@ -51,7 +51,7 @@
     }
 
     /** Hands a message to the thread that writes; false while the one before waits for it. Any thread may call. */
-    boolean write(final M message) {
+    boolean offer(final M message) {
         return queue.offer(message);
     }
 
--- a/server/src/main/java/silverlatch/server/persistence/SavedConfiguration.java
+++ b/server/src/main/java/silverlatch/server/persistence/SavedConfiguration.java
@@ -15,8 +15,8 @@
     private long savedRevision;
 
     /** The file in a data folder. */
-    public SavedConfiguration(final Path folder) {
-        this.file = new MessageFile<>(folder.resolve("configuration"), GossipMessage.GossipPullReply.class);
+    public SavedConfiguration(final Path dataDirectory) {
+        this.file = new MessageFile<>(dataDirectory.resolve("configuration"), GossipMessage.GossipPullReply.class);
     }
 
     /** Gives the gossip of a node that knows nothing yet what was saved; starts the thread that writes. */
@@ -29,7 +29,7 @@
     /** Hands the configuration over where it changed since, unless the one before is still being written. */
     public void saveIfChanged(final Gossip gossip) {
         final long revision = gossip.stateMachine().policyRevision();
-        if (revision > savedRevision && file.write(gossip.stateToSave())) {
+        if (revision > savedRevision && file.offer(gossip.stateToSave())) {
             savedRevision = revision;
         }
     }
--- a/server/src/main/java/silverlatch/server/transport/PeerConnection.java
+++ b/server/src/main/java/silverlatch/server/transport/PeerConnection.java
@@ -34,7 +34,7 @@
     private static final long MICROS_PER_MS = 1_000;
 
     /** The time that a large frame gives its reader: two seconds a megabyte. */
-    private static final long GRACE_MICROS_PER_BYTE = 2;
+    private static final long ACK_GRACE_MICROS_PER_BYTE = 2;
 
     private static final int KEEP_ALIVE_SECONDS = 1;
     private static final int KEEP_ALIVE_PROBES = 2;
@@ -48,7 +48,7 @@
     private volatile Optional<Socket> openSocket = Optional.empty();
     private volatile long unacknowledgedSince = NEVER;
     private volatile boolean isWriting;
-    private volatile long graceUntil;
+    private volatile long ackGraceUntil;
     private volatile boolean stopped;
     private long connectedAt;
     private long backoff = INITIAL_BACKOFF_MICROS;
@@ -84,7 +84,7 @@
     /** Queues a frame, or drops it where the queue is full; closes a connection whose acknowledgement is overdue. */
     void offer(final Frame frame) {
         final long now = EventLoop.nowMicros();
-        if (now - limits.ackTimeout() > unacknowledgedSince && now > graceUntil) {
+        if (now - limits.ackTimeout() > unacknowledgedSince && now > ackGraceUntil) {
             openSocket.filter(socket -> !readAcknowledgements(socket)).ifPresent(Transport::close);
         }
         if (queue.size() >= limits.maxQueued()) {
@@ -113,7 +113,7 @@
                 } finally {
                     openSocket = Optional.empty();
                     isWriting = false;
-                    graceUntil = 0;
+                    ackGraceUntil = 0;
                     unacknowledgedSince = NEVER;
                 }
             } catch (final IOException | RuntimeException failure) {
@@ -149,9 +149,9 @@
             unacknowledgedSince = EventLoop.nowMicros();
         }
         isWriting = true;
-        graceUntil = bytes.length > FrameReader.CHUNK_BYTES
-                ? EventLoop.nowMicros() + limits.ackTimeout() + GRACE_MICROS_PER_BYTE * bytes.length
-                : graceUntil;
+        ackGraceUntil = bytes.length > FrameReader.CHUNK_BYTES
+                ? EventLoop.nowMicros() + limits.ackTimeout() + ACK_GRACE_MICROS_PER_BYTE * bytes.length
+                : ackGraceUntil;
         out.writeInt(bytes.length);
         out.write(bytes);
         if (queue.isEmpty()) {
--- a/server/src/main/java/silverlatch/server/transport/Transport.java
+++ b/server/src/main/java/silverlatch/server/transport/Transport.java
@@ -33,7 +33,7 @@
     private final CodecPool codecs = new CodecPool();
     private final Map<String, PeerConnection> connections = new ConcurrentHashMap<>();
     private final Semaphore readerSlots = new Semaphore(MAX_CONNECTIONS);
-    private final AtomicLong badFrames = new AtomicLong();
+    private final AtomicLong malformedFrames = new AtomicLong();
     private final AtomicLong droppedFrames = new AtomicLong();
     private final AtomicLong connectionsMade = new AtomicLong();
     private volatile Optional<ServerSocket> server = Optional.empty();
@@ -75,12 +75,12 @@
             droppedFrames.incrementAndGet();
             return;
         }
-        connections.computeIfAbsent(outgoing.to(), this::connection).offer(outgoing.frame());
+        connections.computeIfAbsent(outgoing.to(), this::createConnection).offer(outgoing.frame());
     }
 
     /** How many received frames were malformed. */
-    public long badFrames() {
-        return badFrames.get();
+    public long malformedFrames() {
+        return malformedFrames.get();
     }
 
     /** How many frames could not be sent, and how many connections could not be made or accepted. */
@@ -100,7 +100,7 @@
         server.ifPresent(Transport::close);
     }
 
-    private PeerConnection connection(final String peerAddress) {
+    private PeerConnection createConnection(final String peerAddress) {
         final PeerConnection connection =
                 new PeerConnection(peerAddress, codecs, limits, droppedFrames, connectionsMade);
         connection.start();
@@ -126,7 +126,7 @@
         try {
             new FrameReader(socket, codecs, sink, () -> stopped).run();
         } catch (final MalformedFrameException failure) {
-            badFrames.incrementAndGet();
+            malformedFrames.incrementAndGet();
             EventLog.write(Event.BAD_FRAME, socket.getRemoteSocketAddress() + " " + failure.getMessage());
         } catch (final IOException failure) {
             // The sender counts what was lost with the connection, and connects again.
--- a/server/src/main/java/silverlatch/server/web/BufferingHandler.java
+++ b/server/src/main/java/silverlatch/server/web/BufferingHandler.java
@@ -42,8 +42,8 @@
         return true;
     }
 
-    private void reject(final HttpExchange exchange, final String alternative) {
-        final String reason = "$: larger than " + maxBodyBytes + " bytes" + alternative;
+    private void reject(final HttpExchange exchange, final String suffix) {
+        final String reason = "$: larger than " + maxBodyBytes + " bytes" + suffix;
         exchange.reply(CONTENT_TOO_LARGE, Map.of("outcome", "rejected", "faults", List.of(reason)));
     }
 }
--- a/server/src/main/java/silverlatch/server/web/ClientEndPoint.java
+++ b/server/src/main/java/silverlatch/server/web/ClientEndPoint.java
@@ -30,7 +30,7 @@
     private final ReadCallback readCallback = new ReadCallback();
     private Optional<Callback> connectionCallback = Optional.empty();
     private Optional<Watcher> watcher = Optional.empty();
-    private boolean isRegistered;
+    private boolean isReadRegistered;
     private boolean isInputEnded;
 
     /** What is told once that the client has closed its side of the connection. */
@@ -41,7 +41,7 @@
          *
          * @param isReset whether the connection was reset, so that the client reads nothing more either
          */
-        void inputEnded(boolean isReset);
+        void onInputEnded(boolean isReset);
     }
 
     /** The end of an accepted connection; the executor runs callbacks that must not run on the caller's stack. */
@@ -56,16 +56,16 @@
     }
 
     /** Has the watcher told when the client closes its side, until {@link #unwatch}; the request has been read to its end. */
-    void watch(final Watcher next) {
+    void watch(final Watcher newWatcher) {
         final boolean isEnded;
         synchronized (lock) {
             isEnded = isInputEnded;
-            watcher = isEnded ? Optional.empty() : Optional.of(next);
+            watcher = isEnded ? Optional.empty() : Optional.of(newWatcher);
         }
         if (isEnded) {
-            executor.execute(() -> next.inputEnded(false));
+            executor.execute(() -> newWatcher.onInputEnded(false));
         } else {
-            register();
+            registerForRead();
         }
     }
 
@@ -104,11 +104,11 @@
             }
             connectionCallback = Optional.of(callback);
             if (readAhead.hasRemaining() || isInputEnded) {
-                executor.execute(readCallback::deliver);
+                executor.execute(readCallback::deliverToConnection);
                 return true;
             }
         }
-        register();
+        registerForRead();
         return true;
     }
 
@@ -119,19 +119,19 @@
         }
     }
 
-    private void register() {
+    private void registerForRead() {
         synchronized (lock) {
-            if (isRegistered) {
+            if (isReadRegistered) {
                 return;
             }
-            isRegistered = true;
+            isReadRegistered = true;
         }
         super.fillInterested(readCallback);
     }
 
     /** Reads while no response is complete: the end of the input, or what the client sends ahead. */
     private void readForWatcher() {
-        final Optional<Watcher> told;
+        final Optional<Watcher> notified;
         boolean isReset = false;
         synchronized (lock) {
             if (watcher.isEmpty()) {
@@ -143,13 +143,13 @@
                 isReset = true;
                 isInputEnded = true;
             }
-            told = isInputEnded ? watcher : Optional.empty();
+            notified = isInputEnded ? watcher : Optional.empty();
             watcher = isInputEnded || BufferUtil.isFull(readAhead) ? Optional.empty() : watcher;
         }
-        if (told.isPresent()) {
-            told.get().inputEnded(isReset);
+        if (notified.isPresent()) {
+            notified.get().onInputEnded(isReset);
         } else if (isWatched()) {
-            register();
+            registerForRead();
         }
     }
 
@@ -169,9 +169,9 @@
         @Override
         public void succeeded() {
             synchronized (lock) {
-                isRegistered = false;
+                isReadRegistered = false;
             }
-            if (!deliver()) {
+            if (!deliverToConnection()) {
                 readForWatcher();
             }
         }
@@ -179,16 +179,16 @@
         @Override
         public void failed(final Throwable failure) {
             final Optional<Callback> callback;
-            final Optional<Watcher> told;
+            final Optional<Watcher> notified;
             synchronized (lock) {
-                isRegistered = false;
+                isReadRegistered = false;
                 callback = connectionCallback;
-                told = watcher;
+                notified = watcher;
                 connectionCallback = Optional.empty();
                 watcher = Optional.empty();
             }
             callback.ifPresent(waiting -> waiting.failed(failure));
-            told.ifPresent(waiting -> waiting.inputEnded(true));
+            notified.ifPresent(waiting -> waiting.onInputEnded(true));
         }
 
         @Override
@@ -199,7 +199,7 @@
         }
 
         /** Hands the event to Jetty's connection; false where that doesn't wait for it. */
-        private boolean deliver() {
+        private boolean deliverToConnection() {
             final Optional<Callback> callback;
             synchronized (lock) {
                 callback = connectionCallback;
--- a/server/src/test/java/silverlatch/server/controller/ConfigurationJsonTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ConfigurationJsonTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void aConfigurationIsReadAndItsPartsAreWrittenTheSame() {
+    void writtenRoutesAndPoolsAreReadBackUnchanged() {
         final Value.Route route = new Value.Route(
                 "orders",
                 "a.example",
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void tenantsOpenRulesAndBoundsOnWorkersAreRead() {
+    void tenantsPublicRoutesAndPoolScalingsAreRead() {
         final JsonDocument document =
                 parse("{\"number\":1,\"rules\":[{\"name\":\"r\",\"host\":\"h\",\"path\":\"/\",\"hold\":1,"
                         + "\"lots\":[],\"open\":true}],\"tenants\":[{\"name\":\"a\",\"keys\":[\"d1\"],\"rank\":2,\"homes\":[\"north\"]},"
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void missingAndUnknownKeysAreNamedWithTheirPath() {
+    void missingInvalidAndUnknownKeysAreReportedWithTheirPath() {
         final JsonDocument document = parse(
                 "{\"number\":1,\"rules\":[{\"name\":\"r\",\"host\":\"h\",\"path\":\"/\",\"hold\":\"x\",\"lots\":[{\"pool\":\"p\"}],\"colour\":1}],"
                         + "\"bounds\":{\"head\":1,\"body\":1,\"slow\":1}}");
--- a/server/src/test/java/silverlatch/server/controller/ControllerTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ControllerTest.java
@@ -56,11 +56,11 @@
         }
     }
 
-    private Controller startController(final List<String> others) throws Exception {
+    private Controller startController(final List<String> otherSeeds) throws Exception {
         final String address = freeAddress();
         httpAddress = freeAddress();
         final List<String> seeds =
-                Stream.concat(Stream.of(address), others.stream()).toList();
+                Stream.concat(Stream.of(address), otherSeeds.stream()).toList();
         final Map<String, Object> keys = Map.ofEntries(
                 Map.entry("name", "one"),
                 Map.entry("zone", "z"),
@@ -120,31 +120,31 @@
     }
 
     @Test
-    void aConfigurationIsPutAndReadBackToTheByteByHttpAndByServiceAlike() throws Exception {
+    void aConfigurationIsReadBackByteForByteThroughHttpAndControlService() throws Exception {
         final Controller controller = startController(List.of());
         awaitReady();
         assertThat(request("GET", "/v1/charter", "", "operator-key", "*").statusCode(), is(404));
         final String text = String.format(CONFIGURATION, 3);
         assertThat(put(text, "0").statusCode(), is(200));
         assertThat("the same again", put(text, "0").statusCode(), is(200));
-        final HttpResponse<String> lost = put(String.format(CONFIGURATION, 4), "2");
-        assertThat(lost.statusCode(), is(409));
-        assertThat(lost.body().contains("\"sequence\":3"), is(true));
+        final HttpResponse<String> conflict = put(String.format(CONFIGURATION, 4), "2");
+        assertThat(conflict.statusCode(), is(409));
+        assertThat(conflict.body().contains("\"sequence\":3"), is(true));
         final String unknownPool =
                 text.replace("\"pool\":\"p\"", "\"pool\":\"q\"").replace(":3", ":5");
         assertThat(put(unknownPool, "3").statusCode(), is(422));
         assertThat(request("PUT", "/v1/charter", text, "worker-key", "3").statusCode(), is(401));
-        final HttpResponse<String> got = request("GET", "/v1/charter", "", "operator-key", "*");
-        assertThat(got.body(), is(text));
-        assertThat(got.headers().firstValue("ETag").orElse(""), is("\"3\""));
+        final HttpResponse<String> response = request("GET", "/v1/charter", "", "operator-key", "*");
+        assertThat(response.body(), is(text));
+        assertThat(response.headers().firstValue("ETag").orElse(""), is("\"3\""));
         assertThat(
                 request("GET", "/v1/rules", "", "operator-key", "*").body().contains("\"host\":\"h.example\""),
                 is(true));
         assertThat(
                 ControllerTest.<CommandResult>await(t -> controller.putConfiguration(putConfiguration(9, 3), t)),
                 instanceOf(CommandResult.Applied.class));
-        final ChainClient.ReadResult page = await(controller::readConfiguration);
-        assertThat(page.entries().get(0).value(), is(List.of(new Value.ConfigurationDocument(9, "paper 9"))));
+        final ChainClient.ReadResult readResult = await(controller::readConfiguration);
+        assertThat(readResult.entries().get(0).value(), is(List.of(new Value.ConfigurationDocument(9, "paper 9"))));
         assertThat(
                 ControllerTest.<CommandResult>await(t -> controller.setEvacuation("z", true, t)),
                 instanceOf(CommandResult.Applied.class));
@@ -153,14 +153,14 @@
     }
 
     @Test
-    void aWorkersAnnouncementIsAcceptedAndItsDrainingIsKnown() throws Exception {
+    void anAnnouncedWorkerIsShownInTheStatusAndAGoneOneAsLeaving() throws Exception {
         final Controller controller = startController(List.of());
         awaitReady();
         final Worker worker = new Worker("w", "10.0.0.1:1", "z", "r", 1, 1, 0, 0, 4, List.of(), false, 0);
-        assertThat(ControllerTest.<Boolean>await(t -> controller.workerLeft("w", t)), is(false));
+        assertThat(ControllerTest.<Boolean>await(t -> controller.markWorkerGone("w", t)), is(false));
         assertThat(ControllerTest.<Boolean>await(t -> controller.announce(worker, t)), is(true));
         assertThat(request("GET", "/status", "", "operator-key", "*").body().contains("w z running 0/4\""), is(true));
-        assertThat(ControllerTest.<Boolean>await(t -> controller.workerLeft("w", t)), is(true));
+        assertThat(ControllerTest.<Boolean>await(t -> controller.markWorkerGone("w", t)), is(true));
         assertThat(
                 request("GET", "/status", "", "operator-key", "*").body().contains("w z running 0/4 leaving\""),
                 is(true));
@@ -186,15 +186,15 @@
     @Test
     void anUndecidedCommandIsReportedAsUnknownWithinASecond() throws Exception {
         final Controller controller = startController(List.of(freeAddress(), freeAddress()));
-        long leastMillis = Long.MAX_VALUE;
+        long minMillis = Long.MAX_VALUE;
         for (int i = 0; i < 4; i++) {
             final long startNanos = System.nanoTime();
             assertThat(
                     ControllerTest.<CommandResult>await(t -> controller.putConfiguration(putConfiguration(1, 0), t)),
                     instanceOf(CommandResult.Unknown.class));
-            leastMillis = Math.min(leastMillis, (System.nanoTime() - startNanos) / 1_000_000);
+            minMillis = Math.min(minMillis, (System.nanoTime() - startNanos) / 1_000_000);
         }
-        assertThat("by a duty that has time", leastMillis, lessThan(950L));
+        assertThat("by a duty that has time", minMillis, lessThan(950L));
         assertThat(
                 ControllerTest.<ChainClient.ReadResult>await(controller::readConfiguration)
                         .answered(),
@@ -216,7 +216,7 @@
     }
 
     @Test
-    void renamedMetricsStandBesideTheirFormerNames() throws Exception {
+    void renamedMetricsAreAlsoReportedUnderTheirDeprecatedNames() throws Exception {
         final Controller controller = startController(List.of());
         awaitReady();
         final Map<String, Long> values = metrics();
@@ -236,62 +236,62 @@
         controller.stop();
     }
 
-    private String alikeBody(final String formerPath, final String presentPath) throws Exception {
-        final String body = body("GET", presentPath, "");
-        assertThat(presentPath, body("GET", formerPath, ""), is(body));
+    private String commonBody(final String deprecatedPath, final String currentPath) throws Exception {
+        final String body = body("GET", currentPath, "");
+        assertThat(currentPath, body("GET", deprecatedPath, ""), is(body));
         return body;
     }
 
     @Test
-    void theConfigurationAndItsRoutesAreServedAlikeUnderFormerAndPresentPaths() throws Exception {
+    void theConfigurationAndItsRoutesAreServedUnderDeprecatedAndCurrentPaths() throws Exception {
         final Controller controller = startController(List.of());
         awaitReady();
-        assertThat(alikeBody("/v1/charter", "/v1/configuration"), startsWith("404 "));
+        assertThat(commonBody("/v1/charter", "/v1/configuration"), startsWith("404 "));
         final String third = String.format(CONFIGURATION, 3);
         final String fourth = String.format(CONFIGURATION, 4);
         assertThat(
                 request("PUT", "/v1/configuration", third, "operator-key", "0").statusCode(), is(200));
         assertThat("the same again", put(third, "0").statusCode(), is(200));
-        assertThat(alikeBody("/v1/charter", "/v1/configuration"), is("200 " + third));
+        assertThat(commonBody("/v1/charter", "/v1/configuration"), is("200 " + third));
         assertThat(put(fourth, "3").statusCode(), is(200));
         assertThat(
                 request("PUT", "/v1/configuration", third, "operator-key", "2").statusCode(), is(409));
-        assertThat(alikeBody("/v1/charter", "/v1/configuration"), is("200 " + fourth));
+        assertThat(commonBody("/v1/charter", "/v1/configuration"), is("200 " + fourth));
         for (final String path : List.of("/v1/charter", "/v1/configuration")) {
-            final HttpResponse<String> got = request("GET", path, "", "operator-key", "*");
-            assertThat(path, got.headers().firstValue("ETag").orElse(""), is("\"4\""));
+            final HttpResponse<String> response = request("GET", path, "", "operator-key", "*");
+            assertThat(path, response.headers().firstValue("ETag").orElse(""), is("\"4\""));
             assertThat(path, request("GET", path, "", "worker-key", "*").statusCode(), is(401));
         }
-        assertThat(alikeBody("/v1/rules", "/v1/routes"), containsString("\"host\":\"h.example\""));
-        assertThat(alikeBody("/v1/rules/r", "/v1/routes/r"), startsWith("404 "));
+        assertThat(commonBody("/v1/rules", "/v1/routes"), containsString("\"host\":\"h.example\""));
+        assertThat(commonBody("/v1/rules/r", "/v1/routes/r"), startsWith("404 "));
         assertThat(body("PUT", "/v1/routes", third), startsWith("404 "));
         controller.stop();
     }
 
     @Test
-    void schedulesAreServedAlikeUnderFormerAndPresentPaths() throws Exception {
+    void schedulesAreServedUnderDeprecatedAndCurrentPaths() throws Exception {
         final Controller controller = startController(List.of());
         awaitReady();
         final List<String> paths = List.of("/v1/calendars", "/v1/schedules");
-        final String none = alikeBody("/v1/calendars", "/v1/schedules");
+        final String none = commonBody("/v1/calendars", "/v1/schedules");
         final String schedule = "{\"cron\":\"30 2 * * *\",\"zone\":\"syros\",\"empty\":true}";
         for (int i = 0; i < 2; i++) {
             final String put = paths.get(i) + "/night";
             final String delete = paths.get(1 - i) + "/night";
             assertThat(put, body("PUT", put, schedule), startsWith("200 "));
-            assertThat(alikeBody("/v1/calendars", "/v1/schedules"), containsString("\"name\":\"night\""));
+            assertThat(commonBody("/v1/calendars", "/v1/schedules"), containsString("\"name\":\"night\""));
             assertThat(delete, body("DELETE", delete, ""), startsWith("200 "));
-            assertThat(alikeBody("/v1/calendars", "/v1/schedules"), not(containsString("\"name\":\"night\"")));
+            assertThat(commonBody("/v1/calendars", "/v1/schedules"), not(containsString("\"name\":\"night\"")));
             assertThat(put, body("PUT", put, schedule.replace("30", "99")), startsWith("422 "));
             assertThat(put, request("PUT", put, schedule, "worker-key", "*").statusCode(), is(401));
         }
         assertThat(none, startsWith("200 "));
-        assertThat(alikeBody("/v1/calendars/night", "/v1/schedules/night"), startsWith("404 "));
+        assertThat(commonBody("/v1/calendars/night", "/v1/schedules/night"), startsWith("404 "));
         controller.stop();
     }
 
     @Test
-    void theStatusShowsTheMembersBesideTheirFormerKey() throws Exception {
+    void theStatusListsTheMembersUnderTheirDeprecatedKeyToo() throws Exception {
         final Controller controller = startController(List.of());
         awaitReady();
         final String status = body("GET", "/status", "");
--- a/server/src/test/java/silverlatch/server/controller/LoneNode.java
+++ b/server/src/test/java/silverlatch/server/controller/IsolatedNode.java
@@ -12,10 +12,10 @@
 import silverlatch.replication.ReplicaSettings;
 
 /** Makes nodes of a controller without a data folder that hears of no other node. */
-final class LoneNode {
+final class IsolatedNode {
     private static final long WALL_NANOS = 1_800_000_000_000_000_000L;
 
-    private LoneNode() {}
+    private IsolatedNode() {}
 
     /** A node that starts at a time of the monotonic clock, in microseconds. */
     static Node create(final long now) {
--- a/server/src/test/java/silverlatch/server/controller/LogWriterTest.java
+++ b/server/src/test/java/silverlatch/server/controller/LogWriterTest.java
@@ -30,7 +30,7 @@
     private sealed interface Notification {
         record Synced(List<Long> tokens) implements Notification {}
 
-        record Failed(Runnable fenced) implements Notification {}
+        record Failed(Runnable onWritesStopped) implements Notification {}
 
         record Recovered(List<LogRecord> records) implements Notification {}
     }
@@ -39,17 +39,17 @@
         private final LinkedBlockingQueue<Notification> notifications = new LinkedBlockingQueue<>();
 
         @Override
-        public void synced(final List<Long> tokens) {
+        public void onSynced(final List<Long> tokens) {
             notifications.add(new Notification.Synced(tokens));
         }
 
         @Override
-        public void failed(final String why, final Runnable fenced) {
-            notifications.add(new Notification.Failed(fenced));
+        public void onFailed(final String reason, final Runnable onWritesStopped) {
+            notifications.add(new Notification.Failed(onWritesStopped));
         }
 
         @Override
-        public void recovered(final List<LogRecord> records) {
+        public void onRecovered(final List<LogRecord> records) {
             notifications.add(new Notification.Recovered(records));
         }
 
@@ -66,15 +66,15 @@
         writer.start();
         writer.write(new Effect.Persist(1, List.of(FIRST)));
         assertThat(listener.next(), is(new Notification.Synced(List.of(1L))));
-        final Path inTheWay = folder.resolve("picture-000000000002.part");
-        Files.createDirectories(inTheWay.resolve("inside"));
+        final Path blockingDirectory = folder.resolve("picture-000000000002.part");
+        Files.createDirectories(blockingDirectory.resolve("inside"));
         writer.write(new Effect.Persist(2, List.of(SNAPSHOT)));
         final Notification.Failed failed = (Notification.Failed) listener.next();
         writer.write(new Effect.Persist(3, List.of(NEVER_SYNCED)));
-        failed.fenced().run();
+        failed.onWritesStopped().run();
         TimeUnit.MILLISECONDS.sleep(100);
         assertThat("the disk still refuses", listener.notifications.isEmpty(), is(true));
-        Files.delete(inTheWay.resolve("inside"));
+        Files.delete(blockingDirectory.resolve("inside"));
         assertThat(listener.next(), is(new Notification.Recovered(List.of(FIRST))));
         writer.write(new Effect.Persist(4, List.of(SNAPSHOT)));
         assertThat(listener.next(), is(new Notification.Synced(List.of(4L))));
--- a/server/src/test/java/silverlatch/server/controller/ReadinessTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ReadinessTest.java
@@ -14,16 +14,16 @@
     void aControllerIsUnreadyFromItsStartUntilItsStateIsConfirmed() {
         final Readiness readiness = new Readiness("one");
         assertThat(readiness.unreadyReason(), is(Optional.of("starting")));
-        readiness.update(LoneNode.create(NOW), NOW);
+        readiness.update(IsolatedNode.create(NOW), NOW);
         assertThat(readiness.unreadyReason(), is(Optional.of("the state held here is not confirmed")));
         assertThat(readiness.hasLeftChain(), is(false));
     }
 
     @Test
-    void aStopEndsAsSoonAsTheChainNeedsTheReplicaNoLonger() {
-        final Node node = LoneNode.createWithReplica(NOW);
+    void aReplicaOutsideTheChainHasLeftAsSoonAsItsNodeLeaves() {
+        final Node node = IsolatedNode.createWithReplica(NOW);
         final Readiness readiness = new Readiness("one");
-        readiness.stop();
+        readiness.markStopping();
         assertThat(readiness.hasLeftChain(), is(false));
         node.leave(NOW);
         readiness.update(node, NOW);
@@ -31,10 +31,10 @@
     }
 
     @Test
-    void aControllerThatStopsIsUnreadyForGood() {
-        final Node node = LoneNode.create(NOW);
+    void aStoppingControllerStaysUnready() {
+        final Node node = IsolatedNode.create(NOW);
         final Readiness readiness = new Readiness("one");
-        readiness.stop();
+        readiness.markStopping();
         readiness.update(node, NOW);
         readiness.update(node, NOW + 1);
         assertThat(readiness.unreadyReason(), is(Optional.of("stopping")));
--- a/server/src/test/java/silverlatch/server/controller/WorkerAnnouncementsTest.java
+++ b/server/src/test/java/silverlatch/server/controller/WorkerAnnouncementsTest.java
@@ -16,10 +16,10 @@
 
 /** Announcements on a running event loop that ticks only when the test says so. */
 final class WorkerAnnouncementsTest {
-    private static final long AN_HOUR_MICROS = 3_600_000_000L;
+    private static final long HOUR_MICROS = 3_600_000_000L;
     private final EventLoopHandle eventLoop = new EventLoopHandle(
-            LoneNode.create(EventLoop.nowMicros()), AN_HOUR_MICROS, frame -> {}, write -> {}, node -> {});
-    private final WorkerAnnouncements announcements = new WorkerAnnouncements(eventLoop, AN_HOUR_MICROS);
+            IsolatedNode.create(EventLoop.nowMicros()), HOUR_MICROS, frame -> {}, write -> {}, node -> {});
+    private final WorkerAnnouncements announcements = new WorkerAnnouncements(eventLoop, HOUR_MICROS);
     private final BlockingQueue<Boolean> replies = new LinkedBlockingQueue<>();
 
     private static Worker worker(final long sequence, final boolean isDraining) {
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aReportIsAcknowledgedAtOnceButThatAWorkerDrainsAfterTheNextTickOnly() throws Exception {
+    void aReportOfServiceIsAcknowledgedAtOnceAndOneOfDrainingAfterTheNextTick() throws Exception {
         announcements.announce(worker(1, false), replies::add);
         assertThat(nextReply(5_000), is(true));
         announcements.announce(worker(2, true), replies::add);
@@ -52,12 +52,12 @@
     }
 
     @Test
-    void aWorkerThatLeftIsAcknowledgedAfterTheNextTickAndAnUnknownOneIsNotKnown() throws Exception {
-        announcements.workerLeft("w", replies::add);
+    void aGoneWorkerIsAcknowledgedAfterTheNextTickAndAnUnknownOneIsRejected() throws Exception {
+        announcements.markWorkerGone("w", replies::add);
         assertThat(nextReply(5_000), is(false));
         announcements.announce(worker(1, false), replies::add);
         assertThat(nextReply(5_000), is(true));
-        announcements.workerLeft("w", replies::add);
+        announcements.markWorkerGone("w", replies::add);
         assertThat(nextReply(200), is(nullValue()));
         tick();
         assertThat(nextReply(5_000), is(true));
--- a/server/src/test/java/silverlatch/server/eventloop/EventLoopTest.java
+++ b/server/src/test/java/silverlatch/server/eventloop/EventLoopTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void anIdleLoopTicksSeldom() throws InterruptedException {
+    void anIdleLoopTicksOnceUntilItsLongIntervalHasPassed() throws InterruptedException {
         final AtomicInteger ticks = new AtomicInteger();
         final EventLoop loop = new EventLoop("test-loop", 16, () -> LONG_MICROS, ticks::incrementAndGet);
         loop.start();
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void tasksDoNotPutATickOff() throws InterruptedException {
+    void frequentTasksDoNotDelayTheTicks() throws InterruptedException {
         final AtomicInteger ticks = new AtomicInteger();
         final EventLoop loop = new EventLoop("test-loop", 16, () -> 4 * SHORT_MICROS, ticks::incrementAndGet);
         loop.start();
--- a/server/src/test/java/silverlatch/server/persistence/WorkerRosterTest.java
+++ b/server/src/test/java/silverlatch/server/persistence/SavedWorkerReportsTest.java
@@ -13,7 +13,7 @@
 import silverlatch.gossip.Worker;
 import silverlatch.gossip.WorkerReport;
 
-final class WorkerRosterTest {
+final class SavedWorkerReportsTest {
     private static final WorkerReport REPORT = WorkerReport.of(
             new Worker("w", "10.0.0.1:80", "z", "r", 1, 7, 0, 0, 8, List.of(), true, 0, "pool", 1_000, 0));
 
@@ -21,21 +21,21 @@
     private Path folder;
 
     @Test
-    void writtenReportsAreReadAgainAndATornFileIsEmpty() throws IOException {
-        final WorkerRoster one = new WorkerRoster(folder);
+    void offeredReportsAreReadBackAndADamagedFileReadsAsEmpty() throws IOException {
+        final SavedWorkerReports one = new SavedWorkerReports(folder);
         assertThat(one.read(), is(empty()));
         one.start();
-        assertThat(one.write(List.of(REPORT)), is(true));
+        assertThat(one.offer(List.of(REPORT)), is(true));
         final Path file = folder.resolve("workers");
         while (!Files.exists(file)) {
             Thread.onSpinWait();
         }
-        assertThat(new WorkerRoster(folder).read(), is(List.of(REPORT)));
+        assertThat(new SavedWorkerReports(folder).read(), is(List.of(REPORT)));
         final byte[] all = Files.readAllBytes(file);
         all[all.length - 1]++;
         Files.write(file, all);
-        assertThat(new WorkerRoster(folder).read(), is(empty()));
+        assertThat(new SavedWorkerReports(folder).read(), is(empty()));
         Files.write(file, new byte[3]);
-        assertThat(new WorkerRoster(folder).read(), is(empty()));
+        assertThat(new SavedWorkerReports(folder).read(), is(empty()));
     }
 }
--- a/server/src/test/java/silverlatch/server/transport/TransportTest.java
+++ b/server/src/test/java/silverlatch/server/transport/TransportTest.java
@@ -31,12 +31,12 @@
 final class TransportTest {
     private static final PeerConnection.Limits SHORT_LIMITS =
             new PeerConnection.Limits(256, 200_000L, 300_000L, 200_000L, 400_000L, 100_000L);
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> openResources = new ArrayList<>();
     private final BlockingQueue<Frame> received = new LinkedBlockingQueue<>();
 
     @AfterEach
     void close() throws Exception {
-        for (final AutoCloseable closeable : open) {
+        for (final AutoCloseable closeable : openResources) {
             closeable.close();
         }
     }
@@ -44,7 +44,7 @@
     private Transport startTransport(final int port) throws IOException {
         final Transport transport = new Transport("127.0.0.1:" + port, received::add, SHORT_LIMITS);
         transport.start();
-        open.add(transport::stop);
+        openResources.add(transport::stop);
         return transport;
     }
 
@@ -64,7 +64,7 @@
 
     private ServerSocket listen(final int port, final BlockingQueue<Socket> accepted) throws IOException {
         final ServerSocket server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-        open.add(server);
+        openResources.add(server);
         TransportThreads.start("test", () -> {
             try {
                 while (true) {
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void framesThatGoOneWayOnlyKeepOneConnection() throws Exception {
+    void oneWayTrafficKeepsUsingOneConnection() throws Exception {
         final int port = freePort();
         startTransport(port);
         final Transport sender = startTransport(freePort());
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aPeerThatAcceptsAndNeverReadsIsDisconnectedAndReconnected() throws Exception {
+    void aConnectionToAPeerThatNeverReadsIsClosedAndReopened() throws Exception {
         final int port = freePort();
         final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
         listen(port, accepted);
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void afterAPeerComesBackOnlyYoungFramesArrive() throws Exception {
+    void afterAPeerRestartsOnlyRecentFramesArrive() throws Exception {
         final int port = freePort();
         final Transport sender = startTransport(freePort());
         for (int i = 1; i <= 20; i++) {
@@ -117,19 +117,19 @@
             LockSupport.parkNanos(20_000_000L);
         }
         startTransport(port);
-        final long returnedAt = EventLoop.nowMicros();
+        final long restartedAt = EventLoop.nowMicros();
         long number = 20;
-        while (received.isEmpty() && EventLoop.nowMicros() - returnedAt < 3_000_000L) {
+        while (received.isEmpty() && EventLoop.nowMicros() - restartedAt < 3_000_000L) {
             sender.send(outgoing(port, ++number, ""));
             LockSupport.parkNanos(20_000_000L);
         }
         final Frame first = received.poll(1, TimeUnit.SECONDS);
-        assertThat(EventLoop.nowMicros() - returnedAt, lessThan(1_000_000L));
+        assertThat(EventLoop.nowMicros() - restartedAt, lessThan(1_000_000L));
         assertThat(first.stamp().bits(), greaterThan(8L));
     }
 
     @Test
-    void anIdleConnectionCloses() throws Exception {
+    void anIdleConnectionIsClosed() throws Exception {
         final int port = freePort();
         final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
         listen(port, accepted);
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void aFullQueueDropsAndCounts() throws Exception {
+    void framesBeyondAFullQueueAreDroppedAndCounted() throws Exception {
         final int port = freePort();
         listen(port, new LinkedBlockingQueue<>());
         final Transport sender = startTransport(freePort());
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void aLargeFrameThatGetsOnSlowlyKeepsItsConnectionAndThoseBehindIt() throws Exception {
+    void aLargeFrameThatIsReadSlowlyKeepsItsConnectionAndTheFramesQueuedBehindIt() throws Exception {
         final int port = freePort();
         final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
         listen(port, accepted).setReceiveBufferSize(32 << 10);
