--- a/server/src/main/java/silverlatch/server/controller/AnnouncementResource.java
+++ b/server/src/main/java/silverlatch/server/controller/AnnouncementResource.java
@@ -9,7 +9,7 @@
 import silverlatch.server.web.HttpExchange;
 import silverlatch.util.Digests;
 
-/** Where workers announce themselves ({@code /v1/announcements}), with the workers' key. */
+/** Accepts the announcements of workers ({@code /v1/announcements}), which authenticate with the workers' key. */
 final class AnnouncementResource {
     private final StateApi state;
     private final EventLoopHandle eventLoop;
@@ -21,7 +21,7 @@
         this.workerKey = workerKey;
     }
 
-    /** Takes a worker's report, and replies with the echo for its next one and the table's revision. */
+    /** Accepts a worker's report; replies with the echo token for the worker's next report and the revision of the table. */
     void post(final HttpExchange exchange) {
         if (!Digests.constantTimeEquals(exchange.bearerToken(), workerKey)) {
             ApiReplies.reject(exchange, ApiReplies.UNAUTHORIZED, "the workers' key is needed");
--- a/server/src/main/java/silverlatch/server/controller/ApiRouter.java
+++ b/server/src/main/java/silverlatch/server/controller/ApiRouter.java
@@ -13,17 +13,17 @@
 import silverlatch.util.Digests;
 
 /**
- * The controller's HTTP API: finds the resource of a request by method and path, and lets only operators to those that show
- * or change the state. Called by threads of the HTTP server.
+ * The controller's HTTP API: finds the resource of a request by method and path. Resources that show or change the state require the
+ * operator's key. Called by threads of the HTTP server.
  */
 final class ApiRouter {
-    /** The least limit of a request's body, in bytes: a whole table or configuration fits. */
+    /** Lower bound of the limit on a request's body, in bytes, so that a whole table or configuration fits. */
     static final int MIN_BODY_LIMIT_BYTES = 8 << 20;
 
-    /** The parts of a path like {@code /v1/tenants/NAME}, the empty one before the first slash included. */
+    /** Number of parts of a path like {@code /v1/tenants/NAME}, including the empty part before the first slash. */
     private static final int NAMED_PATH_PARTS = 4;
 
-    /** Present paths of resources by their former ones, which are served alike for one version. */
+    /** Current paths of resources by their deprecated paths, which are served identically for one version. */
     private static final Map<String, String> CURRENT_PATHS = Map.of(
             "/v1/charter", "/v1/configuration",
             "/v1/rules", "/v1/routes",
@@ -75,17 +75,17 @@
                 "GET /v1/changes", new OutcomeResource(state)::get);
     }
 
-    /** The largest body that the API reads, in bytes. */
+    /** Returns the size of the largest body that the API accepts, in bytes. */
     static int maxBodyBytes(final Settings settings) {
         return Math.max(settings.maxBodyBytes(), MIN_BODY_LIMIT_BYTES);
     }
 
-    /** Rejects a request for a path that isn't known. */
+    /** Rejects a request for an unknown path. */
     static void rejectUnknownPath(final HttpExchange exchange) {
         ApiReplies.reject(exchange, ApiReplies.NOT_FOUND, "$: no such page");
     }
 
-    /** Hands an exchange to its resource, which replies. */
+    /** Forwards an exchange to its resource, which replies; rejects it if the path is unknown or the operator's key is missing. */
     void route(final HttpExchange exchange) {
         final String route = exchange.method() + " " + currentPath(exchange.path());
         if (routesWithoutOperatorKey.containsKey(route)) {
--- a/server/src/main/java/silverlatch/server/controller/ConfigurationJson.java
+++ b/server/src/main/java/silverlatch/server/controller/ConfigurationJson.java
@@ -12,7 +12,7 @@
 import silverlatch.state.ConfigurationValidator;
 import silverlatch.state.Value;
 
-/** Routing configurations, their routes and their backend pools as JSON, both ways. Times are in microseconds. */
+/** Reads routing configurations from JSON, and writes routes and backend pools as JSON. Times are in microseconds. */
 public final class ConfigurationJson {
     private static final long MAX_LONG = Long.MAX_VALUE;
     private static final int MAX_INT = Integer.MAX_VALUE;
@@ -26,17 +26,17 @@
     private ConfigurationJson() {}
 
     /**
-     * Reads a configuration; faults are noted in the document.
+     * Reads a configuration; faults are recorded in the document.
      *
-     * @param text             the document as it came, which is stored beside what was read
-     * @param expectedRevision the number of the configuration that it builds on; negative for any
+     * @param text             the document as received, which is stored together with the parsed configuration
+     * @param expectedRevision the number of the configuration that this one builds on; negative for any
      */
     public static Command.PutFullConfiguration read(
             final JsonDocument document, final String text, final String id, final long expectedRevision) {
         final long number = document.integer("number", 1, MAX_LONG);
         final List<Value.PublicRoute> publicRoutes = new ArrayList<>();
         final List<Value.Route> routes = document.objects("rules", ConfigurationValidator.MAX_ROUTES + 1).stream()
-                .map(rule -> readRoute(rule, publicRoutes))
+                .map(route -> readRoute(route, publicRoutes))
                 .toList();
         final List<Value.BackendPool> pools = document.objects("pools", ConfigurationValidator.MAX_POOLS + 1).stream()
                 .map(ConfigurationJson::readPool)
@@ -61,13 +61,13 @@
                         .toList());
     }
 
-    /** A body as text; empty where it is not UTF-8 and so could not be given back to the byte. */
+    /** Returns a body as text; empty if it is not valid UTF-8, as it could then not be returned byte for byte later. */
     public static Optional<String> decodeText(final byte[] body) {
         final String text = new String(body, StandardCharsets.UTF_8);
         return Arrays.equals(text.getBytes(StandardCharsets.UTF_8), body) ? Optional.of(text) : Optional.empty();
     }
 
-    /** A route as JSON. */
+    /** Returns a route as JSON. */
     public static Map<String, Object> write(final Value.Route route) {
         final Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("name", route.name());
@@ -91,7 +91,7 @@
         return fields;
     }
 
-    /** A backend pool as JSON. */
+    /** Returns a backend pool as JSON. */
     public static Map<String, Object> write(final Value.BackendPool pool) {
         final Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("name", pool.name());
--- a/server/src/main/java/silverlatch/server/controller/ConfigurationResource.java
+++ b/server/src/main/java/silverlatch/server/controller/ConfigurationResource.java
@@ -9,14 +9,16 @@
 
 /** The routing configuration ({@code /v1/configuration}) and the routes in force ({@code /v1/routes}). */
 final class ConfigurationResource {
+    /** Expected revision of a parsed command until that of If-Match replaces it. */
     private static final long PLACEHOLDER_REVISION = -1;
+
     private final StateApi state;
 
     ConfigurationResource(final StateApi state) {
         this.state = state;
     }
 
-    /** Replies with the document of the newest acknowledged configuration, to the byte as it was put. */
+    /** Replies with the document of the newest acknowledged configuration, byte for byte as it was put. */
     void get(final HttpExchange exchange) {
         state.read(
                 exchange,
@@ -38,7 +40,7 @@
         state.list(exchange, ConfigurationValidator.ROUTE_PREFIX, "rules");
     }
 
-    /** Puts a whole configuration, If-Match naming the number that it builds on. */
+    /** Replaces the whole configuration; If-Match holds the number of the configuration that the new one builds on. */
     void put(final HttpExchange exchange) {
         final Optional<String> text = ConfigurationJson.decodeText(exchange.body());
         if (text.isEmpty()) {
--- a/server/src/main/java/silverlatch/server/controller/ControlService.java
+++ b/server/src/main/java/silverlatch/server/controller/ControlService.java
@@ -7,35 +7,39 @@
 import silverlatch.state.CommandResult;
 
 /**
- * What a controller does for operators and workers, whatever API they came by. Callable from any thread. Results come on the
- * controller's event loop, those that wait for the chain at most 900 ms after the call; where the event loop has no room, a
- * rejection comes at once on the caller's own thread.
+ * The operations that a controller offers to operators and workers, independent of the API through which they are called. Callable from
+ * any thread. Callbacks run on the controller's event loop; the result of an operation that waits for the chain is delivered at most
+ * 900 ms after the call. If the event loop's queue is full, the callback gets a rejection immediately, on the caller's thread.
  */
 public interface ControlService {
     /**
-     * Puts a routing configuration. One that was applied is acknowledged again whenever the same document is put again, and a
-     * rejection rests on acknowledged configurations only. What isn't committed in time is reported as unknown.
+     * Replaces the routing configuration. Putting the document of a configuration that was applied again is acknowledged again. A
+     * rejection depends on acknowledged configurations only. If the command isn't committed in time, its outcome is reported as unknown.
      */
     void putConfiguration(Command.PutFullConfiguration command, Consumer<CommandResult> onResult);
 
     /**
-     * Reads the document of the newest acknowledged configuration: without an entry where there is none, unanswered where no
-     * replica can tell.
+     * Reads the document of the newest acknowledged configuration. The result has no entry if there is no configuration yet, and is
+     * marked as unanswered if the chain's tail doesn't answer in time.
      */
     void readConfiguration(Consumer<ChainClient.ReadResult> onResult);
 
     /**
-     * Starts or ends the evacuation of a zone; the latest order wins. What isn't committed in time is reported as unknown: it
-     * takes effect while the call lasts, or only where no other order for the zone came after it.
+     * Starts or ends the evacuation of a zone; the latest command for a zone wins. If the command isn't committed in time, its outcome
+     * is reported as unknown: it takes effect during the call, or later only if no other command for the zone took effect since.
      */
     void setEvacuation(String zone, boolean isEvacuated, Consumer<CommandResult> onResult);
 
     /**
-     * Takes a worker's report on itself; true once it is accepted and on its way to the other nodes. That it drains is accepted only once
-     * a majority of the controllers holds it, and not where that takes too long.
+     * Accepts a worker's report on itself. The result is true once the report is accepted and is being gossiped to the other nodes. A
+     * report that the worker is draining is accepted only once a majority of the controllers holds it; if that isn't confirmed in time,
+     * the result is false.
      */
     void announce(Worker worker, Consumer<Boolean> onResult);
 
-    /** Takes note that a worker is gone; true once a majority of the controllers holds that, false where it isn't known here. */
+    /**
+     * Marks a worker as gone. The result is true once a majority of the controllers holds this; false if that isn't confirmed in time or
+     * this controller doesn't know the worker.
+     */
     void markWorkerGone(String workerId, Consumer<Boolean> onResult);
 }
--- a/server/src/main/java/silverlatch/server/controller/Controller.java
+++ b/server/src/main/java/silverlatch/server/controller/Controller.java
@@ -41,17 +41,17 @@
 import silverlatch.wire.Frame;
 
 /**
- * A process of the control plane: a node with its event loop, transport and HTTP API, and where there is a data folder a log
- * writer and a replica of the chain.
+ * A process of the control plane: a node with its event loop, transport and HTTP API and, if it has a data directory, a log writer
+ * and a replica of the chain.
  */
 @Singleton
 public final class Controller implements ControlService, DaemonProcess.Daemon {
-    /** So that a reply to a call is there within 900 ms. */
+    /** Shorter than 900 ms, so that the result of a {@link ControlService} call is delivered within that time. */
     private static final long SERVICE_TIMEOUT_MICROS = 880_000L;
 
     private static final long STOP_POLL_MS = 20;
 
-    /** For the last frames to leave. */
+    /** Time for the last frames to be sent before the process stops. */
     private static final long STOP_LINGER_MS = 100;
 
     private final Settings settings;
@@ -67,7 +67,7 @@
     private Optional<ProviderCaller> providerCaller = Optional.empty();
     private volatile List<Member> liveControllers = List.of();
 
-    /** Connects the parts of a controller; nothing runs before {@link #start()}. */
+    /** Creates and connects the parts of a controller; no thread runs before {@link #start()}. */
     @Inject
     public Controller(final Settings settings, final Node node, final Optional<WriteAheadLog> writeAheadLog) {
         this.settings = settings;
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Has the provider called while this process owns the singleton role. To be called before {@link #start()}. */
+    /** Enables calls of the cloud provider while this process owns the singleton role. Must be called before {@link #start()}. */
     public void enableProviderCalls(final CloudProvider provider) {
         final List<CallSource> sources = new ArrayList<>();
         if (settings.singleton().reportsUsage()) {
@@ -116,7 +116,7 @@
                 new SplittableRandom()));
     }
 
-    /** Reads the saved workers, starts the threads, and listens. */
+    /** Restores the saved reports on workers, starts the threads, and binds the addresses. */
     @Override
     public void start() throws IOException, ApiServer.HttpServerException {
         logWriter.ifPresent(LogWriter::start);
@@ -133,7 +133,7 @@
                         + settings.httpAddress());
     }
 
-    /** Shuts down gracefully: waits, within the grace period, until the chain goes on without this replica. */
+    /** Shuts down gracefully: waits, at most for the grace period, until this replica has left the chain. */
     @Override
     public void stop() {
         try {
@@ -187,7 +187,7 @@
         announcements.markWorkerGone(workerId, onResult);
     }
 
-    /** Replaces the addresses of the seeds. Callable from any thread. */
+    /** Replaces the seed addresses. Callable from any thread. */
     public void updateSeeds(final List<String> newSeeds) {
         eventLoop.execute(target -> {
             target.membership().setSeeds(newSeeds);
@@ -196,8 +196,8 @@
     }
 
     /**
-     * A live controller, perhaps this one, for a worker to announce itself to: one of its zone, else of its region. Callable
-     * from any thread.
+     * Returns a live controller, possibly this one, to which a worker can announce itself: one in the worker's zone, else one in its
+     * region; empty if there is neither. Callable from any thread.
      */
     public Optional<Member> nearestController(final String zone, final String region) {
         return liveControllers.stream()
@@ -228,16 +228,16 @@
         logWriter.ifPresent(writer -> writer.write(write));
     }
 
-    /** Called on the event loop. */
-    private void afterTick(final Node ticked) {
+    /** Updates everything that follows the node's state. Called on the event loop after each tick. */
+    private void afterTick(final Node tickedNode) {
         final long now = EventLoop.nowMicros();
         liveControllers = Stream.concat(
-                        Stream.of(ticked.membership().self()), ticked.membership().liveMembers().stream())
+                        Stream.of(tickedNode.membership().self()), tickedNode.membership().liveMembers().stream())
                 .filter(member -> !member.isGateway() && member.is(MemberState.UP))
                 .toList();
-        readiness.update(ticked, now);
-        savedWorkerReports.ifPresent(file -> file.saveIfChanged(ticked.gossip(), now));
-        schedules.afterTick(ticked, now);
+        readiness.update(tickedNode, now);
+        savedWorkerReports.ifPresent(file -> file.saveIfChanged(tickedNode.gossip(), now));
+        schedules.afterTick(tickedNode, now);
         providerCaller.ifPresent(ProviderCaller::tick);
     }
 }
--- a/server/src/main/java/silverlatch/server/controller/ControllerModule.java
+++ b/server/src/main/java/silverlatch/server/controller/ControllerModule.java
@@ -16,7 +16,7 @@
 import silverlatch.server.eventloop.EventLoopHandle;
 import silverlatch.server.settings.Settings;
 
-/** How Dagger makes the parts of a controller. */
+/** The Dagger module that provides the parts of a controller. */
 @Module
 final class ControllerModule {
     private ControllerModule() {}
--- a/server/src/main/java/silverlatch/server/controller/CronScheduler.java
+++ b/server/src/main/java/silverlatch/server/controller/CronScheduler.java
@@ -19,28 +19,28 @@
 import silverlatch.state.Value;
 
 /**
- * Checks schedules, and finds those that are due. The id of a scheduled command is made of the schedule's name and minute, so
- * that the next owner of the singleton role submits the same command again and it takes effect once.
+ * Validates schedules and finds those that are due. The id of a scheduled command is derived from the schedule's name and the minute at
+ * which it is due: if the next owner of the singleton role submits the command again, it has the same id and takes effect only once.
  *
  * <p>{@link #faults} may be called from any thread, the other methods on the event loop only.
  */
 public final class CronScheduler {
-    /** How long after its minute a schedule is still due. */
+    /** How long after its minute a schedule stays due. */
     private static final long DUE_WINDOW_SECONDS = 90;
 
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final long ANY_REVISION = -1;
     private static final String KEY_PREFIX = "k/";
 
-    /** From here on a schedule must come due at some time. */
+    /** A schedule that is never due after this time is invalid. */
     private static final ZonedDateTime EPOCH = ZonedDateTime.of(2026, 1, 1, 0, 0, 0, 0, ZoneOffset.UTC);
 
     private final CronParser parser = new CronParser(CronDefinitionBuilder.instanceDefinitionFor(CronType.UNIX));
 
-    /** The ids of commands that were submitted, and their minutes as Unix seconds. */
+    /** The ids of submitted commands, with the minute at which each was due as Unix seconds. */
     private final Map<String, Long> submitted = new LinkedHashMap<>();
 
-    /** What is wrong with a schedule, each fault with its path; one that never comes due is wrong. */
+    /** Returns the faults of a schedule, each with its path. A schedule that is never due is a fault, too. */
     public List<String> faults(final Value.Schedule schedule) {
         final List<String> faults = new ArrayList<>(TableRules.nameFaults("name", schedule.name()));
         addCronFaults(schedule.cron(), faults);
@@ -57,7 +57,11 @@
         return faults;
     }
 
-    /** The commands of the schedules that are due at a wall time and were not submitted yet, under a fencing token. */
+    /**
+     * Returns the commands of the schedules that are due and weren't returned before, with the fencing token, and marks them as submitted.
+     *
+     * @param wallNanos the wall clock in nanoseconds since the Unix epoch
+     */
     public List<Command> dueCommands(final StateMachine state, final long wallNanos, final long fencingToken) {
         final long nowSeconds = wallNanos / NANOS_PER_SECOND;
         final List<Command> commands = state.entriesWithPrefix(KEY_PREFIX).values().stream()
@@ -69,7 +73,7 @@
         return commands;
     }
 
-    /** Forgets that a command was submitted, as its outcome isn't known; it is due again while its time lasts. */
+    /** Marks a command whose outcome is unknown as not submitted, so that it is due again while its schedule stays due. */
     public void allowResubmission(final String id) {
         submitted.remove(id);
     }
--- a/server/src/main/java/silverlatch/server/controller/EntryJson.java
+++ b/server/src/main/java/silverlatch/server/controller/EntryJson.java
@@ -9,17 +9,20 @@
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
 
-/** Entries of the replicated state as JSON, for the lists of the controller's API. */
+/** Writes entries of the replicated state as JSON, for the lists of the controller's API. */
 final class EntryJson {
-    /** The bits of a stamp below its whole seconds. */
+    /** Number of bits of a stamp below the whole seconds. */
     private static final int STAMP_FRACTION_BITS = 32;
 
-    /** Keys of command outcomes are this many characters and the command's id. */
+    /** Length of the key prefix of command outcomes, which the command's id follows. */
     private static final int OUTCOME_PREFIX_LENGTH = 2;
 
     private EntryJson() {}
 
-    /** The live entries as a list of that name, ordered by key, and the highest sequence of all, deleted ones too. */
+    /**
+     * Returns the entries that aren't deleted as a list under the given name, ordered by key, and the highest sequence of all entries,
+     * including deleted ones.
+     */
     static Map<String, Object> list(final String name, final List<Entry> entries) {
         final List<Map<String, Object>> live = entries.stream()
                 .filter(entry -> !entry.isDeleted())
--- a/server/src/main/java/silverlatch/server/controller/EvacuationResource.java
+++ b/server/src/main/java/silverlatch/server/controller/EvacuationResource.java
@@ -12,12 +12,12 @@
         this.state = state;
     }
 
-    /** Replies with the evacuations that were ever ordered, ended ones too. */
+    /** Replies with all evacuations, including those that have ended. */
     void list(final HttpExchange exchange) {
         state.list(exchange, KEY_PREFIX, "zones");
     }
 
-    /** Starts or ends the evacuation of a zone; without a revision the latest order wins. */
+    /** Starts or ends the evacuation of a zone; without an expected revision, the latest command wins. */
     void put(final HttpExchange exchange, final String zone) {
         state.parseBody(exchange).ifPresent(body -> {
             body.require("empty");
--- a/server/src/main/java/silverlatch/server/controller/LogOpener.java
+++ b/server/src/main/java/silverlatch/server/controller/LogOpener.java
@@ -9,7 +9,7 @@
 import silverlatch.server.eventloop.EventLog;
 import silverlatch.server.settings.Settings;
 
-/** Opens a controller's log at the start of its process, on the main thread. */
+/** Opens a controller's write-ahead log when the process starts, on the main thread. */
 public final class LogOpener {
     private static final long RETRY_PAUSE_NANOS = 200_000_000L;
     private static final int EXIT_UNUSABLE_LOG = 4;
@@ -25,11 +25,11 @@
     }
 
     /**
-     * Opens the log in the data folder, if the settings name one, as soon as the disk lets it. One that is damaged or of
-     * another format ends the process with 4.
+     * Opens the log in the data directory, if the settings name one. Retries while the disk can't be read or written. If the log is
+     * damaged or has another format, the process exits with code 4.
      *
-     * @param moveDamagedLogAside whether a damaged log is moved aside instead, and the machine starts with an empty one under a
-     *     new identity
+     * @param moveDamagedLogAside whether a damaged log is moved aside instead, so that the machine starts with an empty log and a new
+     *     identity
      */
     public static Optional<WriteAheadLog.OpenResult.Success> open(
             final Settings settings, final boolean moveDamagedLogAside) {
@@ -55,7 +55,7 @@
                     EventLog.write(
                             Event.RECOVERED,
                             opened.records().size() + " records, " + opened.tornBytes()
-                                    + " bytes of an incomplete last write cut off");
+                                    + " bytes of an incomplete last write truncated");
                     return opened;
                 }
             }
@@ -75,7 +75,7 @@
             WriteAheadLog.moveAside(folder);
             return true;
         } catch (final IOException failure) {
-            EventLog.write(Event.BARRED, "" + failure.getMessage());
+            EventLog.write(Event.BARRED, "the damaged log can't be moved aside: " + failure.getMessage());
             return false;
         }
     }
--- a/server/src/main/java/silverlatch/server/controller/LogWriter.java
+++ b/server/src/main/java/silverlatch/server/controller/LogWriter.java
@@ -13,8 +13,9 @@
 import silverlatch.util.Threads;
 
 /**
- * Writes the log on a thread of its own: all pending writes go in one batch with one sync. After a failed write it drops the
- * pending ones, of which none was acknowledged, and reopens the folder with a growing backoff until the disk takes writes.
+ * Writes the write-ahead log on its own thread. Pending writes are combined into batches, each with one sync. After a failed write it
+ * drops all pending writes, none of which was acknowledged, and reopens the data directory with exponential backoff until the disk
+ * accepts writes again.
  */
 public final class LogWriter {
     private static final int MAX_BATCH_WRITES = 1_024;
@@ -22,12 +23,12 @@
     private static final long INITIAL_BACKOFF_MS = 1_000;
     private static final long MAX_BACKOFF_MS = 8_000;
 
-    /** A disk that took writes for so long starts over with the initial backoff. */
+    /** If the log was writable for longer than this before a failure, the backoff starts at its initial value again. */
     private static final long STABLE_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     private static final int MAX_PENDING_WRITES = 16_384;
 
-    /** What a record other than an entry weighs in a batch. */
+    /** Estimated size of a record other than an appended entry. */
     private static final long SMALL_RECORD_BYTES = 64;
 
     private final BlockingQueue<Effect.Persist> queue = new LinkedBlockingQueue<>(MAX_PENDING_WRITES);
@@ -38,19 +39,22 @@
     private long writableSince;
     private volatile boolean overflowed;
 
-    /** Is notified of what became of writes, on the writer's thread. */
+    /** Is notified of synced writes and of failures and recoveries of the disk, on the writer's thread. */
     public interface Listener {
-        /** The writes of these tokens are on disk. */
+        /** The writes with these tokens are synced to disk. */
         void onSynced(List<Long> tokens);
 
-        /** The disk failed; {@code onWritesStopped} is to be run once no more writes come that were submitted before. */
+        /**
+         * A write failed, or too many writes were pending. The listener must run {@code onWritesStopped} once no more writes will be
+         * submitted until {@link #onRecovered}.
+         */
         void onFailed(String reason, Runnable onWritesStopped);
 
-        /** The disk takes writes again, and this is what the log holds; writes submitted from now on are taken. */
+        /** The log is open again and holds these records; writes submitted from now on are accepted. */
         void onRecovered(List<LogRecord> records);
     }
 
-    /** A writer of an open log, of which it is the only one. */
+    /** Creates the only writer of an open log. */
     public LogWriter(final WriteAheadLog log, final Listener listener) {
         this(log, listener, INITIAL_BACKOFF_MS);
     }
@@ -68,7 +72,7 @@
         Threads.startDaemon("log-writer", this::run);
     }
 
-    /** Submits a write; one too many counts as a failure of the disk. Callable from any thread. */
+    /** Queues a write; a full queue is handled like a failure of the disk. Callable from any thread; doesn't block. */
     public void write(final Effect.Persist request) {
         if (!queue.offer(request)) {
             overflowed = true;
@@ -98,7 +102,7 @@
             batch.forEach(write -> records.addAll(write.records()));
             log.write(records);
             if (overflowed) {
-                throw new IOException("too many writes wait");
+                throw new IOException("too many pending writes: the queue is full");
             }
             listener.onSynced(batch.stream().map(Effect.Persist::token).toList());
         }
--- a/server/src/main/java/silverlatch/server/controller/Main.java
+++ b/server/src/main/java/silverlatch/server/controller/Main.java
@@ -13,7 +13,7 @@
 public final class Main {
     private Main() {}
 
-    /** Runs a controller until it is told to stop. */
+    /** Runs a controller until the process is asked to stop. */
     public static void main(final String[] args) {
         switch (CommandLineFlags.parse("controller", args, true, System.out, System.err)) {
             case CommandLineFlags.Parsed.Exit exit -> System.exit(exit.code());
@@ -22,7 +22,7 @@
         }
     }
 
-    /** Builds a controller from its settings and, where it has a data folder, its opened log. */
+    /** Builds a controller from its settings and, if it has a data directory, its opened log. */
     public static Controller build(final Settings settings, final Optional<WriteAheadLog.OpenResult.Success> opened) {
         return DaggerMain_ControllerComponent.factory().create(settings, opened).controller();
     }
@@ -31,13 +31,13 @@
     @Singleton
     @Component(modules = ControllerModule.class)
     interface ControllerComponent {
-        /** The controller. */
+        /** Returns the controller. */
         Controller controller();
 
-        /** Creates the graph. */
+        /** Creates object graphs. */
         @Component.Factory
         interface Factory {
-            /** From the settings and, where there is a data folder, the opened log. */
+            /** Creates the graph from the settings and, if there is a data directory, the opened log. */
             ControllerComponent create(
                     @BindsInstance Settings settings, @BindsInstance Optional<WriteAheadLog.OpenResult.Success> opened);
         }
--- a/server/src/main/java/silverlatch/server/controller/MetricsResource.java
+++ b/server/src/main/java/silverlatch/server/controller/MetricsResource.java
@@ -16,7 +16,11 @@
     private final Transport transport;
     private final Supplier<Map<CloudProvider.Outcome, Long>> providerCallCounts;
 
-    /** The calls of the provider by outcome are read on the event loop. */
+    /**
+     * Creates the resource.
+     *
+     * @param providerCallCounts counts the calls of the cloud provider by outcome; read on the event loop
+     */
     MetricsResource(
             final EventLoopHandle eventLoop,
             final Transport transport,
@@ -26,7 +30,7 @@
         this.providerCallCounts = providerCallCounts;
     }
 
-    /** Replies with the metrics as lines of text. */
+    /** Replies with the metrics as lines of text; never replies if the event loop's queue is full. */
     void get(final HttpExchange exchange) {
         eventLoop.execute(node -> {
             final MetricsPage page = new MetricsPage();
--- a/server/src/main/java/silverlatch/server/controller/NodeLogListener.java
+++ b/server/src/main/java/silverlatch/server/controller/NodeLogListener.java
@@ -9,7 +9,10 @@
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.eventloop.EventLoopHandle;
 
-/** Carries what the log writer reports to the node. Called on the writer's thread, which waits where the event loop is full. */
+/**
+ * Forwards the notifications of the log writer to the node. Called on the writer's thread, which waits while the event loop's queue is
+ * full.
+ */
 final class NodeLogListener implements LogWriter.Listener {
     private final EventLoopHandle eventLoop;
 
--- a/server/src/main/java/silverlatch/server/controller/OutcomeResource.java
+++ b/server/src/main/java/silverlatch/server/controller/OutcomeResource.java
@@ -7,7 +7,7 @@
 import silverlatch.server.web.HttpExchange;
 import silverlatch.state.Value;
 
-/** What came of a command, by its id ({@code /v1/changes}). */
+/** The outcome of a command by its id ({@code /v1/changes}). */
 final class OutcomeResource {
     private static final String KEY_PREFIX = "o/";
     private final StateApi state;
@@ -16,7 +16,7 @@
         this.state = state;
     }
 
-    /** Replies with the outcome of a command; 404 where it has taken no effect yet. */
+    /** Replies with the outcome of a command; 404 if no outcome is stored. */
     void get(final HttpExchange exchange, final String commandId) {
         final String key = KEY_PREFIX + commandId;
         state.read(exchange, key, result -> {
--- a/server/src/main/java/silverlatch/server/controller/Readiness.java
+++ b/server/src/main/java/silverlatch/server/controller/Readiness.java
@@ -8,11 +8,11 @@
 import silverlatch.server.eventloop.EventLog;
 
 /**
- * Whether the controller takes writes, and why not. Starts unready, follows the node from tick to tick, and is unready for good once
- * the controller stops. Written by the event loop, but for {@link #markStopping()}; read by any thread.
+ * Whether the controller accepts writes and, if not, why. It is unready at first, is updated from the node's state after each tick, and
+ * stays unready once the controller is stopping. Written by the event loop, except for {@link #markStopping()}; read by any thread.
  */
 final class Readiness {
-    /** A controller without a replica is ready while its state was confirmed as the newest within this time. */
+    /** A controller without a replica is ready only if its state was confirmed to be the newest within this time. */
     private static final long MAX_STATE_AGE_MICROS = 2_500_000L;
 
     private final String name;
@@ -20,27 +20,27 @@
     private volatile boolean isStopping;
     private volatile boolean hasLeftChain;
 
-    /** By the name under which the log shows the controller. */
+    /** Creates the readiness of a controller that is starting; the name identifies it in the log. */
     Readiness(final String name) {
         this.name = name;
     }
 
-    /** Why the controller is not ready; empty while it is. */
+    /** Returns why the controller is not ready; empty while it is ready. */
     Optional<String> unreadyReason() {
         return unreadyReason;
     }
 
-    /** Whether the process may end without harm to the chain; followed until it does. */
+    /** Returns whether the replica has left the chain, so that the process may end without harm to the chain. */
     boolean hasLeftChain() {
         return hasLeftChain;
     }
 
-    /** From the next update on the controller is unready for good. */
+    /** Makes the controller unready for good from the next update on. */
     void markStopping() {
         isStopping = true;
     }
 
-    /** Follows the node, and tells it and the log of a change. Called on the event loop. */
+    /** Updates the readiness from the node's state; a change is logged and set at the node. Called on the event loop. */
     void update(final Node node, final long now) {
         node.chainReplica().ifPresent(replica -> hasLeftChain = replica.hasLeft());
         final Optional<String> reason = reason(node, now);
--- a/server/src/main/java/silverlatch/server/controller/ScalingObserver.java
+++ b/server/src/main/java/silverlatch/server/controller/ScalingObserver.java
@@ -8,11 +8,11 @@
 import silverlatch.state.ScalingConfiguration;
 import silverlatch.state.StateMachine;
 
-/** Gathers what a controller knows for the decision on numbers of workers. The event loop alone calls it. */
+/** Collects the input for decisions on the numbers of workers. Called on the event loop only. */
 final class ScalingObserver {
     private ScalingObserver() {}
 
-    /** What is known now; empty where this process holds no replica of the state. */
+    /** Returns the current observation; empty if this process holds no replica of the state. */
     static Optional<ScalingObservation> observe(final Node node, final long now) {
         return node.chainReplica().map(replica -> observe(node, replica.stateMachine(), now));
     }
--- a/server/src/main/java/silverlatch/server/controller/ScheduleResource.java
+++ b/server/src/main/java/silverlatch/server/controller/ScheduleResource.java
@@ -25,7 +25,7 @@
         state.list(exchange, KEY_PREFIX, "calendars");
     }
 
-    /** Makes or changes a schedule. */
+    /** Creates or replaces a schedule. */
     void put(final HttpExchange exchange, final String name) {
         state.parseBody(exchange).ifPresent(body -> {
             final Value.Schedule schedule = read(body, name);
--- a/server/src/main/java/silverlatch/server/controller/ScheduleRunner.java
+++ b/server/src/main/java/silverlatch/server/controller/ScheduleRunner.java
@@ -9,7 +9,7 @@
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
 
-/** Submits the commands of due schedules while this controller owns that singleton role. Owned by the event loop. */
+/** Submits the commands of due schedules while this controller owns the singleton role. Used on the event loop only. */
 final class ScheduleRunner {
     private static final long COMMAND_TIMEOUT_MICROS = 4_000_000L;
     private static final long CHECK_INTERVAL_MICROS = 1_000_000L;
@@ -23,7 +23,7 @@
         this.eventLoop = eventLoop;
     }
 
-    /** Looks for due schedules, once a second. Called after each tick. */
+    /** Submits the commands of due schedules, at most once a second. Called after each tick. */
     void afterTick(final Node node, final long now) {
         if (now - lastCheckAt < CHECK_INTERVAL_MICROS) {
             return;
--- a/server/src/main/java/silverlatch/server/controller/StateApi.java
+++ b/server/src/main/java/silverlatch/server/controller/StateApi.java
@@ -13,8 +13,8 @@
 import silverlatch.state.CommandResult;
 
 /**
- * Writes and reads of the replicated state on behalf of an HTTP exchange, which gets the reply. Called by threads of the HTTP
- * server; replies that need the chain are sent by the event loop.
+ * Writes and reads the replicated state for an HTTP exchange, and replies to the exchange. Called by threads of the HTTP server; replies
+ * that depend on the chain are sent by the event loop.
  */
 final class StateApi {
     private static final long TIMEOUT_MICROS = 4_000_000L;
@@ -22,7 +22,7 @@
     private final EventLoopHandle eventLoop;
     private final int maxBodyBytes;
 
-    /** Makes a command from its id and the revision that it builds on, which is negative for any. */
+    /** Creates a command from its id and the revision that it builds on; negative for any revision. */
     @FunctionalInterface
     interface CommandFactory {
         Command create(String id, long expectedRevision);
@@ -33,7 +33,7 @@
         this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** The body as a JSON object; empty where it is none and the exchange was rejected. */
+    /** Returns the body as a JSON object; empty if it isn't one, in which case the exchange was rejected. */
     Optional<JsonDocument> parseBody(final HttpExchange exchange) {
         return switch (JsonDocument.parse(exchange.body(), maxBodyBytes)) {
             case JsonDocument.ParseResult.Invalid invalid -> {
@@ -44,7 +44,10 @@
         };
     }
 
-    /** Submits a command under the id of X-Change, or a drawn one, and the revision of If-Match. */
+    /**
+     * Submits a command whose id is that of the header X-Change, or a random one, and whose expected revision is that of If-Match. The
+     * reply is the command's result.
+     */
     void write(final HttpExchange exchange, final CommandFactory factory) {
         final Optional<Long> expectedRevision = expectedRevision(exchange);
         if (expectedRevision.isEmpty()) {
@@ -58,7 +61,7 @@
         }
     }
 
-    /** Reads the entries under a key prefix at the chain's tail; where it can't be asked, the exchange is rejected. */
+    /** Reads the entries with a key prefix from the chain's tail; if the tail doesn't answer in time, the exchange is rejected. */
     void read(final HttpExchange exchange, final String keyPrefix, final Consumer<ChainClient.ReadResult> onAnswered) {
         final boolean isAccepted = eventLoop.read(keyPrefix, TIMEOUT_MICROS, result -> {
             if (result.answered()) {
@@ -72,7 +75,7 @@
         }
     }
 
-    /** Replies with the entries under a key prefix as a list of that name. */
+    /** Replies with the entries with a key prefix as a list of the given name. */
     void list(final HttpExchange exchange, final String keyPrefix, final String name) {
         read(exchange, keyPrefix, result -> {
             final Map<String, Object> body = EntryJson.list(name, result.entries());
@@ -80,7 +83,7 @@
         });
     }
 
-    /** The header that names a revision. */
+    /** Returns the ETag header for a revision. */
     static Map<String, String> etag(final long revision) {
         return Map.of("ETag", "\"" + revision + "\"");
     }
@@ -126,7 +129,7 @@
                 .orElseGet(() -> UUID.randomUUID().toString());
     }
 
-    /** The revision of If-Match; empty where it is none and the exchange was rejected. */
+    /** Returns the revision of If-Match; empty if it isn't valid, in which case the exchange was rejected. */
     private static Optional<Long> expectedRevision(final HttpExchange exchange) {
         final String text =
                 exchange.header("If-Match").map(tag -> tag.replace("\"", "")).orElse("*");
--- a/server/src/main/java/silverlatch/server/controller/StatusResource.java
+++ b/server/src/main/java/silverlatch/server/controller/StatusResource.java
@@ -15,28 +15,32 @@
 import silverlatch.server.eventloop.EventLoopHandle;
 import silverlatch.server.web.HttpExchange;
 
-/** Whether the controller lives and is ready, and what it knows of the cluster ({@code /live, /ready, /status}). */
+/** Liveness, readiness and the cluster's status as this controller knows it ({@code /live, /ready, /status}). */
 final class StatusResource {
-    /** The former key of the members, which stands beside the present one for one version. */
+    /** The deprecated key of the members, which is written in addition to the current key for one version. */
     private static final String DEPRECATED_MEMBERS_KEY = "crew";
 
     private final String name;
     private final EventLoopHandle eventLoop;
     private final Supplier<Optional<String>> unreadyReason;
 
-    /** The reason is empty while the controller is ready; it is read by any thread. */
+    /**
+     * Creates the resource.
+     *
+     * @param unreadyReason why the controller isn't ready, empty while it is; read by any thread
+     */
     StatusResource(final String name, final EventLoopHandle eventLoop, final Supplier<Optional<String>> unreadyReason) {
         this.name = name;
         this.eventLoop = eventLoop;
         this.unreadyReason = unreadyReason;
     }
 
-    /** Replies that the process lives. */
+    /** Replies that the process is alive. */
     void live(final HttpExchange exchange) {
         exchange.reply(ApiReplies.OK, Map.of("live", true));
     }
 
-    /** Replies whether the controller takes writes, and why not. */
+    /** Replies whether the controller accepts writes and, if not, why. */
     void ready(final HttpExchange exchange) {
         final Optional<String> reason = unreadyReason.get();
         exchange.reply(
@@ -44,7 +48,7 @@
                 Map.of("ready", reason.isEmpty(), "why", reason.orElse("")));
     }
 
-    /** Replies with what the node knows. */
+    /** Replies with the node's view of the chain, the membership and the workers; never replies if the event loop's queue is full. */
     void status(final HttpExchange exchange) {
         eventLoop.execute(node -> exchange.reply(ApiReplies.OK, body(node)));
     }
--- a/server/src/main/java/silverlatch/server/controller/TableJson.java
+++ b/server/src/main/java/silverlatch/server/controller/TableJson.java
@@ -9,14 +9,14 @@
 import silverlatch.state.TableRules;
 import silverlatch.state.Value;
 
-/** Rows and cells of the table as JSON, both ways. Times are in microseconds, rates in requests a second. */
+/** Reads rows and cells of the table from JSON, and writes rows as JSON. Times are in microseconds, rates in requests per second. */
 public final class TableJson {
     private static final int MAX_NAME_LENGTH = 64;
     private static final int MAX_CELLS = 10_000;
 
     private TableJson() {}
 
-    /** A row as JSON, with all its fields. */
+    /** Returns a row as JSON, with all its fields. */
     public static Map<String, Object> write(final Value.Row row) {
         final Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("tenant", row.tenant());
@@ -35,7 +35,7 @@
         return fields;
     }
 
-    /** A row from JSON; absent fields are as in the default row. Faults are noted in the document. */
+    /** Reads a row; absent fields have the values of the default row. Faults are recorded in the document. */
     public static Value.Row read(final JsonDocument document) {
         final Value.Row defaults = TableRules.defaultRow(
                 document.string("tenant", MAX_NAME_LENGTH), document.string("kind", MAX_NAME_LENGTH));
@@ -55,7 +55,7 @@
                 (int) document.integer("rank", 0, Integer.MAX_VALUE, defaults.priority()));
     }
 
-    /** The list {@code cells} of a patch or a schedule; faults are noted in the document. */
+    /** Reads the list {@code cells} of a patch or a schedule; faults are recorded in the document. */
     static List<Command.Cell> readCells(final JsonDocument document) {
         final List<Command.Cell> cells = new ArrayList<>();
         for (final JsonDocument cell : document.objects("cells", MAX_CELLS)) {
--- a/server/src/main/java/silverlatch/server/controller/TableResource.java
+++ b/server/src/main/java/silverlatch/server/controller/TableResource.java
@@ -32,7 +32,7 @@
         });
     }
 
-    /** Changes single cells. */
+    /** Changes individual cells. */
     void patch(final HttpExchange exchange) {
         state.parseBody(exchange).ifPresent(body -> {
             final List<Command.Cell> cells = TableJson.readCells(body);
@@ -42,7 +42,7 @@
         });
     }
 
-    /** A table as it was read may be put again, so its sequence is no unknown key. */
+    /** Reads the rows. The key sequence is allowed and ignored, so that a table that was read by GET can be put again. */
     private static List<Value.Row> readRows(final JsonDocument body) {
         body.integer("sequence", 0, Long.MAX_VALUE, 0);
         final List<Value.Row> rows = new ArrayList<>();
--- a/server/src/main/java/silverlatch/server/controller/TenantResource.java
+++ b/server/src/main/java/silverlatch/server/controller/TenantResource.java
@@ -6,7 +6,7 @@
 import silverlatch.state.Value;
 import silverlatch.util.Digests;
 
-/** The tenants ({@code /v1/tenants}); of a tenant's key only a hash is stored. */
+/** The tenants ({@code /v1/tenants}). Only a hash of a tenant's key is stored. */
 final class TenantResource {
     private static final String KEY_PREFIX = "t/";
     private static final int MAX_REGIONS = 64;
@@ -26,7 +26,7 @@
         state.list(exchange, KEY_PREFIX, "tenants");
     }
 
-    /** Makes or changes a tenant. */
+    /** Creates or replaces a tenant. */
     void put(final HttpExchange exchange, final String name) {
         state.parseBody(exchange).ifPresent(body -> {
             final Value.Tenant tenant = read(body, name);
--- a/server/src/main/java/silverlatch/server/controller/WorkerAnnouncements.java
+++ b/server/src/main/java/silverlatch/server/controller/WorkerAnnouncements.java
@@ -9,22 +9,22 @@
 import silverlatch.server.eventloop.EventLoopHandle;
 
 /**
- * Takes what workers report on themselves, and replies. That a worker is in service is acknowledged at once. That it drains or is gone
- * binds all gateways from the acknowledgement on, also where this controller is partitioned off right after it: so it is acknowledged
- * once a majority of the controllers holds it, and refused where that isn't known in time. Callable from any thread; replies come on
- * the event loop.
+ * Accepts the reports of workers and acknowledges them. A report that a worker is in service is acknowledged immediately. A report that
+ * a worker is draining or gone is acknowledged once a majority of the controllers holds it, and rejected if that isn't confirmed in
+ * time: after the acknowledgement it must be in force at all gateways, even if this controller is partitioned off right afterwards.
+ * Callable from any thread. Replies are delivered on the event loop, or on the caller's thread if the event loop's queue is full.
  */
 final class WorkerAnnouncements {
     private final EventLoopHandle eventLoop;
     private final long timeoutMicros;
 
-    /** Announcements to a controller whose callers wait for so many microseconds at most. */
+    /** Creates announcements; a report that isn't confirmed within the timeout, in microseconds, is rejected. */
     WorkerAnnouncements(final EventLoopHandle eventLoop, final long timeoutMicros) {
         this.eventLoop = eventLoop;
         this.timeoutMicros = timeoutMicros;
     }
 
-    /** Takes a worker's report; the reply is whether it was accepted. */
+    /** Accepts a worker's report; the reply is whether it was acknowledged. */
     void announce(final Worker worker, final Consumer<Boolean> onResult) {
         applyAndConfirm(
                 worker.id(),
@@ -35,12 +35,15 @@
                 onResult);
     }
 
-    /** Takes note that a worker is gone; the reply is whether it was known. */
+    /** Marks a worker as gone; the reply is false if the worker isn't known or that isn't confirmed in time. */
     void markWorkerGone(final String workerId, final Consumer<Boolean> onResult) {
         applyAndConfirm(workerId, node -> node.onWorkerGone(workerId, EventLoop.nowMicros()), onResult);
     }
 
-    /** Takes a report, and replies once it is held by as many as it has to be; false where it isn't accepted. */
+    /**
+     * Applies a report to the node. Replies true immediately if the worker is in service, otherwise once a majority of the controllers
+     * holds the report; replies false if the report isn't applied or confirmed.
+     */
     private void applyAndConfirm(
             final String workerId, final Predicate<Node> applyReport, final Consumer<Boolean> onResult) {
         final boolean isPosted = eventLoop.execute(node -> {
--- a/server/src/main/java/silverlatch/server/eventloop/EventLog.java
+++ b/server/src/main/java/silverlatch/server/eventloop/EventLog.java
@@ -10,7 +10,7 @@
 
     private EventLog() {}
 
-    /** Writes an event, at the level that it has. */
+    /** Writes an event as a warning or an information, depending on the event. */
     public static void write(final Event event, final String message) {
         if (event.isWarning()) {
             LOG.warn("SL{} {} {}", event.number(), event, message);
@@ -19,7 +19,7 @@
         }
     }
 
-    /** Writes an event with the exception that caused it, as an error. */
+    /** Writes an event as an error, with the exception that caused it. */
     public static void write(final Event event, final String message, final Throwable cause) {
         LOG.error("SL{} {} {}", event.number(), event, message, cause);
     }
--- a/server/src/main/java/silverlatch/server/eventloop/EventLoop.java
+++ b/server/src/main/java/silverlatch/server/eventloop/EventLoop.java
@@ -9,11 +9,12 @@
 import silverlatch.util.Threads;
 
 /**
- * A thread that runs tasks from a bounded queue in their order, and a tick from time to time. What it owns needs no locks. A task
- * that fails is logged and the loop goes on; an {@link Error} ends the process, as state may be half changed.
+ * A thread that runs tasks from a bounded queue in order, and periodically a tick. State that only this thread accesses needs no locks.
+ * If a task throws an exception, it is logged and the loop continues; an {@link Error} ends the process, because state may have been
+ * changed only partly.
  *
- * <p>The interval of the ticks may depend on what the loop has to do: it is asked for after each tick and each task, and the next
- * tick comes no later than that from then on. So an idle loop wakes up seldom, and a busy one is as precise as it needs to be.
+ * <p>The tick interval may depend on what is pending. It is read at each tick and after each task, and the next tick follows within that
+ * interval from then on. An idle loop therefore wakes up rarely, and a busy one as often as it needs to.
  */
 public final class EventLoop {
     private static final long NANOS_PER_MICRO = 1_000;
@@ -24,24 +25,24 @@
     private final AtomicLong rejectedTasks = new AtomicLong();
 
     /**
-     * An event loop that isn't started yet.
+     * Creates an event loop with a fixed tick interval that isn't started yet.
      *
      * @param name       the thread's name
      * @param capacity   how many tasks may be queued
      * @param tickMicros the time from one tick to the next
-     * @param onTick     what is run at each tick, on the loop's thread
+     * @param onTick     is run at each tick, on the loop's thread
      */
     public EventLoop(final String name, final int capacity, final long tickMicros, final Runnable onTick) {
         this(name, capacity, () -> tickMicros, onTick);
     }
 
     /**
-     * An event loop that isn't started yet, whose interval varies.
+     * Creates an event loop with a variable tick interval that isn't started yet.
      *
      * @param name         the thread's name
      * @param capacity     how many tasks may be queued
-     * @param tickInterval the microseconds to the next tick as things stand; called on the loop's thread
-     * @param onTick       what is run at each tick, on the loop's thread
+     * @param tickInterval returns the time within which the next tick is needed, in microseconds; called on the loop's thread
+     * @param onTick       is run at each tick, on the loop's thread
      */
     public EventLoop(final String name, final int capacity, final LongSupplier tickInterval, final Runnable onTick) {
         this.queue = new MpscBlockingConsumerArrayQueue<>(capacity);
@@ -49,7 +50,7 @@
         this.thread = Threads.daemon(name, () -> run(onTick));
     }
 
-    /** The monotonic clock of the process, in microseconds from an arbitrary origin. */
+    /** Returns the monotonic clock of the process, in microseconds from an arbitrary origin. */
     public static long nowMicros() {
         return System.nanoTime() / NANOS_PER_MICRO;
     }
@@ -59,7 +60,7 @@
         thread.start();
     }
 
-    /** Queues a task; false where the queue is full. Callable from any thread; doesn't block. */
+    /** Queues a task; returns false if the queue is full. Callable from any thread; doesn't block. */
     public boolean post(final Runnable task) {
         if (!queue.offer(task)) {
             rejectedTasks.incrementAndGet();
@@ -68,7 +69,7 @@
         return true;
     }
 
-    /** How many tasks were not accepted. */
+    /** Returns how many tasks were rejected because the queue was full. */
     public long rejectedTasks() {
         return rejectedTasks.get();
     }
--- a/server/src/main/java/silverlatch/server/eventloop/EventLoopHandle.java
+++ b/server/src/main/java/silverlatch/server/eventloop/EventLoopHandle.java
@@ -15,13 +15,13 @@
 import silverlatch.state.CommandResult;
 
 /**
- * Runs a node on its event loop and performs the node's effects: frames go to the transport, records to the log writer, log
- * lines to the log, and responses to whoever asked. Its methods may be called from any thread unless they say otherwise; they don't block.
+ * Runs a node on its event loop and performs the node's effects: frames are passed to the transport, records to the log writer, log
+ * events to the log, and responses to the callbacks of pending calls. Methods may be called from any thread and don't block.
  */
 public final class EventLoopHandle {
     private static final int QUEUE_CAPACITY = 16_384;
 
-    /** How long frames that wait for the clock are delayed before the next attempt. */
+    /** Pause before the next attempt to process frames that are delayed until the process clock catches up. */
     private static final long DELAYED_FRAMES_PAUSE_NANOS = 200_000L;
 
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
@@ -34,11 +34,11 @@
     private final Map<Long, Consumer<Object>> pendingReplies = new ConcurrentHashMap<>();
 
     /**
-     * A handle on an event loop that isn't started yet.
+     * Creates a handle with an event loop that isn't started yet.
      *
      * @param tickMicros the time from one tick of the node to the next
      * @param transport  sends a frame, without blocking
-     * @param logWriter  writes records, without blocking
+     * @param logWriter  queues records to be written to the log, without blocking
      * @param afterTick  is called on the event loop after each tick
      */
     public EventLoopHandle(
@@ -59,12 +59,12 @@
         loop.start();
     }
 
-    /** The event loop. */
+    /** Returns the event loop. */
     public EventLoop eventLoop() {
         return loop;
     }
 
-    /** Runs a task with the node on the event loop; false where the loop's queue is full. */
+    /** Runs a task with the node on the event loop; returns false, without running it, if the loop's queue is full. */
     public boolean execute(final Consumer<Node> task) {
         return loop.post(() -> {
             task.accept(node);
@@ -72,7 +72,10 @@
         });
     }
 
-    /** The same, and then another task on the event loop once the effects of the first were handed over. */
+    /**
+     * Runs a task with the node on the event loop, and then, once the task's effects were performed, another task. Returns false, without
+     * running either, if the loop's queue is full.
+     */
     public boolean execute(final Consumer<Node> task, final Runnable afterFlush) {
         return loop.post(() -> {
             task.accept(node);
@@ -82,8 +85,8 @@
     }
 
     /**
-     * Submits a command. Its result comes on the event loop before the timeout is over; false, and none comes, where
-     * the loop's queue is full.
+     * Submits a command. The callback gets the result on the event loop, at the latest when the timeout has passed. Returns false if the
+     * loop's queue is full; the callback is then never called.
      */
     public boolean submit(final Command command, final long timeoutMicros, final Consumer<CommandResult> onResult) {
         final long token = tokens.incrementAndGet();
@@ -95,8 +98,8 @@
     }
 
     /**
-     * Reads the entries under a key prefix at the chain's tail. The result comes on the event loop before the
-     * timeout is over; false, and none comes, where the loop's queue is full.
+     * Reads the entries with a key prefix from the chain's tail. The callback gets the result on the event loop, at the latest when the
+     * timeout has passed. Returns false if the loop's queue is full; the callback is then never called.
      */
     public boolean read(
             final String keyPrefix, final long timeoutMicros, final Consumer<ChainClient.ReadResult> onResult) {
@@ -109,8 +112,8 @@
     }
 
     /**
-     * Asks whether a majority of the controllers holds the newest report on a worker. The result comes on the event loop before the
-     * timeout is over; false, and none comes, where the loop's queue is full.
+     * Queries whether a majority of the controllers holds the newest report on a worker. The callback gets the result on the event loop,
+     * at the latest when the timeout has passed. Returns false if the loop's queue is full; the callback is then never called.
      */
     public boolean confirmReport(final String workerId, final long timeoutMicros, final Consumer<Boolean> onResult) {
         final long token = tokens.incrementAndGet();
@@ -121,7 +124,7 @@
         });
     }
 
-    /** The wall clock in nanoseconds since the Unix epoch. */
+    /** Returns the wall clock in nanoseconds since the Unix epoch. */
     public static long wallClockNanos() {
         final Instant instant = Instant.now();
         return instant.getEpochSecond() * NANOS_PER_SECOND + instant.getNano();
@@ -148,7 +151,8 @@
                         .ifPresent(pending -> pending.accept(respond.response()));
             case Effect.Log log -> EventLog.write(log.event(), log.text());
             case Effect.Persist persist -> logWriter.accept(persist);
-            case Effect.Send send -> throw new IllegalStateException("a send left the node unstamped");
+            case Effect.Send send ->
+                throw new IllegalStateException("the node returned a message to send that wasn't stamped as a frame");
         }
     }
 
--- a/server/src/main/java/silverlatch/server/eventloop/package-info.java
+++ b/server/src/main/java/silverlatch/server/eventloop/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Event loops: a thread that owns a state machine, its queue of tasks and its ticks. {@link
- * silverlatch.server.eventloop.EventLoopHandle} runs a node on one and performs its effects.
+ * Event loops. An event loop is a thread with a queue of tasks and a periodic tick; it is the only thread that accesses the state machine
+ * it runs. {@link silverlatch.server.eventloop.EventLoopHandle} runs a node on an event loop and performs the node's effects.
  */
 package silverlatch.server.eventloop;
--- a/server/src/main/java/silverlatch/server/persistence/MessageFile.java
+++ b/server/src/main/java/silverlatch/server/persistence/MessageFile.java
@@ -17,8 +17,9 @@
 import silverlatch.wire.Message;
 
 /**
- * A file with the last message that was handed to it: a CRC-32C of eight bytes and the encoded message. It is replaced as a whole by a
- * thread of its own, so that a slow disk holds up nobody; a failure to write is logged once until a write succeeds again.
+ * A file that holds the last written message: a CRC-32C stored in eight bytes, followed by the encoded message. The file is replaced as a
+ * whole on its own thread, so that a slow disk doesn't block callers. After a failed write, further failures aren't logged until a write
+ * succeeds.
  */
 final class MessageFile<M extends Message> {
     private static final int HEADER_BYTES = Long.BYTES;
@@ -27,13 +28,13 @@
     private final Class<M> type;
     private final BlockingQueue<M> queue = new ArrayBlockingQueue<>(1);
 
-    /** The file, which need not exist, and the type of its message. */
+    /** Creates an object for a file, which need not exist yet, with the type of its message. */
     MessageFile(final Path file, final Class<M> type) {
         this.file = file;
         this.type = type;
     }
 
-    /** The message that was written last; empty where there is none or the file is damaged. */
+    /** Returns the message that was written last; empty if there is none or the file is damaged, too large or unreadable. */
     Optional<M> read() {
         try {
             if (!Files.exists(file) || Files.size(file) > MAX_FILE_BYTES) {
@@ -45,12 +46,12 @@
         }
     }
 
-    /** Starts the thread that writes. */
+    /** Starts the thread that writes the file. */
     void start() {
         Threads.startDaemon("writer-of-" + file.getFileName(), this::run);
     }
 
-    /** Hands a message to the thread that writes; false while the one before waits for it. Any thread may call. */
+    /** Queues a message for writing; returns false if the previous message is still queued. Callable from any thread; doesn't block. */
     boolean offer(final M message) {
         return queue.offer(message);
     }
@@ -64,7 +65,7 @@
                 isFailureReported = false;
             } catch (final IOException failure) {
                 if (!isFailureReported) {
-                    EventLog.write(Event.ROSTER, file.getFileName() + ": " + failure.getMessage());
+                    EventLog.write(Event.ROSTER, file.getFileName() + " can't be written: " + failure.getMessage());
                 }
                 isFailureReported = true;
             } catch (final InterruptedException interrupted) {
--- a/server/src/main/java/silverlatch/server/persistence/SavedConfiguration.java
+++ b/server/src/main/java/silverlatch/server/persistence/SavedConfiguration.java
@@ -5,28 +5,29 @@
 import silverlatch.wire.GossipMessage;
 
 /**
- * The file of the configuration that a gateway followed last, which it and its peers may route by for a short time after a start at
- * which no controller is up yet. What is saved was committed; it may be older than what the gateway followed when it ended.
+ * The file with the configuration that a gateway used last. If no controller is up when the gateway starts, the gateway and its peers may
+ * route by this configuration for a short time. The saved configuration was committed, but it may be older than the one that was in use
+ * when the process ended.
  */
 public final class SavedConfiguration {
     private final MessageFile<GossipMessage.GossipPullReply> file;
 
-    /** Owned by the event loop. */
+    /** Accessed on the event loop only. */
     private long savedRevision;
 
-    /** The file in a data folder. */
+    /** Creates an object for the file in a data directory. */
     public SavedConfiguration(final Path dataDirectory) {
         this.file = new MessageFile<>(dataDirectory.resolve("configuration"), GossipMessage.GossipPullReply.class);
     }
 
-    /** Gives the gossip of a node that knows nothing yet what was saved; starts the thread that writes. */
+    /** Restores the saved configuration, if any, into the gossip of a node that hasn't started; starts the thread that writes the file. */
     public void restore(final Gossip gossip) {
         file.read().ifPresent(gossip::restoreState);
         savedRevision = gossip.stateMachine().policyRevision();
         file.start();
     }
 
-    /** Hands the configuration over where it changed since, unless the one before is still being written. */
+    /** Queues the configuration for writing if it changed since it was last queued, unless the previous one is still queued. */
     public void saveIfChanged(final Gossip gossip) {
         final long revision = gossip.stateMachine().policyRevision();
         if (revision > savedRevision && file.offer(gossip.stateToSave())) {
--- a/server/src/main/java/silverlatch/server/persistence/SavedWorkerReports.java
+++ b/server/src/main/java/silverlatch/server/persistence/SavedWorkerReports.java
@@ -7,38 +7,38 @@
 import silverlatch.wire.GossipMessage;
 
 /**
- * The file of the workers last heard of: after all machines have lost their power at once, requests need not wait until each worker
- * has announced itself again. A worker's next report supersedes it.
+ * The file with the newest known worker reports. After a power failure of all machines, requests therefore don't have to wait until each
+ * worker has announced itself again. A worker's next report supersedes its saved one.
  */
 public final class SavedWorkerReports {
     private final MessageFile<GossipMessage.MissingReports> file;
 
-    /** Owned by the event loop. */
+    /** Accessed on the event loop only. */
     private long savedDigest;
 
-    /** The roster in a data folder. */
+    /** Creates an object for the file in a data directory. */
     public SavedWorkerReports(final Path dataDirectory) {
         this.file = new MessageFile<>(dataDirectory.resolve("workers"), GossipMessage.MissingReports.class);
     }
 
-    /** The reports that were written last; empty where there are none or the file is damaged. */
+    /** Returns the reports that were written last; empty if there are none or the file is damaged. */
     public List<WorkerReport> read() {
         return file.read().map(GossipMessage.MissingReports::reports).orElse(List.of());
     }
 
-    /** Starts the thread that writes. */
+    /** Starts the thread that writes the file. */
     public void start() {
         file.start();
     }
 
-    /** Hands the active reports over where they changed since, unless the ones before are still being written. */
+    /** Queues the active reports for writing if they changed since they were last queued, unless the previous ones are still queued. */
     public void saveIfChanged(final Gossip gossip, final long now) {
         if (savedDigest != gossip.reportsDigest() && offer(gossip.activeReports(now))) {
             savedDigest = gossip.reportsDigest();
         }
     }
 
-    /** Hands reports to the thread that writes; false while the ones before wait for it. */
+    /** Queues reports for writing; returns false if the previous ones are still queued. */
     boolean offer(final List<WorkerReport> reports) {
         return file.offer(new GossipMessage.MissingReports(0, reports, List.of(), List.of(), List.of()));
     }
--- a/server/src/main/java/silverlatch/server/persistence/package-info.java
+++ b/server/src/main/java/silverlatch/server/persistence/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a process keeps on its disk beside the log, so that it needn't be told everything again after a restart. Nothing here is a
- * promise: what can't be written or read is left out.
+ * Files that a process keeps in its data directory in addition to the log, so that after a restart it doesn't depend on other processes
+ * for all of its state. Saving is best effort: data that can't be written or read is skipped.
  */
 package silverlatch.server.persistence;
--- a/server/src/main/java/silverlatch/server/transport/FrameReader.java
+++ b/server/src/main/java/silverlatch/server/transport/FrameReader.java
@@ -15,8 +15,9 @@
 import silverlatch.wire.Frame;
 
 /**
- * Reads the frames of one accepted connection, on a thread of its own, and acknowledges them by single bytes: when nothing more
- * waits to be read, at least every 200 ms, and after each chunk of a large frame, so that its sender sees progress.
+ * Reads the frames of one accepted connection on its own thread, and acknowledges them with single bytes. An acknowledgement is sent
+ * after a frame if no further frame can be read yet or the last acknowledgement is older than 200 ms, and after each chunk of a large
+ * frame, so that the sender sees progress.
  */
 final class FrameReader {
     /** Frames longer than this are acknowledged chunk by chunk. */
@@ -40,9 +41,9 @@
     }
 
     /**
-     * Hands frames to the sink until the transport stops, and closes the connection.
+     * Passes frames to the sink until the transport stops, then closes the connection.
      *
-     * @throws MalformedFrameException if the peer sent no frame
+     * @throws MalformedFrameException if the peer sent bytes that aren't a valid frame
      * @throws IOException if the connection failed or the peer closed it
      */
     void run() throws IOException {
@@ -75,7 +76,7 @@
     private static byte[] readFrame(final DataInputStream in, final OutputStream acks) throws IOException {
         final int size = in.readInt();
         if (size <= 0 || size > Codec.MAX_BYTES) {
-            throw new MalformedFrameException("a length of " + size);
+            throw new MalformedFrameException("invalid frame length " + size);
         }
         final ByteArrayOutputStream frame = new ByteArrayOutputStream(Math.min(size, CHUNK_BYTES));
         while (frame.size() < size) {
--- a/server/src/main/java/silverlatch/server/transport/MalformedFrameException.java
+++ b/server/src/main/java/silverlatch/server/transport/MalformedFrameException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A peer sent bytes that are no frame. */
+/** Thrown if a peer sent bytes that aren't a valid frame. */
 final class MalformedFrameException extends IOException {
     MalformedFrameException(final String reason) {
         super(reason);
--- a/server/src/main/java/silverlatch/server/transport/PeerConnection.java
+++ b/server/src/main/java/silverlatch/server/transport/PeerConnection.java
@@ -19,12 +19,12 @@
 import silverlatch.wire.Message;
 
 /**
- * Sends frames to one address over a connection that is made when there is a frame and closed when it is idle. Nothing here is
- * promised: frames that waited too long for a connection are dropped. The peer acknowledges what it read by single bytes on
- * the same connection; one that doesn't in time is given up, as behind a network partition nothing else tells that it hangs. A large
- * frame gives its reader more time, two seconds a megabyte.
+ * Sends frames to one address over a connection that is opened when there is a frame to send and closed when it is idle. Delivery is not
+ * guaranteed: frames that waited too long for a connection are dropped. The peer acknowledges frames with single bytes on the same
+ * connection. If no acknowledgement arrives in time, the connection is closed, because a connection that hangs behind a network partition
+ * can't be detected otherwise. A large frame extends that time by two seconds per megabyte.
  *
- * <p>{@link #offer} and {@link #stop} may be called from any thread; a thread of its own sends.
+ * <p>{@link #offer} and {@link #stop} may be called from any thread; frames are sent on the connection's own thread.
  */
 final class PeerConnection {
     private static final long INITIAL_BACKOFF_MICROS = 50_000L;
@@ -33,7 +33,7 @@
     private static final int BUFFER_BYTES = 16 << 10;
     private static final long MICROS_PER_MS = 1_000;
 
-    /** The time that a large frame gives its reader: two seconds a megabyte. */
+    /** Extends the acknowledgement time-out for a large frame: two seconds per megabyte. */
     private static final long ACK_GRACE_MICROS_PER_BYTE = 2;
 
     private static final int KEEP_ALIVE_SECONDS = 1;
@@ -53,10 +53,19 @@
     private long connectedAt;
     private long backoff = INITIAL_BACKOFF_MICROS;
 
-    /** How many frames may be queued; the times are in microseconds. */
+    /**
+     * Limits of a connection. Times are in microseconds.
+     *
+     * @param maxQueued      how many frames may be queued
+     * @param connectTimeout how long opening the connection may take
+     * @param ackTimeout     after how long without an acknowledgement the connection is closed
+     * @param maxQueueAge    how long a frame may wait for a connection before it is dropped
+     * @param idleTimeout    after how long without a frame the connection is closed
+     * @param maxBackoff     the longest pause after a failure
+     */
     record Limits(
             int maxQueued, long connectTimeout, long ackTimeout, long maxQueueAge, long idleTimeout, long maxBackoff) {
-        /** The limits in use. */
+        /** The limits in production. */
         static final Limits DEFAULTS = new Limits(256, 500_000L, 1_500_000L, 1_000_000L, 20_000_000L, 500_000L);
     }
 
@@ -76,12 +85,12 @@
                 Comparator.comparing(QueuedFrame::isBulk).thenComparingLong(QueuedFrame::sequence));
     }
 
-    /** Starts the thread that sends. */
+    /** Starts the thread that sends frames. */
     void start() {
         TransportThreads.start("peer-connection", this::run);
     }
 
-    /** Queues a frame, or drops it where the queue is full; closes a connection whose acknowledgement is overdue. */
+    /** Queues a frame, or drops it if the queue is full; closes the connection if its acknowledgement is overdue. */
     void offer(final Frame frame) {
         final long now = EventLoop.nowMicros();
         if (now - limits.ackTimeout() > unacknowledgedSince && now > ackGraceUntil) {
@@ -94,7 +103,7 @@
         queue.add(new QueuedFrame(frame, now, !Message.urgent(frame.body()), lastSequence.incrementAndGet()));
     }
 
-    /** Closes the connection; nothing is sent any more. */
+    /** Closes the connection; no more frames are sent. */
     void stop() {
         stopped = true;
         openSocket.ifPresent(Transport::close);
@@ -160,7 +169,7 @@
         isWriting = false;
     }
 
-    /** Reads the acknowledgements that have arrived, without waiting; false where there is none. */
+    /** Reads the acknowledgements that have arrived, without blocking; returns false if there is none or reading failed. */
     private synchronized boolean readAcknowledgements(final Socket socket) {
         try {
             final InputStream in = socket.getInputStream();
@@ -177,7 +186,7 @@
         }
     }
 
-    /** Drops a frame that waited too long for a connection. One that waits behind a large frame of a live connection isn't dropped. */
+    /** Drops a frame that waited too long for a connection. A frame queued behind a large one on an open connection isn't dropped. */
     private boolean dropIfStale(final QueuedFrame queued) {
         final boolean isStale =
                 queued.queuedAt() < connectedAt && EventLoop.nowMicros() - queued.queuedAt() > limits.maxQueueAge();
@@ -196,7 +205,7 @@
         backoff = Math.min(limits.maxBackoff(), backoff * 2);
     }
 
-    /** Lets the operating system probe an idle connection each second and give it up after three. */
+    /** Makes the operating system probe an idle connection every second and close it after three seconds without a reply. */
     static void enableKeepAlive(final Socket socket) throws IOException {
         socket.setKeepAlive(true);
         final Map<SocketOption<Integer>, Integer> options = Map.of(
@@ -213,6 +222,6 @@
         }
     }
 
-    /** A frame that waits since a time; bulk frames wait for all others, and otherwise the order is that of their arrival. */
+    /** A queued frame. Bulk frames are sent after all others; otherwise frames are sent in the order in which they were queued. */
     private record QueuedFrame(Frame frame, long queuedAt, boolean isBulk, long sequence) {}
 }
--- a/server/src/main/java/silverlatch/server/transport/Transport.java
+++ b/server/src/main/java/silverlatch/server/transport/Transport.java
@@ -19,11 +19,12 @@
 import silverlatch.wire.Frame;
 
 /**
- * Sends and receives frames over TCP: one connection out to each address, and whatever connections come in. Frames may be lost. A
- * malformed frame ends its connection only. Callable from any thread; received frames are handed over on the reader's thread.
+ * Sends and receives frames over TCP, with one outgoing connection per address and any number of incoming ones up to a limit. Frames may
+ * be lost. A malformed frame closes only its own connection. Callable from any thread; received frames are passed to the sink on the
+ * thread of the connection's reader.
  */
 public final class Transport {
-    /** How many connections there may be each way. */
+    /** Limit on the number of outgoing connections, and on that of incoming ones. */
     private static final int MAX_CONNECTIONS = 1024;
 
     private static final int ACCEPT_BACKLOG = 256;
@@ -39,7 +40,7 @@
     private volatile Optional<ServerSocket> server = Optional.empty();
     private volatile boolean stopped;
 
-    /** A transport that listens at IP:PORT once it is started, and hands received frames to the sink. */
+    /** Creates a transport that listens at IP:PORT once it is started and passes received frames to the sink. */
     public Transport(final String address, final Consumer<Frame> sink) {
         this(address, sink, PeerConnection.Limits.DEFAULTS);
     }
@@ -50,7 +51,7 @@
         this.limits = limits;
     }
 
-    /** The socket address that IP:PORT names. */
+    /** Parses a socket address from IP:PORT. */
     public static InetSocketAddress parseAddress(final String text) {
         final int colon = text.lastIndexOf(':');
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
@@ -69,7 +70,7 @@
         Threads.startDaemon("transport-acceptor", () -> accept(listener));
     }
 
-    /** Queues a frame for its address; one that can't be sent is dropped and counted. Doesn't block. */
+    /** Queues a frame for its address; a frame that can't be sent is dropped and counted. Doesn't block. */
     public void send(final OutgoingFrame outgoing) {
         if (connections.size() >= MAX_CONNECTIONS && !connections.containsKey(outgoing.to())) {
             droppedFrames.incrementAndGet();
@@ -78,22 +79,22 @@
         connections.computeIfAbsent(outgoing.to(), this::createConnection).offer(outgoing.frame());
     }
 
-    /** How many received frames were malformed. */
+    /** Returns how many received frames were malformed. */
     public long malformedFrames() {
         return malformedFrames.get();
     }
 
-    /** How many frames could not be sent, and how many connections could not be made or accepted. */
+    /** Returns the sum of frames that could not be sent and connections that could not be opened or accepted. */
     public long droppedFrames() {
         return droppedFrames.get();
     }
 
-    /** How many connections were made to other processes. */
+    /** Returns how many connections to other processes were opened. */
     public long connectionsMade() {
         return connectionsMade.get();
     }
 
-    /** Closes all connections and the address; their threads end. */
+    /** Closes all outgoing connections and the listening socket; incoming connections end with their next frame or time-out. */
     public void stop() {
         stopped = true;
         connections.values().forEach(PeerConnection::stop);
@@ -129,18 +130,18 @@
             malformedFrames.incrementAndGet();
             EventLog.write(Event.BAD_FRAME, socket.getRemoteSocketAddress() + " " + failure.getMessage());
         } catch (final IOException failure) {
-            // The sender counts what was lost with the connection, and connects again.
+            // The sender counts the frames that were lost with the connection, and reconnects.
         } finally {
             readerSlots.release();
         }
     }
 
-    /** Closes a socket that is given up. */
+    /** Closes a socket and ignores failures. */
     static void close(final Closeable closeable) {
         try {
             closeable.close();
         } catch (final IOException failure) {
-            // It is given up in any case.
+            // The socket isn't used any more in any case.
         }
     }
 }
--- a/server/src/main/java/silverlatch/server/transport/TransportThreads.java
+++ b/server/src/main/java/silverlatch/server/transport/TransportThreads.java
@@ -6,11 +6,11 @@
 import java.util.Optional;
 
 /**
- * Starts the threads of the transport: virtual ones where the JDK has them (21 and above), else daemon threads with a
+ * Starts the threads of the transport: virtual threads if the JDK supports them (21 and above), otherwise daemon threads with a
  * small stack. The sources compile for JDK 17, so the newer method is looked up when the class is loaded.
  */
 final class TransportThreads {
-    /** Bytes of stack of a thread that only reads or writes one socket. */
+    /** Stack size of a thread, which only reads or writes one socket. */
     private static final long STACK_BYTES = 192L << 10;
 
     private static final Optional<MethodHandle> START_VIRTUAL = findStartVirtual();
--- a/server/src/main/java/silverlatch/server/transport/package-info.java
+++ b/server/src/main/java/silverlatch/server/transport/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Frames between processes over TCP: one outgoing connection to each address, and a reader for each that comes in. Frames may be
- * lost; what needs an answer asks again.
+ * Frames between processes over TCP: one outgoing connection per address, and a reader for each incoming connection. Frames may be lost;
+ * a sender that needs a reply must retry.
  */
 package silverlatch.server.transport;
--- a/server/src/main/java/silverlatch/server/web/AnnouncementJson.java
+++ b/server/src/main/java/silverlatch/server/web/AnnouncementJson.java
@@ -3,7 +3,7 @@
 import silverlatch.gossip.Worker;
 import silverlatch.json.JsonDocument;
 
-/** What workers report on themselves, read from JSON. Times ending in Ms are milliseconds there and microseconds here. */
+/** Reads workers' reports on themselves from JSON. Fields ending in Ms are in milliseconds there and in microseconds here. */
 public final class AnnouncementJson {
     private static final int MAX_NAME_LENGTH = 64;
     private static final int MAX_POOL_LENGTH = 256;
@@ -17,7 +17,7 @@
 
     private AnnouncementJson() {}
 
-    /** A worker as it reports itself; faults are noted in the document. */
+    /** Reads a worker's report on itself; faults are recorded in the document. */
     public static Worker read(final JsonDocument document) {
         return new Worker(
                 document.string("worker", MAX_NAME_LENGTH),
@@ -37,7 +37,7 @@
                 document.integer("restMs", 0, MAX_LIFETIME_MS, 0) * MICROS_PER_MS);
     }
 
-    /** The echo of the last reply, which the report brings back; 0 where there is none yet. */
+    /** Reads the echo token of the previous reply, which the worker sends back with its report; 0 if there was no reply yet. */
     public static long echo(final JsonDocument document) {
         return document.integer("echo", 0, Long.MAX_VALUE, 0);
     }
--- a/server/src/main/java/silverlatch/server/web/ApiServer.java
+++ b/server/src/main/java/silverlatch/server/web/ApiServer.java
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** Serves the HTTP API of a process on one address, by Jetty; bodies, headers and threads are bounded. */
+/** Serves the HTTP API of a process on one address, using Jetty. The sizes of bodies and headers and the number of threads are limited. */
 public final class ApiServer {
     private static final int MAX_THREADS = 24;
     private static final int MIN_THREADS = 4;
@@ -23,11 +23,11 @@
     private final Server server;
 
     /**
-     * A server that isn't started yet.
+     * Creates a server that isn't started yet.
      *
      * @param address      IP:PORT to listen at
-     * @param maxBodyBytes how long a request's body may be
-     * @param router       gets each exchange with its body, on a thread of the server
+     * @param maxBodyBytes the limit on the size of a request's body
+     * @param router       is called with each exchange once its body is complete, on a thread of the server
      */
     public ApiServer(final String address, final int maxBodyBytes, final Consumer<HttpExchange> router) {
         final QueuedThreadPool threadPool = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Binds the address and starts to serve.
+     * Binds the address and starts serving.
      *
      * @throws HttpServerException if the address can't be bound
      */
@@ -52,12 +52,12 @@
         try {
             server.start();
         } catch (final Exception failure) {
-            throw new HttpServerException("the HTTP address can't be opened: " + failure.getMessage(), failure);
+            throw new HttpServerException("the HTTP server can't be started: " + failure.getMessage(), failure);
         }
     }
 
     /**
-     * Stops to serve and closes all connections.
+     * Stops serving and closes all connections.
      *
      * @throws HttpServerException if a part of the server fails to stop
      */
@@ -65,13 +65,13 @@
         try {
             server.stop();
         } catch (final Exception failure) {
-            throw new HttpServerException("the HTTP address can't be closed: " + failure.getMessage(), failure);
+            throw new HttpServerException("the HTTP server can't be stopped: " + failure.getMessage(), failure);
         }
     }
 
-    /** A server that can't be started or stopped. */
+    /** Thrown if a server can't be started or stopped. */
     public static final class HttpServerException extends Exception {
-        /** What failed, and what caused it. */
+        /** Creates an exception whose message says what failed. */
         public HttpServerException(final String message, final Throwable cause) {
             super(message, cause);
         }
--- a/server/src/main/java/silverlatch/server/web/BufferingHandler.java
+++ b/server/src/main/java/silverlatch/server/web/BufferingHandler.java
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Reads a request's body whole, up to a limit, and hands the exchange to a router, which must not block. */
+/** Reads the whole body of a request, up to a limit, and passes the exchange to a router, which must not block. */
 final class BufferingHandler extends Handler.Abstract.NonBlocking {
     private static final int CONTENT_TOO_LARGE = 413;
     private static final byte[] NO_BODY = new byte[0];
--- a/server/src/main/java/silverlatch/server/web/ClientEndPoint.java
+++ b/server/src/main/java/silverlatch/server/web/ClientEndPoint.java
@@ -14,12 +14,12 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * The server's end of a client's connection, which can be watched for the client's closing while a request runs. Jetty reads nothing
- * while it waits for a response, so it would notice that only when it writes.
+ * The server's end of a client's connection. While a request is being served, a watcher can be notified that the client has closed the
+ * connection. Jetty itself doesn't read while it waits for a response, so it would detect this only when it writes.
  *
- * <p>Jetty's own connection and the watch share the one registration for reads: {@link #connectionCallback} is Jetty's, and goes
- * first. What the watch reads of a next request is kept and given to Jetty when it reads again. Any thread may call; the lock guards
- * the state, and callbacks run outside of it.
+ * <p>Jetty's connection and the watcher share a single registration for reads. {@link #connectionCallback} is Jetty's callback and has
+ * precedence. If the watcher's read returns bytes of the next request, they are buffered and returned by Jetty's next read. Callable from
+ * any thread; the lock guards the state, and callbacks run without it.
  */
 final class ClientEndPoint extends SocketChannelEndPoint {
     private static final int READ_AHEAD_BYTES = 4 << 10;
@@ -33,18 +33,18 @@
     private boolean isReadRegistered;
     private boolean isInputEnded;
 
-    /** What is told once that the client has closed its side of the connection. */
+    /** Is notified once that the client has closed its side of the connection. */
     @FunctionalInterface
     interface Watcher {
         /**
-         * The client sends nothing more.
+         * Called when the client has closed its side, so that it sends nothing more.
          *
          * @param isReset whether the connection was reset, so that the client reads nothing more either
          */
         void onInputEnded(boolean isReset);
     }
 
-    /** The end of an accepted connection; the executor runs callbacks that must not run on the caller's stack. */
+    /** Creates the end of an accepted connection; the executor runs callbacks that must not run on the caller's stack. */
     ClientEndPoint(
             final SocketChannel channel,
             final ManagedSelector selector,
@@ -55,7 +55,10 @@
         this.executor = executor;
     }
 
-    /** Has the watcher told when the client closes its side, until {@link #unwatch}; the request has been read to its end. */
+    /**
+     * Notifies the watcher when the client closes its side, until {@link #unwatch}. The request must have been read completely. If the
+     * end of the input was read already, the watcher is notified immediately, on a thread of the executor.
+     */
     void watch(final Watcher newWatcher) {
         final boolean isEnded;
         synchronized (lock) {
@@ -69,7 +72,7 @@
         }
     }
 
-    /** Ends the watch: a response is complete, and Jetty reads on. */
+    /** Removes the watcher, because the response is complete and Jetty reads the next request. */
     void unwatch() {
         synchronized (lock) {
             watcher = Optional.empty();
@@ -129,7 +132,10 @@
         super.fillInterested(readCallback);
     }
 
-    /** Reads while no response is complete: the end of the input, or what the client sends ahead. */
+    /**
+     * Reads on behalf of the watcher while the response isn't complete. Notifies the watcher at the end of the input; bytes that the
+     * client sends early are buffered, and once the buffer is full the watcher is removed.
+     */
     private void readForWatcher() {
         final Optional<Watcher> notified;
         boolean isReset = false;
@@ -164,7 +170,7 @@
         }
     }
 
-    /** What Jetty's selector calls when the connection can be read, or has failed. */
+    /** Called by Jetty's selector when the connection can be read or has failed. */
     private final class ReadCallback implements Callback {
         @Override
         public void succeeded() {
@@ -187,8 +193,8 @@
                 connectionCallback = Optional.empty();
                 watcher = Optional.empty();
             }
-            callback.ifPresent(waiting -> waiting.failed(failure));
-            notified.ifPresent(waiting -> waiting.onInputEnded(true));
+            callback.ifPresent(pending -> pending.failed(failure));
+            notified.ifPresent(pending -> pending.onInputEnded(true));
         }
 
         @Override
@@ -198,7 +204,7 @@
             }
         }
 
-        /** Hands the event to Jetty's connection; false where that doesn't wait for it. */
+        /** Notifies Jetty's connection that it can read; returns false if the connection isn't waiting for a read. */
         private boolean deliverToConnection() {
             final Optional<Callback> callback;
             synchronized (lock) {
--- a/server/src/main/java/silverlatch/server/web/Connectors.java
+++ b/server/src/main/java/silverlatch/server/web/Connectors.java
@@ -11,13 +11,13 @@
 import org.eclipse.jetty.server.ServerConnector;
 import silverlatch.server.transport.Transport;
 
-/** Makes Jetty's connectors, which listen on an address each. */
+/** Creates Jetty connectors, each of which listens on one address. */
 final class Connectors {
     private static final int ACCEPT_QUEUE_SIZE = 512;
 
     private Connectors() {}
 
-    /** A connector that listens at IP:PORT once its server starts; connections may be idle for so many milliseconds. */
+    /** Creates a connector that listens at IP:PORT once its server starts, and closes connections that are idle for longer. */
     static ServerConnector create(
             final Server server,
             final int acceptors,
@@ -34,7 +34,7 @@
         return connector;
     }
 
-    /** A connector whose connections can be watched for their client's closing. */
+    /** A connector whose connections are {@link ClientEndPoint}s, which detect that the client closes the connection. */
     private static final class ClientConnector extends ServerConnector {
         ClientConnector(final Server server, final int acceptors, final int selectors, final HttpConfiguration config) {
             super(server, acceptors, selectors, new HttpConnectionFactory(config));
--- a/server/src/main/java/silverlatch/server/web/HttpExchange.java
+++ b/server/src/main/java/silverlatch/server/web/HttpExchange.java
@@ -13,8 +13,8 @@
 import silverlatch.json.JsonDocument;
 
 /**
- * An HTTP request with its body, and the one reply to it: of several replies the first is sent and the others are dropped. May be
- * replied to from any thread.
+ * An HTTP request with its body, and the reply to it. Only the first reply is sent; later ones are ignored. The reply may be given from
+ * any thread.
  */
 public final class HttpExchange {
     private static final int OK = 200;
@@ -35,27 +35,27 @@
         this.body = body;
     }
 
-    /** The request's method, in upper case. */
+    /** Returns the request's method, in upper case. */
     public String method() {
         return request.getMethod();
     }
 
-    /** The request's path, without the query. */
+    /** Returns the request's path, without the query. */
     public String path() {
         return Request.getPathInContext(request);
     }
 
-    /** A copy of the request's body; empty where there is none. */
+    /** Returns a copy of the request's body; empty if there is none. */
     public byte[] body() {
         return body.clone();
     }
 
-    /** The first value of a request header. */
+    /** Returns the first value of a request header. */
     public Optional<String> header(final String name) {
         return Optional.ofNullable(request.getHeaders().get(name));
     }
 
-    /** The bearer token of the header Authorization; empty where there is none. */
+    /** Returns the bearer token of the header Authorization; an empty string if there is none. */
     public String bearerToken() {
         return header("Authorization")
                 .filter(value -> value.startsWith(BEARER))
@@ -63,13 +63,13 @@
                 .orElse("");
     }
 
-    /** The first value of a parameter of the query. */
+    /** Returns the first value of a query parameter. */
     public Optional<String> queryParameter(final String name) {
         final Fields fields = Request.extractQueryParameters(request);
         return Optional.ofNullable(fields.getValue(name));
     }
 
-    /** Calls the listener when the connection fails before the reply is complete, on a thread of the server. */
+    /** Calls the listener, on a thread of the server, if the connection fails before the reply is complete. */
     public void onDisconnect(final Runnable listener) {
         request.addFailureListener(failure -> listener.run());
     }
@@ -79,12 +79,12 @@
         reply(status, value, Map.of());
     }
 
-    /** Replies with a value as JSON, and headers. */
+    /** Replies with a value as JSON and with headers. */
     public void reply(final int status, final Map<String, ?> value, final Map<String, String> headers) {
         replyJson(status, JsonDocument.write(value), headers);
     }
 
-    /** Replies with JSON that is encoded already. */
+    /** Replies with already encoded JSON and with headers. */
     public void replyJson(final int status, final String text, final Map<String, String> headers) {
         send(status, JSON, text, headers);
     }
@@ -94,15 +94,16 @@
         replyText("text/plain; charset=utf-8", text, Map.of());
     }
 
-    /** Replies with a text of a content type, and headers. */
+    /** Replies with text of a content type and with headers. */
     public void replyText(final String contentType, final String text, final Map<String, String> headers) {
         send(OK, contentType, text, headers);
     }
 
     /**
-     * Writes a part of a reply that is a stream of JSON lines; then calls one of the callbacks, on a thread of the server.
+     * Writes a part of a reply that is a stream of JSON lines, and then calls one of the callbacks on a thread of the server. A last part
+     * is ignored, without a callback, if the exchange was replied to already.
      *
-     * @param isLast whether the reply is complete with it
+     * @param isLast whether this part completes the reply
      */
     public void writeLines(
             final String lines, final boolean isLast, final Runnable onWritten, final Runnable onFailed) {
--- a/server/src/main/java/silverlatch/server/web/MultiListenerServer.java
+++ b/server/src/main/java/silverlatch/server/web/MultiListenerServer.java
@@ -16,7 +16,7 @@
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** Serves HTTP on several addresses over one small pool of threads, with a handler for each address. */
+/** Serves HTTP on several addresses with one small thread pool and a handler for each address. */
 public final class MultiListenerServer {
     private static final int MIN_THREADS = 2;
     private static final int ACCEPTORS = 0;
@@ -26,7 +26,7 @@
     private final Server server;
     private final Map<Connector, Handler> handlers = new ConcurrentHashMap<>();
 
-    /** A server of at most so many threads that isn't started yet. */
+    /** Creates a server that isn't started yet. */
     public MultiListenerServer(final int maxThreads) {
         final QueuedThreadPool threadPool = new QueuedThreadPool(maxThreads, MIN_THREADS);
         threadPool.setName("http-listeners");
@@ -37,11 +37,11 @@
         server.setErrorHandler((request, response, callback) -> replyToError(response, callback));
     }
 
-    /** An address that is served, whose limits can be changed while it is. Callable from any thread. */
+    /** An address that is served; its limits can be changed while the server runs. Callable from any thread. */
     public static final class Listener {
         private static final int MAX_HEADER_BYTES = 64 << 10;
 
-        /** A connection is closed this long after the client may last reuse it. */
+        /** How much longer than the client may leave a connection idle the server keeps it open. */
         private static final long IDLE_SLACK_MS = 1_000;
 
         private final HttpConfiguration config;
@@ -55,8 +55,10 @@
         }
 
         /**
-         * Replaces the limits: of the size of a request's header in bytes, for new connections, and of the time for which a
-         * client may leave a connection idle in milliseconds, for all connections.
+         * Replaces the limits.
+         *
+         * @param headerBytes the limit on the size of a request's header, for new connections
+         * @param idleMillis  for how long a client may leave a connection idle, for all connections
          */
         public void updateLimits(final int headerBytes, final long idleMillis) {
             config.setRequestHeaderSize(Math.min(MAX_HEADER_BYTES, Math.max(minHeaderBytes, headerBytes)));
@@ -65,7 +67,7 @@
         }
     }
 
-    /** Adds an address IP:PORT; request headers are bounded in bytes, and idle connections in milliseconds. */
+    /** Adds an address IP:PORT with a handler, a limit on the size of request headers, and an idle time-out of connections. */
     public Listener addListener(
             final String address, final int maxHeaderBytes, final long idleMillis, final Handler handler) {
         final HttpConfiguration config = new HttpConfiguration();
@@ -78,7 +80,7 @@
         return new Listener(config, connector, maxHeaderBytes);
     }
 
-    /** Adds an address whose router gets exchanges with their bodies, up to a limit in bytes. */
+    /** Adds an address whose router is called with exchanges once their bodies, up to a limit, are complete. */
     public void addListener(
             final String address,
             final int maxHeaderBytes,
@@ -89,7 +91,7 @@
     }
 
     /**
-     * Binds all addresses and starts to serve.
+     * Binds all addresses and starts serving.
      *
      * @throws ApiServer.HttpServerException if an address can't be bound
      */
@@ -99,12 +101,12 @@
             server.start();
         } catch (final Exception failure) {
             throw new ApiServer.HttpServerException(
-                    "an HTTP address can't be opened: " + failure.getMessage(), failure);
+                    "the HTTP server can't be started: " + failure.getMessage(), failure);
         }
     }
 
     /**
-     * Stops to serve and closes all connections at once.
+     * Stops serving and closes all connections immediately.
      *
      * @throws ApiServer.HttpServerException if a part of the server fails to stop
      */
@@ -113,7 +115,7 @@
             server.stop();
         } catch (final Exception failure) {
             throw new ApiServer.HttpServerException(
-                    "an HTTP address can't be closed: " + failure.getMessage(), failure);
+                    "the HTTP server can't be stopped: " + failure.getMessage(), failure);
         }
     }
 
@@ -126,7 +128,7 @@
         return true;
     }
 
-    /** Hands a request to the handler of the address that it came by. */
+    /** Passes a request to the handler of the address on which it was received. */
     private final class HandlerByConnector extends Handler.Abstract.NonBlocking {
         @Override
         public boolean handle(final Request request, final Response response, final Callback callback)
--- a/server/src/main/java/silverlatch/server/web/ResettingClientConnector.java
+++ b/server/src/main/java/silverlatch/server/web/ResettingClientConnector.java
@@ -7,7 +7,7 @@
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.ssl.SslContextFactory;
 
-/** Opens plain TCP connections that are reset, not shut down, when they are closed; TLS is left out. */
+/** Opens plain TCP connections that are reset instead of shut down when they are closed. TLS is not supported and not initialized. */
 public final class ResettingClientConnector extends ClientConnector {
     @Override
     protected void configure(final SelectableChannel channel) throws IOException {
--- a/server/src/main/java/silverlatch/server/web/package-info.java
+++ b/server/src/main/java/silverlatch/server/web/package-info.java
@@ -1,5 +1,5 @@
 /**
- * HTTP servers on Jetty: {@link silverlatch.server.web.ApiServer} for one address with whole bodies, and
- * {@link silverlatch.server.web.MultiListenerServer} for several with a handler each.
+ * HTTP servers based on Jetty: {@link silverlatch.server.web.ApiServer} serves one address and buffers request bodies,
+ * {@link silverlatch.server.web.MultiListenerServer} serves several addresses with a handler for each.
  */
 package silverlatch.server.web;
--- a/server/src/test/java/silverlatch/server/controller/ConfigurationJsonTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ConfigurationJsonTest.java
@@ -11,6 +11,10 @@
 import silverlatch.state.Command;
 import silverlatch.state.Value;
 
+/**
+ * Guards against parts of a configuration that are lost or changed when they are read from JSON or written to it, faults that are reported
+ * without their path, and documents that couldn't be returned byte for byte.
+ */
 final class ConfigurationJsonTest {
     private static JsonDocument parse(final String text) {
         return ((JsonDocument.ParseResult.Valid) JsonDocument.parse(text.getBytes(StandardCharsets.UTF_8), 1 << 20))
--- a/server/src/test/java/silverlatch/server/controller/ControllerTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ControllerTest.java
@@ -38,7 +38,11 @@
 import silverlatch.state.CommandResult;
 import silverlatch.state.Value;
 
-/** Controllers in this process, with doors on loopback and data folders of their own. */
+/**
+ * Controllers in the test's process, with HTTP addresses on the loopback interface and their own data directories. Guards against
+ * resources of the HTTP API that aren't reachable under their current or deprecated paths, names and keys, documents that aren't returned
+ * byte for byte, and calls of {@link ControlService} that get no result within a second.
+ */
 final class ControllerTest {
     private static final String CONFIGURATION =
             "{\"number\":%d,\n  \"rules\":[{\"name\":\"r\",\"host\":\"h.example\",\"path\":\"/\",\"hold\":1000,"
@@ -111,11 +115,11 @@
 
     private static Command.PutFullConfiguration putConfiguration(final long number, final long expectedRevision) {
         return Command.PutFullConfiguration.of(new Command.PutConfiguration(
-                "wish-" + number + "-" + expectedRevision,
+                "put-" + number + "-" + expectedRevision,
                 new Value.RoutingConfiguration(number, 1, 1, 1, 1),
                 List.of(),
                 List.of(),
-                "paper " + number,
+                "document " + number,
                 expectedRevision));
     }
 
@@ -126,7 +130,7 @@
         assertThat(request("GET", "/v1/charter", "", "operator-key", "*").statusCode(), is(404));
         final String text = String.format(CONFIGURATION, 3);
         assertThat(put(text, "0").statusCode(), is(200));
-        assertThat("the same again", put(text, "0").statusCode(), is(200));
+        assertThat("the same document again", put(text, "0").statusCode(), is(200));
         final HttpResponse<String> conflict = put(String.format(CONFIGURATION, 4), "2");
         assertThat(conflict.statusCode(), is(409));
         assertThat(conflict.body().contains("\"sequence\":3"), is(true));
@@ -144,11 +148,11 @@
                 ControllerTest.<CommandResult>await(t -> controller.putConfiguration(putConfiguration(9, 3), t)),
                 instanceOf(CommandResult.Applied.class));
         final ChainClient.ReadResult readResult = await(controller::readConfiguration);
-        assertThat(readResult.entries().get(0).value(), is(List.of(new Value.ConfigurationDocument(9, "paper 9"))));
+        assertThat(readResult.entries().get(0).value(), is(List.of(new Value.ConfigurationDocument(9, "document 9"))));
         assertThat(
                 ControllerTest.<CommandResult>await(t -> controller.setEvacuation("z", true, t)),
                 instanceOf(CommandResult.Applied.class));
-        assertThat(request("GET", "/v1/charter", "", "operator-key", "*").body(), is("paper 9"));
+        assertThat(request("GET", "/v1/charter", "", "operator-key", "*").body(), is("document 9"));
         controller.stop();
     }
 
@@ -194,7 +198,7 @@
                     instanceOf(CommandResult.Unknown.class));
             minMillis = Math.min(minMillis, (System.nanoTime() - startNanos) / 1_000_000);
         }
-        assertThat("by a duty that has time", minMillis, lessThan(950L));
+        assertThat("milliseconds of the fastest of four calls, as the machine may be busy", minMillis, lessThan(950L));
         assertThat(
                 ControllerTest.<ChainClient.ReadResult>await(controller::readConfiguration)
                         .answered(),
@@ -251,7 +255,7 @@
         final String fourth = String.format(CONFIGURATION, 4);
         assertThat(
                 request("PUT", "/v1/configuration", third, "operator-key", "0").statusCode(), is(200));
-        assertThat("the same again", put(third, "0").statusCode(), is(200));
+        assertThat("the same document again", put(third, "0").statusCode(), is(200));
         assertThat(commonBody("/v1/charter", "/v1/configuration"), is("200 " + third));
         assertThat(put(fourth, "3").statusCode(), is(200));
         assertThat(
--- a/server/src/test/java/silverlatch/server/controller/CronSchedulerTest.java
+++ b/server/src/test/java/silverlatch/server/controller/CronSchedulerTest.java
@@ -12,6 +12,10 @@
 import silverlatch.state.StateMachine;
 import silverlatch.state.Value;
 
+/**
+ * Guards against a scheduled command that takes effect twice, because the owner of the singleton role or its successor submits it again
+ * under another id, and against invalid schedules that are accepted.
+ */
 final class CronSchedulerTest {
     private static long wallNanosAt(final String time) {
         return Instant.parse(time).getEpochSecond() * 1_000_000_000L;
--- a/server/src/test/java/silverlatch/server/controller/IsolatedNode.java
+++ b/server/src/test/java/silverlatch/server/controller/IsolatedNode.java
@@ -11,18 +11,18 @@
 import silverlatch.replication.Replica;
 import silverlatch.replication.ReplicaSettings;
 
-/** Makes nodes of a controller without a data folder that hears of no other node. */
+/** Creates nodes of a controller that receives nothing from any other node. */
 final class IsolatedNode {
     private static final long WALL_NANOS = 1_800_000_000_000_000_000L;
 
     private IsolatedNode() {}
 
-    /** A node that starts at a time of the monotonic clock, in microseconds. */
+    /** Creates a node without a replica that starts at a time of the monotonic clock, in microseconds. */
     static Node create(final long now) {
         return create(now, Optional.empty());
     }
 
-    /** The same with a replica of the chain that knows no view, as nobody answers it. */
+    /** Creates a node with a replica of the chain that knows no view, because no other node replies to it. */
     static Node createWithReplica(final long now) {
         return create(now, Optional.of(ReplicaSettings.of(new Replica("id", "127.0.0.1:1"), List.of("127.0.0.1:9"))));
     }
--- a/server/src/test/java/silverlatch/server/controller/LogWriterTest.java
+++ b/server/src/test/java/silverlatch/server/controller/LogWriterTest.java
@@ -16,6 +16,10 @@
 import silverlatch.node.Effect;
 import silverlatch.replication.View;
 
+/**
+ * Guards against a write that is reported as synced although it was pending when the disk failed. The disk's failure is provoked by a
+ * directory that stands at the path of the next snapshot's temporary file, so that writing the snapshot fails until it is removed.
+ */
 final class LogWriterTest {
     private static final LogRecord.Promised FIRST = new LogRecord.Promised(1, 0);
     private static final LogRecord.Promised NEVER_SYNCED = new LogRecord.Promised(2, 0);
@@ -26,7 +30,7 @@
     @TempDir
     private Path folder;
 
-    /** What the writer told, in order. */
+    /** A call of the writer's listener. */
     private sealed interface Notification {
         record Synced(List<Long> tokens) implements Notification {}
 
@@ -54,7 +58,8 @@
         }
 
         Notification next() throws InterruptedException {
-            return Objects.requireNonNull(notifications.poll(30, TimeUnit.SECONDS), "nothing was told");
+            return Objects.requireNonNull(
+                    notifications.poll(30, TimeUnit.SECONDS), "the writer didn't notify its listener within 30 s");
         }
     }
 
@@ -73,7 +78,7 @@
         writer.write(new Effect.Persist(3, List.of(NEVER_SYNCED)));
         failed.onWritesStopped().run();
         TimeUnit.MILLISECONDS.sleep(100);
-        assertThat("the disk still refuses", listener.notifications.isEmpty(), is(true));
+        assertThat("the log can't be reopened while the disk fails", listener.notifications.isEmpty(), is(true));
         Files.delete(blockingDirectory.resolve("inside"));
         assertThat(listener.next(), is(new Notification.Recovered(List.of(FIRST))));
         writer.write(new Effect.Persist(4, List.of(SNAPSHOT)));
--- a/server/src/test/java/silverlatch/server/controller/ReadinessTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ReadinessTest.java
@@ -7,6 +7,10 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.node.Node;
 
+/**
+ * Guards against a controller that is ready before its state is confirmed or while it is stopping, and against a shutdown that waits for
+ * a replica which isn't part of a chain.
+ */
 final class ReadinessTest {
     private static final long NOW = 1_000_000L;
 
@@ -27,7 +31,7 @@
         assertThat(readiness.hasLeftChain(), is(false));
         node.leave(NOW);
         readiness.update(node, NOW);
-        assertThat("no chain has it", readiness.hasLeftChain(), is(true));
+        assertThat("the replica is in no chain", readiness.hasLeftChain(), is(true));
     }
 
     @Test
--- a/server/src/test/java/silverlatch/server/controller/WorkerAnnouncementsTest.java
+++ b/server/src/test/java/silverlatch/server/controller/WorkerAnnouncementsTest.java
@@ -14,7 +14,10 @@
 import silverlatch.server.eventloop.EventLoop;
 import silverlatch.server.eventloop.EventLoopHandle;
 
-/** Announcements on a running event loop that ticks only when the test says so. */
+/**
+ * Announcements to a controller on a running event loop that ticks only when the test triggers it. Guards against acknowledging that a
+ * worker is draining or gone before the report is confirmed, which happens at the next tick.
+ */
 final class WorkerAnnouncementsTest {
     private static final long HOUR_MICROS = 3_600_000_000L;
     private final EventLoopHandle eventLoop = new EventLoopHandle(
@@ -48,7 +51,7 @@
         tick();
         assertThat(nextReply(5_000), is(true));
         announcements.announce(worker(3, true), replies::add);
-        assertThat("it drained before", nextReply(5_000), is(true));
+        assertThat("the worker's draining was confirmed before", nextReply(5_000), is(true));
     }
 
     @Test
--- a/server/src/test/java/silverlatch/server/eventloop/EventLoopTest.java
+++ b/server/src/test/java/silverlatch/server/eventloop/EventLoopTest.java
@@ -12,7 +12,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** The ticks of an event loop: seldom while it is idle, and on time once a task gives it something to watch. */
+/**
+ * Guards against an event loop with a variable tick interval that wakes up too often while it is idle, whose next tick comes too late
+ * after a task has shortened the interval, or whose ticks are postponed by a steady stream of tasks.
+ */
 final class EventLoopTest {
     private static final long SHORT_MICROS = 10_000L;
     private static final long LONG_MICROS = 60_000_000L;
@@ -24,7 +27,10 @@
         final EventLoop loop = new EventLoop("test-loop", 16, interval::get, ticks::countDown);
         loop.start();
         loop.post(() -> interval.set(SHORT_MICROS));
-        assertThat("three more ticks come soon", ticks.await(20, TimeUnit.SECONDS), is(true));
+        assertThat(
+                "the first tick and three more come long before the original interval has passed",
+                ticks.await(20, TimeUnit.SECONDS),
+                is(true));
     }
 
     @Test
@@ -33,7 +39,7 @@
         final EventLoop loop = new EventLoop("test-loop", 16, () -> LONG_MICROS, ticks::incrementAndGet);
         loop.start();
         TimeUnit.MILLISECONDS.sleep(200);
-        assertThat("only the one at its start", ticks.get(), is(lessThanOrEqualTo(1)));
+        assertThat("at most the tick at the start", ticks.get(), is(lessThanOrEqualTo(1)));
     }
 
     @Test
--- a/server/src/test/java/silverlatch/server/persistence/SavedWorkerReportsTest.java
+++ b/server/src/test/java/silverlatch/server/persistence/SavedWorkerReportsTest.java
@@ -13,6 +13,7 @@
 import silverlatch.gossip.Worker;
 import silverlatch.gossip.WorkerReport;
 
+/** Guards against losing the saved worker reports, and against taking over reports from a damaged or truncated file. */
 final class SavedWorkerReportsTest {
     private static final WorkerReport REPORT = WorkerReport.of(
             new Worker("w", "10.0.0.1:80", "z", "r", 1, 7, 0, 0, 8, List.of(), true, 0, "pool", 1_000, 0));
@@ -22,18 +23,18 @@
 
     @Test
     void offeredReportsAreReadBackAndADamagedFileReadsAsEmpty() throws IOException {
-        final SavedWorkerReports one = new SavedWorkerReports(folder);
-        assertThat(one.read(), is(empty()));
-        one.start();
-        assertThat(one.offer(List.of(REPORT)), is(true));
+        final SavedWorkerReports saved = new SavedWorkerReports(folder);
+        assertThat(saved.read(), is(empty()));
+        saved.start();
+        assertThat(saved.offer(List.of(REPORT)), is(true));
         final Path file = folder.resolve("workers");
         while (!Files.exists(file)) {
             Thread.onSpinWait();
         }
         assertThat(new SavedWorkerReports(folder).read(), is(List.of(REPORT)));
-        final byte[] all = Files.readAllBytes(file);
-        all[all.length - 1]++;
-        Files.write(file, all);
+        final byte[] bytes = Files.readAllBytes(file);
+        bytes[bytes.length - 1]++;
+        Files.write(file, bytes);
         assertThat(new SavedWorkerReports(folder).read(), is(empty()));
         Files.write(file, new byte[3]);
         assertThat(new SavedWorkerReports(folder).read(), is(empty()));
--- a/server/src/test/java/silverlatch/server/transport/TransportTest.java
+++ b/server/src/test/java/silverlatch/server/transport/TransportTest.java
@@ -27,7 +27,11 @@
 import silverlatch.wire.Frame;
 import silverlatch.wire.MembershipMessage;
 
-/** Transports on loopback before scripted peers, with shorter limits than those in use. */
+/**
+ * Transports on the loopback interface that send to each other or to peers scripted by the test, with shorter time-outs than in
+ * production. Guards against connections that are kept although the peer doesn't read, connections that are closed although the peer
+ * makes progress, stale frames that are sent after a reconnect, and frames that are dropped without being counted.
+ */
 final class TransportTest {
     private static final PeerConnection.Limits SHORT_LIMITS =
             new PeerConnection.Limits(256, 200_000L, 300_000L, 200_000L, 400_000L, 100_000L);
