--- a/server/src/main/java/silverlatch/server/controller/Controller.java
+++ b/server/src/main/java/silverlatch/server/controller/Controller.java
@@ -63,7 +63,7 @@
     private final Optional<SavedWorkerReports> savedWorkerReports;
     private final Readiness readiness;
     private final WorkerAnnouncements announcements;
-    private final ScheduleRunner schedules;
+    private final ScheduleRunner scheduleRunner;
     private Optional<ProviderCaller> providerCaller = Optional.empty();
     private volatile List<Member> liveControllers = List.of();
 
@@ -80,7 +80,7 @@
         this.readiness = new Readiness(settings.name());
         this.announcements = new WorkerAnnouncements(eventLoop, SERVICE_TIMEOUT_MICROS);
         final CronScheduler scheduler = new CronScheduler();
-        this.schedules = new ScheduleRunner(scheduler, eventLoop);
+        this.scheduleRunner = new ScheduleRunner(scheduler, eventLoop);
         this.apiServer = new ApiServer(
                 settings.httpAddress(),
                 ApiRouter.maxBodyBytes(settings),
@@ -237,7 +237,7 @@
                 .toList();
         readiness.update(tickedNode, now);
         savedWorkerReports.ifPresent(file -> file.saveIfChanged(tickedNode.gossip(), now));
-        schedules.afterTick(tickedNode, now);
+        scheduleRunner.afterTick(tickedNode, now);
         providerCaller.ifPresent(ProviderCaller::tick);
     }
 }
--- a/server/src/main/java/silverlatch/server/controller/CronScheduler.java
+++ b/server/src/main/java/silverlatch/server/controller/CronScheduler.java
@@ -33,7 +33,7 @@
     private static final String KEY_PREFIX = "k/";
 
     /** A schedule that is never due after this time is invalid. */
-    private static final ZonedDateTime EPOCH = ZonedDateTime.of(2026, 1, 1, 0, 0, 0, 0, ZoneOffset.UTC);
+    private static final ZonedDateTime VALIDATION_START = ZonedDateTime.of(2026, 1, 1, 0, 0, 0, 0, ZoneOffset.UTC);
 
     private final CronParser parser = new CronParser(CronDefinitionBuilder.instanceDefinitionFor(CronType.UNIX));
 
@@ -82,7 +82,9 @@
         final Optional<Cron> cron = parse(text);
         if (cron.isEmpty()) {
             faults.add("$.cron: five fields are needed: minute, hour, day, month, weekday; not '" + text + "'");
-        } else if (ExecutionTime.forCron(cron.get()).nextExecution(EPOCH).isEmpty()) {
+        } else if (ExecutionTime.forCron(cron.get())
+                .nextExecution(VALIDATION_START)
+                .isEmpty()) {
             faults.add("$.cron: '" + text + "' never comes");
         }
     }
@@ -101,10 +103,10 @@
             return Optional.empty();
         }
         submitted.put(id, dueAt.get());
-        return Optional.of(new Command.Scheduled(id, fencingToken, command(id, schedule)));
+        return Optional.of(new Command.Scheduled(id, fencingToken, createCommand(id, schedule)));
     }
 
-    private static Command command(final String id, final Value.Schedule schedule) {
+    private static Command createCommand(final String id, final Value.Schedule schedule) {
         return schedule.zone().isEmpty()
                 ? new Command.PatchTable(id, schedule.cells(), ANY_REVISION)
                 : new Command.SetEvacuation(id, schedule.zone(), schedule.evacuate(), ANY_REVISION);
--- a/server/src/main/java/silverlatch/server/controller/LogOpener.java
+++ b/server/src/main/java/silverlatch/server/controller/LogOpener.java
@@ -13,13 +13,13 @@
 public final class LogOpener {
     private static final long RETRY_PAUSE_NANOS = 200_000_000L;
     private static final int EXIT_UNUSABLE_LOG = 4;
-    private final Path folder;
+    private final Path dataDirectory;
     private final boolean mayBootstrap;
     private final boolean moveDamagedLogAside;
     private boolean isUnavailableReported;
 
-    private LogOpener(final Path folder, final boolean mayBootstrap, final boolean moveDamagedLogAside) {
-        this.folder = folder;
+    private LogOpener(final Path dataDirectory, final boolean mayBootstrap, final boolean moveDamagedLogAside) {
+        this.dataDirectory = dataDirectory;
         this.mayBootstrap = mayBootstrap;
         this.moveDamagedLogAside = moveDamagedLogAside;
     }
@@ -39,7 +39,7 @@
 
     private WriteAheadLog.OpenResult.Success open() {
         while (true) {
-            switch (WriteAheadLog.open(folder, mayBootstrap)) {
+            switch (WriteAheadLog.open(dataDirectory, mayBootstrap)) {
                 case WriteAheadLog.OpenResult.Unavailable unavailable -> awaitDisk(unavailable.reason());
                 case WriteAheadLog.OpenResult.Damaged damaged -> {
                     EventLog.write(Event.DAMAGED, damaged.reason());
@@ -72,7 +72,7 @@
 
     private boolean moveAside() {
         try {
-            WriteAheadLog.moveAside(folder);
+            WriteAheadLog.moveAside(dataDirectory);
             return true;
         } catch (final IOException failure) {
             EventLog.write(Event.BARRED, "the damaged log can't be moved aside: " + failure.getMessage());
--- a/server/src/main/java/silverlatch/server/eventloop/EventLoopHandle.java
+++ b/server/src/main/java/silverlatch/server/eventloop/EventLoopHandle.java
@@ -30,7 +30,7 @@
     private final Consumer<Effect.Persist> logWriter;
     private final Consumer<Node> afterTick;
     private final EventLoop loop;
-    private final AtomicLong tokens = new AtomicLong();
+    private final AtomicLong lastToken = new AtomicLong();
     private final Map<Long, Consumer<Object>> pendingReplies = new ConcurrentHashMap<>();
 
     /**
@@ -89,7 +89,7 @@
      * loop's queue is full; the callback is then never called.
      */
     public boolean submit(final Command command, final long timeoutMicros, final Consumer<CommandResult> onResult) {
-        final long token = tokens.incrementAndGet();
+        final long token = lastToken.incrementAndGet();
         final long deadline = EventLoop.nowMicros() + timeoutMicros;
         return execute(target -> {
             pendingReplies.put(token, response -> onResult.accept((CommandResult) response));
@@ -103,7 +103,7 @@
      */
     public boolean read(
             final String keyPrefix, final long timeoutMicros, final Consumer<ChainClient.ReadResult> onResult) {
-        final long token = tokens.incrementAndGet();
+        final long token = lastToken.incrementAndGet();
         final long deadline = EventLoop.nowMicros() + timeoutMicros;
         return execute(target -> {
             pendingReplies.put(token, response -> onResult.accept((ChainClient.ReadResult) response));
@@ -116,7 +116,7 @@
      * at the latest when the timeout has passed. Returns false if the loop's queue is full; the callback is then never called.
      */
     public boolean confirmReport(final String workerId, final long timeoutMicros, final Consumer<Boolean> onResult) {
-        final long token = tokens.incrementAndGet();
+        final long token = lastToken.incrementAndGet();
         final long deadline = EventLoop.nowMicros() + timeoutMicros;
         return execute(target -> {
             pendingReplies.put(token, response -> onResult.accept((Boolean) response));
--- a/server/src/main/java/silverlatch/server/web/Connectors.java
+++ b/server/src/main/java/silverlatch/server/web/Connectors.java
@@ -25,7 +25,7 @@
             final HttpConfiguration config,
             final String address,
             final long idleTimeoutMillis) {
-        final ServerConnector connector = new ClientConnector(server, acceptors, selectors, config);
+        final ServerConnector connector = new ClientEndPointConnector(server, acceptors, selectors, config);
         final InetSocketAddress socketAddress = Transport.parseAddress(address);
         connector.setHost(socketAddress.getHostString());
         connector.setPort(socketAddress.getPort());
@@ -35,8 +35,9 @@
     }
 
     /** A connector whose connections are {@link ClientEndPoint}s, which detect that the client closes the connection. */
-    private static final class ClientConnector extends ServerConnector {
-        ClientConnector(final Server server, final int acceptors, final int selectors, final HttpConfiguration config) {
+    private static final class ClientEndPointConnector extends ServerConnector {
+        ClientEndPointConnector(
+                final Server server, final int acceptors, final int selectors, final HttpConfiguration config) {
             super(server, acceptors, selectors, new HttpConnectionFactory(config));
         }
 
--- a/server/src/test/java/silverlatch/server/controller/ControllerTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ControllerTest.java
@@ -49,7 +49,7 @@
                     + "\"lots\":[{\"pool\":\"p\",\"weight\":1}]}],\"pools\":[{\"name\":\"p\",\"slots\":4}],\"bounds\":{\"head\":1,\"body\":1,\"slow\":1,\"idle\":1}}";
 
     @TempDir
-    private Path folder;
+    private Path temporaryDirectory;
 
     private final HttpClient http = HttpClient.newHttpClient();
     private String httpAddress = "";
@@ -65,19 +65,20 @@
         httpAddress = freeAddress();
         final List<String> seeds =
                 Stream.concat(Stream.of(address), otherSeeds.stream()).toList();
-        final Map<String, Object> keys = Map.ofEntries(
+        final Map<String, Object> settingsByKey = Map.ofEntries(
                 Map.entry("name", "one"),
                 Map.entry("zone", "z"),
                 Map.entry("region", "r"),
                 Map.entry("address", address),
                 Map.entry("door", httpAddress),
                 Map.entry("seeds", seeds),
-                Map.entry("data", folder.resolve("data").toString()),
+                Map.entry("data", temporaryDirectory.resolve("data").toString()),
                 Map.entry("key", "a key of sixteen or more"),
                 Map.entry("operator", "operator-key"),
                 Map.entry("worker", "worker-key"),
                 Map.entry("copies", 1));
-        final Settings settings = ((Settings.ReadResult.Valid) Settings.read(Optional.empty(), keys, true)).settings();
+        final Settings settings =
+                ((Settings.ReadResult.Valid) Settings.read(Optional.empty(), settingsByKey, true)).settings();
         final WriteAheadLog.OpenResult.Success log = (WriteAheadLog.OpenResult.Success)
                 WriteAheadLog.open(Path.of(settings.dataFolder().orElseThrow()));
         final Controller controller = Main.build(settings, Optional.of(log));
@@ -92,13 +93,13 @@
     }
 
     private HttpResponse<String> request(
-            final String method, final String path, final String body, final String key, final String match)
+            final String method, final String path, final String body, final String bearerToken, final String ifMatch)
             throws Exception {
         return http.send(
                 HttpRequest.newBuilder(URI.create("http://" + httpAddress + path))
                         .method(method, HttpRequest.BodyPublishers.ofString(body))
-                        .header("Authorization", "Bearer " + key)
-                        .header("If-Match", match)
+                        .header("Authorization", "Bearer " + bearerToken)
+                        .header("If-Match", ifMatch)
                         .build(),
                 HttpResponse.BodyHandlers.ofString());
     }
@@ -206,7 +207,7 @@
         controller.stop();
     }
 
-    private String body(final String method, final String path, final String body) throws Exception {
+    private String statusAndBody(final String method, final String path, final String body) throws Exception {
         final HttpResponse<String> response = request(method, path, body, "operator-key", "*");
         return response.statusCode() + " " + response.body();
     }
@@ -224,25 +225,29 @@
         final Controller controller = startController(List.of());
         awaitReady();
         final Map<String, Long> values = metrics();
-        for (final List<String> names : List.of(
+        for (final List<String> currentAndDeprecatedName : List.of(
                 List.of("clock_waits", "tide_waits"),
                 List.of("clock_overflows", "tide_carries"),
                 List.of("clock_too_far_ahead", "tide_far"),
                 List.of("clock_dropped", "tide_dropped"),
                 List.of("replication_sequence", "quay_sequence"))) {
-            assertThat(values.keySet(), hasItems("silverlatch_" + names.get(0), "silverlatch_" + names.get(1)));
             assertThat(
-                    names.get(0),
-                    values.get("silverlatch_" + names.get(0)),
-                    is(values.get("silverlatch_" + names.get(1))));
+                    values.keySet(),
+                    hasItems(
+                            "silverlatch_" + currentAndDeprecatedName.get(0),
+                            "silverlatch_" + currentAndDeprecatedName.get(1)));
+            assertThat(
+                    currentAndDeprecatedName.get(0),
+                    values.get("silverlatch_" + currentAndDeprecatedName.get(0)),
+                    is(values.get("silverlatch_" + currentAndDeprecatedName.get(1))));
         }
         assertThat(values.keySet(), hasItems("silverlatch_wire_bad", "silverlatch_wire_dropped"));
         controller.stop();
     }
 
     private String commonBody(final String deprecatedPath, final String currentPath) throws Exception {
-        final String body = body("GET", currentPath, "");
-        assertThat(currentPath, body("GET", deprecatedPath, ""), is(body));
+        final String body = statusAndBody("GET", currentPath, "");
+        assertThat(currentPath, statusAndBody("GET", deprecatedPath, ""), is(body));
         return body;
     }
 
@@ -268,7 +273,7 @@
         }
         assertThat(commonBody("/v1/rules", "/v1/routes"), containsString("\"host\":\"h.example\""));
         assertThat(commonBody("/v1/rules/r", "/v1/routes/r"), startsWith("404 "));
-        assertThat(body("PUT", "/v1/routes", third), startsWith("404 "));
+        assertThat(statusAndBody("PUT", "/v1/routes", third), startsWith("404 "));
         controller.stop();
     }
 
@@ -282,11 +287,11 @@
         for (int i = 0; i < 2; i++) {
             final String put = paths.get(i) + "/night";
             final String delete = paths.get(1 - i) + "/night";
-            assertThat(put, body("PUT", put, schedule), startsWith("200 "));
+            assertThat(put, statusAndBody("PUT", put, schedule), startsWith("200 "));
             assertThat(commonBody("/v1/calendars", "/v1/schedules"), containsString("\"name\":\"night\""));
-            assertThat(delete, body("DELETE", delete, ""), startsWith("200 "));
+            assertThat(delete, statusAndBody("DELETE", delete, ""), startsWith("200 "));
             assertThat(commonBody("/v1/calendars", "/v1/schedules"), not(containsString("\"name\":\"night\"")));
-            assertThat(put, body("PUT", put, schedule.replace("30", "99")), startsWith("422 "));
+            assertThat(put, statusAndBody("PUT", put, schedule.replace("30", "99")), startsWith("422 "));
             assertThat(put, request("PUT", put, schedule, "worker-key", "*").statusCode(), is(401));
         }
         assertThat(none, startsWith("200 "));
@@ -298,7 +303,7 @@
     void theStatusListsTheMembersUnderTheirDeprecatedKeyToo() throws Exception {
         final Controller controller = startController(List.of());
         awaitReady();
-        final String status = body("GET", "/status", "");
+        final String status = statusAndBody("GET", "/status", "");
         final Matcher members = Pattern.compile("\"members\":(\\[[^]]+])").matcher(status);
         assertThat(status, members.find(), is(true));
         assertThat(status, containsString("\"crew\":" + members.group(1)));
@@ -311,28 +316,29 @@
         final Controller controller = startController(List.of());
         awaitReady();
         final String row = "{\"tenant\":\"*\",\"kind\":\"fare\",\"rate\":2}";
-        assertThat(body("PUT", "/v1/table", "{\"rows\":[" + row + "]}"), startsWith("200 "));
+        assertThat(statusAndBody("PUT", "/v1/table", "{\"rows\":[" + row + "]}"), startsWith("200 "));
         final String cell = "{\"tenant\":\"*\",\"kind\":\"fare\",\"field\":\"rate\",\"value\":\"3\"}";
-        assertThat(body("PATCH", "/v1/table", "{\"cells\":[" + cell + "]}"), startsWith("200 "));
-        assertThat(body("GET", "/v1/table", ""), containsString("\"kind\":\"fare\""));
-        assertThat(body("PUT", "/v1/tenants/ferry", "{\"key\":\"a key\",\"homes\":[\"r\"]}"), startsWith("200 "));
-        assertThat(body("GET", "/v1/tenants", ""), containsString("\"name\":\"ferry\""));
-        assertThat(body("DELETE", "/v1/tenants/ferry", ""), startsWith("200 "));
-        assertThat(body("PUT", "/v1/zones/syros", "{\"empty\":true}"), startsWith("200 "));
+        assertThat(statusAndBody("PATCH", "/v1/table", "{\"cells\":[" + cell + "]}"), startsWith("200 "));
+        assertThat(statusAndBody("GET", "/v1/table", ""), containsString("\"kind\":\"fare\""));
+        assertThat(
+                statusAndBody("PUT", "/v1/tenants/ferry", "{\"key\":\"a key\",\"homes\":[\"r\"]}"), startsWith("200 "));
+        assertThat(statusAndBody("GET", "/v1/tenants", ""), containsString("\"name\":\"ferry\""));
+        assertThat(statusAndBody("DELETE", "/v1/tenants/ferry", ""), startsWith("200 "));
+        assertThat(statusAndBody("PUT", "/v1/zones/syros", "{\"empty\":true}"), startsWith("200 "));
         assertThat(
-                body("PUT", "/v1/zones/syros", "{}"),
+                statusAndBody("PUT", "/v1/zones/syros", "{}"),
                 allOf(startsWith("422 "), containsString("[\"$.empty: missing\"]")));
-        assertThat(body("GET", "/v1/zones", ""), containsString("\"zone\":\"syros\""));
+        assertThat(statusAndBody("GET", "/v1/zones", ""), containsString("\"zone\":\"syros\""));
         final String schedule = "{\"cron\":\"30 2 * * *\",\"zone\":\"syros\",\"empty\":true}";
-        assertThat(body("PUT", "/v1/calendars/night", schedule), startsWith("200 "));
-        assertThat(body("PUT", "/v1/calendars/night", schedule.replace("30", "99")), startsWith("422 "));
-        assertThat(body("GET", "/v1/calendars", ""), containsString("\"name\":\"night\""));
-        assertThat(body("DELETE", "/v1/calendars/night", ""), startsWith("200 "));
-        assertThat(body("GET", "/v1/claims/0a", ""), startsWith("200 "));
-        assertThat(body("GET", "/v1/claims/0x", ""), startsWith("404 "));
-        assertThat(body("GET", "/v1/changes/none-of-this-id", ""), startsWith("404 "));
-        assertThat(body("GET", "/v1/tenants/ferry/more", ""), startsWith("404 "));
-        assertThat(body("GET", "/live", ""), is("200 {\"live\":true}"));
+        assertThat(statusAndBody("PUT", "/v1/calendars/night", schedule), startsWith("200 "));
+        assertThat(statusAndBody("PUT", "/v1/calendars/night", schedule.replace("30", "99")), startsWith("422 "));
+        assertThat(statusAndBody("GET", "/v1/calendars", ""), containsString("\"name\":\"night\""));
+        assertThat(statusAndBody("DELETE", "/v1/calendars/night", ""), startsWith("200 "));
+        assertThat(statusAndBody("GET", "/v1/claims/0a", ""), startsWith("200 "));
+        assertThat(statusAndBody("GET", "/v1/claims/0x", ""), startsWith("404 "));
+        assertThat(statusAndBody("GET", "/v1/changes/none-of-this-id", ""), startsWith("404 "));
+        assertThat(statusAndBody("GET", "/v1/tenants/ferry/more", ""), startsWith("404 "));
+        assertThat(statusAndBody("GET", "/live", ""), is("200 {\"live\":true}"));
         assertThat(request("GET", "/v1/none", "", "", "*").statusCode(), is(401));
         assertThat(
                 request("DELETE", "/v1/tenants/ferry", "", "operator-key", "x").statusCode(), is(400));
--- a/server/src/test/java/silverlatch/server/controller/LogWriterTest.java
+++ b/server/src/test/java/silverlatch/server/controller/LogWriterTest.java
@@ -28,7 +28,7 @@
             new LogRecord.Snapshot(7, View.NONE, true, 0, 0, List.of(), 0, List.of());
 
     @TempDir
-    private Path folder;
+    private Path dataDirectory;
 
     /** A call of the writer's listener. */
     private sealed interface Notification {
@@ -65,13 +65,13 @@
 
     @Test
     void afterAFailedWriteTheLogIsReopenedAndNoPendingWriteIsReportedAsSynced() throws Exception {
-        final WriteAheadLog log = ((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder)).log();
+        final WriteAheadLog log = ((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(dataDirectory)).log();
         final RecordingListener listener = new RecordingListener();
         final LogWriter writer = new LogWriter(log, listener, 5);
         writer.start();
         writer.write(new Effect.Persist(1, List.of(FIRST)));
         assertThat(listener.next(), is(new Notification.Synced(List.of(1L))));
-        final Path blockingDirectory = folder.resolve("picture-000000000002.part");
+        final Path blockingDirectory = dataDirectory.resolve("picture-000000000002.part");
         Files.createDirectories(blockingDirectory.resolve("inside"));
         writer.write(new Effect.Persist(2, List.of(SNAPSHOT)));
         final Notification.Failed failed = (Notification.Failed) listener.next();
@@ -86,6 +86,7 @@
         writer.write(new Effect.Persist(5, List.of(LAST)));
         assertThat(listener.next(), is(new Notification.Synced(List.of(5L))));
         assertThat(
-                ((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder)).records(), is(List.of(SNAPSHOT, LAST)));
+                ((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(dataDirectory)).records(),
+                is(List.of(SNAPSHOT, LAST)));
     }
 }
--- a/server/src/test/java/silverlatch/server/persistence/SavedWorkerReportsTest.java
+++ b/server/src/test/java/silverlatch/server/persistence/SavedWorkerReportsTest.java
@@ -19,24 +19,24 @@
             new Worker("w", "10.0.0.1:80", "z", "r", 1, 7, 0, 0, 8, List.of(), true, 0, "pool", 1_000, 0));
 
     @TempDir
-    private Path folder;
+    private Path dataDirectory;
 
     @Test
     void offeredReportsAreReadBackAndADamagedFileReadsAsEmpty() throws IOException {
-        final SavedWorkerReports saved = new SavedWorkerReports(folder);
+        final SavedWorkerReports saved = new SavedWorkerReports(dataDirectory);
         assertThat(saved.read(), is(empty()));
         saved.start();
         assertThat(saved.offer(List.of(REPORT)), is(true));
-        final Path file = folder.resolve("workers");
+        final Path file = dataDirectory.resolve("workers");
         while (!Files.exists(file)) {
             Thread.onSpinWait();
         }
-        assertThat(new SavedWorkerReports(folder).read(), is(List.of(REPORT)));
+        assertThat(new SavedWorkerReports(dataDirectory).read(), is(List.of(REPORT)));
         final byte[] bytes = Files.readAllBytes(file);
         bytes[bytes.length - 1]++;
         Files.write(file, bytes);
-        assertThat(new SavedWorkerReports(folder).read(), is(empty()));
+        assertThat(new SavedWorkerReports(dataDirectory).read(), is(empty()));
         Files.write(file, new byte[3]);
-        assertThat(new SavedWorkerReports(folder).read(), is(empty()));
+        assertThat(new SavedWorkerReports(dataDirectory).read(), is(empty()));
     }
 }
