--- a/server/src/main/java/silverlatch/server/controller/ApiRouter.java
+++ b/server/src/main/java/silverlatch/server/controller/ApiRouter.java
@@ -85,7 +85,7 @@
         ApiReplies.reject(exchange, ApiReplies.NOT_FOUND, "$: no such page");
     }
 
-    /** Forwards an exchange to its resource, which replies; rejects it if the path is unknown or the operator's key is missing. */
+    /** Forwards an exchange to its resource, which replies; rejects it if the path is unknown or the operator's key is missing or wrong. */
     void route(final HttpExchange exchange) {
         final String route = exchange.method() + " " + currentPath(exchange.path());
         if (routesWithoutOperatorKey.containsKey(route)) {
--- a/server/src/main/java/silverlatch/server/eventloop/EventLog.java
+++ b/server/src/main/java/silverlatch/server/eventloop/EventLog.java
@@ -10,7 +10,7 @@
 
     private EventLog() {}
 
-    /** Writes an event as a warning or an information, depending on the event. */
+    /** Writes an event at level WARN or INFO, depending on the event. */
     public static void write(final Event event, final String message) {
         if (event.isWarning()) {
             LOG.warn("SL{} {} {}", event.number(), event, message);
--- a/server/src/main/java/silverlatch/server/eventloop/EventLoopHandle.java
+++ b/server/src/main/java/silverlatch/server/eventloop/EventLoopHandle.java
@@ -21,7 +21,7 @@
 public final class EventLoopHandle {
     private static final int QUEUE_CAPACITY = 16_384;
 
-    /** Pause before the next attempt to process frames that are delayed until the process clock catches up. */
+    /** Pause before the next attempt to process frames that are waiting for the process clock. */
     private static final long DELAYED_FRAMES_PAUSE_NANOS = 200_000L;
 
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
--- a/server/src/main/java/silverlatch/server/transport/PeerConnection.java
+++ b/server/src/main/java/silverlatch/server/transport/PeerConnection.java
@@ -33,7 +33,7 @@
     private static final int BUFFER_BYTES = 16 << 10;
     private static final long MICROS_PER_MS = 1_000;
 
-    /** Extends the acknowledgement time-out for a large frame: two seconds per megabyte. */
+    /** Extends the acknowledgement timeout for a large frame: two seconds per megabyte. */
     private static final long ACK_GRACE_MICROS_PER_BYTE = 2;
 
     private static final int KEEP_ALIVE_SECONDS = 1;
--- a/server/src/main/java/silverlatch/server/transport/Transport.java
+++ b/server/src/main/java/silverlatch/server/transport/Transport.java
@@ -94,7 +94,7 @@
         return connectionsMade.get();
     }
 
-    /** Closes all outgoing connections and the listening socket; incoming connections end with their next frame or time-out. */
+    /** Closes all outgoing connections and the listening socket; incoming connections end with their next frame or timeout. */
     public void stop() {
         stopped = true;
         connections.values().forEach(PeerConnection::stop);
--- a/server/src/main/java/silverlatch/server/web/MultiListenerServer.java
+++ b/server/src/main/java/silverlatch/server/web/MultiListenerServer.java
@@ -41,7 +41,7 @@
     public static final class Listener {
         private static final int MAX_HEADER_BYTES = 64 << 10;
 
-        /** How much longer than the client may leave a connection idle the server keeps it open. */
+        /** Additional time for which an idle connection stays open after the client may last reuse it. */
         private static final long IDLE_SLACK_MS = 1_000;
 
         private final HttpConfiguration config;
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Adds an address IP:PORT with a handler, a limit on the size of request headers, and an idle time-out of connections. */
+    /** Adds an address IP:PORT with a handler, a limit on the size of request headers, and an idle timeout of connections. */
     public Listener addListener(
             final String address, final int maxHeaderBytes, final long idleMillis, final Handler handler) {
         final HttpConfiguration config = new HttpConfiguration();
--- a/server/src/test/java/silverlatch/server/transport/TransportTest.java
+++ b/server/src/test/java/silverlatch/server/transport/TransportTest.java
@@ -28,7 +28,7 @@
 import silverlatch.wire.MembershipMessage;
 
 /**
- * Transports on the loopback interface that send to each other or to peers scripted by the test, with shorter time-outs than in
+ * Transports on the loopback interface that send to each other or to peers scripted by the test, with shorter timeouts than in
  * production. Guards against connections that are kept although the peer doesn't read, connections that are closed although the peer
  * makes progress, stale frames that are sent after a reconnect, and frames that are dropped without being counted.
  */
