--- a/server/src/main/java/silverlatch/server/controller/ApiRouter.java
+++ b/server/src/main/java/silverlatch/server/controller/ApiRouter.java
@@ -13,24 +13,24 @@
 import silverlatch.util.Digests;
 
 /**
- * The controller's HTTP API: finds the resource of a request by method and path, and lets only operators to those that show
- * or change the state. Called by threads of the HTTP server.
+ * The controller's HTTP API: finds the resource of a request by method and path. Resources that show or change the state require the
+ * operator's key. Called by threads of the HTTP server.
  */
 final class ApiRouter {
-    /** The least limit of a request's body, in bytes: a whole table or configuration fits. */
+    /** Lower bound of the limit on a request's body, in bytes, so that a whole table or configuration fits. */
     static final int MIN_BODY_LIMIT_BYTES = 8 << 20;
 
-    /** The parts of a path like {@code /v1/tenants/NAME}, the empty one before the first slash included. */
+    /** Number of parts of a path like {@code /v1/tenants/NAME}, including the empty part before the first slash. */
     private static final int NAMED_PATH_PARTS = 4;
 
-    /** Present paths of resources by their former ones, which are served alike for one version. */
-    private static final Map<String, String> PRESENT_PATHS = Map.of(
+    /** Current paths of resources by their deprecated paths, which are served identically for one version. */
+    private static final Map<String, String> CURRENT_PATHS = Map.of(
             "/v1/charter", "/v1/configuration",
             "/v1/rules", "/v1/routes",
             "/v1/calendars", "/v1/schedules");
 
     private final String operatorKey;
-    private final Map<String, Consumer<HttpExchange>> openRoutes;
+    private final Map<String, Consumer<HttpExchange>> routesWithoutOperatorKey;
     private final Map<String, Consumer<HttpExchange>> operatorRoutes;
     private final Map<String, BiConsumer<HttpExchange, String>> namedOperatorRoutes;
 
@@ -40,7 +40,7 @@
             final Transport transport,
             final CronScheduler scheduler,
             final Supplier<Optional<String>> unreadyReason,
-            final Supplier<Map<CloudProvider.Outcome, Long>> providerCalls) {
+            final Supplier<Map<CloudProvider.Outcome, Long>> providerCallCounts) {
         this.operatorKey = settings.operatorKey();
         final StateApi state = new StateApi(eventLoop, maxBodyBytes(settings));
         final StatusResource status = new StatusResource(settings.name(), eventLoop, unreadyReason);
@@ -49,10 +49,10 @@
         final TenantResource tenants = new TenantResource(state, settings.clusterKey());
         final EvacuationResource evacuations = new EvacuationResource(state);
         final ScheduleResource schedules = new ScheduleResource(state, scheduler);
-        this.openRoutes = Map.of(
+        this.routesWithoutOperatorKey = Map.of(
                 "GET /live", status::live,
                 "GET /ready", status::ready,
-                "GET /metrics", new MetricsResource(eventLoop, transport, providerCalls)::get,
+                "GET /metrics", new MetricsResource(eventLoop, transport, providerCallCounts)::get,
                 "POST /v1/announcements", new AnnouncementResource(state, eventLoop, settings.workerKey())::post);
         this.operatorRoutes = Map.of(
                 "GET /status", status::status,
@@ -75,21 +75,21 @@
                 "GET /v1/changes", new OutcomeResource(state)::get);
     }
 
-    /** The largest body that the API reads, in bytes. */
+    /** Returns the size of the largest body that the API accepts, in bytes. */
     static int maxBodyBytes(final Settings settings) {
         return Math.max(settings.maxBodyBytes(), MIN_BODY_LIMIT_BYTES);
     }
 
-    /** Rejects a request for a path that isn't known. */
+    /** Rejects a request for an unknown path. */
     static void rejectUnknownPath(final HttpExchange exchange) {
         ApiReplies.reject(exchange, ApiReplies.NOT_FOUND, "$: no such page");
     }
 
-    /** Hands an exchange to its resource, which replies. */
+    /** Forwards an exchange to its resource, which replies; rejects it if the path is unknown or the operator's key is missing or wrong. */
     void route(final HttpExchange exchange) {
-        final String route = exchange.method() + " " + presentPath(exchange.path());
-        if (openRoutes.containsKey(route)) {
-            openRoutes.get(route).accept(exchange);
+        final String route = exchange.method() + " " + currentPath(exchange.path());
+        if (routesWithoutOperatorKey.containsKey(route)) {
+            routesWithoutOperatorKey.get(route).accept(exchange);
         } else if (Digests.constantTimeEquals(exchange.bearerToken(), operatorKey)) {
             routeOperator(exchange, route);
         } else {
@@ -104,7 +104,7 @@
         }
         final String[] parts = exchange.path().split("/");
         final String collection = parts.length == NAMED_PATH_PARTS
-                ? exchange.method() + " " + presentPath("/" + parts[1] + "/" + parts[2])
+                ? exchange.method() + " " + currentPath("/" + parts[1] + "/" + parts[2])
                 : "";
         if (namedOperatorRoutes.containsKey(collection)) {
             namedOperatorRoutes.get(collection).accept(exchange, parts[NAMED_PATH_PARTS - 1]);
@@ -113,7 +113,7 @@
         }
     }
 
-    private static String presentPath(final String path) {
-        return PRESENT_PATHS.getOrDefault(path, path);
+    private static String currentPath(final String path) {
+        return CURRENT_PATHS.getOrDefault(path, path);
     }
 }
--- a/server/src/main/java/silverlatch/server/controller/LogOpener.java
+++ b/server/src/main/java/silverlatch/server/controller/LogOpener.java
@@ -9,41 +9,41 @@
 import silverlatch.server.eventloop.EventLog;
 import silverlatch.server.settings.Settings;
 
-/** Opens a controller's log at the start of its process, on the main thread. */
+/** Opens a controller's write-ahead log when the process starts, on the main thread. */
 public final class LogOpener {
     private static final long RETRY_PAUSE_NANOS = 200_000_000L;
     private static final int EXIT_UNUSABLE_LOG = 4;
-    private final Path folder;
+    private final Path dataDirectory;
     private final boolean mayBootstrap;
-    private final boolean movesDamagedAside;
+    private final boolean moveDamagedLogAside;
     private boolean isUnavailableReported;
 
-    private LogOpener(final Path folder, final boolean mayBootstrap, final boolean movesDamagedAside) {
-        this.folder = folder;
+    private LogOpener(final Path dataDirectory, final boolean mayBootstrap, final boolean moveDamagedLogAside) {
+        this.dataDirectory = dataDirectory;
         this.mayBootstrap = mayBootstrap;
-        this.movesDamagedAside = movesDamagedAside;
+        this.moveDamagedLogAside = moveDamagedLogAside;
     }
 
     /**
-     * Opens the log in the data folder, if the settings name one, as soon as the disk lets it. One that is damaged or of
-     * another format ends the process with 4.
+     * Opens the log in the data directory, if the settings name one. Retries while the disk can't be read or written. If the log is
+     * damaged or has another format, the process exits with code 4.
      *
-     * @param movesDamagedAside whether a damaged log is moved aside instead, and the machine starts with an empty one under a
-     *     new identity
+     * @param moveDamagedLogAside whether a damaged log is moved aside instead, so that the machine starts with an empty log and a new
+     *     identity
      */
     public static Optional<WriteAheadLog.OpenResult.Success> open(
-            final Settings settings, final boolean movesDamagedAside) {
+            final Settings settings, final boolean moveDamagedLogAside) {
         return settings.dataFolder()
-                .map(folder -> new LogOpener(Path.of(folder), settings.mayBootstrap(), movesDamagedAside).open());
+                .map(folder -> new LogOpener(Path.of(folder), settings.mayBootstrap(), moveDamagedLogAside).open());
     }
 
     private WriteAheadLog.OpenResult.Success open() {
         while (true) {
-            switch (WriteAheadLog.open(folder, mayBootstrap)) {
+            switch (WriteAheadLog.open(dataDirectory, mayBootstrap)) {
                 case WriteAheadLog.OpenResult.Unavailable unavailable -> awaitDisk(unavailable.reason());
                 case WriteAheadLog.OpenResult.Damaged damaged -> {
                     EventLog.write(Event.DAMAGED, damaged.reason());
-                    if (!movesDamagedAside || !moveAside()) {
+                    if (!moveDamagedLogAside || !moveAside()) {
                         System.exit(EXIT_UNUSABLE_LOG);
                     }
                 }
@@ -55,7 +55,7 @@
                     EventLog.write(
                             Event.RECOVERED,
                             opened.records().size() + " records, " + opened.tornBytes()
-                                    + " bytes of an incomplete last write cut off");
+                                    + " bytes of an incomplete last write truncated");
                     return opened;
                 }
             }
@@ -72,10 +72,10 @@
 
     private boolean moveAside() {
         try {
-            WriteAheadLog.moveAside(folder);
+            WriteAheadLog.moveAside(dataDirectory);
             return true;
         } catch (final IOException failure) {
-            EventLog.write(Event.BARRED, "" + failure.getMessage());
+            EventLog.write(Event.BARRED, "the damaged log can't be moved aside: " + failure.getMessage());
             return false;
         }
     }
--- a/server/src/main/java/silverlatch/server/controller/MetricsResource.java
+++ b/server/src/main/java/silverlatch/server/controller/MetricsResource.java
@@ -14,19 +14,23 @@
 final class MetricsResource {
     private final EventLoopHandle eventLoop;
     private final Transport transport;
-    private final Supplier<Map<CloudProvider.Outcome, Long>> providerCalls;
+    private final Supplier<Map<CloudProvider.Outcome, Long>> providerCallCounts;
 
-    /** The calls of the provider by outcome are read on the event loop. */
+    /**
+     * Creates the resource.
+     *
+     * @param providerCallCounts counts the calls of the cloud provider by outcome; read on the event loop
+     */
     MetricsResource(
             final EventLoopHandle eventLoop,
             final Transport transport,
-            final Supplier<Map<CloudProvider.Outcome, Long>> providerCalls) {
+            final Supplier<Map<CloudProvider.Outcome, Long>> providerCallCounts) {
         this.eventLoop = eventLoop;
         this.transport = transport;
-        this.providerCalls = providerCalls;
+        this.providerCallCounts = providerCallCounts;
     }
 
-    /** Replies with the metrics as lines of text. */
+    /** Replies with the metrics as lines of text; never replies if the event loop's queue is full. */
     void get(final HttpExchange exchange) {
         eventLoop.execute(node -> {
             final MetricsPage page = new MetricsPage();
@@ -36,7 +40,7 @@
                             "replication_sequence",
                             "quay_sequence",
                             replica.stateMachine().sequence()));
-            providerCalls
+            providerCallCounts
                     .get()
                     .forEach((outcome, count) ->
                             page.put("provider_" + outcome.name().toLowerCase(Locale.ROOT), count));
--- a/server/src/main/java/silverlatch/server/controller/ScheduleRunner.java
+++ b/server/src/main/java/silverlatch/server/controller/ScheduleRunner.java
@@ -9,26 +9,26 @@
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
 
-/** Submits the commands of due schedules while this controller owns that singleton role. Owned by the event loop. */
+/** Submits the commands of due schedules while this controller owns the singleton role. Used on the event loop only. */
 final class ScheduleRunner {
     private static final long COMMAND_TIMEOUT_MICROS = 4_000_000L;
     private static final long CHECK_INTERVAL_MICROS = 1_000_000L;
     private static final long NANOS_PER_MICRO = 1_000;
     private final CronScheduler scheduler;
     private final EventLoopHandle eventLoop;
-    private long lastCheck;
+    private long lastCheckAt;
 
     ScheduleRunner(final CronScheduler scheduler, final EventLoopHandle eventLoop) {
         this.scheduler = scheduler;
         this.eventLoop = eventLoop;
     }
 
-    /** Looks for due schedules, once a second. Called after each tick. */
+    /** Submits the commands of due schedules, at most once a second. Called after each tick. */
     void afterTick(final Node node, final long now) {
-        if (now - lastCheck < CHECK_INTERVAL_MICROS) {
+        if (now - lastCheckAt < CHECK_INTERVAL_MICROS) {
             return;
         }
-        lastCheck = now;
+        lastCheckAt = now;
         node.chainReplica().ifPresent(replica -> submitDue(replica, wallNanos(node.physicalClock(), now), now));
     }
 
@@ -43,7 +43,7 @@
         EventLog.write(Event.CALENDAR, command.id());
         eventLoop.submit(command, COMMAND_TIMEOUT_MICROS, result -> {
             if (result instanceof CommandResult.Unknown) {
-                scheduler.forget(command.id());
+                scheduler.allowResubmission(command.id());
             }
         });
     }
--- a/server/src/main/java/silverlatch/server/web/ClientEndPoint.java
+++ b/server/src/main/java/silverlatch/server/web/ClientEndPoint.java
@@ -14,12 +14,12 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * The server's end of a client's connection, which can be watched for the client's closing while a request runs. Jetty reads nothing
- * while it waits for a response, so it would notice that only when it writes.
+ * The server's end of a client's connection. While a request is being served, a watcher can be notified that the client has closed the
+ * connection. Jetty itself doesn't read while it waits for a response, so it would detect this only when it writes.
  *
- * <p>Jetty's own connection and the watch share the one registration for reads: {@link #connectionCallback} is Jetty's, and goes
- * first. What the watch reads of a next request is kept and given to Jetty when it reads again. Any thread may call; the lock guards
- * the state, and callbacks run outside of it.
+ * <p>Jetty's connection and the watcher share a single registration for reads. {@link #connectionCallback} is Jetty's callback and has
+ * precedence. If the watcher's read returns bytes of the next request, they are buffered and returned by Jetty's next read. Callable from
+ * any thread; the lock guards the state, and callbacks run without it.
  */
 final class ClientEndPoint extends SocketChannelEndPoint {
     private static final int READ_AHEAD_BYTES = 4 << 10;
@@ -30,21 +30,21 @@
     private final ReadCallback readCallback = new ReadCallback();
     private Optional<Callback> connectionCallback = Optional.empty();
     private Optional<Watcher> watcher = Optional.empty();
-    private boolean isRegistered;
+    private boolean isReadRegistered;
     private boolean isInputEnded;
 
-    /** What is told once that the client has closed its side of the connection. */
+    /** Is notified once that the client has closed its side of the connection. */
     @FunctionalInterface
     interface Watcher {
         /**
-         * The client sends nothing more.
+         * Called when the client has closed its side, so that it sends nothing more.
          *
          * @param isReset whether the connection was reset, so that the client reads nothing more either
          */
-        void inputEnded(boolean isReset);
+        void onInputEnded(boolean isReset);
     }
 
-    /** The end of an accepted connection; the executor runs callbacks that must not run on the caller's stack. */
+    /** Creates the end of an accepted connection; the executor runs callbacks that must not run on the caller's stack. */
     ClientEndPoint(
             final SocketChannel channel,
             final ManagedSelector selector,
@@ -55,21 +55,24 @@
         this.executor = executor;
     }
 
-    /** Has the watcher told when the client closes its side, until {@link #unwatch}; the request has been read to its end. */
-    void watch(final Watcher next) {
+    /**
+     * Notifies the watcher when the client closes its side, until {@link #unwatch}. The request must have been read completely. If the
+     * end of the input was read already, the watcher is notified immediately, on a thread of the executor.
+     */
+    void watch(final Watcher newWatcher) {
         final boolean isEnded;
         synchronized (lock) {
             isEnded = isInputEnded;
-            watcher = isEnded ? Optional.empty() : Optional.of(next);
+            watcher = isEnded ? Optional.empty() : Optional.of(newWatcher);
         }
         if (isEnded) {
-            executor.execute(() -> next.inputEnded(false));
+            executor.execute(() -> newWatcher.onInputEnded(false));
         } else {
-            register();
+            registerForRead();
         }
     }
 
-    /** Ends the watch: a response is complete, and Jetty reads on. */
+    /** Removes the watcher, because the response is complete and Jetty reads the next request. */
     void unwatch() {
         synchronized (lock) {
             watcher = Optional.empty();
@@ -104,11 +107,11 @@
             }
             connectionCallback = Optional.of(callback);
             if (readAhead.hasRemaining() || isInputEnded) {
-                executor.execute(readCallback::deliver);
+                executor.execute(readCallback::deliverToConnection);
                 return true;
             }
         }
-        register();
+        registerForRead();
         return true;
     }
 
@@ -119,19 +122,22 @@
         }
     }
 
-    private void register() {
+    private void registerForRead() {
         synchronized (lock) {
-            if (isRegistered) {
+            if (isReadRegistered) {
                 return;
             }
-            isRegistered = true;
+            isReadRegistered = true;
         }
         super.fillInterested(readCallback);
     }
 
-    /** Reads while no response is complete: the end of the input, or what the client sends ahead. */
+    /**
+     * Reads on behalf of the watcher while the response isn't complete. Notifies the watcher at the end of the input; bytes that the
+     * client sends early are buffered, and once the buffer is full the watcher is removed.
+     */
     private void readForWatcher() {
-        final Optional<Watcher> told;
+        final Optional<Watcher> notified;
         boolean isReset = false;
         synchronized (lock) {
             if (watcher.isEmpty()) {
@@ -143,13 +149,13 @@
                 isReset = true;
                 isInputEnded = true;
             }
-            told = isInputEnded ? watcher : Optional.empty();
+            notified = isInputEnded ? watcher : Optional.empty();
             watcher = isInputEnded || BufferUtil.isFull(readAhead) ? Optional.empty() : watcher;
         }
-        if (told.isPresent()) {
-            told.get().inputEnded(isReset);
+        if (notified.isPresent()) {
+            notified.get().onInputEnded(isReset);
         } else if (isWatched()) {
-            register();
+            registerForRead();
         }
     }
 
@@ -164,14 +170,14 @@
         }
     }
 
-    /** What Jetty's selector calls when the connection can be read, or has failed. */
+    /** Called by Jetty's selector when the connection can be read or has failed. */
     private final class ReadCallback implements Callback {
         @Override
         public void succeeded() {
             synchronized (lock) {
-                isRegistered = false;
+                isReadRegistered = false;
             }
-            if (!deliver()) {
+            if (!deliverToConnection()) {
                 readForWatcher();
             }
         }
@@ -179,16 +185,16 @@
         @Override
         public void failed(final Throwable failure) {
             final Optional<Callback> callback;
-            final Optional<Watcher> told;
+            final Optional<Watcher> notified;
             synchronized (lock) {
-                isRegistered = false;
+                isReadRegistered = false;
                 callback = connectionCallback;
-                told = watcher;
+                notified = watcher;
                 connectionCallback = Optional.empty();
                 watcher = Optional.empty();
             }
-            callback.ifPresent(waiting -> waiting.failed(failure));
-            told.ifPresent(waiting -> waiting.inputEnded(true));
+            callback.ifPresent(pending -> pending.failed(failure));
+            notified.ifPresent(pending -> pending.onInputEnded(true));
         }
 
         @Override
@@ -198,8 +204,8 @@
             }
         }
 
-        /** Hands the event to Jetty's connection; false where that doesn't wait for it. */
-        private boolean deliver() {
+        /** Notifies Jetty's connection that it can read; returns false if the connection isn't waiting for a read. */
+        private boolean deliverToConnection() {
             final Optional<Callback> callback;
             synchronized (lock) {
                 callback = connectionCallback;
--- a/server/src/test/java/silverlatch/server/controller/ConfigurationJsonTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ConfigurationJsonTest.java
@@ -11,6 +11,10 @@
 import silverlatch.state.Command;
 import silverlatch.state.Value;
 
+/**
+ * Guards against parts of a configuration that are lost or changed when they are read from JSON or written to it, faults that are reported
+ * without their path, and documents that couldn't be returned byte for byte.
+ */
 final class ConfigurationJsonTest {
     private static JsonDocument parse(final String text) {
         return ((JsonDocument.ParseResult.Valid) JsonDocument.parse(text.getBytes(StandardCharsets.UTF_8), 1 << 20))
@@ -18,7 +22,7 @@
     }
 
     @Test
-    void aConfigurationIsReadAndItsPartsAreWrittenTheSame() {
+    void writtenRoutesAndPoolsAreReadBackUnchanged() {
         final Value.Route route = new Value.Route(
                 "orders",
                 "a.example",
@@ -59,7 +63,7 @@
     }
 
     @Test
-    void tenantsOpenRulesAndBoundsOnWorkersAreRead() {
+    void tenantsPublicRoutesAndPoolScalingsAreRead() {
         final JsonDocument document =
                 parse("{\"number\":1,\"rules\":[{\"name\":\"r\",\"host\":\"h\",\"path\":\"/\",\"hold\":1,"
                         + "\"lots\":[],\"open\":true}],\"tenants\":[{\"name\":\"a\",\"keys\":[\"d1\"],\"rank\":2,\"homes\":[\"north\"]},"
@@ -78,7 +82,7 @@
     }
 
     @Test
-    void missingAndUnknownKeysAreNamedWithTheirPath() {
+    void missingInvalidAndUnknownKeysAreReportedWithTheirPath() {
         final JsonDocument document = parse(
                 "{\"number\":1,\"rules\":[{\"name\":\"r\",\"host\":\"h\",\"path\":\"/\",\"hold\":\"x\",\"lots\":[{\"pool\":\"p\"}],\"colour\":1}],"
                         + "\"bounds\":{\"head\":1,\"body\":1,\"slow\":1}}");
--- a/server/src/test/java/silverlatch/server/controller/LogWriterTest.java
+++ b/server/src/test/java/silverlatch/server/controller/LogWriterTest.java
@@ -16,6 +16,10 @@
 import silverlatch.node.Effect;
 import silverlatch.replication.View;
 
+/**
+ * Guards against a write that is reported as synced although it was pending when the disk failed. The disk's failure is provoked by a
+ * directory that stands at the path of the next snapshot's temporary file, so that writing the snapshot fails until it is removed.
+ */
 final class LogWriterTest {
     private static final LogRecord.Promised FIRST = new LogRecord.Promised(1, 0);
     private static final LogRecord.Promised NEVER_SYNCED = new LogRecord.Promised(2, 0);
@@ -24,13 +28,13 @@
             new LogRecord.Snapshot(7, View.NONE, true, 0, 0, List.of(), 0, List.of());
 
     @TempDir
-    private Path folder;
+    private Path dataDirectory;
 
-    /** What the writer told, in order. */
+    /** A call of the writer's listener. */
     private sealed interface Notification {
         record Synced(List<Long> tokens) implements Notification {}
 
-        record Failed(Runnable fenced) implements Notification {}
+        record Failed(Runnable onWritesStopped) implements Notification {}
 
         record Recovered(List<LogRecord> records) implements Notification {}
     }
@@ -39,48 +43,50 @@
         private final LinkedBlockingQueue<Notification> notifications = new LinkedBlockingQueue<>();
 
         @Override
-        public void synced(final List<Long> tokens) {
+        public void onSynced(final List<Long> tokens) {
             notifications.add(new Notification.Synced(tokens));
         }
 
         @Override
-        public void failed(final String why, final Runnable fenced) {
-            notifications.add(new Notification.Failed(fenced));
+        public void onFailed(final String reason, final Runnable onWritesStopped) {
+            notifications.add(new Notification.Failed(onWritesStopped));
         }
 
         @Override
-        public void recovered(final List<LogRecord> records) {
+        public void onRecovered(final List<LogRecord> records) {
             notifications.add(new Notification.Recovered(records));
         }
 
         Notification next() throws InterruptedException {
-            return Objects.requireNonNull(notifications.poll(30, TimeUnit.SECONDS), "nothing was told");
+            return Objects.requireNonNull(
+                    notifications.poll(30, TimeUnit.SECONDS), "the writer didn't notify its listener within 30 s");
         }
     }
 
     @Test
     void afterAFailedWriteTheLogIsReopenedAndNoPendingWriteIsReportedAsSynced() throws Exception {
-        final WriteAheadLog log = ((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder)).log();
+        final WriteAheadLog log = ((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(dataDirectory)).log();
         final RecordingListener listener = new RecordingListener();
         final LogWriter writer = new LogWriter(log, listener, 5);
         writer.start();
         writer.write(new Effect.Persist(1, List.of(FIRST)));
         assertThat(listener.next(), is(new Notification.Synced(List.of(1L))));
-        final Path inTheWay = folder.resolve("picture-000000000002.part");
-        Files.createDirectories(inTheWay.resolve("inside"));
+        final Path blockingDirectory = dataDirectory.resolve("picture-000000000002.part");
+        Files.createDirectories(blockingDirectory.resolve("inside"));
         writer.write(new Effect.Persist(2, List.of(SNAPSHOT)));
         final Notification.Failed failed = (Notification.Failed) listener.next();
         writer.write(new Effect.Persist(3, List.of(NEVER_SYNCED)));
-        failed.fenced().run();
+        failed.onWritesStopped().run();
         TimeUnit.MILLISECONDS.sleep(100);
-        assertThat("the disk still refuses", listener.notifications.isEmpty(), is(true));
-        Files.delete(inTheWay.resolve("inside"));
+        assertThat("the log can't be reopened while the disk fails", listener.notifications.isEmpty(), is(true));
+        Files.delete(blockingDirectory.resolve("inside"));
         assertThat(listener.next(), is(new Notification.Recovered(List.of(FIRST))));
         writer.write(new Effect.Persist(4, List.of(SNAPSHOT)));
         assertThat(listener.next(), is(new Notification.Synced(List.of(4L))));
         writer.write(new Effect.Persist(5, List.of(LAST)));
         assertThat(listener.next(), is(new Notification.Synced(List.of(5L))));
         assertThat(
-                ((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder)).records(), is(List.of(SNAPSHOT, LAST)));
+                ((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(dataDirectory)).records(),
+                is(List.of(SNAPSHOT, LAST)));
     }
 }
--- a/server/src/test/java/silverlatch/server/controller/ReadinessTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ReadinessTest.java
@@ -7,6 +7,10 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.node.Node;
 
+/**
+ * Guards against a controller that is ready before its state is confirmed or while it is stopping, and against a shutdown that waits for
+ * a replica which isn't part of a chain.
+ */
 final class ReadinessTest {
     private static final long NOW = 1_000_000L;
 
@@ -14,27 +18,27 @@
     void aControllerIsUnreadyFromItsStartUntilItsStateIsConfirmed() {
         final Readiness readiness = new Readiness("one");
         assertThat(readiness.unreadyReason(), is(Optional.of("starting")));
-        readiness.update(LoneNode.create(NOW), NOW);
+        readiness.update(IsolatedNode.create(NOW), NOW);
         assertThat(readiness.unreadyReason(), is(Optional.of("the state held here is not confirmed")));
         assertThat(readiness.hasLeftChain(), is(false));
     }
 
     @Test
-    void aStopEndsAsSoonAsTheChainNeedsTheReplicaNoLonger() {
-        final Node node = LoneNode.createWithReplica(NOW);
+    void aReplicaOutsideTheChainHasLeftAsSoonAsItsNodeLeaves() {
+        final Node node = IsolatedNode.createWithReplica(NOW);
         final Readiness readiness = new Readiness("one");
-        readiness.stop();
+        readiness.markStopping();
         assertThat(readiness.hasLeftChain(), is(false));
         node.leave(NOW);
         readiness.update(node, NOW);
-        assertThat("no chain has it", readiness.hasLeftChain(), is(true));
+        assertThat("the replica is in no chain", readiness.hasLeftChain(), is(true));
     }
 
     @Test
-    void aControllerThatStopsIsUnreadyForGood() {
-        final Node node = LoneNode.create(NOW);
+    void aStoppingControllerStaysUnready() {
+        final Node node = IsolatedNode.create(NOW);
         final Readiness readiness = new Readiness("one");
-        readiness.stop();
+        readiness.markStopping();
         readiness.update(node, NOW);
         readiness.update(node, NOW + 1);
         assertThat(readiness.unreadyReason(), is(Optional.of("stopping")));
--- a/server/src/test/java/silverlatch/server/transport/TransportTest.java
+++ b/server/src/test/java/silverlatch/server/transport/TransportTest.java
@@ -27,16 +27,20 @@
 import silverlatch.wire.Frame;
 import silverlatch.wire.MembershipMessage;
 
-/** Transports on loopback before scripted peers, with shorter limits than those in use. */
+/**
+ * Transports on the loopback interface that send to each other or to peers scripted by the test, with shorter timeouts than in
+ * production. Guards against connections that are kept although the peer doesn't read, connections that are closed although the peer
+ * makes progress, stale frames that are sent after a reconnect, and frames that are dropped without being counted.
+ */
 final class TransportTest {
     private static final PeerConnection.Limits SHORT_LIMITS =
             new PeerConnection.Limits(256, 200_000L, 300_000L, 200_000L, 400_000L, 100_000L);
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> openResources = new ArrayList<>();
     private final BlockingQueue<Frame> received = new LinkedBlockingQueue<>();
 
     @AfterEach
     void close() throws Exception {
-        for (final AutoCloseable closeable : open) {
+        for (final AutoCloseable closeable : openResources) {
             closeable.close();
         }
     }
@@ -44,7 +48,7 @@
     private Transport startTransport(final int port) throws IOException {
         final Transport transport = new Transport("127.0.0.1:" + port, received::add, SHORT_LIMITS);
         transport.start();
-        open.add(transport::stop);
+        openResources.add(transport::stop);
         return transport;
     }
 
@@ -64,7 +68,7 @@
 
     private ServerSocket listen(final int port, final BlockingQueue<Socket> accepted) throws IOException {
         final ServerSocket server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-        open.add(server);
+        openResources.add(server);
         TransportThreads.start("test", () -> {
             try {
                 while (true) {
@@ -78,7 +82,7 @@
     }
 
     @Test
-    void framesThatGoOneWayOnlyKeepOneConnection() throws Exception {
+    void oneWayTrafficKeepsUsingOneConnection() throws Exception {
         final int port = freePort();
         startTransport(port);
         final Transport sender = startTransport(freePort());
@@ -92,7 +96,7 @@
     }
 
     @Test
-    void aPeerThatAcceptsAndNeverReadsIsDisconnectedAndReconnected() throws Exception {
+    void aConnectionToAPeerThatNeverReadsIsClosedAndReopened() throws Exception {
         final int port = freePort();
         final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
         listen(port, accepted);
@@ -109,7 +113,7 @@
     }
 
     @Test
-    void afterAPeerComesBackOnlyYoungFramesArrive() throws Exception {
+    void afterAPeerRestartsOnlyRecentFramesArrive() throws Exception {
         final int port = freePort();
         final Transport sender = startTransport(freePort());
         for (int i = 1; i <= 20; i++) {
@@ -117,19 +121,19 @@
             LockSupport.parkNanos(20_000_000L);
         }
         startTransport(port);
-        final long returnedAt = EventLoop.nowMicros();
+        final long restartedAt = EventLoop.nowMicros();
         long number = 20;
-        while (received.isEmpty() && EventLoop.nowMicros() - returnedAt < 3_000_000L) {
+        while (received.isEmpty() && EventLoop.nowMicros() - restartedAt < 3_000_000L) {
             sender.send(outgoing(port, ++number, ""));
             LockSupport.parkNanos(20_000_000L);
         }
         final Frame first = received.poll(1, TimeUnit.SECONDS);
-        assertThat(EventLoop.nowMicros() - returnedAt, lessThan(1_000_000L));
+        assertThat(EventLoop.nowMicros() - restartedAt, lessThan(1_000_000L));
         assertThat(first.stamp().bits(), greaterThan(8L));
     }
 
     @Test
-    void anIdleConnectionCloses() throws Exception {
+    void anIdleConnectionIsClosed() throws Exception {
         final int port = freePort();
         final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
         listen(port, accepted);
@@ -145,7 +149,7 @@
     }
 
     @Test
-    void aFullQueueDropsAndCounts() throws Exception {
+    void framesBeyondAFullQueueAreDroppedAndCounted() throws Exception {
         final int port = freePort();
         listen(port, new LinkedBlockingQueue<>());
         final Transport sender = startTransport(freePort());
@@ -158,7 +162,7 @@
     }
 
     @Test
-    void aLargeFrameThatGetsOnSlowlyKeepsItsConnectionAndThoseBehindIt() throws Exception {
+    void aLargeFrameThatIsReadSlowlyKeepsItsConnectionAndTheFramesQueuedBehindIt() throws Exception {
         final int port = freePort();
         final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
         listen(port, accepted).setReceiveBufferSize(32 << 10);
