--- a/server/src/main/java/silverlatch/server/gateway/DispatchLoop.java
+++ b/server/src/main/java/silverlatch/server/gateway/DispatchLoop.java
@@ -35,7 +35,7 @@
         this.eventLoop = new EventLoop(
                 "dispatch",
                 QUEUE_CAPACITY,
-                () -> openRequestsOfLoop() > 0 ? tickMicros : Math.max(tickMicros, IDLE_TICK_MICROS),
+                () -> openRequestsOnLoop() > 0 ? tickMicros : Math.max(tickMicros, IDLE_TICK_MICROS),
                 this::tick);
     }
 
@@ -100,7 +100,7 @@
         return dispatcher.openRequests() + proxy.map(ProxyServer::openRequests).orElse(0);
     }
 
-    private int openRequestsOfLoop() {
+    private int openRequestsOnLoop() {
         return dispatcher.openRequests() + router.openRequests();
     }
 
--- a/server/src/main/java/silverlatch/server/gateway/Gateway.java
+++ b/server/src/main/java/silverlatch/server/gateway/Gateway.java
@@ -46,9 +46,9 @@
     private static final long DRAIN_POLL_MS = 20;
 
     /** For the last responses to be handed to their connections, and for the last frames and responses to leave. */
-    private static final long FAREWELL_LIMIT_MICROS = 400_000L;
+    private static final long FINAL_REPLIES_TIMEOUT_MICROS = 400_000L;
 
-    private static final long FAREWELL_MS = 150;
+    private static final long FINAL_FLUSH_MS = 150;
     private final Settings settings;
     private final Transport transport;
     private final EventLoopHandle nodeLoop;
@@ -61,7 +61,7 @@
     private Optional<ApiServer> apiServer = Optional.empty();
     private volatile Optional<String> unreadyReason = Optional.of("starting");
     private volatile List<Member> readyGateways = List.of();
-    private Optional<ClusterSnapshot> published = Optional.empty();
+    private Optional<ClusterSnapshot> publishedSnapshot = Optional.empty();
 
     /** Connects the parts; nothing is started. The node must not be used elsewhere, nor the dispatcher and the router. */
     @Inject
@@ -81,11 +81,11 @@
         this.apiRouter = new ApiRouter(
                 settings, dispatchLoop, nodeLoop, exchanges, operatorApi, this::unreadyReason, this::publish);
         if (settings.singleton().isActive()) {
-            reportTraffic(node, router);
+            enableTrafficReporting(node, router);
         }
     }
 
-    private void reportTraffic(final Node node, final Router router) {
+    private void enableTrafficReporting(final Node node, final Router router) {
         final Optional<UsageCounter> counter = settings.singleton().reportsUsage()
                 ? Optional.of(new UsageCounter(settings.singleton().usageSchedule(), node::physicalClock))
                 : Optional.empty();
@@ -172,7 +172,7 @@
         final boolean hasProxy = dispatchLoop.proxy().isPresent();
         dispatchLoop.withDispatcher(Dispatcher::stopAccepting);
         dispatchLoop.withRouter(Router::startDraining);
-        dispatchLoop.proxy().ifPresent(ProxyServer::close);
+        dispatchLoop.proxy().ifPresent(ProxyServer::closeConnectionsAfterResponses);
         nodeLoop.execute(node -> node.setReady(false));
         TimeUnit.MICROSECONDS.sleep(
                 hasProxy
@@ -197,10 +197,10 @@
         dispatchLoop.withDispatcher(dispatcher -> dispatcher.shutdown(EventLoop.nowMicros()));
         dispatchLoop.withRouter(router -> router.shutdown(EventLoop.nowMicros()));
         nodeLoop.execute(node -> node.leave(EventLoop.nowMicros()));
-        final long farewellEnd = EventLoop.nowMicros() + FAREWELL_LIMIT_MICROS;
-        awaitOpenRequests(farewellEnd);
-        awaitReplies(farewellEnd);
-        TimeUnit.MILLISECONDS.sleep(FAREWELL_MS);
+        final long repliesDeadline = EventLoop.nowMicros() + FINAL_REPLIES_TIMEOUT_MICROS;
+        awaitOpenRequests(repliesDeadline);
+        awaitReplies(repliesDeadline);
+        TimeUnit.MILLISECONDS.sleep(FINAL_FLUSH_MS);
     }
 
     /** Replaces the addresses by which other members are found; they are `host:port` of the controllers' transport. */
@@ -230,10 +230,10 @@
     /** Hands on what the node knows where that has changed since the last time. Called on the node's event loop. */
     private void publish(final Node node) {
         final ClusterSnapshot snapshot = node.clusterSnapshot();
-        if (published.filter(last -> last == snapshot).isPresent()) {
+        if (publishedSnapshot.filter(last -> last == snapshot).isPresent()) {
             return;
         }
-        published = Optional.of(snapshot);
+        publishedSnapshot = Optional.of(snapshot);
         savedState.ifPresent(SavedState::saveIfChanged);
         readyGateways = Stream.concat(Stream.of(snapshot.self()), snapshot.peers().stream())
                 .filter(Member::ready)
--- a/server/src/main/java/silverlatch/server/gateway/SavedState.java
+++ b/server/src/main/java/silverlatch/server/gateway/SavedState.java
@@ -15,10 +15,10 @@
     private final SavedConfiguration configuration;
     private final WorkerRoster roster;
 
-    SavedState(final Path folder, final Node node) {
+    SavedState(final Path dataDirectory, final Node node) {
         this.node = node;
-        this.configuration = new SavedConfiguration(folder);
-        this.roster = new WorkerRoster(folder);
+        this.configuration = new SavedConfiguration(dataDirectory);
+        this.roster = new WorkerRoster(dataDirectory);
     }
 
     /** Gives the node what was saved, and begins to save. Called before the event loop starts. */
--- a/server/src/main/java/silverlatch/server/provider/ProviderCaller.java
+++ b/server/src/main/java/silverlatch/server/provider/ProviderCaller.java
@@ -27,7 +27,7 @@
     private static final double MICROS_PER_SECOND = 1_000_000;
 
     /** A provider aborts its own calls earlier; this is for an outcome that got lost in this process. */
-    private static final long LOST_OUTCOME_MICROS = 5_000_000L;
+    private static final long OUTCOME_TIMEOUT_MICROS = 5_000_000L;
 
     private static final long NO_TOKEN = -1;
     private final SingletonSettings settings;
@@ -40,7 +40,7 @@
     private final CallBackoff backoff;
     private final Map<CloudProvider.Outcome, Long> counters = new EnumMap<>(CloudProvider.Outcome.class);
     private Optional<CallInFlight> inFlight = Optional.empty();
-    private int firstSource;
+    private int firstSourceIndex;
     private long nextCallAt = Long.MIN_VALUE;
     private long fencedToken = NO_TOKEN;
 
@@ -82,7 +82,7 @@
             backoff.reset();
             sources.forEach(CallSource::reset);
         }
-        inFlight.filter(call -> now - call.madeAt() >= LOST_OUTCOME_MICROS)
+        inFlight.filter(call -> now - call.madeAt() >= OUTCOME_TIMEOUT_MICROS)
                 .ifPresent(call -> onOutcome(call, CloudProvider.Outcome.UNKNOWN));
         if (token.isPresent() && inFlight.isEmpty() && now >= nextCallAt) {
             makeNext(now);
@@ -96,7 +96,7 @@
 
     private void makeNext(final long now) {
         for (int i = 0; i < sources.size(); i++) {
-            final CallSource source = sources.get((firstSource + i) % sources.size());
+            final CallSource source = sources.get((firstSourceIndex + i) % sources.size());
             final Optional<ProviderCall> call = source.next(now);
             if (call.isPresent()) {
                 make(source, call.get());
@@ -137,7 +137,7 @@
             case FENCED -> fencedToken = made.fencingToken();
             case THROTTLED, UNKNOWN -> nextCallAt = Math.max(nextCallAt, now + backoff.next());
         }
-        firstSource = isAccepted ? 0 : (sources.indexOf(made.source()) + 1) % sources.size();
+        firstSourceIndex = isAccepted ? 0 : (sources.indexOf(made.source()) + 1) % sources.size();
         made.source().onOutcome(made.call(), outcome, now);
     }
 }
--- a/server/src/main/java/silverlatch/server/provider/ScalingCallSource.java
+++ b/server/src/main/java/silverlatch/server/provider/ScalingCallSource.java
@@ -21,40 +21,40 @@
     static final long DECISION_INTERVAL_MICROS = 1_000_000L;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
-    private final LongFunction<Optional<ScalingObservation>> observe;
-    private final Map<Subject, Integer> accepted = new HashMap<>();
-    private final Map<Subject, Integer> refused = new HashMap<>();
-    private final Map<Subject, Long> triedAt = new HashMap<>();
+    private final LongFunction<Optional<ScalingObservation>> observationAt;
+    private final Map<PoolInZone, Integer> acceptedCounts = new HashMap<>();
+    private final Map<PoolInZone, Integer> refusedCounts = new HashMap<>();
+    private final Map<PoolInZone, Long> lastOutcomeAt = new HashMap<>();
     private ScalingState state = ScalingState.NONE;
-    private long decidedAt = NEVER;
+    private long lastDecisionAt = NEVER;
 
     /** What the provider keeps one count for. */
-    private record Subject(String pool, String zone) {
-        static Subject of(final WorkerTarget target) {
-            return new Subject(target.pool(), target.zone());
+    private record PoolInZone(String pool, String zone) {
+        static PoolInZone of(final WorkerTarget target) {
+            return new PoolInZone(target.pool(), target.zone());
         }
     }
 
     /** A source that has decided nothing; what is known at a moment may be missing. */
-    public ScalingCallSource(final LongFunction<Optional<ScalingObservation>> observe) {
-        this.observe = observe;
+    public ScalingCallSource(final LongFunction<Optional<ScalingObservation>> observationAt) {
+        this.observationAt = observationAt;
     }
 
     @Override
     public Optional<ProviderCall> next(final long now) {
-        if (now - decidedAt >= DECISION_INTERVAL_MICROS) {
-            decidedAt = now;
-            observe.apply(now).ifPresent(seen -> decide(seen, now));
+        if (now - lastDecisionAt >= DECISION_INTERVAL_MICROS) {
+            lastDecisionAt = now;
+            observationAt.apply(now).ifPresent(seen -> decide(seen, now));
         }
         return state.targets().stream()
-                .filter(this::isToBeOrdered)
-                .min(Comparator.comparingLong(target -> triedAt.getOrDefault(Subject.of(target), NEVER)))
+                .filter(this::needsCall)
+                .min(Comparator.comparingLong(target -> lastOutcomeAt.getOrDefault(PoolInZone.of(target), NEVER)))
                 .map(target -> new ProviderCall.SetWorkerCount(
                         new CloudProvider.WorkerCount(target.pool(), target.zone(), target.count())));
     }
 
-    private void decide(final ScalingObservation seen, final long now) {
-        final ScalingState decided = ScalingPolicy.decide(state, seen, now);
+    private void decide(final ScalingObservation observation, final long now) {
+        final ScalingState decided = ScalingPolicy.decide(state, observation, now);
         decided.targets().stream()
                 .filter(target -> !state.targets().contains(target))
                 .forEach(target -> EventLog.write(
@@ -63,25 +63,25 @@
         state = decided;
     }
 
-    private boolean isToBeOrdered(final WorkerTarget target) {
+    private boolean needsCall(final WorkerTarget target) {
         final Optional<Integer> count = Optional.of(target.count());
-        return !count.equals(Optional.ofNullable(accepted.get(Subject.of(target))))
-                && !count.equals(Optional.ofNullable(refused.get(Subject.of(target))));
+        return !count.equals(Optional.ofNullable(acceptedCounts.get(PoolInZone.of(target))))
+                && !count.equals(Optional.ofNullable(refusedCounts.get(PoolInZone.of(target))));
     }
 
     @Override
     public void onOutcome(final ProviderCall call, final CloudProvider.Outcome outcome, final long now) {
         if (call instanceof ProviderCall.SetWorkerCount order) {
             final CloudProvider.WorkerCount target = order.target();
-            final Subject subject = new Subject(target.pool(), target.zone());
-            triedAt.put(subject, now);
+            final PoolInZone poolInZone = new PoolInZone(target.pool(), target.zone());
+            lastOutcomeAt.put(poolInZone, now);
             switch (outcome) {
                 case ACCEPTED -> {
-                    accepted.put(subject, target.count());
-                    refused.remove(subject);
+                    acceptedCounts.put(poolInZone, target.count());
+                    refusedCounts.remove(poolInZone);
                 }
-                case REFUSED -> refused.put(subject, target.count());
-                case UNKNOWN -> accepted.remove(subject);
+                case REFUSED -> refusedCounts.put(poolInZone, target.count());
+                case UNKNOWN -> acceptedCounts.remove(poolInZone);
                 case FENCED, THROTTLED -> {}
             }
         }
@@ -91,9 +91,9 @@
     @Override
     public void reset() {
         state = ScalingState.NONE;
-        decidedAt = NEVER;
-        accepted.clear();
-        refused.clear();
-        triedAt.clear();
+        lastDecisionAt = NEVER;
+        acceptedCounts.clear();
+        refusedCounts.clear();
+        lastOutcomeAt.clear();
     }
 }
--- a/server/src/main/java/silverlatch/server/provider/UsageCallSource.java
+++ b/server/src/main/java/silverlatch/server/provider/UsageCallSource.java
@@ -23,8 +23,8 @@
 
     @Override
     public void onOutcome(final ProviderCall call, final CloudProvider.Outcome outcome, final long now) {
-        final boolean isSettled = outcome == CloudProvider.Outcome.ACCEPTED || outcome == CloudProvider.Outcome.REFUSED;
-        if (isSettled && call instanceof ProviderCall.ReportUsage report) {
+        final boolean isFinal = outcome == CloudProvider.Outcome.ACCEPTED || outcome == CloudProvider.Outcome.REFUSED;
+        if (isFinal && call instanceof ProviderCall.ReportUsage report) {
             outbox.onReported(report.window().number());
         }
     }
--- a/server/src/main/java/silverlatch/server/proxy/ClientCredentials.java
+++ b/server/src/main/java/silverlatch/server/proxy/ClientCredentials.java
@@ -41,7 +41,7 @@
     }
 
     /** Whether a field holds a key, also where it holds other credentials besides, so that no worker may get it. */
-    boolean holdsKey(final HttpField field) {
+    boolean containsKey(final HttpField field) {
         return HttpHeader.AUTHORIZATION.is(field.getName())
                 && field.getValue() != null
                 && Arrays.stream(field.getValue().split(",")).anyMatch(this::hasKeyScheme);
--- a/server/src/main/java/silverlatch/server/proxy/EndToEndHeaders.java
+++ b/server/src/main/java/silverlatch/server/proxy/EndToEndHeaders.java
@@ -26,11 +26,11 @@
     private EndToEndHeaders() {}
 
     /** Adds the fields to be forwarded, without those that the caller leaves out and those that Connection names. */
-    static void copy(final HttpFields from, final Predicate<HttpField> isLeftOut, final HttpFields.Mutable to) {
+    static void copy(final HttpFields from, final Predicate<HttpField> isExcluded, final HttpFields.Mutable to) {
         final Set<String> namedByConnection = ignoringCase(from.getCSV(HttpHeader.CONNECTION, false));
         for (final HttpField field : from) {
             final String name = field.getName();
-            if (!HOP_BY_HOP.contains(name) && !namedByConnection.contains(name) && !isLeftOut.test(field)) {
+            if (!HOP_BY_HOP.contains(name) && !namedByConnection.contains(name) && !isExcluded.test(field)) {
                 to.add(name, field.getValue());
             }
         }
--- a/server/src/main/java/silverlatch/server/proxy/EventStreamSplitter.java
+++ b/server/src/main/java/silverlatch/server/proxy/EventStreamSplitter.java
@@ -12,13 +12,13 @@
  */
 final class EventStreamSplitter {
     private static final String ID_FIELD = "id:";
-    private final String weightField;
+    private final String weightVersionField;
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private StreamPosition position = StreamPosition.START;
 
     /** A splitter of a stream in which an event names a changed version of weights in a field of this name, whatever its case. */
     EventStreamSplitter(final String weightVersionName) {
-        this.weightField = weightVersionName.toLowerCase(Locale.ROOT) + ":";
+        this.weightVersionField = weightVersionName.toLowerCase(Locale.ROOT) + ":";
     }
 
     /** Takes bytes of the stream and returns all up to the end of the last complete event; empty if none is complete. */
@@ -32,7 +32,8 @@
         pending.reset();
         pending.write(all, end, all.length - end);
         final String events = new String(all, 0, end, StandardCharsets.ISO_8859_1);
-        position = position.advancedTo(new StreamPosition(lastField(events, ID_FIELD), lastField(events, weightField)));
+        position = position.advancedTo(
+                new StreamPosition(lastField(events, ID_FIELD), lastField(events, weightVersionField)));
         return Arrays.copyOf(all, end);
     }
 
--- a/server/src/main/java/silverlatch/server/proxy/HeaderValues.java
+++ b/server/src/main/java/silverlatch/server/proxy/HeaderValues.java
@@ -10,7 +10,7 @@
 /** Reads the values of the proxy's header fields; what can't be read counts as not sent. */
 final class HeaderValues {
     private static final int MAX_PROMPT_PARTS = 256;
-    private static final int LOAD_COUNTS = 3;
+    private static final int LOAD_COUNT_FIELDS = 3;
     private static final long MAX_LOAD_COUNT = 999_999;
     private static final long FNV_OFFSET_BASIS = 0xCBF29CE484222325L;
     private static final long FNV_PRIME = 0x100000001B3L;
@@ -35,7 +35,7 @@
     /** A worker's load: running requests, queued requests and slots, separated by commas. */
     static Optional<Router.ReportedLoad> workerLoad(final String text) {
         final String[] items = text.split(",");
-        if (items.length != LOAD_COUNTS) {
+        if (items.length != LOAD_COUNT_FIELDS) {
             return Optional.empty();
         }
         final List<Integer> counts = Arrays.stream(items)
@@ -44,7 +44,7 @@
                 .filter(count -> count <= MAX_LOAD_COUNT)
                 .map(Long::intValue)
                 .toList();
-        return counts.size() == LOAD_COUNTS
+        return counts.size() == LOAD_COUNT_FIELDS
                 ? Optional.of(new Router.ReportedLoad(counts.get(0), counts.get(1), counts.get(2)))
                 : Optional.empty();
     }
--- a/server/src/main/java/silverlatch/server/proxy/ProxiedRequest.java
+++ b/server/src/main/java/silverlatch/server/proxy/ProxiedRequest.java
@@ -22,7 +22,7 @@
      * A client that closes its side this soon after its request has half-closed the connection, as some do that send no second
      * request, and still reads the response. One that gives up waits for longer. In microseconds.
      */
-    private static final long HALF_CLOSE_MICROS = 25_000;
+    private static final long HALF_CLOSE_WINDOW_MICROS = 25_000;
 
     private final ProxyServer proxy;
     private final long callId;
@@ -84,9 +84,9 @@
             return;
         }
         response.resetHead();
-        final WorkerExchange next = new WorkerExchange(proxy, this, attempt, request, body, position);
-        exchange = Optional.of(next);
-        next.start();
+        final WorkerExchange newExchange = new WorkerExchange(proxy, this, attempt, request, body, position);
+        exchange = Optional.of(newExchange);
+        newExchange.start();
     }
 
     /** Cancels the attempt with this id, if it feeds the response. */
@@ -135,12 +135,12 @@
     }
 
     /** Forwards the head of a success; false if the attempt no longer feeds the response. */
-    synchronized boolean forwardHead(final WorkerExchange from, final int status, final HttpFields headers) {
-        if (!isCurrent(from)) {
+    synchronized boolean forwardHead(final WorkerExchange source, final int status, final HttpFields headers) {
+        if (!isCurrent(source)) {
             return false;
         }
         response.forwardHead(status, headers);
-        position = position.withWeights(
+        position = position.withWeightVersion(
                 Optional.ofNullable(headers.get(proxy.headerNames().weightVersion())));
         return true;
     }
@@ -150,28 +150,31 @@
      * feeds the response.
      */
     synchronized boolean forwardBody(
-            final WorkerExchange from, final byte[] bytes, final StreamPosition reached, final Runnable onWritten) {
-        if (!isCurrent(from)) {
+            final WorkerExchange source,
+            final byte[] bytes,
+            final StreamPosition newPosition,
+            final Runnable onWritten) {
+        if (!isCurrent(source)) {
             return false;
         }
-        position = position.advancedTo(reached);
+        position = position.advancedTo(newPosition);
         enqueueWrite(bytes, false, onWritten);
         return true;
     }
 
     /** Forwards the rest of a complete body, and completes the response. */
-    synchronized void forwardEnd(final WorkerExchange from, final byte[] rest) {
-        if (isCurrent(from)) {
+    synchronized void forwardEnd(final WorkerExchange source, final byte[] rest) {
+        if (isCurrent(source)) {
             enqueueWrite(rest, true, () -> {
                 proxy.complete(callId);
-                proxy.postToRouter(router -> router.responseCompleted(from.attemptId(), true, EventLoop.nowMicros()));
+                proxy.postToRouter(router -> router.responseCompleted(source.attemptId(), true, EventLoop.nowMicros()));
             });
         }
     }
 
     /** Whether this exchange still feeds the response: it may have been cancelled while its bytes were on the way here. */
-    private boolean isCurrent(final WorkerExchange from) {
-        return !ended && exchange.filter(current -> current == from).isPresent();
+    private boolean isCurrent(final WorkerExchange source) {
+        return !ended && exchange.filter(current -> current == source).isPresent();
     }
 
     private void abort(final String reason) {
@@ -191,10 +194,11 @@
         final PendingWrite write = pendingWrites.poll();
         writeInProgress = true;
         ended = write.isLast();
-        response.write(write.bytes(), write.isLast(), Callback.from(() -> written(write), this::clientFailed));
+        response.write(
+                write.bytes(), write.isLast(), Callback.from(() -> onWriteCompleted(write), this::onClientFailed));
     }
 
-    private void written(final PendingWrite write) {
+    private void onWriteCompleted(final PendingWrite write) {
         synchronized (this) {
             writeInProgress = false;
         }
@@ -211,24 +215,25 @@
      * may not be repeated and is at a worker runs to its end: its client may only have half-closed the connection, and could
      * never learn the outcome otherwise.
      */
-    void clientClosed(final boolean isReset) {
-        if (!isReset && EventLoop.nowMicros() - arrivedAt < HALF_CLOSE_MICROS) {
+    void onClientClosed(final boolean isReset) {
+        if (!isReset && EventLoop.nowMicros() - arrivedAt < HALF_CLOSE_WINDOW_MICROS) {
             return;
         }
         final boolean hasEnded;
-        final boolean runsOn;
+        final boolean mustRunToCompletion;
         synchronized (this) {
             hasEnded = ended;
-            runsOn = exchange.filter(WorkerExchange::mustRunToItsEnd).isPresent();
+            mustRunToCompletion =
+                    exchange.filter(WorkerExchange::mustRunToCompletion).isPresent();
         }
-        if (runsOn) {
-            proxy.endAttempts(callId);
+        if (mustRunToCompletion) {
+            proxy.stopRetrying(callId);
         } else if (!hasEnded) {
-            clientFailed(new EofException("the client has left"));
+            onClientFailed(new EofException("the client has left"));
         }
     }
 
-    private void clientFailed(final Throwable failure) {
+    private void onClientFailed(final Throwable failure) {
         synchronized (this) {
             ended = true;
             exchange.ifPresent(WorkerExchange::cancel);
--- a/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
+++ b/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
@@ -29,13 +29,13 @@
  * decides. Handlers run on the threads of the HTTP server and block nothing; {@link #apply} is called on the router's event loop.
  */
 public final class ProxyServer extends Handler.Abstract.NonBlocking {
-    private static final int BODY_BYTES_CEILING = 32 << 20;
+    private static final int MAX_CONFIGURABLE_BODY_BYTES = 32 << 20;
     private static final int DEFAULT_MAX_BODY_BYTES = 4 << 20;
     private static final long OVERLOAD_RETRY_MICROS = 500_000;
     private static final long MICROS_PER_MILLI = 1_000L;
     private final ProxyHeaderNames headerNames;
-    private final RoutedRequests routedRequests;
-    private final WorkerRequests workerRequests;
+    private final RoutedRequestReader routedRequestReader;
+    private final WorkerRequestFactory workerRequestFactory;
     private final Predicate<Consumer<Router>> routerLoop;
     private final Set<ProxySafeguard> disabledSafeguards;
     private final Map<Long, ProxiedRequest> requestsByCallId = new ConcurrentHashMap<>();
@@ -43,7 +43,7 @@
     private volatile Optional<MultiListenerServer.Listener> listener = Optional.empty();
     private volatile Optional<Value.RoutingConfiguration> limits = Optional.empty();
     private volatile int maxBodyBytes = DEFAULT_MAX_BODY_BYTES;
-    private volatile boolean closing;
+    private volatile boolean closesConnections;
 
     /**
      * A proxy.
@@ -65,8 +65,8 @@
             final Predicate<Consumer<Router>> routerLoop,
             final Set<ProxySafeguard> disabledSafeguards) {
         this.headerNames = headerNames;
-        this.routedRequests = new RoutedRequests(headerNames);
-        this.workerRequests = new WorkerRequests(workerClient, headerNames);
+        this.routedRequestReader = new RoutedRequestReader(headerNames);
+        this.workerRequestFactory = new WorkerRequestFactory(workerClient, headerNames);
         this.routerLoop = routerLoop;
         this.disabledSafeguards = Set.copyOf(disabledSafeguards);
     }
@@ -77,28 +77,28 @@
     }
 
     /** Sets the listener at which clients connect; it follows the limits of the configuration in force. */
-    public void setListener(final MultiListenerServer.Listener opened) {
-        listener = Optional.of(opened);
-        limits.ifPresent(current -> updateListener(opened, current));
+    public void setListener(final MultiListenerServer.Listener newListener) {
+        listener = Optional.of(newListener);
+        limits.ifPresent(current -> updateListener(newListener, current));
     }
 
     /** Applies the limits of the configuration in force, also to connections that are idle now. Called on the event loop. */
-    public void updateLimits(final Value.RoutingConfiguration next) {
-        if (limits.filter(next::equals).isEmpty()) {
-            limits = Optional.of(next);
-            maxBodyBytes = Math.min(BODY_BYTES_CEILING, next.maxBodyBytes());
-            listener.ifPresent(opened -> updateListener(opened, next));
+    public void updateLimits(final Value.RoutingConfiguration configuration) {
+        if (limits.filter(configuration::equals).isEmpty()) {
+            limits = Optional.of(configuration);
+            maxBodyBytes = Math.min(MAX_CONFIGURABLE_BODY_BYTES, configuration.maxBodyBytes());
+            listener.ifPresent(opened -> updateListener(opened, configuration));
         }
     }
 
     private static void updateListener(
-            final MultiListenerServer.Listener opened, final Value.RoutingConfiguration configuration) {
-        opened.updateLimits(configuration.maxHeaderBytes(), configuration.idleTimeoutMicros() / MICROS_PER_MILLI);
+            final MultiListenerServer.Listener listener, final Value.RoutingConfiguration configuration) {
+        listener.updateLimits(configuration.maxHeaderBytes(), configuration.idleTimeoutMicros() / MICROS_PER_MILLI);
     }
 
     /** Has every response close its connection from now on; requests are still served. */
-    public void close() {
-        closing = true;
+    public void closeConnectionsAfterResponses() {
+        closesConnections = true;
     }
 
     @Override
@@ -145,19 +145,20 @@
     }
 
     private void admit(final Request request, final Response response, final Callback callback, final byte[] body) {
-        final Optional<String> requestId = routedRequests.requestId(request);
+        final Optional<String> requestId = routedRequestReader.requestId(request);
         if (requestId.isEmpty()) {
             reject(response, callback, HttpStatus.BAD_REQUEST_400, headerNames.requestId() + " is missing");
             return;
         }
         final long callId = lastCallId.incrementAndGet();
-        final RoutedRequest routed = routedRequests.read(callId, requestId.get(), request);
-        final ClientResponse clientResponse = new ClientResponse(response, callback, () -> closing, disabledSafeguards);
+        final RoutedRequest routed = routedRequestReader.read(callId, requestId.get(), request);
+        final ClientResponse clientResponse =
+                new ClientResponse(response, callback, () -> closesConnections, disabledSafeguards);
         final ProxiedRequest proxied = new ProxiedRequest(this, callId, requestId.get(), request, clientResponse, body);
         requestsByCallId.put(callId, proxied);
         request.addIdleTimeoutListener(timeout -> false);
         request.addFailureListener(failure -> abandon(callId));
-        ClientDisconnects.watch(request, proxied::clientClosed);
+        ClientDisconnects.watch(request, proxied::onClientClosed);
         if (!postToRouter(router -> router.requestArrived(routed, EventLoop.nowMicros()))) {
             rejectAsOverloaded(callId);
         }
@@ -175,7 +176,8 @@
             case RoutingEffect.StartAttempt attempt ->
                 find(attempt.callId())
                         .ifPresentOrElse(
-                                request -> request.startAttempt(attempt), () -> postClientGone(attempt.callId()));
+                                request -> request.startAttempt(attempt),
+                                () -> postClientDisconnected(attempt.callId()));
             case RoutingEffect.Reject reject -> remove(reject.callId()).ifPresent(request -> request.reject(reject));
             case RoutingEffect.Fail fail -> remove(fail.callId()).ifPresent(request -> request.fail(fail));
             case RoutingEffect.ForwardResponse forward ->
@@ -193,7 +195,7 @@
 
     /** Forgets a request whose client is gone or whose response was aborted, and tells the router. */
     void abandon(final long callId) {
-        remove(callId).ifPresent(gone -> postClientGone(callId));
+        remove(callId).ifPresent(disconnected -> postClientDisconnected(callId));
     }
 
     /** Forgets a request whose response was written whole. */
@@ -214,16 +216,16 @@
         return headerNames;
     }
 
-    WorkerRequests workerRequests() {
-        return workerRequests;
+    WorkerRequestFactory workerRequestFactory() {
+        return workerRequestFactory;
     }
 
     /** Tells the router that no further attempt is to be made, as a client has left; the one in flight goes on. */
-    void endAttempts(final long callId) {
+    void stopRetrying(final long callId) {
         postToRouter(router -> router.clientLeft(callId));
     }
 
-    private void postClientGone(final long callId) {
+    private void postClientDisconnected(final long callId) {
         postToRouter(router -> router.clientDisconnected(callId, EventLoop.nowMicros()));
     }
 
--- a/server/src/main/java/silverlatch/server/proxy/RoutedRequests.java
+++ b/server/src/main/java/silverlatch/server/proxy/RoutedRequestReader.java
@@ -7,14 +7,14 @@
 import silverlatch.routing.RoutedRequest;
 
 /** Reads from a client's request what the router needs to know of it. Any thread may call. */
-final class RoutedRequests {
+final class RoutedRequestReader {
     private static final long DEFAULT_DEADLINE_MS = 60_000;
     private static final long MICROS_PER_MILLI = 1_000;
     private static final int MAX_TOKENS = 10_000_000;
     private final ProxyHeaderNames headerNames;
     private final ClientCredentials credentials;
 
-    RoutedRequests(final ProxyHeaderNames headerNames) {
+    RoutedRequestReader(final ProxyHeaderNames headerNames) {
         this.headerNames = headerNames;
         this.credentials = new ClientCredentials(headerNames.keyScheme());
     }
--- a/server/src/main/java/silverlatch/server/proxy/StreamPosition.java
+++ b/server/src/main/java/silverlatch/server/proxy/StreamPosition.java
@@ -18,7 +18,7 @@
     }
 
     /** The position after a response's head came with this version of weights, if it named one. */
-    StreamPosition withWeights(final Optional<String> version) {
+    StreamPosition withWeightVersion(final Optional<String> version) {
         return new StreamPosition(lastEventId, version.or(this::weightVersion));
     }
 
--- a/server/src/main/java/silverlatch/server/proxy/WorkerExchange.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerExchange.java
@@ -45,7 +45,7 @@
         this.attempt = attempt;
         this.eventSplitter = new EventStreamSplitter(proxy.headerNames().weightVersion());
         this.splitsEvents = attempt.stream() && !attempt.once();
-        this.request = proxy.workerRequests()
+        this.request = proxy.workerRequestFactory()
                 .create(attempt, clientRequest, body, position)
                 .onRequestBegin(sent -> requestStarted.set(true))
                 .onResponseHeaders(this::onHead)
@@ -70,7 +70,7 @@
     }
 
     /** Whether the request may have reached its worker and can't be repeated, nor is it a stream that its client reads as it comes. */
-    boolean mustRunToItsEnd() {
+    boolean mustRunToCompletion() {
         return requestStarted.get() && attempt.once() && !attempt.stream();
     }
 
@@ -111,7 +111,7 @@
         } else if (isSuccess()) {
             forwardContent(bytes, demandMore);
         } else {
-            keepFailureBody(bytes);
+            appendFailureBody(bytes);
             demandMore.run();
         }
     }
@@ -129,7 +129,7 @@
         }
     }
 
-    private void keepFailureBody(final byte[] bytes) {
+    private void appendFailureBody(final byte[] bytes) {
         failureBodyTooLarge |= failureBody.size() + bytes.length > MAX_FAILURE_BODY_BYTES;
         if (!failureBodyTooLarge) {
             failureBody.writeBytes(bytes);
@@ -141,7 +141,7 @@
             return;
         }
         if (!isSucceeded) {
-            reportBroken();
+            reportUnusableResponse();
             return;
         }
         switch (responseHead) {
@@ -149,13 +149,13 @@
             case WorkerResponseHead.NotExecuted notExecuted -> reportFailed(FailurePoint.NOT_RUN);
             case WorkerResponseHead.Misdirected misdirected -> reportFailed(FailurePoint.STRANGER);
             case WorkerResponseHead.Failure failure -> reportFailureResponse();
-            case WorkerResponseHead.Unusable unusable -> reportBroken();
+            case WorkerResponseHead.Unusable unusable -> reportUnusableResponse();
         }
     }
 
     private void reportFailureResponse() {
         if (owner.isCommitted() || failureBodyTooLarge) {
-            reportBroken();
+            reportUnusableResponse();
             return;
         }
         response.ifPresent(from -> {
@@ -166,7 +166,7 @@
     }
 
     /** A request that has begun to leave may have been executed. */
-    private void reportBroken() {
+    private void reportUnusableResponse() {
         final boolean mayBeExecuted =
                 requestStarted.get() && !proxy.disabledSafeguards().contains(ProxySafeguard.SENT_MAY_BE_EXECUTED);
         if (mayBeExecuted) {
--- a/server/src/main/java/silverlatch/server/proxy/WorkerRequests.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerRequestFactory.java
@@ -13,7 +13,7 @@
  * is left out, and the proxy's own headers set anew. Each attempt's request is made from the client's, so all of them name the
  * same tenant.
  */
-final class WorkerRequests {
+final class WorkerRequestFactory {
     private static final String LAST_EVENT_ID = "Last-Event-Id";
     private static final int TIMEOUT_SLACK_MS = 1_000;
     private static final int LOWEST_PRIORITY = 9;
@@ -23,7 +23,7 @@
     private final Set<String> namesSetByProxy;
     private final ClientCredentials credentials;
 
-    WorkerRequests(final WorkerHttpClient client, final ProxyHeaderNames headerNames) {
+    WorkerRequestFactory(final WorkerHttpClient client, final ProxyHeaderNames headerNames) {
         this.client = client;
         this.headerNames = headerNames;
         this.namesSetByProxy = headerNames.namesSetByProxy();
@@ -59,7 +59,7 @@
         headers.clear();
         EndToEndHeaders.copy(
                 clientHeaders,
-                field -> namesSetByProxy.contains(field.getName()) || credentials.holdsKey(field),
+                field -> namesSetByProxy.contains(field.getName()) || credentials.containsKey(field),
                 headers);
         headers.put(headerNames.deadline(), "" + Math.max(1, attempt.timeout() / MICROS_PER_MILLI));
         headers.put(headerNames.expectedWorker(), attempt.worker());
--- a/server/src/test/java/silverlatch/server/gateway/OperatorApiTest.java
+++ b/server/src/test/java/silverlatch/server/gateway/OperatorApiTest.java
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void renamedMetricsStandBesideTheirFormerNames() throws Exception {
+    void renamedMetricsAreAlsoReportedUnderTheirFormerNames() throws Exception {
         final String httpAddress = freeAddress();
         final Gateway gateway = Main.build(settings(httpAddress));
         gateway.start();
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void theStatusShowsTheMembersBesideTheirFormerKey() throws Exception {
+    void theStatusListsTheMembersAlsoUnderTheFormerKey() throws Exception {
         final String httpAddress = freeAddress();
         final Gateway gateway = Main.build(settings(httpAddress));
         gateway.start();
--- a/server/src/test/java/silverlatch/server/provider/ProviderCallerTest.java
+++ b/server/src/test/java/silverlatch/server/provider/ProviderCallerTest.java
@@ -44,20 +44,20 @@
 
     /** Wants one number of workers until that is accepted. */
     private static final class WorkerCountSource implements CallSource {
-        private Optional<Integer> wanted = Optional.empty();
+        private Optional<Integer> targetCount = Optional.empty();
         private final List<Outcome> outcomes = new ArrayList<>();
         private int resets;
 
         @Override
         public Optional<ProviderCall> next(final long now) {
-            return wanted.map(
+            return targetCount.map(
                     count -> new ProviderCall.SetWorkerCount(new CloudProvider.WorkerCount("pool", "zone", count)));
         }
 
         @Override
         public void onOutcome(final ProviderCall call, final Outcome outcome, final long now) {
             outcomes.add(outcome);
-            wanted = outcome == Outcome.ACCEPTED ? Optional.empty() : wanted;
+            targetCount = outcome == Outcome.ACCEPTED ? Optional.empty() : targetCount;
         }
 
         @Override
@@ -78,138 +78,138 @@
         }
     }
 
-    private void pass(final long duration) {
+    private void advanceTime(final long duration) {
         for (final long end = now + duration; now < end; now += TICK) {
             caller.tick();
         }
     }
 
     /** Passes time until the next call is made, and answers it. */
-    private void answerNext(final Outcome outcome) {
+    private void completeNextCall(final Outcome outcome) {
         final int before = provider.calls().size();
         for (int i = 0; i < 100 && provider.calls().size() == before; i++) {
-            pass(TICK);
+            advanceTime(TICK);
         }
         provider.last().outcome().complete(outcome);
     }
 
     @Test
-    void nothingIsCalledBeforeAWholeTenureNorWithoutTheRole() {
+    void noCallIsMadeWithoutTheRoleOrBeforeAFullTenure() {
         token = Optional.empty();
-        pass(2 * TENURE);
+        advanceTime(2 * TENURE);
         token = Optional.of(4L);
-        pass(TENURE);
+        advanceTime(TENURE);
         assertThat(provider.calls(), hasSize(0));
-        pass(TICK);
+        advanceTime(TICK);
         assertThat(provider.calls(), hasSize(1));
         assertThat(provider.last().holder(), is("holder"));
         assertThat(provider.last().token(), is(4L));
     }
 
     @Test
-    void oneCallAtATimeIsMadeWhileTheProviderIsSlowOrSilent() {
-        pass(TENURE + 4 * SECOND);
-        assertThat(provider.subjects(), contains("usage 1"));
+    void onlyOneCallIsInFlightWhileTheProviderIsSlow() {
+        advanceTime(TENURE + 4 * SECOND);
+        assertThat(provider.descriptions(), contains("usage 1"));
         provider.last().outcome().complete(Outcome.ACCEPTED);
-        pass(TICK);
-        assertThat(provider.subjects(), contains("usage 1", "usage 2"));
+        advanceTime(TICK);
+        assertThat(provider.descriptions(), contains("usage 1", "usage 2"));
     }
 
     @Test
-    void anOutcomeThatIsLostInTheProcessHoldsUpNothingForGood() {
-        pass(TENURE + 7 * SECOND);
-        assertThat(provider.subjects(), contains("usage 1", "usage 1"));
+    void aLostOutcomeTimesOutAndTheCallIsRepeated() {
+        advanceTime(TENURE + 7 * SECOND);
+        assertThat(provider.descriptions(), contains("usage 1", "usage 1"));
         provider.calls().get(0).outcome().complete(Outcome.FENCED);
-        answerNext(Outcome.ACCEPTED);
+        completeNextCall(Outcome.ACCEPTED);
         assertThat("the late outcome counts for nothing", provider.last().token(), is(4L));
     }
 
     @Test
-    void callsStayBelowTheSharedRate() {
-        pass(TENURE);
+    void callsStayBelowTheShareOfTheProvidersRateLimit() {
+        advanceTime(TENURE);
         final long from = now;
         for (int i = 0; i < 9; i++) {
-            answerNext(Outcome.ACCEPTED);
+            completeNextCall(Outcome.ACCEPTED);
         }
         assertThat("8 pauses at 4 a second", now - from, greaterThan(2 * SECOND - 1));
     }
 
     @Test
-    void aWindowWhoseOutcomeIsUnknownIsRepeatedWithTheSameNumberUntilItIsAccepted() {
-        pass(TENURE);
-        answerNext(Outcome.UNKNOWN);
-        answerNext(Outcome.THROTTLED);
-        answerNext(Outcome.ACCEPTED);
-        answerNext(Outcome.REFUSED);
-        answerNext(Outcome.ACCEPTED);
-        assertThat(provider.subjects(), contains("usage 1", "usage 1", "usage 1", "usage 2", "usage 3"));
+    void aWindowIsReportedAgainUntilItIsAcceptedOrRefused() {
+        advanceTime(TENURE);
+        completeNextCall(Outcome.UNKNOWN);
+        completeNextCall(Outcome.THROTTLED);
+        completeNextCall(Outcome.ACCEPTED);
+        completeNextCall(Outcome.REFUSED);
+        completeNextCall(Outcome.ACCEPTED);
+        assertThat(provider.descriptions(), contains("usage 1", "usage 1", "usage 1", "usage 2", "usage 3"));
     }
 
     @Test
-    void pausesGrowWhileTheProviderIsDownAndAreShortAgainAfterwards() {
-        pass(TENURE);
+    void backoffGrowsWhileTheProviderFailsAndResetsAfterASuccess() {
+        advanceTime(TENURE);
         for (int i = 0; i < 10; i++) {
-            answerNext(Outcome.UNKNOWN);
+            completeNextCall(Outcome.UNKNOWN);
         }
         final int calls = provider.calls().size();
         final long from = now;
-        answerNext(Outcome.ACCEPTED);
+        completeNextCall(Outcome.ACCEPTED);
         assertThat("long, but bounded", now - from, is(lessThanOrEqualTo(2 * SECOND)));
         assertThat(now - from, greaterThan(SECOND / 2));
-        answerNext(Outcome.UNKNOWN);
-        answerNext(Outcome.ACCEPTED);
+        completeNextCall(Outcome.UNKNOWN);
+        completeNextCall(Outcome.ACCEPTED);
         assertThat(provider.calls(), hasSize(calls + 3));
         assertThat("short again", now - from, is(lessThanOrEqualTo(4 * SECOND)));
     }
 
     @Test
-    void aSourceWhoseCallsFailDoesNotHoldUpTheOthers() {
-        workerCounts.wanted = Optional.of(6);
-        pass(TENURE);
-        answerNext(Outcome.UNKNOWN);
-        answerNext(Outcome.ACCEPTED);
-        assertThat(provider.subjects(), contains("usage 1", "workers 6"));
+    void aSourceWhoseCallsFailDoesNotDelayTheOthers() {
+        workerCounts.targetCount = Optional.of(6);
+        advanceTime(TENURE);
+        completeNextCall(Outcome.UNKNOWN);
+        completeNextCall(Outcome.ACCEPTED);
+        assertThat(provider.descriptions(), contains("usage 1", "workers 6"));
         assertThat(workerCounts.outcomes, contains(Outcome.ACCEPTED));
     }
 
     @Test
-    void afterARefusedTokenNothingIsCalledUnderItButUnderALaterOne() {
-        pass(TENURE);
-        answerNext(Outcome.FENCED);
-        pass(20 * SECOND);
+    void aFencedTokenIsNotUsedAgainButALaterOneIs() {
+        advanceTime(TENURE);
+        completeNextCall(Outcome.FENCED);
+        advanceTime(20 * SECOND);
         assertThat(provider.calls(), hasSize(1));
         token = Optional.of(5L);
-        answerNext(Outcome.ACCEPTED);
+        completeNextCall(Outcome.ACCEPTED);
         assertThat(provider.last().token(), is(5L));
-        assertThat(provider.subjects(), contains("usage 1", "usage 1"));
+        assertThat(provider.descriptions(), contains("usage 1", "usage 1"));
     }
 
     @Test
-    void anOwnerThatComesBackAfterAnotherOneWaitsAndForgetsWhatItHadCalled() {
-        pass(TENURE);
-        answerNext(Outcome.ACCEPTED);
-        pass(SECOND);
+    void anOwnerThatRegainsTheRoleWaitsAFullTenureAndResetsItsSources() {
+        advanceTime(TENURE);
+        completeNextCall(Outcome.ACCEPTED);
+        advanceTime(SECOND);
         final ScriptedProvider.Call late = provider.last();
         token = Optional.empty();
-        pass(SECOND);
+        advanceTime(SECOND);
         token = Optional.of(6L);
-        pass(TENURE);
+        advanceTime(TENURE);
         assertThat(provider.calls(), hasSize(2));
         assertThat("at the start, and anew", workerCounts.resets, is(2));
         late.outcome().complete(Outcome.FENCED);
-        pass(SECOND);
+        advanceTime(SECOND);
         assertThat("a late outcome of the earlier token", provider.last().token(), is(6L));
     }
 
     @Test
-    void theRoleIsLookedAtInTheInstantOfTheCall() {
-        pass(TENURE);
+    void theFencingTokenIsReadAgainWhenTheCallIsMade() {
+        advanceTime(TENURE);
         final ProviderCaller hesitant = new ProviderCaller(
                 settings,
                 provider,
                 List.of(usage),
                 at -> at == now ? token : Optional.empty(),
-                this::slowClock,
+                this::pausingClock,
                 Runnable::run,
                 new SplittableRandom(7));
         hesitant.tick();
@@ -219,9 +219,9 @@
     }
 
     /** A clock that moves on with each look, as where the process is stopped for a moment. */
-    private long slowClock() {
-        return looks++ % 2 == 0 ? now : now + SECOND;
+    private long pausingClock() {
+        return clockReadings++ % 2 == 0 ? now : now + SECOND;
     }
 
-    private int looks;
+    private int clockReadings;
 }
--- a/server/src/test/java/silverlatch/server/provider/ScalingCallSourceTest.java
+++ b/server/src/test/java/silverlatch/server/provider/ScalingCallSourceTest.java
@@ -46,15 +46,15 @@
 
     /** Asks four times a second, answering each call at once; returns the orders. */
     private List<String> runFor(final int seconds, final CloudProvider.Outcome outcome) {
-        final List<String> orders = new ArrayList<>();
+        final List<String> calls = new ArrayList<>();
         for (int i = 0; i < 4 * seconds; i++) {
             now += SECOND / 4;
             source.next(now).ifPresent(call -> {
-                orders.add(summary(call));
+                calls.add(summary(call));
                 source.onOutcome(call, outcome, now);
             });
         }
-        return orders;
+        return calls;
     }
 
     private static String summary(final ProviderCall call) {
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void eachCountIsOrderedOnce() {
+    void eachCountIsSetOnce() {
         assertThat(runFor(4, CloudProvider.Outcome.ACCEPTED), is(empty()));
         assertThat(
                 runFor(20, CloudProvider.Outcome.ACCEPTED),
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void aCallThatWasNotMadeIsAskedForAgain() {
+    void aCallWithoutAnOutcomeIsReturnedAgain() {
         runFor(4, CloudProvider.Outcome.ACCEPTED);
         now += SECOND;
         final Optional<String> first = source.next(now).map(ScalingCallSourceTest::summary);
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void whatWasNotAcceptedIsOrderedAgainInTurns() {
+    void callsThatWereNotAcceptedAreRepeatedInTurn() {
         runFor(4, CloudProvider.Outcome.ACCEPTED);
         assertThat(runFor(1, CloudProvider.Outcome.THROTTLED), contains("east1=8", "east2=8", "east1=8", "east2=8"));
         assertThat(runFor(1, CloudProvider.Outcome.UNKNOWN), contains("east1=8", "east2=8", "east1=8", "east2=8"));
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void aRefusedCountIsNotOrderedAgainButAnotherIs() {
+    void aRefusedCountIsNotSetAgainButAnotherCountIs() {
         runFor(4, CloudProvider.Outcome.ACCEPTED);
         assertThat(runFor(3, CloudProvider.Outcome.REFUSED), contains("east1=8", "east2=8"));
         assertThat(runFor(4, CloudProvider.Outcome.ACCEPTED), contains("east1=4", "east2=4"));
@@ -97,7 +97,7 @@
 
     /** The raise may have taken effect: the count before it, accepted once, has to be ordered anew. */
     @Test
-    void aCountThatIsWantedAgainAfterACallWithoutAnAnswerIsOrderedAgain() {
+    void anAcceptedCountIsSetAgainAfterACallWithAnUnknownOutcome() {
         runFor(30, CloudProvider.Outcome.ACCEPTED);
         openRequests = 28;
         assertThat(runFor(1, CloudProvider.Outcome.UNKNOWN).get(0), is("east1=8"));
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void aNewOwnerOrdersNothingWhereTheWorkersAreEnough() {
+    void aNewOwnerSetsNoCountIfTheWorkersAreSufficient() {
         runFor(30, CloudProvider.Outcome.ACCEPTED);
         workersPerZone = 2;
         source.reset();
--- a/server/src/test/java/silverlatch/server/provider/ScriptedProvider.java
+++ b/server/src/test/java/silverlatch/server/provider/ScriptedProvider.java
@@ -10,7 +10,7 @@
     private final List<Call> calls = new ArrayList<>();
 
     /** A call, and the outcome that its caller waits for. */
-    record Call(String holder, long token, String what, CompletableFuture<Outcome> outcome) {}
+    record Call(String holder, long token, String description, CompletableFuture<Outcome> outcome) {}
 
     List<Call> calls() {
         return calls;
@@ -21,21 +21,21 @@
     }
 
     /** What was called for, in order. */
-    List<String> subjects() {
-        return calls.stream().map(Call::what).toList();
+    List<String> descriptions() {
+        return calls.stream().map(Call::description).toList();
     }
 
     @Override
     public CompletableFuture<Outcome> reportUsage(final Caller caller, final Value.UsageWindow window) {
-        return note(caller, "usage " + window.number());
+        return addCall(caller, "usage " + window.number());
     }
 
     @Override
     public CompletableFuture<Outcome> setWorkerCount(final Caller caller, final WorkerCount target) {
-        return note(caller, "workers " + target.count());
+        return addCall(caller, "workers " + target.count());
     }
 
-    private CompletableFuture<Outcome> note(final Caller caller, final String what) {
+    private CompletableFuture<Outcome> addCall(final Caller caller, final String what) {
         final CompletableFuture<Outcome> outcome = new CompletableFuture<>();
         calls.add(new Call(caller.holderName(), caller.fencingToken(), what, outcome));
         return outcome;
--- a/server/src/test/java/silverlatch/server/proxy/ClientDisconnectTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ClientDisconnectTest.java
@@ -4,10 +4,10 @@
 import static org.hamcrest.Matchers.containsString;
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.startsWith;
-import static silverlatch.server.proxy.HttpText.CHUNKED;
+import static silverlatch.server.proxy.HttpText.EVENT_STREAM_HEADERS;
 import static silverlatch.server.proxy.HttpText.event;
 import static silverlatch.server.proxy.HttpText.failure;
-import static silverlatch.server.proxy.HttpText.good;
+import static silverlatch.server.proxy.HttpText.successHead;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -25,9 +25,9 @@
 /** What becomes of a request whose client closes its connection while the worker is silent. */
 final class ClientDisconnectTest extends ProxyFixture {
     /** The platform counts work that goes on for longer than this after the client has left. */
-    private static final long NOTICE_LIMIT_MS = 500;
+    private static final long CANCEL_LIMIT_MS = 500;
 
-    private static final long BEYOND_HALF_CLOSE_MS = 150;
+    private static final long PAST_HALF_CLOSE_WINDOW_MS = 150;
     private static final long WAIT_MS = 5_000;
     private SilentWorker silent;
 
@@ -75,7 +75,7 @@
 
     /** The silent worker is the only one that the router knows. */
     private void useSilentWorker() throws Exception {
-        startWorkerAt(silent.server.getLocalPort());
+        addWorker(silent.server.getLocalPort());
     }
 
     private Socket send(final String path) throws IOException {
@@ -96,7 +96,7 @@
     }
 
     /** How long until the proxy ended its connection to the worker, in milliseconds. */
-    private static long millisUntilEnd(final Socket worker) throws IOException {
+    private static long millisUntilConnectionEnd(final Socket worker) throws IOException {
         final long begin = System.nanoTime();
         worker.setSoTimeout((int) WAIT_MS);
         try {
@@ -112,26 +112,26 @@
     }
 
     @Test
-    void theWorkersConnectionEndsSoonAfterTheClientHasClosedItsOwn() throws Exception {
+    void theWorkersConnectionIsClosedSoonAfterTheClientDisconnects() throws Exception {
         useSilentWorker();
         final Socket client = send("/again/x");
         final Socket worker = silent.nextConnection();
-        Thread.sleep(BEYOND_HALF_CLOSE_MS);
+        Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
         client.close();
-        assertThat(millisUntilEnd(worker) < NOTICE_LIMIT_MS, is(true));
+        assertThat(millisUntilConnectionEnd(worker) < CANCEL_LIMIT_MS, is(true));
         awaitNoOpenRequest(WAIT_MS);
     }
 
     @Test
-    void aStreamThatHasBegunEndsToo() throws Exception {
+    void aStartedStreamIsCancelledWhenTheClientDisconnects() throws Exception {
         useSilentWorker();
         final Socket client = send("/once/x");
         final Socket worker = silent.nextConnection();
-        write(worker, good(silent.requests.take()) + CHUNKED + "\r\n" + event(1));
+        write(worker, successHead(silent.requests.take()) + EVENT_STREAM_HEADERS + "\r\n" + event(1));
         assertThat(HttpText.read(client.getInputStream()), startsWith("HTTP/1.1 200"));
-        Thread.sleep(BEYOND_HALF_CLOSE_MS);
+        Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
         client.close();
-        assertThat(millisUntilEnd(worker) < NOTICE_LIMIT_MS, is(true));
+        assertThat(millisUntilConnectionEnd(worker) < CANCEL_LIMIT_MS, is(true));
         awaitNoOpenRequest(WAIT_MS);
     }
 
@@ -141,50 +141,50 @@
         try (Socket client = send("/again/x")) {
             client.shutdownOutput();
             final Socket worker = silent.nextConnection();
-            Thread.sleep(BEYOND_HALF_CLOSE_MS);
-            write(worker, good(silent.requests.take()) + "Content-Length: 2\r\n\r\nok");
+            Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
+            write(worker, successHead(silent.requests.take()) + "Content-Length: 2\r\n\r\nok");
             assertThat(readAll(client), containsString("\r\n\r\nok"));
         }
     }
 
     @Test
-    void aRequestThatMayNotBeRepeatedRunsToItsEnd() throws Exception {
+    void aNonIdempotentRequestRunsToCompletionAfterTheClientCloses() throws Exception {
         useSilentWorker();
         try (Socket client = send("/plain/x")) {
             final Socket worker = silent.nextConnection();
-            Thread.sleep(BEYOND_HALF_CLOSE_MS);
+            Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
             client.shutdownOutput();
-            Thread.sleep(BEYOND_HALF_CLOSE_MS);
-            write(worker, good(silent.requests.take()) + "Content-Length: 2\r\n\r\nok");
+            Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
+            write(worker, successHead(silent.requests.take()) + "Content-Length: 2\r\n\r\nok");
             assertThat(readAll(client), containsString("\r\n\r\nok"));
         }
     }
 
     @Test
-    void noFurtherWorkerIsAskedOnceTheClientHasLeft() throws Exception {
+    void noRetryIsMadeAfterTheClientCloses() throws Exception {
         useSilentWorker();
         final Socket client = send("/plain/x");
         final Socket worker = silent.nextConnection();
-        final StubWorker other = startWorker(request -> good(request) + "Content-Length: 2\r\n\r\nok");
-        Thread.sleep(BEYOND_HALF_CLOSE_MS);
+        final StubWorker other = startWorker(request -> successHead(request) + "Content-Length: 2\r\n\r\nok");
+        Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
         client.shutdownOutput();
-        Thread.sleep(BEYOND_HALF_CLOSE_MS);
+        Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
         write(worker, failure(silent.requests.take(), "503 Full", "Silverlatch-Not-Run: 1\r\n"));
         assertThat(readAll(client), startsWith("HTTP/1.1 503"));
         assertThat(other.received.size(), is(0));
     }
 
     @Test
-    void aRequestSentAheadIsServedAfterTheOneThatRuns() throws Exception {
+    void aPipelinedRequestIsServedAfterTheCurrentOne() throws Exception {
         useSilentWorker();
         try (Socket client = send("/again/x")) {
             final Socket worker = silent.nextConnection();
             write(client, request("/again/y", "t-2", "Connection: close\r\n"));
-            Thread.sleep(BEYOND_HALF_CLOSE_MS);
-            write(worker, good(silent.requests.take()) + "Connection: close\r\nContent-Length: 5\r\n\r\nfirst");
+            Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
+            write(worker, successHead(silent.requests.take()) + "Connection: close\r\nContent-Length: 5\r\n\r\nfirst");
             worker.shutdownOutput();
             final Socket next = silent.nextConnection();
-            write(next, good(silent.requests.take()) + "Content-Length: 6\r\n\r\nsecond");
+            write(next, successHead(silent.requests.take()) + "Content-Length: 6\r\n\r\nsecond");
             final String replies = readAll(client);
             assertThat(replies, containsString("\r\n\r\nfirst"));
             assertThat(replies, containsString("\r\n\r\nsecond"));
@@ -193,13 +193,13 @@
     }
 
     @Test
-    void aClientThatClosesBehindARequestSentAheadIsNoticedToo() throws Exception {
+    void aDisconnectAfterAPipelinedRequestIsDetected() throws Exception {
         useSilentWorker();
         final Socket client = send("/again/x");
         final Socket worker = silent.nextConnection();
         write(client, request("/again/y", "t-2", ""));
-        Thread.sleep(BEYOND_HALF_CLOSE_MS);
+        Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
         client.close();
-        assertThat(millisUntilEnd(worker) < NOTICE_LIMIT_MS, is(true));
+        assertThat(millisUntilConnectionEnd(worker) < CANCEL_LIMIT_MS, is(true));
     }
 }
--- a/server/src/test/java/silverlatch/server/proxy/EarlyResponseTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/EarlyResponseTest.java
@@ -4,8 +4,8 @@
 import static org.hamcrest.Matchers.containsString;
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.startsWith;
-import static silverlatch.server.proxy.HttpText.good;
 import static silverlatch.server.proxy.HttpText.header;
+import static silverlatch.server.proxy.HttpText.successHead;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -34,7 +34,7 @@
         proxy.get().setMaxBodyBytes(BODY_LIMIT);
         worker = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         Threads.startDaemon("early-worker", this::accept);
-        startWorkerAt(worker.getLocalPort());
+        addWorker(worker.getLocalPort());
     }
 
     @AfterEach
@@ -57,7 +57,7 @@
         try (socket) {
             while (true) {
                 final String head = readHead(socket.getInputStream());
-                final String reply = good(head) + "Content-Length: 5\r\n\r\nearly";
+                final String reply = successHead(head) + "Content-Length: 5\r\n\r\nearly";
                 socket.getOutputStream().write(reply.getBytes(StandardCharsets.ISO_8859_1));
                 socket.getOutputStream().flush();
                 Thread.sleep(READ_LATER_MS);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void theWorkerReadsTheRestOfThatBodyAndNothingElse() throws Exception {
+    void anEarlyResponseDoesNotMixTheBodiesOfTwoRequests() throws Exception {
         final String first = "a".repeat(BODY_BYTES);
         final String second = "c".repeat(BODY_BYTES);
         assertThat(post("/once/x", "", first), containsString("early"));
--- a/server/src/test/java/silverlatch/server/proxy/ExchangeChecker.java
+++ b/server/src/test/java/silverlatch/server/proxy/ExchangeChecker.java
@@ -12,7 +12,7 @@
     private static final Set<Integer> RETRYABLE_STATUSES = Set.of(408, 421, 429, 503);
     private static final Pattern EVENT = Pattern.compile("id: (\\d+)\ndata: (\\S+) (\\S+) piece (\\d+)\n\n");
     private static final Pattern TENANT = Pattern.compile("(?im)^Silverlatch-Tenant:[ \t]*(.*?)[ \t\r]*$");
-    private static final int LEFTOVERS_FOR_ONE_REUSE = 20;
+    private static final int LEFTOVERS_PER_ALLOWED_REUSE = 20;
     private final ExchangeLog log;
     private final int maxAttempts;
     private final List<String> violations = new ArrayList<>();
@@ -24,8 +24,8 @@
 
     List<String> check() {
         violations.addAll(log.violations);
-        log.runs.forEach(this::checkRequested);
-        log.attempts.values().forEach(this::checkRuns);
+        log.runs.forEach(this::checkSentByClient);
+        log.requests.values().forEach(this::checkRuns);
         log.responses.forEach(this::checkResponse);
         checkReuses();
         return violations.stream()
@@ -41,41 +41,41 @@
     private void checkReuses() {
         final long leftovers =
                 log.runs.stream().filter(run -> run.behaviour().leavesBytes()).count();
-        if (log.reuses.size() * LEFTOVERS_FOR_ONE_REUSE > leftovers + LEFTOVERS_FOR_ONE_REUSE) {
+        if (log.reuses.size() * LEFTOVERS_PER_ALLOWED_REUSE > leftovers + LEFTOVERS_PER_ALLOWED_REUSE) {
             violations.add("REUSED: " + log.reuses.size() + " of " + leftovers + ": " + log.reuses);
         }
     }
 
-    private void checkRequested(final ExchangeLog.Run run) {
-        final ExchangeLog.Attempt attempt = log.attempts.get(run.attemptId());
-        if (attempt == null || !attempt.complete()) {
+    private void checkSentByClient(final ExchangeLog.Run run) {
+        final ExchangeLog.ClientRequest request = log.requests.get(run.requestId());
+        if (request == null || !request.complete()) {
             violations.add("UNASKED: " + run);
-        } else if (!attempt.path().equals(run.path()) || !attempt.body().equals(run.requestBody())) {
-            violations.add("UNASKED: changed " + run + " of " + attempt);
-        } else if (!TENANT.matcher(run.head())
+        } else if (!request.path().equals(run.path()) || !request.body().equals(run.requestBody())) {
+            violations.add("UNASKED: changed " + run + " of " + request);
+        } else if (!TENANT.matcher(run.requestHead())
                         .results()
                         .map(found -> found.group(1))
                         .toList()
-                        .equals(List.of(ExchangeLog.TENANT_PREFIX + attempt.tenant()))
-                || run.head().contains(ExchangeLog.KEY_PREFIX)) {
-            violations.add("UNASKED: another tenant, or a key, in " + run + " of " + attempt);
+                        .equals(List.of(ExchangeLog.TENANT_PREFIX + request.tenant()))
+                || run.requestHead().contains(ExchangeLog.KEY_PREFIX)) {
+            violations.add("UNASKED: another tenant, or a key, in " + run + " of " + request);
         }
     }
 
-    private void checkRuns(final ExchangeLog.Attempt attempt) {
-        final List<ExchangeLog.Run> arrived = log.runs.stream()
-                .filter(run -> run.attemptId().equals(attempt.id()))
+    private void checkRuns(final ExchangeLog.ClientRequest request) {
+        final List<ExchangeLog.Run> runs = log.runs.stream()
+                .filter(run -> run.requestId().equals(request.id()))
                 .toList();
-        final long executed = arrived.stream().filter(ExchangeLog.Run::executed).count();
-        if (!attempt.kind().idempotent && executed > 1) {
-            violations.add("TWICE: " + arrived);
+        final long executed = runs.stream().filter(ExchangeLog.Run::executed).count();
+        if (!request.kind().idempotent && executed > 1) {
+            violations.add("TWICE: " + runs);
         }
-        if (arrived.size() > maxAttempts) {
-            violations.add("BUDGET: " + arrived);
+        if (runs.size() > maxAttempts) {
+            violations.add("BUDGET: " + runs);
         }
     }
 
-    private void checkResponse(final ExchangeLog.Received received) {
+    private void checkResponse(final ExchangeLog.ReceivedResponse received) {
         final HttpResponseReader.Message message = received.message();
         if (message.end() == HttpResponseReader.End.NOTHING) {
             return;
@@ -95,29 +95,29 @@
             violations.add("MIXED: seals " + seals + " " + received);
         }
         run.ifPresent(sealedRun -> checkSealed(received, sealedRun));
-        if (RETRYABLE_STATUSES.contains(message.status()) && !received.attempt().kind().idempotent) {
+        if (RETRYABLE_STATUSES.contains(message.status()) && !received.request().kind().idempotent) {
             log.runs.stream()
                     .filter(sealedRun ->
-                            sealedRun.attemptId().equals(received.attempt().id()) && sealedRun.executed())
+                            sealedRun.requestId().equals(received.request().id()) && sealedRun.executed())
                     .findFirst()
                     .ifPresent(sealedRun -> violations.add("REFUSED: " + received + " although " + sealedRun));
         }
     }
 
-    private void checkSealed(final ExchangeLog.Received received, final ExchangeLog.Run run) {
+    private void checkSealed(final ExchangeLog.ReceivedResponse received, final ExchangeLog.Run run) {
         final HttpResponseReader.Message message = received.message();
-        if (!run.attemptId().equals(received.attempt().id())) {
+        if (!run.requestId().equals(received.request().id())) {
             violations.add("MIXED: another request's response " + received + " of " + run);
         } else if (run.status() != message.status()) {
             violations.add("MIXED: another status " + received + " than " + run);
-        } else if (message.status() / 100 == 2 && received.attempt().kind() == ExchangeLog.Kind.RESUMABLE) {
+        } else if (message.status() / 100 == 2 && received.request().kind() == ExchangeLog.Kind.RESUMABLE) {
             checkResumed(received);
         } else {
             checkBody(received, run);
         }
     }
 
-    private void checkBody(final ExchangeLog.Received received, final ExchangeLog.Run run) {
+    private void checkBody(final ExchangeLog.ReceivedResponse received, final ExchangeLog.Run run) {
         final HttpResponseReader.Message message = received.message();
         final boolean complete = message.end() == HttpResponseReader.End.COMPLETE;
         if (complete && (!message.body().equals(run.body()) || !run.complete())) {
@@ -128,9 +128,9 @@
     }
 
     /** Pieces come in order, without a gap; those of another run begin where that run was told to go on. */
-    private void checkResumed(final ExchangeLog.Received received) {
+    private void checkResumed(final ExchangeLog.ReceivedResponse received) {
         final HttpResponseReader.Message message = received.message();
-        final String attemptId = received.attempt().id();
+        final String requestId = received.request().id();
         final Matcher events = EVENT.matcher(message.body());
         int last = 0;
         int end = 0;
@@ -140,7 +140,7 @@
             final int piece = Integer.parseInt(events.group(1));
             final Optional<ExchangeLog.Run> run = Optional.ofNullable(log.runsBySeal.get(events.group(3)));
             final String resumedAt = last == 0 ? "" : "" + last;
-            if (piece != last + 1 || !events.group(2).equals(attemptId)) {
+            if (piece != last + 1 || !events.group(2).equals(requestId)) {
                 violations.add("ORDER: piece " + piece + " after " + last + " in " + received);
             }
             if (!events.group(3).equals(seal)
@@ -155,10 +155,10 @@
         }
         final boolean complete = message.end() == HttpResponseReader.End.COMPLETE;
         if (complete
-                && (last != ScriptedWorker.pieces(attemptId)
+                && (last != ScriptedWorker.eventCount(requestId)
                         || end != message.body().length())) {
-            violations.add("ORDER: complete after piece " + last + " of " + ScriptedWorker.pieces(attemptId) + " in "
-                    + received);
+            violations.add("ORDER: complete after piece " + last + " of " + ScriptedWorker.eventCount(requestId)
+                    + " in " + received);
         }
     }
 }
--- a/server/src/test/java/silverlatch/server/proxy/ExchangeLog.java
+++ b/server/src/test/java/silverlatch/server/proxy/ExchangeLog.java
@@ -16,10 +16,10 @@
     /** How each tenant's name begins. */
     static final String TENANT_PREFIX = "tenant-";
 
-    final Map<String, Attempt> attempts = new ConcurrentHashMap<>();
+    final Map<String, ClientRequest> requests = new ConcurrentHashMap<>();
     final Map<String, Run> runsBySeal = new ConcurrentHashMap<>();
     final List<Run> runs = new CopyOnWriteArrayList<>();
-    final List<Received> responses = new CopyOnWriteArrayList<>();
+    final List<ReceivedResponse> responses = new CopyOnWriteArrayList<>();
     final List<String> violations = new CopyOnWriteArrayList<>();
     final List<String> reuses = new CopyOnWriteArrayList<>();
 
@@ -44,7 +44,7 @@
     }
 
     /** What a client sends, and whether it sends it whole. */
-    record Attempt(String id, Kind kind, String path, String body, boolean complete) {
+    record ClientRequest(String id, Kind kind, String path, String body, boolean complete) {
         /** The number of the tenant whose key the client sends. */
         int tenant() {
             return Math.floorMod(id.hashCode(), TENANTS);
@@ -54,7 +54,7 @@
     /**
      * A request that a worker has read whole.
      *
-     * @param head     the request's head
+     * @param requestHead     the request's head
      * @param seal     the seal of the response, unlike any other
      * @param executed whether the worker ran it
      * @param status   the status that the worker gives
@@ -62,9 +62,9 @@
      * @param complete    whether it lets the body get through whole
      */
     record Run(
-            String worker,
-            String attemptId,
-            String head,
+            String workerId,
+            String requestId,
+            String requestHead,
             String path,
             String requestBody,
             String lastEventId,
@@ -76,9 +76,9 @@
             boolean complete) {}
 
     /** A response as a client has read it, or why it is none. */
-    record Received(Attempt attempt, HttpResponseReader.Message message) {}
+    record ReceivedResponse(ClientRequest request, HttpResponseReader.Message message) {}
 
-    void run(final Run run) {
+    void addRun(final Run run) {
         runsBySeal.put(run.seal(), run);
         runs.add(run);
     }
--- a/server/src/test/java/silverlatch/server/proxy/HttpResponseReader.java
+++ b/server/src/test/java/silverlatch/server/proxy/HttpResponseReader.java
@@ -49,30 +49,30 @@
         final ByteArrayOutputStream body = new ByteArrayOutputStream();
         int status = 0;
         try {
-            final String first = line(in, raw);
+            final String first = readLine(in, raw);
             if (!first.matches("HTTP/1\\.1 [1-5]\\d\\d( .*)?")) {
                 return new Message(End.GARBAGE, 0, headers, "", text(raw));
             }
             status = Integer.parseInt(first.substring(9, 12));
-            String header = line(in, raw);
+            String header = readLine(in, raw);
             while (!header.isEmpty()) {
                 headers.add(header);
-                header = line(in, raw);
+                header = readLine(in, raw);
             }
             final Message head = new Message(End.TRUNCATED, status, headers, "", "");
             if (status == 204 || status == 304) {
                 return new Message(End.COMPLETE, status, headers, "", text(raw));
             }
             if (head.values("Transfer-Encoding").contains("chunked")) {
-                chunks(in, raw, body);
+                readChunks(in, raw, body);
             } else if (!head.values("Content-Length").isEmpty()) {
-                bytes(
+                readBytes(
                         in,
                         raw,
                         body,
                         Integer.parseInt(head.values("Content-Length").get(0)));
             } else {
-                rest(in, raw, body);
+                readToEnd(in, raw, body);
             }
             return new Message(End.COMPLETE, status, headers, text(body), text(raw));
         } catch (final IOException | NumberFormatException failure) {
@@ -80,26 +80,28 @@
         }
     }
 
-    private static void chunks(final InputStream in, final ByteArrayOutputStream raw, final ByteArrayOutputStream body)
+    private static void readChunks(
+            final InputStream in, final ByteArrayOutputStream raw, final ByteArrayOutputStream body)
             throws IOException {
-        int size = Integer.parseInt(line(in, raw), 16);
+        int size = Integer.parseInt(readLine(in, raw), 16);
         while (size > 0) {
-            bytes(in, raw, body, size);
-            line(in, raw);
-            size = Integer.parseInt(line(in, raw), 16);
+            readBytes(in, raw, body, size);
+            readLine(in, raw);
+            size = Integer.parseInt(readLine(in, raw), 16);
         }
-        line(in, raw);
+        readLine(in, raw);
     }
 
-    private static void bytes(
+    private static void readBytes(
             final InputStream in, final ByteArrayOutputStream raw, final ByteArrayOutputStream body, final int count)
             throws IOException {
         for (int i = 0; i < count; i++) {
-            body.write(one(in, raw));
+            body.write(readByte(in, raw));
         }
     }
 
-    private static void rest(final InputStream in, final ByteArrayOutputStream raw, final ByteArrayOutputStream body)
+    private static void readToEnd(
+            final InputStream in, final ByteArrayOutputStream raw, final ByteArrayOutputStream body)
             throws IOException {
         for (int next = in.read(); next >= 0; next = in.read()) {
             raw.write(next);
@@ -107,15 +109,15 @@
         }
     }
 
-    private static String line(final InputStream in, final ByteArrayOutputStream raw) throws IOException {
+    private static String readLine(final InputStream in, final ByteArrayOutputStream raw) throws IOException {
         final StringBuilder line = new StringBuilder();
         while (line.length() < 2 || line.charAt(line.length() - 1) != '\n') {
-            line.append((char) one(in, raw));
+            line.append((char) readByte(in, raw));
         }
         return line.substring(0, line.length() - 2);
     }
 
-    private static int one(final InputStream in, final ByteArrayOutputStream raw) throws IOException {
+    private static int readByte(final InputStream in, final ByteArrayOutputStream raw) throws IOException {
         final int next = in.read();
         if (next < 0) {
             throw new EOFException();
--- a/server/src/test/java/silverlatch/server/proxy/HttpText.java
+++ b/server/src/test/java/silverlatch/server/proxy/HttpText.java
@@ -9,7 +9,7 @@
 
 /** Writes and takes apart HTTP/1.1 messages as text, one character a byte. */
 final class HttpText {
-    static final String CHUNKED = "Transfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n";
+    static final String EVENT_STREAM_HEADERS = "Transfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n";
 
     private HttpText() {}
 
@@ -38,7 +38,7 @@
                 .orElse("");
     }
 
-    static String good(final String request) {
+    static String successHead(final String request) {
         return "HTTP/1.1 200 OK\r\nSilverlatch-Ticket: " + header(request, "Silverlatch-Ticket")
                 + "\r\nSilverlatch-Seal: s\r\n";
     }
--- a/server/src/test/java/silverlatch/server/proxy/ProxyConnectionTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyConnectionTest.java
@@ -3,11 +3,11 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.startsWith;
-import static silverlatch.server.proxy.HttpText.CHUNKED;
+import static silverlatch.server.proxy.HttpText.EVENT_STREAM_HEADERS;
 import static silverlatch.server.proxy.HttpText.event;
-import static silverlatch.server.proxy.HttpText.good;
 import static silverlatch.server.proxy.HttpText.header;
 import static silverlatch.server.proxy.HttpText.read;
+import static silverlatch.server.proxy.HttpText.successHead;
 
 import java.io.IOException;
 import java.net.Socket;
@@ -19,8 +19,8 @@
 /** Connections with clients and workers: limits, reuse, and when they are closed. */
 final class ProxyConnectionTest extends ProxyFixture {
     @Test
-    void badRequestsEndTheirConnectionAndReachNoWorker() throws IOException {
-        final StubWorker worker = startWorker(r -> good(r) + "Content-Length: 0\r\n\r\n");
+    void badRequestsCloseTheirConnectionAndReachNoWorker() throws IOException {
+        final StubWorker worker = startWorker(r -> successHead(r) + "Content-Length: 0\r\n\r\n");
         assertThat(
                 sendRaw("POST /once/x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd"),
                 startsWith("HTTP/1.1 400"));
@@ -44,7 +44,7 @@
 
     @Test
     void aRequestWithoutARequestIdReachesNoWorker() throws IOException {
-        final StubWorker worker = startWorker(request -> good(request) + "Content-Length: 0\r\n\r\n");
+        final StubWorker worker = startWorker(request -> successHead(request) + "Content-Length: 0\r\n\r\n");
         assertThat(
                 sendRaw("POST /once/x HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"),
                 startsWith("HTTP/1.1 400"));
@@ -53,8 +53,8 @@
 
     @Test
     void bytesAfterAResponseCloseItsConnection() throws IOException {
-        final StubWorker worker =
-                startWorker(request -> good(request) + "Content-Length: 2\r\n\r\nok" + "HTTP/1.1 200 OK\r\nSilver");
+        final StubWorker worker = startWorker(
+                request -> successHead(request) + "Content-Length: 2\r\n\r\nok" + "HTTP/1.1 200 OK\r\nSilver");
         assertThat(post("/once/x", "", "b"), startsWith("HTTP/1.1 200"));
         assertThat(post("/once/y", "", "b"), startsWith("HTTP/1.1 200"));
         assertThat(worker.connections.get(), is(2));
@@ -62,25 +62,28 @@
 
     @Test
     void aConnectionWithoutLeftoverBytesIsReused() throws IOException {
-        final StubWorker worker = startWorker(request -> good(request) + "Content-Length: 2\r\n\r\nok");
+        final StubWorker worker = startWorker(request -> successHead(request) + "Content-Length: 2\r\n\r\nok");
         assertThat(post("/once/x", "", "b"), startsWith("HTTP/1.1 200"));
         assertThat(post("/once/y", "", "b"), startsWith("HTTP/1.1 200"));
         assertThat(worker.connections.get(), is(1));
     }
 
     @Test
-    void aConnectionWithoutLeftoverBytesIsReusedAfterChunks() throws IOException {
-        final StubWorker worker = startWorker(request -> good(request) + CHUNKED + "\r\n" + event(1) + "0\r\n\r\n");
+    void aConnectionWithoutLeftoverBytesIsReusedAfterAChunkedResponse() throws IOException {
+        final StubWorker worker =
+                startWorker(request -> successHead(request) + EVENT_STREAM_HEADERS + "\r\n" + event(1) + "0\r\n\r\n");
         assertThat(post("/once/x", "", "b"), startsWith("HTTP/1.1 200"));
         assertThat(post("/once/y", "", "b"), startsWith("HTTP/1.1 200"));
         assertThat(worker.connections.get(), is(1));
     }
 
     @Test
-    void aConnectionThatTheWorkerClosedIsNoReasonToRetry() throws IOException {
-        final StubWorker worker = startWorker(request ->
-                header(request, "Content-Length").equals("1") ? good(request) + "Content-Length: 2\r\n\r\nok" : "|");
-        final StubWorker other = startWorker(request -> good(request) + "Content-Length: 2\r\n\r\nok");
+    void aRequestIsNotResentWhenTheWorkerClosesTheConnection() throws IOException {
+        final StubWorker worker =
+                startWorker(request -> header(request, "Content-Length").equals("1")
+                        ? successHead(request) + "Content-Length: 2\r\n\r\nok"
+                        : "|");
+        final StubWorker other = startWorker(request -> successHead(request) + "Content-Length: 2\r\n\r\nok");
         for (int i = 0; i < 4; i++) {
             post("/once/x", "", "b");
         }
@@ -104,32 +107,32 @@
             } catch (final InterruptedException failure) {
                 Thread.currentThread().interrupt();
             }
-            return good(request) + "Content-Length: 2\r\n\r\nok";
+            return successHead(request) + "Content-Length: 2\r\n\r\nok";
         });
         assertThat(post("/once/x", "", "b"), startsWith("HTTP/1.1 200"));
     }
 
     @Test
-    void aConnectionMayBeIdleAsLongAsTheLimitInForceAllows() throws Exception {
+    void theIdleTimeoutInForceAppliesToOpenConnections() throws Exception {
         httpServer.stop();
         httpServer = new MultiListenerServer(8);
         proxy.get().setListener(httpServer.addListener("127.0.0.1:" + port, 8_192, 200, proxy.get()));
         httpServer.start();
-        startWorker(request -> good(request) + "Content-Length: 2\r\n\r\nok");
+        startWorker(request -> successHead(request) + "Content-Length: 2\r\n\r\nok");
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(10_000);
-            assertThat(exchange(socket, "t-1"), startsWith("HTTP/1.1 200"));
+            assertThat(sendAndRead(socket, "t-1"), startsWith("HTTP/1.1 200"));
             proxy.get().updateLimits(new Value.RoutingConfiguration(2, 8_192, 4_096, 1_000_000, 4_000_000));
             Thread.sleep(1_500);
-            assertThat(exchange(socket, "t-2"), startsWith("HTTP/1.1 200"));
+            assertThat(sendAndRead(socket, "t-2"), startsWith("HTTP/1.1 200"));
             proxy.get().updateLimits(new Value.RoutingConfiguration(3, 8_192, 4_096, 1_000_000, 100_000));
             Thread.sleep(80);
-            assertThat(exchange(socket, "t-3"), startsWith("HTTP/1.1 200"));
+            assertThat(sendAndRead(socket, "t-3"), startsWith("HTTP/1.1 200"));
             assertThat(socket.getInputStream().read(), is(-1));
         }
     }
 
-    private static String exchange(final Socket socket, final String requestId) throws IOException {
+    private static String sendAndRead(final Socket socket, final String requestId) throws IOException {
         final String request = "POST /once/x HTTP/1.1\r\nHost: a\r\nSilverlatch-Ticket: " + requestId
                 + "\r\nSilverlatch-Expiry-Ms: 4000\r\nContent-Length: 1\r\n\r\nb";
         socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
--- a/server/src/test/java/silverlatch/server/proxy/ProxyFixture.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyFixture.java
@@ -50,7 +50,7 @@
     int port;
 
     @BeforeEach
-    void open() throws Exception {
+    void startProxy() throws Exception {
         workerClient = new WorkerHttpClient(WorkerHttpClient.Settings.DEFAULT);
         workerClient.start();
         router = new Router(Router.Settings.DEFAULT, snapshot(1), () -> new Stamp(1), new SplittableRandom(5));
@@ -72,7 +72,7 @@
     }
 
     @AfterEach
-    void shut() throws Exception {
+    void stopProxy() throws Exception {
         httpServer.stop();
         workerClient.stop();
         routerLoop.shutdownNow();
@@ -87,12 +87,12 @@
     StubWorker startWorker(final Function<String, String> script) throws IOException {
         final StubWorker started = new StubWorker(script);
         stubWorkers.add(started);
-        startWorkerAt(started.port());
+        addWorker(started.port());
         return started;
     }
 
     /** Has the router know a worker that the test runs itself. */
-    void startWorkerAt(final int workerPort) {
+    void addWorker(final int workerPort) {
         workerPorts.add(workerPort);
         final ClusterSnapshot next = snapshot(workerPorts.size() + 1);
         routerLoop.execute(() -> router.update(next, EventLoop.nowMicros()));
--- a/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
@@ -5,12 +5,12 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.not;
 import static org.hamcrest.Matchers.startsWith;
-import static silverlatch.server.proxy.HttpText.CHUNKED;
+import static silverlatch.server.proxy.HttpText.EVENT_STREAM_HEADERS;
 import static silverlatch.server.proxy.HttpText.chunk;
 import static silverlatch.server.proxy.HttpText.event;
 import static silverlatch.server.proxy.HttpText.failure;
-import static silverlatch.server.proxy.HttpText.good;
 import static silverlatch.server.proxy.HttpText.header;
+import static silverlatch.server.proxy.HttpText.successHead;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -27,12 +27,12 @@
 
 /** The proxy between a client and stub workers: forwarding, retries, resumed streams, shutdown. */
 final class ProxyServerTest extends ProxyFixture {
-    private static final long WRITTEN_LIMIT_MS = 1_000;
+    private static final long RESPONSE_WRITTEN_LIMIT_MS = 1_000;
 
     @Test
-    void aRequestAndItsResponsePassUnchanged() throws IOException {
-        final StubWorker worker =
-                startWorker(r -> good(r) + CHUNKED + "X-Own: 1\r\n\r\n" + event(1) + event(2) + "0\r\n\r\n");
+    void aRequestAndItsResponseAreForwardedUnchanged() throws IOException {
+        final StubWorker worker = startWorker(
+                r -> successHead(r) + EVENT_STREAM_HEADERS + "X-Own: 1\r\n\r\n" + event(1) + event(2) + "0\r\n\r\n");
         final String reply =
                 post("/once/a%20b?q=1&r=%2F", "X-Other: kept\r\nSilverlatch-Worker: forged\r\n", "the body");
         assertThat(reply, startsWith("HTTP/1.1 200"));
@@ -52,7 +52,7 @@
 
     @Test
     void theClientsTokenAndPromptHeadersAreForwardedUnchanged() throws IOException {
-        final StubWorker worker = startWorker(request -> good(request) + "Content-Length: 0\r\n\r\n");
+        final StubWorker worker = startWorker(request -> successHead(request) + "Content-Length: 0\r\n\r\n");
         final String reply = post(
                 "/once/x", "Silverlatch-Tokens: 20,5\r\nSilverlatch-Parts: 5c1e:15, 91bd:5\r\nX-Model: m-1\r\n", "b");
         assertThat(reply, startsWith("HTTP/1.1 200"));
@@ -64,22 +64,23 @@
 
     @Test
     void theClientsOwnLastEventIdIsForwarded() throws IOException {
-        final StubWorker worker = startWorker(request -> good(request) + CHUNKED + "\r\n" + event(8) + "0\r\n\r\n");
+        final StubWorker worker =
+                startWorker(request -> successHead(request) + EVENT_STREAM_HEADERS + "\r\n" + event(8) + "0\r\n\r\n");
         final String reply = post("/again/x", "Last-Event-Id: 7\r\n", "b");
         assertThat(reply.endsWith("0\r\n\r\n"), is(true));
         assertThat(header(worker.received.get(0), "Last-Event-Id"), is("7"));
     }
 
     @Test
-    void linesOfAnEventThatTheProxyDoesNotKnowAreForwarded() throws IOException {
+    void unknownLinesOfAnEventAreForwarded() throws IOException {
         final String events = "id: 1\ndata: a\n\nweights: 2\nid: 2\ndata: b\n\n";
-        startWorker(request -> good(request) + CHUNKED + "\r\n" + chunk(events) + "0\r\n\r\n");
+        startWorker(request -> successHead(request) + EVENT_STREAM_HEADERS + "\r\n" + chunk(events) + "0\r\n\r\n");
         assertThat(post("/again/x", "", "b"), containsString(events));
     }
 
     @Test
     void aTruncatedResponseNeverLooksComplete() throws IOException {
-        startWorker(r -> good(r) + CHUNKED + "\r\n" + event(1) + "|");
+        startWorker(r -> successHead(r) + EVENT_STREAM_HEADERS + "\r\n" + event(1) + "|");
         final String reply = post("/once/x", "", "b");
         assertThat(reply, startsWith("HTTP/1.1 200"));
         assertThat(reply, not(containsString("\r\n0\r\n\r\n")));
@@ -88,9 +89,9 @@
     @Test
     void aResumableStreamResumesAtAnotherWorkerAfterTheLastCompleteEvent() throws IOException {
         final Function<String, String> script = r -> header(r, "Last-Event-Id").isEmpty()
-                ? good(r).replace("Seal: s", "Seal: first") + CHUNKED + "\r\n" + event(1) + event(2)
+                ? successHead(r).replace("Seal: s", "Seal: first") + EVENT_STREAM_HEADERS + "\r\n" + event(1) + event(2)
                         + chunk("id: 3\ndata: torn") + "|"
-                : good(r) + CHUNKED + "\r\n" + event(3) + event(4) + "0\r\n\r\n";
+                : successHead(r) + EVENT_STREAM_HEADERS + "\r\n" + event(3) + event(4) + "0\r\n\r\n";
         final StubWorker one = startWorker(script);
         final StubWorker two = startWorker(script);
         final String reply = post("/again/x", "", "b");
@@ -105,9 +106,10 @@
 
     @Test
     void aCancelledExchangeForwardsNothingMore() throws IOException {
-        final StubWorker one = startWorker(r -> good(r) + CHUNKED + "\r\n" + event(1) + event(2) + "0\r\n\r\n");
-        final StubWorker other =
-                new StubWorker(r -> good(r) + CHUNKED + "\r\n" + event(1) + event(2) + event(3) + "0\r\n\r\n");
+        final StubWorker one =
+                startWorker(r -> successHead(r) + EVENT_STREAM_HEADERS + "\r\n" + event(1) + event(2) + "0\r\n\r\n");
+        final StubWorker other = new StubWorker(
+                r -> successHead(r) + EVENT_STREAM_HEADERS + "\r\n" + event(1) + event(2) + event(3) + "0\r\n\r\n");
         stubWorkers.add(other);
         beforeThirdEvent.set(() -> proxy.get()
                 .apply(new RoutingEffect.StartAttempt(
@@ -122,7 +124,7 @@
     }
 
     @Test
-    void aRequestThatWasNotExecutedIsRetriedElsewhereAndRejectedAfterThat() throws IOException {
+    void aRequestThatWasNotExecutedIsRetriedAtAnotherWorkerAndThenRejected() throws IOException {
         final StubWorker full = startWorker(r -> "HTTP/1.1 503 Full\r\nSilverlatch-Ticket: "
                 + header(r, "Silverlatch-Ticket") + "\r\nSilverlatch-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
         final String rejection = post("/once/x", "", "b");
@@ -145,11 +147,13 @@
     }
 
     @Test
-    void aResponseThatBreaksBeforeItsFirstByteIsReplacedWithTheNextWorkersSeal() throws IOException {
+    void anUncommittedResponseIsReplacedByTheNextWorkersIncludingItsSeal() throws IOException {
         final AtomicInteger runs = new AtomicInteger();
         final Function<String, String> script = request -> runs.incrementAndGet() == 1
-                ? good(request).replace("Seal: s", "Seal: first") + CHUNKED + "\r\n" + chunk("id: 1\ndata: torn") + "|"
-                : good(request).replace("Seal: s", "Seal: second") + CHUNKED + "\r\n" + event(1) + "0\r\n\r\n";
+                ? successHead(request).replace("Seal: s", "Seal: first") + EVENT_STREAM_HEADERS + "\r\n"
+                        + chunk("id: 1\ndata: torn") + "|"
+                : successHead(request).replace("Seal: s", "Seal: second") + EVENT_STREAM_HEADERS + "\r\n" + event(1)
+                        + "0\r\n\r\n";
         startWorker(script);
         startWorker(script);
         final String reply = post("/again/x", "", "b");
@@ -161,7 +165,7 @@
     @Test
     void aStreamWithoutEventIdsIsNotResumed() throws IOException {
         final Function<String, String> script =
-                request -> good(request) + CHUNKED + "\r\n" + chunk("data: piece 1\n\n") + "|";
+                request -> successHead(request) + EVENT_STREAM_HEADERS + "\r\n" + chunk("data: piece 1\n\n") + "|";
         final StubWorker first = startWorker(script);
         final StubWorker second = startWorker(script);
         final String reply = post("/again/x", "", "b");
@@ -171,19 +175,19 @@
     }
 
     @Test
-    void aRequestThatWasReadIsServedWhileStoppingAndLaterOnesAreRejected() throws Exception {
+    void pendingRequestsAreServedDuringShutdownAndNewOnesAreRejected() throws Exception {
         final CountDownLatch asked = new CountDownLatch(1);
         final CountDownLatch stopping = new CountDownLatch(1);
         final StubWorker worker = startWorker(request -> {
             asked.countDown();
             await(stopping);
-            return good(request) + "Content-Length: 2\r\n\r\nok";
+            return successHead(request) + "Content-Length: 2\r\n\r\nok";
         });
-        final CompletableFuture<String> first = CompletableFuture.supplyAsync(() -> unchecked("/once/x"));
+        final CompletableFuture<String> first = CompletableFuture.supplyAsync(() -> postUnchecked("/once/x"));
         await(asked);
-        proxy.get().close();
+        proxy.get().closeConnectionsAfterResponses();
         routerLoop.execute(router::stopAccepting);
-        final String second = unchecked("/once/y");
+        final String second = postUnchecked("/once/y");
         assertThat(second, startsWith("HTTP/1.1 503"));
         assertThat(header(second, "Connection"), is("close"));
         stopping.countDown();
@@ -191,16 +195,16 @@
         assertThat(reply, startsWith("HTTP/1.1 200"));
         assertThat(header(reply, "Connection"), is("close"));
         assertThat(worker.received.size(), is(1));
-        awaitNoOpenRequest(WRITTEN_LIMIT_MS);
+        awaitNoOpenRequest(RESPONSE_WRITTEN_LIMIT_MS);
     }
 
     @Test
-    void headNoContentAndNotModifiedAreFramedAsTheWorkerMeant() throws IOException {
+    void responsesToHeadAndStatuses204And304HaveNoBody() throws IOException {
         final StubWorker worker = startWorker(request -> request.startsWith("HEAD")
-                ? good(request) + "Content-Length: 40\r\n\r\n"
+                ? successHead(request) + "Content-Length: 40\r\n\r\n"
                 : request.startsWith("GET")
                         ? failure(request, "304 Same", "").replace("Content-Length: 0", "Content-Length: 40")
-                        : good(request).replace("200 OK", "204 None") + "\r\n");
+                        : successHead(request).replace("200 OK", "204 None") + "\r\n");
         final String rest = " /once/x HTTP/1.1\r\nHost: a\r\nConnection: close\r\nSilverlatch-Ticket: t-1\r\n"
                 + "Silverlatch-Expiry-Ms: 2000\r\nContent-Length: 0\r\n\r\n";
         final String head = sendRaw("HEAD" + rest);
@@ -224,7 +228,7 @@
         }
     }
 
-    private String unchecked(final String path) {
+    private String postUnchecked(final String path) {
         try {
             return post(path, "", "b");
         } catch (final IOException failure) {
--- a/server/src/test/java/silverlatch/server/proxy/RetriedRequestTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/RetriedRequestTest.java
@@ -8,12 +8,12 @@
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 import static org.hamcrest.Matchers.not;
 import static org.hamcrest.Matchers.startsWith;
-import static silverlatch.server.proxy.HttpText.CHUNKED;
+import static silverlatch.server.proxy.HttpText.EVENT_STREAM_HEADERS;
 import static silverlatch.server.proxy.HttpText.chunk;
 import static silverlatch.server.proxy.HttpText.event;
 import static silverlatch.server.proxy.HttpText.failure;
-import static silverlatch.server.proxy.HttpText.good;
 import static silverlatch.server.proxy.HttpText.header;
+import static silverlatch.server.proxy.HttpText.successHead;
 
 import java.io.IOException;
 import java.util.List;
@@ -25,25 +25,25 @@
 /** What a second worker is told of a request that a first one didn't finish: the time left, and the weights of a stream. */
 final class RetriedRequestTest extends ProxyFixture {
     private static final int CLIENT_DEADLINE_MS = 4_000;
-    private static final int FIRST_WORKER_MS = 700;
+    private static final int FIRST_ATTEMPT_MS = 700;
     private static final String WEIGHTS = "Silverlatch-Weights: ";
 
     /** How the first worker gives a request up after a while. */
-    private enum Outcome {
+    private enum FirstAttemptOutcome {
         REFUSED(request -> failure(request, "503 Full", "Silverlatch-Not-Run: 1\r\n")),
         MISDIRECTED(request -> failure(request, "421 Other", "")),
-        BROKEN_STREAM(request -> good(request) + CHUNKED + WEIGHTS + "7\r\n\r\n" + event(1) + "|");
+        BROKEN_STREAM(request -> successHead(request) + EVENT_STREAM_HEADERS + WEIGHTS + "7\r\n\r\n" + event(1) + "|");
 
         private final Function<String, String> reply;
 
-        Outcome(final Function<String, String> reply) {
+        FirstAttemptOutcome(final Function<String, String> reply) {
             this.reply = reply;
         }
     }
 
     private static void pause() {
         try {
-            Thread.sleep(FIRST_WORKER_MS);
+            Thread.sleep(FIRST_ATTEMPT_MS);
         } catch (final InterruptedException failure) {
             Thread.currentThread().interrupt();
         }
@@ -53,8 +53,9 @@
         return received.size() <= 1;
     }
 
-    private static String rest(final String request, final String version) {
-        return good(request) + CHUNKED + WEIGHTS + version + "\r\n\r\n" + event(2) + event(3) + "0\r\n\r\n";
+    private static String resumedReply(final String request, final String version) {
+        return successHead(request) + EVENT_STREAM_HEADERS + WEIGHTS + version + "\r\n\r\n" + event(2) + event(3)
+                + "0\r\n\r\n";
     }
 
     /** Both workers reply alike: by the first reply to whichever is asked first, by the second to the other. */
@@ -80,26 +81,28 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Outcome.class)
-    void theSecondWorkerIsGivenWhatIsLeftOfTheClientsTime(final Outcome outcome) throws IOException {
+    @EnumSource(FirstAttemptOutcome.class)
+    void theSecondWorkerGetsTheRemainingDeadline(final FirstAttemptOutcome outcome) throws IOException {
         final List<StubWorker> workers = startPair(
                 request -> {
                     pause();
                     return outcome.reply.apply(request);
                 },
-                request -> rest(request, "7"));
+                request -> resumedReply(request, "7"));
         assertThat(post("/again/x", "", "b"), startsWith("HTTP/1.1 200"));
         final List<String> requests = requests(workers);
         assertThat(requests.size(), is(2));
         assertThat(deadline(requests.get(0)), is(lessThanOrEqualTo(CLIENT_DEADLINE_MS)));
         assertThat(
                 deadline(requests.get(1)),
-                is(both(lessThanOrEqualTo(CLIENT_DEADLINE_MS - FIRST_WORKER_MS)).and(greaterThan(0))));
+                is(both(lessThanOrEqualTo(CLIENT_DEADLINE_MS - FIRST_ATTEMPT_MS))
+                        .and(greaterThan(0))));
     }
 
     @Test
-    void aStreamIsResumedUnderTheWeightsThatBeganIt() throws IOException {
-        final List<StubWorker> workers = startPair(Outcome.BROKEN_STREAM.reply, request -> rest(request, "7"));
+    void aStreamIsResumedWithTheWeightVersionThatStartedIt() throws IOException {
+        final List<StubWorker> workers =
+                startPair(FirstAttemptOutcome.BROKEN_STREAM.reply, request -> resumedReply(request, "7"));
         final String response = post("/again/x", "", "b");
         assertThat(response, containsString("piece 3"));
         final String resumed = resumed(workers);
@@ -108,26 +111,27 @@
     }
 
     @Test
-    void aStreamWhoseWeightsChangedIsResumedUnderTheNewOnes() throws IOException {
+    void aStreamIsResumedWithTheLatestWeightVersionOfItsEvents() throws IOException {
         final String changed = chunk("silverlatch-weights: 9\nid: 1\ndata: piece 1\n\n");
         final List<StubWorker> workers = startPair(
-                request -> good(request) + CHUNKED + WEIGHTS + "7\r\n\r\n" + changed + "|",
-                request -> rest(request, "9"));
+                request -> successHead(request) + EVENT_STREAM_HEADERS + WEIGHTS + "7\r\n\r\n" + changed + "|",
+                request -> resumedReply(request, "9"));
         assertThat(post("/again/x", "", "b"), containsString("piece 3"));
         assertThat(header(resumed(workers), "Silverlatch-Expected-Weights"), is("9"));
     }
 
     @Test
-    void aStreamIsBrokenOffWhereNoWorkerHasItsWeights() throws IOException {
-        startPair(Outcome.BROKEN_STREAM.reply, request -> failure(request, "421 Other weights", ""));
+    void aStreamIsAbortedIfNoWorkerHasItsWeightVersion() throws IOException {
+        startPair(FirstAttemptOutcome.BROKEN_STREAM.reply, request -> failure(request, "421 Other weights", ""));
         final String response = post("/again/x", "", "b");
         assertThat(response, containsString("piece 1"));
         assertThat("it doesn't look complete", response, not(containsString("\r\n0\r\n\r\n")));
     }
 
     @Test
-    void aRequestThatBeganNoStreamNeedsNoWeights() throws IOException {
-        final List<StubWorker> workers = startPair(Outcome.REFUSED.reply, request -> rest(request, "8"));
+    void aRetryBeforeTheFirstEventExpectsNoWeightVersion() throws IOException {
+        final List<StubWorker> workers =
+                startPair(FirstAttemptOutcome.REFUSED.reply, request -> resumedReply(request, "8"));
         assertThat(post("/again/x", "", "b"), startsWith("HTTP/1.1 200"));
         assertThat(
                 requests(workers).stream()
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedClient.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedClient.java
@@ -15,28 +15,29 @@
     private static final String LAST_CHUNK = "0\r\n\r\n";
     private final String name;
     private final int port;
-    private final int rounds;
+    private final int connectionCount;
     private final SplittableRandom random;
     private final ExchangeLog log;
-    private int sent;
+    private int requestCount;
 
-    ScriptedClient(final String name, final int port, final int rounds, final long seed, final ExchangeLog log) {
+    ScriptedClient(
+            final String name, final int port, final int connectionCount, final long seed, final ExchangeLog log) {
         this.name = name;
         this.port = port;
-        this.rounds = rounds;
+        this.connectionCount = connectionCount;
         this.random = new SplittableRandom(seed);
         this.log = log;
     }
 
     @Override
     public void run() {
-        for (int i = 0; i < rounds; i++) {
+        for (int i = 0; i < connectionCount; i++) {
             try (Socket socket = new Socket("127.0.0.1", port)) {
                 socket.setSoTimeout(10_000);
                 switch (random.nextInt(6)) {
                     case 0 -> pipeline(socket);
-                    case 1 -> goAway(socket);
-                    case 2 -> halfRequest(socket);
+                    case 1 -> disconnectEarly(socket);
+                    case 2 -> sendPartialRequest(socket);
                     case 3 -> halfClose(socket);
                     default -> keepAlive(socket);
                 }
@@ -50,36 +51,36 @@
         final InputStream in = new BufferedInputStream(socket.getInputStream());
         final int count = 1 + random.nextInt(4);
         for (int i = 0; i < count; i++) {
-            final ExchangeLog.Attempt attempt = attempt(true);
-            write(socket, request(attempt));
-            if (receive(attempt, in).closes()) {
+            final ExchangeLog.ClientRequest request = newRequest(true);
+            write(socket, requestText(request));
+            if (receive(request, in).closes()) {
                 break;
             }
         }
-        nothingMore(socket, in);
+        expectNoMoreBytes(socket, in);
     }
 
     private void pipeline(final Socket socket) throws IOException {
-        final List<ExchangeLog.Attempt> attempts = new ArrayList<>();
+        final List<ExchangeLog.ClientRequest> requests = new ArrayList<>();
         final StringBuilder text = new StringBuilder();
         final int count = 2 + random.nextInt(2);
         for (int i = 0; i < count; i++) {
-            final ExchangeLog.Attempt attempt = attempt(true);
-            attempts.add(attempt);
-            text.append(request(attempt));
+            final ExchangeLog.ClientRequest request = newRequest(true);
+            requests.add(request);
+            text.append(requestText(request));
         }
         write(socket, text.toString());
         final InputStream in = new BufferedInputStream(socket.getInputStream());
-        for (final ExchangeLog.Attempt attempt : attempts) {
-            if (receive(attempt, in).closes()) {
+        for (final ExchangeLog.ClientRequest request : requests) {
+            if (receive(request, in).closes()) {
                 return;
             }
         }
-        nothingMore(socket, in);
+        expectNoMoreBytes(socket, in);
     }
 
-    private void goAway(final Socket socket) throws IOException {
-        write(socket, request(attempt(true)));
+    private void disconnectEarly(final Socket socket) throws IOException {
+        write(socket, requestText(newRequest(true)));
         try {
             Thread.sleep(random.nextInt(8));
         } catch (final InterruptedException failure) {
@@ -89,23 +90,23 @@
     }
 
     /** Leaves out at least the body's last byte, or the last chunk's size line: behind that line nothing is passed on. */
-    private void halfRequest(final Socket socket) throws IOException {
-        final String text = request(attempt(false));
+    private void sendPartialRequest(final Socket socket) throws IOException {
+        final String text = requestText(newRequest(false));
         final int end = text.endsWith(LAST_CHUNK) ? text.length() - LAST_CHUNK.length() : text.length() - 1;
         write(socket, text.substring(0, end - random.nextInt(end)));
     }
 
     private void halfClose(final Socket socket) throws IOException {
-        final ExchangeLog.Attempt attempt = attempt(true);
-        write(socket, request(attempt));
+        final ExchangeLog.ClientRequest request = newRequest(true);
+        write(socket, requestText(request));
         socket.shutdownOutput();
         final InputStream in = new BufferedInputStream(socket.getInputStream());
-        if (!receive(attempt, in).closes()) {
+        if (!receive(request, in).closes()) {
             expectEnd(in);
         }
     }
 
-    private void nothingMore(final Socket socket, final InputStream in) throws IOException {
+    private void expectNoMoreBytes(final Socket socket, final InputStream in) throws IOException {
         socket.shutdownOutput();
         expectEnd(in);
     }
@@ -116,28 +117,28 @@
         }
     }
 
-    private HttpResponseReader.Message receive(final ExchangeLog.Attempt attempt, final InputStream in) {
+    private HttpResponseReader.Message receive(final ExchangeLog.ClientRequest request, final InputStream in) {
         final HttpResponseReader.Message message = HttpResponseReader.read(in);
-        log.responses.add(new ExchangeLog.Received(attempt, message));
+        log.responses.add(new ExchangeLog.ReceivedResponse(request, message));
         return message;
     }
 
-    private ExchangeLog.Attempt attempt(final boolean complete) {
+    private ExchangeLog.ClientRequest newRequest(final boolean complete) {
         final ExchangeLog.Kind[] kinds = ExchangeLog.Kind.values();
         final ExchangeLog.Kind kind = kinds[random.nextInt(kinds.length)];
-        final String id = name + "-" + sent++;
-        final ExchangeLog.Attempt attempt = new ExchangeLog.Attempt(
+        final String id = name + "-" + requestCount++;
+        final ExchangeLog.ClientRequest request = new ExchangeLog.ClientRequest(
                 id, kind, kind.prefix + id + "?q=" + id, "body of " + id + "y".repeat(random.nextInt(300)), complete);
-        log.attempts.put(id, attempt);
-        return attempt;
+        log.requests.put(id, request);
+        return request;
     }
 
-    private static String request(final ExchangeLog.Attempt attempt) {
-        final String head = "POST " + attempt.path() + " HTTP/1.1\r\nHost: a\r\nSilverlatch-Ticket: " + attempt.id()
+    private static String requestText(final ExchangeLog.ClientRequest request) {
+        final String head = "POST " + request.path() + " HTTP/1.1\r\nHost: a\r\nSilverlatch-Ticket: " + request.id()
                 + "\r\nSilverlatch-Expiry-Ms: " + DEADLINE_MS + "\r\nAuthorization: Token " + ExchangeLog.KEY_PREFIX
-                + attempt.tenant() + "\r\nSilverlatch-Tenant: forged\r\n";
-        final String body = attempt.body();
-        return attempt.id().hashCode() % 3 == 0
+                + request.tenant() + "\r\nSilverlatch-Tenant: forged\r\n";
+        final String body = request.body();
+        return request.id().hashCode() % 3 == 0
                 ? head + "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(body.length()) + "\r\n" + body
                         + "\r\n" + LAST_CHUNK
                 : head + "Content-Length: " + body.length() + "\r\n\r\n" + body;
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedCluster.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedCluster.java
@@ -34,12 +34,12 @@
 
     private static final int WORKERS = 6;
     private static final int CLIENTS = 12;
-    private static final int ROUNDS = 12;
+    private static final int CONNECTIONS_PER_CLIENT = 12;
     private static final int TICK_MILLIS = 10;
     private static final int LISTENER_THREADS = 16;
     private static final int MAX_HEADER_BYTES = 8_192;
     private static final int MAX_BODY_BYTES = 65_536;
-    private static final int IDLE_MILLIS = 5_000;
+    private static final int IDLE_TIMEOUT_MILLIS = 5_000;
     private static final long SHUTDOWN_SECONDS = 10;
     private static final Router.Settings ROUTER_SETTINGS = new Router.Settings(2_048, 1, Long.MAX_VALUE);
 
@@ -66,7 +66,7 @@
         proxy = new ProxyServer(ProxyHeaderNames.DEFAULT, workerClient, this::post, disabledSafeguards);
         routerLoop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
         port = ProxyFixture.freePort();
-        server.addListener("127.0.0.1:" + port, MAX_HEADER_BYTES, IDLE_MILLIS, proxy);
+        server.addListener("127.0.0.1:" + port, MAX_HEADER_BYTES, IDLE_TIMEOUT_MILLIS, proxy);
         server.start();
     }
 
@@ -81,7 +81,8 @@
         final List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             threads.add(Threads.startDaemon(
-                    "scripted-client", new ScriptedClient("s" + seed + "c" + i, port, ROUNDS, random.nextLong(), log)));
+                    "scripted-client",
+                    new ScriptedClient("s" + seed + "c" + i, port, CONNECTIONS_PER_CLIENT, random.nextLong(), log)));
         }
         for (final Thread thread : threads) {
             thread.join();
@@ -133,12 +134,12 @@
                         .map(ScriptedCluster::route)
                         .toList(),
                 observed,
-                access(),
+                accessEntries(),
                 EventLoop.nowMicros());
     }
 
     /** Keys are needed, and each tenant has one. */
-    private static List<Entry> access() {
+    private static List<Entry> accessEntries() {
         final List<Entry> entries = new ArrayList<>();
         entries.add(new Entry("p/access", 1, List.of(new Value.AccessControl(true))));
         for (int i = 0; i < ExchangeLog.TENANTS; i++) {
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedWorker.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedWorker.java
@@ -21,13 +21,13 @@
 /** A worker on a real socket whose behaviour is drawn for each request, by seed. */
 final class ScriptedWorker implements Closeable {
     private static final AtomicInteger SEALS = new AtomicInteger();
-    private static final String STRAY =
+    private static final String STRAY_RESPONSE =
             "HTTP/1.1 200 OK\r\nSilverlatch-Ticket: %s\r\nSilverlatch-Seal: forged\r\nContent-Length: 6\r\n\r\nFORGED";
     final String id;
     private final long seed;
     private final ExchangeLog log;
     private final ServerSocket server;
-    private final AtomicReference<String> earlier = new AtomicReference<>("none");
+    private final AtomicReference<String> previousRequestId = new AtomicReference<>("none");
 
     /** What a worker does with a request that it has read. */
     enum Behaviour {
@@ -126,19 +126,19 @@
             String leftover = "";
             while (true) {
                 final ReceivedRequest received = read(in);
-                final String attemptId = received.header("Silverlatch-Ticket");
+                final String requestId = received.header("Silverlatch-Ticket");
                 if (!leftover.isEmpty()) {
-                    log.reuses.add(id + " got " + attemptId + " on a connection after " + leftover);
+                    log.reuses.add(id + " got " + requestId + " on a connection after " + leftover);
                 }
-                final Behaviour behaviour = draw(attemptId);
+                final Behaviour behaviour = drawBehaviour(requestId);
                 leftover = behaviour.leavesBytes()
-                        ? behaviour + " to " + attemptId + " " + received.path() + " resumed at "
-                                + received.header("Last-Event-Id") + " chunked " + (attemptId.hashCode() % 2 == 0)
+                        ? behaviour + " to " + requestId + " " + received.path() + " resumed at "
+                                + received.header("Last-Event-Id") + " chunked " + (requestId.hashCode() % 2 == 0)
                         : "";
-                if (!answer(socket, received, behaviour)) {
+                if (!executeAndReply(socket, received, behaviour)) {
                     return;
                 }
-                earlier.set(received.header("Silverlatch-Ticket"));
+                previousRequestId.set(received.header("Silverlatch-Ticket"));
                 if (behaviour == Behaviour.FORGET) {
                     in.mark(1);
                     if (in.read() >= 0) {
@@ -153,21 +153,21 @@
     }
 
     /** Good in half of all cases; the same for the same request at the same worker. */
-    private Behaviour draw(final String attemptId) {
-        final SplittableRandom random = new SplittableRandom(seed * 31 + (id + attemptId).hashCode());
+    private Behaviour drawBehaviour(final String requestId) {
+        final SplittableRandom random = new SplittableRandom(seed * 31 + (id + requestId).hashCode());
         random.nextLong();
         final Behaviour[] all = Behaviour.values();
         return random.nextInt(2) == 0 ? Behaviour.GOOD : all[random.nextInt(all.length)];
     }
 
-    private boolean answer(final Socket socket, final ReceivedRequest received, final Behaviour behaviour)
+    private boolean executeAndReply(final Socket socket, final ReceivedRequest received, final Behaviour behaviour)
             throws IOException {
-        final String attemptId = received.header("Silverlatch-Ticket");
+        final String requestId = received.header("Silverlatch-Ticket");
         final String seal = "seal-" + SEALS.incrementAndGet() + "-";
-        final String after = received.header("Last-Event-Id");
+        final String lastEventId = received.header("Last-Event-Id");
         final String body = received.path().startsWith("/again/")
-                ? attemptId + " " + seal + " " + "x".repeat(1 + Math.abs(attemptId.hashCode() % 3_000))
-                : events(attemptId, seal, after.isEmpty() ? 0 : Integer.parseInt(after));
+                ? requestId + " " + seal + " " + "x".repeat(1 + Math.abs(requestId.hashCode() % 3_000))
+                : events(requestId, seal, lastEventId.isEmpty() ? 0 : Integer.parseInt(lastEventId));
         final boolean executed = behaviour != Behaviour.NOT_EXECUTED && behaviour != Behaviour.MISDIRECTED;
         final int status = status(behaviour);
         final boolean complete = !(behaviour == Behaviour.RESET_MIDWAY
@@ -175,31 +175,31 @@
                 || behaviour == Behaviour.CLOSE_DELIMITED
                 || behaviour == Behaviour.HEAD_ONLY);
         final String responseBody = status == 200 ? body : "failure " + seal;
-        log.run(new ExchangeLog.Run(
+        log.addRun(new ExchangeLog.Run(
                 id,
-                attemptId,
+                requestId,
                 received.head(),
                 received.path(),
                 received.body(),
-                after,
+                lastEventId,
                 seal,
                 behaviour,
                 executed,
                 status,
                 responseBody,
                 complete));
-        return reply(socket, attemptId, seal, responseBody, behaviour);
+        return reply(socket, requestId, seal, responseBody, behaviour);
     }
 
     /** The number of pieces in a request's stream. */
-    static int pieces(final String attemptId) {
-        return 2 + Math.abs(attemptId.hashCode() % 6);
+    static int eventCount(final String requestId) {
+        return 2 + Math.abs(requestId.hashCode() % 6);
     }
 
-    private static String events(final String attemptId, final String seal, final int after) {
+    private static String events(final String requestId, final String seal, final int lastEventId) {
         final StringBuilder text = new StringBuilder();
-        for (int i = after + 1; i <= pieces(attemptId); i++) {
-            text.append("id: ").append(i).append("\ndata: ").append(attemptId).append(' ');
+        for (int i = lastEventId + 1; i <= eventCount(requestId); i++) {
+            text.append("id: ").append(i).append("\ndata: ").append(requestId).append(' ');
             text.append(seal).append(" piece ").append(i).append("\n\n");
         }
         return text.toString();
@@ -215,9 +215,9 @@
         };
     }
 
-    private static String head(final int status, final String attemptId, final String seal) {
+    private static String head(final int status, final String requestId, final String seal) {
         return "HTTP/1.1 " + status + " Text\r\n"
-                + (attemptId.isEmpty() ? "" : "Silverlatch-Ticket: " + attemptId + "\r\n")
+                + (requestId.isEmpty() ? "" : "Silverlatch-Ticket: " + requestId + "\r\n")
                 + (seal.isEmpty() ? "" : "Silverlatch-Seal: " + seal + "\r\n");
     }
 
@@ -241,46 +241,46 @@
     /** Writes what the behaviour wants; false if the connection ends. */
     private boolean reply(
             final Socket socket,
-            final String attemptId,
+            final String requestId,
             final String seal,
             final String body,
             final Behaviour behaviour)
             throws IOException {
-        final boolean chunked = attemptId.hashCode() % 2 == 0;
-        final String good = head(200, attemptId, seal) + (chunked ? chunks(body) : length(body));
+        final boolean chunked = requestId.hashCode() % 2 == 0;
+        final String good = head(200, requestId, seal) + (chunked ? chunks(body) : length(body));
         final Optional<String> text = behaviour.isFailureStatus()
-                ? Optional.of(failureText(attemptId, seal, body, behaviour))
-                : wholeText(attemptId, seal, body, good, behaviour);
+                ? Optional.of(failureText(requestId, seal, body, behaviour))
+                : wholeText(requestId, seal, body, good, behaviour);
         if (text.isPresent()) {
             write(socket.getOutputStream(), text.get());
             return true;
         }
-        return replyInParts(socket, attemptId, seal, body, good, behaviour);
+        return replyInParts(socket, requestId, seal, body, good, behaviour);
     }
 
     /** What a behaviour that replies with another status than 200 writes. */
     private static String failureText(
-            final String attemptId, final String seal, final String body, final Behaviour behaviour) {
+            final String requestId, final String seal, final String body, final Behaviour behaviour) {
         return switch (behaviour) {
             case REFUSAL_WITHOUT_ID -> head(503, "", seal) + "Silverlatch-Not-Run: 1\r\n" + length(body);
             case MISDIRECTED_WITHOUT_ID -> head(421, "", seal) + length(body);
-            case NOT_EXECUTED -> head(503, attemptId, seal) + "Silverlatch-Not-Run: 1\r\n" + length(body);
-            case MISDIRECTED -> head(421, attemptId, seal) + length(body);
-            case RETRY_STATUS -> head(503, attemptId, seal) + length(body);
-            case FAILURE -> head(500, attemptId, seal) + length(body);
-            case REDIRECT -> head(302, attemptId, seal) + "Location: http://127.0.0.1:1/\r\n" + length(body);
+            case NOT_EXECUTED -> head(503, requestId, seal) + "Silverlatch-Not-Run: 1\r\n" + length(body);
+            case MISDIRECTED -> head(421, requestId, seal) + length(body);
+            case RETRY_STATUS -> head(503, requestId, seal) + length(body);
+            case FAILURE -> head(500, requestId, seal) + length(body);
+            case REDIRECT -> head(302, requestId, seal) + "Location: http://127.0.0.1:1/\r\n" + length(body);
             default -> throw new IllegalArgumentException("no failure: " + behaviour);
         };
     }
 
     /** What a behaviour that writes once and leaves the connection open writes; empty for the others. */
     private Optional<String> wholeText(
-            final String attemptId,
+            final String requestId,
             final String seal,
             final String body,
             final String good,
             final Behaviour behaviour) {
-        final String stray = stray();
+        final String stray = strayResponse();
         return Optional.ofNullable(
                 switch (behaviour) {
                     case GOOD, FORGET -> good;
@@ -289,33 +289,33 @@
                     case DOUBLED -> good + good;
                     case EARLIER_FIRST -> stray + good;
                     case OTHER_ID -> head(200, "somebody-elses", seal) + length("FORGED");
-                    case TWO_IDS -> head(200, attemptId, seal) + "Silverlatch-Ticket: x\r\n" + length("FORGED");
-                    case UNSEALED -> head(200, attemptId, "") + length("FORGED");
+                    case TWO_IDS -> head(200, requestId, seal) + "Silverlatch-Ticket: x\r\n" + length("FORGED");
+                    case UNSEALED -> head(200, requestId, "") + length("FORGED");
                     case REFUSAL_WITHOUT_ID_FIRST ->
                         head(503, "", "") + "Silverlatch-Not-Run: 1\r\n" + length("") + good;
-                    case TWO_FRAMINGS -> head(200, attemptId, seal) + "Content-Length: 3\r\n" + chunks(body);
+                    case TWO_FRAMINGS -> head(200, requestId, seal) + "Content-Length: 3\r\n" + chunks(body);
                     case INTERIM_FIRST -> "HTTP/1.1 100 Continue\r\n\r\n" + good;
                     case LARGE_HEAD ->
-                        head(200, attemptId, seal) + "X-Large: " + "x".repeat(40_000) + "\r\n" + length(body);
+                        head(200, requestId, seal) + "X-Large: " + "x".repeat(40_000) + "\r\n" + length(body);
                     default -> null;
                 });
     }
 
-    private String stray() {
-        return String.format(STRAY, earlier.get());
+    private String strayResponse() {
+        return String.format(STRAY_RESPONSE, previousRequestId.get());
     }
 
     /** Writes what a behaviour wants that pauses or ends the connection; false if the connection ends. */
     private boolean replyInParts(
             final Socket socket,
-            final String attemptId,
+            final String requestId,
             final String seal,
             final String body,
             final String good,
             final Behaviour behaviour)
             throws IOException {
         final OutputStream out = socket.getOutputStream();
-        final String stray = stray();
+        final String stray = strayResponse();
         final int bodyStart = good.indexOf("\r\n\r\n") + 4;
         switch (behaviour) {
             case STRAY_LATER -> {
@@ -324,26 +324,26 @@
                 write(out, stray);
                 return true;
             }
-            case EMPTY_FAILURE_CUT -> write(out, head(500, attemptId, seal) + "Content-Length: 50\r\n\r\n" + body);
+            case EMPTY_FAILURE_CUT -> write(out, head(500, requestId, seal) + "Content-Length: 50\r\n\r\n" + body);
             case CLOSE_DELIMITED ->
-                write(out, head(200, attemptId, seal) + "\r\n" + body.substring(0, body.length() / 2));
+                write(out, head(200, requestId, seal) + "\r\n" + body.substring(0, body.length() / 2));
             case GARBAGE -> write(out, "FORGED bytes of no protocol\r\n\r\n");
             case RESET_BEFORE -> {
-                return end(socket, "");
+                return closeOrReset(socket, "");
             }
             case HALF_HEAD -> {
                 write(out, good.substring(0, 30));
-                return end(socket, attemptId);
+                return closeOrReset(socket, requestId);
             }
             case HEAD_ONLY -> {
                 write(out, good.substring(0, bodyStart));
                 pause(5);
-                return end(socket, attemptId);
+                return closeOrReset(socket, requestId);
             }
             case RESET_MIDWAY, END_MIDWAY -> {
                 write(out, good.substring(0, bodyStart + (good.length() - bodyStart) / 2));
                 pause(5);
-                return behaviour == Behaviour.END_MIDWAY ? false : end(socket, "");
+                return behaviour == Behaviour.END_MIDWAY ? false : closeOrReset(socket, "");
             }
             case SILENT -> {
                 socket.setSoTimeout(10_000);
@@ -354,8 +354,8 @@
         return false;
     }
 
-    private static boolean end(final Socket socket, final String hash) throws IOException {
-        if (hash.hashCode() % 2 == 0) {
+    private static boolean closeOrReset(final Socket socket, final String resetSelector) throws IOException {
+        if (resetSelector.hashCode() % 2 == 0) {
             socket.setSoLinger(true, 0);
         }
         return false;
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
@@ -18,15 +18,15 @@
 final class ScriptedWorkersTest {
     private static final int FIRST_SEED = Integer.getInteger("silverlatch.scripted.first", 1);
     private static final int SEEDS = Integer.getInteger("silverlatch.scripted.seeds", 3);
-    private static final int MUTANT_SEEDS = 20;
+    private static final int MAX_SEEDS_PER_SAFEGUARD = 20;
 
     @Test
-    void noResponseReachesAnotherCallerAndNothingRunsTwice() throws Exception {
+    void everyClientGetsOnlyItsOwnResponseAndNoNonIdempotentRequestRunsTwice() throws Exception {
         final Set<ScriptedWorker.Behaviour> drawnBehaviours = EnumSet.noneOf(ScriptedWorker.Behaviour.class);
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
-            final ExchangeLog log = play(seed, ProxySafeguard.NONE_DISABLED);
+            final ExchangeLog log = runScenario(seed, ProxySafeguard.NONE_DISABLED);
             assertThat("seed " + seed, new ExchangeChecker(log, ScriptedCluster.MAX_ATTEMPTS).check(), is(empty()));
-            assertThat("successes of seed " + seed, successes(log), greaterThan(log.attempts.size() / 5L));
+            assertThat("successes of seed " + seed, successes(log), greaterThan(log.requests.size() / 5L));
             log.runs.forEach(run -> drawnBehaviours.add(run.behaviour()));
         }
         assertThat(drawnBehaviours, is(EnumSet.allOf(ScriptedWorker.Behaviour.class)));
@@ -44,8 +44,8 @@
     })
     void theCheckerDetectsADisabledSafeguard(final ProxySafeguard safeguard, final String rule) throws Exception {
         boolean isDetected = false;
-        for (int seed = 1; seed <= MUTANT_SEEDS && !isDetected; seed++) {
-            isDetected = new ExchangeChecker(play(seed, Set.of(safeguard)), ScriptedCluster.MAX_ATTEMPTS)
+        for (int seed = 1; seed <= MAX_SEEDS_PER_SAFEGUARD && !isDetected; seed++) {
+            isDetected = new ExchangeChecker(runScenario(seed, Set.of(safeguard)), ScriptedCluster.MAX_ATTEMPTS)
                     .check().stream().anyMatch(violation -> violation.startsWith(rule + ":"));
         }
         assertThat(isDetected, is(true));
@@ -53,13 +53,14 @@
 
     private static long successes(final ExchangeLog log) {
         return log.responses.stream()
-                .map(ExchangeLog.Received::message)
+                .map(ExchangeLog.ReceivedResponse::message)
                 .filter(message -> message.end() == HttpResponseReader.End.COMPLETE && message.status() == 200)
                 .count();
     }
 
     /** Runs all clients of a seed to their end; gives what clients and workers sent and received. */
-    private static ExchangeLog play(final long seed, final Set<ProxySafeguard> disabledSafeguards) throws Exception {
+    private static ExchangeLog runScenario(final long seed, final Set<ProxySafeguard> disabledSafeguards)
+            throws Exception {
         try (ScriptedCluster cluster = new ScriptedCluster(seed, disabledSafeguards)) {
             cluster.runClients();
             return cluster.log();
--- a/server/src/test/java/silverlatch/server/proxy/TenantHeadersTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/TenantHeadersTest.java
@@ -5,11 +5,11 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.not;
 import static org.hamcrest.Matchers.startsWith;
-import static silverlatch.server.proxy.HttpText.CHUNKED;
+import static silverlatch.server.proxy.HttpText.EVENT_STREAM_HEADERS;
 import static silverlatch.server.proxy.HttpText.event;
 import static silverlatch.server.proxy.HttpText.failure;
-import static silverlatch.server.proxy.HttpText.good;
 import static silverlatch.server.proxy.HttpText.header;
+import static silverlatch.server.proxy.HttpText.successHead;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -66,8 +66,8 @@
         routerLoop.execute(() -> router.update(next, EventLoop.nowMicros()));
     }
 
-    private StubWorker goodWorker() throws IOException {
-        return startWorker(request -> good(request) + "Content-Length: 0\r\n\r\n");
+    private StubWorker startSuccessfulWorker() throws IOException {
+        return startWorker(request -> successHead(request) + "Content-Length: 0\r\n\r\n");
     }
 
     /** The values of a header, in order. */
@@ -86,7 +86,8 @@
     }
 
     /** Sends a request that is served; gives what the worker got. */
-    private String served(final StubWorker worker, final String path, final String headers) throws IOException {
+    private String requestAtWorker(final StubWorker worker, final String path, final String headers)
+            throws IOException {
         assertThat(headers, post(path, headers, "b"), startsWith("HTTP/1.1 200"));
         return worker.received.get(worker.received.size() - 1);
     }
@@ -101,9 +102,8 @@
                 KEY + "SILVERLATCH-TENANT: forged\r\nsilverlatch-tenant: other\r\n",
                 KEY + "Connection: Silverlatch-Tenant\r\n"
             })
-    void aWorkerGetsTheTenantOfTheKeyAndNeitherTheKeyNorTheNameThatTheClientSent(final String headers)
-            throws IOException {
-        final String received = served(goodWorker(), "/once/x", headers + FORGED);
+    void aWorkerGetsTheTenantOfTheKeyButNotTheKeyOrAForgedTenantName(final String headers) throws IOException {
+        final String received = requestAtWorker(startSuccessfulWorker(), "/once/x", headers + FORGED);
         assertTenants(received, List.of("acme"));
         assertThat(header(received, "Silverlatch-Rank"), is("" + PRIORITY));
     }
@@ -124,8 +124,8 @@
                 KEY + "Authorization: Token key-2\r\n",
                 KEY + "Authorization: Basic abc\r\n"
             })
-    void aRequestWithoutOneKnownKeyIsRejectedWhereKeysAreNeeded(final String credentials) throws IOException {
-        final StubWorker worker = goodWorker();
+    void aRequestWithoutExactlyOneKnownKeyIsRejectedIfKeysAreRequired(final String credentials) throws IOException {
+        final StubWorker worker = startSuccessfulWorker();
         final String response = post("/once/x", credentials, "b");
         assertThat(response, startsWith("HTTP/1.1 401"));
         assertThat(header(response, "WWW-Authenticate"), is("Token"));
@@ -134,8 +134,8 @@
     }
 
     @Test
-    void aRequestWithoutARouteIsNotFoundWhateverItsKey() throws IOException {
-        goodWorker();
+    void aRequestWithoutARouteGetsNotFoundWithOrWithoutAKey() throws IOException {
+        startSuccessfulWorker();
         assertThat(post("/none/x", "", "b"), startsWith("HTTP/1.1 404"));
         assertThat(post("/none/x", KEY, "b"), startsWith("HTTP/1.1 404"));
     }
@@ -147,7 +147,7 @@
             received.add(request);
             return received.size() == 1
                     ? firstReply.apply(request)
-                    : good(request) + CHUNKED + "\r\n" + event(2) + "0\r\n\r\n";
+                    : successHead(request) + EVENT_STREAM_HEADERS + "\r\n" + event(2) + "0\r\n\r\n";
         };
         startWorker(script);
         startWorker(script);
@@ -162,45 +162,46 @@
     }
 
     @Test
-    void aStreamThatIsResumedNamesTheTenantToo() throws IOException {
-        assertBothAttemptsNameTheTenant(request -> good(request) + CHUNKED + "\r\n" + event(1) + "|");
+    void aResumedStreamNamesTheTenantToo() throws IOException {
+        assertBothAttemptsNameTheTenant(
+                request -> successHead(request) + EVENT_STREAM_HEADERS + "\r\n" + event(1) + "|");
     }
 
     @Test
-    void aPublicRouteNeedsNoKeyAndAKnownOneStillNamesItsTenant() throws IOException {
-        final StubWorker worker = goodWorker();
-        assertTenants(served(worker, "/plain/x", FORGED), List.of());
-        assertTenants(served(worker, "/plain/x", KEY + FORGED), List.of("acme"));
+    void aPublicRouteNeedsNoKeyButAKnownKeyStillNamesItsTenant() throws IOException {
+        final StubWorker worker = startSuccessfulWorker();
+        assertTenants(requestAtWorker(worker, "/plain/x", FORGED), List.of());
+        assertTenants(requestAtWorker(worker, "/plain/x", KEY + FORGED), List.of("acme"));
         assertThat(post("/plain/x", "Authorization: Token key-9\r\n", "b"), startsWith("HTTP/1.1 401"));
-        assertTenants(served(worker, "/plain/x", KEY + "Authorization: Token key-2\r\n"), List.of());
-        assertTenants(served(worker, "/plain/x", "Authorization: Basic abc, Token key-1\r\n"), List.of());
-        final String other = served(worker, "/plain/x", FORGED + "Authorization: Basic abc\r\n");
+        assertTenants(requestAtWorker(worker, "/plain/x", KEY + "Authorization: Token key-2\r\n"), List.of());
+        assertTenants(requestAtWorker(worker, "/plain/x", "Authorization: Basic abc, Token key-1\r\n"), List.of());
+        final String other = requestAtWorker(worker, "/plain/x", FORGED + "Authorization: Basic abc\r\n");
         assertThat(values(other, "Authorization"), is(List.of("Basic abc")));
         assertThat(values(other, "Silverlatch-Tenant"), is(List.of()));
     }
 
     @Test
     void aConfigurationWithoutTenantsNeedsNoKeysAndForwardsNone() throws IOException {
-        final StubWorker worker = goodWorker();
-        assertTenants(served(worker, "/once/x", KEY), List.of("acme"));
+        final StubWorker worker = startSuccessfulWorker();
+        assertTenants(requestAtWorker(worker, "/once/x", KEY), List.of("acme"));
         changeAccess();
-        assertTenants(served(worker, "/once/x", KEY + FORGED), List.of());
-        assertTenants(served(worker, "/once/x", ""), List.of());
-        final String other = served(worker, "/once/x", "Authorization: Bearer abc\r\n");
+        assertTenants(requestAtWorker(worker, "/once/x", KEY + FORGED), List.of());
+        assertTenants(requestAtWorker(worker, "/once/x", ""), List.of());
+        final String other = requestAtWorker(worker, "/once/x", "Authorization: Bearer abc\r\n");
         assertThat(values(other, "Authorization"), is(List.of("Bearer abc")));
         changeAccess(new Entry("p/access", 1, List.of(new Value.AccessControl(true))), tenant("acme", "key-1"));
-        assertTenants(served(worker, "/once/x", KEY), List.of("acme"));
+        assertTenants(requestAtWorker(worker, "/once/x", KEY), List.of("acme"));
         assertThat(post("/once/x", "", "b"), startsWith("HTTP/1.1 401"));
     }
 
     @Test
-    void aKeyThatMovesToAnotherTenantNamesThatOneFromThenOn() throws IOException {
-        final StubWorker worker = goodWorker();
-        assertTenants(served(worker, "/once/x", KEY), List.of("acme"));
+    void aKeyMovedToAnotherTenantNamesThatTenant() throws IOException {
+        final StubWorker worker = startSuccessfulWorker();
+        assertTenants(requestAtWorker(worker, "/once/x", KEY), List.of("acme"));
         changeAccess(
                 new Entry("p/access", 1, List.of(new Value.AccessControl(true))),
                 tenant("acme", "key-2"),
                 tenant("other", "key-1"));
-        assertTenants(served(worker, "/once/x", KEY), List.of("other"));
+        assertTenants(requestAtWorker(worker, "/once/x", KEY), List.of("other"));
     }
 }
--- a/server/src/test/java/silverlatch/server/proxy/WorkerResponseTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/WorkerResponseTest.java
@@ -6,7 +6,7 @@
 import static org.hamcrest.Matchers.not;
 import static org.hamcrest.Matchers.startsWith;
 import static silverlatch.server.proxy.HttpText.failure;
-import static silverlatch.server.proxy.HttpText.good;
+import static silverlatch.server.proxy.HttpText.successHead;
 
 import java.io.IOException;
 import java.util.List;
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void bytesThatAreNoHttpAreNotForwarded() throws IOException {
+    void bytesThatAreNotHttpAreNotForwarded() throws IOException {
         startWorker(r -> "this is no HTTP\r\n\r\n|");
         final String reply = post("/once/x", "", "b");
         assertThat(reply, startsWith("HTTP/1.1 502"));
@@ -58,7 +58,7 @@
 
     @Test
     void aResponseWithTwoRequestIdsIsNotForwarded() throws IOException {
-        startWorker(request -> good(request) + "Silverlatch-Ticket: other\r\nContent-Length: 6\r\n\r\nsecret");
+        startWorker(request -> successHead(request) + "Silverlatch-Ticket: other\r\nContent-Length: 6\r\n\r\nsecret");
         final String reply = post("/once/x", "", "b");
         assertThat(reply, startsWith("HTTP/1.1 502"));
         assertThat(reply, not(containsString("secret")));
@@ -75,8 +75,8 @@
     }
 
     @Test
-    void aResponseThatBreaksBeforeItsFirstByteIsAFailureWithoutASeal() throws IOException {
-        startWorker(request -> good(request) + "Content-Length: 6\r\n\r\n|");
+    void aResponseThatBreaksBeforeItsBodyIsReplacedByAFailureWithoutASeal() throws IOException {
+        startWorker(request -> successHead(request) + "Content-Length: 6\r\n\r\n|");
         final String reply = post("/once/x", "", "b");
         assertThat(reply, startsWith("HTTP/1.1 502"));
         assertThat(reply, not(containsString("Silverlatch-Seal")));
@@ -84,7 +84,7 @@
 
     @Test
     void aSuccessDelimitedByConnectionCloseIsNotForwarded() throws IOException {
-        startWorker(request -> good(request) + "Connection: close\r\n\r\nhalf a bo|");
+        startWorker(request -> successHead(request) + "Connection: close\r\n\r\nhalf a bo|");
         final String reply = post("/once/x", "", "b");
         assertThat(reply, startsWith("HTTP/1.1 502"));
         assertThat(reply, not(containsString("half")));
@@ -93,12 +93,12 @@
     @Test
     void aSuccessWithTwoFramingsIsNotForwarded() throws IOException {
         startWorker(request ->
-                good(request) + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
+                successHead(request) + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
         assertThat(post("/once/x", "", "b"), startsWith("HTTP/1.1 502"));
     }
 
     @Test
-    void aFailureWithATooLargeBodyIsReplaced() throws IOException {
+    void aWorkerFailureWithATooLargeBodyIsReplacedByABadGateway() throws IOException {
         startWorker(request ->
                 "HTTP/1.1 500 Broken\r\nSilverlatch-Ticket: t-1\r\nSilverlatch-Seal: s\r\nContent-Length: 400000\r\n\r\n"
                         + "x".repeat(400_000));
@@ -109,7 +109,7 @@
 
     @Test
     void interimResponsesAreNotForwarded() throws IOException {
-        startWorker(request -> "HTTP/1.1 100 Continue\r\nSilverlatch-Ticket: t-1\r\n\r\n" + good(request)
+        startWorker(request -> "HTTP/1.1 100 Continue\r\nSilverlatch-Ticket: t-1\r\n\r\n" + successHead(request)
                 + "Content-Length: 4\r\n\r\nbody");
         final String reply = post("/once/x", "", "b");
         assertThat(reply.startsWith("HTTP/1.1 200") || reply.startsWith("HTTP/1.1 502"), is(true));
--- a/server/src/test/java/silverlatch/server/workerclient/WorkerRunClientTest.java
+++ b/server/src/test/java/silverlatch/server/workerclient/WorkerRunClientTest.java
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aRunIsAcceptedStreamedAndEnds() throws InterruptedException {
+    void anAcceptedRunIsStreamedAndThenReportedAsEnded() throws InterruptedException {
         startRun("hello", address, EventLoop.nowMicros() + 60_000_000);
         assertThat(nextEvent(), is("begun"));
         assertThat(nextEvent(), is(new StreamRecord.Chunk("t", "t.1", 0, "hi").toString()));
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void onlyARejectionOrAFailedConnectCountsAsNotStarted() throws InterruptedException {
+    void onlyARejectionOrAFailedConnectionCountsAsNotStarted() throws InterruptedException {
         startRun("deny", address, EventLoop.nowMicros() + 60_000_000);
         assertThat(nextEvent(), is("failed false"));
         startRun("trouble", address, EventLoop.nowMicros() + 60_000_000);
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void aRunPastItsDeadlineIsNeverSent() throws InterruptedException {
+    void aRunIsNotSentAfterItsSendDeadline() throws InterruptedException {
         startRun("hello", address, EventLoop.nowMicros() - 1);
         assertThat(nextEvent(), is("failed false"));
         startRun("deny", address, EventLoop.nowMicros() + 60_000_000);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void aLineAboveTheLimitEndsTheRun() throws InterruptedException {
+    void aLineAboveTheLengthLimitIsReportedAsLost() throws InterruptedException {
         startRun("long", address, EventLoop.nowMicros() + 60_000_000);
         assertThat(nextEvent(), is("begun"));
         assertThat(nextEvent(), is(new StreamRecord.Lost("", "a line longer than 1024 bytes").toString()));
