--- a/server/src/main/java/silverlatch/server/gateway/ApiReplies.java
+++ b/server/src/main/java/silverlatch/server/gateway/ApiReplies.java
@@ -6,7 +6,7 @@
 import silverlatch.dispatch.DispatchEffect;
 import silverlatch.server.web.HttpExchange;
 
-/** The replies of the gateway's own HTTP API that several operations share; their fields are described in docs/api.md. */
+/** Writes the replies that several operations of the gateway's HTTP API share; docs/api.md describes their fields. */
 final class ApiReplies {
     private static final long MICROS_PER_SECOND = 1_000_000L;
     private static final long MICROS_PER_MILLI = 1_000L;
@@ -14,19 +14,19 @@
 
     private ApiReplies() {}
 
-    /** Rejects a call for faults in it. */
+    /** Rejects a call with a list of faults, i.e. the validation errors found in it. */
     static void reject(final HttpExchange exchange, final int status, final List<String> faults) {
         exchange.reply(status, Map.of("outcome", "rejected", "faults", faults));
     }
 
-    /** Rejects a call with 503, as this gateway's queue is full; it may be retried after a second. */
+    /** Rejects a call with 503 because the queue of an event loop is full; the client may retry it after a second. */
     static void rejectAsOverloaded(final HttpExchange exchange) {
         reject(
                 exchange,
                 new DispatchEffect.Rejected(0, SERVICE_UNAVAILABLE, "", "the ring is full", MICROS_PER_SECOND, ""));
     }
 
-    /** Rejects a request as the dispatcher decided. */
+    /** Rejects a call with the status, reason and retry delay that the dispatcher decided on. */
     static void reject(final HttpExchange exchange, final DispatchEffect.Rejected rejected) {
         final Map<String, Object> body = new TreeMap<>();
         body.put("outcome", "rejected");
--- a/server/src/main/java/silverlatch/server/gateway/ApiRouter.java
+++ b/server/src/main/java/silverlatch/server/gateway/ApiRouter.java
@@ -20,8 +20,9 @@
 import silverlatch.util.Digests;
 
 /**
- * The gateway's own HTTP API (docs/api.md): placements, requests and their streams for clients, announcements of workers, and the
- * health checks. Called on the HTTP server's threads; a call waits for no event loop, its reply comes when the loop has decided.
+ * Serves the gateway's own HTTP API (docs/api.md): placements, requests and their streams for clients, announcements of workers,
+ * and health checks. Called on the HTTP server's threads. A call doesn't block until an event loop has handled it: the reply is
+ * sent asynchronously once the loop has decided.
  */
 final class ApiRouter {
     private static final String REQUESTS = "/v1/tickets/";
@@ -43,7 +44,11 @@
     private final Supplier<Optional<String>> unreadyReason;
     private final Consumer<Node> onWorkerAnnounced;
 
-    /** An API over these parts; the last argument is called on the node's event loop after each accepted announcement. */
+    /**
+     * Creates a router over these components.
+     *
+     * @param onWorkerAnnounced called on the node's event loop after each accepted announcement of a worker
+     */
     ApiRouter(
             final Settings settings,
             final DispatchLoop dispatchLoop,
@@ -61,7 +66,7 @@
         this.onWorkerAnnounced = onWorkerAnnounced;
     }
 
-    /** Serves a call; each call gets exactly one reply. */
+    /** Serves a call; every call gets exactly one reply. */
     void handle(final HttpExchange exchange) {
         final String operation = exchange.method() + " " + exchange.path();
         switch (operation) {
@@ -121,7 +126,10 @@
         });
     }
 
-    /** Attaches the client to the stream of a request that runs here, from the chunk named by the query on. */
+    /**
+     * Attaches the client to the stream of a request that runs at this gateway, starting with the chunk whose index is the query
+     * parameter {@code from}.
+     */
     private void attach(final HttpExchange exchange, final String requestId) {
         final String firstIndex = exchange.queryParameter("from").orElse("0");
         if (!firstIndex.matches("\\d{1,9}")) {
@@ -157,12 +165,12 @@
         onWorkerAnnounced.accept(node);
     }
 
-    /** Runs a task on the dispatch loop with a new call id; the dispatcher's effects under that id are the reply. */
+    /** Runs a task on the dispatch loop with a new call id; the dispatcher's effects with that id become the reply. */
     private void dispatch(final HttpExchange exchange, final ObjLongConsumer<Dispatcher> task) {
         final long callId = exchanges.add(
                 exchange,
-                gone -> dispatchLoop.withDispatcher(
-                        dispatcher -> dispatcher.onReaderDisconnected(gone, EventLoop.nowMicros())));
+                disconnectedCall -> dispatchLoop.withDispatcher(
+                        dispatcher -> dispatcher.onReaderDisconnected(disconnectedCall, EventLoop.nowMicros())));
         if (!dispatchLoop.withDispatcher(dispatcher -> task.accept(dispatcher, callId))) {
             exchanges.remove(callId);
             ApiReplies.rejectAsOverloaded(exchange);
@@ -179,7 +187,7 @@
         };
     }
 
-    /** Whether the document has no fault; one that has is rejected here with all of them. */
+    /** Returns whether the document has no validation errors; otherwise rejects the call with all of them. */
     private static boolean isValid(final HttpExchange exchange, final JsonDocument document) {
         final List<String> faults = document.finish();
         if (!faults.isEmpty()) {
--- a/server/src/main/java/silverlatch/server/gateway/DispatchEffectHandler.java
+++ b/server/src/main/java/silverlatch/server/gateway/DispatchEffectHandler.java
@@ -14,8 +14,8 @@
 import silverlatch.server.workerclient.StreamRecordEncoder;
 
 /**
- * Carries out what the dispatcher decides: replies to clients, attempts at workers, commands to the chain, the recording. Called
- * on the dispatch loop; an effect for an exchange that has left is dropped.
+ * Carries out the dispatcher's effects: replies to clients, starts and cancels attempts at workers, submits commands to the chain,
+ * and writes the recording. Called on the dispatch loop. An effect for an exchange that has ended is dropped.
  */
 final class DispatchEffectHandler implements Consumer<DispatchEffect> {
     private final PendingExchanges exchanges;
--- a/server/src/main/java/silverlatch/server/gateway/DispatchLoop.java
+++ b/server/src/main/java/silverlatch/server/gateway/DispatchLoop.java
@@ -11,14 +11,14 @@
 import silverlatch.server.proxy.ProxyServer;
 
 /**
- * The event loop that owns the dispatcher and the router: both change on its thread only, and after each change their effects
- * are applied there, in order. The methods may be called from any thread; those that return a boolean return false when the
- * loop's queue is full, and the task is dropped then.
+ * The event loop that owns the dispatcher and the router: both are modified on its thread only, and their effects are applied there
+ * in order after each task. The methods may be called from any thread unless they say otherwise; those that return a boolean
+ * return false if the loop's queue is full, in which case the task is dropped.
  */
 final class DispatchLoop {
     private static final int QUEUE_CAPACITY = 16_384;
 
-    /** While no request is open nothing can time out, and only readiness has to be looked at. */
+    /** The minimum interval between ticks while no request is open: nothing can time out then, and only readiness is updated. */
     private static final long IDLE_TICK_MICROS = 250_000L;
 
     private final Dispatcher dispatcher;
@@ -28,7 +28,7 @@
     private Runnable afterTick = () -> {};
     private volatile Optional<ProxyServer> proxy = Optional.empty();
 
-    /** An event loop with a tick each so many microseconds while requests are open; it does not run yet. */
+    /** Creates an event loop, without starting it; while requests are open it ticks at this interval in microseconds. */
     DispatchLoop(final Dispatcher dispatcher, final Router router, final long tickMicros) {
         this.dispatcher = dispatcher;
         this.router = router;
@@ -39,19 +39,24 @@
                 this::tick);
     }
 
-    /** Starts the thread, once. Both arguments are called on it: one for each effect, the other after each tick and update. */
+    /**
+     * Starts the loop's thread; must be called once.
+     *
+     * @param onEffect called on the loop's thread for each effect of the dispatcher
+     * @param onTick   called on the loop's thread after each tick and each update of the cluster snapshot
+     */
     void start(final Consumer<DispatchEffect> onEffect, final Runnable onTick) {
         effectHandler = onEffect;
         afterTick = onTick;
         eventLoop.start();
     }
 
-    /** Makes this the proxy that carries out the router's effects. */
+    /** Sets the proxy that carries out the router's effects. */
     void attachProxy(final ProxyServer server) {
         proxy = Optional.of(server);
     }
 
-    /** The proxy, if one was attached. */
+    /** Returns the proxy, if one was attached. */
     Optional<ProxyServer> proxy() {
         return proxy;
     }
@@ -72,7 +77,7 @@
         });
     }
 
-    /** Runs a task with both on the event loop. */
+    /** Runs a task with the dispatcher and the router on the event loop. */
     boolean withBoth(final BiConsumer<Dispatcher, Router> task) {
         return eventLoop.post(() -> {
             task.accept(dispatcher, router);
@@ -80,7 +85,7 @@
         });
     }
 
-    /** Hands a newer view of the cluster to dispatcher and router, and the limits that follow from it to the proxy. */
+    /** Passes a newer cluster snapshot to the dispatcher and the router, and the limits configured in it to the proxy. */
     void update(final ClusterSnapshot snapshot) {
         withBoth((dispatcher, router) -> {
             dispatcher.update(snapshot, EventLoop.nowMicros());
@@ -90,12 +95,15 @@
         });
     }
 
-    /** Why no requests are accepted, or empty when they are; called on the event loop. The router decides where there is a proxy. */
+    /**
+     * Returns why no requests are accepted, or empty if they are. The router decides if a proxy is attached, otherwise the
+     * dispatcher. Must be called on the event loop.
+     */
     Optional<String> unreadyReason() {
         return proxy.isEmpty() ? dispatcher.unreadyReason(EventLoop.nowMicros()) : router.unreadyReason();
     }
 
-    /** The number of open requests, as a rough figure when it is read off the event loop. */
+    /** Returns the number of open requests; only an approximation if it is not called on the event loop. */
     int openRequests() {
         return dispatcher.openRequests() + proxy.map(ProxyServer::openRequests).orElse(0);
     }
@@ -104,7 +112,7 @@
         return dispatcher.openRequests() + router.openRequests();
     }
 
-    /** How many tasks were dropped because the queue was full. */
+    /** Returns the number of tasks that were dropped because the queue was full. */
     long rejectedTasks() {
         return eventLoop.rejectedTasks();
     }
--- a/server/src/main/java/silverlatch/server/gateway/Gateway.java
+++ b/server/src/main/java/silverlatch/server/gateway/Gateway.java
@@ -32,9 +32,9 @@
 import silverlatch.wire.Frame;
 
 /**
- * The process of the data plane: its parts, and how they start and stop. Two event loops own the state: the node's (clock,
- * membership, gossip) and the {@link DispatchLoop} (dispatcher and router). After a tick of the node that changed
- * something the second one gets a snapshot of what the first one knows. Public methods may be called from any thread.
+ * The gateway process, which forms the data plane: connects its components, starts and stops them. Two event loops own the state:
+ * the node's loop (clock, membership, gossip) and the {@link DispatchLoop} (dispatcher and router). After a tick in which the
+ * node's state changed, the dispatch loop receives a snapshot of it. Public methods may be called from any thread.
  */
 @Singleton
 public final class Gateway implements DaemonProcess.Daemon {
@@ -45,10 +45,12 @@
     private static final long MAX_UNREADY_PERIOD_MICROS = 2_500_000L;
     private static final long DRAIN_POLL_MS = 20;
 
-    /** For the last responses to be handed to their connections, and for the last frames and responses to leave. */
+    /** How long the shutdown waits until the final responses are handed to their connections. */
     private static final long FINAL_REPLIES_TIMEOUT_MICROS = 400_000L;
 
+    /** How long the shutdown then waits so that the final frames and responses are sent before the process ends. */
     private static final long FINAL_FLUSH_MS = 150;
+
     private final Settings settings;
     private final Transport transport;
     private final EventLoopHandle nodeLoop;
@@ -63,7 +65,7 @@
     private volatile List<Member> readyGateways = List.of();
     private Optional<ClusterSnapshot> publishedSnapshot = Optional.empty();
 
-    /** Connects the parts; nothing is started. The node must not be used elsewhere, nor the dispatcher and the router. */
+    /** Connects the components without starting them. The node, the dispatcher and the router must not be used elsewhere. */
     @Inject
     public Gateway(final Settings settings, final Node node, final Dispatcher dispatcher, final Router router) {
         this.settings = settings;
@@ -95,7 +97,7 @@
     }
 
     /**
-     * Starts the event loops, the API's server and, where the settings name an address for it, the proxy.
+     * Starts the event loops, the API's HTTP server and, if the settings contain an address for it, the proxy.
      *
      * @throws IOException when the address for peers can't be bound
      * @throws ApiServer.HttpServerException when an HTTP address can't be bound
@@ -113,7 +115,7 @@
     }
 
     /**
-     * Starts the transport and the event loops, for a caller that serves HTTP itself.
+     * Starts the transport and the event loops only, for a caller that runs its own HTTP server.
      *
      * @throws IOException when the address for peers can't be bound
      */
@@ -139,8 +141,8 @@
     }
 
     /**
-     * Creates the proxy for requests by host and path, once; from then on the router decides whether this gateway is ready. The
-     * caller serves HTTP with it.
+     * Creates the proxy, which routes requests by host and path; must be called at most once. From then on the router decides
+     * whether this gateway is ready. The caller adds the proxy to an HTTP server as its handler.
      */
     public ProxyServer createProxy(final ProxyHeaderNames headerNames, final WorkerHttpClient workerClient) {
         final ProxyServer proxy = new ProxyServer(headerNames, workerClient, dispatchLoop::withRouter);
@@ -149,8 +151,9 @@
     }
 
     /**
-     * Shuts down gracefully, and blocks for that: not ready at once; no new requests once clients had the time to notice; open
-     * requests run on within the grace period of the settings, and those that are left fail as lost.
+     * Shuts down gracefully and blocks until it is done. The gateway reports itself as not ready at once, and rejects new requests
+     * after clients had time to notice. Open requests continue until the grace period of the settings ends; requests that are still
+     * open then fail as lost.
      */
     @Override
     public void stop() {
@@ -203,22 +206,22 @@
         TimeUnit.MILLISECONDS.sleep(FINAL_FLUSH_MS);
     }
 
-    /** Replaces the addresses by which other members are found; they are `host:port` of the controllers' transport. */
+    /** Replaces the seed addresses through which other members are found: {@code host:port} of the controllers' transports. */
     public void setSeeds(final List<String> seeds) {
         nodeLoop.execute(node -> node.membership().setSeeds(seeds));
     }
 
-    /** Why requests are not accepted, or empty when they are; as of the dispatch loop's last tick. */
+    /** Returns why requests are not accepted, or empty if they are; as of the dispatch loop's last tick. */
     public Optional<String> unreadyReason() {
         return unreadyReason;
     }
 
-    /** The gateways that accept requests as far as is known here, this one among them; as of the node's last tick. */
+    /** Returns the known gateways that accept requests, which may include this one; as of the node's last tick. */
     public List<Member> readyGateways() {
         return readyGateways;
     }
 
-    /** Serves a call of this gateway's own API, for a caller that serves HTTP itself; called on its threads. */
+    /** Serves a call of this gateway's own API on the calling thread, for a caller that runs its own HTTP server. */
     public void handle(final HttpExchange exchange) {
         apiRouter.handle(exchange);
     }
@@ -227,7 +230,10 @@
         nodeLoop.execute(node -> node.onFrame(frame, EventLoop.nowMicros()));
     }
 
-    /** Hands on what the node knows where that has changed since the last time. Called on the node's event loop. */
+    /**
+     * Passes the node's cluster snapshot to the dispatch loop, and saves it, if it changed since the last call. Called on the
+     * node's event loop.
+     */
     private void publish(final Node node) {
         final ClusterSnapshot snapshot = node.clusterSnapshot();
         if (publishedSnapshot.filter(last -> last == snapshot).isPresent()) {
@@ -241,7 +247,7 @@
         dispatchLoop.update(snapshot);
     }
 
-    /** Called on the dispatch loop after each tick. */
+    /** Updates, logs and announces whether this gateway is ready. Called on the dispatch loop after each tick and update. */
     private void updateReadiness() {
         final Optional<String> reason = dispatchLoop.unreadyReason();
         if (reason.isPresent() != unreadyReason.isPresent()) {
--- a/server/src/main/java/silverlatch/server/gateway/GatewayModule.java
+++ b/server/src/main/java/silverlatch/server/gateway/GatewayModule.java
@@ -17,7 +17,7 @@
 import silverlatch.server.eventloop.EventLoopHandle;
 import silverlatch.server.settings.Settings;
 
-/** The parts of a gateway that Dagger can't construct by itself. Each has a random generator of its own. */
+/** Provides the components of a gateway that Dagger can't construct by itself. Each gets its own random generator. */
 @Module
 final class GatewayModule {
     private GatewayModule() {}
--- a/server/src/main/java/silverlatch/server/gateway/Main.java
+++ b/server/src/main/java/silverlatch/server/gateway/Main.java
@@ -7,11 +7,11 @@
 import silverlatch.server.settings.CommandLineFlags;
 import silverlatch.server.settings.Settings;
 
-/** The program {@code gateway}: accepts requests of clients and places them at workers. */
+/** The program {@code gateway}, which accepts clients' requests and forwards them to workers. */
 public final class Main {
     private Main() {}
 
-    /** Runs a gateway until it is told to stop. Exit codes: 2 for faulty flags or settings, 3 when it can't start. */
+    /** Runs a gateway until the process is asked to stop. Exit codes: 2 for invalid flags or settings, 3 if it can't start. */
     public static void main(final String[] args) {
         switch (CommandLineFlags.parse("gateway", args, false, System.out, System.err)) {
             case CommandLineFlags.Parsed.Exit exit -> System.exit(exit.code());
@@ -19,22 +19,22 @@
         }
     }
 
-    /** Builds a gateway from checked settings; nothing is started and no port is opened. */
+    /** Creates a gateway from validated settings, without starting anything or opening a port. */
     public static Gateway build(final Settings settings) {
         return DaggerMain_GatewayComponent.factory().create(settings).gateway();
     }
 
-    /** The object graph of a gateway. */
+    /** The dependency graph of a gateway. */
     @Singleton
     @Component(modules = GatewayModule.class)
     interface GatewayComponent {
-        /** The one gateway of the process. */
+        /** Returns the only gateway of the process. */
         Gateway gateway();
 
-        /** Creates the graph. */
+        /** Creates the dependency graph. */
         @Component.Factory
         interface Factory {
-            /** From checked settings. */
+            /** Creates the graph from validated settings. */
             GatewayComponent create(@BindsInstance Settings settings);
         }
     }
--- a/server/src/main/java/silverlatch/server/gateway/OperatorApi.java
+++ b/server/src/main/java/silverlatch/server/gateway/OperatorApi.java
@@ -21,13 +21,13 @@
 import silverlatch.util.Digests;
 
 /**
- * What operators see of a gateway: its status and the trace of a request, both with the operator's key, and metrics without one.
- * Called on the HTTP server's threads; each page is made on the event loop that owns what it shows.
+ * Serves the gateway's pages for operators: its status and the trace of a request, which require the operator's key, and its
+ * metrics, which require no key. Called on the HTTP server's threads; each page is created on the event loops that own its data.
  */
 final class OperatorApi {
     private static final long MICROS_PER_MILLI = 1_000L;
 
-    /** The former key of the members, which stands beside the present one for one version. */
+    /** The former JSON key of the members, which is reported in addition to the current one for one version. */
     private static final String FORMER_MEMBERS_KEY = "crew";
 
     private final Settings settings;
@@ -49,7 +49,7 @@
         this.unreadyReason = unreadyReason;
     }
 
-    /** Replies with the trace of a request, or 404 if this gateway has none. */
+    /** Replies with the trace of a request, or with 404 if this gateway has none. */
     void explain(final HttpExchange exchange, final String requestId) {
         if (isOperator(exchange)) {
             dispatchLoop.withBoth((dispatcher, router) -> dispatcher
@@ -62,14 +62,14 @@
         }
     }
 
-    /** Replies with what this gateway knows of the cluster. */
+    /** Replies with this gateway's readiness and its view of the cluster: configuration, chain, members and workers. */
     void status(final HttpExchange exchange) {
         if (isOperator(exchange)) {
             nodeLoop.execute(node -> exchange.reply(200, status(node, EventLoop.nowMicros())));
         }
     }
 
-    /** Replies with all counters and gauges as text, one a line. */
+    /** Replies with all counters and gauges as text, one per line. */
     void metrics(final HttpExchange exchange) {
         dispatchLoop.withBoth((dispatcher, router) -> {
             final MetricsPage page = new MetricsPage();
--- a/server/src/main/java/silverlatch/server/gateway/PendingExchanges.java
+++ b/server/src/main/java/silverlatch/server/gateway/PendingExchanges.java
@@ -8,14 +8,14 @@
 import silverlatch.server.web.HttpExchange;
 
 /**
- * The exchanges with clients that still wait for a reply of the dispatcher, by call id. An exchange leaves with its last byte,
- * or when its client disconnects, whichever comes first. Any thread may call.
+ * The HTTP exchanges that wait for a reply of the dispatcher, by call id. An exchange is removed with the last part of its reply or
+ * when its client disconnects, whichever happens first. Thread-safe.
  */
 final class PendingExchanges {
     private final Map<Long, HttpExchange> exchangesByCallId = new ConcurrentHashMap<>();
     private final AtomicLong lastCallId = new AtomicLong();
 
-    /** Adds an exchange and returns its new call id; the listener is told the id if the client disconnects before its reply. */
+    /** Adds an exchange and returns its new call id, with which the listener is called if the client disconnects before its reply. */
     long add(final HttpExchange exchange, final LongConsumer onDisconnect) {
         final long callId = lastCallId.incrementAndGet();
         exchangesByCallId.put(callId, exchange);
@@ -23,17 +23,17 @@
         return callId;
     }
 
-    /** The exchange that goes on to wait, or empty if it has left. */
+    /** Returns an exchange, which remains pending; empty if it was removed. */
     Optional<HttpExchange> find(final long callId) {
         return Optional.ofNullable(exchangesByCallId.get(callId));
     }
 
-    /** Whether no exchange waits. */
+    /** Returns whether no exchange is pending. */
     boolean isEmpty() {
         return exchangesByCallId.isEmpty();
     }
 
-    /** Removes an exchange; empty if it had left before. */
+    /** Removes and returns an exchange; empty if it was already removed. */
     Optional<HttpExchange> remove(final long callId) {
         return Optional.ofNullable(exchangesByCallId.remove(callId));
     }
--- a/server/src/main/java/silverlatch/server/gateway/RequestTraceJson.java
+++ b/server/src/main/java/silverlatch/server/gateway/RequestTraceJson.java
@@ -7,7 +7,7 @@
 import silverlatch.placement.ScorerResult;
 import silverlatch.placement.WeightedScorers;
 
-/** Writes the trace of a request for operators; its fields are described in docs/api.md. */
+/** Converts the trace of a request to the JSON object that operators get; docs/api.md describes its fields. */
 final class RequestTraceJson {
     private static final double THOUSANDTHS = 1_000.0;
 
--- a/server/src/main/java/silverlatch/server/gateway/SavedState.java
+++ b/server/src/main/java/silverlatch/server/gateway/SavedState.java
@@ -7,8 +7,8 @@
 import silverlatch.server.persistence.WorkerRoster;
 
 /**
- * What a gateway with a data folder keeps of the configuration and of the workers, so that it can serve, and tell its peers, before a
- * controller is up again. Owned by the node's event loop.
+ * The configuration and the worker reports that a gateway with a data directory saves, so that after a restart it can serve
+ * requests and inform its peers before a controller is available again. Owned by the node's event loop.
  */
 final class SavedState {
     private final Node node;
@@ -21,14 +21,14 @@
         this.roster = new WorkerRoster(dataDirectory);
     }
 
-    /** Gives the node what was saved, and begins to save. Called before the event loop starts. */
+    /** Restores the saved state to the node and starts the thread that saves. Must be called before the event loop starts. */
     void restore() {
         configuration.restore(node.gossip());
         node.gossip().restoreReports(roster.read(), EventLoop.nowMicros());
         roster.start();
     }
 
-    /** Saves what has changed. */
+    /** Saves the configuration and the worker reports that changed since they were last saved. */
     void saveIfChanged() {
         configuration.saveIfChanged(node.gossip());
         roster.saveIfChanged(node.gossip(), EventLoop.nowMicros());
--- a/server/src/main/java/silverlatch/server/gateway/WorkerRuns.java
+++ b/server/src/main/java/silverlatch/server/gateway/WorkerRuns.java
@@ -9,8 +9,8 @@
 import silverlatch.server.workerclient.WorkerRunClient;
 
 /**
- * The dispatcher's attempts at workers. The HTTP client is started with the first attempt, as a gateway that only proxies needs
- * none. Called on the dispatch loop; what workers send comes back to the dispatcher there.
+ * Executes the dispatcher's attempts at workers. The HTTP client is started with the first attempt, because a gateway that only
+ * serves as a proxy doesn't need it. Called on the dispatch loop; events of the runs are passed to the dispatcher on that loop.
  */
 final class WorkerRuns implements WorkerRunClient.Listener {
     private final DispatchLoop dispatchLoop;
@@ -22,18 +22,19 @@
         this.client = new WorkerRunClient(settings.maxLineBytes(), settings.workerKey(), this);
     }
 
-    /** Starts an attempt; where no client can be started the attempt fails as one that never started. */
+    /** Starts an attempt. If the HTTP client can't be started, the attempt is reported as failed and never started. */
     void start(final DispatchEffect.StartAttempt attempt) {
         try {
             startClient();
             client.startRun(attempt);
         } catch (final WorkerRunClient.WorkerRunClientException failure) {
-            EventLog.write(Event.FAULT, "no run can be sent", failure);
+            EventLog.write(
+                    Event.FAULT, "can't send a run to a worker: the HTTP client for runs did not start", failure);
             onEnded(attempt.operationId(), false, "no client");
         }
     }
 
-    /** Cancels an attempt; does nothing if it has ended. */
+    /** Cancels an attempt; has no effect if it has ended. */
     void cancel(final long operationId) {
         client.cancel(operationId);
     }
--- a/server/src/main/java/silverlatch/server/provider/CallBackoff.java
+++ b/server/src/main/java/silverlatch/server/provider/CallBackoff.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** The pauses after calls that weren't accepted: each twice as long as the one before, up to a bound, and spread by chance. */
+/** Exponential backoff with jitter after calls that were throttled or whose outcome is unknown: the bound doubles up to a maximum. */
 final class CallBackoff {
     private static final long INITIAL_MICROS = 200_000L;
     private static final long MAX_MICROS = 1_600_000L;
@@ -13,14 +13,14 @@
         this.random = random;
     }
 
-    /** The next pause in microseconds: half of the present bound at least. */
+    /** Returns the next pause in microseconds, chosen at random between half of the current bound and the whole bound. */
     long next() {
         final long half = pause / 2;
         pause = Math.min(MAX_MICROS, 2 * pause);
         return half + random.nextLong(half + 1);
     }
 
-    /** A call was accepted: the next pause is a short one again. */
+    /** Resets the bound to its initial value. */
     void reset() {
         pause = INITIAL_MICROS;
     }
--- a/server/src/main/java/silverlatch/server/provider/CloudProvider.java
+++ b/server/src/main/java/silverlatch/server/provider/CloudProvider.java
@@ -4,47 +4,48 @@
 import silverlatch.state.Value;
 
 /**
- * The provider of the machines, to which one process at a time reports usage and whom it asks for workers. Calls don't block; a
- * result comes on any thread, and never exceptionally.
+ * The cloud provider that runs the machines. One process at a time, the owner of the singleton role, reports usage to it and sets
+ * the number of workers. Calls don't block; the returned future is completed on any thread, and never exceptionally.
  *
- * <p>A call that isn't answered is aborted, and its outcome is unknown, well within the {@link
- * silverlatch.server.settings.SingletonSettings#tenureMicros}: none may arrive under an old fencing token when the next owner acts.
+ * <p>A call that isn't answered must be aborted with outcome {@link Outcome#UNKNOWN} well before {@link
+ * silverlatch.server.settings.SingletonSettings#tenureMicros} have passed, so that no call with an old fencing token arrives after
+ * the next owner has started to make calls.
  */
 public interface CloudProvider {
-    /** Reports the usage of a closed window. A repeat with the same counts is harmless. */
+    /** Reports the usage of a closed window. Idempotent for the same counts. */
     CompletableFuture<Outcome> reportUsage(Caller caller, Value.UsageWindow window);
 
-    /** Sets how many workers of a pool a zone is to have. A repeat is harmless. */
+    /** Sets how many workers of a pool a zone should have. Idempotent. */
     CompletableFuture<Outcome> setWorkerCount(Caller caller, WorkerCount target);
 
     /**
-     * Who calls.
+     * The process that makes a call.
      *
      * @param holderName   the name of the process that owns the singleton role
-     * @param fencingToken the token under which it owns the role; a call with a lower one than was seen is refused
+     * @param fencingToken the token under which it owns the role; a call with a lower token than an earlier call's is refused
      */
     record Caller(String holderName, long fencingToken) {}
 
     /**
-     * How many workers a zone is to have.
+     * The number of workers of a pool that a zone should have.
      *
      * @param pool  the workers' pool
      * @param zone  the zone
-     * @param count how many
+     * @param count the number of workers
      */
     record WorkerCount(String pool, String zone, int count) {}
 
-    /** How a call ended. */
+    /** The outcome of a call. */
     enum Outcome {
-        /** It was accepted. */
+        /** The call was accepted. */
         ACCEPTED,
-        /** A higher fencing token was seen: the caller doesn't own the role any more. */
+        /** The provider has seen a higher fencing token: the caller no longer owns the role. */
         FENCED,
-        /** Too many calls were made; it was not accepted. */
+        /** The call was not accepted because the rate limit was exceeded. */
         THROTTLED,
-        /** It was refused for another reason, and would be again. */
+        /** The call was refused for another reason, and would be refused again. */
         REFUSED,
-        /** No answer came, or one that tells nothing: it may have been accepted. */
+        /** No conclusive answer was received: the call may have been accepted. */
         UNKNOWN
     }
 }
--- a/server/src/main/java/silverlatch/server/provider/ProviderCall.java
+++ b/server/src/main/java/silverlatch/server/provider/ProviderCall.java
@@ -3,12 +3,12 @@
 import java.util.concurrent.CompletableFuture;
 import silverlatch.state.Value;
 
-/** A call of the provider that is due; which process makes it is not said yet. */
+/** A call to the cloud provider, without the caller, which is added when the call is made. */
 public sealed interface ProviderCall {
-    /** Makes the call under the caller's name and fencing token. */
+    /** Makes the call with the caller's name and fencing token. */
     CompletableFuture<CloudProvider.Outcome> make(CloudProvider provider, CloudProvider.Caller caller);
 
-    /** What is called for, for the log of events; no keys are in it. */
+    /** Returns a description of the call for the event log, which contains no keys. */
     String summary();
 
     /** Reports the usage of a closed window. */
@@ -25,7 +25,7 @@
         }
     }
 
-    /** Sets how many workers of a pool a zone is to have. */
+    /** Sets how many workers of a pool a zone should have. */
     record SetWorkerCount(CloudProvider.WorkerCount target) implements ProviderCall {
         @Override
         public CompletableFuture<CloudProvider.Outcome> make(
--- a/server/src/main/java/silverlatch/server/provider/ProviderCaller.java
+++ b/server/src/main/java/silverlatch/server/provider/ProviderCaller.java
@@ -14,19 +14,23 @@
 import silverlatch.server.settings.SingletonSettings;
 
 /**
- * Calls the provider while this process owns the singleton role, one call at a time, each under the fencing token of the instant in which
- * it is made. It acts only after a whole {@link SingletonTenure}, never under a token that the provider has called too low, and less
- * often than the provider allows all processes together. After a call that wasn't accepted it pauses, each time for longer.
+ * Makes the calls to the cloud provider while this process owns the singleton role: one call at a time, each with the fencing
+ * token that is valid when it is made. Calls are made only after a full {@link SingletonTenure}, never with a token that the
+ * provider has rejected as too low, and below the rate that the provider allows for all processes together. After a call that was
+ * throttled or whose outcome is unknown, it backs off exponentially.
  *
- * <p>Owned by the controller's event loop; times are microseconds of the monotonic clock.
+ * <p>Owned by the controller's event loop. Times are microseconds of the monotonic clock.
  */
 public final class ProviderCaller {
-    /** The part of the provider's limit that is used: an owner before this one may have made calls in the same second. */
+    /** The share of the provider's rate limit that is used: the previous owner may have made calls in the same second. */
     private static final double RATE_SHARE = 0.8;
 
     private static final double MICROS_PER_SECOND = 1_000_000;
 
-    /** A provider aborts its own calls earlier; this is for an outcome that got lost in this process. */
+    /**
+     * The time after which the outcome of a call counts as unknown. {@link CloudProvider} aborts its calls earlier; this timeout
+     * covers an outcome that was lost within this process.
+     */
     private static final long OUTCOME_TIMEOUT_MICROS = 5_000_000L;
 
     private static final long NO_TOKEN = -1;
@@ -45,13 +49,13 @@
     private long fencedToken = NO_TOKEN;
 
     /**
-     * A caller that has called nothing.
+     * Creates a caller that has made no calls.
      *
-     * @param sources      what is to be called, the most urgent first
-     * @param fencingToken the token under which this process owns the role at a moment; called on the event loop
-     * @param clock        the monotonic clock
+     * @param sources      the sources of calls, by descending priority
+     * @param fencingToken returns the token under which this process owns the role at a time, if it does; called on the event loop
+     * @param clock        the monotonic clock in microseconds
      * @param eventLoop    runs tasks on the event loop
-     * @param random       spreads pauses
+     * @param random       provides the jitter of the backoff
      */
     public ProviderCaller(
             final SingletonSettings settings,
@@ -89,7 +93,7 @@
         }
     }
 
-    /** How many calls had each outcome. */
+    /** Returns the number of calls by outcome. */
     public Map<CloudProvider.Outcome, Long> counters() {
         return Map.copyOf(counters);
     }
@@ -105,7 +109,7 @@
         }
     }
 
-    /** The token is looked up here: what came before may have taken a while. */
+    /** Makes a call with the current fencing token. The token is read again because time may have passed since the tick began. */
     private void make(final CallSource source, final ProviderCall call) {
         final long now = clock.getAsLong();
         final Optional<Long> token =
--- a/server/src/main/java/silverlatch/server/provider/ScalingCallSource.java
+++ b/server/src/main/java/silverlatch/server/provider/ScalingCallSource.java
@@ -13,11 +13,12 @@
 import silverlatch.server.eventloop.EventLog;
 
 /**
- * Has the numbers of workers set that {@link ScalingPolicy} wants. A count is ordered until it is accepted, and not again. Of a call without
- * an answer nobody knows whether it took effect, so whatever is wanted then is ordered anew; of several, the one that waited longest.
+ * Sets the numbers of workers that {@link ScalingPolicy} decides on. A call is repeated until its count is accepted or refused, and
+ * not made again with the same count. After a call with unknown outcome, which may have taken effect, the current target is set
+ * again even if it was accepted before. If several calls are due, the one whose last outcome is the oldest comes first.
  */
 public final class ScalingCallSource implements CallSource {
-    /** Demand is reported about once a second. */
+    /** The interval between decisions; gateways report their demand about once a second. */
     static final long DECISION_INTERVAL_MICROS = 1_000_000L;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -28,14 +29,14 @@
     private ScalingState state = ScalingState.NONE;
     private long lastDecisionAt = NEVER;
 
-    /** What the provider keeps one count for. */
+    /** A pool in a zone, for which the provider holds one count. */
     private record PoolInZone(String pool, String zone) {
         static PoolInZone of(final WorkerTarget target) {
             return new PoolInZone(target.pool(), target.zone());
         }
     }
 
-    /** A source that has decided nothing; what is known at a moment may be missing. */
+    /** Creates a source without decisions; the function returns the input of a decision at a time, or empty if it is unavailable. */
     public ScalingCallSource(final LongFunction<Optional<ScalingObservation>> observationAt) {
         this.observationAt = observationAt;
     }
@@ -44,7 +45,7 @@
     public Optional<ProviderCall> next(final long now) {
         if (now - lastDecisionAt >= DECISION_INTERVAL_MICROS) {
             lastDecisionAt = now;
-            observationAt.apply(now).ifPresent(seen -> decide(seen, now));
+            observationAt.apply(now).ifPresent(observation -> decide(observation, now));
         }
         return state.targets().stream()
                 .filter(this::needsCall)
@@ -71,8 +72,8 @@
 
     @Override
     public void onOutcome(final ProviderCall call, final CloudProvider.Outcome outcome, final long now) {
-        if (call instanceof ProviderCall.SetWorkerCount order) {
-            final CloudProvider.WorkerCount target = order.target();
+        if (call instanceof ProviderCall.SetWorkerCount setWorkerCount) {
+            final CloudProvider.WorkerCount target = setWorkerCount.target();
             final PoolInZone poolInZone = new PoolInZone(target.pool(), target.zone());
             lastOutcomeAt.put(poolInZone, now);
             switch (outcome) {
@@ -87,7 +88,10 @@
         }
     }
 
-    /** Another owner may have ordered other counts: what this one decides next is compared with the workers that it then knows. */
+    /**
+     * Discards all decisions and outcomes. Another owner may have set other counts, so the next decision is based on the workers
+     * that are known then.
+     */
     @Override
     public void reset() {
         state = ScalingState.NONE;
--- a/server/src/main/java/silverlatch/server/provider/UsageCallSource.java
+++ b/server/src/main/java/silverlatch/server/provider/UsageCallSource.java
@@ -5,12 +5,12 @@
 import silverlatch.state.StateMachine;
 import silverlatch.traffic.UsageOutbox;
 
-/** Has closed windows of usage reported, the oldest first; none is passed over before the provider has it or refuses it for good. */
+/** Reports closed usage windows, the oldest first; the next one follows only after the provider accepted or refused the one before. */
 public final class UsageCallSource implements CallSource {
     private final UsageOutbox outbox;
     private final Supplier<Optional<StateMachine>> committedState;
 
-    /** A source of the windows that are closed in the committed state; it is there where this process has a replica. */
+    /** Creates a source of the windows that are closed in the committed state, which is present if this process has a replica. */
     public UsageCallSource(final UsageOutbox outbox, final Supplier<Optional<StateMachine>> committedState) {
         this.outbox = outbox;
         this.committedState = committedState;
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Nothing is void: what the provider has it keeps, whoever owns the role. */
+    /** Does nothing: the windows that the provider has accepted remain accepted, whichever process owns the role. */
     @Override
     public void reset() {}
 }
--- a/server/src/main/java/silverlatch/server/provider/package-info.java
+++ b/server/src/main/java/silverlatch/server/provider/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the owner of the singleton role asks of the provider of the machines. The interface is the product's own; who translates it
- * into a provider's calls implements it.
+ * The calls that the owner of the singleton role makes to the cloud provider that runs the machines. {@code CloudProvider} is
+ * independent of any particular provider; an adapter to a provider's API implements it.
  */
 package silverlatch.server.provider;
--- a/server/src/main/java/silverlatch/server/proxy/ClientCredentials.java
+++ b/server/src/main/java/silverlatch/server/proxy/ClientCredentials.java
@@ -12,18 +12,21 @@
 import silverlatch.util.Digests;
 
 /**
- * Reads the key of a tenant from a request's Authorization fields (RFC 9110, section 11.6.2), whose scheme is the one for such keys.
- * Neither a key nor the text that it came in is kept. Any thread may call.
+ * Reads a tenant's key from the Authorization fields of a request (RFC 9110, section 11.6.2) that use the configured scheme.
+ * Stores neither keys nor field values; the result holds only the SHA-256 digest of the key. Thread-safe.
  */
 final class ClientCredentials {
     private final String keyScheme;
 
-    /** Reads keys that come with this scheme; letter case does not matter. */
+    /** Creates a reader of keys that are sent with this authorization scheme, compared case-insensitively. */
     ClientCredentials(final String keyScheme) {
         this.keyScheme = keyScheme;
     }
 
-    /** What a request says of who sends it. A key that is repeated is one key. */
+    /**
+     * Returns the credential of a request: none without an Authorization field, the digest of its key if all fields hold the same
+     * key, and invalid if a field holds no key or if the keys differ.
+     */
     Credential read(final HttpFields headers) {
         final List<String> values = headers.getValuesList(HttpHeader.AUTHORIZATION);
         if (values.isEmpty()) {
@@ -40,7 +43,10 @@
         return digests.size() == 1 ? new Credential.Key(digests.iterator().next()) : new Credential.Invalid();
     }
 
-    /** Whether a field holds a key, also where it holds other credentials besides, so that no worker may get it. */
+    /**
+     * Returns whether a field contains a tenant's key, also as one of several comma-separated credentials. Such a field must not
+     * be forwarded to a worker.
+     */
     boolean containsKey(final HttpField field) {
         return HttpHeader.AUTHORIZATION.is(field.getName())
                 && field.getValue() != null
--- a/server/src/main/java/silverlatch/server/proxy/ClientResponse.java
+++ b/server/src/main/java/silverlatch/server/proxy/ClientResponse.java
@@ -15,9 +15,9 @@
 import silverlatch.server.web.ClientDisconnects;
 
 /**
- * The response to a client. Until it is committed, which is when its first bytes are handed to the client's connection, its head may
- * be replaced as a whole; after that it can only be completed or aborted. Guarded by the lock of the {@link ProxiedRequest} that
- * owns it.
+ * The response to a client. It is committed when its first bytes are handed to the client's connection: until then its status
+ * and headers may be replaced as a whole; after that it can only be completed or aborted. Guarded by the lock of the
+ * {@link ProxiedRequest} that owns it.
  */
 final class ClientResponse {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -28,7 +28,7 @@
     private boolean headSet;
     private boolean committed;
 
-    /** A response without a head; the supplier tells whether the connection is to be closed after a response. */
+    /** Creates a response without status and headers; the supplier returns whether the connection must be closed after it. */
     ClientResponse(
             final Response response,
             final Callback callback,
@@ -44,7 +44,7 @@
         return committed;
     }
 
-    /** Drops a head that an earlier attempt has set, if it can still be dropped. */
+    /** Discards the status and headers that an earlier attempt set, unless the response is committed. */
     void resetHead() {
         if (headSet && !committed && !keepsStaleHead) {
             response.reset();
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Sets the head of a worker's success, unless one is set already. */
+    /** Sets status and headers from a worker's successful response, unless they are set already. */
     void forwardHead(final int status, final HttpFields headers) {
         if (headSet) {
             return;
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Writes a part of the body; the callback is called once, maybe on another thread. */
+    /** Writes a part of the body and commits the response; the callback is called once, possibly on another thread. */
     void write(final byte[] bytes, final boolean isLast, final Callback onWritten) {
         committed = true;
         if (isLast) {
@@ -72,7 +72,7 @@
         response.write(isLast, ByteBuffer.wrap(bytes), onWritten);
     }
 
-    /** Replies with a worker's failure as it is, and completes the response. */
+    /** Forwards a worker's error response with its status, headers and body, and completes the response. */
     void forwardFailure(final org.eclipse.jetty.client.Response failure, final byte[] body) {
         committed = true;
         ClientDisconnects.unwatch(response.getRequest());
@@ -81,12 +81,12 @@
         response.write(true, ByteBuffer.wrap(body), callback);
     }
 
-    /** Names the scheme of the credentials that a request lacked, on the reply that follows. */
+    /** Sets the WWW-Authenticate header of the reply that follows to the scheme of the missing credentials. */
     void requestCredentials(final String scheme) {
         response.getHeaders().put(HttpHeader.WWW_AUTHENTICATE, scheme);
     }
 
-    /** Replies with a text of the proxy's own, and completes the response; no Retry-After is sent for 0 microseconds. */
+    /** Replies with a text of the proxy itself and completes the response; 0 microseconds omit the Retry-After header. */
     void replyText(final int status, final long retryAfterMicros, final String text) {
         resetHead();
         committed = true;
@@ -107,12 +107,12 @@
         callback.succeeded();
     }
 
-    /** Closes the client's connection without a complete response. */
+    /** Closes the client's connection without completing the response. */
     void abort(final String reason) {
         abort(new CancellationException(reason));
     }
 
-    /** Closes the client's connection without a complete response. */
+    /** Closes the client's connection without completing the response. */
     void abort(final Throwable failure) {
         callback.failed(failure);
     }
@@ -128,7 +128,10 @@
         closeConnectionIfClosing();
     }
 
-    /** A response to HEAD keeps the length that the worker named; one of 304 has neither body nor length. */
+    /**
+     * Sets Content-Length to the size of the body. A response to HEAD keeps the length that the worker sent; a 304 response has
+     * neither body nor length.
+     */
     private void setContentLength(final org.eclipse.jetty.client.Response from, final int bodyBytes) {
         if (from.getStatus() == HttpStatus.NOT_MODIFIED_304) {
             response.getHeaders().remove(HttpHeader.CONTENT_LENGTH);
--- a/server/src/main/java/silverlatch/server/proxy/EndToEndHeaders.java
+++ b/server/src/main/java/silverlatch/server/proxy/EndToEndHeaders.java
@@ -8,7 +8,10 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
 
-/** The header fields that a proxy forwards: all but the hop-by-hop ones (RFC 9110, section 7.6.1). */
+/**
+ * Copies the header fields that a proxy forwards: all but the hop-by-hop fields (RFC 9110, section 7.6.1), Content-Length and
+ * Expect.
+ */
 final class EndToEndHeaders {
     private static final Set<String> HOP_BY_HOP = ignoringCase(List.of(
             "Connection",
@@ -25,7 +28,7 @@
 
     private EndToEndHeaders() {}
 
-    /** Adds the fields to be forwarded, without those that the caller leaves out and those that Connection names. */
+    /** Adds the forwarded fields to the target, without those that the caller excludes and those that Connection lists. */
     static void copy(final HttpFields from, final Predicate<HttpField> isExcluded, final HttpFields.Mutable to) {
         final Set<String> namedByConnection = ignoringCase(from.getCSV(HttpHeader.CONNECTION, false));
         for (final HttpField field : from) {
--- a/server/src/main/java/silverlatch/server/proxy/EventStreamSplitter.java
+++ b/server/src/main/java/silverlatch/server/proxy/EventStreamSplitter.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 
 /**
- * Splits an event stream (text/event-stream) after complete events, and remembers the id of the last one and the version of the weights
- * that made it. Used by one thread at a time.
+ * Splits an event stream (text/event-stream) after complete events, and tracks the id of the last complete event and the version
+ * of the model weights that produced it. Must be used by one thread at a time.
  */
 final class EventStreamSplitter {
     private static final String ID_FIELD = "id:";
@@ -16,12 +16,18 @@
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private StreamPosition position = StreamPosition.START;
 
-    /** A splitter of a stream in which an event names a changed version of weights in a field of this name, whatever its case. */
+    /**
+     * Creates a splitter. An event announces a changed weight version in a field of this name in lower case; the case of the
+     * parameter does not matter.
+     */
     EventStreamSplitter(final String weightVersionName) {
         this.weightVersionField = weightVersionName.toLowerCase(Locale.ROOT) + ":";
     }
 
-    /** Takes bytes of the stream and returns all up to the end of the last complete event; empty if none is complete. */
+    /**
+     * Appends bytes of the stream and returns all buffered bytes up to the end of the last complete event; empty if no event is
+     * complete.
+     */
     byte[] split(final byte[] bytes) {
         pending.writeBytes(bytes);
         final byte[] all = pending.toByteArray();
@@ -37,17 +43,17 @@
         return Arrays.copyOf(all, end);
     }
 
-    /** The position after the last complete event, as far as this stream's events tell. */
+    /** Returns the position after the last complete event; its parts are empty if no event of this stream contained them. */
     StreamPosition position() {
         return position;
     }
 
-    /** What came after the last complete event. */
+    /** Returns the buffered bytes after the last complete event. */
     byte[] remainder() {
         return pending.toByteArray();
     }
 
-    /** The value of the last line that has this field, if one has. */
+    /** Returns the value of the last line with this field; empty if there is none or its value is blank. */
     private static Optional<String> lastField(final String events, final String field) {
         final int afterNewline = events.lastIndexOf("\n" + field) + 1;
         if (afterNewline == 0 && !events.startsWith(field)) {
@@ -58,7 +64,7 @@
                 .filter(text -> !text.isEmpty());
     }
 
-    /** The position after the last empty line, or 0; lines end with LF or CR LF. */
+    /** Returns the offset after the last empty line, or 0 if there is none; lines end with LF or CR LF. */
     private static int endOfLastEvent(final byte[] all) {
         for (int i = all.length - 1; i > 0; i--) {
             final boolean endsWithTwoNewlines = all[i] == '\n' && all[i - 1] == '\n';
--- a/server/src/main/java/silverlatch/server/proxy/HeaderValues.java
+++ b/server/src/main/java/silverlatch/server/proxy/HeaderValues.java
@@ -7,7 +7,7 @@
 import silverlatch.routing.RoutedRequest;
 import silverlatch.routing.Router;
 
-/** Reads the values of the proxy's header fields; what can't be read counts as not sent. */
+/** Parses the values of the proxy's header fields; a value that can't be parsed is treated as absent. */
 final class HeaderValues {
     private static final int MAX_PROMPT_PARTS = 256;
     private static final int LOAD_COUNT_FIELDS = 3;
@@ -17,7 +17,10 @@
 
     private HeaderValues() {}
 
-    /** The parts of a prompt, {@code ID:TOKENS} separated by commas; parts that can't be read are left out. */
+    /**
+     * Parses the parts of a prompt, {@code ID:TOKENS} separated by commas. Skips parts that can't be parsed, and all after the
+     * first 256 valid ones.
+     */
     static List<RoutedRequest.PromptPart> promptParts(final String text) {
         final List<RoutedRequest.PromptPart> parts = new ArrayList<>();
         for (final String item : text.split(",")) {
@@ -32,7 +35,7 @@
         return parts;
     }
 
-    /** A worker's load: running requests, queued requests and slots, separated by commas. */
+    /** Parses a worker's load: the numbers of running requests, queued requests and slots, separated by commas. */
     static Optional<Router.ReportedLoad> workerLoad(final String text) {
         final String[] items = text.split(",");
         if (items.length != LOAD_COUNT_FIELDS) {
@@ -49,13 +52,13 @@
                 : Optional.empty();
     }
 
-    /** A whole number of up to 15 digits. */
+    /** Parses a non-negative integer of at most 15 digits, so that it fits a long. */
     static Optional<Long> nonNegativeInteger(final String text) {
         final String digits = text.strip();
         return digits.matches("\\d{1,15}") ? Optional.of(Long.parseLong(digits)) : Optional.empty();
     }
 
-    /** The 64-bit FNV-1a hash, over UTF-16 code units. */
+    /** Returns the 64-bit FNV-1a hash of a text, computed over its UTF-16 code units. */
     private static long fnv1a(final String text) {
         long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
--- a/server/src/main/java/silverlatch/server/proxy/ProxiedRequest.java
+++ b/server/src/main/java/silverlatch/server/proxy/ProxiedRequest.java
@@ -12,15 +12,16 @@
 import silverlatch.server.eventloop.EventLoop;
 
 /**
- * A client's request at the proxy, and the attempt at a worker that feeds its response now. Only that attempt may add to the response;
- * what others still bring is dropped. A stream may go from one attempt to the next after a complete event; any other failure of a
- * committed response aborts it. Called by the router's event loop and by the threads of the HTTP client and server; the object's
- * lock guards its state.
+ * A client's request at the proxy, with its current attempt at a worker. Only the current attempt may add to the response; output
+ * of earlier attempts is dropped. A resumable stream may continue with the next attempt after a complete event; any other failure
+ * of a committed response aborts it. Called by the router's event loop and by the threads of the HTTP client and server; the
+ * object's lock guards its state.
  */
 final class ProxiedRequest {
     /**
-     * A client that closes its side this soon after its request has half-closed the connection, as some do that send no second
-     * request, and still reads the response. One that gives up waits for longer. In microseconds.
+     * A client that closes its side of the connection within this time of its request is taken to have half-closed it, in
+     * microseconds: some clients that send no second request do that and still read the response. A client that gives up on a
+     * request waits longer.
      */
     private static final long HALF_CLOSE_WINDOW_MICROS = 25_000;
 
@@ -37,7 +38,7 @@
     private boolean ended;
     private StreamPosition position = StreamPosition.START;
 
-    /** A request that was read whole and has no attempt yet; the response has no head. */
+    /** Creates a request that was read completely and has no attempt yet; the response has no status and headers. */
     ProxiedRequest(
             final ProxyServer proxy,
             final long callId,
@@ -55,22 +56,25 @@
 
     private record PendingWrite(byte[] bytes, boolean isLast, Runnable onWritten) {}
 
-    /** The id that the client gave this request. */
+    /** Returns the id that the client gave this request. */
     String requestId() {
         return requestId;
     }
 
-    /** The request's method. */
+    /** Returns the request's HTTP method. */
     String method() {
         return request.getMethod();
     }
 
-    /** Whether bytes of a response have been handed to the client's connection. */
+    /** Returns whether bytes of a response have been handed to the client's connection. */
     synchronized boolean isCommitted() {
         return response.isCommitted();
     }
 
-    /** Starts an attempt at a worker, in place of the one that there may be. */
+    /**
+     * Starts an attempt at a worker and cancels the current one, if there is one. If the request has ended, it notifies the router
+     * instead that the client disconnected; if the response is committed and can't be resumed, it aborts the response.
+     */
     synchronized void startAttempt(final RoutingEffect.StartAttempt attempt) {
         exchange.ifPresent(WorkerExchange::cancel);
         exchange = Optional.empty();
@@ -89,7 +93,7 @@
         newExchange.start();
     }
 
-    /** Cancels the attempt with this id, if it feeds the response. */
+    /** Cancels the attempt with this id, if it is the current one. */
     synchronized void cancelAttempt(final long attemptId) {
         exchange.filter(current -> current.attemptId() == attemptId).ifPresent(current -> {
             current.cancel();
@@ -97,7 +101,7 @@
         });
     }
 
-    /** Replies that the request was not executed and never will be. */
+    /** Replies with a rejection: the request was not executed and never will be. */
     synchronized void reject(final RoutingEffect.Reject reject) {
         if (reject.statusCode() == HttpStatus.UNAUTHORIZED_401 && !ended && !response.isCommitted()) {
             response.requestCredentials(proxy.headerNames().keyScheme());
@@ -105,7 +109,7 @@
         endWithText(reject.statusCode(), reject.retryAfter(), reject.reason());
     }
 
-    /** Replies with a failure that promises nothing; a response that is committed is aborted. */
+    /** Replies with a failure that leaves open whether the request was executed; a committed response is aborted. */
     synchronized void fail(final RoutingEffect.Fail fail) {
         endWithText(fail.statusCode(), 0, fail.reason());
     }
@@ -123,7 +127,7 @@
         response.replyText(status, retryAfterMicros, reason);
     }
 
-    /** Replies with the failure that the attempt with this id got, with the worker's own status and headers. */
+    /** Forwards the worker's error response that the attempt with this id received, with its status, headers and body. */
     synchronized void forwardFailure(final long attemptId) {
         exchange.filter(current -> current.attemptId() == attemptId && !ended && !response.isCommitted())
                 .ifPresent(current -> {
@@ -134,7 +138,7 @@
                 });
     }
 
-    /** Forwards the head of a success; false if the attempt no longer feeds the response. */
+    /** Forwards status and headers of a success; returns false if the attempt is no longer the current one. */
     synchronized boolean forwardHead(final WorkerExchange source, final int status, final HttpFields headers) {
         if (!isCurrent(source)) {
             return false;
@@ -146,8 +150,8 @@
     }
 
     /**
-     * Forwards a part of the body, after which the stream is at a position. Returns false, without calling back, if the attempt no longer
-     * feeds the response.
+     * Forwards a part of the body and advances the stream to a position. Calls back when the part is written. Returns false, and
+     * never calls back, if the attempt is no longer the current one.
      */
     synchronized boolean forwardBody(
             final WorkerExchange source,
@@ -162,7 +166,7 @@
         return true;
     }
 
-    /** Forwards the rest of a complete body, and completes the response. */
+    /** Forwards the rest of a complete body and completes the response. */
     synchronized void forwardEnd(final WorkerExchange source, final byte[] rest) {
         if (isCurrent(source)) {
             enqueueWrite(rest, true, () -> {
@@ -172,7 +176,7 @@
         }
     }
 
-    /** Whether this exchange still feeds the response: it may have been cancelled while its bytes were on the way here. */
+    /** Returns whether this is the current exchange; it may have been cancelled after its bytes were received. */
     private boolean isCurrent(final WorkerExchange source) {
         return !ended && exchange.filter(current -> current == source).isPresent();
     }
@@ -211,9 +215,12 @@
     }
 
     /**
-     * The client has closed its side of the connection while the request runs. Nothing more is done for it, but that a request which
-     * may not be repeated and is at a worker runs to its end: its client may only have half-closed the connection, and could
-     * never learn the outcome otherwise.
+     * Handles that the client closed its side of the connection while the request is in progress. The request is cancelled, unless
+     * the client closed so early that it counts as a half-close. A request that may not be repeated and may have reached a worker
+     * runs to completion without further attempts: its client may only have half-closed the connection, and could otherwise never
+     * learn the outcome.
+     *
+     * @param isReset whether the connection was reset, so that the client reads nothing more
      */
     void onClientClosed(final boolean isReset) {
         if (!isReset && EventLoop.nowMicros() - arrivedAt < HALF_CLOSE_WINDOW_MICROS) {
@@ -229,7 +236,7 @@
         if (mustRunToCompletion) {
             proxy.stopRetrying(callId);
         } else if (!hasEnded) {
-            onClientFailed(new EofException("the client has left"));
+            onClientFailed(new EofException("the client closed the connection"));
         }
     }
 
--- a/server/src/main/java/silverlatch/server/proxy/ProxySafeguard.java
+++ b/server/src/main/java/silverlatch/server/proxy/ProxySafeguard.java
@@ -3,25 +3,25 @@
 import java.util.Set;
 
 /**
- * A check that keeps responses and requests apart. The programs have all of them enabled; a test disables one to see that its checker
- * notices.
+ * A check that prevents responses from being matched to the wrong request, and requests from being executed twice. All of them
+ * are enabled in production; a test disables one to verify that its checker detects the resulting violations.
  */
 enum ProxySafeguard {
-    /** A response counts only if it echoes the request id that was sent. */
+    /** A response is accepted only if it echoes the request id that was sent. */
     REQUEST_ID_ECHO,
-    /** A request that has begun to leave counts as one that may be executed. */
+    /** A request whose sending has begun is treated as possibly executed. */
     SENT_MAY_BE_EXECUTED,
-    /** A connection on which bytes followed a complete response is not used again. */
+    /** A connection to a worker on which bytes followed a complete response is not reused. */
     LEFTOVER_BYTES,
-    /** A success needs a body whose end can be told from a broken connection. */
+    /** A success is accepted only if the end of its body can be distinguished from a broken connection. */
     SELF_DELIMITED_BODY,
-    /** A status that promises something is forwarded only with the worker's statement that it did not execute the request. */
+    /** A status that invites a retry (408, 429, 503) is accepted only with the worker's statement that it did not execute the request. */
     NOT_EXECUTED_STATEMENT,
-    /** A head that is not committed is replaced as a whole by that of the next attempt. */
+    /** Status and headers of an uncommitted response are replaced as a whole by those of the next attempt. */
     HEAD_RESET,
-    /** A success bears the worker's seal. */
+    /** A success is accepted only if it has exactly one worker's seal. */
     SEAL;
 
-    /** The safeguards that are disabled in the programs: none. */
+    /** The disabled safeguards in production: none. */
     static final Set<ProxySafeguard> NONE_DISABLED = Set.of();
 }
--- a/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
+++ b/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
@@ -25,8 +25,9 @@
 import silverlatch.state.Value;
 
 /**
- * The HTTP handler for requests by host and path: it reads each request whole, hands it to the router, and carries out what the router
- * decides. Handlers run on the threads of the HTTP server and block nothing; {@link #apply} is called on the router's event loop.
+ * The HTTP handler of the reverse proxy, which routes requests by host and path. It reads each request completely, passes it to
+ * the router, and carries out the router's decisions. Handler methods run on the threads of the HTTP server and don't block;
+ * {@link #apply} is called on the router's event loop.
  */
 public final class ProxyServer extends Handler.Abstract.NonBlocking {
     private static final int MAX_CONFIGURABLE_BODY_BYTES = 32 << 20;
@@ -46,11 +47,11 @@
     private volatile boolean closesConnections;
 
     /**
-     * A proxy.
+     * Creates a proxy.
      *
      * @param headerNames  the names of its header fields
-     * @param workerClient the client that has been started, or will be before the first request; it is not stopped here
-     * @param routerLoop   runs a task with the router on the router's event loop, or returns false when its queue is full
+     * @param workerClient the HTTP client for workers; the caller starts it before the first request, and stops it
+     * @param routerLoop   runs a task with the router on the router's event loop; returns false if the loop's queue is full
      */
     public ProxyServer(
             final ProxyHeaderNames headerNames,
@@ -71,18 +72,18 @@
         this.disabledSafeguards = Set.copyOf(disabledSafeguards);
     }
 
-    /** Sets how large a body may be, in bytes, until the next limits. */
+    /** Sets the maximum size of a request body in bytes; the next {@link #updateLimits} overrides it. */
     void setMaxBodyBytes(final int bytes) {
         maxBodyBytes = bytes;
     }
 
-    /** Sets the listener at which clients connect; it follows the limits of the configuration in force. */
+    /** Sets the listener to which clients connect, and applies the limits of the configuration in force to it. */
     public void setListener(final MultiListenerServer.Listener newListener) {
         listener = Optional.of(newListener);
         limits.ifPresent(current -> updateListener(newListener, current));
     }
 
-    /** Applies the limits of the configuration in force, also to connections that are idle now. Called on the event loop. */
+    /** Applies the limits of the configuration in force, also to currently idle connections. Called on the event loop. */
     public void updateLimits(final Value.RoutingConfiguration configuration) {
         if (limits.filter(configuration::equals).isEmpty()) {
             limits = Optional.of(configuration);
@@ -96,7 +97,7 @@
         listener.updateLimits(configuration.maxHeaderBytes(), configuration.idleTimeoutMicros() / MICROS_PER_MILLI);
     }
 
-    /** Has every response close its connection from now on; requests are still served. */
+    /** Makes every further response close its connection; requests are still served. */
     public void closeConnectionsAfterResponses() {
         closesConnections = true;
     }
@@ -136,7 +137,7 @@
         reject(response, callback, HttpStatus.PAYLOAD_TOO_LARGE_413, "larger than " + limitBytes + " bytes");
     }
 
-    /** Rejects a request before it has an id, and closes its connection, on which more of it may come. */
+    /** Rejects a request before its id was read, and closes its connection, as unread bytes of the request may follow. */
     private static void reject(
             final Response response, final Callback callback, final int status, final String reason) {
         response.setStatus(status);
@@ -170,7 +171,7 @@
         remove(callId).ifPresent(request -> request.reject(reject));
     }
 
-    /** Carries out a decision of the router; one for a request that has ended does nothing. */
+    /** Carries out a decision of the router; ignores a decision about a request that has ended. */
     public void apply(final RoutingEffect effect) {
         switch (effect) {
             case RoutingEffect.StartAttempt attempt ->
@@ -188,22 +189,25 @@
         }
     }
 
-    /** How many requests have no complete response yet. */
+    /** Returns the number of requests whose response is not complete yet. */
     public int openRequests() {
         return requestsByCallId.size();
     }
 
-    /** Forgets a request whose client is gone or whose response was aborted, and tells the router. */
+    /** Removes a request whose client disconnected or whose response was aborted, and notifies the router. */
     void abandon(final long callId) {
         remove(callId).ifPresent(disconnected -> postClientDisconnected(callId));
     }
 
-    /** Forgets a request whose response was written whole. */
+    /** Removes a request whose response was written completely. */
     void complete(final long callId) {
         requestsByCallId.remove(callId);
     }
 
-    /** Runs a task with the router on its event loop; where its queue is full, the request's deadline ends what is left over. */
+    /**
+     * Runs a task with the router on its event loop. Returns false if the loop's queue is full: the task is dropped then, and the
+     * router ends the request at its deadline.
+     */
     boolean postToRouter(final Consumer<Router> task) {
         return routerLoop.test(task);
     }
@@ -220,7 +224,7 @@
         return workerRequestFactory;
     }
 
-    /** Tells the router that no further attempt is to be made, as a client has left; the one in flight goes on. */
+    /** Notifies the router that the client closed the connection: the attempt in flight continues, but no further one is made. */
     void stopRetrying(final long callId) {
         postToRouter(router -> router.clientLeft(callId));
     }
--- a/server/src/main/java/silverlatch/server/proxy/RoutedRequestReader.java
+++ b/server/src/main/java/silverlatch/server/proxy/RoutedRequestReader.java
@@ -6,7 +6,7 @@
 import org.eclipse.jetty.server.Request;
 import silverlatch.routing.RoutedRequest;
 
-/** Reads from a client's request what the router needs to know of it. Any thread may call. */
+/** Reads the properties that the router needs from a client's HTTP request. Thread-safe. */
 final class RoutedRequestReader {
     private static final long DEFAULT_DEADLINE_MS = 60_000;
     private static final long MICROS_PER_MILLI = 1_000;
@@ -19,12 +19,12 @@
         this.credentials = new ClientCredentials(headerNames.keyScheme());
     }
 
-    /** The client's id of its request, which it must send. */
+    /** Returns the id that the client gave its request; empty if the mandatory header is absent or blank. */
     Optional<String> requestId(final Request request) {
         return header(request, headerNames.requestId()).filter(id -> !id.isEmpty());
     }
 
-    /** What the router is to know of the request. */
+    /** Reads a request for the router; headers that are absent or can't be parsed get default values. */
     RoutedRequest read(final long callId, final String requestId, final Request request) {
         final String[] tokenCounts =
                 header(request, headerNames.tokenCounts()).orElse("").split(",");
--- a/server/src/main/java/silverlatch/server/proxy/WorkerConnection.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerConnection.java
@@ -8,9 +8,9 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * A connection to a worker that is never used again once bytes have followed a complete response on it. Jetty discards such
- * bytes and puts the connection back into its pool; what is still to come of them would then be read as the response to
- * the next request.
+ * A connection to a worker that is closed instead of reused if bytes followed a complete response on it. Jetty alone discards such
+ * bytes and returns the connection to its pool; bytes of the same kind that arrive later would then be read as the response to the
+ * next request.
  */
 final class WorkerConnection extends HttpConnectionOverHTTP {
     private final boolean closeOnLeftover;
--- a/server/src/main/java/silverlatch/server/proxy/WorkerExchange.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerExchange.java
@@ -13,9 +13,9 @@
 import silverlatch.server.eventloop.EventLoop;
 
 /**
- * One attempt of a request at one worker. The request is sent once; what comes back is checked and handed to the request that it
- * feeds, and the outcome is reported to the router exactly once, unless the attempt is cancelled. Its handlers run on the threads
- * of the HTTP client, one at a time.
+ * One attempt to execute a request at one worker. The request is sent at most once. The response is validated and passed to the
+ * {@link ProxiedRequest} that owns the attempt, and the outcome is reported to the router exactly once, unless the attempt is
+ * cancelled. The handlers run on the threads of the HTTP client, one at a time.
  */
 final class WorkerExchange {
     private static final int MAX_FAILURE_BODY_BYTES = 256 << 10;
@@ -32,7 +32,7 @@
     private WorkerResponseHead responseHead = new WorkerResponseHead.Unusable("no head yet");
     private boolean failureBodyTooLarge;
 
-    /** An attempt that is not sent yet; a stream goes on from the position. */
+    /** Creates an attempt that is not sent yet; a stream is resumed after the position. */
     WorkerExchange(
             final ProxyServer proxy,
             final ProxiedRequest owner,
@@ -52,7 +52,7 @@
                 .onResponseContentAsync((from, chunk, demandMore) -> onContent(chunk, demandMore));
     }
 
-    /** The router's id of this attempt. */
+    /** Returns the router's id of this attempt. */
     long attemptId() {
         return attempt.attemptId();
     }
@@ -62,24 +62,27 @@
         request.send(result -> onComplete(result.isSucceeded()));
     }
 
-    /** Cancels the attempt: nothing of it is forwarded or reported from now on, and its connection is closed. */
+    /** Cancels the attempt: nothing more of it is forwarded or reported, and its connection is closed. */
     void cancel() {
         if (finished.compareAndSet(false, true)) {
-            request.abort(new CancellationException("given up"));
+            request.abort(new CancellationException("the attempt was cancelled"));
         }
     }
 
-    /** Whether the request may have reached its worker and can't be repeated, nor is it a stream that its client reads as it comes. */
+    /**
+     * Returns whether the attempt must not be cancelled when its client closes the connection: the request may have reached its
+     * worker, can't be repeated, and its response is not a stream that the client reads as it arrives.
+     */
     boolean mustRunToCompletion() {
         return requestStarted.get() && attempt.once() && !attempt.stream();
     }
 
-    /** The worker's response; present once its head has come. */
+    /** Returns the worker's response; present once its status and headers were received. */
     Optional<Response> response() {
         return response;
     }
 
-    /** The body of a response that is a failure; complete when the router was told of the response. */
+    /** Returns the body of an error response; complete once the router was notified of the response. */
     byte[] failureBody() {
         return failureBody.toByteArray();
     }
@@ -116,7 +119,10 @@
         }
     }
 
-    /** Of a stream that may be resumed only complete events are forwarded; more is read once they are written. */
+    /**
+     * Forwards a part of the body, or only the complete events of a stream that may be resumed. More is read from the worker once
+     * the forwarded bytes are written to the client.
+     */
     private void forwardContent(final byte[] bytes, final Runnable demandMore) {
         final byte[] ready = splitsEvents ? eventSplitter.split(bytes) : bytes;
         if (ready.length == 0) {
@@ -165,7 +171,7 @@
         });
     }
 
-    /** A request that has begun to leave may have been executed. */
+    /** Reports an attempt without a usable response. A request whose sending has begun counts as possibly executed. */
     private void reportUnusableResponse() {
         final boolean mayBeExecuted =
                 requestStarted.get() && !proxy.disabledSafeguards().contains(ProxySafeguard.SENT_MAY_BE_EXECUTED);
--- a/server/src/main/java/silverlatch/server/proxy/WorkerHttpClient.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerHttpClient.java
@@ -14,9 +14,9 @@
 import silverlatch.server.web.ResettingClientConnector;
 
 /**
- * The HTTP client of the proxy for workers. Connections are pooled for a short time only. It follows no redirect, answers no
- * challenge, and never sends a request twice that has begun to leave. Any thread may send once it is started; responses are handled
- * on its own threads.
+ * The HTTP client with which the proxy sends requests to workers. It pools connections for a short time only, follows no
+ * redirects, answers no authentication challenges, and never resends a request whose sending has begun. Thread-safe once started;
+ * responses are handled on its own threads.
  */
 public final class WorkerHttpClient {
     private static final int MAX_RESPONSE_HEADER_BYTES = 16 << 10;
@@ -25,19 +25,19 @@
     private final HttpClient httpClient;
 
     /**
-     * How the client is made.
+     * The settings of the client.
      *
-     * @param connectTimeoutMs        how long a new connection may take, in milliseconds
-     * @param idleTimeoutMs           how long a pooled connection is kept, in milliseconds
-     * @param maxConnectionsPerWorker how many connections, and how many queued requests, one worker may have at most
-     * @param threads                 how many threads serve all connections
+     * @param connectTimeoutMs        the timeout for opening a connection and for resolving its address, in milliseconds
+     * @param idleTimeoutMs           how long an idle connection is kept in the pool, in milliseconds
+     * @param maxConnectionsPerWorker the maximum number of connections, and also of queued requests, per worker
+     * @param threads                 the maximum number of threads, which serve all connections
      */
     public record Settings(int connectTimeoutMs, int idleTimeoutMs, int maxConnectionsPerWorker, int threads) {
-        /** The settings of the programs. */
+        /** The settings used in production. */
         public static final Settings DEFAULT = new Settings(400, 3_000, 64, 8);
     }
 
-    /** A client that is not started. */
+    /** Creates a client that is not started. */
     public WorkerHttpClient(final Settings settings) {
         this(settings, ProxySafeguard.NONE_DISABLED);
     }
@@ -63,7 +63,7 @@
         httpClient.setMaxResponseHeadersSize(MAX_RESPONSE_HEADER_BYTES);
     }
 
-    /** HTTP/1.1 over connections that are dropped when bytes follow a response. */
+    /** The HTTP/1.1 transport, whose connections are closed if bytes follow a response. */
     private static final class WorkerTransport extends HttpClientTransportOverHTTP {
         private final HttpClientConnectionFactory connections;
 
@@ -99,9 +99,9 @@
     }
 
     /**
-     * Closes all connections and ends the threads; requests under way fail.
+     * Closes all connections and stops the threads; requests in flight fail.
      *
-     * @throws WorkerHttpClientException when they can't be ended
+     * @throws WorkerHttpClientException when they can't be stopped
      */
     public void stop() throws WorkerHttpClientException {
         try {
@@ -111,7 +111,7 @@
         }
     }
 
-    /** A request, not sent yet, to the worker at this {@code host:port}; the path has its query. */
+    /** Creates a request, without sending it, to the worker at this {@code host:port}; the path includes the query. */
     Request newRequest(final String address, final String method, final String path) {
         return httpClient
                 .newRequest(URI.create("http://" + address))
@@ -119,11 +119,11 @@
                 .path(path);
     }
 
-    /** The client can't be started or stopped. */
+    /** Thrown when the client can't be started or stopped. */
     public static final class WorkerHttpClientException extends Exception {
-        /** With what the HTTP client threw. */
+        /** Creates an exception with the failure of the underlying HTTP client as its cause. */
         public WorkerHttpClientException(final Throwable cause) {
-            super("the client for workers: " + cause.getMessage(), cause);
+            super("can't start or stop the proxy's HTTP client for workers: " + cause.getMessage(), cause);
         }
     }
 }
--- a/server/src/main/java/silverlatch/server/proxy/WorkerRequestFactory.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerRequestFactory.java
@@ -9,9 +9,9 @@
 import silverlatch.routing.RoutingEffect;
 
 /**
- * Makes the request that a worker gets out of the client's: method, path, body and end-to-end headers unchanged, but that a tenant's key
- * is left out, and the proxy's own headers set anew. Each attempt's request is made from the client's, so all of them name the
- * same tenant.
+ * Creates the request to a worker from the client's request: method, path, body and end-to-end headers are unchanged, except that
+ * a tenant's key is removed and the proxy's own headers are replaced. The request of every attempt is created from the client's,
+ * so all attempts name the same tenant.
  */
 final class WorkerRequestFactory {
     private static final String LAST_EVENT_ID = "Last-Event-Id";
@@ -30,7 +30,10 @@
         this.credentials = new ClientCredentials(headerNames.keyScheme());
     }
 
-    /** A request that is not sent yet; one that resumes a stream names the last event that was forwarded, and the weights that made it. */
+    /**
+     * Creates the request of an attempt, without sending it. If it resumes a stream, it contains the id of the last forwarded event
+     * and the version of the weights that produced it.
+     */
     Request create(
             final RoutingEffect.StartAttempt attempt,
             final org.eclipse.jetty.server.Request clientRequest,
@@ -71,7 +74,7 @@
         });
     }
 
-    /** An empty body is framed as one where the client's was. */
+    /** Returns whether the request is sent with a body; an empty body is sent as such if the client's request was framed with one. */
     private static boolean hasBody(final HttpFields clientHeaders, final byte[] body) {
         return body.length > 0
                 || clientHeaders.contains(HttpHeader.CONTENT_LENGTH)
--- a/server/src/main/java/silverlatch/server/proxy/WorkerResponseHead.java
+++ b/server/src/main/java/silverlatch/server/proxy/WorkerResponseHead.java
@@ -7,30 +7,30 @@
 import org.eclipse.jetty.http.HttpStatus;
 
 /**
- * What the head of a worker's response means for the request that was sent. A head counts only if it echoes exactly the
- * request id that was sent: on a pooled connection it may otherwise belong to an earlier request.
+ * The meaning of the status and headers of a worker's response for the request that was sent. They are accepted only if they echo
+ * exactly the request id that was sent: on a pooled connection the response may otherwise belong to an earlier request.
  */
 sealed interface WorkerResponseHead {
-    /** A success that bears the worker's seal and whose body shows by itself whether it is complete. */
+    /** A success with the worker's seal and a self-delimited body, whose end is distinguishable from a broken connection. */
     record Success() implements WorkerResponseHead {}
 
-    /** The worker's own failure, to be forwarded with its own status and seal. */
+    /** Any other status; the worker's response is to be forwarded with its own status and headers. */
     record Failure() implements WorkerResponseHead {}
 
-    /** The worker says that it did not execute the request and never will. */
+    /** The worker's statement that it did not execute the request and never will. */
     record NotExecuted() implements WorkerResponseHead {}
 
-    /** Another worker has the address; it did not execute the request. */
+    /** Another worker now uses the address; it did not execute the request. */
     record Misdirected() implements WorkerResponseHead {}
 
-    /** Not a response to this request, or none that may be forwarded; the request may have been executed. */
+    /** A response to another request, or one that must not be forwarded; the request may have been executed. */
     record Unusable(String reason) implements WorkerResponseHead {}
 
-    /** The statuses that tell a client that the request was not executed and may be retried. */
+    /** The statuses from which a client concludes that the request was not executed and may be retried. */
     Set<Integer> RETRYABLE_STATUSES = Set.of(
             HttpStatus.REQUEST_TIMEOUT_408, HttpStatus.TOO_MANY_REQUESTS_429, HttpStatus.SERVICE_UNAVAILABLE_503);
 
-    /** Reads the head of a response to a request with this request id and method. */
+    /** Classifies the status and headers of a response to a request with this request id and method. */
     static WorkerResponseHead read(
             final Set<ProxySafeguard> disabledSafeguards,
             final ProxyHeaderNames headerNames,
@@ -40,7 +40,7 @@
             final HttpFields headers) {
         if (!disabledSafeguards.contains(ProxySafeguard.REQUEST_ID_ECHO)
                 && !headers.getValuesList(headerNames.requestId()).equals(List.of(requestId))) {
-            return new Unusable("it does not echo the request id");
+            return new Unusable("the response does not echo the request id exactly once");
         }
         if (status < HttpStatus.OK_200) {
             return new Unusable("an interim response");
@@ -57,7 +57,8 @@
         }
         return RETRYABLE_STATUSES.contains(status)
                         && !disabledSafeguards.contains(ProxySafeguard.NOT_EXECUTED_STATEMENT)
-                ? new Unusable("status " + status + " without the worker's statement that it did not execute it")
+                ? new Unusable(
+                        "status " + status + " without the worker's statement that it did not execute the request")
                 : new Failure();
     }
 
@@ -69,7 +70,7 @@
             final HttpFields headers,
             final boolean notExecuted) {
         if (notExecuted) {
-            return new Unusable("a success that was not executed");
+            return new Unusable("a success with the statement that the request was not executed");
         }
         if (!disabledSafeguards.contains(ProxySafeguard.SEAL)
                 && headers.getValuesList(headerNames.seal()).size() != 1) {
@@ -81,10 +82,10 @@
         return isSelfDelimited(method, status, headers)
                         || disabledSafeguards.contains(ProxySafeguard.SELF_DELIMITED_BODY)
                 ? new Success()
-                : new Unusable("a body whose end cannot be told from a broken connection");
+                : new Unusable("a body whose end cannot be distinguished from a broken connection");
     }
 
-    /** Whether a body that ends early can be told from a complete one. */
+    /** Returns whether a truncated body can be distinguished from a complete one. */
     private static boolean isSelfDelimited(final String method, final int status, final HttpFields headers) {
         final boolean hasContentLength = headers.contains(HttpHeader.CONTENT_LENGTH);
         final boolean hasTransferEncoding = headers.contains(HttpHeader.TRANSFER_ENCODING);
--- a/server/src/main/java/silverlatch/server/workerclient/StreamRecordDecoder.java
+++ b/server/src/main/java/silverlatch/server/workerclient/StreamRecordDecoder.java
@@ -7,9 +7,9 @@
 import silverlatch.json.JsonDocument;
 
 /**
- * Splits the body of a worker's response into lines and reads each as a record of the stream (docs/worker-format.md). After the
- * first line that is too long or is no record it hands over one {@link StreamRecord.Lost} with the reason, and nothing more.
- * Used by one thread at a time.
+ * Splits the body of a worker's response into lines and parses each as a record of the stream (docs/worker-format.md). At the
+ * first line that is too long or is not a valid record, it emits one {@link StreamRecord.Lost} with the reason and ignores the
+ * rest. Must be used by one thread at a time.
  */
 public final class StreamRecordDecoder {
     private static final int MAX_ID_LENGTH = 256;
@@ -19,13 +19,13 @@
     private final ByteArrayOutputStream partialLine = new ByteArrayOutputStream();
     private boolean failed;
 
-    /** A decoder of lines of at most so many bytes; the consumer is called within {@link #decode}. */
+    /** Creates a decoder with a maximum line length in bytes; the consumer is called from within {@link #decode}. */
     public StreamRecordDecoder(final int maxLineBytes, final Consumer<StreamRecord> recordConsumer) {
         this.maxLineBytes = maxLineBytes;
         this.recordConsumer = recordConsumer;
     }
 
-    /** Reads the buffer to its end; a line that is not complete yet is kept for the next call. */
+    /** Decodes the buffer to its end; an incomplete line is kept for the next call. */
     public void decode(final ByteBuffer bytes) {
         while (bytes.hasRemaining() && !failed) {
             final byte nextByte = bytes.get();
--- a/server/src/main/java/silverlatch/server/workerclient/StreamRecordEncoder.java
+++ b/server/src/main/java/silverlatch/server/workerclient/StreamRecordEncoder.java
@@ -4,11 +4,11 @@
 import silverlatch.dispatch.StreamRecord;
 import silverlatch.json.JsonDocument;
 
-/** Writes records of a stream as clients get them: one JSON object a line (docs/worker-format.md). */
+/** Encodes the records of a stream as clients receive them: one JSON object per line (docs/worker-format.md). */
 public final class StreamRecordEncoder {
     private StreamRecordEncoder() {}
 
-    /** The record as one line, with its newline. */
+    /** Returns the record as one line, including the newline. */
     public static String encode(final StreamRecord record) {
         return JsonDocument.write(
                         switch (record) {
--- a/server/src/main/java/silverlatch/server/workerclient/WorkerRunClient.java
+++ b/server/src/main/java/silverlatch/server/workerclient/WorkerRunClient.java
@@ -23,8 +23,8 @@
 import silverlatch.server.web.ResettingClientConnector;
 
 /**
- * The HTTP client by which the dispatcher has workers execute requests ({@code POST /v1/runs}). A request is sent at most once and
- * is never retried here. The methods may be called from any thread once the client has started.
+ * The HTTP client with which the dispatcher sends requests to workers for execution ({@code POST /v1/runs}). Each run is sent at
+ * most once and never retried by this client. The methods may be called from any thread once the client has started.
  */
 public final class WorkerRunClient {
     private static final int MAX_THREADS = 16;
@@ -40,19 +40,30 @@
     private final Listener listener;
     private final Map<Long, Request> requestsByOperation = new ConcurrentHashMap<>();
 
-    /** Is told what comes of each run; called on the client's threads, one call at a time for one run. */
+    /** Receives the events of all runs; called on the client's threads, sequentially for each run. */
     public interface Listener {
-        /** The worker has accepted the run; its records follow. */
+        /** Called when the worker has accepted the run; its records follow. */
         void onStarted(long operationId);
 
-        /** A record has come, or the reason why no more records can be read. */
+        /** Called for each received record, or with {@link StreamRecord.Lost} if no more records can be read. */
         void onRecord(long operationId, StreamRecord record);
 
-        /** The exchange has ended, the last call for a run; started is false only where the run provably did not begin. */
+        /**
+         * Called last for each run, when its HTTP exchange has ended, successfully or not.
+         *
+         * @param started false only if it is known that the worker did not start the run
+         * @param reason  the HTTP status or the failure that ended the exchange
+         */
         void onEnded(long operationId, boolean started, String reason);
     }
 
-    /** A client that does not run yet; it reads lines of at most so many bytes and shows workers this key. */
+    /**
+     * Creates a client that is not started.
+     *
+     * @param maxLineBytes the maximum length of a line of a response in bytes
+     * @param workerKey    the key that is sent to workers as bearer token
+     * @param listener     receives the events of all runs
+     */
     public WorkerRunClient(final int maxLineBytes, final String workerKey, final Listener listener) {
         this.maxLineBytes = maxLineBytes;
         this.workerKey = workerKey;
@@ -85,9 +96,9 @@
     }
 
     /**
-     * Closes all connections and ends the threads; runs under way end as failed.
+     * Closes all connections and stops the threads; runs in flight fail.
      *
-     * @throws WorkerRunClientException when they can't be ended
+     * @throws WorkerRunClientException when they can't be stopped
      */
     public void stop() throws WorkerRunClientException {
         try {
@@ -97,7 +108,7 @@
         }
     }
 
-    /** Sends a run to its worker, unless its time to be sent has passed when a connection is at hand. */
+    /** Sends a run to its worker, unless its send deadline has passed by the time a connection is available. */
     public void startRun(final DispatchEffect.StartAttempt attempt) {
         final long operationId = attempt.operationId();
         final AtomicBoolean sent = new AtomicBoolean();
@@ -128,7 +139,7 @@
         });
     }
 
-    /** Cancels a run and closes its connection; does nothing if it has ended. */
+    /** Cancels a run and closes its connection; has no effect if the run has ended. */
     public void cancel(final long operationId) {
         Optional.ofNullable(requestsByOperation.remove(operationId))
                 .ifPresent(request -> request.abort(new CancellationException("cut")));
@@ -153,7 +164,7 @@
                 "prompt", attempt.prompt()));
     }
 
-    /** Whether the worker says that it has not started the run and will not. */
+    /** Returns whether the worker stated that it did not start the run and never will. */
     private static boolean isRejected(final Result result) {
         return result.getResponseFailure() == null
                 && result.getResponse().getStatus() == HttpStatus.SERVICE_UNAVAILABLE_503
@@ -166,11 +177,11 @@
                 : "status " + result.getResponse().getStatus();
     }
 
-    /** The client can't be started or stopped. */
+    /** Thrown when the client can't be started or stopped. */
     public static final class WorkerRunClientException extends Exception {
-        /** With what the HTTP client threw. */
+        /** Creates an exception with the failure of the underlying HTTP client as its cause. */
         public WorkerRunClientException(final Throwable cause) {
-            super("the client for workers: " + cause.getMessage(), cause);
+            super("can't start or stop the HTTP client for worker runs: " + cause.getMessage(), cause);
         }
     }
 }
--- a/server/src/main/java/silverlatch/server/workerclient/package-info.java
+++ b/server/src/main/java/silverlatch/server/workerclient/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The client by which the dispatcher has workers execute requests of the product's own API, and the format of their streams
- * (docs/worker-format.md). The proxy has a client of its own.
+ * The HTTP client with which the dispatcher sends requests of the gateway's own API to workers, and the encoding of their response
+ * streams (docs/worker-format.md). The proxy has a separate client.
  */
 package silverlatch.server.workerclient;
--- a/server/src/test/java/silverlatch/server/gateway/OperatorApiTest.java
+++ b/server/src/test/java/silverlatch/server/gateway/OperatorApiTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.server.settings.Settings;
 
-/** A gateway in this process that knows no controller. */
+/**
+ * Guards the compatibility of the operators' pages: a metric or JSON key that was renamed must also be reported under its former
+ * name. Runs a gateway in this process, without a controller.
+ */
 final class OperatorApiTest {
     private static String freeAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
--- a/server/src/test/java/silverlatch/server/provider/ProviderCallerTest.java
+++ b/server/src/test/java/silverlatch/server/provider/ProviderCallerTest.java
@@ -20,7 +20,11 @@
 import silverlatch.state.Value;
 import silverlatch.traffic.UsageOutbox;
 
-/** The calls of a process that owns the role under token 4, on a fake clock; windows 1 to 9 are closed. */
+/**
+ * Guards against calls to the cloud provider by a process that no longer owns the singleton role, against calls beyond the rate
+ * limit, and against a failing or silent provider that blocks further calls. Uses a fake clock; the process owns the role under
+ * token 4, and usage windows 1 to 9 are closed.
+ */
 final class ProviderCallerTest {
     private static final long SECOND = 1_000_000;
     private static final long TENURE = 3 * SECOND;
@@ -42,7 +46,7 @@
             Runnable::run,
             new SplittableRandom(7));
 
-    /** Wants one number of workers until that is accepted. */
+    /** Returns a call for the target count until that is accepted. */
     private static final class WorkerCountSource implements CallSource {
         private Optional<Integer> targetCount = Optional.empty();
         private final List<Outcome> outcomes = new ArrayList<>();
@@ -84,7 +88,7 @@
         }
     }
 
-    /** Passes time until the next call is made, and answers it. */
+    /** Advances the time until the next call is made, and completes that call with an outcome. */
     private void completeNextCall(final Outcome outcome) {
         final int before = provider.calls().size();
         for (int i = 0; i < 100 && provider.calls().size() == before; i++) {
@@ -121,7 +125,7 @@
         assertThat(provider.descriptions(), contains("usage 1", "usage 1"));
         provider.calls().get(0).outcome().complete(Outcome.FENCED);
         completeNextCall(Outcome.ACCEPTED);
-        assertThat("the late outcome counts for nothing", provider.last().token(), is(4L));
+        assertThat("the late outcome is ignored", provider.last().token(), is(4L));
     }
 
     @Test
@@ -131,7 +135,7 @@
         for (int i = 0; i < 9; i++) {
             completeNextCall(Outcome.ACCEPTED);
         }
-        assertThat("8 pauses at 4 a second", now - from, greaterThan(2 * SECOND - 1));
+        assertThat("8 intervals at 4 calls per second", now - from, greaterThan(2 * SECOND - 1));
     }
 
     @Test
@@ -195,10 +199,13 @@
         token = Optional.of(6L);
         advanceTime(TENURE);
         assertThat(provider.calls(), hasSize(2));
-        assertThat("at the start, and anew", workerCounts.resets, is(2));
+        assertThat("one reset at the first tenure, one at the second", workerCounts.resets, is(2));
         late.outcome().complete(Outcome.FENCED);
         advanceTime(SECOND);
-        assertThat("a late outcome of the earlier token", provider.last().token(), is(6L));
+        assertThat(
+                "the late outcome of the earlier token is ignored",
+                provider.last().token(),
+                is(6L));
     }
 
     @Test
@@ -215,10 +222,10 @@
         hesitant.tick();
         now += TENURE;
         hesitant.tick();
-        assertThat("the role was lost between", provider.calls(), hasSize(0));
+        assertThat("the role was lost between tick and call", provider.calls(), hasSize(0));
     }
 
-    /** A clock that moves on with each look, as where the process is stopped for a moment. */
+    /** A clock that is a second later at every second reading, as if the process was suspended between the two readings. */
     private long pausingClock() {
         return clockReadings++ % 2 == 0 ? now : now + SECOND;
     }
--- a/server/src/test/java/silverlatch/server/provider/ScalingCallSourceTest.java
+++ b/server/src/test/java/silverlatch/server/provider/ScalingCallSourceTest.java
@@ -17,7 +17,10 @@
 import silverlatch.traffic.GatewayDemand;
 import silverlatch.wire.TrafficMessage;
 
-/** Which orders are made of what the policy wants: one pool in two zones of one region, one gateway. */
+/**
+ * Checks which calls are made for the worker counts that the scaling policy decides on: one pool in two zones of one region, one
+ * gateway. Guards against counts that are never set after a call failed or its outcome was unknown, and against repeated calls.
+ */
 final class ScalingCallSourceTest {
     private static final long SECOND = 1_000_000L;
     private static final int SLOTS = 10;
@@ -44,7 +47,7 @@
                         "elsewhere", "east", List.of(new TrafficMessage.PoolDemand("pool", 5, openRequests, 0)))));
     }
 
-    /** Asks four times a second, answering each call at once; returns the orders. */
+    /** Requests the next call four times per second and completes it immediately; returns the calls. */
     private List<String> runFor(final int seconds, final CloudProvider.Outcome outcome) {
         final List<String> calls = new ArrayList<>();
         for (int i = 0; i < 4 * seconds; i++) {
@@ -95,7 +98,7 @@
         assertThat(runFor(4, CloudProvider.Outcome.ACCEPTED), contains("east1=4", "east2=4"));
     }
 
-    /** The raise may have taken effect: the count before it, accepted once, has to be ordered anew. */
+    /** A raise with unknown outcome may have taken effect, so the previously accepted lower count has to be set again. */
     @Test
     void anAcceptedCountIsSetAgainAfterACallWithAnUnknownOutcome() {
         runFor(30, CloudProvider.Outcome.ACCEPTED);
--- a/server/src/test/java/silverlatch/server/provider/ScriptedProvider.java
+++ b/server/src/test/java/silverlatch/server/provider/ScriptedProvider.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.CompletableFuture;
 import silverlatch.state.Value;
 
-/** A provider that notes its calls; a test answers each, or none. */
+/** A cloud provider that records its calls; the test completes them, or leaves them unanswered. */
 final class ScriptedProvider implements CloudProvider {
     private final List<Call> calls = new ArrayList<>();
 
-    /** A call, and the outcome that its caller waits for. */
+    /** A call and the future of its outcome. */
     record Call(String holder, long token, String description, CompletableFuture<Outcome> outcome) {}
 
     List<Call> calls() {
@@ -20,7 +20,7 @@
         return calls.get(calls.size() - 1);
     }
 
-    /** What was called for, in order. */
+    /** Returns the descriptions of all calls, in order. */
     List<String> descriptions() {
         return calls.stream().map(Call::description).toList();
     }
--- a/server/src/test/java/silverlatch/server/proxy/ClientDisconnectTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ClientDisconnectTest.java
@@ -22,16 +22,19 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.util.Threads;
 
-/** What becomes of a request whose client closes its connection while the worker is silent. */
+/**
+ * Guards against work that continues for a client that has disconnected, and against requests that are cancelled although their
+ * client only half-closed the connection. The worker sends no response while the client closes its connection.
+ */
 final class ClientDisconnectTest extends ProxyFixture {
-    /** The platform counts work that goes on for longer than this after the client has left. */
+    /** The platform counts work that continues for longer than this after the client disconnected. */
     private static final long CANCEL_LIMIT_MS = 500;
 
     private static final long PAST_HALF_CLOSE_WINDOW_MS = 150;
     private static final long WAIT_MS = 5_000;
     private SilentWorker silent;
 
-    /** A worker that hands over each connection once it has read a request on it, and writes nothing by itself. */
+    /** A worker that queues each connection once it has read a request on it; it writes nothing by itself. */
     private static final class SilentWorker {
         private final ServerSocket server;
         private final BlockingQueue<Socket> connections = new LinkedBlockingQueue<>();
@@ -73,7 +76,7 @@
         silent.server.close();
     }
 
-    /** The silent worker is the only one that the router knows. */
+    /** Adds the silent worker to the router's snapshot. */
     private void useSilentWorker() throws Exception {
         addWorker(silent.server.getLocalPort());
     }
@@ -95,7 +98,7 @@
         socket.getOutputStream().flush();
     }
 
-    /** How long until the proxy ended its connection to the worker, in milliseconds. */
+    /** Waits until the proxy closes its connection to the worker, and returns the waiting time in milliseconds. */
     private static long millisUntilConnectionEnd(final Socket worker) throws IOException {
         final long begin = System.nanoTime();
         worker.setSoTimeout((int) WAIT_MS);
--- a/server/src/test/java/silverlatch/server/proxy/EarlyResponseTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/EarlyResponseTest.java
@@ -21,7 +21,10 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.util.Threads;
 
-/** A worker that replies before it has read a long body, keeps the connection, and reads on later. */
+/**
+ * Guards against bodies of two requests that get mixed on one connection: a worker replies before it has read a long body, keeps the
+ * connection open, and reads the rest later. If the connection is reused meanwhile, the next request may follow an incomplete body.
+ */
 final class EarlyResponseTest extends ProxyFixture {
     private static final int BODY_BYTES = 6 << 20;
     private static final int BODY_LIMIT = 8 << 20;
@@ -90,7 +93,7 @@
         Thread.sleep(4 * READ_LATER_MS);
         for (final String body : bodies) {
             assertThat(
-                    "one request's body, whole or cut off with its connection",
+                    "the body of one request, complete or truncated by the end of its connection",
                     first.startsWith(body) || second.startsWith(body),
                     is(true));
         }
--- a/server/src/test/java/silverlatch/server/proxy/ExchangeChecker.java
+++ b/server/src/test/java/silverlatch/server/proxy/ExchangeChecker.java
@@ -7,7 +7,19 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Compares what clients got with what workers ran and sent; every line that it gives is a broken rule. */
+/**
+ * Compares the responses that clients received with what workers executed and sent. Each violation begins with its rule:
+ *
+ * <ul>
+ *   <li>UNASKED: a worker received a request that no client sent completely, or one that differs from the client's.
+ *   <li>TWICE: a request that isn't idempotent was executed more than once.
+ *   <li>BUDGET: a request was sent to more workers than allowed.
+ *   <li>MIXED: a client received a response that isn't a worker's response to its own request.
+ *   <li>REFUSED: a client received a status that invites a retry although a worker executed its request.
+ *   <li>ORDER: a resumed stream has missing, duplicate or misplaced events.
+ *   <li>REUSED: a connection to a worker was reused after bytes followed a response on it.
+ * </ul>
+ */
 final class ExchangeChecker {
     private static final Set<Integer> RETRYABLE_STATUSES = Set.of(408, 421, 429, 503);
     private static final Pattern EVENT = Pattern.compile("id: (\\d+)\ndata: (\\S+) (\\S+) piece (\\d+)\n\n");
@@ -34,9 +46,10 @@
     }
 
     /**
-     * Connections on which bytes followed a response, in one write with it, are not used again. A read may end between the
-     * two, and the rest come after the next request was sent; the attempt id alone keeps them apart then. So one in twenty
-     * is allowed here, while what clients get is held to the rules above in each case.
+     * Checks that connections on which bytes followed a response, in the same write, are not reused. A read may end between the
+     * response and these bytes, which then arrive after the next request was sent; only the request id prevents a mix-up in that
+     * case. Therefore one reuse per twenty such responses is allowed here, while the responses that clients receive must always
+     * satisfy the other rules.
      */
     private void checkReuses() {
         final long leftovers =
@@ -127,7 +140,10 @@
         }
     }
 
-    /** Pieces come in order, without a gap; those of another run begin where that run was told to go on. */
+    /**
+     * Checks that the events of a resumed stream arrive in order and without a gap, and that events of another run begin after the
+     * Last-Event-Id that was sent to that run's worker.
+     */
     private void checkResumed(final ExchangeLog.ReceivedResponse received) {
         final HttpResponseReader.Message message = received.message();
         final String requestId = received.request().id();
--- a/server/src/test/java/silverlatch/server/proxy/ExchangeLog.java
+++ b/server/src/test/java/silverlatch/server/proxy/ExchangeLog.java
@@ -5,15 +5,15 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** All that scripted clients and workers sent and received, for the checker. */
+/** Records what scripted clients and workers sent and received, for {@link ExchangeChecker}. */
 final class ExchangeLog {
-    /** How many tenants there are; each has one key. */
+    /** The number of tenants, each of which has one key. */
     static final int TENANTS = 3;
 
-    /** How each tenant's key begins; no worker may get one. */
+    /** The prefix of each tenant's key; no worker may receive a key. */
     static final String KEY_PREFIX = "secret-";
 
-    /** How each tenant's name begins. */
+    /** The prefix of each tenant's name. */
     static final String TENANT_PREFIX = "tenant-";
 
     final Map<String, ClientRequest> requests = new ConcurrentHashMap<>();
@@ -23,13 +23,13 @@
     final List<String> violations = new CopyOnWriteArrayList<>();
     final List<String> reuses = new CopyOnWriteArrayList<>();
 
-    /** How often a request may run, and what its response is. */
+    /** The kind of a request: whether it may be executed more than once, and whether its response is a stream. */
     enum Kind {
-        /** A stream that may run once. */
+        /** A stream whose request may be executed only once. */
         ONCE("/once/", false, true),
-        /** A whole response that may run again. */
+        /** An idempotent request whose response is not a stream. */
         AGAIN("/again/", true, false),
-        /** A stream that may be resumed. */
+        /** An idempotent request whose stream may be resumed at another worker. */
         RESUMABLE("/resume/", true, true);
 
         final String prefix;
@@ -43,23 +43,23 @@
         }
     }
 
-    /** What a client sends, and whether it sends it whole. */
+    /** A request as a client sends it, and whether it sends all of it. */
     record ClientRequest(String id, Kind kind, String path, String body, boolean complete) {
-        /** The number of the tenant whose key the client sends. */
+        /** Returns the number of the tenant whose key the client sends. */
         int tenant() {
             return Math.floorMod(id.hashCode(), TENANTS);
         }
     }
 
     /**
-     * A request that a worker has read whole.
+     * A request that a worker has read completely, and the response that it intends to send.
      *
-     * @param requestHead     the request's head
-     * @param seal     the seal of the response, unlike any other
-     * @param executed whether the worker ran it
-     * @param status   the status that the worker gives
-     * @param body     the whole body that the worker means to give
-     * @param complete    whether it lets the body get through whole
+     * @param requestHead the request line and headers
+     * @param seal        the unique seal of the response
+     * @param executed    whether the worker executed the request
+     * @param status      the status of the response
+     * @param body        the complete body of the response
+     * @param complete    whether a client may receive the complete body
      */
     record Run(
             String workerId,
@@ -75,7 +75,7 @@
             String body,
             boolean complete) {}
 
-    /** A response as a client has read it, or why it is none. */
+    /** A response as a client received it, also if it is incomplete or not a response at all. */
     record ReceivedResponse(ClientRequest request, HttpResponseReader.Message message) {}
 
     void addRun(final Run run) {
--- a/server/src/test/java/silverlatch/server/proxy/HttpResponseReader.java
+++ b/server/src/test/java/silverlatch/server/proxy/HttpResponseReader.java
@@ -9,25 +9,25 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Reads responses as a strict HTTP/1.1 client does, and says whether they look complete. */
+/** Reads responses as a strict HTTP/1.1 client does, and determines whether they look complete. */
 final class HttpResponseReader {
     private HttpResponseReader() {}
 
     /** How a response ended. */
     enum End {
-        /** By its length or its last chunk. */
+        /** Completely, by its length, its last chunk, or the end of the connection if it has neither. */
         COMPLETE,
         /** Before its end. */
         TRUNCATED,
-        /** No byte of it came. */
+        /** No byte of it was received. */
         NOTHING,
-        /** It is no response in the protocol. */
+        /** It doesn't begin with a valid status line. */
         GARBAGE
     }
 
-    /** A response. */
+    /** A response as far as it was received. */
     record Message(End end, int status, List<String> headers, String body, String raw) {
-        /** All values of a header field. */
+        /** Returns all values of a header field. */
         List<String> values(final String name) {
             final String start = name.toLowerCase(Locale.ROOT) + ":";
             return headers.stream()
@@ -36,13 +36,13 @@
                     .toList();
         }
 
-        /** Whether the connection ends with it. */
+        /** Returns whether no further response can follow on the connection. */
         boolean closes() {
             return end != End.COMPLETE || values("Connection").contains("close");
         }
     }
 
-    /** Reads one response. */
+    /** Reads one response; never throws. */
     static Message read(final InputStream in) {
         final ByteArrayOutputStream raw = new ByteArrayOutputStream();
         final List<String> headers = new ArrayList<>();
--- a/server/src/test/java/silverlatch/server/proxy/HttpText.java
+++ b/server/src/test/java/silverlatch/server/proxy/HttpText.java
@@ -7,7 +7,7 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Writes and takes apart HTTP/1.1 messages as text, one character a byte. */
+/** Creates and parses HTTP/1.1 messages as text with one character per byte. */
 final class HttpText {
     static final String EVENT_STREAM_HEADERS = "Transfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n";
 
--- a/server/src/test/java/silverlatch/server/proxy/ProxyConnectionTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyConnectionTest.java
@@ -16,7 +16,10 @@
 import silverlatch.server.web.MultiListenerServer;
 import silverlatch.state.Value;
 
-/** Connections with clients and workers: limits, reuse, and when they are closed. */
+/**
+ * Checks connections to clients and workers: limits, reuse, timeouts. Guards against malformed requests that reach a worker, reuse of
+ * a connection with leftover bytes, and requests that are resent after a worker closed a pooled connection.
+ */
 final class ProxyConnectionTest extends ProxyFixture {
     @Test
     void badRequestsCloseTheirConnectionAndReachNoWorker() throws IOException {
--- a/server/src/test/java/silverlatch/server/proxy/ProxyFixture.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyFixture.java
@@ -34,7 +34,7 @@
 import silverlatch.state.Value;
 import silverlatch.util.Threads;
 
-/** A proxy between stub workers and a client on real sockets, made anew for each test, with a router on a thread of its own. */
+/** Base class of tests with a proxy between stub workers and a client on real sockets; the router has its own thread. */
 abstract class ProxyFixture {
     private static final long SHUTDOWN_SECONDS = 10;
 
@@ -91,7 +91,7 @@
         return started;
     }
 
-    /** Has the router know a worker that the test runs itself. */
+    /** Adds a worker that the test runs itself to the router's snapshot. */
     void addWorker(final int workerPort) {
         workerPorts.add(workerPort);
         final ClusterSnapshot next = snapshot(workerPorts.size() + 1);
@@ -113,18 +113,20 @@
                 confirmedAt());
     }
 
-    /** Who may use the routes; nobody needs a key where nothing is said. */
+    /** Returns the entries for access control; without any, no key is required. */
     List<Entry> accessEntries() {
         return List.of();
     }
 
-    /** When the configuration was confirmed as the newest. */
+    /** Returns the time at which the configuration was confirmed as the newest. */
     long confirmedAt() {
         return 1;
     }
 
-    /** A port of the loopback interface that nothing listened on just now. */
-    /** A request is open until its response was written, of which the client may have read the last byte earlier. */
+    /**
+     * Waits until the proxy has no open request. A request remains open until the write of its response has completed, which may be
+     * after the client has read the last byte.
+     */
     void awaitNoOpenRequest(final long limitMs) throws InterruptedException {
         final long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMs);
         while (proxy.get().openRequests() > 0 && System.nanoTime() < deadline) {
@@ -133,6 +135,7 @@
         assertThat(proxy.get().openRequests(), is(0));
     }
 
+    /** Returns a currently unused port of the loopback interface. */
     static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return socket.getLocalPort();
@@ -157,7 +160,7 @@
                 List.of(new Value.WeightedBackend("pool", 1)));
     }
 
-    /** A route whose requests are neither streams nor may be repeated. */
+    /** Returns a route whose responses aren't streams and whose requests may not be repeated. */
     static Value.Route plainRoute(final String path) {
         return new Value.Route(
                 path,
--- a/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
@@ -25,7 +25,10 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.routing.RoutingEffect;
 
-/** The proxy between a client and stub workers: forwarding, retries, resumed streams, shutdown. */
+/**
+ * Checks the proxy between a client and stub workers: forwarding, retries, resumed streams, shutdown. Guards against changed
+ * messages, truncated or duplicated streams, and requests that are executed twice.
+ */
 final class ProxyServerTest extends ProxyFixture {
     private static final long RESPONSE_WRITTEN_LIMIT_MS = 1_000;
 
--- a/server/src/test/java/silverlatch/server/proxy/ProxySnapshots.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxySnapshots.java
@@ -13,7 +13,7 @@
 import silverlatch.state.Policy;
 import silverlatch.state.Value;
 
-/** Snapshots of a cluster with one gateway, the host "a" and one backend pool, as the proxy's tests give them to a router. */
+/** Creates cluster snapshots for the router in the proxy's tests: one gateway, the host "a" and one backend pool. */
 final class ProxySnapshots {
     /** The backend pool of all workers and routes. */
     static final String POOL = "pool";
@@ -25,19 +25,19 @@
 
     private ProxySnapshots() {}
 
-    /** A worker of the pool on the loopback interface that was heard of just now. */
+    /** Returns a worker of the pool on the loopback interface, whose report was received just now. */
     static Gossip.ObservedWorker observedWorker(final String id, final int port) {
         final Worker worker = new Worker(
                 id, "127.0.0.1:" + port, "z", "r", 1, 1, 0, 0, WORKER_SLOTS, List.of(), false, 0, POOL, 0, 0);
         return new Gossip.ObservedWorker(worker, Optional.of(EventLoop.nowMicros()));
     }
 
-    /** The pool with so many connections to each worker at most. */
+    /** Returns the pool with a maximum number of connections to each worker. */
     static Value.BackendPool pool(final int maxConnections) {
         return new Value.BackendPool(POOL, "/health", maxConnections, 0, 9, 8, 1_000, 5);
     }
 
-    /** What a gateway knows that has this configuration and heard of these workers, by id. */
+    /** Returns the snapshot of a gateway with this configuration and these workers by id. */
     static ClusterSnapshot of(
             final long revision,
             final Value.RoutingConfiguration configuration,
@@ -47,7 +47,7 @@
         return of(revision, configuration, pool, routes, workers, List.of(), 1);
     }
 
-    /** The same with further entries, confirmed as the newest at that time. */
+    /** Returns such a snapshot with further entries, whose configuration was confirmed as the newest at a time. */
     static ClusterSnapshot of(
             final long revision,
             final Value.RoutingConfiguration configuration,
--- a/server/src/test/java/silverlatch/server/proxy/RetriedRequestTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/RetriedRequestTest.java
@@ -22,13 +22,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What a second worker is told of a request that a first one didn't finish: the time left, and the weights of a stream. */
+/**
+ * Checks the headers that the second worker receives if the first one didn't finish a request. Guards against a retry with the full
+ * deadline, which would run longer than the client waits, and against a stream that is resumed with other model weights.
+ */
 final class RetriedRequestTest extends ProxyFixture {
     private static final int CLIENT_DEADLINE_MS = 4_000;
     private static final int FIRST_ATTEMPT_MS = 700;
     private static final String WEIGHTS = "Silverlatch-Weights: ";
 
-    /** How the first worker gives a request up after a while. */
+    /** How the first attempt fails, after a while. */
     private enum FirstAttemptOutcome {
         REFUSED(request -> failure(request, "503 Full", "Silverlatch-Not-Run: 1\r\n")),
         MISDIRECTED(request -> failure(request, "421 Other", "")),
@@ -58,7 +61,7 @@
                 + "0\r\n\r\n";
     }
 
-    /** Both workers reply alike: by the first reply to whichever is asked first, by the second to the other. */
+    /** Starts two workers; whichever receives the first request sends the first reply to it, later requests get the second reply. */
     private List<StubWorker> startPair(final Function<String, String> first, final Function<String, String> second)
             throws IOException {
         final List<String> received = new java.util.concurrent.CopyOnWriteArrayList<>();
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedClient.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedClient.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A client on real sockets that keeps connections, pipelines, closes its half, and goes away, drawn by seed. */
+/**
+ * A client on real sockets that at random, by seed, reuses connections, pipelines requests, half-closes connections, sends incomplete
+ * requests, or disconnects early.
+ */
 final class ScriptedClient implements Runnable {
     private static final int DEADLINE_MS = 700;
     private static final String LAST_CHUNK = "0\r\n\r\n";
@@ -89,7 +92,10 @@
         socket.setSoLinger(random.nextBoolean(), 0);
     }
 
-    /** Leaves out at least the body's last byte, or the last chunk's size line: behind that line nothing is passed on. */
+    /**
+     * Sends an incomplete request: at least the last byte of the body is missing, or, in a chunked body, everything from the size
+     * line of the last chunk on. A request that lacks only bytes after that line could already be forwarded.
+     */
     private void sendPartialRequest(final Socket socket) throws IOException {
         final String text = requestText(newRequest(false));
         final int end = text.endsWith(LAST_CHUNK) ? text.length() - LAST_CHUNK.length() : text.length() - 1;
@@ -113,7 +119,7 @@
 
     private void expectEnd(final InputStream in) throws IOException {
         if (in.read() >= 0) {
-            log.violations.add("MIXED: " + name + " got bytes while no request waited");
+            log.violations.add("MIXED: " + name + " received bytes while no request was pending");
         }
     }
 
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedCluster.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedCluster.java
@@ -25,11 +25,11 @@
 import silverlatch.util.Threads;
 
 /**
- * Scripted workers, a proxy whose router ticks each 10 ms on a thread of its own, and scripted clients, all on real
- * sockets of the loopback interface and with their behaviour drawn by one seed. Closing it ends all threads and workers.
+ * Scripted workers, a proxy whose router ticks every 10 ms on its own thread, and scripted clients, all on real sockets of the
+ * loopback interface. One seed determines their behaviour. Closing the cluster stops all threads and workers.
  */
 final class ScriptedCluster implements AutoCloseable {
-    /** How many workers a request is sent to at most. */
+    /** The maximum number of workers that a request is sent to. */
     static final int MAX_ATTEMPTS = 2;
 
     private static final int WORKERS = 6;
@@ -70,12 +70,12 @@
         server.start();
     }
 
-    /** What clients and workers sent and received. */
+    /** Returns the record of what clients and workers sent and received. */
     ExchangeLog log() {
         return log;
     }
 
-    /** Runs all clients, each on its thread, and waits for their end. */
+    /** Runs all clients, each on its own thread, and waits until they are done. */
     void runClients() throws InterruptedException {
         final SplittableRandom random = new SplittableRandom(seed);
         final List<Thread> threads = new ArrayList<>();
@@ -138,7 +138,7 @@
                 EventLoop.nowMicros());
     }
 
-    /** Keys are needed, and each tenant has one. */
+    /** Returns entries that require keys and give each tenant one. */
     private static List<Entry> accessEntries() {
         final List<Entry> entries = new ArrayList<>();
         entries.add(new Entry("p/access", 1, List.of(new Value.AccessControl(true))));
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedWorker.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedWorker.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import silverlatch.util.Threads;
 
-/** A worker on a real socket whose behaviour is drawn for each request, by seed. */
+/** A worker on a real socket whose behaviour is chosen at random for each request, by seed. */
 final class ScriptedWorker implements Closeable {
     private static final AtomicInteger SEALS = new AtomicInteger();
     private static final String STRAY_RESPONSE =
@@ -29,45 +29,45 @@
     private final ServerSocket server;
     private final AtomicReference<String> previousRequestId = new AtomicReference<>("none");
 
-    /** What a worker does with a request that it has read. */
+    /** What a worker does with a request that it has read; a stray response is a forged one with the id of an earlier request. */
     enum Behaviour {
-        GOOD,
-        STRAY_BEHIND,
-        STRAY_LATER,
-        HALF_STRAY_BEHIND,
-        DOUBLED,
-        EARLIER_FIRST,
-        OTHER_ID,
-        TWO_IDS,
-        UNSEALED,
-        REFUSAL_WITHOUT_ID_FIRST,
-        REFUSAL_WITHOUT_ID,
-        MISDIRECTED_WITHOUT_ID,
-        NOT_EXECUTED,
-        MISDIRECTED,
-        RETRY_STATUS,
-        FAILURE,
-        EMPTY_FAILURE_CUT,
-        REDIRECT,
-        HALF_HEAD,
-        RESET_BEFORE,
-        HEAD_ONLY,
-        RESET_MIDWAY,
-        END_MIDWAY,
-        CLOSE_DELIMITED,
-        TWO_FRAMINGS,
-        INTERIM_FIRST,
-        GARBAGE,
-        LARGE_HEAD,
-        SILENT,
-        FORGET;
+        GOOD, // sends a correct response
+        STRAY_BEHIND, // sends a correct response, followed by a stray one in the same write
+        STRAY_LATER, // sends a correct response, and a stray one 2 ms later
+        HALF_STRAY_BEHIND, // sends a correct response, followed by the first half of a stray one in the same write
+        DOUBLED, // sends a correct response twice in the same write
+        EARLIER_FIRST, // sends a stray response before the correct one
+        OTHER_ID, // sends a success with the id of another request
+        TWO_IDS, // sends a success with a second request id
+        UNSEALED, // sends a success without a seal
+        REFUSAL_WITHOUT_ID_FIRST, // sends a rejection without request id and seal before the correct response
+        REFUSAL_WITHOUT_ID, // sends a rejection without a request id, although it executed the request
+        MISDIRECTED_WITHOUT_ID, // sends status 421 without a request id, although it executed the request
+        NOT_EXECUTED, // rejects the request with the statement that it was not executed
+        MISDIRECTED, // rejects the request with status 421, as if it was addressed to another worker
+        RETRY_STATUS, // sends status 503 without the statement that the request was not executed
+        FAILURE, // sends status 500
+        EMPTY_FAILURE_CUT, // sends status 500 with a body shorter than its Content-Length, and closes the connection
+        REDIRECT, // sends a redirect
+        HALF_HEAD, // sends a part of the headers, and closes or resets the connection
+        RESET_BEFORE, // resets the connection without a response
+        HEAD_ONLY, // sends status and headers only, and closes or resets the connection
+        RESET_MIDWAY, // sends half of the body, and resets the connection
+        END_MIDWAY, // sends half of the body, and closes the connection
+        CLOSE_DELIMITED, // sends half of a body without any framing, and closes the connection
+        TWO_FRAMINGS, // sends a success with both Content-Length and Transfer-Encoding
+        INTERIM_FIRST, // sends an interim response with status 100 before the correct one
+        GARBAGE, // sends bytes that aren't HTTP, and closes the connection
+        LARGE_HEAD, // sends a success whose headers exceed the proxy's limit
+        SILENT, // sends nothing until the proxy closes the connection, or for 10 s
+        FORGET; // sends a correct response, and resets the connection when the next request arrives
 
-        /** Whether bytes follow a whole response in one write with it. */
+        /** Returns whether bytes follow a complete response in the same write. */
         boolean leavesBytes() {
             return this == STRAY_BEHIND || this == HALF_STRAY_BEHIND || this == DOUBLED;
         }
 
-        /** Whether a whole response with another status than 200 is all that is written. */
+        /** Returns whether exactly one complete response with a status other than 200 is written. */
         boolean isFailureStatus() {
             return switch (this) {
                 case REFUSAL_WITHOUT_ID,
@@ -152,7 +152,7 @@
         }
     }
 
-    /** Good in half of all cases; the same for the same request at the same worker. */
+    /** Chooses the behaviour: GOOD in at least half of all cases, and always the same for the same request at the same worker. */
     private Behaviour drawBehaviour(final String requestId) {
         final SplittableRandom random = new SplittableRandom(seed * 31 + (id + requestId).hashCode());
         random.nextLong();
@@ -191,7 +191,7 @@
         return reply(socket, requestId, seal, responseBody, behaviour);
     }
 
-    /** The number of pieces in a request's stream. */
+    /** Returns the number of events in the stream of a request. */
     static int eventCount(final String requestId) {
         return 2 + Math.abs(requestId.hashCode() % 6);
     }
@@ -238,7 +238,7 @@
         return text.append("0\r\n\r\n").toString();
     }
 
-    /** Writes what the behaviour wants; false if the connection ends. */
+    /** Writes the reply of a behaviour; returns false if the connection must be closed then. */
     private boolean reply(
             final Socket socket,
             final String requestId,
@@ -258,7 +258,7 @@
         return replyInParts(socket, requestId, seal, body, good, behaviour);
     }
 
-    /** What a behaviour that replies with another status than 200 writes. */
+    /** Returns the reply of a behaviour that responds with a status other than 200. */
     private static String failureText(
             final String requestId, final String seal, final String body, final Behaviour behaviour) {
         return switch (behaviour) {
@@ -269,11 +269,11 @@
             case RETRY_STATUS -> head(503, requestId, seal) + length(body);
             case FAILURE -> head(500, requestId, seal) + length(body);
             case REDIRECT -> head(302, requestId, seal) + "Location: http://127.0.0.1:1/\r\n" + length(body);
-            default -> throw new IllegalArgumentException("no failure: " + behaviour);
+            default -> throw new IllegalArgumentException("not a behaviour with a failure status: " + behaviour);
         };
     }
 
-    /** What a behaviour that writes once and leaves the connection open writes; empty for the others. */
+    /** Returns the reply of a behaviour that writes once and keeps the connection open; empty for the others. */
     private Optional<String> wholeText(
             final String requestId,
             final String seal,
@@ -305,7 +305,7 @@
         return String.format(STRAY_RESPONSE, previousRequestId.get());
     }
 
-    /** Writes what a behaviour wants that pauses or ends the connection; false if the connection ends. */
+    /** Writes the reply of a behaviour that pauses or closes the connection; returns false if the connection must be closed then. */
     private boolean replyInParts(
             final Socket socket,
             final String requestId,
@@ -349,11 +349,12 @@
                 socket.setSoTimeout(10_000);
                 return socket.getInputStream().read() >= 0;
             }
-            default -> throw new IllegalArgumentException("not in parts: " + behaviour);
+            default -> throw new IllegalArgumentException("not a behaviour that replies in parts: " + behaviour);
         }
         return false;
     }
 
+    /** Makes the close of the connection a reset if the selector's hash is even, as that of an empty text is; returns false. */
     private static boolean closeOrReset(final Socket socket, final String resetSelector) throws IOException {
         if (resetSelector.hashCode() % 2 == 0) {
             socket.setSoLinger(true, 0);
--- a/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ScriptedWorkersTest.java
@@ -12,8 +12,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Scripted clients and workers around the proxy, drawn by seed, and a checker that knows what each of them sent. More seeds
- * run with {@code -Dsilverlatch.scripted.seeds=N}, from another one on with {@code -Dsilverlatch.scripted.first=N}.
+ * Guards against responses that reach the wrong client and requests that are executed twice. Clients and workers around the proxy
+ * behave at random, by seed, and {@link ExchangeChecker} compares what each of them sent and received. Set the number of seeds with
+ * {@code -Dsilverlatch.scripted.seeds=N}, and the first seed with {@code -Dsilverlatch.scripted.first=N}.
  */
 final class ScriptedWorkersTest {
     private static final int FIRST_SEED = Integer.getInteger("silverlatch.scripted.first", 1);
@@ -58,7 +59,7 @@
                 .count();
     }
 
-    /** Runs all clients of a seed to their end; gives what clients and workers sent and received. */
+    /** Runs all clients of a seed to completion; returns what clients and workers sent and received. */
     private static ExchangeLog runScenario(final long seed, final Set<ProxySafeguard> disabledSafeguards)
             throws Exception {
         try (ScriptedCluster cluster = new ScriptedCluster(seed, disabledSafeguards)) {
--- a/server/src/test/java/silverlatch/server/proxy/StubWorker.java
+++ b/server/src/test/java/silverlatch/server/proxy/StubWorker.java
@@ -14,7 +14,10 @@
 import java.util.function.Function;
 import silverlatch.util.Threads;
 
-/** A worker that replies by a script: bytes, and then it closes where the script ends with a bar. */
+/**
+ * A worker that replies to each request with the bytes that a script returns. If these end with a vertical bar, it omits the bar and
+ * closes the connection.
+ */
 final class StubWorker implements Closeable {
     private final ServerSocket server;
     final List<String> received = new CopyOnWriteArrayList<>();
--- a/server/src/test/java/silverlatch/server/proxy/TenantHeadersTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/TenantHeadersTest.java
@@ -26,7 +26,10 @@
 import silverlatch.state.Value;
 import silverlatch.util.Digests;
 
-/** What workers get in the headers for credentials and tenants, by the key that the client sent. */
+/**
+ * Guards against tenants' keys that reach a worker, forged tenant names, and requests that are served without a required key.
+ * Checks the credential and tenant headers that workers receive, depending on the key that the client sent.
+ */
 final class TenantHeadersTest extends ProxyFixture {
     private static final String KEY = "Authorization: Token key-1\r\n";
     private static final String FORGED = "Silverlatch-Tenant: forged\r\n";
@@ -58,7 +61,7 @@
         return new Entry("n/" + name, 1, List.of(tenant));
     }
 
-    /** Puts a newer configuration in force, with these entries beside its routes. */
+    /** Applies a newer configuration with these access entries. */
     private void changeAccess(final Entry... entries) {
         access.clear();
         access.addAll(List.of(entries));
@@ -70,7 +73,7 @@
         return startWorker(request -> successHead(request) + "Content-Length: 0\r\n\r\n");
     }
 
-    /** The values of a header, in order. */
+    /** Returns the values of a header, in order. */
     private static List<String> values(final String request, final String name) {
         return request.lines()
                 .filter(line -> line.regionMatches(true, 0, name + ":", 0, name.length() + 1))
@@ -85,7 +88,7 @@
         assertThat(received, not(containsString("forged")));
     }
 
-    /** Sends a request that is served; gives what the worker got. */
+    /** Sends a request, checks that it succeeds, and returns the request that the worker received. */
     private String requestAtWorker(final StubWorker worker, final String path, final String headers)
             throws IOException {
         assertThat(headers, post(path, headers, "b"), startsWith("HTTP/1.1 200"));
@@ -140,7 +143,7 @@
         assertThat(post("/none/x", KEY, "b"), startsWith("HTTP/1.1 404"));
     }
 
-    /** Has the first attempt end by the reply; both attempts name the tenant. */
+    /** Fails the first attempt with the reply, and checks that both attempts name the tenant. */
     private void assertBothAttemptsNameTheTenant(final Function<String, String> firstReply) throws IOException {
         final List<String> received = new CopyOnWriteArrayList<>();
         final Function<String, String> script = request -> {
--- a/server/src/test/java/silverlatch/server/proxy/WorkerResponseTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/WorkerResponseTest.java
@@ -13,7 +13,10 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
 
-/** Which responses of workers the proxy trusts and forwards. */
+/**
+ * Checks which responses of workers the proxy accepts. Guards against forwarding a response of another request, an unsealed or
+ * truncated one, or a rejection by a worker that may have executed the request.
+ */
 final class WorkerResponseTest extends ProxyFixture {
     @Test
     void anotherRequestsResponseIsNotForwarded() throws IOException {
--- a/server/src/test/java/silverlatch/server/workerclient/WorkerRunClientTest.java
+++ b/server/src/test/java/silverlatch/server/workerclient/WorkerRunClientTest.java
@@ -20,7 +20,10 @@
 import silverlatch.server.web.ApiServer;
 import silverlatch.server.web.HttpExchange;
 
-/** The client for workers against a scripted worker on a free port. */
+/**
+ * Guards against runs that are reported as not started although the worker may execute them, which would let the dispatcher repeat
+ * them, and against runs that are sent too late. Runs the client against a scripted worker on a free port.
+ */
 final class WorkerRunClientTest {
     private final BlockingQueue<String> events = new ArrayBlockingQueue<>(100);
     private final AtomicInteger callCount = new AtomicInteger();
@@ -38,7 +41,7 @@
         client = new WorkerRunClient(1_024, "the-workers-key", new WorkerRunClient.Listener() {
             @Override
             public void onStarted(final long operationId) {
-                events.add("begun");
+                events.add("started");
             }
 
             @Override
@@ -48,7 +51,7 @@
 
             @Override
             public void onEnded(final long operationId, final boolean started, final String reason) {
-                events.add("failed " + started);
+                events.add("ended, started: " + started);
             }
         });
         client.start();
@@ -96,34 +99,34 @@
     @Test
     void anAcceptedRunIsStreamedAndThenReportedAsEnded() throws InterruptedException {
         startRun("hello", address, EventLoop.nowMicros() + 60_000_000);
-        assertThat(nextEvent(), is("begun"));
+        assertThat(nextEvent(), is("started"));
         assertThat(nextEvent(), is(new StreamRecord.Chunk("t", "t.1", 0, "hi").toString()));
-        assertThat(nextEvent(), is("failed true"));
+        assertThat(nextEvent(), is("ended, started: true"));
     }
 
     @Test
     void onlyARejectionOrAFailedConnectionCountsAsNotStarted() throws InterruptedException {
         startRun("deny", address, EventLoop.nowMicros() + 60_000_000);
-        assertThat(nextEvent(), is("failed false"));
+        assertThat(nextEvent(), is("ended, started: false"));
         startRun("trouble", address, EventLoop.nowMicros() + 60_000_000);
-        assertThat(nextEvent(), is("failed true"));
+        assertThat(nextEvent(), is("ended, started: true"));
         startRun("hello", "127.0.0.1:1", EventLoop.nowMicros() + 60_000_000);
-        assertThat(nextEvent(), is("failed false"));
+        assertThat(nextEvent(), is("ended, started: false"));
     }
 
     @Test
     void aRunIsNotSentAfterItsSendDeadline() throws InterruptedException {
         startRun("hello", address, EventLoop.nowMicros() - 1);
-        assertThat(nextEvent(), is("failed false"));
+        assertThat(nextEvent(), is("ended, started: false"));
         startRun("deny", address, EventLoop.nowMicros() + 60_000_000);
-        assertThat(nextEvent(), is("failed false"));
+        assertThat(nextEvent(), is("ended, started: false"));
         assertThat(callCount.get(), is(1));
     }
 
     @Test
     void aLineAboveTheLengthLimitIsReportedAsLost() throws InterruptedException {
         startRun("long", address, EventLoop.nowMicros() + 60_000_000);
-        assertThat(nextEvent(), is("begun"));
+        assertThat(nextEvent(), is("started"));
         assertThat(nextEvent(), is(new StreamRecord.Lost("", "a line longer than 1024 bytes").toString()));
     }
 }
