--- a/server/src/main/java/silverlatch/server/gateway/Gateway.java
+++ b/server/src/main/java/silverlatch/server/gateway/Gateway.java
@@ -45,7 +45,7 @@
     private static final long MAX_UNREADY_PERIOD_MICROS = 2_500_000L;
     private static final long DRAIN_POLL_MS = 20;
 
-    /** How long the shutdown waits until the final responses are handed to their connections. */
+    /** How long the shutdown waits until the remaining requests are ended and their responses are handed to their connections. */
     private static final long FINAL_REPLIES_TIMEOUT_MICROS = 400_000L;
 
     /** How long the shutdown then waits so that the final frames and responses are sent before the process ends. */
--- a/server/src/test/java/silverlatch/server/proxy/ClientDisconnectTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ClientDisconnectTest.java
@@ -32,7 +32,7 @@
 
     private static final long PAST_HALF_CLOSE_WINDOW_MS = 150;
     private static final long WAIT_MS = 5_000;
-    private SilentWorker silent;
+    private SilentWorker silentWorker;
 
     /** A worker that queues each connection once it has read a request on it; it writes nothing by itself. */
     private static final class SilentWorker {
@@ -68,29 +68,29 @@
 
     @BeforeEach
     void startSilentWorker() throws IOException {
-        silent = new SilentWorker();
+        silentWorker = new SilentWorker();
     }
 
     @AfterEach
     void stopSilentWorker() throws IOException {
-        silent.server.close();
+        silentWorker.server.close();
     }
 
     /** Adds the silent worker to the router's snapshot. */
-    private void useSilentWorker() throws Exception {
-        addWorker(silent.server.getLocalPort());
+    private void addSilentWorker() throws Exception {
+        addWorker(silentWorker.server.getLocalPort());
     }
 
     private Socket send(final String path) throws IOException {
         final Socket client = new Socket("127.0.0.1", port);
         client.setSoTimeout((int) WAIT_MS);
-        write(client, request(path, "t-1", ""));
+        write(client, requestText(path, "t-1", ""));
         return client;
     }
 
-    private static String request(final String path, final String id, final String more) {
+    private static String requestText(final String path, final String id, final String extraHeaders) {
         return "POST " + path + " HTTP/1.1\r\nHost: a\r\nSilverlatch-Ticket: " + id
-                + "\r\nSilverlatch-Expiry-Ms: 4000\r\n" + more + "Content-Length: 1\r\n\r\nb";
+                + "\r\nSilverlatch-Expiry-Ms: 4000\r\n" + extraHeaders + "Content-Length: 1\r\n\r\nb";
     }
 
     private static void write(final Socket socket, final String text) throws IOException {
@@ -116,9 +116,9 @@
 
     @Test
     void theWorkersConnectionIsClosedSoonAfterTheClientDisconnects() throws Exception {
-        useSilentWorker();
+        addSilentWorker();
         final Socket client = send("/again/x");
-        final Socket worker = silent.nextConnection();
+        final Socket worker = silentWorker.nextConnection();
         Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
         client.close();
         assertThat(millisUntilConnectionEnd(worker) < CANCEL_LIMIT_MS, is(true));
@@ -127,10 +127,10 @@
 
     @Test
     void aStartedStreamIsCancelledWhenTheClientDisconnects() throws Exception {
-        useSilentWorker();
+        addSilentWorker();
         final Socket client = send("/once/x");
-        final Socket worker = silent.nextConnection();
-        write(worker, successHead(silent.requests.take()) + EVENT_STREAM_HEADERS + "\r\n" + event(1));
+        final Socket worker = silentWorker.nextConnection();
+        write(worker, successHead(silentWorker.requests.take()) + EVENT_STREAM_HEADERS + "\r\n" + event(1));
         assertThat(HttpText.read(client.getInputStream()), startsWith("HTTP/1.1 200"));
         Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
         client.close();
@@ -140,54 +140,56 @@
 
     @Test
     void aClientThatHalfClosesWithItsRequestIsServed() throws Exception {
-        useSilentWorker();
+        addSilentWorker();
         try (Socket client = send("/again/x")) {
             client.shutdownOutput();
-            final Socket worker = silent.nextConnection();
+            final Socket worker = silentWorker.nextConnection();
             Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
-            write(worker, successHead(silent.requests.take()) + "Content-Length: 2\r\n\r\nok");
+            write(worker, successHead(silentWorker.requests.take()) + "Content-Length: 2\r\n\r\nok");
             assertThat(readAll(client), containsString("\r\n\r\nok"));
         }
     }
 
     @Test
     void aNonIdempotentRequestRunsToCompletionAfterTheClientCloses() throws Exception {
-        useSilentWorker();
+        addSilentWorker();
         try (Socket client = send("/plain/x")) {
-            final Socket worker = silent.nextConnection();
+            final Socket worker = silentWorker.nextConnection();
             Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
             client.shutdownOutput();
             Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
-            write(worker, successHead(silent.requests.take()) + "Content-Length: 2\r\n\r\nok");
+            write(worker, successHead(silentWorker.requests.take()) + "Content-Length: 2\r\n\r\nok");
             assertThat(readAll(client), containsString("\r\n\r\nok"));
         }
     }
 
     @Test
     void noRetryIsMadeAfterTheClientCloses() throws Exception {
-        useSilentWorker();
+        addSilentWorker();
         final Socket client = send("/plain/x");
-        final Socket worker = silent.nextConnection();
+        final Socket worker = silentWorker.nextConnection();
         final StubWorker other = startWorker(request -> successHead(request) + "Content-Length: 2\r\n\r\nok");
         Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
         client.shutdownOutput();
         Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
-        write(worker, failure(silent.requests.take(), "503 Full", "Silverlatch-Not-Run: 1\r\n"));
+        write(worker, failure(silentWorker.requests.take(), "503 Full", "Silverlatch-Not-Run: 1\r\n"));
         assertThat(readAll(client), startsWith("HTTP/1.1 503"));
         assertThat(other.received.size(), is(0));
     }
 
     @Test
     void aPipelinedRequestIsServedAfterTheCurrentOne() throws Exception {
-        useSilentWorker();
+        addSilentWorker();
         try (Socket client = send("/again/x")) {
-            final Socket worker = silent.nextConnection();
-            write(client, request("/again/y", "t-2", "Connection: close\r\n"));
+            final Socket worker = silentWorker.nextConnection();
+            write(client, requestText("/again/y", "t-2", "Connection: close\r\n"));
             Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
-            write(worker, successHead(silent.requests.take()) + "Connection: close\r\nContent-Length: 5\r\n\r\nfirst");
+            write(
+                    worker,
+                    successHead(silentWorker.requests.take()) + "Connection: close\r\nContent-Length: 5\r\n\r\nfirst");
             worker.shutdownOutput();
-            final Socket next = silent.nextConnection();
-            write(next, successHead(silent.requests.take()) + "Content-Length: 6\r\n\r\nsecond");
+            final Socket next = silentWorker.nextConnection();
+            write(next, successHead(silentWorker.requests.take()) + "Content-Length: 6\r\n\r\nsecond");
             final String replies = readAll(client);
             assertThat(replies, containsString("\r\n\r\nfirst"));
             assertThat(replies, containsString("\r\n\r\nsecond"));
@@ -197,10 +199,10 @@
 
     @Test
     void aDisconnectAfterAPipelinedRequestIsDetected() throws Exception {
-        useSilentWorker();
+        addSilentWorker();
         final Socket client = send("/again/x");
-        final Socket worker = silent.nextConnection();
-        write(client, request("/again/y", "t-2", ""));
+        final Socket worker = silentWorker.nextConnection();
+        write(client, requestText("/again/y", "t-2", ""));
         Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
         client.close();
         assertThat(millisUntilConnectionEnd(worker) < CANCEL_LIMIT_MS, is(true));
--- a/server/src/test/java/silverlatch/server/proxy/HttpText.java
+++ b/server/src/test/java/silverlatch/server/proxy/HttpText.java
@@ -51,8 +51,8 @@
         return chunk("id: " + id + "\ndata: piece " + id + "\n\n");
     }
 
-    static String failure(final String request, final String status, final String more) {
+    static String failure(final String request, final String status, final String extraHeaders) {
         return "HTTP/1.1 " + status + "\r\nSilverlatch-Ticket: " + header(request, "Silverlatch-Ticket")
-                + "\r\nSilverlatch-Seal: s\r\n" + more + "Content-Length: 0\r\n\r\n";
+                + "\r\nSilverlatch-Seal: s\r\n" + extraHeaders + "Content-Length: 0\r\n\r\n";
     }
 }
--- a/server/src/test/java/silverlatch/server/proxy/ProxyFixture.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyFixture.java
@@ -84,6 +84,7 @@
         }
     }
 
+    /** Starts a stub worker with a script and adds it to the router's snapshot. */
     StubWorker startWorker(final Function<String, String> script) throws IOException {
         final StubWorker started = new StubWorker(script);
         stubWorkers.add(started);
@@ -179,12 +180,13 @@
                 List.of(new Value.WeightedBackend("pool", 1)));
     }
 
-    String post(final String path, final String more, final String body) throws IOException {
+    String post(final String path, final String extraHeaders, final String body) throws IOException {
         return sendRaw("POST " + path
                 + " HTTP/1.1\r\nHost: a\r\nConnection: close\r\nSilverlatch-Ticket: t-1\r\nSilverlatch-Expiry-Ms: 4000\r\n"
-                + more + "Content-Length: " + body.length() + "\r\n\r\n" + body);
+                + extraHeaders + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
+    /** Sends the text of a request and returns all that is received until the connection ends; a reset appends "RESET". */
     String sendRaw(final String request) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(new InetSocketAddress("127.0.0.1", port), 1_000);
--- a/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyServerTest.java
@@ -43,14 +43,14 @@
         assertThat(reply, containsString("X-Own: 1"));
         assertThat(reply, containsString("piece 2"));
         assertThat(reply.endsWith("0\r\n\r\n"), is(true));
-        final String asked = worker.received.get(0);
-        assertThat(asked, startsWith("POST /once/a%20b?q=1&r=%2F HTTP/1.1\r\n"));
-        assertThat(header(asked, "Host"), is("a"));
-        assertThat(header(asked, "X-Other"), is("kept"));
-        assertThat(header(asked, "Silverlatch-Worker"), is("w0"));
-        assertThat(header(asked, "Silverlatch-Rank"), is("0"));
-        assertThat(Integer.parseInt(header(asked, "Silverlatch-Expiry-Ms")) <= 4_000, is(true));
-        assertThat(asked.endsWith("\r\n\r\nthe body"), is(true));
+        final String received = worker.received.get(0);
+        assertThat(received, startsWith("POST /once/a%20b?q=1&r=%2F HTTP/1.1\r\n"));
+        assertThat(header(received, "Host"), is("a"));
+        assertThat(header(received, "X-Other"), is("kept"));
+        assertThat(header(received, "Silverlatch-Worker"), is("w0"));
+        assertThat(header(received, "Silverlatch-Rank"), is("0"));
+        assertThat(Integer.parseInt(header(received, "Silverlatch-Expiry-Ms")) <= 4_000, is(true));
+        assertThat(received.endsWith("\r\n\r\nthe body"), is(true));
     }
 
     @Test
@@ -179,21 +179,21 @@
 
     @Test
     void pendingRequestsAreServedDuringShutdownAndNewOnesAreRejected() throws Exception {
-        final CountDownLatch asked = new CountDownLatch(1);
-        final CountDownLatch stopping = new CountDownLatch(1);
+        final CountDownLatch requestReceived = new CountDownLatch(1);
+        final CountDownLatch newRequestRejected = new CountDownLatch(1);
         final StubWorker worker = startWorker(request -> {
-            asked.countDown();
-            await(stopping);
+            requestReceived.countDown();
+            await(newRequestRejected);
             return successHead(request) + "Content-Length: 2\r\n\r\nok";
         });
         final CompletableFuture<String> first = CompletableFuture.supplyAsync(() -> postUnchecked("/once/x"));
-        await(asked);
+        await(requestReceived);
         proxy.get().closeConnectionsAfterResponses();
         routerLoop.execute(router::stopAccepting);
         final String second = postUnchecked("/once/y");
         assertThat(second, startsWith("HTTP/1.1 503"));
         assertThat(header(second, "Connection"), is("close"));
-        stopping.countDown();
+        newRequestRejected.countDown();
         final String reply = first.get(10, TimeUnit.SECONDS);
         assertThat(reply, startsWith("HTTP/1.1 200"));
         assertThat(header(reply, "Connection"), is("close"));
@@ -208,16 +208,17 @@
                 : request.startsWith("GET")
                         ? failure(request, "304 Same", "").replace("Content-Length: 0", "Content-Length: 40")
                         : successHead(request).replace("200 OK", "204 None") + "\r\n");
-        final String rest = " /once/x HTTP/1.1\r\nHost: a\r\nConnection: close\r\nSilverlatch-Ticket: t-1\r\n"
-                + "Silverlatch-Expiry-Ms: 2000\r\nContent-Length: 0\r\n\r\n";
-        final String head = sendRaw("HEAD" + rest);
+        final String requestWithoutMethod =
+                " /once/x HTTP/1.1\r\nHost: a\r\nConnection: close\r\nSilverlatch-Ticket: t-1\r\n"
+                        + "Silverlatch-Expiry-Ms: 2000\r\nContent-Length: 0\r\n\r\n";
+        final String head = sendRaw("HEAD" + requestWithoutMethod);
         assertThat(head, startsWith("HTTP/1.1 200"));
         assertThat(header(head, "Content-Length"), is("40"));
         assertThat(head.endsWith("\r\n\r\n"), is(true));
-        final String same = sendRaw("GET" + rest);
+        final String same = sendRaw("GET" + requestWithoutMethod);
         assertThat(same, startsWith("HTTP/1.1 304"));
         assertThat(same.endsWith("\r\n\r\n"), is(true));
-        final String none = sendRaw("POST" + rest);
+        final String none = sendRaw("POST" + requestWithoutMethod);
         assertThat(none, startsWith("HTTP/1.1 204"));
         assertThat(none.endsWith("\r\n\r\n"), is(true));
         assertThat(worker.received.size(), is(3));
