--- a/server/src/main/java/silverlatch/server/provider/ScalingCallSource.java
+++ b/server/src/main/java/silverlatch/server/provider/ScalingCallSource.java
@@ -13,48 +13,49 @@
 import silverlatch.server.eventloop.EventLog;
 
 /**
- * Has the numbers of workers set that {@link ScalingPolicy} wants. A count is ordered until it is accepted, and not again. Of a call without
- * an answer nobody knows whether it took effect, so whatever is wanted then is ordered anew; of several, the one that waited longest.
+ * Sets the numbers of workers that {@link ScalingPolicy} decides on. A call is repeated until its count is accepted or refused, and
+ * not made again with the same count. After a call with unknown outcome, which may have taken effect, the current target is set
+ * again even if it was accepted before. If several calls are due, the one whose last outcome is the oldest comes first.
  */
 public final class ScalingCallSource implements CallSource {
-    /** Demand is reported about once a second. */
+    /** The interval between decisions; gateways report their demand about once a second. */
     static final long DECISION_INTERVAL_MICROS = 1_000_000L;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
-    private final LongFunction<Optional<ScalingObservation>> observe;
-    private final Map<Subject, Integer> accepted = new HashMap<>();
-    private final Map<Subject, Integer> refused = new HashMap<>();
-    private final Map<Subject, Long> triedAt = new HashMap<>();
+    private final LongFunction<Optional<ScalingObservation>> observationAt;
+    private final Map<PoolInZone, Integer> acceptedCounts = new HashMap<>();
+    private final Map<PoolInZone, Integer> refusedCounts = new HashMap<>();
+    private final Map<PoolInZone, Long> lastOutcomeAt = new HashMap<>();
     private ScalingState state = ScalingState.NONE;
-    private long decidedAt = NEVER;
+    private long lastDecisionAt = NEVER;
 
-    /** What the provider keeps one count for. */
-    private record Subject(String pool, String zone) {
-        static Subject of(final WorkerTarget target) {
-            return new Subject(target.pool(), target.zone());
+    /** A pool in a zone, for which the provider holds one count. */
+    private record PoolInZone(String pool, String zone) {
+        static PoolInZone of(final WorkerTarget target) {
+            return new PoolInZone(target.pool(), target.zone());
         }
     }
 
-    /** A source that has decided nothing; what is known at a moment may be missing. */
-    public ScalingCallSource(final LongFunction<Optional<ScalingObservation>> observe) {
-        this.observe = observe;
+    /** Creates a source without decisions; the function returns the input of a decision at a time, or empty if it is unavailable. */
+    public ScalingCallSource(final LongFunction<Optional<ScalingObservation>> observationAt) {
+        this.observationAt = observationAt;
     }
 
     @Override
     public Optional<ProviderCall> next(final long now) {
-        if (now - decidedAt >= DECISION_INTERVAL_MICROS) {
-            decidedAt = now;
-            observe.apply(now).ifPresent(seen -> decide(seen, now));
+        if (now - lastDecisionAt >= DECISION_INTERVAL_MICROS) {
+            lastDecisionAt = now;
+            observationAt.apply(now).ifPresent(observation -> decide(observation, now));
         }
         return state.targets().stream()
-                .filter(this::isToBeOrdered)
-                .min(Comparator.comparingLong(target -> triedAt.getOrDefault(Subject.of(target), NEVER)))
+                .filter(this::needsCall)
+                .min(Comparator.comparingLong(target -> lastOutcomeAt.getOrDefault(PoolInZone.of(target), NEVER)))
                 .map(target -> new ProviderCall.SetWorkerCount(
                         new CloudProvider.WorkerCount(target.pool(), target.zone(), target.count())));
     }
 
-    private void decide(final ScalingObservation seen, final long now) {
-        final ScalingState decided = ScalingPolicy.decide(state, seen, now);
+    private void decide(final ScalingObservation observation, final long now) {
+        final ScalingState decided = ScalingPolicy.decide(state, observation, now);
         decided.targets().stream()
                 .filter(target -> !state.targets().contains(target))
                 .forEach(target -> EventLog.write(
@@ -63,37 +64,40 @@
         state = decided;
     }
 
-    private boolean isToBeOrdered(final WorkerTarget target) {
+    private boolean needsCall(final WorkerTarget target) {
         final Optional<Integer> count = Optional.of(target.count());
-        return !count.equals(Optional.ofNullable(accepted.get(Subject.of(target))))
-                && !count.equals(Optional.ofNullable(refused.get(Subject.of(target))));
+        return !count.equals(Optional.ofNullable(acceptedCounts.get(PoolInZone.of(target))))
+                && !count.equals(Optional.ofNullable(refusedCounts.get(PoolInZone.of(target))));
     }
 
     @Override
     public void onOutcome(final ProviderCall call, final CloudProvider.Outcome outcome, final long now) {
-        if (call instanceof ProviderCall.SetWorkerCount order) {
-            final CloudProvider.WorkerCount target = order.target();
-            final Subject subject = new Subject(target.pool(), target.zone());
-            triedAt.put(subject, now);
+        if (call instanceof ProviderCall.SetWorkerCount setWorkerCount) {
+            final CloudProvider.WorkerCount target = setWorkerCount.target();
+            final PoolInZone poolInZone = new PoolInZone(target.pool(), target.zone());
+            lastOutcomeAt.put(poolInZone, now);
             switch (outcome) {
                 case ACCEPTED -> {
-                    accepted.put(subject, target.count());
-                    refused.remove(subject);
+                    acceptedCounts.put(poolInZone, target.count());
+                    refusedCounts.remove(poolInZone);
                 }
-                case REFUSED -> refused.put(subject, target.count());
-                case UNKNOWN -> accepted.remove(subject);
+                case REFUSED -> refusedCounts.put(poolInZone, target.count());
+                case UNKNOWN -> acceptedCounts.remove(poolInZone);
                 case FENCED, THROTTLED -> {}
             }
         }
     }
 
-    /** Another owner may have ordered other counts: what this one decides next is compared with the workers that it then knows. */
+    /**
+     * Discards all decisions and outcomes. Another owner may have set other counts, so the next decision is based on the workers
+     * that are known then.
+     */
     @Override
     public void reset() {
         state = ScalingState.NONE;
-        decidedAt = NEVER;
-        accepted.clear();
-        refused.clear();
-        triedAt.clear();
+        lastDecisionAt = NEVER;
+        acceptedCounts.clear();
+        refusedCounts.clear();
+        lastOutcomeAt.clear();
     }
 }
--- a/server/src/main/java/silverlatch/server/proxy/HeaderValues.java
+++ b/server/src/main/java/silverlatch/server/proxy/HeaderValues.java
@@ -7,17 +7,20 @@
 import silverlatch.routing.RoutedRequest;
 import silverlatch.routing.Router;
 
-/** Reads the values of the proxy's header fields; what can't be read counts as not sent. */
+/** Parses the values of the proxy's header fields; a value that can't be parsed is treated as absent. */
 final class HeaderValues {
     private static final int MAX_PROMPT_PARTS = 256;
-    private static final int LOAD_COUNTS = 3;
+    private static final int LOAD_COUNT_FIELDS = 3;
     private static final long MAX_LOAD_COUNT = 999_999;
     private static final long FNV_OFFSET_BASIS = 0xCBF29CE484222325L;
     private static final long FNV_PRIME = 0x100000001B3L;
 
     private HeaderValues() {}
 
-    /** The parts of a prompt, {@code ID:TOKENS} separated by commas; parts that can't be read are left out. */
+    /**
+     * Parses the parts of a prompt, {@code ID:TOKENS} separated by commas. Skips parts that can't be parsed, and all after the
+     * first 256 valid ones.
+     */
     static List<RoutedRequest.PromptPart> promptParts(final String text) {
         final List<RoutedRequest.PromptPart> parts = new ArrayList<>();
         for (final String item : text.split(",")) {
@@ -32,10 +35,10 @@
         return parts;
     }
 
-    /** A worker's load: running requests, queued requests and slots, separated by commas. */
+    /** Parses a worker's load: the numbers of running requests, queued requests and slots, separated by commas. */
     static Optional<Router.ReportedLoad> workerLoad(final String text) {
         final String[] items = text.split(",");
-        if (items.length != LOAD_COUNTS) {
+        if (items.length != LOAD_COUNT_FIELDS) {
             return Optional.empty();
         }
         final List<Integer> counts = Arrays.stream(items)
@@ -44,18 +47,18 @@
                 .filter(count -> count <= MAX_LOAD_COUNT)
                 .map(Long::intValue)
                 .toList();
-        return counts.size() == LOAD_COUNTS
+        return counts.size() == LOAD_COUNT_FIELDS
                 ? Optional.of(new Router.ReportedLoad(counts.get(0), counts.get(1), counts.get(2)))
                 : Optional.empty();
     }
 
-    /** A whole number of up to 15 digits. */
+    /** Parses a non-negative integer of at most 15 digits, so that it fits a long. */
     static Optional<Long> nonNegativeInteger(final String text) {
         final String digits = text.strip();
         return digits.matches("\\d{1,15}") ? Optional.of(Long.parseLong(digits)) : Optional.empty();
     }
 
-    /** The 64-bit FNV-1a hash, over UTF-16 code units. */
+    /** Returns the 64-bit FNV-1a hash of a text, computed over its UTF-16 code units. */
     private static long fnv1a(final String text) {
         long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
--- a/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
+++ b/server/src/main/java/silverlatch/server/proxy/ProxyServer.java
@@ -25,17 +25,18 @@
 import silverlatch.state.Value;
 
 /**
- * The HTTP handler for requests by host and path: it reads each request whole, hands it to the router, and carries out what the router
- * decides. Handlers run on the threads of the HTTP server and block nothing; {@link #apply} is called on the router's event loop.
+ * The HTTP handler of the reverse proxy, which routes requests by host and path. It reads each request completely, passes it to
+ * the router, and carries out the router's decisions. Handler methods run on the threads of the HTTP server and don't block;
+ * {@link #apply} is called on the router's event loop.
  */
 public final class ProxyServer extends Handler.Abstract.NonBlocking {
-    private static final int BODY_BYTES_CEILING = 32 << 20;
+    private static final int MAX_CONFIGURABLE_BODY_BYTES = 32 << 20;
     private static final int DEFAULT_MAX_BODY_BYTES = 4 << 20;
     private static final long OVERLOAD_RETRY_MICROS = 500_000;
     private static final long MICROS_PER_MILLI = 1_000L;
     private final ProxyHeaderNames headerNames;
-    private final RoutedRequests routedRequests;
-    private final WorkerRequests workerRequests;
+    private final RoutedRequestReader routedRequestReader;
+    private final WorkerRequestFactory workerRequestFactory;
     private final Predicate<Consumer<Router>> routerLoop;
     private final Set<ProxySafeguard> disabledSafeguards;
     private final Map<Long, ProxiedRequest> requestsByCallId = new ConcurrentHashMap<>();
@@ -43,14 +44,14 @@
     private volatile Optional<MultiListenerServer.Listener> listener = Optional.empty();
     private volatile Optional<Value.RoutingConfiguration> limits = Optional.empty();
     private volatile int maxBodyBytes = DEFAULT_MAX_BODY_BYTES;
-    private volatile boolean closing;
+    private volatile boolean closesConnections;
 
     /**
-     * A proxy.
+     * Creates a proxy.
      *
      * @param headerNames  the names of its header fields
-     * @param workerClient the client that has been started, or will be before the first request; it is not stopped here
-     * @param routerLoop   runs a task with the router on the router's event loop, or returns false when its queue is full
+     * @param workerClient the HTTP client for workers; the caller starts it before the first request, and stops it
+     * @param routerLoop   runs a task with the router on the router's event loop; returns false if the loop's queue is full
      */
     public ProxyServer(
             final ProxyHeaderNames headerNames,
@@ -65,40 +66,40 @@
             final Predicate<Consumer<Router>> routerLoop,
             final Set<ProxySafeguard> disabledSafeguards) {
         this.headerNames = headerNames;
-        this.routedRequests = new RoutedRequests(headerNames);
-        this.workerRequests = new WorkerRequests(workerClient, headerNames);
+        this.routedRequestReader = new RoutedRequestReader(headerNames);
+        this.workerRequestFactory = new WorkerRequestFactory(workerClient, headerNames);
         this.routerLoop = routerLoop;
         this.disabledSafeguards = Set.copyOf(disabledSafeguards);
     }
 
-    /** Sets how large a body may be, in bytes, until the next limits. */
+    /** Sets the maximum size of a request body in bytes; the next {@link #updateLimits} overrides it. */
     void setMaxBodyBytes(final int bytes) {
         maxBodyBytes = bytes;
     }
 
-    /** Sets the listener at which clients connect; it follows the limits of the configuration in force. */
-    public void setListener(final MultiListenerServer.Listener opened) {
-        listener = Optional.of(opened);
-        limits.ifPresent(current -> updateListener(opened, current));
+    /** Sets the listener to which clients connect, and applies the limits of the configuration in force to it. */
+    public void setListener(final MultiListenerServer.Listener newListener) {
+        listener = Optional.of(newListener);
+        limits.ifPresent(current -> updateListener(newListener, current));
     }
 
-    /** Applies the limits of the configuration in force, also to connections that are idle now. Called on the event loop. */
-    public void updateLimits(final Value.RoutingConfiguration next) {
-        if (limits.filter(next::equals).isEmpty()) {
-            limits = Optional.of(next);
-            maxBodyBytes = Math.min(BODY_BYTES_CEILING, next.maxBodyBytes());
-            listener.ifPresent(opened -> updateListener(opened, next));
+    /** Applies the limits of the configuration in force, also to currently idle connections. Called on the event loop. */
+    public void updateLimits(final Value.RoutingConfiguration configuration) {
+        if (limits.filter(configuration::equals).isEmpty()) {
+            limits = Optional.of(configuration);
+            maxBodyBytes = Math.min(MAX_CONFIGURABLE_BODY_BYTES, configuration.maxBodyBytes());
+            listener.ifPresent(opened -> updateListener(opened, configuration));
         }
     }
 
     private static void updateListener(
-            final MultiListenerServer.Listener opened, final Value.RoutingConfiguration configuration) {
-        opened.updateLimits(configuration.maxHeaderBytes(), configuration.idleTimeoutMicros() / MICROS_PER_MILLI);
+            final MultiListenerServer.Listener listener, final Value.RoutingConfiguration configuration) {
+        listener.updateLimits(configuration.maxHeaderBytes(), configuration.idleTimeoutMicros() / MICROS_PER_MILLI);
     }
 
-    /** Has every response close its connection from now on; requests are still served. */
-    public void close() {
-        closing = true;
+    /** Makes every further response close its connection; requests are still served. */
+    public void closeConnectionsAfterResponses() {
+        closesConnections = true;
     }
 
     @Override
@@ -136,7 +137,7 @@
         reject(response, callback, HttpStatus.PAYLOAD_TOO_LARGE_413, "larger than " + limitBytes + " bytes");
     }
 
-    /** Rejects a request before it has an id, and closes its connection, on which more of it may come. */
+    /** Rejects a request before its id was read, and closes its connection, as unread bytes of the request may follow. */
     private static void reject(
             final Response response, final Callback callback, final int status, final String reason) {
         response.setStatus(status);
@@ -145,19 +146,20 @@
     }
 
     private void admit(final Request request, final Response response, final Callback callback, final byte[] body) {
-        final Optional<String> requestId = routedRequests.requestId(request);
+        final Optional<String> requestId = routedRequestReader.requestId(request);
         if (requestId.isEmpty()) {
             reject(response, callback, HttpStatus.BAD_REQUEST_400, headerNames.requestId() + " is missing");
             return;
         }
         final long callId = lastCallId.incrementAndGet();
-        final RoutedRequest routed = routedRequests.read(callId, requestId.get(), request);
-        final ClientResponse clientResponse = new ClientResponse(response, callback, () -> closing, disabledSafeguards);
+        final RoutedRequest routed = routedRequestReader.read(callId, requestId.get(), request);
+        final ClientResponse clientResponse =
+                new ClientResponse(response, callback, () -> closesConnections, disabledSafeguards);
         final ProxiedRequest proxied = new ProxiedRequest(this, callId, requestId.get(), request, clientResponse, body);
         requestsByCallId.put(callId, proxied);
         request.addIdleTimeoutListener(timeout -> false);
         request.addFailureListener(failure -> abandon(callId));
-        ClientDisconnects.watch(request, proxied::clientClosed);
+        ClientDisconnects.watch(request, proxied::onClientClosed);
         if (!postToRouter(router -> router.requestArrived(routed, EventLoop.nowMicros()))) {
             rejectAsOverloaded(callId);
         }
@@ -169,13 +171,14 @@
         remove(callId).ifPresent(request -> request.reject(reject));
     }
 
-    /** Carries out a decision of the router; one for a request that has ended does nothing. */
+    /** Carries out a decision of the router; ignores a decision about a request that has ended. */
     public void apply(final RoutingEffect effect) {
         switch (effect) {
             case RoutingEffect.StartAttempt attempt ->
                 find(attempt.callId())
                         .ifPresentOrElse(
-                                request -> request.startAttempt(attempt), () -> postClientGone(attempt.callId()));
+                                request -> request.startAttempt(attempt),
+                                () -> postClientDisconnected(attempt.callId()));
             case RoutingEffect.Reject reject -> remove(reject.callId()).ifPresent(request -> request.reject(reject));
             case RoutingEffect.Fail fail -> remove(fail.callId()).ifPresent(request -> request.fail(fail));
             case RoutingEffect.ForwardResponse forward ->
@@ -186,22 +189,25 @@
         }
     }
 
-    /** How many requests have no complete response yet. */
+    /** Returns the number of requests whose response is not complete yet. */
     public int openRequests() {
         return requestsByCallId.size();
     }
 
-    /** Forgets a request whose client is gone or whose response was aborted, and tells the router. */
+    /** Removes a request whose client disconnected or whose response was aborted, and notifies the router. */
     void abandon(final long callId) {
-        remove(callId).ifPresent(gone -> postClientGone(callId));
+        remove(callId).ifPresent(disconnected -> postClientDisconnected(callId));
     }
 
-    /** Forgets a request whose response was written whole. */
+    /** Removes a request whose response was written completely. */
     void complete(final long callId) {
         requestsByCallId.remove(callId);
     }
 
-    /** Runs a task with the router on its event loop; where its queue is full, the request's deadline ends what is left over. */
+    /**
+     * Runs a task with the router on its event loop. Returns false if the loop's queue is full: the task is dropped then, and the
+     * router ends the request at its deadline.
+     */
     boolean postToRouter(final Consumer<Router> task) {
         return routerLoop.test(task);
     }
@@ -214,16 +220,16 @@
         return headerNames;
     }
 
-    WorkerRequests workerRequests() {
-        return workerRequests;
+    WorkerRequestFactory workerRequestFactory() {
+        return workerRequestFactory;
     }
 
-    /** Tells the router that no further attempt is to be made, as a client has left; the one in flight goes on. */
-    void endAttempts(final long callId) {
+    /** Notifies the router that the client closed the connection: the attempt in flight continues, but no further one is made. */
+    void stopRetrying(final long callId) {
         postToRouter(router -> router.stopRetrying(callId));
     }
 
-    private void postClientGone(final long callId) {
+    private void postClientDisconnected(final long callId) {
         postToRouter(router -> router.clientDisconnected(callId, EventLoop.nowMicros()));
     }
 
--- a/server/src/test/java/silverlatch/server/gateway/OperatorApiTest.java
+++ b/server/src/test/java/silverlatch/server/gateway/OperatorApiTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.server.settings.Settings;
 
-/** A gateway in this process that knows no controller. */
+/**
+ * Guards the compatibility of the operators' pages: a metric or JSON key that was renamed must also be reported under its former
+ * name. Runs a gateway in this process, without a controller.
+ */
 final class OperatorApiTest {
     private static String freeAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -74,7 +77,7 @@
     }
 
     @Test
-    void renamedMetricsStandBesideTheirFormerNames() throws Exception {
+    void renamedMetricsAreAlsoReportedUnderTheirFormerNames() throws Exception {
         final String httpAddress = freeAddress();
         final Gateway gateway = Main.build(settings(httpAddress));
         gateway.start();
@@ -99,7 +102,7 @@
     }
 
     @Test
-    void theStatusShowsTheMembersBesideTheirFormerKey() throws Exception {
+    void theStatusListsTheMembersAlsoUnderTheFormerKey() throws Exception {
         final String httpAddress = freeAddress();
         final Gateway gateway = Main.build(settings(httpAddress));
         gateway.start();
--- a/server/src/test/java/silverlatch/server/provider/ScriptedProvider.java
+++ b/server/src/test/java/silverlatch/server/provider/ScriptedProvider.java
@@ -5,12 +5,12 @@
 import java.util.concurrent.CompletableFuture;
 import silverlatch.state.Value;
 
-/** A provider that notes its calls; a test answers each, or none. */
+/** A cloud provider that records its calls; the test completes them, or leaves them unanswered. */
 final class ScriptedProvider implements CloudProvider {
     private final List<Call> calls = new ArrayList<>();
 
-    /** A call, and the outcome that its caller waits for. */
-    record Call(String holder, long token, String what, CompletableFuture<Outcome> outcome) {}
+    /** A call and the future of its outcome. */
+    record Call(String holder, long token, String description, CompletableFuture<Outcome> outcome) {}
 
     List<Call> calls() {
         return calls;
@@ -20,22 +20,22 @@
         return calls.get(calls.size() - 1);
     }
 
-    /** What was called for, in order. */
-    List<String> subjects() {
-        return calls.stream().map(Call::what).toList();
+    /** Returns the descriptions of all calls, in order. */
+    List<String> descriptions() {
+        return calls.stream().map(Call::description).toList();
     }
 
     @Override
     public CompletableFuture<Outcome> reportUsage(final Caller caller, final Value.UsageWindow window) {
-        return note(caller, "usage " + window.number());
+        return addCall(caller, "usage " + window.number());
     }
 
     @Override
     public CompletableFuture<Outcome> setWorkerCount(final Caller caller, final WorkerCount target) {
-        return note(caller, "workers " + target.count());
+        return addCall(caller, "workers " + target.count());
     }
 
-    private CompletableFuture<Outcome> note(final Caller caller, final String what) {
+    private CompletableFuture<Outcome> addCall(final Caller caller, final String what) {
         final CompletableFuture<Outcome> outcome = new CompletableFuture<>();
         calls.add(new Call(caller.holderName(), caller.fencingToken(), what, outcome));
         return outcome;
--- a/server/src/test/java/silverlatch/server/proxy/ClientDisconnectTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/ClientDisconnectTest.java
@@ -4,10 +4,10 @@
 import static org.hamcrest.Matchers.containsString;
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.startsWith;
-import static silverlatch.server.proxy.HttpText.CHUNKED;
+import static silverlatch.server.proxy.HttpText.EVENT_STREAM_HEADERS;
 import static silverlatch.server.proxy.HttpText.event;
 import static silverlatch.server.proxy.HttpText.failure;
-import static silverlatch.server.proxy.HttpText.good;
+import static silverlatch.server.proxy.HttpText.successHead;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -22,16 +22,19 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.util.Threads;
 
-/** What becomes of a request whose client closes its connection while the worker is silent. */
+/**
+ * Guards against work that continues for a client that has disconnected, and against requests that are cancelled although their
+ * client only half-closed the connection. The worker sends no response while the client closes its connection.
+ */
 final class ClientDisconnectTest extends ProxyFixture {
-    /** The platform counts work that goes on for longer than this after the client has left. */
-    private static final long NOTICE_LIMIT_MS = 500;
+    /** The platform counts work that continues for longer than this after the client disconnected. */
+    private static final long CANCEL_LIMIT_MS = 500;
 
-    private static final long BEYOND_HALF_CLOSE_MS = 150;
+    private static final long PAST_HALF_CLOSE_WINDOW_MS = 150;
     private static final long WAIT_MS = 5_000;
-    private SilentWorker silent;
+    private SilentWorker silentWorker;
 
-    /** A worker that hands over each connection once it has read a request on it, and writes nothing by itself. */
+    /** A worker that queues each connection once it has read a request on it; it writes nothing by itself. */
     private static final class SilentWorker {
         private final ServerSocket server;
         private final BlockingQueue<Socket> connections = new LinkedBlockingQueue<>();
@@ -65,29 +68,29 @@
 
     @BeforeEach
     void startSilentWorker() throws IOException {
-        silent = new SilentWorker();
+        silentWorker = new SilentWorker();
     }
 
     @AfterEach
     void stopSilentWorker() throws IOException {
-        silent.server.close();
+        silentWorker.server.close();
     }
 
-    /** The silent worker is the only one that the router knows. */
-    private void useSilentWorker() throws Exception {
-        startWorkerAt(silent.server.getLocalPort());
+    /** Adds the silent worker to the router's snapshot. */
+    private void addSilentWorker() throws Exception {
+        addWorker(silentWorker.server.getLocalPort());
     }
 
     private Socket send(final String path) throws IOException {
         final Socket client = new Socket("127.0.0.1", port);
         client.setSoTimeout((int) WAIT_MS);
-        write(client, request(path, "t-1", ""));
+        write(client, requestText(path, "t-1", ""));
         return client;
     }
 
-    private static String request(final String path, final String id, final String more) {
+    private static String requestText(final String path, final String id, final String extraHeaders) {
         return "POST " + path + " HTTP/1.1\r\nHost: a\r\nSilverlatch-Ticket: " + id
-                + "\r\nSilverlatch-Expiry-Ms: 4000\r\n" + more + "Content-Length: 1\r\n\r\nb";
+                + "\r\nSilverlatch-Expiry-Ms: 4000\r\n" + extraHeaders + "Content-Length: 1\r\n\r\nb";
     }
 
     private static void write(final Socket socket, final String text) throws IOException {
@@ -95,8 +98,8 @@
         socket.getOutputStream().flush();
     }
 
-    /** How long until the proxy ended its connection to the worker, in milliseconds. */
-    private static long millisUntilEnd(final Socket worker) throws IOException {
+    /** Waits until the proxy closes its connection to the worker, and returns the waiting time in milliseconds. */
+    private static long millisUntilConnectionEnd(final Socket worker) throws IOException {
         final long begin = System.nanoTime();
         worker.setSoTimeout((int) WAIT_MS);
         try {
@@ -112,79 +115,81 @@
     }
 
     @Test
-    void theWorkersConnectionEndsSoonAfterTheClientHasClosedItsOwn() throws Exception {
-        useSilentWorker();
+    void theWorkersConnectionIsClosedSoonAfterTheClientDisconnects() throws Exception {
+        addSilentWorker();
         final Socket client = send("/again/x");
-        final Socket worker = silent.nextConnection();
-        Thread.sleep(BEYOND_HALF_CLOSE_MS);
+        final Socket worker = silentWorker.nextConnection();
+        Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
         client.close();
-        assertThat(millisUntilEnd(worker) < NOTICE_LIMIT_MS, is(true));
+        assertThat(millisUntilConnectionEnd(worker) < CANCEL_LIMIT_MS, is(true));
         awaitNoOpenRequest(WAIT_MS);
     }
 
     @Test
-    void aStreamThatHasBegunEndsToo() throws Exception {
-        useSilentWorker();
+    void aStartedStreamIsCancelledWhenTheClientDisconnects() throws Exception {
+        addSilentWorker();
         final Socket client = send("/once/x");
-        final Socket worker = silent.nextConnection();
-        write(worker, good(silent.requests.take()) + CHUNKED + "\r\n" + event(1));
+        final Socket worker = silentWorker.nextConnection();
+        write(worker, successHead(silentWorker.requests.take()) + EVENT_STREAM_HEADERS + "\r\n" + event(1));
         assertThat(HttpText.read(client.getInputStream()), startsWith("HTTP/1.1 200"));
-        Thread.sleep(BEYOND_HALF_CLOSE_MS);
+        Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
         client.close();
-        assertThat(millisUntilEnd(worker) < NOTICE_LIMIT_MS, is(true));
+        assertThat(millisUntilConnectionEnd(worker) < CANCEL_LIMIT_MS, is(true));
         awaitNoOpenRequest(WAIT_MS);
     }
 
     @Test
     void aClientThatHalfClosesWithItsRequestIsServed() throws Exception {
-        useSilentWorker();
+        addSilentWorker();
         try (Socket client = send("/again/x")) {
             client.shutdownOutput();
-            final Socket worker = silent.nextConnection();
-            Thread.sleep(BEYOND_HALF_CLOSE_MS);
-            write(worker, good(silent.requests.take()) + "Content-Length: 2\r\n\r\nok");
+            final Socket worker = silentWorker.nextConnection();
+            Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
+            write(worker, successHead(silentWorker.requests.take()) + "Content-Length: 2\r\n\r\nok");
             assertThat(readAll(client), containsString("\r\n\r\nok"));
         }
     }
 
     @Test
-    void aRequestThatMayNotBeRepeatedRunsToItsEnd() throws Exception {
-        useSilentWorker();
+    void aNonIdempotentRequestRunsToCompletionAfterTheClientCloses() throws Exception {
+        addSilentWorker();
         try (Socket client = send("/plain/x")) {
-            final Socket worker = silent.nextConnection();
-            Thread.sleep(BEYOND_HALF_CLOSE_MS);
+            final Socket worker = silentWorker.nextConnection();
+            Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
             client.shutdownOutput();
-            Thread.sleep(BEYOND_HALF_CLOSE_MS);
-            write(worker, good(silent.requests.take()) + "Content-Length: 2\r\n\r\nok");
+            Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
+            write(worker, successHead(silentWorker.requests.take()) + "Content-Length: 2\r\n\r\nok");
             assertThat(readAll(client), containsString("\r\n\r\nok"));
         }
     }
 
     @Test
-    void noFurtherWorkerIsAskedOnceTheClientHasLeft() throws Exception {
-        useSilentWorker();
+    void noRetryIsMadeAfterTheClientCloses() throws Exception {
+        addSilentWorker();
         final Socket client = send("/plain/x");
-        final Socket worker = silent.nextConnection();
-        final StubWorker other = startWorker(request -> good(request) + "Content-Length: 2\r\n\r\nok");
-        Thread.sleep(BEYOND_HALF_CLOSE_MS);
+        final Socket worker = silentWorker.nextConnection();
+        final StubWorker other = startWorker(request -> successHead(request) + "Content-Length: 2\r\n\r\nok");
+        Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
         client.shutdownOutput();
-        Thread.sleep(BEYOND_HALF_CLOSE_MS);
-        write(worker, failure(silent.requests.take(), "503 Full", "Silverlatch-Not-Run: 1\r\n"));
+        Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
+        write(worker, failure(silentWorker.requests.take(), "503 Full", "Silverlatch-Not-Run: 1\r\n"));
         assertThat(readAll(client), startsWith("HTTP/1.1 503"));
         assertThat(other.received.size(), is(0));
     }
 
     @Test
-    void aRequestSentAheadIsServedAfterTheOneThatRuns() throws Exception {
-        useSilentWorker();
+    void aPipelinedRequestIsServedAfterTheCurrentOne() throws Exception {
+        addSilentWorker();
         try (Socket client = send("/again/x")) {
-            final Socket worker = silent.nextConnection();
-            write(client, request("/again/y", "t-2", "Connection: close\r\n"));
-            Thread.sleep(BEYOND_HALF_CLOSE_MS);
-            write(worker, good(silent.requests.take()) + "Connection: close\r\nContent-Length: 5\r\n\r\nfirst");
+            final Socket worker = silentWorker.nextConnection();
+            write(client, requestText("/again/y", "t-2", "Connection: close\r\n"));
+            Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
+            write(
+                    worker,
+                    successHead(silentWorker.requests.take()) + "Connection: close\r\nContent-Length: 5\r\n\r\nfirst");
             worker.shutdownOutput();
-            final Socket next = silent.nextConnection();
-            write(next, good(silent.requests.take()) + "Content-Length: 6\r\n\r\nsecond");
+            final Socket next = silentWorker.nextConnection();
+            write(next, successHead(silentWorker.requests.take()) + "Content-Length: 6\r\n\r\nsecond");
             final String replies = readAll(client);
             assertThat(replies, containsString("\r\n\r\nfirst"));
             assertThat(replies, containsString("\r\n\r\nsecond"));
@@ -193,13 +198,13 @@
     }
 
     @Test
-    void aClientThatClosesBehindARequestSentAheadIsNoticedToo() throws Exception {
-        useSilentWorker();
+    void aDisconnectAfterAPipelinedRequestIsDetected() throws Exception {
+        addSilentWorker();
         final Socket client = send("/again/x");
-        final Socket worker = silent.nextConnection();
-        write(client, request("/again/y", "t-2", ""));
-        Thread.sleep(BEYOND_HALF_CLOSE_MS);
+        final Socket worker = silentWorker.nextConnection();
+        write(client, requestText("/again/y", "t-2", ""));
+        Thread.sleep(PAST_HALF_CLOSE_WINDOW_MS);
         client.close();
-        assertThat(millisUntilEnd(worker) < NOTICE_LIMIT_MS, is(true));
+        assertThat(millisUntilConnectionEnd(worker) < CANCEL_LIMIT_MS, is(true));
     }
 }
--- a/server/src/test/java/silverlatch/server/proxy/EarlyResponseTest.java
+++ b/server/src/test/java/silverlatch/server/proxy/EarlyResponseTest.java
@@ -4,8 +4,8 @@
 import static org.hamcrest.Matchers.containsString;
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.startsWith;
-import static silverlatch.server.proxy.HttpText.good;
 import static silverlatch.server.proxy.HttpText.header;
+import static silverlatch.server.proxy.HttpText.successHead;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -21,7 +21,10 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.util.Threads;
 
-/** A worker that replies before it has read a long body, keeps the connection, and reads on later. */
+/**
+ * Guards against bodies of two requests that get mixed on one connection: a worker replies before it has read a long body, keeps the
+ * connection open, and reads the rest later. If the connection is reused meanwhile, the next request may follow an incomplete body.
+ */
 final class EarlyResponseTest extends ProxyFixture {
     private static final int BODY_BYTES = 6 << 20;
     private static final int BODY_LIMIT = 8 << 20;
@@ -34,7 +37,7 @@
         proxy.get().setMaxBodyBytes(BODY_LIMIT);
         worker = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         Threads.startDaemon("early-worker", this::accept);
-        startWorkerAt(worker.getLocalPort());
+        addWorker(worker.getLocalPort());
     }
 
     @AfterEach
@@ -57,7 +60,7 @@
         try (socket) {
             while (true) {
                 final String head = readHead(socket.getInputStream());
-                final String reply = good(head) + "Content-Length: 5\r\n\r\nearly";
+                final String reply = successHead(head) + "Content-Length: 5\r\n\r\nearly";
                 socket.getOutputStream().write(reply.getBytes(StandardCharsets.ISO_8859_1));
                 socket.getOutputStream().flush();
                 Thread.sleep(READ_LATER_MS);
@@ -82,7 +85,7 @@
     }
 
     @Test
-    void theWorkerReadsTheRestOfThatBodyAndNothingElse() throws Exception {
+    void anEarlyResponseDoesNotMixTheBodiesOfTwoRequests() throws Exception {
         final String first = "a".repeat(BODY_BYTES);
         final String second = "c".repeat(BODY_BYTES);
         assertThat(post("/once/x", "", first), containsString("early"));
@@ -90,7 +93,7 @@
         Thread.sleep(4 * READ_LATER_MS);
         for (final String body : bodies) {
             assertThat(
-                    "one request's body, whole or cut off with its connection",
+                    "the body of one request, complete or truncated by the end of its connection",
                     first.startsWith(body) || second.startsWith(body),
                     is(true));
         }
--- a/server/src/test/java/silverlatch/server/proxy/HttpText.java
+++ b/server/src/test/java/silverlatch/server/proxy/HttpText.java
@@ -7,9 +7,9 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Writes and takes apart HTTP/1.1 messages as text, one character a byte. */
+/** Creates and parses HTTP/1.1 messages as text with one character per byte. */
 final class HttpText {
-    static final String CHUNKED = "Transfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n";
+    static final String EVENT_STREAM_HEADERS = "Transfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n";
 
     private HttpText() {}
 
@@ -38,7 +38,7 @@
                 .orElse("");
     }
 
-    static String good(final String request) {
+    static String successHead(final String request) {
         return "HTTP/1.1 200 OK\r\nSilverlatch-Ticket: " + header(request, "Silverlatch-Ticket")
                 + "\r\nSilverlatch-Seal: s\r\n";
     }
@@ -51,8 +51,8 @@
         return chunk("id: " + id + "\ndata: piece " + id + "\n\n");
     }
 
-    static String failure(final String request, final String status, final String more) {
+    static String failure(final String request, final String status, final String extraHeaders) {
         return "HTTP/1.1 " + status + "\r\nSilverlatch-Ticket: " + header(request, "Silverlatch-Ticket")
-                + "\r\nSilverlatch-Seal: s\r\n" + more + "Content-Length: 0\r\n\r\n";
+                + "\r\nSilverlatch-Seal: s\r\n" + extraHeaders + "Content-Length: 0\r\n\r\n";
     }
 }
--- a/server/src/test/java/silverlatch/server/proxy/ProxyFixture.java
+++ b/server/src/test/java/silverlatch/server/proxy/ProxyFixture.java
@@ -34,7 +34,7 @@
 import silverlatch.state.Value;
 import silverlatch.util.Threads;
 
-/** A proxy between stub workers and a client on real sockets, made anew for each test, with a router on a thread of its own. */
+/** Base class of tests with a proxy between stub workers and a client on real sockets; the router has its own thread. */
 abstract class ProxyFixture {
     private static final long SHUTDOWN_SECONDS = 10;
 
@@ -50,7 +50,7 @@
     int port;
 
     @BeforeEach
-    void open() throws Exception {
+    void startProxy() throws Exception {
         workerClient = new WorkerHttpClient(WorkerHttpClient.Settings.DEFAULT);
         workerClient.start();
         router = new Router(Router.Settings.DEFAULT, snapshot(1), () -> new Stamp(1), new SplittableRandom(5));
@@ -72,7 +72,7 @@
     }
 
     @AfterEach
-    void shut() throws Exception {
+    void stopProxy() throws Exception {
         httpServer.stop();
         workerClient.stop();
         routerLoop.shutdownNow();
@@ -84,15 +84,16 @@
         }
     }
 
+    /** Starts a stub worker with a script and adds it to the router's snapshot. */
     StubWorker startWorker(final Function<String, String> script) throws IOException {
         final StubWorker started = new StubWorker(script);
         stubWorkers.add(started);
-        startWorkerAt(started.port());
+        addWorker(started.port());
         return started;
     }
 
-    /** Has the router know a worker that the test runs itself. */
-    void startWorkerAt(final int workerPort) {
+    /** Adds a worker that the test runs itself to the router's snapshot. */
+    void addWorker(final int workerPort) {
         workerPorts.add(workerPort);
         final ClusterSnapshot next = snapshot(workerPorts.size() + 1);
         routerLoop.execute(() -> router.update(next, EventLoop.nowMicros()));
@@ -113,18 +114,20 @@
                 confirmedAt());
     }
 
-    /** Who may use the routes; nobody needs a key where nothing is said. */
+    /** Returns the entries for access control; without any, no key is required. */
     List<Entry> accessEntries() {
         return List.of();
     }
 
-    /** When the configuration was confirmed as the newest. */
+    /** Returns the time at which the configuration was confirmed as the newest. */
     long confirmedAt() {
         return 1;
     }
 
-    /** A port of the loopback interface that nothing listened on just now. */
-    /** A request is open until its response was written, of which the client may have read the last byte earlier. */
+    /**
+     * Waits until the proxy has no open request. A request remains open until the write of its response has completed, which may be
+     * after the client has read the last byte.
+     */
     void awaitNoOpenRequest(final long limitMs) throws InterruptedException {
         final long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMs);
         while (proxy.get().openRequests() > 0 && System.nanoTime() < deadline) {
@@ -133,6 +136,7 @@
         assertThat(proxy.get().openRequests(), is(0));
     }
 
+    /** Returns a currently unused port of the loopback interface. */
     static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return socket.getLocalPort();
@@ -157,7 +161,7 @@
                 List.of(new Value.WeightedBackend("pool", 1)));
     }
 
-    /** A route whose requests are neither streams nor may be repeated. */
+    /** Returns a route whose responses aren't streams and whose requests may not be repeated. */
     static Value.Route plainRoute(final String path) {
         return new Value.Route(
                 path,
@@ -176,12 +180,13 @@
                 List.of(new Value.WeightedBackend("pool", 1)));
     }
 
-    String post(final String path, final String more, final String body) throws IOException {
+    String post(final String path, final String extraHeaders, final String body) throws IOException {
         return sendRaw("POST " + path
                 + " HTTP/1.1\r\nHost: a\r\nConnection: close\r\nSilverlatch-Ticket: t-1\r\nSilverlatch-Expiry-Ms: 4000\r\n"
-                + more + "Content-Length: " + body.length() + "\r\n\r\n" + body);
+                + extraHeaders + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
+    /** Sends the text of a request and returns all that is received until the connection ends; a reset appends "RESET". */
     String sendRaw(final String request) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(new InetSocketAddress("127.0.0.1", port), 1_000);
