--- a/core/src/test/java/silverlatch/replication/AcknowledgedWritesTest.java
+++ b/core/src/test/java/silverlatch/replication/AcknowledgedWritesTest.java
@@ -20,7 +20,7 @@
 
     @Test
     void sixReplicasWithThreeSeedsAllBecomeVotersAndSurviveTwoCrashesAtOnce() {
-        final ReplicaCluster cluster = SixReplicas.six(2);
+        final ReplicaCluster cluster = SixReplicas.startSix(2);
         SixReplicas.put(cluster, "f", 1, 0);
         assertThat("an ack is on every disk of the chain", cluster.synced(1), is(6L));
         cluster.kill("a");
@@ -32,10 +32,10 @@
     }
 
     @Test
-    void everyTwoOfSixMayDieAtOnce() {
+    void anyTwoOfSixMayCrashAtOnce() {
         for (int i = 0; i < 6; i++) {
             for (int j = i + 1; j < 6; j++) {
-                final ReplicaCluster cluster = SixReplicas.six(3);
+                final ReplicaCluster cluster = SixReplicas.startSix(3);
                 cluster.advance(i * 17_300L + j * 5_700L);
                 cluster.kill(SixReplicas.ADDRESSES.get(i));
                 cluster.kill(SixReplicas.ADDRESSES.get(j));
@@ -53,7 +53,7 @@
 
     @Test
     void replicasThatAllRestartAtOnceHaveTheNewestConfiguration() {
-        final ReplicaCluster cluster = SixReplicas.six(2);
+        final ReplicaCluster cluster = SixReplicas.startSix(2);
         for (long i = 1; i <= 5; i++) {
             SixReplicas.put(cluster, SixReplicas.ADDRESSES.get((int) i), i, i - 1);
         }
@@ -69,7 +69,7 @@
     @ValueSource(ints = {2, 3})
     void anAcknowledgedConfigurationSurvivesFewerLostDisksThanCopiesAndAPowerCutOfTheRest(final int copies) {
         for (int turn = 0; turn < 12; turn++) {
-            final ReplicaCluster cluster = SixReplicas.six(copies);
+            final ReplicaCluster cluster = SixReplicas.startSix(copies);
             for (int i = 0; i < turn % 3; i++) {
                 cluster.kill(SixReplicas.ADDRESSES.get((turn + 2 * i) % 6));
             }
@@ -101,7 +101,7 @@
         cluster.advance(60_000);
         cluster.kill("c");
         cluster.advance(5 * SECOND);
-        assertThat(cut.reply(), instanceOf(CommandResult.Unknown.class));
+        assertThat(cut.answerOrThrow(), instanceOf(CommandResult.Unknown.class));
         assertThat(
                 "nor told by a read",
                 ((ChainClient.ReadResult) SixReplicas.read(cluster, "a"))
@@ -114,13 +114,13 @@
     }
 
     @Test
-    void aTailThatOnlyOneVoterHearsStopsReadingBeforeTheOthersGoOnWithoutIt() {
+    void aTailReachedByOnlyOneVoterLosesItsLeaseBeforeTheOthersInstallAViewWithoutIt() {
         for (int i = 0; i < 20; i++) {
             final ReplicaCluster cluster =
                     new ReplicaCluster(SixReplicas.SEEDS, SixReplicas.LINK_DELAY_MICROS, settings -> settings);
             SixReplicas.SEEDS.forEach(address -> cluster.start(address, true));
             cluster.advance(3 * SECOND + i * 6_100L);
-            cluster.cut("a", "c", true);
+            cluster.setCut("a", "c", true);
             final long oldNumber = SixReplicas.view(cluster).number();
             final long took = cluster.advanceUntil(5 * SECOND, () -> {
                 final boolean hasMoved = SixReplicas.view(cluster).number() > oldNumber;
--- a/core/src/test/java/silverlatch/replication/BandwidthLinks.java
+++ b/core/src/test/java/silverlatch/replication/BandwidthLinks.java
@@ -16,17 +16,17 @@
 final class BandwidthLinks {
     private static final long PACKET_BYTES = 16 << 10;
     private final long bytesPerSecond;
-    private final long delay;
+    private final long delayMicros;
     private final ObjLongConsumer<Runnable> scheduler;
     private final Map<String, Map<String, Deque<Frame>>> connections = new HashMap<>();
     private final Map<String, Boolean> sending = new HashMap<>();
     private final Map<String, Long> receiverFreeAt = new HashMap<>();
-    private final Map<String, Long> received = new HashMap<>();
+    private final Map<String, Long> receivedBytes = new HashMap<>();
 
     /** Links of so many bytes a second and a delay in microseconds; the scheduler runs a job at a time. */
-    BandwidthLinks(final long bytesPerSecond, final long delay, final ObjLongConsumer<Runnable> scheduler) {
+    BandwidthLinks(final long bytesPerSecond, final long delayMicros, final ObjLongConsumer<Runnable> scheduler) {
         this.bytesPerSecond = bytesPerSecond;
-        this.delay = delay;
+        this.delayMicros = delayMicros;
         this.scheduler = scheduler;
     }
 
@@ -41,12 +41,12 @@
         final Deque<Frame> queue = connections
                 .computeIfAbsent(from, f -> new LinkedHashMap<>())
                 .computeIfAbsent(to, t -> new ArrayDeque<>());
-        final Deque<Frame> behind = new ArrayDeque<>();
-        while (urgent && !queue.isEmpty() && !queue.peekLast().urgent && !queue.peekLast().begun) {
-            behind.addFirst(queue.pollLast());
+        final Deque<Frame> overtaken = new ArrayDeque<>();
+        while (urgent && !queue.isEmpty() && !queue.peekLast().urgent && !queue.peekLast().isStarted) {
+            overtaken.addFirst(queue.pollLast());
         }
         queue.add(new Frame(bytes, urgent, deliver));
-        queue.addAll(behind);
+        queue.addAll(overtaken);
         if (!sending.getOrDefault(from, false)) {
             sending.put(from, true);
             sendPacket(from, now);
@@ -54,12 +54,12 @@
     }
 
     /** How many bytes a machine has received. */
-    long received(final String address) {
-        return received.getOrDefault(address, 0L);
+    long receivedBytes(final String address) {
+        return receivedBytes.getOrDefault(address, 0L);
     }
 
     /** How many bytes wait at a machine. */
-    long waiting(final String from) {
+    long queuedBytes(final String from) {
         return connections.getOrDefault(from, Map.of()).values().stream()
                 .flatMap(Deque::stream)
                 .mapToLong(f -> f.bytesLeft)
@@ -67,7 +67,7 @@
     }
 
     /** What a machine has not sent is lost with it. */
-    void drop(final String from) {
+    void dropQueued(final String from) {
         connections.remove(from);
     }
 
@@ -78,16 +78,16 @@
             sending.put(from, false);
             return;
         }
-        final Iterator<Map.Entry<String, Deque<Frame>>> first =
+        final Iterator<Map.Entry<String, Deque<Frame>>> iterator =
                 queues.entrySet().iterator();
-        final Map.Entry<String, Deque<Frame>> turn = first.next();
-        final String to = turn.getKey();
-        final Deque<Frame> queue = turn.getValue();
-        first.remove();
+        final Map.Entry<String, Deque<Frame>> next = iterator.next();
+        final String to = next.getKey();
+        final Deque<Frame> queue = next.getValue();
+        iterator.remove();
         queues.put(to, queue);
         final Frame frame = queue.peek();
         final long bytes = Math.min(PACKET_BYTES, frame.bytesLeft);
-        frame.begun = true;
+        frame.isStarted = true;
         frame.bytesLeft -= bytes;
         final boolean last = frame.bytesLeft == 0;
         if (last) {
@@ -95,14 +95,14 @@
         }
         final long end = now + transferMicros(bytes);
         scheduler.accept(() -> sendPacket(from, end), end);
-        scheduler.accept(() -> receive(to, bytes, end + delay, last, frame.deliver), end + delay);
+        scheduler.accept(() -> receive(to, bytes, end + delayMicros, last, frame.deliver), end + delayMicros);
     }
 
     private void receive(
             final String to, final long bytes, final long now, final boolean last, final Runnable deliver) {
         final long end = Math.max(now, receiverFreeAt.getOrDefault(to, 0L)) + transferMicros(bytes);
         receiverFreeAt.put(to, end);
-        received.merge(to, bytes, Long::sum);
+        receivedBytes.merge(to, bytes, Long::sum);
         if (last) {
             scheduler.accept(deliver, end);
         }
@@ -116,7 +116,7 @@
         private final boolean urgent;
         private final Runnable deliver;
         private long bytesLeft;
-        private boolean begun;
+        private boolean isStarted;
 
         Frame(final long bytes, final boolean urgent, final Runnable deliver) {
             this.urgent = urgent;
--- a/core/src/test/java/silverlatch/replication/BootstrapTest.java
+++ b/core/src/test/java/silverlatch/replication/BootstrapTest.java
@@ -3,13 +3,13 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.instanceOf;
 import static org.hamcrest.Matchers.is;
-import static silverlatch.replication.ReplicaParts.REPLICAS;
-import static silverlatch.replication.ReplicaParts.SECOND;
-import static silverlatch.replication.ReplicaParts.SELF;
-import static silverlatch.replication.ReplicaParts.START;
-import static silverlatch.replication.ReplicaParts.STRANGER;
-import static silverlatch.replication.ReplicaParts.THIRD;
-import static silverlatch.replication.ReplicaParts.view;
+import static silverlatch.replication.ReplicaFixture.NON_VOTER;
+import static silverlatch.replication.ReplicaFixture.REPLICAS;
+import static silverlatch.replication.ReplicaFixture.SECOND;
+import static silverlatch.replication.ReplicaFixture.SELF;
+import static silverlatch.replication.ReplicaFixture.START;
+import static silverlatch.replication.ReplicaFixture.THIRD;
+import static silverlatch.replication.ReplicaFixture.view;
 
 import java.util.Collections;
 import java.util.List;
@@ -25,123 +25,124 @@
     private static final long RETRY = 300_000;
     private static final long EXPIRY = 2_000_000;
     private static final List<Replica> SEEDS = REPLICAS.subList(0, 3);
-    private final ReplicaParts parts = new ReplicaParts();
-    private final Bootstrap bootstrap = bootstrap(parts.settings);
+    private final ReplicaFixture fixture = new ReplicaFixture();
+    private final Bootstrap bootstrap = bootstrap(fixture.settings);
 
     private Bootstrap bootstrap(final ReplicaSettings settings) {
-        final Discovery discovery = new Discovery(settings, parts.role, parts.effects);
-        return new Bootstrap(settings, parts.role, discovery, parts.effects);
+        final Discovery discovery = new Discovery(settings, fixture.role, fixture.effects);
+        return new Bootstrap(settings, fixture.role, discovery, fixture.effects);
     }
 
-    private void discoverFrom(final Bootstrap receiver, final Replica sender, final List<Replica> heard) {
-        receiver.handleDiscover(new ReplicationMessage.Discover(sender, true, heard), START);
+    private void discoverFrom(final Bootstrap receiver, final Replica sender, final List<Replica> discovered) {
+        receiver.handleDiscover(new ReplicationMessage.Discover(sender, true, discovered), START);
     }
 
-    private View proposed() {
+    private View proposeInitialView() {
         SEEDS.forEach(seed -> discoverFrom(bootstrap, seed, SEEDS));
-        return ((ReplicationMessage.Bootstrap) parts.sent().get(0)).view();
+        return ((ReplicationMessage.Bootstrap) fixture.sent().get(0)).view();
     }
 
     @Test
-    void theFirstViewIsProposedOnceAllSeedsHaveHeardEachOther() {
+    void theInitialViewIsProposedOnceAllSeedsHaveDiscoveredEachOther() {
         discoverFrom(bootstrap, SELF, SEEDS);
         discoverFrom(bootstrap, SECOND, SEEDS);
         discoverFrom(bootstrap, THIRD, List.of(SELF, THIRD));
-        assertThat("one has not heard all", parts.sent(), is(List.of()));
-        final View founding = proposed();
-        assertThat(founding.number(), is(1L));
-        assertThat(founding.chain(), is(SEEDS));
-        assertThat(founding.voters(), is(SEEDS));
+        assertThat("one has not heard all", fixture.sent(), is(List.of()));
+        final View initialView = proposeInitialView();
+        assertThat(initialView.number(), is(1L));
+        assertThat(initialView.chain(), is(SEEDS));
+        assertThat(initialView.voters(), is(SEEDS));
     }
 
     @Test
-    void aFoundingIsAgreedToOnceItIsSyncedAndThenToNoOther() {
-        final View founding = proposed();
-        bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(founding), "proposer", START);
-        assertThat(parts.sent(), is(List.of()));
-        assertThat(parts.written(), is(List.of(new LogRecord.Founding(founding))));
-        parts.sync(START);
-        final Message agreement = new ReplicationMessage.BootstrapAgreed(founding.fleet(), SELF);
-        assertThat(parts.sent(), is(List.of(agreement)));
+    void anInitialViewIsAgreedToOnceItIsSyncedAndNoOtherAfterIt() {
+        final View initialView = proposeInitialView();
+        bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(initialView), "proposer", START);
+        assertThat(fixture.sent(), is(List.of()));
+        assertThat(fixture.written(), is(List.of(new LogRecord.Founding(initialView))));
+        fixture.syncAll(START);
+        final Message agreement = new ReplicationMessage.BootstrapAgreed(initialView.fleet(), SELF);
+        assertThat(fixture.sent(), is(List.of(agreement)));
         final View other = new View(1, 99, SEEDS, SEEDS, SELF.id());
         bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(other), "proposer", START);
-        assertThat(parts.sent(), is(List.of()));
-        bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(founding), "proposer", START);
-        assertThat("the same one again", parts.sent(), is(List.of(agreement)));
-        assertThat(bootstrap.isAgreedView(founding), is(true));
+        assertThat(fixture.sent(), is(List.of()));
+        bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(initialView), "proposer", START);
+        assertThat("the same one again", fixture.sent(), is(List.of(agreement)));
+        assertThat(bootstrap.isAgreedView(initialView), is(true));
         assertThat(bootstrap.isAgreedView(other), is(false));
     }
 
     @Test
-    void theClusterIsFoundedWhenAllSeedsHaveAgreed() {
-        final View founding = proposed();
-        bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(founding), "proposer", START);
-        parts.sent();
-        bootstrap.handleAgreed(new ReplicationMessage.BootstrapAgreed(founding.fleet(), SELF));
-        bootstrap.handleAgreed(new ReplicationMessage.BootstrapAgreed(founding.fleet(), SECOND));
+    void theClusterIsBootstrappedOnceAllSeedsHaveAgreed() {
+        final View initialView = proposeInitialView();
+        bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(initialView), "proposer", START);
+        fixture.sent();
+        bootstrap.handleAgreed(new ReplicationMessage.BootstrapAgreed(initialView.fleet(), SELF));
+        bootstrap.handleAgreed(new ReplicationMessage.BootstrapAgreed(initialView.fleet(), SECOND));
         assertThat(
                 "of another founding",
                 bootstrap.handleAgreed(new ReplicationMessage.BootstrapAgreed(99, THIRD)),
                 is(Optional.empty()));
         assertThat(
-                bootstrap.handleAgreed(new ReplicationMessage.BootstrapAgreed(founding.fleet(), THIRD)),
-                is(Optional.of(founding)));
-        assertThat(parts.logged(), is(List.of(Event.FOUNDED)));
+                bootstrap.handleAgreed(new ReplicationMessage.BootstrapAgreed(initialView.fleet(), THIRD)),
+                is(Optional.of(initialView)));
+        assertThat(fixture.logged(), is(List.of(Event.FOUNDED)));
     }
 
     @Test
-    void aFoundingWithAReplicaThatWasNotHeardIsNotAgreedTo() {
+    void anInitialViewWithAnUndiscoveredReplicaIsNotAgreedTo() {
         discoverFrom(bootstrap, SELF, SEEDS);
-        final View founding = new View(1, 7, SEEDS, SEEDS, SELF.id());
-        bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(founding), "proposer", START);
-        assertThat(parts.written(), is(List.of()));
+        final View initialView = new View(1, 7, SEEDS, SEEDS, SELF.id());
+        bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(initialView), "proposer", START);
+        assertThat(fixture.written(), is(List.of()));
     }
 
     @Test
-    void aDiskThatMayHaveBeenLostFoundsNothing() {
-        final Bootstrap cautious = bootstrap(parts.settings.withBootstrap(false));
-        SEEDS.forEach(seed -> discoverFrom(cautious, seed, SEEDS));
-        assertThat(parts.sent(), is(List.of()));
-        cautious.discover(START);
-        assertThat(parts.sent().get(0), is(new ReplicationMessage.Discover(SELF, false, List.of())));
+    void aReplicaThatMayNotBootstrapProposesNothing() {
+        final Bootstrap withoutBootstrap = bootstrap(fixture.settings.withBootstrap(false));
+        SEEDS.forEach(seed -> discoverFrom(withoutBootstrap, seed, SEEDS));
+        assertThat(fixture.sent(), is(List.of()));
+        withoutBootstrap.discover(START);
+        assertThat(fixture.sent().get(0), is(new ReplicationMessage.Discover(SELF, false, List.of())));
     }
 
     @Test
-    void aReplicaThatIsNoSeedDoesNotCount() {
-        discoverFrom(bootstrap, STRANGER, SEEDS);
+    void discoverRequestsOfNonSeedsAreNotCounted() {
+        discoverFrom(bootstrap, NON_VOTER, SEEDS);
         bootstrap.discover(START);
-        assertThat(parts.sent().get(0), is(new ReplicationMessage.Discover(SELF, true, List.of())));
+        assertThat(fixture.sent().get(0), is(new ReplicationMessage.Discover(SELF, true, List.of())));
     }
 
     @Test
-    void seedsAreAskedOncePerRetryAndForgottenWhenTheyAreSilent() {
+    void seedsAreSentOneRequestPerRetryAndExpireWhenSilent() {
         discoverFrom(bootstrap, SECOND, List.of());
         bootstrap.discover(START);
         bootstrap.discover(START + RETRY - 1);
         assertThat(
-                parts.sent(), is(Collections.nCopies(3, new ReplicationMessage.Discover(SELF, true, List.of(SECOND)))));
+                fixture.sent(),
+                is(Collections.nCopies(3, new ReplicationMessage.Discover(SELF, true, List.of(SECOND)))));
         bootstrap.discover(START + EXPIRY + 1);
-        assertThat(parts.sent().get(0), is(new ReplicationMessage.Discover(SELF, true, List.of())));
+        assertThat(fixture.sent().get(0), is(new ReplicationMessage.Discover(SELF, true, List.of())));
     }
 
     @Test
-    void aReplicaWithAViewSendsItToWhoeverLooksForPeers() {
-        parts.in(view(4, SECOND));
-        discoverFrom(bootstrap, STRANGER, List.of());
-        assertThat(parts.sent().get(0), instanceOf(ReplicationMessage.ViewDecided.class));
+    void aReplicaWithAViewAnswersDiscoverRequestsWithIt() {
+        fixture.withView(view(4, SECOND));
+        discoverFrom(bootstrap, NON_VOTER, List.of());
+        assertThat(fixture.sent().get(0), instanceOf(ReplicationMessage.ViewDecided.class));
     }
 
     @Test
-    void anAgreementOutlastsARestartAndTheProposerGoesOnWithIt() {
-        final View founding = new View(1, 7, SEEDS, SEEDS, SELF.id());
-        bootstrap.replay(new LogRecord.Founding(founding));
+    void anAgreementSurvivesARestartAndTheProposerResumesIt() {
+        final View initialView = new View(1, 7, SEEDS, SEEDS, SELF.id());
+        bootstrap.replay(new LogRecord.Founding(initialView));
         bootstrap.discover(START);
         assertThat(
-                parts.sent().stream()
+                fixture.sent().stream()
                         .filter(ReplicationMessage.Bootstrap.class::isInstance)
                         .count(),
                 is(3L));
         bootstrap.installView();
-        assertThat(bootstrap.isAgreedView(founding), is(false));
+        assertThat(bootstrap.isAgreedView(initialView), is(false));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ChainClientTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainClientTest.java
@@ -35,12 +35,12 @@
     }
 
     @Test
-    void anEvacuationOnTheLatestRevisionRetriesAConflictWithTheRevisionItLearned() {
+    void anEvacuationOnTheLatestRevisionRetriesAConflictWithTheRevisionOfTheRejection() {
         client.submit(new Command.SetEvacuation("order-1", "z", true, Command.SetEvacuation.LATEST), 5, 0, 1_000_000);
-        assertThat(matches(), is(List.of(0L)));
+        assertThat(expectedRevisions(), is(List.of(0L)));
         client.onMessage(
                 new ChainClientMessage.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)), 1_000);
-        assertThat(matches(), is(List.of(7L)));
+        assertThat(expectedRevisions(), is(List.of(7L)));
         client.onMessage(
                 new ChainClientMessage.WriteReply(11, new CommandResult.Rejected(409, List.of("a late reply"), 6)),
                 1_000);
@@ -63,7 +63,7 @@
         assertThat("a call that waited while it was frozen", client.drain(), is(List.of(late)));
     }
 
-    private List<Long> matches() {
+    private List<Long> expectedRevisions() {
         return client.drain().stream()
                 .map(e -> ((Command.SetEvacuation)
                                 ((ChainClientMessage.WriteRequest) ((Effect.Send) e).message()).command())
--- a/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
@@ -120,14 +120,16 @@
         }
     }
 
-    private void put(final String at, final String id, final long match) {
+    private void put(final String at, final String id, final long expectedRevision) {
         replicas.get(at)
                 .onMessage(
                         new ChainClientMessage.WriteRequest(
                                 1,
                                 "operator",
                                 new Command.PutTable(
-                                        id, List.of(silverlatch.state.TableRules.defaultRow("*", id)), match)),
+                                        id,
+                                        List.of(silverlatch.state.TableRules.defaultRow("*", id)),
+                                        expectedRevision)),
                         "operator",
                         now);
         deliverAll();
@@ -137,7 +139,7 @@
         return Lists.last(replies);
     }
 
-    private Set<String> kinds(final String at) {
+    private Set<String> rowKinds(final String at) {
         final Set<String> kinds = new TreeSet<>();
         replicas.get(at).stateMachine().entriesWithPrefix("r/").values().stream()
                 .filter(e -> !e.isDeleted())
@@ -179,7 +181,7 @@
         start("a", "id-a2");
         advance(12_000_000);
         assertThat(replicas.get("a").view().chain().size(), is(3));
-        assertThat(kinds("a"), is(Set.of("next")));
+        assertThat(rowKinds("a"), is(Set.of("next")));
         assertThat(replicas.get("a").view().isVoter("id-a"), is(false));
     }
 
@@ -204,12 +206,12 @@
         deliveries.poll().run();
         down.add("a");
         advance(5_000_000);
-        assertThat(kinds("b"), is(Set.of("two")));
-        assertThat(kinds("c"), is(Set.of("two")));
+        assertThat(rowKinds("b"), is(Set.of("two")));
+        assertThat(rowKinds("c"), is(Set.of("two")));
     }
 
     @Test
-    void theLoserOfTwoRacingWritesGetsTheWinnersSequence() {
+    void theRejectedOfTwoConflictingWritesGetsTheSequenceOfTheAppliedOne() {
         bootstrap();
         put("a", "base", -1);
         final long match = ((CommandResult.Applied) ((ChainClientMessage.WriteReply) lastReply()).result()).sequence();
@@ -220,11 +222,11 @@
                 (CommandResult.Rejected) ((ChainClientMessage.WriteReply) lastReply()).result();
         assertThat(lost.code(), is(409));
         assertThat(lost.sequence(), is(won));
-        assertThat(kinds("c"), is(Set.of("win")));
+        assertThat(rowKinds("c"), is(Set.of("win")));
     }
 
     @Test
-    void aTailThatIsCutOffStopsReadingBeforeTheOthersGoOnWithoutIt() {
+    void anIsolatedTailLosesItsLeaseBeforeTheOthersInstallAViewWithoutIt() {
         bootstrap();
         put("a", "old", -1);
         down.add("c");
@@ -250,7 +252,7 @@
         SEEDS.forEach(down::add);
         SEEDS.forEach(s -> start(s, "id-" + s));
         advance(2_000_000);
-        SEEDS.forEach(s -> assertThat(s, kinds(s), is(Set.of("one"))));
+        SEEDS.forEach(s -> assertThat(s, rowKinds(s), is(Set.of("one"))));
         replicas.get("b").onMessage(new ReplicationMessage.Prepare(2, 9 << 8), "operator", now);
         deliverAll();
         assertThat(lastReply(), instanceOf(ReplicationMessage.Promise.class));
@@ -269,7 +271,7 @@
         final int before = replies.size();
         put("a", "two", -1);
         assertThat(replies.size(), is(before));
-        assertThat(kinds("c"), is(Set.of("one")));
+        assertThat(rowKinds("c"), is(Set.of("one")));
     }
 
     @Test
@@ -296,7 +298,7 @@
         replicas.get("a").onMessage(copy, "operator", now);
         deliverAll();
         assertThat(((CommandResult.Rejected) ((ChainClientMessage.WriteReply) lastReply()).result()).code(), is(422));
-        assertThat(kinds("c"), is(Set.of()));
+        assertThat(rowKinds("c"), is(Set.of()));
     }
 
     @Test
@@ -313,7 +315,7 @@
     }
 
     @Test
-    void aLeavingReplicaHandsOverTheSingletonAndTheChainGoesOn() {
+    void aLeavingReplicaHandsOverTheSingletonRoleAndLeavesTheChain() {
         bootstrap();
         assertThat(replicas.get("a").view().singletonOwner(), is("id-a"));
         replicas.get("a").leave();
@@ -340,7 +342,7 @@
         start("a", "id-a");
         start("c", "id-c2");
         advance(15_000_000);
-        assertThat(kinds("b"), is(Set.of("one")));
+        assertThat(rowKinds("b"), is(Set.of("one")));
         assertThat(replicas.get("b").view().chain().size(), is(3));
     }
 
@@ -351,16 +353,16 @@
         put("a", "slow", -1);
         advance(5_000_000);
         assertThat(replicas.get("a").view().positionOf("id-b"), is(-1));
-        assertThat(kinds("c"), is(Set.of("slow")));
+        assertThat(rowKinds("c"), is(Set.of("slow")));
         stalledDisks.clear();
         unsynced.get("b").forEach(k -> sync("b", replicas.get("b"), k));
         advance(5_000_000);
         assertThat(replicas.get("a").view().positionOf("id-b") >= 0, is(true));
-        assertThat(kinds("b"), is(Set.of("slow")));
+        assertThat(rowKinds("b"), is(Set.of("slow")));
     }
 
     @Test
-    void aHolderWhoseClockIsFarAheadForgetsNoClaimAndLetsNoChangeIn() {
+    void aReplicaWhoseClockIsFarAheadKeepsClaimsAndAdmitsNoWrite() {
         bootstrap();
         deliveries.add(() -> replicas.get("a")
                 .onMessage(
--- a/core/src/test/java/silverlatch/replication/CommitterTest.java
+++ b/core/src/test/java/silverlatch/replication/CommitterTest.java
@@ -2,11 +2,11 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
-import static silverlatch.replication.ReplicaParts.SECOND;
-import static silverlatch.replication.ReplicaParts.SELF;
-import static silverlatch.replication.ReplicaParts.START;
-import static silverlatch.replication.ReplicaParts.entry;
-import static silverlatch.replication.ReplicaParts.view;
+import static silverlatch.replication.ReplicaFixture.SECOND;
+import static silverlatch.replication.ReplicaFixture.SELF;
+import static silverlatch.replication.ReplicaFixture.START;
+import static silverlatch.replication.ReplicaFixture.entry;
+import static silverlatch.replication.ReplicaFixture.view;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -14,31 +14,31 @@
 import silverlatch.wire.ReplicationMessage;
 
 final class CommitterTest {
-    private final ReplicaParts parts = new ReplicaParts();
-    private final ReplicaLog log = ReplicaParts.log(parts, syncedAt -> {}, sequence -> {});
-    private final Committer committer = new Committer(parts.settings, parts.role, log, parts.effects);
+    private final ReplicaFixture fixture = new ReplicaFixture();
+    private final ReplicaLog log = ReplicaFixture.log(fixture, syncedAt -> {}, sequence -> {});
+    private final Committer committer = new Committer(fixture.settings, fixture.role, log, fixture.effects);
 
-    private static void append(final ReplicaParts of, final ReplicaLog to) {
-        to.append(List.of(entry(1)), START);
-        of.sync(START);
-        of.sent();
+    private static void append(final ReplicaFixture fixture, final ReplicaLog log) {
+        log.append(List.of(entry(1)), START);
+        fixture.syncAll(START);
+        fixture.sent();
     }
 
     @Test
-    void theTailCommitsWhatItHasSyncedAndTellsTheOthers() {
-        parts.in(view(2, SECOND, SELF));
-        append(parts, log);
+    void theTailCommitsSyncedEntriesAndNotifiesTheOthers() {
+        fixture.withView(view(2, SECOND, SELF));
+        append(fixture, log);
         committer.commitAsTail(START);
         assertThat(log.committedSequence(), is(1L));
-        assertThat(parts.sent(), is(List.of(new ReplicationMessage.CommitNotice(2, 1))));
+        assertThat(fixture.sent(), is(List.of(new ReplicationMessage.CommitNotice(2, 1))));
         committer.commitAsTail(START);
-        assertThat("nothing new", parts.sent(), is(List.of()));
+        assertThat("nothing new", fixture.sent(), is(List.of()));
     }
 
     @Test
-    void othersCommitWhatTheTailSaysUnderTheSameView() {
-        parts.in(view(2, SELF, SECOND));
-        append(parts, log);
+    void othersCommitOnACommitNoticeOfTheSameView() {
+        fixture.withView(view(2, SELF, SECOND));
+        append(fixture, log);
         committer.commitAsTail(START);
         committer.handleCommitNotice(new ReplicationMessage.CommitNotice(1, 1), START);
         assertThat("no tail, and a notice of another view", log.committedSequence(), is(0L));
@@ -48,13 +48,13 @@
 
     @Test
     void nothingIsCommittedWhileTheChainIsShorterThanTheRequiredCopies() {
-        parts.in(view(2, SELF));
-        append(parts, log);
+        fixture.withView(view(2, SELF));
+        append(fixture, log);
         committer.commitAsTail(START);
         committer.commitReplayed(START);
         assertThat(log.committedSequence(), is(0L));
-        final ReplicaParts unguarded = new ReplicaParts(Safeguard.COPIES).in(view(2, SELF));
-        final ReplicaLog shortLog = ReplicaParts.log(unguarded, syncedAt -> {}, sequence -> {});
+        final ReplicaFixture unguarded = new ReplicaFixture(Safeguard.COPIES).withView(view(2, SELF));
+        final ReplicaLog shortLog = ReplicaFixture.log(unguarded, syncedAt -> {}, sequence -> {});
         append(unguarded, shortLog);
         new Committer(unguarded.settings, unguarded.role, shortLog, unguarded.effects).commitAsTail(START);
         assertThat("the safeguard is let down", shortLog.committedSequence(), is(1L));
--- a/core/src/test/java/silverlatch/replication/DiscoveryTest.java
+++ b/core/src/test/java/silverlatch/replication/DiscoveryTest.java
@@ -2,10 +2,10 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
-import static silverlatch.replication.ReplicaParts.SECOND;
-import static silverlatch.replication.ReplicaParts.SELF;
-import static silverlatch.replication.ReplicaParts.START;
-import static silverlatch.replication.ReplicaParts.view;
+import static silverlatch.replication.ReplicaFixture.SECOND;
+import static silverlatch.replication.ReplicaFixture.SELF;
+import static silverlatch.replication.ReplicaFixture.START;
+import static silverlatch.replication.ReplicaFixture.view;
 
 import java.util.Collections;
 import java.util.List;
@@ -14,29 +14,29 @@
 
 final class DiscoveryTest {
     private static final long RETRY = 300_000;
-    private final ReplicaParts parts = new ReplicaParts().in(view(5, SECOND));
-    private final Discovery discovery = new Discovery(parts.settings, parts.role, parts.effects);
+    private final ReplicaFixture fixture = new ReplicaFixture().withView(view(5, SECOND));
+    private final Discovery discovery = new Discovery(fixture.settings, fixture.role, fixture.effects);
 
     @Test
     void allRoundsShareOneTimer() {
         assertThat(discovery.beginRound(RETRY, START), is(true));
         discovery.requestLaterView(START + RETRY - 1);
-        assertThat(parts.sent(), is(List.of()));
+        assertThat(fixture.sent(), is(List.of()));
         discovery.requestLaterView(START + RETRY);
         assertThat(discovery.beginRound(RETRY, START + RETRY + 1), is(false));
         assertThat(
                 "the voters are asked under the view before",
-                parts.sent(),
+                fixture.sent(),
                 is(Collections.nCopies(3, new ReplicationMessage.LeaseRequest(4, START + RETRY, SELF, false, false))));
     }
 
     @Test
-    void theSeedsOfTheStartAreAskedUntilThereAreOthers() {
+    void heartbeatsGoToTheConfiguredSeedsUntilTheyAreReplaced() {
         discovery.sendHeartbeatToSeeds(true, START);
-        assertThat(parts.receivers(), is(List.of("address-0", "address-1", "address-2")));
+        assertThat(fixture.receivers(), is(List.of("address-0", "address-1", "address-2")));
         discovery.updateSeeds(List.of("elsewhere"));
         discovery.sendHeartbeatToSeeds(false, START);
-        assertThat(parts.sent(), is(List.of(new ReplicationMessage.LeaseRequest(5, START, SELF, false, false))));
+        assertThat(fixture.sent(), is(List.of(new ReplicationMessage.LeaseRequest(5, START, SELF, false, false))));
         assertThat(discovery.seeds(), is(List.of("elsewhere")));
     }
 }
--- a/core/src/test/java/silverlatch/replication/DiskFailureTest.java
+++ b/core/src/test/java/silverlatch/replication/DiskFailureTest.java
@@ -22,7 +22,7 @@
     private final ReplicaCluster cluster =
             new ReplicaCluster(SEEDS, 1_000, s -> s.withCounts(2, 3)).withLimits(7_000_000 / 8, 5_000, 64L << 20);
     private long number;
-    private int characters = 300_000;
+    private int documentCharacters = 300_000;
 
     private void start() {
         SEEDS.forEach(s -> cluster.start(s, true));
@@ -32,19 +32,19 @@
     private boolean isChainComplete() {
         return cluster.running().size() == 3
                 && cluster.running().stream().allMatch(s -> {
-                    final ReplicaStatus state = cluster.replica(s).status(cluster.now());
-                    return state.isCaughtUp()
-                            && state.isLeased()
-                            && state.view().chain().size() == 3;
+                    final ReplicaStatus status = cluster.replica(s).status(cluster.now());
+                    return status.isCaughtUp()
+                            && status.isLeased()
+                            && status.view().chain().size() == 3;
                 });
     }
 
     /** Puts documents until one is acknowledged; each try is a document of its own. */
     private void put(final String at) {
-        for (int tries = 0; tries < 10; tries++) {
-            final PendingCall asked = cluster.submit(at, document(++number), 3 * SECOND);
-            cluster.advanceUntil(4 * SECOND, () -> asked.answer().isPresent());
-            if (asked.isAcknowledged()) {
+        for (int attempt = 0; attempt < 10; attempt++) {
+            final PendingCall call = cluster.submit(at, document(++number), 3 * SECOND);
+            cluster.advanceUntil(4 * SECOND, () -> call.answer().isPresent());
+            if (call.isAcknowledged()) {
                 return;
             }
         }
@@ -52,25 +52,25 @@
     }
 
     private Command.PutConfiguration document(final long number) {
-        final Command.PutConfiguration plain = ReplicaCluster.configuration(number, -1);
+        final Command.PutConfiguration base = ReplicaCluster.configuration(number, -1);
         return new Command.PutConfiguration(
                 "document-" + number,
-                plain.configuration(),
-                plain.routes(),
-                plain.pools(),
-                "x".repeat(characters) + number,
+                base.configuration(),
+                base.routes(),
+                base.pools(),
+                "x".repeat(documentCharacters) + number,
                 -1);
     }
 
     private long readAt(final String address) {
-        final PendingCall asked = cluster.read(address, 3 * SECOND);
-        cluster.advanceUntil(4 * SECOND, () -> asked.answer().isPresent());
-        return number(asked);
+        final PendingCall call = cluster.read(address, 3 * SECOND);
+        cluster.advanceUntil(4 * SECOND, () -> call.answer().isPresent());
+        return number(call);
     }
 
     /** The number that was read; -1 where nobody answered. */
-    private static long number(final PendingCall asked) {
-        return asked.answer()
+    private static long number(final PendingCall call) {
+        return call.answer()
                 .filter(r -> r instanceof ChainClient.ReadResult p && p.answered())
                 .map(r -> ((ChainClient.ReadResult) r)
                         .entries().stream()
@@ -87,7 +87,7 @@
     }
 
     /** All but one other lose power: what the member has now must be what was acknowledged. */
-    private void isLeftWithOneOther(final String address) {
+    private void assertServesWithOneOther(final String address) {
         final long acknowledged = number;
         SEEDS.stream()
                 .filter(s -> !s.equals(address) && !s.equals(other(address)))
@@ -99,13 +99,13 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
-    void aDiskThatFillsInTheMiddleOfASnapshotCostsItsMemberOnlyTheTimeThatItIsFull(final String address) {
+    void aMemberWhoseDiskFillsDuringASnapshotRejoinsOnceThereIsSpace(final String address) {
         start();
         cluster.simulatedDisk(address).fullAtSnapshot();
         for (int i = 0; i < 20; i++) {
             put(other(address));
         }
-        assertThat("the disk failed", cluster.logged(Event.DISK_BROKEN), greaterThanOrEqualTo(1L));
+        assertThat("the disk failed", cluster.loggedCount(Event.DISK_BROKEN), greaterThanOrEqualTo(1L));
         assertThat(
                 "it takes no part",
                 cluster.replica(address).status(cluster.now()).isLeased(),
@@ -116,15 +116,15 @@
                 cluster.advanceUntil(6 * SECOND, () -> isChainComplete()),
                 greaterThan(0L));
         put(other(address));
-        isLeftWithOneOther(address);
+        assertServesWithOneOther(address);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
-    void aDiskThatStallsForSecondsCostsItsMemberOnlyThatTime(final String address) {
+    void aMemberWhoseDiskStallsRejoinsAfterTheStall(final String address) {
         start();
         put(other(address));
-        cluster.simulatedDisk(address).stall(cluster.now() + 8 * SECOND);
+        cluster.simulatedDisk(address).stallUntil(cluster.now() + 8 * SECOND);
         final long began = cluster.now();
         put(other(address));
         assertThat("the others went on", cluster.now() - began < 6 * SECOND, is(true));
@@ -134,12 +134,12 @@
                 cluster.advanceUntil(6 * SECOND, () -> isChainComplete()),
                 greaterThanOrEqualTo(0L));
         put(other(address));
-        isLeftWithOneOther(address);
+        assertServesWithOneOther(address);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
-    void aSlowDiskSlowsChangesAndNothingElse(final String address) {
+    void aSlowDiskOnlySlowsDownWrites(final String address) {
         start();
         cluster.simulatedDisk(address).syncMicros(150_000);
         for (int i = 0; i < 5; i++) {
@@ -150,24 +150,24 @@
                 "the chain is whole" + cluster,
                 cluster.advanceUntil(6 * SECOND, () -> isChainComplete()),
                 greaterThanOrEqualTo(0L));
-        isLeftWithOneOther(address);
+        assertServesWithOneOther(address);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
-    void anOldCopyOfAFolderNeitherAnswersNorLeads(final String address) {
-        characters = 300;
+    void aMemberWithAnOldCopyOfItsDataDirectoryAnswersNoReadFromIt(final String address) {
+        documentCharacters = 300;
         start();
         put(other(address));
-        final List<LogRecord> copy = List.copyOf(cluster.disk(address));
+        final List<LogRecord> copy = List.copyOf(cluster.syncedRecords(address));
         for (int i = 0; i < 5; i++) {
             put(other(address));
         }
         final long acknowledged = number;
         cluster.advance(SECOND);
         cluster.kill(address);
-        cluster.disk(address).clear();
-        cluster.disk(address).addAll(copy);
+        cluster.syncedRecords(address).clear();
+        cluster.syncedRecords(address).addAll(copy);
         cluster.start(address, false);
         final List<PendingCall> reads = new ArrayList<>();
         final List<PendingCall> writes = new ArrayList<>();
@@ -188,13 +188,13 @@
                 cluster.advanceUntil(10 * SECOND, () -> isChainComplete()),
                 greaterThanOrEqualTo(0L));
         put(other(address));
-        isLeftWithOneOther(address);
+        assertServesWithOneOther(address);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
-    void afterALossOfPowerOfAllNobodyAnswersWithLessThanWasAcknowledged(final String missing) {
-        characters = 300;
+    void afterAPowerCutOfAllNoReadIsOlderThanTheAcknowledgedWrite(final String missing) {
+        documentCharacters = 300;
         start();
         for (int i = 0; i < 3; i++) {
             put("a");
@@ -217,6 +217,6 @@
                 "all are back" + cluster,
                 cluster.advanceUntil(10 * SECOND, () -> isChainComplete()),
                 greaterThanOrEqualTo(0L));
-        isLeftWithOneOther(missing);
+        assertServesWithOneOther(missing);
     }
 }
--- a/core/src/test/java/silverlatch/replication/EffectQueueTest.java
+++ b/core/src/test/java/silverlatch/replication/EffectQueueTest.java
@@ -22,7 +22,7 @@
     private final List<Long> syncedAt = new ArrayList<>();
 
     @Test
-    void effectsAreHandedOverOnceInTheirOrder() {
+    void effectsAreDrainedOnceInOrder() {
         final Message message = new ReplicationMessage.Prepare(2, 256);
         effects.send("a", message);
         effects.log(Event.VIEW, "view 2");
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void noContinuationRunsAfterTheDiskFailedAndTokensGoOn() {
+    void noContinuationRunsAfterTheDiskFailedAndTokensContinue() {
         effects.persist(PROMISE, 10, syncedAt::add);
         effects.abandonWrites();
         effects.completeWrite(8, 20);
--- a/core/src/test/java/silverlatch/replication/EpochAdvancerTest.java
+++ b/core/src/test/java/silverlatch/replication/EpochAdvancerTest.java
@@ -2,10 +2,10 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
-import static silverlatch.replication.ReplicaParts.SECOND;
-import static silverlatch.replication.ReplicaParts.SELF;
-import static silverlatch.replication.ReplicaParts.START;
-import static silverlatch.replication.ReplicaParts.view;
+import static silverlatch.replication.ReplicaFixture.SECOND;
+import static silverlatch.replication.ReplicaFixture.SELF;
+import static silverlatch.replication.ReplicaFixture.START;
+import static silverlatch.replication.ReplicaFixture.view;
 
 import java.util.List;
 import java.util.Optional;
@@ -16,28 +16,32 @@
 final class EpochAdvancerTest {
     private static final long INTERVAL = 600_000_000;
     private static final Optional<Long> OWNER = Optional.of(3L);
-    private final ReplicaParts parts = new ReplicaParts().in(view(3, SECOND, SELF));
+    private final ReplicaFixture fixture = new ReplicaFixture().withView(view(3, SECOND, SELF));
     private final EpochAdvancer advancer = new EpochAdvancer(
-            parts.settings, parts.role, ReplicaParts.log(parts, syncedAt -> {}, sequence -> {}), parts.effects, START);
+            fixture.settings,
+            fixture.role,
+            ReplicaFixture.log(fixture, syncedAt -> {}, sequence -> {}),
+            fixture.effects,
+            START);
 
     @Test
-    void theOwnerSendsTheHeadOneWriteAnInterval() {
+    void theOwnerSendsTheHeadOneWritePerInterval() {
         advancer.tick(OWNER, START + INTERVAL - 1);
-        assertThat(parts.sent(), is(List.of()));
+        assertThat(fixture.sent(), is(List.of()));
         advancer.tick(OWNER, START + INTERVAL);
         advancer.tick(OWNER, START + INTERVAL + 1);
         assertThat(
-                parts.sent(),
+                fixture.sent(),
                 is(List.of(new ChainClientMessage.WriteRequest(
                         0, SELF.address(), new Command.AdvanceEpoch("sweep-1", 1, 3)))));
     }
 
     @Test
-    void anIntervalBeginsAnewForWhoeverBecomesTheOwner() {
+    void aNewOwnerWaitsForAWholeInterval() {
         advancer.tick(Optional.empty(), START + INTERVAL);
         advancer.tick(OWNER, START + 2 * INTERVAL - 1);
-        assertThat(parts.sent(), is(List.of()));
+        assertThat(fixture.sent(), is(List.of()));
         advancer.tick(OWNER, START + 2 * INTERVAL);
-        assertThat(parts.receivers(), is(List.of(SECOND.address())));
+        assertThat(fixture.receivers(), is(List.of(SECOND.address())));
     }
 }
--- a/core/src/test/java/silverlatch/replication/FailoverTimeTest.java
+++ b/core/src/test/java/silverlatch/replication/FailoverTimeTest.java
@@ -17,31 +17,31 @@
     private static final List<String> SEEDS = List.of("a", "b", "c");
     private static final List<String> SIX = List.of("a", "b", "c", "d", "e", "f");
     private static final long LINK_DELAY_MICROS = 35_000;
-    private static final long SOON = 1_500_000;
-    private static final int MOMENTS = 24;
+    private static final long MAX_OUTAGE_MICROS = 1_500_000;
+    private static final int FAULT_TIMES = 24;
 
     private static ReplicaCluster bootstrapped(final List<String> all) {
         final ReplicaCluster cluster = new ReplicaCluster(SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(2, all.size()));
         all.forEach(s -> cluster.start(s, true));
-        final long took = cluster.advanceUntil(
+        final long spanMicros = cluster.advanceUntil(
                 20_000_000,
                 () -> all.stream()
                         .allMatch(s -> cluster.replica(s).status(cluster.now()).isCaughtUp()
                                 && cluster.replica(s).view().chain().size() == all.size()));
-        assertThat("all stand in the chain", took >= 0, is(true));
+        assertThat("all stand in the chain", spanMicros >= 0, is(true));
         cluster.advance(1_000_000);
         return cluster;
     }
 
     /** The longest time from the trouble to a reply, over many moments, by each controller that is left. */
-    private static long longestOutage(final List<String> all, final List<String> dead, final boolean cut) {
-        long most = 0;
-        for (int i = 0; i < MOMENTS; i++) {
+    private static long longestOutage(final List<String> all, final List<String> dead, final boolean isCut) {
+        long longest = 0;
+        for (int i = 0; i < FAULT_TIMES; i++) {
             final ReplicaCluster cluster = bootstrapped(all);
             cluster.advance(i * 7_300L);
             for (final String address : dead) {
-                if (cut) {
-                    all.stream().filter(s -> !s.equals(address)).forEach(s -> cluster.cut(s, address, true));
+                if (isCut) {
+                    all.stream().filter(s -> !s.equals(address)).forEach(s -> cluster.setCut(s, address, true));
                 } else {
                     cluster.kill(address);
                 }
@@ -53,35 +53,36 @@
             cluster.advance(6_500_000);
             assertThat("one at least is kept", calls.stream().anyMatch(PendingCall::isAcknowledged), is(true));
             calls.forEach(call -> assertThat(
-                    "" + call.reply(),
-                    call.isAcknowledged() || call.reply() instanceof CommandResult.Rejected,
+                    "" + call.answerOrThrow(),
+                    call.isAcknowledged() || call.answerOrThrow() instanceof CommandResult.Rejected,
                     is(true)));
-            most = Math.max(
-                    most, calls.stream().mapToLong(PendingCall::latency).max().orElseThrow());
+            longest = Math.max(
+                    longest,
+                    calls.stream().mapToLong(PendingCall::latency).max().orElseThrow());
         }
-        return most;
+        return longest;
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
-    void aChangeIsAcknowledgedSoonAfterAnyOfThreeDies(final String dead) {
-        assertThat(longestOutage(SEEDS, List.of(dead), false), lessThan(SOON));
+    void aWriteIsAcknowledgedSoonAfterAnyOfThreeDies(final String dead) {
+        assertThat(longestOutage(SEEDS, List.of(dead), false), lessThan(MAX_OUTAGE_MICROS));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
-    void aChangeIsAcknowledgedSoonAfterAnyOfThreeIsCutOff(final String lost) {
-        assertThat(longestOutage(SEEDS, List.of(lost), true), lessThan(SOON));
+    void aWriteIsAcknowledgedSoonAfterAnyOfThreeIsIsolated(final String lost) {
+        assertThat(longestOutage(SEEDS, List.of(lost), true), lessThan(MAX_OUTAGE_MICROS));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a,b", "a,f", "c,d", "e,f"})
-    void aChangeIsAcknowledgedSoonAfterTwoOfSixDie(final String dead) {
-        assertThat(longestOutage(SIX, List.of(dead.split(",")), false), lessThan(SOON));
+    void aWriteIsAcknowledgedSoonAfterTwoOfSixDie(final String dead) {
+        assertThat(longestOutage(SIX, List.of(dead.split(",")), false), lessThan(MAX_OUTAGE_MICROS));
     }
 
     @Test
-    void changesGoOnWhileTheVotersGrowFromThreeToSix() {
+    void writesAreAcknowledgedWhileTheVotersGrowFromThreeToSix() {
         final ReplicaCluster cluster = new ReplicaCluster(SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(2, 6));
         SIX.forEach(s -> cluster.start(s, true));
         cluster.advanceUntil(5_000_000, () -> cluster.replica("a").view().number() == 1);
--- a/core/src/test/java/silverlatch/replication/FailureDetectorTest.java
+++ b/core/src/test/java/silverlatch/replication/FailureDetectorTest.java
@@ -2,12 +2,12 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
-import static silverlatch.replication.ReplicaParts.SECOND;
-import static silverlatch.replication.ReplicaParts.SELF;
-import static silverlatch.replication.ReplicaParts.START;
-import static silverlatch.replication.ReplicaParts.STRANGER;
-import static silverlatch.replication.ReplicaParts.THIRD;
-import static silverlatch.replication.ReplicaParts.view;
+import static silverlatch.replication.ReplicaFixture.NON_VOTER;
+import static silverlatch.replication.ReplicaFixture.SECOND;
+import static silverlatch.replication.ReplicaFixture.SELF;
+import static silverlatch.replication.ReplicaFixture.START;
+import static silverlatch.replication.ReplicaFixture.THIRD;
+import static silverlatch.replication.ReplicaFixture.view;
 
 import java.util.Set;
 import org.junit.jupiter.api.Test;
@@ -15,8 +15,8 @@
 
 final class FailureDetectorTest {
     private static final long HALF_SUSPICION = 400_000;
-    private final ReplicaParts parts = new ReplicaParts().in(view(1, SELF, SECOND, THIRD));
-    private final FailureDetector detector = new FailureDetector(parts.settings, parts.role);
+    private final ReplicaFixture fixture = new ReplicaFixture().withView(view(1, SELF, SECOND, THIRD));
+    private final FailureDetector detector = new FailureDetector(fixture.settings, fixture.role);
 
     private void receive(final Replica sender, final boolean caughtUp, final boolean hearsMajority, final long now) {
         detector.handleLeaseRequest(
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void aVoterThatHearsNoMajorityCountsAsSilent() {
+    void aVoterWithoutContactToAMajorityCountsAsSilent() {
         detector.start(START);
         receive(SECOND, true, true, START + 100);
         receive(THIRD, true, false, START + 100);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void aMajorityIsHeardByRequestsOfAnyKindWithinHalfTheSuspicion() {
+    void anyLeaseRequestWithinHalfTheSuspicionTimeoutCountsAsContact() {
         detector.start(START);
         assertThat("nothing was received yet", detector.hearsMajority(START), is(false));
         receive(THIRD, true, false, START);
@@ -43,17 +43,18 @@
     }
 
     @Test
-    void aReplicaThatAsksToJoinIsWatchedUntilAnotherViewWithoutIt() {
-        detector.handleJoinRequest(new ReplicationMessage.JoinRequest(1, STRANGER, 9), START);
-        assertThat(detector.silenceMicros(STRANGER.id(), START + 50), is(50L));
-        detector.handleLeaseRequest(new ReplicationMessage.LeaseRequest(1, 0, STRANGER, false, true), true, START + 60);
-        assertThat(detector.silenceMicros(STRANGER.id(), START + 70), is(10L));
+    void aJoiningReplicaIsTrackedUntilAViewWithoutItIsInstalled() {
+        detector.handleJoinRequest(new ReplicationMessage.JoinRequest(1, NON_VOTER, 9), START);
+        assertThat(detector.silenceMicros(NON_VOTER.id(), START + 50), is(50L));
+        detector.handleLeaseRequest(
+                new ReplicationMessage.LeaseRequest(1, 0, NON_VOTER, false, true), true, START + 60);
+        assertThat(detector.silenceMicros(NON_VOTER.id(), START + 70), is(10L));
         detector.installView(true, START + 80);
-        assertThat(detector.silenceMicros(STRANGER.id(), START + 90), is(START + 90));
+        assertThat(detector.silenceMicros(NON_VOTER.id(), START + 90), is(START + 90));
     }
 
     @Test
-    void membersSayThatTheyHaveCaughtUpUnderEachViewAnew() {
+    void caughtUpMembersAreReportedUnderEachViewAgain() {
         receive(SECOND, true, true, START);
         receive(THIRD, false, true, START);
         detector.addSelfAsCaughtUp();
@@ -65,7 +66,7 @@
     }
 
     @Test
-    void aReplicaThatWasOutOfTheChainCountsAllVotersAsHeardNow() {
+    void aReplicaThatWasOutsideTheChainCountsAllVotersAsAliveNow() {
         detector.start(START);
         detector.installView(true, START + 500);
         assertThat(detector.silenceMicros(SECOND.id(), START + 500), is(500L));
--- a/core/src/test/java/silverlatch/replication/ReplicaStorm.java
+++ b/core/src/test/java/silverlatch/replication/FaultWorkload.java
@@ -15,7 +15,7 @@
  * write and a read at random machines in each step. No read gives a number older than one acknowledged before it, and
  * after the recovery every machine has the newest acknowledged write. Times are microseconds of the simulated clock.
  */
-final class ReplicaStorm {
+final class FaultWorkload {
     private static final List<String> SEEDS = List.of("a", "b", "c");
     private static final List<String> MACHINES = List.of("a", "b", "c", "d", "e", "f");
     private static final long SECOND = 1_000_000;
@@ -31,7 +31,7 @@
     private int lostDisks;
     private int answeredReads;
 
-    ReplicaStorm(final long seed, final int minReplicas) {
+    FaultWorkload(final long seed, final int minReplicas) {
         this.minReplicas = minReplicas;
         random = new Random(seed);
         cluster = new ReplicaCluster(
@@ -109,7 +109,7 @@
             case 2 -> killAndLoseDisk(one);
             case 3 -> cutLink(one, other);
             case 4 -> cluster.heal();
-            case 5 -> cutPowerOfAll();
+            case 5 -> maybeCutPowerOfAll();
             case 6, 7, 8 -> startOneThatIsDown();
             default -> {}
         }
@@ -131,12 +131,12 @@
 
     private void cutLink(final String one, final String other) {
         if (!one.equals(other)) {
-            cluster.cut(one, other, true);
+            cluster.setCut(one, other, true);
         }
     }
 
     /** One time in four. */
-    private void cutPowerOfAll() {
+    private void maybeCutPowerOfAll() {
         if (random.nextInt(4) == 0) {
             List.copyOf(cluster.running()).forEach(cluster::kill);
             cluster.advance(random.nextInt(500_000));
--- a/core/src/test/java/silverlatch/replication/StormTest.java
+++ b/core/src/test/java/silverlatch/replication/FaultWorkloadTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Seeded storms of faults over six machines, see {@link ReplicaStorm}. More storms: {@code -Dsilverlatch.storms=COUNT}, from
+ * Seeded storms of faults over six machines, see {@link FaultWorkload}. More storms: {@code -Dsilverlatch.storms=COUNT}, from
  * another seed: {@code -Dsilverlatch.storm=SEED}.
  */
-final class StormTest {
+final class FaultWorkloadTest {
     @ParameterizedTest
     @ValueSource(ints = {2, 3})
     void noReadIsOlderThanAnAcknowledgementAndNoAcknowledgedWriteIsLost(final int minReplicas) {
@@ -19,7 +19,7 @@
         final long firstSeed = Long.getLong("silverlatch.storm", 1);
         final int count = Integer.getInteger("silverlatch.storms", 10);
         for (long seed = firstSeed; seed < firstSeed + count; seed++) {
-            final ReplicaStorm storm = new ReplicaStorm(seed, minReplicas);
+            final FaultWorkload storm = new FaultWorkload(seed, minReplicas);
             try {
                 storm.run();
             } catch (final AssertionError failure) {
--- a/core/src/test/java/silverlatch/replication/GracefulLeaveTest.java
+++ b/core/src/test/java/silverlatch/replication/GracefulLeaveTest.java
@@ -2,10 +2,10 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
-import static silverlatch.replication.ReplicaParts.SECOND;
-import static silverlatch.replication.ReplicaParts.SELF;
-import static silverlatch.replication.ReplicaParts.THIRD;
-import static silverlatch.replication.ReplicaParts.view;
+import static silverlatch.replication.ReplicaFixture.SECOND;
+import static silverlatch.replication.ReplicaFixture.SELF;
+import static silverlatch.replication.ReplicaFixture.THIRD;
+import static silverlatch.replication.ReplicaFixture.view;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -13,21 +13,21 @@
 import silverlatch.wire.ReplicationMessage;
 
 final class GracefulLeaveTest {
-    private final ReplicaParts parts = new ReplicaParts();
-    private final GracefulLeave gracefulLeave = new GracefulLeave(parts.settings, parts.role, parts.effects);
+    private final ReplicaFixture fixture = new ReplicaFixture();
+    private final GracefulLeave gracefulLeave = new GracefulLeave(fixture.settings, fixture.role, fixture.effects);
 
     @Test
     void aReplicaWithoutAViewOrADiskMayStopAtOnce() {
         assertThat(gracefulLeave.hasLeft(false), is(true));
-        parts.in(view(1, SELF, SECOND));
+        fixture.withView(view(1, SELF, SECOND));
         assertThat(gracefulLeave.hasLeft(false), is(false));
-        parts.role.markDiskFailed();
+        fixture.role.markDiskFailed();
         assertThat(gracefulLeave.hasLeft(false), is(true));
     }
 
     @Test
-    void itHasLeftWhenAMajorityOfTheVotersKnowsTheViewWithoutIt() {
-        parts.in(view(2, SECOND, THIRD));
+    void aReplicaHasLeftOnceAMajorityOfTheVotersKnowsTheViewWithoutIt() {
+        fixture.withView(view(2, SECOND, THIRD));
         gracefulLeave.addInformed(SELF.address());
         gracefulLeave.addInformed(SECOND.address());
         assertThat("its own knowledge doesn't count", gracefulLeave.hasLeft(false), is(false));
@@ -39,27 +39,27 @@
 
     @Test
     void theLastVoterMayStopUnlessAnotherReplicaJoins() {
-        parts.in(new View(2, 7, List.of(SELF), List.of(SELF), SELF.id()));
+        fixture.withView(new View(2, 7, List.of(SELF), List.of(SELF), SELF.id()));
         assertThat(gracefulLeave.hasLeft(true), is(false));
         assertThat(gracefulLeave.hasLeft(false), is(true));
     }
 
     @Test
-    void theVotersAreToldTheViewAndAskedWhetherTheyKnowIt() {
+    void theVotersAreSentTheViewAndAPrepareRequestThatMakesThemReplyWithIt() {
         final View view = view(2, SECOND, THIRD);
-        parts.in(view);
+        fixture.withView(view);
         gracefulLeave.begin();
         gracefulLeave.announce();
         assertThat(gracefulLeave.isLeaving(), is(true));
         assertThat(
-                parts.sent().subList(0, 2),
+                fixture.sent().subList(0, 2),
                 is(List.of(new ReplicationMessage.ViewDecided(view), new ReplicationMessage.Prepare(2, 0))));
     }
 
     @Test
-    void withoutTheSafeguardItLeavesBeforeAnyoneKnows() {
-        final ReplicaParts unguarded = new ReplicaParts(Safeguard.HANDOVER).in(view(2, SECOND, THIRD));
-        final GracefulLeave hasty = new GracefulLeave(unguarded.settings, unguarded.role, unguarded.effects);
-        assertThat(hasty.hasLeft(false), is(true));
+    void withoutTheSafeguardItLeavesBeforeAnyVoterKnowsTheView() {
+        final ReplicaFixture unguarded = new ReplicaFixture(Safeguard.HANDOVER).withView(view(2, SECOND, THIRD));
+        final GracefulLeave unguardedLeave = new GracefulLeave(unguarded.settings, unguarded.role, unguarded.effects);
+        assertThat(unguardedLeave.hasLeft(false), is(true));
     }
 }
--- a/core/src/test/java/silverlatch/replication/GrantedLeasesTest.java
+++ b/core/src/test/java/silverlatch/replication/GrantedLeasesTest.java
@@ -2,13 +2,13 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
-import static silverlatch.replication.ReplicaParts.REPLICAS;
-import static silverlatch.replication.ReplicaParts.SECOND;
-import static silverlatch.replication.ReplicaParts.SELF;
-import static silverlatch.replication.ReplicaParts.START;
-import static silverlatch.replication.ReplicaParts.STRANGER;
-import static silverlatch.replication.ReplicaParts.THIRD;
-import static silverlatch.replication.ReplicaParts.view;
+import static silverlatch.replication.ReplicaFixture.NON_VOTER;
+import static silverlatch.replication.ReplicaFixture.REPLICAS;
+import static silverlatch.replication.ReplicaFixture.SECOND;
+import static silverlatch.replication.ReplicaFixture.SELF;
+import static silverlatch.replication.ReplicaFixture.START;
+import static silverlatch.replication.ReplicaFixture.THIRD;
+import static silverlatch.replication.ReplicaFixture.view;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -18,42 +18,42 @@
 final class GrantedLeasesTest {
     private static final long LEASE = 600_000;
     private static final long LATER = START + 10 * LEASE;
-    private final ReplicaParts parts = new ReplicaParts().in(view(1, SELF, SECOND, THIRD));
-    private final GrantedLeases leases = new GrantedLeases(parts.settings, parts.role, parts.effects, START);
+    private final ReplicaFixture fixture = new ReplicaFixture().withView(view(1, SELF, SECOND, THIRD));
+    private final GrantedLeases leases = new GrantedLeases(fixture.settings, fixture.role, fixture.effects, START);
 
-    private static ReplicationMessage.LeaseRequest request(final Replica member, final long askedAt) {
-        return new ReplicationMessage.LeaseRequest(1, askedAt, member, true, true);
+    private static ReplicationMessage.LeaseRequest request(final Replica member, final long requestedAt) {
+        return new ReplicationMessage.LeaseRequest(1, requestedAt, member, true, true);
     }
 
     @Test
     void aMemberOfTheChainIsGrantedALeaseAndOthersAreNot() {
         leases.grant(request(SECOND, 5), 42, START);
-        assertThat(parts.sent(), is(List.of(new ReplicationMessage.LeaseGrant(1, 5, SELF.id(), 42))));
-        leases.grant(request(STRANGER, 5), 42, START);
-        assertThat(parts.sent(), is(List.of()));
+        assertThat(fixture.sent(), is(List.of(new ReplicationMessage.LeaseGrant(1, 5, SELF.id(), 42))));
+        leases.grant(request(NON_VOTER, 5), 42, START);
+        assertThat(fixture.sent(), is(List.of()));
     }
 
     @Test
-    void aViewThatTakesAMemberOutWaitsForItsGrant() {
+    void theRemovalOfAMemberWaitsUntilItsLeaseHasExpired() {
         leases.grant(request(SECOND, 5), 0, LATER);
         leases.grant(request(THIRD, 5), 0, LATER + 100);
         assertThat(leases.leaseExpiryOfRemovedMembers(view(2, SELF, SECOND)), is(LATER + 100 + LEASE));
         assertThat(leases.leaseExpiryOfRemovedMembers(view(2, SELF, THIRD)), is(LATER + LEASE));
         assertThat(
                 "the chain only grows",
-                leases.leaseExpiryOfRemovedMembers(view(2, SELF, SECOND, THIRD, STRANGER)),
+                leases.leaseExpiryOfRemovedMembers(view(2, SELF, SECOND, THIRD, NON_VOTER)),
                 is(0L));
     }
 
     @Test
-    void grantsFromBeforeTheRestartCountForAWholeLease() {
+    void afterARestartEarlierGrantsCountForAWholeLease() {
         assertThat(leases.leaseExpiryOfRemovedMembers(view(2, SELF, SECOND)), is(START + LEASE));
     }
 
     @Test
-    void allGrantsCountForAWholeLeaseAfterAChangeOfTheVoters() {
+    void afterAChangeOfTheVotersAllGrantsCountForAWholeLease() {
         final View same = view(2, SELF, SECOND, THIRD);
-        leases.installView(parts.role.view(), same, LATER);
+        leases.installView(fixture.role.view(), same, LATER);
         assertThat(leases.leaseExpiryOfRemovedMembers(view(3, SELF)), is(START + LEASE));
         final View other = new View(3, 7, REPLICAS, List.of(SELF, SECOND, THIRD), SELF.id());
         leases.installView(same, other, LATER);
@@ -61,8 +61,9 @@
     }
 
     @Test
-    void withoutTheSafeguardNothingIsWaitedFor() {
-        final ReplicaParts unguarded = new ReplicaParts(Safeguard.LEASE_WAIT).in(view(1, SELF, SECOND, THIRD));
+    void withoutTheSafeguardNoLeaseIsWaitedFor() {
+        final ReplicaFixture unguarded =
+                new ReplicaFixture(Safeguard.LEASE_WAIT).withView(view(1, SELF, SECOND, THIRD));
         final GrantedLeases unwaited = new GrantedLeases(unguarded.settings, unguarded.role, unguarded.effects, START);
         unwaited.grant(request(SECOND, 5), 0, START);
         assertThat(unwaited.leaseExpiryOfRemovedMembers(view(2, SELF)), is(0L));
--- a/core/src/test/java/silverlatch/replication/LogEntryTest.java
+++ b/core/src/test/java/silverlatch/replication/LogEntryTest.java
@@ -16,7 +16,7 @@
 
 final class LogEntryTest {
     @Test
-    void aConfigurationOfTheLargestSizeFitsAFrame() {
+    void aConfigurationOfTheMaximumSizeFitsAFrame() {
         final List<Entry> puts = new ArrayList<>();
         for (int i = 0; i < ConfigurationValidator.MAX_ROUTES; i++) {
             final Value.Route route = new Value.Route(
--- a/core/src/test/java/silverlatch/replication/MembershipFaults.java
+++ b/core/src/test/java/silverlatch/replication/MembershipFaults.java
@@ -9,12 +9,12 @@
     private static final long SECOND = MembershipModel.SECOND;
     private static final long STEP = MembershipModel.STEP;
     /** How long a controller that was told to end waits: three quarters of {@code gracePeriodS}. */
-    private static final long GRACE = 6 * SECOND;
+    private static final long GRACE_MICROS = 6 * SECOND;
 
     private final MembershipModel model;
     private final ReplicaCluster cluster;
     private int eventCount;
-    private int killsAtGrace;
+    private int gracePeriodKills;
 
     MembershipFaults(final MembershipModel model) {
         this.model = model;
@@ -27,8 +27,8 @@
     }
 
     /** How many machines that were told to end did not end in time. */
-    int killsAtGrace() {
-        return killsAtGrace;
+    int gracePeriodKills() {
+        return gracePeriodKills;
     }
 
     /** Once in twelve calls as many events as may be. */
@@ -66,8 +66,8 @@
         }
     }
 
-    private void cameBack(final MembershipLoss loss) {
-        loss.cameBack(model.now() + MembershipModel.CATCH_UP);
+    private void markReturned(final MembershipLoss loss) {
+        loss.markReturned(model.now() + MembershipModel.CATCH_UP);
     }
 
     /** Killed, with its disk or without; it starts again at its address. */
@@ -78,7 +78,7 @@
         if (losesDisk) {
             cluster.loseDisk(address);
         }
-        model.schedule(model.between(STEP, 8 * SECOND), () -> model.start(loss));
+        model.schedule(model.randomBetween(STEP, 8 * SECOND), () -> model.start(loss));
     }
 
     /** Removed for good without notice; its successor starts later. */
@@ -86,52 +86,52 @@
         model.recordEvent("remove " + address);
         final MembershipLoss loss = model.addLoss(address);
         model.remove(address);
-        loss.replaceBy(model.nextSuccessor());
-        model.schedule(model.between(STEP, 3 * SECOND), () -> model.start(loss));
+        loss.setReplacement(model.nextReplacement());
+        model.schedule(model.randomBetween(STEP, 3 * SECOND), () -> model.start(loss));
     }
 
     /** The successor starts first; when it has had its time, the old machine is told to end, for good. */
     private void replaceAsPlanned(final String address) {
-        final MembershipLoss loss = model.addLoss(model.nextSuccessor());
+        final MembershipLoss loss = model.addLoss(model.nextReplacement());
         model.recordEvent("planned: " + loss.address() + " for " + address);
         model.start(loss);
         model.leaving().add(address);
-        model.schedule(MembershipModel.CATCH_UP + model.between(0, SECOND), () -> leave(address, () -> {}));
+        model.schedule(MembershipModel.CATCH_UP + model.randomBetween(0, SECOND), () -> leave(address, () -> {}));
     }
 
     /** Tells a machine to end; the task runs when it has ended. */
-    private void leave(final String address, final Runnable whenEnded) {
+    private void leave(final String address, final Runnable onStopped) {
         if (!cluster.running().contains(address)) {
             model.remove(address);
-            whenEnded.run();
+            onStopped.run();
             return;
         }
         model.recordEvent("SIGTERM " + address);
         model.leaving().add(address);
         cluster.replica(address).leave();
-        awaitEnd(address, model.now() + GRACE, whenEnded);
+        awaitStop(address, model.now() + GRACE_MICROS, onStopped);
     }
 
-    private void awaitEnd(final String address, final long killAtMicros, final Runnable whenEnded) {
+    private void awaitStop(final String address, final long killAtMicros, final Runnable onStopped) {
         if (cluster.replica(address).hasLeft()) {
             model.recordEvent(address + " ended");
             model.leaving().remove(address);
-            finish(address, whenEnded);
+            finish(address, onStopped);
         } else if (model.now() >= killAtMicros) {
             model.recordEvent("SIGKILL " + address);
-            killsAtGrace++;
+            gracePeriodKills++;
             model.leaving().remove(address);
-            finish(address, whenEnded);
+            finish(address, onStopped);
             if (!model.isLost(address) && !model.members().contains(address)) {
-                model.addLoss(address).countUntil(model.now() + MembershipSchedule.DETECTION);
+                model.addLoss(address).setEnd(model.now() + MembershipSchedule.DETECTION);
             }
         } else {
-            model.schedule(STEP, () -> awaitEnd(address, killAtMicros, whenEnded));
+            model.schedule(STEP, () -> awaitStop(address, killAtMicros, onStopped));
         }
     }
 
-    private void finish(final String address, final Runnable whenEnded) {
-        whenEnded.run();
+    private void finish(final String address, final Runnable onStopped) {
+        onStopped.run();
         if (model.isPresent(address)) {
             model.remove(address);
         } else {
@@ -148,9 +148,9 @@
             loss.markDown();
             if (isReplaced) {
                 model.remove(address);
-                loss.replaceBy(model.nextSuccessor());
+                loss.setReplacement(model.nextReplacement());
             }
-            model.schedule(model.between(STEP, SECOND), () -> model.start(loss));
+            model.schedule(model.randomBetween(STEP, SECOND), () -> model.start(loss));
         });
     }
 
@@ -158,10 +158,10 @@
         model.recordEvent("freeze " + address);
         final MembershipLoss loss = model.addLoss(address);
         cluster.freeze(address);
-        model.schedule(model.between(STEP, 9 * SECOND), () -> {
+        model.schedule(model.randomBetween(STEP, 9 * SECOND), () -> {
             model.recordEvent("thaw " + address);
             cluster.thaw(address);
-            cameBack(loss);
+            markReturned(loss);
         });
     }
 
@@ -170,29 +170,29 @@
         final MembershipLoss loss = model.addLoss(address);
         final Set<String> others = new TreeSet<>(model.members());
         others.remove(address);
-        others.forEach(other -> cluster.cut(address, other, true));
-        model.schedule(model.between(STEP, 9 * SECOND), () -> {
+        others.forEach(other -> cluster.setCut(address, other, true));
+        model.schedule(model.randomBetween(STEP, 9 * SECOND), () -> {
             model.recordEvent("join again " + address);
-            others.forEach(other -> cluster.cut(address, other, false));
-            cameBack(loss);
+            others.forEach(other -> cluster.setCut(address, other, false));
+            markReturned(loss);
         });
     }
 
     /** A machine that came back and still counts as lost goes again, at times for good. */
     private void killAgain() {
         model.losses().stream()
-                .filter(loss -> !loss.isDown() && loss.hasComeBack())
+                .filter(loss -> !loss.isDown() && loss.hasReturned())
                 .filter(loss -> !model.leaving().contains(loss.address()))
                 .findFirst()
                 .ifPresent(loss -> {
                     model.recordEvent("kill again " + loss.address());
-                    loss.lostAgain();
+                    loss.markLostAgain();
                     cluster.kill(loss.address());
                     if (model.random().nextBoolean()) {
                         model.remove(loss.address());
-                        loss.replaceBy(model.nextSuccessor());
+                        loss.setReplacement(model.nextReplacement());
                     }
-                    model.schedule(model.between(STEP, 3 * SECOND), () -> model.start(loss));
+                    model.schedule(model.randomBetween(STEP, 3 * SECOND), () -> model.start(loss));
                 });
     }
 
@@ -202,7 +202,7 @@
         model.members().forEach(address -> {
             final MembershipLoss loss = model.addLoss(address);
             cluster.kill(address);
-            model.schedule(model.between(STEP, SECOND), () -> model.start(loss));
+            model.schedule(model.randomBetween(STEP, SECOND), () -> model.start(loss));
         });
     }
 }
--- a/core/src/test/java/silverlatch/replication/MembershipLoss.java
+++ b/core/src/test/java/silverlatch/replication/MembershipLoss.java
@@ -7,7 +7,7 @@
     private String address;
     private long untilMicros = NEVER;
     private boolean isDown = true;
-    private boolean hasComeBack;
+    private boolean hasReturned;
 
     MembershipLoss(final String address) {
         this.address = address;
@@ -17,7 +17,7 @@
         return address;
     }
 
-    boolean isOf(final String machine) {
+    boolean isAt(final String machine) {
         return address.equals(machine);
     }
 
@@ -27,8 +27,8 @@
     }
 
     /** Whether the machine came back and is a full member when the loss is over. */
-    boolean hasComeBack() {
-        return hasComeBack;
+    boolean hasReturned() {
+        return hasReturned;
     }
 
     boolean isOver(final long nowMicros) {
@@ -36,7 +36,7 @@
     }
 
     /** The machine is gone for good; its successor comes in its place. */
-    void replaceBy(final String successor) {
+    void setReplacement(final String successor) {
         address = successor;
     }
 
@@ -51,20 +51,20 @@
     }
 
     /** The machine went again; it isn't known when it comes back. */
-    void lostAgain() {
+    void markLostAgain() {
         untilMicros = NEVER;
         isDown = true;
     }
 
     /** The machine is back and counts as lost until it has had its time to catch up. */
-    void cameBack(final long caughtUpAtMicros) {
+    void markReturned(final long caughtUpAtMicros) {
         isDown = false;
-        hasComeBack = true;
+        hasReturned = true;
         untilMicros = caughtUpAtMicros;
     }
 
     /** Counts until a time, whatever the machine does. */
-    void countUntil(final long micros) {
+    void setEnd(final long micros) {
         untilMicros = micros;
     }
 }
--- a/core/src/test/java/silverlatch/replication/MembershipModel.java
+++ b/core/src/test/java/silverlatch/replication/MembershipModel.java
@@ -34,7 +34,7 @@
             new PriorityQueue<>(Comparator.comparingLong(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
     private final List<String> trace = new ArrayList<>();
     private long lastOrder;
-    private int successors;
+    private int replacementCount;
 
     MembershipModel(final long seed, final int tolerance, final int size, final Safeguards safeguards) {
         this.tolerance = tolerance;
@@ -92,7 +92,7 @@
     }
 
     boolean isLost(final String address) {
-        return losses.stream().anyMatch(loss -> loss.isOf(address));
+        return losses.stream().anyMatch(loss -> loss.isAt(address));
     }
 
     boolean isPresent(final String address) {
@@ -100,13 +100,13 @@
     }
 
     /** A time from least to most, drawn. */
-    long between(final long least, final long most) {
+    long randomBetween(final long least, final long most) {
         return least + (long) (random.nextDouble() * (most - least));
     }
 
-    String nextSuccessor() {
-        successors++;
-        return "s" + successors;
+    String nextReplacement() {
+        replacementCount++;
+        return "s" + replacementCount;
     }
 
     /** Runs a task after a time. */
@@ -133,7 +133,7 @@
         cluster.seeds(shuffled.subList(0, Math.min(SEEDS, shuffled.size())));
         members.add(loss.address());
         cluster.start(loss.address(), false);
-        loss.cameBack(now() + CATCH_UP);
+        loss.markReturned(now() + CATCH_UP);
         recordEvent("start " + loss.address());
     }
 
@@ -145,8 +145,8 @@
         leaving.remove(address);
     }
 
-    void recordEvent(final String what) {
-        trace.add(now() / 1_000 + " ms: " + what);
+    void recordEvent(final String description) {
+        trace.add(now() / 1_000 + " ms: " + description);
     }
 
     /** The events so far and how all replicas stand, for a failure's message. */
--- a/core/src/test/java/silverlatch/replication/MembershipModelTest.java
+++ b/core/src/test/java/silverlatch/replication/MembershipModelTest.java
@@ -20,12 +20,12 @@
 final class MembershipModelTest {
     @ParameterizedTest
     @CsvSource({"1,3", "1,4", "1,5", "2,5", "2,6"})
-    void lossesWithinTheToleranceNeverTakeTheLastCopyNorTheMajority(final int tolerance, final int size) {
+    void lossesWithinTheToleranceNeverRemoveTheLastCopyOrTheMajority(final int tolerance, final int size) {
         final long firstSeed = Long.getLong("silverlatch.membership", 1);
         final int count = Integer.getInteger("silverlatch.memberships", 2);
         long events = 0;
         long longestOutageMicros = 0;
-        long killsAtGrace = 0;
+        long gracePeriodKills = 0;
         for (long seed = firstSeed; seed < firstSeed + count; seed++) {
             final MembershipSchedule schedule = new MembershipSchedule(seed, tolerance, size, Safeguards.ALL);
             try {
@@ -35,17 +35,17 @@
             }
             events += schedule.eventCount();
             longestOutageMicros = Math.max(longestOutageMicros, schedule.longestOutageMicros());
-            killsAtGrace += schedule.killsAtGrace();
+            gracePeriodKills += schedule.gracePeriodKills();
         }
         System.out.printf(
                 "%d of %d: %d schedules, %d events, %d ended by SIGKILL, longest without an acknowledgement %d ms%n",
-                tolerance, size, count, events, killsAtGrace, longestOutageMicros / 1_000);
+                tolerance, size, count, events, gracePeriodKills, longestOutageMicros / 1_000);
         assertThat("losses came", events, greaterThanOrEqualTo(5L * count));
     }
 
     /** The model notices that dead votes are kept, within a few schedules. */
     @Test
-    void deadVotesThatStayAreNoticed() {
+    void theChecksDetectThatDeadVotersKeepTheirVotes() {
         final Safeguards withoutDeadVotes = new Safeguards(Set.of(Safeguard.DEAD_VOTES));
         final AssertionError violation = assertThrows(AssertionError.class, () -> {
             for (long seed = 1; seed <= 5; seed++) {
--- a/core/src/test/java/silverlatch/replication/MembershipSchedule.java
+++ b/core/src/test/java/silverlatch/replication/MembershipSchedule.java
@@ -35,7 +35,7 @@
     private long acknowledgedNumber;
     private long acknowledgedAtMicros;
     private long longestOutageMicros;
-    private long cappedAtMicros;
+    private long voterLimitReachedAtMicros;
 
     MembershipSchedule(final long seed, final int tolerance, final int size, final Safeguards safeguards) {
         model = new MembershipModel(seed, tolerance, size, safeguards);
@@ -51,8 +51,8 @@
     }
 
     /** How many machines that were told to end did not end in time. */
-    int killsAtGrace() {
-        return faults.killsAtGrace();
+    int gracePeriodKills() {
+        return faults.gracePeriodKills();
     }
 
     /** The longest time between two acknowledgements, in microseconds. */
@@ -138,23 +138,23 @@
     private void check() {
         checkOneViewPerNumber();
         if (newestView().voters().size() >= model.maxVoters()) {
-            cappedAtMicros = model.now();
+            voterLimitReachedAtMicros = model.now();
         }
         if (model.lossCount() > model.tolerance()) {
             acknowledgedAtMicros = model.now();
             return;
         }
         checkReplicasOfNewest();
-        checkMajorityBearsTheNextLosses();
+        checkMajoritySurvivesFurtherLosses();
         require("writes go on", model.now() - acknowledgedAtMicros <= MAX_OUTAGE);
     }
 
     private void checkOneViewPerNumber() {
         cluster.running().forEach(address -> {
             final View view = cluster.replica(address).view();
-            final View before =
+            final View first =
                     Optional.ofNullable(views.putIfAbsent(view.number(), view)).orElse(view);
-            require("one view per number", view.equals(before));
+            require("one view per number", view.equals(first));
         });
     }
 
@@ -167,7 +167,7 @@
     }
 
     /** With as many more lost as may be, a majority of the newest view's voters is left. */
-    private void checkMajorityBearsTheNextLosses() {
+    private void checkMajoritySurvivesFurtherLosses() {
         final View view = newestView();
         final long voters = view.voters().stream()
                 .filter(voter ->
@@ -179,8 +179,8 @@
 
     /** A machine that no longer counts as lost is a full member, unless there were as many voters as may be. */
     private void checkFullMember(final MembershipLoss loss) {
-        if (loss.hasComeBack()
-                && model.now() - cappedAtMicros > DETECTION
+        if (loss.hasReturned()
+                && model.now() - voterLimitReachedAtMicros > DETECTION
                 && cluster.running().contains(loss.address())
                 && model.lossCount() <= model.tolerance()) {
             final ReplicaStatus status = cluster.replica(loss.address()).status(model.now());
--- a/core/src/test/java/silverlatch/replication/MembershipTest.java
+++ b/core/src/test/java/silverlatch/replication/MembershipTest.java
@@ -29,7 +29,7 @@
     private static final long GRACE = 8 * SECOND;
     private static final long RECOVERY = 5 * SECOND;
 
-    private static ReplicaCluster three() {
+    private static ReplicaCluster startThree() {
         final ReplicaCluster cluster = new ReplicaCluster(SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(2, 5));
         SEEDS.forEach(s -> cluster.start(s, true));
         cluster.advance(3 * SECOND);
@@ -37,7 +37,7 @@
         return cluster;
     }
 
-    private static ReplicaCluster six() {
+    private static ReplicaCluster startSix() {
         final ReplicaCluster cluster = new ReplicaCluster(SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(3, 7));
         SIX.forEach(s -> cluster.start(s, true));
         assertThat(cluster.advanceUntil(30 * SECOND, () -> voters(cluster).equals(Set.copyOf(SIX))) >= 0, is(true));
@@ -62,9 +62,9 @@
 
     private static void put(final ReplicaCluster cluster, final long number) {
         final String at = cluster.running().stream().sorted().findFirst().orElseThrow();
-        final PendingCall asked = cluster.putConfiguration(at, number, number - 1, RECOVERY);
-        cluster.advanceUntil(RECOVERY + SECOND, () -> asked.latency() > 0);
-        assertThat("put " + number + cluster, asked.isAcknowledged(), is(true));
+        final PendingCall call = cluster.putConfiguration(at, number, number - 1, RECOVERY);
+        cluster.advanceUntil(RECOVERY + SECOND, () -> call.latency() > 0);
+        assertThat("put " + number + cluster, call.isAcknowledged(), is(true));
     }
 
     private static void lose(final ReplicaCluster cluster, final String address) {
@@ -73,7 +73,7 @@
     }
 
     /** SIGTERM, and SIGKILL when the grace ends. */
-    private static void remove(final ReplicaCluster cluster, final String address) {
+    private static void stopAndRemove(final ReplicaCluster cluster, final String address) {
         cluster.replica(address).leave();
         cluster.advanceUntil(GRACE, () -> cluster.replica(address).hasLeft());
         lose(cluster, address);
@@ -81,8 +81,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {300_000, 1_100_000, 2_500_000, 6_000_000})
-    void theSuccessorOfALostVoterMayBeLostAsSoonAsItCounts(final long delay) {
-        final ReplicaCluster cluster = three();
+    void theReplacementOfALostVoterMayBeLostAfterTheCatchUpTime(final long delay) {
+        final ReplicaCluster cluster = startThree();
         put(cluster, 1);
         lose(cluster, "c");
         cluster.advance(delay);
@@ -96,7 +96,7 @@
 
     @Test
     void manyReplacementsInARowKeepTheNumberOfVoters() {
-        final ReplicaCluster cluster = three();
+        final ReplicaCluster cluster = startThree();
         put(cluster, 1);
         String lost = "c";
         for (int i = 0; i < 8; i++) {
@@ -116,13 +116,13 @@
     @ValueSource(booleans = {true, false})
     void aLossRightAfterAPlannedReplacementLeavesAMajority(final boolean terminated) {
         for (final String next : List.of("a", "b", "g")) {
-            final ReplicaCluster cluster = three();
+            final ReplicaCluster cluster = startThree();
             put(cluster, 1);
             cluster.start("g", false);
             cluster.advance(CATCH_UP);
             assertThat(chain(cluster), hasItem("g"));
             if (terminated) {
-                remove(cluster, "c");
+                stopAndRemove(cluster, "c");
             } else {
                 lose(cluster, "c");
                 cluster.advance(2 * SECOND);
@@ -134,7 +134,7 @@
     }
 
     /** On how many disks of others a change is as one of the last two members ends, and its successor came later. */
-    private static long copiesWhenALeaverEnds(final Safeguards safeguards) {
+    private static long copiesAfterALeavingReplicaStopped(final Safeguards safeguards) {
         final ReplicaCluster cluster = new ReplicaCluster(
                 SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(2, 5).withSafeguards(safeguards));
         SEEDS.forEach(s -> cluster.start(s, true));
@@ -154,16 +154,18 @@
     }
 
     @Test
-    void aLeaverEndsWhenEnoughOthersHoldWhatItHeld() {
-        assertThat(copiesWhenALeaverEnds(Safeguards.ALL), is(2L));
+    void aLeavingReplicaStopsOnlyOnceEnoughOthersHoldItsEntries() {
+        assertThat(copiesAfterALeavingReplicaStopped(Safeguards.ALL), is(2L));
         assertThat(
-                "the safeguard is let down", copiesWhenALeaverEnds(new Safeguards(Set.of(Safeguard.HANDOVER))), is(1L));
+                "the safeguard is let down",
+                copiesAfterALeavingReplicaStopped(new Safeguards(Set.of(Safeguard.HANDOVER))),
+                is(1L));
     }
 
     @Test
-    void aLeaverThatIsKilledAtTheEndOfItsGraceHeldNothingAlone() {
+    void aReplicaKilledAtTheEndOfItsGracePeriodHeldNoOnlyCopy() {
         for (long delay = 0; delay < SECOND; delay += 90_000) {
-            final ReplicaCluster cluster = three();
+            final ReplicaCluster cluster = startThree();
             lose(cluster, "c");
             cluster.advance(2 * SECOND);
             cluster.replica("b").leave();
@@ -176,9 +178,9 @@
     }
 
     @Test
-    void aVoterThatComesBackAfterItWasReplacedJoinsAsANewcomer() {
+    void aReplacedVoterThatReturnsJoinsAsANewMember() {
         for (long away = SECOND; away < 9 * SECOND; away += 700_000) {
-            final ReplicaCluster cluster = three();
+            final ReplicaCluster cluster = startThree();
             put(cluster, 1);
             cluster.kill("c");
             cluster.advance(away / 2);
@@ -198,11 +200,11 @@
     }
 
     @Test
-    void aVoterCutOffForAWhileIsReplacedAndJoinsAgain() {
-        final ReplicaCluster cluster = three();
-        cluster.cut("c", "a", true);
-        cluster.cut("c", "b", true);
-        cluster.cut("c", "g", true);
+    void anIsolatedVoterIsReplacedAndRejoins() {
+        final ReplicaCluster cluster = startThree();
+        cluster.setCut("c", "a", true);
+        cluster.setCut("c", "b", true);
+        cluster.setCut("c", "g", true);
         cluster.advance(SECOND);
         cluster.start("g", false);
         cluster.advance(CATCH_UP);
@@ -215,8 +217,8 @@
     }
 
     @Test
-    void twoOfSixAreLostAtOnceReplacedOneAfterTheOtherAndTwoMoreAreLost() {
-        final ReplicaCluster cluster = six();
+    void twoOfSixLostAtOnceAreReplacedOneAfterTheOtherBeforeFurtherLosses() {
+        final ReplicaCluster cluster = startSix();
         put(cluster, 1);
         lose(cluster, "e");
         lose(cluster, "f");
@@ -236,8 +238,8 @@
     }
 
     @Test
-    void successorsOfTwoLostVotersNeverWidenTheQuorum() {
-        final ReplicaCluster cluster = six();
+    void replacementsOfTwoLostVotersKeepTheNumberOfVoters() {
+        final ReplicaCluster cluster = startSix();
         lose(cluster, "e");
         lose(cluster, "f");
         cluster.advance(SECOND + SECOND / 10);
@@ -251,9 +253,9 @@
     }
 
     @Test
-    void aSuccessorLostInTheMiddleOfItsRepairChangesNothing() {
+    void aReplacementLostDuringItsRepairIsReplacedItself() {
         for (long span = 100_000; span < 3 * SECOND; span += 150_000) {
-            final ReplicaCluster cluster = three();
+            final ReplicaCluster cluster = startThree();
             put(cluster, 1);
             lose(cluster, "c");
             cluster.advance(SECOND);
@@ -270,7 +272,7 @@
 
     /** A region with two of six machines is lost where one machine may be: five vote, and one waits for a vote. */
     @Test
-    void aRegionOfTwoIsLostAndComesBackWithOrWithoutItsDisks() {
+    void aRegionOfTwoIsLostAndReturnsWithOrWithoutItsDisks() {
         for (int i = 0; i < 15; i++) {
             final ReplicaCluster cluster = new ReplicaCluster(SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(2, 5));
             SIX.forEach(s -> cluster.start(s, true));
--- a/core/src/test/java/silverlatch/replication/OrderStorm.java
+++ b/core/src/test/java/silverlatch/replication/OperatorWorkload.java
@@ -18,14 +18,14 @@
  * once, with answers lost 7 in 10 and orders sent again up to half a minute later, while a {@link ReplicaFaultInjector}
  * lets machines and links fail. Every answer is checked, also those that the operators lose. Times are microseconds.
  */
-final class OrderStorm {
+final class OperatorWorkload {
     private static final List<String> SEEDS = List.of("a", "b", "c");
     private static final List<String> ZONES = List.of("hall", "quay", "yard", "mole");
     private static final long SECOND = 1_000_000;
     private static final long CALL_TIMEOUT_MICROS = 880_000;
     private static final int STEPS = 260;
     private static final int MAX_IN_FLIGHT = 8;
-    private static final int LOST_IN_TEN = 7;
+    private static final int LOST_ANSWERS_OF_TEN = 7;
     private static final int OPERATORS = 2;
 
     private final long seed;
@@ -33,17 +33,17 @@
     private final Random random;
     private final ReplicaCluster cluster;
     private final ReplicaFaultInjector faults;
-    private final OrderGenerator generator;
-    private final List<OperatorOrder> orders = new ArrayList<>();
+    private final OperatorWriteGenerator generator;
+    private final List<OperatorWrite> writes = new ArrayList<>();
     private final List<Call> calls = new ArrayList<>();
     private final List<DocumentRead> reads = new ArrayList<>();
-    private final Map<Long, String> documentsInForce = new HashMap<>();
+    private final Map<Long, String> documentByNumber = new HashMap<>();
     private final long[] knownNumbers = new long[OPERATORS];
     private final List<ZoneOperator> zoneOperators =
             ZONES.stream().map(zone -> new ZoneOperator(this, zone)).toList();
     private long lastCallNumber;
 
-    OrderStorm(final long seed, final int minReplicas, final Safeguards safeguards) {
+    OperatorWorkload(final long seed, final int minReplicas, final Safeguards safeguards) {
         this.seed = seed;
         this.minReplicas = minReplicas;
         random = new Random(seed);
@@ -53,28 +53,28 @@
                 settings -> settings.withCounts(minReplicas, ReplicaFaultInjector.MACHINES.size())
                         .withSafeguards(safeguards));
         faults = new ReplicaFaultInjector(cluster, random, minReplicas);
-        generator = new OrderGenerator(random);
+        generator = new OperatorWriteGenerator(random);
     }
 
     /** One attempt of an order, and whether the operator hears its answer. */
-    private record Call(OperatorOrder order, PendingCall pending, boolean isAnswerHeard, int operator) {}
+    private record Call(OperatorWrite write, PendingCall pending, boolean isAnswerDelivered, int operator) {}
 
     /** A read of the configuration, and the number that it must give at least. */
     private record DocumentRead(PendingCall pending, long leastNumber) {}
 
     /** How many orders were acknowledged. */
     long acknowledged() {
-        return orders.stream().filter(OperatorOrder::isAcknowledged).count();
+        return writes.stream().filter(OperatorWrite::isAcknowledged).count();
     }
 
     /** How many orders were refused. */
-    long refused() {
-        return orders.stream().filter(order -> order.refusals() > 0).count();
+    long rejected() {
+        return writes.stream().filter(order -> order.rejections() > 0).count();
     }
 
     /** How many orders were acknowledged more than once. */
-    long repeated() {
-        return orders.stream().filter(order -> order.acknowledgements() > 1).count();
+    long acknowledgedRepeatedly() {
+        return writes.stream().filter(order -> order.acknowledgements() > 1).count();
     }
 
     /** Runs the day and its recovery; throws AssertionError where a check fails. */
@@ -82,18 +82,19 @@
         ReplicaFaultInjector.MACHINES.forEach(address -> cluster.start(address, true));
         cluster.advance(20 * SECOND);
         for (int i = 0; i < STEPS; i++) {
-            faults.step();
-            sendOrders();
-            zoneOperators.forEach(ZoneOperator::act);
-            reads.add(new DocumentRead(cluster.read(faults.anyRunning(), CALL_TIMEOUT_MICROS), newestAcknowledged()));
+            faults.injectNext();
+            sendWrites();
+            zoneOperators.forEach(ZoneOperator::step);
+            reads.add(
+                    new DocumentRead(cluster.read(faults.randomRunning(), CALL_TIMEOUT_MICROS), newestAcknowledged()));
             cluster.advance(20_000L + random.nextInt(300_000));
             check();
         }
         faults.recover();
         cluster.advance(40 * SECOND);
         check();
-        sendEachAgain();
-        readBack();
+        resendAll();
+        checkFinalReads();
     }
 
     Random random() {
@@ -110,43 +111,43 @@
 
     /** Submits a command at any machine that runs. */
     PendingCall submit(final Command command) {
-        return cluster.submit(faults.anyRunning(), command, CALL_TIMEOUT_MICROS);
+        return cluster.submit(faults.randomRunning(), command, CALL_TIMEOUT_MICROS);
     }
 
     /** Reads the entries of a prefix at any machine that runs. */
     PendingCall read(final String keyPrefix) {
-        return cluster.read(faults.anyRunning(), keyPrefix, CALL_TIMEOUT_MICROS);
+        return cluster.read(faults.randomRunning(), keyPrefix, CALL_TIMEOUT_MICROS);
     }
 
     /** Ends the storm as failed, with all orders and replicas in the message. */
     void fail(final String what) {
         throw new AssertionError("seed " + seed + ", copies " + minReplicas + ", at " + cluster.now() + ": " + what
                 + "\n"
-                + String.join("\n", orders.stream().map(OperatorOrder::toString).toList()) + cluster);
+                + String.join("\n", writes.stream().map(OperatorWrite::toString).toList()) + cluster);
     }
 
     /** Sends what is due again, and draws new orders, each to another machine, until eight are in flight. */
-    private void sendOrders() {
+    private void sendWrites() {
         final long now = cluster.now();
-        for (final OperatorOrder order : orders) {
-            if (order.isDue(now) && calls.size() < MAX_IN_FLIGHT) {
-                send(order, random.nextInt(OPERATORS), true);
+        for (final OperatorWrite write : writes) {
+            if (write.isDue(now) && calls.size() < MAX_IN_FLIGHT) {
+                send(write, random.nextInt(OPERATORS), true);
             }
         }
-        final int newOrders = random.nextInt(6) == 0 ? MAX_IN_FLIGHT : random.nextInt(3);
-        for (int i = 0; i < newOrders && calls.size() < MAX_IN_FLIGHT; i++) {
+        final int newWrites = random.nextInt(6) == 0 ? MAX_IN_FLIGHT : random.nextInt(3);
+        for (int i = 0; i < newWrites && calls.size() < MAX_IN_FLIGHT; i++) {
             final int operator = random.nextInt(OPERATORS);
-            final OperatorOrder order = generator.next(knownNumbers[operator]);
-            orders.add(order);
-            send(order, operator, true);
+            final OperatorWrite write = generator.next(knownNumbers[operator]);
+            writes.add(write);
+            send(write, operator, true);
         }
-        if (!orders.isEmpty() && random.nextInt(3) == 0 && calls.size() < MAX_IN_FLIGHT) {
-            send(orders.get(random.nextInt(orders.size())), random.nextInt(OPERATORS), true);
+        if (!writes.isEmpty() && random.nextInt(3) == 0 && calls.size() < MAX_IN_FLIGHT) {
+            send(writes.get(random.nextInt(writes.size())), random.nextInt(OPERATORS), true);
         }
     }
 
-    private void send(final OperatorOrder order, final int operator, final boolean mayLoseAnswer) {
-        final Command.PutConfiguration command = order.command();
+    private void send(final OperatorWrite write, final int operator, final boolean mayLoseAnswer) {
+        final Command.PutConfiguration command = write.command();
         final Command.PutConfiguration attempt = new Command.PutConfiguration(
                 "call-" + nextCallNumber(),
                 command.configuration(),
@@ -154,15 +155,15 @@
                 command.pools(),
                 command.document(),
                 command.expectedRevision());
-        final boolean isAnswerHeard = !mayLoseAnswer || random.nextInt(10) >= LOST_IN_TEN;
-        order.retryAt(cluster.now() + SECOND + random.nextInt(random.nextInt(4) == 0 ? 30_000_000 : 1_000_000));
-        calls.add(new Call(order, submit(attempt), isAnswerHeard, operator));
+        final boolean isAnswerDelivered = !mayLoseAnswer || random.nextInt(10) >= LOST_ANSWERS_OF_TEN;
+        write.retryAt(cluster.now() + SECOND + random.nextInt(random.nextInt(4) == 0 ? 30_000_000 : 1_000_000));
+        calls.add(new Call(write, submit(attempt), isAnswerDelivered, operator));
     }
 
     private long newestAcknowledged() {
-        return orders.stream()
-                .filter(OperatorOrder::isAcknowledged)
-                .mapToLong(OperatorOrder::number)
+        return writes.stream()
+                .filter(OperatorWrite::isAcknowledged)
+                .mapToLong(OperatorWrite::number)
                 .max()
                 .orElse(0);
     }
@@ -184,23 +185,23 @@
 
     /** No invalid order is acknowledged, and none is both acknowledged and refused. */
     private void checkAnswer(final Call call, final Object answer) {
-        final OperatorOrder order = call.order();
+        final OperatorWrite write = call.write();
         if (answer instanceof CommandResult.Applied) {
-            order.acknowledged();
-            if (order.isInvalid()) {
-                fail("an invalid order was acknowledged: " + order);
+            write.recordAcknowledgement();
+            if (write.isInvalid()) {
+                fail("an invalid order was acknowledged: " + write);
             }
         }
         if (answer instanceof CommandResult.Rejected) {
-            order.refused();
+            write.recordRejection();
         }
-        if (order.isAcknowledged() && order.refusals() > 0) {
-            fail("acknowledged and refused: " + order + ", the last answer " + answer);
+        if (write.isAcknowledged() && write.rejections() > 0) {
+            fail("acknowledged and refused: " + write + ", the last answer " + answer);
         }
-        if (call.isAnswerHeard() && !(answer instanceof CommandResult.Unknown)) {
-            order.settle();
+        if (call.isAnswerDelivered() && !(answer instanceof CommandResult.Unknown)) {
+            write.markAnswered();
             if (answer instanceof CommandResult.Applied) {
-                knownNumbers[call.operator()] = Math.max(knownNumbers[call.operator()], order.number());
+                knownNumbers[call.operator()] = Math.max(knownNumbers[call.operator()], write.number());
             }
         }
     }
@@ -218,7 +219,7 @@
         if (number < read.leastNumber()) {
             fail("a read gave " + number + " after " + read.leastNumber() + " was acknowledged");
         }
-        document.ifPresent(this::checkInForce);
+        document.ifPresent(this::checkDocument);
         for (int operator = 0; operator < OPERATORS; operator++) {
             if (random.nextInt(4) > 0) {
                 knownNumbers[operator] = Math.max(knownNumbers[operator], number);
@@ -232,23 +233,23 @@
                 .get(ConfigurationValidator.DOCUMENT_KEY)
                 .map(Entry::value)
                 .map(values -> (Value.ConfigurationDocument) values.get(0))
-                .ifPresent(this::checkInForce);
+                .ifPresent(this::checkDocument);
     }
 
     /** What is in force was ordered, is valid, was never refused, and is the only document under its number. */
-    private void checkInForce(final Value.ConfigurationDocument document) {
+    private void checkDocument(final Value.ConfigurationDocument document) {
         final String text = document.text();
         final long number = document.number();
-        final Optional<OperatorOrder> order = orders.stream()
+        final Optional<OperatorWrite> write = writes.stream()
                 .filter(candidate -> candidate.document().equals(text))
                 .findFirst();
-        if (order.isEmpty() || order.get().number() != number) {
+        if (write.isEmpty() || write.get().number() != number) {
             fail("nobody wrote " + text + " under " + number);
         }
-        if (order.get().isInvalid() || order.get().refusals() > 0) {
-            fail("in force though invalid or refused: " + order.get());
+        if (write.get().isInvalid() || write.get().rejections() > 0) {
+            fail("in force though invalid or refused: " + write.get());
         }
-        final String other = documentsInForce.putIfAbsent(number, text);
+        final String other = documentByNumber.putIfAbsent(number, text);
         if (other != null && !other.equals(text)) {
             fail("two documents under " + number + ": " + other + " and " + text);
         }
@@ -256,35 +257,35 @@
 
     /** Acknowledged orders span from what they build on to their number; no two spans overlap. */
     private void checkAcknowledged() {
-        final List<OperatorOrder> acknowledgedOrders =
-                orders.stream().filter(OperatorOrder::isAcknowledged).toList();
-        for (final OperatorOrder one : acknowledgedOrders) {
-            for (final OperatorOrder other : acknowledgedOrders) {
+        final List<OperatorWrite> acknowledgedWrites =
+                writes.stream().filter(OperatorWrite::isAcknowledged).toList();
+        for (final OperatorWrite one : acknowledgedWrites) {
+            for (final OperatorWrite other : acknowledgedWrites) {
                 if (one != other
                         && one.command().expectedRevision() < other.number()
                         && other.number() <= one.number()) {
                     fail("both acknowledged: " + one + " and " + other);
                 }
             }
-            if (documentsInForce.containsKey(one.number())
-                    && !documentsInForce.get(one.number()).equals(one.document())) {
+            if (documentByNumber.containsKey(one.number())
+                    && !documentByNumber.get(one.number()).equals(one.document())) {
                 fail("acknowledged, but another is in force under its number: " + one);
             }
         }
     }
 
     /** After the recovery each order gets a clear answer, twice. */
-    private void sendEachAgain() {
-        for (final OperatorOrder order : orders) {
+    private void resendAll() {
+        for (final OperatorWrite write : writes) {
             for (int attempt = 0; attempt < 2; attempt++) {
-                send(order, 0, false);
+                send(write, 0, false);
                 final Call call = calls.get(calls.size() - 1);
                 cluster.advance(SECOND);
                 if (call.pending()
                         .answer()
                         .filter(answer -> !(answer instanceof CommandResult.Unknown))
                         .isEmpty()) {
-                    fail("no clear answer in a calm time: " + order + " "
+                    fail("no clear answer in a calm time: " + write + " "
                             + call.pending().answer());
                 }
                 check();
@@ -292,11 +293,11 @@
         }
     }
 
-    private void readBack() {
-        final PendingCall document = cluster.read(faults.anyRunning(), CALL_TIMEOUT_MICROS);
+    private void checkFinalReads() {
+        final PendingCall document = cluster.read(faults.randomRunning(), CALL_TIMEOUT_MICROS);
         zoneOperators.forEach(ZoneOperator::read);
         cluster.advance(SECOND);
-        checkRead(new DocumentRead(document, newestAcknowledged()), (ChainClient.ReadResult) document.reply());
+        checkRead(new DocumentRead(document, newestAcknowledged()), (ChainClient.ReadResult) document.answerOrThrow());
         zoneOperators.forEach(ZoneOperator::check);
     }
 }
--- a/core/src/test/java/silverlatch/replication/OperatorOrder.java
+++ b/core/src/test/java/silverlatch/replication/OperatorWrite.java
@@ -3,15 +3,15 @@
 import silverlatch.state.Command;
 
 /** One put of a configuration as an operator wrote it, and what came of its calls; every call of it is the same to the letter. */
-final class OperatorOrder {
+final class OperatorWrite {
     private final Command.PutConfiguration command;
     private final boolean isInvalid;
     private int acknowledgements;
-    private int refusals;
-    private boolean isSettled;
+    private int rejections;
+    private boolean isAnswered;
     private long nextAttemptMicros;
 
-    OperatorOrder(final Command.PutConfiguration command, final boolean isInvalid) {
+    OperatorWrite(final Command.PutConfiguration command, final boolean isInvalid) {
         this.command = command;
         this.isInvalid = isInvalid;
     }
@@ -39,30 +39,30 @@
         return acknowledgements;
     }
 
-    int refusals() {
-        return refusals;
+    int rejections() {
+        return rejections;
     }
 
     boolean isAcknowledged() {
         return acknowledgements > 0;
     }
 
-    void acknowledged() {
+    void recordAcknowledgement() {
         acknowledgements++;
     }
 
-    void refused() {
-        refusals++;
+    void recordRejection() {
+        rejections++;
     }
 
     /** The operator has heard a clear answer and sends the order no more by itself. */
-    void settle() {
-        isSettled = true;
+    void markAnswered() {
+        isAnswered = true;
     }
 
     /** Whether the operator is to send the order again at this time, in microseconds. */
     boolean isDue(final long nowMicros) {
-        return !isSettled && nextAttemptMicros <= nowMicros;
+        return !isAnswered && nextAttemptMicros <= nowMicros;
     }
 
     void retryAt(final long micros) {
@@ -72,6 +72,6 @@
     @Override
     public String toString() {
         return command.document() + " on " + command.expectedRevision() + (isInvalid ? " (invalid)" : "") + ": "
-                + acknowledgements + " acknowledged, " + refusals + " refused";
+                + acknowledgements + " acknowledged, " + rejections + " refused";
     }
 }
--- a/core/src/test/java/silverlatch/replication/OrderGenerator.java
+++ b/core/src/test/java/silverlatch/replication/OperatorWriteGenerator.java
@@ -7,32 +7,32 @@
 import silverlatch.state.Value;
 
 /** Draws orders of an operator that knows the configuration of some number: most build on it, some are invalid or stale. */
-final class OrderGenerator {
+final class OperatorWriteGenerator {
     private final Random random;
     private int generated;
 
-    OrderGenerator(final Random random) {
+    OperatorWriteGenerator(final Random random) {
         this.random = random;
     }
 
     /** An order of an operator that has last heard of this number. */
-    OperatorOrder next(final long known) {
-        final long number = known + 1 + random.nextInt(2);
+    OperatorWrite next(final long knownNumber) {
+        final long number = knownNumber + 1 + random.nextInt(2);
         return switch (random.nextInt(14)) {
-            case 0 -> order(number, known, "no service", "other", 1, 1_000, 1);
-            case 1 -> order(number, known, "same place", "pool", 1, 1_000, 2);
-            case 2 -> order(number, known, "no weight", "pool", 0, 1_000, 1);
-            case 3 -> order(number, known, "no timeout", "pool", 1, 0, 1);
-            case 4 -> order(known, known, "same version", "pool", 1, 1_000, 1);
-            case 5 -> order(Math.max(0, known - 1), known, "old version", "pool", 1, 1_000, 1);
-            case 6 -> order(number, Math.max(0, known - 1), "", "pool", 1, 1_000, 1);
-            case 7 -> order(number + 1, number, "", "pool", 1, 1_000, 1);
-            default -> order(number, known, "", "pool", 1, 1_000, 1);
+            case 0 -> write(number, knownNumber, "no service", "other", 1, 1_000, 1);
+            case 1 -> write(number, knownNumber, "same place", "pool", 1, 1_000, 2);
+            case 2 -> write(number, knownNumber, "no weight", "pool", 0, 1_000, 1);
+            case 3 -> write(number, knownNumber, "no timeout", "pool", 1, 0, 1);
+            case 4 -> write(knownNumber, knownNumber, "same version", "pool", 1, 1_000, 1);
+            case 5 -> write(Math.max(0, knownNumber - 1), knownNumber, "old version", "pool", 1, 1_000, 1);
+            case 6 -> write(number, Math.max(0, knownNumber - 1), "", "pool", 1, 1_000, 1);
+            case 7 -> write(number + 1, number, "", "pool", 1, 1_000, 1);
+            default -> write(number, knownNumber, "", "pool", 1, 1_000, 1);
         };
     }
 
     /** An order; it is invalid if it has a fault, which is a part of its document then. */
-    private OperatorOrder order(
+    private OperatorWrite write(
             final long number,
             final long expectedRevision,
             final String fault,
@@ -52,7 +52,7 @@
                 "document " + generated + " number " + number + " " + fault,
                 expectedRevision);
         generated++;
-        return new OperatorOrder(command, !fault.isEmpty());
+        return new OperatorWrite(command, !fault.isEmpty());
     }
 
     private static Value.Route route(
--- a/core/src/test/java/silverlatch/replication/OrdersTest.java
+++ b/core/src/test/java/silverlatch/replication/OperatorWritesTest.java
@@ -20,14 +20,14 @@
 import silverlatch.state.Value;
 
 /** Orders of operators that race, are sent again late, and lose their answers, while machines and links fail. */
-final class OrdersTest {
+final class OperatorWritesTest {
     private static final List<String> THREE = List.of("a", "b", "c");
     private static final long SECOND = 1_000_000;
-    private static final long CALL = 880_000;
+    private static final long CALL_TIMEOUT_MICROS = 880_000;
     private static final long LINK_DELAY_MICROS = 5_000;
-    private static final int MUTANT_SEEDS = 60;
+    private static final int SEEDS_PER_SAFEGUARD = 60;
 
-    private static ReplicaCluster three() {
+    private static ReplicaCluster startThree() {
         final ReplicaCluster cluster = new ReplicaCluster(THREE, LINK_DELAY_MICROS, s -> s.withCounts(2, 3));
         THREE.forEach(s -> cluster.start(s, true));
         cluster.advance(5 * SECOND);
@@ -35,32 +35,32 @@
     }
 
     private static Object reply(final ReplicaCluster cluster, final String at, final Command command) {
-        final PendingCall asked = cluster.submit(at, command, CALL);
+        final PendingCall call = cluster.submit(at, command, CALL_TIMEOUT_MICROS);
         cluster.advance(SECOND);
-        return asked.answer().orElse("silence");
+        return call.answer().orElse("silence");
     }
 
     private static void putAcknowledged(
-            final ReplicaCluster cluster, final String at, final long number, final long match) {
-        final PendingCall asked = cluster.putConfiguration(at, number, match, CALL);
+            final ReplicaCluster cluster, final String at, final long number, final long expectedRevision) {
+        final PendingCall call = cluster.putConfiguration(at, number, expectedRevision, CALL_TIMEOUT_MICROS);
         cluster.advance(SECOND);
-        assertThat("order " + number + " on " + match + cluster, asked.isAcknowledged(), is(true));
+        assertThat("order " + number + " on " + expectedRevision + cluster, call.isAcknowledged(), is(true));
     }
 
-    private static Command.PutConfiguration retry(final long number, final long match, final int call) {
-        final Command.PutConfiguration first = ReplicaCluster.configuration(number, match);
+    private static Command.PutConfiguration retry(final long number, final long expectedRevision, final int attempt) {
+        final Command.PutConfiguration first = ReplicaCluster.configuration(number, expectedRevision);
         return new Command.PutConfiguration(
-                first.id() + "-call-" + call,
+                first.id() + "-call-" + attempt,
                 first.configuration(),
                 first.routes(),
                 first.pools(),
                 first.document(),
-                match);
+                expectedRevision);
     }
 
     @Test
-    void anOrderSentAgainAfterOthersFollowedIsAcknowledgedAgain() {
-        final ReplicaCluster cluster = three();
+    void aRetriedWriteIsAcknowledgedAgainAfterLaterWrites() {
+        final ReplicaCluster cluster = startThree();
         putAcknowledged(cluster, "a", 5, 0);
         putAcknowledged(cluster, "b", 6, 5);
         putAcknowledged(cluster, "c", 9, 6);
@@ -86,24 +86,27 @@
     }
 
     @Test
-    void aRefusalDoesNotRestOnWhatIsDroppedWithAView() {
-        final ReplicaCluster cluster = three();
+    void aRejectionDoesNotDependOnEntriesDroppedByAViewChange() {
+        final ReplicaCluster cluster = startThree();
         putAcknowledged(cluster, "a", 5, 0);
         final String head = cluster.replica("a").view().head().orElseThrow().address();
         final List<String> others = THREE.stream().filter(s -> !s.equals(head)).toList();
-        others.forEach(s -> cluster.cut(head, s, true));
-        final PendingCall dropped = cluster.submit(head, retry(6, 5, 1), CALL);
+        others.forEach(s -> cluster.setCut(head, s, true));
+        final PendingCall dropped = cluster.submit(head, retry(6, 5, 1), CALL_TIMEOUT_MICROS);
         cluster.advance(20_000);
-        final PendingCall loser = cluster.submit(head, retry(7, 5, 1), CALL);
+        final PendingCall loser = cluster.submit(head, retry(7, 5, 1), CALL_TIMEOUT_MICROS);
         cluster.advance(10 * SECOND);
-        assertThat(dropped.reply(), is(instanceOf(CommandResult.Unknown.class)));
+        assertThat(dropped.answerOrThrow(), is(instanceOf(CommandResult.Unknown.class)));
         putAcknowledged(cluster, others.get(0), 7, 5);
-        assertThat("refused for what never came to be", loser.reply(), is(instanceOf(CommandResult.Unknown.class)));
+        assertThat(
+                "refused for what never came to be",
+                loser.answerOrThrow(),
+                is(instanceOf(CommandResult.Unknown.class)));
     }
 
     @Test
-    void anOrderRefusedAheadOfItsBaseStaysRefused() {
-        final ReplicaCluster cluster = three();
+    void aWriteRejectedBeforeItsBaseExistedStaysRejected() {
+        final ReplicaCluster cluster = startThree();
         putAcknowledged(cluster, "a", 5, 0);
         assertThat(reply(cluster, "b", retry(9, 8, 1)), is(instanceOf(CommandResult.Rejected.class)));
         putAcknowledged(cluster, "c", 8, 5);
@@ -112,19 +115,19 @@
     }
 
     @Test
-    void theNumberInForceSentOnTopOfItselfIsInvalidThoughTheTextIsTheSame() {
-        final ReplicaCluster cluster = three();
+    void theCurrentNumberOnTopOfItselfIsRejectedEvenWithTheSameText() {
+        final ReplicaCluster cluster = startThree();
         putAcknowledged(cluster, "a", 5, 0);
         assertThat(reply(cluster, "b", retry(5, 5, 1)), is(instanceOf(CommandResult.Rejected.class)));
     }
 
     @Test
-    void aLateCopyOfAnEvacuationDoesNotUndoWhatWasOrderedAfterIt() {
-        final ReplicaCluster cluster = three();
+    void aDelayedCopyOfAnEvacuationDoesNotUndoALaterCommand() {
+        final ReplicaCluster cluster = startThree();
         final String head = cluster.replica("a").view().head().orElseThrow().address();
         final List<String> others = THREE.stream().filter(s -> !s.equals(head)).toList();
-        cluster.slow(others.get(0), head, 8 * SECOND);
-        cluster.submit(others.get(0), evacuation("first", true), CALL);
+        cluster.setExtraDelay(others.get(0), head, 8 * SECOND);
+        cluster.submit(others.get(0), evacuation("first", true), CALL_TIMEOUT_MICROS);
         cluster.advance(1_000);
         cluster.kill(others.get(0));
         cluster.heal();
@@ -134,30 +137,33 @@
                 reply(cluster, others.get(1), evacuation("second", true)), is(instanceOf(CommandResult.Applied.class)));
         assertThat(reply(cluster, head, evacuation("back", false)), is(instanceOf(CommandResult.Applied.class)));
         cluster.advance(10 * SECOND);
-        final PendingCall read = cluster.read(head, "z/", CALL);
+        final PendingCall read = cluster.read(head, "z/", CALL_TIMEOUT_MICROS);
         cluster.advance(SECOND);
-        final Value.Evacuation zone = (Value.Evacuation)
-                ((ChainClient.ReadResult) read.reply()).entries().get(0).value().get(0);
+        final Value.Evacuation zone = (Value.Evacuation) ((ChainClient.ReadResult) read.answerOrThrow())
+                .entries()
+                .get(0)
+                .value()
+                .get(0);
         assertThat("the zone was taken back, and that was acknowledged", zone.active(), is(false));
     }
 
     @Test
-    void anOrderWithoutAMajorityEndsWithoutAClearAnswerInsideTheCallersSecond() {
-        final ReplicaCluster cluster = three();
+    void aWriteWithoutAMajorityEndsUnknownWithinOneSecond() {
+        final ReplicaCluster cluster = startThree();
         putAcknowledged(cluster, "a", 5, 0);
         for (final String alone : THREE) {
-            THREE.stream().filter(s -> !s.equals(alone)).forEach(s -> cluster.cut(alone, s, true));
+            THREE.stream().filter(s -> !s.equals(alone)).forEach(s -> cluster.setCut(alone, s, true));
             for (int i = 0; i < 20; i++) {
                 final List<PendingCall> calls = List.of(
-                        cluster.submit(alone, retry(9, 5, i), CALL),
-                        cluster.submit(alone, retry(3, 2, i), CALL),
-                        cluster.submit(alone, retry(9, 7, i), CALL));
+                        cluster.submit(alone, retry(9, 5, i), CALL_TIMEOUT_MICROS),
+                        cluster.submit(alone, retry(3, 2, i), CALL_TIMEOUT_MICROS),
+                        cluster.submit(alone, retry(9, 7, i), CALL_TIMEOUT_MICROS));
                 cluster.advance(SECOND);
                 final boolean mayStillBeLeased = i == 0;
                 for (final PendingCall call : calls) {
                     assertThat(call.latency() < SECOND, is(true));
                     if (!mayStillBeLeased) {
-                        assertThat(alone, call.reply(), is(instanceOf(CommandResult.Unknown.class)));
+                        assertThat(alone, call.answerOrThrow(), is(instanceOf(CommandResult.Unknown.class)));
                     }
                 }
             }
@@ -167,30 +173,30 @@
         assertThat("nothing of it took effect", cluster.committedNumber("a"), is(5L));
     }
 
-    private static Command.SetEvacuation evacuation(final String id, final boolean on) {
-        return new Command.SetEvacuation(id, "zone", on, Command.SetEvacuation.LATEST);
+    private static Command.SetEvacuation evacuation(final String id, final boolean isActive) {
+        return new Command.SetEvacuation(id, "zone", isActive, Command.SetEvacuation.LATEST);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {2, 3})
-    void noOrderIsConfirmedTwiceUnderOneNumberNorRefusedAfterItWasTaken(final int copies) {
+    void noTwoWritesOfOneNumberAreAcknowledgedAndNoAcknowledgedWriteIsRejected(final int copies) {
         long acknowledged = 0;
-        long refused = 0;
-        long repeated = 0;
+        long rejected = 0;
+        long acknowledgedRepeatedly = 0;
         final long first = Long.getLong("silverlatch.orders.first", 1);
         final int count = Integer.getInteger("silverlatch.orders", 6);
         for (long seed = first; seed < first + count; seed++) {
-            final OrderStorm storm = new OrderStorm(seed, copies, Safeguards.ALL);
-            storm.run();
-            acknowledged += storm.acknowledged();
-            refused += storm.refused();
-            repeated += storm.repeated();
+            final OperatorWorkload workload = new OperatorWorkload(seed, copies, Safeguards.ALL);
+            workload.run();
+            acknowledged += workload.acknowledged();
+            rejected += workload.rejected();
+            acknowledgedRepeatedly += workload.acknowledgedRepeatedly();
         }
-        System.out.println("orders: " + acknowledged + " acknowledged, " + refused + " refused, " + repeated
-                + " acknowledged more than once");
+        System.out.println("orders: " + acknowledged + " acknowledged, " + rejected + " refused, "
+                + acknowledgedRepeatedly + " acknowledged more than once");
         assertThat("orders were acknowledged", acknowledged, greaterThan(15L * count));
-        assertThat("orders were refused", refused, greaterThan(30L * count));
-        assertThat("orders were acknowledged again", repeated, greaterThan(10L * count));
+        assertThat("orders were refused", rejected, greaterThan(30L * count));
+        assertThat("orders were acknowledged again", acknowledgedRepeatedly, greaterThan(10L * count));
     }
 
     @ParameterizedTest
@@ -200,15 +206,15 @@
         "COMMITTED_REFUSAL, 5, refused",
         "LATEST_EVACUATION, 53, the zone stands at"
     })
-    void theCheckerNoticesASafeguardLetDown(final Safeguard safeguard, final long seed, final String told) {
-        final Safeguards standing = new Safeguards(Set.of(safeguard));
+    void theChecksDetectADisabledSafeguard(final Safeguard safeguard, final long seed, final String expectedMessage) {
+        final Safeguards safeguards = new Safeguards(Set.of(safeguard));
         final AssertionError error = assertThrows(AssertionError.class, () -> {
-            for (long s = seed; s < seed + MUTANT_SEEDS; s++) {
-                new OrderStorm(s, 2, standing).run();
+            for (long s = seed; s < seed + SEEDS_PER_SAFEGUARD; s++) {
+                new OperatorWorkload(s, 2, safeguards).run();
             }
         });
         System.out.println(safeguard + " let down: "
                 + error.getMessage().lines().findFirst().orElse(""));
-        assertThat(error.getMessage(), containsString(told));
+        assertThat(error.getMessage(), containsString(expectedMessage));
     }
 }
--- a/core/src/test/java/silverlatch/replication/PendingCall.java
+++ b/core/src/test/java/silverlatch/replication/PendingCall.java
@@ -39,7 +39,7 @@
     }
 
     /** The answer; throws NoSuchElementException if none came. */
-    Object reply() {
+    Object answerOrThrow() {
         return answer.orElseThrow();
     }
 }
--- a/core/src/test/java/silverlatch/replication/PendingWritesTest.java
+++ b/core/src/test/java/silverlatch/replication/PendingWritesTest.java
@@ -16,10 +16,10 @@
 
 final class PendingWritesTest {
     private static final CommandResult REJECTION = new CommandResult.Rejected(409, List.of("changed"), 3);
-    private final ReplicaParts parts = new ReplicaParts();
+    private final ReplicaFixture fixture = new ReplicaFixture();
     private final Map<String, Entry> committed = new HashMap<>();
     private final PendingWrites writes =
-            new PendingWrites(key -> Optional.ofNullable(committed.get(key)), parts.effects);
+            new PendingWrites(key -> Optional.ofNullable(committed.get(key)), fixture.effects);
 
     private static ChainClientMessage.WriteRequest request(final long requestId) {
         return new ChainClientMessage.WriteRequest(
@@ -27,7 +27,7 @@
     }
 
     private List<CommandResult> results() {
-        return parts.sent().stream()
+        return fixture.sent().stream()
                 .map(message -> ((ChainClientMessage.WriteReply) message).result())
                 .toList();
     }
@@ -46,16 +46,16 @@
     }
 
     @Test
-    void aRejectionIsHeldUntilWhatItRestsOnIsCommittedAndThenLogged() {
+    void aRejectionIsSentAndLoggedOnceTheEntryItDependsOnIsCommitted() {
         writes.rejectWhenCommitted(4, request(1), REJECTION);
         assertThat(results(), is(List.of()));
         writes.onCommitted(4);
         assertThat(results(), is(List.of(REJECTION)));
-        assertThat(parts.logged(), is(List.of(Event.CHANGE_REJECTED)));
+        assertThat(fixture.logged(), is(List.of(Event.CHANGE_REJECTED)));
     }
 
     @Test
-    void whatWaitsForADroppedEntryIsUnknown() {
+    void writesPendingOnADroppedEntryHaveAnUnknownOutcome() {
         writes.replyWhenCommitted(4, request(1));
         writes.rejectWhenCommitted(4, request(2), REJECTION);
         writes.abandon();
--- a/core/src/test/java/silverlatch/replication/RepairBesideLogTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairDuringReplicationTest.java
@@ -16,7 +16,7 @@
 import silverlatch.wire.ReplicationMessage;
 
 /** A replica in the chain that hasn't caught up asks for a repair only while no new entry comes by the log. */
-final class RepairBesideLogTest {
+final class RepairDuringReplicationTest {
     private static final Replica PREDECESSOR = new Replica("id-a", "a");
     private static final Replica FOLLOWER = new Replica("id-b", "b");
     private static final Replica VOTER = new Replica("id-c", "c");
@@ -35,25 +35,25 @@
     private long now = START;
 
     @Test
-    void noRepairIsAskedForWhileNewEntriesComeByTheLog() {
+    void noRepairIsRequestedWhileNewEntriesAreReplicated() {
         for (int sequence = 1; sequence <= 5; sequence++) {
             receive(sequence);
-            pass(SECOND);
+            advance(SECOND);
         }
-        assertThat("repairs asked for while a new entry came each second", repairsAskedFor(), is(0L));
+        assertThat("repairs asked for while a new entry came each second", repairRequests(), is(0L));
     }
 
     @Test
-    void aRepairIsAskedForWhenNoEntryOrOnlyKnownOnesCome() {
+    void aRepairIsRequestedWhenNoNewEntryIsReplicated() {
         receive(1);
         for (int i = 0; i < 3; i++) {
-            pass(SECOND);
+            advance(SECOND);
             receive(1);
         }
-        assertThat("repairs asked for in three seconds without a new entry", repairsAskedFor(), greaterThan(0L));
+        assertThat("repairs asked for in three seconds without a new entry", repairRequests(), greaterThan(0L));
     }
 
-    private long repairsAskedFor() {
+    private long repairRequests() {
         return sent.stream()
                 .filter(ReplicationMessage.CompareDigests.class::isInstance)
                 .count();
@@ -64,13 +64,13 @@
                 "z/hall-" + sequence,
                 sequence,
                 List.of(new Value.Evacuation("hall-" + sequence, true, new Stamp(sequence))));
-        final LogEntry change = new LogEntry(sequence, VIEW.number(), new Stamp(sequence), List.of(entry));
+        final LogEntry logEntry = new LogEntry(sequence, VIEW.number(), new Stamp(sequence), List.of(entry));
         follower.onMessage(
-                new ReplicationMessage.Replicate(VIEW.number(), List.of(change)), PREDECESSOR.address(), now);
+                new ReplicationMessage.Replicate(VIEW.number(), List.of(logEntry)), PREDECESSOR.address(), now);
         perform();
     }
 
-    private void pass(final long span) {
+    private void advance(final long span) {
         for (final long end = now + span; now < end; now += TICK) {
             follower.tick(now);
             perform();
@@ -83,8 +83,8 @@
             for (final Effect effect : effects) {
                 if (effect instanceof Effect.Send send) {
                     sent.add(send.message());
-                } else if (effect instanceof Effect.Persist keep) {
-                    follower.onSynced(keep.token(), now);
+                } else if (effect instanceof Effect.Persist persist) {
+                    follower.onSynced(persist.token(), now);
                 }
             }
         }
--- a/core/src/test/java/silverlatch/replication/RepairOfPendingTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairOfPendingTest.java
@@ -35,20 +35,20 @@
     private final List<LogRecord> written = new ArrayList<>();
 
     @Test
-    void aRepairedReplicaKeepsWhatItsSourceHasSynced() {
+    void aRepairedReplicaKeepsThePendingEntriesOfItsSource() {
         repair(Safeguards.ALL);
-        assertThat("the change stands on the repaired disk", holdsTheChange(), is(true));
+        assertThat("the change stands on the repaired disk", containsAcknowledgedEntry(), is(true));
     }
 
     @Test
-    void withoutTheSafeguardTheChangeIsDropped() {
+    void withoutTheSafeguardThePendingEntryIsDropped() {
         repair(new Safeguards(Set.of(Safeguard.REPAIR_PENDING)));
         assertThat("a snapshot was written", written.isEmpty(), is(false));
-        assertThat("the change stands on the repaired disk", holdsTheChange(), is(false));
+        assertThat("the change stands on the repaired disk", containsAcknowledgedEntry(), is(false));
     }
 
     /** Whether the log, read from its last snapshot on, holds the change. */
-    private boolean holdsTheChange() {
+    private boolean containsAcknowledgedEntry() {
         boolean holds = false;
         for (final LogRecord entry : written) {
             if (entry instanceof LogRecord.Snapshot snapshot) {
@@ -60,15 +60,15 @@
         return holds;
     }
 
-    private static boolean replacesTheLog(final Effect.Persist keep) {
-        return keep.records().stream().anyMatch(LogRecord.Snapshot.class::isInstance);
+    private static boolean containsSnapshot(final Effect.Persist persist) {
+        return persist.records().stream().anyMatch(LogRecord.Snapshot.class::isInstance);
     }
 
     /** Repairs until the log of the repaired replica has been replaced once, synced in one piece. */
-    private void repair(final Safeguards standing) {
+    private void repair(final Safeguards safeguards) {
         final View view = new View(2, 7, List.of(SOURCE, REPAIRED, ABSENT), List.of(SOURCE), SOURCE.id());
-        final ChainReplica source = replica(SOURCE, view, true, standing);
-        final ChainReplica repaired = replica(REPAIRED, view, false, standing);
+        final ChainReplica source = replica(SOURCE, view, true, safeguards);
+        final ChainReplica repaired = replica(REPAIRED, view, false, safeguards);
         long now = START;
         for (int i = 0; i < TICKS && written.isEmpty(); i++) {
             now += TICK;
@@ -78,12 +78,13 @@
         }
     }
 
-    private ChainReplica replica(final Replica me, final View view, final boolean level, final Safeguards standing) {
+    private ChainReplica replica(
+            final Replica self, final View view, final boolean isCaughtUp, final Safeguards safeguards) {
         final List<LogRecord> records =
-                List.of(new LogRecord.ViewInstalled(view, level), new LogRecord.Appended(acknowledged));
-        final ReplicaSettings setup =
-                ReplicaSettings.of(me, List.of("a", "b", "c")).withSafeguards(standing);
-        return new ChainReplica(setup, records, () -> new Stamp(START), START);
+                List.of(new LogRecord.ViewInstalled(view, isCaughtUp), new LogRecord.Appended(acknowledged));
+        final ReplicaSettings settings =
+                ReplicaSettings.of(self, List.of("a", "b", "c")).withSafeguards(safeguards);
+        return new ChainReplica(settings, records, () -> new Stamp(START), START);
     }
 
     /** Hands messages to and fro, and syncs what is written, until nothing is left to do. */
@@ -103,11 +104,11 @@
             final long now) {
         final List<Effect> effects = from.drain();
         for (final Effect effect : effects) {
-            if (effect instanceof Effect.Persist keep) {
-                if (sender.equals(REPAIRED) && written.isEmpty() && replacesTheLog(keep)) {
-                    written.addAll(keep.records());
+            if (effect instanceof Effect.Persist persist) {
+                if (sender.equals(REPAIRED) && written.isEmpty() && containsSnapshot(persist)) {
+                    written.addAll(persist.records());
                 }
-                from.onSynced(keep.token(), now);
+                from.onSynced(persist.token(), now);
             } else if (effect instanceof Effect.Send send && send.to().equals(receiver.address())) {
                 to.onMessage(send.message(), sender.address(), now);
             } else if (effect instanceof Effect.Send send && send.to().equals(sender.address())) {
--- a/core/src/test/java/silverlatch/replication/RepairTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairTest.java
@@ -4,11 +4,11 @@
 import static org.hamcrest.Matchers.greaterThan;
 import static org.hamcrest.Matchers.instanceOf;
 import static org.hamcrest.Matchers.is;
-import static silverlatch.replication.ReplicaParts.SECOND;
-import static silverlatch.replication.ReplicaParts.SELF;
-import static silverlatch.replication.ReplicaParts.START;
-import static silverlatch.replication.ReplicaParts.entry;
-import static silverlatch.replication.ReplicaParts.view;
+import static silverlatch.replication.ReplicaFixture.SECOND;
+import static silverlatch.replication.ReplicaFixture.SELF;
+import static silverlatch.replication.ReplicaFixture.START;
+import static silverlatch.replication.ReplicaFixture.entry;
+import static silverlatch.replication.ReplicaFixture.view;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -26,17 +26,17 @@
 final class RepairTest {
     private static final long RETRY = 900_000;
     private static final String SOURCE = "source";
-    private final ReplicaParts source = new ReplicaParts();
-    private final ReplicaLog sourceLog = ReplicaParts.log(source, syncedAt -> {}, sequence -> {});
-    private final ReplicaParts target = new ReplicaParts();
-    private final ReplicaLog targetLog = ReplicaParts.log(target, syncedAt -> {}, sequence -> {});
+    private final ReplicaFixture source = new ReplicaFixture();
+    private final ReplicaLog sourceLog = ReplicaFixture.log(source, syncedAt -> {}, sequence -> {});
+    private final ReplicaFixture target = new ReplicaFixture();
+    private final ReplicaLog targetLog = ReplicaFixture.log(target, syncedAt -> {}, sequence -> {});
     private final GracefulLeave gracefulLeave = new GracefulLeave(target.settings, target.role, target.effects);
     private final RepairRequester requester = requester();
     private final RepairResponder responder = responder(source, sourceLog);
 
-    private static RepairResponder responder(final ReplicaParts of, final ReplicaLog log) {
-        of.in(view(2, SELF, SECOND));
-        return new RepairResponder(of.settings, of.role, log, of.effects);
+    private static RepairResponder responder(final ReplicaFixture fixture, final ReplicaLog log) {
+        fixture.withView(view(2, SELF, SECOND));
+        return new RepairResponder(fixture.settings, fixture.role, log, fixture.effects);
     }
 
     private RepairRequester requester() {
@@ -55,7 +55,7 @@
 
     private void appendAtSource(final LogEntry... entries) {
         sourceLog.append(List.of(entries), START);
-        source.sync(START);
+        source.syncAll(START);
         source.sent();
     }
 
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void theStateIsReplacedOnceAllPiecesAreThereAndThenItAsksToJoin() {
+    void theStateIsReplacedOnceAllPiecesArrivedAndAJoinRequestFollowsTheSync() {
         for (long sequence = 1; sequence <= 6; sequence++) {
             appendAtSource(large(sequence));
         }
@@ -97,18 +97,18 @@
         assertThat(requester.isJoining(), is(true));
         assertThat("its log isn't synced yet", target.sent(), is(List.of()));
         assertThat(target.written().get(0), instanceOf(LogRecord.Snapshot.class));
-        target.sync(START);
+        target.syncAll(START);
         assertThat(target.sent().get(0), is(new ReplicationMessage.JoinRequest(2, SELF, 6)));
         assertThat(target.logged().contains(Event.MENDED), is(true));
     }
 
     @Test
-    void aRepairedReplicaAsksToJoinAgainWhenNothingDiffersAnyMore() {
+    void aRepairedReplicaRequestsToJoinAgainWhenNoDigestDiffers() {
         appendAtSource(entry(1));
         sourceLog.commit(1, START);
         requester.request(SOURCE, START);
         exchange(START);
-        target.sync(START);
+        target.syncAll(START);
         target.sent();
         requester.request(SOURCE, START + RETRY);
         final ReplicationMessage.CompareDigests request =
@@ -126,30 +126,30 @@
     }
 
     @Test
-    void aReplicaThatLeavesIsRepairedButDoesNotAskToJoin() {
+    void aLeavingReplicaIsRepairedButDoesNotRequestToJoin() {
         appendAtSource(entry(1));
         sourceLog.commit(1, START);
         gracefulLeave.begin();
         requester.request(SOURCE, START);
         exchange(START);
-        target.sync(START);
+        target.syncAll(START);
         assertThat(targetLog.committedSequence(), is(1L));
         assertThat(target.sent(), is(List.of()));
     }
 
     @Test
-    void whatTheSourceHasSyncedAndNotCommittedComesAlong() {
+    void entriesSyncedButNotCommittedAtTheSourceAreRepairedToo() {
         appendAtSource(entry(1), entry(2));
         sourceLog.commit(1, START);
         requester.request(SOURCE, START);
         exchange(START);
         assertThat(targetLog.pendingEntries(), is(List.of(entry(2))));
-        final ReplicaParts unguarded = new ReplicaParts(Safeguard.REPAIR_PENDING);
-        final ReplicaLog log = ReplicaParts.log(unguarded, syncedAt -> {}, sequence -> {});
-        final RepairResponder careless = responder(unguarded, log);
+        final ReplicaFixture unguarded = new ReplicaFixture(Safeguard.REPAIR_PENDING);
+        final ReplicaLog log = ReplicaFixture.log(unguarded, syncedAt -> {}, sequence -> {});
+        final RepairResponder unguardedResponder = responder(unguarded, log);
         log.append(List.of(entry(1)), START);
-        unguarded.sync(START);
-        careless.handleCompareDigests(
+        unguarded.syncAll(START);
+        unguardedResponder.handleCompareDigests(
                 new ReplicationMessage.CompareDigests(2, SECOND, 0, new long[ReplicaLog.DIGEST_RANGES]), START);
         assertThat(
                 "the safeguard is let down",
--- a/core/src/test/java/silverlatch/replication/ReplicaCluster.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaCluster.java
@@ -69,12 +69,12 @@
     }
 
     /** What a machine has on its disk. */
-    List<LogRecord> disk(final String address) {
+    List<LogRecord> syncedRecords(final String address) {
         return logs.records(address);
     }
 
     /** How often an event was logged by any machine. */
-    long logged(final Event event) {
+    long loggedCount(final Event event) {
         return loggedEvents.getOrDefault(event, 0L);
     }
 
@@ -111,7 +111,7 @@
 
     /** Starts a machine: from its disk, or empty under a new identity. */
     void start(final String address, final boolean mayBootstrap) {
-        final String identity = logs.open(address, () -> "id-" + address + "-" + (scheduler.nextOrder() + 1));
+        final String identity = logs.open(address, () -> "id-" + address + "-" + (scheduler.nextUniqueNumber() + 1));
         final ChainReplica replica = new ChainReplica(
                 settings.apply(ReplicaSettings.of(new Replica(identity, address), seeds))
                         .withBootstrap(mayBootstrap),
@@ -123,13 +123,14 @@
 
     private void run(final String address, final ChainReplica replica) {
         replicas.put(address, replica);
-        clients.put(address, new ChainClient(address, replica::view, scheduler.nextOrder() * CALLS_OF_ONE_CLIENT));
+        clients.put(
+                address, new ChainClient(address, replica::view, scheduler.nextUniqueNumber() * CALLS_OF_ONE_CLIENT));
         scheduleTick(address, replica);
     }
 
     /** The seeds that machines started from now on are given. */
-    void seeds(final List<String> next) {
-        seeds = List.copyOf(next);
+    void seeds(final List<String> addresses) {
+        seeds = List.copyOf(addresses);
     }
 
     /** How long a sync takes from now on, in microseconds. */
@@ -152,28 +153,28 @@
         frozen.remove(address);
         replicas.remove(address);
         clients.remove(address);
-        links.drop(address);
+        links.dropQueued(address);
     }
 
     /** The machine's process stands still for so long; what comes meanwhile waits for it. */
-    void freeze(final String address, final long span) {
+    void freeze(final String address, final long spanMicros) {
         freeze(address);
-        scheduler.schedule(now() + span, () -> thaw(address));
+        scheduler.schedule(now() + spanMicros, () -> thaw(address));
     }
 
     /** The disk is lost; the next start is under a new identity. */
     void loseDisk(final String address) {
-        logs.lose(address);
+        logs.loseDisk(address);
     }
 
     /** Nothing goes between two machines, or all does again. */
-    void cut(final String one, final String other, final boolean isCut) {
-        links.cut(one, other, isCut);
+    void setCut(final String one, final String other, final boolean isCut) {
+        links.setCut(one, other, isCut);
     }
 
     /** What is sent between two machines from now on comes later by so much; what is sent after a heal overtakes it. */
-    void slow(final String one, final String other, final long extraMicros) {
-        links.slow(one, other, extraMicros);
+    void setExtraDelay(final String one, final String other, final long extraMicros) {
+        links.setExtraDelay(one, other, extraMicros);
     }
 
     /** No link is cut or slow any more. */
@@ -191,7 +192,7 @@
     }
 
     /** A valid configuration of one route and one pool under a number, to be put on another one. */
-    static Command.PutConfiguration configuration(final long number, final long match) {
+    static Command.PutConfiguration configuration(final long number, final long expectedRevision) {
         final Value.BackendPool pool = new Value.BackendPool("pool", "/", 1, 0, 1, 1, 0, 1);
         final Value.Route route = new Value.Route(
                 "rule",
@@ -209,32 +210,33 @@
                 List.of(),
                 List.of(new Value.WeightedBackend("pool", 1)));
         return new Command.PutConfiguration(
-                "lay-" + number + "-" + match,
+                "lay-" + number + "-" + expectedRevision,
                 new Value.RoutingConfiguration(number, 1, 1, 1, 1),
                 List.of(route),
                 List.of(pool),
                 "paper " + number,
-                match);
+                expectedRevision);
     }
 
-    PendingCall putConfiguration(final String at, final long number, final long match, final long span) {
-        return submit(at, configuration(number, match), span);
+    PendingCall putConfiguration(
+            final String at, final long number, final long expectedRevision, final long timeoutMicros) {
+        return submit(at, configuration(number, expectedRevision), timeoutMicros);
     }
 
     /** Submits a command to the client of one machine. */
-    PendingCall submit(final String at, final Command command, final long span) {
-        final long deadline = now() + span;
+    PendingCall submit(final String at, final Command command, final long timeoutMicros) {
+        final long deadline = now() + timeoutMicros;
         return call(at, token -> clients.get(at).submit(command, token, now(), deadline));
     }
 
     /** Reads the configuration document. */
-    PendingCall read(final String at, final long span) {
-        return read(at, ConfigurationValidator.DOCUMENT_KEY, span);
+    PendingCall read(final String at, final long timeoutMicros) {
+        return read(at, ConfigurationValidator.DOCUMENT_KEY, timeoutMicros);
     }
 
     /** Asks the tail for the entries whose keys start so. */
-    PendingCall read(final String at, final String keyPrefix, final long span) {
-        final long deadline = now() + span;
+    PendingCall read(final String at, final String keyPrefix, final long timeoutMicros) {
+        final long deadline = now() + timeoutMicros;
         return call(at, token -> clients.get(at).read(keyPrefix, token, now(), deadline));
     }
 
@@ -270,7 +272,7 @@
 
     /** Whether a configuration, or a later one, is synced on the disk of one machine. */
     boolean synced(final String address, final long number) {
-        return logs.newestNumber(address) >= number;
+        return logs.newestConfigurationNumber(address) >= number;
     }
 
     /** Runs a task of a machine at a time, or when it thaws after that. */
@@ -350,7 +352,7 @@
                 scheduler.schedule(now() + RECOVERY_RETRY_MICROS, () -> recover(address, replica));
                 return;
             }
-            write.records().forEach(record -> logs.sync(address, record));
+            write.records().forEach(record -> logs.addSynced(address, record));
             replica.onSynced(write.token(), now());
             performEffects(address, replica);
         });
--- a/core/src/test/java/silverlatch/replication/ReplicaFaultInjector.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaFaultInjector.java
@@ -20,7 +20,7 @@
     private final ReplicaCluster cluster;
     private final Random random;
     private final int minReplicas;
-    private Optional<String> lastTroubled = Optional.empty();
+    private Optional<String> lastAffected = Optional.empty();
     private int lostDisks;
     private long thawsAtMicros;
 
@@ -31,16 +31,16 @@
     }
 
     /** A machine that runs; every second time the one that was last cut off, slowed or frozen. */
-    String anyRunning() {
-        if (lastTroubled.filter(cluster.running()::contains).isPresent() && random.nextBoolean()) {
-            return lastTroubled.get();
+    String randomRunning() {
+        if (lastAffected.filter(cluster.running()::contains).isPresent() && random.nextBoolean()) {
+            return lastAffected.get();
         }
         final List<String> running = cluster.running().stream().sorted().toList();
         return running.get(random.nextInt(running.size()));
     }
 
     /** Draws a fault, a start, a healing of all links, or nothing. */
-    void step() {
+    void injectNext() {
         final String one = MACHINES.get(random.nextInt(MACHINES.size()));
         final String other = MACHINES.get(random.nextInt(MACHINES.size()));
         if (isChainComplete()) {
@@ -51,13 +51,13 @@
             case 2 -> killAndLoseDisk(one);
             case 3 -> cutLink(one, other);
             case 4 -> slowLinkToHead(one);
-            case 5 -> isolate(oneOrHead(one));
+            case 5 -> isolate(givenOrHead(one));
             case 6, 7, 14, 15, 17 -> heal();
-            case 8 -> cutPowerOfAll();
+            case 8 -> maybeCutPowerOfAll();
             case 9 -> killHead();
             case 10, 11, 12 -> startOneThatIsDown();
             case 13 -> partition();
-            case 16 -> freeze(oneOrHead(one));
+            case 16 -> freeze(givenOrHead(one));
             default -> {}
         }
     }
@@ -79,31 +79,35 @@
     }
 
     /** Whether no more than two machines are down or frozen after one more is. */
-    private boolean mayLoseOne() {
+    private boolean mayTakeDownAnother() {
         final int frozen = cluster.now() < thawsAtMicros ? 1 : 0;
         return cluster.running().size() - frozen > 4;
     }
 
     private Optional<String> head() {
-        return cluster.replica(anyRunning()).view().head().map(Replica::address).filter(cluster.running()::contains);
+        return cluster.replica(randomRunning())
+                .view()
+                .head()
+                .map(Replica::address)
+                .filter(cluster.running()::contains);
     }
 
-    private String oneOrHead(final String one) {
+    private String givenOrHead(final String one) {
         return random.nextBoolean() ? one : head().orElse(one);
     }
 
     private void kill(final String address) {
-        if (mayLoseOne()) {
+        if (mayTakeDownAnother()) {
             cluster.kill(address);
         }
     }
 
     private void killHead() {
-        head().filter(address -> mayLoseOne()).ifPresent(cluster::kill);
+        head().filter(address -> mayTakeDownAnother()).ifPresent(cluster::kill);
     }
 
     private void killAndLoseDisk(final String address) {
-        if (cluster.running().contains(address) && mayLoseOne() && lostDisks < minReplicas - 1) {
+        if (cluster.running().contains(address) && mayTakeDownAnother() && lostDisks < minReplicas - 1) {
             lostDisks++;
             cluster.kill(address);
             cluster.loseDisk(address);
@@ -111,8 +115,8 @@
     }
 
     private void freeze(final String address) {
-        if (cluster.running().contains(address) && cluster.now() >= thawsAtMicros && mayLoseOne()) {
-            lastTroubled = Optional.of(address);
+        if (cluster.running().contains(address) && cluster.now() >= thawsAtMicros && mayTakeDownAnother()) {
+            lastAffected = Optional.of(address);
             final long spanMicros = 200_000 + random.nextInt(20_000_000);
             thawsAtMicros = cluster.now() + spanMicros;
             cluster.freeze(address, spanMicros);
@@ -121,20 +125,22 @@
 
     private void cutLink(final String one, final String other) {
         if (!one.equals(other)) {
-            cluster.cut(one, other, true);
+            cluster.setCut(one, other, true);
         }
     }
 
     private void slowLinkToHead(final String address) {
         head().filter(head -> !head.equals(address)).ifPresent(head -> {
-            lastTroubled = Optional.of(address);
-            cluster.slow(address, head, SECOND + random.nextInt(9_000_000));
+            lastAffected = Optional.of(address);
+            cluster.setExtraDelay(address, head, SECOND + random.nextInt(9_000_000));
         });
     }
 
     private void isolate(final String address) {
-        lastTroubled = Optional.of(address);
-        MACHINES.stream().filter(other -> !other.equals(address)).forEach(other -> cluster.cut(address, other, true));
+        lastAffected = Optional.of(address);
+        MACHINES.stream()
+                .filter(other -> !other.equals(address))
+                .forEach(other -> cluster.setCut(address, other, true));
     }
 
     /** Two parts that don't hear each other. */
@@ -143,16 +149,16 @@
                 MACHINES.stream().filter(address -> random.nextBoolean()).collect(Collectors.toSet());
         part.forEach(address -> MACHINES.stream()
                 .filter(other -> !part.contains(other))
-                .forEach(other -> cluster.cut(address, other, true)));
+                .forEach(other -> cluster.setCut(address, other, true)));
     }
 
     private void heal() {
         cluster.heal();
-        lastTroubled = Optional.empty();
+        lastAffected = Optional.empty();
     }
 
     /** One time in four. */
-    private void cutPowerOfAll() {
+    private void maybeCutPowerOfAll() {
         if (random.nextInt(4) == 0) {
             List.copyOf(cluster.running()).forEach(cluster::kill);
             cluster.advance(random.nextInt(500_000));
--- a/core/src/test/java/silverlatch/replication/ReplicaParts.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaFixture.java
@@ -17,14 +17,14 @@
 import silverlatch.wire.Message;
 
 /** What tests of single parts of a replica share: replica 0 of three, its role, and the effects that its parts had. */
-final class ReplicaParts {
+final class ReplicaFixture {
     static final long START = 10_000_000;
     static final List<Replica> REPLICAS =
-            IntStream.range(0, 4).mapToObj(ReplicaParts::replica).toList();
+            IntStream.range(0, 4).mapToObj(ReplicaFixture::replica).toList();
     static final Replica SELF = REPLICAS.get(0);
     static final Replica SECOND = REPLICAS.get(1);
     static final Replica THIRD = REPLICAS.get(2);
-    static final Replica STRANGER = REPLICAS.get(3);
+    static final Replica NON_VOTER = REPLICAS.get(3);
 
     final ReplicaSettings settings;
     final ReplicaRole role;
@@ -33,9 +33,9 @@
     private final List<String> receivers = new ArrayList<>();
     private final List<LogRecord> written = new ArrayList<>();
     private final List<Event> logged = new ArrayList<>();
-    private final List<Long> tokens = new ArrayList<>();
+    private final List<Long> unsyncedTokens = new ArrayList<>();
 
-    ReplicaParts(final Safeguard... disabled) {
+    ReplicaFixture(final Safeguard... disabled) {
         settings = ReplicaSettings.of(SELF, List.of("address-0", "address-1", "address-2"))
                 .withSafeguards(new Safeguards(Set.of(disabled)));
         role = new ReplicaRole(settings);
@@ -58,16 +58,16 @@
     }
 
     /** The log of a replica with these parts. */
-    static ReplicaLog log(final ReplicaParts parts, final LongConsumer onAppended, final LongConsumer onCommitted) {
-        final GrantedLeases leases = new GrantedLeases(parts.settings, parts.role, parts.effects, START);
-        final ViewAcceptor acceptor = new ViewAcceptor(parts.settings, parts.role, leases, parts.effects);
-        final SnapshotWriter snapshots = new SnapshotWriter(parts.role, acceptor, parts.effects);
-        final StateMachine stateMachine = new StateMachine(parts.settings.safeguards());
-        return new ReplicaLog(snapshots, parts.effects, stateMachine, onAppended, onCommitted);
+    static ReplicaLog log(final ReplicaFixture fixture, final LongConsumer onAppended, final LongConsumer onCommitted) {
+        final GrantedLeases leases = new GrantedLeases(fixture.settings, fixture.role, fixture.effects, START);
+        final ViewAcceptor acceptor = new ViewAcceptor(fixture.settings, fixture.role, leases, fixture.effects);
+        final SnapshotWriter snapshots = new SnapshotWriter(fixture.role, acceptor, fixture.effects);
+        final StateMachine stateMachine = new StateMachine(fixture.settings.safeguards());
+        return new ReplicaLog(snapshots, fixture.effects, stateMachine, onAppended, onCommitted);
     }
 
     /** A part that stands in this view, which is on disk, as a member that has caught up, or outside of it. */
-    ReplicaParts in(final View view) {
+    ReplicaFixture withView(final View view) {
         role.install(view, true);
         role.markViewSynced(view.number());
         return this;
@@ -108,11 +108,11 @@
     }
 
     /** All that was written is synced at this time. */
-    void sync(final long now) {
+    void syncAll(final long now) {
         collect();
-        final List<Long> unsynced = List.copyOf(tokens);
-        tokens.clear();
-        unsynced.forEach(token -> effects.completeWrite(token, now));
+        final List<Long> tokens = List.copyOf(unsyncedTokens);
+        unsyncedTokens.clear();
+        tokens.forEach(token -> effects.completeWrite(token, now));
     }
 
     private void collect() {
@@ -122,7 +122,7 @@
                 receivers.add(send.to());
             } else if (effect instanceof Effect.Persist persist) {
                 written.addAll(persist.records());
-                tokens.add(persist.token());
+                unsyncedTokens.add(persist.token());
             } else if (effect instanceof Effect.Log log) {
                 logged.add(log.event());
             }
--- a/core/src/test/java/silverlatch/replication/ReplicaLogTest.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaLogTest.java
@@ -3,11 +3,11 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.instanceOf;
 import static org.hamcrest.Matchers.is;
-import static silverlatch.replication.ReplicaParts.SECOND;
-import static silverlatch.replication.ReplicaParts.SELF;
-import static silverlatch.replication.ReplicaParts.START;
-import static silverlatch.replication.ReplicaParts.entry;
-import static silverlatch.replication.ReplicaParts.view;
+import static silverlatch.replication.ReplicaFixture.SECOND;
+import static silverlatch.replication.ReplicaFixture.SELF;
+import static silverlatch.replication.ReplicaFixture.START;
+import static silverlatch.replication.ReplicaFixture.entry;
+import static silverlatch.replication.ReplicaFixture.view;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -20,10 +20,10 @@
 
 /** What is pending, synced and committed, and what syncs of a dropped generation change: nothing. */
 final class ReplicaLogTest {
-    private final ReplicaParts parts = new ReplicaParts().in(view(1, SELF, SECOND));
+    private final ReplicaFixture fixture = new ReplicaFixture().withView(view(1, SELF, SECOND));
     private final List<Long> appended = new ArrayList<>();
     private final List<Long> committed = new ArrayList<>();
-    private final ReplicaLog log = ReplicaParts.log(parts, appended::add, committed::add);
+    private final ReplicaLog log = ReplicaFixture.log(fixture, appended::add, committed::add);
 
     @Test
     void anEntryIsPendingUntilItIsCommittedAndCommittedOnlyOnceItIsSynced() {
@@ -32,7 +32,7 @@
         assertThat(log.syncedSequence(), is(0L));
         log.commit(2, START);
         assertThat("nothing is synced", committed, is(List.of()));
-        parts.sync(START + 5);
+        fixture.syncAll(START + 5);
         assertThat(appended, is(List.of(START + 5)));
         assertThat(log.hasSyncedPending(), is(true));
         log.commit(1, START + 6);
@@ -43,7 +43,7 @@
         log.commit(9, START + 7);
         assertThat(committed, is(List.of(1L, 2L)));
         assertThat(log.pendingCount(), is(0));
-        assertThat(parts.logged(), is(List.of(Event.CHANGED, Event.CHANGED)));
+        assertThat(fixture.logged(), is(List.of(Event.CHANGED, Event.CHANGED)));
     }
 
     @Test
@@ -52,7 +52,7 @@
         log.dropPending();
         log.append(List.of(entry(1)), START);
         log.dropPending();
-        parts.sync(START + 5);
+        fixture.syncAll(START + 5);
         assertThat(appended, is(List.of()));
         assertThat(log.syncedSequence(), is(0L));
         assertThat(log.lastSequence(), is(0L));
@@ -62,7 +62,7 @@
     @Test
     void recentEntriesAreKeptForASuccessorThatLacksThem() {
         log.append(List.of(entry(1), entry(2), entry(3)), START);
-        parts.sync(START);
+        fixture.syncAll(START);
         log.commit(2, START);
         assertThat(log.entriesSince(0).map(LogEntry::sequence).toList(), is(List.of(1L, 2L, 3L)));
         assertThat(log.entriesSince(2).map(LogEntry::sequence).toList(), is(List.of(3L)));
@@ -73,13 +73,13 @@
         assertThat(log.hasPendingPolicy(), is(false));
         log.append(List.of(entry(1)), START);
         assertThat(log.hasPendingPolicy(), is(true));
-        parts.sync(START);
+        fixture.syncAll(START);
         log.commit(1, START);
         assertThat(log.hasPendingPolicy(), is(false));
     }
 
     @Test
-    void aRepairReplacesTheStateAndKeepsWhatTheSourceHasPending() {
+    void aRepairReplacesTheStateAndAddsThePendingEntriesOfTheSource() {
         final StateMachine source = new StateMachine();
         source.apply(1, entry(1).puts());
         log.append(List.of(entry(1)), START);
@@ -92,8 +92,8 @@
         assertThat(log.committedSequence(), is(1L));
         assertThat(log.lastSequence(), is(2L));
         assertThat("the old entry's sync and the snapshot's", log.syncedSequence(), is(0L));
-        assertThat(parts.written().get(1), instanceOf(LogRecord.Snapshot.class));
-        parts.sync(START + 9);
+        assertThat(fixture.written().get(1), instanceOf(LogRecord.Snapshot.class));
+        fixture.syncAll(START + 9);
         assertThat(repaired, is(List.of(START + 9)));
         assertThat(appended, is(List.of()));
         assertThat(log.syncedSequence(), is(2L));
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aRestartTakesOverTheSnapshotAndTheEntriesThatFollow() {
+    void aRestartRestoresTheSnapshotAndTheConsecutiveEntriesAfterIt() {
         log.replay(new LogRecord.Snapshot(4, view(1, SELF, SECOND), true, 0, 0, List.of(), 40, entry(4).puts()));
         log.replay(new LogRecord.Appended(entry(5)));
         log.replay(new LogRecord.Appended(entry(7)));
@@ -113,19 +113,20 @@
     }
 
     @Test
-    void aSnapshotIsWrittenOnceEnoughWasCommitted() {
+    void aSnapshotIsWrittenOnceEnoughEntriesAreCommitted() {
         for (long sequence = 1; sequence <= 10_001; sequence++) {
             log.append(List.of(entry(sequence)), START);
         }
-        parts.sync(START);
-        parts.written();
+        fixture.syncAll(START);
+        fixture.written();
         log.commit(10_000, START);
-        assertThat(parts.written(), is(List.of()));
+        assertThat(fixture.written(), is(List.of()));
         log.commit(10_001, START);
-        final LogRecord.Snapshot snapshot = (LogRecord.Snapshot) parts.written().get(0);
+        final LogRecord.Snapshot snapshot =
+                (LogRecord.Snapshot) fixture.written().get(0);
         assertThat(snapshot.sequence(), is(10_001L));
-        parts.logged();
-        parts.sync(START);
-        assertThat("logged once it is synced", parts.logged(), is(List.of(Event.PICTURE)));
+        fixture.logged();
+        fixture.syncAll(START);
+        assertThat("logged once it is synced", fixture.logged(), is(List.of(Event.PICTURE)));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ReplicaRoleTest.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaRoleTest.java
@@ -2,10 +2,10 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
-import static silverlatch.replication.ReplicaParts.SECOND;
-import static silverlatch.replication.ReplicaParts.SELF;
-import static silverlatch.replication.ReplicaParts.THIRD;
-import static silverlatch.replication.ReplicaParts.view;
+import static silverlatch.replication.ReplicaFixture.SECOND;
+import static silverlatch.replication.ReplicaFixture.SELF;
+import static silverlatch.replication.ReplicaFixture.THIRD;
+import static silverlatch.replication.ReplicaFixture.view;
 
 import java.util.List;
 import java.util.Optional;
@@ -14,7 +14,7 @@
 import silverlatch.safeguard.Safeguard;
 
 final class ReplicaRoleTest {
-    private final ReplicaRole role = new ReplicaParts().role;
+    private final ReplicaRole role = new ReplicaFixture().role;
 
     @Test
     void onlyALaterViewOfTheSameClusterMayBeInstalled() {
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aFounderHasCaughtUpAndStaysSoWhileItIsInTheChain() {
+    void aMemberOfTheInitialViewIsCaughtUpWhileItStaysInTheChain() {
         role.install(view(1, SELF, SECOND), true);
         assertThat(role.isActive(), is(true));
         role.install(view(2, SELF), false);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void aStandbyThatMissedAViewHoldsNothingForSure() {
+    void aReplicaThatMissedAViewIsNotAStandby() {
         role.install(view(1, SELF, SECOND), true);
         role.install(view(2, SECOND), false);
         role.install(view(4, THIRD), false);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void aStandbyHoldsEverythingAsTheOnlyMemberOfTheVeryNextView() {
+    void aStandbyIsCaughtUpAsTheOnlyMemberOfTheNextView() {
         role.install(view(1, SELF, SECOND), true);
         role.install(view(2, SECOND), false);
         role.install(view(3, SELF), false);
@@ -76,18 +76,18 @@
         role.install(view(1, SECOND), false);
         role.markRepaired();
         assertThat(role.isStandby(), is(true));
-        final ReplicaRole full = new ReplicaParts().role;
+        final ReplicaRole full = new ReplicaFixture().role;
         full.install(view(1, SECOND, THIRD), false);
         full.markRepaired();
         assertThat("this chain goes on acknowledging", full.isCaughtUp(), is(false));
-        final ReplicaRole member = new ReplicaParts().role;
+        final ReplicaRole member = new ReplicaFixture().role;
         member.install(view(1, SECOND, SELF), false);
         member.markRepaired();
         assertThat("a member catches up with its predecessor", member.isCaughtUp(), is(false));
     }
 
     @Test
-    void aViewIsOnDiskOnceItsOwnRecordIsSynced() {
+    void aViewIsSyncedOnceItsOwnRecordIsSynced() {
         role.install(view(1, SELF, SECOND), true);
         assertThat(role.isViewSynced(), is(false));
         role.install(view(2, SELF, SECOND), false);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void thePlaceInTheChainDecidesWhoComesBeforeAndAfter() {
+    void thePositionInTheChainDeterminesPredecessorAndSuccessor() {
         role.install(view(1, SECOND, SELF, THIRD), true);
         assertThat(role.predecessor(), is(Optional.of(SECOND)));
         assertThat(role.successor(), is(Optional.of(THIRD)));
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void anOutdatedLogEndsWithTheNextView() {
+    void anOutdatedLogIsFencedUntilTheNextView() {
         role.install(view(1, SELF, SECOND), true);
         role.fenceOutdatedLog();
         assertThat(role.isLogOutdated(), is(true));
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void aFailedDiskOutlastsViews() {
+    void aDiskFailureSurvivesViewChanges() {
         role.install(view(1, SELF, SECOND), true);
         role.markDiskFailed();
         role.install(view(2, SELF, SECOND), false);
@@ -135,18 +135,18 @@
         role.replay(new LogRecord.ViewInstalled(view(2, SECOND), false));
         role.finishReplay();
         assertThat(role.state(), is(ReplicaState.OUTSIDE_CHAIN));
-        final ReplicaRole empty = new ReplicaParts().role;
+        final ReplicaRole empty = new ReplicaFixture().role;
         empty.finishReplay();
         assertThat(empty.state(), is(ReplicaState.EMPTY));
     }
 
     @Test
-    void safeguardsHoldBackAcknowledgementsOfAShortChainAndMessagesOfOtherViews() {
+    void safeguardsBlockAcknowledgementsOfAShortChainAndMessagesOfOtherViews() {
         role.install(view(5, SELF), true);
         assertThat(role.hasRequiredCopies(), is(false));
         assertThat(role.isFenced(4), is(true));
         assertThat(role.isFenced(5), is(false));
-        final ReplicaRole unguarded = new ReplicaParts(Safeguard.COPIES, Safeguard.FENCE).role;
+        final ReplicaRole unguarded = new ReplicaFixture(Safeguard.COPIES, Safeguard.FENCE).role;
         unguarded.install(view(5, SELF), true);
         assertThat(unguarded.hasRequiredCopies(), is(true));
         assertThat(unguarded.isFenced(4), is(false));
--- a/core/src/test/java/silverlatch/replication/ReplicaStateTest.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaStateTest.java
@@ -30,7 +30,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void aDiskFailureEndsEveryState(final ReplicaState before) {
+    void aDiskFailureOverridesEveryState(final ReplicaState before) {
         assertThat(before.afterDiskFailure(), is(ReplicaState.DISK_FAILED));
     }
 
--- a/core/src/test/java/silverlatch/replication/ReplicationWindowTest.java
+++ b/core/src/test/java/silverlatch/replication/ReplicationWindowTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void oneLargeEntryOrSeveralSmallOnesAreUnderWay() {
+    void oneLargeEntryOrSeveralSmallOnesMayBeInFlight() {
         window.reset(0, 0);
         assertThat(window.admits(entry(1, 400_000)), is(true));
         window.add(entry(1, 400_000));
@@ -42,13 +42,13 @@
     }
 
     @Test
-    void whatMakesNoProgressIsSentAgainAtDoublingPauses() {
+    void theRetryBackoffDoublesWithoutProgress() {
         window.reset(0, 0);
         long now = 0;
-        for (final long pause : new long[] {600_000, 1_200_000, 2_400_000, 4_800_000, 4_800_000}) {
-            assertThat(window.isRetryDue(now + pause - 1), is(false));
-            assertThat(window.isRetryDue(now + pause), is(true));
-            now += pause;
+        for (final long backoff : new long[] {600_000, 1_200_000, 2_400_000, 4_800_000, 4_800_000}) {
+            assertThat(window.isRetryDue(now + backoff - 1), is(false));
+            assertThat(window.isRetryDue(now + backoff), is(true));
+            now += backoff;
             window.restart(0, now);
         }
         window.add(entry(1, 10));
--- a/core/src/test/java/silverlatch/replication/ShortChainTest.java
+++ b/core/src/test/java/silverlatch/replication/ShortChainTest.java
@@ -22,8 +22,8 @@
     static Stream<Arguments> spans() {
         return LongStream.of(0, 60, 120, 180, 240)
                 .boxed()
-                .flatMap(lag -> LongStream.iterate(600, apart -> apart <= 780, apart -> apart + 20)
-                        .mapToObj(apart -> Arguments.of(lag, apart)));
+                .flatMap(lag -> LongStream.iterate(600, separated -> separated <= 780, separated -> separated + 20)
+                        .mapToObj(separated -> Arguments.of(lag, separated)));
     }
 
     /**
@@ -33,7 +33,7 @@
      */
     @ParameterizedTest
     @MethodSource("spans")
-    void aMemberThatPromisesStaysInTheChain(final long lag, final long apart) {
+    void aMemberThatPromisesStaysInTheChain(final long lag, final long separated) {
         final ReplicaCluster cluster = new ReplicaCluster(SEEDS, MILLISECOND, s -> s.withCounts(COPIES, 3));
         SEEDS.forEach(s -> cluster.start(s, true));
         cluster.advance(3 * SECOND);
@@ -41,14 +41,14 @@
         cluster.advance(SECOND);
         assertThat("the first put" + cluster, first.isAcknowledged(), is(true));
 
-        cluster.cut("a", "b", true);
-        cluster.cut("a", "c", true);
+        cluster.setCut("a", "b", true);
+        cluster.setCut("a", "c", true);
         cluster.advance(lag * MILLISECOND);
-        cluster.cut("b", "c", true);
-        final long before = cluster.replica("b").view().number();
-        cluster.advance(apart * MILLISECOND);
-        cluster.cut("b", "c", false);
-        cluster.advanceUntil(5 * SECOND, () -> cluster.replica("b").view().number() > before);
+        cluster.setCut("b", "c", true);
+        final long previousNumber = cluster.replica("b").view().number();
+        cluster.advance(separated * MILLISECOND);
+        cluster.setCut("b", "c", false);
+        cluster.advanceUntil(5 * SECOND, () -> cluster.replica("b").view().number() > previousNumber);
         assertThat(
                 "the chain after the loss of a" + cluster,
                 cluster.replica("b").view().chain().size(),
--- a/core/src/test/java/silverlatch/replication/SimulatedDisk.java
+++ b/core/src/test/java/silverlatch/replication/SimulatedDisk.java
@@ -81,7 +81,7 @@
     }
 
     /** Hangs until a time. */
-    void stall(final long until) {
+    void stallUntil(final long until) {
         stalledUntil = until;
     }
 }
--- a/core/src/test/java/silverlatch/replication/SimulatedLinks.java
+++ b/core/src/test/java/silverlatch/replication/SimulatedLinks.java
@@ -39,7 +39,7 @@
     }
 
     /** Nothing goes between two machines, or all does again. */
-    void cut(final String one, final String other, final boolean isCut) {
+    void setCut(final String one, final String other, final boolean isCut) {
         final Set<String> link = Set.of(one, other);
         if (isCut) {
             cutLinks.add(link);
@@ -49,7 +49,7 @@
     }
 
     /** What is sent between two machines from now on comes later by so much. */
-    void slow(final String one, final String other, final long extraMicros) {
+    void setExtraDelay(final String one, final String other, final long extraMicros) {
         extraDelays.put(Set.of(one, other), extraMicros);
     }
 
@@ -60,8 +60,8 @@
     }
 
     /** Drops what is queued at a machine whose power ends. */
-    void drop(final String address) {
-        bandwidthLinks.ifPresent(links -> links.drop(address));
+    void dropQueued(final String address) {
+        bandwidthLinks.ifPresent(links -> links.dropQueued(address));
     }
 
     /** Runs a task when the message has come to its receiver. */
--- a/core/src/test/java/silverlatch/replication/SimulatedLogs.java
+++ b/core/src/test/java/silverlatch/replication/SimulatedLogs.java
@@ -16,7 +16,7 @@
 /** The logs on the machines' disks, by address: what is synced, under which identity, and how long a sync takes. */
 final class SimulatedLogs {
     private final Map<String, List<LogRecord>> records = new TreeMap<>();
-    private final Map<String, Long> newestNumbers = new HashMap<>();
+    private final Map<String, Long> newestConfigurationNumbers = new HashMap<>();
     private final Map<String, String> identities = new HashMap<>();
     private final Map<String, SimulatedDisk> simulatedDisks = new HashMap<>();
     private Optional<Supplier<SimulatedDisk>> diskModel = Optional.empty();
@@ -40,9 +40,9 @@
     }
 
     /** Loses a machine's disk, with its log and identity. */
-    void lose(final String address) {
+    void loseDisk(final String address) {
         records.remove(address);
-        newestNumbers.remove(address);
+        newestConfigurationNumbers.remove(address);
         simulatedDisks.remove(address);
         identities.remove(address);
     }
@@ -68,22 +68,23 @@
     }
 
     /** Adds a record to what is synced; a snapshot replaces all before it. */
-    void sync(final String address, final LogRecord record) {
+    void addSynced(final String address, final LogRecord record) {
         if (record instanceof LogRecord.Snapshot snapshot) {
             records.get(address).clear();
-            newestNumbers.put(address, newestNumber(snapshot.entries()));
+            newestConfigurationNumbers.put(address, newestConfigurationNumber(snapshot.entries()));
         } else if (record instanceof LogRecord.Appended appended) {
-            newestNumbers.merge(address, newestNumber(appended.entry().puts()), Math::max);
+            newestConfigurationNumbers.merge(
+                    address, newestConfigurationNumber(appended.entry().puts()), Math::max);
         }
         records.get(address).add(record);
     }
 
     /** The number of the newest configuration that is synced, or 0. */
-    long newestNumber(final String address) {
-        return newestNumbers.getOrDefault(address, 0L);
+    long newestConfigurationNumber(final String address) {
+        return newestConfigurationNumbers.getOrDefault(address, 0L);
     }
 
-    private static long newestNumber(final List<Entry> entries) {
+    private static long newestConfigurationNumber(final List<Entry> entries) {
         return entries.stream()
                 .filter(entry -> entry.key().equals(ConfigurationValidator.CONFIGURATION_KEY))
                 .map(entry -> (Value.RoutingConfiguration) entry.value().get(0))
--- a/core/src/test/java/silverlatch/replication/SimulatedScheduler.java
+++ b/core/src/test/java/silverlatch/replication/SimulatedScheduler.java
@@ -21,13 +21,13 @@
     }
 
     /** A number that is given once. */
-    long nextOrder() {
+    long nextUniqueNumber() {
         return lastOrder++;
     }
 
     /** Runs a task at a time. */
     void schedule(final long atMicros, final Runnable task) {
-        queue.add(new ScheduledTask(atMicros, nextOrder(), task));
+        queue.add(new ScheduledTask(atMicros, nextUniqueNumber(), task));
     }
 
     /** Passes time and runs what is due meanwhile. */
--- a/core/src/test/java/silverlatch/replication/SingletonTenureTest.java
+++ b/core/src/test/java/silverlatch/replication/SingletonTenureTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void aMissingViewNumberMayHaveHadAnotherOwner() {
+    void aSkippedViewNumberRestartsTheTenure() {
         observe(5, 0);
         assertThat(observe(7, TENURE), is(true));
         assertThat(tenure.mayAct(7, 2 * TENURE - 1), is(false));
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void viewsInARowOfOneOwnerLeaveNoRoomForAnother() {
+    void consecutiveViewsOfOneOwnerContinueTheTenure() {
         observe(5, 0);
         assertThat(observe(6, 100), is(false));
         assertThat(observe(7, 200), is(false));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aLeaseThatLapsesAndComesBackForTheSameViewDelaysNothing() {
+    void aLeaseRegainedUnderTheSameViewContinuesTheTenure() {
         observe(5, 0);
         tenure.observe(Optional.empty(), 1_000_000);
         assertThat(observe(5, 30_000_000), is(false));
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void nobodyActsUnderATokenThatWasNotObservedLast() {
+    void onlyTheLastObservedTokenMayAct() {
         observe(5, 0);
         observe(6, TENURE);
         assertThat(tenure.mayAct(5, TENURE), is(false));
--- a/core/src/test/java/silverlatch/replication/SixReplicas.java
+++ b/core/src/test/java/silverlatch/replication/SixReplicas.java
@@ -20,7 +20,7 @@
     private SixReplicas() {}
 
     /** Six machines that all vote, three of them seeds. */
-    static ReplicaCluster six(final int minReplicas) {
+    static ReplicaCluster startSix(final int minReplicas) {
         final ReplicaCluster cluster = new ReplicaCluster(
                 SEEDS, LINK_DELAY_MICROS, settings -> settings.withCounts(minReplicas, ADDRESSES.size()));
         ADDRESSES.forEach(address -> cluster.start(address, true));
@@ -54,7 +54,7 @@
     static void put(final ReplicaCluster cluster, final String at, final long number, final long match) {
         final PendingCall call = cluster.putConfiguration(at, number, match, 6 * SECOND);
         cluster.advanceUntil(7 * SECOND, () -> call.latency() > 0);
-        assertThat(number + " by " + at + ": " + call.reply(), call.isAcknowledged(), is(true));
+        assertThat(number + " by " + at + ": " + call.answerOrThrow(), call.isAcknowledged(), is(true));
     }
 
     /** Fails unless each machine that runs reads the configuration of this number. */
@@ -62,7 +62,7 @@
         cluster.running().forEach(address -> {
             final PendingCall call = cluster.read(address, 3 * SECOND);
             cluster.advanceUntil(4 * SECOND, () -> call.latency() > 0);
-            final ChainClient.ReadResult result = (ChainClient.ReadResult) call.reply();
+            final ChainClient.ReadResult result = (ChainClient.ReadResult) call.answerOrThrow();
             assertThat(address + " tells it" + cluster, result.answered(), is(true));
             assertThat(
                     address,
@@ -83,6 +83,6 @@
     static Object read(final ReplicaCluster cluster, final String at) {
         final PendingCall call = cluster.read(at, SECOND);
         cluster.advanceUntil(2 * SECOND, () -> call.latency() > 0);
-        return call.reply();
+        return call.answerOrThrow();
     }
 }
--- a/core/src/test/java/silverlatch/replication/SuccessorLinkTest.java
+++ b/core/src/test/java/silverlatch/replication/SuccessorLinkTest.java
@@ -5,12 +5,12 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.lessThan;
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
-import static silverlatch.replication.ReplicaParts.SECOND;
-import static silverlatch.replication.ReplicaParts.SELF;
-import static silverlatch.replication.ReplicaParts.START;
-import static silverlatch.replication.ReplicaParts.STRANGER;
-import static silverlatch.replication.ReplicaParts.entry;
-import static silverlatch.replication.ReplicaParts.view;
+import static silverlatch.replication.ReplicaFixture.NON_VOTER;
+import static silverlatch.replication.ReplicaFixture.SECOND;
+import static silverlatch.replication.ReplicaFixture.SELF;
+import static silverlatch.replication.ReplicaFixture.START;
+import static silverlatch.replication.ReplicaFixture.entry;
+import static silverlatch.replication.ReplicaFixture.view;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -24,9 +24,9 @@
 
 final class SuccessorLinkTest {
     private static final long BACKOFF = 600_000;
-    private final ReplicaParts parts = new ReplicaParts().in(view(2, SELF, SECOND));
-    private final ReplicaLog log = ReplicaParts.log(parts, syncedAt -> {}, sequence -> {});
-    private final SuccessorLink link = new SuccessorLink(parts.role, log, parts.effects);
+    private final ReplicaFixture fixture = new ReplicaFixture().withView(view(2, SELF, SECOND));
+    private final ReplicaLog log = ReplicaFixture.log(fixture, syncedAt -> {}, sequence -> {});
+    private final SuccessorLink link = new SuccessorLink(fixture.role, log, fixture.effects);
 
     private void append(final long... sequences) {
         for (final long sequence : sequences) {
@@ -39,47 +39,47 @@
         link.reset(0, START);
         append(1, 2);
         link.sendEntries();
-        assertThat("nothing is synced", parts.sent(), is(List.of()));
-        parts.sync(START);
+        assertThat("nothing is synced", fixture.sent(), is(List.of()));
+        fixture.syncAll(START);
         link.sendEntries();
         link.sendEntries();
-        assertThat(parts.sent(), is(List.of(new ReplicationMessage.Replicate(2, List.of(entry(1), entry(2))))));
+        assertThat(fixture.sent(), is(List.of(new ReplicationMessage.Replicate(2, List.of(entry(1), entry(2))))));
     }
 
     @Test
     void theTailSendsNothing() {
-        parts.in(view(3, SECOND, SELF));
+        fixture.withView(view(3, SECOND, SELF));
         link.reset(0, START);
         append(1);
-        parts.sync(START);
+        fixture.syncAll(START);
         link.sendEntries();
         link.retry(START + BACKOFF);
-        assertThat(parts.sent(), is(List.of()));
+        assertThat(fixture.sent(), is(List.of()));
     }
 
     @Test
-    void theTargetIsToldOnlyOnceTheViewIsOnDisk() {
-        parts.role.install(view(3, SELF, SECOND), false);
+    void theCatchUpTargetIsSentOnlyOnceTheViewIsSynced() {
+        fixture.role.install(view(3, SELF, SECOND), false);
         link.retry(START + BACKOFF);
         link.handleFetchEntries(new ReplicationMessage.FetchEntries(3, SECOND.id(), 0), SECOND.address(), START);
-        assertThat(parts.sent(), is(List.of()));
-        parts.role.markViewSynced(3);
+        assertThat(fixture.sent(), is(List.of()));
+        fixture.role.markViewSynced(3);
         link.retry(START + 2 * BACKOFF);
-        assertThat(parts.sent(), is(List.of(new ReplicationMessage.CatchUpTarget(3, 0))));
+        assertThat(fixture.sent(), is(List.of(new ReplicationMessage.CatchUpTarget(3, 0))));
     }
 
     @Test
-    void whatIsNotAcknowledgedIsSentAgainAfterTheBackoff() {
+    void unacknowledgedEntriesAreResentAfterTheBackoff() {
         link.reset(0, START);
         append(1);
-        parts.sync(START);
+        fixture.syncAll(START);
         link.sendEntries();
-        parts.sent();
+        fixture.sent();
         link.retry(START + BACKOFF - 1);
-        assertThat(parts.sent(), is(List.of(new ReplicationMessage.CatchUpTarget(2, 1))));
+        assertThat(fixture.sent(), is(List.of(new ReplicationMessage.CatchUpTarget(2, 1))));
         link.retry(START + BACKOFF);
         assertThat(
-                parts.sent(),
+                fixture.sent(),
                 is(List.of(
                         new ReplicationMessage.CatchUpTarget(2, 1),
                         new ReplicationMessage.Replicate(2, List.of(entry(1))))));
@@ -88,48 +88,48 @@
     @Test
     void aSuccessorThatLacksEntriesIsSentCommittedOnesToo() {
         append(1, 2, 3);
-        parts.sync(START);
+        fixture.syncAll(START);
         log.commit(2, START);
         link.reset(2, START);
-        parts.sent();
+        fixture.sent();
         link.handleFetchEntries(new ReplicationMessage.FetchEntries(2, SECOND.id(), 0), SECOND.address(), START);
         assertThat(
-                parts.sent(),
+                fixture.sent(),
                 is(List.of(
                         new ReplicationMessage.CatchUpTarget(2, 3),
                         new ReplicationMessage.Replicate(2, List.of(entry(1), entry(2), entry(3))))));
         link.handleFetchEntries(new ReplicationMessage.FetchEntries(1, SECOND.id(), 0), SECOND.address(), START);
-        assertThat("another view", parts.sent(), is(List.of()));
+        assertThat("another view", fixture.sent(), is(List.of()));
     }
 
     @Test
-    void anAcknowledgementMakesRoomInTheWindow() {
+    void anAcknowledgementLetsTheNextEntryIntoTheWindow() {
         final int largeEntries = 3;
         link.reset(0, START);
         for (long sequence = 1; sequence <= largeEntries; sequence++) {
             log.append(List.of(large(sequence)), START);
         }
-        parts.sync(START);
+        fixture.syncAll(START);
         link.sendEntries();
-        assertThat(parts.sent(), is(List.of(new ReplicationMessage.Replicate(2, List.of(large(1))))));
-        link.handleReplicateAck(new ReplicationMessage.ReplicateAck(2, STRANGER.id(), 1), START);
+        assertThat(fixture.sent(), is(List.of(new ReplicationMessage.Replicate(2, List.of(large(1))))));
+        link.handleReplicateAck(new ReplicationMessage.ReplicateAck(2, NON_VOTER.id(), 1), START);
         link.handleReplicateAck(new ReplicationMessage.ReplicateAck(1, SECOND.id(), 1), START);
-        assertThat("of another replica, and of another view", parts.sent(), is(List.of()));
+        assertThat("of another replica, and of another view", fixture.sent(), is(List.of()));
         link.handleReplicateAck(new ReplicationMessage.ReplicateAck(2, SECOND.id(), 1), START);
-        assertThat(parts.sent(), is(List.of(new ReplicationMessage.Replicate(2, List.of(large(2))))));
+        assertThat(fixture.sent(), is(List.of(new ReplicationMessage.Replicate(2, List.of(large(2))))));
     }
 
     @Test
-    void anEntryOfTheLargestSizeGoesInAFrameOfItsOwn() {
+    void anEntryOfTheMaximumSizeIsSentInItsOwnFrame() {
         link.reset(0, START);
         log.append(List.of(entry(1)), START);
         log.append(List.of(entry(2)), START);
         log.append(List.of(withDocument(3, ConfigurationValidator.MAX_DOCUMENT_BYTES)), START);
-        parts.sync(START);
+        fixture.syncAll(START);
         link.sendEntries();
-        assertThat(parts.sent(), is(List.of(new ReplicationMessage.Replicate(2, List.of(entry(1), entry(2))))));
+        assertThat(fixture.sent(), is(List.of(new ReplicationMessage.Replicate(2, List.of(entry(1), entry(2))))));
         link.handleReplicateAck(new ReplicationMessage.ReplicateAck(2, SECOND.id(), 2), START);
-        final Message large = parts.sent().get(0);
+        final Message large = fixture.sent().get(0);
         assertThat(((ReplicationMessage.Replicate) large).entries().size(), is(1));
         assertThat(new Codec().encode(large).length, lessThan(Codec.MAX_BYTES));
     }
@@ -141,10 +141,10 @@
         for (long sequence = 1; sequence <= count; sequence++) {
             append(sequence);
         }
-        parts.sync(START);
+        fixture.syncAll(START);
         link.sendEntries();
         final List<LogEntry> batch =
-                ((ReplicationMessage.Replicate) parts.sent().get(0)).entries();
+                ((ReplicationMessage.Replicate) fixture.sent().get(0)).entries();
         final long bytes = batch.stream().mapToLong(LogEntry::estimatedBytes).sum();
         assertThat(bytes, lessThanOrEqualTo(ReplicationWindow.LIMIT_BYTES));
         assertThat(bytes + entry(1).estimatedBytes(), greaterThan(ReplicationWindow.LIMIT_BYTES));
--- a/core/src/test/java/silverlatch/replication/ViewAcceptorTest.java
+++ b/core/src/test/java/silverlatch/replication/ViewAcceptorTest.java
@@ -2,11 +2,11 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
-import static silverlatch.replication.ReplicaParts.SECOND;
-import static silverlatch.replication.ReplicaParts.SELF;
-import static silverlatch.replication.ReplicaParts.START;
-import static silverlatch.replication.ReplicaParts.THIRD;
-import static silverlatch.replication.ReplicaParts.view;
+import static silverlatch.replication.ReplicaFixture.SECOND;
+import static silverlatch.replication.ReplicaFixture.SELF;
+import static silverlatch.replication.ReplicaFixture.START;
+import static silverlatch.replication.ReplicaFixture.THIRD;
+import static silverlatch.replication.ReplicaFixture.view;
 
 import java.util.List;
 import java.util.Optional;
@@ -18,9 +18,10 @@
 final class ViewAcceptorTest {
     private static final long LEASE = 600_000;
     private static final View NEXT = view(2, SELF, SECOND);
-    private final ReplicaParts parts = new ReplicaParts().in(view(1, SELF, SECOND, THIRD));
-    private final GrantedLeases leases = new GrantedLeases(parts.settings, parts.role, parts.effects, START - LEASE);
-    private final ViewAcceptor acceptor = new ViewAcceptor(parts.settings, parts.role, leases, parts.effects);
+    private final ReplicaFixture fixture = new ReplicaFixture().withView(view(1, SELF, SECOND, THIRD));
+    private final GrantedLeases leases =
+            new GrantedLeases(fixture.settings, fixture.role, fixture.effects, START - LEASE);
+    private final ViewAcceptor acceptor = new ViewAcceptor(fixture.settings, fixture.role, leases, fixture.effects);
 
     private boolean prepare(final long number, final long ballot) {
         return acceptor.handlePrepare(new ReplicationMessage.Prepare(number, ballot), "proposer", START);
@@ -33,76 +34,76 @@
     @Test
     void aPromiseIsSyncedBeforeItIsSent() {
         assertThat(prepare(2, 256), is(true));
-        assertThat(parts.sent(), is(List.of()));
-        assertThat(parts.written(), is(List.of(new LogRecord.Promised(2, 256))));
-        parts.sync(START);
-        assertThat(parts.sent(), is(List.of(new ReplicationMessage.Promise(2, 256, SELF.id(), 0, List.of()))));
+        assertThat(fixture.sent(), is(List.of()));
+        assertThat(fixture.written(), is(List.of(new LogRecord.Promised(2, 256))));
+        fixture.syncAll(START);
+        assertThat(fixture.sent(), is(List.of(new ReplicationMessage.Promise(2, 256, SELF.id(), 0, List.of()))));
     }
 
     @Test
     void aLowerBallotIsPreemptedAndTheSameOneIsNotPromisedTwice() {
         prepare(2, 512);
-        parts.sync(START);
-        parts.sent();
+        fixture.syncAll(START);
+        fixture.sent();
         assertThat(prepare(2, 256), is(false));
         assertThat(prepare(2, 512), is(false));
         accept(2, 256, NEXT);
         assertThat(
-                parts.sent(),
+                fixture.sent(),
                 is(List.of(new ReplicationMessage.Preempted(2, 512), new ReplicationMessage.Preempted(2, 512))));
         assertThat(acceptor.acceptedView(), is(Optional.empty()));
     }
 
     @Test
-    void aNumberThatWasDecidedIsAnsweredWithTheView() {
+    void aPrepareRequestForADecidedNumberIsAnsweredWithTheInstalledView() {
         assertThat(prepare(1, 256), is(false));
-        assertThat(parts.sent(), is(List.of(new ReplicationMessage.ViewDecided(parts.role.view()))));
+        assertThat(fixture.sent(), is(List.of(new ReplicationMessage.ViewDecided(fixture.role.view()))));
         assertThat("a number further on", prepare(3, 256), is(false));
         accept(3, 256, NEXT);
-        assertThat(parts.sent(), is(List.of()));
-        assertThat(parts.written(), is(List.of()));
+        assertThat(fixture.sent(), is(List.of()));
+        assertThat(fixture.written(), is(List.of()));
     }
 
     @Test
     void anAcceptanceIsReportedToLaterProposers() {
         accept(2, 256, NEXT);
-        parts.sync(START);
-        parts.sent();
+        fixture.syncAll(START);
+        fixture.sent();
         prepare(2, 512);
-        parts.sync(START);
-        assertThat(parts.sent(), is(List.of(new ReplicationMessage.Promise(2, 512, SELF.id(), 256, List.of(NEXT)))));
+        fixture.syncAll(START);
+        assertThat(fixture.sent(), is(List.of(new ReplicationMessage.Promise(2, 512, SELF.id(), 256, List.of(NEXT)))));
     }
 
     @Test
-    void anAcceptanceWaitsUntilTheLeasesOfThoseThatGoHaveRunOut() {
+    void anAcceptanceIsDelayedUntilTheLeasesOfRemovedMembersHaveExpired() {
         leases.grant(new ReplicationMessage.LeaseRequest(1, 0, THIRD, true, true), 0, START);
-        parts.sent();
+        fixture.sent();
         accept(2, 256, NEXT);
-        parts.sync(START);
+        fixture.syncAll(START);
         acceptor.sendDelayed(START + LEASE - 1);
-        assertThat(parts.sent(), is(List.of()));
+        assertThat(fixture.sent(), is(List.of()));
         acceptor.sendDelayed(START + LEASE);
         acceptor.sendDelayed(START + LEASE + 1);
-        assertThat("once", parts.sent(), is(List.of(new ReplicationMessage.Accepted(2, 256, SELF.id()))));
+        assertThat("once", fixture.sent(), is(List.of(new ReplicationMessage.Accepted(2, 256, SELF.id()))));
     }
 
     @Test
     void aDelayedAcceptanceIsNotSentUnderALaterView() {
         leases.grant(new ReplicationMessage.LeaseRequest(1, 0, THIRD, true, true), 0, START);
-        parts.sent();
+        fixture.sent();
         accept(2, 256, NEXT);
-        parts.sync(START);
-        parts.in(NEXT);
+        fixture.syncAll(START);
+        fixture.withView(NEXT);
         acceptor.sendDelayed(START + 2 * LEASE);
         assertThat(
-                parts.sent().stream()
+                fixture.sent().stream()
                         .filter(ReplicationMessage.Accepted.class::isInstance)
                         .toList(),
                 is(List.of()));
     }
 
     @Test
-    void aViewBeginsWithAnEmptyRegister() {
+    void anInstalledViewClearsPromiseAndAcceptance() {
         prepare(2, 512);
         accept(2, 512, NEXT);
         acceptor.installView();
@@ -112,14 +113,14 @@
     }
 
     @Test
-    void aRestartRecoversTheRegisterOfTheNextNumberOnly() {
+    void aRestartRecoversPromiseAndAcceptanceOfTheNextNumberOnly() {
         acceptor.replay(new LogRecord.Promised(2, 256));
         assertThat(acceptor.promisedBallot(), is(256L));
         acceptor.replay(new LogRecord.Accepted(2, 512, NEXT));
         acceptor.replay(new LogRecord.Promised(3, 1024));
         assertThat(acceptor.promisedBallot(), is(512L));
         assertThat(acceptor.acceptedView(), is(Optional.of(NEXT)));
-        acceptor.replay(new LogRecord.ViewInstalled(parts.role.view(), true));
+        acceptor.replay(new LogRecord.ViewInstalled(fixture.role.view(), true));
         assertThat("the same view again", acceptor.acceptedBallot(), is(512L));
         acceptor.replay(new LogRecord.ViewInstalled(NEXT, true));
         assertThat(acceptor.acceptedBallot(), is(0L));
