--- a/core/src/test/java/silverlatch/replication/ViewPlannerTest.java
+++ b/core/src/test/java/silverlatch/replication/ViewPlannerTest.java
@@ -17,35 +17,36 @@
 
 /** Which view follows, for each number of voters and of dead ones. */
 final class ViewPlannerTest {
-    private static final long DEAD = 2_000_000;
-    private static final long HEARD = 100_000;
+    private static final long DEAD_SILENCE = 2_000_000;
+    private static final long ALIVE_SILENCE = 100_000;
 
-    private static Replica replica(final int place) {
-        return new Replica("id-" + place, "address-" + place);
+    private static Replica replica(final int index) {
+        return new Replica("id-" + index, "address-" + index);
     }
 
     private static List<Replica> replicas(final int count) {
         return IntStream.range(0, count).mapToObj(ViewPlannerTest::replica).toList();
     }
 
-    private static ViewPlanner planner(final View view, final ToLongFunction<String> silent, final int copies) {
-        final ReplicaSettings setup = ReplicaSettings.of(replica(0), List.of()).withCounts(copies, 7);
-        final Set<String> level = new HashSet<>();
-        view.chain().forEach(r -> level.add(r.id()));
-        return new ViewPlanner(setup, view, silent, level);
+    private static ViewPlanner planner(final View view, final ToLongFunction<String> silenceMicros, final int copies) {
+        final ReplicaSettings settings =
+                ReplicaSettings.of(replica(0), List.of()).withCounts(copies, 7);
+        final Set<String> caughtUpMembers = new HashSet<>();
+        view.chain().forEach(r -> caughtUpMembers.add(r.id()));
+        return new ViewPlanner(settings, view, silenceMicros, caughtUpMembers);
     }
 
     private static View view(final int voters, final int chain) {
         return new View(5, 1, replicas(voters), replicas(chain), "id-0");
     }
 
-    private static ToLongFunction<String> silentFrom(final int place) {
-        return id -> Integer.parseInt(id.substring(3)) >= place ? DEAD : HEARD;
+    private static ToLongFunction<String> silentFrom(final int index) {
+        return id -> Integer.parseInt(id.substring(3)) >= index ? DEAD_SILENCE : ALIVE_SILENCE;
     }
 
     @ParameterizedTest
     @CsvSource({"3,1,3", "4,1,3", "5,1,5", "5,2,3", "6,1,5", "6,2,5", "7,1,7", "7,2,5", "7,3,5"})
-    void deadVotesGoAsFarAsTheMajorityShrinks(final int voters, final int dead, final int left) {
+    void deadVotersAreRemovedAsLongAsTheMajorityShrinks(final int voters, final int dead, final int left) {
         final int alive = voters - dead;
         final View next = planner(view(voters, voters), silentFrom(alive), 2)
                 .next(false, List.of())
@@ -61,14 +62,15 @@
 
     @ParameterizedTest
     @CsvSource({"3,2,3", "4,2,3", "5,2,4", "6,3,5", "7,3,6"})
-    void aLeaverGivesUpItsVoteWhereThreeOrMoreRemain(final int voters, final int copies, final int left) {
-        final View next = planner(view(voters, voters), id -> HEARD, copies)
+    void aLeavingReplicaLosesItsVoteWhereThreeOrMoreVotersRemain(final int voters, final int copies, final int left) {
+        final View next = planner(view(voters, voters), id -> ALIVE_SILENCE, copies)
                 .next(true, List.of())
                 .orElseThrow();
         assertThat(next.positionOf("id-0"), is(-1));
         assertThat(next.voters().size(), is(left));
         assertThat(next.chain().size(), greaterThanOrEqualTo(copies));
-        assertThat(planner(view(voters, copies), id -> HEARD, copies).next(true, List.of()), is(Optional.empty()));
+        assertThat(
+                planner(view(voters, copies), id -> ALIVE_SILENCE, copies).next(true, List.of()), is(Optional.empty()));
     }
 
     @Test
@@ -83,24 +85,25 @@
     }
 
     @Test
-    void aNewcomerReplacesADeadVoterAndIsAddedOnlyWhereAllAreHeardAndInTheChain() {
+    void aJoiningReplicaReplacesADeadVoterAndIsAddedOnlyIfAllVotersAreAliveAndInTheChain() {
         final ReplicationMessage.JoinRequest join =
                 new ReplicationMessage.JoinRequest(5, new Replica("id-9", "address-9"), 1);
-        final ToLongFunction<String> dead = id -> id.equals("id-2") ? DEAD : HEARD;
+        final ToLongFunction<String> dead = id -> id.equals("id-2") ? DEAD_SILENCE : ALIVE_SILENCE;
         final View replaced =
                 planner(view(3, 2), dead, 2).next(false, List.of(join)).orElseThrow();
         assertThat(replaced.voters(), is(List.of(replica(0), replica(1), join.sender())));
         assertThat(replaced.chain(), is(List.of(replica(0), replica(1), join.sender())));
-        final View added =
-                planner(view(3, 3), id -> HEARD, 2).next(false, List.of(join)).orElseThrow();
+        final View added = planner(view(3, 3), id -> ALIVE_SILENCE, 2)
+                .next(false, List.of(join))
+                .orElseThrow();
         assertThat(added.voters().size(), is(4));
         assertThat(
                 "one is out of the chain and may have left",
-                planner(view(3, 2), id -> HEARD, 2).next(false, List.of(join)),
+                planner(view(3, 2), id -> ALIVE_SILENCE, 2).next(false, List.of(join)),
                 is(Optional.empty()));
         assertThat(
                 "one may have died just now",
-                planner(view(3, 3), id -> id.equals("id-2") ? 500_000 : HEARD, 2)
+                planner(view(3, 3), id -> id.equals("id-2") ? 500_000 : ALIVE_SILENCE, 2)
                         .next(false, List.of(join)),
                 is(Optional.empty()));
         assertThat(
@@ -110,12 +113,13 @@
     }
 
     @Test
-    void aNewIdentityTakesItsOldVoteOnlyOnceTheOldOneIsOutOfTheChain() {
+    void aNewIdentityReplacesTheOldOneAsVoterOnlyOnceThatIsOutOfTheChain() {
         final ReplicationMessage.JoinRequest join =
                 new ReplicationMessage.JoinRequest(5, new Replica("id-9", "address-2"), 1);
-        assertThat(planner(view(3, 3), id -> HEARD, 2).next(false, List.of(join)), is(Optional.empty()));
-        final View next =
-                planner(view(3, 2), id -> HEARD, 2).next(false, List.of(join)).orElseThrow();
+        assertThat(planner(view(3, 3), id -> ALIVE_SILENCE, 2).next(false, List.of(join)), is(Optional.empty()));
+        final View next = planner(view(3, 2), id -> ALIVE_SILENCE, 2)
+                .next(false, List.of(join))
+                .orElseThrow();
         assertThat(next.voters(), is(List.of(replica(0), replica(1), join.sender())));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ViewProposerTest.java
+++ b/core/src/test/java/silverlatch/replication/ViewProposerTest.java
@@ -2,11 +2,11 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
-import static silverlatch.replication.ReplicaParts.SECOND;
-import static silverlatch.replication.ReplicaParts.SELF;
-import static silverlatch.replication.ReplicaParts.START;
-import static silverlatch.replication.ReplicaParts.THIRD;
-import static silverlatch.replication.ReplicaParts.view;
+import static silverlatch.replication.ReplicaFixture.SECOND;
+import static silverlatch.replication.ReplicaFixture.SELF;
+import static silverlatch.replication.ReplicaFixture.START;
+import static silverlatch.replication.ReplicaFixture.THIRD;
+import static silverlatch.replication.ReplicaFixture.view;
 
 import java.util.Collections;
 import java.util.List;
@@ -19,128 +19,130 @@
 /** A proposer whose third member is silent: it proposes the chain without that one. */
 final class ViewProposerTest {
     private static final long SUSPICION = 800_000;
-    private static final long SUSPECTED = START + SUSPICION + 1;
+    private static final long SUSPECTED_AT = START + SUSPICION + 1;
     private static final long BALLOT = 1 << 8;
-    private static final View SHORTENED = view(2, SELF, SECOND);
-    private final ReplicaParts parts = new ReplicaParts();
+    private static final View VIEW_WITHOUT_THIRD = view(2, SELF, SECOND);
+    private final ReplicaFixture fixture = new ReplicaFixture();
     private FailureDetector detector;
-    private ViewProposer proposer = proposer(parts);
+    private ViewProposer proposer = proposer(fixture);
 
-    private ViewProposer proposer(final ReplicaParts of) {
-        of.in(view(1, SELF, SECOND, THIRD));
-        detector = new FailureDetector(of.settings, of.role);
+    private ViewProposer proposer(final ReplicaFixture fixture) {
+        fixture.withView(view(1, SELF, SECOND, THIRD));
+        detector = new FailureDetector(fixture.settings, fixture.role);
         detector.start(START);
-        hearSecond(SUSPECTED);
-        final GrantedLeases leases = new GrantedLeases(of.settings, of.role, of.effects, START);
-        final ViewAcceptor acceptor = new ViewAcceptor(of.settings, of.role, leases, of.effects);
-        return new ViewProposer(of.settings, of.role, acceptor, detector, of.effects);
+        receiveHeartbeatOfSecond(SUSPECTED_AT);
+        final GrantedLeases leases = new GrantedLeases(fixture.settings, fixture.role, fixture.effects, START);
+        final ViewAcceptor acceptor = new ViewAcceptor(fixture.settings, fixture.role, leases, fixture.effects);
+        return new ViewProposer(fixture.settings, fixture.role, acceptor, detector, fixture.effects);
     }
 
-    private void hearSecond(final long now) {
+    private void receiveHeartbeatOfSecond(final long now) {
         detector.handleLeaseRequest(new ReplicationMessage.LeaseRequest(1, now, SECOND, true, true), false, now);
     }
 
     private void promise(final Replica voter) {
-        proposer.handlePromise(new ReplicationMessage.Promise(2, BALLOT, voter.id(), 0, List.of()), SUSPECTED);
+        proposer.handlePromise(new ReplicationMessage.Promise(2, BALLOT, voter.id(), 0, List.of()), SUSPECTED_AT);
     }
 
     @Test
-    void nothingIsProposedWhileAllAreHeard() {
+    void nothingIsProposedWhileNoMemberIsSilent() {
         proposer.proposeNextView(false, START);
-        assertThat(parts.sent(), is(List.of()));
-        assertThat(parts.logged(), is(List.of()));
+        assertThat(fixture.sent(), is(List.of()));
+        assertThat(fixture.logged(), is(List.of()));
     }
 
     @Test
-    void aSilentMemberIsSuspectedAndTheVotersAreAskedForPromises() {
-        proposer.proposeNextView(false, SUSPECTED);
-        assertThat(parts.logged(), is(List.of(Event.CHAIN_SUSPECT, Event.PROPOSED)));
-        proposer.proposeNextView(false, SUSPECTED + 1);
-        assertThat("once", parts.sent(), is(Collections.nCopies(3, new ReplicationMessage.Prepare(2, BALLOT))));
+    void aSilentMemberIsSuspectedAndEachVoterIsSentOnePrepareRequest() {
+        proposer.proposeNextView(false, SUSPECTED_AT);
+        assertThat(fixture.logged(), is(List.of(Event.CHAIN_SUSPECT, Event.PROPOSED)));
+        proposer.proposeNextView(false, SUSPECTED_AT + 1);
+        assertThat("once", fixture.sent(), is(Collections.nCopies(3, new ReplicationMessage.Prepare(2, BALLOT))));
     }
 
     @Test
-    void acceptancesAreAskedForOnceAMajorityWithThisReplicaHasPromised() {
-        proposer.proposeNextView(false, SUSPECTED);
-        parts.sent();
+    void acceptRequestsAreSentOnceAMajorityIncludingThisReplicaHasPromised() {
+        proposer.proposeNextView(false, SUSPECTED_AT);
+        fixture.sent();
         promise(SECOND);
         promise(THIRD);
-        assertThat("its own promise isn't synced yet", parts.sent(), is(List.of()));
+        assertThat("its own promise isn't synced yet", fixture.sent(), is(List.of()));
         promise(SELF);
-        assertThat(parts.sent(), is(Collections.nCopies(3, new ReplicationMessage.Accept(2, BALLOT, SHORTENED))));
+        assertThat(
+                fixture.sent(),
+                is(Collections.nCopies(3, new ReplicationMessage.Accept(2, BALLOT, VIEW_WITHOUT_THIRD))));
     }
 
     @Test
     void aViewThatMayHaveBeenDecidedIsProposedAgain() {
         final View earlier = view(2, SECOND, THIRD);
-        proposer.proposeNextView(false, SUSPECTED);
-        parts.sent();
+        proposer.proposeNextView(false, SUSPECTED_AT);
+        fixture.sent();
         promise(SELF);
         proposer.handlePromise(
-                new ReplicationMessage.Promise(2, BALLOT, SECOND.id(), BALLOT - 1, List.of(earlier)), SUSPECTED);
-        assertThat(parts.sent(), is(Collections.nCopies(3, new ReplicationMessage.Accept(2, BALLOT, earlier))));
+                new ReplicationMessage.Promise(2, BALLOT, SECOND.id(), BALLOT - 1, List.of(earlier)), SUSPECTED_AT);
+        assertThat(fixture.sent(), is(Collections.nCopies(3, new ReplicationMessage.Accept(2, BALLOT, earlier))));
     }
 
     @Test
-    void aMajorityOfAcceptancesDecidesAndAllAreTold() {
-        proposer.proposeNextView(false, SUSPECTED);
+    void aMajorityOfAcceptancesDecidesTheViewAndTheOthersAreNotified() {
+        proposer.proposeNextView(false, SUSPECTED_AT);
         promise(SELF);
         promise(SECOND);
-        parts.sent();
+        fixture.sent();
         assertThat(
                 proposer.handleAccepted(new ReplicationMessage.Accepted(2, BALLOT, SELF.id())), is(Optional.empty()));
         assertThat(
                 proposer.handleAccepted(new ReplicationMessage.Accepted(2, BALLOT, SECOND.id())),
-                is(Optional.of(SHORTENED)));
-        assertThat("all but itself, by identity", parts.receivers(), is(List.of(SECOND.address(), THIRD.address())));
+                is(Optional.of(VIEW_WITHOUT_THIRD)));
+        assertThat("all but itself, by identity", fixture.receivers(), is(List.of(SECOND.address(), THIRD.address())));
     }
 
     @Test
-    void repliesOfOtherBallotsCountForNothing() {
-        proposer.proposeNextView(false, SUSPECTED);
-        parts.sent();
+    void promisesForOtherBallotsOrNumbersAreIgnored() {
+        proposer.proposeNextView(false, SUSPECTED_AT);
+        fixture.sent();
         promise(SELF);
-        proposer.handlePromise(new ReplicationMessage.Promise(2, BALLOT + 1, SECOND.id(), 0, List.of()), SUSPECTED);
-        proposer.handlePromise(new ReplicationMessage.Promise(3, BALLOT, SECOND.id(), 0, List.of()), SUSPECTED);
-        assertThat(parts.sent(), is(List.of()));
+        proposer.handlePromise(new ReplicationMessage.Promise(2, BALLOT + 1, SECOND.id(), 0, List.of()), SUSPECTED_AT);
+        proposer.handlePromise(new ReplicationMessage.Promise(3, BALLOT, SECOND.id(), 0, List.of()), SUSPECTED_AT);
+        assertThat(fixture.sent(), is(List.of()));
     }
 
     @Test
-    void aPreemptedProposerHoldsBackAndThenUsesAHigherRound() {
-        proposer.proposeNextView(false, SUSPECTED);
-        parts.sent();
-        proposer.handlePreempted(new ReplicationMessage.Preempted(2, 5 << 8 | 1), SUSPECTED);
-        proposer.proposeNextView(false, SUSPECTED + 1);
-        assertThat(parts.sent(), is(List.of()));
-        final long later = SUSPECTED + SUSPICION;
+    void aPreemptedProposerBacksOffAndThenUsesAHigherRound() {
+        proposer.proposeNextView(false, SUSPECTED_AT);
+        fixture.sent();
+        proposer.handlePreempted(new ReplicationMessage.Preempted(2, 5 << 8 | 1), SUSPECTED_AT);
+        proposer.proposeNextView(false, SUSPECTED_AT + 1);
+        assertThat(fixture.sent(), is(List.of()));
+        final long later = SUSPECTED_AT + SUSPICION;
         proposer.proposeNextView(false, later);
-        assertThat(parts.sent().get(0), is(new ReplicationMessage.Prepare(2, 6 << 8)));
+        assertThat(fixture.sent().get(0), is(new ReplicationMessage.Prepare(2, 6 << 8)));
     }
 
     @Test
-    void itProposesAgainWhenItsProposalIsTooOld() {
-        proposer.proposeNextView(false, SUSPECTED);
-        parts.sent();
+    void aNewRoundStartsWhenTheProposalTimesOut() {
+        proposer.proposeNextView(false, SUSPECTED_AT);
+        fixture.sent();
         final long timeout = 2 * 600_000 + SUSPICION;
-        hearSecond(SUSPECTED + timeout);
-        proposer.proposeNextView(false, SUSPECTED + timeout - 1);
-        assertThat(parts.sent(), is(List.of()));
-        proposer.proposeNextView(false, SUSPECTED + timeout);
-        assertThat("a higher round", parts.sent().get(0), is(new ReplicationMessage.Prepare(2, 2 * BALLOT)));
+        receiveHeartbeatOfSecond(SUSPECTED_AT + timeout);
+        proposer.proposeNextView(false, SUSPECTED_AT + timeout - 1);
+        assertThat(fixture.sent(), is(List.of()));
+        proposer.proposeNextView(false, SUSPECTED_AT + timeout);
+        assertThat("a higher round", fixture.sent().get(0), is(new ReplicationMessage.Prepare(2, 2 * BALLOT)));
     }
 
     @Test
-    void joinRequestsCountUntilTheNextView() {
-        proposer.handleJoinRequest(new ReplicationMessage.JoinRequest(1, ReplicaParts.STRANGER, 4));
-        assertThat(proposer.isJoining(ReplicaParts.STRANGER.id()), is(true));
+    void joinRequestsAreKeptUntilTheNextView() {
+        proposer.handleJoinRequest(new ReplicationMessage.JoinRequest(1, ReplicaFixture.NON_VOTER, 4));
+        assertThat(proposer.isJoining(ReplicaFixture.NON_VOTER.id()), is(true));
         proposer.installView();
         assertThat(proposer.joinRequests().isEmpty(), is(true));
     }
 
     @Test
-    void withoutTheSafeguardNoChainIsRepaired() {
-        final ReplicaParts unguarded = new ReplicaParts(Safeguard.CHAIN_REPAIR);
-        proposer(unguarded).proposeNextView(false, SUSPECTED);
+    void withoutTheSafeguardNoShorterChainIsProposed() {
+        final ReplicaFixture unguarded = new ReplicaFixture(Safeguard.CHAIN_REPAIR);
+        proposer(unguarded).proposeNextView(false, SUSPECTED_AT);
         assertThat(unguarded.sent(), is(List.of()));
     }
 }
--- a/core/src/test/java/silverlatch/replication/VotersTest.java
+++ b/core/src/test/java/silverlatch/replication/VotersTest.java
@@ -12,8 +12,8 @@
     private static final long SECOND = 1_000_000;
 
     @Test
-    void aSilentVoterOfAnEvenNumberLosesItsVoteAndHasItAgainWhenItIsBack() {
-        final ReplicaCluster cluster = SixReplicas.six(2);
+    void aSilentVoterOfSixLosesItsVoteAndRegainsItAfterARestart() {
+        final ReplicaCluster cluster = SixReplicas.startSix(2);
         cluster.kill("e");
         cluster.advance(20 * SECOND);
         assertThat(SixReplicas.voters(cluster), is(Set.of("a", "b", "c", "d", "f")));
@@ -55,7 +55,7 @@
 
     @Test
     void anEmptyReplicaAtANewAddressReplacesALostVoter() {
-        final ReplicaCluster cluster = SixReplicas.six(2);
+        final ReplicaCluster cluster = SixReplicas.startSix(2);
         SixReplicas.put(cluster, "a", 1, 0);
         cluster.kill("c");
         cluster.start("g", false);
@@ -77,9 +77,9 @@
     }
 
     @Test
-    void membersThatAreNotCaughtUpAreNotLeftAlone() {
+    void membersThatHaveNotCaughtUpNeverFormAChainOfTheirOwn() {
         for (int i = 0; i < 40; i++) {
-            final ReplicaCluster cluster = SixReplicas.six(2);
+            final ReplicaCluster cluster = SixReplicas.startSix(2);
             final List<String> rest = List.of("c", "d", "e", "f");
             for (final String address : rest) {
                 cluster.replica(address).leave();
--- a/core/src/test/java/silverlatch/replication/WriteAdmissionTest.java
+++ b/core/src/test/java/silverlatch/replication/WriteAdmissionTest.java
@@ -3,10 +3,10 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.instanceOf;
 import static org.hamcrest.Matchers.is;
-import static silverlatch.replication.ReplicaParts.SECOND;
-import static silverlatch.replication.ReplicaParts.SELF;
-import static silverlatch.replication.ReplicaParts.START;
-import static silverlatch.replication.ReplicaParts.view;
+import static silverlatch.replication.ReplicaFixture.SECOND;
+import static silverlatch.replication.ReplicaFixture.SELF;
+import static silverlatch.replication.ReplicaFixture.START;
+import static silverlatch.replication.ReplicaFixture.view;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -20,17 +20,18 @@
 /** The head of a chain of two: what it admits, and when it replies. */
 final class WriteAdmissionTest {
     private static final long LEASE = 600_000;
-    private final ReplicaParts parts = new ReplicaParts().in(view(1, SELF, SECOND));
-    private final HeldLease lease = new HeldLease(parts.settings, parts.role, parts.effects);
-    private final PendingWrites[] waiting = new PendingWrites[1];
+    private final ReplicaFixture fixture = new ReplicaFixture().withView(view(1, SELF, SECOND));
+    private final HeldLease lease = new HeldLease(fixture.settings, fixture.role, fixture.effects);
+    private final PendingWrites[] pendingWrites = new PendingWrites[1];
     private final ReplicaLog log =
-            ReplicaParts.log(parts, syncedAt -> {}, sequence -> waiting[0].onCommitted(sequence));
+            ReplicaFixture.log(fixture, syncedAt -> {}, sequence -> pendingWrites[0].onCommitted(sequence));
     private long stamp = 100;
     private final WriteAdmission admission = admission();
 
     private WriteAdmission admission() {
-        waiting[0] = new PendingWrites(log.stateMachine()::get, parts.effects);
-        return new WriteAdmission(parts.settings, parts.role, lease, log, waiting[0], () -> new Stamp(++stamp));
+        pendingWrites[0] = new PendingWrites(log.stateMachine()::get, fixture.effects);
+        return new WriteAdmission(
+                fixture.settings, fixture.role, lease, log, pendingWrites[0], () -> new Stamp(++stamp));
     }
 
     private void grantLease(final long now) {
@@ -44,13 +45,13 @@
     }
 
     private List<CommandResult> results() {
-        return parts.sent().stream()
+        return fixture.sent().stream()
                 .map(message -> ((ChainClientMessage.WriteReply) message).result())
                 .toList();
     }
 
     private void commitAll() {
-        parts.sync(START);
+        fixture.syncAll(START);
         log.commit(log.lastSequence(), START);
     }
 
@@ -59,14 +60,14 @@
         grantLease(START);
         admission.handleWriteRequest(evacuation("one", -1), START);
         assertThat(log.lastSequence(), is(1L));
-        parts.sync(START);
+        fixture.syncAll(START);
         assertThat(results(), is(List.of()));
         log.commit(1, START);
         assertThat(results(), is(List.of(new CommandResult.Applied(1))));
     }
 
     @Test
-    void usageIsClosedAndMarkedOnlyUnderTheTokenOfThePresentView() {
+    void usageCommandsAreAdmittedOnlyWithTheCurrentFencingToken() {
         grantLease(START);
         final Value.UsageWindow window = new Value.UsageWindow(9, List.of());
         for (final long token : List.of(0L, 2L)) {
@@ -101,16 +102,16 @@
     @Test
     void onlyTheActiveHeadOfALongEnoughChainAdmits() {
         grantLease(START);
-        parts.role.install(view(2, SECOND, SELF), false);
+        fixture.role.install(view(2, SECOND, SELF), false);
         admission.handleWriteRequest(evacuation("no head", -1), START);
-        parts.role.install(view(3, SELF), false);
+        fixture.role.install(view(3, SELF), false);
         admission.handleWriteRequest(evacuation("too short", -1), START);
         assertThat(log.lastSequence(), is(0L));
-        assertThat(parts.sent(), is(List.of()));
+        assertThat(fixture.sent(), is(List.of()));
     }
 
     @Test
-    void aRejectionThatRestsOnAPendingEntryWaitsUntilThatIsCommitted() {
+    void aRejectionThatDependsOnAPendingEntryIsSentOnceThatIsCommitted() {
         grantLease(START);
         admission.handleWriteRequest(evacuation("winner", 0), START);
         admission.handleWriteRequest(evacuation("loser", 0), START);
@@ -140,7 +141,7 @@
     }
 
     @Test
-    void aStampThatIsNotAboveAllBeforeAdmitsNothing() {
+    void aWriteIsNotAdmittedIfItsStampIsNotTheHighest() {
         grantLease(START);
         admission.handleWriteRequest(evacuation("one", -1), START);
         stamp = 0;
@@ -152,7 +153,7 @@
     void writesThatWaitForDroppedEntriesHaveAnUnknownOutcome() {
         grantLease(START);
         admission.handleWriteRequest(evacuation("dropped", -1), START);
-        waiting[0].abandon();
+        pendingWrites[0].abandon();
         assertThat(results(), is(List.of(new CommandResult.Unknown("dropped"))));
         commitAll();
         assertThat("once", results(), is(List.of()));
--- a/core/src/test/java/silverlatch/replication/ZoneOperator.java
+++ b/core/src/test/java/silverlatch/replication/ZoneOperator.java
@@ -12,72 +12,72 @@
  * the zone's state. A read that began after an order was acknowledged must give it, unless a newer one was sent meanwhile.
  */
 final class ZoneOperator {
-    private static final long GIVE_UP_MICROS = 1_000_000;
+    private static final long ANSWER_TIMEOUT_MICROS = 1_000_000;
 
-    private final OrderStorm storm;
+    private final OperatorWorkload workload;
     private final String zone;
-    private final List<ZoneOrder> sent = new ArrayList<>();
+    private final List<ZoneWrite> writes = new ArrayList<>();
     private final List<ZoneRead> pendingReads = new ArrayList<>();
 
-    ZoneOperator(final OrderStorm storm, final String zone) {
-        this.storm = storm;
+    ZoneOperator(final OperatorWorkload workload, final String zone) {
+        this.workload = workload;
         this.zone = zone;
     }
 
-    private record ZoneRead(PendingCall call, ZoneOrder newestAcknowledged) {}
+    private record ZoneRead(PendingCall call, ZoneWrite newestAcknowledged) {}
 
-    private static final class ZoneOrder {
+    private static final class ZoneWrite {
         private final boolean isActive;
         private Optional<PendingCall> call = Optional.empty();
-        private boolean isAnswerHeard;
+        private boolean isAnswerDelivered;
         private boolean isAcknowledged;
 
-        ZoneOrder(final boolean isActive) {
+        ZoneWrite(final boolean isActive) {
             this.isActive = isActive;
         }
     }
 
     /** Orders the other state at times, reads, and sends what is not acknowledged. */
-    void act() {
-        if (sent.isEmpty() || last().isAcknowledged && storm.random().nextInt(3) == 0) {
-            sent.add(new ZoneOrder(sent.size() % 2 == 0));
+    void step() {
+        if (writes.isEmpty() || last().isAcknowledged && workload.random().nextInt(3) == 0) {
+            writes.add(new ZoneWrite(writes.size() % 2 == 0));
         }
         read();
         if (!last().isAcknowledged && last().call.isEmpty()) {
-            last().isAnswerHeard = storm.random().nextBoolean();
-            last().call = Optional.of(storm.submit(new Command.SetEvacuation(
-                    "zone-" + storm.nextCallNumber(), zone, last().isActive, Command.SetEvacuation.LATEST)));
+            last().isAnswerDelivered = workload.random().nextBoolean();
+            last().call = Optional.of(workload.submit(new Command.SetEvacuation(
+                    "zone-" + workload.nextCallNumber(), zone, last().isActive, Command.SetEvacuation.LATEST)));
         }
     }
 
     /** Reads the zone's state at any machine, if the last order is acknowledged. */
     void read() {
         if (last().isAcknowledged) {
-            pendingReads.add(new ZoneRead(storm.read("z/" + zone), last()));
+            pendingReads.add(new ZoneRead(workload.read("z/" + zone), last()));
         }
     }
 
     /** Takes the answers that came, and holds reads to what was acknowledged before them. */
     void check() {
-        sent.stream().filter(order -> order.call.isPresent()).forEach(this::checkOrder);
+        writes.stream().filter(write -> write.call.isPresent()).forEach(this::checkWrite);
         pendingReads.removeIf(read -> {
             read.call().answer().ifPresent(answer -> checkRead(read, (ChainClient.ReadResult) answer));
             return read.call().answer().isPresent();
         });
     }
 
-    private ZoneOrder last() {
-        return sent.get(sent.size() - 1);
+    private ZoneWrite last() {
+        return writes.get(writes.size() - 1);
     }
 
-    private void checkOrder(final ZoneOrder order) {
-        final PendingCall call = order.call.orElseThrow();
+    private void checkWrite(final ZoneWrite write) {
+        final PendingCall call = write.call.orElseThrow();
         if (call.answer().filter(CommandResult.Rejected.class::isInstance).isPresent()) {
-            storm.fail("an evacuation was refused: " + call.reply());
+            workload.fail("an evacuation was refused: " + call.answerOrThrow());
         }
-        if (call.answer().isPresent() || storm.now() - call.calledAt() > GIVE_UP_MICROS) {
-            order.isAcknowledged |= call.isAcknowledged() && order.isAnswerHeard;
-            order.call = Optional.empty();
+        if (call.answer().isPresent() || workload.now() - call.calledAt() > ANSWER_TIMEOUT_MICROS) {
+            write.isAcknowledged |= call.isAcknowledged() && write.isAnswerDelivered;
+            write.call = Optional.empty();
         }
     }
 
@@ -85,9 +85,9 @@
         final List<Boolean> active = result.entries().stream()
                 .map(entry -> ((Value.Evacuation) entry.value().get(0)).active())
                 .toList();
-        final ZoneOrder newest = read.newestAcknowledged();
+        final ZoneWrite newest = read.newestAcknowledged();
         if (result.answered() && newest == last() && !active.equals(List.of(newest.isActive))) {
-            storm.fail("the zone stands at " + active + ", acknowledged was " + newest.isActive);
+            workload.fail("the zone stands at " + active + ", acknowledged was " + newest.isActive);
         }
     }
 }
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayTest.java
@@ -34,7 +34,7 @@
     private static final long RATE = 40;
 
     /**
-     * What {@code OrdersTest.theCheckerNoticesASafeguardLetDown} lets down: the operators of these days send no order
+     * What {@code OperatorWritesTest.theCheckerNoticesASafeguardLetDown} lets down: the operators of these days send no order
      * again under another id, so nothing here depends on them.
      */
     private static final Set<Safeguard> DISABLED_IN_ORDERS_TEST =
