--- a/core/src/test/java/silverlatch/replication/AcknowledgedWritesTest.java
+++ b/core/src/test/java/silverlatch/replication/AcknowledgedWritesTest.java
@@ -22,7 +22,7 @@
     void sixReplicasWithThreeSeedsAllBecomeVotersAndSurviveTwoCrashesAtOnce() {
         final ReplicaCluster cluster = SixReplicas.startSix(2);
         SixReplicas.put(cluster, "f", 1, 0);
-        assertThat("an ack is on every disk of the chain", cluster.synced(1), is(6L));
+        assertThat("an ack is on every disk of the chain", cluster.countSyncedDisks(1), is(6L));
         cluster.kill("a");
         cluster.kill("f");
         final long at = cluster.now();
@@ -46,7 +46,7 @@
                         SixReplicas.ADDRESSES.get(i) + SixReplicas.ADDRESSES.get(j),
                         cluster.now() - at,
                         lessThan(2_500_000L));
-                assertThat(cluster.synced(1), greaterThanOrEqualTo(4L));
+                assertThat(cluster.countSyncedDisks(1), greaterThanOrEqualTo(4L));
             }
         }
     }
--- a/core/src/test/java/silverlatch/replication/BandwidthLinks.java
+++ b/core/src/test/java/silverlatch/replication/BandwidthLinks.java
@@ -9,9 +9,10 @@
 import java.util.function.ObjLongConsumer;
 
 /**
- * Links of machines with a bandwidth each: one connection a pair and direction, whose frames go in
- * order, urgent ones before those that have not begun, as the transport sends them; a machine's
- * connections take turns, a packet each, and the receiver's link passes packets as they come.
+ * Simulated machine links with a limited bandwidth. As in the transport, there is one connection per pair of machines and
+ * direction, which sends its frames in order, except that urgent frames overtake other frames of which nothing was sent yet.
+ * The connections of a machine share its link packet by packet in round-robin order; the receiver's link transfers packets in
+ * the order of their arrival.
  */
 final class BandwidthLinks {
     private static final long PACKET_BYTES = 16 << 10;
@@ -23,14 +24,14 @@
     private final Map<String, Long> receiverFreeAt = new HashMap<>();
     private final Map<String, Long> receivedBytes = new HashMap<>();
 
-    /** Links of so many bytes a second and a delay in microseconds; the scheduler runs a job at a time. */
+    /** Creates links with this bandwidth and a delay in microseconds; the scheduler runs a task at a given time. */
     BandwidthLinks(final long bytesPerSecond, final long delayMicros, final ObjLongConsumer<Runnable> scheduler) {
         this.bytesPerSecond = bytesPerSecond;
         this.delayMicros = delayMicros;
         this.scheduler = scheduler;
     }
 
-    /** Sends a frame; it is delivered when its last packet has passed the receiver's link. */
+    /** Sends a frame; {@code deliver} runs when the receiver's link has transferred its last packet. */
     void send(
             final String from,
             final String to,
@@ -53,12 +54,12 @@
         }
     }
 
-    /** How many bytes a machine has received. */
+    /** Returns how many bytes a machine has received. */
     long receivedBytes(final String address) {
         return receivedBytes.getOrDefault(address, 0L);
     }
 
-    /** How many bytes wait at a machine. */
+    /** Returns how many bytes are queued at a machine. */
     long queuedBytes(final String from) {
         return connections.getOrDefault(from, Map.of()).values().stream()
                 .flatMap(Deque::stream)
@@ -66,7 +67,7 @@
                 .sum();
     }
 
-    /** What a machine has not sent is lost with it. */
+    /** Drops the frames that a machine has not sent yet. */
     void dropQueued(final String from) {
         connections.remove(from);
     }
--- a/core/src/test/java/silverlatch/replication/DiskFailureTest.java
+++ b/core/src/test/java/silverlatch/replication/DiskFailureTest.java
@@ -15,7 +15,10 @@
 import silverlatch.state.Command;
 import silverlatch.state.Value;
 
-/** Disks that fill, stall, slow down, or come back with an older copy of the folder, at each place of the chain. */
+/**
+ * Guards against stale reads, lost writes and members that don't rejoin when a disk fills up, stalls, slows down, or is restored
+ * from an older copy of the data directory, for each position in the chain.
+ */
 final class DiskFailureTest {
     private static final long SECOND = 1_000_000;
     private static final List<String> SEEDS = List.of("a", "b", "c");
@@ -26,7 +29,8 @@
 
     private void start() {
         SEEDS.forEach(s -> cluster.start(s, true));
-        assertThat("the chain is whole", cluster.advanceUntil(20 * SECOND, () -> isChainComplete()), greaterThan(0L));
+        assertThat(
+                "the chain is complete", cluster.advanceUntil(20 * SECOND, () -> isChainComplete()), greaterThan(0L));
     }
 
     private boolean isChainComplete() {
@@ -39,7 +43,7 @@
                 });
     }
 
-    /** Puts documents until one is acknowledged; each try is a document of its own. */
+    /** Puts documents until one is acknowledged; each attempt uses another document. */
     private void put(final String at) {
         for (int attempt = 0; attempt < 10; attempt++) {
             final PendingCall call = cluster.submit(at, document(++number), 3 * SECOND);
@@ -48,7 +52,7 @@
                 return;
             }
         }
-        throw new AssertionError("no document is taken at " + at + cluster);
+        throw new AssertionError("no document is acknowledged at " + at + cluster);
     }
 
     private Command.PutConfiguration document(final long number) {
@@ -68,7 +72,7 @@
         return number(call);
     }
 
-    /** The number that was read; -1 where nobody answered. */
+    /** Returns the number of the document that was read, or -1 if the read wasn't answered. */
     private static long number(final PendingCall call) {
         return call.answer()
                 .filter(r -> r instanceof ChainClient.ReadResult p && p.answered())
@@ -86,14 +90,14 @@
         return SEEDS.stream().filter(s -> !s.equals(address)).findFirst().orElseThrow();
     }
 
-    /** All but one other lose power: what the member has now must be what was acknowledged. */
+    /** Kills all machines except this one and one other, and checks that the newest acknowledged document is read and writes work. */
     private void assertServesWithOneOther(final String address) {
         final long acknowledged = number;
         SEEDS.stream()
                 .filter(s -> !s.equals(address) && !s.equals(other(address)))
                 .forEach(cluster::kill);
         cluster.advance(3 * SECOND);
-        assertThat("it answers with what was acknowledged" + cluster, readAt(address), is(acknowledged));
+        assertThat("the newest acknowledged document is read" + cluster, readAt(address), is(acknowledged));
         put(address);
     }
 
@@ -101,18 +105,18 @@
     @ValueSource(strings = {"a", "b", "c"})
     void aMemberWhoseDiskFillsDuringASnapshotRejoinsOnceThereIsSpace(final String address) {
         start();
-        cluster.simulatedDisk(address).fullAtSnapshot();
+        cluster.simulatedDisk(address).failFromNextSnapshot();
         for (int i = 0; i < 20; i++) {
             put(other(address));
         }
-        assertThat("the disk failed", cluster.loggedCount(Event.DISK_BROKEN), greaterThanOrEqualTo(1L));
+        assertThat("disk failures", cluster.loggedCount(Event.DISK_BROKEN), greaterThanOrEqualTo(1L));
         assertThat(
-                "it takes no part",
+                "the member holds a lease",
                 cluster.replica(address).status(cluster.now()).isLeased(),
                 is(false));
-        cluster.simulatedDisk(address).full(false);
+        cluster.simulatedDisk(address).setFull(false);
         assertThat(
-                "it is back without a restart" + cluster,
+                "the member rejoins without a restart" + cluster,
                 cluster.advanceUntil(6 * SECOND, () -> isChainComplete()),
                 greaterThan(0L));
         put(other(address));
@@ -125,12 +129,12 @@
         start();
         put(other(address));
         cluster.simulatedDisk(address).stallUntil(cluster.now() + 8 * SECOND);
-        final long began = cluster.now();
+        final long startedAt = cluster.now();
         put(other(address));
-        assertThat("the others went on", cluster.now() - began < 6 * SECOND, is(true));
+        assertThat("the others acknowledge writes meanwhile", cluster.now() - startedAt < 6 * SECOND, is(true));
         cluster.advance(8 * SECOND);
         assertThat(
-                "it is back" + cluster,
+                "the member rejoins" + cluster,
                 cluster.advanceUntil(6 * SECOND, () -> isChainComplete()),
                 greaterThanOrEqualTo(0L));
         put(other(address));
@@ -141,13 +145,13 @@
     @ValueSource(strings = {"a", "b", "c"})
     void aSlowDiskOnlySlowsDownWrites(final String address) {
         start();
-        cluster.simulatedDisk(address).syncMicros(150_000);
+        cluster.simulatedDisk(address).setSyncMicros(150_000);
         for (int i = 0; i < 5; i++) {
             put(other(address));
         }
-        cluster.simulatedDisk(address).syncMicros(5_000);
+        cluster.simulatedDisk(address).setSyncMicros(5_000);
         assertThat(
-                "the chain is whole" + cluster,
+                "the chain is complete" + cluster,
                 cluster.advanceUntil(6 * SECOND, () -> isChainComplete()),
                 greaterThanOrEqualTo(0L));
         assertServesWithOneOther(address);
@@ -179,12 +183,13 @@
             cluster.advance(50_000);
             reads.removeIf(r -> {
                 final Optional<Object> answer = r.answer();
-                assertThat("nothing older is read" + cluster, number(r) == -1 || number(r) >= acknowledged, is(true));
+                assertThat(
+                        "no older document is read" + cluster, number(r) == -1 || number(r) >= acknowledged, is(true));
                 return answer.isPresent();
             });
         }
         assertThat(
-                "it is back" + cluster,
+                "the member rejoins" + cluster,
                 cluster.advanceUntil(10 * SECOND, () -> isChainComplete()),
                 greaterThanOrEqualTo(0L));
         put(other(address));
@@ -214,7 +219,7 @@
         assertThat("reads are answered", reads.stream().anyMatch(r -> number(r) == acknowledged), is(true));
         cluster.start(missing, false);
         assertThat(
-                "all are back" + cluster,
+                "all members rejoin" + cluster,
                 cluster.advanceUntil(10 * SECOND, () -> isChainComplete()),
                 greaterThanOrEqualTo(0L));
         assertServesWithOneOther(missing);
--- a/core/src/test/java/silverlatch/replication/FaultWorkload.java
+++ b/core/src/test/java/silverlatch/replication/FaultWorkload.java
@@ -11,9 +11,10 @@
 import silverlatch.state.Value;
 
 /**
- * A random storm over six machines: crashes, power cuts of all, lost disks fewer than the replicas, and cut links, with a
- * write and a read at random machines in each step. No read gives a number older than one acknowledged before it, and
- * after the recovery every machine has the newest acknowledged write. Times are microseconds of the simulated clock.
+ * A random workload with faults on six machines: crashes, power cuts of all machines, lost disks (fewer than the minimum
+ * number of replicas) and cut links, with a write and a read through random machines in each step. It checks that no read
+ * returns a number lower than one acknowledged before the read began, and that after the recovery every machine has the
+ * newest acknowledged write. Times are microseconds of the simulated clock.
  */
 final class FaultWorkload {
     private static final List<String> SEEDS = List.of("a", "b", "c");
@@ -38,21 +39,21 @@
                 SEEDS, 1_000 + random.nextInt(60_000), settings -> settings.withCounts(minReplicas, MACHINES.size()));
     }
 
-    private record Read(PendingCall call, long leastNumber) {}
+    private record Read(PendingCall call, long minNumber) {}
 
     private record Write(PendingCall call, long number) {}
 
-    /** How many writes were acknowledged. */
+    /** Returns how many writes were acknowledged. */
     long acknowledgedWrites() {
         return writes.stream().filter(write -> write.call().isAcknowledged()).count();
     }
 
-    /** How many reads were answered. */
+    /** Returns how many reads were answered. */
     int answeredReads() {
         return answeredReads;
     }
 
-    /** Runs the storm and the recovery after it; throws AssertionError where a check fails. */
+    /** Runs the workload and the recovery after it; throws AssertionError if a check fails. */
     void run() {
         MACHINES.forEach(address -> cluster.start(address, true));
         cluster.advance(20 * SECOND);
@@ -74,12 +75,12 @@
     private void checkRecovered() {
         final long newest = newestAcknowledged();
         MACHINES.forEach(address -> assertThat(
-                address + " has the newest in the end" + cluster,
+                address + " has the newest acknowledged write after the recovery" + cluster,
                 cluster.committedNumber(address),
                 greaterThanOrEqualTo(newest)));
         final PendingCall last = cluster.putConfiguration("d", ++lastNumber, -1, 5 * SECOND);
         cluster.advance(6 * SECOND);
-        assertThat("writes go on" + cluster, last.isAcknowledged(), is(true));
+        assertThat("a write is acknowledged after the recovery" + cluster, last.isAcknowledged(), is(true));
     }
 
     private long newestAcknowledged() {
@@ -135,7 +136,7 @@
         }
     }
 
-    /** One time in four. */
+    /** Kills and restarts all machines with their disks, with a probability of 1/4. */
     private void maybeCutPowerOfAll() {
         if (random.nextInt(4) == 0) {
             List.copyOf(cluster.running()).forEach(cluster::kill);
@@ -177,6 +178,6 @@
                 .mapToLong(Value.ConfigurationDocument::number)
                 .max()
                 .orElse(0);
-        assertThat("a read after an ack", number, greaterThanOrEqualTo(read.leastNumber()));
+        assertThat("a read after an acknowledgement", number, greaterThanOrEqualTo(read.minNumber()));
     }
 }
--- a/core/src/test/java/silverlatch/replication/FaultWorkloadTest.java
+++ b/core/src/test/java/silverlatch/replication/FaultWorkloadTest.java
@@ -7,8 +7,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Seeded storms of faults over six machines, see {@link FaultWorkload}. More storms: {@code -Dsilverlatch.storms=COUNT}, from
- * another seed: {@code -Dsilverlatch.storm=SEED}.
+ * Guards against stale reads and lost acknowledged writes under random faults on six machines, see
+ * {@link FaultWorkload}. The number of runs is set by {@code -Dsilverlatch.storms=COUNT}, the first seed by
+ * {@code -Dsilverlatch.storm=SEED}.
  */
 final class FaultWorkloadTest {
     @ParameterizedTest
@@ -19,16 +20,16 @@
         final long firstSeed = Long.getLong("silverlatch.storm", 1);
         final int count = Integer.getInteger("silverlatch.storms", 10);
         for (long seed = firstSeed; seed < firstSeed + count; seed++) {
-            final FaultWorkload storm = new FaultWorkload(seed, minReplicas);
+            final FaultWorkload workload = new FaultWorkload(seed, minReplicas);
             try {
-                storm.run();
+                workload.run();
             } catch (final AssertionError failure) {
-                throw new AssertionError("storm " + seed + ": " + failure.getMessage(), failure);
+                throw new AssertionError("seed " + seed + ": " + failure.getMessage(), failure);
             }
-            acknowledgedWrites += storm.acknowledgedWrites();
-            answeredReads += storm.answeredReads();
+            acknowledgedWrites += workload.acknowledgedWrites();
+            answeredReads += workload.answeredReads();
         }
-        assertThat("most changes were kept", acknowledgedWrites, greaterThanOrEqualTo(100L * count));
-        assertThat("most reads were answered", answeredReads, greaterThanOrEqualTo(150L * count));
+        assertThat("acknowledged writes", acknowledgedWrites, greaterThanOrEqualTo(100L * count));
+        assertThat("answered reads", answeredReads, greaterThanOrEqualTo(150L * count));
     }
 }
--- a/core/src/test/java/silverlatch/replication/MembershipFaults.java
+++ b/core/src/test/java/silverlatch/replication/MembershipFaults.java
@@ -4,11 +4,11 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Draws losses and replacements, never more at one time than the tolerance, but for a kill of all processes at once. */
+/** Injects random losses and replacements of machines, never more at a time than the tolerance, except when all processes are killed at once. */
 final class MembershipFaults {
     private static final long SECOND = MembershipModel.SECOND;
     private static final long STEP = MembershipModel.STEP;
-    /** How long a controller that was told to end waits: three quarters of {@code gracePeriodS}. */
+    /** How long a controller may take for a graceful leave after SIGTERM: three quarters of {@code gracePeriodS}. */
     private static final long GRACE_MICROS = 6 * SECOND;
 
     private final MembershipModel model;
@@ -21,17 +21,17 @@
         this.cluster = model.cluster();
     }
 
-    /** How many losses and replacements were drawn. */
+    /** Returns how many losses and replacements were injected. */
     int eventCount() {
         return eventCount;
     }
 
-    /** How many machines that were told to end did not end in time. */
+    /** Returns how many machines were killed because their graceful leave took longer than the grace period. */
     int gracePeriodKills() {
         return gracePeriodKills;
     }
 
-    /** Once in twelve calls as many events as may be. */
+    /** Injects events with a probability of 1/12: one, or as many as the tolerance allows. */
     void step() {
         if (model.random().nextInt(12) > 0) {
             return;
@@ -70,7 +70,7 @@
         loss.markReturned(model.now() + MembershipModel.CATCH_UP);
     }
 
-    /** Killed, with its disk or without; it starts again at its address. */
+    /** Kills a machine, with or without the loss of its disk, and restarts it later at the same address. */
     private void restart(final String address, final boolean losesDisk) {
         model.recordEvent((losesDisk ? "kill and wipe " : "kill ") + address);
         final MembershipLoss loss = model.addLoss(address);
@@ -81,7 +81,7 @@
         model.schedule(model.randomBetween(STEP, 8 * SECOND), () -> model.start(loss));
     }
 
-    /** Removed for good without notice; its successor starts later. */
+    /** Removes a machine permanently without a graceful leave; its replacement starts later. */
     private void replace(final String address) {
         model.recordEvent("remove " + address);
         final MembershipLoss loss = model.addLoss(address);
@@ -90,7 +90,7 @@
         model.schedule(model.randomBetween(STEP, 3 * SECOND), () -> model.start(loss));
     }
 
-    /** The successor starts first; when it has had its time, the old machine is told to end, for good. */
+    /** Starts the replacement first; once that had its time to catch up, the old machine leaves gracefully and is removed permanently. */
     private void replaceAsPlanned(final String address) {
         final MembershipLoss loss = model.addLoss(model.nextReplacement());
         model.recordEvent("planned: " + loss.address() + " for " + address);
@@ -99,7 +99,7 @@
         model.schedule(MembershipModel.CATCH_UP + model.randomBetween(0, SECOND), () -> leave(address, () -> {}));
     }
 
-    /** Tells a machine to end; the task runs when it has ended. */
+    /** Stops a machine gracefully; the task runs when it has stopped or was killed. */
     private void leave(final String address, final Runnable onStopped) {
         if (!cluster.running().contains(address)) {
             model.remove(address);
@@ -114,7 +114,7 @@
 
     private void awaitStop(final String address, final long killAtMicros, final Runnable onStopped) {
         if (cluster.replica(address).hasLeft()) {
-            model.recordEvent(address + " ended");
+            model.recordEvent(address + " stopped");
             model.leaving().remove(address);
             finish(address, onStopped);
         } else if (model.now() >= killAtMicros) {
@@ -139,7 +139,7 @@
         }
     }
 
-    /** Told to end, and started again with its disk, or replaced after it ended. */
+    /** Stops a machine gracefully, and then restarts it with its disk or replaces it. */
     private void terminate(final String address) {
         final MembershipLoss loss = model.addLoss(address);
         loss.markRunning();
@@ -166,19 +166,19 @@
     }
 
     private void isolate(final String address) {
-        model.recordEvent("cut off " + address);
+        model.recordEvent("isolate " + address);
         final MembershipLoss loss = model.addLoss(address);
         final Set<String> others = new TreeSet<>(model.members());
         others.remove(address);
         others.forEach(other -> cluster.setCut(address, other, true));
         model.schedule(model.randomBetween(STEP, 9 * SECOND), () -> {
-            model.recordEvent("join again " + address);
+            model.recordEvent("reconnect " + address);
             others.forEach(other -> cluster.setCut(address, other, false));
             markReturned(loss);
         });
     }
 
-    /** A machine that came back and still counts as lost goes again, at times for good. */
+    /** Kills a machine again that has returned but still counts as lost; in half of the cases it is replaced. */
     private void killAgain() {
         model.losses().stream()
                 .filter(loss -> !loss.isDown() && loss.hasReturned())
@@ -196,7 +196,7 @@
                 });
     }
 
-    /** Every process is killed at the same moment and comes back within a second, with its disk. */
+    /** Kills all processes at the same moment; each restarts within a second, with its disk. */
     private void killAll() {
         model.recordEvent("kill all");
         model.members().forEach(address -> {
--- a/core/src/test/java/silverlatch/replication/MembershipLoss.java
+++ b/core/src/test/java/silverlatch/replication/MembershipLoss.java
@@ -1,6 +1,6 @@
 package silverlatch.replication;
 
-/** A machine that counts as lost until a time, in microseconds; for good while it isn't known when it comes back. */
+/** A machine that counts as lost until a time in microseconds, or indefinitely while it isn't known when it returns. */
 final class MembershipLoss {
     private static final long NEVER = Long.MAX_VALUE;
 
@@ -21,12 +21,12 @@
         return address.equals(machine);
     }
 
-    /** Whether the machine's process is down or can't be reached. */
+    /** Returns whether the machine's process is down or can't be reached. */
     boolean isDown() {
         return isDown;
     }
 
-    /** Whether the machine came back and is a full member when the loss is over. */
+    /** Returns whether the machine has returned, so that it must be a caught-up member of the chain when the loss ends. */
     boolean hasReturned() {
         return hasReturned;
     }
@@ -35,35 +35,35 @@
         return untilMicros <= nowMicros;
     }
 
-    /** The machine is gone for good; its successor comes in its place. */
+    /** Records that the machine was removed permanently and that a replacement at this address takes its place. */
     void setReplacement(final String successor) {
         address = successor;
     }
 
-    /** The machine is told to end, but still runs. */
+    /** Records that the machine still runs, as it leaves gracefully. */
     void markRunning() {
         isDown = false;
     }
 
-    /** The machine has ended; it counts as long as before. */
+    /** Records that the machine has stopped; the end of the loss is unchanged. */
     void markDown() {
         isDown = true;
     }
 
-    /** The machine went again; it isn't known when it comes back. */
+    /** Records that the machine was lost again, for an unknown time. */
     void markLostAgain() {
         untilMicros = NEVER;
         isDown = true;
     }
 
-    /** The machine is back and counts as lost until it has had its time to catch up. */
+    /** Records that the machine has returned; it counts as lost until the time by which it must have caught up. */
     void markReturned(final long caughtUpAtMicros) {
         isDown = false;
         hasReturned = true;
         untilMicros = caughtUpAtMicros;
     }
 
-    /** Counts until a time, whatever the machine does. */
+    /** Ends the loss at this time, whether or not the machine returns. */
     void setEnd(final long micros) {
         untilMicros = micros;
     }
--- a/core/src/test/java/silverlatch/replication/MembershipModel.java
+++ b/core/src/test/java/silverlatch/replication/MembershipModel.java
@@ -11,14 +11,14 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * A simulated cluster whose machines are lost, come back and are replaced: its members, the losses that count, the tasks
- * that are due later, and a trace of events. Times are microseconds of the simulated clock.
+ * The model of a simulated cluster whose machines are lost, return and are replaced: its members, the current losses, the
+ * scheduled tasks and a trace of events. Times are microseconds of the simulated clock.
  */
 final class MembershipModel {
     static final long SECOND = 1_000_000;
     /** The time between two steps of a schedule. */
     static final long STEP = SECOND / 10;
-    /** How long a machine that is back still counts as lost. */
+    /** For how long a machine that has returned still counts as lost, as it catches up. */
     static final long CATCH_UP = 4 * SECOND;
 
     private static final int SEEDS = 3;
@@ -64,7 +64,7 @@
         return cluster.now();
     }
 
-    /** How many machines may be lost at one time. */
+    /** Returns how many machines may be lost at a time. */
     int tolerance() {
         return tolerance;
     }
@@ -73,12 +73,12 @@
         return maxVoters;
     }
 
-    /** The addresses of the machines that belong to the cluster, lost or not. */
+    /** Returns the addresses of the machines that belong to the cluster, whether lost or not; tests may change the set. */
     Set<String> members() {
         return members;
     }
 
-    /** The addresses of the machines that were told to end, or will be. */
+    /** Returns the addresses of the machines that leave gracefully or are about to; tests may change the set. */
     Set<String> leaving() {
         return leaving;
     }
@@ -99,9 +99,9 @@
         return members.contains(address) && !isLost(address);
     }
 
-    /** A time from least to most, drawn. */
-    long randomBetween(final long least, final long most) {
-        return least + (long) (random.nextDouble() * (most - least));
+    /** Returns a random time in this range. */
+    long randomBetween(final long min, final long max) {
+        return min + (long) (random.nextDouble() * (max - min));
     }
 
     String nextReplacement() {
@@ -109,7 +109,7 @@
         return "s" + replacementCount;
     }
 
-    /** Runs a task after a time. */
+    /** Schedules a task after this time. */
     void schedule(final long spanMicros, final Runnable task) {
         tasks.add(new ScheduledTask(now() + spanMicros, lastOrder++, task));
     }
@@ -126,7 +126,7 @@
         return loss;
     }
 
-    /** Starts the lost machine, or its successor, with up to three members as seeds. */
+    /** Starts the lost machine, or its replacement, with up to three random members as seeds. */
     void start(final MembershipLoss loss) {
         final List<String> shuffled = new ArrayList<>(members);
         Collections.shuffle(shuffled, random);
@@ -137,7 +137,7 @@
         recordEvent("start " + loss.address());
     }
 
-    /** Removes a machine with its disk for good. */
+    /** Removes a machine and its disk permanently. */
     void remove(final String address) {
         cluster.kill(address);
         cluster.loseDisk(address);
@@ -149,7 +149,7 @@
         trace.add(now() / 1_000 + " ms: " + description);
     }
 
-    /** The events so far and how all replicas stand, for a failure's message. */
+    /** Returns the events so far and the status of all replicas, for failure messages. */
     String describe() {
         return "\n" + String.join("\n", trace) + "\n" + lossCount() + " lost at " + now() / 1_000 + cluster;
     }
--- a/core/src/test/java/silverlatch/replication/MembershipModelTest.java
+++ b/core/src/test/java/silverlatch/replication/MembershipModelTest.java
@@ -13,9 +13,10 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * Seeded schedules of losses and replacements, never more at one time than the tolerance, and the next one as soon as
- * the one before stops counting. After every step the model holds the replicas to the rules of {@link MembershipSchedule}.
- * More schedules: {@code -Dsilverlatch.memberships=COUNT}, from another seed: {@code -Dsilverlatch.membership=SEED}.
+ * Guards against the loss of acknowledged writes or of the majority of voters when machines are lost and replaced one after the
+ * other: seeded random schedules with never more losses at a time than the tolerance, where the next loss may follow as soon as
+ * the previous one is over. {@link MembershipSchedule} lists what is checked after every step. The number of schedules is set
+ * by {@code -Dsilverlatch.memberships=COUNT}, the first seed by {@code -Dsilverlatch.membership=SEED}.
  */
 final class MembershipModelTest {
     @ParameterizedTest
@@ -38,12 +39,12 @@
             gracePeriodKills += schedule.gracePeriodKills();
         }
         System.out.printf(
-                "%d of %d: %d schedules, %d events, %d ended by SIGKILL, longest without an acknowledgement %d ms%n",
+                "%d of %d: %d schedules, %d events, %d stopped by SIGKILL, longest without an acknowledgement %d ms%n",
                 tolerance, size, count, events, gracePeriodKills, longestOutageMicros / 1_000);
-        assertThat("losses came", events, greaterThanOrEqualTo(5L * count));
+        assertThat("injected events", events, greaterThanOrEqualTo(5L * count));
     }
 
-    /** The model notices that dead votes are kept, within a few schedules. */
+    /** Checks that the schedules find a violation within a few seeds if dead voters keep their votes. */
     @Test
     void theChecksDetectThatDeadVotersKeepTheirVotes() {
         final Safeguards withoutDeadVotes = new Safeguards(Set.of(Safeguard.DEAD_VOTES));
@@ -52,6 +53,6 @@
                 new MembershipSchedule(seed, 1, 3, withoutDeadVotes).run();
             }
         });
-        assertThat(violation.getMessage(), startsWith("a majority bears the next losses"));
+        assertThat(violation.getMessage(), startsWith("a majority survives further losses"));
     }
 }
--- a/core/src/test/java/silverlatch/replication/MembershipSchedule.java
+++ b/core/src/test/java/silverlatch/replication/MembershipSchedule.java
@@ -12,12 +12,19 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * One random schedule of losses and replacements, with a write in each step of a tenth of a second. After every step:
- * one view per number; the newest acknowledged change is on more disks of present machines than may still be lost; a
- * majority of the voters bears the next losses; writes go on; and who no longer counts as lost is a full member.
+ * One random schedule of losses and replacements, with a write in each step of a tenth of a second. After every step it checks
+ * that:
+ *
+ * <ul>
+ *   <li>there is only one view per number;
+ *   <li>the newest acknowledged write is synced on more present machines than may still be lost;
+ *   <li>a majority of the voters remains if as many more machines are lost as the tolerance allows;
+ *   <li>writes are still acknowledged;
+ *   <li>a machine that no longer counts as lost has caught up in the chain.
+ * </ul>
  */
 final class MembershipSchedule {
-    /** How long after a change of the cluster the replicas may need to notice it, in microseconds. */
+    /** The maximum time in which the replicas must detect a change of the cluster, in microseconds. */
     static final long DETECTION = 2 * MembershipModel.SECOND;
 
     private static final long STEP = MembershipModel.STEP;
@@ -45,22 +52,22 @@
 
     private record Put(PendingCall call, long number) {}
 
-    /** How many losses and replacements came. */
+    /** Returns how many losses and replacements were injected. */
     int eventCount() {
         return faults.eventCount();
     }
 
-    /** How many machines that were told to end did not end in time. */
+    /** Returns how many machines were killed because their graceful leave took longer than the grace period. */
     int gracePeriodKills() {
         return faults.gracePeriodKills();
     }
 
-    /** The longest time between two acknowledgements, in microseconds. */
+    /** Returns the longest time between two acknowledgements, in microseconds. */
     long longestOutageMicros() {
         return longestOutageMicros;
     }
 
-    /** Runs the schedule and the recovery after it; throws AssertionError where a rule is broken. */
+    /** Runs the schedule and the recovery after it; throws AssertionError if a check fails. */
     void run() {
         cluster.advance(20 * MembershipModel.SECOND);
         acknowledgedAtMicros = model.now();
@@ -72,7 +79,7 @@
         recover();
     }
 
-    /** No further event: all come back, and all have the newest change. */
+    /** Waits without further events until all machines have returned, and checks that they have the newest acknowledged write. */
     private void recover() {
         for (int i = 0; i < RECOVERY_STEPS; i++) {
             endLosses();
@@ -88,7 +95,7 @@
 
     private void endLosses() {
         model.runDueTasks();
-        model.losses().stream().filter(loss -> loss.isOver(model.now())).forEach(this::checkFullMember);
+        model.losses().stream().filter(loss -> loss.isOver(model.now())).forEach(this::checkRejoined);
         model.losses().removeIf(loss -> loss.isOver(model.now()));
     }
 
@@ -128,7 +135,7 @@
                 .orElse(View.NONE);
     }
 
-    /** Fails with the schedule so far; the description is made for a failure only. */
+    /** Fails with the events so far if the rule doesn't hold; the description is built only for a failure. */
     private void require(final String rule, final boolean holds) {
         if (!holds) {
             throw new AssertionError(rule + model.describe());
@@ -146,7 +153,7 @@
         }
         checkReplicasOfNewest();
         checkMajoritySurvivesFurtherLosses();
-        require("writes go on", model.now() - acknowledgedAtMicros <= MAX_OUTAGE);
+        require("writes are acknowledged", model.now() - acknowledgedAtMicros <= MAX_OUTAGE);
     }
 
     private void checkOneViewPerNumber() {
@@ -158,27 +165,27 @@
         });
     }
 
-    /** The newest acknowledged change is on more disks of present machines than may still be lost. */
+    /** Checks that the newest acknowledged write is synced on more present machines than may still be lost. */
     private void checkReplicasOfNewest() {
         final long replicas = model.members().stream()
-                .filter(address -> model.isPresent(address) && cluster.synced(address, acknowledgedNumber))
+                .filter(address -> model.isPresent(address) && cluster.isSynced(address, acknowledgedNumber))
                 .count();
-        require("copies of " + acknowledgedNumber, replicas > model.tolerance() - model.lossCount());
+        require("replicas of " + acknowledgedNumber, replicas > model.tolerance() - model.lossCount());
     }
 
-    /** With as many more lost as may be, a majority of the newest view's voters is left. */
+    /** Checks that a majority of the newest view's voters remains if as many more machines are lost as the tolerance allows. */
     private void checkMajoritySurvivesFurtherLosses() {
         final View view = newestView();
         final long voters = view.voters().stream()
                 .filter(voter ->
                         model.isPresent(voter.address()) && cluster.running().contains(voter.address()))
                 .count();
-        require("a majority bears the next losses", view.isMajority((int)
+        require("a majority survives further losses", view.isMajority((int)
                 (voters - (model.tolerance() - model.lossCount()))));
     }
 
-    /** A machine that no longer counts as lost is a full member, unless there were as many voters as may be. */
-    private void checkFullMember(final MembershipLoss loss) {
+    /** Checks that a machine whose loss is over has caught up in the chain, unless the maximum number of voters was reached. */
+    private void checkRejoined(final MembershipLoss loss) {
         if (loss.hasReturned()
                 && model.now() - voterLimitReachedAtMicros > DETECTION
                 && cluster.running().contains(loss.address())
@@ -186,7 +193,7 @@
             final ReplicaStatus status = cluster.replica(loss.address()).status(model.now());
             final String id = status.view().chain().isEmpty() ? "" : idOf(loss.address());
             require(
-                    loss.address() + " is a full member",
+                    loss.address() + " has caught up in the chain",
                     status.isCaughtUp() && newestView().positionOf(id) >= 0);
         }
     }
--- a/core/src/test/java/silverlatch/replication/MembershipTest.java
+++ b/core/src/test/java/silverlatch/replication/MembershipTest.java
@@ -17,12 +17,13 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * Losses and replacements one after the other, each as soon as the one before stops counting: {@code catchUpS} after
- * the start of a successor or the return of a machine.
+ * Guards against the loss of acknowledged writes or of the majority of voters when machines are lost and replaced one after the
+ * other. Each loss follows as soon as the previous one no longer counts: {@code catchUpS} after the start of a replacement or
+ * the return of a machine.
  */
 final class MembershipTest {
     private static final List<String> SEEDS = List.of("a", "b", "c");
-    private static final List<String> SIX = List.of("a", "b", "c", "d", "e", "f");
+    private static final List<String> ADDRESSES = List.of("a", "b", "c", "d", "e", "f");
     private static final long LINK_DELAY_MICROS = 35_000;
     private static final long SECOND = 1_000_000;
     private static final long CATCH_UP = 4 * SECOND;
@@ -39,8 +40,9 @@
 
     private static ReplicaCluster startSix() {
         final ReplicaCluster cluster = new ReplicaCluster(SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(3, 7));
-        SIX.forEach(s -> cluster.start(s, true));
-        assertThat(cluster.advanceUntil(30 * SECOND, () -> voters(cluster).equals(Set.copyOf(SIX))) >= 0, is(true));
+        ADDRESSES.forEach(s -> cluster.start(s, true));
+        assertThat(
+                cluster.advanceUntil(30 * SECOND, () -> voters(cluster).equals(Set.copyOf(ADDRESSES))) >= 0, is(true));
         cluster.advance(2 * SECOND);
         return cluster;
     }
@@ -72,7 +74,7 @@
         cluster.loseDisk(address);
     }
 
-    /** SIGTERM, and SIGKILL when the grace ends. */
+    /** Stops a machine gracefully, or kills it at the end of the grace period, and deletes its disk. */
     private static void stopAndRemove(final ReplicaCluster cluster, final String address) {
         cluster.replica(address).leave();
         cluster.advanceUntil(GRACE, () -> cluster.replica(address).hasLeft());
@@ -91,7 +93,7 @@
         final Set<String> before = voters(cluster);
         lose(cluster, "g");
         put(cluster, 2);
-        assertThat("the dead vote was replaced", before, is(Set.of("a", "b", "g")));
+        assertThat("the dead voter was replaced", before, is(Set.of("a", "b", "g")));
     }
 
     @Test
@@ -114,14 +116,14 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aLossRightAfterAPlannedReplacementLeavesAMajority(final boolean terminated) {
+    void aLossRightAfterAPlannedReplacementLeavesAMajority(final boolean isGraceful) {
         for (final String next : List.of("a", "b", "g")) {
             final ReplicaCluster cluster = startThree();
             put(cluster, 1);
             cluster.start("g", false);
             cluster.advance(CATCH_UP);
             assertThat(chain(cluster), hasItem("g"));
-            if (terminated) {
+            if (isGraceful) {
                 stopAndRemove(cluster, "c");
             } else {
                 lose(cluster, "c");
@@ -133,7 +135,11 @@
         }
     }
 
-    /** On how many disks of others a change is as one of the last two members ends, and its successor came later. */
+    /**
+     * Returns on how many disks an acknowledged write remains after one of the last two members has left gracefully. If that
+     * doesn't stop within a second, a replacement is started, and the member is removed at the end of its grace period at the
+     * latest.
+     */
     private static long copiesAfterALeavingReplicaStopped(final Safeguards safeguards) {
         final ReplicaCluster cluster = new ReplicaCluster(
                 SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(2, 5).withSafeguards(safeguards));
@@ -143,21 +149,21 @@
         cluster.advance(2 * SECOND);
         put(cluster, 1);
         cluster.replica("b").leave();
-        final long waited =
+        final long leftAfter =
                 cluster.advanceUntil(SECOND, () -> cluster.replica("b").hasLeft());
-        if (waited < 0) {
+        if (leftAfter < 0) {
             cluster.start("g", false);
             cluster.advanceUntil(GRACE, () -> cluster.replica("b").hasLeft());
         }
         lose(cluster, "b");
-        return cluster.synced(1);
+        return cluster.countSyncedDisks(1);
     }
 
     @Test
     void aLeavingReplicaStopsOnlyOnceEnoughOthersHoldItsEntries() {
         assertThat(copiesAfterALeavingReplicaStopped(Safeguards.ALL), is(2L));
         assertThat(
-                "the safeguard is let down",
+                "with the safeguard disabled",
                 copiesAfterALeavingReplicaStopped(new Safeguards(Set.of(Safeguard.HANDOVER))),
                 is(1L));
     }
@@ -173,7 +179,7 @@
             put(cluster, 1);
             assertThat(cluster.replica("b").hasLeft(), is(false));
             lose(cluster, "b");
-            assertThat(cluster.synced("a", 1), is(true));
+            assertThat(cluster.isSynced("a", 1), is(true));
         }
     }
 
@@ -234,7 +240,7 @@
         lose(cluster, "g");
         lose(cluster, "b");
         put(cluster, 3);
-        assertThat(cluster.synced(3), greaterThanOrEqualTo(4L));
+        assertThat(cluster.countSyncedDisks(3), greaterThanOrEqualTo(4L));
     }
 
     @Test
@@ -270,16 +276,16 @@
         }
     }
 
-    /** A region with two of six machines is lost where one machine may be: five vote, and one waits for a vote. */
+    /** A region with two of six machines is lost, though the tolerance is one: five machines are voters, and one waits to become one. */
     @Test
     void aRegionOfTwoIsLostAndReturnsWithOrWithoutItsDisks() {
         for (int i = 0; i < 15; i++) {
             final ReplicaCluster cluster = new ReplicaCluster(SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(2, 5));
-            SIX.forEach(s -> cluster.start(s, true));
+            ADDRESSES.forEach(s -> cluster.start(s, true));
             cluster.advanceUntil(30 * SECOND, () -> voters(cluster).size() == 5);
             cluster.advance(2 * SECOND);
             put(cluster, 1);
-            final List<String> region = List.of(SIX.get(i % 6), SIX.get((i + 1 + i / 6) % 6));
+            final List<String> region = List.of(ADDRESSES.get(i % 6), ADDRESSES.get((i + 1 + i / 6) % 6));
             region.forEach(cluster::kill);
             if (i % 2 == 0) {
                 region.forEach(cluster::loseDisk);
--- a/core/src/test/java/silverlatch/replication/OperatorWorkload.java
+++ b/core/src/test/java/silverlatch/replication/OperatorWorkload.java
@@ -14,9 +14,10 @@
 import silverlatch.state.Value;
 
 /**
- * A random day of two operators that write configurations and evacuations at any of six machines, up to eight orders at
- * once, with answers lost 7 in 10 and orders sent again up to half a minute later, while a {@link ReplicaFaultInjector}
- * lets machines and links fail. Every answer is checked, also those that the operators lose. Times are microseconds.
+ * A random workload of two operators that write configurations and evacuations through any of six machines, with up to eight
+ * configuration writes in flight. Operators don't get 7 of 10 answers, and retry writes up to half a minute later, while a
+ * {@link ReplicaFaultInjector} injects faults. Every answer is checked, also those that the operators don't get. Times are
+ * microseconds.
  */
 final class OperatorWorkload {
     private static final List<String> SEEDS = List.of("a", "b", "c");
@@ -56,28 +57,28 @@
         generator = new OperatorWriteGenerator(random);
     }
 
-    /** One attempt of an order, and whether the operator hears its answer. */
+    /** One attempt of a write; {@code isAnswerDelivered} tells whether its operator gets the answer. */
     private record Call(OperatorWrite write, PendingCall pending, boolean isAnswerDelivered, int operator) {}
 
-    /** A read of the configuration, and the number that it must give at least. */
-    private record DocumentRead(PendingCall pending, long leastNumber) {}
+    /** A pending read of the configuration, and the lowest number that it may return. */
+    private record DocumentRead(PendingCall pending, long minNumber) {}
 
-    /** How many orders were acknowledged. */
+    /** Returns how many configuration writes were acknowledged. */
     long acknowledged() {
         return writes.stream().filter(OperatorWrite::isAcknowledged).count();
     }
 
-    /** How many orders were refused. */
+    /** Returns how many configuration writes were rejected. */
     long rejected() {
         return writes.stream().filter(order -> order.rejections() > 0).count();
     }
 
-    /** How many orders were acknowledged more than once. */
+    /** Returns how many configuration writes were acknowledged more than once. */
     long acknowledgedRepeatedly() {
         return writes.stream().filter(order -> order.acknowledgements() > 1).count();
     }
 
-    /** Runs the day and its recovery; throws AssertionError where a check fails. */
+    /** Runs the workload and the recovery after it; throws AssertionError if a check fails. */
     void run() {
         ReplicaFaultInjector.MACHINES.forEach(address -> cluster.start(address, true));
         cluster.advance(20 * SECOND);
@@ -109,24 +110,24 @@
         return ++lastCallNumber;
     }
 
-    /** Submits a command at any machine that runs. */
+    /** Submits a command through a random running machine. */
     PendingCall submit(final Command command) {
         return cluster.submit(faults.randomRunning(), command, CALL_TIMEOUT_MICROS);
     }
 
-    /** Reads the entries of a prefix at any machine that runs. */
+    /** Reads the entries of a key prefix through a random running machine. */
     PendingCall read(final String keyPrefix) {
         return cluster.read(faults.randomRunning(), keyPrefix, CALL_TIMEOUT_MICROS);
     }
 
-    /** Ends the storm as failed, with all orders and replicas in the message. */
+    /** Fails the test; the message lists all configuration writes and the status of all replicas. */
     void fail(final String what) {
-        throw new AssertionError("seed " + seed + ", copies " + minReplicas + ", at " + cluster.now() + ": " + what
+        throw new AssertionError("seed " + seed + ", replicas " + minReplicas + ", at " + cluster.now() + ": " + what
                 + "\n"
                 + String.join("\n", writes.stream().map(OperatorWrite::toString).toList()) + cluster);
     }
 
-    /** Sends what is due again, and draws new orders, each to another machine, until eight are in flight. */
+    /** Retries the writes that are due and adds random new ones, each through a random machine, while fewer than eight are in flight. */
     private void sendWrites() {
         final long now = cluster.now();
         for (final OperatorWrite write : writes) {
@@ -183,20 +184,20 @@
         checkAcknowledged();
     }
 
-    /** No invalid order is acknowledged, and none is both acknowledged and refused. */
+    /** Checks that no invalid write is acknowledged, and that no write is both acknowledged and rejected. */
     private void checkAnswer(final Call call, final Object answer) {
         final OperatorWrite write = call.write();
         if (answer instanceof CommandResult.Applied) {
             write.recordAcknowledgement();
             if (write.isInvalid()) {
-                fail("an invalid order was acknowledged: " + write);
+                fail("an invalid write was acknowledged: " + write);
             }
         }
         if (answer instanceof CommandResult.Rejected) {
             write.recordRejection();
         }
         if (write.isAcknowledged() && write.rejections() > 0) {
-            fail("acknowledged and refused: " + write + ", the last answer " + answer);
+            fail("acknowledged and rejected: " + write + ", the last answer " + answer);
         }
         if (call.isAnswerDelivered() && !(answer instanceof CommandResult.Unknown)) {
             write.markAnswered();
@@ -206,7 +207,7 @@
         }
     }
 
-    /** A read gives no configuration older than one acknowledged before it. */
+    /** Checks that a read returns no configuration older than one acknowledged before it began. */
     private void checkRead(final DocumentRead read, final ChainClient.ReadResult result) {
         if (!result.answered()) {
             return;
@@ -216,8 +217,8 @@
                 .map(entry -> (Value.ConfigurationDocument) entry.value().get(0))
                 .findFirst();
         final long number = document.map(Value.ConfigurationDocument::number).orElse(0L);
-        if (number < read.leastNumber()) {
-            fail("a read gave " + number + " after " + read.leastNumber() + " was acknowledged");
+        if (number < read.minNumber()) {
+            fail("a read returned " + number + " after " + read.minNumber() + " was acknowledged");
         }
         document.ifPresent(this::checkDocument);
         for (int operator = 0; operator < OPERATORS; operator++) {
@@ -236,7 +237,7 @@
                 .ifPresent(this::checkDocument);
     }
 
-    /** What is in force was ordered, is valid, was never refused, and is the only document under its number. */
+    /** Checks that a committed document was written by an operator, is valid, was never rejected, and is the only one under its number. */
     private void checkDocument(final Value.ConfigurationDocument document) {
         final String text = document.text();
         final long number = document.number();
@@ -244,10 +245,10 @@
                 .filter(candidate -> candidate.document().equals(text))
                 .findFirst();
         if (write.isEmpty() || write.get().number() != number) {
-            fail("nobody wrote " + text + " under " + number);
+            fail("no operator wrote " + text + " under " + number);
         }
         if (write.get().isInvalid() || write.get().rejections() > 0) {
-            fail("in force though invalid or refused: " + write.get());
+            fail("committed although invalid or rejected: " + write.get());
         }
         final String other = documentByNumber.putIfAbsent(number, text);
         if (other != null && !other.equals(text)) {
@@ -255,7 +256,10 @@
         }
     }
 
-    /** Acknowledged orders span from what they build on to their number; no two spans overlap. */
+    /**
+     * Checks that the ranges of acknowledged writes don't overlap, where the range of a write is from its expected revision
+     * (exclusive) to its number. Otherwise two writes on top of the same configuration were both acknowledged.
+     */
     private void checkAcknowledged() {
         final List<OperatorWrite> acknowledgedWrites =
                 writes.stream().filter(OperatorWrite::isAcknowledged).toList();
@@ -269,12 +273,12 @@
             }
             if (documentByNumber.containsKey(one.number())
                     && !documentByNumber.get(one.number()).equals(one.document())) {
-                fail("acknowledged, but another is in force under its number: " + one);
+                fail("acknowledged, but another document is committed under its number: " + one);
             }
         }
     }
 
-    /** After the recovery each order gets a clear answer, twice. */
+    /** Sends each write twice after the recovery and checks that every attempt is either acknowledged or rejected. */
     private void resendAll() {
         for (final OperatorWrite write : writes) {
             for (int attempt = 0; attempt < 2; attempt++) {
@@ -285,7 +289,7 @@
                         .answer()
                         .filter(answer -> !(answer instanceof CommandResult.Unknown))
                         .isEmpty()) {
-                    fail("no clear answer in a calm time: " + write + " "
+                    fail("outcome unknown without faults: " + write + " "
                             + call.pending().answer());
                 }
                 check();
--- a/core/src/test/java/silverlatch/replication/OperatorWrite.java
+++ b/core/src/test/java/silverlatch/replication/OperatorWrite.java
@@ -2,7 +2,7 @@
 
 import silverlatch.state.Command;
 
-/** One put of a configuration as an operator wrote it, and what came of its calls; every call of it is the same to the letter. */
+/** One configuration write of an operator and the outcomes of its attempts, which are identical except for the command id. */
 final class OperatorWrite {
     private final Command.PutConfiguration command;
     private final boolean isInvalid;
@@ -20,17 +20,17 @@
         return command;
     }
 
-    /** The number of the configuration that the order puts. */
+    /** Returns the number of the configuration that is written. */
     long number() {
         return command.configuration().number();
     }
 
-    /** The text of the configuration document, unlike any other order's. */
+    /** Returns the text of the configuration document, which is unique to this write. */
     String document() {
         return command.document();
     }
 
-    /** Whether the validator must refuse the order. */
+    /** Returns whether the validator must reject this write. */
     boolean isInvalid() {
         return isInvalid;
     }
@@ -55,12 +55,12 @@
         rejections++;
     }
 
-    /** The operator has heard a clear answer and sends the order no more by itself. */
+    /** Records that the operator knows the outcome, so that the write is no longer due for a retry. */
     void markAnswered() {
         isAnswered = true;
     }
 
-    /** Whether the operator is to send the order again at this time, in microseconds. */
+    /** Returns whether the operator retries the write at this time, in microseconds. */
     boolean isDue(final long nowMicros) {
         return !isAnswered && nextAttemptMicros <= nowMicros;
     }
@@ -72,6 +72,6 @@
     @Override
     public String toString() {
         return command.document() + " on " + command.expectedRevision() + (isInvalid ? " (invalid)" : "") + ": "
-                + acknowledgements + " acknowledged, " + rejections + " refused";
+                + acknowledgements + " acknowledged, " + rejections + " rejected";
     }
 }
--- a/core/src/test/java/silverlatch/replication/OperatorWriteGenerator.java
+++ b/core/src/test/java/silverlatch/replication/OperatorWriteGenerator.java
@@ -6,7 +6,7 @@
 import silverlatch.state.Command;
 import silverlatch.state.Value;
 
-/** Draws orders of an operator that knows the configuration of some number: most build on it, some are invalid or stale. */
+/** Generates random configuration writes on top of the configuration that an operator knows; some are invalid or stale. */
 final class OperatorWriteGenerator {
     private final Random random;
     private int generated;
@@ -15,7 +15,7 @@
         this.random = random;
     }
 
-    /** An order of an operator that has last heard of this number. */
+    /** Returns a write of an operator that knows the configuration of this number as the newest. */
     OperatorWrite next(final long knownNumber) {
         final long number = knownNumber + 1 + random.nextInt(2);
         return switch (random.nextInt(14)) {
@@ -31,7 +31,7 @@
         };
     }
 
-    /** An order; it is invalid if it has a fault, which is a part of its document then. */
+    /** Creates a write; it is invalid if {@code fault} isn't empty. The fault becomes a part of the document's text. */
     private OperatorWrite write(
             final long number,
             final long expectedRevision,
--- a/core/src/test/java/silverlatch/replication/OperatorWritesTest.java
+++ b/core/src/test/java/silverlatch/replication/OperatorWritesTest.java
@@ -19,7 +19,10 @@
 import silverlatch.state.CommandResult;
 import silverlatch.state.Value;
 
-/** Orders of operators that race, are sent again late, and lose their answers, while machines and links fail. */
+/**
+ * Guards against configuration writes and evacuations of operators that are applied twice, out of order, or both acknowledged
+ * and rejected, when they conflict, are retried late or lose their answers while machines and links fail.
+ */
 final class OperatorWritesTest {
     private static final List<String> THREE = List.of("a", "b", "c");
     private static final long SECOND = 1_000_000;
@@ -37,14 +40,14 @@
     private static Object reply(final ReplicaCluster cluster, final String at, final Command command) {
         final PendingCall call = cluster.submit(at, command, CALL_TIMEOUT_MICROS);
         cluster.advance(SECOND);
-        return call.answer().orElse("silence");
+        return call.answer().orElse("no answer");
     }
 
     private static void putAcknowledged(
             final ReplicaCluster cluster, final String at, final long number, final long expectedRevision) {
         final PendingCall call = cluster.putConfiguration(at, number, expectedRevision, CALL_TIMEOUT_MICROS);
         cluster.advance(SECOND);
-        assertThat("order " + number + " on " + expectedRevision + cluster, call.isAcknowledged(), is(true));
+        assertThat("write " + number + " on " + expectedRevision + cluster, call.isAcknowledged(), is(true));
     }
 
     private static Command.PutConfiguration retry(final long number, final long expectedRevision, final int attempt) {
@@ -80,7 +83,7 @@
                 reply(cluster, "a", retry(5, 0, 4)),
                 is(instanceOf(CommandResult.Applied.class)));
         assertThat(
-                "what was never taken",
+                "a number that was never accepted",
                 reply(cluster, "a", retry(7, 5, 1)),
                 is(instanceOf(CommandResult.Rejected.class)));
     }
@@ -99,7 +102,7 @@
         assertThat(dropped.answerOrThrow(), is(instanceOf(CommandResult.Unknown.class)));
         putAcknowledged(cluster, others.get(0), 7, 5);
         assertThat(
-                "refused for what never came to be",
+                "not rejected because of a dropped entry",
                 loser.answerOrThrow(),
                 is(instanceOf(CommandResult.Unknown.class)));
     }
@@ -144,7 +147,7 @@
                 .get(0)
                 .value()
                 .get(0);
-        assertThat("the zone was taken back, and that was acknowledged", zone.active(), is(false));
+        assertThat("the end of the evacuation was acknowledged last", zone.active(), is(false));
     }
 
     @Test
@@ -170,7 +173,7 @@
             cluster.heal();
             cluster.advance(20 * SECOND);
         }
-        assertThat("nothing of it took effect", cluster.committedNumber("a"), is(5L));
+        assertThat("no isolated write took effect", cluster.committedNumber("a"), is(5L));
     }
 
     private static Command.SetEvacuation evacuation(final String id, final boolean isActive) {
@@ -179,32 +182,32 @@
 
     @ParameterizedTest
     @ValueSource(ints = {2, 3})
-    void noTwoWritesOfOneNumberAreAcknowledgedAndNoAcknowledgedWriteIsRejected(final int copies) {
+    void noTwoWritesOfOneNumberAreAcknowledgedAndNoAcknowledgedWriteIsRejected(final int minReplicas) {
         long acknowledged = 0;
         long rejected = 0;
         long acknowledgedRepeatedly = 0;
         final long first = Long.getLong("silverlatch.orders.first", 1);
         final int count = Integer.getInteger("silverlatch.orders", 6);
         for (long seed = first; seed < first + count; seed++) {
-            final OperatorWorkload workload = new OperatorWorkload(seed, copies, Safeguards.ALL);
+            final OperatorWorkload workload = new OperatorWorkload(seed, minReplicas, Safeguards.ALL);
             workload.run();
             acknowledged += workload.acknowledged();
             rejected += workload.rejected();
             acknowledgedRepeatedly += workload.acknowledgedRepeatedly();
         }
-        System.out.println("orders: " + acknowledged + " acknowledged, " + rejected + " refused, "
+        System.out.println("writes: " + acknowledged + " acknowledged, " + rejected + " rejected, "
                 + acknowledgedRepeatedly + " acknowledged more than once");
-        assertThat("orders were acknowledged", acknowledged, greaterThan(15L * count));
-        assertThat("orders were refused", rejected, greaterThan(30L * count));
-        assertThat("orders were acknowledged again", acknowledgedRepeatedly, greaterThan(10L * count));
+        assertThat("acknowledged writes", acknowledged, greaterThan(15L * count));
+        assertThat("rejected writes", rejected, greaterThan(30L * count));
+        assertThat("writes acknowledged more than once", acknowledgedRepeatedly, greaterThan(10L * count));
     }
 
     @ParameterizedTest
     @CsvSource({
         "COMPARE_AND_SET, 1, both acknowledged",
-        "ACCEPTED_REMEMBERED, 1, acknowledged and refused",
-        "COMMITTED_REFUSAL, 5, refused",
-        "LATEST_EVACUATION, 53, the zone stands at"
+        "ACCEPTED_REMEMBERED, 1, acknowledged and rejected",
+        "COMMITTED_REFUSAL, 5, rejected",
+        "LATEST_EVACUATION, 53, a read of the zone returned"
     })
     void theChecksDetectADisabledSafeguard(final Safeguard safeguard, final long seed, final String expectedMessage) {
         final Safeguards safeguards = new Safeguards(Set.of(safeguard));
@@ -213,7 +216,7 @@
                 new OperatorWorkload(s, 2, safeguards).run();
             }
         });
-        System.out.println(safeguard + " let down: "
+        System.out.println(safeguard + " disabled: "
                 + error.getMessage().lines().findFirst().orElse(""));
         assertThat(error.getMessage(), containsString(expectedMessage));
     }
--- a/core/src/test/java/silverlatch/replication/PendingCall.java
+++ b/core/src/test/java/silverlatch/replication/PendingCall.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import silverlatch.state.CommandResult;
 
-/** A command or read that was given to a client of a {@link ReplicaCluster}: what came of it, and when, in microseconds. */
+/** A command or read submitted to a client of a {@link ReplicaCluster}, and its answer once it arrived. Times are microseconds. */
 final class PendingCall {
     private final long calledAt;
     private Optional<Object> answer = Optional.empty();
@@ -13,13 +13,13 @@
         this.calledAt = calledAt;
     }
 
-    /** The answer came at this time; a result of a command or of a read. */
+    /** Records the answer, a result of a command or of a read, which arrived at this time. */
     void complete(final Object result, final long atMicros) {
         answer = Optional.of(result);
         answeredAt = atMicros;
     }
 
-    /** Whether a command was applied. */
+    /** Returns whether the answer says that the command was applied. */
     boolean isAcknowledged() {
         return answer.filter(CommandResult.Applied.class::isInstance).isPresent();
     }
@@ -28,17 +28,17 @@
         return calledAt;
     }
 
-    /** The time from call to answer; not above zero before the answer. */
+    /** Returns the time from call to answer; zero or less before the answer. */
     long latency() {
         return answeredAt - calledAt;
     }
 
-    /** The answer, if it came. */
+    /** Returns the answer, if it arrived. */
     Optional<Object> answer() {
         return answer;
     }
 
-    /** The answer; throws NoSuchElementException if none came. */
+    /** Returns the answer; throws NoSuchElementException if none arrived. */
     Object answerOrThrow() {
         return answer.orElseThrow();
     }
--- a/core/src/test/java/silverlatch/replication/ReplicaCluster.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaCluster.java
@@ -23,8 +23,9 @@
 import silverlatch.wire.Message;
 
 /**
- * Machines with a replica, a client and a log each, on a simulated clock: messages take a time, syncs take a time, and a
- * power cut loses what wasn't synced. Times are microseconds; all of it runs on the test's thread, in {@link #advance}.
+ * A simulated cluster of machines, each with a replica, a client and a log. Messages and syncs take simulated time, and a
+ * machine that is killed loses the records that aren't synced. Times are microseconds of the simulated clock; everything
+ * runs on the test's thread, in {@link #advance}.
  */
 final class ReplicaCluster {
     static final long TICK_MICROS = 20_000;
@@ -51,34 +52,34 @@
         this.settings = settings;
     }
 
-    /** Gives every machine a link of so many bytes a second and a disk with a time for each sync and a capacity. */
+    /** Limits the bandwidth of every machine's link, and the sync time and capacity of every machine's disk. */
     ReplicaCluster withLimits(final long bytesPerSecond, final long syncMicros, final long diskBytes) {
         links.limitBandwidth(bytesPerSecond);
         logs.limitDisks(() -> new SimulatedDisk(syncMicros, diskBytes));
         return this;
     }
 
-    /** The links, where there is a limit. */
+    /** Returns the links with a bandwidth; throws NoSuchElementException if there is no limit. */
     BandwidthLinks links() {
         return links.bandwidthLinks().orElseThrow();
     }
 
-    /** The model of a machine's disk, where there is a limit. */
+    /** Returns the model of a machine's disk, or null if disks aren't limited. */
     SimulatedDisk simulatedDisk(final String address) {
         return logs.simulatedDisk(address).orElse(null);
     }
 
-    /** What a machine has on its disk. */
+    /** Returns the records synced to a machine's disk; tests may change the list. */
     List<LogRecord> syncedRecords(final String address) {
         return logs.records(address);
     }
 
-    /** How often an event was logged by any machine. */
+    /** Returns how often an event was logged, over all machines. */
     long loggedCount(final Event event) {
         return loggedEvents.getOrDefault(event, 0L);
     }
 
-    /** How all replicas stand, for a failure's message. */
+    /** Returns the status of all running replicas, for failure messages. */
     @Override
     public String toString() {
         return replicas.entrySet().stream()
@@ -109,7 +110,7 @@
         return Set.copyOf(replicas.keySet());
     }
 
-    /** Starts a machine: from its disk, or empty under a new identity. */
+    /** Starts a machine with the log on its disk, or with an empty log and a new identity if it has none. */
     void start(final String address, final boolean mayBootstrap) {
         final String identity = logs.open(address, () -> "id-" + address + "-" + (scheduler.nextUniqueNumber() + 1));
         final ChainReplica replica = new ChainReplica(
@@ -128,27 +129,27 @@
         scheduleTick(address, replica);
     }
 
-    /** The seeds that machines started from now on are given. */
+    /** Sets the seeds of machines that are started from now on. */
     void seeds(final List<String> addresses) {
         seeds = List.copyOf(addresses);
     }
 
-    /** How long a sync takes from now on, in microseconds. */
+    /** Sets the duration of each sync from now on, in microseconds; has no effect on limited disks. */
     void setSyncMicros(final long spanMicros) {
         logs.setSyncMicros(spanMicros);
     }
 
-    /** The machine's process stands still: what comes meanwhile waits for it. */
+    /** Suspends the machine's process: messages, timers and completed syncs are queued until it is thawed. */
     void freeze(final String address) {
         frozen.putIfAbsent(address, new ArrayList<>());
     }
 
-    /** The machine's process goes on with what waits for it. */
+    /** Resumes the machine's process, which handles the queued events first. */
     void thaw(final String address) {
         Optional.ofNullable(frozen.remove(address)).ifPresent(tasks -> tasks.forEach(Runnable::run));
     }
 
-    /** The machine's process ends, and its power with it. */
+    /** Kills the machine's process as a power cut does: records that aren't synced are lost. */
     void kill(final String address) {
         frozen.remove(address);
         replicas.remove(address);
@@ -156,28 +157,31 @@
         links.dropQueued(address);
     }
 
-    /** The machine's process stands still for so long; what comes meanwhile waits for it. */
+    /** Suspends the machine's process for this time, see {@link #freeze(String)}. */
     void freeze(final String address, final long spanMicros) {
         freeze(address);
         scheduler.schedule(now() + spanMicros, () -> thaw(address));
     }
 
-    /** The disk is lost; the next start is under a new identity. */
+    /** Deletes the machine's disk; its next start is with an empty log and a new identity. */
     void loseDisk(final String address) {
         logs.loseDisk(address);
     }
 
-    /** Nothing goes between two machines, or all does again. */
+    /** Cuts or restores the link between two machines; messages sent while it is cut are lost. */
     void setCut(final String one, final String other, final boolean isCut) {
         links.setCut(one, other, isCut);
     }
 
-    /** What is sent between two machines from now on comes later by so much; what is sent after a heal overtakes it. */
+    /**
+     * Delays messages sent between two machines from now on by this additional time. Messages sent after {@link #heal} are
+     * not delayed and overtake the delayed ones.
+     */
     void setExtraDelay(final String one, final String other, final long extraMicros) {
         links.setExtraDelay(one, other, extraMicros);
     }
 
-    /** No link is cut or slow any more. */
+    /** Restores all cut links and removes all additional delays. */
     void heal() {
         links.heal();
     }
@@ -186,12 +190,12 @@
         scheduler.advance(spanMicros);
     }
 
-    /** Passes time until something holds; how long it took, or -1 when it did not come. */
+    /** Advances the clock until the condition holds; returns the time that took, or -1 if the limit passed before. */
     long advanceUntil(final long limitMicros, final BooleanSupplier condition) {
         return scheduler.advanceUntil(limitMicros, condition);
     }
 
-    /** A valid configuration of one route and one pool under a number, to be put on another one. */
+    /** Returns a command that puts a valid configuration with one route and one pool, on top of the expected revision. */
     static Command.PutConfiguration configuration(final long number, final long expectedRevision) {
         final Value.BackendPool pool = new Value.BackendPool("pool", "/", 1, 0, 1, 1, 0, 1);
         final Value.Route route = new Value.Route(
@@ -223,18 +227,18 @@
         return submit(at, configuration(number, expectedRevision), timeoutMicros);
     }
 
-    /** Submits a command to the client of one machine. */
+    /** Submits a command to the client of one machine; the deadline is the timeout from now. */
     PendingCall submit(final String at, final Command command, final long timeoutMicros) {
         final long deadline = now() + timeoutMicros;
         return call(at, token -> clients.get(at).submit(command, token, now(), deadline));
     }
 
-    /** Reads the configuration document. */
+    /** Reads the configuration document through the client of one machine. */
     PendingCall read(final String at, final long timeoutMicros) {
         return read(at, ConfigurationValidator.DOCUMENT_KEY, timeoutMicros);
     }
 
-    /** Asks the tail for the entries whose keys start so. */
+    /** Reads the entries whose keys start with the prefix through the client of one machine. */
     PendingCall read(final String at, final String keyPrefix, final long timeoutMicros) {
         final long deadline = now() + timeoutMicros;
         return call(at, token -> clients.get(at).read(keyPrefix, token, now(), deadline));
@@ -254,7 +258,7 @@
         return call;
     }
 
-    /** The number of the configuration that a machine has committed. */
+    /** Returns the number of the configuration that a machine has committed, or 0. */
     long committedNumber(final String address) {
         return replicas.get(address)
                 .stateMachine()
@@ -263,19 +267,19 @@
                 .orElse(0L);
     }
 
-    /** On how many of the disks a configuration is synced, as an entry or within a snapshot. */
-    long synced(final long number) {
+    /** Returns on how many disks this configuration, or a later one, is synced as an entry or in a snapshot. */
+    long countSyncedDisks(final long number) {
         return logs.addresses().stream()
-                .filter(address -> synced(address, number))
+                .filter(address -> isSynced(address, number))
                 .count();
     }
 
-    /** Whether a configuration, or a later one, is synced on the disk of one machine. */
-    boolean synced(final String address, final long number) {
+    /** Returns whether this configuration, or a later one, is synced on the disk of one machine. */
+    boolean isSynced(final String address, final long number) {
         return logs.newestConfigurationNumber(address) >= number;
     }
 
-    /** Runs a task of a machine at a time, or when it thaws after that. */
+    /** Runs a task of a machine at this time, or once its process is thawed if it is frozen then. */
     private void schedule(final long when, final String address, final Runnable task) {
         scheduler.schedule(when, () -> whenThawed(address, task));
     }
@@ -358,12 +362,12 @@
         });
     }
 
-    /** Opens the log again each second after a failed write, as the log's writer does. */
+    /** Reopens the log once the disk accepts writes again, which is checked each second after a failed write as by the log writer. */
     private void recover(final String address, final ChainReplica broken) {
         if (replicas.get(address) != broken) {
             return;
         }
-        if (logs.simulatedDisk(address).orElseThrow().full()) {
+        if (logs.simulatedDisk(address).orElseThrow().isFull()) {
             scheduler.schedule(now() + RECOVERY_RETRY_MICROS, () -> recover(address, broken));
             return;
         }
--- a/core/src/test/java/silverlatch/replication/ReplicaFaultInjector.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaFaultInjector.java
@@ -7,11 +7,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Draws faults of six machines: crashes, power cuts of all, lost disks fewer than the replicas, frozen processes, cut and
- * slow links, partitions. At most two machines are down or frozen at a time, but for power cuts.
+ * Injects random faults into a cluster of six machines: crashes, power cuts of all machines, lost disks (fewer than the
+ * minimum number of replicas), frozen processes, cut and slow links, and partitions. At most two machines are down or frozen
+ * at a time, except in power cuts.
  */
 final class ReplicaFaultInjector {
-    /** The addresses of the machines. */
+    /** The addresses of the six machines. */
     static final List<String> MACHINES = List.of("a", "b", "c", "d", "e", "f");
 
     private static final long SECOND = 1_000_000;
@@ -30,7 +31,7 @@
         this.minReplicas = minReplicas;
     }
 
-    /** A machine that runs; every second time the one that was last cut off, slowed or frozen. */
+    /** Returns a random running machine; in half of the cases the one that was last isolated, slowed down or frozen. */
     String randomRunning() {
         if (lastAffected.filter(cluster.running()::contains).isPresent() && random.nextBoolean()) {
             return lastAffected.get();
@@ -39,7 +40,7 @@
         return running.get(random.nextInt(running.size()));
     }
 
-    /** Draws a fault, a start, a healing of all links, or nothing. */
+    /** Randomly injects a fault, starts a machine, heals all links, or does nothing. */
     void injectNext() {
         final String one = MACHINES.get(random.nextInt(MACHINES.size()));
         final String other = MACHINES.get(random.nextInt(MACHINES.size()));
@@ -78,7 +79,7 @@
                 });
     }
 
-    /** Whether no more than two machines are down or frozen after one more is. */
+    /** Returns whether at most two machines are down or frozen after one more is taken down. */
     private boolean mayTakeDownAnother() {
         final int frozen = cluster.now() < thawsAtMicros ? 1 : 0;
         return cluster.running().size() - frozen > 4;
@@ -143,7 +144,7 @@
                 .forEach(other -> cluster.setCut(address, other, true));
     }
 
-    /** Two parts that don't hear each other. */
+    /** Splits the machines into two random parts and cuts all links between them. */
     private void partition() {
         final Set<String> part =
                 MACHINES.stream().filter(address -> random.nextBoolean()).collect(Collectors.toSet());
@@ -157,7 +158,7 @@
         lastAffected = Optional.empty();
     }
 
-    /** One time in four. */
+    /** Kills and restarts all machines with their disks, with a probability of 1/4. */
     private void maybeCutPowerOfAll() {
         if (random.nextInt(4) == 0) {
             List.copyOf(cluster.running()).forEach(cluster::kill);
--- a/core/src/test/java/silverlatch/replication/ReplicaFixture.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaFixture.java
@@ -16,7 +16,10 @@
 import silverlatch.state.Value;
 import silverlatch.wire.Message;
 
-/** What tests of single parts of a replica share: replica 0 of three, its role, and the effects that its parts had. */
+/**
+ * A fixture for tests of single components of a replica: the settings and role of replica 0 of three, and the effects that
+ * the components under test produced.
+ */
 final class ReplicaFixture {
     static final long START = 10_000_000;
     static final List<Replica> REPLICAS =
@@ -46,7 +49,7 @@
         return new Replica("id-" + index, "address-" + index);
     }
 
-    /** A view whose first three replicas vote, with this chain, owned by the first of it. */
+    /** Returns a view with this chain, whose head owns the singleton role and whose voters are the first three replicas. */
     static View view(final long number, final Replica... chain) {
         return new View(number, 7, REPLICAS.subList(0, 3), List.of(chain), chain[0].id());
     }
@@ -57,7 +60,7 @@
                 sequence, 1, new Stamp(sequence), List.of(new Entry("z/" + sequence, sequence, List.of(value))));
     }
 
-    /** The log of a replica with these parts. */
+    /** Creates the log of the fixture's replica. */
     static ReplicaLog log(final ReplicaFixture fixture, final LongConsumer onAppended, final LongConsumer onCommitted) {
         final GrantedLeases leases = new GrantedLeases(fixture.settings, fixture.role, fixture.effects, START);
         final ViewAcceptor acceptor = new ViewAcceptor(fixture.settings, fixture.role, leases, fixture.effects);
@@ -66,14 +69,14 @@
         return new ReplicaLog(snapshots, fixture.effects, stateMachine, onAppended, onCommitted);
     }
 
-    /** A part that stands in this view, which is on disk, as a member that has caught up, or outside of it. */
+    /** Installs this view as synced to disk; a member of its chain counts as caught up. Returns this fixture. */
     ReplicaFixture withView(final View view) {
         role.install(view, true);
         role.markViewSynced(view.number());
         return this;
     }
 
-    /** The messages sent since the last call. */
+    /** Returns the messages sent since the last call of this method or {@link #receivers}. */
     List<Message> sent() {
         collect();
         final List<Message> messages = List.copyOf(sent);
@@ -82,7 +85,7 @@
         return messages;
     }
 
-    /** The addresses that were sent messages since the last call. */
+    /** Returns the addresses of the receivers of the messages sent since the last call of this method or {@link #sent}. */
     List<String> receivers() {
         collect();
         final List<String> addresses = List.copyOf(receivers);
@@ -91,7 +94,7 @@
         return addresses;
     }
 
-    /** The records written since the last call. */
+    /** Returns the records written since the last call. */
     List<LogRecord> written() {
         collect();
         final List<LogRecord> records = List.copyOf(written);
@@ -99,7 +102,7 @@
         return records;
     }
 
-    /** The events logged since the last call. */
+    /** Returns the events logged since the last call. */
     List<Event> logged() {
         collect();
         final List<Event> events = List.copyOf(logged);
@@ -107,7 +110,7 @@
         return events;
     }
 
-    /** All that was written is synced at this time. */
+    /** Completes the sync of all written records at this time. */
     void syncAll(final long now) {
         collect();
         final List<Long> tokens = List.copyOf(unsyncedTokens);
--- a/core/src/test/java/silverlatch/replication/SimulatedDisk.java
+++ b/core/src/test/java/silverlatch/replication/SimulatedDisk.java
@@ -4,7 +4,7 @@
 import silverlatch.log.LogRecord;
 import silverlatch.wire.Codec;
 
-/** What a small disk takes: how long a sync is, how many bytes fit; it can be full, or stalled until a time. */
+/** A model of a disk with a sync duration and a capacity, which tests can fill or stall. */
 final class SimulatedDisk {
     private static final long HEADER_BYTES = 16;
     private final Codec codec = Codec.forLog();
@@ -18,20 +18,23 @@
     private boolean full;
     private boolean fullAtSnapshot;
 
-    /** A disk with so many microseconds a sync and so many bytes. */
+    /** Creates a disk with this sync duration in microseconds and this capacity in bytes. */
     SimulatedDisk(final long syncMicros, final long capacity) {
         this.syncMicros = syncMicros;
         this.capacity = capacity;
     }
 
-    /** When a write that begins now is synced. */
+    /** Returns when a write that begins now will be synced; a write with a snapshot takes four times as long. */
     long syncedAt(final long now, final List<LogRecord> records) {
         final boolean snapshot = records.stream().anyMatch(LogRecord.Snapshot.class::isInstance);
         freeAt = Math.max(Math.max(freeAt, stalledUntil), now) + (snapshot ? 4 * syncMicros : syncMicros);
         return freeAt;
     }
 
-    /** Takes a write, as the log does: a snapshot stands beside the older files until it is synced; false when full. */
+    /**
+     * Accounts for a write; returns false if the disk is full. As in the real log, a snapshot needs space in addition to the
+     * older files, which are deleted only once it is synced.
+     */
     boolean write(final List<LogRecord> records) {
         long snapshot = 0;
         long others = 0;
@@ -55,32 +58,32 @@
         return true;
     }
 
-    /** The most that was on the disk at once. */
+    /** Returns the largest number of bytes that was on the disk at once. */
     long peakBytes() {
         return peakBytes;
     }
 
-    /** Refuses every write, or takes them again. */
-    void full(final boolean on) {
-        full = on;
+    /** Sets whether all writes fail. */
+    void setFull(final boolean isFull) {
+        full = isFull;
     }
 
-    /** Whether it refuses writes. */
-    boolean full() {
+    /** Returns whether all writes fail. */
+    boolean isFull() {
         return full;
     }
 
-    /** The disk is full from the next snapshot on. */
-    void fullAtSnapshot() {
+    /** Makes all writes fail from the next snapshot on. */
+    void failFromNextSnapshot() {
         fullAtSnapshot = true;
     }
 
-    /** A sync takes so many microseconds from now on. */
-    void syncMicros(final long span) {
-        syncMicros = span;
+    /** Sets the duration of a sync from now on, in microseconds. */
+    void setSyncMicros(final long spanMicros) {
+        syncMicros = spanMicros;
     }
 
-    /** Hangs until a time. */
+    /** Delays all syncs until this time. */
     void stallUntil(final long until) {
         stalledUntil = until;
     }
--- a/core/src/test/java/silverlatch/replication/SimulatedLinks.java
+++ b/core/src/test/java/silverlatch/replication/SimulatedLinks.java
@@ -9,7 +9,7 @@
 import silverlatch.wire.Codec;
 import silverlatch.wire.Message;
 
-/** Links between machines with a delay in microseconds; single ones may be cut or slow, all may have a bandwidth. */
+/** Simulated links between machines with a delay in microseconds. Single links can be cut or slowed down; all can have a limited bandwidth. */
 final class SimulatedLinks {
     private final SimulatedScheduler scheduler;
     private final long delayMicros;
@@ -23,13 +23,13 @@
         this.delayMicros = delayMicros;
     }
 
-    /** Gives every machine a link of so many bytes a second; extra delays don't hold then. */
+    /** Limits the bandwidth of every machine's link, in bytes per second; extra delays have no effect then. */
     void limitBandwidth(final long bytesPerSecond) {
         bandwidthLinks = Optional.of(
                 new BandwidthLinks(bytesPerSecond, delayMicros, (task, when) -> scheduler.schedule(when, task)));
     }
 
-    /** The links with a bandwidth, where there is a limit. */
+    /** Returns the links with a bandwidth, if there is a limit. */
     Optional<BandwidthLinks> bandwidthLinks() {
         return bandwidthLinks;
     }
@@ -38,7 +38,7 @@
         return cutLinks.contains(Set.of(one, other));
     }
 
-    /** Nothing goes between two machines, or all does again. */
+    /** Cuts or restores the link between two machines. */
     void setCut(final String one, final String other, final boolean isCut) {
         final Set<String> link = Set.of(one, other);
         if (isCut) {
@@ -48,23 +48,23 @@
         }
     }
 
-    /** What is sent between two machines from now on comes later by so much. */
+    /** Delays messages sent between two machines from now on by this additional time. */
     void setExtraDelay(final String one, final String other, final long extraMicros) {
         extraDelays.put(Set.of(one, other), extraMicros);
     }
 
-    /** No link is cut or slow any more. */
+    /** Restores all cut links and removes all extra delays. */
     void heal() {
         cutLinks.clear();
         extraDelays.clear();
     }
 
-    /** Drops what is queued at a machine whose power ends. */
+    /** Drops the messages queued at a machine that is killed. */
     void dropQueued(final String address) {
         bandwidthLinks.ifPresent(links -> links.dropQueued(address));
     }
 
-    /** Runs a task when the message has come to its receiver. */
+    /** Runs a task when the message has reached its receiver. */
     void deliver(final String from, final Effect.Send send, final Runnable task) {
         bandwidthLinks.ifPresentOrElse(
                 links -> links.send(
--- a/core/src/test/java/silverlatch/replication/SimulatedLogs.java
+++ b/core/src/test/java/silverlatch/replication/SimulatedLogs.java
@@ -13,7 +13,7 @@
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
 
-/** The logs on the machines' disks, by address: what is synced, under which identity, and how long a sync takes. */
+/** The logs on the machines' disks by address, with their synced records, the identities stored with them, and the duration of a sync. */
 final class SimulatedLogs {
     private final Map<String, List<LogRecord>> records = new TreeMap<>();
     private final Map<String, Long> newestConfigurationNumbers = new HashMap<>();
@@ -22,24 +22,24 @@
     private Optional<Supplier<SimulatedDisk>> diskModel = Optional.empty();
     private long syncMicros = 2_000;
 
-    /** Gives every machine that starts from now on a disk of a limited speed and capacity. */
+    /** Limits the speed and capacity of the disks of machines that start from now on. */
     void limitDisks(final Supplier<SimulatedDisk> model) {
         diskModel = Optional.of(model);
     }
 
-    /** How long a sync takes from now on where disks have no limit, in microseconds. */
+    /** Sets the duration of a sync from now on for disks without a limit, in microseconds. */
     void setSyncMicros(final long spanMicros) {
         syncMicros = spanMicros;
     }
 
-    /** Opens a machine's log, made empty if there is none; gives the identity that is kept with it. */
+    /** Opens a machine's log, or creates an empty one with a new identity; returns the identity stored with the log. */
     String open(final String address, final Supplier<String> newIdentity) {
         records.computeIfAbsent(address, missing -> new ArrayList<>());
         diskModel.ifPresent(model -> simulatedDisks.computeIfAbsent(address, missing -> model.get()));
         return identities.computeIfAbsent(address, missing -> newIdentity.get());
     }
 
-    /** Loses a machine's disk, with its log and identity. */
+    /** Deletes a machine's disk with its log and identity. */
     void loseDisk(final String address) {
         records.remove(address);
         newestConfigurationNumbers.remove(address);
@@ -47,27 +47,27 @@
         identities.remove(address);
     }
 
-    /** The addresses of the machines with a log. */
+    /** Returns the addresses of the machines with a log. */
     Set<String> addresses() {
         return records.keySet();
     }
 
-    /** The synced records of a machine. */
+    /** Returns the synced records of a machine. */
     List<LogRecord> records(final String address) {
         return records.get(address);
     }
 
-    /** The model of a machine's disk, where there is a limit. */
+    /** Returns the model of a machine's disk, if disks are limited. */
     Optional<SimulatedDisk> simulatedDisk(final String address) {
         return Optional.ofNullable(simulatedDisks.get(address));
     }
 
-    /** When a write that begins now is synced. */
+    /** Returns when a write that begins now will be synced. */
     long syncedAt(final String address, final long now, final List<LogRecord> written) {
         return simulatedDisk(address).map(disk -> disk.syncedAt(now, written)).orElse(now + syncMicros);
     }
 
-    /** Adds a record to what is synced; a snapshot replaces all before it. */
+    /** Adds a record to the synced ones; a snapshot replaces all earlier records. */
     void addSynced(final String address, final LogRecord record) {
         if (record instanceof LogRecord.Snapshot snapshot) {
             records.get(address).clear();
@@ -79,7 +79,7 @@
         records.get(address).add(record);
     }
 
-    /** The number of the newest configuration that is synced, or 0. */
+    /** Returns the number of the newest synced configuration, or 0. */
     long newestConfigurationNumber(final String address) {
         return newestConfigurationNumbers.getOrDefault(address, 0L);
     }
--- a/core/src/test/java/silverlatch/replication/SimulatedScheduler.java
+++ b/core/src/test/java/silverlatch/replication/SimulatedScheduler.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
 
-/** A simulated clock in microseconds, and tasks that run when it comes to their time, in the order they were scheduled. */
+/** A simulated clock in microseconds that runs scheduled tasks when they are due; tasks of the same time run in the order they were scheduled. */
 final class SimulatedScheduler {
     private static final long START_MICROS = 1_000_000;
     private static final long POLL_MICROS = 1_000;
@@ -20,17 +20,17 @@
         return now;
     }
 
-    /** A number that is given once. */
+    /** Returns a number that is returned only once. */
     long nextUniqueNumber() {
         return lastOrder++;
     }
 
-    /** Runs a task at a time. */
+    /** Schedules a task for this time. */
     void schedule(final long atMicros, final Runnable task) {
         queue.add(new ScheduledTask(atMicros, nextUniqueNumber(), task));
     }
 
-    /** Passes time and runs what is due meanwhile. */
+    /** Advances the clock by this time and runs the tasks that become due. */
     void advance(final long spanMicros) {
         final long end = now + spanMicros;
         while (!queue.isEmpty() && queue.peek().at() <= end) {
@@ -41,7 +41,7 @@
         now = end;
     }
 
-    /** Passes time until something holds; how long it took, or -1 when it did not come. */
+    /** Advances the clock until the condition holds; returns the time that took, or -1 if the limit passed before. */
     long advanceUntil(final long limitMicros, final BooleanSupplier condition) {
         final long startedAt = now;
         while (!condition.getAsBoolean()) {
--- a/core/src/test/java/silverlatch/replication/SixReplicas.java
+++ b/core/src/test/java/silverlatch/replication/SixReplicas.java
@@ -10,7 +10,7 @@
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
 
-/** Clusters of up to six simulated machines with links of 35 ms: what their views are, writes and reads that must succeed. */
+/** Helpers for simulated clusters of up to six machines with a link delay of 35 ms: start, views, and checked writes and reads. */
 final class SixReplicas {
     static final List<String> ADDRESSES = List.of("a", "b", "c", "d", "e", "f");
     static final List<String> SEEDS = List.of("a", "b", "c");
@@ -19,20 +19,20 @@
 
     private SixReplicas() {}
 
-    /** Six machines that all vote, three of them seeds. */
+    /** Starts six machines, three of them seeds, and waits until all six are voters. */
     static ReplicaCluster startSix(final int minReplicas) {
         final ReplicaCluster cluster = new ReplicaCluster(
                 SEEDS, LINK_DELAY_MICROS, settings -> settings.withCounts(minReplicas, ADDRESSES.size()));
         ADDRESSES.forEach(address -> cluster.start(address, true));
         assertThat(
-                "all six vote",
+                "all six are voters",
                 cluster.advanceUntil(30 * SECOND, () -> voters(cluster).equals(Set.copyOf(ADDRESSES))) >= 0,
                 is(true));
         cluster.advance(2 * SECOND);
         return cluster;
     }
 
-    /** The newest view of a machine that runs. */
+    /** Returns the newest view that a running machine has installed. */
     static View view(final ReplicaCluster cluster) {
         return cluster.running().stream()
                 .map(address -> cluster.replica(address).view())
@@ -40,30 +40,30 @@
                 .orElseThrow();
     }
 
-    /** The addresses of the voters of the newest view. */
+    /** Returns the addresses of the voters of the newest view. */
     static Set<String> voters(final ReplicaCluster cluster) {
         return view(cluster).voters().stream().map(Replica::address).collect(Collectors.toSet());
     }
 
-    /** The addresses of the chain of the newest view. */
+    /** Returns the addresses of the chain members of the newest view. */
     static Set<String> chain(final ReplicaCluster cluster) {
         return view(cluster).chain().stream().map(Replica::address).collect(Collectors.toSet());
     }
 
-    /** Puts a configuration on another one at a machine; fails unless it is acknowledged. */
-    static void put(final ReplicaCluster cluster, final String at, final long number, final long match) {
-        final PendingCall call = cluster.putConfiguration(at, number, match, 6 * SECOND);
+    /** Puts a configuration on top of the expected revision through one machine; fails unless it is acknowledged. */
+    static void put(final ReplicaCluster cluster, final String at, final long number, final long expectedRevision) {
+        final PendingCall call = cluster.putConfiguration(at, number, expectedRevision, 6 * SECOND);
         cluster.advanceUntil(7 * SECOND, () -> call.latency() > 0);
         assertThat(number + " by " + at + ": " + call.answerOrThrow(), call.isAcknowledged(), is(true));
     }
 
-    /** Fails unless each machine that runs reads the configuration of this number. */
+    /** Fails unless a read through each running machine returns the configuration of this number. */
     static void assertNewest(final ReplicaCluster cluster, final long number) {
         cluster.running().forEach(address -> {
             final PendingCall call = cluster.read(address, 3 * SECOND);
             cluster.advanceUntil(4 * SECOND, () -> call.latency() > 0);
             final ChainClient.ReadResult result = (ChainClient.ReadResult) call.answerOrThrow();
-            assertThat(address + " tells it" + cluster, result.answered(), is(true));
+            assertThat(address + " answers the read" + cluster, result.answered(), is(true));
             assertThat(
                     address,
                     result.entries().stream()
@@ -74,12 +74,12 @@
         });
     }
 
-    /** The text of a configuration document. */
+    /** Returns the text of a configuration document. */
     static String documentText(final Entry entry) {
         return ((Value.ConfigurationDocument) entry.value().get(0)).text();
     }
 
-    /** Reads the configuration at a machine; gives the answer. */
+    /** Reads the configuration through one machine and returns the answer. */
     static Object read(final ReplicaCluster cluster, final String at) {
         final PendingCall call = cluster.read(at, SECOND);
         cluster.advanceUntil(2 * SECOND, () -> call.latency() > 0);
--- a/core/src/test/java/silverlatch/replication/ZoneOperator.java
+++ b/core/src/test/java/silverlatch/replication/ZoneOperator.java
@@ -8,8 +8,9 @@
 import silverlatch.state.Value;
 
 /**
- * An operator that evacuates a zone and takes that back by turns, each order sent again until it is acknowledged, and reads
- * the zone's state. A read that began after an order was acknowledged must give it, unless a newer one was sent meanwhile.
+ * An operator that alternately starts and ends the evacuation of a zone, retries each write until it is acknowledged, and
+ * reads the zone's state. A read that began after a write was acknowledged must return that write's state, unless a newer
+ * write was sent meanwhile.
  */
 final class ZoneOperator {
     private static final long ANSWER_TIMEOUT_MICROS = 1_000_000;
@@ -37,7 +38,7 @@
         }
     }
 
-    /** Orders the other state at times, reads, and sends what is not acknowledged. */
+    /** Sometimes begins a write of the other state, reads the state, and sends the newest write until it is acknowledged. */
     void step() {
         if (writes.isEmpty() || last().isAcknowledged && workload.random().nextInt(3) == 0) {
             writes.add(new ZoneWrite(writes.size() % 2 == 0));
@@ -50,14 +51,14 @@
         }
     }
 
-    /** Reads the zone's state at any machine, if the last order is acknowledged. */
+    /** Reads the zone's state through a random machine, if the newest write is acknowledged. */
     void read() {
         if (last().isAcknowledged) {
             pendingReads.add(new ZoneRead(workload.read("z/" + zone), last()));
         }
     }
 
-    /** Takes the answers that came, and holds reads to what was acknowledged before them. */
+    /** Handles the answers that arrived, and checks reads against the write acknowledged before them. */
     void check() {
         writes.stream().filter(write -> write.call.isPresent()).forEach(this::checkWrite);
         pendingReads.removeIf(read -> {
@@ -73,7 +74,7 @@
     private void checkWrite(final ZoneWrite write) {
         final PendingCall call = write.call.orElseThrow();
         if (call.answer().filter(CommandResult.Rejected.class::isInstance).isPresent()) {
-            workload.fail("an evacuation was refused: " + call.answerOrThrow());
+            workload.fail("an evacuation was rejected: " + call.answerOrThrow());
         }
         if (call.answer().isPresent() || workload.now() - call.calledAt() > ANSWER_TIMEOUT_MICROS) {
             write.isAcknowledged |= call.isAcknowledged() && write.isAnswerDelivered;
@@ -87,7 +88,7 @@
                 .toList();
         final ZoneWrite newest = read.newestAcknowledged();
         if (result.answered() && newest == last() && !active.equals(List.of(newest.isActive))) {
-            workload.fail("the zone stands at " + active + ", acknowledged was " + newest.isActive);
+            workload.fail("a read of the zone returned " + active + ", but " + newest.isActive + " was acknowledged");
         }
     }
 }
