--- a/core/src/test/java/silverlatch/replication/AcknowledgedWritesTest.java
+++ b/core/src/test/java/silverlatch/replication/AcknowledgedWritesTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import silverlatch.state.CommandResult;
 
-/** What was acknowledged survives crashes, restarts and lost disks of fewer machines than there are replicas. */
+/** Guards against the loss of acknowledged writes through crashes, restarts and lost disks of fewer machines than the minimum number of replicas. */
 final class AcknowledgedWritesTest {
     private static final long SECOND = 1_000_000;
 
@@ -22,7 +22,7 @@
     void sixReplicasWithThreeSeedsAllBecomeVotersAndSurviveTwoCrashesAtOnce() {
         final ReplicaCluster cluster = SixReplicas.startSix(2);
         SixReplicas.put(cluster, "f", 1, 0);
-        assertThat("an ack is on every disk of the chain", cluster.countSyncedDisks(1), is(6L));
+        assertThat("an acknowledged write is synced on every disk of the chain", cluster.countSyncedDisks(1), is(6L));
         cluster.kill("a");
         cluster.kill("f");
         final long at = cluster.now();
@@ -67,22 +67,22 @@
 
     @ParameterizedTest
     @ValueSource(ints = {2, 3})
-    void anAcknowledgedConfigurationSurvivesFewerLostDisksThanCopiesAndAPowerCutOfTheRest(final int copies) {
-        for (int turn = 0; turn < 12; turn++) {
-            final ReplicaCluster cluster = SixReplicas.startSix(copies);
-            for (int i = 0; i < turn % 3; i++) {
-                cluster.kill(SixReplicas.ADDRESSES.get((turn + 2 * i) % 6));
+    void anAcknowledgedConfigurationSurvivesFewerLostDisksThanCopiesAndAPowerCutOfTheRest(final int minReplicas) {
+        for (int round = 0; round < 12; round++) {
+            final ReplicaCluster cluster = SixReplicas.startSix(minReplicas);
+            for (int i = 0; i < round % 3; i++) {
+                cluster.kill(SixReplicas.ADDRESSES.get((round + 2 * i) % 6));
             }
-            final String at = cluster.running().stream().sorted().toList().get(turn % 2);
+            final String at = cluster.running().stream().sorted().toList().get(round % 2);
             SixReplicas.put(cluster, at, 1, 0);
             final List<String> lost = SixReplicas.chain(cluster).stream()
                     .sorted()
-                    .skip(turn % 2)
-                    .limit(copies - 1)
+                    .skip(round % 2)
+                    .limit(minReplicas - 1)
                     .toList();
             List.copyOf(cluster.running()).forEach(cluster::kill);
             lost.forEach(cluster::loseDisk);
-            cluster.advance(turn * 50_000L);
+            cluster.advance(round * 50_000L);
             SixReplicas.ADDRESSES.forEach(address -> cluster.start(address, false));
             cluster.advance(25 * SECOND);
             SixReplicas.assertNewest(cluster, 1);
@@ -97,13 +97,13 @@
         SixReplicas.SEEDS.forEach(address -> cluster.start(address, true));
         cluster.advance(3 * SECOND);
         SixReplicas.put(cluster, "a", 1, 0);
-        final PendingCall cut = cluster.putConfiguration("a", 2, 1, 2 * SECOND);
+        final PendingCall interrupted = cluster.putConfiguration("a", 2, 1, 2 * SECOND);
         cluster.advance(60_000);
         cluster.kill("c");
         cluster.advance(5 * SECOND);
-        assertThat(cut.answerOrThrow(), instanceOf(CommandResult.Unknown.class));
+        assertThat(interrupted.answerOrThrow(), instanceOf(CommandResult.Unknown.class));
         assertThat(
-                "nor told by a read",
+                "a read doesn't return it",
                 ((ChainClient.ReadResult) SixReplicas.read(cluster, "a"))
                         .entries().stream().map(SixReplicas::documentText).toList(),
                 not(is(List.of("paper 2"))));
@@ -122,13 +122,16 @@
             cluster.advance(3 * SECOND + i * 6_100L);
             cluster.setCut("a", "c", true);
             final long oldNumber = SixReplicas.view(cluster).number();
-            final long took = cluster.advanceUntil(5 * SECOND, () -> {
-                final boolean hasMoved = SixReplicas.view(cluster).number() > oldNumber;
+            final long spanMicros = cluster.advanceUntil(5 * SECOND, () -> {
+                final boolean hasLaterView = SixReplicas.view(cluster).number() > oldNumber;
                 final ReplicaStatus tail = cluster.replica("c").status(cluster.now());
-                assertThat("both answer", hasMoved && tail.view().number() == oldNumber && tail.isLeased(), is(false));
-                return hasMoved && tail.view().number() > oldNumber;
+                assertThat(
+                        "the old tail holds a lease under the old view",
+                        hasLaterView && tail.view().number() == oldNumber && tail.isLeased(),
+                        is(false));
+                return hasLaterView && tail.view().number() > oldNumber;
             });
-            assertThat("the chain went on", took >= 0, is(true));
+            assertThat("all installed a later view", spanMicros >= 0, is(true));
         }
     }
 }
--- a/core/src/test/java/silverlatch/replication/BootstrapTest.java
+++ b/core/src/test/java/silverlatch/replication/BootstrapTest.java
@@ -20,10 +20,10 @@
 import silverlatch.wire.Message;
 import silverlatch.wire.ReplicationMessage;
 
-/** The seed with the lowest identity of three, which proposes the first view. */
+/** Guards against a second cluster or two initial views: the bootstrap of the seed with the lowest identity of three, which proposes the initial view. */
 final class BootstrapTest {
-    private static final long RETRY = 300_000;
-    private static final long EXPIRY = 2_000_000;
+    private static final long RETRY_MICROS = 300_000;
+    private static final long EXPIRY_MICROS = 2_000_000;
     private static final List<Replica> SEEDS = REPLICAS.subList(0, 3);
     private final ReplicaFixture fixture = new ReplicaFixture();
     private final Bootstrap bootstrap = bootstrap(fixture.settings);
@@ -47,7 +47,7 @@
         discoverFrom(bootstrap, SELF, SEEDS);
         discoverFrom(bootstrap, SECOND, SEEDS);
         discoverFrom(bootstrap, THIRD, List.of(SELF, THIRD));
-        assertThat("one has not heard all", fixture.sent(), is(List.of()));
+        assertThat("one seed hasn't discovered all", fixture.sent(), is(List.of()));
         final View initialView = proposeInitialView();
         assertThat(initialView.number(), is(1L));
         assertThat(initialView.chain(), is(SEEDS));
@@ -67,7 +67,7 @@
         bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(other), "proposer", START);
         assertThat(fixture.sent(), is(List.of()));
         bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(initialView), "proposer", START);
-        assertThat("the same one again", fixture.sent(), is(List.of(agreement)));
+        assertThat("the same view again", fixture.sent(), is(List.of(agreement)));
         assertThat(bootstrap.isAgreedView(initialView), is(true));
         assertThat(bootstrap.isAgreedView(other), is(false));
     }
@@ -80,7 +80,7 @@
         bootstrap.handleAgreed(new ReplicationMessage.BootstrapAgreed(initialView.fleet(), SELF));
         bootstrap.handleAgreed(new ReplicationMessage.BootstrapAgreed(initialView.fleet(), SECOND));
         assertThat(
-                "of another founding",
+                "an agreement to another view",
                 bootstrap.handleAgreed(new ReplicationMessage.BootstrapAgreed(99, THIRD)),
                 is(Optional.empty()));
         assertThat(
@@ -117,11 +117,11 @@
     void seedsAreSentOneRequestPerRetryAndExpireWhenSilent() {
         discoverFrom(bootstrap, SECOND, List.of());
         bootstrap.discover(START);
-        bootstrap.discover(START + RETRY - 1);
+        bootstrap.discover(START + RETRY_MICROS - 1);
         assertThat(
                 fixture.sent(),
                 is(Collections.nCopies(3, new ReplicationMessage.Discover(SELF, true, List.of(SECOND)))));
-        bootstrap.discover(START + EXPIRY + 1);
+        bootstrap.discover(START + EXPIRY_MICROS + 1);
         assertThat(fixture.sent().get(0), is(new ReplicationMessage.Discover(SELF, true, List.of())));
     }
 
--- a/core/src/test/java/silverlatch/replication/CatchUpProgressTest.java
+++ b/core/src/test/java/silverlatch/replication/CatchUpProgressTest.java
@@ -45,7 +45,7 @@
         join();
         assertThat(catchUp.handleTarget(new ReplicationMessage.CatchUpTarget(1, 0)), is(false));
         catchUp.finishIfReached(START);
-        assertThat("no target, no end", fixture.role.isCaughtUp(), is(false));
+        assertThat("without a target it hasn't caught up", fixture.role.isCaughtUp(), is(false));
         fixture.role.markCaughtUp();
         assertThat(catchUp.handleTarget(new ReplicationMessage.CatchUpTarget(2, 0)), is(false));
     }
--- a/core/src/test/java/silverlatch/replication/CatchUpTest.java
+++ b/core/src/test/java/silverlatch/replication/CatchUpTest.java
@@ -14,7 +14,10 @@
 import silverlatch.state.Command;
 import silverlatch.state.Value;
 
-/** Hundreds of large changes over links of 7 Mbit/s and disks of 64 MB at 5 ms a sync, with a member away for them. */
+/**
+ * Guards against members that never catch up, or are suspected by others meanwhile, because large entries fill slow links and small
+ * disks: a member misses many large documents, with links of 7 Mbit/s and disks of 64 MiB that need 5 ms per sync.
+ */
 final class CatchUpTest {
     private static final long SECOND = 1_000_000;
     private static final long LINK_BYTES_PER_SECOND = 7_000_000 / 8;
@@ -30,7 +33,7 @@
                 .withLimits(LINK_BYTES_PER_SECOND, SYNC_MICROS, DISK_BYTES);
         SIX.subList(0, members).forEach(s -> cluster.start(s, true));
         cluster.advanceUntil(60 * SECOND, () -> isChainComplete(cluster, members));
-        assertThat("the chain is whole" + cluster, isChainComplete(cluster, members), is(true));
+        assertThat("the chain is complete" + cluster, isChainComplete(cluster, members), is(true));
         return cluster;
     }
 
@@ -44,7 +47,10 @@
                 });
     }
 
-    /** A document of some 150 KB and 500 routes; all routes of an odd one differ from those before. */
+    /**
+     * Returns a command that puts a document of about 150 KB with 500 routes. An odd number changes all routes, an even one
+     * few of them; {@code renamed} gives all routes new keys.
+     */
     private static Command.PutConfiguration document(final long number, final boolean renamed) {
         final List<Value.Route> routes = new ArrayList<>();
         for (int i = 0; i < ROUTES; i++) {
@@ -74,7 +80,7 @@
                 -1);
     }
 
-    /** Prints a measured figure where one is asked for. */
+    /** Prints a measurement if {@code -Dsilverlatch.figures=true} is set. */
     private static void printMeasurement(final String text) {
         if (Boolean.getBoolean("silverlatch.figures")) {
             System.out.println(text);
@@ -95,34 +101,34 @@
     @ValueSource(ints = {3, 6})
     void aMemberThatMissedManyDocumentsCatchesUpInBoundedTime(final int members) {
         final ReplicaCluster cluster = cluster(members);
-        final String away = SIX.get(members - 1);
+        final String missing = SIX.get(members - 1);
         put(cluster, "a", 1);
-        cluster.kill(away);
+        cluster.kill(missing);
         cluster.advance(3 * SECOND);
         final int count = Integer.getInteger("silverlatch.documents", 60);
         for (int number = 2; number <= count; number++) {
             put(cluster, "a", number);
         }
-        final long before = cluster.links().receivedBytes(away);
+        final long bytesBefore = cluster.links().receivedBytes(missing);
         final long suspected = cluster.loggedCount(Event.CHAIN_SUSPECT);
-        cluster.start(away, false);
+        cluster.start(missing, false);
         final long span = cluster.advanceUntil(60 * SECOND, () -> isChainComplete(cluster, members));
-        final long bytes = cluster.links().receivedBytes(away) - before;
+        final long bytes = cluster.links().receivedBytes(missing) - bytesBefore;
         final long disk = cluster.running().stream()
                 .mapToLong(s -> cluster.simulatedDisk(s).peakBytes())
                 .max()
                 .orElseThrow();
-        printMeasurement("members " + members + " documents " + count + " back after us " + span + " bytes " + bytes
+        printMeasurement("members " + members + " documents " + count + " rejoined after us " + span + " bytes " + bytes
                 + " largest disk " + disk + " entries "
-                + cluster.replica(away).stateMachine().allEntries().size());
-        assertThat("it is back" + cluster, span, greaterThan(0L));
-        assertThat("in a bounded time", span, lessThan(4 * SECOND));
-        assertThat("with bounded bytes", bytes, lessThan(2L << 20));
-        assertThat("in an eighth of the disk", disk, lessThan(DISK_BYTES / 8));
-        assertThat("nobody was taken for dead", cluster.loggedCount(Event.CHAIN_SUSPECT), is(suspected));
+                + cluster.replica(missing).stateMachine().allEntries().size());
+        assertThat("the member rejoins" + cluster, span, greaterThan(0L));
+        assertThat("time to rejoin", span, lessThan(4 * SECOND));
+        assertThat("bytes received", bytes, lessThan(2L << 20));
+        assertThat("largest disk usage", disk, lessThan(DISK_BYTES / 8));
+        assertThat("no member was suspected", cluster.loggedCount(Event.CHAIN_SUSPECT), is(suspected));
         SIX.subList(0, members - 2).forEach(cluster::kill);
         cluster.advance(SECOND);
-        assertThat(cluster.committedNumber(away), is((long) count));
+        assertThat(cluster.committedNumber(missing), is((long) count));
     }
 
     @Test
@@ -146,14 +152,14 @@
             }
             final long span = cluster.advanceUntil(
                     30 * SECOND, () -> calls.stream().allMatch(a -> a.answer().isPresent()));
-            printMeasurement("eight at once took us " + span + ", back " + isChainComplete(cluster, 3));
-            assertThat("eight are taken in a bounded time" + cluster, span, greaterThan(0L));
+            printMeasurement("eight at once took us " + span + ", rejoined " + isChainComplete(cluster, 3));
+            assertThat("eight documents are acknowledged in time" + cluster, span, greaterThan(0L));
             slowest = Math.max(slowest, span);
             hasRejoined |= isChainComplete(cluster, 3);
         }
-        assertThat("the slowest eight", slowest, lessThan(10 * SECOND));
-        assertThat("it is back while the writes go on" + cluster, hasRejoined, is(true));
-        assertThat("nobody was taken for dead" + cluster, cluster.loggedCount(Event.CHAIN_SUSPECT), is(suspected));
+        assertThat("time of the slowest eight documents", slowest, lessThan(10 * SECOND));
+        assertThat("the member rejoins during the writes" + cluster, hasRejoined, is(true));
+        assertThat("no member was suspected" + cluster, cluster.loggedCount(Event.CHAIN_SUSPECT), is(suspected));
     }
 
     @Test
@@ -170,12 +176,13 @@
         cluster.loseDisk("c");
         cluster.advance(3 * SECOND);
         final long suspected = cluster.loggedCount(Event.CHAIN_SUSPECT);
-        final long before = cluster.links().receivedBytes("c");
+        final long bytesBefore = cluster.links().receivedBytes("c");
         cluster.start("c", false);
         final long span = cluster.advanceUntil(60 * SECOND, () -> isChainComplete(cluster, 3));
-        final long bytes = cluster.links().receivedBytes("c") - before;
-        printMeasurement("empty machine, " + count + " documents of new names: entries "
-                + cluster.replica("a").stateMachine().allEntries().size() + " weight " + stateBytes + " back after us "
+        final long bytes = cluster.links().receivedBytes("c") - bytesBefore;
+        printMeasurement("empty machine, " + count + " documents with new route keys: entries "
+                + cluster.replica("a").stateMachine().allEntries().size() + " bytes of state " + stateBytes
+                + " rejoined after us "
                 + span
                 + " bytes "
                 + bytes + " largest disk "
@@ -183,8 +190,8 @@
                         .mapToLong(s -> cluster.simulatedDisk(s).peakBytes())
                         .max()
                         .orElseThrow());
-        assertThat("it is in the chain" + cluster, span, greaterThan(0L));
-        assertThat("the state was sent once", bytes, lessThan(stateBytes));
-        assertThat("nobody was taken for dead", cluster.loggedCount(Event.CHAIN_SUSPECT), is(suspected));
+        assertThat("the member rejoins" + cluster, span, greaterThan(0L));
+        assertThat("bytes received", bytes, lessThan(stateBytes));
+        assertThat("no member was suspected", cluster.loggedCount(Event.CHAIN_SUSPECT), is(suspected));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ChainClientTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainClientTest.java
@@ -57,10 +57,10 @@
                 new ChainClientMessage.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)),
                 20_000_000);
         final Effect unknown = new Effect.Respond(5, new CommandResult.Unknown("order-1"));
-        assertThat("a reply after the process was frozen", client.drain(), is(List.of(unknown)));
+        assertThat("a reply handled after the process was frozen", client.drain(), is(List.of(unknown)));
         client.submit(new Command.SetEvacuation("order-2", "z", true, -1), 6, 30_000_000, 25_000_000);
         final Effect late = new Effect.Respond(6, new CommandResult.Unknown("order-2"));
-        assertThat("a call that waited while it was frozen", client.drain(), is(List.of(late)));
+        assertThat("a call submitted after its deadline", client.drain(), is(List.of(late)));
     }
 
     private List<Long> expectedRevisions() {
--- a/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
@@ -24,7 +24,10 @@
 import silverlatch.wire.Message;
 import silverlatch.wire.ReplicationMessage;
 
-/** Three machines, a scripted operator, and a fake clock; messages go only where the script lets them. */
+/**
+ * Guards against rejection or duplicated writes, stale isLeased and wrong votes in a chain of three replicas. The tests control the clock,
+ * which machines are down and which disks are stalled, and send client requests under the address "operator".
+ */
 final class ChainReplicaTest {
     private static final List<String> SEEDS = List.of("a", "b", "c");
     private final Map<String, ChainReplica> replicas = new LinkedHashMap<>();
@@ -216,12 +219,13 @@
         put("a", "base", -1);
         final long match = ((CommandResult.Applied) ((ChainClientMessage.WriteReply) lastReply()).result()).sequence();
         put("a", "win", match);
-        final long won = ((CommandResult.Applied) ((ChainClientMessage.WriteReply) lastReply()).result()).sequence();
+        final long winningSequence =
+                ((CommandResult.Applied) ((ChainClientMessage.WriteReply) lastReply()).result()).sequence();
         put("a", "lose", match);
-        final CommandResult.Rejected lost =
+        final CommandResult.Rejected rejection =
                 (CommandResult.Rejected) ((ChainClientMessage.WriteReply) lastReply()).result();
-        assertThat(lost.code(), is(409));
-        assertThat(lost.sequence(), is(won));
+        assertThat(rejection.code(), is(409));
+        assertThat(rejection.sequence(), is(winningSequence));
         assertThat(rowKinds("c"), is(Set.of("win")));
     }
 
@@ -230,19 +234,19 @@
         bootstrap();
         put("a", "old", -1);
         down.add("c");
-        boolean overlap = false;
+        boolean heldLeaseTooLong = false;
         for (int i = 0; i < 80; i++) {
             now += 50_000;
             replicas.get("a").tick(now);
             replicas.get("b").tick(now);
             deliverAll();
-            final boolean reads = replicas.get("c").status(now).isLeased();
-            final boolean moved = replicas.get("a").view().number() > 1
+            final boolean isLeased = replicas.get("c").status(now).isLeased();
+            final boolean installedLaterView = replicas.get("a").view().number() > 1
                     || replicas.get("b").view().number() > 1;
-            overlap |= reads && moved;
+            heldLeaseTooLong |= isLeased && installedLaterView;
         }
-        assertThat("the chain went on", replicas.get("b").view().number() > 1, is(true));
-        assertThat("and the old tail read on", overlap, is(false));
+        assertThat("the others installed a later view", replicas.get("b").view().number() > 1, is(true));
+        assertThat("the isolated tail held its lease at the same time", heldLeaseTooLong, is(false));
     }
 
     @Test
@@ -332,7 +336,7 @@
             replicas.get(address).leave();
             advance(3_000_000);
             assertThat(
-                    address + ": only the first has left enough copies",
+                    address + ": only the first one leaves enough replicas behind",
                     replicas.get(address).hasLeft(),
                     is(address.equals("a")));
             down.add(address);
@@ -371,8 +375,8 @@
                         "operator",
                         now));
         advance(1_000_000);
-        final long right = stamp;
-        stamp = right + silverlatch.clock.NtpTime.fromMicros(30L * 86_400 * 1_000_000);
+        final long correctStamp = stamp;
+        stamp = correctStamp + silverlatch.clock.NtpTime.fromMicros(30L * 86_400 * 1_000_000);
         start("a", "id-a");
         down.addAll(List.of("b", "c"));
         deliveries.add(() -> replicas.get("a")
@@ -382,7 +386,7 @@
                         "operator",
                         now));
         advance(500_000);
-        stamp = right + 1_000_000;
+        stamp = correctStamp + 1_000_000;
         down.clear();
         advance(20_000_000);
         assertThat(replicas.get("c").stateMachine().get("c/key").isPresent(), is(true));
--- a/core/src/test/java/silverlatch/replication/ChainReplicationTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainReplicationTest.java
@@ -14,7 +14,7 @@
 import silverlatch.wire.Message;
 import silverlatch.wire.ReplicationMessage;
 
-/** A tail that joined the chain and has to catch up: what it sends again, and what a sync of its entries does. */
+/** Guards against a tail that joined the chain and doesn't catch up: fetches and retries, and the end of the catch-up after a sync. */
 final class ChainReplicationTest {
     private static final long RETRY = ReplicaSettings.RETRY_MICROS;
     private static final long FETCH = 4 * RETRY;
--- a/core/src/test/java/silverlatch/replication/ClusterBootstrapTest.java
+++ b/core/src/test/java/silverlatch/replication/ClusterBootstrapTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which machines may bootstrap a cluster, and how others wait for it. */
+/** Guards against a second cluster that machines with empty disks bootstrap, and against seeds that can't bootstrap one. */
 final class ClusterBootstrapTest {
     private static final long SECOND = 1_000_000;
 
@@ -31,16 +31,18 @@
         SixReplicas.SEEDS.forEach(address -> cluster.start(address, false));
         cluster.advance(10 * SECOND);
         assertThat(
-                "empty disks found no second fleet", SixReplicas.view(cluster).number(), is(0L));
+                "empty disks bootstrap no second cluster",
+                SixReplicas.view(cluster).number(),
+                is(0L));
     }
 
     @ParameterizedTest
     @CsvSource({"1,1", "2,1", "2,2", "3,3"})
-    void oneTwoOrThreeSeedsBootstrapACluster(final int seeds, final int copies) {
+    void oneTwoOrThreeSeedsBootstrapACluster(final int seeds, final int minReplicas) {
         final ReplicaCluster cluster = new ReplicaCluster(
                 SixReplicas.SEEDS.subList(0, seeds),
                 SixReplicas.LINK_DELAY_MICROS,
-                settings -> settings.withCounts(copies, 3));
+                settings -> settings.withCounts(minReplicas, 3));
         SixReplicas.SEEDS.subList(0, seeds).forEach(address -> cluster.start(address, true));
         cluster.advance(5 * SECOND);
         SixReplicas.put(cluster, "a", 1, 0);
--- a/core/src/test/java/silverlatch/replication/CommitterTest.java
+++ b/core/src/test/java/silverlatch/replication/CommitterTest.java
@@ -32,7 +32,7 @@
         assertThat(log.committedSequence(), is(1L));
         assertThat(fixture.sent(), is(List.of(new ReplicationMessage.CommitNotice(2, 1))));
         committer.commitAsTail(START);
-        assertThat("nothing new", fixture.sent(), is(List.of()));
+        assertThat("no further entry", fixture.sent(), is(List.of()));
     }
 
     @Test
@@ -41,7 +41,7 @@
         append(fixture, log);
         committer.commitAsTail(START);
         committer.handleCommitNotice(new ReplicationMessage.CommitNotice(1, 1), START);
-        assertThat("no tail, and a notice of another view", log.committedSequence(), is(0L));
+        assertThat("not the tail, and a notice of another view", log.committedSequence(), is(0L));
         committer.handleCommitNotice(new ReplicationMessage.CommitNotice(2, 5), START);
         assertThat(log.committedSequence(), is(1L));
     }
@@ -57,6 +57,6 @@
         final ReplicaLog shortLog = ReplicaFixture.log(unguarded, syncedAt -> {}, sequence -> {});
         append(unguarded, shortLog);
         new Committer(unguarded.settings, unguarded.role, shortLog, unguarded.effects).commitAsTail(START);
-        assertThat("the safeguard is let down", shortLog.committedSequence(), is(1L));
+        assertThat("with the safeguard disabled", shortLog.committedSequence(), is(1L));
     }
 }
--- a/core/src/test/java/silverlatch/replication/DiscoveryTest.java
+++ b/core/src/test/java/silverlatch/replication/DiscoveryTest.java
@@ -13,21 +13,22 @@
 import silverlatch.wire.ReplicationMessage;
 
 final class DiscoveryTest {
-    private static final long RETRY = 300_000;
+    private static final long RETRY_MICROS = 300_000;
     private final ReplicaFixture fixture = new ReplicaFixture().withView(view(5, SECOND));
     private final Discovery discovery = new Discovery(fixture.settings, fixture.role, fixture.effects);
 
     @Test
     void allRoundsShareOneTimer() {
-        assertThat(discovery.beginRound(RETRY, START), is(true));
-        discovery.requestLaterView(START + RETRY - 1);
+        assertThat(discovery.beginRound(RETRY_MICROS, START), is(true));
+        discovery.requestLaterView(START + RETRY_MICROS - 1);
         assertThat(fixture.sent(), is(List.of()));
-        discovery.requestLaterView(START + RETRY);
-        assertThat(discovery.beginRound(RETRY, START + RETRY + 1), is(false));
+        discovery.requestLaterView(START + RETRY_MICROS);
+        assertThat(discovery.beginRound(RETRY_MICROS, START + RETRY_MICROS + 1), is(false));
         assertThat(
-                "the voters are asked under the view before",
+                "requests under the number of the previous view",
                 fixture.sent(),
-                is(Collections.nCopies(3, new ReplicationMessage.LeaseRequest(4, START + RETRY, SELF, false, false))));
+                is(Collections.nCopies(
+                        3, new ReplicationMessage.LeaseRequest(4, START + RETRY_MICROS, SELF, false, false))));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/replication/EffectQueueTest.java
+++ b/core/src/test/java/silverlatch/replication/EffectQueueTest.java
@@ -16,7 +16,7 @@
 import silverlatch.wire.ReplicationMessage;
 
 final class EffectQueueTest {
-    private static final long LIMIT = 1_000;
+    private static final long LIMIT_MICROS = 1_000;
     private static final List<LogRecord> PROMISE = List.of(new LogRecord.Promised(2, 256));
     private final EffectQueue effects = new EffectQueue(Safeguards.ALL, 7);
     private final List<Long> syncedAt = new ArrayList<>();
@@ -58,13 +58,13 @@
 
     @Test
     void theDiskIsStalledWhenTheOldestWriteWaitsForLongerThanTheLimit() {
-        assertThat("nothing was written", effects.isStalled(LIMIT, 9_000), is(false));
+        assertThat("no write is pending", effects.isStalled(LIMIT_MICROS, 9_000), is(false));
         effects.persist(PROMISE, 10);
         effects.persist(PROMISE, 500);
-        assertThat(effects.isStalled(LIMIT, 10 + LIMIT), is(false));
-        assertThat(effects.isStalled(LIMIT, 11 + LIMIT), is(true));
-        effects.completeWrite(8, 11 + LIMIT);
-        assertThat("the next one is younger", effects.isStalled(LIMIT, 11 + LIMIT), is(false));
+        assertThat(effects.isStalled(LIMIT_MICROS, 10 + LIMIT_MICROS), is(false));
+        assertThat(effects.isStalled(LIMIT_MICROS, 11 + LIMIT_MICROS), is(true));
+        effects.completeWrite(8, 11 + LIMIT_MICROS);
+        assertThat("the next write is younger", effects.isStalled(LIMIT_MICROS, 11 + LIMIT_MICROS), is(false));
         assertThat(effects.isAllSynced(), is(false));
     }
 
--- a/core/src/test/java/silverlatch/replication/EpochAdvancerTest.java
+++ b/core/src/test/java/silverlatch/replication/EpochAdvancerTest.java
@@ -14,8 +14,8 @@
 import silverlatch.wire.ChainClientMessage;
 
 final class EpochAdvancerTest {
-    private static final long INTERVAL = 600_000_000;
-    private static final Optional<Long> OWNER = Optional.of(3L);
+    private static final long INTERVAL_MICROS = 600_000_000;
+    private static final Optional<Long> TOKEN = Optional.of(3L);
     private final ReplicaFixture fixture = new ReplicaFixture().withView(view(3, SECOND, SELF));
     private final EpochAdvancer advancer = new EpochAdvancer(
             fixture.settings,
@@ -26,10 +26,10 @@
 
     @Test
     void theOwnerSendsTheHeadOneWritePerInterval() {
-        advancer.tick(OWNER, START + INTERVAL - 1);
+        advancer.tick(TOKEN, START + INTERVAL_MICROS - 1);
         assertThat(fixture.sent(), is(List.of()));
-        advancer.tick(OWNER, START + INTERVAL);
-        advancer.tick(OWNER, START + INTERVAL + 1);
+        advancer.tick(TOKEN, START + INTERVAL_MICROS);
+        advancer.tick(TOKEN, START + INTERVAL_MICROS + 1);
         assertThat(
                 fixture.sent(),
                 is(List.of(new ChainClientMessage.WriteRequest(
@@ -38,10 +38,10 @@
 
     @Test
     void aNewOwnerWaitsForAWholeInterval() {
-        advancer.tick(Optional.empty(), START + INTERVAL);
-        advancer.tick(OWNER, START + 2 * INTERVAL - 1);
+        advancer.tick(Optional.empty(), START + INTERVAL_MICROS);
+        advancer.tick(TOKEN, START + 2 * INTERVAL_MICROS - 1);
         assertThat(fixture.sent(), is(List.of()));
-        advancer.tick(OWNER, START + 2 * INTERVAL);
+        advancer.tick(TOKEN, START + 2 * INTERVAL_MICROS);
         assertThat(fixture.receivers(), is(List.of(SECOND.address())));
     }
 }
--- a/core/src/test/java/silverlatch/replication/FailoverTimeTest.java
+++ b/core/src/test/java/silverlatch/replication/FailoverTimeTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import silverlatch.state.CommandResult;
 
-/** How soon a change is acknowledged when the core is in trouble, with 35 ms one way between all machines. */
+/** Guards against long write outages after the loss of replicas, with a delay of 35 ms in each direction between all machines. */
 final class FailoverTimeTest {
     private static final List<String> SEEDS = List.of("a", "b", "c");
-    private static final List<String> SIX = List.of("a", "b", "c", "d", "e", "f");
+    private static final List<String> ADDRESSES = List.of("a", "b", "c", "d", "e", "f");
     private static final long LINK_DELAY_MICROS = 35_000;
     private static final long MAX_OUTAGE_MICROS = 1_500_000;
     private static final int FAULT_TIMES = 24;
@@ -28,12 +28,12 @@
                 () -> all.stream()
                         .allMatch(s -> cluster.replica(s).status(cluster.now()).isCaughtUp()
                                 && cluster.replica(s).view().chain().size() == all.size()));
-        assertThat("all stand in the chain", spanMicros >= 0, is(true));
+        assertThat("all are in the chain", spanMicros >= 0, is(true));
         cluster.advance(1_000_000);
         return cluster;
     }
 
-    /** The longest time from the trouble to a reply, over many moments, by each controller that is left. */
+    /** Returns the longest time from the fault to an answer, over the remaining machines and several times of the fault. */
     private static long longestOutage(final List<String> all, final List<String> dead, final boolean isCut) {
         long longest = 0;
         for (int i = 0; i < FAULT_TIMES; i++) {
@@ -51,7 +51,10 @@
                     .filter(s -> !dead.contains(s))
                     .forEach(s -> calls.add(cluster.putConfiguration(s, calls.size() + 1, -1, 6_000_000)));
             cluster.advance(6_500_000);
-            assertThat("one at least is kept", calls.stream().anyMatch(PendingCall::isAcknowledged), is(true));
+            assertThat(
+                    "at least one write is acknowledged",
+                    calls.stream().anyMatch(PendingCall::isAcknowledged),
+                    is(true));
             calls.forEach(call -> assertThat(
                     "" + call.answerOrThrow(),
                     call.isAcknowledged() || call.answerOrThrow() instanceof CommandResult.Rejected,
@@ -78,13 +81,13 @@
     @ParameterizedTest
     @ValueSource(strings = {"a,b", "a,f", "c,d", "e,f"})
     void aWriteIsAcknowledgedSoonAfterTwoOfSixDie(final String dead) {
-        assertThat(longestOutage(SIX, List.of(dead.split(",")), false), lessThan(MAX_OUTAGE_MICROS));
+        assertThat(longestOutage(ADDRESSES, List.of(dead.split(",")), false), lessThan(MAX_OUTAGE_MICROS));
     }
 
     @Test
     void writesAreAcknowledgedWhileTheVotersGrowFromThreeToSix() {
         final ReplicaCluster cluster = new ReplicaCluster(SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(2, 6));
-        SIX.forEach(s -> cluster.start(s, true));
+        ADDRESSES.forEach(s -> cluster.start(s, true));
         cluster.advanceUntil(5_000_000, () -> cluster.replica("a").view().number() == 1);
         final List<PendingCall> calls = LongStream.rangeClosed(1, 60)
                 .mapToObj(i -> {
--- a/core/src/test/java/silverlatch/replication/FailureDetectorTest.java
+++ b/core/src/test/java/silverlatch/replication/FailureDetectorTest.java
@@ -14,7 +14,7 @@
 import silverlatch.wire.ReplicationMessage;
 
 final class FailureDetectorTest {
-    private static final long HALF_SUSPICION = 400_000;
+    private static final long HALF_SUSPICION_MICROS = 400_000;
     private final ReplicaFixture fixture = new ReplicaFixture().withView(view(1, SELF, SECOND, THIRD));
     private final FailureDetector detector = new FailureDetector(fixture.settings, fixture.role);
 
@@ -36,10 +36,10 @@
     @Test
     void anyLeaseRequestWithinHalfTheSuspicionTimeoutCountsAsContact() {
         detector.start(START);
-        assertThat("nothing was received yet", detector.hearsMajority(START), is(false));
+        assertThat("no request was received yet", detector.hearsMajority(START), is(false));
         receive(THIRD, true, false, START);
-        assertThat(detector.hearsMajority(START + HALF_SUSPICION), is(true));
-        assertThat(detector.hearsMajority(START + HALF_SUSPICION + 1), is(false));
+        assertThat(detector.hearsMajority(START + HALF_SUSPICION_MICROS), is(true));
+        assertThat(detector.hearsMajority(START + HALF_SUSPICION_MICROS + 1), is(false));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/replication/GrantedLeasesTest.java
+++ b/core/src/test/java/silverlatch/replication/GrantedLeasesTest.java
@@ -16,8 +16,8 @@
 import silverlatch.wire.ReplicationMessage;
 
 final class GrantedLeasesTest {
-    private static final long LEASE = 600_000;
-    private static final long LATER = START + 10 * LEASE;
+    private static final long LEASE_MICROS = 600_000;
+    private static final long LATER = START + 10 * LEASE_MICROS;
     private final ReplicaFixture fixture = new ReplicaFixture().withView(view(1, SELF, SECOND, THIRD));
     private final GrantedLeases leases = new GrantedLeases(fixture.settings, fixture.role, fixture.effects, START);
 
@@ -37,8 +37,8 @@
     void theRemovalOfAMemberWaitsUntilItsLeaseHasExpired() {
         leases.grant(request(SECOND, 5), 0, LATER);
         leases.grant(request(THIRD, 5), 0, LATER + 100);
-        assertThat(leases.leaseExpiryOfRemovedMembers(view(2, SELF, SECOND)), is(LATER + 100 + LEASE));
-        assertThat(leases.leaseExpiryOfRemovedMembers(view(2, SELF, THIRD)), is(LATER + LEASE));
+        assertThat(leases.leaseExpiryOfRemovedMembers(view(2, SELF, SECOND)), is(LATER + 100 + LEASE_MICROS));
+        assertThat(leases.leaseExpiryOfRemovedMembers(view(2, SELF, THIRD)), is(LATER + LEASE_MICROS));
         assertThat(
                 "the chain only grows",
                 leases.leaseExpiryOfRemovedMembers(view(2, SELF, SECOND, THIRD, NON_VOTER)),
@@ -47,17 +47,17 @@
 
     @Test
     void afterARestartEarlierGrantsCountForAWholeLease() {
-        assertThat(leases.leaseExpiryOfRemovedMembers(view(2, SELF, SECOND)), is(START + LEASE));
+        assertThat(leases.leaseExpiryOfRemovedMembers(view(2, SELF, SECOND)), is(START + LEASE_MICROS));
     }
 
     @Test
     void afterAChangeOfTheVotersAllGrantsCountForAWholeLease() {
         final View same = view(2, SELF, SECOND, THIRD);
         leases.installView(fixture.role.view(), same, LATER);
-        assertThat(leases.leaseExpiryOfRemovedMembers(view(3, SELF)), is(START + LEASE));
+        assertThat(leases.leaseExpiryOfRemovedMembers(view(3, SELF)), is(START + LEASE_MICROS));
         final View other = new View(3, 7, REPLICAS, List.of(SELF, SECOND, THIRD), SELF.id());
         leases.installView(same, other, LATER);
-        assertThat(leases.leaseExpiryOfRemovedMembers(view(4, SELF)), is(LATER + LEASE));
+        assertThat(leases.leaseExpiryOfRemovedMembers(view(4, SELF)), is(LATER + LEASE_MICROS));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/replication/LogEntryTest.java
+++ b/core/src/test/java/silverlatch/replication/LogEntryTest.java
@@ -43,6 +43,7 @@
         final LogEntry entry = new LogEntry(1, 1, new Stamp(1), puts);
         final int size = new Codec().encode(new ReplicationMessage.Replicate(1, List.of(entry))).length;
         assertThat(size, lessThan(Codec.MAX_BYTES));
-        assertThat("a weight is not much below the size", entry.estimatedBytes() * 2, greaterThan((long) size));
+        assertThat("the estimate is more than half of the encoded size", entry.estimatedBytes() * 2, greaterThan((long)
+                size));
     }
 }
--- a/core/src/test/java/silverlatch/replication/OperatorWorkload.java
+++ b/core/src/test/java/silverlatch/replication/OperatorWorkload.java
@@ -70,12 +70,12 @@
 
     /** Returns how many configuration writes were rejected. */
     long rejected() {
-        return writes.stream().filter(order -> order.rejections() > 0).count();
+        return writes.stream().filter(write -> write.rejections() > 0).count();
     }
 
     /** Returns how many configuration writes were acknowledged more than once. */
     long acknowledgedRepeatedly() {
-        return writes.stream().filter(order -> order.acknowledgements() > 1).count();
+        return writes.stream().filter(write -> write.acknowledgements() > 1).count();
     }
 
     /** Runs the workload and the recovery after it; throws AssertionError if a check fails. */
@@ -121,8 +121,9 @@
     }
 
     /** Fails the test; the message lists all configuration writes and the status of all replicas. */
-    void fail(final String what) {
-        throw new AssertionError("seed " + seed + ", replicas " + minReplicas + ", at " + cluster.now() + ": " + what
+    void fail(final String violation) {
+        throw new AssertionError("seed " + seed + ", replicas " + minReplicas + ", at " + cluster.now() + ": "
+                + violation
                 + "\n"
                 + String.join("\n", writes.stream().map(OperatorWrite::toString).toList()) + cluster);
     }
--- a/core/src/test/java/silverlatch/replication/PredecessorLinkTest.java
+++ b/core/src/test/java/silverlatch/replication/PredecessorLinkTest.java
@@ -44,7 +44,7 @@
         assertThat(log.pendingEntries(), is(List.of(entry(1), entry(2))));
         link.handleReplicate(replicate(2, entry(1), entry(2)), START);
         assertThat(
-                "the tail says again what is committed",
+                "the tail repeats its commit notice",
                 fixture.receivers(),
                 is(List.of(SECOND.address(), SECOND.address(), SECOND.address())));
     }
@@ -67,10 +67,10 @@
         final ReplicaFixture unguarded = new ReplicaFixture(Safeguard.FENCE).withView(view(2, SECOND, SELF));
         final ReplicaLog other = ReplicaFixture.log(unguarded, syncedAt -> {}, sequence -> {});
         link(unguarded, other).handleReplicate(replicate(1, entry(1)), START);
-        assertThat("the safeguard is let down", other.lastSequence(), is(1L));
+        assertThat("with the safeguard disabled", other.lastSequence(), is(1L));
         fixture.withView(view(3, SELF, SECOND));
         link.handleReplicate(replicate(3, entry(1)), START);
-        assertThat("writes enter at the head", log.lastSequence(), is(0L));
+        assertThat("the head accepts no entries of others", log.lastSequence(), is(0L));
         assertThat(fixture.sent(), is(List.of()));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ReadAdmissionTest.java
+++ b/core/src/test/java/silverlatch/replication/ReadAdmissionTest.java
@@ -42,13 +42,13 @@
 
     @Test
     void otherReplicasReplyInconclusively() {
-        final ChainClientMessage.ReadReply none = new ChainClientMessage.ReadReply(3, false, 1, List.of());
-        assertThat("without a lease", read(new ReplicaFixture(), view(1, SECOND, SELF), false), is(none));
-        assertThat("not the tail", read(new ReplicaFixture(), view(1, SELF, SECOND), true), is(none));
+        final ChainClientMessage.ReadReply inconclusive = new ChainClientMessage.ReadReply(3, false, 1, List.of());
+        assertThat("without a lease", read(new ReplicaFixture(), view(1, SECOND, SELF), false), is(inconclusive));
+        assertThat("not the tail", read(new ReplicaFixture(), view(1, SELF, SECOND), true), is(inconclusive));
         assertThat(
-                "too short a chain, with what may have been acknowledged before a restart",
+                "too short a chain, which may have acknowledged more before a restart",
                 read(new ReplicaFixture(), view(1, SELF), true),
-                is(none));
+                is(inconclusive));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/replication/RepairDuringReplicationTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairDuringReplicationTest.java
@@ -15,7 +15,10 @@
 import silverlatch.wire.Message;
 import silverlatch.wire.ReplicationMessage;
 
-/** A replica in the chain that hasn't caught up asks for a repair only while no new entry comes by the log. */
+/**
+ * Guards against needless repairs: a member that hasn't caught up requests a repair only if it receives no new entries by
+ * replication.
+ */
 final class RepairDuringReplicationTest {
     private static final Replica PREDECESSOR = new Replica("id-a", "a");
     private static final Replica FOLLOWER = new Replica("id-b", "b");
@@ -40,7 +43,7 @@
             receive(sequence);
             advance(SECOND);
         }
-        assertThat("repairs asked for while a new entry came each second", repairRequests(), is(0L));
+        assertThat("repair requests while a new entry arrived each second", repairRequests(), is(0L));
     }
 
     @Test
@@ -50,7 +53,7 @@
             advance(SECOND);
             receive(1);
         }
-        assertThat("repairs asked for in three seconds without a new entry", repairRequests(), greaterThan(0L));
+        assertThat("repair requests in three seconds without a new entry", repairRequests(), greaterThan(0L));
     }
 
     private long repairRequests() {
@@ -77,7 +80,7 @@
         }
     }
 
-    /** Takes down what is sent, and syncs what is written at once. */
+    /** Records the messages sent, and completes the sync of each write at once. */
     private void perform() {
         for (List<Effect> effects = follower.drain(); !effects.isEmpty(); effects = follower.drain()) {
             for (final Effect effect : effects) {
--- a/core/src/test/java/silverlatch/replication/RepairOfPendingTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairOfPendingTest.java
@@ -16,8 +16,9 @@
 import silverlatch.state.Value;
 
 /**
- * A change was acknowledged; then all machines restarted, so that none knows it as committed. One of them is the only
- * member of a chain too short to commit it, and repairs the others. They must keep the change on their disks.
+ * Guards against the loss of an acknowledged entry in a repair. After the acknowledgement all machines restarted, so that none of
+ * them knows the entry to be committed. One of them is the only member of a chain that is too short to commit it, and repairs the
+ * others, which must keep the entry on their disks.
  */
 final class RepairOfPendingTest {
     private static final Replica SOURCE = new Replica("id-a", "a");
@@ -37,17 +38,17 @@
     @Test
     void aRepairedReplicaKeepsThePendingEntriesOfItsSource() {
         repair(Safeguards.ALL);
-        assertThat("the change stands on the repaired disk", containsAcknowledgedEntry(), is(true));
+        assertThat("the repaired disk contains the entry", containsAcknowledgedEntry(), is(true));
     }
 
     @Test
     void withoutTheSafeguardThePendingEntryIsDropped() {
         repair(new Safeguards(Set.of(Safeguard.REPAIR_PENDING)));
         assertThat("a snapshot was written", written.isEmpty(), is(false));
-        assertThat("the change stands on the repaired disk", containsAcknowledgedEntry(), is(false));
+        assertThat("the repaired disk contains the entry", containsAcknowledgedEntry(), is(false));
     }
 
-    /** Whether the log, read from its last snapshot on, holds the change. */
+    /** Returns whether the log, from its last snapshot on, contains the acknowledged entry. */
     private boolean containsAcknowledgedEntry() {
         boolean holds = false;
         for (final LogRecord entry : written) {
@@ -64,7 +65,7 @@
         return persist.records().stream().anyMatch(LogRecord.Snapshot.class::isInstance);
     }
 
-    /** Repairs until the log of the repaired replica has been replaced once, synced in one piece. */
+    /** Runs both replicas until the repaired one has written a snapshot, and records that write. */
     private void repair(final Safeguards safeguards) {
         final View view = new View(2, 7, List.of(SOURCE, REPAIRED, ABSENT), List.of(SOURCE), SOURCE.id());
         final ChainReplica source = replica(SOURCE, view, true, safeguards);
@@ -87,7 +88,7 @@
         return new ChainReplica(settings, records, () -> new Stamp(START), START);
     }
 
-    /** Hands messages to and fro, and syncs what is written, until nothing is left to do. */
+    /** Delivers the messages between the two replicas and syncs their writes, until there are no more effects. */
     private void exchange(final ChainReplica source, final ChainReplica repaired, final long now) {
         boolean more = true;
         while (more) {
--- a/core/src/test/java/silverlatch/replication/RepairTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairTest.java
@@ -22,9 +22,12 @@
 import silverlatch.wire.Message;
 import silverlatch.wire.ReplicationMessage;
 
-/** A requester out of the chain and a responder in it, both of one replica's identity: their messages are handed to and fro. */
+/**
+ * Guards against repairs that lose entries, mix pieces of different repairs, or join too early. A requester outside the chain and a
+ * responder in it exchange messages; both use the identity of replica 0.
+ */
 final class RepairTest {
-    private static final long RETRY = 900_000;
+    private static final long RETRY_MICROS = 900_000;
     private static final String SOURCE = "source";
     private final ReplicaFixture source = new ReplicaFixture();
     private final ReplicaLog sourceLog = ReplicaFixture.log(source, syncedAt -> {}, sequence -> {});
@@ -65,7 +68,7 @@
                 sequence, 1, new Stamp(sequence), List.of(new Entry("d/" + sequence, sequence, List.of(document))));
     }
 
-    /** Hands over what the requester has sent, and its replies; the pieces that were sent. */
+    /** Delivers the requester's messages and the responder's replies until there are no more; returns the pieces that were sent. */
     private List<ReplicationMessage.RepairRanges> exchange(final long now) {
         final List<ReplicationMessage.RepairRanges> pieces = new ArrayList<>();
         for (List<Message> requests = target.sent(); !requests.isEmpty(); requests = target.sent()) {
@@ -92,10 +95,10 @@
         sourceLog.commit(6, START);
         requester.request(SOURCE, START);
         final List<ReplicationMessage.RepairRanges> pieces = exchange(START);
-        assertThat("in pieces", pieces.size(), greaterThan(2));
+        assertThat("number of pieces", pieces.size(), greaterThan(2));
         assertThat(targetLog.committedSequence(), is(6L));
         assertThat(requester.isJoining(), is(true));
-        assertThat("its log isn't synced yet", target.sent(), is(List.of()));
+        assertThat("no join request before its log is synced", target.sent(), is(List.of()));
         assertThat(target.written().get(0), instanceOf(LogRecord.Snapshot.class));
         target.syncAll(START);
         assertThat(target.sent().get(0), is(new ReplicationMessage.JoinRequest(2, SELF, 6)));
@@ -110,7 +113,7 @@
         exchange(START);
         target.syncAll(START);
         target.sent();
-        requester.request(SOURCE, START + RETRY);
+        requester.request(SOURCE, START + RETRY_MICROS);
         final ReplicationMessage.CompareDigests request =
                 (ReplicationMessage.CompareDigests) target.sent().get(0);
         responder.handleCompareDigests(request, START);
@@ -118,7 +121,7 @@
                 (ReplicationMessage.RepairRanges) source.sent().get(0), SOURCE, START);
         assertThat(target.sent().get(0), is(new ReplicationMessage.JoinRequest(2, SELF, 1)));
         assertThat(
-                "nothing is written again",
+                "no second snapshot is written",
                 target.written().stream()
                         .filter(LogRecord.Snapshot.class::isInstance)
                         .count(),
@@ -152,7 +155,7 @@
         unguardedResponder.handleCompareDigests(
                 new ReplicationMessage.CompareDigests(2, SECOND, 0, new long[ReplicaLog.DIGEST_RANGES]), START);
         assertThat(
-                "the safeguard is let down",
+                "with the safeguard disabled",
                 ((ReplicationMessage.RepairRanges) unguarded.sent().get(0)).pending(),
                 is(List.of()));
     }
@@ -160,9 +163,9 @@
     @Test
     void aRequestIsSentOncePerRetryAndOnlyToAnActiveMemberOfTheView() {
         requester.request(SOURCE, START);
-        requester.request(SOURCE, START + RETRY - 1);
+        requester.request(SOURCE, START + RETRY_MICROS - 1);
         assertThat(target.sent().size(), is(1));
-        requester.request(SOURCE, START + RETRY);
+        requester.request(SOURCE, START + RETRY_MICROS);
         final ReplicationMessage.CompareDigests request =
                 (ReplicationMessage.CompareDigests) target.sent().get(0);
         source.role.fenceOutdatedLog();
@@ -173,7 +176,7 @@
     @Test
     void aPieceOfAnOlderRepairOrOfNoneIsNotSent() {
         responder.handleRepairNext(new ReplicationMessage.RepairNext(2, SECOND, 0, 0));
-        assertThat("no repair", source.sent(), is(List.of()));
+        assertThat("no repair in progress", source.sent(), is(List.of()));
         for (long sequence = 1; sequence <= 6; sequence++) {
             appendAtSource(large(sequence));
         }
@@ -190,6 +193,6 @@
         assertThat(((ReplicationMessage.RepairRanges) source.sent().get(0)).piece(), is(1));
         responder.installView();
         responder.handleRepairNext(new ReplicationMessage.RepairNext(2, SECOND, 6, 1));
-        assertThat("another view began", source.sent(), is(List.of()));
+        assertThat("after another view was installed", source.sent(), is(List.of()));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ReplicaLogTest.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaLogTest.java
@@ -18,7 +18,7 @@
 import silverlatch.node.Event;
 import silverlatch.state.StateMachine;
 
-/** What is pending, synced and committed, and what syncs of a dropped generation change: nothing. */
+/** Guards against entries committed before their sync and against late syncs of dropped entries: which entries are pending, synced and committed. */
 final class ReplicaLogTest {
     private final ReplicaFixture fixture = new ReplicaFixture().withView(view(1, SELF, SECOND));
     private final List<Long> appended = new ArrayList<>();
@@ -31,7 +31,7 @@
         assertThat(log.lastSequence(), is(2L));
         assertThat(log.syncedSequence(), is(0L));
         log.commit(2, START);
-        assertThat("nothing is synced", committed, is(List.of()));
+        assertThat("no entry is synced", committed, is(List.of()));
         fixture.syncAll(START + 5);
         assertThat(appended, is(List.of(START + 5)));
         assertThat(log.hasSyncedPending(), is(true));
@@ -56,7 +56,7 @@
         assertThat(appended, is(List.of()));
         assertThat(log.syncedSequence(), is(0L));
         assertThat(log.lastSequence(), is(0L));
-        assertThat("stamps only rise, also after a drop", log.highestStamp(), is(1L));
+        assertThat("the highest stamp never decreases", log.highestStamp(), is(1L));
     }
 
     @Test
@@ -91,7 +91,7 @@
         log.completeRepair(1, List.of(entry(2)), START, repaired::add);
         assertThat(log.committedSequence(), is(1L));
         assertThat(log.lastSequence(), is(2L));
-        assertThat("the old entry's sync and the snapshot's", log.syncedSequence(), is(0L));
+        assertThat("neither the old entry nor the snapshot is synced", log.syncedSequence(), is(0L));
         assertThat(fixture.written().get(1), instanceOf(LogRecord.Snapshot.class));
         fixture.syncAll(START + 9);
         assertThat(repaired, is(List.of(START + 9)));
--- a/core/src/test/java/silverlatch/replication/ReplicaRoleTest.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaRoleTest.java
@@ -34,7 +34,7 @@
         role.install(view(3, SECOND, THIRD), false);
         assertThat(role.isCaughtUp(), is(false));
         role.install(view(4, SECOND, THIRD, SELF), false);
-        assertThat("it came back and may lack entries", role.isCaughtUp(), is(false));
+        assertThat("it rejoined and may lack entries", role.isCaughtUp(), is(false));
         role.markCaughtUp();
         assertThat(role.isActiveTail(), is(true));
     }
@@ -46,11 +46,11 @@
         assertThat(role.isStandby(), is(true));
         assertThat(role.isActive(), is(false));
         role.install(view(3, THIRD), false);
-        assertThat("the very next view is short too", role.isStandby(), is(true));
+        assertThat("the next chain is too short as well", role.isStandby(), is(true));
         role.install(view(4, SECOND, THIRD), false);
-        assertThat("this one acknowledges", role.isCaughtUp(), is(false));
+        assertThat("this chain can acknowledge writes", role.isCaughtUp(), is(false));
         role.install(view(5, SECOND), false);
-        assertThat("it may lack what was acknowledged", role.isCaughtUp(), is(false));
+        assertThat("it may lack acknowledged entries", role.isCaughtUp(), is(false));
     }
 
     @Test
@@ -58,7 +58,7 @@
         role.install(view(1, SELF, SECOND), true);
         role.install(view(2, SECOND), false);
         role.install(view(4, THIRD), false);
-        assertThat("the view in between may have acknowledged", role.isStandby(), is(false));
+        assertThat("the missed view may have acknowledged writes", role.isStandby(), is(false));
         role.install(view(5, SELF), false);
         assertThat(role.isActive(), is(false));
     }
@@ -76,14 +76,15 @@
         role.install(view(1, SECOND), false);
         role.markRepaired();
         assertThat(role.isStandby(), is(true));
-        final ReplicaRole full = new ReplicaFixture().role;
-        full.install(view(1, SECOND, THIRD), false);
-        full.markRepaired();
-        assertThat("this chain goes on acknowledging", full.isCaughtUp(), is(false));
-        final ReplicaRole member = new ReplicaFixture().role;
-        member.install(view(1, SECOND, SELF), false);
-        member.markRepaired();
-        assertThat("a member catches up with its predecessor", member.isCaughtUp(), is(false));
+        final ReplicaRole roleOutsideLongChain = new ReplicaFixture().role;
+        roleOutsideLongChain.install(view(1, SECOND, THIRD), false);
+        roleOutsideLongChain.markRepaired();
+        assertThat("this chain can acknowledge further writes", roleOutsideLongChain.isCaughtUp(), is(false));
+        final ReplicaRole roleInChain = new ReplicaFixture().role;
+        roleInChain.install(view(1, SECOND, SELF), false);
+        roleInChain.markRepaired();
+        assertThat(
+                "a roleInChain of the chain must catch up with its predecessor", roleInChain.isCaughtUp(), is(false));
     }
 
     @Test
@@ -92,7 +93,7 @@
         assertThat(role.isViewSynced(), is(false));
         role.install(view(2, SELF, SECOND), false);
         role.markViewSynced(1);
-        assertThat("the record of the view before", role.isViewSynced(), is(false));
+        assertThat("the record of the previous view", role.isViewSynced(), is(false));
         role.markViewSynced(2);
         assertThat(role.isViewSynced(), is(true));
     }
@@ -116,7 +117,7 @@
         assertThat(role.isActive(), is(false));
         role.install(view(2, SELF, SECOND), false);
         assertThat(role.isLogOutdated(), is(false));
-        assertThat("it is repaired first", role.isCaughtUp(), is(false));
+        assertThat("it must be repaired first", role.isCaughtUp(), is(false));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/replication/ReplicaStateTest.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaStateTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** All transitions of a replica's state, and the names under which the status API shows them. */
+/** Guards against wrong state transitions of a replica, and against changed labels in the status API. */
 final class ReplicaStateTest {
     @ParameterizedTest
     @CsvSource({
--- a/core/src/test/java/silverlatch/replication/ReplicationWindowTest.java
+++ b/core/src/test/java/silverlatch/replication/ReplicationWindowTest.java
@@ -53,6 +53,6 @@
         }
         window.add(entry(1, 10));
         window.acknowledge(1, now);
-        assertThat("progress makes the pause short again", window.isRetryDue(now + 600_000), is(true));
+        assertThat("progress resets the backoff", window.isRetryDue(now + 600_000), is(true));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ShortChainTest.java
+++ b/core/src/test/java/silverlatch/replication/ShortChainTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A view change must not leave a chain shorter than the copies that an acknowledgement needs, where more could stay. */
+/** Guards against view changes that needlessly leave a chain with fewer members than the replicas that an acknowledgement requires. */
 final class ShortChainTest {
     private static final List<String> SEEDS = List.of("a", "b", "c");
-    private static final int COPIES = 2;
+    private static final int MIN_REPLICAS = 2;
     private static final long MILLISECOND = 1_000;
     private static final long SECOND = 1_000 * MILLISECOND;
 
-    /** How long a is alone before b and c part, and how long those two are apart, in milliseconds. */
+    /** Returns for how long a is isolated before b and c are separated, and for how long those two are separated, in milliseconds. */
     static Stream<Arguments> spans() {
         return LongStream.of(0, 60, 120, 180, 240)
                 .boxed()
@@ -27,14 +27,14 @@
     }
 
     /**
-     * b hears nothing of a for the time of suspicion, and nothing of c for nearly as long; then b and c hear each other
-     * again. c promises b's proposal, so it is there and holds everything: it stays in the chain. Before, the new chain
-     * was b alone, and the loss of b's disk ended the cluster for good.
+     * b receives nothing from a for the suspicion timeout, and nothing from c for nearly as long; then the link between b and c is
+     * restored. c promises to b's proposal, so it is alive and has all entries, and must stay in the chain. Without that rule
+     * the new chain consists of b alone, and the loss of b's disk stops the cluster permanently.
      */
     @ParameterizedTest
     @MethodSource("spans")
     void aMemberThatPromisesStaysInTheChain(final long lag, final long separated) {
-        final ReplicaCluster cluster = new ReplicaCluster(SEEDS, MILLISECOND, s -> s.withCounts(COPIES, 3));
+        final ReplicaCluster cluster = new ReplicaCluster(SEEDS, MILLISECOND, s -> s.withCounts(MIN_REPLICAS, 3));
         SEEDS.forEach(s -> cluster.start(s, true));
         cluster.advance(3 * SECOND);
         final PendingCall first = cluster.putConfiguration("a", 1, 0, SECOND);
@@ -52,7 +52,7 @@
         assertThat(
                 "the chain after the loss of a" + cluster,
                 cluster.replica("b").view().chain().size(),
-                greaterThanOrEqualTo(COPIES));
+                greaterThanOrEqualTo(MIN_REPLICAS));
 
         cluster.kill("b");
         cluster.loseDisk("b");
@@ -61,6 +61,6 @@
         cluster.advance(10 * SECOND);
         final PendingCall last = cluster.putConfiguration("c", 2, 1, 5 * SECOND);
         cluster.advance(6 * SECOND);
-        assertThat("writes go on after the loss of b's disk" + cluster, last.isAcknowledged(), is(true));
+        assertThat("a write is acknowledged after the loss of b's disk" + cluster, last.isAcknowledged(), is(true));
     }
 }
--- a/core/src/test/java/silverlatch/replication/SimulatedDisk.java
+++ b/core/src/test/java/silverlatch/replication/SimulatedDisk.java
@@ -16,7 +16,7 @@
     private long freeAt;
     private long stalledUntil;
     private boolean full;
-    private boolean fullAtSnapshot;
+    private boolean failsFromNextSnapshot;
 
     /** Creates a disk with this sync duration in microseconds and this capacity in bytes. */
     SimulatedDisk(final long syncMicros, final long capacity) {
@@ -47,8 +47,8 @@
             }
         }
         final long total = logBytes + snapshotBytes + snapshot + others;
-        full |= fullAtSnapshot && snapshot > 0;
-        fullAtSnapshot &= snapshot == 0;
+        full |= failsFromNextSnapshot && snapshot > 0;
+        failsFromNextSnapshot &= snapshot == 0;
         if (full || total > capacity) {
             return false;
         }
@@ -75,7 +75,7 @@
 
     /** Makes all writes fail from the next snapshot on. */
     void failFromNextSnapshot() {
-        fullAtSnapshot = true;
+        failsFromNextSnapshot = true;
     }
 
     /** Sets the duration of a sync from now on, in microseconds. */
--- a/core/src/test/java/silverlatch/replication/SingletonTenureTest.java
+++ b/core/src/test/java/silverlatch/replication/SingletonTenureTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 final class SingletonTenureTest {
-    private static final long TENURE = 3_600_000;
-    private final SingletonTenure tenure = new SingletonTenure(TENURE);
+    private static final long TENURE_MICROS = 3_600_000;
+    private final SingletonTenure tenure = new SingletonTenure(TENURE_MICROS);
 
     private boolean observe(final long token, final long now) {
         return tenure.observe(Optional.of(token), now);
@@ -16,18 +16,18 @@
 
     @Test
     void anOwnerActsOnlyAfterAWholeTenure() {
-        assertThat("begins", observe(5, 1_000), is(true));
-        assertThat("goes on", observe(5, TENURE), is(false));
-        assertThat(tenure.mayAct(5, TENURE + 999), is(false));
-        assertThat(tenure.mayAct(5, TENURE + 1_000), is(true));
+        assertThat("tenure begins", observe(5, 1_000), is(true));
+        assertThat("tenure continues", observe(5, TENURE_MICROS), is(false));
+        assertThat(tenure.mayAct(5, TENURE_MICROS + 999), is(false));
+        assertThat(tenure.mayAct(5, TENURE_MICROS + 1_000), is(true));
     }
 
     @Test
     void aSkippedViewNumberRestartsTheTenure() {
         observe(5, 0);
-        assertThat(observe(7, TENURE), is(true));
-        assertThat(tenure.mayAct(7, 2 * TENURE - 1), is(false));
-        assertThat(tenure.mayAct(7, 2 * TENURE), is(true));
+        assertThat(observe(7, TENURE_MICROS), is(true));
+        assertThat(tenure.mayAct(7, 2 * TENURE_MICROS - 1), is(false));
+        assertThat(tenure.mayAct(7, 2 * TENURE_MICROS), is(true));
     }
 
     @Test
@@ -35,7 +35,7 @@
         observe(5, 0);
         assertThat(observe(6, 100), is(false));
         assertThat(observe(7, 200), is(false));
-        assertThat(tenure.mayAct(7, TENURE), is(true));
+        assertThat(tenure.mayAct(7, TENURE_MICROS), is(true));
     }
 
     @Test
@@ -49,9 +49,9 @@
     @Test
     void onlyTheLastObservedTokenMayAct() {
         observe(5, 0);
-        observe(6, TENURE);
-        assertThat(tenure.mayAct(5, TENURE), is(false));
-        assertThat(tenure.mayAct(7, TENURE), is(false));
-        assertThat(tenure.mayAct(6, TENURE), is(true));
+        observe(6, TENURE_MICROS);
+        assertThat(tenure.mayAct(5, TENURE_MICROS), is(false));
+        assertThat(tenure.mayAct(7, TENURE_MICROS), is(false));
+        assertThat(tenure.mayAct(6, TENURE_MICROS), is(true));
     }
 }
--- a/core/src/test/java/silverlatch/replication/SuccessorLinkTest.java
+++ b/core/src/test/java/silverlatch/replication/SuccessorLinkTest.java
@@ -23,7 +23,7 @@
 import silverlatch.wire.ReplicationMessage;
 
 final class SuccessorLinkTest {
-    private static final long BACKOFF = 600_000;
+    private static final long BACKOFF_MICROS = 600_000;
     private final ReplicaFixture fixture = new ReplicaFixture().withView(view(2, SELF, SECOND));
     private final ReplicaLog log = ReplicaFixture.log(fixture, syncedAt -> {}, sequence -> {});
     private final SuccessorLink link = new SuccessorLink(fixture.role, log, fixture.effects);
@@ -39,7 +39,7 @@
         link.reset(0, START);
         append(1, 2);
         link.sendEntries();
-        assertThat("nothing is synced", fixture.sent(), is(List.of()));
+        assertThat("no entry is synced", fixture.sent(), is(List.of()));
         fixture.syncAll(START);
         link.sendEntries();
         link.sendEntries();
@@ -53,18 +53,18 @@
         append(1);
         fixture.syncAll(START);
         link.sendEntries();
-        link.retry(START + BACKOFF);
+        link.retry(START + BACKOFF_MICROS);
         assertThat(fixture.sent(), is(List.of()));
     }
 
     @Test
     void theCatchUpTargetIsSentOnlyOnceTheViewIsSynced() {
         fixture.role.install(view(3, SELF, SECOND), false);
-        link.retry(START + BACKOFF);
+        link.retry(START + BACKOFF_MICROS);
         link.handleFetchEntries(new ReplicationMessage.FetchEntries(3, SECOND.id(), 0), SECOND.address(), START);
         assertThat(fixture.sent(), is(List.of()));
         fixture.role.markViewSynced(3);
-        link.retry(START + 2 * BACKOFF);
+        link.retry(START + 2 * BACKOFF_MICROS);
         assertThat(fixture.sent(), is(List.of(new ReplicationMessage.CatchUpTarget(3, 0))));
     }
 
@@ -75,9 +75,9 @@
         fixture.syncAll(START);
         link.sendEntries();
         fixture.sent();
-        link.retry(START + BACKOFF - 1);
+        link.retry(START + BACKOFF_MICROS - 1);
         assertThat(fixture.sent(), is(List.of(new ReplicationMessage.CatchUpTarget(2, 1))));
-        link.retry(START + BACKOFF);
+        link.retry(START + BACKOFF_MICROS);
         assertThat(
                 fixture.sent(),
                 is(List.of(
--- a/core/src/test/java/silverlatch/replication/ViewAcceptorTest.java
+++ b/core/src/test/java/silverlatch/replication/ViewAcceptorTest.java
@@ -14,13 +14,13 @@
 import silverlatch.log.LogRecord;
 import silverlatch.wire.ReplicationMessage;
 
-/** One register of single-decree Paxos: what is promised and accepted, when it is said, and what a restart recovers. */
+/** Guards against two views of one number: which promises and acceptances are made, when they are sent, and what a restart recovers. */
 final class ViewAcceptorTest {
-    private static final long LEASE = 600_000;
+    private static final long LEASE_MICROS = 600_000;
     private static final View NEXT = view(2, SELF, SECOND);
     private final ReplicaFixture fixture = new ReplicaFixture().withView(view(1, SELF, SECOND, THIRD));
     private final GrantedLeases leases =
-            new GrantedLeases(fixture.settings, fixture.role, fixture.effects, START - LEASE);
+            new GrantedLeases(fixture.settings, fixture.role, fixture.effects, START - LEASE_MICROS);
     private final ViewAcceptor acceptor = new ViewAcceptor(fixture.settings, fixture.role, leases, fixture.effects);
 
     private boolean prepare(final long number, final long ballot) {
@@ -58,7 +58,7 @@
     void aPrepareRequestForADecidedNumberIsAnsweredWithTheInstalledView() {
         assertThat(prepare(1, 256), is(false));
         assertThat(fixture.sent(), is(List.of(new ReplicationMessage.ViewDecided(fixture.role.view()))));
-        assertThat("a number further on", prepare(3, 256), is(false));
+        assertThat("a number after the next one", prepare(3, 256), is(false));
         accept(3, 256, NEXT);
         assertThat(fixture.sent(), is(List.of()));
         assertThat(fixture.written(), is(List.of()));
@@ -80,11 +80,11 @@
         fixture.sent();
         accept(2, 256, NEXT);
         fixture.syncAll(START);
-        acceptor.sendDelayed(START + LEASE - 1);
+        acceptor.sendDelayed(START + LEASE_MICROS - 1);
         assertThat(fixture.sent(), is(List.of()));
-        acceptor.sendDelayed(START + LEASE);
-        acceptor.sendDelayed(START + LEASE + 1);
-        assertThat("once", fixture.sent(), is(List.of(new ReplicationMessage.Accepted(2, 256, SELF.id()))));
+        acceptor.sendDelayed(START + LEASE_MICROS);
+        acceptor.sendDelayed(START + LEASE_MICROS + 1);
+        assertThat("sent once", fixture.sent(), is(List.of(new ReplicationMessage.Accepted(2, 256, SELF.id()))));
     }
 
     @Test
@@ -94,7 +94,7 @@
         accept(2, 256, NEXT);
         fixture.syncAll(START);
         fixture.withView(NEXT);
-        acceptor.sendDelayed(START + 2 * LEASE);
+        acceptor.sendDelayed(START + 2 * LEASE_MICROS);
         assertThat(
                 fixture.sent().stream()
                         .filter(ReplicationMessage.Accepted.class::isInstance)
@@ -121,7 +121,7 @@
         assertThat(acceptor.promisedBallot(), is(512L));
         assertThat(acceptor.acceptedView(), is(Optional.of(NEXT)));
         acceptor.replay(new LogRecord.ViewInstalled(fixture.role.view(), true));
-        assertThat("the same view again", acceptor.acceptedBallot(), is(512L));
+        assertThat("the same view installed again", acceptor.acceptedBallot(), is(512L));
         acceptor.replay(new LogRecord.ViewInstalled(NEXT, true));
         assertThat(acceptor.acceptedBallot(), is(0L));
     }
--- a/core/src/test/java/silverlatch/replication/ViewPlannerTest.java
+++ b/core/src/test/java/silverlatch/replication/ViewPlannerTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import silverlatch.wire.ReplicationMessage;
 
-/** Which view follows, for each number of voters and of dead ones. */
+/** Guards against views that lose the majority or the required replicas: the next view for several numbers of voters and dead voters. */
 final class ViewPlannerTest {
-    private static final long DEAD_SILENCE = 2_000_000;
-    private static final long ALIVE_SILENCE = 100_000;
+    private static final long DEAD_SILENCE_MICROS = 2_000_000;
+    private static final long ALIVE_SILENCE_MICROS = 100_000;
 
     private static Replica replica(final int index) {
         return new Replica("id-" + index, "address-" + index);
@@ -28,9 +28,10 @@
         return IntStream.range(0, count).mapToObj(ViewPlannerTest::replica).toList();
     }
 
-    private static ViewPlanner planner(final View view, final ToLongFunction<String> silenceMicros, final int copies) {
+    private static ViewPlanner planner(
+            final View view, final ToLongFunction<String> silenceMicros, final int minReplicas) {
         final ReplicaSettings settings =
-                ReplicaSettings.of(replica(0), List.of()).withCounts(copies, 7);
+                ReplicaSettings.of(replica(0), List.of()).withCounts(minReplicas, 7);
         final Set<String> caughtUpMembers = new HashSet<>();
         view.chain().forEach(r -> caughtUpMembers.add(r.id()));
         return new ViewPlanner(settings, view, silenceMicros, caughtUpMembers);
@@ -41,36 +42,39 @@
     }
 
     private static ToLongFunction<String> silentFrom(final int index) {
-        return id -> Integer.parseInt(id.substring(3)) >= index ? DEAD_SILENCE : ALIVE_SILENCE;
+        return id -> Integer.parseInt(id.substring(3)) >= index ? DEAD_SILENCE_MICROS : ALIVE_SILENCE_MICROS;
     }
 
     @ParameterizedTest
     @CsvSource({"3,1,3", "4,1,3", "5,1,5", "5,2,3", "6,1,5", "6,2,5", "7,1,7", "7,2,5", "7,3,5"})
-    void deadVotersAreRemovedAsLongAsTheMajorityShrinks(final int voters, final int dead, final int left) {
+    void deadVotersAreRemovedAsLongAsTheMajorityShrinks(final int voters, final int dead, final int remaining) {
         final int alive = voters - dead;
         final View next = planner(view(voters, voters), silentFrom(alive), 2)
                 .next(false, List.of())
                 .orElseThrow();
         assertThat(next.chain(), is(replicas(alive)));
-        assertThat(next.voters().size(), is(left));
+        assertThat(next.voters().size(), is(remaining));
         assertThat(next.voters().containsAll(next.chain()), is(true));
         final View before = planner(view(voters, alive), silentFrom(alive), 2)
                 .next(false, List.of())
                 .orElse(next);
-        assertThat("the same where they are out of the chain already", before.voters(), is(next.voters()));
+        assertThat("the same voters if the dead ones are already out of the chain", before.voters(), is(next.voters()));
     }
 
     @ParameterizedTest
     @CsvSource({"3,2,3", "4,2,3", "5,2,4", "6,3,5", "7,3,6"})
-    void aLeavingReplicaLosesItsVoteWhereThreeOrMoreVotersRemain(final int voters, final int copies, final int left) {
-        final View next = planner(view(voters, voters), id -> ALIVE_SILENCE, copies)
+    void aLeavingReplicaLosesItsVoteWhereThreeOrMoreVotersRemain(
+            final int voters, final int minReplicas, final int remaining) {
+        final View next = planner(view(voters, voters), id -> ALIVE_SILENCE_MICROS, minReplicas)
                 .next(true, List.of())
                 .orElseThrow();
         assertThat(next.positionOf("id-0"), is(-1));
-        assertThat(next.voters().size(), is(left));
-        assertThat(next.chain().size(), greaterThanOrEqualTo(copies));
+        assertThat(next.voters().size(), is(remaining));
+        assertThat(next.chain().size(), greaterThanOrEqualTo(minReplicas));
         assertThat(
-                planner(view(voters, copies), id -> ALIVE_SILENCE, copies).next(true, List.of()), is(Optional.empty()));
+                planner(view(voters, minReplicas), id -> ALIVE_SILENCE_MICROS, minReplicas)
+                        .next(true, List.of()),
+                is(Optional.empty()));
     }
 
     @Test
@@ -80,34 +84,37 @@
         assertThat(next.number(), is(6L));
         assertThat(next.chain(), is(List.of(replica(0))));
         assertThat(next.singletonOwner(), is("id-0"));
-        assertThat("one is heard", planner(lost, silentFrom(4), 3).takeover(), is(Optional.empty()));
-        assertThat("it may acknowledge", planner(lost, silentFrom(3), 2).takeover(), is(Optional.empty()));
+        assertThat("one member is alive", planner(lost, silentFrom(4), 3).takeover(), is(Optional.empty()));
+        assertThat(
+                "the chain may acknowledge writes",
+                planner(lost, silentFrom(3), 2).takeover(),
+                is(Optional.empty()));
     }
 
     @Test
     void aJoiningReplicaReplacesADeadVoterAndIsAddedOnlyIfAllVotersAreAliveAndInTheChain() {
         final ReplicationMessage.JoinRequest join =
                 new ReplicationMessage.JoinRequest(5, new Replica("id-9", "address-9"), 1);
-        final ToLongFunction<String> dead = id -> id.equals("id-2") ? DEAD_SILENCE : ALIVE_SILENCE;
+        final ToLongFunction<String> dead = id -> id.equals("id-2") ? DEAD_SILENCE_MICROS : ALIVE_SILENCE_MICROS;
         final View replaced =
                 planner(view(3, 2), dead, 2).next(false, List.of(join)).orElseThrow();
         assertThat(replaced.voters(), is(List.of(replica(0), replica(1), join.sender())));
         assertThat(replaced.chain(), is(List.of(replica(0), replica(1), join.sender())));
-        final View added = planner(view(3, 3), id -> ALIVE_SILENCE, 2)
+        final View added = planner(view(3, 3), id -> ALIVE_SILENCE_MICROS, 2)
                 .next(false, List.of(join))
                 .orElseThrow();
         assertThat(added.voters().size(), is(4));
         assertThat(
-                "one is out of the chain and may have left",
-                planner(view(3, 2), id -> ALIVE_SILENCE, 2).next(false, List.of(join)),
+                "one voter is out of the chain and may have remaining",
+                planner(view(3, 2), id -> ALIVE_SILENCE_MICROS, 2).next(false, List.of(join)),
                 is(Optional.empty()));
         assertThat(
-                "one may have died just now",
-                planner(view(3, 3), id -> id.equals("id-2") ? 500_000 : ALIVE_SILENCE, 2)
+                "one voter may have just died",
+                planner(view(3, 3), id -> id.equals("id-2") ? 500_000 : ALIVE_SILENCE_MICROS, 2)
                         .next(false, List.of(join)),
                 is(Optional.empty()));
         assertThat(
-                "the newcomer itself isn't heard any more",
+                "the joining replica is silent",
                 planner(view(3, 3), silentFrom(9), 2).next(false, List.of(join)),
                 is(Optional.empty()));
     }
@@ -116,8 +123,8 @@
     void aNewIdentityReplacesTheOldOneAsVoterOnlyOnceThatIsOutOfTheChain() {
         final ReplicationMessage.JoinRequest join =
                 new ReplicationMessage.JoinRequest(5, new Replica("id-9", "address-2"), 1);
-        assertThat(planner(view(3, 3), id -> ALIVE_SILENCE, 2).next(false, List.of(join)), is(Optional.empty()));
-        final View next = planner(view(3, 2), id -> ALIVE_SILENCE, 2)
+        assertThat(planner(view(3, 3), id -> ALIVE_SILENCE_MICROS, 2).next(false, List.of(join)), is(Optional.empty()));
+        final View next = planner(view(3, 2), id -> ALIVE_SILENCE_MICROS, 2)
                 .next(false, List.of(join))
                 .orElseThrow();
         assertThat(next.voters(), is(List.of(replica(0), replica(1), join.sender())));
--- a/core/src/test/java/silverlatch/replication/ViewProposerTest.java
+++ b/core/src/test/java/silverlatch/replication/ViewProposerTest.java
@@ -16,10 +16,10 @@
 import silverlatch.safeguard.Safeguard;
 import silverlatch.wire.ReplicationMessage;
 
-/** A proposer whose third member is silent: it proposes the chain without that one. */
+/** Guards against wrong proposals of views: a proposer whose third member is silent, so that it proposes the chain without it. */
 final class ViewProposerTest {
-    private static final long SUSPICION = 800_000;
-    private static final long SUSPECTED_AT = START + SUSPICION + 1;
+    private static final long SUSPICION_MICROS = 800_000;
+    private static final long SUSPECTED_AT = START + SUSPICION_MICROS + 1;
     private static final long BALLOT = 1 << 8;
     private static final View VIEW_WITHOUT_THIRD = view(2, SELF, SECOND);
     private final ReplicaFixture fixture = new ReplicaFixture();
@@ -56,7 +56,7 @@
         proposer.proposeNextView(false, SUSPECTED_AT);
         assertThat(fixture.logged(), is(List.of(Event.CHAIN_SUSPECT, Event.PROPOSED)));
         proposer.proposeNextView(false, SUSPECTED_AT + 1);
-        assertThat("once", fixture.sent(), is(Collections.nCopies(3, new ReplicationMessage.Prepare(2, BALLOT))));
+        assertThat("sent once", fixture.sent(), is(Collections.nCopies(3, new ReplicationMessage.Prepare(2, BALLOT))));
     }
 
     @Test
@@ -65,7 +65,7 @@
         fixture.sent();
         promise(SECOND);
         promise(THIRD);
-        assertThat("its own promise isn't synced yet", fixture.sent(), is(List.of()));
+        assertThat("no own promise yet", fixture.sent(), is(List.of()));
         promise(SELF);
         assertThat(
                 fixture.sent(),
@@ -94,7 +94,7 @@
         assertThat(
                 proposer.handleAccepted(new ReplicationMessage.Accepted(2, BALLOT, SECOND.id())),
                 is(Optional.of(VIEW_WITHOUT_THIRD)));
-        assertThat("all but itself, by identity", fixture.receivers(), is(List.of(SECOND.address(), THIRD.address())));
+        assertThat("all members but itself", fixture.receivers(), is(List.of(SECOND.address(), THIRD.address())));
     }
 
     @Test
@@ -114,7 +114,7 @@
         proposer.handlePreempted(new ReplicationMessage.Preempted(2, 5 << 8 | 1), SUSPECTED_AT);
         proposer.proposeNextView(false, SUSPECTED_AT + 1);
         assertThat(fixture.sent(), is(List.of()));
-        final long later = SUSPECTED_AT + SUSPICION;
+        final long later = SUSPECTED_AT + SUSPICION_MICROS;
         proposer.proposeNextView(false, later);
         assertThat(fixture.sent().get(0), is(new ReplicationMessage.Prepare(2, 6 << 8)));
     }
@@ -123,7 +123,7 @@
     void aNewRoundStartsWhenTheProposalTimesOut() {
         proposer.proposeNextView(false, SUSPECTED_AT);
         fixture.sent();
-        final long timeout = 2 * 600_000 + SUSPICION;
+        final long timeout = 2 * 600_000 + SUSPICION_MICROS;
         receiveHeartbeatOfSecond(SUSPECTED_AT + timeout);
         proposer.proposeNextView(false, SUSPECTED_AT + timeout - 1);
         assertThat(fixture.sent(), is(List.of()));
--- a/core/src/test/java/silverlatch/replication/VotersTest.java
+++ b/core/src/test/java/silverlatch/replication/VotersTest.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** How a cluster of six replaces voters that are silent, lost their disk or never come back. */
+/** Guards against dead voters that keep their votes: a cluster of six replaces voters that are silent, lost their disk or never return. */
 final class VotersTest {
     private static final long SECOND = 1_000_000;
 
@@ -36,7 +36,7 @@
         SixReplicas.SEEDS.forEach(address -> cluster.start(address, true));
         cluster.advance(3 * SECOND);
         SixReplicas.put(cluster, "a", 1, 0);
-        final String old = SixReplicas.view(cluster).voters().get(1).id();
+        final String oldId = SixReplicas.view(cluster).voters().get(1).id();
         cluster.kill("b");
         cluster.loseDisk("b");
         cluster.start("b", false);
@@ -46,7 +46,7 @@
                                 () -> cluster.replica("b").status(cluster.now()).isCaughtUp())
                         >= 0,
                 is(true));
-        assertThat(SixReplicas.view(cluster).isVoter(old), is(false));
+        assertThat(SixReplicas.view(cluster).isVoter(oldId), is(false));
         assertThat(SixReplicas.voters(cluster), is(Set.copyOf(SixReplicas.SEEDS)));
         assertThat(cluster.committedNumber("b"), is(1L));
         cluster.kill("a");
@@ -65,11 +65,11 @@
         cluster.start("c", false);
         cluster.advance(10 * SECOND);
         assertThat(
-                "the one that was replaced waits", SixReplicas.voters(cluster).contains("c"), is(false));
+                "the replaced voter waits to join", SixReplicas.voters(cluster).contains("c"), is(false));
         cluster.kill("d");
         cluster.advance(12 * SECOND);
         assertThat(
-                "and takes the next lost one's place",
+                "and replaces the next lost voter",
                 SixReplicas.voters(cluster),
                 is(Set.of("a", "b", "c", "e", "f", "g")));
         SixReplicas.put(cluster, "c", 2, 1);
@@ -80,16 +80,16 @@
     void membersThatHaveNotCaughtUpNeverFormAChainOfTheirOwn() {
         for (int i = 0; i < 40; i++) {
             final ReplicaCluster cluster = SixReplicas.startSix(2);
-            final List<String> rest = List.of("c", "d", "e", "f");
-            for (final String address : rest) {
+            final List<String> leaving = List.of("c", "d", "e", "f");
+            for (final String address : leaving) {
                 cluster.replica(address).leave();
                 cluster.advanceUntil(
                         5 * SECOND, () -> !SixReplicas.chain(cluster).contains(address));
             }
             assertThat(SixReplicas.chain(cluster), is(Set.of("a", "b")));
             SixReplicas.put(cluster, "a", 1, 0);
-            rest.forEach(cluster::kill);
-            rest.forEach(address -> cluster.start(address, false));
+            leaving.forEach(cluster::kill);
+            leaving.forEach(address -> cluster.start(address, false));
             cluster.advance(i * 20_000L);
             cluster.kill("a");
             cluster.kill("b");
--- a/core/src/test/java/silverlatch/replication/WriteAdmissionTest.java
+++ b/core/src/test/java/silverlatch/replication/WriteAdmissionTest.java
@@ -17,9 +17,9 @@
 import silverlatch.wire.ChainClientMessage;
 import silverlatch.wire.ReplicationMessage;
 
-/** The head of a chain of two: what it admits, and when it replies. */
+/** Guards against writes that are admitted without a lease or answered too early: the head of a chain of two, which writes it admits and when it replies. */
 final class WriteAdmissionTest {
-    private static final long LEASE = 600_000;
+    private static final long LEASE_MICROS = 600_000;
     private final ReplicaFixture fixture = new ReplicaFixture().withView(view(1, SELF, SECOND));
     private final HeldLease lease = new HeldLease(fixture.settings, fixture.role, fixture.effects);
     private final PendingWrites[] pendingWrites = new PendingWrites[1];
@@ -89,14 +89,14 @@
         admission.handleWriteRequest(evacuation("early", -1), START);
         admission.onLeaseGranted(START + 1);
         assertThat("no lease yet", log.lastSequence(), is(0L));
-        grantLease(START + LEASE - 1);
-        admission.onLeaseGranted(START + LEASE - 1);
+        grantLease(START + LEASE_MICROS - 1);
+        admission.onLeaseGranted(START + LEASE_MICROS - 1);
         assertThat(log.lastSequence(), is(1L));
-        final WriteAdmissionTest other = new WriteAdmissionTest();
-        other.admission.handleWriteRequest(evacuation("old", -1), START);
-        other.grantLease(START + LEASE);
-        other.admission.onLeaseGranted(START + LEASE);
-        assertThat("it waited for too long", other.log.lastSequence(), is(0L));
+        final WriteAdmissionTest expired = new WriteAdmissionTest();
+        expired.admission.handleWriteRequest(evacuation("old", -1), START);
+        expired.grantLease(START + LEASE_MICROS);
+        expired.admission.onLeaseGranted(START + LEASE_MICROS);
+        assertThat("it was queued for too long", expired.log.lastSequence(), is(0L));
     }
 
     @Test
@@ -156,6 +156,6 @@
         pendingWrites[0].abandon();
         assertThat(results(), is(List.of(new CommandResult.Unknown("dropped"))));
         commitAll();
-        assertThat("once", results(), is(List.of()));
+        assertThat("answered once", results(), is(List.of()));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ZoneOperator.java
+++ b/core/src/test/java/silverlatch/replication/ZoneOperator.java
@@ -88,7 +88,7 @@
                 .toList();
         final ZoneWrite newest = read.newestAcknowledged();
         if (result.answered() && newest == last() && !active.equals(List.of(newest.isActive))) {
-            workload.fail("a read of the zone returned " + active + ", but " + newest.isActive + " was acknowledged");
+            workload.fail("a read of the zone returned " + active + ", acknowledged was " + newest.isActive);
         }
     }
 }
