--- a/core/src/test/java/silverlatch/replication/CatchUpProgressTest.java
+++ b/core/src/test/java/silverlatch/replication/CatchUpProgressTest.java
@@ -13,6 +13,10 @@
 import silverlatch.log.LogRecord;
 import silverlatch.wire.ReplicationMessage;
 
+/**
+ * Guards against a member that counts as caught up before it has synced all entries that its predecessor had, so that it
+ * would answer reads without them.
+ */
 final class CatchUpProgressTest {
     private static final long FETCH_MICROS = 1_200_000;
     private static final View VIEW = view(2, SECOND, SELF);
--- a/core/src/test/java/silverlatch/replication/CatchUpTest.java
+++ b/core/src/test/java/silverlatch/replication/CatchUpTest.java
@@ -39,8 +39,8 @@
 
     private static boolean isChainComplete(final ReplicaCluster cluster, final int members) {
         return cluster.running().size() == members
-                && cluster.running().stream().allMatch(s -> {
-                    final ReplicaStatus status = cluster.replica(s).status(cluster.now());
+                && cluster.running().stream().allMatch(address -> {
+                    final ReplicaStatus status = cluster.replica(address).status(cluster.now());
                     return status.isCaughtUp()
                             && status.isLeased()
                             && status.view().chain().size() == members;
@@ -48,8 +48,9 @@
     }
 
     /**
-     * Returns a command that puts a document of about 150 KB with 500 routes. An odd number changes all routes, an even one
-     * few of them; {@code renamed} gives all routes new keys.
+     * Returns a command that puts a document of about 150 KB with 500 routes. All routes of an odd
+     * number have a latency target that no earlier document had; those of an even number have the same one, except for one
+     * route. {@code renamed} gives all routes new keys.
      */
     private static Command.PutConfiguration document(final long number, final boolean renamed) {
         final List<Value.Route> routes = new ArrayList<>();
--- a/core/src/test/java/silverlatch/replication/ChainClientTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainClientTest.java
@@ -10,6 +10,10 @@
 import silverlatch.state.CommandResult;
 import silverlatch.wire.ChainClientMessage;
 
+/**
+ * Guards against client calls that get a wrong response, two responses or none: replies can be late, lost or inconclusive, the
+ * head and tail can change, and the process can be frozen beyond a deadline.
+ */
 final class ChainClientTest {
     private View view = new View(1, 1, List.of(), List.of(new Replica("a", "a"), new Replica("b", "b")), "a");
     private final ChainClient client = new ChainClient("me", () -> view, 10);
--- a/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
@@ -24,10 +24,7 @@
 import silverlatch.wire.Message;
 import silverlatch.wire.ReplicationMessage;
 
-/**
- * Guards against rejection or duplicated writes, stale isLeased and wrong votes in a chain of three replicas. The tests control the clock,
- * which machines are down and which disks are stalled, and send client requests under the address "operator".
- */
+/** Guards against lost writes, stale reads and forgotten promises of three replicas whose clock, crashes and disk stalls are controlled. */
 final class ChainReplicaTest {
     private static final List<String> SEEDS = List.of("a", "b", "c");
     private final Map<String, ChainReplica> replicas = new LinkedHashMap<>();
@@ -89,22 +86,22 @@
 
     private void performEffect(final String address, final ChainReplica replica, final Effect effect) {
         switch (effect) {
-            case Effect.Send s -> {
-                if (s.to().equals("operator")) {
-                    replies.add(s.message());
+            case Effect.Send send -> {
+                if (send.to().equals("operator")) {
+                    replies.add(send.message());
                     return;
                 }
                 deliveries.add(() -> {
-                    if (!down.contains(s.to()) && !down.contains(address) && replicas.containsKey(s.to())) {
-                        replicas.get(s.to()).onMessage(s.message(), address, now);
+                    if (!down.contains(send.to()) && !down.contains(address) && replicas.containsKey(send.to())) {
+                        replicas.get(send.to()).onMessage(send.message(), address, now);
                     }
                 });
             }
-            case Effect.Persist k -> {
+            case Effect.Persist persist -> {
                 if (stalledDisks.contains(address)) {
-                    unsynced.get(address).add(k);
+                    unsynced.get(address).add(persist);
                 } else {
-                    deliveries.add(() -> sync(address, replica, k));
+                    deliveries.add(() -> sync(address, replica, persist));
                 }
             }
             default -> {}
@@ -219,13 +216,13 @@
         put("a", "base", -1);
         final long match = ((CommandResult.Applied) ((ChainClientMessage.WriteReply) lastReply()).result()).sequence();
         put("a", "win", match);
-        final long winningSequence =
+        final long applied =
                 ((CommandResult.Applied) ((ChainClientMessage.WriteReply) lastReply()).result()).sequence();
         put("a", "lose", match);
         final CommandResult.Rejected rejection =
                 (CommandResult.Rejected) ((ChainClientMessage.WriteReply) lastReply()).result();
         assertThat(rejection.code(), is(409));
-        assertThat(rejection.sequence(), is(winningSequence));
+        assertThat(rejection.sequence(), is(applied));
         assertThat(rowKinds("c"), is(Set.of("win")));
     }
 
--- a/core/src/test/java/silverlatch/replication/CommitterTest.java
+++ b/core/src/test/java/silverlatch/replication/CommitterTest.java
@@ -13,6 +13,10 @@
 import silverlatch.safeguard.Safeguard;
 import silverlatch.wire.ReplicationMessage;
 
+/**
+ * Guards against commits of entries that aren't on the required number of disks: by a member that isn't the tail, on a notice of
+ * another view, or in a chain that is too short.
+ */
 final class CommitterTest {
     private final ReplicaFixture fixture = new ReplicaFixture();
     private final ReplicaLog log = ReplicaFixture.log(fixture, syncedAt -> {}, sequence -> {});
--- a/core/src/test/java/silverlatch/replication/DiscoveryTest.java
+++ b/core/src/test/java/silverlatch/replication/DiscoveryTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.wire.ReplicationMessage;
 
+/** Guards against too many requests for a later view, and against requests to outdated seeds. */
 final class DiscoveryTest {
     private static final long RETRY_MICROS = 300_000;
     private final ReplicaFixture fixture = new ReplicaFixture().withView(view(5, SECOND));
--- a/core/src/test/java/silverlatch/replication/DiskFailureTest.java
+++ b/core/src/test/java/silverlatch/replication/DiskFailureTest.java
@@ -35,8 +35,8 @@
 
     private boolean isChainComplete() {
         return cluster.running().size() == 3
-                && cluster.running().stream().allMatch(s -> {
-                    final ReplicaStatus status = cluster.replica(s).status(cluster.now());
+                && cluster.running().stream().allMatch(address -> {
+                    final ReplicaStatus status = cluster.replica(address).status(cluster.now());
                     return status.isCaughtUp()
                             && status.isLeased()
                             && status.view().chain().size() == 3;
--- a/core/src/test/java/silverlatch/replication/EffectQueueTest.java
+++ b/core/src/test/java/silverlatch/replication/EffectQueueTest.java
@@ -15,6 +15,10 @@
 import silverlatch.wire.Message;
 import silverlatch.wire.ReplicationMessage;
 
+/**
+ * Guards against votes that are sent before their sync, continuations that run twice or for another write, and disk stalls that
+ * aren't detected.
+ */
 final class EffectQueueTest {
     private static final long LIMIT_MICROS = 1_000;
     private static final List<LogRecord> PROMISE = List.of(new LogRecord.Promised(2, 256));
--- a/core/src/test/java/silverlatch/replication/EpochAdvancerTest.java
+++ b/core/src/test/java/silverlatch/replication/EpochAdvancerTest.java
@@ -13,6 +13,7 @@
 import silverlatch.state.Command;
 import silverlatch.wire.ChainClientMessage;
 
+/** Guards against epochs that are advanced too often: twice in an interval, or too soon after the singleton owner changed. */
 final class EpochAdvancerTest {
     private static final long INTERVAL_MICROS = 600_000_000;
     private static final Optional<Long> TOKEN = Optional.of(3L);
--- a/core/src/test/java/silverlatch/replication/FailureDetectorTest.java
+++ b/core/src/test/java/silverlatch/replication/FailureDetectorTest.java
@@ -13,6 +13,10 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.wire.ReplicationMessage;
 
+/**
+ * Guards against dead members that count as alive, for example because they send but don't receive, and against live voters that
+ * count as silent after a view change.
+ */
 final class FailureDetectorTest {
     private static final long HALF_SUSPICION_MICROS = 400_000;
     private final ReplicaFixture fixture = new ReplicaFixture().withView(view(1, SELF, SECOND, THIRD));
--- a/core/src/test/java/silverlatch/replication/GracefulLeaveTest.java
+++ b/core/src/test/java/silverlatch/replication/GracefulLeaveTest.java
@@ -12,6 +12,7 @@
 import silverlatch.safeguard.Safeguard;
 import silverlatch.wire.ReplicationMessage;
 
+/** Guards against a replica that stops before a majority of the voters knows the view without it. */
 final class GracefulLeaveTest {
     private final ReplicaFixture fixture = new ReplicaFixture();
     private final GracefulLeave gracefulLeave = new GracefulLeave(fixture.settings, fixture.role, fixture.effects);
--- a/core/src/test/java/silverlatch/replication/GrantedLeasesTest.java
+++ b/core/src/test/java/silverlatch/replication/GrantedLeasesTest.java
@@ -15,6 +15,10 @@
 import silverlatch.safeguard.Safeguard;
 import silverlatch.wire.ReplicationMessage;
 
+/**
+ * Guards against two tails that answer reads: a view that removes a member is accepted only once the leases granted to that member
+ * have expired, also those granted before a restart of the voter.
+ */
 final class GrantedLeasesTest {
     private static final long LEASE_MICROS = 600_000;
     private static final long LATER = START + 10 * LEASE_MICROS;
--- a/core/src/test/java/silverlatch/replication/HeldLeaseTest.java
+++ b/core/src/test/java/silverlatch/replication/HeldLeaseTest.java
@@ -12,6 +12,10 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.wire.ReplicationMessage;
 
+/**
+ * Guards against a lease that is held for longer than a majority of the voters granted it, because of late grants or a restarted
+ * clock.
+ */
 final class HeldLeaseTest {
     private static final long HOLD_MICROS = 540_000;
     private final ReplicaFixture fixture = new ReplicaFixture().withView(view(1, SELF, SECOND, THIRD));
--- a/core/src/test/java/silverlatch/replication/LogEntryTest.java
+++ b/core/src/test/java/silverlatch/replication/LogEntryTest.java
@@ -14,6 +14,7 @@
 import silverlatch.wire.Codec;
 import silverlatch.wire.ReplicationMessage;
 
+/** Guards against configurations that fit the limits of the validator but not a frame. */
 final class LogEntryTest {
     @Test
     void aConfigurationOfTheMaximumSizeFitsAFrame() {
--- a/core/src/test/java/silverlatch/replication/PendingWritesTest.java
+++ b/core/src/test/java/silverlatch/replication/PendingWritesTest.java
@@ -14,6 +14,7 @@
 import silverlatch.state.Entry;
 import silverlatch.wire.ChainClientMessage;
 
+/** Guards against replies to clients that depend on entries which may still be dropped. */
 final class PendingWritesTest {
     private static final CommandResult REJECTION = new CommandResult.Rejected(409, List.of("changed"), 3);
     private final ReplicaFixture fixture = new ReplicaFixture();
--- a/core/src/test/java/silverlatch/replication/PredecessorLinkTest.java
+++ b/core/src/test/java/silverlatch/replication/PredecessorLinkTest.java
@@ -13,6 +13,7 @@
 import silverlatch.safeguard.Safeguard;
 import silverlatch.wire.ReplicationMessage;
 
+/** Guards against a log with gaps or repetitions: replicated entries can be lost, arrive twice or belong to another view. */
 final class PredecessorLinkTest {
     private final ReplicaFixture fixture = new ReplicaFixture().withView(view(2, SECOND, SELF));
     private final ReplicaLog log = ReplicaFixture.log(fixture, syncedAt -> {}, sequence -> {});
--- a/core/src/test/java/silverlatch/replication/ReadAdmissionTest.java
+++ b/core/src/test/java/silverlatch/replication/ReadAdmissionTest.java
@@ -14,6 +14,7 @@
 import silverlatch.wire.ChainClientMessage;
 import silverlatch.wire.ReplicationMessage;
 
+/** Guards against stale reads: only the tail answers, only under a lease, and only from a chain that is long enough. */
 final class ReadAdmissionTest {
     private static ChainClientMessage.ReadReply read(
             final ReplicaFixture fixture, final View view, final boolean leased) {
--- a/core/src/test/java/silverlatch/replication/ReplicaRoleTest.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaRoleTest.java
@@ -13,6 +13,10 @@
 import silverlatch.log.LogRecord;
 import silverlatch.safeguard.Safeguard;
 
+/**
+ * Guards against replicas that count as caught up although they may lack acknowledged entries, after views that they were not part
+ * of, restarts and repairs.
+ */
 final class ReplicaRoleTest {
     private final ReplicaRole role = new ReplicaFixture().role;
 
@@ -83,8 +87,7 @@
         final ReplicaRole roleInChain = new ReplicaFixture().role;
         roleInChain.install(view(1, SECOND, SELF), false);
         roleInChain.markRepaired();
-        assertThat(
-                "a roleInChain of the chain must catch up with its predecessor", roleInChain.isCaughtUp(), is(false));
+        assertThat("a member of the chain must catch up with its predecessor", roleInChain.isCaughtUp(), is(false));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/replication/ReplicationWindowTest.java
+++ b/core/src/test/java/silverlatch/replication/ReplicationWindowTest.java
@@ -9,6 +9,10 @@
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
 
+/**
+ * Guards against large entries that delay leases and votes on the same link, and against resending entries that are still in
+ * flight.
+ */
 final class ReplicationWindowTest {
     private final ReplicationWindow window = new ReplicationWindow();
 
--- a/core/src/test/java/silverlatch/replication/SingletonTenureTest.java
+++ b/core/src/test/java/silverlatch/replication/SingletonTenureTest.java
@@ -6,6 +6,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
+/** Guards against calls to external providers by two owners of the singleton role within less than a tenure. */
 final class SingletonTenureTest {
     private static final long TENURE_MICROS = 3_600_000;
     private final SingletonTenure tenure = new SingletonTenure(TENURE_MICROS);
--- a/core/src/test/java/silverlatch/replication/SuccessorLinkTest.java
+++ b/core/src/test/java/silverlatch/replication/SuccessorLinkTest.java
@@ -22,6 +22,7 @@
 import silverlatch.wire.Message;
 import silverlatch.wire.ReplicationMessage;
 
+/** Guards against a successor that lacks entries: they can be lost, and a catch-up target sent too early can be too low. */
 final class SuccessorLinkTest {
     private static final long BACKOFF_MICROS = 600_000;
     private final ReplicaFixture fixture = new ReplicaFixture().withView(view(2, SELF, SECOND));
--- a/core/src/test/java/silverlatch/replication/ViewPlannerTest.java
+++ b/core/src/test/java/silverlatch/replication/ViewPlannerTest.java
@@ -105,7 +105,7 @@
                 .orElseThrow();
         assertThat(added.voters().size(), is(4));
         assertThat(
-                "one voter is out of the chain and may have remaining",
+                "one voter is out of the chain and may have left",
                 planner(view(3, 2), id -> ALIVE_SILENCE_MICROS, 2).next(false, List.of(join)),
                 is(Optional.empty()));
         assertThat(
