--- a/core/src/test/java/silverlatch/replication/CatchUpTest.java
+++ b/core/src/test/java/silverlatch/replication/CatchUpTest.java
@@ -23,15 +23,15 @@
     private static final long LINK_BYTES_PER_SECOND = 7_000_000 / 8;
     private static final long SYNC_MICROS = 5_000;
     private static final long DISK_BYTES = 64L << 20;
-    private static final List<String> SIX = List.of("a", "b", "c", "d", "e", "f");
+    private static final List<String> ADDRESSES = List.of("a", "b", "c", "d", "e", "f");
     private static final int ROUTES = 500;
     private static final int DOCUMENT_BYTES = 150_000;
 
     private static ReplicaCluster cluster(final int members) {
-        final List<String> seeds = SIX.subList(0, 3);
+        final List<String> seeds = ADDRESSES.subList(0, 3);
         final ReplicaCluster cluster = new ReplicaCluster(seeds, 1_000, s -> s.withCounts(2, members))
                 .withLimits(LINK_BYTES_PER_SECOND, SYNC_MICROS, DISK_BYTES);
-        SIX.subList(0, members).forEach(s -> cluster.start(s, true));
+        ADDRESSES.subList(0, members).forEach(s -> cluster.start(s, true));
         cluster.advanceUntil(60 * SECOND, () -> isChainComplete(cluster, members));
         assertThat("the chain is complete" + cluster, isChainComplete(cluster, members), is(true));
         return cluster;
@@ -102,7 +102,7 @@
     @ValueSource(ints = {3, 6})
     void aMemberThatMissedManyDocumentsCatchesUpInBoundedTime(final int members) {
         final ReplicaCluster cluster = cluster(members);
-        final String missing = SIX.get(members - 1);
+        final String missing = ADDRESSES.get(members - 1);
         put(cluster, "a", 1);
         cluster.kill(missing);
         cluster.advance(3 * SECOND);
@@ -127,7 +127,7 @@
         assertThat("bytes received", bytes, lessThan(2L << 20));
         assertThat("largest disk usage", disk, lessThan(DISK_BYTES / 8));
         assertThat("no member was suspected", cluster.loggedCount(Event.CHAIN_SUSPECT), is(suspected));
-        SIX.subList(0, members - 2).forEach(cluster::kill);
+        ADDRESSES.subList(0, members - 2).forEach(cluster::kill);
         cluster.advance(SECOND);
         assertThat(cluster.committedNumber(missing), is((long) count));
     }
--- a/core/src/test/java/silverlatch/replication/ChainReplicationTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainReplicationTest.java
@@ -16,8 +16,8 @@
 
 /** Guards against a tail that joined the chain and doesn't catch up: fetches and retries, and the end of the catch-up after a sync. */
 final class ChainReplicationTest {
-    private static final long RETRY = ReplicaSettings.RETRY_MICROS;
-    private static final long FETCH = 4 * RETRY;
+    private static final long RETRY_MICROS = ReplicaSettings.RETRY_MICROS;
+    private static final long FETCH_MICROS = 4 * RETRY_MICROS;
     private static final Message FETCH_ALL = new ReplicationMessage.FetchEntries(2, SELF.id(), 0);
     private final ReplicaFixture fixture = new ReplicaFixture();
     private final ReplicaLog log = ReplicaFixture.log(fixture, syncedAt -> {}, sequence -> {});
@@ -44,16 +44,16 @@
     void missingEntriesAreFetchedAtOnceAndThenOncePerRetry() {
         join();
         replication.retryNow(START);
-        replication.retry(START + RETRY - 1);
+        replication.retry(START + RETRY_MICROS - 1);
         assertThat(fixture.sent(), is(List.of(FETCH_ALL)));
-        replication.retry(START + RETRY);
+        replication.retry(START + RETRY_MICROS);
         assertThat(fixture.sent(), is(List.of(FETCH_ALL)));
     }
 
     @Test
     void aRepairIsRequestedWhenFetchingTakesTooLong() {
         join();
-        replication.retry(START + FETCH + 1);
+        replication.retry(START + FETCH_MICROS + 1);
         assertThat(fixture.sent().get(0), instanceOf(ReplicationMessage.CompareDigests.class));
     }
 
@@ -75,7 +75,7 @@
     void anActiveTailRepeatsItsCommitNotice() {
         fixture.withView(view(2, SECOND, SELF));
         replication.retryNow(START);
-        replication.retry(START + RETRY);
+        replication.retry(START + RETRY_MICROS);
         assertThat(
                 fixture.sent(),
                 is(List.of(new ReplicationMessage.CommitNotice(2, 0), new ReplicationMessage.CommitNotice(2, 0))));
--- a/core/src/test/java/silverlatch/replication/MembershipTest.java
+++ b/core/src/test/java/silverlatch/replication/MembershipTest.java
@@ -26,9 +26,9 @@
     private static final List<String> ADDRESSES = List.of("a", "b", "c", "d", "e", "f");
     private static final long LINK_DELAY_MICROS = 35_000;
     private static final long SECOND = 1_000_000;
-    private static final long CATCH_UP = 4 * SECOND;
-    private static final long GRACE = 8 * SECOND;
-    private static final long RECOVERY = 5 * SECOND;
+    private static final long CATCH_UP_MICROS = 4 * SECOND;
+    private static final long GRACE_MICROS = 8 * SECOND;
+    private static final long PUT_TIMEOUT_MICROS = 5 * SECOND;
 
     private static ReplicaCluster startThree() {
         final ReplicaCluster cluster = new ReplicaCluster(SEEDS, LINK_DELAY_MICROS, s -> s.withCounts(2, 5));
@@ -64,8 +64,8 @@
 
     private static void put(final ReplicaCluster cluster, final long number) {
         final String at = cluster.running().stream().sorted().findFirst().orElseThrow();
-        final PendingCall call = cluster.putConfiguration(at, number, number - 1, RECOVERY);
-        cluster.advanceUntil(RECOVERY + SECOND, () -> call.latency() > 0);
+        final PendingCall call = cluster.putConfiguration(at, number, number - 1, PUT_TIMEOUT_MICROS);
+        cluster.advanceUntil(PUT_TIMEOUT_MICROS + SECOND, () -> call.latency() > 0);
         assertThat("put " + number + cluster, call.isAcknowledged(), is(true));
     }
 
@@ -77,7 +77,7 @@
     /** Stops a machine gracefully, or kills it at the end of the grace period, and deletes its disk. */
     private static void stopAndRemove(final ReplicaCluster cluster, final String address) {
         cluster.replica(address).leave();
-        cluster.advanceUntil(GRACE, () -> cluster.replica(address).hasLeft());
+        cluster.advanceUntil(GRACE_MICROS, () -> cluster.replica(address).hasLeft());
         lose(cluster, address);
     }
 
@@ -89,11 +89,11 @@
         lose(cluster, "c");
         cluster.advance(delay);
         cluster.start("g", false);
-        cluster.advance(CATCH_UP);
-        final Set<String> before = voters(cluster);
+        cluster.advance(CATCH_UP_MICROS);
+        final Set<String> votersBefore = voters(cluster);
         lose(cluster, "g");
         put(cluster, 2);
-        assertThat("the dead voter was replaced", before, is(Set.of("a", "b", "g")));
+        assertThat("the dead voter was replaced", votersBefore, is(Set.of("a", "b", "g")));
     }
 
     @Test
@@ -106,7 +106,7 @@
             cluster.advance(SECOND / 2 * (i % 4));
             cluster.seeds(cluster.running().stream().sorted().toList());
             cluster.start("successor-" + i, false);
-            cluster.advance(CATCH_UP);
+            cluster.advance(CATCH_UP_MICROS);
             assertThat("" + cluster, voters(cluster).size(), is(3));
             assertThat("" + cluster, chain(cluster), is(voters(cluster)));
             put(cluster, i + 2);
@@ -121,7 +121,7 @@
             final ReplicaCluster cluster = startThree();
             put(cluster, 1);
             cluster.start("g", false);
-            cluster.advance(CATCH_UP);
+            cluster.advance(CATCH_UP_MICROS);
             assertThat(chain(cluster), hasItem("g"));
             if (isGraceful) {
                 stopAndRemove(cluster, "c");
@@ -136,8 +136,8 @@
     }
 
     /**
-     * Returns on how many disks an acknowledged write remains after one of the last two members has left gracefully. If that
-     * doesn't stop within a second, a replacement is started, and the member is removed at the end of its grace period at the
+     * Returns on how many disks an acknowledged write remains after one of the last two members has left gracefully. If this
+     * member hasn't left within a second, a replacement is started, and the member is removed at the end of its grace period at the
      * latest.
      */
     private static long copiesAfterALeavingReplicaStopped(final Safeguards safeguards) {
@@ -153,7 +153,7 @@
                 cluster.advanceUntil(SECOND, () -> cluster.replica("b").hasLeft());
         if (leftAfter < 0) {
             cluster.start("g", false);
-            cluster.advanceUntil(GRACE, () -> cluster.replica("b").hasLeft());
+            cluster.advanceUntil(GRACE_MICROS, () -> cluster.replica("b").hasLeft());
         }
         lose(cluster, "b");
         return cluster.countSyncedDisks(1);
@@ -175,7 +175,7 @@
             lose(cluster, "c");
             cluster.advance(2 * SECOND);
             cluster.replica("b").leave();
-            cluster.advance(GRACE - SECOND + delay);
+            cluster.advance(GRACE_MICROS - SECOND + delay);
             put(cluster, 1);
             assertThat(cluster.replica("b").hasLeft(), is(false));
             lose(cluster, "b");
@@ -193,12 +193,12 @@
             cluster.start("g", false);
             cluster.advance(away / 2);
             cluster.start("c", false);
-            cluster.advance(2 * CATCH_UP);
+            cluster.advance(2 * CATCH_UP_MICROS);
             assertThat("" + cluster, voters(cluster), is(Set.of("a", "b", "c", "g")));
             assertThat("" + cluster, chain(cluster), is(voters(cluster)));
             lose(cluster, "a");
             put(cluster, 2);
-            cluster.advance(CATCH_UP);
+            cluster.advance(CATCH_UP_MICROS);
             assertThat("" + cluster, voters(cluster), is(Set.of("b", "c", "g")));
             lose(cluster, "g");
             put(cluster, 3);
@@ -213,10 +213,10 @@
         cluster.setCut("c", "g", true);
         cluster.advance(SECOND);
         cluster.start("g", false);
-        cluster.advance(CATCH_UP);
+        cluster.advance(CATCH_UP_MICROS);
         put(cluster, 1);
         cluster.heal();
-        cluster.advance(CATCH_UP);
+        cluster.advance(CATCH_UP_MICROS);
         assertThat("" + cluster, chain(cluster), is(Set.of("a", "b", "c", "g")));
         lose(cluster, "b");
         put(cluster, 2);
@@ -230,12 +230,12 @@
         lose(cluster, "f");
         cluster.advance(SECOND);
         cluster.start("g", false);
-        cluster.advance(CATCH_UP);
+        cluster.advance(CATCH_UP_MICROS);
         lose(cluster, "a");
         put(cluster, 2);
         cluster.start("h", false);
         cluster.start("i", false);
-        cluster.advance(2 * CATCH_UP);
+        cluster.advance(2 * CATCH_UP_MICROS);
         assertThat("" + cluster, voters(cluster), is(Set.of("b", "c", "d", "g", "h", "i")));
         lose(cluster, "g");
         lose(cluster, "b");
@@ -251,7 +251,7 @@
         cluster.advance(SECOND + SECOND / 10);
         cluster.start("g", false);
         cluster.start("h", false);
-        cluster.advance(CATCH_UP);
+        cluster.advance(CATCH_UP_MICROS);
         assertThat("" + cluster, voters(cluster), is(Set.of("a", "b", "c", "d", "g", "h")));
         lose(cluster, "g");
         lose(cluster, "h");
@@ -269,7 +269,7 @@
             cluster.advance(span);
             lose(cluster, "g");
             cluster.start("h", false);
-            cluster.advance(CATCH_UP);
+            cluster.advance(CATCH_UP_MICROS);
             assertThat("after " + span + cluster, voters(cluster), is(Set.of("a", "b", "h")));
             lose(cluster, "a");
             put(cluster, 2);
@@ -293,7 +293,7 @@
             put(cluster, 2);
             cluster.advance(i * 150_000L);
             region.forEach(s -> cluster.start(s, false));
-            cluster.advance(CATCH_UP);
+            cluster.advance(CATCH_UP_MICROS);
             assertThat("" + cluster, voters(cluster).size(), is(5));
             assertThat("" + cluster, chain(cluster), is(voters(cluster)));
             final List<String> next = chain(cluster).stream().sorted().limit(2).toList();
--- a/core/src/test/java/silverlatch/replication/OperatorWritesTest.java
+++ b/core/src/test/java/silverlatch/replication/OperatorWritesTest.java
@@ -24,15 +24,15 @@
  * and rejected, when they conflict, are retried late or lose their answers while machines and links fail.
  */
 final class OperatorWritesTest {
-    private static final List<String> THREE = List.of("a", "b", "c");
+    private static final List<String> ADDRESSES = List.of("a", "b", "c");
     private static final long SECOND = 1_000_000;
     private static final long CALL_TIMEOUT_MICROS = 880_000;
     private static final long LINK_DELAY_MICROS = 5_000;
     private static final int SEEDS_PER_SAFEGUARD = 60;
 
     private static ReplicaCluster startThree() {
-        final ReplicaCluster cluster = new ReplicaCluster(THREE, LINK_DELAY_MICROS, s -> s.withCounts(2, 3));
-        THREE.forEach(s -> cluster.start(s, true));
+        final ReplicaCluster cluster = new ReplicaCluster(ADDRESSES, LINK_DELAY_MICROS, s -> s.withCounts(2, 3));
+        ADDRESSES.forEach(s -> cluster.start(s, true));
         cluster.advance(5 * SECOND);
         return cluster;
     }
@@ -68,8 +68,8 @@
         putAcknowledged(cluster, "b", 6, 5);
         putAcknowledged(cluster, "c", 9, 6);
         assertThat(reply(cluster, "b", retry(5, 0, 2)), is(instanceOf(CommandResult.Applied.class)));
-        THREE.forEach(cluster::kill);
-        THREE.forEach(s -> cluster.start(s, false));
+        ADDRESSES.forEach(cluster::kill);
+        ADDRESSES.forEach(s -> cluster.start(s, false));
         cluster.advance(5 * SECOND);
         assertThat("after a restart", reply(cluster, "c", retry(6, 5, 3)), is(instanceOf(CommandResult.Applied.class)));
         cluster.kill("a");
@@ -93,17 +93,18 @@
         final ReplicaCluster cluster = startThree();
         putAcknowledged(cluster, "a", 5, 0);
         final String head = cluster.replica("a").view().head().orElseThrow().address();
-        final List<String> others = THREE.stream().filter(s -> !s.equals(head)).toList();
+        final List<String> others =
+                ADDRESSES.stream().filter(s -> !s.equals(head)).toList();
         others.forEach(s -> cluster.setCut(head, s, true));
         final PendingCall dropped = cluster.submit(head, retry(6, 5, 1), CALL_TIMEOUT_MICROS);
         cluster.advance(20_000);
-        final PendingCall loser = cluster.submit(head, retry(7, 5, 1), CALL_TIMEOUT_MICROS);
+        final PendingCall conflicting = cluster.submit(head, retry(7, 5, 1), CALL_TIMEOUT_MICROS);
         cluster.advance(10 * SECOND);
         assertThat(dropped.answerOrThrow(), is(instanceOf(CommandResult.Unknown.class)));
         putAcknowledged(cluster, others.get(0), 7, 5);
         assertThat(
                 "not rejected because of a dropped entry",
-                loser.answerOrThrow(),
+                conflicting.answerOrThrow(),
                 is(instanceOf(CommandResult.Unknown.class)));
     }
 
@@ -128,7 +129,8 @@
     void aDelayedCopyOfAnEvacuationDoesNotUndoALaterCommand() {
         final ReplicaCluster cluster = startThree();
         final String head = cluster.replica("a").view().head().orElseThrow().address();
-        final List<String> others = THREE.stream().filter(s -> !s.equals(head)).toList();
+        final List<String> others =
+                ADDRESSES.stream().filter(s -> !s.equals(head)).toList();
         cluster.setExtraDelay(others.get(0), head, 8 * SECOND);
         cluster.submit(others.get(0), evacuation("first", true), CALL_TIMEOUT_MICROS);
         cluster.advance(1_000);
@@ -154,8 +156,8 @@
     void aWriteWithoutAMajorityEndsUnknownWithinOneSecond() {
         final ReplicaCluster cluster = startThree();
         putAcknowledged(cluster, "a", 5, 0);
-        for (final String alone : THREE) {
-            THREE.stream().filter(s -> !s.equals(alone)).forEach(s -> cluster.setCut(alone, s, true));
+        for (final String alone : ADDRESSES) {
+            ADDRESSES.stream().filter(s -> !s.equals(alone)).forEach(s -> cluster.setCut(alone, s, true));
             for (int i = 0; i < 20; i++) {
                 final List<PendingCall> calls = List.of(
                         cluster.submit(alone, retry(9, 5, i), CALL_TIMEOUT_MICROS),
@@ -186,9 +188,9 @@
         long acknowledged = 0;
         long rejected = 0;
         long acknowledgedRepeatedly = 0;
-        final long first = Long.getLong("silverlatch.orders.first", 1);
+        final long firstSeed = Long.getLong("silverlatch.orders.first", 1);
         final int count = Integer.getInteger("silverlatch.orders", 6);
-        for (long seed = first; seed < first + count; seed++) {
+        for (long seed = firstSeed; seed < firstSeed + count; seed++) {
             final OperatorWorkload workload = new OperatorWorkload(seed, minReplicas, Safeguards.ALL);
             workload.run();
             acknowledged += workload.acknowledged();
@@ -209,11 +211,12 @@
         "COMMITTED_REFUSAL, 5, rejected",
         "LATEST_EVACUATION, 53, a read of the zone returned"
     })
-    void theChecksDetectADisabledSafeguard(final Safeguard safeguard, final long seed, final String expectedMessage) {
+    void theChecksDetectADisabledSafeguard(
+            final Safeguard safeguard, final long firstSeed, final String expectedMessage) {
         final Safeguards safeguards = new Safeguards(Set.of(safeguard));
         final AssertionError error = assertThrows(AssertionError.class, () -> {
-            for (long s = seed; s < seed + SEEDS_PER_SAFEGUARD; s++) {
-                new OperatorWorkload(s, 2, safeguards).run();
+            for (long seed = firstSeed; seed < firstSeed + SEEDS_PER_SAFEGUARD; seed++) {
+                new OperatorWorkload(seed, 2, safeguards).run();
             }
         });
         System.out.println(safeguard + " disabled: "
