--- a/core/src/test/java/silverlatch/replication/MembershipFaults.java
+++ b/core/src/test/java/silverlatch/replication/MembershipFaults.java
@@ -31,7 +31,10 @@
         return gracePeriodKills;
     }
 
-    /** Injects events with a probability of 1/12: one, or as many as the tolerance allows. */
+    /**
+     * With a probability of 1/12, injects one loss or replacement or as many as the tolerance allows, and sometimes kills a
+     * returned machine again or all processes.
+     */
     void step() {
         if (model.random().nextInt(12) > 0) {
             return;
--- a/core/src/test/java/silverlatch/replication/OperatorWorkload.java
+++ b/core/src/test/java/silverlatch/replication/OperatorWorkload.java
@@ -128,7 +128,10 @@
                 + String.join("\n", writes.stream().map(OperatorWrite::toString).toList()) + cluster);
     }
 
-    /** Retries the writes that are due and adds random new ones, each through a random machine, while fewer than eight are in flight. */
+    /**
+     * Retries the writes that are due, adds random new ones and sometimes repeats any earlier one, each through a random machine
+     * and only while fewer than eight are in flight.
+     */
     private void sendWrites() {
         final long now = cluster.now();
         for (final OperatorWrite write : writes) {
--- a/core/src/test/java/silverlatch/replication/ReplicationWindowTest.java
+++ b/core/src/test/java/silverlatch/replication/ReplicationWindowTest.java
@@ -10,8 +10,8 @@
 import silverlatch.state.Value;
 
 /**
- * Guards against large entries that delay leases and votes on the same link, and against resending entries that are still in
- * flight.
+ * Guards against large entries that delay leases and votes on the same link, and against resending entries too soon
+ * or too often.
  */
 final class ReplicationWindowTest {
     private final ReplicationWindow window = new ReplicationWindow();
