--- a/core/src/test/java/silverlatch/replication/AcknowledgedWritesTest.java
+++ b/core/src/test/java/silverlatch/replication/AcknowledgedWritesTest.java
@@ -14,15 +14,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import silverlatch.state.CommandResult;
 
-/** What was acknowledged survives crashes, restarts and lost disks of fewer machines than there are replicas. */
+/** Guards against the loss of acknowledged writes through crashes, restarts and lost disks of fewer machines than the minimum number of replicas. */
 final class AcknowledgedWritesTest {
     private static final long SECOND = 1_000_000;
 
     @Test
     void sixReplicasWithThreeSeedsAllBecomeVotersAndSurviveTwoCrashesAtOnce() {
-        final ReplicaCluster cluster = SixReplicas.six(2);
+        final ReplicaCluster cluster = SixReplicas.startSix(2);
         SixReplicas.put(cluster, "f", 1, 0);
-        assertThat("an ack is on every disk of the chain", cluster.synced(1), is(6L));
+        assertThat("an acknowledged write is synced on every disk of the chain", cluster.countSyncedDisks(1), is(6L));
         cluster.kill("a");
         cluster.kill("f");
         final long at = cluster.now();
@@ -32,10 +32,10 @@
     }
 
     @Test
-    void everyTwoOfSixMayDieAtOnce() {
+    void anyTwoOfSixMayCrashAtOnce() {
         for (int i = 0; i < 6; i++) {
             for (int j = i + 1; j < 6; j++) {
-                final ReplicaCluster cluster = SixReplicas.six(3);
+                final ReplicaCluster cluster = SixReplicas.startSix(3);
                 cluster.advance(i * 17_300L + j * 5_700L);
                 cluster.kill(SixReplicas.ADDRESSES.get(i));
                 cluster.kill(SixReplicas.ADDRESSES.get(j));
@@ -46,14 +46,14 @@
                         SixReplicas.ADDRESSES.get(i) + SixReplicas.ADDRESSES.get(j),
                         cluster.now() - at,
                         lessThan(2_500_000L));
-                assertThat(cluster.synced(1), greaterThanOrEqualTo(4L));
+                assertThat(cluster.countSyncedDisks(1), greaterThanOrEqualTo(4L));
             }
         }
     }
 
     @Test
     void replicasThatAllRestartAtOnceHaveTheNewestConfiguration() {
-        final ReplicaCluster cluster = SixReplicas.six(2);
+        final ReplicaCluster cluster = SixReplicas.startSix(2);
         for (long i = 1; i <= 5; i++) {
             SixReplicas.put(cluster, SixReplicas.ADDRESSES.get((int) i), i, i - 1);
         }
@@ -67,22 +67,22 @@
 
     @ParameterizedTest
     @ValueSource(ints = {2, 3})
-    void anAcknowledgedConfigurationSurvivesFewerLostDisksThanCopiesAndAPowerCutOfTheRest(final int copies) {
-        for (int turn = 0; turn < 12; turn++) {
-            final ReplicaCluster cluster = SixReplicas.six(copies);
-            for (int i = 0; i < turn % 3; i++) {
-                cluster.kill(SixReplicas.ADDRESSES.get((turn + 2 * i) % 6));
+    void anAcknowledgedConfigurationSurvivesFewerLostDisksThanCopiesAndAPowerCutOfTheRest(final int minReplicas) {
+        for (int round = 0; round < 12; round++) {
+            final ReplicaCluster cluster = SixReplicas.startSix(minReplicas);
+            for (int i = 0; i < round % 3; i++) {
+                cluster.kill(SixReplicas.ADDRESSES.get((round + 2 * i) % 6));
             }
-            final String at = cluster.running().stream().sorted().toList().get(turn % 2);
+            final String at = cluster.running().stream().sorted().toList().get(round % 2);
             SixReplicas.put(cluster, at, 1, 0);
             final List<String> lost = SixReplicas.chain(cluster).stream()
                     .sorted()
-                    .skip(turn % 2)
-                    .limit(copies - 1)
+                    .skip(round % 2)
+                    .limit(minReplicas - 1)
                     .toList();
             List.copyOf(cluster.running()).forEach(cluster::kill);
             lost.forEach(cluster::loseDisk);
-            cluster.advance(turn * 50_000L);
+            cluster.advance(round * 50_000L);
             SixReplicas.ADDRESSES.forEach(address -> cluster.start(address, false));
             cluster.advance(25 * SECOND);
             SixReplicas.assertNewest(cluster, 1);
@@ -97,13 +97,13 @@
         SixReplicas.SEEDS.forEach(address -> cluster.start(address, true));
         cluster.advance(3 * SECOND);
         SixReplicas.put(cluster, "a", 1, 0);
-        final PendingCall cut = cluster.putConfiguration("a", 2, 1, 2 * SECOND);
+        final PendingCall interrupted = cluster.putConfiguration("a", 2, 1, 2 * SECOND);
         cluster.advance(60_000);
         cluster.kill("c");
         cluster.advance(5 * SECOND);
-        assertThat(cut.reply(), instanceOf(CommandResult.Unknown.class));
+        assertThat(interrupted.answerOrThrow(), instanceOf(CommandResult.Unknown.class));
         assertThat(
-                "nor told by a read",
+                "a read doesn't return it",
                 ((ChainClient.ReadResult) SixReplicas.read(cluster, "a"))
                         .entries().stream().map(SixReplicas::documentText).toList(),
                 not(is(List.of("paper 2"))));
@@ -114,21 +114,24 @@
     }
 
     @Test
-    void aTailThatOnlyOneVoterHearsStopsReadingBeforeTheOthersGoOnWithoutIt() {
+    void aTailReachedByOnlyOneVoterLosesItsLeaseBeforeTheOthersInstallAViewWithoutIt() {
         for (int i = 0; i < 20; i++) {
             final ReplicaCluster cluster =
                     new ReplicaCluster(SixReplicas.SEEDS, SixReplicas.LINK_DELAY_MICROS, settings -> settings);
             SixReplicas.SEEDS.forEach(address -> cluster.start(address, true));
             cluster.advance(3 * SECOND + i * 6_100L);
-            cluster.cut("a", "c", true);
+            cluster.setCut("a", "c", true);
             final long oldNumber = SixReplicas.view(cluster).number();
-            final long took = cluster.advanceUntil(5 * SECOND, () -> {
-                final boolean hasMoved = SixReplicas.view(cluster).number() > oldNumber;
+            final long spanMicros = cluster.advanceUntil(5 * SECOND, () -> {
+                final boolean hasLaterView = SixReplicas.view(cluster).number() > oldNumber;
                 final ReplicaStatus tail = cluster.replica("c").status(cluster.now());
-                assertThat("both answer", hasMoved && tail.view().number() == oldNumber && tail.isLeased(), is(false));
-                return hasMoved && tail.view().number() > oldNumber;
+                assertThat(
+                        "the old tail holds a lease under the old view",
+                        hasLaterView && tail.view().number() == oldNumber && tail.isLeased(),
+                        is(false));
+                return hasLaterView && tail.view().number() > oldNumber;
             });
-            assertThat("the chain went on", took >= 0, is(true));
+            assertThat("all installed a later view", spanMicros >= 0, is(true));
         }
     }
 }
--- a/core/src/test/java/silverlatch/replication/BandwidthLinks.java
+++ b/core/src/test/java/silverlatch/replication/BandwidthLinks.java
@@ -9,28 +9,29 @@
 import java.util.function.ObjLongConsumer;
 
 /**
- * Links of machines with a bandwidth each: one connection a pair and direction, whose frames go in
- * order, urgent ones before those that have not begun, as the transport sends them; a machine's
- * connections take turns, a packet each, and the receiver's link passes packets as they come.
+ * Simulated machine links with a limited bandwidth. As in the transport, there is one connection per pair of machines and
+ * direction, which sends its frames in order, except that urgent frames overtake other frames of which nothing was sent yet.
+ * The connections of a machine share its link packet by packet in round-robin order; the receiver's link transfers packets in
+ * the order of their arrival.
  */
 final class BandwidthLinks {
     private static final long PACKET_BYTES = 16 << 10;
     private final long bytesPerSecond;
-    private final long delay;
+    private final long delayMicros;
     private final ObjLongConsumer<Runnable> scheduler;
     private final Map<String, Map<String, Deque<Frame>>> connections = new HashMap<>();
     private final Map<String, Boolean> sending = new HashMap<>();
     private final Map<String, Long> receiverFreeAt = new HashMap<>();
-    private final Map<String, Long> received = new HashMap<>();
+    private final Map<String, Long> receivedBytes = new HashMap<>();
 
-    /** Links of so many bytes a second and a delay in microseconds; the scheduler runs a job at a time. */
-    BandwidthLinks(final long bytesPerSecond, final long delay, final ObjLongConsumer<Runnable> scheduler) {
+    /** Creates links with this bandwidth and a delay in microseconds; the scheduler runs a task at a given time. */
+    BandwidthLinks(final long bytesPerSecond, final long delayMicros, final ObjLongConsumer<Runnable> scheduler) {
         this.bytesPerSecond = bytesPerSecond;
-        this.delay = delay;
+        this.delayMicros = delayMicros;
         this.scheduler = scheduler;
     }
 
-    /** Sends a frame; it is delivered when its last packet has passed the receiver's link. */
+    /** Sends a frame; {@code deliver} runs when the receiver's link has transferred its last packet. */
     void send(
             final String from,
             final String to,
@@ -41,33 +42,33 @@
         final Deque<Frame> queue = connections
                 .computeIfAbsent(from, f -> new LinkedHashMap<>())
                 .computeIfAbsent(to, t -> new ArrayDeque<>());
-        final Deque<Frame> behind = new ArrayDeque<>();
-        while (urgent && !queue.isEmpty() && !queue.peekLast().urgent && !queue.peekLast().begun) {
-            behind.addFirst(queue.pollLast());
+        final Deque<Frame> overtaken = new ArrayDeque<>();
+        while (urgent && !queue.isEmpty() && !queue.peekLast().urgent && !queue.peekLast().isStarted) {
+            overtaken.addFirst(queue.pollLast());
         }
         queue.add(new Frame(bytes, urgent, deliver));
-        queue.addAll(behind);
+        queue.addAll(overtaken);
         if (!sending.getOrDefault(from, false)) {
             sending.put(from, true);
             sendPacket(from, now);
         }
     }
 
-    /** How many bytes a machine has received. */
-    long received(final String address) {
-        return received.getOrDefault(address, 0L);
+    /** Returns how many bytes a machine has received. */
+    long receivedBytes(final String address) {
+        return receivedBytes.getOrDefault(address, 0L);
     }
 
-    /** How many bytes wait at a machine. */
-    long waiting(final String from) {
+    /** Returns how many bytes are queued at a machine. */
+    long queuedBytes(final String from) {
         return connections.getOrDefault(from, Map.of()).values().stream()
                 .flatMap(Deque::stream)
                 .mapToLong(f -> f.bytesLeft)
                 .sum();
     }
 
-    /** What a machine has not sent is lost with it. */
-    void drop(final String from) {
+    /** Drops the frames that a machine has not sent yet. */
+    void dropQueued(final String from) {
         connections.remove(from);
     }
 
@@ -78,16 +79,16 @@
             sending.put(from, false);
             return;
         }
-        final Iterator<Map.Entry<String, Deque<Frame>>> first =
+        final Iterator<Map.Entry<String, Deque<Frame>>> iterator =
                 queues.entrySet().iterator();
-        final Map.Entry<String, Deque<Frame>> turn = first.next();
-        final String to = turn.getKey();
-        final Deque<Frame> queue = turn.getValue();
-        first.remove();
+        final Map.Entry<String, Deque<Frame>> next = iterator.next();
+        final String to = next.getKey();
+        final Deque<Frame> queue = next.getValue();
+        iterator.remove();
         queues.put(to, queue);
         final Frame frame = queue.peek();
         final long bytes = Math.min(PACKET_BYTES, frame.bytesLeft);
-        frame.begun = true;
+        frame.isStarted = true;
         frame.bytesLeft -= bytes;
         final boolean last = frame.bytesLeft == 0;
         if (last) {
@@ -95,14 +96,14 @@
         }
         final long end = now + transferMicros(bytes);
         scheduler.accept(() -> sendPacket(from, end), end);
-        scheduler.accept(() -> receive(to, bytes, end + delay, last, frame.deliver), end + delay);
+        scheduler.accept(() -> receive(to, bytes, end + delayMicros, last, frame.deliver), end + delayMicros);
     }
 
     private void receive(
             final String to, final long bytes, final long now, final boolean last, final Runnable deliver) {
         final long end = Math.max(now, receiverFreeAt.getOrDefault(to, 0L)) + transferMicros(bytes);
         receiverFreeAt.put(to, end);
-        received.merge(to, bytes, Long::sum);
+        receivedBytes.merge(to, bytes, Long::sum);
         if (last) {
             scheduler.accept(deliver, end);
         }
@@ -116,7 +117,7 @@
         private final boolean urgent;
         private final Runnable deliver;
         private long bytesLeft;
-        private boolean begun;
+        private boolean isStarted;
 
         Frame(final long bytes, final boolean urgent, final Runnable deliver) {
             this.urgent = urgent;
--- a/core/src/test/java/silverlatch/replication/ChainClientTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainClientTest.java
@@ -10,6 +10,10 @@
 import silverlatch.state.CommandResult;
 import silverlatch.wire.ChainClientMessage;
 
+/**
+ * Guards against client calls that get a wrong response, two responses or none: replies can be late, lost or inconclusive, the
+ * head and tail can change, and the process can be frozen beyond a deadline.
+ */
 final class ChainClientTest {
     private View view = new View(1, 1, List.of(), List.of(new Replica("a", "a"), new Replica("b", "b")), "a");
     private final ChainClient client = new ChainClient("me", () -> view, 10);
@@ -35,12 +39,12 @@
     }
 
     @Test
-    void anEvacuationOnTheLatestRevisionRetriesAConflictWithTheRevisionItLearned() {
+    void anEvacuationOnTheLatestRevisionRetriesAConflictWithTheRevisionOfTheRejection() {
         client.submit(new Command.SetEvacuation("order-1", "z", true, Command.SetEvacuation.LATEST), 5, 0, 1_000_000);
-        assertThat(matches(), is(List.of(0L)));
+        assertThat(expectedRevisions(), is(List.of(0L)));
         client.onMessage(
                 new ChainClientMessage.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)), 1_000);
-        assertThat(matches(), is(List.of(7L)));
+        assertThat(expectedRevisions(), is(List.of(7L)));
         client.onMessage(
                 new ChainClientMessage.WriteReply(11, new CommandResult.Rejected(409, List.of("a late reply"), 6)),
                 1_000);
@@ -57,13 +61,13 @@
                 new ChainClientMessage.WriteReply(11, new CommandResult.Rejected(409, List.of("changed"), 7)),
                 20_000_000);
         final Effect unknown = new Effect.Respond(5, new CommandResult.Unknown("order-1"));
-        assertThat("a reply after the process was frozen", client.drain(), is(List.of(unknown)));
+        assertThat("a reply handled after the process was frozen", client.drain(), is(List.of(unknown)));
         client.submit(new Command.SetEvacuation("order-2", "z", true, -1), 6, 30_000_000, 25_000_000);
         final Effect late = new Effect.Respond(6, new CommandResult.Unknown("order-2"));
-        assertThat("a call that waited while it was frozen", client.drain(), is(List.of(late)));
+        assertThat("a call submitted after its deadline", client.drain(), is(List.of(late)));
     }
 
-    private List<Long> matches() {
+    private List<Long> expectedRevisions() {
         return client.drain().stream()
                 .map(e -> ((Command.SetEvacuation)
                                 ((ChainClientMessage.WriteRequest) ((Effect.Send) e).message()).command())
--- a/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
+++ b/core/src/test/java/silverlatch/replication/ChainReplicaTest.java
@@ -24,7 +24,7 @@
 import silverlatch.wire.Message;
 import silverlatch.wire.ReplicationMessage;
 
-/** Three machines, a scripted operator, and a fake clock; messages go only where the script lets them. */
+/** Guards against lost writes, stale reads and forgotten promises of three replicas whose clock, crashes and disk stalls are controlled. */
 final class ChainReplicaTest {
     private static final List<String> SEEDS = List.of("a", "b", "c");
     private final Map<String, ChainReplica> replicas = new LinkedHashMap<>();
@@ -86,22 +86,22 @@
 
     private void performEffect(final String address, final ChainReplica replica, final Effect effect) {
         switch (effect) {
-            case Effect.Send s -> {
-                if (s.to().equals("operator")) {
-                    replies.add(s.message());
+            case Effect.Send send -> {
+                if (send.to().equals("operator")) {
+                    replies.add(send.message());
                     return;
                 }
                 deliveries.add(() -> {
-                    if (!down.contains(s.to()) && !down.contains(address) && replicas.containsKey(s.to())) {
-                        replicas.get(s.to()).onMessage(s.message(), address, now);
+                    if (!down.contains(send.to()) && !down.contains(address) && replicas.containsKey(send.to())) {
+                        replicas.get(send.to()).onMessage(send.message(), address, now);
                     }
                 });
             }
-            case Effect.Persist k -> {
+            case Effect.Persist persist -> {
                 if (stalledDisks.contains(address)) {
-                    unsynced.get(address).add(k);
+                    unsynced.get(address).add(persist);
                 } else {
-                    deliveries.add(() -> sync(address, replica, k));
+                    deliveries.add(() -> sync(address, replica, persist));
                 }
             }
             default -> {}
@@ -120,14 +120,16 @@
         }
     }
 
-    private void put(final String at, final String id, final long match) {
+    private void put(final String at, final String id, final long expectedRevision) {
         replicas.get(at)
                 .onMessage(
                         new ChainClientMessage.WriteRequest(
                                 1,
                                 "operator",
                                 new Command.PutTable(
-                                        id, List.of(silverlatch.state.TableRules.defaultRow("*", id)), match)),
+                                        id,
+                                        List.of(silverlatch.state.TableRules.defaultRow("*", id)),
+                                        expectedRevision)),
                         "operator",
                         now);
         deliverAll();
@@ -137,7 +139,7 @@
         return Lists.last(replies);
     }
 
-    private Set<String> kinds(final String at) {
+    private Set<String> rowKinds(final String at) {
         final Set<String> kinds = new TreeSet<>();
         replicas.get(at).stateMachine().entriesWithPrefix("r/").values().stream()
                 .filter(e -> !e.isDeleted())
@@ -179,7 +181,7 @@
         start("a", "id-a2");
         advance(12_000_000);
         assertThat(replicas.get("a").view().chain().size(), is(3));
-        assertThat(kinds("a"), is(Set.of("next")));
+        assertThat(rowKinds("a"), is(Set.of("next")));
         assertThat(replicas.get("a").view().isVoter("id-a"), is(false));
     }
 
@@ -204,43 +206,44 @@
         deliveries.poll().run();
         down.add("a");
         advance(5_000_000);
-        assertThat(kinds("b"), is(Set.of("two")));
-        assertThat(kinds("c"), is(Set.of("two")));
+        assertThat(rowKinds("b"), is(Set.of("two")));
+        assertThat(rowKinds("c"), is(Set.of("two")));
     }
 
     @Test
-    void theLoserOfTwoRacingWritesGetsTheWinnersSequence() {
+    void theRejectedOfTwoConflictingWritesGetsTheSequenceOfTheAppliedOne() {
         bootstrap();
         put("a", "base", -1);
         final long match = ((CommandResult.Applied) ((ChainClientMessage.WriteReply) lastReply()).result()).sequence();
         put("a", "win", match);
-        final long won = ((CommandResult.Applied) ((ChainClientMessage.WriteReply) lastReply()).result()).sequence();
+        final long applied =
+                ((CommandResult.Applied) ((ChainClientMessage.WriteReply) lastReply()).result()).sequence();
         put("a", "lose", match);
-        final CommandResult.Rejected lost =
+        final CommandResult.Rejected rejection =
                 (CommandResult.Rejected) ((ChainClientMessage.WriteReply) lastReply()).result();
-        assertThat(lost.code(), is(409));
-        assertThat(lost.sequence(), is(won));
-        assertThat(kinds("c"), is(Set.of("win")));
+        assertThat(rejection.code(), is(409));
+        assertThat(rejection.sequence(), is(applied));
+        assertThat(rowKinds("c"), is(Set.of("win")));
     }
 
     @Test
-    void aTailThatIsCutOffStopsReadingBeforeTheOthersGoOnWithoutIt() {
+    void anIsolatedTailLosesItsLeaseBeforeTheOthersInstallAViewWithoutIt() {
         bootstrap();
         put("a", "old", -1);
         down.add("c");
-        boolean overlap = false;
+        boolean heldLeaseTooLong = false;
         for (int i = 0; i < 80; i++) {
             now += 50_000;
             replicas.get("a").tick(now);
             replicas.get("b").tick(now);
             deliverAll();
-            final boolean reads = replicas.get("c").status(now).isLeased();
-            final boolean moved = replicas.get("a").view().number() > 1
+            final boolean isLeased = replicas.get("c").status(now).isLeased();
+            final boolean installedLaterView = replicas.get("a").view().number() > 1
                     || replicas.get("b").view().number() > 1;
-            overlap |= reads && moved;
+            heldLeaseTooLong |= isLeased && installedLaterView;
         }
-        assertThat("the chain went on", replicas.get("b").view().number() > 1, is(true));
-        assertThat("and the old tail read on", overlap, is(false));
+        assertThat("the others installed a later view", replicas.get("b").view().number() > 1, is(true));
+        assertThat("the isolated tail held its lease at the same time", heldLeaseTooLong, is(false));
     }
 
     @Test
@@ -250,7 +253,7 @@
         SEEDS.forEach(down::add);
         SEEDS.forEach(s -> start(s, "id-" + s));
         advance(2_000_000);
-        SEEDS.forEach(s -> assertThat(s, kinds(s), is(Set.of("one"))));
+        SEEDS.forEach(s -> assertThat(s, rowKinds(s), is(Set.of("one"))));
         replicas.get("b").onMessage(new ReplicationMessage.Prepare(2, 9 << 8), "operator", now);
         deliverAll();
         assertThat(lastReply(), instanceOf(ReplicationMessage.Promise.class));
@@ -269,7 +272,7 @@
         final int before = replies.size();
         put("a", "two", -1);
         assertThat(replies.size(), is(before));
-        assertThat(kinds("c"), is(Set.of("one")));
+        assertThat(rowKinds("c"), is(Set.of("one")));
     }
 
     @Test
@@ -296,7 +299,7 @@
         replicas.get("a").onMessage(copy, "operator", now);
         deliverAll();
         assertThat(((CommandResult.Rejected) ((ChainClientMessage.WriteReply) lastReply()).result()).code(), is(422));
-        assertThat(kinds("c"), is(Set.of()));
+        assertThat(rowKinds("c"), is(Set.of()));
     }
 
     @Test
@@ -313,7 +316,7 @@
     }
 
     @Test
-    void aLeavingReplicaHandsOverTheSingletonAndTheChainGoesOn() {
+    void aLeavingReplicaHandsOverTheSingletonRoleAndLeavesTheChain() {
         bootstrap();
         assertThat(replicas.get("a").view().singletonOwner(), is("id-a"));
         replicas.get("a").leave();
@@ -330,7 +333,7 @@
             replicas.get(address).leave();
             advance(3_000_000);
             assertThat(
-                    address + ": only the first has left enough copies",
+                    address + ": only the first one leaves enough replicas behind",
                     replicas.get(address).hasLeft(),
                     is(address.equals("a")));
             down.add(address);
@@ -340,7 +343,7 @@
         start("a", "id-a");
         start("c", "id-c2");
         advance(15_000_000);
-        assertThat(kinds("b"), is(Set.of("one")));
+        assertThat(rowKinds("b"), is(Set.of("one")));
         assertThat(replicas.get("b").view().chain().size(), is(3));
     }
 
@@ -351,16 +354,16 @@
         put("a", "slow", -1);
         advance(5_000_000);
         assertThat(replicas.get("a").view().positionOf("id-b"), is(-1));
-        assertThat(kinds("c"), is(Set.of("slow")));
+        assertThat(rowKinds("c"), is(Set.of("slow")));
         stalledDisks.clear();
         unsynced.get("b").forEach(k -> sync("b", replicas.get("b"), k));
         advance(5_000_000);
         assertThat(replicas.get("a").view().positionOf("id-b") >= 0, is(true));
-        assertThat(kinds("b"), is(Set.of("slow")));
+        assertThat(rowKinds("b"), is(Set.of("slow")));
     }
 
     @Test
-    void aHolderWhoseClockIsFarAheadForgetsNoClaimAndLetsNoChangeIn() {
+    void aReplicaWhoseClockIsFarAheadKeepsClaimsAndAdmitsNoWrite() {
         bootstrap();
         deliveries.add(() -> replicas.get("a")
                 .onMessage(
@@ -369,8 +372,8 @@
                         "operator",
                         now));
         advance(1_000_000);
-        final long right = stamp;
-        stamp = right + silverlatch.clock.NtpTime.fromMicros(30L * 86_400 * 1_000_000);
+        final long correctStamp = stamp;
+        stamp = correctStamp + silverlatch.clock.NtpTime.fromMicros(30L * 86_400 * 1_000_000);
         start("a", "id-a");
         down.addAll(List.of("b", "c"));
         deliveries.add(() -> replicas.get("a")
@@ -380,7 +383,7 @@
                         "operator",
                         now));
         advance(500_000);
-        stamp = right + 1_000_000;
+        stamp = correctStamp + 1_000_000;
         down.clear();
         advance(20_000_000);
         assertThat(replicas.get("c").stateMachine().get("c/key").isPresent(), is(true));
--- a/core/src/test/java/silverlatch/replication/DiskFailureTest.java
+++ b/core/src/test/java/silverlatch/replication/DiskFailureTest.java
@@ -15,62 +15,66 @@
 import silverlatch.state.Command;
 import silverlatch.state.Value;
 
-/** Disks that fill, stall, slow down, or come back with an older copy of the folder, at each place of the chain. */
+/**
+ * Guards against stale reads, lost writes and members that don't rejoin when a disk fills up, stalls, slows down, or is restored
+ * from an older copy of the data directory, for each position in the chain.
+ */
 final class DiskFailureTest {
     private static final long SECOND = 1_000_000;
     private static final List<String> SEEDS = List.of("a", "b", "c");
     private final ReplicaCluster cluster =
             new ReplicaCluster(SEEDS, 1_000, s -> s.withCounts(2, 3)).withLimits(7_000_000 / 8, 5_000, 64L << 20);
     private long number;
-    private int characters = 300_000;
+    private int documentCharacters = 300_000;
 
     private void start() {
         SEEDS.forEach(s -> cluster.start(s, true));
-        assertThat("the chain is whole", cluster.advanceUntil(20 * SECOND, () -> isChainComplete()), greaterThan(0L));
+        assertThat(
+                "the chain is complete", cluster.advanceUntil(20 * SECOND, () -> isChainComplete()), greaterThan(0L));
     }
 
     private boolean isChainComplete() {
         return cluster.running().size() == 3
-                && cluster.running().stream().allMatch(s -> {
-                    final ReplicaStatus state = cluster.replica(s).status(cluster.now());
-                    return state.isCaughtUp()
-                            && state.isLeased()
-                            && state.view().chain().size() == 3;
+                && cluster.running().stream().allMatch(address -> {
+                    final ReplicaStatus status = cluster.replica(address).status(cluster.now());
+                    return status.isCaughtUp()
+                            && status.isLeased()
+                            && status.view().chain().size() == 3;
                 });
     }
 
-    /** Puts documents until one is acknowledged; each try is a document of its own. */
+    /** Puts documents until one is acknowledged; each attempt uses another document. */
     private void put(final String at) {
-        for (int tries = 0; tries < 10; tries++) {
-            final PendingCall asked = cluster.submit(at, document(++number), 3 * SECOND);
-            cluster.advanceUntil(4 * SECOND, () -> asked.answer().isPresent());
-            if (asked.isAcknowledged()) {
+        for (int attempt = 0; attempt < 10; attempt++) {
+            final PendingCall call = cluster.submit(at, document(++number), 3 * SECOND);
+            cluster.advanceUntil(4 * SECOND, () -> call.answer().isPresent());
+            if (call.isAcknowledged()) {
                 return;
             }
         }
-        throw new AssertionError("no document is taken at " + at + cluster);
+        throw new AssertionError("no document is acknowledged at " + at + cluster);
     }
 
     private Command.PutConfiguration document(final long number) {
-        final Command.PutConfiguration plain = ReplicaCluster.configuration(number, -1);
+        final Command.PutConfiguration base = ReplicaCluster.configuration(number, -1);
         return new Command.PutConfiguration(
                 "document-" + number,
-                plain.configuration(),
-                plain.routes(),
-                plain.pools(),
-                "x".repeat(characters) + number,
+                base.configuration(),
+                base.routes(),
+                base.pools(),
+                "x".repeat(documentCharacters) + number,
                 -1);
     }
 
     private long readAt(final String address) {
-        final PendingCall asked = cluster.read(address, 3 * SECOND);
-        cluster.advanceUntil(4 * SECOND, () -> asked.answer().isPresent());
-        return number(asked);
+        final PendingCall call = cluster.read(address, 3 * SECOND);
+        cluster.advanceUntil(4 * SECOND, () -> call.answer().isPresent());
+        return number(call);
     }
 
-    /** The number that was read; -1 where nobody answered. */
-    private static long number(final PendingCall asked) {
-        return asked.answer()
+    /** Returns the number of the document that was read, or -1 if the read wasn't answered. */
+    private static long number(final PendingCall call) {
+        return call.answer()
                 .filter(r -> r instanceof ChainClient.ReadResult p && p.answered())
                 .map(r -> ((ChainClient.ReadResult) r)
                         .entries().stream()
@@ -86,88 +90,88 @@
         return SEEDS.stream().filter(s -> !s.equals(address)).findFirst().orElseThrow();
     }
 
-    /** All but one other lose power: what the member has now must be what was acknowledged. */
-    private void isLeftWithOneOther(final String address) {
+    /** Kills all machines except this one and one other, and checks that the newest acknowledged document is read and writes work. */
+    private void assertServesWithOneOther(final String address) {
         final long acknowledged = number;
         SEEDS.stream()
                 .filter(s -> !s.equals(address) && !s.equals(other(address)))
                 .forEach(cluster::kill);
         cluster.advance(3 * SECOND);
-        assertThat("it answers with what was acknowledged" + cluster, readAt(address), is(acknowledged));
+        assertThat("the newest acknowledged document is read" + cluster, readAt(address), is(acknowledged));
         put(address);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
-    void aDiskThatFillsInTheMiddleOfASnapshotCostsItsMemberOnlyTheTimeThatItIsFull(final String address) {
+    void aMemberWhoseDiskFillsDuringASnapshotRejoinsOnceThereIsSpace(final String address) {
         start();
-        cluster.simulatedDisk(address).fullAtSnapshot();
+        cluster.simulatedDisk(address).failFromNextSnapshot();
         for (int i = 0; i < 20; i++) {
             put(other(address));
         }
-        assertThat("the disk failed", cluster.logged(Event.DISK_BROKEN), greaterThanOrEqualTo(1L));
+        assertThat("disk failures", cluster.loggedCount(Event.DISK_BROKEN), greaterThanOrEqualTo(1L));
         assertThat(
-                "it takes no part",
+                "the member holds a lease",
                 cluster.replica(address).status(cluster.now()).isLeased(),
                 is(false));
-        cluster.simulatedDisk(address).full(false);
+        cluster.simulatedDisk(address).setFull(false);
         assertThat(
-                "it is back without a restart" + cluster,
+                "the member rejoins without a restart" + cluster,
                 cluster.advanceUntil(6 * SECOND, () -> isChainComplete()),
                 greaterThan(0L));
         put(other(address));
-        isLeftWithOneOther(address);
+        assertServesWithOneOther(address);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
-    void aDiskThatStallsForSecondsCostsItsMemberOnlyThatTime(final String address) {
+    void aMemberWhoseDiskStallsRejoinsAfterTheStall(final String address) {
         start();
         put(other(address));
-        cluster.simulatedDisk(address).stall(cluster.now() + 8 * SECOND);
-        final long began = cluster.now();
+        cluster.simulatedDisk(address).stallUntil(cluster.now() + 8 * SECOND);
+        final long startedAt = cluster.now();
         put(other(address));
-        assertThat("the others went on", cluster.now() - began < 6 * SECOND, is(true));
+        assertThat("the others acknowledge writes meanwhile", cluster.now() - startedAt < 6 * SECOND, is(true));
         cluster.advance(8 * SECOND);
         assertThat(
-                "it is back" + cluster,
+                "the member rejoins" + cluster,
                 cluster.advanceUntil(6 * SECOND, () -> isChainComplete()),
                 greaterThanOrEqualTo(0L));
         put(other(address));
-        isLeftWithOneOther(address);
+        assertServesWithOneOther(address);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
-    void aSlowDiskSlowsChangesAndNothingElse(final String address) {
+    void aSlowDiskOnlySlowsDownWrites(final String address) {
         start();
-        cluster.simulatedDisk(address).syncMicros(150_000);
+        cluster.simulatedDisk(address).setSyncMicros(150_000);
         for (int i = 0; i < 5; i++) {
             put(other(address));
         }
-        cluster.simulatedDisk(address).syncMicros(5_000);
+        cluster.simulatedDisk(address).setSyncMicros(5_000);
         assertThat(
-                "the chain is whole" + cluster,
+                "the chain is complete" + cluster,
                 cluster.advanceUntil(6 * SECOND, () -> isChainComplete()),
                 greaterThanOrEqualTo(0L));
-        isLeftWithOneOther(address);
+        assertServesWithOneOther(address);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
-    void anOldCopyOfAFolderNeitherAnswersNorLeads(final String address) {
-        characters = 300;
+    void aMemberWithAnOldCopyOfItsDataDirectoryAnswersNoReadFromIt(final String address) {
+        documentCharacters = 300;
         start();
         put(other(address));
-        final List<LogRecord> copy = List.copyOf(cluster.disk(address));
+        final List<LogRecord> copy = List.copyOf(cluster.syncedRecords(address));
         for (int i = 0; i < 5; i++) {
             put(other(address));
         }
         final long acknowledged = number;
         cluster.advance(SECOND);
         cluster.kill(address);
-        cluster.disk(address).clear();
-        cluster.disk(address).addAll(copy);
+        cluster.syncedRecords(address).clear();
+        cluster.syncedRecords(address).addAll(copy);
         cluster.start(address, false);
         final List<PendingCall> reads = new ArrayList<>();
         final List<PendingCall> writes = new ArrayList<>();
@@ -179,22 +183,23 @@
             cluster.advance(50_000);
             reads.removeIf(r -> {
                 final Optional<Object> answer = r.answer();
-                assertThat("nothing older is read" + cluster, number(r) == -1 || number(r) >= acknowledged, is(true));
+                assertThat(
+                        "no older document is read" + cluster, number(r) == -1 || number(r) >= acknowledged, is(true));
                 return answer.isPresent();
             });
         }
         assertThat(
-                "it is back" + cluster,
+                "the member rejoins" + cluster,
                 cluster.advanceUntil(10 * SECOND, () -> isChainComplete()),
                 greaterThanOrEqualTo(0L));
         put(other(address));
-        isLeftWithOneOther(address);
+        assertServesWithOneOther(address);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "b", "c"})
-    void afterALossOfPowerOfAllNobodyAnswersWithLessThanWasAcknowledged(final String missing) {
-        characters = 300;
+    void afterAPowerCutOfAllNoReadIsOlderThanTheAcknowledgedWrite(final String missing) {
+        documentCharacters = 300;
         start();
         for (int i = 0; i < 3; i++) {
             put("a");
@@ -214,9 +219,9 @@
         assertThat("reads are answered", reads.stream().anyMatch(r -> number(r) == acknowledged), is(true));
         cluster.start(missing, false);
         assertThat(
-                "all are back" + cluster,
+                "all members rejoin" + cluster,
                 cluster.advanceUntil(10 * SECOND, () -> isChainComplete()),
                 greaterThanOrEqualTo(0L));
-        isLeftWithOneOther(missing);
+        assertServesWithOneOther(missing);
     }
 }
--- a/core/src/test/java/silverlatch/replication/LogEntryTest.java
+++ b/core/src/test/java/silverlatch/replication/LogEntryTest.java
@@ -14,9 +14,10 @@
 import silverlatch.wire.Codec;
 import silverlatch.wire.ReplicationMessage;
 
+/** Guards against configurations that fit the limits of the validator but not a frame. */
 final class LogEntryTest {
     @Test
-    void aConfigurationOfTheLargestSizeFitsAFrame() {
+    void aConfigurationOfTheMaximumSizeFitsAFrame() {
         final List<Entry> puts = new ArrayList<>();
         for (int i = 0; i < ConfigurationValidator.MAX_ROUTES; i++) {
             final Value.Route route = new Value.Route(
@@ -43,6 +44,7 @@
         final LogEntry entry = new LogEntry(1, 1, new Stamp(1), puts);
         final int size = new Codec().encode(new ReplicationMessage.Replicate(1, List.of(entry))).length;
         assertThat(size, lessThan(Codec.MAX_BYTES));
-        assertThat("a weight is not much below the size", entry.estimatedBytes() * 2, greaterThan((long) size));
+        assertThat("the estimate is more than half of the encoded size", entry.estimatedBytes() * 2, greaterThan((long)
+                size));
     }
 }
--- a/core/src/test/java/silverlatch/replication/MembershipFaults.java
+++ b/core/src/test/java/silverlatch/replication/MembershipFaults.java
@@ -4,34 +4,37 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Draws losses and replacements, never more at one time than the tolerance, but for a kill of all processes at once. */
+/** Injects random losses and replacements of machines, never more at a time than the tolerance, except when all processes are killed at once. */
 final class MembershipFaults {
     private static final long SECOND = MembershipModel.SECOND;
     private static final long STEP = MembershipModel.STEP;
-    /** How long a controller that was told to end waits: three quarters of {@code gracePeriodS}. */
-    private static final long GRACE = 6 * SECOND;
+    /** How long a controller may take for a graceful leave after SIGTERM: three quarters of {@code gracePeriodS}. */
+    private static final long GRACE_MICROS = 6 * SECOND;
 
     private final MembershipModel model;
     private final ReplicaCluster cluster;
     private int eventCount;
-    private int killsAtGrace;
+    private int gracePeriodKills;
 
     MembershipFaults(final MembershipModel model) {
         this.model = model;
         this.cluster = model.cluster();
     }
 
-    /** How many losses and replacements were drawn. */
+    /** Returns how many losses and replacements were injected. */
     int eventCount() {
         return eventCount;
     }
 
-    /** How many machines that were told to end did not end in time. */
-    int killsAtGrace() {
-        return killsAtGrace;
+    /** Returns how many machines were killed because their graceful leave took longer than the grace period. */
+    int gracePeriodKills() {
+        return gracePeriodKills;
     }
 
-    /** Once in twelve calls as many events as may be. */
+    /**
+     * With a probability of 1/12, injects one loss or replacement or as many as the tolerance allows, and sometimes kills a
+     * returned machine again or all processes.
+     */
     void step() {
         if (model.random().nextInt(12) > 0) {
             return;
@@ -66,11 +69,11 @@
         }
     }
 
-    private void cameBack(final MembershipLoss loss) {
-        loss.cameBack(model.now() + MembershipModel.CATCH_UP);
+    private void markReturned(final MembershipLoss loss) {
+        loss.markReturned(model.now() + MembershipModel.CATCH_UP);
     }
 
-    /** Killed, with its disk or without; it starts again at its address. */
+    /** Kills a machine, with or without the loss of its disk, and restarts it later at the same address. */
     private void restart(final String address, final boolean losesDisk) {
         model.recordEvent((losesDisk ? "kill and wipe " : "kill ") + address);
         final MembershipLoss loss = model.addLoss(address);
@@ -78,60 +81,60 @@
         if (losesDisk) {
             cluster.loseDisk(address);
         }
-        model.schedule(model.between(STEP, 8 * SECOND), () -> model.start(loss));
+        model.schedule(model.randomBetween(STEP, 8 * SECOND), () -> model.start(loss));
     }
 
-    /** Removed for good without notice; its successor starts later. */
+    /** Removes a machine permanently without a graceful leave; its replacement starts later. */
     private void replace(final String address) {
         model.recordEvent("remove " + address);
         final MembershipLoss loss = model.addLoss(address);
         model.remove(address);
-        loss.replaceBy(model.nextSuccessor());
-        model.schedule(model.between(STEP, 3 * SECOND), () -> model.start(loss));
+        loss.setReplacement(model.nextReplacement());
+        model.schedule(model.randomBetween(STEP, 3 * SECOND), () -> model.start(loss));
     }
 
-    /** The successor starts first; when it has had its time, the old machine is told to end, for good. */
+    /** Starts the replacement first; once that had its time to catch up, the old machine leaves gracefully and is removed permanently. */
     private void replaceAsPlanned(final String address) {
-        final MembershipLoss loss = model.addLoss(model.nextSuccessor());
+        final MembershipLoss loss = model.addLoss(model.nextReplacement());
         model.recordEvent("planned: " + loss.address() + " for " + address);
         model.start(loss);
         model.leaving().add(address);
-        model.schedule(MembershipModel.CATCH_UP + model.between(0, SECOND), () -> leave(address, () -> {}));
+        model.schedule(MembershipModel.CATCH_UP + model.randomBetween(0, SECOND), () -> leave(address, () -> {}));
     }
 
-    /** Tells a machine to end; the task runs when it has ended. */
-    private void leave(final String address, final Runnable whenEnded) {
+    /** Stops a machine gracefully; the task runs when it has stopped or was killed. */
+    private void leave(final String address, final Runnable onStopped) {
         if (!cluster.running().contains(address)) {
             model.remove(address);
-            whenEnded.run();
+            onStopped.run();
             return;
         }
         model.recordEvent("SIGTERM " + address);
         model.leaving().add(address);
         cluster.replica(address).leave();
-        awaitEnd(address, model.now() + GRACE, whenEnded);
+        awaitStop(address, model.now() + GRACE_MICROS, onStopped);
     }
 
-    private void awaitEnd(final String address, final long killAtMicros, final Runnable whenEnded) {
+    private void awaitStop(final String address, final long killAtMicros, final Runnable onStopped) {
         if (cluster.replica(address).hasLeft()) {
-            model.recordEvent(address + " ended");
+            model.recordEvent(address + " stopped");
             model.leaving().remove(address);
-            finish(address, whenEnded);
+            finish(address, onStopped);
         } else if (model.now() >= killAtMicros) {
             model.recordEvent("SIGKILL " + address);
-            killsAtGrace++;
+            gracePeriodKills++;
             model.leaving().remove(address);
-            finish(address, whenEnded);
+            finish(address, onStopped);
             if (!model.isLost(address) && !model.members().contains(address)) {
-                model.addLoss(address).countUntil(model.now() + MembershipSchedule.DETECTION);
+                model.addLoss(address).setEnd(model.now() + MembershipSchedule.DETECTION);
             }
         } else {
-            model.schedule(STEP, () -> awaitEnd(address, killAtMicros, whenEnded));
+            model.schedule(STEP, () -> awaitStop(address, killAtMicros, onStopped));
         }
     }
 
-    private void finish(final String address, final Runnable whenEnded) {
-        whenEnded.run();
+    private void finish(final String address, final Runnable onStopped) {
+        onStopped.run();
         if (model.isPresent(address)) {
             model.remove(address);
         } else {
@@ -139,7 +142,7 @@
         }
     }
 
-    /** Told to end, and started again with its disk, or replaced after it ended. */
+    /** Stops a machine gracefully, and then restarts it with its disk or replaces it. */
     private void terminate(final String address) {
         final MembershipLoss loss = model.addLoss(address);
         loss.markRunning();
@@ -148,9 +151,9 @@
             loss.markDown();
             if (isReplaced) {
                 model.remove(address);
-                loss.replaceBy(model.nextSuccessor());
+                loss.setReplacement(model.nextReplacement());
             }
-            model.schedule(model.between(STEP, SECOND), () -> model.start(loss));
+            model.schedule(model.randomBetween(STEP, SECOND), () -> model.start(loss));
         });
     }
 
@@ -158,51 +161,51 @@
         model.recordEvent("freeze " + address);
         final MembershipLoss loss = model.addLoss(address);
         cluster.freeze(address);
-        model.schedule(model.between(STEP, 9 * SECOND), () -> {
+        model.schedule(model.randomBetween(STEP, 9 * SECOND), () -> {
             model.recordEvent("thaw " + address);
             cluster.thaw(address);
-            cameBack(loss);
+            markReturned(loss);
         });
     }
 
     private void isolate(final String address) {
-        model.recordEvent("cut off " + address);
+        model.recordEvent("isolate " + address);
         final MembershipLoss loss = model.addLoss(address);
         final Set<String> others = new TreeSet<>(model.members());
         others.remove(address);
-        others.forEach(other -> cluster.cut(address, other, true));
-        model.schedule(model.between(STEP, 9 * SECOND), () -> {
-            model.recordEvent("join again " + address);
-            others.forEach(other -> cluster.cut(address, other, false));
-            cameBack(loss);
+        others.forEach(other -> cluster.setCut(address, other, true));
+        model.schedule(model.randomBetween(STEP, 9 * SECOND), () -> {
+            model.recordEvent("reconnect " + address);
+            others.forEach(other -> cluster.setCut(address, other, false));
+            markReturned(loss);
         });
     }
 
-    /** A machine that came back and still counts as lost goes again, at times for good. */
+    /** Kills a machine again that has returned but still counts as lost; in half of the cases it is replaced. */
     private void killAgain() {
         model.losses().stream()
-                .filter(loss -> !loss.isDown() && loss.hasComeBack())
+                .filter(loss -> !loss.isDown() && loss.hasReturned())
                 .filter(loss -> !model.leaving().contains(loss.address()))
                 .findFirst()
                 .ifPresent(loss -> {
                     model.recordEvent("kill again " + loss.address());
-                    loss.lostAgain();
+                    loss.markLostAgain();
                     cluster.kill(loss.address());
                     if (model.random().nextBoolean()) {
                         model.remove(loss.address());
-                        loss.replaceBy(model.nextSuccessor());
+                        loss.setReplacement(model.nextReplacement());
                     }
-                    model.schedule(model.between(STEP, 3 * SECOND), () -> model.start(loss));
+                    model.schedule(model.randomBetween(STEP, 3 * SECOND), () -> model.start(loss));
                 });
     }
 
-    /** Every process is killed at the same moment and comes back within a second, with its disk. */
+    /** Kills all processes at the same moment; each restarts within a second, with its disk. */
     private void killAll() {
         model.recordEvent("kill all");
         model.members().forEach(address -> {
             final MembershipLoss loss = model.addLoss(address);
             cluster.kill(address);
-            model.schedule(model.between(STEP, SECOND), () -> model.start(loss));
+            model.schedule(model.randomBetween(STEP, SECOND), () -> model.start(loss));
         });
     }
 }
--- a/core/src/test/java/silverlatch/replication/MembershipModelTest.java
+++ b/core/src/test/java/silverlatch/replication/MembershipModelTest.java
@@ -13,19 +13,20 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * Seeded schedules of losses and replacements, never more at one time than the tolerance, and the next one as soon as
- * the one before stops counting. After every step the model holds the replicas to the rules of {@link MembershipSchedule}.
- * More schedules: {@code -Dsilverlatch.memberships=COUNT}, from another seed: {@code -Dsilverlatch.membership=SEED}.
+ * Guards against the loss of acknowledged writes or of the majority of voters when machines are lost and replaced one after the
+ * other: seeded random schedules with never more losses at a time than the tolerance, where the next loss may follow as soon as
+ * the previous one is over. {@link MembershipSchedule} lists what is checked after every step. The number of schedules is set
+ * by {@code -Dsilverlatch.memberships=COUNT}, the first seed by {@code -Dsilverlatch.membership=SEED}.
  */
 final class MembershipModelTest {
     @ParameterizedTest
     @CsvSource({"1,3", "1,4", "1,5", "2,5", "2,6"})
-    void lossesWithinTheToleranceNeverTakeTheLastCopyNorTheMajority(final int tolerance, final int size) {
+    void lossesWithinTheToleranceNeverRemoveTheLastCopyOrTheMajority(final int tolerance, final int size) {
         final long firstSeed = Long.getLong("silverlatch.membership", 1);
         final int count = Integer.getInteger("silverlatch.memberships", 2);
         long events = 0;
         long longestOutageMicros = 0;
-        long killsAtGrace = 0;
+        long gracePeriodKills = 0;
         for (long seed = firstSeed; seed < firstSeed + count; seed++) {
             final MembershipSchedule schedule = new MembershipSchedule(seed, tolerance, size, Safeguards.ALL);
             try {
@@ -35,23 +36,23 @@
             }
             events += schedule.eventCount();
             longestOutageMicros = Math.max(longestOutageMicros, schedule.longestOutageMicros());
-            killsAtGrace += schedule.killsAtGrace();
+            gracePeriodKills += schedule.gracePeriodKills();
         }
         System.out.printf(
-                "%d of %d: %d schedules, %d events, %d ended by SIGKILL, longest without an acknowledgement %d ms%n",
-                tolerance, size, count, events, killsAtGrace, longestOutageMicros / 1_000);
-        assertThat("losses came", events, greaterThanOrEqualTo(5L * count));
+                "%d of %d: %d schedules, %d events, %d stopped by SIGKILL, longest without an acknowledgement %d ms%n",
+                tolerance, size, count, events, gracePeriodKills, longestOutageMicros / 1_000);
+        assertThat("injected events", events, greaterThanOrEqualTo(5L * count));
     }
 
-    /** The model notices that dead votes are kept, within a few schedules. */
+    /** Checks that the schedules find a violation within a few seeds if dead voters keep their votes. */
     @Test
-    void deadVotesThatStayAreNoticed() {
+    void theChecksDetectThatDeadVotersKeepTheirVotes() {
         final Safeguards withoutDeadVotes = new Safeguards(Set.of(Safeguard.DEAD_VOTES));
         final AssertionError violation = assertThrows(AssertionError.class, () -> {
             for (long seed = 1; seed <= 5; seed++) {
                 new MembershipSchedule(seed, 1, 3, withoutDeadVotes).run();
             }
         });
-        assertThat(violation.getMessage(), startsWith("a majority bears the next losses"));
+        assertThat(violation.getMessage(), startsWith("a majority survives further losses"));
     }
 }
--- a/core/src/test/java/silverlatch/replication/RepairOfPendingTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairOfPendingTest.java
@@ -16,8 +16,9 @@
 import silverlatch.state.Value;
 
 /**
- * A change was acknowledged; then all machines restarted, so that none knows it as committed. One of them is the only
- * member of a chain too short to commit it, and repairs the others. They must keep the change on their disks.
+ * Guards against the loss of an acknowledged entry in a repair. After the acknowledgement all machines restarted, so that none of
+ * them knows the entry to be committed. One of them is the only member of a chain that is too short to commit it, and repairs the
+ * others, which must keep the entry on their disks.
  */
 final class RepairOfPendingTest {
     private static final Replica SOURCE = new Replica("id-a", "a");
@@ -35,20 +36,20 @@
     private final List<LogRecord> written = new ArrayList<>();
 
     @Test
-    void aRepairedReplicaKeepsWhatItsSourceHasSynced() {
+    void aRepairedReplicaKeepsThePendingEntriesOfItsSource() {
         repair(Safeguards.ALL);
-        assertThat("the change stands on the repaired disk", holdsTheChange(), is(true));
+        assertThat("the repaired disk contains the entry", containsAcknowledgedEntry(), is(true));
     }
 
     @Test
-    void withoutTheSafeguardTheChangeIsDropped() {
+    void withoutTheSafeguardThePendingEntryIsDropped() {
         repair(new Safeguards(Set.of(Safeguard.REPAIR_PENDING)));
         assertThat("a snapshot was written", written.isEmpty(), is(false));
-        assertThat("the change stands on the repaired disk", holdsTheChange(), is(false));
+        assertThat("the repaired disk contains the entry", containsAcknowledgedEntry(), is(false));
     }
 
-    /** Whether the log, read from its last snapshot on, holds the change. */
-    private boolean holdsTheChange() {
+    /** Returns whether the log, from its last snapshot on, contains the acknowledged entry. */
+    private boolean containsAcknowledgedEntry() {
         boolean holds = false;
         for (final LogRecord entry : written) {
             if (entry instanceof LogRecord.Snapshot snapshot) {
@@ -60,15 +61,15 @@
         return holds;
     }
 
-    private static boolean replacesTheLog(final Effect.Persist keep) {
-        return keep.records().stream().anyMatch(LogRecord.Snapshot.class::isInstance);
+    private static boolean containsSnapshot(final Effect.Persist persist) {
+        return persist.records().stream().anyMatch(LogRecord.Snapshot.class::isInstance);
     }
 
-    /** Repairs until the log of the repaired replica has been replaced once, synced in one piece. */
-    private void repair(final Safeguards standing) {
+    /** Runs both replicas until the repaired one has written a snapshot, and records that write. */
+    private void repair(final Safeguards safeguards) {
         final View view = new View(2, 7, List.of(SOURCE, REPAIRED, ABSENT), List.of(SOURCE), SOURCE.id());
-        final ChainReplica source = replica(SOURCE, view, true, standing);
-        final ChainReplica repaired = replica(REPAIRED, view, false, standing);
+        final ChainReplica source = replica(SOURCE, view, true, safeguards);
+        final ChainReplica repaired = replica(REPAIRED, view, false, safeguards);
         long now = START;
         for (int i = 0; i < TICKS && written.isEmpty(); i++) {
             now += TICK;
@@ -78,15 +79,16 @@
         }
     }
 
-    private ChainReplica replica(final Replica me, final View view, final boolean level, final Safeguards standing) {
+    private ChainReplica replica(
+            final Replica self, final View view, final boolean isCaughtUp, final Safeguards safeguards) {
         final List<LogRecord> records =
-                List.of(new LogRecord.ViewInstalled(view, level), new LogRecord.Appended(acknowledged));
-        final ReplicaSettings setup =
-                ReplicaSettings.of(me, List.of("a", "b", "c")).withSafeguards(standing);
-        return new ChainReplica(setup, records, () -> new Stamp(START), START);
+                List.of(new LogRecord.ViewInstalled(view, isCaughtUp), new LogRecord.Appended(acknowledged));
+        final ReplicaSettings settings =
+                ReplicaSettings.of(self, List.of("a", "b", "c")).withSafeguards(safeguards);
+        return new ChainReplica(settings, records, () -> new Stamp(START), START);
     }
 
-    /** Hands messages to and fro, and syncs what is written, until nothing is left to do. */
+    /** Delivers the messages between the two replicas and syncs their writes, until there are no more effects. */
     private void exchange(final ChainReplica source, final ChainReplica repaired, final long now) {
         boolean more = true;
         while (more) {
@@ -103,11 +105,11 @@
             final long now) {
         final List<Effect> effects = from.drain();
         for (final Effect effect : effects) {
-            if (effect instanceof Effect.Persist keep) {
-                if (sender.equals(REPAIRED) && written.isEmpty() && replacesTheLog(keep)) {
-                    written.addAll(keep.records());
+            if (effect instanceof Effect.Persist persist) {
+                if (sender.equals(REPAIRED) && written.isEmpty() && containsSnapshot(persist)) {
+                    written.addAll(persist.records());
                 }
-                from.onSynced(keep.token(), now);
+                from.onSynced(persist.token(), now);
             } else if (effect instanceof Effect.Send send && send.to().equals(receiver.address())) {
                 to.onMessage(send.message(), sender.address(), now);
             } else if (effect instanceof Effect.Send send && send.to().equals(sender.address())) {
--- a/core/src/test/java/silverlatch/replication/RepairTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairTest.java
@@ -4,11 +4,11 @@
 import static org.hamcrest.Matchers.greaterThan;
 import static org.hamcrest.Matchers.instanceOf;
 import static org.hamcrest.Matchers.is;
-import static silverlatch.replication.ReplicaParts.SECOND;
-import static silverlatch.replication.ReplicaParts.SELF;
-import static silverlatch.replication.ReplicaParts.START;
-import static silverlatch.replication.ReplicaParts.entry;
-import static silverlatch.replication.ReplicaParts.view;
+import static silverlatch.replication.ReplicaFixture.SECOND;
+import static silverlatch.replication.ReplicaFixture.SELF;
+import static silverlatch.replication.ReplicaFixture.START;
+import static silverlatch.replication.ReplicaFixture.entry;
+import static silverlatch.replication.ReplicaFixture.view;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -22,21 +22,24 @@
 import silverlatch.wire.Message;
 import silverlatch.wire.ReplicationMessage;
 
-/** A requester out of the chain and a responder in it, both of one replica's identity: their messages are handed to and fro. */
+/**
+ * Guards against repairs that lose entries, mix pieces of different repairs, or join too early. A requester outside the chain and a
+ * responder in it exchange messages; both use the identity of replica 0.
+ */
 final class RepairTest {
-    private static final long RETRY = 900_000;
+    private static final long RETRY_MICROS = 900_000;
     private static final String SOURCE = "source";
-    private final ReplicaParts source = new ReplicaParts();
-    private final ReplicaLog sourceLog = ReplicaParts.log(source, syncedAt -> {}, sequence -> {});
-    private final ReplicaParts target = new ReplicaParts();
-    private final ReplicaLog targetLog = ReplicaParts.log(target, syncedAt -> {}, sequence -> {});
+    private final ReplicaFixture source = new ReplicaFixture();
+    private final ReplicaLog sourceLog = ReplicaFixture.log(source, syncedAt -> {}, sequence -> {});
+    private final ReplicaFixture target = new ReplicaFixture();
+    private final ReplicaLog targetLog = ReplicaFixture.log(target, syncedAt -> {}, sequence -> {});
     private final GracefulLeave gracefulLeave = new GracefulLeave(target.settings, target.role, target.effects);
     private final RepairRequester requester = requester();
     private final RepairResponder responder = responder(source, sourceLog);
 
-    private static RepairResponder responder(final ReplicaParts of, final ReplicaLog log) {
-        of.in(view(2, SELF, SECOND));
-        return new RepairResponder(of.settings, of.role, log, of.effects);
+    private static RepairResponder responder(final ReplicaFixture fixture, final ReplicaLog log) {
+        fixture.withView(view(2, SELF, SECOND));
+        return new RepairResponder(fixture.settings, fixture.role, log, fixture.effects);
     }
 
     private RepairRequester requester() {
@@ -55,7 +58,7 @@
 
     private void appendAtSource(final LogEntry... entries) {
         sourceLog.append(List.of(entries), START);
-        source.sync(START);
+        source.syncAll(START);
         source.sent();
     }
 
@@ -65,7 +68,7 @@
                 sequence, 1, new Stamp(sequence), List.of(new Entry("d/" + sequence, sequence, List.of(document))));
     }
 
-    /** Hands over what the requester has sent, and its replies; the pieces that were sent. */
+    /** Delivers the requester's messages and the responder's replies until there are no more; returns the pieces that were sent. */
     private List<ReplicationMessage.RepairRanges> exchange(final long now) {
         final List<ReplicationMessage.RepairRanges> pieces = new ArrayList<>();
         for (List<Message> requests = target.sent(); !requests.isEmpty(); requests = target.sent()) {
@@ -85,32 +88,32 @@
     }
 
     @Test
-    void theStateIsReplacedOnceAllPiecesAreThereAndThenItAsksToJoin() {
+    void theStateIsReplacedOnceAllPiecesArrivedAndAJoinRequestFollowsTheSync() {
         for (long sequence = 1; sequence <= 6; sequence++) {
             appendAtSource(large(sequence));
         }
         sourceLog.commit(6, START);
         requester.request(SOURCE, START);
         final List<ReplicationMessage.RepairRanges> pieces = exchange(START);
-        assertThat("in pieces", pieces.size(), greaterThan(2));
+        assertThat("number of pieces", pieces.size(), greaterThan(2));
         assertThat(targetLog.committedSequence(), is(6L));
         assertThat(requester.isJoining(), is(true));
-        assertThat("its log isn't synced yet", target.sent(), is(List.of()));
+        assertThat("no join request before its log is synced", target.sent(), is(List.of()));
         assertThat(target.written().get(0), instanceOf(LogRecord.Snapshot.class));
-        target.sync(START);
+        target.syncAll(START);
         assertThat(target.sent().get(0), is(new ReplicationMessage.JoinRequest(2, SELF, 6)));
         assertThat(target.logged().contains(Event.MENDED), is(true));
     }
 
     @Test
-    void aRepairedReplicaAsksToJoinAgainWhenNothingDiffersAnyMore() {
+    void aRepairedReplicaRequestsToJoinAgainWhenNoDigestDiffers() {
         appendAtSource(entry(1));
         sourceLog.commit(1, START);
         requester.request(SOURCE, START);
         exchange(START);
-        target.sync(START);
+        target.syncAll(START);
         target.sent();
-        requester.request(SOURCE, START + RETRY);
+        requester.request(SOURCE, START + RETRY_MICROS);
         final ReplicationMessage.CompareDigests request =
                 (ReplicationMessage.CompareDigests) target.sent().get(0);
         responder.handleCompareDigests(request, START);
@@ -118,7 +121,7 @@
                 (ReplicationMessage.RepairRanges) source.sent().get(0), SOURCE, START);
         assertThat(target.sent().get(0), is(new ReplicationMessage.JoinRequest(2, SELF, 1)));
         assertThat(
-                "nothing is written again",
+                "no second snapshot is written",
                 target.written().stream()
                         .filter(LogRecord.Snapshot.class::isInstance)
                         .count(),
@@ -126,33 +129,33 @@
     }
 
     @Test
-    void aReplicaThatLeavesIsRepairedButDoesNotAskToJoin() {
+    void aLeavingReplicaIsRepairedButDoesNotRequestToJoin() {
         appendAtSource(entry(1));
         sourceLog.commit(1, START);
         gracefulLeave.begin();
         requester.request(SOURCE, START);
         exchange(START);
-        target.sync(START);
+        target.syncAll(START);
         assertThat(targetLog.committedSequence(), is(1L));
         assertThat(target.sent(), is(List.of()));
     }
 
     @Test
-    void whatTheSourceHasSyncedAndNotCommittedComesAlong() {
+    void entriesSyncedButNotCommittedAtTheSourceAreRepairedToo() {
         appendAtSource(entry(1), entry(2));
         sourceLog.commit(1, START);
         requester.request(SOURCE, START);
         exchange(START);
         assertThat(targetLog.pendingEntries(), is(List.of(entry(2))));
-        final ReplicaParts unguarded = new ReplicaParts(Safeguard.REPAIR_PENDING);
-        final ReplicaLog log = ReplicaParts.log(unguarded, syncedAt -> {}, sequence -> {});
-        final RepairResponder careless = responder(unguarded, log);
+        final ReplicaFixture unguarded = new ReplicaFixture(Safeguard.REPAIR_PENDING);
+        final ReplicaLog log = ReplicaFixture.log(unguarded, syncedAt -> {}, sequence -> {});
+        final RepairResponder unguardedResponder = responder(unguarded, log);
         log.append(List.of(entry(1)), START);
-        unguarded.sync(START);
-        careless.handleCompareDigests(
+        unguarded.syncAll(START);
+        unguardedResponder.handleCompareDigests(
                 new ReplicationMessage.CompareDigests(2, SECOND, 0, new long[ReplicaLog.DIGEST_RANGES]), START);
         assertThat(
-                "the safeguard is let down",
+                "with the safeguard disabled",
                 ((ReplicationMessage.RepairRanges) unguarded.sent().get(0)).pending(),
                 is(List.of()));
     }
@@ -160,9 +163,9 @@
     @Test
     void aRequestIsSentOncePerRetryAndOnlyToAnActiveMemberOfTheView() {
         requester.request(SOURCE, START);
-        requester.request(SOURCE, START + RETRY - 1);
+        requester.request(SOURCE, START + RETRY_MICROS - 1);
         assertThat(target.sent().size(), is(1));
-        requester.request(SOURCE, START + RETRY);
+        requester.request(SOURCE, START + RETRY_MICROS);
         final ReplicationMessage.CompareDigests request =
                 (ReplicationMessage.CompareDigests) target.sent().get(0);
         source.role.fenceOutdatedLog();
@@ -173,7 +176,7 @@
     @Test
     void aPieceOfAnOlderRepairOrOfNoneIsNotSent() {
         responder.handleRepairNext(new ReplicationMessage.RepairNext(2, SECOND, 0, 0));
-        assertThat("no repair", source.sent(), is(List.of()));
+        assertThat("no repair in progress", source.sent(), is(List.of()));
         for (long sequence = 1; sequence <= 6; sequence++) {
             appendAtSource(large(sequence));
         }
@@ -190,6 +193,6 @@
         assertThat(((ReplicationMessage.RepairRanges) source.sent().get(0)).piece(), is(1));
         responder.installView();
         responder.handleRepairNext(new ReplicationMessage.RepairNext(2, SECOND, 6, 1));
-        assertThat("another view began", source.sent(), is(List.of()));
+        assertThat("after another view was installed", source.sent(), is(List.of()));
     }
 }
--- a/core/src/test/java/silverlatch/replication/ReplicaParts.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaFixture.java
@@ -16,15 +16,18 @@
 import silverlatch.state.Value;
 import silverlatch.wire.Message;
 
-/** What tests of single parts of a replica share: replica 0 of three, its role, and the effects that its parts had. */
-final class ReplicaParts {
+/**
+ * A fixture for tests of single components of a replica: the settings and role of replica 0 of three, and the effects that
+ * the components under test produced.
+ */
+final class ReplicaFixture {
     static final long START = 10_000_000;
     static final List<Replica> REPLICAS =
-            IntStream.range(0, 4).mapToObj(ReplicaParts::replica).toList();
+            IntStream.range(0, 4).mapToObj(ReplicaFixture::replica).toList();
     static final Replica SELF = REPLICAS.get(0);
     static final Replica SECOND = REPLICAS.get(1);
     static final Replica THIRD = REPLICAS.get(2);
-    static final Replica STRANGER = REPLICAS.get(3);
+    static final Replica NON_VOTER = REPLICAS.get(3);
 
     final ReplicaSettings settings;
     final ReplicaRole role;
@@ -33,9 +36,9 @@
     private final List<String> receivers = new ArrayList<>();
     private final List<LogRecord> written = new ArrayList<>();
     private final List<Event> logged = new ArrayList<>();
-    private final List<Long> tokens = new ArrayList<>();
+    private final List<Long> unsyncedTokens = new ArrayList<>();
 
-    ReplicaParts(final Safeguard... disabled) {
+    ReplicaFixture(final Safeguard... disabled) {
         settings = ReplicaSettings.of(SELF, List.of("address-0", "address-1", "address-2"))
                 .withSafeguards(new Safeguards(Set.of(disabled)));
         role = new ReplicaRole(settings);
@@ -46,7 +49,7 @@
         return new Replica("id-" + index, "address-" + index);
     }
 
-    /** A view whose first three replicas vote, with this chain, owned by the first of it. */
+    /** Returns a view with this chain, whose head owns the singleton role and whose voters are the first three replicas. */
     static View view(final long number, final Replica... chain) {
         return new View(number, 7, REPLICAS.subList(0, 3), List.of(chain), chain[0].id());
     }
@@ -57,23 +60,23 @@
                 sequence, 1, new Stamp(sequence), List.of(new Entry("z/" + sequence, sequence, List.of(value))));
     }
 
-    /** The log of a replica with these parts. */
-    static ReplicaLog log(final ReplicaParts parts, final LongConsumer onAppended, final LongConsumer onCommitted) {
-        final GrantedLeases leases = new GrantedLeases(parts.settings, parts.role, parts.effects, START);
-        final ViewAcceptor acceptor = new ViewAcceptor(parts.settings, parts.role, leases, parts.effects);
-        final SnapshotWriter snapshots = new SnapshotWriter(parts.role, acceptor, parts.effects);
-        final StateMachine stateMachine = new StateMachine(parts.settings.safeguards());
-        return new ReplicaLog(snapshots, parts.effects, stateMachine, onAppended, onCommitted);
+    /** Creates the log of the fixture's replica. */
+    static ReplicaLog log(final ReplicaFixture fixture, final LongConsumer onAppended, final LongConsumer onCommitted) {
+        final GrantedLeases leases = new GrantedLeases(fixture.settings, fixture.role, fixture.effects, START);
+        final ViewAcceptor acceptor = new ViewAcceptor(fixture.settings, fixture.role, leases, fixture.effects);
+        final SnapshotWriter snapshots = new SnapshotWriter(fixture.role, acceptor, fixture.effects);
+        final StateMachine stateMachine = new StateMachine(fixture.settings.safeguards());
+        return new ReplicaLog(snapshots, fixture.effects, stateMachine, onAppended, onCommitted);
     }
 
-    /** A part that stands in this view, which is on disk, as a member that has caught up, or outside of it. */
-    ReplicaParts in(final View view) {
+    /** Installs this view as synced to disk; a member of its chain counts as caught up. Returns this fixture. */
+    ReplicaFixture withView(final View view) {
         role.install(view, true);
         role.markViewSynced(view.number());
         return this;
     }
 
-    /** The messages sent since the last call. */
+    /** Returns the messages sent since the last call of this method or {@link #receivers}. */
     List<Message> sent() {
         collect();
         final List<Message> messages = List.copyOf(sent);
@@ -82,7 +85,7 @@
         return messages;
     }
 
-    /** The addresses that were sent messages since the last call. */
+    /** Returns the addresses of the receivers of the messages sent since the last call of this method or {@link #sent}. */
     List<String> receivers() {
         collect();
         final List<String> addresses = List.copyOf(receivers);
@@ -91,7 +94,7 @@
         return addresses;
     }
 
-    /** The records written since the last call. */
+    /** Returns the records written since the last call. */
     List<LogRecord> written() {
         collect();
         final List<LogRecord> records = List.copyOf(written);
@@ -99,7 +102,7 @@
         return records;
     }
 
-    /** The events logged since the last call. */
+    /** Returns the events logged since the last call. */
     List<Event> logged() {
         collect();
         final List<Event> events = List.copyOf(logged);
@@ -107,12 +110,12 @@
         return events;
     }
 
-    /** All that was written is synced at this time. */
-    void sync(final long now) {
+    /** Completes the sync of all written records at this time. */
+    void syncAll(final long now) {
         collect();
-        final List<Long> unsynced = List.copyOf(tokens);
-        tokens.clear();
-        unsynced.forEach(token -> effects.completeWrite(token, now));
+        final List<Long> tokens = List.copyOf(unsyncedTokens);
+        unsyncedTokens.clear();
+        tokens.forEach(token -> effects.completeWrite(token, now));
     }
 
     private void collect() {
@@ -122,7 +125,7 @@
                 receivers.add(send.to());
             } else if (effect instanceof Effect.Persist persist) {
                 written.addAll(persist.records());
-                tokens.add(persist.token());
+                unsyncedTokens.add(persist.token());
             } else if (effect instanceof Effect.Log log) {
                 logged.add(log.event());
             }
--- a/core/src/test/java/silverlatch/replication/ReplicaRoleTest.java
+++ b/core/src/test/java/silverlatch/replication/ReplicaRoleTest.java
@@ -2,10 +2,10 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
-import static silverlatch.replication.ReplicaParts.SECOND;
-import static silverlatch.replication.ReplicaParts.SELF;
-import static silverlatch.replication.ReplicaParts.THIRD;
-import static silverlatch.replication.ReplicaParts.view;
+import static silverlatch.replication.ReplicaFixture.SECOND;
+import static silverlatch.replication.ReplicaFixture.SELF;
+import static silverlatch.replication.ReplicaFixture.THIRD;
+import static silverlatch.replication.ReplicaFixture.view;
 
 import java.util.List;
 import java.util.Optional;
@@ -13,8 +13,12 @@
 import silverlatch.log.LogRecord;
 import silverlatch.safeguard.Safeguard;
 
+/**
+ * Guards against replicas that count as caught up although they may lack acknowledged entries, after views that they were not part
+ * of, restarts and repairs.
+ */
 final class ReplicaRoleTest {
-    private final ReplicaRole role = new ReplicaParts().role;
+    private final ReplicaRole role = new ReplicaFixture().role;
 
     @Test
     void onlyALaterViewOfTheSameClusterMayBeInstalled() {
@@ -26,7 +30,7 @@
     }
 
     @Test
-    void aFounderHasCaughtUpAndStaysSoWhileItIsInTheChain() {
+    void aMemberOfTheInitialViewIsCaughtUpWhileItStaysInTheChain() {
         role.install(view(1, SELF, SECOND), true);
         assertThat(role.isActive(), is(true));
         role.install(view(2, SELF), false);
@@ -34,7 +38,7 @@
         role.install(view(3, SECOND, THIRD), false);
         assertThat(role.isCaughtUp(), is(false));
         role.install(view(4, SECOND, THIRD, SELF), false);
-        assertThat("it came back and may lack entries", role.isCaughtUp(), is(false));
+        assertThat("it rejoined and may lack entries", role.isCaughtUp(), is(false));
         role.markCaughtUp();
         assertThat(role.isActiveTail(), is(true));
     }
@@ -46,25 +50,25 @@
         assertThat(role.isStandby(), is(true));
         assertThat(role.isActive(), is(false));
         role.install(view(3, THIRD), false);
-        assertThat("the very next view is short too", role.isStandby(), is(true));
+        assertThat("the next chain is too short as well", role.isStandby(), is(true));
         role.install(view(4, SECOND, THIRD), false);
-        assertThat("this one acknowledges", role.isCaughtUp(), is(false));
+        assertThat("this chain can acknowledge writes", role.isCaughtUp(), is(false));
         role.install(view(5, SECOND), false);
-        assertThat("it may lack what was acknowledged", role.isCaughtUp(), is(false));
+        assertThat("it may lack acknowledged entries", role.isCaughtUp(), is(false));
     }
 
     @Test
-    void aStandbyThatMissedAViewHoldsNothingForSure() {
+    void aReplicaThatMissedAViewIsNotAStandby() {
         role.install(view(1, SELF, SECOND), true);
         role.install(view(2, SECOND), false);
         role.install(view(4, THIRD), false);
-        assertThat("the view in between may have acknowledged", role.isStandby(), is(false));
+        assertThat("the missed view may have acknowledged writes", role.isStandby(), is(false));
         role.install(view(5, SELF), false);
         assertThat(role.isActive(), is(false));
     }
 
     @Test
-    void aStandbyHoldsEverythingAsTheOnlyMemberOfTheVeryNextView() {
+    void aStandbyIsCaughtUpAsTheOnlyMemberOfTheNextView() {
         role.install(view(1, SELF, SECOND), true);
         role.install(view(2, SECOND), false);
         role.install(view(3, SELF), false);
@@ -76,29 +80,29 @@
         role.install(view(1, SECOND), false);
         role.markRepaired();
         assertThat(role.isStandby(), is(true));
-        final ReplicaRole full = new ReplicaParts().role;
-        full.install(view(1, SECOND, THIRD), false);
-        full.markRepaired();
-        assertThat("this chain goes on acknowledging", full.isCaughtUp(), is(false));
-        final ReplicaRole member = new ReplicaParts().role;
-        member.install(view(1, SECOND, SELF), false);
-        member.markRepaired();
-        assertThat("a member catches up with its predecessor", member.isCaughtUp(), is(false));
+        final ReplicaRole roleOutsideLongChain = new ReplicaFixture().role;
+        roleOutsideLongChain.install(view(1, SECOND, THIRD), false);
+        roleOutsideLongChain.markRepaired();
+        assertThat("this chain can acknowledge further writes", roleOutsideLongChain.isCaughtUp(), is(false));
+        final ReplicaRole roleInChain = new ReplicaFixture().role;
+        roleInChain.install(view(1, SECOND, SELF), false);
+        roleInChain.markRepaired();
+        assertThat("a member of the chain must catch up with its predecessor", roleInChain.isCaughtUp(), is(false));
     }
 
     @Test
-    void aViewIsOnDiskOnceItsOwnRecordIsSynced() {
+    void aViewIsSyncedOnceItsOwnRecordIsSynced() {
         role.install(view(1, SELF, SECOND), true);
         assertThat(role.isViewSynced(), is(false));
         role.install(view(2, SELF, SECOND), false);
         role.markViewSynced(1);
-        assertThat("the record of the view before", role.isViewSynced(), is(false));
+        assertThat("the record of the previous view", role.isViewSynced(), is(false));
         role.markViewSynced(2);
         assertThat(role.isViewSynced(), is(true));
     }
 
     @Test
-    void thePlaceInTheChainDecidesWhoComesBeforeAndAfter() {
+    void thePositionInTheChainDeterminesPredecessorAndSuccessor() {
         role.install(view(1, SECOND, SELF, THIRD), true);
         assertThat(role.predecessor(), is(Optional.of(SECOND)));
         assertThat(role.successor(), is(Optional.of(THIRD)));
@@ -109,18 +113,18 @@
     }
 
     @Test
-    void anOutdatedLogEndsWithTheNextView() {
+    void anOutdatedLogIsFencedUntilTheNextView() {
         role.install(view(1, SELF, SECOND), true);
         role.fenceOutdatedLog();
         assertThat(role.isLogOutdated(), is(true));
         assertThat(role.isActive(), is(false));
         role.install(view(2, SELF, SECOND), false);
         assertThat(role.isLogOutdated(), is(false));
-        assertThat("it is repaired first", role.isCaughtUp(), is(false));
+        assertThat("it must be repaired first", role.isCaughtUp(), is(false));
     }
 
     @Test
-    void aFailedDiskOutlastsViews() {
+    void aDiskFailureSurvivesViewChanges() {
         role.install(view(1, SELF, SECOND), true);
         role.markDiskFailed();
         role.install(view(2, SELF, SECOND), false);
@@ -135,18 +139,18 @@
         role.replay(new LogRecord.ViewInstalled(view(2, SECOND), false));
         role.finishReplay();
         assertThat(role.state(), is(ReplicaState.OUTSIDE_CHAIN));
-        final ReplicaRole empty = new ReplicaParts().role;
+        final ReplicaRole empty = new ReplicaFixture().role;
         empty.finishReplay();
         assertThat(empty.state(), is(ReplicaState.EMPTY));
     }
 
     @Test
-    void safeguardsHoldBackAcknowledgementsOfAShortChainAndMessagesOfOtherViews() {
+    void safeguardsBlockAcknowledgementsOfAShortChainAndMessagesOfOtherViews() {
         role.install(view(5, SELF), true);
         assertThat(role.hasRequiredCopies(), is(false));
         assertThat(role.isFenced(4), is(true));
         assertThat(role.isFenced(5), is(false));
-        final ReplicaRole unguarded = new ReplicaParts(Safeguard.COPIES, Safeguard.FENCE).role;
+        final ReplicaRole unguarded = new ReplicaFixture(Safeguard.COPIES, Safeguard.FENCE).role;
         unguarded.install(view(5, SELF), true);
         assertThat(unguarded.hasRequiredCopies(), is(true));
         assertThat(unguarded.isFenced(4), is(false));
--- a/core/src/test/java/silverlatch/replication/ReplicationWindowTest.java
+++ b/core/src/test/java/silverlatch/replication/ReplicationWindowTest.java
@@ -9,6 +9,10 @@
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
 
+/**
+ * Guards against large entries that delay leases and votes on the same link, and against resending entries too soon
+ * or too often.
+ */
 final class ReplicationWindowTest {
     private final ReplicationWindow window = new ReplicationWindow();
 
@@ -24,7 +28,7 @@
     }
 
     @Test
-    void oneLargeEntryOrSeveralSmallOnesAreUnderWay() {
+    void oneLargeEntryOrSeveralSmallOnesMayBeInFlight() {
         window.reset(0, 0);
         assertThat(window.admits(entry(1, 400_000)), is(true));
         window.add(entry(1, 400_000));
@@ -42,17 +46,17 @@
     }
 
     @Test
-    void whatMakesNoProgressIsSentAgainAtDoublingPauses() {
+    void theRetryBackoffDoublesWithoutProgress() {
         window.reset(0, 0);
         long now = 0;
-        for (final long pause : new long[] {600_000, 1_200_000, 2_400_000, 4_800_000, 4_800_000}) {
-            assertThat(window.isRetryDue(now + pause - 1), is(false));
-            assertThat(window.isRetryDue(now + pause), is(true));
-            now += pause;
+        for (final long backoff : new long[] {600_000, 1_200_000, 2_400_000, 4_800_000, 4_800_000}) {
+            assertThat(window.isRetryDue(now + backoff - 1), is(false));
+            assertThat(window.isRetryDue(now + backoff), is(true));
+            now += backoff;
             window.restart(0, now);
         }
         window.add(entry(1, 10));
         window.acknowledge(1, now);
-        assertThat("progress makes the pause short again", window.isRetryDue(now + 600_000), is(true));
+        assertThat("progress resets the backoff", window.isRetryDue(now + 600_000), is(true));
     }
 }
