--- a/server/src/main/java/silverlatch/server/controller/Controller.java
+++ b/server/src/main/java/silverlatch/server/controller/Controller.java
@@ -76,7 +76,7 @@
         this.eventLoop = new EventLoopHandle(
                 node, settings.intervals().nodeTick(), transport::send, this::persist, this::afterTick);
         this.logWriter = writeAheadLog.map(log -> new LogWriter(log, new NodeLogListener(eventLoop)));
-        this.savedWorkerReports = settings.dataFolder().map(folder -> new SavedWorkerReports(Path.of(folder)));
+        this.savedWorkerReports = settings.dataDirectory().map(folder -> new SavedWorkerReports(Path.of(folder)));
         this.readiness = new Readiness(settings.name());
         this.announcements = new WorkerAnnouncements(eventLoop, SERVICE_TIMEOUT_MICROS);
         final CronScheduler scheduler = new CronScheduler();
--- a/server/src/main/java/silverlatch/server/controller/LogOpener.java
+++ b/server/src/main/java/silverlatch/server/controller/LogOpener.java
@@ -33,7 +33,7 @@
      */
     public static Optional<WriteAheadLog.OpenResult.Success> open(
             final Settings settings, final boolean moveDamagedLogAside) {
-        return settings.dataFolder()
+        return settings.dataDirectory()
                 .map(folder -> new LogOpener(Path.of(folder), settings.mayBootstrap(), moveDamagedLogAside).open());
     }
 
--- a/server/src/main/java/silverlatch/server/controller/Main.java
+++ b/server/src/main/java/silverlatch/server/controller/Main.java
@@ -16,8 +16,8 @@
     /** Runs a controller until the process is asked to stop. */
     public static void main(final String[] args) {
         switch (CommandLineFlags.parse("controller", args, true, System.out, System.err)) {
-            case CommandLineFlags.Parsed.Exit exit -> System.exit(exit.code());
-            case CommandLineFlags.Parsed.Run run ->
+            case CommandLineFlags.ParseResult.Exit exit -> System.exit(exit.code());
+            case CommandLineFlags.ParseResult.Run run ->
                 DaemonProcess.run("controller", () -> build(run.settings(), LogOpener.open(run.settings(), false)));
         }
     }
--- a/server/src/main/java/silverlatch/server/gateway/Gateway.java
+++ b/server/src/main/java/silverlatch/server/gateway/Gateway.java
@@ -72,8 +72,8 @@
                 node, settings.intervals().nodeTick(), transport::send, persist -> {}, this::publish);
         this.dispatchLoop =
                 new DispatchLoop(dispatcher, router, settings.intervals().dispatchTick());
-        this.recorder = settings.recordFolder().map(Recorder::new);
-        this.savedState = settings.dataFolder().map(folder -> new SavedState(Path.of(folder), node));
+        this.recorder = settings.recordDirectory().map(Recorder::new);
+        this.savedState = settings.dataDirectory().map(folder -> new SavedState(Path.of(folder), node));
         this.effectHandler = new DispatchEffectHandler(
                 exchanges, new WorkerRuns(settings, dispatchLoop), nodeLoop, dispatchLoop, recorder);
         final OperatorApi operatorApi =
--- a/server/src/main/java/silverlatch/server/gateway/Main.java
+++ b/server/src/main/java/silverlatch/server/gateway/Main.java
@@ -14,8 +14,8 @@
     /** Runs a gateway until it is told to stop. Exit codes: 2 for faulty flags or settings, 3 when it can't start. */
     public static void main(final String[] args) {
         switch (CommandLineFlags.parse("gateway", args, false, System.out, System.err)) {
-            case CommandLineFlags.Parsed.Exit exit -> System.exit(exit.code());
-            case CommandLineFlags.Parsed.Run run -> DaemonProcess.run("gateway", () -> build(run.settings()));
+            case CommandLineFlags.ParseResult.Exit exit -> System.exit(exit.code());
+            case CommandLineFlags.ParseResult.Run run -> DaemonProcess.run("gateway", () -> build(run.settings()));
         }
     }
 
--- a/server/src/main/java/silverlatch/server/metrics/MetricsPage.java
+++ b/server/src/main/java/silverlatch/server/metrics/MetricsPage.java
@@ -19,14 +19,14 @@
     }
 
     /** Adds a metric under its name and under the one it had in the version before. */
-    public void put(final String name, final String formerName, final long value) {
+    public void put(final String name, final String deprecatedName, final long value) {
         put(name, value);
-        put(formerName, value);
+        put(deprecatedName, value);
     }
 
     /** Adds counters by name under a prefix and under the one they had in the version before. */
-    public void putAll(final String prefix, final String formerPrefix, final Map<String, Long> counters) {
-        counters.forEach((name, value) -> put(prefix + name, formerPrefix + name, value));
+    public void putAll(final String prefix, final String deprecatedPrefix, final Map<String, Long> counters) {
+        counters.forEach((name, value) -> put(prefix + name, deprecatedPrefix + name, value));
     }
 
     /** All lines. */
--- a/server/src/main/java/silverlatch/server/provider/ProviderCaller.java
+++ b/server/src/main/java/silverlatch/server/provider/ProviderCaller.java
@@ -115,7 +115,7 @@
         }
         final CallInFlight made = new CallInFlight(source, call, token.get(), now);
         inFlight = Optional.of(made);
-        nextCallAt = now + (long) Math.ceil(MICROS_PER_SECOND / (settings.callsPerSecond() * RATE_SHARE));
+        nextCallAt = now + (long) Math.ceil(MICROS_PER_SECOND / (settings.maxCallsPerSecond() * RATE_SHARE));
         call.make(provider, new CloudProvider.Caller(settings.holderName(), token.get()))
                 .thenAccept(outcome -> eventLoop.execute(() -> onOutcome(made, outcome)));
     }
--- a/server/src/main/java/silverlatch/server/settings/CommandLineFlags.java
+++ b/server/src/main/java/silverlatch/server/settings/CommandLineFlags.java
@@ -46,12 +46,12 @@
     private boolean check;
 
     /** What the command line came to. */
-    public sealed interface Parsed {
+    public sealed interface ParseResult {
         /** Run with these settings. */
-        record Run(Settings settings) implements Parsed {}
+        record Run(Settings settings) implements ParseResult {}
 
         /** End with this exit code; what is to be said is printed. */
-        record Exit(int code) implements Parsed {}
+        record Exit(int code) implements ParseResult {}
     }
 
     private CommandLineFlags(final String program) {
@@ -63,7 +63,7 @@
      *
      * @param isController whether the settings are those of a controller, else of a gateway
      */
-    public static Parsed parse(
+    public static ParseResult parse(
             final String program,
             final String[] args,
             final boolean isController,
@@ -77,23 +77,23 @@
         if (ended.getAsInt() == WRONG_USE) {
             err.println("try " + program + " --help");
         }
-        return new Parsed.Exit(ended.getAsInt());
+        return new ParseResult.Exit(ended.getAsInt());
     }
 
-    private Parsed readSettings(final boolean isController, final PrintStream out, final PrintStream err) {
+    private ParseResult readSettings(final boolean isController, final PrintStream out, final PrintStream err) {
         final Optional<String> file = Optional.of(settings).filter(path -> !path.isEmpty());
         return switch (Settings.read(file, overrides(), isController)) {
             case Settings.ReadResult.Invalid invalid -> {
                 EventLog.write(Event.SETTINGS, invalid.faults().size() + " faults");
                 invalid.faults().forEach(fault -> err.println(program() + ": " + fault));
-                yield new Parsed.Exit(WRONG_USE);
+                yield new ParseResult.Exit(WRONG_USE);
             }
             case Settings.ReadResult.Valid valid -> {
                 if (check) {
                     out.println(program() + ": the settings are sound");
-                    yield new Parsed.Exit(0);
+                    yield new ParseResult.Exit(0);
                 }
-                yield new Parsed.Run(valid.settings());
+                yield new ParseResult.Run(valid.settings());
             }
         };
     }
--- a/server/src/main/java/silverlatch/server/settings/Settings.java
+++ b/server/src/main/java/silverlatch/server/settings/Settings.java
@@ -15,9 +15,9 @@
  * @param peerAddress       IP:PORT for frames of other processes
  * @param httpAddress       IP:PORT for the HTTP API
  * @param seeds             one to three addresses of controllers
- * @param dataFolder        where a controller keeps its log, and a gateway what it starts with; a controller without one has no
+ * @param dataDirectory        where a controller keeps its log, and a gateway what it starts with; a controller without one has no
  *                          replica
- * @param recordFolder      where a gateway records its placements
+ * @param recordDirectory      where a gateway records its placements
  * @param clusterKey        signs permits, salts tenants' keys
  * @param operatorKey       the bearer token of operators
  * @param workerKey         the bearer token of workers
@@ -46,8 +46,8 @@
         String peerAddress,
         String httpAddress,
         List<String> seeds,
-        Optional<String> dataFolder,
-        Optional<String> recordFolder,
+        Optional<String> dataDirectory,
+        Optional<String> recordDirectory,
         String clusterKey,
         String operatorKey,
         String workerKey,
--- a/server/src/main/java/silverlatch/server/settings/SettingsReader.java
+++ b/server/src/main/java/silverlatch/server/settings/SettingsReader.java
@@ -141,13 +141,13 @@
     }
 
     private void checkRole(final Settings settings) {
-        if (!isController && settings.dataFolder().isPresent() && settings.startupGrace() == 0) {
+        if (!isController && settings.dataDirectory().isPresent() && settings.startupGrace() == 0) {
             faults.add("data: a gateway keeps no data folder without startupGrace");
         }
         if (isController && settings.proxyAddress().isPresent()) {
             faults.add("gate: a controller takes no requests");
         }
-        if (isController && settings.recordFolder().isPresent()) {
+        if (isController && settings.recordDirectory().isPresent()) {
             faults.add("record: a controller has no placements to record");
         }
         final double retryRatio = settings.dispatch().retryRatio();
--- a/server/src/main/java/silverlatch/server/settings/SingletonSettings.java
+++ b/server/src/main/java/silverlatch/server/settings/SingletonSettings.java
@@ -8,7 +8,7 @@
  * @param holderName     the name under which this process acts
  * @param reportsUsage   whether usage is reported
  * @param scales         whether the numbers of workers are set
- * @param callsPerSecond how many calls may be made in a second, by all processes together
+ * @param maxCallsPerSecond how many calls may be made in a second, by all processes together
  * @param tenureMicros   for how long a process has to own the role without a gap before it acts, so that two owners in turn
  *                       never act close to each other
  * @param windowMicros   how long a window of usage is
@@ -18,7 +18,7 @@
         String holderName,
         boolean reportsUsage,
         boolean scales,
-        double callsPerSecond,
+        double maxCallsPerSecond,
         long tenureMicros,
         long windowMicros,
         long delayMicros) {
--- a/server/src/main/java/silverlatch/server/tool/ApiRequest.java
+++ b/server/src/main/java/silverlatch/server/tool/ApiRequest.java
@@ -35,7 +35,7 @@
     }
 
     /** The same request, sent with this revision as If-Match. */
-    ApiRequest expecting(final String revision) {
+    ApiRequest withExpectedRevision(final String revision) {
         return new ApiRequest(method, path, body, Optional.of(revision));
     }
 
--- a/server/src/main/java/silverlatch/server/tool/CommandParser.java
+++ b/server/src/main/java/silverlatch/server/tool/CommandParser.java
@@ -107,7 +107,7 @@
 
     private Optional<ToolCommand> putConfigurationAfter(final String number) throws IOException {
         return number.matches("\\d{1,18}")
-                ? request(ApiRequest.put(CONFIGURATION, file(0)).expecting(number))
+                ? request(ApiRequest.put(CONFIGURATION, file(0)).withExpectedRevision(number))
                 : Optional.empty();
     }
 
--- a/server/src/test/java/silverlatch/server/controller/ControllerTest.java
+++ b/server/src/test/java/silverlatch/server/controller/ControllerTest.java
@@ -80,7 +80,7 @@
         final Settings settings =
                 ((Settings.ReadResult.Valid) Settings.read(Optional.empty(), settingsByKey, true)).settings();
         final WriteAheadLog.OpenResult.Success log = (WriteAheadLog.OpenResult.Success)
-                WriteAheadLog.open(Path.of(settings.dataFolder().orElseThrow()));
+                WriteAheadLog.open(Path.of(settings.dataDirectory().orElseThrow()));
         final Controller controller = Main.build(settings, Optional.of(log));
         controller.start();
         return controller;
