--- a/server/src/main/java/silverlatch/server/metrics/NodeMetrics.java
+++ b/server/src/main/java/silverlatch/server/metrics/NodeMetrics.java
@@ -4,11 +4,11 @@
 import silverlatch.node.Node;
 import silverlatch.server.transport.Transport;
 
-/** The metrics that every process of a cluster has: of its clock, its node and its transport. */
+/** The metrics of the clock, the node and the transport, which every process of a cluster has. */
 public final class NodeMetrics {
     private NodeMetrics() {}
 
-    /** Adds the metrics; to be called on the node's event loop. */
+    /** Adds the metrics to a page. Must be called on the node's event loop. */
     public static void add(final MetricsPage page, final Node node, final Transport transport) {
         final ProcessClock.Counts clock = node.processClock().counts();
         page.put("clock_waits", "tide_waits", clock.waits());
--- a/server/src/main/java/silverlatch/server/metrics/package-info.java
+++ b/server/src/main/java/silverlatch/server/metrics/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The text of /metrics. Renamed metrics stand there under their former names too, for one version. Docs: docs/operating.md.
+ * The text that /metrics serves. A renamed metric also appears under its deprecated name for one version. Docs: docs/operating.md.
  */
 package silverlatch.server.metrics;
--- a/server/src/main/java/silverlatch/server/process/DaemonProcess.java
+++ b/server/src/main/java/silverlatch/server/process/DaemonProcess.java
@@ -4,22 +4,22 @@
 import silverlatch.node.Event;
 import silverlatch.server.eventloop.EventLog;
 
-/** The life of a process whose main job is one daemon. */
+/** Runs a process that consists of one daemon. */
 public final class DaemonProcess {
     private static final int EXIT_CANNOT_START = 3;
 
     private DaemonProcess() {}
 
-    /** What the process runs. */
+    /** A long-running service. */
     public interface Daemon {
-        /** Starts the threads; fails where an address or a file isn't to be had. */
+        /** Starts the daemon's threads. Throws an exception if an address can't be bound or a file can't be opened. */
         void start() throws Exception;
 
-        /** Shuts down gracefully. Called by the thread of a shutdown hook. */
+        /** Shuts the daemon down gracefully. Called on the thread of a shutdown hook. */
         void stop();
     }
 
-    /** Makes a daemon, starts it, and waits until the process is told to stop; one that can't start ends the process with 3. */
+    /** Creates and starts a daemon, and blocks until the process is terminated. If the daemon can't start, halts the process with exit code 3. */
     public static void run(final String program, final Callable<? extends Daemon> factory) {
         try {
             final Daemon daemon = factory.call();
--- a/server/src/main/java/silverlatch/server/process/package-info.java
+++ b/server/src/main/java/silverlatch/server/process/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The life of a process whose main job is one daemon: start, shutdown hook, exit code.
+ * The lifecycle of a process that runs one daemon: start, shutdown hook and exit code.
  */
 package silverlatch.server.process;
--- a/server/src/main/java/silverlatch/server/settings/CommandLineFlags.java
+++ b/server/src/main/java/silverlatch/server/settings/CommandLineFlags.java
@@ -10,7 +10,7 @@
 import silverlatch.node.Event;
 import silverlatch.server.eventloop.EventLog;
 
-/** The flags of the programs gateway and controller, most of which override a key of the settings file. */
+/** The command line flags of the gateway and controller programs. Most of them override a key of the settings file. */
 public final class CommandLineFlags extends ProgramOptions {
     @Option(name = "--settings", metaVar = "FILE", usage = "the settings file (JSON); flags override it")
     private String settings = "";
@@ -45,12 +45,12 @@
     @Option(name = "--check", usage = "check the settings and end")
     private boolean check;
 
-    /** What the command line came to. */
+    /** The result of parsing the command line. */
     public sealed interface ParseResult {
-        /** Run with these settings. */
+        /** The program runs with these settings. */
         record Run(Settings settings) implements ParseResult {}
 
-        /** End with this exit code; what is to be said is printed. */
+        /** The program ends with this exit code. All messages have been printed already. */
         record Exit(int code) implements ParseResult {}
     }
 
@@ -59,9 +59,9 @@
     }
 
     /**
-     * Reads a program's command line and the settings that it names, and prints what is wrong with them.
+     * Parses a program's command line, reads the settings file that it names, and prints every fault that it finds.
      *
-     * @param isController whether the settings are those of a controller, else of a gateway
+     * @param isController true for the settings of a controller, false for those of a gateway
      */
     public static ParseResult parse(
             final String program,
@@ -70,14 +70,14 @@
             final PrintStream out,
             final PrintStream err) {
         final CommandLineFlags flags = new CommandLineFlags(program);
-        final OptionalInt ended = flags.parse(args, out, err);
-        if (ended.isEmpty()) {
+        final OptionalInt exitCode = flags.parse(args, out, err);
+        if (exitCode.isEmpty()) {
             return flags.readSettings(isController, out, err);
         }
-        if (ended.getAsInt() == WRONG_USE) {
+        if (exitCode.getAsInt() == WRONG_USE) {
             err.println("try " + program + " --help");
         }
-        return new ParseResult.Exit(ended.getAsInt());
+        return new ParseResult.Exit(exitCode.getAsInt());
     }
 
     private ParseResult readSettings(final boolean isController, final PrintStream out, final PrintStream err) {
--- a/server/src/main/java/silverlatch/server/settings/Intervals.java
+++ b/server/src/main/java/silverlatch/server/settings/Intervals.java
@@ -7,23 +7,25 @@
 import silverlatch.membership.Membership;
 
 /**
- * How often the processes of a cluster speak to each other; times in microseconds.
+ * The intervals and timeouts of the messages between the processes of a cluster, in microseconds.
  *
- * @param nodeTick     the tick of a node's event loop
- * @param dispatchTick the tick of the event loop that dispatches a gateway's requests
+ * @param membership   heartbeats, failure detection and join requests
+ * @param gossip       pulls of worker reports, and where workers announce themselves
+ * @param nodeTick     the tick interval of a node's event loop
+ * @param dispatchTick the tick interval of the event loop that dispatches a gateway's requests
  */
 public record Intervals(Membership.Settings membership, Gossip.Settings gossip, long nodeTick, long dispatchTick) {
-    /** The defaults. */
+    /** The defaults where workers announce themselves to any node. */
     public static final Intervals DEFAULTS =
             new Intervals(Membership.Settings.DEFAULTS, Gossip.Settings.DEFAULTS, 20_000L, 20_000L);
 
-    /** The defaults for a large cluster, whose workers announce themselves to controllers. */
+    /** The defaults for a large cluster, where workers announce themselves to controllers. */
     public static final Intervals LARGE_FLEET =
             new Intervals(Membership.Settings.LARGE_FLEET, Gossip.Settings.LARGE_FLEET, 50_000L, 50_000L);
 
     /**
-     * The defaults of a gateway in a large cluster: what it has to do of its own comes half a second apart or more, and what others
-     * ask of it is not bound to its tick, so it wakes up less often.
+     * The defaults of a gateway in a large cluster. Its event loop ticks less often, since the intervals of its periodic work are half
+     * a second or longer, and since it handles messages from other processes without waiting for the next tick.
      */
     public static final Intervals LARGE_FLEET_GATEWAY =
             new Intervals(Membership.Settings.LARGE_FLEET, Gossip.Settings.LARGE_FLEET, 100_000L, 50_000L);
@@ -34,7 +36,10 @@
     private static final int MIN_HEARTBEATS_BEFORE_SUSPICION = 2;
     private static final int MIN_PULLS_BEFORE_SILENCE = 8;
 
-    /** Reads intervals; what is wrong with them together is added to the faults, what is wrong with one is noted in the document. */
+    /**
+     * Reads the intervals. A fault of a single value is recorded in the document; a fault that concerns several values, or the value
+     * of {@code announce}, is added to {@code faults}.
+     */
     static Intervals read(final JsonDocument document, final List<String> faults) {
         final String announceTo = document.string("announce", MAX_WORD_LENGTH, EVERYWHERE);
         if (!announceTo.equals(EVERYWHERE) && !announceTo.equals(CONTROLLERS)) {
@@ -52,7 +57,10 @@
         return intervals;
     }
 
-    /** The times may be given also where workers announce themselves to any node; there they have no effect. */
+    /**
+     * Reads to which nodes workers announce themselves. The settings silent and forget are also accepted where workers announce
+     * themselves to any node, but have no effect there.
+     */
     private static WorkerReporting readReporting(final JsonDocument document, final boolean toControllers) {
         final WorkerReporting.ToControllers defaults = WorkerReporting.ToControllers.DEFAULTS;
         final long silenceTimeout = document.integer("silent", 2_000_000L, 600_000_000L, defaults.silenceTimeout());
--- a/server/src/main/java/silverlatch/server/settings/ProgramOptions.java
+++ b/server/src/main/java/silverlatch/server/settings/ProgramOptions.java
@@ -8,14 +8,14 @@
 import org.kohsuke.args4j.ParserProperties;
 
 /**
- * The command line of a program: a subclass declares its own options in annotated fields, and this class parses them and
- * serves {@code --help} and {@code --version}, which all programs have.
+ * Parses the command line of a program. A subclass declares its own options in annotated fields. This class adds the options
+ * {@code --help} and {@code --version}, which all programs have.
  */
 public abstract class ProgramOptions {
-    /** The product's version. */
+    /** The version that {@code --version} prints. */
     public static final String VERSION = "0.1.0";
 
-    /** The exit code of a program whose command line or files are wrong. */
+    /** The exit code for an invalid command line or a fault in a file that it names. */
     protected static final int WRONG_USE = 2;
 
     private static final int USAGE_COLUMNS = 100;
@@ -29,18 +29,27 @@
     @Option(name = "--version", help = true, usage = "show the version and end")
     private boolean version;
 
-    /** Options of a program by its name, and the text that {@code --help} shows above the options. */
+    /**
+     * Creates the options of a program.
+     *
+     * @param program the program's name
+     * @param usage   the text that {@code --help} prints above the options
+     */
     protected ProgramOptions(final String program, final String usage) {
         this.program = program;
         this.usage = usage;
     }
 
-    /** The program's name, as it stands before each line that it prints about an error. */
+    /** Returns the program's name, which prefixes each error line that it prints. */
     protected final String program() {
         return program;
     }
 
-    /** Sets the annotated fields; gives the exit code where the program is to end at once, as all is said. */
+    /**
+     * Sets the annotated fields from the command line. Prints the help, the version or the error where there is one.
+     *
+     * @return the exit code if the program should end now, else empty
+     */
     protected final OptionalInt parse(final String[] args, final PrintStream out, final PrintStream err) {
         final CmdLineParser parser =
                 new CmdLineParser(this, ParserProperties.defaults().withUsageWidth(USAGE_COLUMNS));
--- a/server/src/main/java/silverlatch/server/settings/Settings.java
+++ b/server/src/main/java/silverlatch/server/settings/Settings.java
@@ -8,36 +8,40 @@
 import silverlatch.node.Node;
 
 /**
- * The settings of a process: its place, addresses, keys and limits, from one JSON file and the flags that override it. Checked as
- * a whole by {@link SettingsReader}. Times are in microseconds, sizes in bytes.
+ * The settings of a process: its name and location, addresses, keys and limits. They come from one JSON file and the flags that
+ * override its values; {@link SettingsReader} validates them all together. Times are in microseconds, sizes in bytes.
  *
  * @param name              the process's name, unique in its cluster
- * @param peerAddress       IP:PORT for frames of other processes
- * @param httpAddress       IP:PORT for the HTTP API
+ * @param zone              the zone that the process runs in
+ * @param region            the region that the process runs in
+ * @param peerAddress       IP:PORT at which it listens for frames of other processes
+ * @param httpAddress       IP:PORT at which it serves its HTTP API
  * @param seeds             one to three addresses of controllers
- * @param dataDirectory        where a controller keeps its log, and a gateway what it starts with; a controller without one has no
- *                          replica
+ * @param dataDirectory        where a controller keeps its log, and a gateway the state that it restores at start; a controller without
+ *                          a data directory runs no replica
  * @param recordDirectory      where a gateway records its placements
- * @param clusterKey        signs permits, salts tenants' keys
+ * @param clusterKey        the key that signs permits and salts the hashes of tenants' keys
  * @param operatorKey       the bearer token of operators
  * @param workerKey         the bearer token of workers
- * @param stampLowBits      how many low bits of a stamp count events
- * @param maxClockSkew      the bound on the difference of two clocks
- * @param shutdownGrace     how long a graceful shutdown may take
+ * @param stampLowBits      how many low bits of a stamp (a timestamp) count events; the others hold the clock's time
+ * @param maxClockSkew      the largest assumed difference between the clocks of two processes
+ * @param shutdownGrace     the longest time that a graceful shutdown may take
  * @param dispatch          the limits of a gateway's dispatcher
- * @param maxBodyBytes      how long the body of a request to the HTTP API may be
- * @param maxLineBytes      how long a line of a worker's stream may be
- * @param mayBootstrap      whether a data folder made at this start may take part in founding a cluster
- * @param minInSyncReplicas how many replicas have synced an entry before it is acknowledged
- * @param voterCount        how many controllers with a data folder vote, where so many are there
- * @param intervals         how often processes speak to each other
- * @param proxyAddress      IP:PORT at which a gateway takes requests by host and path
- * @param startupGrace      for how long after its start a gateway may route by a configuration that nobody has confirmed; 0 where it
- *                          may not
- * @param prefixLifetime    for how long after its last use a gateway takes a part of a prompt for cached at a worker
- * @param revocationDeadline how long after the acknowledgement of a configuration no request runs any more by a key that it took
- *                          away, at whatever gateway; 0 where only gateways in touch with the others are bound
- * @param singleton         what the owner of the singleton role does outside the cluster
+ * @param maxBodyBytes      the maximum length of a request body at the HTTP API
+ * @param maxLineBytes      the maximum length of a line in a worker's response stream
+ * @param mayBootstrap      whether a process that creates its data directory at this start may take part in bootstrapping a
+ *                          cluster
+ * @param minInSyncReplicas how many replicas must have synced a log entry to disk before it is acknowledged
+ * @param voterCount        the number of voters, which are controllers with a data directory; fewer vote while fewer exist
+ * @param intervals         the intervals and timeouts of the messages between processes
+ * @param proxyAddress      IP:PORT at which a gateway accepts client requests that it routes by host and path
+ * @param startupGrace      how long after its start a gateway may route by a saved configuration that no other node has confirmed
+ *                          yet; 0 if it may not
+ * @param prefixLifetime    how long after its last use a gateway considers a part of a prompt cached at a worker
+ * @param revocationDeadline how long after a configuration that revokes a key was acknowledged requests with that key may still run;
+ *                          after that no gateway runs one, even if it is isolated; 0 if only gateways connected to the other
+ *                          processes have to reject the key
+ * @param singleton         what the holder of the singleton role does outside the cluster
  */
 public record Settings(
         String name,
@@ -68,19 +72,19 @@
         SingletonSettings singleton) {
     private static final long NANOS_PER_MICRO = 1_000;
 
-    /** Copies the seeds. */
+    /** Copies the list of seeds. */
     public Settings {
         seeds = List.copyOf(seeds);
     }
 
-    /** What reading settings came to. */
+    /** The result of reading settings. */
     public sealed interface ReadResult {
-        /** Settings without a fault. */
+        /** Settings without any fault. */
         record Valid(Settings settings) implements ReadResult {}
 
-        /** Every fault that was found, with the key that has it. */
+        /** All faults that were found, each with the key that it concerns. */
         record Invalid(List<String> faults) implements ReadResult {
-            /** Copies the faults. */
+            /** Copies the list of faults. */
             public Invalid {
                 faults = List.copyOf(faults);
             }
@@ -88,18 +92,23 @@
     }
 
     /**
-     * Reads a settings file and checks the whole.
+     * Reads and validates settings.
      *
-     * @param file         a path; without one the flags are all there is
-     * @param flags        values by key that override those of the file
-     * @param isController whether the process is a controller, else a gateway
+     * @param file         the path of the settings file; if empty, all values come from the flags and the defaults
+     * @param flags        values by settings key, which override those of the file
+     * @param isController true for a controller, false for a gateway
      */
     public static ReadResult read(
             final Optional<String> file, final Map<String, Object> flags, final boolean isController) {
         return SettingsReader.read(file, flags, isController);
     }
 
-    /** The settings of the node of a process in this role, {@code controller} or {@code gateway}, that starts at a wall time. */
+    /**
+     * Returns the settings of the process's node.
+     *
+     * @param role      {@code controller} or {@code gateway}
+     * @param wallNanos the wall-clock time at which the process starts, in nanoseconds
+     */
     public Node.Settings nodeSettings(final String role, final long wallNanos) {
         final Member self =
                 Member.starting(name, role, zone, region, peerAddress, httpAddress, wallNanos / NANOS_PER_MICRO);
--- a/server/src/main/java/silverlatch/server/settings/SettingsReader.java
+++ b/server/src/main/java/silverlatch/server/settings/SettingsReader.java
@@ -14,7 +14,7 @@
 import silverlatch.routing.Router;
 import silverlatch.state.TableRules;
 
-/** Reads settings from JSON, with a default for each key that need not be there, and lists everything that is wrong with them. */
+/** Reads settings from JSON, applies the defaults of optional keys, and collects all faults. */
 final class SettingsReader {
     private static final int MAX_FILE_BYTES = 64 << 10;
     private static final long MAX_STARTUP_GRACE = 60_000_000L;
@@ -37,7 +37,7 @@
         this.isController = isController;
     }
 
-    /** Reads a file, lets flags override it, and checks the whole. */
+    /** Reads a settings file, overrides its values by those of the flags, and validates the result. */
     static Settings.ReadResult read(
             final Optional<String> file, final Map<String, Object> flags, final boolean isController) {
         final byte[] body;
--- a/server/src/main/java/silverlatch/server/settings/SingletonSettings.java
+++ b/server/src/main/java/silverlatch/server/settings/SingletonSettings.java
@@ -3,16 +3,17 @@
 import silverlatch.traffic.UsageSchedule;
 
 /**
- * What the owner of the singleton role does outside the cluster, and how carefully. Times are in microseconds.
+ * What the holder of the singleton role does outside the cluster: it reports usage and sets the numbers of workers. At most one process
+ * of the cluster holds the role at a time. Times are in microseconds.
  *
- * @param holderName     the name under which this process acts
- * @param reportsUsage   whether usage is reported
- * @param scales         whether the numbers of workers are set
- * @param maxCallsPerSecond how many calls may be made in a second, by all processes together
- * @param tenureMicros   for how long a process has to own the role without a gap before it acts, so that two owners in turn
- *                       never act close to each other
- * @param windowMicros   how long a window of usage is
- * @param delayMicros    how long after the end of its window the usage is due
+ * @param holderName     the name that identifies this process in its calls
+ * @param reportsUsage   whether the holder reports usage
+ * @param scales         whether the holder sets the numbers of workers
+ * @param maxCallsPerSecond the limit on calls per second of all processes together
+ * @param tenureMicros   how long a process must have held the role without interruption before it acts, so that the actions of
+ *                       two successive holders never come close to each other in time
+ * @param windowMicros   the length of a usage window
+ * @param delayMicros    how long after the end of a window its usage is due to be reported
  */
 public record SingletonSettings(
         String holderName,
@@ -22,15 +23,15 @@
         long tenureMicros,
         long windowMicros,
         long delayMicros) {
-    /** The owner does nothing outside the cluster. */
+    /** Settings with which the holder does nothing outside the cluster. */
     public static final SingletonSettings NONE = new SingletonSettings("", false, false, 0, 0, 5_000_000L, 10_000_000L);
 
-    /** How usage is cut into windows. */
+    /** Returns how usage is divided into windows. */
     public UsageSchedule usageSchedule() {
         return new UsageSchedule(windowMicros, delayMicros);
     }
 
-    /** Whether the owner does anything outside the cluster. */
+    /** Returns whether the holder does anything outside the cluster. */
     public boolean isActive() {
         return reportsUsage || scales;
     }
--- a/server/src/main/java/silverlatch/server/settings/package-info.java
+++ b/server/src/main/java/silverlatch/server/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The settings of controllers and gateways from a JSON file and flags, and the command line that all programs share. Docs:
- * docs/settings.md.
+ * The settings of controllers and gateways, which are read from a JSON file and flags, and the command line options that all
+ * programs share. Docs: docs/settings.md.
  */
 package silverlatch.server.settings;
