--- a/server/src/main/java/silverlatch/server/replay/Main.java
+++ b/server/src/main/java/silverlatch/server/replay/Main.java
@@ -11,8 +11,8 @@
 import silverlatch.server.settings.ProgramOptions;
 
 /**
- * The program {@code replay}: decides the recorded placements of a gateway again, by the table of that time or another one, and shows
- * which change and why. Exit codes: 0 done, 2 wrong use or a fault in a file.
+ * The program {@code replay}: repeats the recorded placement decisions of a gateway, with the recorded rows of the table or with those of
+ * a given table, and prints which decisions change and why. Exit codes: 0 done, 2 invalid command line or a fault in a file.
  */
 public final class Main extends ProgramOptions {
     @Option(
@@ -34,15 +34,15 @@
         super("replay", "replay [flags] RECORDING ...");
     }
 
-    /** Replays the recordings that the command line names. */
+    /** Replays the recordings that the command line names, and exits. */
     public static void main(final String[] args) {
         System.exit(new Main().run(args, System.out, System.err));
     }
 
     private int run(final String[] args, final PrintStream out, final PrintStream err) {
-        final OptionalInt ended = parse(args, out, err);
-        if (ended.isPresent()) {
-            return ended.getAsInt();
+        final OptionalInt exitCode = parse(args, out, err);
+        if (exitCode.isPresent()) {
+            return exitCode.getAsInt();
         }
         if (files.isEmpty()) {
             err.println("replay: a recording is needed; try replay --help");
@@ -51,9 +51,9 @@
         final List<String> faults = new ArrayList<>();
         final Optional<TableFile> tableFile =
                 Optional.of(table).filter(path -> !path.isEmpty()).map(path -> TableFile.read(Path.of(path), faults));
-        final RecordingReader.ReadResult recordings =
+        final RecordingReader.ReadResult readResult =
                 RecordingReader.read(files.stream().map(Path::of).toList());
-        switch (recordings) {
+        switch (readResult) {
             case RecordingReader.ReadResult.Invalid invalid -> faults.addAll(invalid.faults());
             case RecordingReader.ReadResult.Valid valid -> {
                 if (faults.isEmpty()) {
--- a/server/src/main/java/silverlatch/server/replay/PlacementJson.java
+++ b/server/src/main/java/silverlatch/server/replay/PlacementJson.java
@@ -14,9 +14,9 @@
 import silverlatch.state.Value;
 import silverlatch.util.Numbers;
 
-/** A recorded placement as JSON, both ways: all that the decision was made from, and the worker that was chosen. */
+/** Converts recorded placements to and from JSON: all inputs of the decision, and the worker that was selected. */
 final class PlacementJson {
-    /** Longer times, in microseconds, are recorded as this one. */
+    /** The largest duration that is recorded, in microseconds. Longer ones are recorded as this one. */
     private static final long MAX_MICROS = 1L << 50;
 
     private static final int MAX_NAME_LENGTH = 64;
@@ -29,7 +29,7 @@
 
     private PlacementJson() {}
 
-    /** A placement as JSON. Of the prefixes that workers have cached, only those of the request are written. */
+    /** Returns a placement as JSON. Of the prefixes that each worker has cached, only those of the request are included. */
     static Map<String, Object> write(final DispatchEffect.PlacementDecided placement) {
         final PlacementContext context = placement.context();
         final Map<String, Object> fields = new LinkedHashMap<>();
@@ -76,7 +76,7 @@
         return fields;
     }
 
-    /** A placement from JSON; faults are noted in the document. */
+    /** Reads a placement from JSON. Faults are recorded in the document. */
     static DispatchEffect.PlacementDecided read(final JsonDocument document) {
         final JsonDocument rowDocument = document.object("row");
         final Value.Row row = TableJson.read(rowDocument);
--- a/server/src/main/java/silverlatch/server/replay/PlacementReplay.java
+++ b/server/src/main/java/silverlatch/server/replay/PlacementReplay.java
@@ -12,22 +12,22 @@
 import silverlatch.placement.WeightedScorers;
 import silverlatch.state.Value;
 
-/** Decides recorded placements again and prints which change, and why. For one run. */
+/** Repeats recorded placement decisions and prints which of them change, and why. Used for a single run. */
 final class PlacementReplay {
     private final Optional<TableFile> table;
     private final int maxShown;
     private final WeightedScorers scorers;
     private final PrintStream out;
-    private final Map<String, Integer> counts = new TreeMap<>();
-    private int sameCount;
+    private final Map<String, Integer> differenceCounts = new TreeMap<>();
+    private int unchangedCount;
     private int shownCount;
 
     /**
-     * A replay.
+     * Creates a replay.
      *
-     * @param table        the rows to decide by; without it those that were recorded
-     * @param maxShown     how many changed placements are printed
-     * @param maxReportAge the age in microseconds beyond which a worker's report counts for nothing
+     * @param table        the rows to use for the decisions; if empty, the recorded rows are used
+     * @param maxShown     the maximum number of changed placements to print
+     * @param maxReportAge the age in microseconds beyond which a worker's report is ignored
      */
     PlacementReplay(
             final Optional<TableFile> table, final int maxShown, final long maxReportAge, final PrintStream out) {
@@ -37,7 +37,7 @@
         this.out = out;
     }
 
-    /** Decides all placements again, and prints the changed ones and the counts. */
+    /** Repeats all decisions, and prints the changed ones (at most {@code maxShown}) and the counts. */
     void run(final Recording recording) {
         for (final DispatchEffect.PlacementDecided placement : recording.placements()) {
             replay(
@@ -45,8 +45,8 @@
                     recording.endStates().getOrDefault(placement.context().requestId(), "open"));
         }
         final int total = recording.placements().size();
-        out.println(total + " picks, " + sameCount + " the same, " + (total - sameCount) + " changed");
-        counts.forEach((what, count) -> out.println("  " + what + ": " + count));
+        out.println(total + " picks, " + unchangedCount + " the same, " + (total - unchangedCount) + " changed");
+        differenceCounts.forEach((difference, count) -> out.println("  " + difference + ": " + count));
     }
 
     private void replay(final DispatchEffect.PlacementDecided placement, final String endState) {
@@ -55,7 +55,7 @@
         final Optional<Value.Row> row =
                 table.map(file -> file.row(recorded.tenant().name(), kind)).orElse(Optional.of(recorded.row()));
         if (row.isEmpty()) {
-            counts.merge("kind " + kind + " is not in the table", 1, Integer::sum);
+            differenceCounts.merge("kind " + kind + " is not in the table", 1, Integer::sum);
             return;
         }
         final WeightedScorers.Decision decision = scorers.select(
@@ -64,12 +64,12 @@
                 ? selected.candidate().worker().id()
                 : "";
         if (chosen.equals(placement.worker())) {
-            sameCount++;
+            unchangedCount++;
             return;
         }
-        counts.merge(kind + " changed", 1, Integer::sum);
+        differenceCounts.merge(kind + " changed", 1, Integer::sum);
         if (shownCount++ < maxShown) {
-            show(placement, decision, chosen, endState);
+            printChange(placement, decision, chosen, endState);
         }
     }
 
@@ -84,14 +84,14 @@
                 context.evacuatingZones());
     }
 
-    private void show(
+    private void printChange(
             final DispatchEffect.PlacementDecided placement,
             final WeightedScorers.Decision decision,
             final String chosen,
             final String endState) {
         final PlacementContext context = placement.context();
         out.println("ticket " + context.requestId() + " " + context.tenant().name() + " "
-                + context.row().kind() + ": " + name(placement.worker()) + " -> " + name(chosen) + " (page "
+                + context.row().kind() + ": " + nameOrNone(placement.worker()) + " -> " + nameOrNone(chosen) + " (page "
                 + placement.revision() + ", stamp " + placement.timestamp() + ", it ended " + endState + ")");
         final Map<String, String> lines = new LinkedHashMap<>();
         decision.scores().stream()
@@ -109,7 +109,7 @@
                 };
     }
 
-    private static String name(final String worker) {
+    private static String nameOrNone(final String worker) {
         return worker.isEmpty() ? "none" : worker;
     }
 }
--- a/server/src/main/java/silverlatch/server/replay/Recorder.java
+++ b/server/src/main/java/silverlatch/server/replay/Recorder.java
@@ -14,48 +14,48 @@
 import silverlatch.util.Threads;
 
 /**
- * Writes a gateway's recording on a thread of its own, into a few files of bounded size, of which the oldest is replaced first. When
- * the disk fails the recording ends and the gateway goes on.
+ * Writes a gateway's recording to a directory on a dedicated thread. The recording is kept in up to four files of bounded size; the oldest
+ * one is replaced first. If a write fails, the recording stops and the gateway continues to serve.
  */
 public final class Recorder {
     private static final long MAX_FILE_BYTES = 16L << 20;
     private static final int MAX_FILES = 4;
     private static final int QUEUE_CAPACITY = 8_192;
     private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
-    private final Path folder;
+    private final Path directory;
     private final AtomicLong droppedLines = new AtomicLong();
 
-    /** A recorder into a folder, which is made where there is none. */
-    public Recorder(final String folder) {
-        this.folder = Path.of(folder);
+    /** Creates a recorder that writes to a directory, which is created if it doesn't exist. */
+    public Recorder(final String directory) {
+        this.directory = Path.of(directory);
     }
 
-    /** Starts the thread. */
+    /** Starts the thread that writes the files. */
     public void start() {
         Threads.startDaemon("recorder", this::run);
     }
 
-    /** Queues a line, or drops and counts it where the queue is full. Callable from any thread; doesn't block. */
+    /** Queues a line to be written; drops and counts it if the queue is full. Thread-safe; never blocks. */
     public void write(final String line) {
         if (!queue.offer(line)) {
             droppedLines.incrementAndGet();
         }
     }
 
-    /** How many lines were dropped. */
+    /** Returns how many lines were dropped because the queue was full. */
     public long droppedLines() {
         return droppedLines.get();
     }
 
     private void run() {
         try {
-            Files.createDirectories(folder);
+            Files.createDirectories(directory);
             while (true) {
                 rotateFiles();
                 writeFile();
             }
         } catch (final IOException failure) {
-            EventLog.write(Event.RECORD_BROKEN, folder + " " + failure.getMessage());
+            EventLog.write(Event.RECORD_BROKEN, directory + " " + failure.getMessage());
         } catch (final InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
@@ -86,6 +86,6 @@
     }
 
     private Path file(final int number) {
-        return folder.resolve("day-" + number + ".jsonl");
+        return directory.resolve("day-" + number + ".jsonl");
     }
 }
--- a/server/src/main/java/silverlatch/server/replay/Recording.java
+++ b/server/src/main/java/silverlatch/server/replay/Recording.java
@@ -5,10 +5,10 @@
 import silverlatch.dispatch.DispatchEffect;
 
 /**
- * What a gateway recorded.
+ * A gateway's recorded placements and request outcomes.
  *
- * @param placements in the order in which they were decided
- * @param endStates  how requests ended, by their id
+ * @param placements the placements in the order of their decisions
+ * @param endStates  the final states of requests by request id
  */
 record Recording(List<DispatchEffect.PlacementDecided> placements, Map<String, String> endStates) {
     /** Copies the collections. */
--- a/server/src/main/java/silverlatch/server/replay/RecordingFormat.java
+++ b/server/src/main/java/silverlatch/server/replay/RecordingFormat.java
@@ -5,8 +5,8 @@
 import silverlatch.json.JsonDocument;
 
 /**
- * The lines of a recording: a header, and then a JSON object a line for each placement ({@code pick}) and each end of a request
- * ({@code end}). Prompts are not recorded. {@link RecordingReader} reads them back.
+ * The format of recordings: a header line, followed by one JSON object on a line for each placement ({@code pick}) and for each completed
+ * request ({@code end}). Prompts are not recorded. {@link RecordingReader} reads the format.
  */
 public final class RecordingFormat {
     /** The first line of every recording. */
@@ -17,12 +17,12 @@
 
     private RecordingFormat() {}
 
-    /** A placement as a line. */
+    /** Returns the line that records a placement. */
     public static String write(final DispatchEffect.PlacementDecided placement) {
         return JsonDocument.write(Map.of(PLACEMENT, PlacementJson.write(placement)));
     }
 
-    /** The end of a request as a line. */
+    /** Returns the line that records the end of a request. */
     public static String write(final DispatchEffect.RequestEnded ended) {
         return JsonDocument.write(
                 Map.of(END, Map.of("ticket", ended.requestId(), "state", ended.state(), "why", ended.reason())));
--- a/server/src/main/java/silverlatch/server/replay/RecordingReader.java
+++ b/server/src/main/java/silverlatch/server/replay/RecordingReader.java
@@ -11,11 +11,11 @@
 import silverlatch.dispatch.DispatchEffect;
 import silverlatch.json.JsonDocument;
 
-/** Reads recordings whole, and lists what is wrong with them by file and line. */
+/** Reads recordings, and collects their faults with file and line. */
 final class RecordingReader {
     private static final int MAX_LINE_BYTES = 4 << 20;
 
-    /** After so many faults the rest of a file isn't read. */
+    /** The number of faults after which no further lines are read. */
     private static final int MAX_FAULTS = 50;
 
     private static final int MAX_REQUEST_ID_LENGTH = 256;
@@ -27,21 +27,21 @@
 
     private RecordingReader() {}
 
-    /** What reading came to. */
+    /** The result of reading recordings. */
     sealed interface ReadResult {
-        /** All files, one after another. */
+        /** The contents of all files in their order. */
         record Valid(Recording recording) implements ReadResult {}
 
-        /** Every fault with its file and line. */
+        /** All faults that were found, with file and line. */
         record Invalid(List<String> faults) implements ReadResult {
-            /** Copies the faults. */
+            /** Copies the list of faults. */
             public Invalid {
                 faults = List.copyOf(faults);
             }
         }
     }
 
-    /** Reads files, the oldest first. */
+    /** Reads files, which are given in order from the oldest to the newest. */
     static ReadResult read(final List<Path> files) {
         final RecordingReader reader = new RecordingReader();
         files.forEach(reader::readFile);
--- a/server/src/main/java/silverlatch/server/replay/TableFile.java
+++ b/server/src/main/java/silverlatch/server/replay/TableFile.java
@@ -12,7 +12,7 @@
 import silverlatch.state.TableRules;
 import silverlatch.state.Value;
 
-/** The rows of a table file, by tenant and kind. */
+/** The rows of a table file by tenant and kind of request. */
 final class TableFile {
     private static final int MAX_FILE_BYTES = 64 << 20;
     private static final int MAX_ROWS = 20_000;
@@ -23,7 +23,7 @@
         this.rows = Map.copyOf(rows);
     }
 
-    /** Reads a file as the API gives a table; what is wrong with it is added to the faults. */
+    /** Reads a file in the format in which the API returns a table. Faults of the file are added to {@code faults}. */
     static TableFile read(final Path file, final List<String> faults) {
         final Map<String, Value.Row> rows = new HashMap<>();
         try {
@@ -37,7 +37,7 @@
         return new TableFile(rows);
     }
 
-    /** The row of a tenant and kind, or the kind's row for all tenants. */
+    /** Returns the row of a tenant and kind or, if there is none, the kind's row for all tenants. */
     Optional<Value.Row> row(final String tenant, final String kind) {
         return Optional.ofNullable(rows.get(key(tenant, kind)))
                 .or(() -> Optional.ofNullable(rows.get(key(ANY_TENANT, kind))));
--- a/server/src/main/java/silverlatch/server/replay/package-info.java
+++ b/server/src/main/java/silverlatch/server/replay/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Recordings of a gateway's placements, and the program replay, which decides them again under the same table or another one.
+ * Recordings of a gateway's placement decisions, and the program replay, which repeats the decisions with the same table or another one.
  */
 package silverlatch.server.replay;
--- a/server/src/main/java/silverlatch/server/tool/ApiClient.java
+++ b/server/src/main/java/silverlatch/server/tool/ApiClient.java
@@ -14,7 +14,7 @@
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.client.Request;
 
-/** Sends requests to the first of several endpoints that can be reached. For one thread. */
+/** Sends requests to the first of several endpoints that can be reached. Not thread-safe. */
 final class ApiClient implements AutoCloseable {
     private static final int MAX_REPLY_BYTES = 64 << 20;
     private static final long CONNECT_TIMEOUT_MS = 1_000;
@@ -24,41 +24,41 @@
     private Optional<HttpClient> openClient = Optional.empty();
 
     /**
-     * Where requests go and what they bear.
+     * The endpoints and the headers of all requests.
      *
-     * @param endpoints        addresses IP:PORT, tried one after another
-     * @param operatorKey      the bearer token
-     * @param commandId        the value of X-Change, by which a write's outcome can be asked for later
-     * @param expectedRevision the value of If-Match for requests that bear none of their own
+     * @param endpoints        the addresses (IP:PORT), tried in this order
+     * @param operatorKey      the bearer token of the operator
+     * @param commandId        the value of X-Change, by which the outcome of a write can be queried later
+     * @param expectedRevision the value of If-Match for requests without an expected revision of their own
      */
     record Options(List<String> endpoints, String operatorKey, String commandId, String expectedRevision) {
-        /** Copies the endpoints. */
+        /** Copies the list of endpoints. */
         Options {
             endpoints = List.copyOf(endpoints);
         }
     }
 
-    /** What came of a request. */
+    /** The result of a request. */
     sealed interface Result {
         /** An endpoint replied with this HTTP status and body. */
         record Replied(int status, String text) implements Result {}
 
-        /** No endpoint took the request. */
+        /** No endpoint received the request, or none replied to a read. */
         record NotReached(String reason) implements Result {}
 
-        /** The connection broke or the time ran out after a write may have been taken. */
+        /** The connection failed or the request timed out after the endpoint may have received a write. */
         record OutcomeUnknown(String reason) implements Result {}
     }
 
-    /** A client that reports a failure to close on {@code err}. */
+    /** Creates a client that prints a failure to close to {@code err}. */
     ApiClient(final Options options, final PrintStream err) {
         this.options = options;
         this.err = err;
     }
 
     /**
-     * Sends a request to the endpoints in turn until one replies. A write goes on to the next endpoint only where the
-     * connection to the one before was refused.
+     * Sends a request to one endpoint after another until one replies. A write is sent to the next endpoint only if the connection to
+     * the previous one failed to open, since otherwise the previous one may have received it.
      */
     Result send(final ApiRequest request) {
         try {
--- a/server/src/main/java/silverlatch/server/tool/ApiRequest.java
+++ b/server/src/main/java/silverlatch/server/tool/ApiRequest.java
@@ -8,8 +8,9 @@
 /**
  * A request to the HTTP API of a controller or gateway.
  *
- * @param body             JSON in UTF-8, or empty for none
- * @param expectedRevision the value of If-Match where the command's words name one, else that of the flag holds
+ * @param body             the JSON body in UTF-8, if any
+ * @param expectedRevision the value of If-Match if the command's arguments contain one; else the client sends the value of the
+ *                         flag {@code --match}
  */
 record ApiRequest(String method, String path, Optional<byte[]> body, Optional<String> expectedRevision) {
     private static final String READ_METHOD = "GET";
@@ -34,12 +35,12 @@
         return new ApiRequest("PATCH", path, Optional.of(encode(json)), Optional.empty());
     }
 
-    /** The same request, sent with this revision as If-Match. */
+    /** Returns a copy of the request that is sent with this revision as If-Match. */
     ApiRequest withExpectedRevision(final String revision) {
         return new ApiRequest(method, path, body, Optional.of(revision));
     }
 
-    /** Whether the request changes nothing, so that it may be sent to several endpoints. */
+    /** Returns whether the request only reads, so that it may safely be sent to several endpoints. */
     boolean isRead() {
         return method.equals(READ_METHOD);
     }
--- a/server/src/main/java/silverlatch/server/tool/CommandParser.java
+++ b/server/src/main/java/silverlatch/server/tool/CommandParser.java
@@ -8,23 +8,23 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Reads the words of a command line into a command. */
+/** Parses the words of a command line into a command. */
 final class CommandParser {
     private static final String TABLE = "/v1/table";
     private static final String TENANTS = "/v1/tenants/";
 
-    // The former paths: controllers of the version before know no others.
+    // The deprecated paths, since controllers of the previous version don't serve the current ones.
     private static final String CONFIGURATION = "/v1/charter";
     private static final String ROUTES = "/v1/rules";
     private static final String SCHEDULES = "/v1/calendars";
     private static final String DEFAULT_CLAIM_STATE = "running";
 
-    /** Words that name a command only together with the next one. */
+    /** The words that name a command only together with the next word. */
     private static final Set<String> GROUPS =
             Set.of("table", "tenant", "configuration", "schedule", "charter", "calendar");
 
-    /** Present names of commands by their former ones, which are accepted for one version. */
-    private static final Map<String, String> PRESENT_NAMES = Map.of(
+    /** The current names of commands by their deprecated names, which are accepted for one version. */
+    private static final Map<String, String> CURRENT_NAMES = Map.of(
             "charter get", "configuration get",
             "charter put", "configuration put",
             "charter rules", "configuration routes",
@@ -44,9 +44,9 @@
     }
 
     /**
-     * The command that the words name, or empty where they name none.
+     * Returns the command that the words describe, or empty if the command or its arguments are not valid.
      *
-     * @throws IOException if a file that the words name can't be read
+     * @throws IOException if a file that is given as an argument can't be read
      */
     static Optional<ToolCommand> parse(final List<String> words) throws IOException {
         if (words.isEmpty()) {
@@ -54,25 +54,25 @@
         }
         final int nameLength = GROUPS.contains(words.get(0)) ? Math.min(2, words.size()) : 1;
         final String name = String.join(" ", words.subList(0, nameLength));
-        final String presentName = PRESENT_NAMES.getOrDefault(name, name);
-        return new CommandParser(presentName, words.subList(nameLength, words.size())).parse();
+        final String currentName = CURRENT_NAMES.getOrDefault(name, name);
+        return new CommandParser(currentName, words.subList(nameLength, words.size())).parse();
     }
 
-    /** By the command's present name and how many arguments it has. */
+    /** Selects the command by its current name and its number of arguments. */
     private Optional<ToolCommand> parse() throws IOException {
         return switch (name + "/" + arguments.size()) {
             case "table get/0" -> request(ApiRequest.get(TABLE));
             case "table put/1" -> request(ApiRequest.put(TABLE, file(0)));
             case "table diff/1" -> Optional.of(new TableDiffCommand(file(0)));
-            case "table set/4" -> request(ApiRequest.patch(TABLE, cell()));
+            case "table set/4" -> request(ApiRequest.patch(TABLE, cellUpdate()));
             case "tenant list/0" -> request(ApiRequest.get("/v1/tenants"));
             case "tenant delete/1" -> request(ApiRequest.delete(TENANTS + arguments.get(0)));
             case "configuration get/0" -> Optional.of(new RequestCommand(ApiRequest.get(CONFIGURATION), true));
             case "configuration routes/0" -> request(ApiRequest.get(ROUTES));
             case "configuration put/1" -> request(ApiRequest.put(CONFIGURATION, file(0)));
-            case "configuration put/2" -> putConfigurationAfter(arguments.get(1));
-            case "evacuate/1" -> evacuate(true);
-            case "restore/1" -> evacuate(false);
+            case "configuration put/2" -> putConfigurationExpecting(arguments.get(1));
+            case "evacuate/1" -> setEvacuation(true);
+            case "restore/1" -> setEvacuation(false);
             case "zones/0" -> request(ApiRequest.get("/v1/zones"));
             case "schedule list/0" -> request(ApiRequest.get(SCHEDULES));
             case "schedule put/2" -> request(ApiRequest.put(schedulePath(), file(1)));
@@ -105,17 +105,17 @@
                         arguments.subList(3, arguments.size()))));
     }
 
-    private Optional<ToolCommand> putConfigurationAfter(final String number) throws IOException {
-        return number.matches("\\d{1,18}")
-                ? request(ApiRequest.put(CONFIGURATION, file(0)).withExpectedRevision(number))
+    private Optional<ToolCommand> putConfigurationExpecting(final String revision) throws IOException {
+        return revision.matches("\\d{1,18}")
+                ? request(ApiRequest.put(CONFIGURATION, file(0)).withExpectedRevision(revision))
                 : Optional.empty();
     }
 
-    private Optional<ToolCommand> evacuate(final boolean isEvacuated) {
+    private Optional<ToolCommand> setEvacuation(final boolean isEvacuated) {
         return request(ApiRequest.put("/v1/zones/" + arguments.get(0), Map.of("empty", isEvacuated)));
     }
 
-    private Map<String, Object> cell() {
+    private Map<String, Object> cellUpdate() {
         return Map.of(
                 "cells",
                 List.of(Map.of(
--- a/server/src/main/java/silverlatch/server/tool/Console.java
+++ b/server/src/main/java/silverlatch/server/tool/Console.java
@@ -3,14 +3,14 @@
 import java.io.PrintStream;
 
 /**
- * Where a command prints.
+ * The output streams of a command.
  *
- * @param out      results
- * @param err      what went wrong
- * @param verbatim whether replies are printed as they came
+ * @param out      receives results
+ * @param err      receives errors
+ * @param verbatim whether the JSON of replies is printed unchanged
  */
 record Console(PrintStream out, PrintStream err, boolean verbatim) {
-    /** Prints an error of the program. */
+    /** Prints an error, prefixed with the program's name. */
     void error(final String message) {
         err.println("silverlatch: " + message);
     }
--- a/server/src/main/java/silverlatch/server/tool/DocumentFetch.java
+++ b/server/src/main/java/silverlatch/server/tool/DocumentFetch.java
@@ -3,15 +3,15 @@
 import java.nio.charset.StandardCharsets;
 import silverlatch.json.JsonDocument;
 
-/** What came of fetching a document that a command evaluates itself. */
+/** The result of fetching a JSON document that a command processes instead of printing it as it is. */
 sealed interface DocumentFetch {
-    /** The document. */
+    /** The document was fetched. */
     record Fetched(JsonDocument document) implements DocumentFetch {}
 
-    /** There is none; why is printed already. */
+    /** The document could not be fetched. The reason has been printed already. */
     record Failed(ExitCode code) implements DocumentFetch {}
 
-    /** Fetches the document at a path of the API. */
+    /** Fetches the document at a path of the API, and prints the error if that fails. */
     static DocumentFetch fetch(final String path, final ApiClient client, final Console console) {
         return switch (client.send(ApiRequest.get(path))) {
             case ApiClient.Result.Replied replied -> evaluate(replied, console);
--- a/server/src/main/java/silverlatch/server/tool/ExitCode.java
+++ b/server/src/main/java/silverlatch/server/tool/ExitCode.java
@@ -1,6 +1,6 @@
 package silverlatch.server.tool;
 
-/** How a run of the operators' command ended. */
+/** The exit codes of the operators' command line tool. */
 enum ExitCode {
     /** The request was carried out. */
     DONE(0),
@@ -19,7 +19,7 @@
         this.value = value;
     }
 
-    /** The number that the process ends with. */
+    /** Returns the number with which the process exits. */
     int value() {
         return value;
     }
--- a/server/src/main/java/silverlatch/server/tool/Main.java
+++ b/server/src/main/java/silverlatch/server/tool/Main.java
@@ -12,7 +12,7 @@
 import org.kohsuke.args4j.Option;
 import silverlatch.server.settings.ProgramOptions;
 
-/** The operators' command: reads its command line and runs one command. Exit codes: {@link ExitCode}. */
+/** The operators' command line tool: parses its command line and runs one command. Exit codes: {@link ExitCode}. */
 public final class Main extends ProgramOptions {
     private static final String KEY_VARIABLE = "SILVERLATCH_KEY";
     private static final String USAGE = """
@@ -64,22 +64,26 @@
 
     private final UnaryOperator<String> environment;
 
-    /** A command line whose environment variables are looked up by their names; null where there is none. */
+    /**
+     * Creates the tool.
+     *
+     * @param environment returns the value of an environment variable by its name, or null if it isn't set
+     */
     Main(final UnaryOperator<String> environment) {
         super("silverlatch", USAGE);
         this.environment = environment;
     }
 
-    /** Runs one command. */
+    /** Runs one command and exits. */
     public static void main(final String[] args) {
         System.exit(new Main(System::getenv).run(args, System.out, System.err));
     }
 
-    /** Runs one command; gives the exit code. */
+    /** Runs one command and returns the exit code. */
     int run(final String[] args, final PrintStream out, final PrintStream err) {
-        final OptionalInt ended = parse(args, out, err);
-        if (ended.isPresent()) {
-            return ended.getAsInt();
+        final OptionalInt exitCode = parse(args, out, err);
+        if (exitCode.isPresent()) {
+            return exitCode.getAsInt();
         }
         final Console console = new Console(out, err, verbatim);
         try {
@@ -95,7 +99,10 @@
         }
     }
 
-    /** The key is no default of its option, since the help shows the defaults. */
+    /**
+     * Returns the operator's key from the flag or the environment. The environment's value isn't the default of the option, since the
+     * help prints the defaults and would expose the key.
+     */
     private String key() {
         return operatorKey.isEmpty()
                 ? Optional.ofNullable(environment.apply(KEY_VARIABLE)).orElse("")
--- a/server/src/main/java/silverlatch/server/tool/ReplyPrinter.java
+++ b/server/src/main/java/silverlatch/server/tool/ReplyPrinter.java
@@ -8,7 +8,7 @@
 import java.util.stream.Collectors;
 import silverlatch.json.JsonDocument;
 
-/** Prints a reply's JSON as lines of text: an object of a list on one line, other fields on a line each. */
+/** Prints the JSON of a reply as text: each field on a line, and each element of a list on a line of its own. */
 final class ReplyPrinter {
     /** The largest reply that is parsed, in bytes. */
     static final int MAX_DOCUMENT_BYTES = 64 << 20;
@@ -16,7 +16,7 @@
     private static final int GATEWAY_TIMEOUT = 504;
     private static final int FIRST_REDIRECTION = 300;
 
-    /** Doubles of a smaller amount that are whole are printed without a fraction. */
+    /** Whole doubles of a smaller absolute value are printed without a fraction. */
     private static final double MAX_WHOLE_DOUBLE = 1e15;
 
     private final Console console;
@@ -25,7 +25,7 @@
         this.console = console;
     }
 
-    /** The exit code that an HTTP status comes to. */
+    /** Returns the exit code for an HTTP status. */
     static ExitCode exitCode(final int status) {
         if (status < FIRST_REDIRECTION) {
             return ExitCode.DONE;
@@ -33,7 +33,11 @@
         return status == GATEWAY_TIMEOUT ? ExitCode.OUTCOME_UNKNOWN : ExitCode.REJECTED;
     }
 
-    /** Prints a reply, and gives the exit code that its status comes to. */
+    /**
+     * Prints a reply and returns the exit code for its status.
+     *
+     * @param verbatimIfDone whether a successful reply is printed unchanged even if the console isn't set to verbatim
+     */
     ExitCode print(final ApiClient.Result.Replied reply, final boolean verbatimIfDone) {
         final ExitCode code = exitCode(reply.status());
         if (console.verbatim() || verbatimIfDone && code == ExitCode.DONE) {
--- a/server/src/main/java/silverlatch/server/tool/RequestCommand.java
+++ b/server/src/main/java/silverlatch/server/tool/RequestCommand.java
@@ -1,9 +1,9 @@
 package silverlatch.server.tool;
 
 /**
- * A command that is one request, whose reply is printed.
+ * A command that sends one request and prints the reply.
  *
- * @param verbatim whether a successful reply is printed as it came, whatever the console is set to
+ * @param verbatim whether a successful reply is printed unchanged even if the console isn't set to verbatim
  */
 record RequestCommand(ApiRequest request, boolean verbatim) implements ToolCommand {
     RequestCommand(final ApiRequest request) {
--- a/server/src/main/java/silverlatch/server/tool/TableDiffCommand.java
+++ b/server/src/main/java/silverlatch/server/tool/TableDiffCommand.java
@@ -1,6 +1,6 @@
 package silverlatch.server.tool;
 
-/** Shows the cells that a file would change in the table as it is; changes nothing. */
+/** Prints the rows and cells of the current table that a file would change, without changing them. */
 final class TableDiffCommand implements ToolCommand {
     private final byte[] file;
 
--- a/server/src/main/java/silverlatch/server/tool/TableDifference.java
+++ b/server/src/main/java/silverlatch/server/tool/TableDifference.java
@@ -10,33 +10,33 @@
 import silverlatch.state.TableRules;
 import silverlatch.state.Value;
 
-/** What a file of rows would change in a table, cell by cell. */
+/** The rows and cells that differ between the current table and a file of rows. */
 sealed interface TableDifference {
-    /** The largest file, in bytes. */
+    /** The maximum size of the file, in bytes. */
     int MAX_FILE_BYTES = 64 << 20;
 
     /**
-     * The difference.
+     * The differences between the table and a valid file.
      *
-     * @param lines    one for each row that is added (+) or removed (-) and each cell that differs
-     * @param revision the sequence of the table that the file was compared with
+     * @param lines    one line for each row that is added (+) or removed (-) and for each cell that differs
+     * @param revision the table's sequence number at the time of the comparison
      */
     record Computed(List<String> lines, long revision) implements TableDifference {
-        /** Copies the lines. */
+        /** Copies the list of lines. */
         public Computed {
             lines = List.copyOf(lines);
         }
     }
 
-    /** There is none, as the file has faults. */
+    /** The file could not be compared, since it has faults. */
     record Invalid(List<String> faults) implements TableDifference {
-        /** Copies the faults. */
+        /** Copies the list of faults. */
         public Invalid {
             faults = List.copyOf(faults);
         }
     }
 
-    /** Compares the table as the API gave it with a file of rows. */
+    /** Compares the table that the API returned with a file of rows. */
     static TableDifference between(final JsonDocument current, final byte[] file) {
         if (!(JsonDocument.parse(file, MAX_FILE_BYTES) instanceof JsonDocument.ParseResult.Valid parsed)) {
             return new Invalid(List.of("$: not JSON"));
@@ -58,14 +58,14 @@
         final List<String> lines = new ArrayList<>();
         currentRows.forEach((key, row) -> {
             if (!proposedRows.containsKey(key)) {
-                lines.add("- " + name(row));
+                lines.add("- " + describe(row));
             }
         });
         proposedRows.forEach((key, row) -> {
             if (currentRows.containsKey(key)) {
                 addChangedCells(currentRows.get(key), row, lines);
             } else {
-                lines.add("+ " + name(row));
+                lines.add("+ " + describe(row));
             }
         });
         return lines;
@@ -76,12 +76,12 @@
             final String before = TableRules.cellText(current, field);
             final String after = TableRules.cellText(proposed, field);
             if (!before.equals(after)) {
-                lines.add("  " + name(proposed) + " " + field + ": " + before + " -> " + after);
+                lines.add("  " + describe(proposed) + " " + field + ": " + before + " -> " + after);
             }
         }
     }
 
-    private static String name(final Value.Row row) {
+    private static String describe(final Value.Row row) {
         return row.tenant() + " " + row.kind();
     }
 
--- a/server/src/main/java/silverlatch/server/tool/ToolCommand.java
+++ b/server/src/main/java/silverlatch/server/tool/ToolCommand.java
@@ -1,7 +1,7 @@
 package silverlatch.server.tool;
 
-/** One command of the operators' tool, ready to run. */
+/** A command of the operators' tool, with its arguments. */
 interface ToolCommand {
-    /** Sends what the command has to send, and prints what came of it. */
+    /** Sends the command's requests, prints the result and returns the exit code. */
     ExitCode run(ApiClient client, Console console);
 }
