--- a/server/src/main/java/silverlatch/server/tool/ApiClient.java
+++ b/server/src/main/java/silverlatch/server/tool/ApiClient.java
@@ -58,7 +58,7 @@
 
     /**
      * Sends a request to one endpoint after another until one replies. A write is sent to the next endpoint only if the connection to
-     * the previous one failed to open, since otherwise the previous one may have received it.
+     * the previous one was refused, since otherwise the previous one may have received it.
      */
     Result send(final ApiRequest request) {
         try {
--- a/server/src/test/java/silverlatch/server/metrics/MetricsPageTest.java
+++ b/server/src/test/java/silverlatch/server/metrics/MetricsPageTest.java
@@ -6,9 +6,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Guards against metrics that appear in the wrong order or format, or without their deprecated name after they were renamed. */
 final class MetricsPageTest {
     @Test
-    void metricsAreLinesInTheOrderOfTheirNames() {
+    void metricsArePrintedOnALineEachSortedByName() {
         final MetricsPage page = new MetricsPage();
         page.put("wire_dropped", 3);
         page.put("wire_bad", 2);
@@ -16,7 +17,7 @@
     }
 
     @Test
-    void aRenamedMetricHasTheSameValueUnderItsFormerName() {
+    void renamedMetricsHaveTheSameValueUnderTheirDeprecatedName() {
         final MetricsPage page = new MetricsPage();
         page.put("clock_waits", "tide_waits", 7);
         page.putAll("node_", "deck_", Map.of("frames", 5L));
--- a/server/src/test/java/silverlatch/server/replay/RecordingReaderTest.java
+++ b/server/src/test/java/silverlatch/server/replay/RecordingReaderTest.java
@@ -19,9 +19,12 @@
 import silverlatch.state.TableRules;
 import silverlatch.state.Value;
 
+/**
+ * Guards against recordings that lose data when they are written and read, and against faults that are reported without their location.
+ */
 final class RecordingReaderTest {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private static DispatchEffect.PlacementDecided placement() {
         final Worker worker = new Worker("w-1", "", "syros", "south", 0, 0, 2, 1, 4, List.of(5L), false, 9_000_000L);
@@ -42,11 +45,11 @@
     }
 
     private Path write(final String... lines) throws IOException {
-        return Files.write(folder.resolve("day-0.jsonl"), List.of(lines));
+        return Files.write(directory.resolve("day-0.jsonl"), List.of(lines));
     }
 
     @Test
-    void aWrittenRecordingIsReadBack() throws IOException {
+    void readingAWrittenRecordingReturnsTheSamePlacementsAndEndStates() throws IOException {
         final Path file = write(
                 RecordingFormat.HEADER,
                 RecordingFormat.write(placement()),
@@ -58,7 +61,7 @@
     }
 
     @Test
-    void faultsAreNamedWithFileAndLine() throws IOException {
+    void faultsAreReportedWithFileAndLine() throws IOException {
         final Path file =
                 write(RecordingFormat.HEADER, "{odd", "{\"end\":{\"ticket\":\"r\",\"state\":\"done\",\"x\":1}}");
         final RecordingReader.ReadResult result = RecordingReader.read(List.of(file));
--- a/server/src/test/java/silverlatch/server/settings/SettingsTest.java
+++ b/server/src/test/java/silverlatch/server/settings/SettingsTest.java
@@ -14,56 +14,62 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/**
+ * Guards against invalid settings that are accepted, faults that are reported one at a time, valid settings that are rejected, and wrong
+ * defaults.
+ */
 final class SettingsTest {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     @Test
-    void allFaultsAreListedAtOnce() throws IOException {
-        final Path file = folder.resolve("s.json");
+    void allFaultsAreReportedTogether() throws IOException {
+        final Path file = directory.resolve("s.json");
         Files.writeString(
                 file,
                 "{\"name\":\"a b\",\"zone\":\"z\",\"region\":\"r\",\"address\":\"host:70000\",\"door\":\"10.0.0.1:80\","
                         + "\"seeds\":[\"10.0.0.1:1\",\"10.0.0.1:1\",\"10.0.0.1:2\"],\"key\":\"short\",\"operator\":\"long-enough\",\"low\":99,\"colour\":1}");
-        final Settings.ReadResult.Invalid bad =
+        final Settings.ReadResult.Invalid invalid =
                 (Settings.ReadResult.Invalid) Settings.read(Optional.of(file.toString()), Map.of(), true);
         assertThat(
-                bad.faults().stream().map(f -> f.substring(0, f.indexOf(':'))).toList(),
+                invalid.faults().stream()
+                        .map(fault -> fault.substring(0, fault.indexOf(':')))
+                        .toList(),
                 containsInAnyOrder("$.low", "$.colour", "$.worker", "worker", "name", "address", "seeds", "key"));
     }
 
     @Test
-    void bothExamplesAreValidAndFlagsOverrideTheFile() {
+    void exampleSettingsAreValidAndFlagsOverrideTheFile() {
         for (final String name : List.of("ferry", "telecom")) {
             assertThat(
                     Settings.read(Optional.of("../examples/" + name + "/settings.json"), Map.of(), true),
                     instanceOf(Settings.ReadResult.Valid.class));
         }
-        final Settings.ReadResult.Valid good = (Settings.ReadResult.Valid)
+        final Settings.ReadResult.Valid valid = (Settings.ReadResult.Valid)
                 Settings.read(Optional.of("../examples/ferry/settings.json"), Map.of("name", "other"), true);
-        assertThat(good.settings().name(), is("other"));
-        assertThat(good.settings().mayBootstrap(), is(true));
-        assertThat(good.settings().minInSyncReplicas(), is(2));
-        assertThat(good.settings().voterCount(), is(3));
+        assertThat(valid.settings().name(), is("other"));
+        assertThat(valid.settings().mayBootstrap(), is(true));
+        assertThat(valid.settings().minInSyncReplicas(), is(2));
+        assertThat(valid.settings().voterCount(), is(3));
     }
 
     @Test
-    void aFleetOfFewerOrMoreMachinesIsValid() {
-        final Settings.ReadResult.Valid good = (Settings.ReadResult.Valid) Settings.read(
+    void clusterSizeIsConfigurableAndMoreInSyncReplicasThanVotersAreAFault() {
+        final Settings.ReadResult.Valid valid = (Settings.ReadResult.Valid) Settings.read(
                 Optional.of("../examples/ferry/settings.json"),
                 Map.of("name", "one", "seeds", List.of("10.0.0.1:7000"), "found", false, "copies", 3, "voters", 6),
                 true);
-        assertThat(good.settings().seeds().size(), is(1));
-        assertThat(good.settings().mayBootstrap(), is(false));
-        assertThat(good.settings().minInSyncReplicas(), is(3));
-        assertThat(good.settings().voterCount(), is(6));
-        final Settings.ReadResult.Invalid bad = (Settings.ReadResult.Invalid)
+        assertThat(valid.settings().seeds().size(), is(1));
+        assertThat(valid.settings().mayBootstrap(), is(false));
+        assertThat(valid.settings().minInSyncReplicas(), is(3));
+        assertThat(valid.settings().voterCount(), is(6));
+        final Settings.ReadResult.Invalid invalid = (Settings.ReadResult.Invalid)
                 Settings.read(Optional.of("../examples/ferry/settings.json"), Map.of("name", "one", "copies", 4), true);
-        assertThat(bad.faults(), is(List.of("copies: more than the voters, of whom there are 3")));
+        assertThat(invalid.faults(), is(List.of("copies: more than the voters, of whom there are 3")));
     }
 
     @Test
-    void intervalsSuitALargeFleetWhereWorkersAnnounceToControllersAndFaultyOnesAreNamed() {
+    void defaultIntervalsDependOnTheAnnounceSettingAndInvalidIntervalsAreReported() {
         final Optional<String> ferry = Optional.of("../examples/ferry/settings.json");
         assertThat(
                 ((Settings.ReadResult.Valid) Settings.read(ferry, Map.of(), false))
@@ -75,7 +81,7 @@
                         .settings()
                         .intervals(),
                 is(Intervals.LARGE_FLEET));
-        final Settings.ReadResult.Invalid bad = (Settings.ReadResult.Invalid) Settings.read(
+        final Settings.ReadResult.Invalid invalid = (Settings.ReadResult.Invalid) Settings.read(
                 ferry,
                 Map.of(
                         "announce",
@@ -94,12 +100,16 @@
                         1),
                 false);
         assertThat(
-                bad.faults().stream().map(f -> f.substring(0, f.indexOf(':'))).toList(),
+                invalid.faults().stream()
+                        .map(fault -> fault.substring(0, fault.indexOf(':')))
+                        .toList(),
                 containsInAnyOrder("$.deck", "miss", "silent"));
-        final Settings.ReadResult.Invalid way =
+        final Settings.ReadResult.Invalid unknownTarget =
                 (Settings.ReadResult.Invalid) Settings.read(ferry, Map.of("announce", "nowhere"), false);
         assertThat(
-                way.faults().stream().map(f -> f.substring(0, f.indexOf(':'))).toList(),
+                unknownTarget.faults().stream()
+                        .map(fault -> fault.substring(0, fault.indexOf(':')))
+                        .toList(),
                 containsInAnyOrder("announce"));
     }
 }
--- a/server/src/test/java/silverlatch/server/tool/CommandParserTest.java
+++ b/server/src/test/java/silverlatch/server/tool/CommandParserTest.java
@@ -15,16 +15,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/**
+ * Guards against commands of the operators' tool that send the wrong request: a wrong path, body or expected revision, a deprecated
+ * command name that no longer works, or a request for a command line that is not valid.
+ */
 final class CommandParserTest {
     @TempDir
-    private Path folder;
+    private Path directory;
 
-    private static ApiRequest request(final String... words) throws IOException {
+    private static ApiRequest parseRequest(final String... words) throws IOException {
         return ((RequestCommand) CommandParser.parse(List.of(words)).orElseThrow()).request();
     }
 
     private static String line(final String... words) throws IOException {
-        final ApiRequest request = request(words);
+        final ApiRequest request = parseRequest(words);
         return request.method() + " " + request.path()
                 + request.body()
                         .map(json -> " " + new String(json, StandardCharsets.UTF_8))
@@ -33,11 +37,11 @@
     }
 
     private String file() throws IOException {
-        return Files.writeString(folder.resolve("file.json"), "{\"a\":1}").toString();
+        return Files.writeString(directory.resolve("file.json"), "{\"a\":1}").toString();
     }
 
     @Test
-    void readsAreRequestsWithoutABody() throws IOException {
+    void readCommandsSendARequestWithoutABody() throws IOException {
         assertThat(line("table", "get"), is("GET /v1/table"));
         assertThat(line("tenant", "list"), is("GET /v1/tenants"));
         assertThat(line("charter", "get"), is("GET /v1/charter"));
@@ -50,7 +54,7 @@
     }
 
     @Test
-    void writesBearTheFileOrTheArguments() throws IOException {
+    void writeCommandsSendTheFileOrTheArgumentsAsBody() throws IOException {
         assertThat(line("table", "put", file()), is("PUT /v1/table {\"a\":1}"));
         assertThat(line("charter", "put", file()), is("PUT /v1/charter {\"a\":1}"));
         assertThat(line("charter", "put", file(), "7"), is("PUT /v1/charter {\"a\":1} at 7"));
@@ -73,7 +77,7 @@
     }
 
     @Test
-    void aConfigurationIsPrintedAsItWasPut() throws IOException {
+    void configurationIsPrintedVerbatim() throws IOException {
         final ToolCommand get = CommandParser.parse(List.of("charter", "get")).orElseThrow();
         assertThat(((RequestCommand) get).verbatim(), is(true));
         final ToolCommand table = CommandParser.parse(List.of("table", "get")).orElseThrow();
@@ -81,7 +85,7 @@
     }
 
     @Test
-    void aFormerNameAndThePresentOneGiveTheSameRequest() throws IOException {
+    void deprecatedAndCurrentCommandNamesSendTheSameRequest() throws IOException {
         for (final List<String> names : List.of(
                 List.of("charter get", "configuration get"),
                 List.of("charter rules", "configuration routes"),
@@ -93,13 +97,15 @@
                 List.of("tenant drop ferry", "tenant delete ferry"),
                 List.of("drain syros", "evacuate syros"),
                 List.of("undrain syros", "restore syros"))) {
-            final String[] former = names.get(0).replace("FILE", file()).split(" ");
-            final String[] present = names.get(1).replace("FILE", file()).split(" ");
-            assertThat(names.get(1), line(present), is(line(former)));
+            final String[] deprecated = names.get(0).replace("FILE", file()).split(" ");
+            final String[] current = names.get(1).replace("FILE", file()).split(" ");
+            assertThat(names.get(1), line(current), is(line(deprecated)));
             assertThat(
                     names.get(1),
-                    ((RequestCommand) CommandParser.parse(List.of(present)).orElseThrow()).verbatim(),
-                    is(((RequestCommand) CommandParser.parse(List.of(former)).orElseThrow()).verbatim()));
+                    ((RequestCommand) CommandParser.parse(List.of(current)).orElseThrow()).verbatim(),
+                    is(((RequestCommand)
+                                    CommandParser.parse(List.of(deprecated)).orElseThrow())
+                            .verbatim()));
         }
         assertThat(line("configuration", "get"), is("GET /v1/charter"));
         assertThat(line("schedule", "delete", "night"), is("DELETE /v1/calendars/night"));
@@ -107,7 +113,7 @@
     }
 
     @Test
-    void runningClaimsAreListedWhereNoStateIsNamed() throws IOException {
+    void claimsCommandDefaultsToRunningClaimsAndTableDiffReadsTheFile() throws IOException {
         assertThat(CommandParser.parse(List.of("claims")), is(Optional.of(new ClaimsCommand("running"))));
         assertThat(CommandParser.parse(List.of("claims", "lost")), is(Optional.of(new ClaimsCommand("lost"))));
         assertThat(
@@ -116,7 +122,7 @@
     }
 
     @Test
-    void wordsThatNameNoCommandGiveNone() throws IOException {
+    void unknownCommandsAndWrongArgumentsAreNotParsed() throws IOException {
         for (final String words : List.of(
                 "table",
                 "table get now",
@@ -149,10 +155,10 @@
     }
 
     @Test
-    void aFileThatIsMissingIsAnError() {
+    void missingFileThrowsNoSuchFileException() {
         Assertions.assertThrows(
                 NoSuchFileException.class,
                 () -> CommandParser.parse(
-                        List.of("table", "put", folder.resolve("none").toString())));
+                        List.of("table", "put", directory.resolve("none").toString())));
     }
 }
--- a/server/src/test/java/silverlatch/server/tool/MainTest.java
+++ b/server/src/test/java/silverlatch/server/tool/MainTest.java
@@ -10,10 +10,10 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The help of the operators' command tells its options, and no secret. */
+/** Guards against a help text that exposes the operator's key, for example as the default value of its option. */
 final class MainTest {
     @Test
-    void theHelpDoesNotShowTheKeyOfTheEnvironment() {
+    void helpListsTheKeyOptionWithoutTheKeyFromTheEnvironment() {
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         final PrintStream out = new PrintStream(bytes, true, StandardCharsets.UTF_8);
         final int code = new Main(name -> name + "-secret").run(new String[] {"--help"}, out, out);
--- a/server/src/test/java/silverlatch/server/tool/ReplyPrinterTest.java
+++ b/server/src/test/java/silverlatch/server/tool/ReplyPrinterTest.java
@@ -8,6 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
+/** Guards against replies that are printed to the wrong stream or in the wrong form, and against wrong exit codes. */
 final class ReplyPrinterTest {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -25,7 +26,7 @@
     }
 
     @Test
-    void fieldsArePrintedOnALineEachAndObjectsOfAListOnOneLine() {
+    void eachFieldAndEachObjectOfAListIsPrintedOnItsOwnLine() {
         final ExitCode code = print(
                 false,
                 false,
@@ -37,21 +38,21 @@
     }
 
     @Test
-    void aRejectionIsPrintedAsAnErrorWithItsFaults() {
+    void rejectionIsPrintedAsErrorWithItsFaults() {
         assertThat(print(false, true, 409, "{\"outcome\":\"rejected\",\"faults\":[\"at 7\"]}"), is(ExitCode.REJECTED));
         assertThat(lines(out), is(""));
         assertThat(lines(err), is("silverlatch: rejected (409)\n  outcome: rejected\n  faults:\n    at 7\n"));
     }
 
     @Test
-    void anOutcomeThatIsNotKnownHasAnExitCodeOfItsOwn() {
+    void unknownOutcomeHasItsOwnExitCode() {
         assertThat(print(false, false, 504, "{\"outcome\":\"unknown\"}"), is(ExitCode.OUTCOME_UNKNOWN));
         assertThat(print(false, false, 502, "no JSON"), is(ExitCode.REJECTED));
         assertThat(lines(err), is("silverlatch: unknown (504)\n  outcome: unknown\nsilverlatch: 502 no JSON\n"));
     }
 
     @Test
-    void verbatimRepliesGoToTheOutputWhateverTheirStatus() {
+    void verbatimRepliesArePrintedToStandardOutputWithAnyStatus() {
         assertThat(print(true, false, 409, "{ \"a\" : 1 }"), is(ExitCode.REJECTED));
         assertThat(print(false, true, 200, "{ \"b\" : 1 }"), is(ExitCode.DONE));
         assertThat(lines(out), is("{ \"a\" : 1 }\n{ \"b\" : 1 }\n"));
--- a/server/src/test/java/silverlatch/server/tool/TableDifferenceTest.java
+++ b/server/src/test/java/silverlatch/server/tool/TableDifferenceTest.java
@@ -8,6 +8,10 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.json.JsonDocument;
 
+/**
+ * Guards against a table diff that misses a change or reports one that doesn't exist, and against invalid files that are compared
+ * instead of rejected.
+ */
 final class TableDifferenceTest {
     private static final String CURRENT =
             "{\"sequence\":9,\"rows\":[{\"tenant\":\"*\",\"kind\":\"fare\",\"running\":2},{\"tenant\":\"*\",\"kind\":\"old\"}]}";
@@ -20,7 +24,7 @@
     }
 
     @Test
-    void rowsThatComeOrGoAndCellsThatDifferAreALineEach() {
+    void addedAndRemovedRowsAndChangedCellsAreListedOnALineEach() {
         assertThat(
                 between(
                         "{\"rows\":[{\"tenant\":\"*\",\"kind\":\"fare\",\"running\":3},{\"tenant\":\"ferry\",\"kind\":\"new\"}]}"),
@@ -28,12 +32,12 @@
     }
 
     @Test
-    void theSameTableDiffersInNothing() {
+    void identicalTablesHaveNoDifferences() {
         assertThat(between(CURRENT), is(new TableDifference.Computed(List.of(), 9)));
     }
 
     @Test
-    void aRowThatStandsTwiceAndAnUnknownKeyAreFaults() {
+    void duplicateRowsUnknownKeysAndInvalidJsonAreFaults() {
         final String row = "{\"tenant\":\"*\",\"kind\":\"fare\"}";
         assertThat(
                 between("{\"rows\":[" + row + "," + row + "],\"colour\":1}"),
