--- a/server/src/main/java/silverlatch/server/process/DaemonProcess.java
+++ b/server/src/main/java/silverlatch/server/process/DaemonProcess.java
@@ -19,7 +19,10 @@
         void stop();
     }
 
-    /** Creates and starts a daemon, and blocks until the process is terminated. If the daemon can't start, halts the process with exit code 3. */
+    /**
+     * Creates and starts a daemon, and blocks until the process is terminated. If the daemon can't start, halts the process with exit
+     * code 3.
+     */
     public static void run(final String program, final Callable<? extends Daemon> factory) {
         try {
             final Daemon daemon = factory.call();
--- a/server/src/main/java/silverlatch/server/replay/Recorder.java
+++ b/server/src/main/java/silverlatch/server/replay/Recorder.java
@@ -14,8 +14,8 @@
 import silverlatch.util.Threads;
 
 /**
- * Writes a gateway's recording to a directory on a dedicated thread. The recording is kept in up to four files of bounded size; the oldest
- * one is replaced first. If a write fails, the recording stops and the gateway continues to serve.
+ * Writes a gateway's recording to a directory on a dedicated thread. The recording is kept in up to four files of bounded size, of
+ * which the oldest is replaced first. If a write fails, the recording stops and the gateway continues to serve.
  */
 public final class Recorder {
     private static final long MAX_FILE_BYTES = 16L << 20;
--- a/server/src/main/java/silverlatch/server/settings/Settings.java
+++ b/server/src/main/java/silverlatch/server/settings/Settings.java
@@ -17,13 +17,13 @@
  * @param peerAddress       IP:PORT at which it listens for frames of other processes
  * @param httpAddress       IP:PORT at which it serves its HTTP API
  * @param seeds             one to three addresses of controllers
- * @param dataDirectory        where a controller keeps its log, and a gateway the state that it restores at start; a controller without
+ * @param dataDirectory     where a controller keeps its log, and a gateway the state that it restores at start; a controller without
  *                          a data directory runs no replica
- * @param recordDirectory      where a gateway records its placements
+ * @param recordDirectory   where a gateway records its placements
  * @param clusterKey        the key that signs permits and salts the hashes of tenants' keys
  * @param operatorKey       the bearer token of operators
  * @param workerKey         the bearer token of workers
- * @param stampLowBits      how many low bits of a stamp (a timestamp) count events; the others hold the clock's time
+ * @param stampLowBits      how many low bits of a stamp (a timestamp) count the events within one physical time
  * @param maxClockSkew      the largest assumed difference between the clocks of two processes
  * @param shutdownGrace     the longest time that a graceful shutdown may take
  * @param dispatch          the limits of a gateway's dispatcher
--- a/server/src/test/java/silverlatch/server/settings/SettingsTest.java
+++ b/server/src/test/java/silverlatch/server/settings/SettingsTest.java
@@ -29,12 +29,10 @@
                 file,
                 "{\"name\":\"a b\",\"zone\":\"z\",\"region\":\"r\",\"address\":\"host:70000\",\"door\":\"10.0.0.1:80\","
                         + "\"seeds\":[\"10.0.0.1:1\",\"10.0.0.1:1\",\"10.0.0.1:2\"],\"key\":\"short\",\"operator\":\"long-enough\",\"low\":99,\"colour\":1}");
-        final Settings.ReadResult.Invalid invalid =
+        final Settings.ReadResult.Invalid bad =
                 (Settings.ReadResult.Invalid) Settings.read(Optional.of(file.toString()), Map.of(), true);
         assertThat(
-                invalid.faults().stream()
-                        .map(fault -> fault.substring(0, fault.indexOf(':')))
-                        .toList(),
+                bad.faults().stream().map(f -> f.substring(0, f.indexOf(':'))).toList(),
                 containsInAnyOrder("$.low", "$.colour", "$.worker", "worker", "name", "address", "seeds", "key"));
     }
 
@@ -63,9 +61,9 @@
         assertThat(valid.settings().mayBootstrap(), is(false));
         assertThat(valid.settings().minInSyncReplicas(), is(3));
         assertThat(valid.settings().voterCount(), is(6));
-        final Settings.ReadResult.Invalid invalid = (Settings.ReadResult.Invalid)
+        final Settings.ReadResult.Invalid bad = (Settings.ReadResult.Invalid)
                 Settings.read(Optional.of("../examples/ferry/settings.json"), Map.of("name", "one", "copies", 4), true);
-        assertThat(invalid.faults(), is(List.of("copies: more than the voters, of whom there are 3")));
+        assertThat(bad.faults(), is(List.of("copies: more than the voters, of whom there are 3")));
     }
 
     @Test
@@ -81,7 +79,7 @@
                         .settings()
                         .intervals(),
                 is(Intervals.LARGE_FLEET));
-        final Settings.ReadResult.Invalid invalid = (Settings.ReadResult.Invalid) Settings.read(
+        final Settings.ReadResult.Invalid bad = (Settings.ReadResult.Invalid) Settings.read(
                 ferry,
                 Map.of(
                         "announce",
@@ -100,16 +98,12 @@
                         1),
                 false);
         assertThat(
-                invalid.faults().stream()
-                        .map(fault -> fault.substring(0, fault.indexOf(':')))
-                        .toList(),
+                bad.faults().stream().map(f -> f.substring(0, f.indexOf(':'))).toList(),
                 containsInAnyOrder("$.deck", "miss", "silent"));
-        final Settings.ReadResult.Invalid unknownTarget =
+        final Settings.ReadResult.Invalid mode =
                 (Settings.ReadResult.Invalid) Settings.read(ferry, Map.of("announce", "nowhere"), false);
         assertThat(
-                unknownTarget.faults().stream()
-                        .map(fault -> fault.substring(0, fault.indexOf(':')))
-                        .toList(),
+                mode.faults().stream().map(f -> f.substring(0, f.indexOf(':'))).toList(),
                 containsInAnyOrder("announce"));
     }
 }
