--- a/server/src/main/java/silverlatch/server/settings/CommandLineFlags.java
+++ b/server/src/main/java/silverlatch/server/settings/CommandLineFlags.java
@@ -10,7 +10,7 @@
 import silverlatch.node.Event;
 import silverlatch.server.eventloop.EventLog;
 
-/** The flags of the programs gateway and controller, most of which override a key of the settings file. */
+/** The command line flags of the gateway and controller programs. Most of them override a key of the settings file. */
 public final class CommandLineFlags extends ProgramOptions {
     @Option(name = "--settings", metaVar = "FILE", usage = "the settings file (JSON); flags override it")
     private String settings = "";
@@ -45,13 +45,13 @@
     @Option(name = "--check", usage = "check the settings and end")
     private boolean check;
 
-    /** What the command line came to. */
-    public sealed interface Parsed {
-        /** Run with these settings. */
-        record Run(Settings settings) implements Parsed {}
+    /** The result of parsing the command line. */
+    public sealed interface ParseResult {
+        /** The program runs with these settings. */
+        record Run(Settings settings) implements ParseResult {}
 
-        /** End with this exit code; what is to be said is printed. */
-        record Exit(int code) implements Parsed {}
+        /** The program ends with this exit code. All messages have been printed already. */
+        record Exit(int code) implements ParseResult {}
     }
 
     private CommandLineFlags(final String program) {
@@ -59,41 +59,41 @@
     }
 
     /**
-     * Reads a program's command line and the settings that it names, and prints what is wrong with them.
+     * Parses a program's command line, reads the settings file that it names, and prints every fault that it finds.
      *
-     * @param isController whether the settings are those of a controller, else of a gateway
+     * @param isController true for the settings of a controller, false for those of a gateway
      */
-    public static Parsed parse(
+    public static ParseResult parse(
             final String program,
             final String[] args,
             final boolean isController,
             final PrintStream out,
             final PrintStream err) {
         final CommandLineFlags flags = new CommandLineFlags(program);
-        final OptionalInt ended = flags.parse(args, out, err);
-        if (ended.isEmpty()) {
+        final OptionalInt exitCode = flags.parse(args, out, err);
+        if (exitCode.isEmpty()) {
             return flags.readSettings(isController, out, err);
         }
-        if (ended.getAsInt() == WRONG_USE) {
+        if (exitCode.getAsInt() == WRONG_USE) {
             err.println("try " + program + " --help");
         }
-        return new Parsed.Exit(ended.getAsInt());
+        return new ParseResult.Exit(exitCode.getAsInt());
     }
 
-    private Parsed readSettings(final boolean isController, final PrintStream out, final PrintStream err) {
+    private ParseResult readSettings(final boolean isController, final PrintStream out, final PrintStream err) {
         final Optional<String> file = Optional.of(settings).filter(path -> !path.isEmpty());
         return switch (Settings.read(file, overrides(), isController)) {
             case Settings.ReadResult.Invalid invalid -> {
                 EventLog.write(Event.SETTINGS, invalid.faults().size() + " faults");
                 invalid.faults().forEach(fault -> err.println(program() + ": " + fault));
-                yield new Parsed.Exit(WRONG_USE);
+                yield new ParseResult.Exit(WRONG_USE);
             }
             case Settings.ReadResult.Valid valid -> {
                 if (check) {
                     out.println(program() + ": the settings are sound");
-                    yield new Parsed.Exit(0);
+                    yield new ParseResult.Exit(0);
                 }
-                yield new Parsed.Run(valid.settings());
+                yield new ParseResult.Run(valid.settings());
             }
         };
     }
