--- a/simulation/src/main/java/silverlatch/simulation/explore/BreadthFirstSearch.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/BreadthFirstSearch.java
@@ -48,7 +48,7 @@
 
     private boolean expand(final List<Node> level, final Queue<Node> next, final SearchLimits limits) {
         final AtomicInteger place = new AtomicInteger();
-        Workers.run(limits.threads(), () -> {
+        ParallelRunner.run(limits.threads(), () -> {
             int mine = place.getAndIncrement();
             while (mine < level.size() && !full(limits)) {
                 expand(level.get(mine), next);
@@ -59,26 +59,26 @@
     }
 
     private boolean full(final SearchLimits limits) {
-        return limits.isReached() || counters.states() >= limits.states();
+        return limits.isReached() || counters.states() >= limits.maxStates();
     }
 
     private void expand(final Node node, final Queue<Node> next) {
         final List<Action> path = path(node);
-        for (final Action action : moves.from(replay(path), path)) {
+        for (final Action action : moves.possibleActions(replay(path), path)) {
             final World world = replay(path);
             world.apply(action);
             world.checkHistory();
             final int steps = path.size() + 1;
             if (world.violation().isPresent()) {
-                final List<Action> all = new ArrayList<>(moves.start());
+                final List<Action> all = new ArrayList<>(moves.initialActions());
                 all.addAll(path);
                 all.add(action);
                 findings.add(new Finding(world.violation().get(), new Schedule(options, all)));
             } else if (visited.add(StateDigest.of(world))) {
-                counters.state(steps);
+                counters.recordNewState(steps);
                 next.add(new Node(Optional.of(node), action));
             } else {
-                counters.seenAgain(steps);
+                counters.recordKnownState(steps);
             }
         }
     }
@@ -95,7 +95,7 @@
 
     private World replay(final List<Action> path) {
         final World world = new World(options);
-        moves.start().forEach(world::apply);
+        moves.initialActions().forEach(world::apply);
         path.forEach(world::apply);
         return world;
     }
--- a/simulation/src/main/java/silverlatch/simulation/explore/Counters.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Counters.java
@@ -11,7 +11,7 @@
     private final LongAdder answered = new LongAdder();
 
     /** Counts a walk of so many steps, and its operations. */
-    void walk(final long taken, final World world) {
+    void recordWalk(final long taken, final World world) {
         walks.increment();
         steps.add(taken);
         operations.add(world.history().operations().size());
@@ -21,13 +21,13 @@
     }
 
     /** Counts a state that was not seen before, and the steps of its replay. */
-    void state(final long taken) {
+    void recordNewState(final long taken) {
         states.increment();
         steps.add(taken);
     }
 
     /** Counts the steps of a replay to a state seen before. */
-    void seenAgain(final long taken) {
+    void recordKnownState(final long taken) {
         steps.add(taken);
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/explore/DiskContent.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/DiskContent.java
@@ -31,15 +31,15 @@
     }
 
     /** Whether the change of a sequence is there with these entries among its own, or within the snapshot. */
-    boolean holds(final long sequence, final List<Entry> entries) {
+    boolean contains(final long sequence, final List<Entry> entries) {
         return sequence <= base
-                ? entries.stream().allMatch(this::inSnapshot)
+                ? entries.stream().allMatch(this::isInSnapshot)
                 : Optional.ofNullable(changes.get(sequence))
                         .map(puts -> puts.containsAll(entries))
                         .orElse(false);
     }
 
-    private boolean inSnapshot(final Entry entry) {
+    private boolean isInSnapshot(final Entry entry) {
         return Optional.ofNullable(snapshot.get(entry.key()))
                 .map(held -> held.sequence() >= entry.sequence())
                 .orElse(false);
--- a/simulation/src/main/java/silverlatch/simulation/explore/Documents.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Documents.java
@@ -10,7 +10,7 @@
 /** The configurations that operators put, as small as they can be, and how they are read back. */
 final class Documents {
     /** How the keys of evacuations begin. */
-    static final String ZONES = "z/";
+    static final String EVACUATION_PREFIX = "z/";
 
     private static final String POOL = "pool";
 
@@ -44,18 +44,18 @@
     }
 
     /** What a read of the configuration or of the zone tells. */
-    static String value(final Action.Kind kind, final Collection<Entry> entries) {
+    static String readValue(final Action.Kind kind, final Collection<Entry> entries) {
         String value = kind == Action.Kind.READ ? "" : "false";
         for (final Entry entry : entries) {
             if (!entry.isDeleted()) {
-                value = text(entry);
+                value = entryValue(entry);
             }
         }
         return value;
     }
 
     /** The text of a document, or whether a zone is evacuated. */
-    static String text(final Entry entry) {
+    static String entryValue(final Entry entry) {
         return entry.value().get(0) instanceof Value.ConfigurationDocument document
                 ? document.text()
                 : Boolean.toString(entry.value().get(0) instanceof Value.Evacuation evacuation && evacuation.active());
@@ -67,8 +67,8 @@
     }
 
     /** Whether an entry is what a property looks at: the document or an evacuation. */
-    static boolean watched(final Entry entry) {
+    static boolean isMonitored(final Entry entry) {
         return entry.key().equals(ConfigurationValidator.DOCUMENT_KEY)
-                || entry.key().startsWith(ZONES);
+                || entry.key().startsWith(EVACUATION_PREFIX);
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/explore/History.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/History.java
@@ -16,14 +16,16 @@
     }
 
     /** Notes an answer. One that tells that the outcome is unknown leaves the operation without an end. */
-    void answered(final long token, final Object reply, final long step) {
+    void recordResponse(final long token, final Object reply, final long step) {
         final Operation operation = operation(token);
         switch (reply) {
             case CommandResult.Applied applied -> end(token, new Operation.Outcome.Acknowledged(step));
             case CommandResult.Rejected rejected -> end(token, new Operation.Outcome.Refused(step, rejected.code()));
             case ChainClient.ReadResult page -> {
                 if (page.answered()) {
-                    end(token, new Operation.Outcome.Value(step, Documents.value(operation.kind(), page.entries())));
+                    end(
+                            token,
+                            new Operation.Outcome.Value(step, Documents.readValue(operation.kind(), page.entries())));
                 }
             }
             default -> {}
@@ -31,7 +33,7 @@
     }
 
     private void end(final long token, final Operation.Outcome outcome) {
-        operations.set((int) token, operation(token).ended(outcome));
+        operations.set((int) token, operation(token).withOutcome(outcome));
     }
 
     Operation operation(final long token) {
@@ -50,14 +52,14 @@
     }
 
     /** The operations on the configuration. */
-    List<Operation> configuration() {
+    List<Operation> configurationOperations() {
         return operations.stream()
                 .filter(operation -> operation.kind() == Action.Kind.PUT || operation.kind() == Action.Kind.READ)
                 .toList();
     }
 
     /** The operations on the zone. */
-    List<Operation> zone() {
+    List<Operation> zoneOperations() {
         return operations.stream()
                 .filter(operation -> operation.kind() != Action.Kind.PUT && operation.kind() != Action.Kind.READ)
                 .toList();
--- a/simulation/src/main/java/silverlatch/simulation/explore/LinearizabilityChecker.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/LinearizabilityChecker.java
@@ -10,10 +10,10 @@
  * search of Wing and Gong, with Lowe's memory of what was tried). Operations whose end is unknown may be left out.
  */
 final class LinearizabilityChecker {
-    private static final int LONGEST = 62;
+    private static final int MAX_OPERATIONS = 62;
     private final SequentialRegister register;
     private final List<Operation> operations;
-    private final long needed;
+    private final long completed;
     private final Set<Tried> tried = new HashSet<>();
 
     private record Tried(long done, String state) {}
@@ -25,22 +25,22 @@
         for (int i = 0; i < operations.size(); i++) {
             bits |= operations.get(i).outcome().isPresent() ? 1L << i : 0;
         }
-        this.needed = bits;
+        this.completed = bits;
     }
 
     /** Whether the history of at most 62 operations is linearizable; reads whose end is unknown tell nothing. */
-    static boolean linearizable(final SequentialRegister register, final List<Operation> history) {
+    static boolean isLinearizable(final SequentialRegister register, final List<Operation> history) {
         final List<Operation> telling = history.stream()
-                .filter(operation -> operation.outcome().isPresent() || !operation.reads())
+                .filter(operation -> operation.outcome().isPresent() || !operation.isRead())
                 .toList();
-        if (telling.size() > LONGEST) {
+        if (telling.size() > MAX_OPERATIONS) {
             throw new IllegalArgumentException("a history of " + telling.size() + " operations is too long");
         }
-        return new LinearizabilityChecker(register, telling).search(0, register.initial());
+        return new LinearizabilityChecker(register, telling).search(0, register.initialState());
     }
 
     private boolean search(final long done, final String state) {
-        if ((done & needed) == needed) {
+        if ((done & completed) == completed) {
             return true;
         }
         if (!tried.add(new Tried(done, state))) {
--- a/simulation/src/main/java/silverlatch/simulation/explore/LongHashSet.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/LongHashSet.java
@@ -5,7 +5,7 @@
 /** A set of longs for several threads: open addressing in shards, each with its own lock. */
 final class LongHashSet {
     private static final int SHARDS = 64;
-    private static final int FIRST = 1 << 10;
+    private static final int INITIAL_CAPACITY = 1 << 10;
     private final Shard[] shards = new Shard[SHARDS];
 
     LongHashSet() {
@@ -19,7 +19,7 @@
 
     /** One table; 0 marks a free place. */
     private static final class Shard {
-        private long[] table = new long[FIRST];
+        private long[] table = new long[INITIAL_CAPACITY];
         private int count;
 
         synchronized boolean add(final long value) {
--- a/simulation/src/main/java/silverlatch/simulation/explore/Machine.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Machine.java
@@ -16,11 +16,11 @@
     private final int index;
     private final int drift;
     private final List<LogRecord> disk = new ArrayList<>();
-    private final Deque<Effect.Persist> pending = new ArrayDeque<>();
+    private final Deque<Effect.Persist> pendingWrites = new ArrayDeque<>();
     private Optional<Process> process = Optional.empty();
     private int generation;
-    private boolean frozen;
-    private boolean replaced;
+    private boolean isFrozen;
+    private boolean awaitsRepair;
 
     /** A machine whose clock runs fast by some percent, or slow. */
     Machine(final int index, final int drift) {
@@ -63,39 +63,39 @@
         return process;
     }
 
-    void start(final Process started) {
+    void setProcess(final Process started) {
         process = Optional.of(started);
     }
 
-    boolean frozen() {
-        return frozen;
+    boolean isFrozen() {
+        return isFrozen;
     }
 
-    void freeze(final boolean on) {
-        frozen = on;
+    void setFrozen(final boolean on) {
+        isFrozen = on;
     }
 
     /** Whether it runs and handles events. */
     boolean isRunning() {
-        return process.isPresent() && !frozen;
+        return process.isPresent() && !isFrozen;
     }
 
     /** Whether its disk was lost and it hasn't caught up since. */
-    boolean replaced() {
-        return replaced;
+    boolean awaitsRepair() {
+        return awaitsRepair;
     }
 
     /** It has caught up with the others. */
-    void caughtUp() {
-        replaced = false;
+    void markRepaired() {
+        awaitsRepair = false;
     }
 
     List<LogRecord> disk() {
         return disk;
     }
 
-    Deque<Effect.Persist> pending() {
-        return pending;
+    Deque<Effect.Persist> pendingWrites() {
+        return pendingWrites;
     }
 
     /** Puts records on the disk; a snapshot replaces what is there. */
@@ -110,12 +110,12 @@
 
     /** The process ends; the first unsynced writes are on the disk all the same, the others are lost. */
     void crash(final int kept) {
-        for (int i = 0; i < kept && !pending.isEmpty(); i++) {
-            write(pending.poll().records());
+        for (int i = 0; i < kept && !pendingWrites.isEmpty(); i++) {
+            write(pendingWrites.poll().records());
         }
-        pending.clear();
+        pendingWrites.clear();
         process = Optional.empty();
-        frozen = false;
+        isFrozen = false;
     }
 
     /** The process ends, and the disk is lost with the identity on it. */
@@ -123,6 +123,6 @@
         crash(0);
         disk.clear();
         generation++;
-        replaced = true;
+        awaitsRepair = true;
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/explore/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Main.java
@@ -30,7 +30,7 @@
     }
 
     /** Runs the program without ending the process; the exit code. */
-    static int code(final String... args) throws IOException {
+    static int exitCode(final String... args) throws IOException {
         return new Main().run(args);
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/explore/Moves.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Moves.java
@@ -7,17 +7,17 @@
  * The actions that a breadth-first search takes from a state: single deliveries and syncs, time, periods in which all goes
  * well, and a bounded count of faults and of operations.
  *
- * @param faults     how many faults a path may have
- * @param operations how many operations a path may have
+ * @param maxFaults     how many faults a path may have
+ * @param maxOperations how many operations a path may have
  */
-record Moves(int faults, int operations) {
+record Moves(int maxFaults, int maxOperations) {
     private static final int TICK = 300;
     private static final int SETTLE = 20;
     private static final int BOTH = 3;
     private static final int ALL_WRITES = 9;
 
     /** What every path begins with: leases are granted, and a first configuration is acknowledged. */
-    List<Action> start() {
+    List<Action> initialActions() {
         return List.of(
                 Action.period(SETTLE),
                 new Action(Action.Kind.PUT, 0, 1, 0),
@@ -26,12 +26,12 @@
     }
 
     /** The actions that can be taken after a path that led to a world. */
-    List<Action> from(final World world, final List<Action> path) {
+    List<Action> possibleActions(final World world, final List<Action> path) {
         final List<Action> moves = new ArrayList<>();
         moves.add(Action.period(TICK));
         moves.add(Action.tick(TICK));
         moves.add(Action.of(Action.Kind.ROUND));
-        final boolean mayFail = path.stream().filter(Moves::fault).count() < faults;
+        final boolean mayFail = path.stream().filter(Moves::isFault).count() < maxFaults;
         channels(world, moves, mayFail);
         for (final Machine machine : world.machines()) {
             machine(world, machine, moves, mayFail);
@@ -39,20 +39,20 @@
         if (world.network().anyCut()) {
             moves.add(Action.of(Action.Kind.HEAL));
         }
-        if (path.stream().filter(Moves::operation).count() < operations) {
-            operations(world, moves);
+        if (path.stream().filter(Moves::isOperation).count() < maxOperations) {
+            maxOperations(world, moves);
         }
         return moves;
     }
 
-    private static boolean fault(final Action action) {
+    private static boolean isFault(final Action action) {
         return switch (action.kind()) {
             case DROP, DUPLICATE, CRASH, LOSE_DISK, FREEZE, ISOLATE -> true;
             default -> false;
         };
     }
 
-    private static boolean operation(final Action action) {
+    private static boolean isOperation(final Action action) {
         return switch (action.kind()) {
             case PUT, RESEND, READ, EVACUATE, TAKE_BACK, READ_ZONE -> true;
             default -> false;
@@ -90,26 +90,26 @@
             moves.add(Action.of(Action.Kind.RESTART, index));
             return;
         }
-        if (machine.frozen()) {
+        if (machine.isFrozen()) {
             moves.add(Action.of(Action.Kind.THAW, index));
-        } else if (!machine.pending().isEmpty()) {
+        } else if (!machine.pendingWrites().isEmpty()) {
             moves.add(Action.of(Action.Kind.SYNC, index));
         }
         if (mayFail) {
-            faults(world, machine, moves);
+            maxFaults(world, machine, moves);
         }
     }
 
-    private static void faults(final World world, final Machine machine, final List<Action> moves) {
+    private static void maxFaults(final World world, final Machine machine, final List<Action> moves) {
         final int index = machine.index();
         moves.add(Action.of(Action.Kind.CRASH, index));
-        if (!machine.pending().isEmpty()) {
+        if (!machine.pendingWrites().isEmpty()) {
             moves.add(Action.of(Action.Kind.CRASH, index, ALL_WRITES));
         }
         if (world.mayLoseDisk()) {
             moves.add(Action.of(Action.Kind.LOSE_DISK, index));
         }
-        if (!machine.frozen()) {
+        if (!machine.isFrozen()) {
             moves.add(Action.of(Action.Kind.FREEZE, index));
         }
         for (int directions = 1; directions <= BOTH; directions++) {
@@ -117,7 +117,7 @@
         }
     }
 
-    private static void operations(final World world, final List<Action> moves) {
+    private static void maxOperations(final World world, final List<Action> moves) {
         final int newest = world.history().puts().stream()
                 .mapToInt(Operation::number)
                 .max()
--- a/simulation/src/main/java/silverlatch/simulation/explore/Mutant.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Mutant.java
@@ -43,11 +43,11 @@
     /** A write to the log is reported as synced before it is; the harness does this, not the replica. */
     SYNC(Set.of(), Set.of(Property.DURABLE));
 
-    private final Set<Safeguard> down;
+    private final Set<Safeguard> disabledSafeguards;
     private final Set<Property> expected;
 
     Mutant(final Set<Safeguard> down, final Set<Property> expected) {
-        this.down = down;
+        this.disabledSafeguards = down;
         this.expected = expected;
     }
 
@@ -58,6 +58,6 @@
 
     /** The safeguards that stand. */
     Safeguards safeguards() {
-        return new Safeguards(down);
+        return new Safeguards(disabledSafeguards);
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/explore/MutantTable.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/MutantTable.java
@@ -36,10 +36,10 @@
         final long begin = System.nanoTime();
         final AtomicLong next = new AtomicLong(firstSeed);
         final AtomicReference<Optional<Finding>> caught = new AtomicReference<>(Optional.empty());
-        Workers.run(each.threads(), () -> {
+        ParallelRunner.run(each.threads(), () -> {
             long seed = next.getAndIncrement();
             while (seed < firstSeed + seeds && caught.get().isEmpty() && !each.isReached()) {
-                catches(mutant, seed)
+                findByWalk(mutant, seed)
                         .ifPresent(finding -> caught.compareAndSet(Optional.empty(), Optional.of(finding)));
                 seed = next.getAndIncrement();
             }
@@ -49,7 +49,7 @@
     }
 
     /** What the walk of a seed finds of a mutant, with 3 to 5 machines in turn. */
-    Optional<Finding> catches(final Mutant mutant, final long seed) {
+    Optional<Finding> findByWalk(final Mutant mutant, final long seed) {
         final int replicas = WorldOptions.MIN_REPLICAS + (int) (seed % SIZES);
         final WorldOptions options = WorldOptions.of(replicas, mutant);
         final RandomWalk walk = new RandomWalk(options, seed, steps);
@@ -57,10 +57,11 @@
                 .violation()
                 .filter(violation -> mutant.expected().contains(violation.property()))
                 .map(violation -> new Finding(violation, new Schedule(options, walk.actions())))
-                .filter(finding -> harmless(replicas, finding.schedule().actions()));
+                .filter(finding ->
+                        isCorrectWithoutMutant(replicas, finding.schedule().actions()));
     }
 
-    private static boolean harmless(final int replicas, final List<Action> actions) {
+    private static boolean isCorrectWithoutMutant(final int replicas, final List<Action> actions) {
         return new Schedule(WorldOptions.of(replicas, Mutant.NONE), actions)
                 .replay()
                 .violation()
--- a/simulation/src/main/java/silverlatch/simulation/explore/Operation.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Operation.java
@@ -32,11 +32,11 @@
     }
 
     /** Whether it reads. */
-    boolean reads() {
+    boolean isRead() {
         return kind == Action.Kind.READ || kind == Action.Kind.READ_ZONE;
     }
 
-    Operation ended(final Outcome how) {
+    Operation withOutcome(final Outcome how) {
         return new Operation(kind, number, match, start, Optional.of(how));
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/explore/Workers.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/ParallelRunner.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.Future;
 
 /** Runs the same task on several threads and waits for all. */
-final class Workers {
-    private Workers() {}
+final class ParallelRunner {
+    private ParallelRunner() {}
 
     static void run(final int threads, final Runnable task) {
         final ExecutorService pool = Executors.newFixedThreadPool(threads, runnable -> {
--- a/simulation/src/main/java/silverlatch/simulation/explore/PropertyMonitor.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/PropertyMonitor.java
@@ -24,22 +24,22 @@
     private final WorldOptions options;
     private final List<Machine> machines;
     private final History history;
-    private final Map<Long, View> views = new HashMap<>();
-    private final Map<Long, Integer> committed = new HashMap<>();
-    private final Map<Long, List<Entry>> acknowledged = new TreeMap<>();
-    private final Map<Integer, String> documents = new HashMap<>();
-    private final Set<String> refused = new HashSet<>();
-    private final Set<String> effective = new HashSet<>();
-    private final Map<Integer, Seen> lastSeen = new HashMap<>();
+    private final Map<Long, View> viewByNumber = new HashMap<>();
+    private final Map<Long, Integer> stateHashBySequence = new HashMap<>();
+    private final Map<Long, List<Entry>> acknowledgedEntries = new TreeMap<>();
+    private final Map<Integer, String> acknowledgedTexts = new HashMap<>();
+    private final Set<String> rejectedTexts = new HashSet<>();
+    private final Set<String> effectiveTexts = new HashSet<>();
+    private final Map<Integer, Observation> lastObservations = new HashMap<>();
     /** The highest sequence that a replica was seen to have applied under each view; it stays applied when that replica ends. */
     private final TreeMap<Long, Long> appliedByView = new TreeMap<>();
 
-    private final List<Acknowledgement> newest = new ArrayList<>();
-    private long newestView;
+    private final List<Acknowledgement> acknowledgements = new ArrayList<>();
+    private long newestAcknowledgingView;
     private Optional<Violation> violation = Optional.empty();
 
     /** What was looked at last on a machine, so that nothing is looked at twice. */
-    private record Seen(ChainReplica replica, View view, long sequence, boolean level) {}
+    private record Observation(ChainReplica replica, View view, long sequence, boolean level) {}
 
     /** The highest number that was acknowledged by a step. */
     private record Acknowledgement(long step, int number) {}
@@ -55,40 +55,40 @@
     }
 
     /** Notes a violation, unless one was noted before. */
-    void broken(final Property property, final String detail) {
+    void reportViolation(final Property property, final String detail) {
         violation = violation.or(() -> Optional.of(new Violation(property, detail)));
     }
 
     /** A replica may have taken another view, applied something, or caught up. */
-    void replicaChanged(final Machine machine, final long now) {
+    void onReplicaChanged(final Machine machine, final long now) {
         final ChainReplica replica = machine.process().orElseThrow().replica();
-        oneOwner(machine, now);
+        checkOneOwner(machine, now);
         final ReplicaStatus state = replica.status(machine.clock(now));
         final boolean level =
                 state.isCaughtUp() && state.view().positionOf(machine.identity().id()) >= 0;
-        final Seen next = new Seen(replica, state.view(), state.sequence(), level);
-        final Seen last = lastSeen.put(machine.index(), next);
+        final Observation next = new Observation(replica, state.view(), state.sequence(), level);
+        final Observation last = lastObservations.put(machine.index(), next);
         if (next.equals(last)) {
             return;
         }
         appliedByView.merge(state.view().number(), state.sequence(), Math::max);
-        oneView(machine, state.view());
+        checkOneView(machine, state.view());
         if (level) {
-            oneHistory(machine, replica.stateMachine());
+            checkOneHistory(machine, replica.stateMachine());
         }
-        if (level && machine.replaced()) {
-            machine.caughtUp();
+        if (level && machine.awaitsRepair()) {
+            machine.markRepaired();
             checkDurable();
         }
     }
 
-    private void oneOwner(final Machine machine, final long now) {
+    private void checkOneOwner(final Machine machine, final long now) {
         final Optional<Long> token = fencingToken(machine, now);
         if (token.isPresent()) {
             machines.stream()
                     .filter(other -> other != machine)
                     .filter(other -> fencingToken(other, now).isPresent())
-                    .forEach(other -> broken(
+                    .forEach(other -> reportViolation(
                             Property.ONE_OWNER,
                             machine.address() + " under " + token.get() + " beside " + other.address()));
         }
@@ -98,38 +98,38 @@
         return machine.process().flatMap(process -> process.replica().fencingToken(machine.clock(now)));
     }
 
-    private void oneView(final Machine machine, final View view) {
-        final View other = views.putIfAbsent(view.number(), view);
+    private void checkOneView(final Machine machine, final View view) {
+        final View other = viewByNumber.putIfAbsent(view.number(), view);
         if (view.number() > 0 && other != null && !other.equals(view)) {
-            broken(Property.ONE_VIEW, machine.address() + " holds " + view + ", another held " + other);
+            reportViolation(Property.ONE_VIEW, machine.address() + " holds " + view + ", another held " + other);
         }
     }
 
-    private void oneHistory(final Machine machine, final StateMachine state) {
-        final List<Entry> held =
-                new ArrayList<>(state.entriesWithPrefix(Documents.ZONES).values());
+    private void checkOneHistory(final Machine machine, final StateMachine state) {
+        final List<Entry> held = new ArrayList<>(
+                state.entriesWithPrefix(Documents.EVACUATION_PREFIX).values());
         state.get(ConfigurationValidator.DOCUMENT_KEY).ifPresent(held::add);
-        final Integer other = committed.putIfAbsent(state.sequence(), held.hashCode());
+        final Integer other = stateHashBySequence.putIfAbsent(state.sequence(), held.hashCode());
         if (other != null && other != held.hashCode()) {
-            broken(
+            reportViolation(
                     Property.ONE_HISTORY,
                     machine.address() + " holds " + held + " at sequence " + state.sequence()
                             + ", another held something else");
         }
         held.stream()
                 .filter(entry -> entry.key().equals(ConfigurationValidator.DOCUMENT_KEY))
-                .map(Documents::text)
-                .forEach(this::tookEffect);
+                .map(Documents::entryValue)
+                .forEach(this::recordTookEffect);
     }
 
-    private void tookEffect(final String text) {
-        if (effective.add(text) && refused.contains(text)) {
-            broken(Property.REFUSED_ORDER, "the order " + text + " took effect after it was refused");
+    private void recordTookEffect(final String text) {
+        if (effectiveTexts.add(text) && rejectedTexts.contains(text)) {
+            reportViolation(Property.REFUSED_ORDER, "the order " + text + " took effect after it was refused");
         }
     }
 
     /** A replica sends a message; the definite replies among them are looked at. */
-    void replied(final Machine machine, final Message message) {
+    void onMessageSent(final Machine machine, final Message message) {
         final boolean read = message instanceof ChainClientMessage.ReadReply reply && reply.answered();
         final boolean refusal = message instanceof ChainClientMessage.WriteReply reply
                 && reply.result() instanceof CommandResult.Rejected;
@@ -141,29 +141,30 @@
             return;
         }
         final long view = machine.process().orElseThrow().replica().view().number();
-        if (view < newestView && (read || !appliedJustNow(machine))) {
-            broken(
+        if (view < newestAcknowledgingView && (read || !appliedInNewestViewToo(machine))) {
+            reportViolation(
                     Property.VIEW_FENCED,
                     machine.address() + " answers under view " + view + " after an acknowledgement under "
-                            + newestView);
+                            + newestAcknowledgingView);
         }
         applied.ifPresent(sequence -> {
-            newestView = appliedNow(machine) ? Math.max(newestView, view) : newestView;
-            acknowledged(machine, sequence);
+            newestAcknowledgingView =
+                    appliedInThisStep(machine) ? Math.max(newestAcknowledgingView, view) : newestAcknowledgingView;
+            acknowledgedEntries(machine, sequence);
         });
     }
 
     /** Whether a replica has applied something in this step that is applied in the newest view too, and tells of that. */
-    private boolean appliedJustNow(final Machine machine) {
+    private boolean appliedInNewestViewToo(final Machine machine) {
         final long sequence =
                 machine.process().orElseThrow().replica().stateMachine().sequence();
-        final boolean elsewhere =
-                appliedByView.tailMap(newestView).values().stream().anyMatch(applied -> applied >= sequence);
-        return elsewhere && appliedNow(machine);
+        final boolean elsewhere = appliedByView.tailMap(newestAcknowledgingView).values().stream()
+                .anyMatch(applied -> applied >= sequence);
+        return elsewhere && appliedInThisStep(machine);
     }
 
-    private boolean appliedNow(final Machine machine) {
-        return Optional.ofNullable(lastSeen.get(machine.index()))
+    private boolean appliedInThisStep(final Machine machine) {
+        return Optional.ofNullable(lastObservations.get(machine.index()))
                 .map(last -> last.sequence()
                         < machine.process()
                                 .orElseThrow()
@@ -173,38 +174,38 @@
                 .orElse(false);
     }
 
-    private void acknowledged(final Machine machine, final long sequence) {
+    private void acknowledgedEntries(final Machine machine, final long sequence) {
         final List<Entry> entries = machine.disk().stream()
                 .filter(entry -> entry instanceof LogRecord.Appended appended
                         && appended.entry().sequence() == sequence)
                 .map(entry -> ((LogRecord.Appended) entry).entry().puts())
                 .findFirst()
                 .orElse(List.of());
-        acknowledged.putIfAbsent(
-                sequence, entries.stream().filter(Documents::watched).toList());
+        acknowledgedEntries.putIfAbsent(
+                sequence, entries.stream().filter(Documents::isMonitored).toList());
         checkDurable();
     }
 
     /** A disk has other synced records than before. */
-    void diskChanged() {
+    void onDiskChanged() {
         checkDurable();
     }
 
     private void checkDurable() {
-        if (acknowledged.isEmpty()) {
+        if (acknowledgedEntries.isEmpty()) {
             return;
         }
-        final long lost = machines.stream().filter(Machine::replaced).count();
+        final long lost = machines.stream().filter(Machine::awaitsRepair).count();
         final List<DiskContent> contents = machines.stream()
                 .filter(machine -> !machine.disk().isEmpty())
                 .map(machine -> DiskContent.of(machine.disk()))
                 .toList();
-        acknowledged.forEach((sequence, entries) -> {
+        acknowledgedEntries.forEach((sequence, entries) -> {
             final long holders = contents.stream()
-                    .filter(content -> content.holds(sequence, entries))
+                    .filter(content -> content.contains(sequence, entries))
                     .count();
             if (holders < options.copies() - lost) {
-                broken(
+                reportViolation(
                         Property.DURABLE,
                         "sequence " + sequence + " " + entries + " is acknowledged and on " + holders + " disks, "
                                 + lost + " lost");
@@ -213,69 +214,72 @@
     }
 
     /** An operation may have ended. */
-    void answered(final long token) {
+    void onOperationEnded(final long token) {
         final Operation operation = history.operation(token);
         operation.outcome().ifPresent(outcome -> {
             switch (outcome) {
-                case Operation.Outcome.Acknowledged done -> acknowledgedPut(operation);
-                case Operation.Outcome.Refused done -> refusedPut(operation);
-                case Operation.Outcome.Value value -> freshRead(operation, value);
+                case Operation.Outcome.Acknowledged done -> onPutAcknowledged(operation);
+                case Operation.Outcome.Refused done -> onPutRejected(operation);
+                case Operation.Outcome.Value value -> checkFreshRead(operation, value);
             }
         });
     }
 
-    private void acknowledgedPut(final Operation operation) {
+    private void onPutAcknowledged(final Operation operation) {
         if (operation.kind() != Action.Kind.PUT) {
             return;
         }
-        final String other = documents.putIfAbsent(operation.number(), operation.text());
+        final String other = acknowledgedTexts.putIfAbsent(operation.number(), operation.text());
         if (other != null && !other.equals(operation.text())) {
-            broken(Property.ONE_DOCUMENT, operation.text() + " and " + other + " are both acknowledged");
+            reportViolation(Property.ONE_DOCUMENT, operation.text() + " and " + other + " are both acknowledged");
         }
-        if (refused.contains(operation.text())) {
-            broken(Property.REFUSED_ORDER, "the order " + operation.text() + " was refused, then acknowledged");
+        if (rejectedTexts.contains(operation.text())) {
+            reportViolation(
+                    Property.REFUSED_ORDER, "the order " + operation.text() + " was refused, then acknowledged");
         }
-        effective.add(operation.text());
-        newest.add(new Acknowledgement(operation.end(), operation.number()));
+        effectiveTexts.add(operation.text());
+        acknowledgements.add(new Acknowledgement(operation.end(), operation.number()));
     }
 
-    private void refusedPut(final Operation operation) {
+    private void onPutRejected(final Operation operation) {
         if (operation.kind() != Action.Kind.PUT) {
             return;
         }
-        refused.add(operation.text());
-        if (effective.contains(operation.text())) {
-            broken(
+        rejectedTexts.add(operation.text());
+        if (effectiveTexts.contains(operation.text())) {
+            reportViolation(
                     Property.REFUSED_ORDER,
                     "the order " + operation.text() + " took effect and was refused: " + operation);
         }
     }
 
-    private void freshRead(final Operation operation, final Operation.Outcome.Value value) {
+    private void checkFreshRead(final Operation operation, final Operation.Outcome.Value value) {
         if (operation.kind() != Action.Kind.READ) {
             return;
         }
-        final int least = newest.stream()
+        final int least = acknowledgements.stream()
                 .filter(acknowledgement -> acknowledgement.step() < operation.start())
                 .mapToInt(Acknowledgement::number)
                 .max()
                 .orElse(0);
         if (Documents.number(value.value()) < least) {
-            broken(Property.FRESH_READ, operation + " is older than the acknowledged number " + least);
+            reportViolation(Property.FRESH_READ, operation + " is older than the acknowledged number " + least);
         }
     }
 
     /** Checks the histories of the configuration and of the zone. */
     void checkHistory() {
         if (violation.isEmpty()) {
-            linearizable("configuration", SequentialRegister.CONFIGURATION, history.configuration());
-            linearizable("zone", SequentialRegister.ZONE, history.zone());
+            checkLinearizable("configuration", SequentialRegister.CONFIGURATION, history.configurationOperations());
+            checkLinearizable("zone", SequentialRegister.ZONE, history.zoneOperations());
         }
     }
 
-    private void linearizable(final String what, final SequentialRegister register, final List<Operation> operations) {
-        if (!LinearizabilityChecker.linearizable(register, operations)) {
-            broken(Property.LINEARIZABLE, "the history of the " + what + " is not linearizable: " + operations);
+    private void checkLinearizable(
+            final String what, final SequentialRegister register, final List<Operation> operations) {
+        if (!LinearizabilityChecker.isLinearizable(register, operations)) {
+            reportViolation(
+                    Property.LINEARIZABLE, "the history of the " + what + " is not linearizable: " + operations);
         }
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/explore/RandomWalk.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/RandomWalk.java
@@ -12,8 +12,8 @@
  * So long delays of one channel, and hence old messages, are as likely as they are unlikely when each step is drawn alone.
  */
 final class RandomWalk {
-    private static final int LOWEST = 1_000;
-    private static final int[] SPANS = {20, 50, 100, 300};
+    private static final int LOWEST_PRIORITY = 1_000;
+    private static final int[] TICK_MILLISECONDS = {20, 50, 100, 300};
     private static final int LONG_JUMP = 700;
     private static final int NO_MATCH = -1;
     private static final int MAX_OPERATIONS = 40;
@@ -32,12 +32,12 @@
         this.plan = WalkPlan.draw(random, steps);
         this.size = options.replicas();
         this.priorities = new int[size * size + size];
-        this.span = SPANS[random.nextInt(SPANS.length)];
-        Arrays.setAll(priorities, i -> random.nextInt(LOWEST - 1));
+        this.span = TICK_MILLISECONDS[random.nextInt(TICK_MILLISECONDS.length)];
+        Arrays.setAll(priorities, i -> random.nextInt(LOWEST_PRIORITY - 1));
     }
 
     /** Walks to the end or to the first violation; every fourth step of the seed also checks that the world recovers. */
-    World run(final boolean recovers) {
+    World run(final boolean checkRecovery) {
         grantLeases();
         for (int step = 0; step < plan.steps() && world.violation().isEmpty(); step++) {
             if (plan.faultSteps().contains(step)) {
@@ -45,11 +45,11 @@
                         plan.faultKinds().get(random.nextInt(plan.faultKinds().size())));
             }
             if (plan.operationSteps().contains(step)) {
-                operation();
+                startOperation();
             }
             takeNextStep();
         }
-        if (recovers && world.violation().isEmpty()) {
+        if (checkRecovery && world.violation().isEmpty()) {
             act(Action.of(Action.Kind.RECOVER));
         }
         world.checkHistory();
@@ -71,14 +71,14 @@
 
     /** Leases are granted before anything goes wrong. */
     private void grantLeases() {
-        act(Action.tick(SPANS[0]));
+        act(Action.tick(TICK_MILLISECONDS[0]));
         for (int i = 0; i < 3; i++) {
             act(Action.of(Action.Kind.ROUND));
         }
     }
 
     private void takeNextStep() {
-        int best = LOWEST;
+        int best = LOWEST_PRIORITY;
         int chosen = -1;
         for (int i = 0; i < priorities.length; i++) {
             if (priorities[i] < best && runnable(i)) {
@@ -98,20 +98,20 @@
     private boolean runnable(final int source) {
         if (source >= size * size) {
             final Machine machine = world.machines().get(source - size * size);
-            return machine.isRunning() && !machine.pending().isEmpty();
+            return machine.isRunning() && !machine.pendingWrites().isEmpty();
         }
         return !world.network().channel(source / size, source % size).isEmpty()
-                && !world.machines().get(source % size).frozen();
+                && !world.machines().get(source % size).isFrozen();
     }
 
     private void injectFault(final WalkPlan.FaultKind kind) {
         final int machine = random.nextInt(size);
         switch (kind) {
-            case DELAY -> priorities[random.nextInt(priorities.length)] = LOWEST;
+            case DELAY -> priorities[random.nextInt(priorities.length)] = LOWEST_PRIORITY;
             case RELEASE -> release(machine);
-            case DROP -> onMessage(Action.Kind.DROP);
-            case DUPLICATE -> onMessage(Action.Kind.DUPLICATE);
-            case REORDER -> onMessage(Action.Kind.DELIVER);
+            case DROP -> actOnRandomMessage(Action.Kind.DROP);
+            case DUPLICATE -> actOnRandomMessage(Action.Kind.DUPLICATE);
+            case REORDER -> actOnRandomMessage(Action.Kind.DELIVER);
             case CRASH -> act(Action.of(Action.Kind.CRASH, machine, random.nextInt(3)));
             case CRASH_UNSYNCED -> crashUnsynced();
             case CRASH_ALL ->
@@ -130,7 +130,7 @@
 
     private void crashUnsynced() {
         final List<Machine> writing = world.machines().stream()
-                .filter(machine -> !machine.pending().isEmpty())
+                .filter(machine -> !machine.pendingWrites().isEmpty())
                 .toList();
         if (!writing.isEmpty()) {
             final int machine = writing.get(random.nextInt(writing.size())).index();
@@ -146,7 +146,7 @@
         if (random.nextInt(2) == 0) {
             act(Action.of(Action.Kind.HEAL));
             for (int i = 0; i < priorities.length; i++) {
-                priorities[i] = priorities[i] == LOWEST ? random.nextInt(LOWEST - 1) : priorities[i];
+                priorities[i] = priorities[i] == LOWEST_PRIORITY ? random.nextInt(LOWEST_PRIORITY - 1) : priorities[i];
             }
         }
         for (int i = 0; i < size; i++) {
@@ -157,7 +157,7 @@
         }
     }
 
-    private void onMessage(final Action.Kind kind) {
+    private void actOnRandomMessage(final Action.Kind kind) {
         final List<int[]> channels = new ArrayList<>();
         for (int i = 0; i < size * size; i++) {
             if (!world.network().channel(i / size, i % size).isEmpty()) {
@@ -172,14 +172,14 @@
         }
     }
 
-    private void operation() {
+    private void startOperation() {
         final int machine = random.nextInt(size);
         if (world.history().operations().size() >= MAX_OPERATIONS) {
             return;
         }
         switch (random.nextInt(10)) {
             case 0, 1, 2 -> put(machine);
-            case 3 -> race(machine);
+            case 3 -> putConcurrently(machine);
             case 4, 5, 6 -> act(Action.of(Action.Kind.READ, machine));
             case 7 -> resend(machine);
             case 8 -> act(Action.of(random.nextBoolean() ? Action.Kind.EVACUATE : Action.Kind.TAKE_BACK, machine));
@@ -199,7 +199,7 @@
     }
 
     /** Two operators put different documents under one number, each at another machine. */
-    private void race(final int machine) {
+    private void putConcurrently(final int machine) {
         final int number = Math.max(nextNumber++, newestAcknowledged() + 1);
         act(new Action(Action.Kind.PUT, machine, number, newestAcknowledged()));
         act(new Action(Action.Kind.PUT, random.nextInt(size), number, NO_MATCH));
--- a/simulation/src/main/java/silverlatch/simulation/explore/Recovery.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Recovery.java
@@ -57,7 +57,7 @@
                 return;
             }
         }
-        world.notRecovered();
+        world.reportNotRecovered();
     }
 
     private boolean isChainComplete() {
--- a/simulation/src/main/java/silverlatch/simulation/explore/Schedule.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Schedule.java
@@ -29,7 +29,7 @@
     /** The schedule as text. */
     public String text() {
         final StringBuilder text = new StringBuilder(HEADER + " " + options.replicas() + " " + options.copies() + " "
-                + options.drift() + " " + options.mutant() + "\n");
+                + options.driftPercent() + " " + options.mutant() + "\n");
         actions.forEach(action -> text.append(action).append('\n'));
         return text.toString();
     }
--- a/simulation/src/main/java/silverlatch/simulation/explore/ScheduleShrinker.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/ScheduleShrinker.java
@@ -7,12 +7,12 @@
 final class ScheduleShrinker {
     private final WorldOptions options;
     private final Property property;
-    private int left;
+    private int remainingReplays;
 
     private ScheduleShrinker(final WorldOptions options, final Property property, final int replays) {
         this.options = options;
         this.property = property;
-        this.left = replays;
+        this.remainingReplays = replays;
     }
 
     /** The shortest schedule found within a count of replays. */
@@ -23,8 +23,8 @@
     private Schedule shrink(final List<Action> all) {
         List<Action> actions = all;
         int part = Math.max(1, actions.size() / 2);
-        while (left > 0) {
-            final List<Action> shorter = pass(actions, part);
+        while (remainingReplays > 0) {
+            final List<Action> shorter = removeParts(actions, part);
             final boolean progress = shorter.size() < actions.size();
             actions = shorter;
             if (part == 1 && !progress) {
@@ -36,9 +36,9 @@
     }
 
     /** Tries to do without each part of a length, from the end. */
-    private List<Action> pass(final List<Action> all, final int part) {
+    private List<Action> removeParts(final List<Action> all, final int part) {
         List<Action> actions = all;
-        for (int from = actions.size() - part; from > -part && left > 0; from -= part) {
+        for (int from = actions.size() - part; from > -part && remainingReplays > 0; from -= part) {
             final List<Action> without = new ArrayList<>(actions);
             without.subList(Math.max(0, from), Math.min(actions.size(), from + part))
                     .clear();
@@ -50,7 +50,7 @@
     }
 
     private boolean fails(final List<Action> actions) {
-        left--;
+        remainingReplays--;
         return new Schedule(options, actions)
                 .replay()
                 .violation()
--- a/simulation/src/main/java/silverlatch/simulation/explore/SearchLimits.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/SearchLimits.java
@@ -4,10 +4,10 @@
  * When a search ends.
  *
  * @param threads  how many threads it uses
- * @param states   how many states a breadth-first search visits at most
- * @param deadline when it ends whatever is left, in nanoseconds of {@link System#nanoTime()}
+ * @param maxStates   how many states a breadth-first search visits at most
+ * @param deadlineNanos when it ends whatever is left, in nanoseconds of {@link System#nanoTime()}
  */
-record SearchLimits(int threads, long states, long deadline) {
+record SearchLimits(int threads, long maxStates, long deadlineNanos) {
     private static final long NANOSECONDS = 1_000_000_000L;
 
     /** Limits that end after so many seconds. */
@@ -17,6 +17,6 @@
 
     /** Whether the time is over. */
     boolean isReached() {
-        return System.nanoTime() - deadline >= 0;
+        return System.nanoTime() - deadlineNanos >= 0;
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/explore/SequentialRegister.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/SequentialRegister.java
@@ -7,7 +7,7 @@
 /** The sequential specification: one operation on a state, with its outcome, gives the next state or is impossible. */
 interface SequentialRegister {
     /** The state at first. */
-    String initial();
+    String initialState();
 
     /**
      * The state after the operation, if the operation may have the outcome it had; an operation whose end is unknown takes
@@ -20,14 +20,14 @@
         private static final String SEPARATOR = ";";
 
         @Override
-        public String initial() {
+        public String initialState() {
             return "";
         }
 
         @Override
         public Optional<String> apply(final String state, final Operation operation) {
             final String current = state.isEmpty() ? "" : state.substring(0, state.indexOf(SEPARATOR));
-            if (operation.reads()) {
+            if (operation.isRead()) {
                 final boolean seen = operation.outcome().orElseThrow() instanceof Operation.Outcome.Value value
                         && value.value().equals(current);
                 return seen ? Optional.of(state) : Optional.empty();
@@ -67,13 +67,13 @@
     /** The evacuation of the zone: the last order that took effect stands. */
     SequentialRegister ZONE = new SequentialRegister() {
         @Override
-        public String initial() {
+        public String initialState() {
             return "false";
         }
 
         @Override
         public Optional<String> apply(final String state, final Operation operation) {
-            if (operation.reads()) {
+            if (operation.isRead()) {
                 final boolean seen = operation.outcome().orElseThrow() instanceof Operation.Outcome.Value value
                         && value.value().equals(state);
                 return seen ? Optional.of(state) : Optional.empty();
--- a/simulation/src/main/java/silverlatch/simulation/explore/StateDigest.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/StateDigest.java
@@ -34,8 +34,8 @@
         long sum = mix(world.now());
         for (final Machine machine : world.machines()) {
             sum = mix(sum ^ digest(machine.disk()));
-            sum = mix(sum ^ digest(machine.pending()));
-            sum = mix(sum + (machine.frozen() ? 1 : 0) + (machine.replaced() ? 2 : 0));
+            sum = mix(sum ^ digest(machine.pendingWrites()));
+            sum = mix(sum + (machine.isFrozen() ? 1 : 0) + (machine.awaitsRepair() ? 2 : 0));
             sum = mix(sum ^ machine.process().map(StateDigest::digest).orElse(SEED));
         }
         for (int from = 0; from < world.machines().size(); from++) {
--- a/simulation/src/main/java/silverlatch/simulation/explore/WalkSearch.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/WalkSearch.java
@@ -20,7 +20,7 @@
     /** Walks by each seed from the first until the count is reached or the time is over. */
     void run(final long firstSeed, final long count, final SearchLimits limits) {
         final AtomicLong next = new AtomicLong(firstSeed);
-        Workers.run(limits.threads(), () -> {
+        ParallelRunner.run(limits.threads(), () -> {
             long seed = next.getAndIncrement();
             while (seed < firstSeed + count && !limits.isReached()) {
                 walk(seed);
@@ -33,7 +33,7 @@
     void walk(final long seed) {
         final RandomWalk walk = new RandomWalk(options, seed, steps);
         final World world = walk.run(seed % RECOVERY_EVERY == 0);
-        counters.walk(walk.actions().size(), world);
+        counters.recordWalk(walk.actions().size(), world);
         world.violation()
                 .ifPresent(violation -> findings.add(new Finding(violation, new Schedule(options, walk.actions()))));
     }
--- a/simulation/src/main/java/silverlatch/simulation/explore/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/World.java
@@ -38,8 +38,8 @@
     private final History history = new History();
     private final PropertyMonitor monitor;
     private long now = EPOCH;
-    private long stamp;
-    private long starts;
+    private long lastStamp;
+    private long startCount;
     private long requests;
     private long step;
 
@@ -48,7 +48,7 @@
         this.options = options;
         this.network = new Network(options.replicas());
         for (int i = 0; i < options.replicas(); i++) {
-            machines.add(new Machine(i, (i % 3 - 1) * options.drift()));
+            machines.add(new Machine(i, (i % 3 - 1) * options.driftPercent()));
             addresses.add(Machine.address(i));
         }
         this.monitor = new PropertyMonitor(options, machines, history);
@@ -81,7 +81,7 @@
 
     /** Whether another disk may be lost: fewer are lost and not repaired than there are copies to spare. */
     boolean mayLoseDisk() {
-        return machines.stream().filter(Machine::replaced).count() < options.copies() - 1;
+        return machines.stream().filter(Machine::awaitsRepair).count() < options.copies() - 1;
     }
 
     /** Checks that the history so far is linearizable. */
@@ -90,11 +90,11 @@
     }
 
     /** The machines didn't recover in time after the last fault. */
-    void notRecovered() {
+    void reportNotRecovered() {
         final List<ReplicaStatus> states = machines.stream()
                 .map(machine -> machine.process().orElseThrow().replica().status(machine.clock(now)))
                 .toList();
-        monitor.broken(Property.RECOVERS, "not within " + Recovery.BOUND_MILLISECONDS + " ms: " + states);
+        monitor.reportViolation(Property.RECOVERS, "not within " + Recovery.BOUND_MILLISECONDS + " ms: " + states);
     }
 
     /** Takes one step; whether the action was possible. */
@@ -103,7 +103,7 @@
         try {
             return dispatch(action);
         } catch (final IllegalStateException | IllegalArgumentException | IndexOutOfBoundsException failure) {
-            monitor.broken(Property.NO_EXCEPTION, failure.toString());
+            monitor.reportViolation(Property.NO_EXCEPTION, failure.toString());
             return true;
         }
     }
@@ -135,14 +135,15 @@
     }
 
     private void start(final Machine machine) {
-        starts++;
+        startCount++;
         final ReplicaSettings setup = ReplicaSettings.of(machine.identity(), addresses)
                 .withCounts(options.copies(), options.replicas())
                 .withBootstrap(false)
                 .withSafeguards(options.mutant().safeguards());
         final ChainReplica replica =
-                new ChainReplica(setup, List.copyOf(machine.disk()), () -> new Stamp(++stamp), machine.clock(now));
-        machine.start(new Machine.Process(replica, new ChainClient(machine.address(), replica::view, starts << 32)));
+                new ChainReplica(setup, List.copyOf(machine.disk()), () -> new Stamp(++lastStamp), machine.clock(now));
+        machine.setProcess(
+                new Machine.Process(replica, new ChainClient(machine.address(), replica::view, startCount << 32)));
         flush(machine);
     }
 
@@ -159,7 +160,7 @@
     private boolean deliver(final int from, final int to, final int position) {
         final List<Message> channel = network.channel(from, to);
         final Machine machine = machines.get(to);
-        if (position >= channel.size() || machine.frozen()) {
+        if (position >= channel.size() || machine.isFrozen()) {
             return false;
         }
         final Message message = channel.remove(position);
@@ -180,16 +181,16 @@
     }
 
     private boolean sync(final Machine machine) {
-        if (machine.pending().isEmpty() || !machine.isRunning()) {
+        if (machine.pendingWrites().isEmpty() || !machine.isRunning()) {
             return false;
         }
-        final Effect.Persist write = machine.pending().poll();
+        final Effect.Persist write = machine.pendingWrites().poll();
         machine.write(write.records());
         if (options.mutant() != Mutant.SYNC) {
             machine.process().orElseThrow().replica().onSynced(write.token(), machine.clock(now));
         }
         flush(machine);
-        monitor.diskChanged();
+        monitor.onDiskChanged();
         return true;
     }
 
@@ -220,7 +221,7 @@
             }
         }
         for (final Machine machine : machines) {
-            for (int left = machine.pending().size(); left > 0; left--) {
+            for (int left = machine.pendingWrites().size(); left > 0; left--) {
                 changed |= sync(machine);
             }
         }
@@ -240,7 +241,7 @@
             return false;
         }
         machine.crash(kept);
-        monitor.diskChanged();
+        monitor.onDiskChanged();
         return true;
     }
 
@@ -253,19 +254,19 @@
     }
 
     private boolean loseDisk(final Machine machine) {
-        if (machine.replaced() || !mayLoseDisk()) {
+        if (machine.awaitsRepair() || !mayLoseDisk()) {
             return false;
         }
         machine.loseDisk();
-        monitor.diskChanged();
+        monitor.onDiskChanged();
         return true;
     }
 
     private boolean freeze(final Machine machine, final boolean freeze) {
-        if (machine.frozen() == freeze || machine.process().isEmpty()) {
+        if (machine.isFrozen() == freeze || machine.process().isEmpty()) {
             return false;
         }
-        machine.freeze(freeze);
+        machine.setFrozen(freeze);
         return true;
     }
 
@@ -331,7 +332,8 @@
         }
         final long token = history.begin(new Operation(kind, 0, -1, step, Optional.empty()));
         final long clock = machine.clock(now);
-        final String start = kind == Action.Kind.READ ? ConfigurationValidator.DOCUMENT_KEY : Documents.ZONES;
+        final String start =
+                kind == Action.Kind.READ ? ConfigurationValidator.DOCUMENT_KEY : Documents.EVACUATION_PREFIX;
         machine.process().orElseThrow().client().read(start, token, clock, clock + OPERATION_TIME);
         flush(machine);
         return true;
@@ -346,28 +348,28 @@
             more = !effects.isEmpty();
             effects.forEach(effect -> perform(machine, effect));
         }
-        monitor.replicaChanged(machine, now);
+        monitor.onReplicaChanged(machine, now);
     }
 
     private void perform(final Machine machine, final Effect effect) {
         switch (effect) {
             case Effect.Send send -> send(machine, send);
             case Effect.Persist keep -> {
-                machine.pending().add(keep);
+                machine.pendingWrites().add(keep);
                 if (options.mutant() == Mutant.SYNC) {
                     machine.process().orElseThrow().replica().onSynced(keep.token(), machine.clock(now));
                 }
             }
             case Effect.Respond answer -> {
-                history.answered(answer.token(), answer.response(), step);
-                monitor.answered(answer.token());
+                history.recordResponse(answer.token(), answer.response(), step);
+                monitor.onOperationEnded(answer.token());
             }
             case Effect.Log log -> {}
         }
     }
 
     private void send(final Machine machine, final Effect.Send send) {
-        monitor.replied(machine, send.message());
+        monitor.onMessageSent(machine, send.message());
         if (send.to().equals(machine.address())) {
             handle(machine, send.message(), machine.address());
         } else {
--- a/simulation/src/main/java/silverlatch/simulation/explore/WorldOptions.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/WorldOptions.java
@@ -5,10 +5,10 @@
  *
  * @param replicas how many machines there are, all of them voters and members of the chain at first, 3 to 6
  * @param copies   how many synced copies an acknowledgement needs
- * @param drift    by how many percent the clocks of some machines run fast or slow
+ * @param driftPercent    by how many percent the clocks of some machines run fast or slow
  * @param mutant   the safeguard that is let down
  */
-public record WorldOptions(int replicas, int copies, int drift, Mutant mutant) {
+public record WorldOptions(int replicas, int copies, int driftPercent, Mutant mutant) {
     /** The fewest machines of a world. */
     public static final int MIN_REPLICAS = 3;
     /** The most machines of a world. */
--- a/simulation/src/test/java/silverlatch/simulation/explore/ExploreMainTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/explore/ExploreMainTest.java
@@ -32,28 +32,29 @@
                 "--replay /nowhere/at/all",
                 "--wings"
             })
-    void wrongValuesEndWithTwo(final String line) throws IOException {
-        assertThat(Main.code(line.split(" ")), is(2));
+    void invalidArgumentsExitWithTwo(final String line) throws IOException {
+        assertThat(Main.exitCode(line.split(" ")), is(2));
     }
 
     @Test
-    void aFileThatIsNoScheduleEndsWithTwo() throws IOException {
+    void invalidScheduleFileExitsWithTwo() throws IOException {
         final Path file = Files.writeString(folder.resolve("text"), "world 3\n");
-        assertThat(Main.code("--replay", file.toString()), is(2));
+        assertThat(Main.exitCode("--replay", file.toString()), is(2));
     }
 
     @Test
-    void aMutantsRunEndsWithOneAndItsScheduleToo() throws IOException {
+    void mutantExitsWithOneAndSoDoesReplayOfItsSchedule() throws IOException {
         final String out = folder.toString();
         assertThat(
-                Main.code("--mutant", "SYNC", "--seeds", "10", "--depth", "0", "--threads", "1", "--out", out), is(1));
-        assertThat(Main.code("--replay", folder.resolve("durable.schedule").toString()), is(1));
+                Main.exitCode("--mutant", "SYNC", "--seeds", "10", "--depth", "0", "--threads", "1", "--out", out),
+                is(1));
+        assertThat(Main.exitCode("--replay", folder.resolve("durable.schedule").toString()), is(1));
     }
 
     @Test
-    void aScheduleThatBreaksNothingEndsWithZero() throws IOException {
-        final Schedule schedule = new Schedule(WorldOptions.of(3, Mutant.NONE), new Moves(0, 0).start());
+    void scheduleWithoutViolationExitsWithZero() throws IOException {
+        final Schedule schedule = new Schedule(WorldOptions.of(3, Mutant.NONE), new Moves(0, 0).initialActions());
         final Path file = Files.writeString(folder.resolve("good"), schedule.text());
-        assertThat(Main.code("--replay", file.toString()), is(0));
+        assertThat(Main.exitCode("--replay", file.toString()), is(0));
     }
 }
--- a/simulation/src/test/java/silverlatch/simulation/explore/FoundScheduleTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/explore/FoundScheduleTest.java
@@ -35,34 +35,35 @@
                 "restart-forgets-view",
                 "only-member-lost-beside-standby"
             })
-    void holds(final String name) throws IOException {
+    void replaysWithoutViolation(final String name) throws IOException {
         assertThat(schedule(name).replay().violation(), is(Optional.empty()));
     }
 
     /** Walks reach these too rarely for {@link MutantTest}. */
     @ParameterizedTest
     @CsvSource({"restart-forgets-view,VIEW_SYNC", "only-member-lost-beside-standby,TAKEOVER"})
-    void isWhatItsSafeguardPrevents(final String name, final Mutant mutant) throws IOException {
+    void violatesAPropertyWithoutItsSafeguard(final String name, final Mutant mutant) throws IOException {
         final Schedule found = schedule(name);
         final WorldOptions options = found.options();
-        final WorldOptions mutated = new WorldOptions(options.replicas(), options.copies(), options.drift(), mutant);
+        final WorldOptions mutated =
+                new WorldOptions(options.replicas(), options.copies(), options.driftPercent(), mutant);
         final Optional<Violation> violation =
                 new Schedule(mutated, found.actions()).replay().violation();
         assertThat(mutant.expected().contains(violation.orElseThrow().property()), is(true));
     }
 
     @Test
-    void aMajorityIsLeftAfterTwoLossesOfFiveWhenTwoOthersWereSlow() throws IOException {
+    void keepsAMajorityAfterTwoDiskLossesOfFiveWhileTwoOthersAreSlow() throws IOException {
         assertThat(schedule("slow-members-lose-votes").replay().violation(), is(Optional.empty()));
     }
 
     @Test
-    void aRepairTakesNoAnswerToDigestsSentBeforeARestart() throws IOException {
+    void repairIgnoresAnswersToDigestsSentBeforeARestart() throws IOException {
         assertThat(schedule("repair-answers-old-digests").replay().violation(), is(Optional.empty()));
     }
 
     @Test
-    void theFleetRecoversWhenTheOnlyMemberOfAChainIsLostBesideAJoiner() throws IOException {
+    void recoversWhenTheOnlyChainMemberIsLostWhileAReplicaJoins() throws IOException {
         assertThat(schedule("last-of-chain-lost-beside-joiner").replay().violation(), is(Optional.empty()));
     }
 }
--- a/simulation/src/test/java/silverlatch/simulation/explore/MutantTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/explore/MutantTest.java
@@ -24,7 +24,7 @@
     @EnumSource(
             mode = EnumSource.Mode.EXCLUDE,
             names = {"NONE", "REPAIR_PENDING", "VIEW_SYNC", "TAKEOVER"})
-    void isCaught(final Mutant mutant) {
+    void isDetectedByAnExpectedProperty(final Mutant mutant) {
         final SearchLimits limits = SearchLimits.within(THREADS, Long.MAX_VALUE, HOUR);
         final MutantTable.Row row = new MutantTable(STEPS, FIRST_SEED, SEEDS, limits).row(mutant);
         final Optional<Finding> caught = row.caught();
--- a/simulation/src/test/java/silverlatch/simulation/explore/ScheduleTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/explore/ScheduleTest.java
@@ -16,7 +16,7 @@
 
     /** An acknowledgement that no disk bears, since the mutant reports writes before they are synced. */
     private static List<Action> failing() {
-        final List<Action> actions = new ArrayList<>(new Moves(0, 0).start());
+        final List<Action> actions = new ArrayList<>(new Moves(0, 0).initialActions());
         for (int i = 0; i < 5; i++) {
             actions.add(Action.of(Action.Kind.DUPLICATE, 0, 1));
             actions.add(Action.period(20));
@@ -30,13 +30,13 @@
     }
 
     @Test
-    void theTextTellsEverything() {
+    void textRoundTrips() {
         final Schedule schedule = new Schedule(OPTIONS, failing());
         assertThat(Schedule.parse("# a comment\n" + schedule.text()), is(schedule));
     }
 
     @Test
-    void aTextThatIsNoScheduleIsRejected() {
+    void invalidTextIsRejected() {
         for (final String text :
                 List.of("", "word 3 2 3 NONE", "world 3 2 3 NONE\nfly 1 2 3", "world 3 2 3 NONE\nput 1")) {
             assertThrows(IllegalArgumentException.class, () -> Schedule.parse(text), text);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aFailingScheduleIsShrunkAndStillFailsByTheSameProperty() {
+    void shrunkScheduleIsMinimalAndViolatesTheSameProperty() {
         final Schedule schedule = new Schedule(OPTIONS, failing());
         assertThat(schedule.replay().violation().map(Violation::property).orElseThrow(), is(Property.DURABLE));
         final Schedule shrunk = ScheduleShrinker.shrink(schedule, Property.DURABLE, 500);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void actionsThatAreNotPossibleDoNothing() {
+    void impossibleActionsHaveNoEffect() {
         final World world = new World(WorldOptions.of(3, Mutant.NONE));
         final long before = StateDigest.of(world);
         final List<Action> impossible = List.of(
--- a/simulation/src/test/java/silverlatch/simulation/explore/StateDigestTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/explore/StateDigestTest.java
@@ -11,7 +11,7 @@
 final class StateDigestTest {
     private static long digest(final Action... actions) {
         final World world = new World(WorldOptions.of(3, Mutant.NONE));
-        new Moves(0, 0).start().forEach(world::apply);
+        new Moves(0, 0).initialActions().forEach(world::apply);
         world.apply(Action.tick(300));
         for (final Action action : actions) {
             world.apply(action);
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void independentStepsCommute() {
+    void independentStepsInEitherOrderGiveTheSameDigest() {
         final Action toFirst = Action.of(Action.Kind.DELIVER, 2, 0);
         final Action toSecond = Action.of(Action.Kind.DELIVER, 0, 1);
         assertThat(digest(toFirst, toSecond), is(digest(toSecond, toFirst)));
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void eachKindOfDifferenceCounts() {
+    void eachKindOfDifferenceChangesTheDigest() {
         final List<Action> differences = List.of(
                 Action.of(Action.Kind.DELIVER, 2, 0),
                 Action.of(Action.Kind.DROP, 2, 0),
