--- a/simulation/src/main/java/silverlatch/simulation/explore/Action.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Action.java
@@ -4,60 +4,60 @@
 import java.util.Locale;
 
 /**
- * One step of a schedule. Machines are given by index. An action that isn't possible in the state at hand does nothing, so
- * that any part of a schedule is a schedule.
+ * One step of a schedule. Machines are identified by their index. An action that isn't possible in the current state has no
+ * effect, so that any subsequence of a schedule is a valid schedule.
  *
- * @param kind   what is done
- * @param first  the machine, or the sender of a message
- * @param second the receiver of a message, or what the kind says
- * @param third  the position of a message in its channel, or what the kind says
+ * @param kind   the kind of action
+ * @param first  the index of the machine, or of the sender of a message
+ * @param second the index of the receiver of a message, or a value that the kind defines
+ * @param third  the position of a message in its channel, or a value that the kind defines
  */
 public record Action(Kind kind, int first, int second, int third) {
     /** The kinds of actions. */
     public enum Kind {
         /** Delivers the message at a position of the channel between two machines. */
         DELIVER,
-        /** Loses such a message. */
+        /** Drops the message at a position of the channel between two machines. */
         DROP,
-        /** Puts a copy of such a message at the end of its channel. */
+        /** Appends a copy of the message at a position of the channel between two machines to the same channel. */
         DUPLICATE,
-        /** The oldest pending write of a machine is synced. */
+        /** Syncs the oldest pending write of a machine to its disk. */
         SYNC,
-        /** Time advances by {@code second} milliseconds, and every running machine has a clock event. */
+        /** Advances the time by {@code second} milliseconds and delivers a clock event to every running machine. */
         TICK,
-        /** Delivers all that is in flight and syncs all that is pending, once. */
+        /** Delivers every message that is in flight at the start of the round, then syncs all pending writes once. */
         ROUND,
-        /** {@code second} milliseconds pass, and then four rounds: all goes as it should. */
+        /** Advances the time by {@code second} milliseconds and then runs four rounds without faults. */
         PERIOD,
-        /** A machine's process ends; so many of its unsynced writes are on the disk all the same. */
+        /** Crashes a machine's process; its first {@code second} unsynced writes reach the disk, the others are lost. */
         CRASH,
-        /** A machine starts from its disk. */
+        /** Starts a machine's process from the content of its disk. */
         RESTART,
-        /** A machine's process ends and its disk is lost; the next start has a new identity. */
+        /** Crashes a machine's process and erases its disk; the next start has a new identity. */
         LOSE_DISK,
-        /** A machine stops handling events; its clock goes on. */
+        /** Suspends a machine: it handles no events, while its clock continues. */
         FREEZE,
-        /** A frozen machine goes on. */
+        /** Resumes a frozen machine. */
         THAW,
-        /** Nothing reaches a machine any more (1), nothing leaves it (2), or both (3). */
+        /** Cuts all links to a machine ({@code second} is 1), all links from it (2), or both (3). */
         ISOLATE,
-        /** Nothing goes from one machine to another any more. */
+        /** Cuts the link from one machine to another, in this direction only. */
         CUT,
-        /** All links are whole again. */
+        /** Restores all links. */
         HEAL,
-        /** All faults end, and a write must be acknowledged in time; see {@link Recovery}. */
+        /** Ends all faults and requires that a write is then acknowledged in time; see {@link Recovery}. */
         RECOVER,
-        /** An operator puts configuration {@code second} at a machine, with match {@code third}. */
+        /** Writes configuration number {@code second} through a machine, if the current number is {@code third}. */
         PUT,
-        /** An operator sends the order once more whose index is {@code second}, under a new request id. */
+        /** Sends the put with index {@code second} in the history once more, under a new request id. */
         RESEND,
-        /** An operator reads the configuration. */
+        /** Reads the configuration. */
         READ,
-        /** An operator evacuates the zone. */
+        /** Evacuates the zone. */
         EVACUATE,
-        /** An operator takes the evacuation back. */
+        /** Cancels the evacuation of the zone. */
         TAKE_BACK,
-        /** An operator reads whether the zone is evacuated. */
+        /** Reads whether the zone is evacuated. */
         READ_ZONE
     }
 
@@ -83,11 +83,15 @@
         return new Action(Kind.PERIOD, 0, milliseconds, 0);
     }
 
-    /** Reads the form that {@link #toString} writes. */
+    /**
+     * Parses the form that {@link #toString} writes.
+     *
+     * @throws IllegalArgumentException if the line isn't an action
+     */
     static Action parse(final String line) {
         final String[] words = line.trim().split("\\s+");
         if (words.length != WORDS) {
-            throw new IllegalArgumentException("an action has a kind and three numbers: " + line);
+            throw new IllegalArgumentException("expected a kind and three numbers as action, not: " + line);
         }
         final int[] numbers =
                 Arrays.stream(words).skip(1).mapToInt(Integer::parseInt).toArray();
--- a/simulation/src/main/java/silverlatch/simulation/explore/Arguments.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Arguments.java
@@ -9,7 +9,7 @@
 import org.kohsuke.args4j.Option;
 import silverlatch.simulation.FormerNames;
 
-/** The arguments of the program, as text until they are checked. */
+/** The command line arguments of the program, which are kept as text until they are checked. */
 final class Arguments {
     private static final int MAX_THREADS = 64;
     private static final int MAX_DEPTH = 100;
@@ -54,7 +54,7 @@
 
     private final List<String> errors = new ArrayList<>();
 
-    /** The arguments once checked. */
+    /** The checked arguments. */
     record Checked(
             long seeds,
             long firstSeed,
@@ -66,7 +66,7 @@
             int threads,
             Mutant mutant) {}
 
-    /** Checks all values; {@link #errors()} tells what is wrong with them, each with its name. */
+    /** Checks all values; {@link #errors()} then describes each invalid one by the name of its argument. */
     Checked check() {
         final Checked checked = new Checked(
                 parseNumber("--seeds", seeds, 0, Long.MAX_VALUE / 2),
--- a/simulation/src/main/java/silverlatch/simulation/explore/BreadthFirstSearch.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/BreadthFirstSearch.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Visits every state that some actions reach, level by level; a state that was seen before, by its digest, isn't followed
- * again. Replicas can't be copied, so each state is reached by replaying the actions that lead to it.
+ * Visits the states that are reachable by the actions of {@link Moves}, level by level. A state whose digest was visited
+ * before isn't expanded again. Replicas can't be copied, so each state is rebuilt by replaying the actions that lead to it.
  */
 final class BreadthFirstSearch {
     private final WorldOptions options;
@@ -20,7 +20,7 @@
     private final Findings findings;
     private final LongHashSet visited = new LongHashSet();
 
-    /** A state, by the action that led to it and where from. */
+    /** A state, given by its parent state and the action that leads from there to it. */
     private record Node(Optional<Node> parent, Action action) {}
 
     BreadthFirstSearch(
@@ -31,7 +31,7 @@
         this.findings = findings;
     }
 
-    /** Searches to a depth, or until a limit is reached; the depth that was searched whole. */
+    /** Searches to a depth or until a limit is reached, and returns the greatest depth that was searched completely. */
     int run(final int depth, final SearchLimits limits) {
         List<Node> level = new ArrayList<>();
         level.add(new Node(Optional.empty(), Action.of(Action.Kind.ROUND)));
--- a/simulation/src/main/java/silverlatch/simulation/explore/Counters.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Counters.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** How much a search has seen. */
+/** Counts the walks, steps, states and operations of a search. Safe for use by several threads. */
 final class Counters {
     private final LongAdder walks = new LongAdder();
     private final LongAdder steps = new LongAdder();
@@ -10,7 +10,7 @@
     private final LongAdder operations = new LongAdder();
     private final LongAdder answered = new LongAdder();
 
-    /** Counts a walk of so many steps, and its operations. */
+    /** Counts a walk with its number of steps, and the operations of its world. */
     void recordWalk(final long taken, final World world) {
         walks.increment();
         steps.add(taken);
@@ -20,13 +20,13 @@
                 .count());
     }
 
-    /** Counts a state that was not seen before, and the steps of its replay. */
+    /** Counts a state that was not visited before, and the steps of the replay that reached it. */
     void recordNewState(final long taken) {
         states.increment();
         steps.add(taken);
     }
 
-    /** Counts the steps of a replay to a state seen before. */
+    /** Counts the steps of a replay that reached a state visited before. */
     void recordKnownState(final long taken) {
         steps.add(taken);
     }
--- a/simulation/src/main/java/silverlatch/simulation/explore/DiskContent.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/DiskContent.java
@@ -7,7 +7,13 @@
 import silverlatch.log.LogRecord;
 import silverlatch.state.Entry;
 
-/** What a replica would know from its disk: a snapshot, and the changes that follow on it without a gap. */
+/**
+ * The state that a replica would recover from its disk: a snapshot and the changes that follow it without a gap.
+ *
+ * @param base     the sequence number of the snapshot, 0 without one
+ * @param snapshot the entries of the snapshot by key
+ * @param changes  the entries that each later change writes, by its sequence number
+ */
 record DiskContent(long base, Map<String, Entry> snapshot, Map<Long, List<Entry>> changes) {
     /** Reads the synced records of a disk. */
     static DiskContent of(final List<LogRecord> disk) {
@@ -30,7 +36,7 @@
         return new DiskContent(base, snapshot, changes);
     }
 
-    /** Whether the change of a sequence is there with these entries among its own, or within the snapshot. */
+    /** Returns whether the change with a sequence number is recovered with these entries, as a change or in the snapshot. */
     boolean contains(final long sequence, final List<Entry> entries) {
         return sequence <= base
                 ? entries.stream().allMatch(this::isInSnapshot)
--- a/simulation/src/main/java/silverlatch/simulation/explore/Documents.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Documents.java
@@ -7,16 +7,16 @@
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
 
-/** The configurations that operators put, as small as they can be, and how they are read back. */
+/** Builds the minimal configurations that operators put, and reads the values of entries for the history. */
 final class Documents {
-    /** How the keys of evacuations begin. */
+    /** The prefix of the keys of evacuations. */
     static final String EVACUATION_PREFIX = "z/";
 
     private static final String POOL = "pool";
 
     private Documents() {}
 
-    /** The command of a put. */
+    /** Returns the command of a put. */
     static Command put(final String id, final Operation operation) {
         final Value.BackendPool pool = new Value.BackendPool(POOL, "/", 1, 0, 1, 1, 0, 1);
         final Value.Route route = new Value.Route(
@@ -43,7 +43,7 @@
                 operation.match());
     }
 
-    /** What a read of the configuration or of the zone tells. */
+    /** Returns the value that a read of the configuration or of the zone observed. */
     static String readValue(final Action.Kind kind, final Collection<Entry> entries) {
         String value = kind == Action.Kind.READ ? "" : "false";
         for (final Entry entry : entries) {
@@ -54,19 +54,19 @@
         return value;
     }
 
-    /** The text of a document, or whether a zone is evacuated. */
+    /** Returns the text of a configuration document, or "true" or "false" for the evacuation of a zone. */
     static String entryValue(final Entry entry) {
         return entry.value().get(0) instanceof Value.ConfigurationDocument document
                 ? document.text()
                 : Boolean.toString(entry.value().get(0) instanceof Value.Evacuation evacuation && evacuation.active());
     }
 
-    /** The number of a document, 0 where there is none. */
+    /** Returns the number of a document from its text, or 0 for an empty text. */
     static int number(final String text) {
         return text.isEmpty() ? 0 : Integer.parseInt(text.substring(0, text.indexOf('/')));
     }
 
-    /** Whether an entry is what a property looks at: the document or an evacuation. */
+    /** Returns whether the properties check an entry, which is so for the configuration document and evacuations. */
     static boolean isMonitored(final Entry entry) {
         return entry.key().equals(ConfigurationValidator.DOCUMENT_KEY)
                 || entry.key().startsWith(EVACUATION_PREFIX);
--- a/simulation/src/main/java/silverlatch/simulation/explore/Finding.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Finding.java
@@ -1,4 +1,4 @@
 package silverlatch.simulation.explore;
 
-/** A broken property and the schedule that breaks it. */
+/** A violation of a property and the schedule that leads to it. */
 public record Finding(Violation violation, Schedule schedule) {}
--- a/simulation/src/main/java/silverlatch/simulation/explore/Findings.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Findings.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a search found: the first finding of each property, and how many there were; for several threads. */
+/** Collects the shortest finding and the number of findings of each property. Safe for use by several threads. */
 final class Findings {
     private final Map<Property, Finding> first = new EnumMap<>(Property.class);
     private final Map<Property, Integer> counts = new EnumMap<>(Property.class);
 
-    /** Notes a finding. */
+    /** Records a finding. */
     synchronized void add(final Finding finding) {
         final Property property = finding.violation().property();
         first.merge(property, finding, (one, other) -> shorter(one, other));
@@ -21,7 +21,7 @@
         return other.schedule().actions().size() < one.schedule().actions().size() ? other : one;
     }
 
-    /** One finding of each property that was broken, with the shortest schedule. */
+    /** Returns, for each violated property, the finding with the shortest schedule. */
     synchronized List<Finding> all() {
         return new ArrayList<>(first.values());
     }
--- a/simulation/src/main/java/silverlatch/simulation/explore/History.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/History.java
@@ -5,17 +5,17 @@
 import silverlatch.replication.ChainClient;
 import silverlatch.state.CommandResult;
 
-/** The operations of all operators in the order they began; an operation's token is its place. */
+/** The operations of all operators in the order in which they began. An operation's token is its index in this order. */
 final class History {
     private final List<Operation> operations = new ArrayList<>();
 
-    /** Notes the beginning of an operation and gives its token. */
+    /** Records the beginning of an operation and returns its token. */
     long begin(final Operation operation) {
         operations.add(operation);
         return operations.size() - 1L;
     }
 
-    /** Notes an answer. One that tells that the outcome is unknown leaves the operation without an end. */
+    /** Records the response to an operation. A response with an unknown outcome leaves the operation without an outcome. */
     void recordResponse(final long token, final Object reply, final long step) {
         final Operation operation = operation(token);
         switch (reply) {
@@ -44,21 +44,21 @@
         return operations;
     }
 
-    /** The puts in the order they began. */
+    /** Returns the puts in the order in which they began. */
     List<Operation> puts() {
         return operations.stream()
                 .filter(operation -> operation.kind() == Action.Kind.PUT)
                 .toList();
     }
 
-    /** The operations on the configuration. */
+    /** Returns the operations on the configuration. */
     List<Operation> configurationOperations() {
         return operations.stream()
                 .filter(operation -> operation.kind() == Action.Kind.PUT || operation.kind() == Action.Kind.READ)
                 .toList();
     }
 
-    /** The operations on the zone. */
+    /** Returns the operations on the evacuation of the zone. */
     List<Operation> zoneOperations() {
         return operations.stream()
                 .filter(operation -> operation.kind() != Action.Kind.PUT && operation.kind() != Action.Kind.READ)
--- a/simulation/src/main/java/silverlatch/simulation/explore/LinearizabilityChecker.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/LinearizabilityChecker.java
@@ -6,8 +6,9 @@
 import java.util.Set;
 
 /**
- * Whether a history is linearizable: some order of the operations that keeps to their times gives each its outcome (the
- * search of Wing and Gong, with Lowe's memory of what was tried). Operations whose end is unknown may be left out.
+ * Checks whether a history is linearizable: whether there is an order of the operations that respects their real-time order
+ * and explains the outcome of each. Uses the search of Wing and Gong with Lowe's cache of configurations already tried.
+ * Operations whose outcome is unknown may be left out of the order.
  */
 final class LinearizabilityChecker {
     private static final int MAX_OPERATIONS = 62;
@@ -28,15 +29,20 @@
         this.completed = bits;
     }
 
-    /** Whether the history of at most 62 operations is linearizable; reads whose end is unknown tell nothing. */
+    /**
+     * Returns whether a history is linearizable; reads without an outcome are ignored.
+     *
+     * @throws IllegalArgumentException if more than 62 operations remain, as the search keeps them as bits of a long
+     */
     static boolean isLinearizable(final SequentialRegister register, final List<Operation> history) {
-        final List<Operation> telling = history.stream()
+        final List<Operation> relevant = history.stream()
                 .filter(operation -> operation.outcome().isPresent() || !operation.isRead())
                 .toList();
-        if (telling.size() > MAX_OPERATIONS) {
-            throw new IllegalArgumentException("a history of " + telling.size() + " operations is too long");
+        if (relevant.size() > MAX_OPERATIONS) {
+            throw new IllegalArgumentException("a history of " + relevant.size() + " operations is too long to check, the"
+                    + " most is " + MAX_OPERATIONS);
         }
-        return new LinearizabilityChecker(register, telling).search(0, register.initialState());
+        return new LinearizabilityChecker(register, relevant).search(0, register.initialState());
     }
 
     private boolean search(final long done, final String state) {
@@ -59,7 +65,7 @@
         return false;
     }
 
-    /** What begins after this can't come before an operation that isn't done yet. */
+    /** Returns the earliest end of the operations not yet placed; an operation that begins later can't be placed next. */
     private long earliestEnd(final long done) {
         long bound = Long.MAX_VALUE;
         for (int i = 0; i < operations.size(); i++) {
--- a/simulation/src/main/java/silverlatch/simulation/explore/LongHashSet.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/LongHashSet.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** A set of longs for several threads: open addressing in shards, each with its own lock. */
+/** A thread-safe set of longs. It uses open addressing in shards, each of which has its own lock. */
 final class LongHashSet {
     private static final int SHARDS = 64;
     private static final int INITIAL_CAPACITY = 1 << 10;
@@ -12,12 +12,12 @@
         Arrays.setAll(shards, i -> new Shard());
     }
 
-    /** Adds a value; whether it was not there before. */
+    /** Adds a value and returns whether it was absent before. The values 0 and 1 count as the same. */
     boolean add(final long value) {
         return shards[(int) (value >>> 58)].add(value == 0 ? 1 : value);
     }
 
-    /** One table; 0 marks a free place. */
+    /** One hash table; 0 marks a free slot. */
     private static final class Shard {
         private long[] table = new long[INITIAL_CAPACITY];
         private int count;
--- a/simulation/src/main/java/silverlatch/simulation/explore/Machine.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Machine.java
@@ -11,7 +11,7 @@
 import silverlatch.replication.ChainReplica;
 import silverlatch.replication.Replica;
 
-/** One machine: its disk with synced records, its writes that aren't synced yet, and its process while it runs. */
+/** One simulated machine: its disk with the synced records, its writes that aren't synced yet, and its running process. */
 final class Machine {
     private final int index;
     private final int drift;
@@ -22,7 +22,7 @@
     private boolean isFrozen;
     private boolean awaitsRepair;
 
-    /** A machine whose clock runs fast by some percent, or slow. */
+    /** Creates a machine whose clock runs fast by {@code drift} percent, or slow if it is negative. */
     Machine(final int index, final int drift) {
         this.index = index;
         this.drift = drift;
@@ -31,12 +31,12 @@
     /** A running process. */
     record Process(ChainReplica replica, ChainClient client) {}
 
-    /** Where a machine listens. */
+    /** Returns the address of the machine with an index. */
     static String address(final int index) {
         return String.valueOf((char) ('a' + index));
     }
 
-    /** Which machine listens at an address. */
+    /** Returns the index of the machine with an address. */
     static int index(final String address) {
         return address.charAt(0) - 'a';
     }
@@ -49,12 +49,12 @@
         return index;
     }
 
-    /** The identity that was made with the data folder. */
+    /** Returns the replica identity, which is new after each loss of the disk. */
     Replica identity() {
         return new Replica("id-" + address() + "-" + generation, address());
     }
 
-    /** This machine's clock at a time of the world, in microseconds. */
+    /** Returns this machine's clock at a time of the world, both in microseconds. */
     long clock(final long now) {
         return now + now * drift / 100;
     }
@@ -75,17 +75,17 @@
         isFrozen = on;
     }
 
-    /** Whether it runs and handles events. */
+    /** Returns whether the process exists and isn't frozen. */
     boolean isRunning() {
         return process.isPresent() && !isFrozen;
     }
 
-    /** Whether its disk was lost and it hasn't caught up since. */
+    /** Returns whether the disk was lost and the replica hasn't caught up since. */
     boolean awaitsRepair() {
         return awaitsRepair;
     }
 
-    /** It has caught up with the others. */
+    /** Records that the replica has caught up with the chain after the loss of its disk. */
     void markRepaired() {
         awaitsRepair = false;
     }
@@ -98,7 +98,7 @@
         return pendingWrites;
     }
 
-    /** Puts records on the disk; a snapshot replaces what is there. */
+    /** Appends records to the disk; a snapshot replaces everything before it. */
     void write(final List<LogRecord> records) {
         for (final LogRecord entry : records) {
             if (entry instanceof LogRecord.Snapshot) {
@@ -108,7 +108,7 @@
         }
     }
 
-    /** The process ends; the first unsynced writes are on the disk all the same, the others are lost. */
+    /** Ends the process; the first {@code kept} unsynced writes reach the disk, the others are lost. */
     void crash(final int kept) {
         for (int i = 0; i < kept && !pendingWrites.isEmpty(); i++) {
             write(pendingWrites.poll().records());
@@ -118,7 +118,7 @@
         isFrozen = false;
     }
 
-    /** The process ends, and the disk is lost with the identity on it. */
+    /** Ends the process and erases the disk together with the replica identity on it. */
     void loseDisk() {
         crash(0);
         disk.clear();
--- a/simulation/src/main/java/silverlatch/simulation/explore/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Main.java
@@ -9,7 +9,10 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 
-/** Explores the replicated part. Ends with 0, with 1 when a property broke or a mutant survived, with 2 on wrong use. */
+/**
+ * Explores the states of the replicated part of the control plane. Exits with 0, with 1 if a property was violated or a
+ * mutant survived, and with 2 on invalid arguments.
+ */
 public final class Main {
     private static final int SHRINK_REPLAYS = 2_000;
     private static final int SHRINK_REPLAYS_RECOVERY = 400;
@@ -29,7 +32,7 @@
         System.exit(new Main().run(args));
     }
 
-    /** Runs the program without ending the process; the exit code. */
+    /** Runs the program without ending the process and returns the exit code. */
     static int exitCode(final String... args) throws IOException {
         return new Main().run(args);
     }
--- a/simulation/src/main/java/silverlatch/simulation/explore/Moves.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Moves.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The actions that a breadth-first search takes from a state: single deliveries and syncs, time, periods in which all goes
- * well, and a bounded count of faults and of operations.
+ * Determines the actions that a breadth-first search takes from a state: single deliveries and syncs, clock ticks, periods
+ * without faults, and a bounded number of faults and operations.
  *
  * @param maxFaults     how many faults a path may have
  * @param maxOperations how many operations a path may have
@@ -16,7 +16,7 @@
     private static final int BOTH = 3;
     private static final int ALL_WRITES = 9;
 
-    /** What every path begins with: leases are granted, and a first configuration is acknowledged. */
+    /** Returns the actions at the start of every path, by which leases are granted and a first configuration is acknowledged. */
     List<Action> initialActions() {
         return List.of(
                 Action.period(SETTLE),
@@ -25,7 +25,7 @@
                 Action.period(SETTLE));
     }
 
-    /** The actions that can be taken after a path that led to a world. */
+    /** Returns the actions that may follow a path of actions that led to a world. */
     List<Action> possibleActions(final World world, final List<Action> path) {
         final List<Action> moves = new ArrayList<>();
         moves.add(Action.period(TICK));
--- a/simulation/src/main/java/silverlatch/simulation/explore/Mutant.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Mutant.java
@@ -4,43 +4,43 @@
 import silverlatch.safeguard.Safeguard;
 import silverlatch.safeguard.Safeguards;
 
-/** A variant of the replica with one safeguard let down, which the explorer must catch. */
+/** A variant of the replica with one safeguard disabled, which the explorer must detect. */
 public enum Mutant {
-    /** All safeguards stand. */
+    /** All safeguards are enabled. */
     NONE(Set.of(), Set.of()),
-    /** A tail answers reads without a lease. */
+    /** A tail answers reads without holding a lease. */
     LEASE(Set.of(Safeguard.LEASE), Set.of(Property.FRESH_READ, Property.LINEARIZABLE, Property.VIEW_FENCED)),
-    /** A voter accepts a successor before the leases it granted have run out. */
+    /** A voter accepts the next view before the leases that it granted have expired. */
     LEASE_WAIT(
             Set.of(Safeguard.LEASE_WAIT),
             Set.of(Property.ONE_OWNER, Property.FRESH_READ, Property.LINEARIZABLE, Property.VIEW_FENCED)),
-    /** Replication messages of other views are accepted. */
+    /** A replica accepts replication messages of other views. */
     FENCE(
             Set.of(Safeguard.FENCE),
             Set.of(Property.VIEW_FENCED, Property.LINEARIZABLE, Property.ONE_HISTORY, Property.DURABLE)),
-    /** A promise or an acceptance is sent before it is synced. */
+    /** A voter sends a promise or an acceptance before it is synced. */
     PROMISE(Set.of(Safeguard.PROMISE), Set.of(Property.ONE_VIEW)),
-    /** A write that lost a race is taken all the same. */
+    /** A conditional write is applied although a concurrent write changed the revision that it expects. */
     COMPARE_AND_SET(Set.of(Safeguard.COMPARE_AND_SET), Set.of(Property.LINEARIZABLE)),
-    /** What was taken and followed by another configuration is forgotten. */
+    /** The configurations that were accepted and then replaced aren't retained, so a resent one is decided anew. */
     ACCEPTED_REMEMBERED(Set.of(Safeguard.ACCEPTED_REMEMBERED), Set.of(Property.REFUSED_ORDER, Property.LINEARIZABLE)),
-    /** A refusal rests on what may never be committed. */
+    /** A write is rejected because of an uncommitted write, which may never be committed. */
     COMMITTED_REFUSAL(Set.of(Safeguard.COMMITTED_REFUSAL), Set.of(Property.REFUSED_ORDER, Property.LINEARIZABLE)),
-    /** A chain shorter than the required copies acknowledges. */
+    /** A chain with fewer replicas than the required copies acknowledges writes. */
     COPIES(Set.of(Safeguard.COPIES), Set.of(Property.DURABLE)),
-    /** A replica joins without the ranges in which its digests differ. */
+    /** A replica joins the chain without repairing the ranges in which its digests differ. */
     REPAIR_DIGEST(Set.of(Safeguard.REPAIR_DIGEST), Set.of(Property.ONE_HISTORY)),
-    /** A replica under repair drops what its source has synced and doesn't know to be committed. */
+    /** A replica under repair drops the entries that its repair source has synced but doesn't know to be committed. */
     REPAIR_PENDING(Set.of(Safeguard.REPAIR_PENDING), Set.of(Property.DURABLE)),
-    /** A member tells how far its log goes before its view is on disk. */
+    /** A chain member reports the end of its log before its view is synced to disk. */
     VIEW_SYNC(
             Set.of(Safeguard.VIEW_SYNC),
             Set.of(Property.RECOVERS, Property.FRESH_READ, Property.LINEARIZABLE, Property.ONE_HISTORY)),
-    /** Nobody takes over where all members of a short chain are lost. */
+    /** No replica takes over when all members of a short chain are lost. */
     TAKEOVER(Set.of(Safeguard.TAKEOVER), Set.of(Property.RECOVERS)),
     /** A chain that lost a replica is not repaired. */
     CHAIN_REPAIR(Set.of(Safeguard.CHAIN_REPAIR), Set.of(Property.RECOVERS)),
-    /** A write to the log is reported as synced before it is; the harness does this, not the replica. */
+    /** A log write is reported as synced before it is; the simulated world does this, not the replica. */
     SYNC(Set.of(), Set.of(Property.DURABLE));
 
     private final Set<Safeguard> disabledSafeguards;
@@ -51,12 +51,12 @@
         this.expected = expected;
     }
 
-    /** The properties by which it must be caught; another one doesn't count. */
+    /** Returns the properties by which this mutant must be detected; the violation of another one doesn't count. */
     Set<Property> expected() {
         return expected;
     }
 
-    /** The safeguards that stand. */
+    /** Returns the safeguards of the replica, with those of this mutant disabled. */
     Safeguards safeguards() {
         return new Safeguards(disabledSafeguards);
     }
--- a/simulation/src/main/java/silverlatch/simulation/explore/MutantTable.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/MutantTable.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Lets down one safeguard at a time and walks until a property breaks that the mutant is expected to break, by a schedule
- * that breaks nothing when all safeguards stand.
+ * Disables one safeguard at a time and runs random walks until one violates a property that the mutant is expected to
+ * violate, by a schedule that violates nothing with all safeguards enabled.
  */
 final class MutantTable {
     private static final int RECOVERY_EVERY = 8;
@@ -20,10 +20,16 @@
     private final long seeds;
     private final SearchLimits each;
 
-    /** A row: which property caught the mutant by which schedule, after how many seconds and walks; none if it survived. */
+    /**
+     * A row of the table.
+     *
+     * @param caught  the violation that detected the mutant, with its schedule; empty if the mutant survived
+     * @param seconds the duration of the search
+     * @param walks   the number of walks begun
+     */
     record Row(Mutant mutant, Optional<Finding> caught, double seconds, long walks) {}
 
-    /** Walks of so many steps; the limits hold for each mutant, counted from when the row begins. */
+    /** Creates a table from walks of a number of steps. The limits apply to each walk search. */
     MutantTable(final int steps, final long firstSeed, final long seeds, final SearchLimits each) {
         this.steps = steps;
         this.firstSeed = firstSeed;
@@ -31,7 +37,7 @@
         this.each = each;
     }
 
-    /** Hunts one mutant. */
+    /** Searches for a schedule that detects one mutant, and returns its row. */
     Row row(final Mutant mutant) {
         final long begin = System.nanoTime();
         final AtomicLong next = new AtomicLong(firstSeed);
@@ -48,7 +54,7 @@
         return new Row(mutant, caught.get(), seconds, Math.min(next.get() - firstSeed, seeds));
     }
 
-    /** What the walk of a seed finds of a mutant, with 3 to 5 machines in turn. */
+    /** Returns the finding by which the walk of a seed detects a mutant; the seed chooses 3 to 5 machines in turn. */
     Optional<Finding> findByWalk(final Mutant mutant, final long seed) {
         final int replicas = WorldOptions.MIN_REPLICAS + (int) (seed % SIZES);
         final WorldOptions options = WorldOptions.of(replicas, mutant);
@@ -68,7 +74,7 @@
                 .isEmpty();
     }
 
-    /** The rows as a table of a page. */
+    /** Formats the rows as a Markdown table. */
     static String text(final List<Row> rows) {
         final List<String> lines = new ArrayList<>();
         lines.add("| mutant | caught by | seconds | walks |");
--- a/simulation/src/main/java/silverlatch/simulation/explore/Network.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Network.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import silverlatch.wire.Message;
 
-/** The messages in flight, by sender and receiver in the order they were sent, and the links that are cut. */
+/** The messages in flight, in a channel for each sender and receiver in sending order, and the links that are cut. */
 final class Network {
     private final int size;
     private final List<List<Message>> channels = new ArrayList<>();
@@ -19,12 +19,12 @@
         }
     }
 
-    /** What is in flight from one machine to another. */
+    /** Returns the mutable list of messages in flight from one machine to another. */
     List<Message> channel(final int from, final int to) {
         return channels.get(from * size + to);
     }
 
-    /** Sends a message, which is lost when the link is cut. */
+    /** Sends a message; it is lost if the link is cut. */
     void send(final int from, final int to, final Message message) {
         if (!cut[from * size + to]) {
             channel(from, to).add(message);
@@ -35,7 +35,7 @@
         return cut[from * size + to];
     }
 
-    /** Cuts a link; what is in flight on it may still arrive. */
+    /** Cuts a link in one direction; messages already in flight on it may still be delivered. */
     void cut(final int from, final int to) {
         cut[from * size + to] = true;
     }
--- a/simulation/src/main/java/silverlatch/simulation/explore/Operation.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Operation.java
@@ -3,35 +3,36 @@
 import java.util.Optional;
 
 /**
- * One operation of an operator, as its history tells it.
+ * One operation of an operator in the history.
  *
- * @param kind   put, read, evacuate, take back or read zone (a resend is a put)
- * @param number the configuration's number of a put
- * @param match  the number that a put builds on, or -1
- * @param start  when it began, in steps
+ * @param kind    put, read, evacuate, take back or read zone (a resend is a put)
+ * @param number  the configuration number of a put
+ * @param match   the configuration number that must be current for a put to succeed, or -1 for any
+ * @param start   the step of the world at which it began
+ * @param outcome the outcome, empty while it is unknown
  */
 record Operation(Action.Kind kind, int number, int match, long start, Optional<Outcome> outcome) {
-    /** How an operation ended, and when, in steps. One that isn't known to have ended has none. */
+    /** The known outcome of an operation. */
     sealed interface Outcome {
-        /** When the answer came. */
+        /** Returns the step of the world at which the response arrived. */
         long end();
 
-        /** It took effect. */
+        /** The write took effect. */
         record Acknowledged(long end) implements Outcome {}
 
-        /** It never takes effect. */
+        /** The write was rejected and never takes effect. */
         record Refused(long end, int code) implements Outcome {}
 
-        /** A read's value: the text of the document, or whether the zone is evacuated. */
+        /** A read returned a value: the text of the configuration document, or "true" if the zone is evacuated. */
         record Value(long end, String value) implements Outcome {}
     }
 
-    /** What a put writes: it tells number and match, so that two orders of one number differ. */
+    /** Returns the text that a put writes. It contains number and match, so that two different puts of one number differ. */
     String text() {
         return number + "/" + match;
     }
 
-    /** Whether it reads. */
+    /** Returns whether this is a read of the configuration or of the zone. */
     boolean isRead() {
         return kind == Action.Kind.READ || kind == Action.Kind.READ_ZONE;
     }
@@ -40,7 +41,7 @@
         return new Operation(kind, number, match, start, Optional.of(how));
     }
 
-    /** When it ended for sure, or never. */
+    /** Returns the step at which it ended, or {@code Long.MAX_VALUE} if its outcome is unknown. */
     long end() {
         return outcome.map(Outcome::end).orElse(Long.MAX_VALUE);
     }
--- a/simulation/src/main/java/silverlatch/simulation/explore/Property.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Property.java
@@ -1,30 +1,31 @@
 package silverlatch.simulation.explore;
 
-/** What must hold at every state of a {@link World}. */
+/** The properties that must hold in every state of a {@link World}. */
 public enum Property {
-    /** One view stands under one number. */
+    /** All replicas that have a view of one number have the same view. */
     ONE_VIEW,
-    /** At no moment do two replicas own the singleton role under a lease. */
+    /** At any time at most one replica holds the singleton role under a lease. */
     ONE_OWNER,
-    /** Replicas that have applied the same sequence hold the same configuration and evacuations. */
+    /** Replicas that have applied the same sequence number have the same configuration and evacuations. */
     ONE_HISTORY,
     /** No two documents are acknowledged under one configuration number. */
     ONE_DOCUMENT,
-    /** What is acknowledged is on as many synced disks as there must be copies, less the disks lost since. */
+    /** Every acknowledged write is synced on as many disks as copies are required, less the disks lost and not repaired. */
     DURABLE,
-    /** An order that was refused never takes effect, and one that took effect is never refused. */
+    /** A write that was rejected never takes effect, and one that took effect is never rejected. */
     REFUSED_ORDER,
-    /** A read is no older than any acknowledgement that ended before the read began. */
+    /** A read returns no older value than any write that was acknowledged before the read began. */
     FRESH_READ,
     /**
-     * No replica answers under an older view after a newer one committed and acknowledged a change. A write may still be told
-     * its outcome as the change that decided it is applied, if that is applied in the newer view too: it was decided before.
+     * No replica responds under an older view after a change was committed and acknowledged under a newer one. The exception
+     * is the response to a write that is sent as its change is applied, if the change is applied in the newer view too: it was
+     * decided before the newer view.
      */
     VIEW_FENCED,
     /** The history of operations is linearizable. */
     LINEARIZABLE,
-    /** When all faults are over, a write is acknowledged within the bound of {@link Recovery}. */
+    /** After all faults have ended, a write is acknowledged within the time limit of {@link Recovery}. */
     RECOVERS,
-    /** No replica throws. */
+    /** No replica throws an exception. */
     NO_EXCEPTION
 }
