--- a/simulation/src/main/java/silverlatch/simulation/check/ReceiptCheck.java
+++ b/simulation/src/main/java/silverlatch/simulation/check/ReceiptCheck.java
@@ -34,7 +34,7 @@
             if (event.equals("leave")) {
                 drainingSince = time(record);
             } else if (event.equals("start")) {
-                start(record, drainingSince);
+                checkRun(record, drainingSince);
             }
         }
     }
@@ -43,7 +43,7 @@
         return record.integer("at", 0, Long.MAX_VALUE);
     }
 
-    private void start(final JsonDocument record, final long drainingSince) {
+    private void checkRun(final JsonDocument record, final long drainingSince) {
         runs++;
         final String requestId = record.string("ticket", 256);
         startsByRequest.computeIfAbsent(requestId, id -> new ArrayList<>()).add(record);
--- a/simulation/src/main/java/silverlatch/simulation/client/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/client/Main.java
@@ -15,7 +15,7 @@
  */
 public final class Main {
     private static final long MAX_RESPONSE_MICROS = 20_000_000L;
-    private static final double SECOND = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     @Option(name = "--doors", required = true)
     private String endpoints = "";
@@ -61,41 +61,41 @@
     }
 
     private int run() throws Exception {
-        final Receipts written = new Receipts(Path.of(receipts));
+        final Receipts outcomes = new Receipts(Path.of(receipts));
         httpClient.setMaxConnectionsPerDestination(2_048);
         httpClient.setConnectTimeout(1_000);
         httpClient.start();
-        sendRequests(written);
+        sendRequests(outcomes);
         final long end = EventLoop.nowMicros() + MAX_RESPONSE_MICROS;
-        while (written.hasOpenRequests() && EventLoop.nowMicros() < end) {
+        while (outcomes.hasOpenRequests() && EventLoop.nowMicros() < end) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        written.print();
+        outcomes.print();
         httpClient.stop();
-        return written.isGood() ? 0 : 1;
+        return outcomes.isGood() ? 0 : 1;
     }
 
-    private void sendRequests(final Receipts written) throws InterruptedException {
+    private void sendRequests(final Receipts outcomes) throws InterruptedException {
         final LoadPlan plan = new LoadPlan(tenants, kinds, seed);
         final long start = EventLoop.nowMicros();
-        final double length = seconds * SECOND;
+        final double length = seconds * MICROS_PER_SECOND;
         double due = 0;
         for (long number = 0; due < length; number++) {
             final boolean isMiddle = due > length / 3 && due < length * 2 / 3;
-            due += SECOND / requestsPerSecond / (isMiddle ? spikeFactor : 1);
+            due += MICROS_PER_SECOND / requestsPerSecond / (isMiddle ? spikeFactor : 1);
             final long wait = start + (long) due - EventLoop.nowMicros();
             if (wait > 0) {
                 TimeUnit.MICROSECONDS.sleep(wait);
             }
             final LoadPlan.Content content = plan.next(number);
-            send(content, plan, written);
+            send(content, plan, outcomes);
             if (!content.idempotencyKey().isEmpty() && plan.isDrawn(duplicateEvery)) {
-                send(content, plan, written);
+                send(content, plan, outcomes);
             }
         }
     }
 
-    private void send(final LoadPlan.Content content, final LoadPlan plan, final Receipts written) {
-        new TrackedRequest(httpClient, written, content, List.of(endpoints.split(",")), plan.nextSeed()).start();
+    private void send(final LoadPlan.Content content, final LoadPlan plan, final Receipts outcomes) {
+        new TrackedRequest(httpClient, outcomes, content, List.of(endpoints.split(",")), plan.nextSeed()).start();
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/client/TrackedRequest.java
+++ b/simulation/src/main/java/silverlatch/simulation/client/TrackedRequest.java
@@ -73,10 +73,10 @@
         }
         post(endpoint, "/v1/picks", body)
                 .timeout(PLACEMENT_TIMEOUT_SECONDS, TimeUnit.SECONDS)
-                .send(new AnswerListener((status, answer) -> placementAnswered(status, answer, redirects)));
+                .send(new AnswerListener((status, answer) -> onPlacementAnswer(status, answer, redirects)));
     }
 
-    private void placementAnswered(final int status, final JsonDocument answer, final int redirects) {
+    private void onPlacementAnswer(final int status, final JsonDocument answer, final int redirects) {
         if (status != 200) {
             end(status == 0 ? "unreached" : "rejected-" + status, answer);
         } else if (!answer.string("outcome", 16).equals("pointed")) {
@@ -113,7 +113,7 @@
                         append(errorBody, bytes);
                     }
                 })
-                .send(result -> responseEnded(result, errorBody.toByteArray()));
+                .send(result -> onResponseEnd(result, errorBody.toByteArray()));
     }
 
     private static void append(final ByteArrayOutputStream target, final ByteBuffer bytes) {
@@ -134,7 +134,7 @@
         verifier.verify(record);
     }
 
-    private void responseEnded(final Result result, final byte[] errorBody) {
+    private void onResponseEnd(final Result result, final byte[] errorBody) {
         final int status = result.getResponse().getStatus();
         if (!violation.isEmpty()) {
             end(Receipts.BAD + " " + violation, JsonDocument.empty());
--- a/simulation/src/main/java/silverlatch/simulation/explore/Arguments.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Arguments.java
@@ -16,22 +16,22 @@
     private static final int MAX_STEPS = 100_000;
     private static final int MAX_MINUTES = 1_440;
 
-    @Option(name = "--seeds", metaVar = "N", usage = "how many random walks")
+    @Option(name = "--seeds", metaVar = "N", usage = "number of random walks")
     private String seeds = "100000";
 
     @Option(name = "--first-seed", metaVar = "N", usage = "the seed of the first walk")
     private String firstSeed = "1";
 
-    @Option(name = "--depth", metaVar = "N", usage = "how deep the breadth-first search goes, 0 to 100")
+    @Option(name = "--depth", metaVar = "N", usage = "depth of the breadth-first search, 0 to 100")
     private String depth = "3";
 
-    @Option(name = "--steps", metaVar = "N", usage = "how many steps a walk has, 1 to 100000")
+    @Option(name = "--steps", metaVar = "N", usage = "steps of each walk, 1 to 100000")
     private String steps = "700";
 
-    @Option(name = "--states", metaVar = "N", usage = "how many states the breadth-first search visits at most")
+    @Option(name = "--states", metaVar = "N", usage = "most states that the breadth-first search visits")
     private String states = "50000";
 
-    @Option(name = "--minutes", metaVar = "N", usage = "ends after so many minutes, 1 to 1440: a third breadth first")
+    @Option(name = "--minutes", metaVar = "N", usage = "time limit in minutes, 1 to 1440; a third is for breadth first")
     private String minutes = "5";
 
     @Option(name = "--replicas", metaVar = "N", usage = "machines, 3 to 6")
@@ -40,16 +40,16 @@
     @Option(name = "--threads", metaVar = "N", usage = "threads, 1 to 64")
     private String threads = "4";
 
-    @Option(name = "--mutant", metaVar = "NAME", usage = "lets one safeguard down")
+    @Option(name = "--mutant", metaVar = "NAME", usage = "disables one safeguard")
     private String mutant = "NONE";
 
-    @Option(name = "--mutants", usage = "lets every safeguard down in turn and prints the table")
+    @Option(name = "--mutants", usage = "disables each safeguard in turn and prints a table")
     private boolean mutants;
 
     @Option(name = "--replay", metaVar = "FILE", usage = "replays a schedule")
     private String replay = "";
 
-    @Option(name = "--out", metaVar = "FOLDER", usage = "where shrunk schedules are written")
+    @Option(name = "--out", metaVar = "FOLDER", usage = "directory for shrunk schedules")
     private String out = "target/explore";
 
     private final List<String> errors = new ArrayList<>();
--- a/simulation/src/main/java/silverlatch/simulation/explore/BreadthFirstSearch.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/BreadthFirstSearch.java
@@ -47,18 +47,18 @@
     }
 
     private boolean expand(final List<Node> level, final Queue<Node> next, final SearchLimits limits) {
-        final AtomicInteger place = new AtomicInteger();
+        final AtomicInteger nextIndex = new AtomicInteger();
         ParallelRunner.run(limits.threads(), () -> {
-            int mine = place.getAndIncrement();
-            while (mine < level.size() && !full(limits)) {
-                expand(level.get(mine), next);
-                mine = place.getAndIncrement();
+            int index = nextIndex.getAndIncrement();
+            while (index < level.size() && !isLimitReached(limits)) {
+                expand(level.get(index), next);
+                index = nextIndex.getAndIncrement();
             }
         });
-        return !full(limits);
+        return !isLimitReached(limits);
     }
 
-    private boolean full(final SearchLimits limits) {
+    private boolean isLimitReached(final SearchLimits limits) {
         return limits.isReached() || counters.states() >= limits.maxStates();
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/explore/LinearizabilityChecker.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/LinearizabilityChecker.java
@@ -39,8 +39,7 @@
                 .filter(operation -> operation.outcome().isPresent() || !operation.isRead())
                 .toList();
         if (relevant.size() > MAX_OPERATIONS) {
-            throw new IllegalArgumentException("a history of " + relevant.size()
-                    + " operations is too long to check, the" + " most is " + MAX_OPERATIONS);
+            throw new IllegalArgumentException("a history of " + relevant.size() + " operations is too long to check");
         }
         return new LinearizabilityChecker(register, relevant).search(0, register.initialState());
     }
--- a/simulation/src/main/java/silverlatch/simulation/explore/LongHashSet.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/LongHashSet.java
@@ -26,11 +26,11 @@
             if (count * 2 > table.length) {
                 grow();
             }
-            final int place = place(table, value);
-            if (table[place] == value) {
+            final int slot = slot(table, value);
+            if (table[slot] == value) {
                 return false;
             }
-            table[place] = value;
+            table[slot] = value;
             count++;
             return true;
         }
@@ -39,18 +39,18 @@
             final long[] next = new long[table.length * 2];
             for (final long value : table) {
                 if (value != 0) {
-                    next[place(next, value)] = value;
+                    next[slot(next, value)] = value;
                 }
             }
             table = next;
         }
 
-        private static int place(final long[] table, final long value) {
-            int place = (int) value & table.length - 1;
-            while (table[place] != 0 && table[place] != value) {
-                place = place + 1 & table.length - 1;
+        private static int slot(final long[] table, final long value) {
+            int slot = (int) value & table.length - 1;
+            while (table[slot] != 0 && table[slot] != value) {
+                slot = slot + 1 & table.length - 1;
             }
-            return place;
+            return slot;
         }
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/explore/Machine.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Machine.java
@@ -19,7 +19,7 @@
     private final Deque<Effect.Persist> pendingWrites = new ArrayDeque<>();
     private Optional<Process> process = Optional.empty();
     private int generation;
-    private boolean isFrozen;
+    private boolean frozen;
     private boolean awaitsRepair;
 
     /** Creates a machine whose clock runs fast by {@code drift} percent, or slow if it is negative. */
@@ -68,16 +68,16 @@
     }
 
     boolean isFrozen() {
-        return isFrozen;
+        return frozen;
     }
 
     void setFrozen(final boolean on) {
-        isFrozen = on;
+        frozen = on;
     }
 
     /** Returns whether the process exists and isn't frozen. */
     boolean isRunning() {
-        return process.isPresent() && !isFrozen;
+        return process.isPresent() && !frozen;
     }
 
     /** Returns whether the disk was lost and the replica hasn't caught up since. */
@@ -115,7 +115,7 @@
         }
         pendingWrites.clear();
         process = Optional.empty();
-        isFrozen = false;
+        frozen = false;
     }
 
     /** Ends the process and erases the disk together with the replica identity on it. */
--- a/simulation/src/main/java/silverlatch/simulation/explore/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Main.java
@@ -16,12 +16,14 @@
 public final class Main {
     private static final int SHRINK_REPLAYS = 2_000;
     private static final int SHRINK_REPLAYS_RECOVERY = 400;
-    private static final int SECONDS = 60;
-    private static final int BREADTH_FIRST_PART = 3;
+    private static final int SECONDS_PER_MINUTE = 60;
+    /** The divisor of the whole time that gives the time of the breadth-first search; the walks use the rest. */
+    private static final int BREADTH_FIRST_SHARE = 3;
+
     private static final int MUTANT_SECONDS = 120;
-    private static final int FAULTS = 2;
-    private static final int OPERATIONS = 3;
-    private static final double NANOSECONDS = 1e9;
+    private static final int MAX_FAULTS = 2;
+    private static final int MAX_OPERATIONS = 3;
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
 
     private final Arguments arguments = new Arguments();
 
@@ -92,11 +94,11 @@
         final WorldOptions options = WorldOptions.of(checked.replicas(), checked.mutant());
         final Counters counters = new Counters();
         final Findings findings = new Findings();
-        final int seconds = checked.minutes() * SECONDS;
-        final int depth = new BreadthFirstSearch(options, new Moves(FAULTS, OPERATIONS), counters, findings)
+        final int seconds = checked.minutes() * SECONDS_PER_MINUTE;
+        final int depth = new BreadthFirstSearch(options, new Moves(MAX_FAULTS, MAX_OPERATIONS), counters, findings)
                 .run(
                         checked.depth(),
-                        SearchLimits.within(checked.threads(), checked.states(), seconds / BREADTH_FIRST_PART));
+                        SearchLimits.within(checked.threads(), checked.states(), seconds / BREADTH_FIRST_SHARE));
         System.out.printf(
                 Locale.ROOT,
                 "breadth first: %d machines, whole to depth %d of %d, %d states, %d steps, %.1f s%n",
@@ -105,9 +107,9 @@
                 checked.depth(),
                 counters.states(),
                 counters.steps(),
-                (System.nanoTime() - begin) / NANOSECONDS);
-        final SearchLimits rest =
-                new SearchLimits(checked.threads(), checked.states(), begin + (long) (seconds * NANOSECONDS));
+                (System.nanoTime() - begin) / NANOSECONDS_PER_SECOND);
+        final SearchLimits rest = new SearchLimits(
+                checked.threads(), checked.states(), begin + (long) (seconds * NANOSECONDS_PER_SECOND));
         new WalkSearch(options, checked.steps(), counters, findings).run(checked.firstSeed(), checked.seeds(), rest);
         System.out.printf(
                 Locale.ROOT,
@@ -116,7 +118,7 @@
                 counters.states() + counters.steps(),
                 counters.operations(),
                 counters.answered(),
-                (System.nanoTime() - begin) / NANOSECONDS);
+                (System.nanoTime() - begin) / NANOSECONDS_PER_SECOND);
         return report(findings);
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/explore/Moves.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Moves.java
@@ -11,25 +11,25 @@
  * @param maxOperations how many operations a path may have
  */
 record Moves(int maxFaults, int maxOperations) {
-    private static final int TICK = 300;
-    private static final int SETTLE = 20;
-    private static final int BOTH = 3;
+    private static final int TICK_MILLISECONDS = 300;
+    private static final int SETTLE_MILLISECONDS = 20;
+    private static final int BOTH_DIRECTIONS = 3;
     private static final int ALL_WRITES = 9;
 
     /** Returns the actions at the start of every path, by which leases are granted and a first configuration is acknowledged. */
     List<Action> initialActions() {
         return List.of(
-                Action.period(SETTLE),
+                Action.period(SETTLE_MILLISECONDS),
                 new Action(Action.Kind.PUT, 0, 1, 0),
-                Action.period(SETTLE),
-                Action.period(SETTLE));
+                Action.period(SETTLE_MILLISECONDS),
+                Action.period(SETTLE_MILLISECONDS));
     }
 
     /** Returns the actions that may follow a path of actions that led to a world. */
     List<Action> possibleActions(final World world, final List<Action> path) {
         final List<Action> moves = new ArrayList<>();
-        moves.add(Action.period(TICK));
-        moves.add(Action.tick(TICK));
+        moves.add(Action.period(TICK_MILLISECONDS));
+        moves.add(Action.tick(TICK_MILLISECONDS));
         moves.add(Action.of(Action.Kind.ROUND));
         final boolean mayFail = path.stream().filter(Moves::isFault).count() < maxFaults;
         channels(world, moves, mayFail);
@@ -112,7 +112,7 @@
         if (!machine.isFrozen()) {
             moves.add(Action.of(Action.Kind.FREEZE, index));
         }
-        for (int directions = 1; directions <= BOTH; directions++) {
+        for (int directions = 1; directions <= BOTH_DIRECTIONS; directions++) {
             moves.add(Action.of(Action.Kind.ISOLATE, index, directions));
         }
     }
--- a/simulation/src/main/java/silverlatch/simulation/explore/MutantTable.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/MutantTable.java
@@ -13,12 +13,12 @@
  */
 final class MutantTable {
     private static final int RECOVERY_EVERY = 8;
-    private static final int SIZES = 3;
-    private static final double NANOSECONDS = 1e9;
+    private static final int WORLD_SIZES = 3;
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
     private final int steps;
     private final long firstSeed;
     private final long seeds;
-    private final SearchLimits each;
+    private final SearchLimits limits;
 
     /**
      * A row of the table.
@@ -29,12 +29,12 @@
      */
     record Row(Mutant mutant, Optional<Finding> caught, double seconds, long walks) {}
 
-    /** Creates a table from walks of a number of steps. The limits are those of one mutant, from the begin of its row. */
-    MutantTable(final int steps, final long firstSeed, final long seeds, final SearchLimits each) {
+    /** Creates a table from walks of a number of steps. The limits are those of one mutant, from the start of its row. */
+    MutantTable(final int steps, final long firstSeed, final long seeds, final SearchLimits limits) {
         this.steps = steps;
         this.firstSeed = firstSeed;
         this.seeds = seeds;
-        this.each = each;
+        this.limits = limits;
     }
 
     /** Searches for a schedule that detects one mutant, and returns its row. */
@@ -42,21 +42,21 @@
         final long begin = System.nanoTime();
         final AtomicLong next = new AtomicLong(firstSeed);
         final AtomicReference<Optional<Finding>> caught = new AtomicReference<>(Optional.empty());
-        ParallelRunner.run(each.threads(), () -> {
+        ParallelRunner.run(limits.threads(), () -> {
             long seed = next.getAndIncrement();
-            while (seed < firstSeed + seeds && caught.get().isEmpty() && !each.isReached()) {
+            while (seed < firstSeed + seeds && caught.get().isEmpty() && !limits.isReached()) {
                 findByWalk(mutant, seed)
                         .ifPresent(finding -> caught.compareAndSet(Optional.empty(), Optional.of(finding)));
                 seed = next.getAndIncrement();
             }
         });
-        final double seconds = (System.nanoTime() - begin) / NANOSECONDS;
+        final double seconds = (System.nanoTime() - begin) / NANOSECONDS_PER_SECOND;
         return new Row(mutant, caught.get(), seconds, Math.min(next.get() - firstSeed, seeds));
     }
 
     /** Returns the finding by which the walk of a seed detects a mutant; the seed chooses 3 to 5 machines in turn. */
     Optional<Finding> findByWalk(final Mutant mutant, final long seed) {
-        final int replicas = WorldOptions.MIN_REPLICAS + (int) (seed % SIZES);
+        final int replicas = WorldOptions.MIN_REPLICAS + (int) (seed % WORLD_SIZES);
         final WorldOptions options = WorldOptions.of(replicas, mutant);
         final RandomWalk walk = new RandomWalk(options, seed, steps);
         return walk.run(seed % RECOVERY_EVERY == 0)
--- a/simulation/src/main/java/silverlatch/simulation/explore/RandomWalk.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/RandomWalk.java
@@ -14,8 +14,8 @@
  */
 final class RandomWalk {
     private static final int LOWEST_PRIORITY = 1_000;
-    private static final int[] TICK_MILLISECONDS = {20, 50, 100, 300};
-    private static final int LONG_JUMP = 700;
+    private static final int[] TICK_CHOICES_MILLISECONDS = {20, 50, 100, 300};
+    private static final int JUMP_MILLISECONDS = 700;
     private static final int NO_MATCH = -1;
     private static final int MAX_OPERATIONS = 40;
     private final Random random;
@@ -23,7 +23,7 @@
     private final WalkPlan plan;
     private final int size;
     private final int[] priorities;
-    private final int span;
+    private final int tickMilliseconds;
     private final List<Action> actions = new ArrayList<>();
     private int nextNumber = 1;
 
@@ -33,7 +33,7 @@
         this.plan = WalkPlan.draw(random, steps);
         this.size = options.replicas();
         this.priorities = new int[size * size + size];
-        this.span = TICK_MILLISECONDS[random.nextInt(TICK_MILLISECONDS.length)];
+        this.tickMilliseconds = TICK_CHOICES_MILLISECONDS[random.nextInt(TICK_CHOICES_MILLISECONDS.length)];
         Arrays.setAll(priorities, i -> random.nextInt(LOWEST_PRIORITY - 1));
     }
 
@@ -72,7 +72,7 @@
 
     /** Lets the leases be granted before the first fault. */
     private void grantLeases() {
-        act(Action.tick(TICK_MILLISECONDS[0]));
+        act(Action.tick(TICK_CHOICES_MILLISECONDS[0]));
         for (int i = 0; i < 3; i++) {
             act(Action.of(Action.Kind.ROUND));
         }
@@ -88,7 +88,7 @@
             }
         }
         if (chosen < 0) {
-            act(Action.tick(span));
+            act(Action.tick(tickMilliseconds));
         } else if (chosen >= size * size) {
             act(Action.of(Action.Kind.SYNC, chosen - size * size));
         } else {
@@ -125,7 +125,7 @@
                 act(Action.of(Action.Kind.CUT, machine, other));
                 act(Action.of(Action.Kind.CUT, other, machine));
             }
-            case JUMP -> act(Action.tick(LONG_JUMP));
+            case JUMP -> act(Action.tick(JUMP_MILLISECONDS));
         }
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/explore/Recovery.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Recovery.java
@@ -10,9 +10,9 @@
     /** The time limit for recovery after the last fault, in milliseconds. */
     static final int BOUND_MILLISECONDS = 40_000;
 
-    private static final int SPAN = 100;
-    private static final int ROUNDS = 3;
-    private static final int ATTEMPT = 2_000;
+    private static final int TICK_MILLISECONDS = 100;
+    private static final int ROUNDS_PER_TICK = 3;
+    private static final int PUT_INTERVAL_MILLISECONDS = 2_000;
 
     private final World world;
 
@@ -47,13 +47,13 @@
                         .max()
                         .orElse(0);
         int attempts = 0;
-        for (int passed = 0; passed < bound; passed += SPAN) {
-            if (passed % ATTEMPT == 0) {
+        for (int passed = 0; passed < bound; passed += TICK_MILLISECONDS) {
+            if (passed % PUT_INTERVAL_MILLISECONDS == 0) {
                 act(new Action(Action.Kind.PUT, attempts % world.machines().size(), number + attempts, -1));
                 attempts++;
             }
-            act(Action.tick(SPAN));
-            for (int i = 0; i < ROUNDS; i++) {
+            act(Action.tick(TICK_MILLISECONDS));
+            for (int i = 0; i < ROUNDS_PER_TICK; i++) {
                 act(Action.of(Action.Kind.ROUND));
             }
             if (world.violation().isPresent() || isChainComplete() && acknowledged(number)) {
--- a/simulation/src/main/java/silverlatch/simulation/explore/ScheduleShrinker.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/ScheduleShrinker.java
@@ -25,25 +25,25 @@
 
     private Schedule shrink(final List<Action> all) {
         List<Action> actions = all;
-        int part = Math.max(1, actions.size() / 2);
+        int partLength = Math.max(1, actions.size() / 2);
         while (remainingReplays > 0) {
-            final List<Action> shorter = removeParts(actions, part);
+            final List<Action> shorter = removeParts(actions, partLength);
             final boolean progress = shorter.size() < actions.size();
             actions = shorter;
-            if (part == 1 && !progress) {
+            if (partLength == 1 && !progress) {
                 break;
             }
-            part = progress ? Math.min(part, Math.max(1, actions.size() / 2)) : Math.max(1, part / 2);
+            partLength = progress ? Math.min(partLength, Math.max(1, actions.size() / 2)) : Math.max(1, partLength / 2);
         }
         return new Schedule(options, actions);
     }
 
     /** Tries to remove each part of a length, from the end of the schedule to its start. */
-    private List<Action> removeParts(final List<Action> all, final int part) {
+    private List<Action> removeParts(final List<Action> all, final int partLength) {
         List<Action> actions = all;
-        for (int from = actions.size() - part; from > -part && remainingReplays > 0; from -= part) {
+        for (int from = actions.size() - partLength; from > -partLength && remainingReplays > 0; from -= partLength) {
             final List<Action> without = new ArrayList<>(actions);
-            without.subList(Math.max(0, from), Math.min(actions.size(), from + part))
+            without.subList(Math.max(0, from), Math.min(actions.size(), from + partLength))
                     .clear();
             if (fails(without)) {
                 actions = without;
--- a/simulation/src/main/java/silverlatch/simulation/explore/SearchLimits.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/SearchLimits.java
@@ -8,11 +8,11 @@
  * @param deadlineNanos the time at which the search ends, in nanoseconds of {@link System#nanoTime()}
  */
 record SearchLimits(int threads, long maxStates, long deadlineNanos) {
-    private static final long NANOSECONDS = 1_000_000_000L;
+    private static final long NANOSECONDS_PER_SECOND = 1_000_000_000L;
 
     /** Returns limits whose deadline is a number of seconds from now. */
     static SearchLimits within(final int threads, final long states, final long seconds) {
-        return new SearchLimits(threads, states, System.nanoTime() + seconds * NANOSECONDS);
+        return new SearchLimits(threads, states, System.nanoTime() + seconds * NANOSECONDS_PER_SECOND);
     }
 
     /** Returns whether the deadline has passed. */
--- a/simulation/src/main/java/silverlatch/simulation/explore/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/World.java
@@ -22,11 +22,11 @@
  * {@link Action} being one step, and the same actions always lead to the same state. Times are in microseconds.
  */
 final class World {
-    private static final long MILLISECOND = 1_000;
-    private static final long EPOCH = 10_000_000;
-    private static final long OPERATION_TIME = 900_000;
-    private static final long FLEET = 7;
-    private static final int ROUNDS_OF_PERIOD = 4;
+    private static final long MICROS_PER_MILLISECOND = 1_000;
+    private static final long START_MICROS = 10_000_000;
+    private static final long OPERATION_TIMEOUT_MICROS = 900_000;
+    private static final long FLEET_ID = 7;
+    private static final int ROUNDS_PER_PERIOD = 4;
     private static final int INBOUND = 1;
     private static final int OUTBOUND = 2;
     private static final String ZONE = "zone";
@@ -37,7 +37,7 @@
     private final Network network;
     private final History history = new History();
     private final PropertyMonitor monitor;
-    private long now = EPOCH;
+    private long now = START_MICROS;
     private long lastStamp;
     private long startCount;
     private long requests;
@@ -53,7 +53,8 @@
         }
         this.monitor = new PropertyMonitor(options, machines, history);
         final List<Replica> members = machines.stream().map(Machine::identity).toList();
-        final View first = new View(1, FLEET, members, members, members.get(0).id());
+        final View first =
+                new View(1, FLEET_ID, members, members, members.get(0).id());
         machines.forEach(machine -> machine.write(List.of(new LogRecord.ViewInstalled(first, true))));
         machines.forEach(this::start);
     }
@@ -115,9 +116,9 @@
             case DROP -> removeMessage(action).isPresent();
             case DUPLICATE -> duplicate(action);
             case SYNC -> sync(machine);
-            case TICK -> tick(action.second() * MILLISECOND);
+            case TICK -> tick(action.second() * MICROS_PER_MILLISECOND);
             case ROUND -> round();
-            case PERIOD -> period(action.second() * MILLISECOND);
+            case PERIOD -> period(action.second() * MICROS_PER_MILLISECOND);
             case CRASH -> crash(machine, action.second());
             case RESTART -> restart(machine);
             case LOSE_DISK -> loseDisk(machine);
@@ -230,7 +231,7 @@
 
     private boolean period(final long duration) {
         tick(duration);
-        for (int i = 0; i < ROUNDS_OF_PERIOD; i++) {
+        for (int i = 0; i < ROUNDS_PER_PERIOD; i++) {
             round();
         }
         return true;
@@ -315,7 +316,7 @@
         final long token = history.begin(operation);
         final Command command = command(operation, "order-" + ++requests);
         final long clock = machine.clock(now);
-        machine.process().orElseThrow().client().submit(command, token, clock, clock + OPERATION_TIME);
+        machine.process().orElseThrow().client().submit(command, token, clock, clock + OPERATION_TIMEOUT_MICROS);
         flush(machine);
         return true;
     }
@@ -334,7 +335,7 @@
         final long clock = machine.clock(now);
         final String start =
                 kind == Action.Kind.READ ? ConfigurationValidator.DOCUMENT_KEY : Documents.EVACUATION_PREFIX;
-        machine.process().orElseThrow().client().read(start, token, clock, clock + OPERATION_TIME);
+        machine.process().orElseThrow().client().read(start, token, clock, clock + OPERATION_TIMEOUT_MICROS);
         flush(machine);
         return true;
     }
--- a/simulation/src/main/java/silverlatch/simulation/fleet/Fleet.java
+++ b/simulation/src/main/java/silverlatch/simulation/fleet/Fleet.java
@@ -36,13 +36,7 @@
     private final ApiClient api = new ApiClient();
     private final ReservedPorts ports = new ReservedPorts();
 
-    /**
-     * A process of the fleet.
-     *
-     * @param address  the transport address for frames, empty for a process without one
-     * @param endpoint the address of its HTTP API
-     * @param running  the process as last started; empty before
-     */
+    /** A process with its transport address, or "" if none, its HTTP address, and the process as last started, if any. */
     private record ManagedProcess(
             String name,
             String mainClass,
@@ -210,10 +204,7 @@
         }
     }
 
-    /**
-     * Requests a graceful shutdown of a process and returns its exit code. A process that hasn't ended after 15 seconds is
-     * killed, and the result is -1.
-     */
+    /** Shuts a process down gracefully and returns its exit code, or -1 if it was killed as it didn't end within 15 s. */
     public int stop(final String name) throws InterruptedException {
         final Process process = processes.get(name).running().get(0);
         process.destroy();
--- a/simulation/src/main/java/silverlatch/simulation/fleet/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/fleet/Main.java
@@ -40,11 +40,11 @@
         final String changed = changeCell(fleet);
         final long acknowledgedAt = System.currentTimeMillis();
         System.out.println("cell changed: " + changed);
-        final boolean isServed = load.waitFor() == 0;
+        final boolean isLoadCorrect = load.waitFor() == 0;
         System.out.print(Files.readString(fleet.folder().resolve("consumer.out")));
-        final boolean isRight = checkReceipts(fleet, receipts);
-        final boolean isFollowed = checkAcknowledgedTable(receipts, sequence(changed), acknowledgedAt);
-        return isServed && isRight && isFollowed ? 0 : 1;
+        final boolean areReceiptsCorrect = checkReceipts(fleet, receipts);
+        final boolean isChangeFollowed = checkAcknowledgedTable(receipts, sequence(changed), acknowledgedAt);
+        return isLoadCorrect && areReceiptsCorrect && isChangeFollowed ? 0 : 1;
     }
 
     private static void startFleet(final Fleet fleet) throws Exception {
--- a/simulation/src/main/java/silverlatch/simulation/fleet/Plan.java
+++ b/simulation/src/main/java/silverlatch/simulation/fleet/Plan.java
@@ -33,7 +33,13 @@
      */
     public record Kind(String kind, int weight, int chunks, int prefixParts, boolean atMostOnce) {}
 
-    /** A tenant with its API key, its share of the capacity, and the regions where its requests may run (empty: any). */
+    /**
+     * A tenant.
+     *
+     * @param key         its API key
+     * @param share       its weight when the capacity of the fleet is divided among tenants
+     * @param homeRegions the regions in which its requests may run; empty means all
+     */
     public record Tenant(String name, String key, double share, List<String> homeRegions) {
         /** Copies the list of home regions. */
         public Tenant {
@@ -49,7 +55,7 @@
     public static Plan read(final Path folder) throws IOException {
         if (!(JsonDocument.parse(Files.readAllBytes(folder.resolve("plan.json")), 1 << 20)
                 instanceof JsonDocument.ParseResult.Valid good)) {
-            throw new IOException(folder.resolve("plan.json") + " is not a JSON object");
+            throw new IOException("plan.json is not JSON");
         }
         final JsonDocument document = good.document();
         final List<Region> regions = new ArrayList<>();
--- a/simulation/src/main/java/silverlatch/simulation/measure/LogicalBits.java
+++ b/simulation/src/main/java/silverlatch/simulation/measure/LogicalBits.java
@@ -16,9 +16,9 @@
     private static final int LOGICAL_BITS = 12;
     private static final int REJECTED = LOGICAL_BITS + 1;
     private static final int NODES = 8;
-    private static final long START = 1_000_000L;
-    private static final long MIN_DELAY = 1_000L;
-    private static final long DELAY_JITTER = 19_000L;
+    private static final long START_MICROS = 1_000_000L;
+    private static final long MIN_DELAY_MICROS = 1_000L;
+    private static final long MAX_JITTER_MICROS = 19_000L;
     private final SplittableRandom random;
     private final long[] clockOffsets = new long[NODES];
     private final PwcClock[] clocks = new PwcClock[NODES];
@@ -38,7 +38,8 @@
         final long maxSkew = NtpTime.fromMicros((long) (skewMillis * 1000));
         for (int i = 0; i < NODES; i++) {
             clockOffsets[i] = leader ? i == 0 ? maxSkew : 0 : random.nextLong(maxSkew + 1);
-            clocks[i] = PwcClock.start(NtpTime.fromMicros(START) + clockOffsets[i], LOGICAL_BITS, maxSkew * 4, 0);
+            clocks[i] =
+                    PwcClock.start(NtpTime.fromMicros(START_MICROS) + clockOffsets[i], LOGICAL_BITS, maxSkew * 4, 0);
         }
     }
 
@@ -77,7 +78,7 @@
     }
 
     private static long trueTime(final double now) {
-        return NtpTime.fromMicros(START + (long) now);
+        return NtpTime.fromMicros(START_MICROS + (long) now);
     }
 
     private void receive(final long trueTime) {
@@ -90,7 +91,7 @@
         final ClockReading reading = clocks[node].send(trueTime(now) + clockOffsets[node]);
         count(node, reading);
         if (reading instanceof ClockReading.Stamped stamped) {
-            final long deliveryTime = (long) now + MIN_DELAY + random.nextLong(DELAY_JITTER);
+            final long deliveryTime = (long) now + MIN_DELAY_MICROS + random.nextLong(MAX_JITTER_MICROS);
             inFlight.add(new InFlightMessage(deliveryTime, messages++, random.nextInt(NODES), stamped.stamp()));
         }
     }
--- a/simulation/src/main/java/silverlatch/simulation/measure/LossReport.java
+++ b/simulation/src/main/java/silverlatch/simulation/measure/LossReport.java
@@ -20,7 +20,7 @@
  */
 public final class LossReport {
     private static final int MAX_BYTES = 64 << 20;
-    private static final double SHOWN_FROM = 0.00005;
+    private static final double MIN_SHOWN_LOSS = 0.00005;
     private static final int NAME = 0;
     private static final int WEIGHT = 1;
     private static final int PART_VALUE = 2;
@@ -91,7 +91,7 @@
     public void print(final PrintStream out) {
         out.printf(Locale.ROOT, "worth %.4f%n", worth());
         losses().stream()
-                .filter(loss -> loss.lost() >= SHOWN_FROM)
+                .filter(loss -> loss.lost() >= MIN_SHOWN_LOSS)
                 .forEach(loss -> out.printf(Locale.ROOT, "  -%.4f  %s%n", loss.lost(), loss.name()));
         out.printf(Locale.ROOT, "  -%.4f  not explained%n", unexplained());
         for (final String table : List.of("classes", "zones", "windows")) {
