--- a/simulation/src/main/java/silverlatch/simulation/explore/BreadthFirstSearch.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/BreadthFirstSearch.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Visits every state that some actions reach, level by level; a state that was seen before, by its digest, isn't followed
- * again. Replicas can't be copied, so each state is reached by replaying the actions that lead to it.
+ * Visits the states that are reachable by the actions of {@link Moves}, level by level. A state whose digest was visited
+ * before isn't expanded again. Replicas can't be copied, so each state is rebuilt by replaying the actions that lead to it.
  */
 final class BreadthFirstSearch {
     private final WorldOptions options;
@@ -20,7 +20,7 @@
     private final Findings findings;
     private final LongHashSet visited = new LongHashSet();
 
-    /** A state, by the action that led to it and where from. */
+    /** A state, given by its parent state and the action that leads from there to it. */
     private record Node(Optional<Node> parent, Action action) {}
 
     BreadthFirstSearch(
@@ -31,7 +31,7 @@
         this.findings = findings;
     }
 
-    /** Searches to a depth, or until a limit is reached; the depth that was searched whole. */
+    /** Searches to a depth or until a limit is reached, and returns the greatest depth that was searched completely. */
     int run(final int depth, final SearchLimits limits) {
         List<Node> level = new ArrayList<>();
         level.add(new Node(Optional.empty(), Action.of(Action.Kind.ROUND)));
@@ -47,38 +47,38 @@
     }
 
     private boolean expand(final List<Node> level, final Queue<Node> next, final SearchLimits limits) {
-        final AtomicInteger place = new AtomicInteger();
-        Workers.run(limits.threads(), () -> {
-            int mine = place.getAndIncrement();
-            while (mine < level.size() && !full(limits)) {
-                expand(level.get(mine), next);
-                mine = place.getAndIncrement();
+        final AtomicInteger nextIndex = new AtomicInteger();
+        ParallelRunner.run(limits.threads(), () -> {
+            int index = nextIndex.getAndIncrement();
+            while (index < level.size() && !isLimitReached(limits)) {
+                expand(level.get(index), next);
+                index = nextIndex.getAndIncrement();
             }
         });
-        return !full(limits);
+        return !isLimitReached(limits);
     }
 
-    private boolean full(final SearchLimits limits) {
-        return limits.isReached() || counters.states() >= limits.states();
+    private boolean isLimitReached(final SearchLimits limits) {
+        return limits.isReached() || counters.states() >= limits.maxStates();
     }
 
     private void expand(final Node node, final Queue<Node> next) {
         final List<Action> path = path(node);
-        for (final Action action : moves.from(replay(path), path)) {
+        for (final Action action : moves.possibleActions(replay(path), path)) {
             final World world = replay(path);
             world.apply(action);
             world.checkHistory();
             final int steps = path.size() + 1;
             if (world.violation().isPresent()) {
-                final List<Action> all = new ArrayList<>(moves.start());
+                final List<Action> all = new ArrayList<>(moves.initialActions());
                 all.addAll(path);
                 all.add(action);
                 findings.add(new Finding(world.violation().get(), new Schedule(options, all)));
             } else if (visited.add(StateDigest.of(world))) {
-                counters.state(steps);
+                counters.recordNewState(steps);
                 next.add(new Node(Optional.of(node), action));
             } else {
-                counters.seenAgain(steps);
+                counters.recordKnownState(steps);
             }
         }
     }
@@ -95,7 +95,7 @@
 
     private World replay(final List<Action> path) {
         final World world = new World(options);
-        moves.start().forEach(world::apply);
+        moves.initialActions().forEach(world::apply);
         path.forEach(world::apply);
         return world;
     }
--- a/simulation/src/main/java/silverlatch/simulation/explore/History.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/History.java
@@ -5,25 +5,27 @@
 import silverlatch.replication.ChainClient;
 import silverlatch.state.CommandResult;
 
-/** The operations of all operators in the order they began; an operation's token is its place. */
+/** The operations of all operators in the order in which they began. An operation's token is its index in this order. */
 final class History {
     private final List<Operation> operations = new ArrayList<>();
 
-    /** Notes the beginning of an operation and gives its token. */
+    /** Records the beginning of an operation and returns its token. */
     long begin(final Operation operation) {
         operations.add(operation);
         return operations.size() - 1L;
     }
 
-    /** Notes an answer. One that tells that the outcome is unknown leaves the operation without an end. */
-    void answered(final long token, final Object reply, final long step) {
+    /** Records the response to an operation. A response with an unknown outcome leaves the operation without an outcome. */
+    void recordResponse(final long token, final Object reply, final long step) {
         final Operation operation = operation(token);
         switch (reply) {
             case CommandResult.Applied applied -> end(token, new Operation.Outcome.Acknowledged(step));
             case CommandResult.Rejected rejected -> end(token, new Operation.Outcome.Refused(step, rejected.code()));
             case ChainClient.ReadResult page -> {
                 if (page.answered()) {
-                    end(token, new Operation.Outcome.Value(step, Documents.value(operation.kind(), page.entries())));
+                    end(
+                            token,
+                            new Operation.Outcome.Value(step, Documents.readValue(operation.kind(), page.entries())));
                 }
             }
             default -> {}
@@ -31,7 +33,7 @@
     }
 
     private void end(final long token, final Operation.Outcome outcome) {
-        operations.set((int) token, operation(token).ended(outcome));
+        operations.set((int) token, operation(token).withOutcome(outcome));
     }
 
     Operation operation(final long token) {
@@ -42,22 +44,22 @@
         return operations;
     }
 
-    /** The puts in the order they began. */
+    /** Returns the puts in the order in which they began. */
     List<Operation> puts() {
         return operations.stream()
                 .filter(operation -> operation.kind() == Action.Kind.PUT)
                 .toList();
     }
 
-    /** The operations on the configuration. */
-    List<Operation> configuration() {
+    /** Returns the operations on the configuration. */
+    List<Operation> configurationOperations() {
         return operations.stream()
                 .filter(operation -> operation.kind() == Action.Kind.PUT || operation.kind() == Action.Kind.READ)
                 .toList();
     }
 
-    /** The operations on the zone. */
-    List<Operation> zone() {
+    /** Returns the operations on the evacuation of the zone. */
+    List<Operation> zoneOperations() {
         return operations.stream()
                 .filter(operation -> operation.kind() != Action.Kind.PUT && operation.kind() != Action.Kind.READ)
                 .toList();
--- a/simulation/src/main/java/silverlatch/simulation/explore/LongHashSet.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/LongHashSet.java
@@ -2,35 +2,35 @@
 
 import java.util.Arrays;
 
-/** A set of longs for several threads: open addressing in shards, each with its own lock. */
+/** A thread-safe set of longs. It uses open addressing in shards, each of which has its own lock. */
 final class LongHashSet {
     private static final int SHARDS = 64;
-    private static final int FIRST = 1 << 10;
+    private static final int INITIAL_CAPACITY = 1 << 10;
     private final Shard[] shards = new Shard[SHARDS];
 
     LongHashSet() {
         Arrays.setAll(shards, i -> new Shard());
     }
 
-    /** Adds a value; whether it was not there before. */
+    /** Adds a value and returns whether it was absent before. The values 0 and 1 count as the same. */
     boolean add(final long value) {
         return shards[(int) (value >>> 58)].add(value == 0 ? 1 : value);
     }
 
-    /** One table; 0 marks a free place. */
+    /** One hash table; 0 marks a free slot. */
     private static final class Shard {
-        private long[] table = new long[FIRST];
+        private long[] table = new long[INITIAL_CAPACITY];
         private int count;
 
         synchronized boolean add(final long value) {
             if (count * 2 > table.length) {
                 grow();
             }
-            final int place = place(table, value);
-            if (table[place] == value) {
+            final int slot = slot(table, value);
+            if (table[slot] == value) {
                 return false;
             }
-            table[place] = value;
+            table[slot] = value;
             count++;
             return true;
         }
@@ -39,18 +39,18 @@
             final long[] next = new long[table.length * 2];
             for (final long value : table) {
                 if (value != 0) {
-                    next[place(next, value)] = value;
+                    next[slot(next, value)] = value;
                 }
             }
             table = next;
         }
 
-        private static int place(final long[] table, final long value) {
-            int place = (int) value & table.length - 1;
-            while (table[place] != 0 && table[place] != value) {
-                place = place + 1 & table.length - 1;
+        private static int slot(final long[] table, final long value) {
+            int slot = (int) value & table.length - 1;
+            while (table[slot] != 0 && table[slot] != value) {
+                slot = slot + 1 & table.length - 1;
             }
-            return place;
+            return slot;
         }
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/explore/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Main.java
@@ -9,16 +9,21 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 
-/** Explores the replicated part. Ends with 0, with 1 when a property broke or a mutant survived, with 2 on wrong use. */
+/**
+ * Explores the states of the replicated part of the control plane. Exits with 0, with 1 if a property was violated or a
+ * mutant survived, and with 2 on invalid arguments.
+ */
 public final class Main {
     private static final int SHRINK_REPLAYS = 2_000;
     private static final int SHRINK_REPLAYS_RECOVERY = 400;
-    private static final int SECONDS = 60;
-    private static final int BREADTH_FIRST_PART = 3;
+    private static final int SECONDS_PER_MINUTE = 60;
+    /** The divisor of the whole time that gives the time of the breadth-first search; the walks use the rest. */
+    private static final int BREADTH_FIRST_SHARE = 3;
+
     private static final int MUTANT_SECONDS = 120;
-    private static final int FAULTS = 2;
-    private static final int OPERATIONS = 3;
-    private static final double NANOSECONDS = 1e9;
+    private static final int MAX_FAULTS = 2;
+    private static final int MAX_OPERATIONS = 3;
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
 
     private final Arguments arguments = new Arguments();
 
@@ -29,8 +34,8 @@
         System.exit(new Main().run(args));
     }
 
-    /** Runs the program without ending the process; the exit code. */
-    static int code(final String... args) throws IOException {
+    /** Runs the program without ending the process and returns the exit code. */
+    static int exitCode(final String... args) throws IOException {
         return new Main().run(args);
     }
 
@@ -89,11 +94,11 @@
         final WorldOptions options = WorldOptions.of(checked.replicas(), checked.mutant());
         final Counters counters = new Counters();
         final Findings findings = new Findings();
-        final int seconds = checked.minutes() * SECONDS;
-        final int depth = new BreadthFirstSearch(options, new Moves(FAULTS, OPERATIONS), counters, findings)
+        final int seconds = checked.minutes() * SECONDS_PER_MINUTE;
+        final int depth = new BreadthFirstSearch(options, new Moves(MAX_FAULTS, MAX_OPERATIONS), counters, findings)
                 .run(
                         checked.depth(),
-                        SearchLimits.within(checked.threads(), checked.states(), seconds / BREADTH_FIRST_PART));
+                        SearchLimits.within(checked.threads(), checked.states(), seconds / BREADTH_FIRST_SHARE));
         System.out.printf(
                 Locale.ROOT,
                 "breadth first: %d machines, whole to depth %d of %d, %d states, %d steps, %.1f s%n",
@@ -102,9 +107,9 @@
                 checked.depth(),
                 counters.states(),
                 counters.steps(),
-                (System.nanoTime() - begin) / NANOSECONDS);
-        final SearchLimits rest =
-                new SearchLimits(checked.threads(), checked.states(), begin + (long) (seconds * NANOSECONDS));
+                (System.nanoTime() - begin) / NANOSECONDS_PER_SECOND);
+        final SearchLimits rest = new SearchLimits(
+                checked.threads(), checked.states(), begin + (long) (seconds * NANOSECONDS_PER_SECOND));
         new WalkSearch(options, checked.steps(), counters, findings).run(checked.firstSeed(), checked.seeds(), rest);
         System.out.printf(
                 Locale.ROOT,
@@ -113,7 +118,7 @@
                 counters.states() + counters.steps(),
                 counters.operations(),
                 counters.answered(),
-                (System.nanoTime() - begin) / NANOSECONDS);
+                (System.nanoTime() - begin) / NANOSECONDS_PER_SECOND);
         return report(findings);
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/explore/MutantTable.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/MutantTable.java
@@ -8,66 +8,73 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Lets down one safeguard at a time and walks until a property breaks that the mutant is expected to break, by a schedule
- * that breaks nothing when all safeguards stand.
+ * Disables one safeguard at a time and runs random walks until one violates a property that the mutant is expected to
+ * violate, by a schedule that violates nothing with all safeguards enabled.
  */
 final class MutantTable {
     private static final int RECOVERY_EVERY = 8;
-    private static final int SIZES = 3;
-    private static final double NANOSECONDS = 1e9;
+    private static final int WORLD_SIZES = 3;
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
     private final int steps;
     private final long firstSeed;
     private final long seeds;
-    private final SearchLimits each;
+    private final SearchLimits limits;
 
-    /** A row: which property caught the mutant by which schedule, after how many seconds and walks; none if it survived. */
+    /**
+     * A row of the table.
+     *
+     * @param caught  the violation that detected the mutant, with its schedule; empty if the mutant survived
+     * @param seconds the duration of the search
+     * @param walks   the number of walks begun
+     */
     record Row(Mutant mutant, Optional<Finding> caught, double seconds, long walks) {}
 
-    /** Walks of so many steps; the limits hold for each mutant, counted from when the row begins. */
-    MutantTable(final int steps, final long firstSeed, final long seeds, final SearchLimits each) {
+    /** Creates a table from walks of a number of steps. The limits are those of one mutant, from the start of its row. */
+    MutantTable(final int steps, final long firstSeed, final long seeds, final SearchLimits limits) {
         this.steps = steps;
         this.firstSeed = firstSeed;
         this.seeds = seeds;
-        this.each = each;
+        this.limits = limits;
     }
 
-    /** Hunts one mutant. */
+    /** Searches for a schedule that detects one mutant, and returns its row. */
     Row row(final Mutant mutant) {
         final long begin = System.nanoTime();
         final AtomicLong next = new AtomicLong(firstSeed);
         final AtomicReference<Optional<Finding>> caught = new AtomicReference<>(Optional.empty());
-        Workers.run(each.threads(), () -> {
+        ParallelRunner.run(limits.threads(), () -> {
             long seed = next.getAndIncrement();
-            while (seed < firstSeed + seeds && caught.get().isEmpty() && !each.isReached()) {
-                catches(mutant, seed)
+            while (seed < firstSeed + seeds && caught.get().isEmpty() && !limits.isReached()) {
+                findByWalk(mutant, seed)
                         .ifPresent(finding -> caught.compareAndSet(Optional.empty(), Optional.of(finding)));
                 seed = next.getAndIncrement();
             }
         });
-        final double seconds = (System.nanoTime() - begin) / NANOSECONDS;
+        final double seconds = (System.nanoTime() - begin) / NANOSECONDS_PER_SECOND;
         return new Row(mutant, caught.get(), seconds, Math.min(next.get() - firstSeed, seeds));
     }
 
-    /** What the walk of a seed finds of a mutant, with 3 to 5 machines in turn. */
-    Optional<Finding> catches(final Mutant mutant, final long seed) {
-        final int replicas = WorldOptions.MIN_REPLICAS + (int) (seed % SIZES);
+    /** Returns the finding by which the walk of a seed detects a mutant; the seed chooses 3 to 5 machines in turn. */
+    Optional<Finding> findByWalk(final Mutant mutant, final long seed) {
+        final int replicas = WorldOptions.MIN_REPLICAS + (int) (seed % WORLD_SIZES);
         final WorldOptions options = WorldOptions.of(replicas, mutant);
         final RandomWalk walk = new RandomWalk(options, seed, steps);
         return walk.run(seed % RECOVERY_EVERY == 0)
                 .violation()
                 .filter(violation -> mutant.expected().contains(violation.property()))
                 .map(violation -> new Finding(violation, new Schedule(options, walk.actions())))
-                .filter(finding -> harmless(replicas, finding.schedule().actions()));
+                .filter(finding ->
+                        isCorrectWithoutMutant(replicas, finding.schedule().actions()));
     }
 
-    private static boolean harmless(final int replicas, final List<Action> actions) {
+    private static boolean isCorrectWithoutMutant(final int replicas, final List<Action> actions) {
         return new Schedule(WorldOptions.of(replicas, Mutant.NONE), actions)
                 .replay()
                 .violation()
                 .isEmpty();
     }
 
-    /** The rows as a table of a page. */
+    /** Formats the rows as a Markdown table. */
     static String text(final List<Row> rows) {
         final List<String> lines = new ArrayList<>();
         lines.add("| mutant | caught by | seconds | walks |");
--- a/simulation/src/main/java/silverlatch/simulation/explore/Recovery.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Recovery.java
@@ -2,14 +2,17 @@
 
 import silverlatch.replication.ReplicaStatus;
 
-/** The end of a walk: all faults are over, and within a bound of time a put must be acknowledged at every machine. */
+/**
+ * Ends all faults of a world and checks that it recovers: within a time limit, every machine must be a caught-up member of the
+ * chain and a put must be acknowledged. The puts are sent through one machine after the other.
+ */
 final class Recovery {
-    /** How long the machines may take after the last fault, in milliseconds. */
+    /** The time limit for recovery after the last fault, in milliseconds. */
     static final int BOUND_MILLISECONDS = 40_000;
 
-    private static final int SPAN = 100;
-    private static final int ROUNDS = 3;
-    private static final int ATTEMPT = 2_000;
+    private static final int TICK_MILLISECONDS = 100;
+    private static final int ROUNDS_PER_TICK = 3;
+    private static final int PUT_INTERVAL_MILLISECONDS = 2_000;
 
     private final World world;
 
@@ -17,7 +20,7 @@
         this.world = world;
     }
 
-    /** Ends all faults and waits; true, as it always can be done. */
+    /** Ends all faults and awaits recovery. Returns true, as this action is always possible. */
     static boolean run(final World world) {
         final Recovery recovery = new Recovery(world);
         recovery.endFaults();
@@ -44,20 +47,20 @@
                         .max()
                         .orElse(0);
         int attempts = 0;
-        for (int passed = 0; passed < bound; passed += SPAN) {
-            if (passed % ATTEMPT == 0) {
+        for (int passed = 0; passed < bound; passed += TICK_MILLISECONDS) {
+            if (passed % PUT_INTERVAL_MILLISECONDS == 0) {
                 act(new Action(Action.Kind.PUT, attempts % world.machines().size(), number + attempts, -1));
                 attempts++;
             }
-            act(Action.tick(SPAN));
-            for (int i = 0; i < ROUNDS; i++) {
+            act(Action.tick(TICK_MILLISECONDS));
+            for (int i = 0; i < ROUNDS_PER_TICK; i++) {
                 act(Action.of(Action.Kind.ROUND));
             }
             if (world.violation().isPresent() || isChainComplete() && acknowledged(number)) {
                 return;
             }
         }
-        world.notRecovered();
+        world.reportNotRecovered();
     }
 
     private boolean isChainComplete() {
--- a/simulation/src/main/java/silverlatch/simulation/explore/ScheduleShrinker.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/ScheduleShrinker.java
@@ -3,44 +3,47 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Delta debugging: drops parts of a failing schedule, ever smaller, as long as the same property still breaks. */
+/**
+ * Shrinks a schedule by delta debugging: removes ever smaller parts of it as long as the rest still violates the same
+ * property.
+ */
 final class ScheduleShrinker {
     private final WorldOptions options;
     private final Property property;
-    private int left;
+    private int remainingReplays;
 
     private ScheduleShrinker(final WorldOptions options, final Property property, final int replays) {
         this.options = options;
         this.property = property;
-        this.left = replays;
+        this.remainingReplays = replays;
     }
 
-    /** The shortest schedule found within a count of replays. */
+    /** Returns the shortest schedule found with a limited number of replays. */
     static Schedule shrink(final Schedule schedule, final Property property, final int replays) {
         return new ScheduleShrinker(schedule.options(), property, replays).shrink(schedule.actions());
     }
 
     private Schedule shrink(final List<Action> all) {
         List<Action> actions = all;
-        int part = Math.max(1, actions.size() / 2);
-        while (left > 0) {
-            final List<Action> shorter = pass(actions, part);
+        int partLength = Math.max(1, actions.size() / 2);
+        while (remainingReplays > 0) {
+            final List<Action> shorter = removeParts(actions, partLength);
             final boolean progress = shorter.size() < actions.size();
             actions = shorter;
-            if (part == 1 && !progress) {
+            if (partLength == 1 && !progress) {
                 break;
             }
-            part = progress ? Math.min(part, Math.max(1, actions.size() / 2)) : Math.max(1, part / 2);
+            partLength = progress ? Math.min(partLength, Math.max(1, actions.size() / 2)) : Math.max(1, partLength / 2);
         }
         return new Schedule(options, actions);
     }
 
-    /** Tries to do without each part of a length, from the end. */
-    private List<Action> pass(final List<Action> all, final int part) {
+    /** Tries to remove each part of a length, from the end of the schedule to its start. */
+    private List<Action> removeParts(final List<Action> all, final int partLength) {
         List<Action> actions = all;
-        for (int from = actions.size() - part; from > -part && left > 0; from -= part) {
+        for (int from = actions.size() - partLength; from > -partLength && remainingReplays > 0; from -= partLength) {
             final List<Action> without = new ArrayList<>(actions);
-            without.subList(Math.max(0, from), Math.min(actions.size(), from + part))
+            without.subList(Math.max(0, from), Math.min(actions.size(), from + partLength))
                     .clear();
             if (fails(without)) {
                 actions = without;
@@ -50,7 +53,7 @@
     }
 
     private boolean fails(final List<Action> actions) {
-        left--;
+        remainingReplays--;
         return new Schedule(options, actions)
                 .replay()
                 .violation()
--- a/simulation/src/main/java/silverlatch/simulation/explore/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/World.java
@@ -18,15 +18,15 @@
 import silverlatch.wire.Message;
 
 /**
- * Some machines with replicas and clients, a network and a clock, that do nothing by themselves: each {@link Action} is one
- * step. The same actions give the same world. Times are microseconds.
+ * A simulated world of machines with replicas and clients, a network and a clock. It changes only by actions, each
+ * {@link Action} being one step, and the same actions always lead to the same state. Times are in microseconds.
  */
 final class World {
-    private static final long MILLISECOND = 1_000;
-    private static final long EPOCH = 10_000_000;
-    private static final long OPERATION_TIME = 900_000;
-    private static final long FLEET = 7;
-    private static final int ROUNDS_OF_PERIOD = 4;
+    private static final long MICROS_PER_MILLISECOND = 1_000;
+    private static final long START_MICROS = 10_000_000;
+    private static final long OPERATION_TIMEOUT_MICROS = 900_000;
+    private static final long FLEET_ID = 7;
+    private static final int ROUNDS_PER_PERIOD = 4;
     private static final int INBOUND = 1;
     private static final int OUTBOUND = 2;
     private static final String ZONE = "zone";
@@ -37,23 +37,24 @@
     private final Network network;
     private final History history = new History();
     private final PropertyMonitor monitor;
-    private long now = EPOCH;
-    private long stamp;
-    private long starts;
+    private long now = START_MICROS;
+    private long lastStamp;
+    private long startCount;
     private long requests;
     private long step;
 
-    /** A world in which the first view stands and every machine has just started with it. */
+    /** Creates a world in which every machine has the first view on disk and has just started. */
     World(final WorldOptions options) {
         this.options = options;
         this.network = new Network(options.replicas());
         for (int i = 0; i < options.replicas(); i++) {
-            machines.add(new Machine(i, (i % 3 - 1) * options.drift()));
+            machines.add(new Machine(i, (i % 3 - 1) * options.driftPercent()));
             addresses.add(Machine.address(i));
         }
         this.monitor = new PropertyMonitor(options, machines, history);
         final List<Replica> members = machines.stream().map(Machine::identity).toList();
-        final View first = new View(1, FLEET, members, members, members.get(0).id());
+        final View first =
+                new View(1, FLEET_ID, members, members, members.get(0).id());
         machines.forEach(machine -> machine.write(List.of(new LogRecord.ViewInstalled(first, true))));
         machines.forEach(this::start);
     }
@@ -74,14 +75,14 @@
         return now;
     }
 
-    /** The property that was broken first. */
+    /** Returns the first violation of a property. */
     Optional<Violation> violation() {
         return monitor.violation();
     }
 
-    /** Whether another disk may be lost: fewer are lost and not repaired than there are copies to spare. */
+    /** Returns whether another disk may be lost, so that one of the required copies of each write remains. */
     boolean mayLoseDisk() {
-        return machines.stream().filter(Machine::replaced).count() < options.copies() - 1;
+        return machines.stream().filter(Machine::awaitsRepair).count() < options.copies() - 1;
     }
 
     /** Checks that the history so far is linearizable. */
@@ -89,21 +90,21 @@
         monitor.checkHistory();
     }
 
-    /** The machines didn't recover in time after the last fault. */
-    void notRecovered() {
+    /** Records as violation that the machines didn't recover in time after the last fault. */
+    void reportNotRecovered() {
         final List<ReplicaStatus> states = machines.stream()
                 .map(machine -> machine.process().orElseThrow().replica().status(machine.clock(now)))
                 .toList();
-        monitor.broken(Property.RECOVERS, "not within " + Recovery.BOUND_MILLISECONDS + " ms: " + states);
+        monitor.reportViolation(Property.RECOVERS, "not within " + Recovery.BOUND_MILLISECONDS + " ms: " + states);
     }
 
-    /** Takes one step; whether the action was possible. */
+    /** Takes one step and returns whether the action was possible. An exception of a replica is recorded as violation. */
     boolean apply(final Action action) {
         step++;
         try {
             return dispatch(action);
         } catch (final IllegalStateException | IllegalArgumentException | IndexOutOfBoundsException failure) {
-            monitor.broken(Property.NO_EXCEPTION, failure.toString());
+            monitor.reportViolation(Property.NO_EXCEPTION, failure.toString());
             return true;
         }
     }
@@ -115,9 +116,9 @@
             case DROP -> removeMessage(action).isPresent();
             case DUPLICATE -> duplicate(action);
             case SYNC -> sync(machine);
-            case TICK -> tick(action.second() * MILLISECOND);
+            case TICK -> tick(action.second() * MICROS_PER_MILLISECOND);
             case ROUND -> round();
-            case PERIOD -> period(action.second() * MILLISECOND);
+            case PERIOD -> period(action.second() * MICROS_PER_MILLISECOND);
             case CRASH -> crash(machine, action.second());
             case RESTART -> restart(machine);
             case LOSE_DISK -> loseDisk(machine);
@@ -135,14 +136,15 @@
     }
 
     private void start(final Machine machine) {
-        starts++;
+        startCount++;
         final ReplicaSettings setup = ReplicaSettings.of(machine.identity(), addresses)
                 .withCounts(options.copies(), options.replicas())
                 .withBootstrap(false)
                 .withSafeguards(options.mutant().safeguards());
         final ChainReplica replica =
-                new ChainReplica(setup, List.copyOf(machine.disk()), () -> new Stamp(++stamp), machine.clock(now));
-        machine.start(new Machine.Process(replica, new ChainClient(machine.address(), replica::view, starts << 32)));
+                new ChainReplica(setup, List.copyOf(machine.disk()), () -> new Stamp(++lastStamp), machine.clock(now));
+        machine.setProcess(
+                new Machine.Process(replica, new ChainClient(machine.address(), replica::view, startCount << 32)));
         flush(machine);
     }
 
@@ -159,7 +161,7 @@
     private boolean deliver(final int from, final int to, final int position) {
         final List<Message> channel = network.channel(from, to);
         final Machine machine = machines.get(to);
-        if (position >= channel.size() || machine.frozen()) {
+        if (position >= channel.size() || machine.isFrozen()) {
             return false;
         }
         final Message message = channel.remove(position);
@@ -180,16 +182,16 @@
     }
 
     private boolean sync(final Machine machine) {
-        if (machine.pending().isEmpty() || !machine.isRunning()) {
+        if (machine.pendingWrites().isEmpty() || !machine.isRunning()) {
             return false;
         }
-        final Effect.Persist write = machine.pending().poll();
+        final Effect.Persist write = machine.pendingWrites().poll();
         machine.write(write.records());
         if (options.mutant() != Mutant.SYNC) {
             machine.process().orElseThrow().replica().onSynced(write.token(), machine.clock(now));
         }
         flush(machine);
-        monitor.diskChanged();
+        monitor.onDiskChanged();
         return true;
     }
 
@@ -206,7 +208,7 @@
         return true;
     }
 
-    /** Delivers what was in flight as the round began, and syncs what is pending. */
+    /** Delivers the messages that are in flight at the start of the round, then syncs the pending writes. */
     private boolean round() {
         final int size = machines.size();
         final int[] counts = new int[size * size];
@@ -220,7 +222,7 @@
             }
         }
         for (final Machine machine : machines) {
-            for (int left = machine.pending().size(); left > 0; left--) {
+            for (int left = machine.pendingWrites().size(); left > 0; left--) {
                 changed |= sync(machine);
             }
         }
@@ -229,7 +231,7 @@
 
     private boolean period(final long duration) {
         tick(duration);
-        for (int i = 0; i < ROUNDS_OF_PERIOD; i++) {
+        for (int i = 0; i < ROUNDS_PER_PERIOD; i++) {
             round();
         }
         return true;
@@ -240,7 +242,7 @@
             return false;
         }
         machine.crash(kept);
-        monitor.diskChanged();
+        monitor.onDiskChanged();
         return true;
     }
 
@@ -253,19 +255,19 @@
     }
 
     private boolean loseDisk(final Machine machine) {
-        if (machine.replaced() || !mayLoseDisk()) {
+        if (machine.awaitsRepair() || !mayLoseDisk()) {
             return false;
         }
         machine.loseDisk();
-        monitor.diskChanged();
+        monitor.onDiskChanged();
         return true;
     }
 
     private boolean freeze(final Machine machine, final boolean freeze) {
-        if (machine.frozen() == freeze || machine.process().isEmpty()) {
+        if (machine.isFrozen() == freeze || machine.process().isEmpty()) {
             return false;
         }
-        machine.freeze(freeze);
+        machine.setFrozen(freeze);
         return true;
     }
 
@@ -314,7 +316,7 @@
         final long token = history.begin(operation);
         final Command command = command(operation, "order-" + ++requests);
         final long clock = machine.clock(now);
-        machine.process().orElseThrow().client().submit(command, token, clock, clock + OPERATION_TIME);
+        machine.process().orElseThrow().client().submit(command, token, clock, clock + OPERATION_TIMEOUT_MICROS);
         flush(machine);
         return true;
     }
@@ -331,8 +333,9 @@
         }
         final long token = history.begin(new Operation(kind, 0, -1, step, Optional.empty()));
         final long clock = machine.clock(now);
-        final String start = kind == Action.Kind.READ ? ConfigurationValidator.DOCUMENT_KEY : Documents.ZONES;
-        machine.process().orElseThrow().client().read(start, token, clock, clock + OPERATION_TIME);
+        final String start =
+                kind == Action.Kind.READ ? ConfigurationValidator.DOCUMENT_KEY : Documents.EVACUATION_PREFIX;
+        machine.process().orElseThrow().client().read(start, token, clock, clock + OPERATION_TIMEOUT_MICROS);
         flush(machine);
         return true;
     }
@@ -346,28 +349,28 @@
             more = !effects.isEmpty();
             effects.forEach(effect -> perform(machine, effect));
         }
-        monitor.replicaChanged(machine, now);
+        monitor.onReplicaChanged(machine, now);
     }
 
     private void perform(final Machine machine, final Effect effect) {
         switch (effect) {
             case Effect.Send send -> send(machine, send);
             case Effect.Persist keep -> {
-                machine.pending().add(keep);
+                machine.pendingWrites().add(keep);
                 if (options.mutant() == Mutant.SYNC) {
                     machine.process().orElseThrow().replica().onSynced(keep.token(), machine.clock(now));
                 }
             }
             case Effect.Respond answer -> {
-                history.answered(answer.token(), answer.response(), step);
-                monitor.answered(answer.token());
+                history.recordResponse(answer.token(), answer.response(), step);
+                monitor.onOperationEnded(answer.token());
             }
             case Effect.Log log -> {}
         }
     }
 
     private void send(final Machine machine, final Effect.Send send) {
-        monitor.replied(machine, send.message());
+        monitor.onMessageSent(machine, send.message());
         if (send.to().equals(machine.address())) {
             handle(machine, send.message(), machine.address());
         } else {
--- a/simulation/src/main/java/silverlatch/simulation/measure/LogicalBits.java
+++ b/simulation/src/main/java/silverlatch/simulation/measure/LogicalBits.java
@@ -8,14 +8,17 @@
 import silverlatch.clock.PwcClock;
 import silverlatch.clock.Stamp;
 
-/** How many low bits stamps need, by rate and skew: algorithm 1 on random graphs, as in section 5.1 of the source. */
+/**
+ * Measures how many logical (low) bits timestamps need, depending on message rate and clock skew. Runs algorithm 1 of the
+ * paper that describes the PWC clock on random communication graphs, as in its section 5.1.
+ */
 final class LogicalBits {
     private static final int LOGICAL_BITS = 12;
     private static final int REJECTED = LOGICAL_BITS + 1;
     private static final int NODES = 8;
-    private static final long START = 1_000_000L;
-    private static final long MIN_DELAY = 1_000L;
-    private static final long DELAY_JITTER = 19_000L;
+    private static final long START_MICROS = 1_000_000L;
+    private static final long MIN_DELAY_MICROS = 1_000L;
+    private static final long MAX_JITTER_MICROS = 19_000L;
     private final SplittableRandom random;
     private final long[] clockOffsets = new long[NODES];
     private final PwcClock[] clocks = new PwcClock[NODES];
@@ -26,17 +29,21 @@
 
     private record InFlightMessage(long deliveryTime, long number, int to, Stamp stamp) {}
 
-    /** Clocks that are off by up to a skew in milliseconds: each by its own, or only the first one's, by all of it. */
+    /**
+     * Creates nodes whose clocks are skewed by up to {@code skewMillis} milliseconds: each by a random amount or, with
+     * {@code leader}, only the clock of the first node, by the full amount.
+     */
     private LogicalBits(final long seed, final double skewMillis, final boolean leader) {
         random = new SplittableRandom(seed);
         final long maxSkew = NtpTime.fromMicros((long) (skewMillis * 1000));
         for (int i = 0; i < NODES; i++) {
             clockOffsets[i] = leader ? i == 0 ? maxSkew : 0 : random.nextLong(maxSkew + 1);
-            clocks[i] = PwcClock.start(NtpTime.fromMicros(START) + clockOffsets[i], LOGICAL_BITS, maxSkew * 4, 0);
+            clocks[i] =
+                    PwcClock.start(NtpTime.fromMicros(START_MICROS) + clockOffsets[i], LOGICAL_BITS, maxSkew * 4, 0);
         }
     }
 
-    /** Prints a table by skew, rate and mode, each row of so many simulated seconds. */
+    /** Prints a table by skew, rate and mode; each row is measured over a number of simulated seconds. */
     static void run(final long seed, final int seconds) {
         System.out.println(
                 "| skew ms | rate a node | mode | events | bits max | over 4 bits | over 6 bits | over 7 bits |");
@@ -52,7 +59,7 @@
         }
     }
 
-    /** Each node sends so many thousand messages a second on average. */
+    /** Simulates nodes that send {@code rate} thousand messages per second each on average. */
     private void simulate(final int seconds, final int rate) {
         final double interval = 1000.0 / rate / NODES;
         final long end = seconds * 1_000_000L;
@@ -71,7 +78,7 @@
     }
 
     private static long trueTime(final double now) {
-        return NtpTime.fromMicros(START + (long) now);
+        return NtpTime.fromMicros(START_MICROS + (long) now);
     }
 
     private void receive(final long trueTime) {
@@ -84,7 +91,7 @@
         final ClockReading reading = clocks[node].send(trueTime(now) + clockOffsets[node]);
         count(node, reading);
         if (reading instanceof ClockReading.Stamped stamped) {
-            final long deliveryTime = (long) now + MIN_DELAY + random.nextLong(DELAY_JITTER);
+            final long deliveryTime = (long) now + MIN_DELAY_MICROS + random.nextLong(MAX_JITTER_MICROS);
             inFlight.add(new InFlightMessage(deliveryTime, messages++, random.nextInt(NODES), stamped.stamp()));
         }
     }
