--- a/core/src/main/java/silverlatch/gossip/AntiEntropy.java
+++ b/core/src/main/java/silverlatch/gossip/AntiEntropy.java
@@ -106,7 +106,7 @@
      */
     GossipMessage.MissingReports missingReports(final GossipMessage.ReportVersions versions, final long now) {
         return new GossipMessage.MissingReports(
-                versions.askedAt(),
+                versions.pullSentAt(),
                 reports.reportsNewerThan(versions.reportRanges(), versions.workers(), now),
                 memberVersions.membersNewerThan(versions.memberRanges(), versions.members()),
                 reports.outdatedWorkers(versions.workers()),
@@ -121,12 +121,13 @@
             final GossipMessage.MissingReports missing, final String sender, final long now) {
         missing.members().forEach(member -> membership.applyUpdateWithoutForwarding(member, now));
         missing.reports().forEach(report -> reports.merge(report, false, now));
-        reports.forgetExpired(missing.newerWorkers(), now);
+        reports.forgetExpired(missing.requestedWorkers(), now);
         pendingPull
                 .filter(pull ->
-                        pull.sentAt() == missing.askedAt() && pull.address().equals(sender))
+                        pull.sentAt() == missing.pullSentAt() && pull.address().equals(sender))
                 .ifPresent(this::complete);
-        return missing.newerWorkers().isEmpty() && missing.newerDaemons().isEmpty()
+        return missing.requestedWorkers().isEmpty()
+                        && missing.requestedMembers().isEmpty()
                 ? Optional.empty()
                 : Optional.of(requestedReports(missing, now));
     }
@@ -139,8 +140,8 @@
     private GossipMessage.MissingReports requestedReports(final GossipMessage.MissingReports missing, final long now) {
         return new GossipMessage.MissingReports(
                 NO_PULL,
-                reports.reportsOf(missing.newerWorkers(), now),
-                missing.newerDaemons().stream()
+                reports.reportsOf(missing.requestedWorkers(), now),
+                missing.requestedMembers().stream()
                         .flatMap(id -> membership.get(id).stream())
                         .toList(),
                 List.of(),
--- a/core/src/main/java/silverlatch/gossip/Gossip.java
+++ b/core/src/main/java/silverlatch/gossip/Gossip.java
@@ -356,7 +356,7 @@
             final GossipMessage.GossipPull pull, final String sender, final long now) {
         final long age = stateAge(now);
         return new GossipMessage.GossipPullReply(
-                pull.askedAt(),
+                pull.pullSentAt(),
                 state.revision(),
                 age == Long.MAX_VALUE ? UNKNOWN_AGE : Math.max(0, age),
                 state.fleet(),
@@ -376,14 +376,14 @@
     }
 
     private void onPullReply(final GossipMessage.GossipPullReply reply, final String sender, final long now) {
-        if (!pulls.contains(reply.askedAt()) || !state.acceptsFleet(reply.fleet())) {
+        if (!pulls.contains(reply.pullSentAt()) || !state.acceptsFleet(reply.fleet())) {
             return;
         }
         switch (reply.content()) {
-            case GossipMessage.PullContent.FullContent content -> onFullContent(content, reply.askedAt(), now);
+            case GossipMessage.PullContent.FullContent content -> onFullContent(content, reply.pullSentAt(), now);
             case GossipMessage.PullContent.DigestContent content ->
                 antiEntropy
-                        .flatMap(a -> a.onDigestContent(content, reply.askedAt(), sender))
+                        .flatMap(a -> a.onDigestContent(content, reply.pullSentAt(), sender))
                         .ifPresent(versions -> send(sender, versions));
         }
         if (state.onPullReply(reply)) {
--- a/core/src/main/java/silverlatch/gossip/ReportQuorum.java
+++ b/core/src/main/java/silverlatch/gossip/ReportQuorum.java
@@ -101,9 +101,10 @@
      * among those on which it lacks the newest report.
      */
     void onMissingReports(final GossipMessage.MissingReports reply, final String sender) {
-        final long queryId = -reply.askedAt();
+        final long queryId = -reply.pullSentAt();
         final Optional<QuorumQuery> query = Optional.ofNullable(queries.get(queryId));
-        query.filter(pending -> !reply.newerWorkers().contains(pending.version().id()))
+        query.filter(pending ->
+                        !reply.requestedWorkers().contains(pending.version().id()))
                 .ifPresent(pending -> {
                     pending.holders().add(sender);
                     completeIfHeldByMajority(queryId, pending);
--- a/core/src/main/java/silverlatch/gossip/StateCopy.java
+++ b/core/src/main/java/silverlatch/gossip/StateCopy.java
@@ -187,7 +187,7 @@
             highestRevision = reply.revision();
         }
         if (reply.revision() == revision() && reply.age() >= 0) {
-            final long asOf = reply.askedAt() - reply.age();
+            final long asOf = reply.pullSentAt() - reply.age();
             confirmedAt = Optional.of(Math.max(confirmedAt.orElse(Long.MIN_VALUE), asOf));
         }
         return isNewer;
--- a/core/src/main/java/silverlatch/gossip/WorkerReports.java
+++ b/core/src/main/java/silverlatch/gossip/WorkerReports.java
@@ -220,7 +220,8 @@
      */
     void onHeartbeatAges(final GossipMessage.HeartbeatAges heartbeats, final String address, final long pullSentAt) {
         final List<TrackedReport> workers = notGone();
-        if (heartbeats.roster() != incarnationDigests.total() || !agePacker.fits(heartbeats.ages(), workers.size())) {
+        if (heartbeats.namesDigest() != incarnationDigests.total()
+                || !agePacker.fits(heartbeats.ages(), workers.size())) {
             return;
         }
         silenceDetector.recordContact(address, pullSentAt);
--- a/core/src/main/java/silverlatch/log/DataFolder.java
+++ b/core/src/main/java/silverlatch/log/DataFolder.java
@@ -17,7 +17,7 @@
  * identity has the others.
  */
 final class DataFolder {
-    private static final String FOUNDER = "founder";
+    private static final String BOOTSTRAP_MARKER = "founder";
     private static final String IDENTITY = "identity";
     private static final String FORMAT = "format";
     private static final String DAMAGED = "damaged";
@@ -32,7 +32,7 @@
     }
 
     /** Makes the folder and its files, unless it has an identity; one made here may take part in a founding if so said. */
-    void createIfAbsent(final boolean mayFound) throws IOException {
+    void createIfAbsent(final boolean mayBootstrap) throws IOException {
         if (!Files.isDirectory(path)) {
             Files.createDirectories(path);
             DurableFiles.syncDirectory(path.toAbsolutePath().getParent());
@@ -41,8 +41,8 @@
             final byte[] identity = new byte[IDENTITY_BYTES];
             new SecureRandom().nextBytes(identity);
             write(FORMAT, Integer.toString(WriteAheadLog.FORMAT_VERSION));
-            if (mayFound) {
-                write(FOUNDER, "");
+            if (mayBootstrap) {
+                write(BOOTSTRAP_MARKER, "");
             }
             write(IDENTITY, HexFormat.of().formatHex(identity));
         }
@@ -76,20 +76,20 @@
     }
 
     /** Whether the folder was made to take part in a first founding. */
-    boolean mayFound() {
-        return Files.exists(path.resolve(FOUNDER));
+    boolean mayBootstrap() {
+        return Files.exists(path.resolve(BOOTSTRAP_MARKER));
     }
 
     /** Removes what was being written in place of a file when the process or the power went. */
-    void removeParts() throws IOException {
+    void removePartialFiles() throws IOException {
         try (Stream<Path> files = Files.list(path)) {
-            for (final Path file : files.filter(DataFolder::isPart).toList()) {
+            for (final Path file : files.filter(DataFolder::isPartialFile).toList()) {
                 Files.delete(file);
             }
         }
     }
 
-    private static boolean isPart(final Path file) {
+    private static boolean isPartialFile(final Path file) {
         return PART_FILE_NAME.matcher(file.getFileName().toString()).matches();
     }
 
--- a/core/src/main/java/silverlatch/log/LogRecord.java
+++ b/core/src/main/java/silverlatch/log/LogRecord.java
@@ -23,7 +23,7 @@
     record Accepted(long viewNumber, long ballot, View view) implements LogRecord {}
 
     /** A first view that this machine agreed to. */
-    record Founding(View view) implements LogRecord {}
+    record InitialViewAgreed(View view) implements LogRecord {}
 
     /** Records written and synced together. */
     record Batch(List<LogRecord> records) implements LogRecord {
--- a/core/src/main/java/silverlatch/log/WriteAheadLog.java
+++ b/core/src/main/java/silverlatch/log/WriteAheadLog.java
@@ -43,9 +43,10 @@
          * @param identity  the identity of the folder's machine
          * @param records   all that the log holds, the newest snapshot first
          * @param tornBytes how many bytes of a torn write were cut off
-         * @param mayFound  whether the folder was made to take part in a first founding
+         * @param mayBootstrap  whether the folder was made to take part in a first founding
          */
-        record Success(WriteAheadLog log, String identity, List<LogRecord> records, long tornBytes, boolean mayFound)
+        record Success(
+                WriteAheadLog log, String identity, List<LogRecord> records, long tornBytes, boolean mayBootstrap)
                 implements OpenResult {
             /** Copies the records. */
             public Success {
@@ -71,25 +72,25 @@
     /**
      * Opens a folder, and makes it when there is none.
      *
-     * @param mayFound whether a folder made here may take part in a first founding
+     * @param mayBootstrap whether a folder made here may take part in a first founding
      */
-    public static OpenResult open(final Path folder, final boolean mayFound) {
+    public static OpenResult open(final Path folder, final boolean mayBootstrap) {
         try {
             final DataFolder dataFolder = new DataFolder(folder);
-            dataFolder.createIfAbsent(mayFound);
+            dataFolder.createIfAbsent(mayBootstrap);
             final String format = dataFolder.format();
             if (!format.equals(Integer.toString(FORMAT_VERSION))) {
-                return new OpenResult.Unsupported(unsupported(folder, format));
+                return new OpenResult.Unsupported(unsupportedReason(folder, format));
             }
             final String identity = dataFolder.identity();
-            dataFolder.removeParts();
+            dataFolder.removePartialFiles();
             final LogRecovery recovery = LogRecovery.of(folder);
             return new OpenResult.Success(
-                    append(folder, recovery.lastSegment()),
+                    openSegment(folder, recovery.lastSegment()),
                     identity,
                     recovery.records(),
                     recovery.tornBytes(),
-                    dataFolder.mayFound());
+                    dataFolder.mayBootstrap());
         } catch (final DamagedLogException damage) {
             return new OpenResult.Damaged(damage.getMessage());
         } catch (final IOException failure) {
@@ -97,7 +98,7 @@
         }
     }
 
-    private static WriteAheadLog append(final Path folder, final long segmentNumber) throws IOException {
+    private static WriteAheadLog openSegment(final Path folder, final long segmentNumber) throws IOException {
         final FileChannel segment = FileChannel.open(
                 NumberedFiles.SEGMENT.file(folder, segmentNumber), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         segment.position(segment.size());
@@ -105,7 +106,7 @@
         return new WriteAheadLog(folder, segment, segmentNumber);
     }
 
-    private static String unsupported(final Path folder, final String format) {
+    private static String unsupportedReason(final Path folder, final String format) {
         return folder + " holds log format " + format + ", this program reads format " + FORMAT_VERSION
                 + ": start the version that wrote it, or empty the folder, one machine at a time, and let the machine"
                 + " join again as a new one";
@@ -130,7 +131,7 @@
             if (!dataFolder.hasIdentity()) {
                 return new OpenResult.Unavailable("the folder has lost its identity");
             }
-            dataFolder.removeParts();
+            dataFolder.removePartialFiles();
             rewriteNewest(NumberedFiles.SNAPSHOT);
             rewriteNewest(NumberedFiles.SEGMENT);
             return open(folder, false);
--- a/core/src/main/java/silverlatch/membership/Membership.java
+++ b/core/src/main/java/silverlatch/membership/Membership.java
@@ -213,7 +213,7 @@
      */
     public void onMessage(final Message message, final long now, final long physicalTime, final Stamp stampFloor) {
         switch (message) {
-            case MembershipMessage.JoinGreeting request -> {
+            case MembershipMessage.MembershipJoinRequest request -> {
                 onFullHeartbeat(request.sender(), now);
                 send(
                         request.sender().address(),
@@ -251,7 +251,9 @@
      * second.
      */
     public void tick(final long now) {
-        joinSchedule.joinTargets(now).forEach(address -> send(address, new MembershipMessage.JoinGreeting(self, now)));
+        joinSchedule
+                .joinTargets(now)
+                .forEach(address -> send(address, new MembershipMessage.MembershipJoinRequest(self, now)));
         if (now - lastHeartbeat >= settings.heartbeatInterval()) {
             lastHeartbeat = now;
             final Message heartbeat = nextHeartbeat();
--- a/core/src/main/java/silverlatch/node/MessageDispatcher.java
+++ b/core/src/main/java/silverlatch/node/MessageDispatcher.java
@@ -64,7 +64,7 @@
      */
     void dispatch(final Message message, final String sender, final long now) {
         switch (message) {
-            case MembershipMessage.JoinGreeting request -> toMembership(request, now);
+            case MembershipMessage.MembershipJoinRequest request -> toMembership(request, now);
             case MembershipMessage.MemberList list -> onMemberList(list, sender, now);
             case MembershipMessage.LivenessHeartbeat heartbeat -> toMembership(heartbeat, now);
             case MembershipMessage.Heartbeat heartbeat -> toMembership(heartbeat, now);
--- a/core/src/main/java/silverlatch/replication/Bootstrap.java
+++ b/core/src/main/java/silverlatch/replication/Bootstrap.java
@@ -78,7 +78,7 @@
             effects.send(request.sender().address(), new ReplicationMessage.ViewDecided(role.view()));
             return;
         }
-        if (!request.empty() || !mayBootstrapWith(request.sender())) {
+        if (!request.mayBootstrap() || !mayBootstrapWith(request.sender())) {
             return;
         }
         peersById.put(request.sender().id(), new DiscoveredPeer(request, now));
@@ -102,7 +102,8 @@
         return peers.size() == settings.seeds().size()
                 && addresses.equals(Set.copyOf(settings.seeds()))
                 && peersById.values().stream()
-                        .allMatch(peer -> Set.copyOf(peer.request().heard()).equals(known));
+                        .allMatch(peer ->
+                                Set.copyOf(peer.request().reachableReplicas()).equals(known));
     }
 
     private View initialView(final List<Replica> peers) {
@@ -122,7 +123,9 @@
         } else if (isAcceptable(request.view())) {
             agreedView = Optional.of(request.view());
             effects.persist(
-                    List.of(new LogRecord.Founding(request.view())), now, syncedAt -> effects.send(sender, agreement));
+                    List.of(new LogRecord.InitialViewAgreed(request.view())),
+                    now,
+                    syncedAt -> effects.send(sender, agreement));
         }
     }
 
@@ -163,7 +166,7 @@
     }
 
     /** Restores an agreement while the log is replayed. */
-    void replay(final LogRecord.Founding founding) {
+    void replay(final LogRecord.InitialViewAgreed founding) {
         agreedView = Optional.of(founding.view());
     }
 
--- a/core/src/main/java/silverlatch/replication/ChainReplica.java
+++ b/core/src/main/java/silverlatch/replication/ChainReplica.java
@@ -107,7 +107,7 @@
             }
             case LogRecord.Promised promised -> acceptor.replay(promised);
             case LogRecord.Accepted accepted -> acceptor.replay(accepted);
-            case LogRecord.Founding founding -> bootstrap.replay(founding);
+            case LogRecord.InitialViewAgreed founding -> bootstrap.replay(founding);
             case LogRecord.Batch batch -> batch.records().forEach(this::replay);
             case LogRecord.SnapshotPart part -> throw new IllegalArgumentException("snapshot part without snapshot");
         }
@@ -189,7 +189,7 @@
             case ReplicationMessage.FetchEntries request -> successorLink.handleFetchEntries(request, sender, now);
             case ReplicationMessage.CompareDigests request -> repairResponder.handleCompareDigests(request, now);
             case ReplicationMessage.RepairRanges piece -> repairRequester.handleRepairRanges(piece, sender, now);
-            case ReplicationMessage.RepairNext request -> repairResponder.handleRepairNext(request);
+            case ReplicationMessage.RepairPieceRequest request -> repairResponder.handleRepairNext(request);
             case ReplicationMessage.ReplicateAck reply -> successorLink.handleReplicateAck(reply, now);
             case ReplicationMessage.JoinRequest request -> handleJoinRequest(request, now);
             case ChainClientMessage.WriteRequest request -> writeAdmission.handleWriteRequest(request, now);
--- a/core/src/main/java/silverlatch/replication/FailureDetector.java
+++ b/core/src/main/java/silverlatch/replication/FailureDetector.java
@@ -66,7 +66,7 @@
         }
         if (role.view().isVoter(id)) {
             lastRequestAt.put(id, now);
-            if (request.hearsMajority()) {
+            if (request.isInContactWithMajority()) {
                 lastAliveAt.put(id, now);
             }
         }
--- a/core/src/main/java/silverlatch/replication/GrantedLeases.java
+++ b/core/src/main/java/silverlatch/replication/GrantedLeases.java
@@ -39,7 +39,7 @@
         effects.send(
                 request.sender().address(),
                 new ReplicationMessage.LeaseGrant(
-                        view.number(), request.askedAt(), settings.self().id(), committed));
+                        view.number(), request.requestedAt(), settings.self().id(), committed));
     }
 
     /**
--- a/core/src/main/java/silverlatch/replication/HeldLease.java
+++ b/core/src/main/java/silverlatch/replication/HeldLease.java
@@ -50,8 +50,8 @@
      * process, before the machine restarted and its monotonic clock started again from zero.
      */
     void add(final ReplicationMessage.LeaseGrant grant, final long now) {
-        if (grant.askedAt() <= now) {
-            grantTimes.merge(grant.voter(), grant.askedAt(), Math::max);
+        if (grant.requestedAt() <= now) {
+            grantTimes.merge(grant.voter(), grant.requestedAt(), Math::max);
         }
     }
 
--- a/core/src/main/java/silverlatch/replication/RepairProgress.java
+++ b/core/src/main/java/silverlatch/replication/RepairProgress.java
@@ -46,8 +46,8 @@
     }
 
     /** Returns the request for the next piece. */
-    ReplicationMessage.RepairNext nextRequest(final long view, final Replica self) {
-        return new ReplicationMessage.RepairNext(view, self, sequence, nextPiece);
+    ReplicationMessage.RepairPieceRequest nextRequest(final long view, final Replica self) {
+        return new ReplicationMessage.RepairPieceRequest(view, self, sequence, nextPiece);
     }
 
     /** Returns the address of the replica that sends the pieces. */
--- a/core/src/main/java/silverlatch/replication/RepairResponder.java
+++ b/core/src/main/java/silverlatch/replication/RepairResponder.java
@@ -58,7 +58,7 @@
     }
 
     /** Handles the request of a replica under repair for a further piece; ignores one that doesn't belong to the current payload. */
-    void handleRepairNext(final ReplicationMessage.RepairNext request) {
+    void handleRepairNext(final ReplicationMessage.RepairPieceRequest request) {
         if (request.view() != role.view().number() || request.piece() < 0) {
             return;
         }
--- a/core/src/main/java/silverlatch/wire/Codec.java
+++ b/core/src/main/java/silverlatch/wire/Codec.java
@@ -40,7 +40,7 @@
             LogRecord.ViewInstalled.class,
             LogRecord.Promised.class,
             LogRecord.Accepted.class,
-            LogRecord.Founding.class,
+            LogRecord.InitialViewAgreed.class,
             LogRecord.Batch.class,
             LogRecord.Snapshot.class,
             LogRecord.SnapshotPart.class);
@@ -177,7 +177,7 @@
         record Malformed<T>(String reason) implements DecodeResult<T> {}
     }
 
-    private static int size(final Input input, final int minBytesEach) {
+    private static int readSize(final Input input, final int minBytesEach) {
         final int count = input.readInt();
         if (count < 0 || (long) count * minBytesEach > input.limit() - input.position()) {
             throw new KryoException("size beyond the bytes at hand");
@@ -199,7 +199,7 @@
 
         @Override
         public String read(final Kryo kryo, final Input input, final Class<? extends String> type) {
-            return new String(input.readBytes(size(input, 1)), StandardCharsets.UTF_8);
+            return new String(input.readBytes(readSize(input, 1)), StandardCharsets.UTF_8);
         }
     }
 
@@ -212,7 +212,7 @@
 
         @Override
         public long[] read(final Kryo kryo, final Input input, final Class<? extends long[]> type) {
-            return input.readLongs(size(input, Long.BYTES));
+            return input.readLongs(readSize(input, Long.BYTES));
         }
     }
 
@@ -229,7 +229,7 @@
 
         @Override
         public List<?> read(final Kryo kryo, final Input input, final Class<? extends List<?>> type) {
-            final int count = size(input, 1);
+            final int count = readSize(input, 1);
             final List<Object> list = new ArrayList<>();
             for (int i = 0; i < count; i++) {
                 list.add(kryo.readClassAndObject(input));
--- a/core/src/main/java/silverlatch/wire/CodecPool.java
+++ b/core/src/main/java/silverlatch/wire/CodecPool.java
@@ -15,7 +15,7 @@
 
     private final ConcurrentLinkedQueue<Codec> idle = new ConcurrentLinkedQueue<>();
     private final AtomicInteger idleCount = new AtomicInteger();
-    private final AtomicInteger made = new AtomicInteger();
+    private final AtomicInteger createdCount = new AtomicInteger();
 
     /** Returns the bytes of a frame or a record; see {@link Codec#encode(Object)}. */
     public byte[] encode(final Object value) {
@@ -23,7 +23,7 @@
         try {
             return codec.encode(value);
         } finally {
-            giveBack(codec);
+            release(codec);
         }
     }
 
@@ -33,26 +33,26 @@
         try {
             return codec.decode(bytes, type);
         } finally {
-            giveBack(codec);
+            release(codec);
         }
     }
 
     /** Returns how many codecs were made so far. */
-    public int made() {
-        return made.get();
+    public int createdCount() {
+        return createdCount.get();
     }
 
     private Codec borrow() {
-        final Optional<Codec> kept = Optional.ofNullable(idle.poll());
-        if (kept.isPresent()) {
+        final Optional<Codec> idleCodec = Optional.ofNullable(idle.poll());
+        if (idleCodec.isPresent()) {
             idleCount.decrementAndGet();
-            return kept.get();
+            return idleCodec.get();
         }
-        made.incrementAndGet();
+        createdCount.incrementAndGet();
         return new Codec();
     }
 
-    private void giveBack(final Codec codec) {
+    private void release(final Codec codec) {
         if (idleCount.incrementAndGet() > MAX_IDLE) {
             idleCount.decrementAndGet();
             return;
--- a/core/src/main/java/silverlatch/wire/GossipMessage.java
+++ b/core/src/main/java/silverlatch/wire/GossipMessage.java
@@ -41,7 +41,7 @@
     /**
      * A pull: what the asker holds, in short.
      *
-     * @param askedAt the asker's monotonic clock, in microseconds; echoed in the reply, which is dated by it
+     * @param pullSentAt the asker's monotonic clock, in microseconds; echoed in the reply, which is dated by it
      * @param revision the sequence of the newest configuration that the asker holds
      * @param view the number of the newest view that the asker knows
      * @param versions what the asker holds of each worker; empty where digests are compared instead
@@ -49,7 +49,7 @@
      * @param reportsDigest the digest over all worker reports that the asker holds
      */
     record GossipPull(
-            long askedAt,
+            long pullSentAt,
             long revision,
             long view,
             List<ReportVersion> versions,
@@ -65,7 +65,7 @@
     /**
      * The reply to a {@link GossipPull}.
      *
-     * @param askedAt the pull's {@code askedAt}
+     * @param pullSentAt the pull's {@code pullSentAt}
      * @param revision the sequence of the configuration that the replier follows
      * @param age how long ago the replier's configuration was confirmed as the newest, in microseconds
      * @param fleet the fleet's number, 0 before it is known
@@ -74,7 +74,7 @@
      * @param content workers and members
      */
     record GossipPullReply(
-            long askedAt,
+            long pullSentAt,
             long revision,
             long age,
             long fleet,
@@ -135,22 +135,22 @@
     /**
      * How long ago each worker was heard.
      *
-     * @param roster the digest of the names that the ages belong to
+     * @param namesDigest the digest of the names that the ages belong to
      * @param ages four bits each, in the order of names
      */
-    record HeartbeatAges(long roster, long[] ages) {}
+    record HeartbeatAges(long namesDigest, long[] ages) {}
 
     /**
      * All that the asker holds in the ranges whose digests differ.
      *
-     * @param askedAt the {@code askedAt} of the pull that this continues
+     * @param pullSentAt the {@code pullSentAt} of the pull that this continues
      * @param reportRanges the ranges of worker reports, a bit each
      * @param memberRanges the ranges of members, a bit each
      * @param workers what the asker holds of the workers in them
      * @param members what the asker holds of the members in them
      */
     record ReportVersions(
-            long askedAt,
+            long pullSentAt,
             long reportRanges,
             long memberRanges,
             List<ReportVersion> workers,
@@ -166,25 +166,25 @@
     /**
      * What the receiver lacks.
      *
-     * @param askedAt the {@code askedAt} of the pull that this ends, or 0
+     * @param pullSentAt the {@code pullSentAt} of the pull that this ends, or 0
      * @param reports the worker reports that it lacks
      * @param members the members that it lacks
-     * @param newerWorkers the names of workers of which it holds newer reports, which the sender asks for
-     * @param newerDaemons the names of members of which it holds newer entries, which the sender asks for
+     * @param requestedWorkers the names of workers of which it holds newer reports, which the sender asks for
+     * @param requestedMembers the names of members of which it holds newer entries, which the sender asks for
      */
     record MissingReports(
-            long askedAt,
+            long pullSentAt,
             List<WorkerReport> reports,
             List<Member> members,
-            List<String> newerWorkers,
-            List<String> newerDaemons)
+            List<String> requestedWorkers,
+            List<String> requestedMembers)
             implements GossipMessage {
         /** Copies the lists. */
         public MissingReports {
             reports = List.copyOf(reports);
             members = List.copyOf(members);
-            newerWorkers = List.copyOf(newerWorkers);
-            newerDaemons = List.copyOf(newerDaemons);
+            requestedWorkers = List.copyOf(requestedWorkers);
+            requestedMembers = List.copyOf(requestedMembers);
         }
     }
 
--- a/core/src/main/java/silverlatch/wire/MembershipMessage.java
+++ b/core/src/main/java/silverlatch/wire/MembershipMessage.java
@@ -12,10 +12,10 @@
      * @param sender the daemon as it wants to be known
      * @param sentAt the sender's monotonic clock, in microseconds; echoed in the reply
      */
-    record JoinGreeting(Member sender, long sentAt) implements MembershipMessage {}
+    record MembershipJoinRequest(Member sender, long sentAt) implements MembershipMessage {}
 
     /**
-     * The reply to a {@link JoinGreeting}.
+     * The reply to a {@link MembershipJoinRequest}.
      *
      * @param members the members known to the replier
      * @param echoedAt the greeting's {@code sentAt}, from which the newcomer takes the round-trip time
--- a/core/src/main/java/silverlatch/wire/Message.java
+++ b/core/src/main/java/silverlatch/wire/Message.java
@@ -17,7 +17,7 @@
     record StampRejected(long excess, long physicalTime) implements Message {}
 
     /** Returns whether a message is short and others wait for it by a lease or a vote, so that it goes before large ones. */
-    static boolean urgent(final Message message) {
+    static boolean isUrgent(final Message message) {
         return message instanceof ReplicationMessage.LeaseRequest
                 || message instanceof ReplicationMessage.LeaseGrant
                 || message instanceof ReplicationMessage.ViewDecided
--- a/core/src/main/java/silverlatch/wire/RecordSerializer.java
+++ b/core/src/main/java/silverlatch/wire/RecordSerializer.java
@@ -38,7 +38,7 @@
 
     @Override
     public void write(final Kryo kryo, final Output output, final T value) {
-        lookUp();
+        resolveAccessors();
         for (final int position : order) {
             final Object component = component(position, value);
             final Class<?> componentType = componentTypes[position];
@@ -54,7 +54,7 @@
 
     @Override
     public T read(final Kryo kryo, final Input input, final Class<? extends T> readType) {
-        lookUp();
+        resolveAccessors();
         final Object[] components = new Object[order.length];
         for (final int position : order) {
             final Class<?> componentType = componentTypes[position];
@@ -85,7 +85,7 @@
         }
     }
 
-    private void lookUp() {
+    private void resolveAccessors() {
         if (constructor != null) {
             return;
         }
--- a/core/src/main/java/silverlatch/wire/ReplicationMessage.java
+++ b/core/src/main/java/silverlatch/wire/ReplicationMessage.java
@@ -17,13 +17,14 @@
      * A replica that knows no view looks for the others.
      *
      * @param sender the replica
-     * @param empty whether it may take part in a first founding: its folder is empty and was made for that
-     * @param heard the replicas that it has heard of late
+     * @param mayBootstrap whether it may take part in a first founding: its folder is empty and was made for that
+     * @param reachableReplicas the replicas that it has heard of late
      */
-    record Discover(Replica sender, boolean empty, List<Replica> heard) implements ReplicationMessage {
+    record Discover(Replica sender, boolean mayBootstrap, List<Replica> reachableReplicas)
+            implements ReplicationMessage {
         /** Copies the list. */
         public Discover {
-            heard = List.copyOf(heard);
+            reachableReplicas = List.copyOf(reachableReplicas);
         }
     }
 
@@ -46,23 +47,23 @@
      * A member of the chain asks a voter for a lease, and shows that it is alive.
      *
      * @param view the number of the sender's view
-     * @param askedAt the sender's monotonic clock, in microseconds; its lease is dated from here
+     * @param requestedAt the sender's monotonic clock, in microseconds; its lease is dated from here
      * @param sender the member
      * @param caughtUp whether it holds all that its chain holds
-     * @param hearsMajority whether it has heard a majority of the voters of late; one that hasn't counts as silent
+     * @param isInContactWithMajority whether it has heard a majority of the voters of late; one that hasn't counts as silent
      */
-    record LeaseRequest(long view, long askedAt, Replica sender, boolean caughtUp, boolean hearsMajority)
+    record LeaseRequest(long view, long requestedAt, Replica sender, boolean caughtUp, boolean isInContactWithMajority)
             implements ReplicationMessage {}
 
     /**
      * A voter grants a lease.
      *
      * @param view the number of the view that it holds under
-     * @param askedAt the request's {@code askedAt}
+     * @param requestedAt the request's {@code requestedAt}
      * @param voter the voter's identity
      * @param committed the sequence up to which the voter knows entries to be committed
      */
-    record LeaseGrant(long view, long askedAt, String voter, long committed) implements ReplicationMessage {}
+    record LeaseGrant(long view, long requestedAt, String voter, long committed) implements ReplicationMessage {}
 
     /**
      * Tells a decided view.
@@ -229,7 +230,7 @@
      * @param sequence the sequence that the repair stands for
      * @param piece the number of the piece; it holds all before
      */
-    record RepairNext(long view, Replica sender, long sequence, int piece) implements ReplicationMessage {}
+    record RepairPieceRequest(long view, Replica sender, long sequence, int piece) implements ReplicationMessage {}
 
     /**
      * A repaired replica asks to be put at the end of the chain.
--- a/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
+++ b/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
@@ -178,14 +178,14 @@
     void theIdentityAndTheFoundingMarkAreKept(final String name) throws IOException, URISyntaxException {
         final WriteAheadLog.OpenResult.Success opened = open(name);
         assertThat(opened.identity(), is(DataFolderGenerator.replica(name).id()));
-        assertThat(opened.mayFound(), is(true));
+        assertThat(opened.mayBootstrap(), is(true));
         assertThat(opened.tornBytes(), is(0L));
     }
 
     @Test
     void theLogOfTheHeadHoldsEveryChangeSinceTheFounding() throws IOException, URISyntaxException {
         final List<LogRecord> records = open("a").records();
-        assertThat(records.get(0), is(new LogRecord.Founding(view(1, "abc"))));
+        assertThat(records.get(0), is(new LogRecord.InitialViewAgreed(view(1, "abc"))));
         assertThat(records.get(1), is(new LogRecord.ViewInstalled(view(1, "abc"), true)));
         final StateMachine state = replay(records);
         final List<Entry> expected = new ArrayList<>(committedEntries());
--- a/core/src/test/java/silverlatch/log/DataFolderGenerator.java
+++ b/core/src/test/java/silverlatch/log/DataFolderGenerator.java
@@ -176,7 +176,7 @@
         }
         final WriteAheadLog.OpenResult.Success opened = (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder);
         final ChainReplica replica = new ChainReplica(
-                ReplicaSettings.of(replica(name), ADDRESSES).withBootstrap(opened.mayFound()),
+                ReplicaSettings.of(replica(name), ADDRESSES).withBootstrap(opened.mayBootstrap()),
                 opened.records(),
                 () -> new Stamp(++stamp),
                 nowMicros);
--- a/core/src/test/java/silverlatch/log/LogFolderTest.java
+++ b/core/src/test/java/silverlatch/log/LogFolderTest.java
@@ -26,7 +26,7 @@
         final WriteAheadLog.OpenResult.Success next =
                 (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder, false);
         assertThat(next.identity().equals(old), is(false));
-        assertThat(next.mayFound(), is(false));
+        assertThat(next.mayBootstrap(), is(false));
         assertThat(Files.readString(folder.resolve("damaged/identity")), is("torn"));
     }
 
@@ -39,11 +39,11 @@
 
     @Test
     void aFolderKeepsWhetherItsMachineMayBootstrap() {
-        assertThat(LogFolders.open(folder).mayFound(), is(true));
-        assertThat(((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder, false)).mayFound(), is(true));
+        assertThat(LogFolders.open(folder).mayBootstrap(), is(true));
+        assertThat(((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder, false)).mayBootstrap(), is(true));
         final Path wiped = folder.resolve("wiped");
-        assertThat(((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(wiped, false)).mayFound(), is(false));
-        assertThat(((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(wiped, false)).mayFound(), is(false));
+        assertThat(((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(wiped, false)).mayBootstrap(), is(false));
+        assertThat(((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(wiped, false)).mayBootstrap(), is(false));
     }
 
     @Test
--- a/core/src/test/java/silverlatch/log/WriteAheadLogTest.java
+++ b/core/src/test/java/silverlatch/log/WriteAheadLogTest.java
@@ -57,7 +57,7 @@
                 new LogRecord.ViewInstalled(view, true),
                 new LogRecord.Promised(4, 5),
                 new LogRecord.Accepted(4, 5, view),
-                new LogRecord.Founding(view));
+                new LogRecord.InitialViewAgreed(view));
         final WriteAheadLog.OpenResult.Success first = LogFolders.open(folder);
         first.log().write(records);
         first.log().close();
--- a/core/src/test/java/silverlatch/replication/BootstrapTest.java
+++ b/core/src/test/java/silverlatch/replication/BootstrapTest.java
@@ -59,7 +59,7 @@
         final View founding = proposed();
         bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(founding), "proposer", START);
         assertThat(parts.sent(), is(List.of()));
-        assertThat(parts.written(), is(List.of(new LogRecord.Founding(founding))));
+        assertThat(parts.written(), is(List.of(new LogRecord.InitialViewAgreed(founding))));
         parts.sync(START);
         final Message agreement = new ReplicationMessage.BootstrapAgreed(founding.fleet(), SELF);
         assertThat(parts.sent(), is(List.of(agreement)));
@@ -134,7 +134,7 @@
     @Test
     void anAgreementOutlastsARestartAndTheProposerGoesOnWithIt() {
         final View founding = new View(1, 7, SEEDS, SEEDS, SELF.id());
-        bootstrap.replay(new LogRecord.Founding(founding));
+        bootstrap.replay(new LogRecord.InitialViewAgreed(founding));
         bootstrap.discover(START);
         assertThat(
                 parts.sent().stream()
--- a/core/src/test/java/silverlatch/replication/RepairTest.java
+++ b/core/src/test/java/silverlatch/replication/RepairTest.java
@@ -72,7 +72,7 @@
             for (final Message request : requests) {
                 if (request instanceof ReplicationMessage.CompareDigests digests) {
                     responder.handleCompareDigests(digests, now);
-                } else if (request instanceof ReplicationMessage.RepairNext next) {
+                } else if (request instanceof ReplicationMessage.RepairPieceRequest next) {
                     responder.handleRepairNext(next);
                 }
             }
@@ -172,7 +172,7 @@
 
     @Test
     void aPieceOfAnOlderRepairOrOfNoneIsNotSent() {
-        responder.handleRepairNext(new ReplicationMessage.RepairNext(2, SECOND, 0, 0));
+        responder.handleRepairNext(new ReplicationMessage.RepairPieceRequest(2, SECOND, 0, 0));
         assertThat("no repair", source.sent(), is(List.of()));
         for (long sequence = 1; sequence <= 6; sequence++) {
             appendAtSource(large(sequence));
@@ -181,15 +181,15 @@
         responder.handleCompareDigests(
                 new ReplicationMessage.CompareDigests(2, SECOND, 0, new long[ReplicaLog.DIGEST_RANGES]), START);
         source.sent();
-        responder.handleRepairNext(new ReplicationMessage.RepairNext(2, SECOND, 5, 1));
-        responder.handleRepairNext(new ReplicationMessage.RepairNext(2, SECOND, 6, -1));
-        responder.handleRepairNext(new ReplicationMessage.RepairNext(2, SECOND, 6, 99));
-        responder.handleRepairNext(new ReplicationMessage.RepairNext(1, SECOND, 6, 1));
+        responder.handleRepairNext(new ReplicationMessage.RepairPieceRequest(2, SECOND, 5, 1));
+        responder.handleRepairNext(new ReplicationMessage.RepairPieceRequest(2, SECOND, 6, -1));
+        responder.handleRepairNext(new ReplicationMessage.RepairPieceRequest(2, SECOND, 6, 99));
+        responder.handleRepairNext(new ReplicationMessage.RepairPieceRequest(1, SECOND, 6, 1));
         assertThat(source.sent(), is(List.of()));
-        responder.handleRepairNext(new ReplicationMessage.RepairNext(2, SECOND, 6, 1));
+        responder.handleRepairNext(new ReplicationMessage.RepairPieceRequest(2, SECOND, 6, 1));
         assertThat(((ReplicationMessage.RepairRanges) source.sent().get(0)).piece(), is(1));
         responder.installView();
-        responder.handleRepairNext(new ReplicationMessage.RepairNext(2, SECOND, 6, 1));
+        responder.handleRepairNext(new ReplicationMessage.RepairPieceRequest(2, SECOND, 6, 1));
         assertThat("another view began", source.sent(), is(List.of()));
     }
 }
--- a/core/src/test/java/silverlatch/replication/SimulatedLinks.java
+++ b/core/src/test/java/silverlatch/replication/SimulatedLinks.java
@@ -71,7 +71,7 @@
                         from,
                         send.to(),
                         codec.encode(send.message()).length,
-                        Message.urgent(send.message()),
+                        Message.isUrgent(send.message()),
                         scheduler.now(),
                         task),
                 () -> scheduler.schedule(scheduler.now() + delayMicros + extraDelay(from, send.to()), task));
--- a/core/src/test/java/silverlatch/wire/CodecCompatibilityTest.java
+++ b/core/src/test/java/silverlatch/wire/CodecCompatibilityTest.java
@@ -83,7 +83,7 @@
                 new LogRecord.ViewInstalled(view, false),
                 new LogRecord.Promised(8, 21),
                 new LogRecord.Accepted(8, 22, view),
-                new LogRecord.Founding(view),
+                new LogRecord.InitialViewAgreed(view),
                 new LogRecord.Batch(List.of(appended, new LogRecord.Promised(8, 23))),
                 new LogRecord.Appended(new LogEntry(17, 7, new Stamp(24), laterEntries())),
                 new LogRecord.Appended(new LogEntry(
--- a/core/src/test/java/silverlatch/wire/CodecPoolTest.java
+++ b/core/src/test/java/silverlatch/wire/CodecPoolTest.java
@@ -25,7 +25,7 @@
         for (int i = 0; i < FRAMES; i++) {
             roundTrip(i);
         }
-        assertThat(pool.made(), is(1));
+        assertThat(pool.createdCount(), is(1));
     }
 
     @Test
@@ -34,7 +34,7 @@
         bytes[0] = 127;
         assertThat(pool.decode(bytes, Frame.class), instanceOf(Codec.DecodeResult.Malformed.class));
         roundTrip(2);
-        assertThat(pool.made(), is(1));
+        assertThat(pool.createdCount(), is(1));
     }
 
     @Test
@@ -54,10 +54,10 @@
             assertThat(done.get(), is(true));
         }
         threads.shutdown();
-        final int before = pool.made();
+        final int before = pool.createdCount();
         assertThat(before, lessThanOrEqualTo(THREADS * FRAMES));
         roundTrip(1);
-        assertThat("an idle codec is taken before a new one is made", pool.made(), is(before));
+        assertThat("an idle codec is taken before a new one is made", pool.createdCount(), is(before));
     }
 
     private void roundTrip(final int number) {
--- a/core/src/test/java/silverlatch/wire/FrameSamples.java
+++ b/core/src/test/java/silverlatch/wire/FrameSamples.java
@@ -88,7 +88,7 @@
                 List.of(new GossipMessage.RangeDigests(new long[] {67, 68}, new long[] {69})),
                 List.of(new GossipMessage.HeartbeatAges(70, new long[] {71})));
         return List.of(
-                new MembershipMessage.JoinGreeting(MEMBER, 72),
+                new MembershipMessage.MembershipJoinRequest(MEMBER, 72),
                 new MembershipMessage.MemberList(List.of(MEMBER), 73, 74, new Stamp(75)),
                 new MembershipMessage.Heartbeat(MEMBER),
                 new MembershipMessage.LivenessHeartbeat("gateway-1", 76),
@@ -132,7 +132,7 @@
                         List.of(new ReplicationMessage.RangeEntries(140, entries())),
                         List.of(change),
                         new long[] {141}),
-                new ReplicationMessage.RepairNext(142, TWO, 143, 144),
+                new ReplicationMessage.RepairPieceRequest(142, TWO, 143, 144),
                 new ReplicationMessage.JoinRequest(145, TWO, 146),
                 new ChainClientMessage.ReadRequest(147, "10.0.0.3:1", "t/"),
                 new ChainClientMessage.ReadReply(148, true, 149, entries()));
--- a/server/src/main/java/silverlatch/server/controller/ControllerModule.java
+++ b/server/src/main/java/silverlatch/server/controller/ControllerModule.java
@@ -46,6 +46,6 @@
         final Replica self = new Replica(opened.identity(), settings.peerAddress());
         return ReplicaSettings.of(self, settings.seeds())
                 .withCounts(settings.minInSyncReplicas(), settings.voterCount())
-                .withBootstrap(settings.mayBootstrap() || opened.mayFound());
+                .withBootstrap(settings.mayBootstrap() || opened.mayBootstrap());
     }
 }
--- a/server/src/main/java/silverlatch/server/transport/PeerConnection.java
+++ b/server/src/main/java/silverlatch/server/transport/PeerConnection.java
@@ -100,7 +100,7 @@
             droppedFrames.incrementAndGet();
             return;
         }
-        queue.add(new QueuedFrame(frame, now, !Message.urgent(frame.body()), lastSequence.incrementAndGet()));
+        queue.add(new QueuedFrame(frame, now, !Message.isUrgent(frame.body()), lastSequence.incrementAndGet()));
     }
 
     /** Closes the connection; no more frames are sent. */
