--- a/core/src/main/java/silverlatch/gossip/WorkerReports.java
+++ b/core/src/main/java/silverlatch/gossip/WorkerReports.java
@@ -220,7 +220,7 @@
      */
     void onHeartbeatAges(final GossipMessage.HeartbeatAges heartbeats, final String address, final long pullSentAt) {
         final List<TrackedReport> workers = notGone();
-        if (heartbeats.namesDigest() != incarnationDigests.total()
+        if (heartbeats.incarnationsDigest() != incarnationDigests.total()
                 || !agePacker.fits(heartbeats.ages(), workers.size())) {
             return;
         }
--- a/core/src/main/java/silverlatch/log/DamagedLogException.java
+++ b/core/src/main/java/silverlatch/log/DamagedLogException.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * The content of a data folder can't be trusted: a file is missing, cut short, or not what was written. Other than with
- * an {@link IOException} of the disk, reading again is of no use.
+ * Thrown when the content of a data directory is corrupt: a file is missing, truncated, or differs from what was written.
+ * Unlike an {@link IOException} raised by the disk, this is permanent: retrying the read doesn't help.
  */
 final class DamagedLogException extends IOException {
     private static final long serialVersionUID = 1L;
--- a/core/src/main/java/silverlatch/log/DataFolder.java
+++ b/core/src/main/java/silverlatch/log/DataFolder.java
@@ -12,9 +12,10 @@
 import java.util.stream.Stream;
 
 /**
- * The files of a data folder that are not the log's own: the identity of its machine, the format of all files, and a mark
- * on folders that were made to take part in a first founding. The identity is written last, so a folder with an
- * identity has the others.
+ * The metadata files of a data directory, apart from log segments and snapshots: the identity of the machine, the format
+ * version of all files, and a marker file in directories whose machine may take part in bootstrapping a new fleet.
+ *
+ * <p>Invariant: the identity is written last, so a directory with an identity file also has the other files.
  */
 final class DataFolder {
     private static final String BOOTSTRAP_MARKER = "founder";
@@ -31,7 +32,11 @@
         this.path = path;
     }
 
-    /** Makes the folder and its files, unless it has an identity; one made here may take part in a founding if so said. */
+    /**
+     * Creates the directory and its metadata files, unless it already has an identity.
+     *
+     * @param mayBootstrap whether the machine of a directory created here may take part in bootstrapping a new fleet
+     */
     void createIfAbsent(final boolean mayBootstrap) throws IOException {
         if (!Files.isDirectory(path)) {
             Files.createDirectories(path);
@@ -57,30 +62,30 @@
     }
 
     /**
-     * The identity of the folder's machine.
+     * Returns the identity of the machine that owns the directory.
      *
-     * @throws DamagedLogException if the file holds something else
+     * @throws DamagedLogException if the file doesn't hold an identity
      */
     String identity() throws IOException {
         final String identity = Files.readString(path.resolve(IDENTITY)).strip();
         if (!identity.matches("[0-9a-f]{" + 2 * IDENTITY_BYTES + "}")) {
-            throw new DamagedLogException("the identity file is not one of ours");
+            throw new DamagedLogException("the identity file does not hold 16 hexadecimal digits");
         }
         return identity;
     }
 
-    /** The format that the folder's files are written in. */
+    /** Returns the format version of the directory's files; a directory without a format file has version 1. */
     String format() throws IOException {
         final Path file = path.resolve(FORMAT);
         return Files.exists(file) ? Files.readString(file).strip() : FORMAT_WITHOUT_FILE;
     }
 
-    /** Whether the folder was made to take part in a first founding. */
+    /** Returns whether the directory has the marker that allows its machine to take part in bootstrapping a new fleet. */
     boolean mayBootstrap() {
         return Files.exists(path.resolve(BOOTSTRAP_MARKER));
     }
 
-    /** Removes what was being written in place of a file when the process or the power went. */
+    /** Deletes temporary files that an interrupted {@link DurableFiles#replace} left after a crash or power loss. */
     void removePartialFiles() throws IOException {
         try (Stream<Path> files = Files.list(path)) {
             for (final Path file : files.filter(DataFolder::isPartialFile).toList()) {
@@ -93,7 +98,7 @@
         return PART_FILE_NAME.matcher(file.getFileName().toString()).matches();
     }
 
-    /** Moves the folder's files into a folder within it, in place of those that were moved before. */
+    /** Moves the directory's files into its subdirectory {@code damaged}, replacing files that were moved there earlier. */
     void moveAside() throws IOException {
         final Path aside = path.resolve(DAMAGED);
         Files.createDirectories(aside);
--- a/core/src/main/java/silverlatch/log/DurableFiles.java
+++ b/core/src/main/java/silverlatch/log/DurableFiles.java
@@ -8,27 +8,27 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** Writes that are on the disk, with the names of their files, once the call returns. */
+/** File operations that are durable, including the file's directory entry, once the call returns. */
 public final class DurableFiles {
-    /** How the name of a file ends that is being written in place of another one. */
+    /** The suffix of the temporary file that is written before it replaces the file of the same name. */
     static final String PART_SUFFIX = ".part";
 
     private DurableFiles() {}
 
-    /** Writes the content of a file. */
+    /** Callback that writes the content of a file. */
     interface Content {
         void writeTo(FileChannel channel) throws IOException;
     }
 
     /**
-     * Writes a file in place of an older one: a reader, also after a power loss, sees the whole old one or the whole new
-     * one.
+     * Replaces a file atomically and durably: a reader sees either the complete old content or the complete new content,
+     * even after a power loss.
      */
     public static void replace(final Path file, final byte[] bytes) throws IOException {
         replace(file, channel -> writeAll(channel, bytes));
     }
 
-    /** Writes a file in place of an older one, as {@link #replace(Path, byte[])} does. */
+    /** Replaces a file atomically and durably, as {@link #replace(Path, byte[])} does. */
     static void replace(final Path file, final Content content) throws IOException {
         final Path part = file.resolveSibling(file.getFileName() + PART_SUFFIX);
         try (FileChannel channel = FileChannel.open(
@@ -40,7 +40,7 @@
         syncDirectory(file.toAbsolutePath().getParent());
     }
 
-    /** Writes all bytes; they are not synced. */
+    /** Writes all bytes without syncing them to disk. */
     static void writeAll(final FileChannel channel, final byte[] bytes) throws IOException {
         final ByteBuffer remaining = ByteBuffer.wrap(bytes);
         while (remaining.hasRemaining()) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Cuts a file off at a size. */
+    /** Truncates a file to a size in bytes and syncs it. */
     static void truncate(final Path file, final long size) throws IOException {
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE)) {
             channel.truncate(size);
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Syncs the names in a directory. */
+    /** Syncs a directory, which makes the creation, renaming and deletion of files in it durable. */
     static void syncDirectory(final Path directory) throws IOException {
         try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
--- a/core/src/main/java/silverlatch/log/LogFrame.java
+++ b/core/src/main/java/silverlatch/log/LogFrame.java
@@ -8,8 +8,8 @@
 import silverlatch.wire.Codec;
 
 /**
- * How a record stands in a file: a magic number of 8 bytes, the size of the record and its CRC-32C of 4 bytes each, and
- * the record as the codec encodes it. All numbers are big-endian.
+ * Encodes and decodes the frame in which a record is stored in a file: a magic number of 8 bytes, the size of the encoded
+ * record and its CRC-32C of 4 bytes each, and the record as encoded by the codec. All numbers are big-endian.
  */
 final class LogFrame {
     private static final long MAGIC = 0x5349_4C56_4C41_5443L;
@@ -18,7 +18,7 @@
 
     private LogFrame() {}
 
-    /** The frame of a record. */
+    /** Returns the encoded frame of a record. */
     static byte[] encode(final LogRecord record, final Codec codec) {
         final byte[] body = codec.encode(record, MAX_RECORD_BYTES);
         return ByteBuffer.allocate(HEADER_BYTES + body.length)
@@ -29,7 +29,7 @@
                 .array();
     }
 
-    /** The record of the next frame, or nothing where there is no complete and sound one. */
+    /** Reads the next frame and returns its record; empty if the frame is incomplete, corrupt or can't be decoded. */
     static Optional<LogRecord> read(final DataInputStream input, final Codec codec) throws IOException {
         final byte[] header = input.readNBytes(HEADER_BYTES);
         if (header.length < HEADER_BYTES) {
@@ -48,14 +48,14 @@
         return decode(body, LogRecord.class, codec);
     }
 
-    /** The record of a frame's body, or nothing where it can't be decoded. */
+    /** Returns the record of a frame's body; empty if it can't be decoded as the given type. */
     static <T extends LogRecord> Optional<T> decode(final byte[] body, final Class<T> type, final Codec codec) {
         return codec.decode(body, type) instanceof Codec.DecodeResult.Decoded<T> decoded
                 ? Optional.of(decoded.value())
                 : Optional.empty();
     }
 
-    /** The body of the frame at an offset, or nothing where no complete and sound frame begins. */
+    /** Returns the body of the frame that begins at an offset; empty if no complete frame with a valid checksum begins there. */
     static Optional<ByteBuffer> bodyAt(final byte[] bytes, final int offset) {
         if (offset + HEADER_BYTES > bytes.length) {
             return Optional.empty();
--- a/core/src/main/java/silverlatch/log/LogRecord.java
+++ b/core/src/main/java/silverlatch/log/LogRecord.java
@@ -6,26 +6,26 @@
 import silverlatch.state.Entry;
 
 /**
- * What is written to the log of a data folder. Records are stored by number and order of components
- * ({@link silverlatch.wire.WireTypes}); the names of types and components are free.
+ * A record in the write-ahead log of a data directory. Records are stored with type numbers and by position of their
+ * components ({@link silverlatch.wire.WireTypes}), so types and components may be renamed without changing the format.
  */
 public sealed interface LogRecord {
-    /** An entry of the chain, committed or not. */
+    /** A replicated log entry, committed or not. */
     record Appended(LogEntry entry) implements LogRecord {}
 
-    /** A decided view, and whether this machine has all that its chain has. */
+    /** A decided view, and whether this replica holds all entries that the chain of the view holds. */
     record ViewInstalled(View view, boolean caughtUp) implements LogRecord {}
 
-    /** A promise to accept no lower ballot for the view of a number (Paxos). */
+    /** A Paxos promise to accept no lower ballot in the decision on the view with the given number. */
     record Promised(long viewNumber, long ballot) implements LogRecord {}
 
-    /** An accepted proposal for the view of a number (Paxos). */
+    /** A proposal accepted (Paxos) in the decision on the view with the given number. */
     record Accepted(long viewNumber, long ballot, View view) implements LogRecord {}
 
-    /** A first view that this machine agreed to. */
+    /** The initial view of a new fleet that this machine agreed to during bootstrap. */
     record InitialViewAgreed(View view) implements LogRecord {}
 
-    /** Records written and synced together. */
+    /** Records that are written and synced together, under one checksum. */
     record Batch(List<LogRecord> records) implements LogRecord {
         /** Copies the records. */
         public Batch {
@@ -34,16 +34,16 @@
     }
 
     /**
-     * All that came before it: it stands for every earlier record.
+     * A snapshot of the replica's persistent state; it replaces all earlier records.
      *
-     * @param sequence       the sequence of the state
-     * @param view           the view installed
-     * @param caughtUp       whether this machine has all that its chain has
-     * @param promisedBallot the ballot promised for the next view, 0 where there is none
-     * @param acceptedBallot the ballot of the proposal accepted for the next view, 0 where there is none
-     * @param acceptedView   the view of that proposal, or none
-     * @param highestStamp   the bits of the highest stamp of an entry
-     * @param entries        the state's entries
+     * @param sequence       the sequence number of the last log entry that the state includes
+     * @param view           the installed view
+     * @param caughtUp       whether this replica holds all entries that the chain of the view holds
+     * @param promisedBallot the ballot promised for the next view, 0 if none
+     * @param acceptedBallot the ballot of the proposal accepted for the next view, 0 if none
+     * @param acceptedView   the view of that proposal; empty if there is none
+     * @param highestStamp   the bits of the highest stamp of any log entry
+     * @param entries        the entries of the state
      */
     record Snapshot(
             long sequence,
@@ -61,14 +61,14 @@
             entries = List.copyOf(entries);
         }
 
-        /** The same with other entries. */
+        /** Returns a copy of this snapshot with other entries. */
         Snapshot withEntries(final List<Entry> others) {
             return new Snapshot(
                     sequence, view, caughtUp, promisedBallot, acceptedBallot, acceptedView, highestStamp, others);
         }
     }
 
-    /** Some of the entries of the snapshot whose file this is a part of; an empty one ends the file. */
+    /** Some of the entries of a snapshot, stored in the snapshot's file; a part without entries marks the end of the file. */
     record SnapshotPart(List<Entry> entries) implements LogRecord {
         /** Copies the entries. */
         public SnapshotPart {
--- a/core/src/main/java/silverlatch/log/LogRecovery.java
+++ b/core/src/main/java/silverlatch/log/LogRecovery.java
@@ -8,20 +8,20 @@
 import silverlatch.wire.Codec;
 
 /**
- * What a data folder's log holds: the newest snapshot, if there is one, and all batches after it. Segments and snapshots
- * that an older write should have removed are removed now.
+ * The records recovered from the log of a data directory: those of the newest snapshot, if there is one, and of all batches
+ * after it. Recovery also deletes older segments and snapshots whose deletion was interrupted.
  *
  * @param records     the snapshot and the records after it, in the order in which they were written
- * @param tornBytes   how many bytes of a torn write were cut off
- * @param lastSegment the number of the segment to append to, which may not be there yet
+ * @param tornBytes   the number of bytes of a torn write that were truncated
+ * @param lastSegment the number of the segment to append to; its file may not exist yet
  */
 record LogRecovery(List<LogRecord> records, long tornBytes, long lastSegment) {
     private static final long FIRST_SEGMENT = 1;
 
     /**
-     * Reads the log of a folder.
+     * Reads the log of a directory.
      *
-     * @throws DamagedLogException if it can't be trusted
+     * @throws DamagedLogException if the log is corrupt or a segment is missing
      */
     static LogRecovery of(final Path folder) throws IOException {
         final Codec codec = Codec.forLog();
@@ -50,7 +50,7 @@
         }
     }
 
-    /** The segments from the snapshot on; none may be missing among them. */
+    /** Returns the numbers of the segments to read after the snapshot; throws if one of them is missing. */
     private static List<Long> neededSegments(final Path folder, final long firstNeeded) throws IOException {
         final List<Long> segments = NumberedFiles.SEGMENT.numbers(folder).stream()
                 .filter(number -> number >= firstNeeded)
--- a/core/src/main/java/silverlatch/log/NumberedFiles.java
+++ b/core/src/main/java/silverlatch/log/NumberedFiles.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** The files of one kind in a data folder: their names are the kind and a number of twelve digits. */
+/** A kind of numbered file in a data directory; a file name is the kind, a hyphen and a number of twelve digits. */
 enum NumberedFiles {
-    /** Segments of the log. */
+    /** Segments of the write-ahead log. */
     SEGMENT("segment"),
-    /** Snapshots; a snapshot's number is that of the first segment after it. */
+    /** Snapshots; a snapshot has the number of the first segment that follows it. */
     SNAPSHOT("picture");
 
     private static final int DIGITS = 12;
@@ -20,12 +20,12 @@
         this.kind = kind;
     }
 
-    /** The file of a number. */
+    /** Returns the path of the file with a number. */
     Path file(final Path folder, final long number) {
         return folder.resolve(String.format("%s-%0" + DIGITS + "d", kind, number));
     }
 
-    /** The numbers of the files that are there, lowest first. */
+    /** Returns the numbers of the existing files of this kind in ascending order. */
     List<Long> numbers(final Path folder) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.map(file -> file.getFileName().toString())
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Removes the segments and snapshots that the snapshot of a number stands for. */
+    /** Deletes all segments and snapshots with lower numbers: the snapshot with this number replaces them. */
     static void removeOlder(final Path folder, final long number) throws IOException {
         for (final NumberedFiles files : values()) {
             for (final long older : files.numbers(folder)) {
--- a/core/src/main/java/silverlatch/log/SegmentReader.java
+++ b/core/src/main/java/silverlatch/log/SegmentReader.java
@@ -10,29 +10,30 @@
 import silverlatch.wire.Codec;
 
 /**
- * Reads a segment of the log: frames that hold a batch each. A batch is written only after the last was synced, so a
- * torn write can only be at the end of the last segment: it is cut off. A bad frame before a sound one is damage.
+ * Reads log segments, which consist of frames with one batch each. A batch is written only after the previous one was
+ * synced, so a torn write can occur only at the end of the last segment, where it is truncated. An invalid frame anywhere
+ * else, or one followed by a valid frame, is corruption.
  */
 final class SegmentReader {
     private final Codec codec;
     private final List<LogRecord> records;
     private long tornBytes;
 
-    /** A reader that adds to records. */
+    /** Creates a reader that appends the records it reads to a list. */
     SegmentReader(final Codec codec, final List<LogRecord> records) {
         this.codec = codec;
         this.records = records;
     }
 
-    /** How many bytes of a torn write were cut off. */
+    /** Returns the number of bytes of a torn write that were truncated. */
     long tornBytes() {
         return tornBytes;
     }
 
     /**
-     * Reads a segment, and cuts off a torn write at the end of the last one.
+     * Reads a segment and, if it is the last one, truncates a torn write at its end.
      *
-     * @throws DamagedLogException if it holds something else than batches
+     * @throws DamagedLogException if the segment holds anything other than batches
      */
     void read(final Path file, final long number, final boolean last) throws IOException {
         final byte[] bytes = Files.readAllBytes(file);
@@ -44,7 +45,7 @@
         for (final byte[] body : bodies) {
             records.addAll(LogFrame.decode(body, LogRecord.Batch.class, codec)
                     .orElseThrow(
-                            () -> new DamagedLogException("segment " + number + " holds a batch that can't be read"))
+                            () -> new DamagedLogException("segment " + number + " holds a batch that can't be decoded"))
                     .records());
         }
         if (end < bytes.length) {
@@ -53,7 +54,7 @@
         }
     }
 
-    /** Adds the bodies of the frames up to the first that isn't sound, and returns where that begins. */
+    /** Adds the bodies of the frames before the first invalid frame, and returns the offset where the valid frames end. */
     private static int readBodies(final byte[] bytes, final List<byte[]> bodies) {
         int offset = 0;
         Optional<ByteBuffer> body = LogFrame.bodyAt(bytes, offset);
--- a/core/src/main/java/silverlatch/log/SnapshotFile.java
+++ b/core/src/main/java/silverlatch/log/SnapshotFile.java
@@ -12,15 +12,16 @@
 import silverlatch.wire.Codec;
 
 /**
- * A file that holds a snapshot: one frame with the snapshot without its entries, frames with parts of the entries, and
- * an empty part as its end. So neither writing nor reading needs the bytes of all entries at once.
+ * Reads and writes snapshot files. A file consists of one frame with the snapshot without its entries, frames with parts of
+ * the entries, and an empty part as end marker, so neither writing nor reading holds the encoded bytes of all entries in
+ * memory at once.
  */
 final class SnapshotFile {
     private static final long PART_BYTES = 1L << 20;
 
     private SnapshotFile() {}
 
-    /** Writes a snapshot; it is not synced. */
+    /** Writes a snapshot without syncing it to disk. */
     static void write(final FileChannel file, final LogRecord.Snapshot snapshot, final Codec codec) throws IOException {
         writeFrame(file, snapshot.withEntries(List.of()), codec);
         final List<Entry> part = new ArrayList<>();
@@ -48,7 +49,7 @@
     /**
      * Reads a snapshot.
      *
-     * @throws DamagedLogException if the file is cut short or holds something else
+     * @throws DamagedLogException if the file is truncated, corrupt or followed by other bytes
      */
     static LogRecord.Snapshot read(final Path file, final Codec codec) throws IOException {
         try (DataInputStream input = new DataInputStream(new BufferedInputStream(Files.newInputStream(file)))) {
@@ -60,7 +61,7 @@
                 part = next(input, LogRecord.SnapshotPart.class, codec).entries();
             }
             if (input.read() >= 0) {
-                throw new DamagedLogException("there are bytes after the snapshot's end");
+                throw new DamagedLogException("the snapshot file has bytes after the end marker");
             }
             return snapshot.withEntries(entries);
         }
@@ -71,6 +72,6 @@
         return LogFrame.read(input, codec)
                 .filter(type::isInstance)
                 .map(type::cast)
-                .orElseThrow(() -> new DamagedLogException("no sound " + type.getSimpleName() + " follows"));
+                .orElseThrow(() -> new DamagedLogException("the next frame is not a valid " + type.getSimpleName()));
     }
 }
--- a/core/src/main/java/silverlatch/log/WriteAheadLog.java
+++ b/core/src/main/java/silverlatch/log/WriteAheadLog.java
@@ -12,14 +12,14 @@
 import silverlatch.wire.Codec;
 
 /**
- * The write-ahead log of one data folder: batches of records in segments, and a snapshot in a file of its own. What is
- * written together is one batch with one checksum, and the next batch is written only after the last was synced; so a
- * torn batch can only be the last one, and a bad batch before a good one is damage.
+ * The write-ahead log of one data directory: batches of records in segments, and a snapshot in a separate file. Records
+ * written together form one batch with one checksum, and the next batch is written only after the previous one was synced.
+ * So only the last batch can be torn, and an invalid batch before a valid one means corruption.
  *
- * <p>Not thread-safe: one thread writes. After a failed write the log must be opened again ({@link #reopen}).
+ * <p>Not thread-safe: one thread writes. After a failed write the log must be reopened ({@link #reopen}).
  */
 public final class WriteAheadLog {
-    /** The format of the folder's files; raised whenever bytes of the version before would be read differently. */
+    /** The format version of the directory's files; incremented whenever files of the previous version would be misread. */
     public static final int FORMAT_VERSION = 2;
 
     private static final long MAX_SEGMENT_BYTES = 4L << 20;
@@ -34,16 +34,16 @@
         this.segmentNumber = segmentNumber;
     }
 
-    /** What opening a folder gave. */
+    /** The result of opening a data directory. */
     public sealed interface OpenResult {
         /**
-         * The log can be written.
+         * The log was recovered and can be written.
          *
-         * @param log       the log
-         * @param identity  the identity of the folder's machine
-         * @param records   all that the log holds, the newest snapshot first
-         * @param tornBytes how many bytes of a torn write were cut off
-         * @param mayBootstrap  whether the folder was made to take part in a first founding
+         * @param log          the log
+         * @param identity     the identity of the machine that owns the directory
+         * @param records      all recovered records; the newest snapshot, if any, comes first
+         * @param tornBytes    the number of bytes of a torn write that were truncated
+         * @param mayBootstrap whether the machine may take part in bootstrapping a new fleet
          */
         record Success(
                 WriteAheadLog log, String identity, List<LogRecord> records, long tornBytes, boolean mayBootstrap)
@@ -54,25 +54,25 @@
             }
         }
 
-        /** The folder can't be trusted. */
+        /** The directory's content is corrupt. */
         record Damaged(String reason) implements OpenResult {}
 
-        /** The disk can't be read or written now; what it holds may be sound. */
+        /** The disk can't be read or written at the moment; its content may be intact. */
         record Unavailable(String reason) implements OpenResult {}
 
-        /** The folder was written in another format and is left as it is; the reason says what to do. */
+        /** The directory has another format version and was not modified; the reason says what to do. */
         record Unsupported(String reason) implements OpenResult {}
     }
 
-    /** Opens a folder, and makes it when there is none; one made here may take part in a first founding. */
+    /** Opens a directory, and creates it if it is absent; the machine of a new one may take part in bootstrapping a fleet. */
     public static OpenResult open(final Path folder) {
         return open(folder, true);
     }
 
     /**
-     * Opens a folder, and makes it when there is none.
+     * Opens a directory, and creates it if it is absent.
      *
-     * @param mayBootstrap whether a folder made here may take part in a first founding
+     * @param mayBootstrap whether the machine of a directory created here may take part in bootstrapping a new fleet
      */
     public static OpenResult open(final Path folder, final boolean mayBootstrap) {
         try {
@@ -117,19 +117,19 @@
     }
 
     /**
-     * Opens the folder again after a failed write. What the operating system still shows of a file whose sync failed
-     * may not be on the disk, so the files that were last written are written anew and synced before they are read.
+     * Reopens the directory after a failed write. The page cache may still hold data of a file whose sync failed although
+     * it never reached the disk, so the newest segment and snapshot are rewritten and synced before they are read.
      */
     public OpenResult reopen() {
         try {
             segment.close();
         } catch (final IOException ignored) {
-            // The descriptor is released all the same; what counts is read from the files below.
+            // The file descriptor is released even if close fails, and the content is read again from the files below.
         }
         try {
             final DataFolder dataFolder = new DataFolder(folder);
             if (!dataFolder.hasIdentity()) {
-                return new OpenResult.Unavailable("the folder has lost its identity");
+                return new OpenResult.Unavailable("the identity file of the data directory is missing");
             }
             dataFolder.removePartialFiles();
             rewriteNewest(NumberedFiles.SNAPSHOT);
@@ -149,10 +149,11 @@
     }
 
     /**
-     * Writes records as one batch and syncs them. A snapshot among them starts a new segment, in which the records after
-     * it come, and removes the older files; of several, only the last counts.
+     * Writes records and syncs them. Records without a snapshot among them form one batch. A snapshot starts a new
+     * segment, which receives the records after it, and older files are deleted; if there are several snapshots, only the
+     * last one is written.
      *
-     * @throws IOException if the disk fails; what was written of the records is not known then
+     * @throws IOException if the disk fails; it is then unknown which of the records are on the disk
      */
     public void write(final List<LogRecord> records) throws IOException {
         final List<LogRecord> beforeSnapshot = new ArrayList<>();
@@ -207,7 +208,10 @@
         segment.close();
     }
 
-    /** Moves a damaged folder's files aside, in place of those moved before; the folder is then a new machine's. */
+    /**
+     * Moves the files of a corrupt directory into its subdirectory {@code damaged}, replacing those moved there earlier. The
+     * next open creates a new identity, so the machine joins as a new one.
+     */
     public static void moveAside(final Path folder) throws IOException {
         new DataFolder(folder).moveAside();
     }
--- a/core/src/main/java/silverlatch/replication/Bootstrap.java
+++ b/core/src/main/java/silverlatch/replication/Bootstrap.java
@@ -103,7 +103,7 @@
                 && addresses.equals(Set.copyOf(settings.seeds()))
                 && peersById.values().stream()
                         .allMatch(peer ->
-                                Set.copyOf(peer.request().reachableReplicas()).equals(known));
+                                Set.copyOf(peer.request().discoveredReplicas()).equals(known));
     }
 
     private View initialView(final List<Replica> peers) {
--- a/core/src/main/java/silverlatch/wire/ChainClientMessage.java
+++ b/core/src/main/java/silverlatch/wire/ChainClientMessage.java
@@ -5,41 +5,41 @@
 import silverlatch.state.CommandResult;
 import silverlatch.state.Entry;
 
-/** Messages between a client of the replicated state and the chain: writes to its head, reads from its tail. */
+/** Messages between clients of the replicated state and the replica chain: writes go to the head, reads to the tail. */
 public sealed interface ChainClientMessage extends Message {
     /**
      * Asks the head to apply a command.
      *
-     * @param requestId the number of the request at the client, echoed in the reply
-     * @param replyTo the address at which the client takes frames
-     * @param command the command; sent again under the same id it takes effect once
+     * @param requestId the client's number for the request, echoed in the reply
+     * @param replyTo the address at which the client receives frames
+     * @param command the command; idempotent: a command that is resent with the same id is applied only once
      */
     record WriteRequest(long requestId, String replyTo, Command command) implements ChainClientMessage {}
 
     /**
-     * What became of a command.
+     * The reply to a {@link WriteRequest}.
      *
-     * @param requestId the request's number
-     * @param result the result
+     * @param requestId the {@code requestId} of the request
+     * @param result the result of the command
      */
     record WriteReply(long requestId, CommandResult result) implements ChainClientMessage {}
 
     /**
-     * Asks the tail for entries.
+     * Asks the tail for all entries with a key prefix.
      *
-     * @param requestId the number of the request at the client, echoed in the reply
-     * @param replyTo the address at which the client takes frames
-     * @param keyPrefix how the keys of the entries begin
+     * @param requestId the client's number for the request, echoed in the reply
+     * @param replyTo the address at which the client receives frames
+     * @param keyPrefix the prefix of the keys
      */
     record ReadRequest(long requestId, String replyTo, String keyPrefix) implements ChainClientMessage {}
 
     /**
-     * The entries asked for.
+     * The reply to a {@link ReadRequest}.
      *
-     * @param requestId the request's number
-     * @param answered whether the replier could answer; it can't unless it is the tail, caught up and under a lease
-     * @param sequence the sequence that the entries stand for
-     * @param entries the entries; empty where it couldn't answer
+     * @param requestId the {@code requestId} of the request
+     * @param answered whether the replica served the read; only the tail may, while it is caught up and holds its lease
+     * @param sequence the sequence number of the last log entry that the entries reflect
+     * @param entries the entries; empty if the read was not served
      */
     record ReadReply(long requestId, boolean answered, long sequence, List<Entry> entries)
             implements ChainClientMessage {
--- a/core/src/main/java/silverlatch/wire/Codec.java
+++ b/core/src/main/java/silverlatch/wire/Codec.java
@@ -20,21 +20,23 @@
 import silverlatch.state.Value;
 
 /**
- * Encodes and decodes frames and log records with Kryo. Only registered types are read, and every size is bounded by the bytes at
- * hand, so that bytes from outside can neither make other objects nor exhaust the memory. An instance serves one thread at a time.
+ * Encodes and decodes frames and log records with Kryo. Only registered types are decoded, and every size is checked against the
+ * remaining input, so that untrusted bytes can neither instantiate other types nor exhaust the memory.
+ *
+ * <p>Not thread-safe; see {@link CodecPool}.
  */
 public final class Codec {
     /** The largest frame or log record, in bytes. */
     public static final int MAX_BYTES = 16 << 20;
 
-    /** How deep objects may be nested. */
+    /** The maximum nesting depth of objects. */
     private static final int MAX_DEPTH = 24;
 
     private static final int FIRST_LOG_PART = 50;
     private static final int FIRST_LOG_RECORD = 100;
     private static final int FIRST_LOG_VALUE = 200;
 
-    /** The records of a data folder in the order of their numbers; compilers differ in the order of permitted types. */
+    /** The log record types in the order of their type numbers. Listed by hand: compilers differ in the order of permitted types. */
     private static final List<Class<?>> RECORD_TYPES = List.of(
             LogRecord.Appended.class,
             LogRecord.ViewInstalled.class,
@@ -45,7 +47,7 @@
             LogRecord.Snapshot.class,
             LogRecord.SnapshotPart.class);
 
-    /** The values in a data folder in the order of their numbers. */
+    /** The types of stored values in the order of their type numbers. */
     private static final List<Class<?>> VALUE_TYPES = List.of(
             Value.Tenant.class,
             Value.Row.class,
@@ -68,7 +70,7 @@
 
     private final Kryo kryo = new Kryo();
 
-    /** Makes a codec of frames. */
+    /** Creates a codec for frames. */
     public Codec() {
         registerBasics();
         registerFrames();
@@ -84,14 +86,14 @@
     }
 
     /**
-     * Returns a codec of the records in a data folder. Its types have numbers of their own, so that a new message leaves
-     * the folders as they are; a new type of record or value goes last among its kind.
+     * Returns a codec for the records in data directories. It uses type numbers separate from those of frames, so that adding a
+     * message type doesn't change the storage format. A new record or value type must be appended to the list of its kind.
      */
     public static Codec forLog() {
         return new Codec(logTypes());
     }
 
-    /** Returns the types that are written to data folders, by the number of the first of each kind. */
+    /** Returns the types that are stored in data directories; each list's types are numbered consecutively from its key. */
     public static Map<Integer, List<Class<?>>> logTypes() {
         final Map<Integer, List<Class<?>>> types = new TreeMap<>();
         types.put(
@@ -130,20 +132,20 @@
     }
 
     /**
-     * Returns the bytes of a frame or a log record; throws KryoException where they are more than {@link #MAX_BYTES}.
+     * Encodes a frame or a log record; throws KryoException if the result exceeds {@link #MAX_BYTES}.
      */
     public byte[] encode(final Object value) {
         return encode(value, MAX_BYTES);
     }
 
-    /** Returns the bytes of a value; throws KryoException where they are more than the given number. */
+    /** Encodes a value; throws KryoException if the result exceeds the given number of bytes. */
     public byte[] encode(final Object value, final int maxBytes) {
         final Output output = new Output(512, maxBytes);
         kryo.writeClassAndObject(output, value);
         return output.toBytes();
     }
 
-    /** Decodes a value of the given type; never throws, whatever the bytes are. */
+    /** Decodes a value of the given type; returns {@link DecodeResult.Malformed} for invalid input instead of throwing. */
     public <T> DecodeResult<T> decode(final byte[] bytes, final Class<T> type) {
         try {
             final Input input = new Input(bytes);
@@ -152,7 +154,7 @@
                 return new DecodeResult.Malformed<>("not a " + type.getSimpleName());
             }
             if (input.position() != bytes.length) {
-                return new DecodeResult.Malformed<>("bytes left over");
+                return new DecodeResult.Malformed<>("trailing bytes after the value");
             }
             return new DecodeResult.Decoded<>(type.cast(value));
         } catch (final KryoException
@@ -170,17 +172,17 @@
 
     /** The result of decoding. */
     public sealed interface DecodeResult<T> {
-        /** The bytes are a value of the type asked for. */
+        /** The bytes were decoded to a value of the expected type. */
         record Decoded<T>(T value) implements DecodeResult<T> {}
 
-        /** The bytes are no such value; the reason is for the log. */
+        /** The bytes are not a valid encoding of the expected type; the reason is meant for log messages. */
         record Malformed<T>(String reason) implements DecodeResult<T> {}
     }
 
     private static int readSize(final Input input, final int minBytesEach) {
         final int count = input.readInt();
         if (count < 0 || (long) count * minBytesEach > input.limit() - input.position()) {
-            throw new KryoException("size beyond the bytes at hand");
+            throw new KryoException("encoded size exceeds the remaining input");
         }
         return count;
     }
--- a/core/src/main/java/silverlatch/wire/CodecPool.java
+++ b/core/src/main/java/silverlatch/wire/CodecPool.java
@@ -5,19 +5,19 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Codecs shared by the threads of a process. A codec registers some hundred classes when it is made, which takes
- * milliseconds in a process that has just started, and it serves one thread at a time: connections borrow one for each
- * frame instead of owning one.
+ * A thread-safe pool of codecs. Creating a codec registers about a hundred classes, which takes milliseconds in a process
+ * that has just started, and a codec serves one thread at a time. So connections borrow a codec for each frame instead of
+ * owning one.
  */
 public final class CodecPool {
-    /** Idle codecs that are kept; more are made while more threads encode or decode at once, and dropped afterwards. */
+    /** The maximum number of idle codecs; further ones are created under concurrent use and discarded afterwards. */
     private static final int MAX_IDLE = 4;
 
     private final ConcurrentLinkedQueue<Codec> idle = new ConcurrentLinkedQueue<>();
     private final AtomicInteger idleCount = new AtomicInteger();
     private final AtomicInteger createdCount = new AtomicInteger();
 
-    /** Returns the bytes of a frame or a record; see {@link Codec#encode(Object)}. */
+    /** Encodes a frame; see {@link Codec#encode(Object)}. */
     public byte[] encode(final Object value) {
         final Codec codec = borrow();
         try {
@@ -27,7 +27,7 @@
         }
     }
 
-    /** Decodes a value; see {@link Codec#decode(byte[], Class)}. */
+    /** Decodes a value of the given type; see {@link Codec#decode(byte[], Class)}. */
     public <T> Codec.DecodeResult<T> decode(final byte[] bytes, final Class<T> type) {
         final Codec codec = borrow();
         try {
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Returns how many codecs were made so far. */
+    /** Returns the number of codecs created so far. */
     public int createdCount() {
         return createdCount.get();
     }
--- a/core/src/main/java/silverlatch/wire/GossipMessage.java
+++ b/core/src/main/java/silverlatch/wire/GossipMessage.java
@@ -9,19 +9,20 @@
 import silverlatch.state.Entry;
 
 /**
- * Messages that spread worker reports, members and the configuration's revision.
+ * Gossip messages, which spread worker reports, members and the revision of the configuration.
  *
- * <p>A push takes effect at once but never makes anything held fresher: freshness comes from pulls only, dated by the
- * puller's own clock at the moment it asked. So no delay, freeze or partition lets old information pass for new.
+ * <p>A push is applied at once but never renews the freshness of data. Freshness comes from pulls only and counts from the
+ * time, by the puller's own clock, at which the pull was sent. So a delay, a paused process or a partition can't make old
+ * information appear fresh.
  */
 public sealed interface GossipMessage extends Message {
     /**
-     * A change passed on at once.
+     * Changes that are forwarded immediately.
      *
-     * @param members members that changed
-     * @param workers workers that changed, as they reported themselves to gateways
-     * @param reports reports on workers that changed, as controllers spread them
-     * @param revision the sequence of the newest configuration known to the sender
+     * @param members the changed members
+     * @param workers the changed reports of workers that report to gateways
+     * @param reports the changed reports of workers that report to controllers
+     * @param revision the sequence number of the newest configuration known to the sender
      */
     record GossipPush(List<Member> members, List<Worker> workers, List<WorkerReport> reports, long revision)
             implements GossipMessage {
@@ -32,21 +33,21 @@
             reports = List.copyOf(reports);
         }
 
-        /** Makes a push without reports of controllers. */
+        /** Creates a push without reports from controllers. */
         public GossipPush(final List<Member> members, final List<Worker> workers, final long revision) {
             this(members, workers, List.of(), revision);
         }
     }
 
     /**
-     * A pull: what the asker holds, in short.
+     * A pull: asks for newer data and summarizes what the sender holds.
      *
-     * @param pullSentAt the asker's monotonic clock, in microseconds; echoed in the reply, which is dated by it
-     * @param revision the sequence of the newest configuration that the asker holds
-     * @param view the number of the newest view that the asker knows
-     * @param versions what the asker holds of each worker; empty where digests are compared instead
-     * @param membershipDigest the digest over all members that the asker holds
-     * @param reportsDigest the digest over all worker reports that the asker holds
+     * @param pullSentAt the sender's monotonic clock, in microseconds; echoed in the reply, whose freshness counts from it
+     * @param revision the sequence number of the newest configuration that the sender holds
+     * @param view the number of the newest view that the sender knows
+     * @param versions the version of each worker's report that the sender holds; empty if digests are compared instead
+     * @param membershipDigest the digest of all members that the sender holds
+     * @param reportsDigest the digest of all worker reports that the sender holds
      */
     record GossipPull(
             long pullSentAt,
@@ -65,13 +66,13 @@
     /**
      * The reply to a {@link GossipPull}.
      *
-     * @param pullSentAt the pull's {@code pullSentAt}
-     * @param revision the sequence of the configuration that the replier follows
-     * @param age how long ago the replier's configuration was confirmed as the newest, in microseconds
-     * @param fleet the fleet's number, 0 before it is known
-     * @param entries the entries of the configuration that the asker lacks
-     * @param view the replier's view where the asker's is older, else empty
-     * @param content workers and members
+     * @param pullSentAt the {@code pullSentAt} of the pull
+     * @param revision the sequence number of the configuration that the replier uses
+     * @param age the time since the replier's configuration was confirmed as the newest, in microseconds
+     * @param fleet the id of the fleet, 0 while the replier doesn't know it
+     * @param entries the entries of the configuration that the puller lacks
+     * @param view the replier's view if the puller's is older, else empty
+     * @param content the data on workers and members
      */
     record GossipPullReply(
             long pullSentAt,
@@ -89,14 +90,14 @@
         }
     }
 
-    /** What the reply to a pull says of workers and members. */
+    /** The data on workers and members in the reply to a pull. */
     sealed interface PullContent {
         /**
-         * All that the asker needs, where workers report to gateways.
+         * The data that the puller lacks; used if workers report to gateways.
          *
-         * @param ages the ages of reports that both hold
-         * @param workers the reports that the asker lacks
-         * @param members the members that the asker lacks
+         * @param ages the ages of the reports that both sides hold
+         * @param workers the reports that the puller lacks
+         * @param members the members that the puller lacks
          */
         record FullContent(List<ReportAge> ages, List<Worker> workers, List<Member> members) implements PullContent {
             /** Copies the lists. */
@@ -108,11 +109,11 @@
         }
 
         /**
-         * Digests, where workers report to controllers.
+         * Digests of the replier's data; used if workers report to controllers.
          *
-         * @param age how long ago the replier's reports were surely the newest, in microseconds, or -1 if never
-         * @param ranges the digests by range of names where they differ from the asker's, else empty
-         * @param heartbeats the ages of workers' heartbeats; sent between controllers only
+         * @param age the time since the replier's reports were last confirmed as the newest, in microseconds, or -1 if never
+         * @param ranges the digests by name range if the total digests differ from the puller's, else empty
+         * @param heartbeats the ages of the workers' heartbeats; sent between controllers only
          */
         record DigestContent(long age, List<RangeDigests> ranges, List<HeartbeatAges> heartbeats)
                 implements PullContent {
@@ -125,29 +126,29 @@
     }
 
     /**
-     * Digests by range of names.
+     * Digests by name range.
      *
-     * @param reports the digests of worker reports; empty where all are equal
-     * @param members the digests of members; empty where all are equal
+     * @param reports the digests of worker reports; empty if all are equal
+     * @param members the digests of members; empty if all are equal
      */
     record RangeDigests(long[] reports, long[] members) {}
 
     /**
-     * How long ago each worker was heard.
+     * The time since the last heartbeat of each worker.
      *
-     * @param namesDigest the digest of the names that the ages belong to
-     * @param ages four bits each, in the order of names
+     * @param incarnationsDigest the digest of the names and incarnations of the workers that the ages belong to
+     * @param ages the ages, four bits for each worker, in the order of the workers' names
      */
-    record HeartbeatAges(long namesDigest, long[] ages) {}
+    record HeartbeatAges(long incarnationsDigest, long[] ages) {}
 
     /**
-     * All that the asker holds in the ranges whose digests differ.
+     * The versions of all reports and members that the sender holds in the ranges whose digests differ.
      *
-     * @param pullSentAt the {@code pullSentAt} of the pull that this continues
-     * @param reportRanges the ranges of worker reports, a bit each
-     * @param memberRanges the ranges of members, a bit each
-     * @param workers what the asker holds of the workers in them
-     * @param members what the asker holds of the members in them
+     * @param pullSentAt the {@code pullSentAt} of the pull that this continues; negative for a quorum query, whose id it negates
+     * @param reportRanges the ranges of worker reports, one bit each
+     * @param memberRanges the ranges of members, one bit each
+     * @param workers the versions of the worker reports in those ranges
+     * @param members the versions of the members in those ranges
      */
     record ReportVersions(
             long pullSentAt,
@@ -164,13 +165,13 @@
     }
 
     /**
-     * What the receiver lacks.
+     * The reply to {@link ReportVersions}: the data that the receiver lacks, and the names on which the sender lacks data.
      *
-     * @param pullSentAt the {@code pullSentAt} of the pull that this ends, or 0
-     * @param reports the worker reports that it lacks
-     * @param members the members that it lacks
-     * @param requestedWorkers the names of workers of which it holds newer reports, which the sender asks for
-     * @param requestedMembers the names of members of which it holds newer entries, which the sender asks for
+     * @param pullSentAt the {@code pullSentAt} of the {@link ReportVersions} that this completes, or 0 if there is none
+     * @param reports the worker reports that the receiver lacks
+     * @param members the members that the receiver lacks
+     * @param requestedWorkers the names of the workers on which the receiver holds newer reports, which the sender requests
+     * @param requestedMembers the names of the members for which the receiver holds newer entries, which the sender requests
      */
     record MissingReports(
             long pullSentAt,
@@ -193,8 +194,8 @@
      *
      * @param id the worker's name
      * @param incarnation the worker's incarnation
-     * @param sequence the report's number within the incarnation
-     * @param age how old the report is at the sender, in microseconds; negative where it was never renewed there
+     * @param sequence the sequence number of the report within the incarnation
+     * @param age the age of the report at the sender, in microseconds; negative if it was never renewed there
      */
     record ReportAge(String id, long incarnation, long sequence, long age) {}
 }
--- a/core/src/main/java/silverlatch/wire/MembershipMessage.java
+++ b/core/src/main/java/silverlatch/wire/MembershipMessage.java
@@ -4,12 +4,12 @@
 import silverlatch.clock.Stamp;
 import silverlatch.membership.Member;
 
-/** Messages by which daemons join, and by which they watch each other for failures. */
+/** Messages with which nodes join the fleet and monitor each other for failures. */
 public sealed interface MembershipMessage extends Message {
     /**
-     * A daemon makes itself known and asks for the members. Sent to the seeds at the start and at each rejoin.
+     * Announces a node to a seed and asks for the list of members. Sent to the seeds at startup and at each rejoin.
      *
-     * @param sender the daemon as it wants to be known
+     * @param sender the sender's own membership entry
      * @param sentAt the sender's monotonic clock, in microseconds; echoed in the reply
      */
     record MembershipJoinRequest(Member sender, long sentAt) implements MembershipMessage {}
@@ -18,9 +18,9 @@
      * The reply to a {@link MembershipJoinRequest}.
      *
      * @param members the members known to the replier
-     * @param echoedAt the greeting's {@code sentAt}, from which the newcomer takes the round-trip time
-     * @param physicalTime the replier's physical time, in the fixed point of a {@link Stamp}
-     * @param stampFloor the newest stamp known to the replier; the newcomer's stamps start above it
+     * @param echoedAt the {@code sentAt} of the request, from which the joining node computes the round-trip time
+     * @param physicalTime the replier's physical time, in the fixed-point format of a {@link Stamp}
+     * @param stampFloor the newest stamp known to the replier; the joining node's stamps start above it
      */
     record MemberList(List<Member> members, long echoedAt, long physicalTime, Stamp stampFloor)
             implements MembershipMessage {
@@ -31,14 +31,14 @@
     }
 
     /**
-     * A heartbeat to a watcher, sent while the member's own entry is new or changed.
+     * A heartbeat to a node that monitors the sender; it carries the sender's entry while that is new or changed.
      *
-     * @param sender the member as it is now
+     * @param sender the sender's current membership entry
      */
     record Heartbeat(Member sender) implements MembershipMessage {}
 
     /**
-     * A heartbeat of a member that hasn't changed since its last {@link Heartbeat}.
+     * A short heartbeat of a member whose entry hasn't changed since its last {@link Heartbeat}.
      *
      * @param id the member's name
      * @param incarnation the member's incarnation
--- a/core/src/main/java/silverlatch/wire/Message.java
+++ b/core/src/main/java/silverlatch/wire/Message.java
@@ -1,6 +1,6 @@
 package silverlatch.wire;
 
-/** A message between daemons, the body of a {@link Frame}. Its types are grouped by protocol. */
+/** A message between nodes, sent as the body of a {@link Frame}. The message types are grouped by protocol. */
 public sealed interface Message
         permits MembershipMessage,
                 GossipMessage,
@@ -9,14 +9,17 @@
                 TrafficMessage,
                 Message.StampRejected {
     /**
-     * Tells the sender of a frame that its stamp was too far ahead; the frame was ignored.
+     * Notifies the sender of a frame that the frame was ignored because its stamp is too far ahead of the receiver's clock.
      *
-     * @param excess how far beyond the bound the stamp was, in the fixed point of a stamp
-     * @param physicalTime the physical time at the receiver, in the same fixed point
+     * @param excess by how much the stamp exceeds the allowed bound, in the fixed-point format of a stamp
+     * @param physicalTime the physical time of the frame's receiver, in the same format
      */
     record StampRejected(long excess, long physicalTime) implements Message {}
 
-    /** Returns whether a message is short and others wait for it by a lease or a vote, so that it goes before large ones. */
+    /**
+     * Returns whether a message is sent ahead of large ones: it is short, and a lease, a vote, a commit or failure detection on
+     * other nodes waits for it.
+     */
     static boolean isUrgent(final Message message) {
         return message instanceof ReplicationMessage.LeaseRequest
                 || message instanceof ReplicationMessage.LeaseGrant
--- a/core/src/main/java/silverlatch/wire/RecordSerializer.java
+++ b/core/src/main/java/silverlatch/wire/RecordSerializer.java
@@ -12,11 +12,11 @@
 import java.util.List;
 
 /**
- * Writes the components of a record in a fixed order, whatever their names are. Kryo's own serializer of records writes
- * them in alphabetical order, so that renaming one would change the format.
+ * Serializes the components of a record in a fixed order that doesn't depend on their names. Kryo's own record serializer
+ * writes them in alphabetical order, so renaming a component would change the format.
  *
- * <p>A component of a primitive or final type is written without its type, any other with the number of its type first.
- * The accessors and the constructor are looked up at the first use, which keeps the start of a process short.
+ * <p>A component of a primitive or final type is written without its type, any other is preceded by its type number. The
+ * accessors and the constructor are resolved on first use, which shortens process startup. Not thread-safe.
  */
 final class RecordSerializer<T extends Record> extends ImmutableSerializer<T> {
     private final Class<T> type;
@@ -26,9 +26,9 @@
     private Constructor<T> constructor;
 
     /**
-     * Makes a serializer.
+     * Creates a serializer.
      *
-     * @param type the record
+     * @param type the record type
      * @param order the positions of its components, in the order in which they are written
      */
     RecordSerializer(final Class<T> type, final List<Integer> order) {
@@ -81,7 +81,8 @@
         try {
             return constructor.newInstance(components);
         } catch (final ReflectiveOperationException failure) {
-            throw new KryoException("a " + type.getName() + " can't be made of the components read", failure);
+            throw new KryoException(
+                    "a " + type.getName() + " can't be constructed from the decoded components", failure);
         }
     }
 
@@ -91,8 +92,8 @@
         }
         final RecordComponent[] components = type.getRecordComponents();
         if (components.length != order.length) {
-            throw new KryoException(
-                    type.getName() + " has " + components.length + " components, its wire type " + order.length);
+            throw new KryoException(type.getName() + " has " + components.length
+                    + " components, but its wire type lists " + order.length);
         }
         componentTypes = Arrays.stream(components).map(RecordComponent::getType).toArray(Class<?>[]::new);
         accessors = Arrays.stream(components).map(RecordComponent::getAccessor).toArray(Method[]::new);
--- a/core/src/main/java/silverlatch/wire/ReplicationMessage.java
+++ b/core/src/main/java/silverlatch/wire/ReplicationMessage.java
@@ -7,66 +7,69 @@
 import silverlatch.state.Entry;
 
 /**
- * Messages between the replicas of the shared state: founding, leases, agreement on views, replication, repair.
+ * Messages between the replicas of the shared state: bootstrap, leases, agreement on views, replication and repair.
  *
- * <p>A view number fences: but for those of leases and of the view register, which compare numbers themselves, a message of
- * another view than the receiver's is ignored. Numbers of views start at 1; sequences number the log's entries from 1.
+ * <p>View numbers fence messages: a message with another view number than the receiver's is ignored. Messages of leases and
+ * of the view register (the Paxos instances that decide views) are exempt, since their handlers compare the numbers
+ * themselves. View numbers and the sequence numbers of log entries start at 1.
  */
 public sealed interface ReplicationMessage extends Message {
     /**
-     * A replica that knows no view looks for the others.
+     * Discovers the other replicas; sent by a replica that knows no view.
      *
-     * @param sender the replica
-     * @param mayBootstrap whether it may take part in a first founding: its folder is empty and was made for that
-     * @param reachableReplicas the replicas that it has heard of late
+     * @param sender the sending replica
+     * @param mayBootstrap whether the sender may take part in bootstrapping a new fleet: its data directory is empty and was
+     *     created for that
+     * @param discoveredReplicas the replicas from which the sender recently received a discovery message
      */
-    record Discover(Replica sender, boolean mayBootstrap, List<Replica> reachableReplicas)
+    record Discover(Replica sender, boolean mayBootstrap, List<Replica> discoveredReplicas)
             implements ReplicationMessage {
         /** Copies the list. */
         public Discover {
-            reachableReplicas = List.copyOf(reachableReplicas);
+            discoveredReplicas = List.copyOf(discoveredReplicas);
         }
     }
 
     /**
-     * Proposes a founding to all seeds.
+     * Proposes the initial view of a new fleet to all seeds.
      *
-     * @param view the first view
+     * @param view the initial view
      */
     record Bootstrap(View view) implements ReplicationMessage {}
 
     /**
-     * Agrees to a founding; sent once that is synced.
+     * Agrees to the proposed initial view; sent after the agreement was synced to disk.
      *
-     * @param fleet the number of the fleet that is founded
+     * @param fleet the id of the new fleet
      * @param sender the replica that agrees
      */
     record BootstrapAgreed(long fleet, Replica sender) implements ReplicationMessage {}
 
     /**
-     * A member of the chain asks a voter for a lease, and shows that it is alive.
+     * Requests a lease from a voter; sent by a member of the chain, and serves as its heartbeat.
      *
      * @param view the number of the sender's view
-     * @param requestedAt the sender's monotonic clock, in microseconds; its lease is dated from here
-     * @param sender the member
-     * @param caughtUp whether it holds all that its chain holds
-     * @param isInContactWithMajority whether it has heard a majority of the voters of late; one that hasn't counts as silent
+     * @param requestedAt the sender's monotonic clock, in microseconds; its lease counts from this time
+     * @param sender the sending replica
+     * @param caughtUp whether the sender holds all entries that the chain holds
+     * @param isInContactWithMajority whether the sender recently received messages from a majority of the voters; if not, it is
+     *     treated as silent
      */
     record LeaseRequest(long view, long requestedAt, Replica sender, boolean caughtUp, boolean isInContactWithMajority)
             implements ReplicationMessage {}
 
     /**
-     * A voter grants a lease.
+     * Grants a lease; sent by a voter.
      *
-     * @param view the number of the view that it holds under
-     * @param requestedAt the request's {@code requestedAt}
+     * @param view the number of the view under which the lease is valid
+     * @param requestedAt the {@code requestedAt} of the request
      * @param voter the voter's identity
-     * @param committed the sequence up to which the voter knows entries to be committed
+     * @param committed the sequence number of the last entry that the voter knows to be committed
      */
     record LeaseGrant(long view, long requestedAt, String voter, long committed) implements ReplicationMessage {}
 
     /**
-     * Tells a decided view.
+     * Announces a decided view.
      *
      * @param view the view
      */
@@ -81,13 +84,13 @@
     record Prepare(long number, long ballot) implements ReplicationMessage {}
 
     /**
-     * Promises to accept no lower ballot; sent once that is synced.
+     * Promises to accept no lower ballot; sent after the promise was synced to disk.
      *
      * @param number the number of the view to be decided
-     * @param ballot the ballot promised
+     * @param ballot the promised ballot
      * @param voter the voter's identity
-     * @param acceptedBallot the highest ballot that the voter has accepted, or 0
-     * @param acceptedView the view accepted with it; empty where none was
+     * @param acceptedBallot the highest ballot that the voter has accepted, or 0 if none
+     * @param acceptedView the view accepted with that ballot; empty if none
      */
     record Promise(long number, long ballot, String voter, long acceptedBallot, List<View> acceptedView)
             implements ReplicationMessage {
@@ -102,21 +105,21 @@
      *
      * @param number the number of the view to be decided
      * @param ballot the proposal number
-     * @param view the view proposed
+     * @param view the proposed view
      */
     record Accept(long number, long ballot, View view) implements ReplicationMessage {}
 
     /**
-     * Accepts a proposal; sent once that is synced and the leases that the view takes away have run out.
+     * Accepts a proposal; sent after the acceptance was synced to disk and the leases that the new view revokes have expired.
      *
      * @param number the number of the view to be decided
-     * @param ballot the ballot accepted
+     * @param ballot the accepted ballot
      * @param voter the voter's identity
      */
     record Accepted(long number, long ballot, String voter) implements ReplicationMessage {}
 
     /**
-     * Refuses a ballot.
+     * Rejects a ballot.
      *
      * @param number the number of the view to be decided
      * @param ballot the higher ballot that the voter has promised
@@ -124,7 +127,7 @@
     record Preempted(long number, long ballot) implements ReplicationMessage {}
 
     /**
-     * Entries for the successor in the chain, synced at the sender.
+     * Sends log entries, which the sender has already synced to disk, to the successor in the chain.
      *
      * @param view the number of the sender's view
      * @param entries the entries, in order and without gaps
@@ -137,61 +140,61 @@
     }
 
     /**
-     * A successor has received entries; it says nothing of its disk.
+     * Acknowledges that a successor received entries in memory; doesn't imply that they are synced to its disk.
      *
      * @param view the number of the sender's view
      * @param id the sender's identity
-     * @param sequence the last entry that it has in memory
+     * @param sequence the sequence number of the last entry that the sender has in memory
      */
     record ReplicateAck(long view, String id, long sequence) implements ReplicationMessage {}
 
     /**
-     * The tail tells what is committed.
+     * Announces up to which entry the log is committed; sent by the tail.
      *
      * @param view the number of the sender's view
-     * @param sequence the last committed entry
+     * @param sequence the sequence number of the last committed entry
      */
     record CommitNotice(long view, long sequence) implements ReplicationMessage {}
 
     /**
-     * A predecessor tells a successor up to where it has to catch up.
+     * Tells a successor up to which entry it has to catch up; sent by its predecessor.
      *
      * @param view the number of the sender's view
-     * @param sequence the last entry of the sender's log
+     * @param sequence the sequence number of the last entry in the sender's log
      */
     record CatchUpTarget(long view, long sequence) implements ReplicationMessage {}
 
     /**
-     * A successor asks for the entries after a sequence.
+     * Requests the entries after a sequence number; sent by a successor to its predecessor.
      *
      * @param view the number of the sender's view
      * @param id the sender's identity
-     * @param sequence the last entry of the sender's log
+     * @param sequence the sequence number of the last entry in the sender's log
      */
     record FetchEntries(long view, String id, long sequence) implements ReplicationMessage {}
 
     /**
-     * A replica that is behind asks for a repair.
+     * Requests a repair by comparison of digests; sent by a replica that is behind.
      *
      * @param view the number of the sender's view
-     * @param sender the replica
-     * @param sequence the sequence that its state stands for
-     * @param digests the digests of its state by key range
+     * @param sender the sending replica
+     * @param sequence the sequence number of the last entry that the sender's state includes
+     * @param digests the digests of the sender's state by key range
      */
     record CompareDigests(long view, Replica sender, long sequence, long[] digests) implements ReplicationMessage {}
 
     /**
-     * One piece of the key ranges that differ.
+     * One piece of a repair: entries of the key ranges whose digests differ.
      *
      * @param view the number of the sender's view
-     * @param sequence the sequence that all pieces of the repair stand for
-     * @param piece the number of this piece, from 0
-     * @param pieces how many there are
-     * @param ranges the ranges of this piece
-     * @param pending in the last piece, the entries after the sequence which the source has synced and doesn't know to be
-     *     committed
-     * @param digests in the last piece, the digests of all ranges: the repaired state must have the same, or the pieces
-     *     answered an older question
+     * @param sequence the sequence number of the last entry that the repaired state includes; the same in all pieces
+     * @param piece the number of this piece, starting at 0
+     * @param pieces the total number of pieces
+     * @param ranges the key ranges in this piece
+     * @param pending in the last piece, the entries after the sequence number that the sender has synced but doesn't know to
+     *     be committed
+     * @param digests in the last piece, the digests of all ranges; if the repaired state has other digests, the pieces belong
+     *     to an older repair request
      */
     record RepairRanges(
             long view,
@@ -213,7 +216,7 @@
      * The entries of a key range.
      *
      * @param range the number of the range
-     * @param entries all entries in it
+     * @param entries all entries in the range
      */
     record RangeEntries(int range, List<Entry> entries) {
         /** Copies the list. */
@@ -223,21 +226,21 @@
     }
 
     /**
-     * A replica under repair asks for a piece.
+     * Requests a piece of a repair; sent by the replica under repair.
      *
      * @param view the number of the sender's view
-     * @param sender the replica
-     * @param sequence the sequence that the repair stands for
-     * @param piece the number of the piece; it holds all before
+     * @param sender the sending replica
+     * @param sequence the {@code sequence} of the repair's pieces
+     * @param piece the number of the requested piece; the sender holds all earlier pieces
      */
     record RepairPieceRequest(long view, Replica sender, long sequence, int piece) implements ReplicationMessage {}
 
     /**
-     * A repaired replica asks to be put at the end of the chain.
+     * Requests to be added at the tail of the chain; sent by a repaired replica.
      *
      * @param view the number of the sender's view
-     * @param sender the replica
-     * @param sequence the sequence that its state stands for
+     * @param sender the sending replica
+     * @param sequence the sequence number of the last entry that the sender's state includes
      */
     record JoinRequest(long view, Replica sender, long sequence) implements ReplicationMessage {}
 }
--- a/core/src/main/java/silverlatch/wire/TrafficMessage.java
+++ b/core/src/main/java/silverlatch/wire/TrafficMessage.java
@@ -3,17 +3,17 @@
 import java.util.List;
 import silverlatch.state.Value;
 
-/** Messages by which gateways tell the owner of the singleton role what they serve. */
+/** Messages with which gateways report their traffic to the controller that holds the singleton role. */
 public sealed interface TrafficMessage extends Message {
     /**
-     * What a gateway has served. Counts of a window are those of the whole window so far, so a report that comes twice, or after
-     * a newer one, changes nothing.
+     * Reports the usage and demand at a gateway. The counts of a window are cumulative, so a report that arrives twice, or after
+     * a newer one, has no effect.
      *
      * @param gateway     the gateway's name
-     * @param incarnation the gateway's incarnation; counts of two incarnations add up
-     * @param sequence    rises with each report of the incarnation
-     * @param windows     the windows that weren't acknowledged yet, the one that is open among them
-     * @param demand      what clients of the gateway ask of each pool now
+     * @param incarnation the gateway's incarnation; the counts of different incarnations are added up
+     * @param sequence    the sequence number of the report, which increases with each report of the incarnation
+     * @param windows     the windows that haven't been acknowledged yet, including the current one
+     * @param demand      the current demand of the gateway's clients for each pool
      */
     record TrafficReport(
             String gateway, long incarnation, long sequence, List<WindowCounts> windows, List<PoolDemand> demand)
@@ -26,10 +26,10 @@
     }
 
     /**
-     * Tells a gateway which windows are closed: their counts need not be reported any more.
+     * Acknowledges windows to a gateway: they are closed, and their counts need not be reported any more.
      *
      * @param incarnation   the gateway's incarnation
-     * @param closedWindows the numbers of the windows
+     * @param closedWindows the numbers of the closed windows
      */
     record TrafficReportAck(long incarnation, List<Long> closedWindows) implements TrafficMessage {
         /** Copies the list. */
@@ -42,8 +42,8 @@
      * The usage that one gateway counted in one window.
      *
      * @param window     the number of the window
-     * @param isComplete whether the gateway's clock has passed its end, so that nothing more is counted in it
-     * @param counts     the requests that began to run, by tenant
+     * @param isComplete whether the gateway's clock has passed the window's end, so that the counts are final
+     * @param counts     the number of requests that were started, by tenant
      */
     record WindowCounts(long window, boolean isComplete, List<Value.TenantCount> counts) {
         /** Copies the counts. */
@@ -53,12 +53,12 @@
     }
 
     /**
-     * What the clients of one gateway ask of one pool, averaged over the last seconds.
+     * The demand of one gateway's clients for one pool, averaged over the last seconds.
      *
      * @param pool              the pool's name
-     * @param arrivalsPerSecond the requests that came
-     * @param openRequests      the requests that run or wait
-     * @param openTokens        the tokens of their prompts and responses
+     * @param arrivalsPerSecond the arriving requests per second
+     * @param openRequests      the number of requests that are running or queued
+     * @param openTokens        the number of tokens in the prompts and responses of these requests
      */
     record PoolDemand(String pool, double arrivalsPerSecond, double openRequests, double openTokens) {}
 }
--- a/core/src/main/java/silverlatch/wire/WireTypes.java
+++ b/core/src/main/java/silverlatch/wire/WireTypes.java
@@ -19,17 +19,18 @@
 import silverlatch.state.Value;
 
 /**
- * The record types that travel between daemons or rest in data folders, each with its numbers and the order in which its
- * components are written.
+ * The record types that are sent between nodes or stored in data directories, each with its type number and the order in
+ * which its components are written.
  *
- * <p>Numbers and orders are part of the format: daemons of two versions run side by side during a rolling upgrade, and a
- * data folder outlives the program that wrote it. They don't depend on names, so a type or a component may be renamed or a
- * type moved. A new type takes a number that was never used; a type that is written takes no new component.
+ * <p>Type numbers and component orders are part of the format: nodes of two versions run side by side during a rolling
+ * upgrade, and a data directory outlives the program version that wrote it. The format doesn't depend on names, so types and
+ * components may be renamed and types moved. A new type must get a number that was never used before, and a type that is
+ * already in use must not get new components.
  */
 final class WireTypes {
     /**
-     * The types of frames. The first number stands for the type in a frame; those after it are the positions, in the
-     * declaration of the record, of the components in the order in which they are written.
+     * The types in frames. The first number is the type number; the numbers after the class list the components in the order
+     * in which they are written, each as its position in the declaration of the record.
      */
     private static final List<WireType> FRAME_TYPES = List.of(
             type(14, Frame.class, 5, 1, 2, 3, 4, 0),
@@ -141,11 +142,11 @@
     private WireTypes() {}
 
     /**
-     * How one type of record is written.
+     * Describes how one record type is written.
      *
-     * @param number the number that stands for the type in a frame
-     * @param type the record
-     * @param order the positions of its components, in the order in which they are written
+     * @param number the type number in frames
+     * @param type the record type
+     * @param order the positions of the components in the declaration, in the order in which they are written
      */
     record WireType(int number, Class<? extends Record> type, List<Integer> order) {
         RecordSerializer<? extends Record> serializer() {
@@ -153,12 +154,12 @@
         }
     }
 
-    /** Returns the types of frames, all records that a frame can hold among them. */
+    /** Returns all record types that a frame can contain. */
     static List<WireType> ofFrames() {
         return FRAME_TYPES;
     }
 
-    /** Returns how a record is written; throws IllegalArgumentException where it is in no frame and no data folder. */
+    /** Returns how a record type is written; throws IllegalArgumentException if it has no wire type. */
     static WireType of(final Class<?> type) {
         final WireType wireType = BY_CLASS.get(type);
         if (wireType == null) {
