--- a/core/src/main/java/silverlatch/wire/GossipMessage.java
+++ b/core/src/main/java/silverlatch/wire/GossipMessage.java
@@ -112,7 +112,7 @@
          * Digests of the replier's data; used if workers report to controllers.
          *
          * @param age the time since the replier's reports were last confirmed as the newest, in microseconds, or -1 if never
-         * @param ranges the digests by name range if the total digests differ from the puller's, else empty
+         * @param ranges the digests by range if the total digests differ from the puller's, else empty
          * @param heartbeats the ages of the workers' heartbeats; sent between controllers only
          */
         record DigestContent(long age, List<RangeDigests> ranges, List<HeartbeatAges> heartbeats)
@@ -126,7 +126,7 @@
     }
 
     /**
-     * Digests by name range.
+     * Digests by range; a name belongs to a range by its hash.
      *
      * @param reports the digests of worker reports; empty if all are equal
      * @param members the digests of members; empty if all are equal
--- a/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
+++ b/core/src/test/java/silverlatch/log/DataFolderCompatibilityTest.java
@@ -29,11 +29,12 @@
 import silverlatch.wire.ReplicationMessage;
 
 /**
- * Data folders of two machines, written by the sources of commit 988a8ee in log format 2, are read with the whole state,
- * the view and what was promised and accepted of the next one; and their records are written again as the same bytes.
- * Machine "a" has its log from the founding on and an entry that was never committed; machine "c" has a snapshot from its
- * repair and the log after it. With {@code -Dsilverlatch.fixture.folder=FOLDER} the folders are written anew to an empty
- * folder by {@link DataFolderGenerator}; the resources are its "a" and "c".
+ * Guards against changes that make existing data directories unreadable. Two directories, written by the sources of commit
+ * 988a8ee in log format 2, must be recovered with their complete state, the view, and the promise and accepted proposal for
+ * the next view; and writing their records again must produce the same bytes. Machine "a" has its complete log since bootstrap
+ * and an entry that was never committed; machine "c" has the snapshot of its repair and the log after it. With {@code
+ * -Dsilverlatch.fixture.folder=FOLDER}, {@link DataFolderGenerator} writes new directories to an empty directory; the test
+ * resources are its "a" and "c".
  */
 final class DataFolderCompatibilityTest {
     private static final String FIXTURE = "data-folder-format-2";
@@ -124,7 +125,7 @@
                 .resolve(name);
     }
 
-    /** Opens a copy of a folder, as opening may write to it. */
+    /** Opens a copy of a directory, since opening may modify it. */
     private WriteAheadLog.OpenResult.Success open(final String name) throws IOException, URISyntaxException {
         final Path copy = Files.createDirectories(folder.resolve("copy-" + name));
         for (final Path file : files(fixture(name))) {
@@ -161,7 +162,7 @@
     }
 
     @Test
-    void theFoldersAreWrittenAnewWhereThatIsAskedFor() throws IOException {
+    void generatedDirectoriesCanBeOpened() throws IOException {
         final String target = System.getProperty("silverlatch.fixture.folder", "");
         final Path parent = target.isEmpty() ? folder : Path.of(target);
         DataFolderGenerator.generate(parent);
@@ -175,7 +176,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "c"})
-    void theIdentityAndTheFoundingMarkAreKept(final String name) throws IOException, URISyntaxException {
+    void recoversTheIdentityAndTheBootstrapMarker(final String name) throws IOException, URISyntaxException {
         final WriteAheadLog.OpenResult.Success opened = open(name);
         assertThat(opened.identity(), is(DataFolderGenerator.replica(name).id()));
         assertThat(opened.mayBootstrap(), is(true));
@@ -183,7 +184,7 @@
     }
 
     @Test
-    void theLogOfTheHeadHoldsEveryChangeSinceTheFounding() throws IOException, URISyntaxException {
+    void recoversAllEntriesOfTheHeadSinceBootstrap() throws IOException, URISyntaxException {
         final List<LogRecord> records = open("a").records();
         assertThat(records.get(0), is(new LogRecord.InitialViewAgreed(view(1, "abc"))));
         assertThat(records.get(1), is(new LogRecord.ViewInstalled(view(1, "abc"), true)));
@@ -194,12 +195,15 @@
         assertThat(state.allEntries(), is(expected));
         assertThat(state.sequence(), is(COMMITTED + 1));
         final ChainReplica replica = recover("a", records);
-        assertThat("committed at the head", replica.stateMachine().allEntries(), is(List.of()));
-        assertThat("not known to be committed", replica.status(0).pendingEntries(), is((int) COMMITTED + 1));
+        assertThat(
+                "entries known to be committed at the head",
+                replica.stateMachine().allEntries(),
+                is(List.of()));
+        assertThat("entries not known to be committed", replica.status(0).pendingEntries(), is((int) COMMITTED + 1));
     }
 
     @Test
-    void theSnapshotAndTheLogAfterItHoldTheCommittedState() throws IOException, URISyntaxException {
+    void recoversTheCommittedStateFromSnapshotAndLog() throws IOException, URISyntaxException {
         final List<LogRecord> records = open("c").records();
         final LogRecord.Snapshot snapshot = (LogRecord.Snapshot) records.get(0);
         assertThat(
@@ -218,8 +222,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "c"})
-    void theViewAndTheAcceptedProposalAreThoseThatWereWritten(final String name)
-            throws IOException, URISyntaxException {
+    void recoversTheViewAndTheAcceptedProposal(final String name) throws IOException, URISyntaxException {
         final ChainReplica replica = recover(name, open(name).records());
         assertThat(replica.view(), is(view(3, "abc")));
         assertThat(replica.status(0).isCaughtUp(), is(true));
@@ -242,7 +245,7 @@
                         List.of(view(4, "ac"))))));
     }
 
-    /** What a replica answers to a message of machine "b", once its writes are synced. */
+    /** Returns the messages that a replica sends in response to a message from machine "b" after its writes were synced. */
     private static List<Message> sent(final ChainReplica replica, final Message message) {
         replica.drain();
         replica.onMessage(message, "b:1", 0);
@@ -259,7 +262,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "c"})
-    void theRecordsAreWrittenAsTheSameBytes(final String name) throws IOException, URISyntaxException {
+    void writingTheRecordsAgainProducesTheSameBytes(final String name) throws IOException, URISyntaxException {
         final Path copy = folder.resolve("written-" + name);
         final WriteAheadLog log = ((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(copy)).log();
         final LogRecord first = open(name).records().get(0);
@@ -287,7 +290,7 @@
         }
     }
 
-    /** The batches of a segment: each a magic number, a size, a checksum and the batch. */
+    /** Returns the batches of a segment; each is preceded by a magic number, its size and its checksum. */
     private static List<LogRecord.Batch> batches(final Path segment) throws IOException {
         final ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(segment));
         final List<LogRecord.Batch> batches = new ArrayList<>();
--- a/core/src/test/java/silverlatch/log/DataFolderGenerator.java
+++ b/core/src/test/java/silverlatch/log/DataFolderGenerator.java
@@ -23,9 +23,9 @@
 import silverlatch.wire.Message;
 
 /**
- * Writes the data folders of {@link DataFolderCompatibilityTest}: three replicas on a simulated clock, each with a real
- * log in a folder of its own, go through a founding, changes of every kind, a view without one of them, its repair from
- * a peer, and a view change that is cut short. Two runs of the same sources write the same bytes.
+ * Generates the data directories of {@link DataFolderCompatibilityTest}. Three replicas on a simulated clock, each with a
+ * real log in a separate directory, go through bootstrap, commands of every kind, a view without one of them, its repair from
+ * a peer, and an interrupted view change. Two runs of the same sources write the same bytes.
  */
 final class DataFolderGenerator {
     static final List<String> ADDRESSES = List.of("a:1", "b:1", "c:1");
@@ -42,22 +42,22 @@
     private long stamp = 1_000;
     private long requests;
 
-    /** A message on its way. */
+    /** A message in flight. */
     private record Delivery(String from, String to, Message message) {}
 
-    /** A replica and the log it writes. */
+    /** A running replica with its address and log. */
     private record Machine(String address, WriteAheadLog log, ChainReplica replica) {}
 
     private DataFolderGenerator(final Path parent) {
         this.parent = parent;
     }
 
-    /** Writes the folders "a", "b" and "c" below an empty folder. */
+    /** Writes the directories "a", "b" and "c" into an empty directory. */
     static void generate(final Path parent) throws IOException {
         new DataFolderGenerator(parent).run();
     }
 
-    /** The replica whose data folder has this name, a letter. */
+    /** Returns the replica whose data directory has this name, a single letter. */
     static Replica replica(final String name) {
         return new Replica(name.repeat(16), name + ":1");
     }
@@ -66,28 +66,28 @@
         for (final String address : ADDRESSES) {
             start(address);
         }
-        await(() -> inService(3));
+        await(() -> isChainActive(3));
         for (final Command command : firstCommands()) {
             write(command);
         }
         stop("c:1");
-        await(() -> inService(2));
+        await(() -> isChainActive(2));
         write(configuration(2, 1));
         write(new Command.SetEvacuation("evacuate-2", "zone-2", true, -1));
         start("c:1");
-        await(() -> inService(3));
+        await(() -> isChainActive(3));
         for (final Command command : lastCommands()) {
             write(command);
         }
         stop("b:1");
         send(new Command.SetEvacuation("pending", "zone-3", true, -1));
-        await(this::proposalAccepted);
+        await(this::isProposalAccepted);
         for (final String address : List.copyOf(running.keySet())) {
             stop(address);
         }
     }
 
-    /** The commands that come before the third machine is lost; the last one is rejected. */
+    /** Returns the commands submitted before the third machine fails; the last one is rejected. */
     static List<Command> firstCommands() {
         return List.of(
                 new Command.PutTenant("tenant-1", tenant("acme"), -1),
@@ -104,7 +104,7 @@
                 new Command.RemoveTenant("tenant-4", "nobody", -1));
     }
 
-    /** The commands that come after the third machine's repair. */
+    /** Returns the commands submitted after the third machine's repair. */
     static List<Command> lastCommands() {
         return List.of(
                 new Command.SetEvacuation("evacuate-3", "zone-1", false, -1),
@@ -153,7 +153,7 @@
         return new Value.BackendPool("pool", "/health/", 8, 1_000_000, 2.5, 16, 100_000, 4);
     }
 
-    /** The routing configuration of a number on top of another; its route is of a host that is the number's own. */
+    /** Returns a command that replaces one routing configuration by another; the number determines the host of its route. */
     static Command.PutConfiguration configuration(final long number, final long base) {
         return new Command.PutConfiguration(
                 "configuration-" + number,
@@ -164,7 +164,7 @@
                 base);
     }
 
-    /** Opens the folder of a machine; one that is new gets an identity that is the same in each run. */
+    /** Starts a machine; a new directory gets a fixed identity, so that all runs write the same bytes. */
     private void start(final String address) throws IOException {
         final String name = address.substring(0, 1);
         final Path folder = parent.resolve(name);
@@ -187,7 +187,7 @@
         running.remove(address).log().close();
     }
 
-    private boolean inService(final int members) {
+    private boolean isChainActive(final int members) {
         return running.size() == members
                 && running.values().stream()
                         .map(machine -> machine.replica().status(nowMicros))
@@ -196,8 +196,8 @@
                                 && state.view().chain().size() == members);
     }
 
-    /** Whether each running machine has a proposal of the next view in its log, and none has installed it. */
-    private boolean proposalAccepted() {
+    /** Returns whether each running machine has accepted a proposal for the next view and none has installed that view. */
+    private boolean isProposalAccepted() {
         return running.values().stream()
                 .allMatch(machine -> acceptedViews.getOrDefault(machine.address(), 0L)
                         == machine.replica().view().number() + 1);
@@ -216,12 +216,12 @@
         return requests;
     }
 
-    /** Lets time pass and messages arrive, one after the other, until a condition holds. */
+    /** Delivers messages one by one, and advances time when there are none, until a condition holds. */
     private void await(final BooleanSupplier condition) throws IOException {
         final long end = nowMicros + MAX_WAIT_MICROS;
         while (!condition.getAsBoolean()) {
             if (nowMicros > end) {
-                throw new AssertionError("not reached within " + MAX_WAIT_MICROS + " microseconds");
+                throw new AssertionError("condition not met within " + MAX_WAIT_MICROS + " microseconds");
             }
             if (network.isEmpty()) {
                 tick();
@@ -256,16 +256,16 @@
             for (final Effect effect : effects) {
                 if (effect instanceof Effect.Send send) {
                     network.add(new Delivery(machine.address(), send.to(), send.message()));
-                } else if (effect instanceof Effect.Persist keep) {
-                    machine.log().write(keep.records());
-                    keep.records().forEach(written -> rememberAccepted(machine.address(), written));
-                    machine.replica().onSynced(keep.token(), nowMicros);
+                } else if (effect instanceof Effect.Persist persist) {
+                    machine.log().write(persist.records());
+                    persist.records().forEach(written -> recordAcceptedView(machine.address(), written));
+                    machine.replica().onSynced(persist.token(), nowMicros);
                 }
             }
         }
     }
 
-    private void rememberAccepted(final String address, final LogRecord written) {
+    private void recordAcceptedView(final String address, final LogRecord written) {
         if (written instanceof LogRecord.Accepted accepted) {
             acceptedViews.put(address, accepted.viewNumber());
         }
--- a/core/src/test/java/silverlatch/log/LogFolderTest.java
+++ b/core/src/test/java/silverlatch/log/LogFolderTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The log's folder: its identity and format, folders that are damaged, lost, unreadable or of another version. */
+/** Checks identity and format version of a data directory, and how corrupt, unreadable or unsupported ones are opened. */
 final class LogFolderTest {
     @TempDir
     private Path folder;
 
     @Test
-    void aDamagedFolderIsMovedAsideAndItsMachineIsANewOneThatMayNotBootstrap() throws IOException {
+    void corruptDirectoryIsReplacedByANewIdentityThatMayNotBootstrap() throws IOException {
         final String old = LogFolders.open(folder).identity();
         Files.writeString(folder.resolve("identity"), "torn");
         assertThat(WriteAheadLog.open(folder) instanceof WriteAheadLog.OpenResult.Damaged, is(true));
@@ -31,14 +31,14 @@
     }
 
     @Test
-    void aDiskThatCantBeReadIsNotTakenForDamage() throws IOException {
+    void unreadableDiskIsReportedAsUnavailableNotAsDamaged() throws IOException {
         final Path file = folder.resolve("plain");
         Files.writeString(file, "no folder");
         assertThat(WriteAheadLog.open(file) instanceof WriteAheadLog.OpenResult.Unavailable, is(true));
     }
 
     @Test
-    void aFolderKeepsWhetherItsMachineMayBootstrap() {
+    void directoryKeepsWhetherItsMachineMayBootstrap() {
         assertThat(LogFolders.open(folder).mayBootstrap(), is(true));
         assertThat(((WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder, false)).mayBootstrap(), is(true));
         final Path wiped = folder.resolve("wiped");
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void aFolderThatLostItsIdentityIsNotOpenedAgainAsANewMachine() throws IOException {
+    void reopenWithoutAnIdentityFileCreatesNoNewMachine() throws IOException {
         final WriteAheadLog.OpenResult.Success first = LogFolders.open(folder);
         Files.delete(folder.resolve("identity"));
         assertThat(first.log().reopen(), instanceOf(WriteAheadLog.OpenResult.Unavailable.class));
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aFolderOfAnotherFormatIsRefusedAndLeftAsItIs() throws IOException {
+    void directoryOfAnotherFormatIsRejectedAndLeftUnchanged() throws IOException {
         LogFolders.open(folder).log().close();
         assertThat(Files.readString(folder.resolve("format")), is("" + WriteAheadLog.FORMAT_VERSION));
         Files.delete(folder.resolve("format"));
--- a/core/src/test/java/silverlatch/log/LogFolders.java
+++ b/core/src/test/java/silverlatch/log/LogFolders.java
@@ -12,21 +12,21 @@
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
 
-/** Folders of a log as its tests open, read and copy them. */
+/** Helper methods for tests that open and read data directories. */
 final class LogFolders {
     private LogFolders() {}
 
-    /** Opens a log, which must succeed. */
+    /** Opens a log; fails if that is unsuccessful. */
     static WriteAheadLog.OpenResult.Success open(final Path folder) {
         return (WriteAheadLog.OpenResult.Success) WriteAheadLog.open(folder);
     }
 
-    /** The file of a segment. */
+    /** Returns the path of a segment. */
     static Path segment(final Path folder, final int number) {
         return folder.resolve(String.format("segment-%012d", number));
     }
 
-    /** The contents of the files in a folder, by name. */
+    /** Returns the contents of the files in a directory by file name. */
     static Map<String, byte[]> files(final Path folder) throws IOException {
         final Map<String, byte[]> contents = new TreeMap<>();
         try (Stream<Path> files = Files.list(folder)) {
@@ -37,7 +37,7 @@
         return contents;
     }
 
-    /** A snapshot of so many entries of 200 KB each. */
+    /** Returns a snapshot with the given number of entries of 200 KB each. */
     static LogRecord.Snapshot snapshot(final long sequence, final int entries) {
         return new LogRecord.Snapshot(
                 sequence,
--- a/core/src/test/java/silverlatch/log/LogSnapshotTest.java
+++ b/core/src/test/java/silverlatch/log/LogSnapshotTest.java
@@ -20,13 +20,13 @@
 import silverlatch.state.StateMachine;
 import silverlatch.state.Value;
 
-/** Snapshots replace the segments before them, and are read back whole or found to be damaged. */
+/** Checks that snapshots replace older segments, are recovered completely, and are reported as damaged if incomplete. */
 final class LogSnapshotTest {
     @TempDir
     private Path folder;
 
     @Test
-    void aSnapshotOfAsManyClaimsAsThereMayBeIsReadBack() throws IOException {
+    void recoversASnapshotWithTheMaximumNumberOfClaims() throws IOException {
         final List<Entry> claims = new ArrayList<>();
         for (int i = 0; i < StateMachine.MAX_CLAIMS; i++) {
             claims.add(new Entry(
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aSnapshotRemovesOldSegmentsAndKeepsWhatFollows() throws IOException {
+    void snapshotDeletesOldSegmentsAndKeepsLaterRecords() throws IOException {
         final WriteAheadLog.OpenResult.Success first = LogFolders.open(folder);
         first.log().write(List.of(new LogRecord.Promised(1, 0)));
         final LogRecord.Snapshot snapshot = new LogRecord.Snapshot(7, View.NONE, true, 0, 0, List.of(), 0, List.of());
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aSnapshotInPartsIsReadBackAndOneCutAnywhereIsDamage() throws IOException {
+    void recoversASnapshotInPartsAndDetectsItsTruncationAnywhere() throws IOException {
         final LogRecord.Snapshot snapshot = LogFolders.snapshot(7, 20);
         final WriteAheadLog.OpenResult.Success first = LogFolders.open(folder);
         first.log().write(List.of(snapshot));
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void eachNameThatIsLostOrKeptByItselfAfterASnapshotLeavesTheSameRecords() throws IOException {
+    void recoversTheSameRecordsIfDeletionsOrARenameWereLostAfterASnapshot() throws IOException {
         final WriteAheadLog.OpenResult.Success first = LogFolders.open(folder);
         first.log().write(List.of(LogFolders.snapshot(3, 1), new LogRecord.Promised(1, 0)));
         final Map<String, byte[]> before = LogFolders.files(folder);
@@ -89,32 +89,32 @@
         assertThat(removed.size(), is(2));
         final List<LogRecord> expected = List.of(snapshot, new LogRecord.Promised(2, 0));
         for (int kept = 0; kept < 4; kept++) {
-            final Map<String, byte[]> folderThen = new TreeMap<>(after);
+            final Map<String, byte[]> filesAfterCrash = new TreeMap<>(after);
             for (int i = 0; i < removed.size(); i++) {
                 if ((kept >> i & 1) == 1) {
-                    folderThen.put(removed.get(i), before.get(removed.get(i)));
+                    filesAfterCrash.put(removed.get(i), before.get(removed.get(i)));
                 }
             }
-            assertThat("kept " + kept, recovered(folderThen), is(expected));
+            assertThat("kept " + kept, recovered(filesAfterCrash), is(expected));
         }
         final Map<String, byte[]> renameLost = new TreeMap<>(before);
         renameLost.putAll(after);
         renameLost.put("picture-000000000003.part", renameLost.remove("picture-000000000003"));
         assertThat(
-                "the new snapshot's name was lost",
+                "the rename of the new snapshot was lost",
                 recovered(renameLost),
                 is(List.of(LogFolders.snapshot(3, 1), new LogRecord.Promised(1, 0), new LogRecord.Promised(2, 0))));
     }
 
     @Test
-    void aLogWhoseSnapshotCouldNotBeWrittenIsOpenedAgainWithAllThatWasSynced() throws IOException {
+    void reopenAfterAFailedSnapshotRecoversAllSyncedRecords() throws IOException {
         final WriteAheadLog.OpenResult.Success first = LogFolders.open(folder);
         first.log().write(List.of(new LogRecord.Promised(1, 0)));
-        final Path inTheWay = folder.resolve("picture-000000000002.part");
-        Files.createDirectories(inTheWay.resolve("inside"));
+        final Path obstacle = folder.resolve("picture-000000000002.part");
+        Files.createDirectories(obstacle.resolve("inside"));
         assertThrows(IOException.class, () -> first.log().write(List.of(LogFolders.snapshot(7, 1))));
         assertThat(first.log().reopen(), instanceOf(WriteAheadLog.OpenResult.Unavailable.class));
-        Files.delete(inTheWay.resolve("inside"));
+        Files.delete(obstacle.resolve("inside"));
         final WriteAheadLog.OpenResult.Success again =
                 (WriteAheadLog.OpenResult.Success) first.log().reopen();
         assertThat(again.identity(), is(first.identity()));
@@ -124,7 +124,7 @@
         assertThat(LogFolders.open(folder).records(), is(List.of((LogRecord) LogFolders.snapshot(8, 1))));
     }
 
-    /** The records that a folder with these files is opened with; nothing of an unfinished write stays in it. */
+    /** Returns the records recovered from a directory with these files; checks that temporary files are deleted. */
     private List<LogRecord> recovered(final Map<String, byte[]> files) throws IOException {
         final Path copy = Files.createTempDirectory(folder, "copy");
         for (final Map.Entry<String, byte[]> file : files.entrySet()) {
@@ -133,7 +133,7 @@
         final WriteAheadLog.OpenResult.Success opened = LogFolders.open(copy);
         opened.log().close();
         assertThat(
-                "nothing is left of a write that was not finished",
+                "temporary files of an interrupted write are deleted",
                 LogFolders.files(copy).keySet().stream().noneMatch(file -> file.endsWith(".part")),
                 is(true));
         return opened.records();
--- a/core/src/test/java/silverlatch/log/WriteAheadLogTest.java
+++ b/core/src/test/java/silverlatch/log/WriteAheadLogTest.java
@@ -20,13 +20,13 @@
 import silverlatch.state.Value;
 import silverlatch.util.Lists;
 
-/** Records of the log are read back, torn writes at its end are cut off, and other damage is found. */
+/** Checks that records are recovered, a torn write at the end of the log is truncated, and other corruption is detected. */
 final class WriteAheadLogTest {
     @TempDir
     private Path folder;
 
     @Test
-    void whatWasWrittenIsReadBackUnderTheSameIdentity() throws IOException {
+    void recoversWrittenRecordsAndTheIdentity() throws IOException {
         final WriteAheadLog.OpenResult.Success first = LogFolders.open(folder);
         first.log().write(List.of(new LogRecord.Promised(1, 0), new LogRecord.Promised(2, 3)));
         first.log().write(List.of(new LogRecord.Promised(4, 0)));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void everyTypeOfRecordAndValueIsReadBackFromAFolder() throws IOException {
+    void recoversRecordsAndValuesOfSeveralTypes() throws IOException {
         final Replica member = new Replica("id", "address");
         final View view = new View(3, 4, List.of(member), List.of(member), "id");
         final List<Entry> entries = List.of(
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aTornTailIsCutOffWhereverItTears() throws IOException {
+    void truncatesATornBatchOfAnyLengthAtTheEnd() throws IOException {
         final WriteAheadLog.OpenResult.Success first = LogFolders.open(folder);
         first.log().write(List.of(new LogRecord.Promised(1, 0)));
         final long intactBytes = Files.size(LogFolders.segment(folder, 1));
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aHalfWrittenBatchIsCutOffWhenTheLogIsOpenedAgain() throws IOException {
+    void reopenTruncatesAPartiallyWrittenBatch() throws IOException {
         final WriteAheadLog.OpenResult.Success first = LogFolders.open(folder);
         first.log().write(List.of(new LogRecord.Promised(1, 0)));
         final byte[] intact = Files.readAllBytes(LogFolders.segment(folder, 1));
@@ -100,17 +100,18 @@
     }
 
     @Test
-    void damageInTheMiddleIsRejected() throws IOException {
+    void rejectsCorruptionBeforeTheLastBatch() throws IOException {
         final WriteAheadLog.OpenResult.Success first = LogFolders.open(folder);
         first.log().write(List.of(new LogRecord.Promised(1, 0)));
         first.log().write(List.of(new LogRecord.Promised(2, 3)));
         first.log().close();
         final byte[] bytes = Files.readAllBytes(LogFolders.segment(folder, 1));
-        for (int at = 0; at < bytes.length / 2; at++) {
+        for (int offset = 0; offset < bytes.length / 2; offset++) {
             final byte[] damaged = bytes.clone();
-            damaged[at] ^= 0x10;
+            damaged[offset] ^= 0x10;
             Files.write(LogFolders.segment(folder, 1), damaged);
-            assertThat("byte " + at, WriteAheadLog.open(folder), instanceOf(WriteAheadLog.OpenResult.Damaged.class));
+            assertThat(
+                    "byte " + offset, WriteAheadLog.open(folder), instanceOf(WriteAheadLog.OpenResult.Damaged.class));
         }
     }
 }
--- a/core/src/test/java/silverlatch/node/ClockWaitQueueTest.java
+++ b/core/src/test/java/silverlatch/node/ClockWaitQueueTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.clock.ProcessClock;
 
+/** Checks the order, expiry and removal of items that wait until the node's clock can issue another stamp. */
 final class ClockWaitQueueTest {
     private final ClockWaitQueue<String> queue = new ClockWaitQueue<>();
     private final List<String> processed = new ArrayList<>();
@@ -40,7 +41,7 @@
     }
 
     @Test
-    void itemsExpireAfterTheLongestWait() {
+    void itemsExpireAfterTheMaximumWait() {
         queue.processOrAdd("a", this::process, 0);
         queue.processOrAdd("b", this::process, 1);
         assertThat(queue.removeExpired(ProcessClock.MAX_WAIT_MICROS), is(0));
@@ -51,7 +52,7 @@
     }
 
     @Test
-    void clearForgetsWhatWaits() {
+    void clearRemovesWaitingItems() {
         queue.processOrAdd("a", this::process, 0);
         queue.clear();
         capacity = 1;
--- a/core/src/test/java/silverlatch/node/ClusterLinks.java
+++ b/core/src/test/java/silverlatch/node/ClusterLinks.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which links of a cluster are cut, in which direction, and by how much machines are slowed. */
+/** Network faults of a simulated cluster: cut links, by direction, and additional delays of machines. */
 final class ClusterLinks {
     private final Set<Link> cut = new HashSet<>();
     private final Map<String, Long> addedDelays = new HashMap<>();
@@ -19,12 +19,12 @@
         partitionOneWay(others, group);
     }
 
-    /** Cuts all links from one group to the other; frames the other way still pass. */
+    /** Cuts all links from one group to the other; frames in the other direction are still delivered. */
     void partitionOneWay(final List<String> from, final List<String> to) {
         from.forEach(f -> to.stream().filter(t -> !t.equals(f)).forEach(t -> cut.add(new Link(f, t))));
     }
 
-    /** Each frame from and to the machine takes so much longer. */
+    /** Delays each frame from and to a machine by an additional time in microseconds. */
     void slow(final String name, final long delay) {
         addedDelays.put(name, delay);
     }
@@ -38,7 +38,7 @@
         return cut.contains(new Link(from, to));
     }
 
-    /** By how much a frame between two machines is slowed. */
+    /** Returns the additional delay of frames between two machines, in microseconds. */
     long addedDelay(final String from, final String to) {
         return addedDelays.getOrDefault(from, 0L) + addedDelays.getOrDefault(to, 0L);
     }
--- a/core/src/test/java/silverlatch/node/ClusterSnapshotBuilderTest.java
+++ b/core/src/test/java/silverlatch/node/ClusterSnapshotBuilderTest.java
@@ -16,7 +16,7 @@
 import silverlatch.membership.Membership;
 import silverlatch.safeguard.Safeguards;
 
-/** A snapshot is made anew when something in it has changed, and only then. */
+/** Checks that a new snapshot is built if, and only if, its content has changed. */
 final class ClusterSnapshotBuilderTest {
     private static final long SECOND = 1_000_000L;
     private final Membership membership =
@@ -44,13 +44,13 @@
     }
 
     @Test
-    void nothingNewGivesTheSameSnapshot() {
+    void returnsTheSameSnapshotIfNothingChanged() {
         final ClusterSnapshot first = builder.build(true, SECOND);
         assertThat(builder.build(true, 2 * SECOND), is(sameInstance(first)));
     }
 
     @Test
-    void aMemberThatJoinsIsSeen() {
+    void rebuildsWhenAMemberJoins() {
         final ClusterSnapshot first = builder.build(true, SECOND);
         membership.applyUpdate(gateway("other"), SECOND);
         final ClusterSnapshot second = builder.build(true, SECOND);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aWorkerThatIsHeardOfIsSeen() {
+    void rebuildsWhenAWorkerIsAnnounced() {
         final ClusterSnapshot first = builder.build(true, SECOND);
         gossip.onAnnouncement(worker(1), 0, SECOND);
         final ClusterSnapshot second = builder.build(true, SECOND);
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aChangeOfThisNodeItselfIsSeen() {
+    void rebuildsWhenThisNodeChanges() {
         final ClusterSnapshot first = builder.build(true, SECOND);
         membership.setReady(false);
         assertThat(builder.build(true, SECOND), is(not(sameInstance(first))));
--- a/core/src/test/java/silverlatch/node/ClusterSteps.java
+++ b/core/src/test/java/silverlatch/node/ClusterSteps.java
@@ -2,17 +2,17 @@
 
 import java.util.List;
 
-/** Steps that several tests of whole clusters take. */
+/** Steps shared by several tests that run simulated clusters. */
 final class ClusterSteps {
     static final long SECOND = NodeCluster.SECOND;
-    /** How long a fault lasts. */
+    /** The duration of an injected fault, in microseconds. */
     static final long OUTAGE = 20 * SECOND;
-    /** A connected gateway follows a configuration that was acknowledged so long ago. */
+    /** The maximum time, in microseconds, until connected gateways use an acknowledged configuration. */
     static final long PROPAGATION_LIMIT = 3 * SECOND;
 
     private ClusterSteps() {}
 
-    /** Returns the controller at a position of the chain. */
+    /** Returns the address of the controller at a position of the chain; 0 is the head. */
     static String addressAt(final NodeCluster cluster, final int position) {
         return cluster.node("c0").view().chain().get(position).address();
     }
@@ -22,7 +22,7 @@
         return cluster.controllers().stream().filter(c -> !c.equals(one)).toList();
     }
 
-    /** Submits a configuration until it is acknowledged; returns when it was, or fails after the limit. */
+    /** Submits a configuration repeatedly until it is acknowledged; returns the time of that, or fails after the limit. */
     static long acknowledge(
             final NodeCluster cluster, final List<String> through, final long number, final long limit) {
         final long from = cluster.now();
@@ -38,7 +38,7 @@
         throw new AssertionError(number + " was not acknowledged");
     }
 
-    /** Returns whether all gateways route requests by this revision or a newer one. */
+    /** Returns whether all gateways route requests by the given revision or a newer one. */
     static boolean allServe(final NodeCluster cluster, final long number) {
         return cluster.gateways().stream().allMatch(g -> cluster.servedRevision(g) >= number);
     }
--- a/core/src/test/java/silverlatch/node/Configurations.java
+++ b/core/src/test/java/silverlatch/node/Configurations.java
@@ -10,11 +10,11 @@
 import silverlatch.state.StateMachine;
 import silverlatch.state.Value;
 
-/** Small configurations for tests of whole clusters, and their numbers as the cluster holds them. */
+/** Creates small configurations for tests of simulated clusters, and reads configuration numbers from a cluster's state. */
 final class Configurations {
     private Configurations() {}
 
-    /** Returns a command that puts a configuration of one route and one pool. */
+    /** Returns a command that stores a configuration of one route and one pool. */
     static Command.PutConfiguration configuration(final String id, final long number, final long match) {
         final Value.BackendPool pool = new Value.BackendPool("pool", "/", 1, 0, 1, 1, 0, 1);
         final Value.Route route = new Value.Route(
@@ -41,7 +41,7 @@
                 match);
     }
 
-    /** Returns the same with one tenant, whose only key has this digest. */
+    /** Returns a command that stores such a configuration with one tenant, whose only key has the given digest. */
     static Command.PutFullConfiguration withTenant(final long number, final long match, final String keyDigest) {
         return new Command.PutFullConfiguration(
                 configuration("tenant-" + number, number, match),
@@ -51,7 +51,7 @@
                 List.of());
     }
 
-    /** Returns the number of the configuration that a command puts, if it puts one. */
+    /** Returns the number of the configuration that a command stores, if it stores one. */
     static Optional<Long> number(final Command command) {
         return switch (command) {
             case Command.PutConfiguration put -> Optional.of(put.configuration().number());
@@ -61,7 +61,7 @@
         };
     }
 
-    /** Returns the digests of the keys of the tenant that a gateway follows; empty where it follows none. */
+    /** Returns the digests of the tenant keys in a gateway's policy; empty if it has no tenant. */
     static List<String> keysFollowed(final Policy policy) {
         return policy.values()
                 .filter(Value.TenantAccess.class::isInstance)
@@ -69,7 +69,7 @@
                 .toList();
     }
 
-    /** Returns the number that a read of the configuration was answered, if it was; 0 where there is no configuration. */
+    /** Returns the configuration number in the first served read, if a read was served; 0 if there is no configuration. */
     static Optional<Long> numberRead(final List<Object> answers) {
         return answers.stream()
                 .map(answer -> (ChainClient.ReadResult) answer)
@@ -81,7 +81,7 @@
                 .findFirst();
     }
 
-    /** Returns the number of the configuration that a state holds, or 0. */
+    /** Returns the number of the configuration in a state, or 0 if there is none. */
     static long numberHeld(final StateMachine state) {
         return state.get(ConfigurationValidator.CONFIGURATION_KEY)
                 .map(Configurations::number)
--- a/core/src/test/java/silverlatch/node/ConsistencyMonitor.java
+++ b/core/src/test/java/silverlatch/node/ConsistencyMonitor.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Watches whole nodes for states that are older than they may be. */
+/** Records violations of the freshness guarantees of simulated nodes. */
 final class ConsistencyMonitor {
     private final List<String> violations = new ArrayList<>();
     private final List<Acknowledged> acknowledged = new ArrayList<>();
@@ -12,20 +12,21 @@
         return List.copyOf(violations);
     }
 
-    /** Notes that a configuration was acknowledged to its caller. */
+    /** Records that a configuration was acknowledged to its caller. */
     void acknowledged(final long number, final long now) {
         acknowledged.add(new Acknowledged(now, number));
     }
 
-    /** What was acknowledged so far. */
+    /** Returns the configurations acknowledged so far. */
     List<Acknowledged> acknowledged() {
         return List.copyOf(acknowledged);
     }
 
     /**
-     * What a node calls the newest as of a moment must hold all that was acknowledged before that moment.
+     * Checks that a state which a node considers the newest as of some time includes all configurations that were
+     * acknowledged before that time.
      *
-     * @param localNow the moment by the monotonic clock of the node's machine
+     * @param localNow the current time by the monotonic clock of the node's machine
      */
     void checkConfirmedState(final String name, final Node node, final long now, final long localNow) {
         final long age = node.gossip().stateAge(localNow);
@@ -40,13 +41,13 @@
                         + a.number() + " was acknowledged at " + a.at()));
     }
 
-    /** The configuration by which a gateway routes must never become older within one process; 0 is none. */
+    /** Checks that a gateway process never returns to an older configuration; 0 means that it has none. */
     void checkServedRevision(final String name, final long newestServed, final long served, final long now) {
         if (served > 0 && served < newestServed) {
             violations.add(name + " went back from " + newestServed + " to " + served + " at " + now);
         }
     }
 
-    /** A configuration that was acknowledged at a moment. */
+    /** A configuration and the time at which it was acknowledged. */
     record Acknowledged(long at, long number) {}
 }
--- a/core/src/test/java/silverlatch/node/DrainAcknowledgementTest.java
+++ b/core/src/test/java/silverlatch/node/DrainAcknowledgementTest.java
@@ -22,13 +22,14 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * That a worker drains is acknowledged only where every gateway that reaches a majority of the controllers will know it in time,
- * whatever partition follows; whole nodes on a simulated clock.
+ * Guards against acknowledging a worker's drain (or deletion) that is then lost in a partition, so that gateways keep sending
+ * it requests. A drain may be acknowledged only if every gateway in contact with a majority of the controllers learns of it in
+ * time. The test runs complete nodes on a simulated clock.
  */
 final class DrainAcknowledgementTest {
     private static final long MILLISECOND = 1_000L;
 
-    /** The reply must be there while the worker waits for it. */
+    /** The time within which the worker must receive the reply, in microseconds. */
     private static final long REPLY_LIMIT = 900 * MILLISECOND;
 
     private static Worker worker(final long sequence, final boolean isDraining) {
@@ -36,7 +37,7 @@
                 "w", "10.0.0.9:1", "z0", "r0", 1, sequence, 3, 1, 8, List.of(4L), isDraining, 0, "pool", 0, 0);
     }
 
-    /** Whether a gateway sends the worker nothing more. */
+    /** Returns whether a gateway sends no more requests to the worker. */
     private static boolean avoidsWorker(final NodeCluster cluster, final String gateway) {
         return Optional.ofNullable(cluster.node(gateway).gossip().workers().get("w"))
                 .map(Gossip.ObservedWorker::worker)
@@ -52,14 +53,14 @@
         return cluster;
     }
 
-    private static List<String> reached(final NodeCluster cluster, final String victim) {
+    private static List<String> majoritySide(final NodeCluster cluster, final String victim) {
         final List<String> side = new ArrayList<>(others(cluster, victim));
         side.addAll(List.of("g1", "g2", "g3"));
         return side;
     }
 
     @Test
-    void aDrainIsAcknowledgedInOneRoundTripWhereNothingFails() {
+    void drainIsAcknowledgedInOneRoundTripWithoutFaults() {
         final NodeCluster cluster = cluster(21, Safeguards.ALL);
         cluster.announceWorker("c0", worker(2, true));
         final PendingConfirmation reply = cluster.confirmReport("c0", "w");
@@ -67,11 +68,11 @@
         assertThat(reply.isHeld(), is(true));
         cluster.announceWorker("c0", worker(3, true));
         final PendingConfirmation next = cluster.confirmReport("c0", "w");
-        assertThat("a majority has held it before", next.isHeld(), is(true));
+        assertThat("a majority already holds the drain", next.isHeld(), is(true));
     }
 
     @Test
-    void aControllerWithoutAMajorityAcknowledgesNoDrain() {
+    void controllerWithoutMajorityAcknowledgesNoDrain() {
         for (int position = 0; position < 3; position++) {
             for (final Isolation isolation : Isolation.values()) {
                 final NodeCluster cluster = cluster(30 + position, Safeguards.ALL);
@@ -88,22 +89,22 @@
     }
 
     @Test
-    void aDrainAcknowledgedJustBeforeAPartitionReachesAllWhoReachAMajority() {
-        assertThat(acknowledgedThenMissed(Safeguards.ALL, false), is(0));
+    void drainAcknowledgedBeforeAPartitionReachesAllGatewaysOfTheMajority() {
+        assertThat(countAcknowledgedButMissed(Safeguards.ALL, false), is(0));
     }
 
     @Test
-    void aDeletionAcknowledgedJustBeforeAPartitionReachesAllWhoReachAMajority() {
-        assertThat(acknowledgedThenMissed(Safeguards.ALL, true), is(0));
+    void deletionAcknowledgedBeforeAPartitionReachesAllGatewaysOfTheMajority() {
+        assertThat(countAcknowledgedButMissed(Safeguards.ALL, true), is(0));
     }
 
     @Test
-    void withoutTheMajorityADrainIsAcknowledgedThatNobodyLearns() {
-        assertThat(acknowledgedThenMissed(new Safeguards(Set.of(Safeguard.REPORT_QUORUM)), false), greaterThan(0));
+    void withoutTheReportQuorumAnAcknowledgedDrainIsLost() {
+        assertThat(countAcknowledgedButMissed(new Safeguards(Set.of(Safeguard.REPORT_QUORUM)), false), greaterThan(0));
     }
 
-    /** In how many cases the other side goes on sending although the drain was acknowledged, whenever the partition begins. */
-    private static int acknowledgedThenMissed(final Safeguards safeguards, final boolean isDeleted) {
+    /** Returns for how many delays of the partition the other side keeps using the worker although the drain was acknowledged. */
+    private static int countAcknowledgedButMissed(final Safeguards safeguards, final boolean isDeleted) {
         int acknowledged = 0;
         int missed = 0;
         for (long delay = 0; delay <= 60 * MILLISECOND; delay += 4 * MILLISECOND) {
@@ -116,7 +117,7 @@
             }
             final PendingConfirmation reply = cluster.confirmReport(victim, "w");
             cluster.advance(delay);
-            cluster.links().partition(List.of(victim, "g0"), reached(cluster, victim));
+            cluster.links().partition(List.of(victim, "g0"), majoritySide(cluster, victim));
             cluster.advance(REPLY_LIMIT);
             assertThat("delay " + delay, reply.isAnswered(), is(true));
             assertThat(reply.endedAt() - reply.sentAt(), lessThanOrEqualTo(REPLY_LIMIT));
@@ -130,7 +131,7 @@
         return missed;
     }
 
-    /** How a controller is kept from the others. */
+    /** How a controller is isolated from the others. */
     private enum Isolation {
         BOTH_WAYS,
         RECEIVES_NOTHING,
--- a/core/src/test/java/silverlatch/node/EventTest.java
+++ b/core/src/test/java/silverlatch/node/EventTest.java
@@ -15,6 +15,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
+/** Checks that log events match their documentation and that each of them is used. */
 final class EventTest {
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
 
--- a/core/src/test/java/silverlatch/node/GatewayPropagationTest.java
+++ b/core/src/test/java/silverlatch/node/GatewayPropagationTest.java
@@ -23,7 +23,10 @@
 import silverlatch.gossip.Worker;
 import silverlatch.state.Command;
 
-/** What gateways follow and when, during and after partitions; whole nodes on a simulated clock. */
+/**
+ * Checks which configurations and worker reports gateways use, and how soon, during and after partitions, pauses and restarts.
+ * The test runs complete nodes on a simulated clock.
+ */
 final class GatewayPropagationTest {
     private static Worker worker(final long sequence, final boolean isDraining) {
         return new Worker(
@@ -32,12 +35,12 @@
 
     private static boolean isDraining(final NodeCluster cluster, final String gateway) {
         return Optional.ofNullable(cluster.node(gateway).gossip().workers().get("w"))
-                .map(h -> h.worker().draining())
+                .map(observed -> observed.worker().draining())
                 .orElse(false);
     }
 
     @Test
-    void gatewayStartedBesideAPartitionedControllerServesNothingBeforeItHeardAMajority() {
+    void gatewayStartedNextToAnIsolatedControllerServesNothingUntilItReachesAMajority() {
         for (int position = 0; position < 3; position++) {
             final NodeCluster cluster = new NodeCluster(3, 3, 11 + position);
             acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
@@ -95,7 +98,7 @@
     }
 
     @Test
-    void gatewayRestartedWhileAPullIsUnderWayTakesNoAnswerMeantForItsEarlierProcess() {
+    void gatewayRestartedDuringAPullIgnoresRepliesToItsPreviousProcess() {
         for (int i = 0; i < 12; i++) {
             final NodeCluster cluster = new NodeCluster(3, 3, 70);
             acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
@@ -121,7 +124,7 @@
     }
 
     @Test
-    void pausedGatewayFollowsWithinTheLimitOnceResumed() {
+    void pausedGatewayCatchesUpWithinTheLimitAfterResuming() {
         final NodeCluster cluster = new NodeCluster(3, 3, 5);
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
         cluster.advance(SECOND);
@@ -136,7 +139,7 @@
     }
 
     @Test
-    void workerDrainedAtThePartitionedSideIsKnownToAllOnceItHeals() {
+    void drainReportedInAPartitionReachesAllGatewaysAfterItHeals() {
         final NodeCluster cluster = new NodeCluster(3, 4, 9);
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
         cluster.announceWorker("c1", worker(1, false));
@@ -189,7 +192,7 @@
     }
 
     @Test
-    void machinesRestartedWithSeedsOnTheOtherSideServeTheNewestOnceThePartitionHeals() {
+    void machinesRestartedWithSeedsOnTheOtherSideServeTheNewestRevisionAfterThePartitionHeals() {
         final NodeCluster cluster = new NodeCluster(3, 4, 13);
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
         final List<String> small = List.of("c0", "g0", "g1");
@@ -214,7 +217,7 @@
     }
 
     @Test
-    void gatewaysFollowWhileEightCommandsAreInFlight() {
+    void gatewaysFollowConfigurationsWhileEightCommandsAreInFlight() {
         final NodeCluster cluster = new NodeCluster(3, 4, 15);
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
         final List<PendingCommand> inFlight = new ArrayList<>();
--- a/core/src/test/java/silverlatch/node/GatewayStartupTest.java
+++ b/core/src/test/java/silverlatch/node/GatewayStartupTest.java
@@ -21,14 +21,14 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * A gateway that starts may route for a bounded time by a configuration that nobody has confirmed; whole nodes on a simulated clock,
- * where two gateways keep what they followed.
+ * Checks that a starting gateway may route by an unconfirmed configuration, but only for a bounded time (the startup grace).
+ * The test runs complete nodes on a simulated clock; two gateways keep their configuration on disk.
  */
 final class GatewayStartupTest {
     private static final long GRACE = 2_500_000L;
     private static final long STEP = 50_000L;
 
-    /** A gateway that finds another one that knows a configuration is ready within this time. */
+    /** The maximum time, in microseconds, until a gateway is ready that finds another gateway with a configuration. */
     private static final long READY_LIMIT = 700_000L;
 
     private static NodeCluster cluster(final long seed, final Safeguards safeguards) {
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void allGatewaysServeBeforeAnyControllerIsUpAfterAllHaveLostTheirPower() {
+    void allGatewaysServeBeforeAnyControllerIsUpAfterAFullOutage() {
         for (int seed = 0; seed < 8; seed++) {
             final NodeCluster cluster = cluster(100 + seed, Safeguards.ALL);
             killAll(cluster);
@@ -73,17 +73,17 @@
     }
 
     @Test
-    void whatNobodyConfirmsIsFollowedWithinTheGraceOnly() {
+    void unconfirmedConfigurationIsServedOnlyDuringTheStartupGrace() {
         assertThat(servedWithoutConfirmation(Safeguards.ALL), lessThanOrEqualTo(GRACE));
     }
 
     @Test
-    void withoutTheBoundAnOlderConfigurationIsServedForAsLongAsThePartitionLasts() {
+    void withoutTheStartupGraceLimitAnOutdatedConfigurationIsServedMuchLonger() {
         final Safeguards unbounded = new Safeguards(java.util.Set.of(Safeguard.STARTUP_GRACE));
         assertThat(servedWithoutConfirmation(unbounded), greaterThan(2 * GRACE));
     }
 
-    /** The last moment after its start at which a gateway serves beside a partitioned controller, at each position of the chain. */
+    /** Returns the longest time after its start at which a gateway next to an isolated controller still serves, over all positions. */
     private static long servedWithoutConfirmation(final Safeguards safeguards) {
         long last = 0;
         for (int position = 0; position < 3; position++) {
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void aGatewayThatFindsNobodyWithAConfigurationWaits() {
+    void gatewayThatFindsNoConfigurationIsNotReady() {
         final NodeCluster cluster = cluster(300, Safeguards.ALL);
         killAll(cluster);
         cluster.start("g2", seeds(cluster));
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void aGatewayThatReachesAMajorityFollowsItAtOnceWhateverItKept() {
+    void gatewayInContactWithAMajorityUsesTheNewestConfigurationInsteadOfItsSavedOne() {
         final NodeCluster cluster = cluster(400, Safeguards.ALL);
         cluster.kill("g0");
         acknowledge(cluster, cluster.controllers(), 2, 5 * SECOND);
--- a/core/src/test/java/silverlatch/node/KeyMonitor.java
+++ b/core/src/test/java/silverlatch/node/KeyMonitor.java
@@ -8,8 +8,9 @@
 import silverlatch.routing.KeyAcceptance;
 
 /**
- * Watches which keys gateways would accept, all the time. Each configuration is taken to remove the key of the one before: a gateway
- * that accepts keys by configuration n later than the deadline after a higher one was acknowledged runs requests with a revoked key.
+ * Checks continuously whether gateways would accept revoked keys. Each configuration is considered to revoke the key of the previous
+ * one: it is a violation if a gateway still accepts keys by configuration n when the deadline after the acknowledgement of a higher
+ * configuration has passed.
  */
 final class KeyMonitor {
     private static final long CHECK_INTERVAL = 5_000L;
@@ -18,7 +19,7 @@
     private final long deadline;
     private final KeyAcceptance acceptance;
     private final List<String> violations = new ArrayList<>();
-    private final Map<String, Long> refusedMicros = new HashMap<>();
+    private final Map<String, Long> rejectingMicros = new HashMap<>();
 
     KeyMonitor(final NodeCluster cluster, final long deadline, final KeyAcceptance acceptance) {
         this.cluster = cluster;
@@ -27,7 +28,7 @@
         cluster.clock().every(CHECK_INTERVAL, this::check);
     }
 
-    /** Whether a gateway accepts keys now; none does while its process stands still. */
+    /** Returns whether a gateway accepts keys now; it doesn't while its process is paused. */
     boolean isAccepting(final String gateway) {
         return cluster.routedSnapshot(gateway)
                 .filter(snapshot -> accepts(snapshot, cluster.localNow(gateway)))
@@ -47,7 +48,7 @@
             if (isAccepting(gateway)) {
                 checkAccepted(gateway, cluster.servedRevision(gateway));
             } else {
-                refusedMicros.merge(gateway, CHECK_INTERVAL, Long::sum);
+                rejectingMicros.merge(gateway, CHECK_INTERVAL, Long::sum);
             }
         });
     }
@@ -61,11 +62,13 @@
                         + a.number() + " was acknowledged at " + a.at()));
     }
 
-    /** For how long the gateway that did so longest accepted no key, since this was last asked. */
-    long drainLongestRefusal() {
-        final long longest =
-                refusedMicros.values().stream().mapToLong(Long::longValue).max().orElse(0);
-        refusedMicros.clear();
+    /** Returns the longest total time for which one gateway accepted no key since the last call, in microseconds, and resets it. */
+    long drainLongestRejectionMicros() {
+        final long longest = rejectingMicros.values().stream()
+                .mapToLong(Long::longValue)
+                .max()
+                .orElse(0);
+        rejectingMicros.clear();
         return longest;
     }
 
--- a/core/src/test/java/silverlatch/node/MachineClock.java
+++ b/core/src/test/java/silverlatch/node/MachineClock.java
@@ -1,19 +1,19 @@
 package silverlatch.node;
 
 /**
- * The clocks of one simulated machine, in microseconds. The monotonic clock begins anew when the machine comes back after a loss of
- * power; the wall clock may jump.
+ * The clocks of one simulated machine, in microseconds. The monotonic clock restarts when the machine boots after a power loss; the
+ * wall clock may jump.
  */
 final class MachineClock {
     private static final long UNIX_EPOCH = 1_700_000_000_000_000L;
-    /** How long a machine runs until its process starts. */
+    /** The time from boot until the machine's process starts, in microseconds. */
     private static final long BOOT_MICROS = 10_000_000L;
 
     private long bootedAt;
     private long wallStep;
     private boolean isPowered = true;
 
-    /** A process of the machine starts; the machine is switched on where it was off. */
+    /** Starts the machine's process; boots the machine first if it was powered off. */
     void start(final long simulatedTime) {
         if (!isPowered) {
             isPowered = true;
@@ -25,7 +25,7 @@
         isPowered = false;
     }
 
-    /** The wall clock jumps. */
+    /** Steps the wall clock by a number of microseconds, which may be negative. */
     void step(final long by) {
         wallStep += by;
     }
--- a/core/src/test/java/silverlatch/node/NodeClockTest.java
+++ b/core/src/test/java/silverlatch/node/NodeClockTest.java
@@ -17,6 +17,7 @@
 import silverlatch.membership.Member;
 import silverlatch.membership.Membership;
 
+/** Checks when a node's clock is corrected by the offsets of peers, and that it ignores jumps of the wall clock. */
 final class NodeClockTest {
     private static final long SECOND = 1_000_000;
     private static final long UNIX_NANOS = 1_700_000_000_000_000_000L;
@@ -36,7 +37,7 @@
     }
 
     @Test
-    void clockMovesToTheMedianOfPeersBeyondTheSkew() {
+    void clockMovesToTheMedianOfPeersIfItExceedsTheMaximumSkew() {
         final long before = clock.physicalTime(SECOND);
         clock.recordPeerOffset("a", NtpTime.fromMicros(300_000), SECOND);
         clock.recordPeerOffset("b", NtpTime.fromMicros(400_000), SECOND);
@@ -47,7 +48,7 @@
     }
 
     @Test
-    void onePeerOrASkewInBoundsMovesNothing() {
+    void singlePeerOrSkewWithinBoundsDoesNotMoveTheClock() {
         clock.recordPeerOffset("a", NtpTime.fromMicros(300_000), SECOND);
         assertThat(clock.check(SECOND), is(Optional.empty()));
         clock.recordPeerOffset("a", NtpTime.fromMicros(40_000), 2 * SECOND);
@@ -57,7 +58,7 @@
     }
 
     @Test
-    void offsetsCountForFourSecondsAndAreCheckedEveryHalfSecond() {
+    void offsetsAreValidForFourSecondsAndCheckedEveryHalfSecond() {
         clock.recordPeerOffset("a", NtpTime.fromMicros(300_000), SECOND);
         assertThat(clock.check(SECOND), is(Optional.empty()));
         clock.recordPeerOffset("b", NtpTime.fromMicros(300_000), SECOND);
@@ -67,7 +68,7 @@
     }
 
     @Test
-    void wallClockThatJumpsIsNotFollowedAndLoggedOnce() {
+    void jumpOfTheWallClockIsIgnoredAndLoggedOnce() {
         clock.slew(SECOND, UNIX_NANOS + 5 * SECOND * 1_000);
         final long expected = new PhysicalClock(UNIX_NANOS, 0, 0).physicalTime(SECOND);
         assertThat(clock.physicalTime(SECOND), is(expected));
--- a/core/src/test/java/silverlatch/node/NodeCluster.java
+++ b/core/src/test/java/silverlatch/node/NodeCluster.java
@@ -21,13 +21,13 @@
 import silverlatch.wire.GossipMessage;
 
 /**
- * Whole nodes on one simulated clock: controllers named {@code c0, c1, ...} with a disk each, and gateways named
- * {@code g0, g1, ...} with a router each. Links can be cut in one direction, machines frozen, slowed and restarted. Every
- * gateway is checked after each of its steps: the configuration it routes by must never become older within one process.
+ * A cluster of complete nodes on one simulated clock: controllers named {@code c0, c1, ...} with a disk each, and gateways
+ * named {@code g0, g1, ...} with a router each. Links can be cut in one direction; machines can be paused ("frozen"), slowed and
+ * restarted. After each step of a gateway the cluster checks that its process hasn't returned to an older configuration.
  */
 final class NodeCluster {
     static final long SECOND = 1_000_000L;
-    /** How long a caller waits for the answer to a command. */
+    /** The time that a caller waits for the result of a command, in microseconds. */
     static final long COMMAND_TIMEOUT = 900_000L;
 
     private static final long CONFIRMATION_TIMEOUT = 860_000L;
@@ -52,8 +52,8 @@
     }
 
     /**
-     * The same where gateways may route by an unconfirmed configuration for a time after their start, and the first two of them keep
-     * what they follow over a restart.
+     * Creates a cluster whose gateways may route by an unconfirmed configuration for a time after their start. If that time isn't 0,
+     * the first two gateways keep their configuration over a restart.
      */
     NodeCluster(
             final int controllers,
@@ -93,7 +93,7 @@
         return machines.get(name).node.orElseThrow();
     }
 
-    /** The revision by which a gateway routes requests; 0 while it takes none. */
+    /** Returns the revision by which a gateway routes requests; 0 while it accepts none. */
     long servedRevision(final String gateway) {
         return machines.get(gateway).servedRevision();
     }
@@ -102,12 +102,12 @@
         return machines.get(gateway).router.orElseThrow().unreadyReason().isEmpty();
     }
 
-    /** How long ago the configuration of a machine was surely the newest. */
+    /** Returns the time since a machine's configuration was last confirmed as the newest, in microseconds. */
     long stateAge(final String name) {
         return node(name).gossip().stateAge(localNow(name));
     }
 
-    /** What a gateway routes by now; empty while no process of it runs. */
+    /** Returns the snapshot by which a gateway routes now; empty while its process is paused or not running. */
     Optional<ClusterSnapshot> routedSnapshot(final String gateway) {
         return machines.get(gateway).routedSnapshot();
     }
@@ -124,12 +124,12 @@
         return machines.get(name).localNow();
     }
 
-    /** The machine's wall clock jumps; its monotonic clock doesn't. */
+    /** Steps a machine's wall clock; its monotonic clock is unaffected. */
     void stepWallClock(final String name, final long by) {
         machines.get(name).machineClock.step(by);
     }
 
-    /** The machine loses its power: its process ends, and its monotonic clock begins anew when it is started. */
+    /** Cuts a machine's power: its process ends, and its monotonic clock restarts at the next start. */
     void powerOff(final String name) {
         kill(name);
         machines.get(name).machineClock.powerOff();
@@ -139,12 +139,12 @@
         return links;
     }
 
-    /** All frames under way from and to the machine are lost. */
+    /** Drops all frames in flight from and to a machine. */
     void resetConnections(final String name) {
         machines.get(name).connection++;
     }
 
-    /** The process stands still; what it had sent but not delivered yet, and what comes in, waits until it is thawed. */
+    /** Pauses a machine's process; frames that it sent but that weren't delivered yet, and incoming frames, wait until it is resumed. */
     void freeze(final String name) {
         machines.get(name).isFrozen = true;
     }
@@ -153,7 +153,7 @@
         machines.get(name).thaw();
     }
 
-    /** The process ends; what wasn't synced is lost. */
+    /** Kills a machine's process; records that weren't synced are lost. */
     void kill(final String name) {
         machines.get(name).kill();
     }
@@ -162,7 +162,7 @@
         machines.get(name).start(seeds);
     }
 
-    /** The machine's disk is lost, and with it its identity. */
+    /** Erases a machine's disk, including its identity. */
     void wipeDisk(final String name) {
         machines.get(name).wipeDisk();
     }
@@ -175,7 +175,7 @@
         machines.get(at).step(n -> n.onWorkerGone(workerId, localNow(at)));
     }
 
-    /** Asks a controller whether a majority holds its newest report on a worker. */
+    /** Asks a controller to confirm that a majority holds its newest report on a worker. */
     PendingConfirmation confirmReport(final String at, final String workerId) {
         final PendingConfirmation pending = new PendingConfirmation(now());
         final long token = ++lastToken;
@@ -201,14 +201,14 @@
         return pending;
     }
 
-    /** Reads the number of the newest configuration through a machine; empty where that isn't known in time. */
+    /** Reads the number of the newest configuration through a machine; empty if the read isn't served in time. */
     Optional<Long> read(final String at) {
         final List<Object> answers = startRead(at);
         advance(SECOND);
         return Configurations.numberRead(answers);
     }
 
-    /** Starts a read; its answer is added to the list when it comes. */
+    /** Starts a read; its reply is added to the returned list when it arrives. */
     List<Object> startRead(final String at) {
         final List<Object> answers = new ArrayList<>();
         final long token = ++lastToken;
@@ -223,12 +223,12 @@
         clock.advance(duration);
     }
 
-    /** Passes time until something holds; how long that took, or -1 where it didn't come. */
+    /** Advances time until a condition holds; returns the elapsed time, or -1 if the limit was exceeded. */
     long advanceUntil(final long limit, final BooleanSupplier condition) {
         return clock.advanceUntil(limit, condition);
     }
 
-    /** A machine with its disk, its process if one runs, and what waits while that is frozen. */
+    /** A machine with its disk, its process if one is running, and the tasks that wait while the process is paused. */
     private final class Machine {
         private final String name;
         private final int index;
@@ -366,7 +366,7 @@
                 case Effect.Respond a ->
                     Optional.ofNullable(pendingResponses.remove(a.token())).ifPresent(o -> o.accept(a.response()));
                 case Effect.Log l -> {}
-                case Effect.Send s -> throw new IllegalStateException("a node stamps what it sends");
+                case Effect.Send s -> throw new IllegalStateException("a node must send stamped frames only");
             }
         }
 
--- a/core/src/test/java/silverlatch/node/NodeFactory.java
+++ b/core/src/test/java/silverlatch/node/NodeFactory.java
@@ -13,21 +13,21 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * Makes the nodes of a {@link NodeCluster}, all with the same settings.
+ * Creates the nodes of a {@link NodeCluster}, all with the same settings.
  *
- * @param startupGrace for how long after its start a gateway may route by an unconfirmed configuration
- * @param safeguards   what is enabled
- * @param random       has a part split off for each node
+ * @param startupGrace the time after its start, in microseconds, during which a gateway may route by an unconfirmed configuration
+ * @param safeguards   the enabled safeguards
+ * @param random       the source of randomness; each node gets a generator split off from it
  */
 record NodeFactory(long startupGrace, Safeguards safeguards, SplittableRandom random) {
     /**
-     * A machine that starts a process.
+     * A machine on which a node is started.
      *
-     * @param name         its name and address; those of controllers begin with {@code c}
+     * @param name         the machine's name and address; names of controllers begin with {@code c}
      * @param index        the number of its region and zone
-     * @param identity     the identity on its disk
-     * @param isFirstStart whether it may take part in a founding
-     * @param disk         what its log holds
+     * @param identity     the identity stored on its disk
+     * @param isFirstStart whether the node may take part in bootstrapping the fleet
+     * @param disk         the records in its log
      * @param clock        its clocks
      */
     record Host(
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Makes a node that starts now. */
+    /** Creates a node that starts now. */
     Node create(final Host host, final List<String> seeds, final long simulatedTime) {
         final Optional<ReplicaSettings> chain = host.isController()
                 ? Optional.of(ReplicaSettings.of(new Replica(host.identity(), host.name()), seeds)
--- a/core/src/test/java/silverlatch/node/PartitionTest.java
+++ b/core/src/test/java/silverlatch/node/PartitionTest.java
@@ -23,9 +23,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import silverlatch.replication.Replica;
 
-/** A controller that loses contact with the majority for twenty seconds, whole nodes on a simulated clock. */
+/**
+ * Guards against split brain: a controller that loses contact with the majority for twenty seconds must neither acknowledge commands
+ * nor serve stale reads, while gateways keep following the others. The test runs complete nodes on a simulated clock.
+ */
 final class PartitionTest {
-    /** How a controller loses its contact with the other controllers; gateways reach both sides. */
+    /** How a controller loses contact with the other controllers; gateways can reach both sides. */
     enum Fault {
         CUT,
         DEAF,
@@ -128,7 +131,7 @@
     }
 
     @Test
-    void controllerReachedByItsClientsOnlyDecidesNothing() {
+    void controllerReachedOnlyByItsClientsDecidesNothing() {
         for (int position = 0; position < 3; position++) {
             final NodeCluster cluster = new NodeCluster(3, 2, 21 + position);
             acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
@@ -249,15 +252,15 @@
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
         cluster.advance(SECOND);
         cluster.links().partitionOneWay(List.of(addressAt(cluster, 2)), List.of(addressAt(cluster, 1)));
-        final PendingCommand order = cluster.put(addressAt(cluster, 0), 2, 1);
+        final PendingCommand command = cluster.put(addressAt(cluster, 0), 2, 1);
         cluster.advance(500_000);
-        assertThat(order.isAcknowledged(), is(true));
+        assertThat(command.isAcknowledged(), is(true));
         cluster.advance(5 * SECOND);
         assertThat(cluster.violations(), empty());
     }
 
     @Test
-    void controllerThatLostItsDiskNeitherFoundsNorServesAFleet() {
+    void controllerThatLostItsDiskNeitherBootstrapsNorServesAFleet() {
         final NodeCluster cluster = new NodeCluster(3, 3, 14);
         acknowledge(cluster, cluster.controllers(), 1, 5 * SECOND);
         final long fleet = cluster.node("c1").view().fleet();
@@ -268,9 +271,9 @@
         cluster.start(victim, cluster.controllers());
         cluster.advance(OUTAGE);
         assertThat(cluster.node(victim).chainReplica().orElseThrow().view().number(), is(0L));
-        final PendingCommand order = cluster.put(victim, 2, -1);
+        final PendingCommand command = cluster.put(victim, 2, -1);
         cluster.advance(SECOND);
-        assertThat(order.isAcknowledged() || order.isRejected(), is(false));
+        assertThat(command.isAcknowledged() || command.isRejected(), is(false));
         cluster.links().heal();
         cluster.advance(20 * SECOND);
         assertThat(cluster.node(victim).view().fleet(), is(fleet));
--- a/core/src/test/java/silverlatch/node/PendingCommand.java
+++ b/core/src/test/java/silverlatch/node/PendingCommand.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import silverlatch.state.CommandResult;
 
-/** A command that an operator submitted, and what the operator learnt of it. */
+/** A command submitted by an operator, and its result once that is known to the operator. */
 final class PendingCommand {
     private final long sentAt;
     private Optional<CommandResult> result = Optional.empty();
@@ -26,7 +26,7 @@
         return result.filter(r -> r instanceof CommandResult.Rejected).isPresent();
     }
 
-    /** Returns when the answer came, or 0 while there is none. */
+    /** Returns the time at which the result arrived, or 0 if there is none yet. */
     long endedAt() {
         return endedAt;
     }
--- a/core/src/test/java/silverlatch/node/PendingConfirmation.java
+++ b/core/src/test/java/silverlatch/node/PendingConfirmation.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** A question whether a majority of the controllers holds a report, and the answer to it. */
+/** A query whether a majority of the controllers holds a report, and its reply once that has arrived. */
 final class PendingConfirmation {
     private final long sentAt;
     private Optional<Boolean> answer = Optional.empty();
@@ -29,7 +29,7 @@
         return sentAt;
     }
 
-    /** Returns when the answer came, or 0 while there is none. */
+    /** Returns the time at which the reply arrived, or 0 if there is none yet. */
     long endedAt() {
         return endedAt;
     }
--- a/core/src/test/java/silverlatch/node/ProviderAudit.java
+++ b/core/src/test/java/silverlatch/node/ProviderAudit.java
@@ -11,12 +11,12 @@
 import silverlatch.state.Value;
 
 /**
- * A provider that takes reports of usage under fencing tokens, and checks its callers: one holder a token, equal counts in all
- * accepted reports of a window, and no two holders that act in turns within a lease.
+ * A simulated provider that accepts usage reports with fencing tokens and checks its callers: each token has a single holder, all
+ * accepted reports of a window have equal counts, and no two holders alternate within one lease.
  */
 final class ProviderAudit {
     private static final long LEASE = 3 * NodeCluster.SECOND;
-    private final List<Act> acts = new ArrayList<>();
+    private final List<AcceptedCall> acceptedCalls = new ArrayList<>();
     private final Map<Long, String> holders = new HashMap<>();
     private final Map<Long, List<Value.TenantCount>> reports = new TreeMap<>();
     private final Map<Long, Long> acceptedAt = new HashMap<>();
@@ -24,9 +24,9 @@
     private long highestToken;
     private int calls;
 
-    private record Act(String holder, long at) {}
+    private record AcceptedCall(String holder, long at) {}
 
-    /** Takes a call; returns whether it was accepted, or refused as a higher token was seen. */
+    /** Handles a call; returns whether it was accepted. Rejects it if a call with a higher token was accepted before. */
     boolean report(final String holder, final long token, final Value.UsageWindow window, final long now) {
         calls++;
         if (!holders.computeIfAbsent(token, unused -> holder).equals(holder)) {
@@ -36,8 +36,8 @@
             return false;
         }
         highestToken = token;
-        acts.add(new Act(holder, now));
-        checkTurns();
+        acceptedCalls.add(new AcceptedCall(holder, now));
+        checkNoAlternation();
         final List<Value.TenantCount> earlier = Optional.ofNullable(
                         reports.putIfAbsent(window.number(), window.counts()))
                 .orElse(window.counts());
@@ -48,12 +48,14 @@
         return true;
     }
 
-    private void checkTurns() {
-        final Act last = acts.get(acts.size() - 1);
+    private void checkNoAlternation() {
+        final AcceptedCall last = acceptedCalls.get(acceptedCalls.size() - 1);
         final Set<String> between = new HashSet<>();
-        for (int i = acts.size() - 2; i >= 0 && last.at() - acts.get(i).at() < LEASE; i--) {
-            if (!acts.get(i).holder().equals(last.holder())) {
-                between.add(acts.get(i).holder());
+        for (int i = acceptedCalls.size() - 2;
+                i >= 0 && last.at() - acceptedCalls.get(i).at() < LEASE;
+                i--) {
+            if (!acceptedCalls.get(i).holder().equals(last.holder())) {
+                between.add(acceptedCalls.get(i).holder());
             } else if (!between.isEmpty()) {
                 violations.add(last.holder() + ", " + between + ", " + last.holder() + " within a lease");
             }
@@ -68,12 +70,12 @@
         return List.copyOf(violations);
     }
 
-    /** The counts by window that were accepted. */
+    /** Returns the accepted counts by window. */
     Map<Long, List<Value.TenantCount>> reports() {
         return reports;
     }
 
-    /** When the report of a window was first accepted. */
+    /** Returns the time at which a report of the window was first accepted. */
     long acceptedAt(final long window) {
         return acceptedAt.get(window);
     }
@@ -82,10 +84,10 @@
         return calls;
     }
 
-    /** Who acted last, if anybody has. */
+    /** Returns the holder of the last accepted call, if there was one. */
     Optional<String> lastHolder() {
-        return acts.isEmpty()
+        return acceptedCalls.isEmpty()
                 ? Optional.empty()
-                : Optional.of(acts.get(acts.size() - 1).holder());
+                : Optional.of(acceptedCalls.get(acceptedCalls.size() - 1).holder());
     }
 }
--- a/core/src/test/java/silverlatch/node/RevocationTest.java
+++ b/core/src/test/java/silverlatch/node/RevocationTest.java
@@ -23,8 +23,9 @@
 import silverlatch.safeguard.Safeguards;
 
 /**
- * Keys that were taken away, at gateways in touch and out of touch; whole nodes on a simulated clock. Two gateways keep what they follow
- * over a restart, and all may route for a time after their start by what nobody has confirmed.
+ * Guards against gateways that accept revoked keys, in particular while they are isolated or after a restart with a saved configuration.
+ * The test runs complete nodes on a simulated clock. Two gateways keep their configuration over a restart, and all may route by an
+ * unconfirmed configuration for a time after their start.
  */
 final class RevocationTest {
     private static final long DEADLINE = 5 * SECOND;
@@ -33,7 +34,7 @@
     private static final int SEEDS = 3;
     private static final Safeguards WITHOUT_LEASE = new Safeguards(Set.of(Safeguard.REVOCATION_LEASE));
 
-    /** How the machines of one side lose touch with the others. */
+    /** How the machines of one side lose contact with the others. */
     enum Fault {
         CUT {
             @Override
@@ -109,7 +110,7 @@
     }
 
     @Test
-    void connectedGatewaysAcceptKeysAllTheTimeAlsoWhileConfigurationsChange() {
+    void connectedGatewaysAlwaysAcceptKeysEvenWhileConfigurationsChange() {
         for (int seed = 0; seed < SEEDS; seed++) {
             final NodeCluster cluster = cluster(100 + seed);
             final KeyMonitor keys = watch(cluster);
@@ -117,13 +118,13 @@
                 acknowledge(cluster, cluster.controllers(), number, 5 * SECOND);
             }
             cluster.advance(20 * SECOND);
-            assertThat("seed " + seed, keys.drainLongestRefusal(), is(0L));
+            assertThat("seed " + seed, keys.drainLongestRejectionMicros(), is(0L));
             assertThat(keys.violations(), empty());
         }
     }
 
-    /** For ten seconds one configuration after the other takes keys away, through the machines that are in touch. */
-    private static void revokeWhile(
+    /** Injects a fault, submits configurations that revoke keys through the other controllers for ten seconds, and ends the fault. */
+    private static void revokeKeysDuringFault(
             final NodeCluster cluster, final Fault fault, final List<String> side, final long number) {
         fault.inject(cluster, side, allBut(cluster, side));
         final List<String> through =
@@ -142,7 +143,7 @@
         final NodeCluster cluster = cluster(seed);
         final KeyMonitor keys = watch(cluster);
         cluster.advance(seed % 7 * 60_000);
-        revokeWhile(cluster, fault, side, 1);
+        revokeKeysDuringFault(cluster, fault, side, 1);
         final String what = fault + " of " + side + " seed " + seed;
         assertThat(what, cluster.advanceUntil(5 * SECOND, keys::areAllAccepting), greaterThanOrEqualTo(0L));
         cluster.advance(2 * SECOND);
@@ -152,7 +153,7 @@
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void gatewaysOutOfTouchAcceptNoRevokedKeys(final Fault fault) {
+    void isolatedGatewaysAcceptNoRevokedKeys(final Fault fault) {
         for (int seed = 0; seed < SEEDS; seed++) {
             assertNoRevokedKeyIsAccepted(fault, 200 + seed, List.of("g0", "g2"));
         }
@@ -160,7 +161,7 @@
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void gatewaysBesideAControllerOutOfTouchAcceptNoRevokedKeys(final Fault fault) {
+    void gatewaysNextToAnIsolatedControllerAcceptNoRevokedKeys(final Fault fault) {
         for (int seed = 0; seed < SEEDS; seed++) {
             assertNoRevokedKeyIsAccepted(fault, 300 + seed, List.of("c" + seed % 3, "g0", "g2"));
         }
@@ -170,15 +171,15 @@
     @EnumSource(
             value = Fault.class,
             names = {"CUT", "DEAF", "MUTE"})
-    void withoutTheLeaseRevokedKeysAreAcceptedOutOfTouch(final Fault fault) {
+    void withoutTheRevocationLeaseIsolatedGatewaysAcceptRevokedKeys(final Fault fault) {
         final NodeCluster cluster = cluster(200);
         final KeyMonitor keys = watch(cluster, WITHOUT_LEASE);
-        revokeWhile(cluster, fault, List.of("g0", "g2"), 1);
+        revokeKeysDuringFault(cluster, fault, List.of("g0", "g2"), 1);
         assertThat(keys.violations(), not(empty()));
     }
 
     @Test
-    void withoutTheLeaseRevokedKeysAreAcceptedBySavedConfigurations() {
+    void withoutTheRevocationLeaseSavedConfigurationsAcceptRevokedKeys() {
         final NodeCluster cluster = cluster(500);
         final KeyMonitor keys = watch(cluster, WITHOUT_LEASE);
         cluster.powerOff("g0");
@@ -190,7 +191,7 @@
         assertThat(keys.violations(), not(empty()));
     }
 
-    /** The first two reach no controller, only gateways that do, and then nobody. */
+    /** The first two gateways can reach only gateways that are in contact with controllers, and later no machine at all. */
     @Test
     void gatewaysThatReachOnlyGatewaysAcceptNoRevokedKeys() {
         for (int seed = 0; seed < SEEDS; seed++) {
@@ -211,9 +212,9 @@
         }
     }
 
-    /** Those that come back first have old configurations, some of them on disk; the keys are revoked while they are without power. */
+    /** The machines that restart first have outdated configurations, some of them on disk: the keys were revoked while they had no power. */
     @Test
-    void machinesThatComeBackWithSavedConfigurationsAcceptNoRevokedKeys() {
+    void machinesRestartedWithSavedConfigurationsAcceptNoRevokedKeys() {
         for (int seed = 0; seed < SEEDS; seed++) {
             final NodeCluster cluster = cluster(500 + seed);
             final KeyMonitor keys = watch(cluster);
@@ -237,14 +238,14 @@
     }
 
     @Test
-    void steppedWallClocksNeitherProlongNorEndALease() {
+    void wallClockStepsNeitherExtendNorEndALease() {
         for (int seed = 0; seed < SEEDS; seed++) {
             final NodeCluster cluster = cluster(600 + seed);
             final KeyMonitor keys = watch(cluster);
             final long by = (seed % 2 == 0 ? 1 : -1) * (seed + 1) * 7 * SECOND;
             List.of("c0", "g0", "g1").forEach(name -> cluster.stepWallClock(name, by));
             cluster.advance(5 * SECOND);
-            assertThat(keys.drainLongestRefusal(), is(0L));
+            assertThat(keys.drainLongestRejectionMicros(), is(0L));
             cluster.links().partition(List.of("g0"), allBut(cluster, List.of("g0")));
             for (int number = 2; number < 12; number++) {
                 acknowledge(cluster, cluster.controllers(), number, 5 * SECOND);
@@ -255,7 +256,7 @@
     }
 
     @Test
-    void aGatewayThatStartsLateAcceptsKeysByTheNewestConfigurationOnly() {
+    void gatewayStartedLateAcceptsKeysOnlyByTheNewestConfiguration() {
         for (int seed = 0; seed < SEEDS; seed++) {
             final NodeCluster cluster = cluster(700 + seed);
             final KeyMonitor keys = watch(cluster);
@@ -271,7 +272,7 @@
     }
 
     @Test
-    void aShortCutRefusesKeysForLittleMoreThanItsLengthLessTheLease() {
+    void shortPartitionRejectsKeysForLittleMoreThanItsDurationMinusTheLease() {
         final long cut = 6 * SECOND;
         for (int seed = 0; seed < SEEDS; seed++) {
             final NodeCluster cluster = cluster(800 + seed);
@@ -283,12 +284,12 @@
             cluster.links().heal();
             assertThat(cluster.advanceUntil(SECOND, keys::areAllAccepting), greaterThanOrEqualTo(0L));
             cluster.advance(5 * SECOND);
-            assertThat(keys.drainLongestRefusal(), lessThanOrEqualTo(cut - LEASE + SECOND));
+            assertThat(keys.drainLongestRejectionMicros(), lessThanOrEqualTo(cut - LEASE + SECOND));
         }
     }
 
     @Test
-    void afterALossOfAllPowerKeysAreAcceptedSoonAfterControllersAreUp() {
+    void afterAFullOutageKeysAreAcceptedSoonAfterControllersAreUp() {
         for (int seed = 0; seed < SEEDS; seed++) {
             final NodeCluster cluster = cluster(900 + seed);
             final KeyMonitor keys = watch(cluster);
--- a/core/src/test/java/silverlatch/node/SimulatedClock.java
+++ b/core/src/test/java/silverlatch/node/SimulatedClock.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
 
-/** A clock that stands still between scheduled jobs; jobs of one moment run in the order in which they were scheduled. */
+/** A simulated clock that runs scheduled jobs; its time doesn't change while a job runs. Jobs due at the same time run in scheduling order. */
 final class SimulatedClock {
     private static final long POLL_INTERVAL = 10_000;
     private final PriorityQueue<Scheduled> queue =
@@ -24,7 +24,7 @@
         queue.add(new Scheduled(time, scheduled++, job));
     }
 
-    /** Runs a job now and after each such time. */
+    /** Runs a job now and then repeatedly at the given interval, in microseconds. */
     void every(final long interval, final Runnable job) {
         job.run();
         schedule(now + interval, () -> every(interval, job));
@@ -40,7 +40,7 @@
         now = end;
     }
 
-    /** Passes time until something holds; returns how long that took, or -1 where it didn't come within the limit. */
+    /** Advances time until a condition holds; returns the elapsed time in microseconds, or -1 if the limit was exceeded. */
     long advanceUntil(final long limit, final BooleanSupplier condition) {
         final long from = now;
         while (!condition.getAsBoolean()) {
--- a/core/src/test/java/silverlatch/node/TenantPropagationTest.java
+++ b/core/src/test/java/silverlatch/node/TenantPropagationTest.java
@@ -14,7 +14,7 @@
 import silverlatch.state.Command;
 import silverlatch.util.Digests;
 
-/** How the tenants of a configuration reach gateways; whole nodes on a simulated clock. */
+/** Checks that gateways always apply routes and tenant keys of the same configuration; complete nodes on a simulated clock. */
 final class TenantPropagationTest {
     private static final long STEP = 20_000L;
     private static final String FIRST_KEY = Digests.sha256Hex("first");
@@ -31,8 +31,8 @@
                 cluster.node(gateway).clusterSnapshot().policy());
     }
 
-    /** Routes and keys of one configuration are followed from one moment on, at each gateway that runs. */
-    private static void assertKeysFitRoutes(final NodeCluster cluster, final List<String> gateways) {
+    /** Asserts that each running gateway uses the keys that belong to the configuration by which it routes. */
+    private static void assertKeysMatchRoutes(final NodeCluster cluster, final List<String> gateways) {
         for (final String gateway : gateways) {
             final long number = cluster.servedRevision(gateway);
             final List<String> expected = number == 0 ? List.of() : List.of(number == 1 ? FIRST_KEY : SECOND_KEY);
@@ -41,17 +41,17 @@
     }
 
     @Test
-    void aKeyThatWasTakenAwayIsGoneWithTheRoutesOfItsConfigurationAndStaysSoOverAStart() {
+    void revokedKeyDisappearsTogetherWithItsRoutesAndStaysRevokedAfterARestart() {
         for (int seed = 0; seed < 6; seed++) {
             final NodeCluster cluster = new NodeCluster(3, 4, 60 + seed);
             acknowledge(cluster, Configurations.withTenant(1, 0, FIRST_KEY));
             assertThat(cluster.advanceUntil(PROPAGATION_LIMIT, () -> allServe(cluster, 1)), greaterThanOrEqualTo(0L));
-            assertKeysFitRoutes(cluster, cluster.gateways());
+            assertKeysMatchRoutes(cluster, cluster.gateways());
             cluster.kill("g0");
             acknowledge(cluster, Configurations.withTenant(2, 1, SECOND_KEY));
             final List<String> running = List.of("g1", "g2", "g3");
             for (long passed = 0; passed < PROPAGATION_LIMIT; passed += STEP) {
-                assertKeysFitRoutes(cluster, running);
+                assertKeysMatchRoutes(cluster, running);
                 cluster.advance(STEP);
             }
             assertThat(running.stream().allMatch(gateway -> cluster.servedRevision(gateway) == 2), is(true));
@@ -59,7 +59,7 @@
             cluster.kill(lost);
             cluster.start("g0", others(cluster, lost));
             for (long passed = 0; passed < PROPAGATION_LIMIT; passed += STEP) {
-                assertKeysFitRoutes(cluster, List.of("g0"));
+                assertKeysMatchRoutes(cluster, List.of("g0"));
                 cluster.advance(STEP);
             }
             assertThat(cluster.servedRevision("g0"), is(2L));
--- a/core/src/test/java/silverlatch/node/UsageCluster.java
+++ b/core/src/test/java/silverlatch/node/UsageCluster.java
@@ -21,9 +21,9 @@
 import silverlatch.util.Digests;
 
 /**
- * Whole nodes whose gateways count usage and whose controllers report it to a provider, as {@code ProviderCaller} does: one call at a
- * time, after a tenure, repeated while its outcome isn't known. A call takes a while in both directions, may be lost in either, and that of a
- * frozen process leaves when it is thawed.
+ * A cluster of complete nodes whose gateways count usage and whose controllers report it to a provider, as {@code ProviderCaller} does: one
+ * call at a time, after a minimum tenure as owner, and retried while the outcome isn't known. Requests and responses of a call are delayed and
+ * may be lost; a call of a paused process is sent when the process resumes.
  */
 final class UsageCluster {
     static final long WINDOW = 5 * SECOND;
@@ -59,7 +59,7 @@
                 Configurations.configuration("tenants", 2, -1), true, List.of(tenant), List.of(), List.of());
     }
 
-    /** What a process does at its start. */
+    /** Connects a newly started process to its usage counter or provider caller. */
     private void attach(final String name) {
         final Node node = cluster.node(name);
         if (name.startsWith("c")) {
@@ -82,13 +82,13 @@
         return provider;
     }
 
-    /** The requests that began in each window, by tenant, as they happened. */
+    /** Returns the true number of requests started in each window, by tenant. */
     Map<Long, Map<String, Long>> counted() {
         return counted;
     }
 
-    /** So many of a hundred calls are lost on the way there, and as many responses on the way back. */
-    void loseCalls(final int percent) {
+    /** Sets the percentage of calls that are lost, which is also the percentage of lost responses. */
+    void setCallLossPercent(final int percent) {
         lossPercent = percent;
     }
 
@@ -113,7 +113,7 @@
         cluster.thaw(name);
     }
 
-    /** Who owns the singleton role by a view that a majority of the controllers knows. */
+    /** Returns the owner of the singleton role according to most of the running controllers. */
     String owner() {
         final Map<String, Integer> votes = new HashMap<>();
         callers.keySet().stream()
@@ -129,22 +129,22 @@
         return UNIX_START + cluster.now();
     }
 
-    long present() {
+    long currentWindow() {
         return schedule.windowAt(unixMicros());
     }
 
-    /** Passes time, in which a request begins at each gateway ten times a second. */
+    /** Advances time; each gateway starts ten requests a second on average. */
     void advance(final long duration) {
         for (final long end = cluster.now() + duration; cluster.now() < end; ) {
             cluster.advance(STEP);
-            counters.keySet().stream().filter(name -> !frozen.contains(name)).forEach(this::beginRequests);
+            counters.keySet().stream().filter(name -> !frozen.contains(name)).forEach(this::startRequests);
             List.copyOf(callers.values()).forEach(Caller::step);
-            checkOneOwner();
+            checkAtMostOneOwner();
         }
     }
 
-    /** Also one whose process is frozen: it may look at its lease right after it is thawed. */
-    private void checkOneOwner() {
+    /** Checks that at most one controller holds a fencing token. Includes paused processes: they may check their lease right after resuming. */
+    private void checkAtMostOneOwner() {
         final List<String> owners = callers.keySet().stream()
                 .filter(name -> cluster.node(name)
                         .chainReplica()
@@ -156,16 +156,16 @@
         }
     }
 
-    private void beginRequests(final String gateway) {
+    private void startRequests(final String gateway) {
         if (random.nextInt(5) == 0) {
             final String tenant = "tenant-" + random.nextInt(3);
             counters.get(gateway).count(tenant, cluster.now());
-            counted.computeIfAbsent(present(), window -> new TreeMap<>()).merge(tenant, 1L, Long::sum);
+            counted.computeIfAbsent(currentWindow(), window -> new TreeMap<>()).merge(tenant, 1L, Long::sum);
         }
     }
 
-    /** Passes time until somebody acts; returns who. */
-    String awaitAct() {
+    /** Advances time until the provider receives a call; returns the holder of the last accepted call. */
+    String awaitProviderCall() {
         final int calls = provider.calls();
         while (provider.calls() == calls) {
             advance(STEP);
@@ -173,7 +173,7 @@
         return provider.lastHolder().orElseThrow();
     }
 
-    /** The caller of one process; a restarted process has another one. */
+    /** The provider caller of one process; a restarted process gets a new one. */
     private final class Caller {
         private final String name;
         private final SingletonTenure tenure = new SingletonTenure(TENURE);
@@ -209,7 +209,7 @@
         }
     }
 
-    /** A call on its way, looked at by its caller; a frozen caller's call leaves late. */
+    /** A call in flight. Its caller polls it, so the call of a paused process is delivered late. */
     private final class Call {
         private final Caller caller;
         private final long token;
@@ -244,7 +244,7 @@
         }
     }
 
-    /** The windows that began and fell due while the cluster ran, and were not reported. */
+    /** Returns the windows from one number (inclusive) to another (exclusive) that were not reported. */
     List<Long> missing(final long from, final long until) {
         final List<Long> missing = new ArrayList<>();
         for (long window = from; window < until; window++) {
--- a/core/src/test/java/silverlatch/node/UsageReportingTest.java
+++ b/core/src/test/java/silverlatch/node/UsageReportingTest.java
@@ -17,12 +17,15 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.state.Value;
 
-/** Usage from gateways through the chain to the provider; whole nodes on a simulated clock, with faults at each step. */
+/**
+ * Guards against usage windows that are lost, reported twice with different counts, or reported late when gateways, owners or provider calls
+ * fail. The test runs complete nodes on a simulated clock, from the gateways through the chain to the provider.
+ */
 final class UsageReportingTest {
     private static final long UNIX_OFFSET = 1_700_000_000_000_000L;
 
-    /** A cluster that has reported its first windows; the next one has just begun. */
-    private static UsageCluster reporting(final int controllers, final int gateways, final long seed) {
+    /** Returns a cluster that has already reported its first windows, at the beginning of the next window. */
+    private static UsageCluster startReporting(final int controllers, final int gateways, final long seed) {
         final UsageCluster cluster = new UsageCluster(controllers, gateways, seed);
         cluster.advance(3 * WINDOW);
         while (cluster.unixMicros() % WINDOW > 50_000) {
@@ -70,9 +73,9 @@
     }
 
     @Test
-    void onAQuietDayEachWindowIsReportedOnceWithTheTrueCountsSoonAfterItsEnd() {
-        final UsageCluster cluster = reporting(3, 4, 1);
-        final long from = cluster.present();
+    void withoutFaultsEachWindowIsReportedOnceWithExactCountsSoonAfterItsEnd() {
+        final UsageCluster cluster = startReporting(3, 4, 1);
+        final long from = cluster.currentWindow();
         final int calls = cluster.provider().calls();
         cluster.advance(10 * WINDOW + 2 * SECOND);
         assertExact(cluster, from, from + 10);
@@ -84,11 +87,11 @@
     }
 
     @Test
-    void anOwnerThatIsKilledRightAfterItActedIsSucceededInTimeAndNothingIsReportedDifferently() {
+    void ownerKilledRightAfterACallIsReplacedInTimeAndCountsStayTheSame() {
         for (int seed = 0; seed < 6; seed++) {
-            final UsageCluster cluster = reporting(3, 4, 10 + seed);
-            final long from = cluster.present();
-            final String victim = cluster.awaitAct();
+            final UsageCluster cluster = startReporting(3, 4, 10 + seed);
+            final long from = cluster.currentWindow();
+            final String victim = cluster.awaitProviderCall();
             cluster.advance(seed * 20_000L);
             cluster.kill(victim);
             cluster.advance(3 * SECOND + seed * 400_000L);
@@ -101,10 +104,10 @@
     }
 
     @Test
-    void aFrozenOwnerThatIsThawedWithACallUnderWayChangesNothing() {
+    void pausedOwnerThatResumesWithACallInFlightChangesNothing() {
         for (int seed = 0; seed < 6; seed++) {
-            final UsageCluster cluster = reporting(3, 4, 30 + seed);
-            final long from = cluster.present();
+            final UsageCluster cluster = startReporting(3, 4, 30 + seed);
+            final long from = cluster.currentWindow();
             final String victim = cluster.owner();
             cluster.advance(WINDOW + seed * 200_000L);
             cluster.freeze(victim);
@@ -117,10 +120,10 @@
     }
 
     @Test
-    void anOwnerThatIsCutOffFromTheOthersButNotFromTheProviderActsNoMore() {
+    void ownerIsolatedFromItsPeersButNotFromTheProviderMakesNoMoreCalls() {
         for (int seed = 0; seed < 4; seed++) {
-            final UsageCluster cluster = reporting(3, 4, 50 + seed);
-            final long from = cluster.present();
+            final UsageCluster cluster = startReporting(3, 4, 50 + seed);
+            final long from = cluster.currentWindow();
             final String victim = cluster.owner();
             cluster.advance(seed * SECOND);
             if (seed % 2 == 0) {
@@ -138,22 +141,22 @@
     }
 
     @Test
-    void aWindowThatIsNotReportedWhileTheProviderLosesCallsIsReportedInTheEnd() {
-        final UsageCluster cluster = reporting(3, 3, 70);
-        final long from = cluster.present();
-        cluster.loseCalls(60);
+    void windowIsEventuallyReportedAfterCallsToTheProviderWereLost() {
+        final UsageCluster cluster = startReporting(3, 3, 70);
+        final long from = cluster.currentWindow();
+        cluster.setCallLossPercent(60);
         cluster.advance(4 * WINDOW);
         cluster.kill(cluster.owner());
         cluster.advance(2 * WINDOW);
-        cluster.loseCalls(0);
+        cluster.setCallLossPercent(0);
         cluster.advance(4 * WINDOW);
         assertExact(cluster, from, from + 8);
     }
 
     @Test
-    void aGatewayThatIsCutOffThroughTheEndOfAWindowStillCounts() {
-        final UsageCluster cluster = reporting(3, 4, 80);
-        final long from = cluster.present();
+    void usageOfAGatewayIsolatedAtTheEndOfAWindowIsReported() {
+        final UsageCluster cluster = startReporting(3, 4, 80);
+        final long from = cluster.currentWindow();
         cluster.advance(2 * SECOND);
         cluster.nodes().links().partition(List.of("g0"), others(cluster, "g0"));
         cluster.advance(6 * SECOND);
@@ -164,25 +167,25 @@
     }
 
     @Test
-    void aGatewayThatDiesLosesTheCountsOfItsLastSecondOnlyAndMayComeBackInTheSameWindow() {
-        final UsageCluster cluster = reporting(3, 4, 90);
-        final long from = cluster.present();
+    void killedGatewayLosesOnlyTheCountsOfItsLastSecondAndMayRestartInTheSameWindow() {
+        final UsageCluster cluster = startReporting(3, 4, 90);
+        final long from = cluster.currentWindow();
         cluster.advance(2 * SECOND);
         cluster.kill("g0");
         cluster.advance(SECOND);
         cluster.start("g0");
         cluster.advance(5 * WINDOW);
         final long lost = sum(cluster.counted().get(from)) - sum(reported(cluster, from));
-        assertThat("some ten requests a second begin there", lost, is(lessThanOrEqualTo(20L)));
+        assertThat("the gateway starts about ten requests a second", lost, is(lessThanOrEqualTo(20L)));
         assertThat(lost, is(greaterThanOrEqualTo(0L)));
         assertExact(cluster, from + 1, from + 3);
         assertInTime(cluster, from, from + 3);
     }
 
     @Test
-    void aGatewayThatStopsGracefullyLosesNothing() {
-        final UsageCluster cluster = reporting(3, 4, 95);
-        final long from = cluster.present();
+    void gracefullyStoppedGatewayLosesNoCounts() {
+        final UsageCluster cluster = startReporting(3, 4, 95);
+        final long from = cluster.currentWindow();
         cluster.advance(2 * SECOND);
         cluster.nodes().node("g0").leave(cluster.nodes().now());
         cluster.nodes().advance(100_000);
@@ -192,9 +195,9 @@
     }
 
     @Test
-    void withoutAMajorityNothingIsClosedAndAfterwardsAllIs() {
-        final UsageCluster cluster = reporting(3, 3, 100);
-        final long from = cluster.present();
+    void windowsAreClosedOnlyAfterTheMajorityReturns() {
+        final UsageCluster cluster = startReporting(3, 3, 100);
+        final long from = cluster.currentWindow();
         cluster.kill("c1");
         cluster.kill("c2");
         cluster.advance(6 * WINDOW);
@@ -204,27 +207,27 @@
         assertExact(cluster, from, from + 8);
     }
 
-    /** Owners die, freeze, are cut off and come back at any moment, also several in a row within one lease. */
+    /** Owners are killed, paused, isolated and restarted at random times, also several of them within one lease. */
     @Test
-    void whateverHappensToOwnersTheProviderSeesOneHolderATokenAndOneReportAWindow() {
+    void providerSeesOneHolderPerTokenAndOneReportPerWindowUnderRandomFaults() {
         for (int seed = 0; seed < 12; seed++) {
-            final UsageCluster cluster = reporting(5, 3, 200 + seed);
+            final UsageCluster cluster = startReporting(5, 3, 200 + seed);
             final SplittableRandom random = new SplittableRandom(seed);
-            final long from = cluster.present();
-            cluster.loseCalls(20);
+            final long from = cluster.currentWindow();
+            cluster.setCallLossPercent(20);
             for (int fault = 0; fault < 8; fault++) {
-                disturbOwner(cluster, random);
+                injectOwnerFault(cluster, random);
             }
-            cluster.loseCalls(0);
-            final long until = cluster.present();
+            cluster.setCallLossPercent(0);
+            final long until = cluster.currentWindow();
             cluster.advance(5 * WINDOW);
             assertThat("seed " + seed, cluster.provider().violations(), is(empty()));
             assertThat("seed " + seed, cluster.missing(from, until), is(empty()));
-            cluster.provider().reports().forEach((window, counts) -> assertNotMore(cluster, window, counts));
+            cluster.provider().reports().forEach((window, counts) -> assertNotMoreThanCounted(cluster, window, counts));
         }
     }
 
-    private static void assertNotMore(
+    private static void assertNotMoreThanCounted(
             final UsageCluster cluster, final long window, final List<Value.TenantCount> counts) {
         counts.forEach(count -> assertThat(
                 "window " + window,
@@ -232,7 +235,7 @@
                 is(lessThanOrEqualTo(cluster.counted().get(window).get(count.tenant())))));
     }
 
-    private static void disturbOwner(final UsageCluster cluster, final SplittableRandom random) {
+    private static void injectOwnerFault(final UsageCluster cluster, final SplittableRandom random) {
         final String owner = cluster.owner();
         final long duration = random.nextLong(4 * SECOND);
         switch (random.nextInt(4)) {
@@ -252,7 +255,7 @@
                 cluster.nodes().links().heal();
             }
             default -> {
-                cluster.awaitAct();
+                cluster.awaitProviderCall();
                 cluster.nodes().links().partitionOneWay(others(cluster, owner), List.of(owner));
                 cluster.advance(duration);
                 cluster.nodes().links().heal();
--- a/core/src/test/java/silverlatch/wire/CodecCompatibilityTest.java
+++ b/core/src/test/java/silverlatch/wire/CodecCompatibilityTest.java
@@ -24,8 +24,9 @@
 import silverlatch.state.Value;
 
 /**
- * Data folders of format 2 are read, whatever was added since (folders of format 1 are refused). The fixture holds one
- * record of each kind; with {@code -Dsilverlatch.fixture=FILE} the records are written to a file anew.
+ * Guards against changes that make existing data directories unreadable: records of log format 2 must still be decoded after
+ * new types were added (directories of format 1 are rejected). The fixture holds at least one record of each type; with {@code
+ * -Dsilverlatch.fixture=FILE} the test writes the current records to a file.
  */
 final class CodecCompatibilityTest {
     private static final String FIXTURE = "log-records-format-2.txt";
@@ -48,7 +49,7 @@
                 List.of(new Value.WeightedBackend("pool", 6)));
     }
 
-    /** One entry with a value of each type, and a deleted one. */
+    /** Returns one entry for each value type of the first version of the format, and a deleted entry. */
     private static List<Entry> entries() {
         final List<Value> values = List.of(
                 new Value.Tenant("acme", List.of("attica"), 0.5, "hash", "salt"),
@@ -85,13 +86,13 @@
                 new LogRecord.Accepted(8, 22, view),
                 new LogRecord.InitialViewAgreed(view),
                 new LogRecord.Batch(List.of(appended, new LogRecord.Promised(8, 23))),
-                new LogRecord.Appended(new LogEntry(17, 7, new Stamp(24), laterEntries())),
+                new LogRecord.Appended(new LogEntry(17, 7, new Stamp(24), entriesOfAddedTypes())),
                 new LogRecord.Appended(new LogEntry(
                         18, 7, new Stamp(31), List.of(new Entry("key-25", 18, List.of(new Value.UsageReported(32)))))));
     }
 
-    /** One entry with a value of each type that came after the first records of this format. */
-    private static List<Entry> laterEntries() {
+    /** Returns one entry for most value types that were added after the first records of this format. */
+    private static List<Entry> entriesOfAddedTypes() {
         return List.of(
                 new Entry("key-20", 17, List.of(new Value.AccessControl(true))),
                 new Entry("key-21", 17, List.of(new Value.PublicRoute("host", "/path/"))),
@@ -105,7 +106,7 @@
     }
 
     @Test
-    void recordsOfAnOlderVersionAreRead() throws IOException {
+    void decodesRecordsOfOlderVersions() throws IOException {
         final Codec codec = Codec.forLog();
         final String file = System.getProperty("silverlatch.fixture", "");
         if (!file.isEmpty()) {
@@ -119,15 +120,15 @@
             final List<LogRecord> read = new String(in.readAllBytes(), StandardCharsets.US_ASCII)
                     .lines()
                     .map(line -> codec.decode(Base64.getDecoder().decode(line), LogRecord.class))
-                    .map(r -> r instanceof Codec.DecodeResult.Decoded<LogRecord> good ? good.value() : null)
+                    .map(r -> r instanceof Codec.DecodeResult.Decoded<LogRecord> decoded ? decoded.value() : null)
                     .toList();
             assertThat(read, is(records()));
         }
     }
 
-    /** Types are numbered by hand, since compilers differ in the order of permitted types; none may be left out. */
+    /** Type numbers are assigned by hand, since compilers differ in the order of permitted types; no type may be missing. */
     @Test
-    void everyTypeOfRecordAndValueHasANumber() {
+    void everyRecordAndValueTypeHasATypeNumber() {
         final Set<Class<?>> numbered =
                 Codec.logTypes().values().stream().flatMap(List::stream).collect(Collectors.toSet());
         final Set<Class<?>> all = new HashSet<>(List.of(LogRecord.class.getPermittedSubclasses()));
--- a/core/src/test/java/silverlatch/wire/CodecPoolTest.java
+++ b/core/src/test/java/silverlatch/wire/CodecPoolTest.java
@@ -15,13 +15,14 @@
 import silverlatch.clock.Stamp;
 import silverlatch.replication.Replica;
 
+/** Checks that codecs are reused, also after malformed input, and never used by two threads at once. */
 final class CodecPoolTest {
     private static final int THREADS = 8;
     private static final int FRAMES = 200;
     private final CodecPool pool = new CodecPool();
 
     @Test
-    void oneThreadMakesOneCodecForAllItsFrames() {
+    void oneThreadReusesOneCodecForAllFrames() {
         for (int i = 0; i < FRAMES; i++) {
             roundTrip(i);
         }
@@ -29,7 +30,7 @@
     }
 
     @Test
-    void damagedBytesLeaveTheCodecUsable() {
+    void codecIsReusableAfterMalformedInput() {
         final byte[] bytes = pool.encode(frame(1));
         bytes[0] = 127;
         assertThat(pool.decode(bytes, Frame.class), instanceOf(Codec.DecodeResult.Malformed.class));
@@ -38,7 +39,7 @@
     }
 
     @Test
-    void threadsAtOnceNeverShareACodec() throws Exception {
+    void concurrentThreadsNeverShareACodec() throws Exception {
         final ExecutorService threads = Executors.newFixedThreadPool(THREADS);
         final List<Callable<Boolean>> tasks = new ArrayList<>();
         for (int t = 0; t < THREADS; t++) {
@@ -57,7 +58,7 @@
         final int before = pool.createdCount();
         assertThat(before, lessThanOrEqualTo(THREADS * FRAMES));
         roundTrip(1);
-        assertThat("an idle codec is taken before a new one is made", pool.createdCount(), is(before));
+        assertThat("an idle codec is reused before a new one is created", pool.createdCount(), is(before));
     }
 
     private void roundTrip(final int number) {
--- a/core/src/test/java/silverlatch/wire/FrameCompatibilityTest.java
+++ b/core/src/test/java/silverlatch/wire/FrameCompatibilityTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Daemons of two versions understand each other during a rolling upgrade: the bytes of every type of frame are those of
- * version 0.1.0, whatever its types and components are called since. The fixture was written by that version; with
- * {@code -Dsilverlatch.frames=FILE} the frames of this one are written to a file.
+ * Guards against changes of the wire format, which would break communication between nodes of two versions during a rolling
+ * upgrade. Every frame type must have the same bytes as in version 0.1.0, even if types or components were renamed since. The
+ * fixture was written by that version; with {@code -Dsilverlatch.frames=FILE} the current frames are written to a file.
  */
 final class FrameCompatibilityTest {
     private static final String FIXTURE = "frames-0.1.0.txt";
@@ -33,19 +33,19 @@
     private final Codec codec = new Codec();
 
     @Test
-    void framesOfTheOlderVersionAreRead() throws IOException {
+    void decodesFramesOfTheOlderVersion() throws IOException {
         final List<Frame> read = fixture().stream()
                 .map(line -> codec.decode(Base64.getDecoder().decode(line), Frame.class))
-                .map(result -> result instanceof Codec.DecodeResult.Decoded<Frame> good ? good.value() : null)
+                .map(result -> result instanceof Codec.DecodeResult.Decoded<Frame> decoded ? decoded.value() : null)
                 .toList();
-        // Arrays in records compare by identity, so frames are compared by what they write.
+        // Arrays in records are compared by identity, so the test compares the encoded frames.
         assertThat(
                 read.stream().map(frame -> encoded(frame)).toList(),
                 is(FrameSamples.frames().stream().map(frame -> encoded(frame)).toList()));
     }
 
     @Test
-    void framesAreWrittenAsTheOlderVersionDid() throws IOException {
+    void encodesFramesLikeTheOlderVersion() throws IOException {
         final List<String> written =
                 FrameSamples.frames().stream().map(frame -> encoded(frame)).toList();
         final String file = System.getProperty("silverlatch.frames", "");
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void everyRecordThatAFrameCanHoldHasAWireType() {
+    void everyRecordInFramesHasAWireType() {
         final Set<Class<?>> known =
                 WireTypes.ofFrames().stream().map(WireTypes.WireType::type).collect(Collectors.toSet());
         final Set<Class<?>> missing = new HashSet<>(reachable(Frame.class));
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void everyMessageIsAmongTheSamples() {
+    void samplesCoverEveryMessageType() {
         final Set<Class<?>> sampled = FrameSamples.frames().stream()
                 .map(frame -> frame.body().getClass())
                 .collect(Collectors.toSet());
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void wireTypesWriteEachComponentOnceUnderANumberOfTheirOwn() {
+    void wireTypesHaveUniqueNumbersAndWriteEachComponentOnce() {
         final List<WireTypes.WireType> types = WireTypes.ofFrames();
         assertThat(types.stream().map(WireTypes.WireType::number).distinct().count(), is((long) types.size()));
         for (final WireTypes.WireType type : types) {
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Returns the records that are permitted under a sealed type, at any depth. */
+    /** Returns the record types permitted by a sealed type, directly or indirectly. */
     private static Set<Class<?>> records(final Class<?> type) {
         if (type.isRecord()) {
             return Set.of(type);
@@ -109,20 +109,20 @@
                 .collect(Collectors.toSet());
     }
 
-    /** Returns all records of the project that a value of the type can hold, itself among them. */
+    /** Returns all of the project's record types that a value of the type can contain, including the type itself. */
     private static Set<Class<?>> reachable(final Class<?> start) {
         final Set<Class<?>> found = new HashSet<>();
-        final Deque<Class<?>> open = new ArrayDeque<>(List.of(start));
-        while (!open.isEmpty()) {
-            final Class<?> type = open.poll();
+        final Deque<Class<?>> pending = new ArrayDeque<>(List.of(start));
+        while (!pending.isEmpty()) {
+            final Class<?> type = pending.poll();
             if (!type.getName().startsWith("silverlatch") || !found.add(type)) {
                 continue;
             }
             if (type.isSealed()) {
-                open.addAll(Arrays.asList(type.getPermittedSubclasses()));
+                pending.addAll(Arrays.asList(type.getPermittedSubclasses()));
             } else {
                 for (final RecordComponent component : type.getRecordComponents()) {
-                    open.addAll(classes(component.getGenericType()));
+                    pending.addAll(classes(component.getGenericType()));
                 }
             }
         }
--- a/core/src/test/java/silverlatch/wire/FrameSamples.java
+++ b/core/src/test/java/silverlatch/wire/FrameSamples.java
@@ -15,7 +15,7 @@
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
 
-/** One message of each type, with different values in all components, for the tests of the wire format. */
+/** Sample frames for the tests of the wire format: at least one message of each type, with distinct component values. */
 final class FrameSamples {
     private static final Replica ONE = new Replica("id-a", "10.0.0.1:1");
     private static final Replica TWO = new Replica("id-b", "10.0.0.2:1");
@@ -64,14 +64,14 @@
 
     private FrameSamples() {}
 
-    /** Returns the frames, each with a message of another type or with another command, result or value in it. */
+    /** Returns the frames; they cover every message type, command, result and value. */
     static List<Frame> frames() {
         final List<Message> messages = new ArrayList<>();
         messages.addAll(membershipAndGossip());
         messages.addAll(replication());
         commands().forEach(command -> messages.add(new ChainClientMessage.WriteRequest(51, "10.0.0.3:1", command)));
         results().forEach(result -> messages.add(new ChainClientMessage.WriteReply(52, result)));
-        messages.addAll(laterThanTheFirstVersion());
+        messages.addAll(addedInLaterVersions());
         final List<Frame> frames = new ArrayList<>();
         for (int i = 0; i < messages.size(); i++) {
             frames.add(new Frame(new Stamp(1_000 + i), 99, "daemon", "10.0.0.9:1", 53, messages.get(i)));
@@ -80,10 +80,10 @@
     }
 
     private static List<Message> membershipAndGossip() {
-        final ReportVersion mark = new ReportVersion("worker-1", 61, 62);
-        final GossipMessage.PullContent whole = new GossipMessage.PullContent.FullContent(
+        final ReportVersion version = new ReportVersion("worker-1", 61, 62);
+        final GossipMessage.PullContent fullContent = new GossipMessage.PullContent.FullContent(
                 List.of(new GossipMessage.ReportAge("worker-1", 63, 64, 65)), List.of(WORKER), List.of(MEMBER));
-        final GossipMessage.PullContent brief = new GossipMessage.PullContent.DigestContent(
+        final GossipMessage.PullContent digestContent = new GossipMessage.PullContent.DigestContent(
                 66,
                 List.of(new GossipMessage.RangeDigests(new long[] {67, 68}, new long[] {69})),
                 List.of(new GossipMessage.HeartbeatAges(70, new long[] {71})));
@@ -93,18 +93,18 @@
                 new MembershipMessage.Heartbeat(MEMBER),
                 new MembershipMessage.LivenessHeartbeat("gateway-1", 76),
                 new GossipMessage.GossipPush(List.of(MEMBER), List.of(WORKER), List.of(REPORT), 77),
-                new GossipMessage.GossipPull(78, 79, 80, List.of(mark), 81, 82),
-                new GossipMessage.GossipPullReply(83, 84, 85, 86, entries(), List.of(VIEW), whole),
-                new GossipMessage.GossipPullReply(87, 88, 89, 90, List.of(), List.of(), brief),
+                new GossipMessage.GossipPull(78, 79, 80, List.of(version), 81, 82),
+                new GossipMessage.GossipPullReply(83, 84, 85, 86, entries(), List.of(VIEW), fullContent),
+                new GossipMessage.GossipPullReply(87, 88, 89, 90, List.of(), List.of(), digestContent),
                 new GossipMessage.ReportVersions(
-                        91, 92, 93, List.of(mark), List.of(new ReportVersion("gateway-1", 94, 95))),
+                        91, 92, 93, List.of(version), List.of(new ReportVersion("gateway-1", 94, 95))),
                 new GossipMessage.MissingReports(
                         96, List.of(REPORT), List.of(MEMBER), List.of("worker-2"), List.of("gateway-2")),
                 new Message.StampRejected(97, 98));
     }
 
     private static List<Message> replication() {
-        final LogEntry change = new LogEntry(101, 102, new Stamp(103), entries());
+        final LogEntry logEntry = new LogEntry(101, 102, new Stamp(103), entries());
         return List.of(
                 new ReplicationMessage.Discover(ONE, true, List.of(TWO)),
                 new ReplicationMessage.Bootstrap(VIEW),
@@ -118,7 +118,7 @@
                 new ReplicationMessage.Accept(117, 118, VIEW),
                 new ReplicationMessage.Accepted(119, 120, "id-b"),
                 new ReplicationMessage.Preempted(121, 122),
-                new ReplicationMessage.Replicate(123, List.of(change)),
+                new ReplicationMessage.Replicate(123, List.of(logEntry)),
                 new ReplicationMessage.ReplicateAck(124, "id-a", 125),
                 new ReplicationMessage.CommitNotice(126, 127),
                 new ReplicationMessage.CatchUpTarget(128, 129),
@@ -130,7 +130,7 @@
                         138,
                         139,
                         List.of(new ReplicationMessage.RangeEntries(140, entries())),
-                        List.of(change),
+                        List.of(logEntry),
                         new long[] {141}),
                 new ReplicationMessage.RepairPieceRequest(142, TWO, 143, 144),
                 new ReplicationMessage.JoinRequest(145, TWO, 146),
@@ -162,8 +162,8 @@
                 new CommandResult.Unknown("c1"));
     }
 
-    /** Messages, commands and values that came with later versions, in the order in which they came. */
-    private static List<Message> laterThanTheFirstVersion() {
+    /** Returns messages, commands and values that were added in later versions, in the order of their addition. */
+    private static List<Message> addedInLaterVersions() {
         final Command.PutConfiguration base =
                 new Command.PutConfiguration("c14", CONFIGURATION, List.of(ROUTE), List.of(POOL), "a text", 201);
         final Value.TenantAccess tenant =
--- a/core/src/test/java/silverlatch/wire/LogLayoutTest.java
+++ b/core/src/test/java/silverlatch/wire/LogLayoutTest.java
@@ -16,10 +16,10 @@
 import silverlatch.log.WriteAheadLog;
 
 /**
- * Holds the layout of data folders to the one that is written down for their format. A line is the number of a type and
- * the types of its components in the order in which they are written, another record as # and its number. Names aren't part
- * of the format; which component stands where is held by the fixtures of {@link CodecCompatibilityTest} and {@link
- * FrameCompatibilityTest}.
+ * Guards against unintended changes of the storage format: compares the layout of stored types with the layout recorded for
+ * the current format version. Each line is a type number and the types of the components in the order in which they are
+ * written; a numbered record type is shown as # and its number. Names aren't part of the format. Swapped components of the
+ * same type are detected by the fixtures of {@link CodecCompatibilityTest} and {@link FrameCompatibilityTest}.
  */
 final class LogLayoutTest {
     private final Map<Integer, Class<?>> types = new TreeMap<>();
@@ -34,9 +34,9 @@
         });
     }
 
-    /** Later versions read what is written here: a new type adds a line, any other change needs a new format. */
+    /** A new type adds a line to the recorded layout; any other change requires a new format version. */
     @Test
-    void theLayoutOfRecordsIsTheOneOfThisFormat() throws IOException {
+    void layoutMatchesTheRecordedLayoutOfThisFormatVersion() throws IOException {
         final String layout = types.entrySet().stream()
                 .map(entry -> entry.getKey() + " " + components(entry.getValue()))
                 .collect(Collectors.joining("\n"));
--- a/core/src/test/java/silverlatch/wire/SizesTest.java
+++ b/core/src/test/java/silverlatch/wire/SizesTest.java
@@ -10,19 +10,19 @@
 import silverlatch.gossip.WorkerReport;
 import silverlatch.membership.Member;
 
-/** The bytes of what is said again and again, with names and addresses as long as a large fleet has them. */
+/** Bounds the encoded size of frequent messages, with names and addresses as long as in a large fleet. */
 final class SizesTest {
-    private static final String HOME = "10.131.112.113:7001";
-    private static final Member ME = new Member(
-            "gateway-117", "gateway", "attica-3", "attica", HOME, "10.131.112.113:8001", 1L << 50, 4, "up", true);
+    private static final String ADDRESS = "10.131.112.113:7001";
+    private static final Member MEMBER = new Member(
+            "gateway-117", "gateway", "attica-3", "attica", ADDRESS, "10.131.112.113:8001", 1L << 50, 4, "up", true);
     private final Codec codec = new Codec();
 
     private int size(final Message body) {
-        return codec.encode(new Frame(new Stamp(1L << 60), 1L << 60, "gateway-117", HOME, 1L << 50, body)).length;
+        return codec.encode(new Frame(new Stamp(1L << 60), 1L << 60, "gateway-117", ADDRESS, 1L << 50, body)).length;
     }
 
     @Test
-    void aPullThatBringsNothingNewIsSmall() {
+    void pullWithoutChangesIsSmall() {
         assertThat(
                 size(new GossipMessage.GossipPull(1L << 40, 2_300, 9, List.of(), 1L << 62, 1L << 61)), lessThan(150));
         assertThat(
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void betweenHarborsTheAgesOfAThousandWorkersFitIntoSevenHundredBytes() {
+    void replyWithHeartbeatAgesOfAThousandWorkersIsBelow720Bytes() {
         assertThat(
                 size(new GossipMessage.GossipPullReply(
                         1L << 40,
@@ -55,9 +55,9 @@
     }
 
     @Test
-    void aBeatAndAWordAreSmall() {
-        assertThat(size(new MembershipMessage.Heartbeat(ME)), lessThan(200));
-        assertThat(size(new MembershipMessage.LivenessHeartbeat(ME.id(), ME.incarnation())), lessThan(100));
+    void heartbeatsAndPushOfOneReportAreSmall() {
+        assertThat(size(new MembershipMessage.Heartbeat(MEMBER)), lessThan(200));
+        assertThat(size(new MembershipMessage.LivenessHeartbeat(MEMBER.id(), MEMBER.incarnation())), lessThan(100));
         assertThat(
                 size(new GossipMessage.GossipPush(
                         List.of(),
