--- a/core/src/main/java/silverlatch/log/SnapshotFile.java
+++ b/core/src/main/java/silverlatch/log/SnapshotFile.java
@@ -72,6 +72,6 @@
         return LogFrame.read(input, codec)
                 .filter(type::isInstance)
                 .map(type::cast)
-                .orElseThrow(() -> new DamagedLogException("the next frame is not a valid " + type.getSimpleName()));
+                .orElseThrow(() -> new DamagedLogException("no valid " + type.getSimpleName() + " follows"));
     }
 }
