--- a/core/src/main/java/silverlatch/wire/CodecPool.java
+++ b/core/src/main/java/silverlatch/wire/CodecPool.java
@@ -5,54 +5,54 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Codecs shared by the threads of a process. A codec registers some hundred classes when it is made, which takes
- * milliseconds in a process that has just started, and it serves one thread at a time: connections borrow one for each
- * frame instead of owning one.
+ * A thread-safe pool of codecs. Creating a codec registers about a hundred classes, which takes milliseconds in a process
+ * that has just started, and a codec serves one thread at a time. So connections borrow a codec for each frame instead of
+ * owning one.
  */
 public final class CodecPool {
-    /** Idle codecs that are kept; more are made while more threads encode or decode at once, and dropped afterwards. */
+    /** The maximum number of idle codecs; further ones are created under concurrent use and discarded afterwards. */
     private static final int MAX_IDLE = 4;
 
     private final ConcurrentLinkedQueue<Codec> idle = new ConcurrentLinkedQueue<>();
     private final AtomicInteger idleCount = new AtomicInteger();
-    private final AtomicInteger made = new AtomicInteger();
+    private final AtomicInteger createdCount = new AtomicInteger();
 
-    /** Returns the bytes of a frame or a record; see {@link Codec#encode(Object)}. */
+    /** Encodes a frame; see {@link Codec#encode(Object)}. */
     public byte[] encode(final Object value) {
         final Codec codec = borrow();
         try {
             return codec.encode(value);
         } finally {
-            giveBack(codec);
+            release(codec);
         }
     }
 
-    /** Decodes a value; see {@link Codec#decode(byte[], Class)}. */
+    /** Decodes a value of the given type; see {@link Codec#decode(byte[], Class)}. */
     public <T> Codec.DecodeResult<T> decode(final byte[] bytes, final Class<T> type) {
         final Codec codec = borrow();
         try {
             return codec.decode(bytes, type);
         } finally {
-            giveBack(codec);
+            release(codec);
         }
     }
 
-    /** Returns how many codecs were made so far. */
-    public int made() {
-        return made.get();
+    /** Returns the number of codecs created so far. */
+    public int createdCount() {
+        return createdCount.get();
     }
 
     private Codec borrow() {
-        final Optional<Codec> kept = Optional.ofNullable(idle.poll());
-        if (kept.isPresent()) {
+        final Optional<Codec> idleCodec = Optional.ofNullable(idle.poll());
+        if (idleCodec.isPresent()) {
             idleCount.decrementAndGet();
-            return kept.get();
+            return idleCodec.get();
         }
-        made.incrementAndGet();
+        createdCount.incrementAndGet();
         return new Codec();
     }
 
-    private void giveBack(final Codec codec) {
+    private void release(final Codec codec) {
         if (idleCount.incrementAndGet() > MAX_IDLE) {
             idleCount.decrementAndGet();
             return;
--- a/core/src/main/java/silverlatch/wire/WireTypes.java
+++ b/core/src/main/java/silverlatch/wire/WireTypes.java
@@ -19,17 +19,18 @@
 import silverlatch.state.Value;
 
 /**
- * The record types that travel between daemons or rest in data folders, each with its numbers and the order in which its
- * components are written.
+ * The record types that are sent between nodes or stored in data directories, each with its type number and the order in
+ * which its components are written.
  *
- * <p>Numbers and orders are part of the format: daemons of two versions run side by side during a rolling upgrade, and a
- * data folder outlives the program that wrote it. They don't depend on names, so a type or a component may be renamed or a
- * type moved. A new type takes a number that was never used; a type that is written takes no new component.
+ * <p>Type numbers and component orders are part of the format: nodes of two versions run side by side during a rolling
+ * upgrade, and a data directory outlives the program version that wrote it. The format doesn't depend on names, so types and
+ * components may be renamed and types moved. A new type must get a number that was never used before, and a type that is
+ * already in use must not get new components.
  */
 final class WireTypes {
     /**
-     * The types of frames. The first number stands for the type in a frame; those after it are the positions, in the
-     * declaration of the record, of the components in the order in which they are written.
+     * The types in frames. The first number is the type number; the numbers after the class list the components in the order
+     * in which they are written, each as its position in the declaration of the record.
      */
     private static final List<WireType> FRAME_TYPES = List.of(
             type(14, Frame.class, 5, 1, 2, 3, 4, 0),
@@ -49,7 +50,7 @@
             type(28, ReplicationMessage.CompareDigests.class, 3, 1, 2, 0),
             type(29, ReplicationMessage.Discover.class, 1, 2, 0),
             type(30, ReplicationMessage.FetchEntries.class, 1, 2, 0),
-            type(31, MembershipMessage.JoinGreeting.class, 0, 1),
+            type(31, MembershipMessage.MembershipJoinRequest.class, 0, 1),
             type(32, ReplicationMessage.JoinRequest.class, 1, 2, 0),
             type(33, ReplicationMessage.LeaseGrant.class, 1, 3, 0, 2),
             type(34, ReplicationMessage.LeaseRequest.class, 1, 4, 3, 2, 0),
@@ -62,7 +63,7 @@
             type(41, GossipMessage.GossipPush.class, 0, 3, 2, 1),
             type(42, ChainClientMessage.ReadReply.class, 0, 3, 1, 2),
             type(43, ChainClientMessage.ReadRequest.class, 0, 1, 2),
-            type(44, ReplicationMessage.RepairNext.class, 1, 3, 2, 0),
+            type(44, ReplicationMessage.RepairPieceRequest.class, 1, 3, 2, 0),
             type(45, ReplicationMessage.RepairRanges.class, 6, 5, 2, 3, 1, 4, 0),
             type(46, ReplicationMessage.Replicate.class, 1, 0),
             type(47, ReplicationMessage.ReplicateAck.class, 1, 2, 0),
@@ -73,7 +74,7 @@
             type(52, LogRecord.Accepted.class, 1, 0, 2),
             type(53, LogRecord.Appended.class, 0),
             type(54, LogRecord.Batch.class, 0),
-            type(55, LogRecord.Founding.class, 0),
+            type(55, LogRecord.InitialViewAgreed.class, 0),
             type(56, LogRecord.Promised.class, 1, 0),
             type(57, LogRecord.Snapshot.class, 3, 7, 2, 5, 4, 6, 0, 1),
             type(58, LogRecord.SnapshotPart.class, 0),
@@ -141,11 +142,11 @@
     private WireTypes() {}
 
     /**
-     * How one type of record is written.
+     * Describes how one record type is written.
      *
-     * @param number the number that stands for the type in a frame
-     * @param type the record
-     * @param order the positions of its components, in the order in which they are written
+     * @param number the type number in frames
+     * @param type the record type
+     * @param order the positions of the components in the declaration, in the order in which they are written
      */
     record WireType(int number, Class<? extends Record> type, List<Integer> order) {
         RecordSerializer<? extends Record> serializer() {
@@ -153,12 +154,12 @@
         }
     }
 
-    /** Returns the types of frames, all records that a frame can hold among them. */
+    /** Returns all record types that a frame can contain. */
     static List<WireType> ofFrames() {
         return FRAME_TYPES;
     }
 
-    /** Returns how a record is written; throws IllegalArgumentException where it is in no frame and no data folder. */
+    /** Returns how a record type is written; throws IllegalArgumentException if it has no wire type. */
     static WireType of(final Class<?> type) {
         final WireType wireType = BY_CLASS.get(type);
         if (wireType == null) {
--- a/core/src/test/java/silverlatch/replication/BootstrapTest.java
+++ b/core/src/test/java/silverlatch/replication/BootstrapTest.java
@@ -59,7 +59,7 @@
         final View initialView = proposeInitialView();
         bootstrap.handleBootstrap(new ReplicationMessage.Bootstrap(initialView), "proposer", START);
         assertThat(fixture.sent(), is(List.of()));
-        assertThat(fixture.written(), is(List.of(new LogRecord.Founding(initialView))));
+        assertThat(fixture.written(), is(List.of(new LogRecord.InitialViewAgreed(initialView))));
         fixture.syncAll(START);
         final Message agreement = new ReplicationMessage.BootstrapAgreed(initialView.fleet(), SELF);
         assertThat(fixture.sent(), is(List.of(agreement)));
@@ -135,7 +135,7 @@
     @Test
     void anAgreementSurvivesARestartAndTheProposerResumesIt() {
         final View initialView = new View(1, 7, SEEDS, SEEDS, SELF.id());
-        bootstrap.replay(new LogRecord.Founding(initialView));
+        bootstrap.replay(new LogRecord.InitialViewAgreed(initialView));
         bootstrap.discover(START);
         assertThat(
                 fixture.sent().stream()
