--- a/simulation/src/main/java/silverlatch/simulation/sim/AttemptTransport.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/AttemptTransport.java
@@ -89,7 +89,7 @@
     void start(
             final SimulatedNode gateway,
             final DispatchEffect.StartAttempt attempt,
-            final Map<Long, Consumer<String>> openRuns) {
+            final Map<Long, Consumer<String>> openAttempts) {
         final SimulatedWorker worker = world.worker(attempt.worker());
         final long revision =
                 gateway.clusterSnapshot().map(snapshot -> snapshot.revision()).orElse(0L);
@@ -100,7 +100,7 @@
             world.scheduler().schedule(CONNECT_TIMEOUT, () -> connection.failed(false, "no connection in time"));
             return;
         }
-        openRuns.put(attempt.operationId(), reason -> connection.cancel());
+        openAttempts.put(attempt.operationId(), reason -> connection.cancel());
         connection.toWorker(() -> arriveAtWorker(connection, revision, issued.idempotencyKey()));
     }
 
@@ -146,7 +146,7 @@
             return;
         }
         final SimulatedNode gateway = connection.gateway;
-        world.disturbances().reached(InjectionPoint.STREAMING, gateway);
+        world.disturbances().onPointReached(InjectionPoint.STREAMING, gateway);
         gateway.withDispatcher(d -> d.onRecord(connection.attempt.operationId(), record, gateway.now()));
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/Baseline.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Baseline.java
@@ -16,7 +16,7 @@
     private final World world;
     private final long completed;
     private final Map<String, Long> completedByTenant = new HashMap<>();
-    private long judgedUntil;
+    private long checkedUntil;
 
     Baseline(final World world, final long from, final long to) {
         this.world = world;
@@ -39,19 +39,20 @@
         while (world.scheduler().now() < end) {
             world.scheduler().runUntil(Math.min(end, world.scheduler().now() + SECOND));
             final long now = world.scheduler().now();
-            if (world.disturbances().areHealed() && now - world.disturbances().lastAt() >= RECOVERY_TIME + WINDOW) {
+            if (world.disturbances().isEverythingHealed()
+                    && now - world.disturbances().lastChangeAt() >= RECOVERY_TIME + WINDOW) {
                 world.disturbances().recoveries().stream()
-                        .filter(recovery -> recovery.time() > judgedUntil)
+                        .filter(recovery -> recovery.time() > checkedUntil)
                         .toList()
                         .forEach(recovery -> {
-                            judgedUntil = Math.max(judgedUntil, recovery.time());
-                            judgeRecovery(recovery, now);
+                            checkedUntil = Math.max(checkedUntil, recovery.time());
+                            checkRecovery(recovery, now);
                         });
             }
         }
     }
 
-    private void judgeRecovery(final Disturbances.Recovery recovery, final long now) {
+    private void checkRecovery(final Disturbances.Recovery recovery, final long now) {
         world.observer().exercise(Invariant.RECOVERY_TIME);
         final long completedNow = world.observer().completedBetween(now - WINDOW, now);
         if (completedNow * 4 < completed) {
@@ -78,7 +79,7 @@
     }
 
     /** Judges service from a time on, and that the table could be read back and changed; call it after both. */
-    void judgeService(final long from, final boolean keepsState) {
+    void checkService(final long from, final boolean keepsState) {
         world.observer().exercise(Invariant.SERVES_AFTER_FAULTS);
         final long completedAfter = world.observer().completedBetween(from, from + WINDOW);
         if (completedAfter * 4 < completed && keepsState) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/ClientRequest.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ClientRequest.java
@@ -17,13 +17,13 @@
 /** One client's request in the simulator, from its placement to its end, its response verified as it comes. */
 final class ClientRequest {
     private static final long SECOND = 1_000_000L;
-    private static final long PATIENCE = 12 * SECOND;
+    private static final long CLIENT_TIMEOUT = 12 * SECOND;
     private static final long REQUEST_TIMEOUT = 10 * SECOND;
     private static final long RETRY_DELAY = SECOND / 2;
     private static final long MAX_SUBMIT_DELAY = 3 * SECOND;
     private static final long MAX_DUPLICATE_DELAY = 3 * SECOND / 2;
     private static final long RECONNECT_DELAY = 150_000L;
-    private static final long MAX_TIME_ON_THE_WAY = SECOND / 2;
+    private static final long MAX_TRANSIT_TIME = SECOND / 2;
     private static final int MAX_REDIRECTS = 4;
     private static final int MAX_RETRIES = 2;
     private static final Set<String> RETRIED_OUTCOMES = Set.of("cut", "broken", "lost");
@@ -77,7 +77,7 @@
 
     void start() {
         startedAt = world.scheduler().now();
-        world.scheduler().schedule(PATIENCE, () -> end("cut"));
+        world.scheduler().schedule(CLIENT_TIMEOUT, () -> end("cut"));
         requestPlacement(world.randomOf(world.gateways()), 0);
     }
 
@@ -99,11 +99,11 @@
                 content.idempotencyKey(),
                 previousAttempts);
         final String connection = content.endpoint() + ">" + node.name() + node.generation() + "/" + serial;
-        final Runnable call = () -> node.call(
+        final Runnable call = () -> node.openCall(
                 (dispatcher, token) -> dispatcher.requestPlacement(placement, token, node.now()),
                 answer -> {
                     observePlacement(node, answer);
-                    deliver(node, answer, () -> placementAnswered(node, answer, redirects));
+                    deliver(node, answer, () -> onPlacementReply(node, answer, redirects));
                 },
                 token -> {});
         world.network().sendBytes(connection, content.endpoint(), node.name(), call);
@@ -117,7 +117,7 @@
                         connection(node),
                         content.endpoint(),
                         node.name(),
-                        () -> node.call(call, onAnswer, token -> callToken = token));
+                        () -> node.openCall(call, onAnswer, token -> callToken = token));
     }
 
     private void observePlacement(final SimulatedNode node, final DispatchEffect answer) {
@@ -140,12 +140,12 @@
         }
     }
 
-    private void placementAnswered(final SimulatedNode node, final DispatchEffect answer, final int redirects) {
+    private void onPlacementReply(final SimulatedNode node, final DispatchEffect answer, final int redirects) {
         if (ended) {
             return;
         }
         switch (answer) {
-            case DispatchEffect.Placed placed -> placed(node, placed);
+            case DispatchEffect.Placed placed -> onPlaced(node, placed);
             case DispatchEffect.Redirected redirected -> {
                 final Optional<SimulatedNode> target =
                         world.node(redirected.endpoints().get(0));
@@ -155,12 +155,12 @@
                     requestPlacement(target.get(), redirects + 1);
                 }
             }
-            case DispatchEffect.Rejected rejected -> rejected(rejected);
+            case DispatchEffect.Rejected rejected -> onRejected(rejected);
             default -> end("unreached");
         }
     }
 
-    private void placed(final SimulatedNode node, final DispatchEffect.Placed placed) {
+    private void onPlaced(final SimulatedNode node, final DispatchEffect.Placed placed) {
         requestId = placed.requestId();
         verifier.requestIssued(requestId);
         world.attempts().requestIssued(requestId, content.idempotencyKey(), previousAttempts);
@@ -191,7 +191,7 @@
                 (d, token) -> d.submit(submission, token, node.now()),
                 answer -> deliver(node, answer, () -> {
                     if (connectionNumber == 0) {
-                        streamAnswered(node, answer);
+                        onStreamReply(node, answer);
                     }
                 }));
         if (movesBetweenGateways) {
@@ -208,7 +208,7 @@
     private void submitDuplicate(final SimulatedNode node, final String permit) {
         if (node.isAlive()) {
             world.observer().duplicateSent(requestId);
-            node.call((d, token) -> d.submit(submission(permit), token, node.now()), answer -> {}, token -> {});
+            node.openCall((d, token) -> d.submit(submission(permit), token, node.now()), answer -> {}, token -> {});
         }
     }
 
@@ -219,20 +219,21 @@
         world.observer().count("moves");
         connectionNumber++;
         final long thisConnection = connectionNumber;
-        node.hangUp(callToken);
+        node.disconnectClient(callToken);
         openStream(
                 node,
                 (d, token) -> d.attach(requestId, content.tenant().key(), verifier.nextChunk(), token, node.now()),
                 answer -> deliver(node, answer, () -> {
                     if (thisConnection == connectionNumber) {
-                        requireKeptAtHome(node, answer, world.scheduler().now() - MAX_TIME_ON_THE_WAY);
-                        streamAnswered(node, answer);
+                        requireRetainedInHomeRegion(
+                                node, answer, world.scheduler().now() - MAX_TRANSIT_TIME);
+                        onStreamReply(node, answer);
                     }
                 }));
     }
 
     /** A response that is read again must be kept in a region of the tenant's homes. */
-    private void requireKeptAtHome(final SimulatedNode node, final DispatchEffect answer, final long time) {
+    private void requireRetainedInHomeRegion(final SimulatedNode node, final DispatchEffect answer, final long time) {
         if (answer instanceof DispatchEffect.StreamWrite) {
             world.observer()
                     .operatorHistory()
@@ -247,12 +248,12 @@
 
     private void deliver(final SimulatedNode node, final DispatchEffect answer, final Runnable whenDelivered) {
         if (answer instanceof DispatchEffect.StreamWrite stream) {
-            stream.records().forEach(this::requireServedAtHome);
+            stream.records().forEach(this::requireServedInHomeRegion);
         }
         world.network().sendBytes(connection(node) + "<", node.name(), content.endpoint(), whenDelivered);
     }
 
-    private void requireServedAtHome(final StreamRecord record) {
+    private void requireServedInHomeRegion(final StreamRecord record) {
         if (record instanceof StreamRecord.Chunk chunk) {
             final String region = world.attempts().regionOf(chunk.attemptId());
             if (!region.isEmpty()) {
@@ -263,7 +264,7 @@
                                 region,
                                 Invariant.WORKER_IN_HOME_REGION,
                                 "a piece of " + requestId + " came from " + region,
-                                world.scheduler().now() - MAX_TIME_ON_THE_WAY);
+                                world.scheduler().now() - MAX_TRANSIT_TIME);
             }
         }
     }
@@ -272,7 +273,7 @@
         return content.endpoint() + ">" + node.name() + "/" + requestId + "/" + connectionNumber;
     }
 
-    private void streamAnswered(final SimulatedNode node, final DispatchEffect answer) {
+    private void onStreamReply(final SimulatedNode node, final DispatchEffect answer) {
         if (ended) {
             return;
         }
@@ -285,7 +286,7 @@
                     node.withDispatcher(d -> d.onReaderReady(stream.callId()));
                 }
             }
-            case DispatchEffect.Rejected rejected -> rejected(rejected);
+            case DispatchEffect.Rejected rejected -> onRejected(rejected);
             default -> end("broken");
         }
     }
@@ -297,7 +298,7 @@
         verifier.verify(record);
     }
 
-    private void rejected(final DispatchEffect.Rejected rejection) {
+    private void onRejected(final DispatchEffect.Rejected rejection) {
         final int status = rejection.statusCode();
         final boolean isSpent = status == 409 && rejection.reason().equals(Dispatcher.ALREADY_SUBMITTED);
         if (status == 0 || status == 410 || isSpent) {
@@ -334,9 +335,10 @@
     private void readAgain(final SimulatedNode node) {
         if (node.isAlive()) {
             world.observer().count("rereads");
-            node.call(
+            node.openCall(
                     (d, token) -> d.attach(requestId, content.tenant().key(), 0, token, node.now()),
-                    answer -> requireKeptAtHome(node, answer, world.scheduler().now()),
+                    answer -> requireRetainedInHomeRegion(
+                            node, answer, world.scheduler().now()),
                     token -> {});
         }
     }
@@ -357,7 +359,7 @@
         final String tenant = content.tenant().name();
         world.observer().requestOutcome(content.kind().kind(), tenant, outcome, firstChunkAt - startedAt);
         if (outcome.equals("cut")) {
-            gateway.filter(SimulatedNode::isAlive).ifPresent(node -> node.hangUp(callToken));
+            gateway.filter(SimulatedNode::isAlive).ifPresent(node -> node.disconnectClient(callToken));
         }
         if (requestId.isEmpty()) {
             world.observer().count("pick-" + outcome);
--- a/simulation/src/main/java/silverlatch/simulation/sim/CommandSubmitter.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/CommandSubmitter.java
@@ -23,7 +23,7 @@
     static final long TIMEOUT = 3_000_000L;
 
     private static final long RETRY_DELAY = 200_000L;
-    private static final long LOST_ANSWER_TIMEOUT = 8_000_000L;
+    private static final long LOST_REPLY_TIMEOUT = 8_000_000L;
     private final World world;
     private final Map<String, Deque<Runnable>> queuesByKey = new HashMap<>();
 
@@ -118,15 +118,15 @@
 
         void start() {
             final long askedIn = controller.generation();
-            world.scheduler().schedule(LOST_ANSWER_TIMEOUT, () -> {
+            world.scheduler().schedule(LOST_REPLY_TIMEOUT, () -> {
                 if (askedIn != controller.generation()) {
                     failed();
                 }
             });
-            controller.read(submission.prefix(), TIMEOUT, this::readAnswered);
+            controller.read(submission.prefix(), TIMEOUT, this::onReadReply);
         }
 
-        private void readAnswered(final Object reply) {
+        private void onReadReply(final Object reply) {
             if (ended) {
                 return;
             }
@@ -135,10 +135,10 @@
                 return;
             }
             final Command command = submission.command().apply(submission.match(page));
-            controller.submit(command, TIMEOUT, this::commandAnswered);
+            controller.submit(command, TIMEOUT, this::onCommandReply);
         }
 
-        private void commandAnswered(final Object result) {
+        private void onCommandReply(final Object result) {
             if (result instanceof CommandResult.Applied applied) {
                 if (!ended) {
                     ended = true;
--- a/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationHistory.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationHistory.java
@@ -15,7 +15,7 @@
     private final Map<Long, String> byRevision = new HashMap<>();
     private final Map<Long, String> byMatch = new HashMap<>();
     private final Set<String> acknowledged = new HashSet<>();
-    private final Set<String> refused = new HashSet<>();
+    private final Set<String> rejected = new HashSet<>();
     private long newest;
 
     ConfigurationHistory(final Observer watch) {
@@ -33,25 +33,25 @@
     }
 
     /** A document was acknowledged under its revision, on top of the version that it matched. */
-    void acknowledge(final String document, final long revision, final long match) {
+    void recordAcknowledgement(final String document, final long revision, final long match) {
         observer.count("configurations-acknowledged");
         if (!acknowledged.add(document)) {
             observer.count("configurations-acknowledged-again");
         }
         newest = Math.max(newest, revision);
-        requireSingle(byRevision, revision, document, "under revision ");
-        requireSingle(byMatch, match, document, "on top of revision ");
-        if (refused.contains(document)) {
+        requireUnique(byRevision, revision, document, "under revision ");
+        requireUnique(byMatch, match, document, "on top of revision ");
+        if (rejected.contains(document)) {
             observer.violated(
                     Invariant.REJECTED_CHANGE, document + " was refused, and acknowledged when it was sent again");
         }
     }
 
     /** A document was refused. */
-    void refuse(final String document) {
+    void recordRejection(final String document) {
         observer.count("configurations-refused");
         observer.exercise(Invariant.REJECTED_CHANGE);
-        refused.add(document);
+        rejected.add(document);
         if (acknowledged.contains(document)) {
             observer.violated(
                     Invariant.REJECTED_CHANGE, document + " was acknowledged, and refused when it was sent again");
@@ -59,14 +59,14 @@
     }
 
     /** A document was read back; the read began when {@code before} was the highest revision acknowledged. */
-    void read(final String document, final long revision, final long before) {
+    void recordRead(final String document, final long revision, final long before) {
         observer.count("configurations-read");
         if (revision < before) {
             observer.violated(
                     Invariant.LINEARIZABLE_READ,
                     document + " was read back after revision " + before + " was acknowledged");
         }
-        if (refused.contains(document)) {
+        if (rejected.contains(document)) {
             observer.violated(Invariant.REJECTED_CHANGE, document + " was refused and is in force");
         }
         Optional.ofNullable(byRevision.get(revision))
@@ -75,7 +75,7 @@
                         Invariant.REJECTED_CHANGE, d + " was acknowledged, but " + document + " is in force"));
     }
 
-    private void requireSingle(final Map<Long, String> held, final long key, final String document, final String what) {
+    private void requireUnique(final Map<Long, String> held, final long key, final String document, final String what) {
         final String old = held.getOrDefault(key, document);
         held.putIfAbsent(key, document);
         if (!old.equals(document)) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationOperators.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationOperators.java
@@ -31,7 +31,7 @@
         this.history = new ConfigurationHistory(world.observer());
     }
 
-    private record ConfigurationOrder(String document, long revision, long match, boolean valid) {}
+    private record ConfigurationWrite(String document, long revision, long match, boolean valid) {}
 
     /** Starts orders for a span from now on. */
     void run(final long duration) {
@@ -54,9 +54,9 @@
         if (inFlight < MAX_IN_FLIGHT) {
             final long match = history.newest();
             final long revision = match + 1 + randomBelow(3);
-            send(order(revision, match, randomBelow(10) > 0));
+            send(newWrite(revision, match, randomBelow(10) > 0));
             if (randomBelow(3) == 0 && inFlight < MAX_IN_FLIGHT) {
-                send(order(revision + randomBelow(2), match, true));
+                send(newWrite(revision + randomBelow(2), match, true));
             }
         }
         if (randomBelow(5) == 0) {
@@ -65,17 +65,17 @@
         world.scheduler().schedule(START_INTERVAL, this::start);
     }
 
-    private ConfigurationOrder order(final long revision, final long match, final boolean valid) {
-        return new ConfigurationOrder("document-" + ++nextDocument, revision, match, valid);
+    private ConfigurationWrite newWrite(final long revision, final long match, final boolean valid) {
+        return new ConfigurationWrite("document-" + ++nextDocument, revision, match, valid);
     }
 
-    private void send(final ConfigurationOrder order) {
+    private void send(final ConfigurationWrite order) {
         inFlight++;
         call(order, MAX_CALLS, () -> inFlight--);
     }
 
     /** Calls some controller; where no answer comes, or it is lost, the same order goes to any controller again. */
-    private void call(final ConfigurationOrder order, final int callsLeft, final Runnable whenDone) {
+    private void call(final ConfigurationWrite order, final int callsLeft, final Runnable whenDone) {
         final boolean[] ended = {false};
         final Consumer<Boolean> done = decided -> {
             if (!ended[0]) {
@@ -99,16 +99,16 @@
                 }));
     }
 
-    private void resendLater(final ConfigurationOrder order) {
+    private void resendLater(final ConfigurationWrite order) {
         if (history.acknowledged(order.document()) && randomBelow(4) == 0) {
             world.scheduler().schedule(2 * SECOND + randomBelow(18 * SECOND), () -> call(order, 1, () -> {}));
         }
     }
 
-    private boolean recordResult(final ConfigurationOrder order, final CommandResult result) {
+    private boolean recordResult(final ConfigurationWrite order, final CommandResult result) {
         return switch (result) {
             case CommandResult.Applied applied -> {
-                history.acknowledge(order.document(), order.revision(), order.match());
+                history.recordAcknowledgement(order.document(), order.revision(), order.match());
                 if (!order.valid()) {
                     world.observer()
                             .violated(Invariant.REJECTED_CHANGE, order.document() + " is invalid and was acknowledged");
@@ -117,7 +117,7 @@
             }
             case CommandResult.Rejected rejected -> {
                 if (rejected.code() != 503) {
-                    history.refuse(order.document());
+                    history.recordRejection(order.document());
                 }
                 yield rejected.code() != 503;
             }
@@ -135,14 +135,14 @@
                         .map(e -> (Value.ConfigurationDocument) e.value().get(0))
                         .findFirst()
                         .ifPresentOrElse(
-                                d -> history.read(d.text(), d.number(), newestBefore),
-                                () -> history.read("none", 0, newestBefore));
+                                d -> history.recordRead(d.text(), d.number(), newestBefore),
+                                () -> history.recordRead("none", 0, newestBefore));
             }
         });
     }
 
     /** Each call bears an id of its own, as one over HTTP does. */
-    private Command command(final ConfigurationOrder order) {
+    private Command command(final ConfigurationWrite order) {
         final Value.BackendPool pool = new Value.BackendPool("pool", "/", 1, 0, 1, 1, 0, 1);
         final Value.Route route = new Value.Route(
                 "route",
--- a/simulation/src/main/java/silverlatch/simulation/sim/Day.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Day.java
@@ -36,8 +36,8 @@
         }
 
         /** A day whose faults are drawn by the seed. */
-        public static Scenario drawn(final long seed, final long rate) {
-            return new Scenario(seed, drawFaults(seed), rate, false);
+        public static Scenario withRandomFaults(final long seed, final long rate) {
+            return new Scenario(seed, randomFaults(seed), rate, false);
         }
     }
 
@@ -75,7 +75,7 @@
             inject(world, fault);
             baseline.advance(randomPause(world));
         }
-        healAndJudge(world, baseline, founded);
+        healAndCheck(world, baseline, founded);
         if (scenario.seed() % 2 == 0 && founded) {
             injectClosingFault(world, baseline, scenario.seed());
         }
@@ -93,21 +93,21 @@
         };
     }
 
-    private static void healAndJudge(final World world, final Baseline baseline, final boolean founded) {
+    private static void healAndCheck(final World world, final Baseline baseline, final boolean founded) {
         baseline.advance(35 * SECOND);
         world.controllers().forEach(SimulatedNode::start);
         world.gateways().forEach(SimulatedNode::start);
         world.workers().forEach(SimulatedWorker::start);
         baseline.advance(10 * SECOND);
-        judgeService(world, baseline, founded, "last");
+        checkService(world, baseline, founded, "last");
     }
 
-    private static void judgeService(
+    private static void checkService(
             final World world, final Baseline baseline, final boolean founded, final String commandId) {
         final long start = world.scheduler().now();
         world.scheduler().runUntil(start + Baseline.WINDOW);
         world.operators().readBackAndChange(commandId);
-        baseline.judgeService(start, founded);
+        baseline.checkService(start, founded);
     }
 
     /** After a fault that takes a disk away, what was acknowledged is read back, and the fleet must serve again. */
@@ -118,7 +118,7 @@
         if (fault.losesDisk()) {
             world.waitForFullChain();
             world.scheduler().runUntil(world.scheduler().now() + Baseline.RECOVERY_TIME);
-            judgeService(world, baseline, true, "after-closing-fault");
+            checkService(world, baseline, true, "after-closing-fault");
         }
         world.scheduler().runUntil(world.scheduler().now() + 2 * SECOND);
     }
@@ -138,7 +138,7 @@
         if (fault.losesDisk()) {
             world.waitForFullChain();
         }
-        world.disturbances().happened();
+        world.disturbances().recordChange();
         fault.injection(world, duration);
     }
 
@@ -146,7 +146,7 @@
      * A day's faults drawn by a seed; some come on top of each other. Left out is what has an end of its own (a new
      * founding) and what comes at the end of a day alone.
      */
-    public static List<Fault> drawFaults(final long seed) {
+    public static List<Fault> randomFaults(final long seed) {
         final SplittableRandom random = new SplittableRandom(seed * 7919);
         final List<Fault> candidates = new ArrayList<>(List.of(Fault.values()));
         candidates.removeAll(List.of(Fault.REBOOTSTRAP, Fault.DISK_LOST_ALL_KILLED));
--- a/simulation/src/main/java/silverlatch/simulation/sim/Disturbances.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Disturbances.java
@@ -12,14 +12,14 @@
  * that wait for a node to reach an {@link InjectionPoint}. Times and durations are microseconds of true time.
  */
 final class Disturbances {
-    private static final long SKEW_CHECKED = 20_000_000L;
+    private static final long CLOCK_SKEW_CHECK_TIME = 20_000_000L;
     private final EventScheduler scheduler;
     private final Observer observer;
     private final Map<InjectionPoint, Consumer<SimulatedNode>> armedInjections = new EnumMap<>(InjectionPoint.class);
     private final List<Recovery> recoveries = new ArrayList<>();
-    private long lastAt;
-    private long pending;
-    private long disksLostUntil;
+    private long lastChangeAt;
+    private long pendingChanges;
+    private long diskLossesExpectedUntil;
     private long clockSkewedAt = Long.MIN_VALUE / 2;
 
     Disturbances(final EventScheduler scheduler, final Observer observer) {
@@ -31,34 +31,34 @@
     record Recovery(String region, long time) {}
 
     /** Something is done to the world, or is healed, at this moment. */
-    void happened() {
-        lastAt = scheduler.now();
+    void recordChange() {
+        lastChangeAt = scheduler.now();
     }
 
     /** When something was last done to the world or healed. */
-    long lastAt() {
-        return lastAt;
+    long lastChangeAt() {
+        return lastChangeAt;
     }
 
     /** Does something later that disturbs or heals the world; until then the world isn't healed. */
-    void later(final long delay, final Runnable task) {
-        pending++;
+    void scheduleChange(final long delay, final Runnable task) {
+        pendingChanges++;
         scheduler.schedule(delay, () -> {
-            pending--;
-            happened();
+            pendingChanges--;
+            recordChange();
             task.run();
         });
     }
 
     /** Whether nothing that was done to the world waits to be healed. */
-    boolean areHealed() {
-        return pending == 0;
+    boolean isEverythingHealed() {
+        return pendingChanges == 0;
     }
 
     /** A region came back, or all when the name is empty. */
-    void recovered(final String region) {
+    void recordRecovery(final String region) {
         recoveries.add(new Recovery(region, scheduler.now()));
-        happened();
+        recordChange();
     }
 
     /** What came back, and when. */
@@ -67,23 +67,23 @@
     }
 
     /** Disks may go on being lost for so long from now on. */
-    void diskLossesLast(final long duration) {
-        disksLostUntil = scheduler.now() + duration;
+    void expectDiskLossesFor(final long duration) {
+        diskLossesExpectedUntil = scheduler.now() + duration;
     }
 
     /** Whether a fault that loses disks is still at work. */
-    boolean areDisksBeingLost() {
-        return scheduler.now() < disksLostUntil;
+    boolean areDiskLossesExpected() {
+        return scheduler.now() < diskLossesExpectedUntil;
     }
 
     /** A clock is off from now on: stamps are looked at closely for a while. */
-    void clockSkewed() {
+    void recordClockSkew() {
         clockSkewedAt = scheduler.now();
     }
 
     /** Whether a clock was set off a short while ago. */
     boolean isClockSkewRecent() {
-        return scheduler.now() - clockSkewedAt < SKEW_CHECKED;
+        return scheduler.now() - clockSkewedAt < CLOCK_SKEW_CHECK_TIME;
     }
 
     /** The next node that reaches the point is hit there. */
@@ -92,10 +92,10 @@
     }
 
     /** A node reaches a point; a fault that waits there strikes before this returns. */
-    void reached(final InjectionPoint point, final SimulatedNode node) {
+    void onPointReached(final InjectionPoint point, final SimulatedNode node) {
         Optional.ofNullable(armedInjections.remove(point)).ifPresent(injection -> {
             observer.count("aimed-" + point);
-            happened();
+            recordChange();
             injection.accept(node);
         });
     }
--- a/simulation/src/main/java/silverlatch/simulation/sim/FrameTransport.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/FrameTransport.java
@@ -9,7 +9,7 @@
 
 /** Carries frames between nodes over the simulated network; some are encoded and decoded on the way. */
 final class FrameTransport {
-    private static final int ENCODED_OF = 50;
+    private static final int REENCODE_ONE_IN = 50;
     private final World world;
     private final Codec codec = new Codec();
     private final Map<String, Frame> newestFrames = new HashMap<>();
@@ -21,10 +21,10 @@
     /** Sends a frame to the node that listens at its address, if there is one; a node that restarted doesn't get it. */
     void send(final SimulatedNode sender, final OutgoingFrame outgoing) {
         world.listener().frameSent(world.scheduler().now(), sender.name(), outgoing);
-        sender.stampChecker().frameSent(outgoing.frame());
+        sender.stampChecker().onFrameSent(outgoing.frame());
         world.nodeAt(outgoing.to()).ifPresent(receiver -> {
             final long sentTo = receiver.generation();
-            final Frame frame = world.scheduler().random().nextInt(ENCODED_OF) == 0
+            final Frame frame = world.scheduler().random().nextInt(REENCODE_ONE_IN) == 0
                     ? reencoded(outgoing.frame())
                     : outgoing.frame();
             world.network().sendFrame(sender.name(), receiver.name(), () -> {
--- a/simulation/src/main/java/silverlatch/simulation/sim/LogWriter.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/LogWriter.java
@@ -68,9 +68,9 @@
 
     private void reportSync(final Node node) {
         if (isOwn(node.view().head())) {
-            world.disturbances().reached(InjectionPoint.HEAD_SYNCED, host);
+            world.disturbances().onPointReached(InjectionPoint.HEAD_SYNCED, host);
         } else if (isOwn(node.view().tail())) {
-            world.disturbances().reached(InjectionPoint.TAIL_SYNCED, host);
+            world.disturbances().onPointReached(InjectionPoint.TAIL_SYNCED, host);
         }
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Main.java
@@ -106,7 +106,7 @@
         final List<Day.Scenario> scenarios = new ArrayList<>();
         for (long i = seed; i < seed + days; i++) {
             if (isDrawn) {
-                scenarios.add(Day.Scenario.drawn(i, requestsPerSecond));
+                scenarios.add(Day.Scenario.withRandomFaults(i, requestsPerSecond));
             } else if (isEach) {
                 for (final Fault fault : Fault.values()) {
                     scenarios.add(Day.Scenario.of(i, List.of(fault), requestsPerSecond));
@@ -144,7 +144,7 @@
             accumulate(totals, result.counters());
             if (!result.violations().isEmpty()) {
                 wrongDays++;
-                printWrong(plan, result, safeguards);
+                printViolations(plan, result, safeguards);
             }
         }
         pool.shutdown();
@@ -158,7 +158,7 @@
         return wrongDays == 0 && notExercised.isEmpty() ? 0 : 1;
     }
 
-    private void printWrong(final Plan plan, final Day.Result result, final Safeguards safeguards) {
+    private void printViolations(final Plan plan, final Day.Result result, final Safeguards safeguards) {
         System.out.println(
                 "seed " + result.scenario().seed() + " " + result.scenario().faults());
         result.timeline().forEach(event -> System.out.println("    " + event));
--- a/simulation/src/main/java/silverlatch/simulation/sim/NetworkFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/NetworkFaults.java
@@ -18,10 +18,11 @@
                 .map(SimulatedNode::name)
                 .filter(x -> !x.equals(node.name()))
                 .collect(Collectors.toSet());
-        final Runnable healOutbound = world.network().cut(Set.of(node.name()), rest);
-        final Runnable healInbound =
-                world.scheduler().random().nextBoolean() ? world.network().cut(rest, Set.of(node.name())) : () -> {};
-        world.disturbances().later(duration, () -> {
+        final Runnable healOutbound = world.network().blockOneWay(Set.of(node.name()), rest);
+        final Runnable healInbound = world.scheduler().random().nextBoolean()
+                ? world.network().blockOneWay(rest, Set.of(node.name()))
+                : () -> {};
+        world.disturbances().scheduleChange(duration, () -> {
             healOutbound.run();
             healInbound.run();
         });
@@ -33,12 +34,12 @@
                 world.controllers().stream().map(SimulatedNode::name).collect(Collectors.toSet());
         final Set<String> rest =
                 world.gateways().stream().map(SimulatedNode::name).collect(Collectors.toSet());
-        final Runnable healOutbound = world.network().cut(core, rest);
-        final Runnable healInbound = world.network().cut(rest, core);
-        world.disturbances().later(duration, () -> {
+        final Runnable healOutbound = world.network().blockOneWay(core, rest);
+        final Runnable healInbound = world.network().blockOneWay(rest, core);
+        world.disturbances().scheduleChange(duration, () -> {
             healOutbound.run();
             healInbound.run();
-            world.disturbances().recovered("");
+            world.disturbances().recordRecovery("");
         });
     }
 
@@ -46,9 +47,9 @@
         final String region = world.randomOf(world.plan().regions()).region();
         world.record("cut off " + region);
         final Runnable heal = world.network().isolate(endpoints(world, region));
-        world.disturbances().later(duration, () -> {
+        world.disturbances().scheduleChange(duration, () -> {
             heal.run();
-            world.disturbances().recovered(region);
+            world.disturbances().recordRecovery(region);
         });
     }
 
@@ -56,9 +57,9 @@
         final String region = Lists.last(world.controllers()).region();
         world.record("cut off " + region + ", where the tail is");
         final Runnable heal = world.network().isolate(endpoints(world, region));
-        world.disturbances().later(9_000_000, () -> {
+        world.disturbances().scheduleChange(9_000_000, () -> {
             heal.run();
-            world.disturbances().recovered(region);
+            world.disturbances().recordRecovery(region);
         });
     }
 
@@ -68,10 +69,10 @@
         final SimulatedNode node = world.randomOf(nodes);
         final long offset = (world.scheduler().random().nextBoolean() ? 1 : -1)
                 * (100_000 + world.scheduler().random().nextLong(600_000_000L));
-        world.disturbances().clockSkewed();
+        world.disturbances().recordClockSkew();
         world.record("clock of " + node.name() + " jumps by " + offset / 1000 + " ms");
         node.clock().setWallOffset(offset);
-        world.disturbances().later(duration, () -> node.clock().setWallOffset(0));
+        world.disturbances().scheduleChange(duration, () -> node.clock().setWallOffset(0));
     }
 
     static void clockSkewed(final World world, final long duration) {
@@ -80,17 +81,17 @@
         final SimulatedNode node = world.randomOf(nodes);
         final long offset = (world.scheduler().random().nextBoolean() ? 1 : -1)
                 * (100_000 + world.scheduler().random().nextLong(600_000_000L));
-        world.disturbances().clockSkewed();
+        world.disturbances().recordClockSkew();
         world.record("restart " + node.name() + " with its clock off by " + offset / 1000 + " ms");
         node.kill();
         node.clock().setWallOffset(offset);
-        world.disturbances().later(500_000, node::start);
+        world.disturbances().scheduleChange(500_000, node::start);
     }
 
     static void lossyNetwork(final World world, final long duration) {
         world.record("rough network");
-        world.network().disturb(0.1, 0.1);
-        world.disturbances().later(duration, () -> world.network().disturb(0, 0));
+        world.network().setLossAndReordering(0.1, 0.1);
+        world.disturbances().scheduleChange(duration, () -> world.network().setLossAndReordering(0, 0));
     }
 
     static void gatewayPartitionedFromNodes(final World world, final long duration) {
@@ -103,10 +104,10 @@
         rest.remove(node.name());
         final Set<String> senders = new HashSet<>(rest);
         senders.add(worker.name());
-        final Runnable healOutbound = world.network().cut(Set.of(node.name()), rest);
-        final Runnable healInbound = world.network().cut(senders, Set.of(node.name()));
-        world.disturbances().later(300_000, worker::drain);
-        world.disturbances().later(duration + 6_000_000, () -> {
+        final Runnable healOutbound = world.network().blockOneWay(Set.of(node.name()), rest);
+        final Runnable healInbound = world.network().blockOneWay(senders, Set.of(node.name()));
+        world.disturbances().scheduleChange(300_000, worker::drain);
+        world.disturbances().scheduleChange(duration + 6_000_000, () -> {
             healOutbound.run();
             healInbound.run();
             worker.kill();
@@ -126,10 +127,10 @@
         for (final SimulatedNode node : nodes) {
             final long nodeOffset =
                     same ? offset : offset + world.scheduler().random().nextLong(5_000_000L);
-            world.disturbances().later(delay, () -> {
+            world.disturbances().scheduleChange(delay, () -> {
                 node.kill();
                 node.clock().setWallOffset(nodeOffset);
-                world.disturbances().later(500_000, node::start);
+                world.disturbances().scheduleChange(500_000, node::start);
             });
             delay += 6_000_000;
         }
@@ -141,7 +142,7 @@
         for (long time = 0; time < 1_500_000; time += 5_000) {
             world.scheduler().schedule(time, () -> world.frames().replayNewestFrame(node, 400));
         }
-        world.disturbances().later(1_500_000, () -> {});
+        world.disturbances().scheduleChange(1_500_000, () -> {});
     }
 
     static void oneWayPartition(final World world, final long duration) {
@@ -153,18 +154,19 @@
         world.plan().regions().stream()
                 .filter(r -> !r.region().equals(region))
                 .forEach(r -> outside.addAll(endpoints(world, r.region())));
-        final Runnable heal =
-                isMuted ? world.network().cut(inside, outside) : world.network().cut(outside, inside);
-        world.disturbances().later(duration, () -> {
+        final Runnable heal = isMuted
+                ? world.network().blockOneWay(inside, outside)
+                : world.network().blockOneWay(outside, inside);
+        world.disturbances().scheduleChange(duration, () -> {
             heal.run();
-            world.disturbances().recovered(region);
+            world.disturbances().recordRecovery(region);
         });
     }
 
     static void slowLinks(final World world, final long duration) {
         world.record("slow links between regions");
         world.network().extraDelay(150_000);
-        world.disturbances().later(duration, () -> world.network().extraDelay(0));
+        world.disturbances().scheduleChange(duration, () -> world.network().extraDelay(0));
     }
 
     static Set<String> endpoints(final World world, final String region) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/Observer.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Observer.java
@@ -24,7 +24,7 @@
     private final Map<String, String> requestByKey = new HashMap<>();
     private final Map<String, String> outcomes = new HashMap<>();
     private final Map<String, Long> drainingSince = new HashMap<>();
-    private final Map<String, Long> coldSince = new HashMap<>();
+    private final Map<String, Long> restartedAt = new HashMap<>();
     private final Map<String, Map<String, Boolean>> keysByTenant = new HashMap<>();
     private final OperatorHistory operatorHistory = new OperatorHistory(this);
     private final List<CompletedRequest> completed = new ArrayList<>();
@@ -205,7 +205,7 @@
 
     /** A worker came back cold. */
     public void workerRestarted(final String worker, final long now) {
-        coldSince.put(worker, now);
+        restartedAt.put(worker, now);
     }
 
     /**
@@ -214,7 +214,7 @@
      */
     public void workerLoad(
             final String worker, final int running, final int slots, final int gateways, final long now) {
-        final long warmingFor = now - coldSince.getOrDefault(worker, -60 * SECOND);
+        final long warmingFor = now - restartedAt.getOrDefault(worker, -60 * SECOND);
         if (warmingFor < 6 * SECOND) {
             final double warmShare = Math.min(1, 0.1 + 0.9 * warmingFor / (6.0 * SECOND));
             final double allowed = slots * warmShare + gateways;
--- a/simulation/src/main/java/silverlatch/simulation/sim/OperatorFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/OperatorFaults.java
@@ -11,16 +11,18 @@
     static void zoneDrained(final World world, final long duration) {
         final String zone = world.randomOf(world.plan().regions()).zone();
         world.operators().drain(zone, true);
-        world.disturbances().later(duration + 6_000_000, () -> world.operators().drain(zone, false));
+        world.disturbances()
+                .scheduleChange(duration + 6_000_000, () -> world.operators().drain(zone, false));
     }
 
     static void operatorsRace(final World world, final long duration) {
         final String zone = world.randomOf(world.plan().regions()).zone();
         for (int i = 0; i < 4; i++) {
-            world.disturbances().later(i * 700_000L, () -> world.operators().raceOnZone(zone));
+            world.disturbances()
+                    .scheduleChange(i * 700_000L, () -> world.operators().raceOnZone(zone));
         }
         world.disturbances()
-                .later(duration + 10_000_000, () -> world.operators().drain(zone, false));
+                .scheduleChange(duration + 10_000_000, () -> world.operators().drain(zone, false));
     }
 
     static void tenantHomesChange(final World world, final long duration) {
@@ -30,8 +32,8 @@
         final String region = world.randomOf(world.plan().regions()).region();
         world.load().setClientsMoving(true);
         world.operators().changeHomes(moved, List.of(region));
-        world.disturbances().later(500_000, () -> world.operators().removeTenant(removed));
-        world.disturbances().later(duration + 6_000_000, () -> {
+        world.disturbances().scheduleChange(500_000, () -> world.operators().removeTenant(removed));
+        world.disturbances().scheduleChange(duration + 6_000_000, () -> {
             world.operators().changeHomes(moved, moved.homeRegions());
             world.operators().changeHomes(removed, removed.homeRegions());
             world.load().setClientsMoving(false);
--- a/simulation/src/main/java/silverlatch/simulation/sim/OperatorHistory.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/OperatorHistory.java
@@ -95,7 +95,7 @@
 
     /** Something of a tenant is in a region: held against all its homes that may still count. */
     public void requireHomeRegion(
-            final String tenant, final String region, final Invariant mark, final String what, final long now) {
+            final String tenant, final String region, final Invariant invariant, final String what, final long now) {
         final List<HomeRegions> homes = homesByTenant.getOrDefault(tenant, List.of());
         int firstPossible = 0;
         for (int i = 0; i < homes.size(); i++) {
@@ -103,10 +103,10 @@
         }
         final List<HomeRegions> possible = homes.subList(firstPossible, homes.size());
         if (possible.stream().anyMatch(h -> h.removed() || !h.regions().isEmpty())) {
-            observer.exercise(mark);
+            observer.exercise(invariant);
         }
         if (!possible.isEmpty() && possible.stream().noneMatch(h -> h.allows(region))) {
-            observer.violated(mark, what + ", no home of " + tenant);
+            observer.violated(invariant, what + ", no home of " + tenant);
         }
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/Operators.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Operators.java
@@ -222,7 +222,7 @@
                 "z/" + zone,
                 match -> new Command.SetEvacuation(nextCommandId("zone"), zone, drain, match),
                 sequence -> {
-                    world.disturbances().happened();
+                    world.disturbances().recordChange();
                     if (drain) {
                         observer.count("drains");
                         history.drainAcknowledged(zone, world.scheduler().now());
@@ -261,7 +261,7 @@
 
     private void tenantChanged(final Runnable acknowledge, final String counter) {
         acknowledge.run();
-        world.disturbances().happened();
+        world.disturbances().recordChange();
         observer.count(counter);
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/ProcessFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ProcessFaults.java
@@ -18,7 +18,7 @@
         final SimulatedNode node = world.randomOf(world.gateways());
         world.record("kill " + node.name());
         node.kill();
-        world.disturbances().later(duration, node::start);
+        world.disturbances().scheduleChange(duration, node::start);
     }
 
     static void gatewaysKilled(final World world, final long duration) {
@@ -26,35 +26,35 @@
         world.record("kill " + killed.stream().map(SimulatedNode::name).toList());
         killed.forEach(SimulatedNode::kill);
         killed.forEach(n -> world.disturbances()
-                .later(duration / 2 + world.scheduler().random().nextLong(duration), n::start));
+                .scheduleChange(duration / 2 + world.scheduler().random().nextLong(duration), n::start));
     }
 
     static void gatewayFrozen(final World world, final long duration) {
         final SimulatedNode node = world.randomOf(world.gateways());
         world.record("freeze " + node.name());
         node.freeze(true);
-        world.disturbances().later(duration, () -> node.freeze(false));
+        world.disturbances().scheduleChange(duration, () -> node.freeze(false));
     }
 
     static void gatewayStopped(final World world, final long duration) {
         final SimulatedNode node = world.randomOf(world.gateways());
         world.record("stop " + node.name());
         node.stop();
-        world.disturbances().later(duration + 5_000_000, node::start);
+        world.disturbances().scheduleChange(duration + 5_000_000, node::start);
     }
 
     static void controllerKilled(final World world, final long duration) {
         final SimulatedNode node = world.randomOf(world.controllers());
         world.record("kill " + node.name());
         node.kill();
-        world.disturbances().later(duration, node::start);
+        world.disturbances().scheduleChange(duration, node::start);
     }
 
     static void controllerStopped(final World world, final long duration) {
         final SimulatedNode node = world.randomOf(world.controllers());
         world.record("stop " + node.name());
         node.stop();
-        world.disturbances().later(duration + 5_000_000, node::start);
+        world.disturbances().scheduleChange(duration + 5_000_000, node::start);
     }
 
     static void allRestartedInTurn(final World world, final long duration) {
@@ -63,12 +63,12 @@
         nodes.addAll(world.gateways());
         long delay = 0;
         for (final SimulatedNode node : nodes) {
-            world.disturbances().later(delay, node::stop);
-            world.disturbances().later(delay + 20_000_000, node::start);
+            world.disturbances().scheduleChange(delay, node::stop);
+            world.disturbances().scheduleChange(delay + 20_000_000, node::start);
             delay += 1_000_000;
         }
         world.disturbances()
-                .later(delay + 20_000_000, () -> world.disturbances().recovered(""));
+                .scheduleChange(delay + 20_000_000, () -> world.disturbances().recordRecovery(""));
     }
 
     static void controllerWiped(final World world, final long duration) {
@@ -76,35 +76,35 @@
         world.record("wipe " + node.name());
         node.kill();
         node.disk().ifPresent(SimulatedDisk::wipe);
-        world.disturbances().later(duration, node::start);
+        world.disturbances().scheduleChange(duration, node::start);
     }
 
     static void controllerFrozen(final World world, final long duration) {
         final SimulatedNode node = world.randomOf(world.controllers());
         world.record("freeze " + node.name());
         node.freeze(true);
-        world.disturbances().later(duration, () -> node.freeze(false));
+        world.disturbances().scheduleChange(duration, () -> node.freeze(false));
     }
 
     static void diskStalled(final World world, final long duration) {
         final SimulatedNode node = world.randomOf(world.controllers());
         world.record("stall " + node.name());
         node.disk().ifPresent(d -> d.stall(true));
-        world.disturbances().later(duration, () -> node.disk().ifPresent(d -> d.stall(false)));
+        world.disturbances().scheduleChange(duration, () -> node.disk().ifPresent(d -> d.stall(false)));
     }
 
     static void diskFull(final World world, final long duration) {
         final SimulatedNode node = world.randomOf(world.controllers());
         world.record("full " + node.name());
         node.disk().ifPresent(d -> d.full(true));
-        world.disturbances().later(duration, () -> node.disk().ifPresent(d -> d.full(false)));
+        world.disturbances().scheduleChange(duration, () -> node.disk().ifPresent(d -> d.full(false)));
     }
 
     static void diskSlow(final World world, final long duration) {
         final SimulatedNode node = world.randomOf(world.controllers());
         world.record("limp " + node.name());
         node.disk().ifPresent(d -> d.slowDown(60));
-        world.disturbances().later(duration, () -> node.disk().ifPresent(d -> d.slowDown(1)));
+        world.disturbances().scheduleChange(duration, () -> node.disk().ifPresent(d -> d.slowDown(1)));
     }
 
     static void controllerReplaced(final World world, final long duration) {
@@ -121,7 +121,7 @@
         final Plan.Region region = world.randomOf(world.plan().regions());
         world.record("lose " + region.region());
         loseRegion(world, region.region());
-        world.disturbances().later(duration, () -> restoreRegion(world, region.region()));
+        world.disturbances().scheduleChange(duration, () -> restoreRegion(world, region.region()));
     }
 
     static void allKilled(final World world, final long duration) {
@@ -132,9 +132,9 @@
     /** Beside the voters and gateways a controller without a vote runs by then; each fault of this kind adds one. */
     static void diskLostAllKilled(final World world, final long duration) {
         world.addControllerWithoutVote();
-        world.disturbances().diskLossesLast(MAX_WAIT_FOR_ACKNOWLEDGEMENT + duration);
+        world.disturbances().expectDiskLossesFor(MAX_WAIT_FOR_ACKNOWLEDGEMENT + duration);
         world.disturbances()
-                .later(
+                .scheduleChange(
                         CONTROLLER_START,
                         () -> world.operators().afterAcknowledgement(() -> loseDiskAndKillAll(world, duration)));
     }
@@ -151,7 +151,7 @@
         final SimulatedNode diskLost = world.randomOf(voters);
         world.record("kill every daemon, and " + diskLost.name() + " loses its disk");
         world.observer().count("disksLostWithAllKilled");
-        world.disturbances().diskLossesLast(MIN_RESTART_DELAY + duration);
+        world.disturbances().expectDiskLossesFor(MIN_RESTART_DELAY + duration);
         killAndRestartAll(world, duration, () -> diskLost.disk().ifPresent(SimulatedDisk::wipe));
     }
 
@@ -161,9 +161,10 @@
         nodes.forEach(SimulatedNode::kill);
         beforeRestart.run();
         nodes.forEach(node -> world.disturbances()
-                .later(MIN_RESTART_DELAY + world.scheduler().random().nextLong(duration), node::start));
+                .scheduleChange(MIN_RESTART_DELAY + world.scheduler().random().nextLong(duration), node::start));
         world.disturbances()
-                .later(MIN_RESTART_DELAY + duration, () -> world.disturbances().recovered(""));
+                .scheduleChange(
+                        MIN_RESTART_DELAY + duration, () -> world.disturbances().recordRecovery(""));
     }
 
     static void rebootstrap(final World world, final long duration) {
@@ -178,7 +179,7 @@
             node.disk().ifPresent(SimulatedDisk::wipe);
             node.start();
         });
-        world.disturbances().later(duration, heal);
+        world.disturbances().scheduleChange(duration, heal);
     }
 
     static void loseRegion(final World world, final String region) {
@@ -188,7 +189,7 @@
     }
 
     static void restoreRegion(final World world, final String region) {
-        world.disturbances().recovered(region);
+        world.disturbances().recordRecovery(region);
         world.record("back " + region);
         world.gateways().stream().filter(n -> n.region().equals(region)).forEach(SimulatedNode::start);
         world.controllers().stream().filter(n -> n.region().equals(region)).forEach(SimulatedNode::start);
@@ -196,7 +197,7 @@
     }
 
     static void replaceOneByOne(final World world, final List<SimulatedNode> remaining) {
-        world.disturbances().diskLossesLast(remaining.isEmpty() ? 0 : 60_000_000);
+        world.disturbances().expectDiskLossesFor(remaining.isEmpty() ? 0 : 60_000_000);
         if (remaining.isEmpty()) {
             return;
         }
@@ -205,7 +206,7 @@
             world.record("swap " + node.name() + " for "
                     + world.replaceController(node).name());
         }
-        world.disturbances().later(3_000_000, () -> replaceOneByOne(world, remaining));
+        world.disturbances().scheduleChange(3_000_000, () -> replaceOneByOne(world, remaining));
     }
 
     static List<SimulatedNode> randomSubset(final World world, final List<SimulatedNode> nodes) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedGateway.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedGateway.java
@@ -27,7 +27,7 @@
     private final World world;
     private final SimulatedNode host;
     private final Map<Long, Consumer<DispatchEffect>> openCalls = new HashMap<>();
-    private final Map<Long, Consumer<String>> openRuns = new HashMap<>();
+    private final Map<Long, Consumer<String>> openAttempts = new HashMap<>();
     private Optional<Dispatcher> dispatcher = Optional.empty();
     private Optional<ClusterSnapshot> clusterSnapshot = Optional.empty();
 
@@ -53,8 +53,8 @@
         final List<Consumer<DispatchEffect>> brokenCalls = List.copyOf(openCalls.values());
         openCalls.clear();
         brokenCalls.forEach(call -> call.accept(new DispatchEffect.Rejected(0, 0, "", "the connection broke", 0, "")));
-        final List<Consumer<String>> brokenRuns = List.copyOf(openRuns.values());
-        openRuns.clear();
+        final List<Consumer<String>> brokenRuns = List.copyOf(openAttempts.values());
+        openAttempts.clear();
         brokenRuns.forEach(run -> run.accept("cut"));
     }
 
@@ -74,7 +74,7 @@
     }
 
     /** The values of the marked cells that this gateway goes by. */
-    Set<String> followedValues() {
+    Set<String> rateValues() {
         final Set<String> values = new HashSet<>();
         clusterSnapshot.ifPresent(snapshot -> snapshot.policy().values().forEach(value -> {
             if (value instanceof Value.Row row) {
@@ -85,13 +85,13 @@
     }
 
     /** Opens a client's call; the effects for its token come back to the client. */
-    void call(final long token, final ObjLongConsumer<Dispatcher> call, final Consumer<DispatchEffect> onEffect) {
+    void openCall(final long token, final ObjLongConsumer<Dispatcher> call, final Consumer<DispatchEffect> onEffect) {
         openCalls.put(token, onEffect);
         dispatcher.ifPresent(running -> call.accept(running, token));
     }
 
     /** A client hangs up. */
-    void hangUp(final long callToken) {
+    void disconnectClient(final long callToken) {
         openCalls.remove(callToken);
         dispatcher.ifPresent(running -> running.onReaderDisconnected(callToken, host.now()));
     }
@@ -141,15 +141,16 @@
         world.listener().action(world.scheduler().now(), host.name(), effect);
         switch (effect) {
             case DispatchEffect.Placed placed -> {
-                answer(placed.callId(), effect, true);
+                reply(placed.callId(), effect, true);
                 reportInjectionPoint(effect);
             }
-            case DispatchEffect.Redirected redirected -> answer(redirected.callId(), effect, true);
-            case DispatchEffect.Rejected rejected -> answer(rejected.callId(), effect, true);
-            case DispatchEffect.StreamWrite write -> answer(write.callId(), effect, write.endOfStream());
+            case DispatchEffect.Redirected redirected -> reply(redirected.callId(), effect, true);
+            case DispatchEffect.Rejected rejected -> reply(rejected.callId(), effect, true);
+            case DispatchEffect.StreamWrite write -> reply(write.callId(), effect, write.endOfStream());
             case DispatchEffect.StartAttempt attempt -> start(attempt);
             case DispatchEffect.CancelAttempt cancelled ->
-                Optional.ofNullable(openRuns.remove(cancelled.operationId())).ifPresent(run -> run.accept("cut"));
+                Optional.ofNullable(openAttempts.remove(cancelled.operationId()))
+                        .ifPresent(run -> run.accept("cut"));
             case DispatchEffect.SubmitCommand submitted -> submit(submitted);
             case DispatchEffect.PlacementDecided decided -> world.observer().count("judged");
             case DispatchEffect.RequestEnded request -> world.observer().count("ended-" + request.state());
@@ -162,7 +163,7 @@
             dispatcher.ifPresent(running ->
                     running.onAttemptFailed(attempt.operationId(), false, "it was not sent in time", host.now()));
         } else {
-            world.attempts().start(host, attempt, openRuns);
+            world.attempts().start(host, attempt, openAttempts);
         }
     }
 
@@ -174,20 +175,21 @@
                         running -> running.onClaimResult(submitted.operationId(), (CommandResult) result, host.now())));
     }
 
-    private void answer(final long callToken, final DispatchEffect effect, final boolean last) {
+    private void reply(final long callToken, final DispatchEffect effect, final boolean last) {
         Optional.ofNullable(last ? openCalls.remove(callToken) : openCalls.get(callToken))
                 .ifPresent(call -> call.accept(effect));
     }
 
     private void reportInjectionPoint(final DispatchEffect effect) {
         switch (effect) {
-            case DispatchEffect.Placed placed -> world.disturbances().reached(InjectionPoint.PLACED, host);
+            case DispatchEffect.Placed placed -> world.disturbances().onPointReached(InjectionPoint.PLACED, host);
             case DispatchEffect.SubmitCommand submitted -> {
                 if (submitted.command() instanceof Command.Claim) {
-                    world.disturbances().reached(InjectionPoint.CLAIMING, host);
+                    world.disturbances().onPointReached(InjectionPoint.CLAIMING, host);
                 }
             }
-            case DispatchEffect.StartAttempt attempt -> world.disturbances().reached(InjectionPoint.SENDING, host);
+            case DispatchEffect.StartAttempt attempt ->
+                world.disturbances().onPointReached(InjectionPoint.SENDING, host);
             default -> {}
         }
     }
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNetwork.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNetwork.java
@@ -29,7 +29,7 @@
     }
 
     /** Sets the chance that a frame is lost, and that it overtakes others. */
-    public void disturb(final double losing, final double reordering) {
+    public void setLossAndReordering(final double losing, final double reordering) {
         lossProbability = losing;
         reorderProbability = reordering;
     }
@@ -40,7 +40,7 @@
     }
 
     /** Cuts the way from some places to others; gives back what heals it. */
-    public Runnable cut(final Set<String> from, final Set<String> to) {
+    public Runnable blockOneWay(final Set<String> from, final Set<String> to) {
         final Partition partition = new Partition((a, b) -> from.contains(a) && to.contains(b));
         partitions.add(partition);
         return () -> partitions.remove(partition);
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
@@ -50,7 +50,7 @@
     private final Optional<LogWriter> logWriter;
     private final StampChecker stampChecker;
     private final SimulatedGateway gateway;
-    private final Map<Long, Consumer<Object>> pendingAnswers = new HashMap<>();
+    private final Map<Long, Consumer<Object>> pendingReplies = new HashMap<>();
     private final List<Runnable> deferredTasks = new ArrayList<>();
     private Optional<Node> process = Optional.empty();
     private long generation;
@@ -119,8 +119,8 @@
     }
 
     /** The values of the marked cells that this gateway goes by. */
-    Set<String> followedValues() {
-        return gateway.followedValues();
+    Set<String> rateValues() {
+        return gateway.rateValues();
     }
 
     boolean isAlive() {
@@ -151,9 +151,9 @@
             return;
         }
         generation++;
-        stampChecker.started();
+        stampChecker.onStarted();
         clock.restart();
-        pendingAnswers.clear();
+        pendingReplies.clear();
         final Node node = newNode();
         process = Optional.of(node);
         if (!isController()) {
@@ -242,7 +242,7 @@
         if (!isAlive()) {
             return;
         }
-        final Runnable guarded = inThisProcess(task);
+        final Runnable guarded = unlessProcessEnded(task);
         if (frozen) {
             deferredTasks.add(guarded);
         } else {
@@ -250,7 +250,7 @@
         }
     }
 
-    private Runnable inThisProcess(final Runnable task) {
+    private Runnable unlessProcessEnded(final Runnable task) {
         final long current = generation;
         return () -> {
             if (current == generation) {
@@ -271,24 +271,24 @@
     void frameReceived(final Frame frame) {
         executeOnNode(node -> {
             node.onFrame(frame, now());
-            stampChecker.frameHeard(frame, node);
+            stampChecker.onFrameReceived(frame, node);
         });
     }
 
     /** Submits a command; its result comes back, if the process lives so long. */
     void submit(final Command command, final long timeout, final Consumer<Object> whenAnswered) {
-        ask(whenAnswered, (node, token) -> node.submit(command, token, now(), now() + timeout));
+        startQuery(whenAnswered, (node, token) -> node.submit(command, token, now(), now() + timeout));
     }
 
     /** Reads the entries whose keys start so; the result comes back, if the process lives so long. */
     void read(final String keyPrefix, final long timeout, final Consumer<Object> whenAnswered) {
-        ask(whenAnswered, (node, token) -> node.read(keyPrefix, token, now(), now() + timeout));
+        startQuery(whenAnswered, (node, token) -> node.read(keyPrefix, token, now(), now() + timeout));
     }
 
-    private void ask(final Consumer<Object> whenAnswered, final ObjLongConsumer<Node> question) {
+    private void startQuery(final Consumer<Object> whenAnswered, final ObjLongConsumer<Node> question) {
         execute(() -> {
             lastToken++;
-            pendingAnswers.put(lastToken, whenAnswered);
+            pendingReplies.put(lastToken, whenAnswered);
             process.ifPresent(node -> question.accept(node, lastToken));
             flush();
         });
@@ -300,14 +300,14 @@
     }
 
     /** A client's call: it is given the dispatcher and a token; the effects for the token come back to the client. */
-    void call(
+    void openCall(
             final ObjLongConsumer<Dispatcher> call,
             final Consumer<DispatchEffect> onEffect,
             final LongConsumer onToken) {
         execute(() -> {
             lastToken++;
             onToken.accept(lastToken);
-            gateway.call(lastToken, call, onEffect);
+            gateway.openCall(lastToken, call, onEffect);
             flush();
         });
     }
@@ -321,9 +321,9 @@
     }
 
     /** A client hangs up its call. */
-    void hangUp(final long callToken) {
+    void disconnectClient(final long callToken) {
         execute(() -> {
-            gateway.hangUp(callToken);
+            gateway.disconnectClient(callToken);
             flush();
         });
     }
@@ -374,7 +374,7 @@
             world.scheduler()
                     .schedule(
                             DELAYED_FRAMES_INTERVAL,
-                            inThisProcess(() -> executeOnNode(running -> running.tick(now(), clock.wallNanos()))));
+                            unlessProcessEnded(() -> executeOnNode(running -> running.tick(now(), clock.wallNanos()))));
         }
     }
 
@@ -386,12 +386,12 @@
         world.listener().effect(world.scheduler().now(), name, effect);
         switch (effect) {
             case Effect.Respond respond ->
-                Optional.ofNullable(pendingAnswers.remove(respond.token()))
+                Optional.ofNullable(pendingReplies.remove(respond.token()))
                         .ifPresent(answer -> answer.accept(respond.response()));
             case Effect.Persist write -> logWriter.ifPresent(writer -> writer.write(write));
             case Effect.Log log -> {
                 world.observer().count("log-" + log.event());
-                stampChecker.logged(log.event());
+                stampChecker.onLogged(log.event());
                 world.log(this, log);
             }
             case Effect.Send send -> throw new IllegalStateException("a message left the node without a stamp");
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedWorker.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedWorker.java
@@ -22,10 +22,10 @@
 final class SimulatedWorker {
     private static final int PREFIX_CACHE_SIZE = 64;
     private static final long MIN_PREFILL = 5_000L;
-    private static final long PREFILL_OF_PART = 8_000L;
-    private static final long CHUNK = 20_000L;
-    private static final long SLOW_CHUNK = 200_000L;
-    private static final long DARK_INTERVAL = 100_000L;
+    private static final long PREFILL_PER_MISSING_PART = 8_000L;
+    private static final long CHUNK_INTERVAL = 20_000L;
+    private static final long SLOW_CHUNK_INTERVAL = 200_000L;
+    private static final long UNRESPONSIVE_POLL_INTERVAL = 100_000L;
     private static final long MIN_ANNOUNCEMENT_INTERVAL = 400_000L;
     private static final long ANNOUNCEMENT_JITTER = 100_000L;
     private final World world;
@@ -166,7 +166,7 @@
         running++;
         final long missing = prefixCache.admit(prefixDigests);
         world.observer().count(missing == 0 && !prefixDigests.isEmpty() ? "prefixKept" : "prefixRead");
-        world.scheduler().schedule(MIN_PREFILL + missing * PREFILL_OF_PART, () -> streamNext(run, 0));
+        world.scheduler().schedule(MIN_PREFILL + missing * PREFILL_PER_MISSING_PART, () -> streamNext(run, 0));
     }
 
     private void streamNext(final Run run, final int index) {
@@ -178,7 +178,7 @@
             return;
         }
         if (fault == WorkerFault.DARK) {
-            world.scheduler().schedule(DARK_INTERVAL, () -> streamNext(run, index));
+            world.scheduler().schedule(UNRESPONSIVE_POLL_INTERVAL, () -> streamNext(run, index));
             return;
         }
         final ScriptedResponse response = run.response();
@@ -196,7 +196,10 @@
         }
         response.chunk(fault, index).forEach(chunk -> run.output().accept(chunk, false));
         recordExercised(index, response.chunkCount());
-        world.scheduler().schedule(fault == WorkerFault.SLOW ? SLOW_CHUNK : CHUNK, () -> streamNext(run, index + 1));
+        world.scheduler()
+                .schedule(
+                        fault == WorkerFault.SLOW ? SLOW_CHUNK_INTERVAL : CHUNK_INTERVAL,
+                        () -> streamNext(run, index + 1));
     }
 
     private void endStream(final Run run) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/SpreadMeasurement.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SpreadMeasurement.java
@@ -16,7 +16,7 @@
     private static final int MAX_POLLS = 2_000;
     private static final int TRIALS = 20;
     private static final int CONTROLLERS = 3;
-    private static final int WORKERS_OF_REGION = 4;
+    private static final int WORKERS_PER_REGION = 4;
     private final Plan plan;
     private final World world;
     private final List<Long> durationsMillis = new ArrayList<>();
@@ -29,7 +29,7 @@
         for (int i = 0; i < CONTROLLERS; i++) {
             final Plan.Region region = plan.regions().get(i);
             final int gateways = (nodes - CONTROLLERS + i) / CONTROLLERS;
-            regions.add(new Plan.Region(region.region(), region.zone(), gateways, WORKERS_OF_REGION));
+            regions.add(new Plan.Region(region.region(), region.zone(), gateways, WORKERS_PER_REGION));
         }
         final Plan sized = new Plan("size", regions, plan.kinds(), plan.tenants(), plan.table());
         this.world = new World(sized, seed, 5, Safeguards.ALL, false);
@@ -52,7 +52,7 @@
         final long sentBefore = world.network().framesSent();
         final long start = world.scheduler().now();
         for (int i = 0; i < TRIALS; i++) {
-            durationsMillis.add(spreadChange(i) / 1000);
+            durationsMillis.add(measureSpread(i) / 1000);
             recordAges();
             advance(SECOND);
         }
@@ -64,7 +64,7 @@
     }
 
     /** Changes a cell; gives how long it took from the acknowledgement until all gateways followed it. */
-    private long spreadChange(final int trial) {
+    private long measureSpread(final int trial) {
         final long[] acknowledged = {0, 0};
         final Command.Cell cell = new Command.Cell("*", plan.kinds().get(0).kind(), "rate", "" + (2_000 + trial));
         final Command command = new Command.PatchTable("m" + trial, List.of(cell), -1);
@@ -77,12 +77,12 @@
         boolean isSpread = false;
         for (int poll = 0; poll < MAX_POLLS && !isSpread; poll++) {
             advance(POLL_INTERVAL);
-            isSpread = acknowledged[0] > 0 && isFollowed(acknowledged[0]);
+            isSpread = acknowledged[0] > 0 && isAppliedEverywhere(acknowledged[0]);
         }
         return world.scheduler().now() - acknowledged[1];
     }
 
-    private boolean isFollowed(final long sequence) {
+    private boolean isAppliedEverywhere(final long sequence) {
         return world.gateways().stream()
                 .allMatch(gateway -> gateway.clusterSnapshot()
                         .map(snapshot -> snapshot.revision() >= sequence)
--- a/simulation/src/main/java/silverlatch/simulation/sim/StampChecker.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/StampChecker.java
@@ -15,7 +15,7 @@
     private static final long SETTLED_AFTER_RESET = 10_000_000L;
     private final World world;
     private final SimulatedNode checked;
-    private long highestHeard;
+    private long highestReceived;
     private long highestSent;
     private long incarnation;
     private long clockResetAt;
@@ -26,37 +26,37 @@
     }
 
     /** The node starts: nothing that it heard or sent before binds it. */
-    void started() {
-        highestHeard = 0;
+    void onStarted() {
+        highestReceived = 0;
         highestSent = 0;
         clockResetAt = world.scheduler().now();
     }
 
     /** The node logs an event; a rejoin resets its clock. */
-    void logged(final Event event) {
+    void onLogged(final Event event) {
         if (event == Event.REJOIN) {
             clockResetAt = world.scheduler().now();
         }
     }
 
     /** The node sends a frame. */
-    void frameSent(final Frame frame) {
+    void onFrameSent(final Frame frame) {
         final long bits = frame.stamp().bits();
         world.observer().exercise(Invariant.STAMP_ORDER);
         if (frame.incarnation() != incarnation) {
             incarnation = frame.incarnation();
             highestSent = 0;
-            highestHeard = checked.process()
-                            .filter(node -> !isWithinSkew(highestHeard, node))
+            highestReceived = checked.process()
+                            .filter(node -> !isWithinSkew(highestReceived, node))
                             .isPresent()
                     ? 0
-                    : highestHeard;
+                    : highestReceived;
         }
-        if (bits <= Math.max(highestSent, highestHeard)) {
+        if (bits <= Math.max(highestSent, highestReceived)) {
             world.observer()
                     .violated(
                             Invariant.STAMP_ORDER,
-                            checked.name() + " said " + bits + " after it heard " + highestHeard + " and said "
+                            checked.name() + " said " + bits + " after it heard " + highestReceived + " and said "
                                     + highestSent);
         }
         highestSent = Math.max(highestSent, bits);
@@ -80,10 +80,10 @@
     }
 
     /** The node heard a frame. */
-    void frameHeard(final Frame frame, final Node node) {
+    void onFrameReceived(final Frame frame, final Node node) {
         final long bits = frame.stamp().bits();
         if (!node.hasDelayedFrames() && isWithinSkew(bits, node)) {
-            highestHeard = Math.max(highestHeard, bits);
+            highestReceived = Math.max(highestReceived, bits);
         }
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/TargetedFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/TargetedFaults.java
@@ -17,10 +17,10 @@
     static void frozenAtSend(final World world, final long duration) {
         freezeAt(world, InjectionPoint.SENDING, duration);
         world.disturbances()
-                .later(200_000, () -> world.randomOf(world.workers()).drain());
+                .scheduleChange(200_000, () -> world.randomOf(world.workers()).drain());
         final String zone = world.randomOf(world.plan().regions()).zone();
-        world.disturbances().later(300_000, () -> world.operators().drain(zone, true));
-        world.disturbances().later(duration + 8_000_000, () -> {
+        world.disturbances().scheduleChange(300_000, () -> world.operators().drain(zone, true));
+        world.disturbances().scheduleChange(duration + 8_000_000, () -> {
             world.operators().drain(zone, false);
             world.workers().forEach(worker -> {
                 worker.kill();
@@ -48,7 +48,7 @@
             world.disturbances().arm(point, node -> {
                 world.record("kill " + node.name() + " at " + point);
                 node.kill();
-                world.disturbances().later(world.scheduler().random().nextLong(1_500_000), node::start);
+                world.disturbances().scheduleChange(world.scheduler().random().nextLong(1_500_000), node::start);
             });
         }
     }
@@ -59,7 +59,7 @@
         world.disturbances().arm(point, node -> {
             world.record("kill " + node.name() + " at " + point);
             node.kill();
-            world.disturbances().later(duration, node::start);
+            world.disturbances().scheduleChange(duration, node::start);
         });
     }
 
@@ -71,7 +71,7 @@
         world.disturbances().arm(point, node -> {
             world.record("freeze " + node.name() + " at " + point + " for " + freezeTime / 1000 + " ms");
             node.freeze(true);
-            world.disturbances().later(freezeTime, () -> node.freeze(false));
+            world.disturbances().scheduleChange(freezeTime, () -> node.freeze(false));
         });
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/WorkloadFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/WorkloadFaults.java
@@ -13,7 +13,7 @@
         final SimulatedWorker worker = world.randomOf(world.workers());
         world.record("crash " + worker.name());
         worker.kill();
-        world.disturbances().later(duration, worker::start);
+        world.disturbances().scheduleChange(duration, worker::start);
     }
 
     static void workerUnresponsive(final World world, final long duration) {
@@ -21,7 +21,7 @@
         world.record("dark " + worker.name());
         worker.fault(WorkerFault.DARK);
         final Runnable heal = world.network().isolate(Set.of(worker.name()));
-        world.disturbances().later(duration, () -> {
+        world.disturbances().scheduleChange(duration, () -> {
             heal.run();
             worker.fault(WorkerFault.NONE);
         });
@@ -31,8 +31,8 @@
         final SimulatedWorker worker = world.randomOf(world.workers());
         world.record("leave " + worker.name());
         worker.drain();
-        world.disturbances().later(duration + 4_000_000, worker::kill);
-        world.disturbances().later(duration + 6_000_000, worker::start);
+        world.disturbances().scheduleChange(duration + 4_000_000, worker::kill);
+        world.disturbances().scheduleChange(duration + 6_000_000, worker::start);
     }
 
     static void workersReplaced(final World world, final long duration) {
@@ -41,9 +41,9 @@
         long delay = 0;
         for (final SimulatedWorker worker : world.workers()) {
             if (worker.region().equals(region)) {
-                world.disturbances().later(delay, worker::drain);
-                world.disturbances().later(delay + 1_500_000, worker::kill);
-                world.disturbances().later(delay + 2_500_000, worker::start);
+                world.disturbances().scheduleChange(delay, worker::drain);
+                world.disturbances().scheduleChange(delay + 1_500_000, worker::kill);
+                world.disturbances().scheduleChange(delay + 2_500_000, worker::start);
                 delay += 3_000_000;
             }
         }
@@ -60,7 +60,7 @@
                 WorkerFault.SLOW,
                 WorkerFault.DROP));
         for (int round = 0; round < 2; round++) {
-            world.disturbances().later(round * duration, () -> {
+            world.disturbances().scheduleChange(round * duration, () -> {
                 final List<SimulatedWorker> candidates = new ArrayList<>(world.workers());
                 for (int i = 0; i < 4; i++) {
                     final SimulatedWorker worker =
@@ -69,7 +69,7 @@
                             faults.remove(world.scheduler().random().nextInt(faults.size()));
                     world.record(fault + " " + worker.name());
                     worker.fault(fault);
-                    world.disturbances().later(duration - 1, () -> worker.fault(WorkerFault.NONE));
+                    world.disturbances().scheduleChange(duration - 1, () -> worker.fault(WorkerFault.NONE));
                 }
             });
         }
@@ -78,7 +78,7 @@
     static void clientsMove(final World world, final long duration) {
         world.record("consumers move");
         world.load().setClientsMoving(true);
-        world.disturbances().later(duration * 2, () -> world.load().setClientsMoving(false));
+        world.disturbances().scheduleChange(duration * 2, () -> world.load().setClientsMoving(false));
     }
 
     static void loadSpike(final World world, final long duration) {
@@ -87,7 +87,8 @@
         world.record("crowd, leaning " + lengthBias);
         world.load().setLoad(usualRate * 4, lengthBias);
         world.disturbances()
-                .later(Math.min(duration, 6_000_000), () -> world.load().setLoad(usualRate, 0));
+                .scheduleChange(
+                        Math.min(duration, 6_000_000), () -> world.load().setLoad(usualRate, 0));
     }
 
     static void regionWorkersLost(final World world, final long duration) {
@@ -96,9 +97,9 @@
         final List<SimulatedWorker> lost =
                 world.workers().stream().filter(m -> m.region().equals(region)).toList();
         lost.forEach(SimulatedWorker::kill);
-        world.disturbances().later(duration, () -> {
+        world.disturbances().scheduleChange(duration, () -> {
             lost.forEach(SimulatedWorker::start);
-            world.disturbances().recovered(region);
+            world.disturbances().recordRecovery(region);
         });
     }
 
@@ -106,7 +107,7 @@
         world.record("most workers deny");
         world.workers().stream().skip(world.workers().size() / 3).forEach(m -> m.fault(WorkerFault.DENY));
         world.disturbances()
-                .later(duration + 20_000_000, () -> world.workers().forEach(m -> m.fault(WorkerFault.NONE)));
+                .scheduleChange(duration + 20_000_000, () -> world.workers().forEach(m -> m.fault(WorkerFault.NONE)));
     }
 
     static void workerSlowUnderLoad(final World world, final long duration) {
@@ -115,7 +116,7 @@
         world.record("crowd, and " + worker.name() + " limps");
         worker.fault(WorkerFault.SLOW);
         world.load().setLoad(usualRate * 4, 0);
-        world.disturbances().later(Math.min(duration, 5_000_000), () -> {
+        world.disturbances().scheduleChange(Math.min(duration, 5_000_000), () -> {
             world.load().setLoad(usualRate, 0);
             worker.fault(WorkerFault.NONE);
         });
@@ -126,8 +127,9 @@
         world.record("the mix swings");
         for (int i = 0; i < 6; i++) {
             final int lengthBias = i % 2 == 0 ? 1 : -1;
-            world.disturbances().later(i * 1_000_000L, () -> world.load().setLoad(usualRate * 4, lengthBias));
+            world.disturbances()
+                    .scheduleChange(i * 1_000_000L, () -> world.load().setLoad(usualRate * 4, lengthBias));
         }
-        world.disturbances().later(6_000_000, () -> world.load().setLoad(usualRate, 0));
+        world.disturbances().scheduleChange(6_000_000, () -> world.load().setLoad(usualRate, 0));
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/World.java
@@ -213,7 +213,7 @@
     /** Waits until the controllers form one chain again, so that a disk may be lost for good. */
     void waitForFullChain() {
         for (int i = 0;
-                i < MAX_SECONDS_TO_FULL_CHAIN && (disturbances.areDisksBeingLost() || !isChainComplete());
+                i < MAX_SECONDS_TO_FULL_CHAIN && (disturbances.areDiskLossesExpected() || !isChainComplete());
                 i++) {
             scheduler.runUntil(scheduler.now() + SECOND);
         }
@@ -273,7 +273,7 @@
         scheduler.runUntil(scheduler.now() + 2 * SECOND);
         load.start();
         operators.start();
-        observeFollowedValues();
+        observeRateValues();
     }
 
     private void await(final int tenths, final BooleanSupplier condition) {
@@ -306,11 +306,11 @@
         return ++nextSerial;
     }
 
-    private void observeFollowedValues() {
+    private void observeRateValues() {
         gateways().stream()
                 .filter(SimulatedNode::isReady)
                 .forEach(gateway -> observer.operatorHistory()
-                        .valuesObserved(gateway.followedValues(), "is followed by " + gateway.name()));
-        scheduler.schedule(SECOND / 4, this::observeFollowedValues);
+                        .valuesObserved(gateway.rateValues(), "is followed by " + gateway.name()));
+        scheduler.schedule(SECOND / 4, this::observeRateValues);
     }
 }
--- a/simulation/src/test/java/silverlatch/simulation/sim/ConfigurationHistoryTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/ConfigurationHistoryTest.java
@@ -13,46 +13,46 @@
     private final ConfigurationHistory history = new ConfigurationHistory(observer);
 
     @Test
-    void anOrderAcknowledgedAgainAndALoserThatStaysRefusedAreInOrder() {
-        history.acknowledge("a", 1, 0);
-        history.refuse("b");
-        history.acknowledge("c", 3, 1);
-        history.acknowledge("a", 1, 0);
-        history.refuse("b");
-        history.read("c", 3, 3);
+    void aRepeatedAcknowledgementAndARepeatedRejectionAreNoViolations() {
+        history.recordAcknowledgement("a", 1, 0);
+        history.recordRejection("b");
+        history.recordAcknowledgement("c", 3, 1);
+        history.recordAcknowledgement("a", 1, 0);
+        history.recordRejection("b");
+        history.recordRead("c", 3, 3);
         assertThat(observer.violations(), empty());
     }
 
     @Test
-    void twoDocumentsUnderOneRevisionAreNoticed() {
-        history.acknowledge("a", 2, 0);
-        history.acknowledge("b", 2, 1);
+    void twoDocumentsAcknowledgedUnderOneRevisionAreAViolation() {
+        history.recordAcknowledgement("a", 2, 0);
+        history.recordAcknowledgement("b", 2, 1);
         assertThat(
                 observer.violations(),
                 contains(startsWith("REJECTED_CHANGE a and b were both acknowledged under revision 2")));
     }
 
     @Test
-    void twoDocumentsOnTopOfOneVersionAreNoticed() {
-        history.acknowledge("a", 2, 1);
-        history.acknowledge("b", 3, 1);
+    void twoDocumentsAcknowledgedOnTopOfOneRevisionAreAViolation() {
+        history.recordAcknowledgement("a", 2, 1);
+        history.recordAcknowledgement("b", 3, 1);
         assertThat(
                 observer.violations(),
                 contains(startsWith("REJECTED_CHANGE a and b were both acknowledged on top of revision 1")));
     }
 
     @Test
-    void anOrderThatIsRefusedWhenItIsSentAgainIsNoticed() {
-        history.acknowledge("a", 1, 0);
-        history.refuse("a");
+    void rejectingAnAcknowledgedDocumentIsAViolation() {
+        history.recordAcknowledgement("a", 1, 0);
+        history.recordRejection("a");
         assertThat(observer.violations(), contains(startsWith("REJECTED_CHANGE a was acknowledged, and refused")));
     }
 
     @Test
-    void aRefusedOrderThatTakesEffectIsNoticed() {
-        history.refuse("a");
-        history.acknowledge("a", 1, 0);
-        history.read("a", 1, 0);
+    void applyingARejectedDocumentIsAViolation() {
+        history.recordRejection("a");
+        history.recordAcknowledgement("a", 1, 0);
+        history.recordRead("a", 1, 0);
         assertThat(
                 observer.violations(),
                 contains(
@@ -61,10 +61,10 @@
     }
 
     @Test
-    void anOldReadAndAForeignDocumentAreNoticed() {
-        history.acknowledge("a", 4, 0);
-        history.read("b", 4, 4);
-        history.read("b", 3, 4);
+    void aStaleReadAndAReadOfAnotherDocumentAreViolations() {
+        history.recordAcknowledgement("a", 4, 0);
+        history.recordRead("b", 4, 4);
+        history.recordRead("b", 3, 4);
         assertThat(
                 observer.violations(),
                 contains(
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayDigest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayDigest.java
@@ -81,7 +81,7 @@
             }
             case DispatchEffect.StreamWrite flow -> {
                 numbers('f', flow.callId(), flow.endOfStream() ? 1 : 0);
-                flow.records().forEach(this::line);
+                flow.records().forEach(this::streamRecord);
             }
             case DispatchEffect.StartAttempt run -> {
                 numbers('u', run.operationId(), run.sendDeadline());
@@ -100,7 +100,7 @@
         }
     }
 
-    private void line(final StreamRecord line) {
+    private void streamRecord(final StreamRecord line) {
         switch (line) {
             case StreamRecord.Chunk piece -> {
                 numbers('p', piece.index());
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayDigestTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayDigestTest.java
@@ -28,7 +28,7 @@
             final DayDigest digest = new DayDigest();
             final Day.Result day = Day.run(
                     Plan.read(Path.of("../examples/" + plan)),
-                    Day.Scenario.drawn(seed, RATE),
+                    Day.Scenario.withRandomFaults(seed, RATE),
                     Safeguards.ALL,
                     false,
                     digest);
@@ -46,7 +46,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"ferry", "telecom"})
-    void theDaysAreTheRecordedOnes(final String plan) throws IOException {
+    void daysMatchTheRecordedDigests(final String plan) throws IOException {
         final List<String> days =
                 Stream.iterate(FIRST_SEED, s -> s + 1).limit(LAST_SEED - FIRST_SEED + 1).toList().parallelStream()
                         .map(s -> line(plan, s))
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aDayIsTheSameWhenItIsRunAgain() {
+    void aRepeatedDayHasTheSameDigest() {
         assertThat(line("ferry", 2), is(line("ferry", 2)));
     }
 }
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayTest.java
@@ -102,7 +102,7 @@
                 violations(runAll(
                         plan(name),
                         LongStream.range(100, 116)
-                                .mapToObj(s -> Day.Scenario.drawn(s, RATE))
+                                .mapToObj(s -> Day.Scenario.withRandomFaults(s, RATE))
                                 .toList(),
                         Safeguards.ALL)),
                 is(List.of()));
