--- a/simulation/src/main/java/silverlatch/simulation/sim/AttemptTransport.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/AttemptTransport.java
@@ -8,8 +8,8 @@
 import silverlatch.dispatch.StreamRecord;
 
 /**
- * The connections on which gateways send requests to workers, as HTTP would carry them: each attempt is a connection of its
- * own, its records come in order, and a worker that ends breaks it. It tells the observer what workers started.
+ * The connections on which gateways send requests to workers. As over HTTP, each attempt has a connection of its own, its records
+ * arrive in order, and the end of the worker's process breaks it. Reports the attempts that workers start to the observer.
  */
 final class AttemptTransport {
     private static final long CONNECT_TIMEOUT = 1_000_000L;
@@ -26,16 +26,16 @@
         this.network = world.network();
     }
 
-    /** What a client sent under a request's id. */
+    /** The idempotency key and the number of previous attempts that a client sent for a request id. */
     private record IssuedRequest(String idempotencyKey, int previousAttempts) {}
 
-    /** An attempt on its connection: who takes part, and whether it has ended at the gateway. */
+    /** The connection of one attempt: its gateway, its worker, and whether the attempt has ended at the gateway. */
     private final class Connection {
         private final SimulatedNode gateway;
         private final SimulatedWorker worker;
         private final DispatchEffect.StartAttempt attempt;
         private final String name;
-        private final long startedIn;
+        private final long startedGeneration;
         private long exchange;
         private boolean ended;
 
@@ -45,7 +45,7 @@
             this.worker = worker;
             this.attempt = attempt;
             this.name = gateway.name() + ">" + worker.name() + "/" + attempt.attemptId();
-            this.startedIn = gateway.generation();
+            this.startedGeneration = gateway.generation();
         }
 
         void toWorker(final Runnable delivery) {
@@ -56,8 +56,8 @@
             network.sendBytes(name + "<", worker.name(), gateway.name(), delivery);
         }
 
-        boolean isOver() {
-            return ended || startedIn != gateway.generation();
+        boolean hasEnded() {
+            return ended || startedGeneration != gateway.generation();
         }
 
         void cancel() {
@@ -66,26 +66,26 @@
         }
 
         void failed(final boolean started, final String reason) {
-            final long failedIn = gateway.generation();
+            final long failedGeneration = gateway.generation();
             gateway.withDispatcher(dispatcher -> {
-                if (failedIn == gateway.generation()) {
+                if (failedGeneration == gateway.generation()) {
                     dispatcher.onAttemptFailed(attempt.operationId(), started, reason, gateway.now());
                 }
             });
         }
     }
 
-    /** A client's request got its id; its key and earlier attempts count when the observer judges retries. */
+    /** Records the id of a client's request, with the key and the previous attempts that the observer's retry check needs. */
     void requestIssued(final String requestId, final String idempotencyKey, final int previousAttempts) {
         issuedRequests.put(requestId, new IssuedRequest(idempotencyKey, previousAttempts));
     }
 
-    /** The region of the worker that ran an attempt, or an empty text. */
+    /** Returns the region of the worker that ran an attempt, or an empty string if none did. */
     String regionOf(final String attemptId) {
         return regionByAttempt.getOrDefault(attemptId, "");
     }
 
-    /** A gateway sends a request to a worker; under the attempt's operation id it can cancel it. */
+    /** Sends an attempt to its worker, and adds what cancels it to {@code openAttempts} under its operation id. */
     void start(
             final SimulatedNode gateway,
             final DispatchEffect.StartAttempt attempt,
@@ -138,7 +138,7 @@
     }
 
     private void arriveAtGateway(final Connection connection, final StreamRecord record, final boolean last) {
-        if (connection.isOver()) {
+        if (connection.hasEnded()) {
             return;
         }
         if (last) {
@@ -169,14 +169,15 @@
                         revision),
                 now);
         if (attempt.kind().equals(Operators.GATE_KIND)) {
-            observer.operatorHistory().obeyed(gateway.name(), true, "ticket " + attempt.requestId() + " ran", now);
+            observer.operatorHistory()
+                    .requireGateInForce(gateway.name(), true, "ticket " + attempt.requestId() + " ran", now);
         }
     }
 
-    /** A worker that ends is noticed at the next keepalive. */
+    /** Checks every 200 ms whether the worker's process still runs, as a keepalive does, and fails the attempt if not. */
     private void watchWorker(final Connection connection) {
         world.scheduler().schedule(KEEPALIVE_INTERVAL, () -> {
-            if (connection.isOver()) {
+            if (connection.hasEnded()) {
                 return;
             }
             if (connection.worker.isAlive()) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/Baseline.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Baseline.java
@@ -3,12 +3,15 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How much was served before the first fault, and every recovery judged by it. Times and durations are microseconds. */
+/**
+ * The number of requests that were completed before the first fault, against which the service after each recovery is checked.
+ * Times and durations are microseconds.
+ */
 final class Baseline {
-    /** How long after a recovery service is judged again. */
+    /** How long after a recovery the service is checked. */
     static final long RECOVERY_TIME = 12_000_000L;
 
-    /** Over how long completed requests are counted. */
+    /** The window in which completed requests are counted. */
     static final long WINDOW = 3_000_000L;
 
     private static final long SECOND = 1_000_000L;
@@ -28,12 +31,15 @@
                         world.observer().completedBetween(tenant.name(), from, to) * WINDOW / (to - from)));
     }
 
-    /** How many requests were completed in a window before the faults. */
+    /** Returns how many requests were completed in a window before the faults. */
     long completed() {
         return completed;
     }
 
-    /** Lets time pass; 12 s after what came back, or after what was done or healed on top of it, service is judged. */
+    /**
+     * Lets time pass. Checks the service of each recovery in the window that begins 12 s after it or after the last change that
+     * overlapped with it.
+     */
     void advance(final long duration) {
         final long end = world.scheduler().now() + duration;
         while (world.scheduler().now() < end) {
@@ -78,7 +84,12 @@
         });
     }
 
-    /** Judges service from a time on, and that the table could be read back and changed; call it after both. */
+    /**
+     * Checks the service in the window from a time on, and that the table could be read back and changed. Both must have been tried
+     * before this call.
+     *
+     * @param keepsState whether the cluster must have kept its state; otherwise nothing is required of it
+     */
     void checkService(final long from, final boolean keepsState) {
         world.observer().exercise(Invariant.SERVES_AFTER_FAULTS);
         final long completedAfter = world.observer().completedBetween(from, from + WINDOW);
--- a/simulation/src/main/java/silverlatch/simulation/sim/ClientRequest.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ClientRequest.java
@@ -124,7 +124,7 @@
         final OperatorHistory history = world.observer().operatorHistory();
         final long now = world.scheduler().now();
         if (answer instanceof DispatchEffect.Placed placed) {
-            history.shown(node.name(), placed.revision(), now);
+            history.revisionObserved(node.name(), placed.revision(), now);
             history.requireHomeRegion(
                     content.tenant().name(),
                     node.region(),
--- a/simulation/src/main/java/silverlatch/simulation/sim/Day.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Day.java
@@ -7,11 +7,14 @@
 import silverlatch.safeguard.Safeguards;
 import silverlatch.simulation.fleet.Plan;
 
-/** A day in the simulator: it opens, faults come one after another, it heals, it is judged, and some end with one last fault. */
+/**
+ * One simulated day: the world starts, faults are injected one after another, everything is healed and service is checked. Days
+ * with an even seed end with one more fault. Times are microseconds.
+ */
 public final class Day {
     private static final long SECOND = 1_000_000L;
 
-    /** What a day of an even seed may end with. */
+    /** The faults with which days with an even seed end. */
     private static final List<Fault> CLOSING_FAULTS = List.of(
             Fault.GATEWAYS_KILLED,
             Fault.ALL_KILLED,
@@ -23,25 +26,25 @@
 
     private Day() {}
 
-    /** What a day is made of. */
+    /** The input of a day: its seed, the faults to inject, the clients' requests per second, and whether disks report syncs early. */
     public record Scenario(long seed, List<Fault> faults, long rate, boolean lyingDisks) {
         /** Copies the faults. */
         public Scenario {
             faults = List.copyOf(faults);
         }
 
-        /** A day of the given faults. */
+        /** Returns a day with the given faults. */
         public static Scenario of(final long seed, final List<Fault> faults, final long rate) {
             return new Scenario(seed, faults, rate, false);
         }
 
-        /** A day whose faults are drawn by the seed. */
+        /** Returns a day whose faults are drawn at random from the seed. */
         public static Scenario withRandomFaults(final long seed, final long rate) {
             return new Scenario(seed, randomFaults(seed), rate, false);
         }
     }
 
-    /** What came of a day. */
+    /** The result of a day: the violated invariants, the counters, and the injected faults in order. */
     public record Result(
             Scenario scenario, List<String> violations, Map<String, Long> counters, List<String> timeline) {
         /** Copies the lists. */
@@ -51,13 +54,13 @@
         }
     }
 
-    /** Runs a day; its faults last as long and overlap as the seed will. */
+    /** Runs a day; the seed determines how long its faults last and how they overlap. */
     public static Result run(
             final Plan plan, final Scenario scenario, final Safeguards safeguards, final boolean verbose) {
         return run(plan, scenario, safeguards, verbose, WorldListener.NONE);
     }
 
-    /** Runs a day, and tells a listener of all that its processes do. */
+    /** Runs a day, and notifies a listener of every frame and effect of its processes. */
     static Result run(
             final Plan plan,
             final Scenario scenario,
@@ -65,18 +68,18 @@
             final boolean verbose,
             final WorldListener listener) {
         final World world = new World(plan, scenario.seed(), scenario.rate(), safeguards, verbose, listener);
-        world.controllers().forEach(n -> n.disk().ifPresent(d -> d.lying(scenario.lyingDisks())));
+        world.controllers().forEach(n -> n.disk().ifPresent(d -> d.setLying(scenario.lyingDisks())));
         world.start();
         final long start = world.scheduler().now();
         world.scheduler().runUntil(start + 5 * SECOND);
         final Baseline baseline = new Baseline(world, start + SECOND, start + 5 * SECOND);
-        final boolean founded = !scenario.faults().contains(Fault.REBOOTSTRAP);
+        final boolean keepsState = !scenario.faults().contains(Fault.REBOOTSTRAP);
         for (final Fault fault : scenario.faults()) {
             inject(world, fault);
             baseline.advance(randomPause(world));
         }
-        healAndCheck(world, baseline, founded);
-        if (scenario.seed() % 2 == 0 && founded) {
+        healAndCheck(world, baseline, keepsState);
+        if (scenario.seed() % 2 == 0 && keepsState) {
             injectClosingFault(world, baseline, scenario.seed());
         }
         world.stopLoad();
@@ -84,7 +87,7 @@
         return result(world, baseline, scenario);
     }
 
-    /** How long until the next fault: shorter or longer than a fault lasts. */
+    /** Draws the time until the next fault, which may be shorter or longer than a fault lasts. */
     private static long randomPause(final World world) {
         return switch (world.scheduler().random().nextInt(4)) {
             case 0 -> SECOND;
@@ -93,24 +96,24 @@
         };
     }
 
-    private static void healAndCheck(final World world, final Baseline baseline, final boolean founded) {
+    private static void healAndCheck(final World world, final Baseline baseline, final boolean keepsState) {
         baseline.advance(35 * SECOND);
         world.controllers().forEach(SimulatedNode::start);
         world.gateways().forEach(SimulatedNode::start);
         world.workers().forEach(SimulatedWorker::start);
         baseline.advance(10 * SECOND);
-        checkService(world, baseline, founded, "last");
+        checkService(world, baseline, keepsState, "last");
     }
 
     private static void checkService(
-            final World world, final Baseline baseline, final boolean founded, final String commandId) {
+            final World world, final Baseline baseline, final boolean keepsState, final String commandId) {
         final long start = world.scheduler().now();
         world.scheduler().runUntil(start + Baseline.WINDOW);
         world.operators().readBackAndChange(commandId);
-        baseline.checkService(start, founded);
+        baseline.checkService(start, keepsState);
     }
 
-    /** After a fault that takes a disk away, what was acknowledged is read back, and the fleet must serve again. */
+    /** Injects the last fault; if that destroys a disk, acknowledged changes are then read back, and the cluster must serve again. */
     private static void injectClosingFault(final World world, final Baseline baseline, final long seed) {
         final Fault fault = CLOSING_FAULTS.get((int) (seed / 2 % CLOSING_FAULTS.size()));
         inject(world, fault);
@@ -139,12 +142,12 @@
             world.waitForFullChain();
         }
         world.disturbances().recordChange();
-        fault.injection(world, duration);
+        fault.inject(world, duration);
     }
 
     /**
-     * A day's faults drawn by a seed; some come on top of each other. Left out is what has an end of its own (a new
-     * founding) and what comes at the end of a day alone.
+     * Draws a day's three to six faults from a seed; a fault may occur twice. Never drawn are {@link Fault#REBOOTSTRAP}, after which
+     * the earlier state isn't expected to survive, and {@link Fault#DISK_LOST_ALL_KILLED}, which occurs only at the end of a day.
      */
     public static List<Fault> randomFaults(final long seed) {
         final SplittableRandom random = new SplittableRandom(seed * 7919);
--- a/simulation/src/main/java/silverlatch/simulation/sim/Disturbances.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Disturbances.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 
 /**
- * What is done to a world and healed: when that last happened, what is still to be healed, what came back, and the faults
- * that wait for a node to reach an {@link InjectionPoint}. Times and durations are microseconds of true time.
+ * Tracks the injected faults and their repairs: when the last one happened, how many are pending, which regions recovered, and
+ * which faults wait for a node to reach an {@link InjectionPoint}. Times and durations are microseconds of true time.
  */
 final class Disturbances {
     private static final long CLOCK_SKEW_CHECK_TIME = 20_000_000L;
@@ -27,20 +27,20 @@
         this.observer = observer;
     }
 
-    /** A region came back, or all when the name is empty. */
+    /** The recovery of a region, or of all regions if the name is empty. */
     record Recovery(String region, long time) {}
 
-    /** Something is done to the world, or is healed, at this moment. */
+    /** Records that a fault is injected or healed now. */
     void recordChange() {
         lastChangeAt = scheduler.now();
     }
 
-    /** When something was last done to the world or healed. */
+    /** Returns when a fault was last injected or healed. */
     long lastChangeAt() {
         return lastChangeAt;
     }
 
-    /** Does something later that disturbs or heals the world; until then the world isn't healed. */
+    /** Schedules a task that injects or heals a fault; the world doesn't count as healed until it has run. */
     void scheduleChange(final long delay, final Runnable task) {
         pendingChanges++;
         scheduler.schedule(delay, () -> {
@@ -50,48 +50,48 @@
         });
     }
 
-    /** Whether nothing that was done to the world waits to be healed. */
+    /** Returns whether no injection and no repair is pending. */
     boolean isEverythingHealed() {
         return pendingChanges == 0;
     }
 
-    /** A region came back, or all when the name is empty. */
+    /** Records the recovery of a region, or of all regions if the name is empty. */
     void recordRecovery(final String region) {
         recoveries.add(new Recovery(region, scheduler.now()));
         recordChange();
     }
 
-    /** What came back, and when. */
+    /** Returns the recoveries so far, in order. */
     List<Recovery> recoveries() {
         return List.copyOf(recoveries);
     }
 
-    /** Disks may go on being lost for so long from now on. */
+    /** Records that a fault may destroy disks for the given time from now on. */
     void expectDiskLossesFor(final long duration) {
         diskLossesExpectedUntil = scheduler.now() + duration;
     }
 
-    /** Whether a fault that loses disks is still at work. */
+    /** Returns whether an active fault may still destroy a disk. */
     boolean areDiskLossesExpected() {
         return scheduler.now() < diskLossesExpectedUntil;
     }
 
-    /** A clock is off from now on: stamps are looked at closely for a while. */
+    /** Records that a wall clock is set off now; stamps are checked against true time for the next 20 s. */
     void recordClockSkew() {
         clockSkewedAt = scheduler.now();
     }
 
-    /** Whether a clock was set off a short while ago. */
+    /** Returns whether a wall clock was set off in the last 20 s. */
     boolean isClockSkewRecent() {
         return scheduler.now() - clockSkewedAt < CLOCK_SKEW_CHECK_TIME;
     }
 
-    /** The next node that reaches the point is hit there. */
+    /** Arms a fault that hits the next node to reach the point, in place of any fault armed there before. */
     void arm(final InjectionPoint point, final Consumer<SimulatedNode> injection) {
         armedInjections.put(point, injection);
     }
 
-    /** A node reaches a point; a fault that waits there strikes before this returns. */
+    /** Injects the fault that is armed at a point, if any, into the node that reached it, before this method returns. */
     void onPointReached(final InjectionPoint point, final SimulatedNode node) {
         Optional.ofNullable(armedInjections.remove(point)).ifPresent(injection -> {
             observer.count("aimed-" + point);
--- a/simulation/src/main/java/silverlatch/simulation/sim/EventScheduler.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/EventScheduler.java
@@ -3,39 +3,39 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** One fake clock for everything: events happen in the order of their time, and of their making. */
+/** The virtual clock of a simulated day, which runs events in order of their times; events of one time run as they were scheduled. */
 public final class EventScheduler {
     private final PriorityQueue<ScheduledEvent> queue = new PriorityQueue<>();
     private final SplittableRandom random;
     private long now;
     private long nextNumber;
 
-    /** An engine whose chances follow from the seed. */
+    /** Creates a scheduler at time 0 whose random numbers are determined by the seed. */
     public EventScheduler(final long seed) {
         this.random = new SplittableRandom(seed);
     }
 
-    /** True time in microseconds. */
+    /** Returns the true time in microseconds since the day began. */
     public long now() {
         return now;
     }
 
-    /** The source of chance. */
+    /** Returns the source of all random choices of the day. */
     public SplittableRandom random() {
         return random;
     }
 
-    /** Does something later. */
+    /** Schedules a task after a delay in microseconds; a negative delay counts as 0. */
     public void schedule(final long delay, final Runnable task) {
         queue.add(new ScheduledEvent(now + Math.max(0, delay), nextNumber++, task));
     }
 
-    /** Does something at a time. */
+    /** Schedules a task at a time, or at the current time if that has passed. */
     public void scheduleAt(final long time, final Runnable task) {
         schedule(time - now, task);
     }
 
-    /** Runs up to a time. */
+    /** Runs all events up to and including a time, and sets the clock to it. */
     public void runUntil(final long endTime) {
         while (!queue.isEmpty() && queue.peek().time() <= endTime) {
             final ScheduledEvent event = queue.poll();
--- a/simulation/src/main/java/silverlatch/simulation/sim/Fault.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Fault.java
@@ -1,130 +1,139 @@
 package silverlatch.simulation.sim;
 
-/** Everything of the brief's "what fails", each as something that can be done to a world and is healed after a time. */
+/** The faults that can be injected into a simulated world. Each one heals after a time. */
 public enum Fault {
-    /** A gateway is killed and comes back. */
+    /** A gateway is killed and restarted. */
     GATEWAY_KILLED(ProcessFaults::gatewayKilled),
     /** Half of the gateways are killed at once. */
     GATEWAYS_KILLED(ProcessFaults::gatewaysKilled),
-    /** A gateway freezes and wakes. */
+    /** A gateway's process is frozen and resumed. */
     GATEWAY_FROZEN(ProcessFaults::gatewayFrozen),
-    /** A gateway is asked to stop, and comes back. */
+    /** A gateway is shut down gracefully and restarted. */
     GATEWAY_STOPPED(ProcessFaults::gatewayStopped),
-    /** A worker crashes and comes back cold. */
+    /** A worker crashes and restarts with an empty prefix cache. */
     WORKER_CRASHED(WorkloadFaults::workerCrashed),
-    /** A worker goes dark: it takes connections and says nothing; its announcements don't come through. */
+    /** A worker accepts connections but never responds, and its announcements are lost. */
     WORKER_UNRESPONSIVE(WorkloadFaults::workerUnresponsive),
-    /** A worker says that it leaves, and is gone a little later; a new one comes. */
+    /** A worker announces that it drains and ends some seconds later; a new process then takes its place. */
     WORKER_DRAINS(WorkloadFaults::workerDrains),
-    /** All workers of a region are replaced one by one at short notice. */
+    /** All workers of a region are replaced one by one, each 1.5 s after it begins to drain. */
     WORKERS_REPLACED(WorkloadFaults::workersReplaced),
-    /** Workers break the rules of the stream, or limp, or deny, each in its own way. */
+    /** Workers violate the stream protocol, respond slowly or reject requests, each in a different way. */
     WORKERS_MISBEHAVE(WorkloadFaults::workersMisbehave),
-    /** Consumers move between zones and come back to their streams. */
+    /** Clients reconnect in the middle of a response and resume its stream. */
     CLIENTS_MOVE(WorkloadFaults::clientsMove),
-    /** A crowd arrives, and the mix swings. */
+    /** The request rate rises to four times the usual, and prompts or responses may become longer. */
     LOAD_SPIKE(WorkloadFaults::loadSpike),
-    /** A controller loses its power, perhaps just after it said yes. */
+    /** A controller loses power, possibly just after it acknowledged a command. */
     CONTROLLER_KILLED(ProcessFaults::controllerKilled),
-    /** A controller is asked to stop, and comes back. */
+    /** A controller is shut down gracefully and restarted. */
     CONTROLLER_STOPPED(ProcessFaults::controllerStopped),
-    /** Everything is asked to stop, one after another, and comes back. */
+    /** All nodes are shut down gracefully, one after another, and restarted. */
     ALL_STOPPED(ProcessFaults::allRestartedInTurn),
-    /** A controller loses its power and its disk, and starts with an empty one. */
+    /** A controller loses power and its disk, and starts with an empty disk. */
     CONTROLLER_WIPED(ProcessFaults::controllerWiped),
-    /** A controller freezes and wakes. */
+    /** A controller's process is frozen and resumed. */
     CONTROLLER_FROZEN(ProcessFaults::controllerFrozen),
     /** A controller's disk stalls. */
     DISK_STALLED(ProcessFaults::diskStalled),
-    /** A controller's disk is full; the machine is restarted when there is space again. */
+    /** A controller's disk is full for a while; the controller reopens its log when there is space again. */
     DISK_FULL(ProcessFaults::diskFull),
-    /** A controller's disk limps. */
+    /** A controller's disk takes 60 times as long for each sync. */
     DISK_SLOW(ProcessFaults::diskSlow),
-    /** A controller is replaced by an empty machine at a new address. */
+    /** A controller is replaced by one with an empty disk at a new address. */
     CONTROLLER_REPLACED(ProcessFaults::controllerReplaced),
-    /** All controllers are swapped for others, one after another, each when the chain is whole again. */
+    /** All controllers are replaced one after another, each once the chain is complete again. */
     CONTROLLERS_REPLACED(ProcessFaults::controllersReplaced),
-    /** One controller is cut off from the others. */
+    /** One controller is partitioned from the other controllers, in one direction or in both. */
     CONTROLLER_PARTITIONED(NetworkFaults::controllerPartitioned),
-    /** All controllers are cut off from the gateways. */
+    /** All controllers are partitioned from the gateways. */
     CONTROLLERS_PARTITIONED(NetworkFaults::controllersPartitioned),
-    /** A region is cut off. */
+    /** A region is partitioned from all others. */
     REGION_PARTITIONED(NetworkFaults::regionPartitioned),
-    /** The region of the chain's last controller is cut off for long, while operators on both sides read and write. */
+    /** The region of the last controller is partitioned for 9 s, while operators on both sides read and write. */
     TAIL_REGION_PARTITIONED(NetworkFaults::tailRegionPartitioned),
-    /** A region is lost and comes back cold. */
+    /** All processes of a region are killed and restarted; its workers' prefix caches are then empty. */
     REGION_LOST(ProcessFaults::regionLost),
-    /** All workers of a region are lost and come back cold, while its gateways stay. */
+    /** All workers of a region are killed and restart with empty prefix caches, while its gateways keep running. */
     REGION_WORKERS_LOST(WorkloadFaults::regionWorkersLost),
-    /** Everything is killed at once and started again. */
+    /** All nodes are killed at once and restarted. */
     ALL_KILLED(ProcessFaults::allKilled),
     /**
-     * Right after an acknowledgement a controller loses its disk, and at the same moment all other machines lose their
-     * power, also those that don't count: the gateways, and a controller without a vote.
+     * Right after an acknowledgement a controller loses its disk, and at the same moment all other nodes lose power, also those
+     * that have no vote: the gateways, and a controller without a data directory.
      */
     DISK_LOST_ALL_KILLED(ProcessFaults::diskLostAllKilled),
-    /** The wall clock of a machine jumps while it runs. */
+    /** The wall clock of a node jumps while it runs. */
     CLOCK_JUMPS(NetworkFaults::clockJumps),
-    /** A machine starts with its clock far off. */
+    /** A node restarts with its wall clock set off by up to ten minutes. */
     CLOCK_SKEWED(NetworkFaults::clockSkewed),
-    /** Frames are lost and overtake each other. */
+    /** Frames between nodes are lost and reordered. */
     NETWORK_LOSSY(NetworkFaults::lossyNetwork),
-    /** A zone is emptied and given back. */
+    /** A zone is drained and then returned to service. */
     ZONE_EVACUATED(OperatorFaults::zoneDrained),
-    /** One gateway is cut off from all other daemons while workers and consumers still reach it; a worker leaves meanwhile. */
+    /** One gateway is partitioned from all other nodes while clients and most workers still reach it; meanwhile a worker drains. */
     GATEWAY_PARTITIONED(NetworkFaults::gatewayPartitionedFromNodes),
-    /** Most workers deny for a while, and each ticket would be tried again. */
+    /** Most workers reject requests for a while, so that each request would be retried. */
     WORKERS_REJECT(WorkloadFaults::workersReject),
-    /** Most machines start with their clocks off, some by the same, some each by its own. */
+    /** Most nodes restart with their wall clocks ahead, either all by the same offset or each by its own. */
     CLOCKS_SKEWED(NetworkFaults::clocksSkewed),
-    /** A daemon is flooded with copies of frames of one whose clock runs ahead within the skew. */
+    /**
+     * A gateway is flooded with copies of the frame with the highest stamp that it received, as from a node whose clock runs ahead
+     * within the allowed skew.
+     */
     OVERFLOW_STORM(NetworkFaults::overflowStorm),
-    /** A region hears the others and is not heard, or the other way round. */
+    /** A region is partitioned from the others in one direction only. */
     ONE_WAY_PARTITION(NetworkFaults::oneWayPartition),
-    /** The links between regions take several times the skew that clocks are allowed. */
+    /** The links between regions take several times as long as the clock skew that is allowed. */
     LINKS_SLOW(NetworkFaults::slowLinks),
-    /** A worker limps while a crowd is here. */
+    /** A worker responds slowly while the request rate is four times the usual. */
     WORKER_SLOW_UNDER_LOAD(WorkloadFaults::workerSlowUnderLoad),
-    /** At full load the mix swings from long prompts to long replies and back. */
+    /** At four times the usual request rate, the mix alternates between long prompts and long responses. */
     MIX_SWINGS(WorkloadFaults::mixSwings),
-    /** Two operators race on a zone, again and again. */
+    /** Two operators concurrently drain a zone and return it to service, four times. */
     OPERATORS_RACE(OperatorFaults::operatorsRace),
-    /** Operators race on configurations, eight orders under way at once, answers lost, orders sent again late. */
+    /** Operators write configurations concurrently, up to eight at once, with lost replies and late duplicates. */
     CONFIGURATIONS_RACE(OperatorFaults::configurationsRace),
-    /** Tenants' homes change, and a tenant is taken away, while tickets queue, run and are kept; then it is as before. */
+    /**
+     * A tenant's home regions change and another tenant is removed, while requests are queued, running and retained; both are then
+     * restored.
+     */
     TENANTS_MOVE(OperatorFaults::tenantHomesChange),
-    /** The table grows by thousands of rows. */
+    /** The table grows by 3,000 rows. */
     TABLE_GROWS(OperatorFaults::tableGrows),
-    /** A gateway freezes between a pick and the hand-over of its ticket. */
+    /** A gateway freezes between the placement of a request and the client's submission of it. */
     FROZEN_AT_PLACEMENT(TargetedFaults::frozenAtPlacement),
-    /** A gateway freezes as it claims a key. */
+    /** A gateway freezes as it claims an idempotency key. */
     FROZEN_AT_CLAIM(TargetedFaults::frozenAtClaim),
-    /** A gateway freezes between its last look and the first byte to the worker; the zone is drained and the worker leaves meanwhile. */
+    /**
+     * A gateway freezes between its last check and the first byte to the worker; meanwhile a zone is drained and a worker begins to
+     * drain.
+     */
     FROZEN_AT_SEND(TargetedFaults::frozenAtSend),
-    /** A gateway freezes in the middle of a stream. */
+    /** A gateway freezes as it forwards a chunk. */
     FROZEN_AT_CHUNK(TargetedFaults::frozenAtChunk),
-    /** The head freezes between its sync and passing on. */
+    /** The head of the chain freezes after it synced an entry and before it replicates the entry. */
     FROZEN_AT_HEAD(TargetedFaults::frozenAtHead),
-    /** The tail freezes between its sync and the acknowledgement. */
+    /** The tail of the chain freezes after it synced an entry and before it acknowledges the entry. */
     FROZEN_AT_TAIL(TargetedFaults::frozenAtTail),
-    /** Gateways are killed at each step of a ticket. */
+    /** Gateways are killed at each step of a request. */
     KILLED_AT_STEPS(TargetedFaults::killedAtSteps),
-    /** The head and then the tail lose their power just after a sync. */
+    /** The head or the tail of the chain loses power just after a sync. */
     KILLED_AT_SYNC(TargetedFaults::killedAtSync),
-    /** Two of the three controllers lose their disks while the third is cut off, and try to found anew. */
+    /** All controllers but the first lose their disks while the first is partitioned, and try to bootstrap a new chain. */
     REBOOTSTRAP(ProcessFaults::rebootstrap);
 
     private final Injection injection;
 
-    Fault(final Injection hit) {
-        this.injection = hit;
+    Fault(final Injection injection) {
+        this.injection = injection;
     }
 
-    void injection(final World world, final long duration) {
+    void inject(final World world, final long duration) {
         injection.inject(world, duration);
     }
 
-    /** Whether it takes a disk away for good; the core bears one such loss at a time. */
+    /** Returns whether the fault destroys a disk for good; the controllers tolerate one such loss at a time. */
     boolean losesDisk() {
         return switch (this) {
             case CONTROLLER_WIPED, CONTROLLER_REPLACED, CONTROLLERS_REPLACED, DISK_LOST_ALL_KILLED, REBOOTSTRAP -> true;
@@ -132,7 +141,7 @@
         };
     }
 
-    /** What is done to a world, for so many microseconds. */
+    /** Injects a fault into a world and schedules its repair; the duration in microseconds determines when. */
     private interface Injection {
         void inject(World world, long duration);
     }
--- a/simulation/src/main/java/silverlatch/simulation/sim/FrameTransport.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/FrameTransport.java
@@ -7,7 +7,7 @@
 import silverlatch.wire.Codec;
 import silverlatch.wire.Frame;
 
-/** Carries frames between nodes over the simulated network; some are encoded and decoded on the way. */
+/** Sends frames between nodes over the simulated network. One of 50 frames is encoded and decoded, which covers the codec. */
 final class FrameTransport {
     private static final int REENCODE_ONE_IN = 50;
     private final World world;
@@ -18,17 +18,17 @@
         this.world = world;
     }
 
-    /** Sends a frame to the node that listens at its address, if there is one; a node that restarted doesn't get it. */
+    /** Sends a frame to the node at its address, if there is one; drops it if that node's process ends or restarts before arrival. */
     void send(final SimulatedNode sender, final OutgoingFrame outgoing) {
         world.listener().frameSent(world.scheduler().now(), sender.name(), outgoing);
         sender.stampChecker().onFrameSent(outgoing.frame());
         world.nodeAt(outgoing.to()).ifPresent(receiver -> {
-            final long sentTo = receiver.generation();
+            final long receiverGeneration = receiver.generation();
             final Frame frame = world.scheduler().random().nextInt(REENCODE_ONE_IN) == 0
                     ? reencoded(outgoing.frame())
                     : outgoing.frame();
             world.network().sendFrame(sender.name(), receiver.name(), () -> {
-                if (sentTo == receiver.generation()) {
+                if (receiverGeneration == receiver.generation()) {
                     deliver(receiver, frame);
                 }
             });
@@ -44,10 +44,10 @@
         receiver.frameReceived(frame);
     }
 
-    /** A node gets so many copies of the newest frame that reached it. */
-    void replayNewestFrame(final SimulatedNode node, final int times) {
+    /** Delivers copies of the frame with the highest stamp that a node received. */
+    void replayNewestFrame(final SimulatedNode node, final int copies) {
         Optional.ofNullable(newestFrames.get(node.name())).ifPresent(frame -> {
-            for (int i = 0; i < times; i++) {
+            for (int i = 0; i < copies; i++) {
                 node.frameReceived(frame);
             }
         });
--- a/simulation/src/main/java/silverlatch/simulation/sim/Invariant.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Invariant.java
@@ -1,49 +1,52 @@
 package silverlatch.simulation.sim;
 
-/** What must hold on every day, as the observer sees it: one constant for each harm, so that one check can't stand in for another. */
+/**
+ * The invariants that must hold on every simulated day, as the observer sees it. Each constant names one kind of violation, so that
+ * a check of one can't hide that another was never exercised. The comments describe the violations.
+ */
 public enum Invariant {
     /** A request, or two requests of one idempotency key, run twice. */
     AT_MOST_ONCE,
-    /** A request whose client was told that it is rejected ran or runs. */
+    /** A request runs, or has run, although its client was told that it is rejected. */
     REJECTED_NEVER_RUNS,
-    /** A client gets a chunk or a trailer of another request. */
+    /** A client receives a chunk or a trailer of another request, or the success of a request that never ran. */
     OWN_RESPONSE,
-    /** A response looks complete and is cut short, or its trailer does not fit. */
+    /** A response looks complete but is truncated, or its trailer doesn't match its chunks. */
     COMPLETE_RESPONSE,
     /** A stream skips a chunk or repeats one. */
     CONTIGUOUS_STREAM,
-    /** A stream joins two attempts. */
+    /** A stream contains chunks of two attempts. */
     SINGLE_RUN_STREAM,
-    /** A worker outside the tenant's home regions serves. */
+    /** A worker outside the tenant's home regions runs a request. */
     WORKER_IN_HOME_REGION,
     /** A gateway outside the tenant's home regions places or forwards a request. */
     GATEWAY_IN_HOME_REGION,
-    /** A gateway outside the tenant's home regions keeps a response and hands it out. */
+    /** A gateway outside the tenant's home regions retains a response and returns it to a later read. */
     RETAINED_IN_HOME_REGION,
-    /** A worker gets a request more than 3 s after it said that it drains. */
+    /** A worker starts a request more than 3 s after it announced that it drains. */
     DRAINING_WORKER,
-    /** An acknowledged table is ignored for more than 3 s. */
+    /** A gateway uses an older table more than 3 s after a newer one was acknowledged. */
     TABLE_IN_FORCE,
-    /** A gateway follows an older table again after a quarter of a second. */
+    /** A gateway uses an older table again more than 250 ms after it used a newer one. */
     MONOTONIC_TABLE,
-    /** A refused or losing change takes effect. */
+    /** A change that was rejected, or that lost against a concurrent one, takes effect. */
     REJECTED_CHANGE,
-    /** The table read back is older than the last one acknowledged. */
+    /** A read returns a table that is older than the last one acknowledged before the read. */
     LINEARIZABLE_READ,
-    /** A zone gets requests more than 5 s after it was to be drained. */
+    /** A worker of a zone starts a request more than 5 s after the drain of the zone was acknowledged. */
     EVACUATED_ZONE,
-    /** More than a fifth of the attempts of any ten seconds are retries. */
+    /** More than a fifth of the attempts within any ten seconds are retries or repeat an idempotency key. */
     RETRY_BUDGET,
-    /** A worker in slow start gets more than its share. */
+    /** A worker in slow start gets more requests than its warm-up share of slots allows. */
     SLOW_START,
-    /** Service is below a quarter of normal more than 12 s after something came back. */
+    /** In a window that begins 12 s after a recovery, fewer than a quarter of the usual number of requests are completed. */
     RECOVERY_TIME,
-    /** After all is healed the fleet does not serve, or the table can't be read or changed. */
+    /** After all faults are healed, the cluster doesn't serve requests, or the table can't be read or changed. */
     SERVES_AFTER_FAULTS,
-    /** The day put nothing to the test. */
+    /** The day had too few requests to exercise anything. */
     EXERCISED,
-    /** A node's stamp is not above those of the frames that it received and sent before. */
+    /** A node sends a frame whose stamp isn't higher than those of the frames that it received and sent before. */
     STAMP_ORDER,
-    /** A node whose own clock is right is drawn ahead by another's. */
+    /** The stamps of a node whose own clock is right run ahead of true time because of another node's wrong clock. */
     CLOCK_NOT_DRAGGED
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/LogWriter.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/LogWriter.java
@@ -7,7 +7,7 @@
 import silverlatch.node.Node;
 import silverlatch.replication.Replica;
 
-/** Writes a node's log to its simulated disk, and opens it again after a failed write. */
+/** Writes a node's log to its simulated disk, and reopens the log after a failed write. Durations are microseconds. */
 final class LogWriter {
     private static final long REOPEN_INTERVAL = 1_000_000L;
     private final World world;
@@ -21,19 +21,19 @@
         this.disk = disk;
     }
 
-    /** The power goes, and the process with it. */
+    /** Simulates a power loss, which also ends the process. */
     void losePower() {
         reopening = false;
         disk.losePower();
     }
 
-    /** Writes and syncs; the node is told of success or failure, if its process lives so long. */
+    /** Writes and syncs records; notifies the node of success or failure unless its process ends first. */
     void write(final Effect.Persist write) {
-        final long writtenIn = host.generation();
+        final long writeGeneration = host.generation();
         disk.write(
                 write,
                 token -> {
-                    if (writtenIn == host.generation()) {
+                    if (writeGeneration == host.generation()) {
                         if (write.records().stream().anyMatch(LogRecord.Appended.class::isInstance)) {
                             host.process().ifPresent(this::reportSync);
                         }
@@ -42,23 +42,23 @@
                 },
                 reason -> host.executeOnNode(node -> {
                     node.onDiskFailed(reason, host.now());
-                    reopenLater(writtenIn);
+                    reopenLater(writeGeneration);
                 }));
     }
 
-    /** Opens the log again each second after a failed write, until the disk takes writes. */
-    private void reopenLater(final long failedIn) {
+    /** Tries to reopen the log each second after a failed write, until the disk accepts writes again. */
+    private void reopenLater(final long failedGeneration) {
         if (reopening) {
             return;
         }
         reopening = true;
         world.scheduler().schedule(REOPEN_INTERVAL, () -> {
             reopening = false;
-            if (failedIn != host.generation()) {
+            if (failedGeneration != host.generation()) {
                 return;
             }
-            if (disk.full()) {
-                reopenLater(failedIn);
+            if (disk.isFull()) {
+                reopenLater(failedGeneration);
                 return;
             }
             final List<LogRecord> records = disk.reopen();
--- a/simulation/src/main/java/silverlatch/simulation/sim/NetworkFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/NetworkFaults.java
@@ -165,8 +165,8 @@
 
     static void slowLinks(final World world, final long duration) {
         world.record("slow links between regions");
-        world.network().extraDelay(150_000);
-        world.disturbances().scheduleChange(duration, () -> world.network().extraDelay(0));
+        world.network().setExtraDelay(150_000);
+        world.disturbances().scheduleChange(duration, () -> world.network().setExtraDelay(0));
     }
 
     static Set<String> endpoints(final World world, final String region) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/Observer.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Observer.java
@@ -10,8 +10,9 @@
 import java.util.TreeMap;
 
 /**
- * The observer: it sees what workers ran and what clients and operators were answered, and believes nothing that the nodes say
- * of themselves. Times are true time in microseconds. For each invariant it counts how often it was exercised.
+ * Checks the invariants of a simulated day by what workers ran and by the replies that clients and operators received; it doesn't
+ * rely on what nodes report about themselves. Counts for each invariant how often it was exercised, that is, could have been
+ * violated. Times are microseconds of true time.
  */
 public final class Observer {
     private static final long SECOND = 1_000_000L;
@@ -37,7 +38,7 @@
 
     private record Attempt(long time, boolean extra) {}
 
-    /** An observer who reads true time off the clock. */
+    /** Creates an observer that takes the true time from the given clock. */
     public Observer(final java.util.function.LongSupplier clock) {
         this.trueTime = clock;
     }
@@ -46,7 +47,7 @@
         return trueTime.getAsLong();
     }
 
-    /** An attempt as the worker and the client know it. */
+    /** An attempt that a worker started, with the request's properties as its client sent them. */
     public record Run(
             String requestId,
             String tenant,
@@ -59,51 +60,51 @@
             String gatewayRegion,
             long revision) {}
 
-    /** What operators were answered, held against what came of it. */
+    /** Returns the history of the operators' changes, which checks them against their effects. */
     public OperatorHistory operatorHistory() {
         return operatorHistory;
     }
 
-    /** What was found wrong, in order; at most fifty. */
+    /** Returns the first fifty violations, in order. */
     public List<String> violations() {
         return List.copyOf(violations);
     }
 
-    /** Counts of what happened. */
+    /** Returns all counters; those of exercised invariants have the prefix {@code test-}, those of maxima {@code most-}. */
     public Map<String, Long> counters() {
         final Map<String, Long> all = new TreeMap<>(counters);
         exercised.forEach((m, n) -> all.put("test-" + m, n));
         return all;
     }
 
-    /** How often something was counted. */
+    /** Returns the value of a counter, or 0 if it was never incremented. */
     public long counter(final String what) {
         return counters.getOrDefault(what, 0L);
     }
 
-    /** Counts one thing. */
+    /** Increments a counter. */
     public void count(final String what) {
         counters.merge(what, 1L, Long::sum);
     }
 
-    /** Keeps the largest of a thing. */
+    /** Records a value of which the maximum is kept. */
     public void recordMaximum(final String what, final long value) {
         counters.merge("most-" + what, value, Math::max);
     }
 
-    /** An invariant was exercised: it could have been broken here. */
+    /** Records that an invariant was exercised: it could have been violated here. */
     public void exercise(final Invariant invariant) {
         exercised.merge(invariant, 1L, Long::sum);
     }
 
-    /** An invariant was broken. */
+    /** Records a violation of an invariant; only the first fifty are kept. */
     public void violated(final Invariant invariant, final String text) {
         if (violations.size() < 50) {
             violations.add(invariant + " " + text);
         }
     }
 
-    /** A worker started a request. */
+    /** Checks an attempt that a worker started. */
     public void runStarted(final Run run, final long now) {
         count("runs");
         if (!run.gatewayRegion().equals(run.region())) {
@@ -144,7 +145,7 @@
         operatorHistory.runStarted(run, now);
     }
 
-    /** A request was sent to a worker: for the first time, or as a retry. */
+    /** Checks the share of retries among the attempts of the last ten seconds, when a gateway sends an attempt to a worker. */
     public void attemptSent(final String tenant, final String idempotencyKey, final boolean isRetry, final long now) {
         final boolean keySeen = !idempotencyKey.isEmpty()
                 && keysByTenant.computeIfAbsent(tenant, k -> new HashMap<>()).putIfAbsent(idempotencyKey, true) != null;
@@ -170,7 +171,7 @@
         }
     }
 
-    /** A client was answered how its request ended. */
+    /** Checks the outcome of a request as its client sees it: done, rejected, or another that leaves open whether it ran. */
     public void requestEnded(final String requestId, final String tenant, final String outcome, final long now) {
         count(outcome);
         outcomes.put(requestId, outcome);
@@ -185,7 +186,7 @@
         }
     }
 
-    /** A request was submitted once more, late. */
+    /** Records that a client submitted a request a second time with the same permit. */
     public void duplicateSent(final String requestId) {
         count("twins");
         exercise(Invariant.AT_MOST_ONCE);
@@ -194,7 +195,7 @@
         }
     }
 
-    /** A worker says that it drains, or starts anew. */
+    /** Records that a worker announces that it drains, or that it has restarted and no longer drains. */
     public void workerDraining(final String worker, final boolean draining, final long now) {
         if (draining) {
             drainingSince.putIfAbsent(worker, now);
@@ -203,14 +204,15 @@
         }
     }
 
-    /** A worker came back cold. */
+    /** Records that a worker restarted with an empty prefix cache, so that its slow start begins. */
     public void workerRestarted(final String worker, final long now) {
         restartedAt.put(worker, now);
     }
 
     /**
-     * How many runs a worker has at once. A worker that is warm by a part can read and write for that part of its slots;
-     * what is above only waits, but each gateway may send one that the worker's last report did not count yet.
+     * Checks how many attempts a worker in slow start has at once, running or queued. The limit is its warm-up share of the slots,
+     * which rises from 0.1 to 1 within 6 s, as attempts above it would only wait, plus one attempt for each gateway, which the
+     * worker's last report may not have counted yet.
      */
     public void workerLoad(
             final String worker, final int running, final int slots, final int gateways, final long now) {
@@ -230,7 +232,7 @@
         }
     }
 
-    /** How a request of a kind and tenant ended, and how many microseconds after its start the first chunk came. */
+    /** Records the outcome of a request, and how many microseconds after its start the first chunk arrived. */
     public void requestOutcome(
             final String kind, final String tenant, final String outcome, final long firstChunkMicros) {
         outcomesByKind.merge(kind + " " + outcome, 1L, Long::sum);
@@ -240,22 +242,22 @@
         }
     }
 
-    /** Counts of outcomes by kind and by tenant. */
+    /** Returns how many requests had each outcome, by kind and by tenant. */
     public Map<String, Long> outcomesByKind() {
         return Map.copyOf(outcomesByKind);
     }
 
-    /** Microseconds to the first chunk, of a kind's requests that were done, in order. */
+    /** Returns the microseconds to the first chunk of each completed request of a kind, in ascending order. */
     public List<Long> firstChunkTimes(final String kind) {
         return firstChunkTimes.getOrDefault(kind, List.of()).stream().sorted().toList();
     }
 
-    /** How many requests were done between two times. */
+    /** Returns how many requests were completed from one time, inclusive, to another, exclusive. */
     public long completedBetween(final long from, final long to) {
         return completed.stream().filter(d -> d.time() >= from && d.time() < to).count();
     }
 
-    /** How many requests of a tenant were done between two times. */
+    /** Returns how many requests of a tenant were completed from one time, inclusive, to another, exclusive. */
     public long completedBetween(final String tenant, final long from, final long to) {
         return completed.stream()
                 .filter(d -> d.time() >= from && d.time() < to && d.tenant().equals(tenant))
--- a/simulation/src/main/java/silverlatch/simulation/sim/OperatorFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/OperatorFaults.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import silverlatch.simulation.fleet.Plan;
 
-/** What operators do to each other and to requests under way. Durations are microseconds. */
+/** Operator actions that conflict with each other or with requests in flight. Durations are microseconds. */
 final class OperatorFaults {
     private OperatorFaults() {}
 
@@ -40,7 +40,7 @@
         });
     }
 
-    /** Some three hundred configurations, with whatever else goes on. */
+    /** Writes about 300 routing configurations while the other load of the day continues. */
     static void configurationsRace(final World world, final long duration) {
         world.record("operators race on configurations");
         world.operators().configurations().run(duration + 20_000_000);
--- a/simulation/src/main/java/silverlatch/simulation/sim/OperatorHistory.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/OperatorHistory.java
@@ -8,8 +8,9 @@
 import java.util.Set;
 
 /**
- * What operators asked for and were told, held against what workers and consumers saw of it: tables and the gate (one
- * cell whose effect shows at once), homes, and zones.
+ * Records the changes that operators requested and the replies that they received, and checks them against what workers and
+ * clients observe: tables, the gate (the one table cell whose effect is visible in each reply, see {@link Operators#GATE_KIND}),
+ * tenants' home regions, and drained zones. Times are microseconds of true time.
  */
 public final class OperatorHistory {
     private static final long SECOND = 1_000_000L;
@@ -19,24 +20,24 @@
     private final Map<String, String> outcomes = new LinkedHashMap<>();
     private final Map<Long, String> valueByMatch = new HashMap<>();
     private final List<long[]> acknowledgedSequences = new ArrayList<>();
-    private final Map<String, ObservedRevision> shown = new HashMap<>();
-    private final List<GateChange> gate = new ArrayList<>();
-    private final Map<String, ObservedRevision> obeyed = new HashMap<>();
+    private final Map<String, ObservedRevision> shownRevisions = new HashMap<>();
+    private final List<GateChange> gateChanges = new ArrayList<>();
+    private final Map<String, ObservedRevision> appliedGateChanges = new HashMap<>();
     private final Map<String, List<HomeRegions>> homesByTenant = new HashMap<>();
     private long newestAcknowledged;
 
-    OperatorHistory(final Observer watch) {
-        this.observer = watch;
+    OperatorHistory(final Observer observer) {
+        this.observer = observer;
     }
 
     private record ObservedRevision(long revision, long time) {}
 
     private record Drain(long requestedAt, long acknowledgedAt) {}
 
-    /** One turn of the gate: open or shut, when it was asked for, when it was acknowledged. */
+    /** One change of the gate to open or shut, when it was requested, and when it was acknowledged. */
     private record GateChange(boolean open, long requestedAt, long acknowledgedAt) {}
 
-    /** Where a tenant was at home, from the asking on, and since when for sure. */
+    /** One setting of a tenant's home regions: it may be in force from its request on, and is so for sure from the acknowledgement on. */
     private record HomeRegions(Set<String> regions, boolean removed, long requestedAt, long acknowledgedAt) {
         boolean allows(final String region) {
             return !removed && (regions.isEmpty() || regions.contains(region));
@@ -84,7 +85,7 @@
         }
     }
 
-    /** Homes of a tenant from now on, as an operator asked; gives what to call when it is acknowledged. */
+    /** Records a requested change of a tenant's home regions; the returned task records its acknowledgement. */
     public Runnable homesRequested(
             final String tenant, final Set<String> regions, final boolean removed, final long requestedAt) {
         final List<HomeRegions> homes = homesByTenant.computeIfAbsent(tenant, k -> new ArrayList<>());
@@ -93,7 +94,12 @@
         return () -> homes.set(index, new HomeRegions(regions, removed, requestedAt, observer.now()));
     }
 
-    /** Something of a tenant is in a region: held against all its homes that may still count. */
+    /**
+     * Checks that a tenant's data may be in a region, according to any setting of its home regions that may still be in force.
+     *
+     * @param invariant the invariant that is violated if none allows the region
+     * @param what      the beginning of the violation's text
+     */
     public void requireHomeRegion(
             final String tenant, final String region, final Invariant invariant, final String what, final long now) {
         final List<HomeRegions> homes = homesByTenant.getOrDefault(tenant, List.of());
@@ -110,9 +116,9 @@
         }
     }
 
-    /** A gateway showed under which page it picks. */
-    public void shown(final String gateway, final long revision, final long now) {
-        final ObservedRevision last = shown.getOrDefault(gateway, new ObservedRevision(0, 0));
+    /** Checks that the revision in a gateway's placement isn't older than one that it returned more than 250 ms ago. */
+    public void revisionObserved(final String gateway, final long revision, final long now) {
+        final ObservedRevision last = shownRevisions.getOrDefault(gateway, new ObservedRevision(0, 0));
         if (revision < last.revision() && now - last.time() > SECOND / 4) {
             observer.violated(
                     Invariant.MONOTONIC_TABLE,
@@ -120,25 +126,30 @@
                             + (now - last.time()) / 1000 + " ms");
         }
         if (revision > last.revision()) {
-            shown.put(gateway, new ObservedRevision(revision, now));
+            shownRevisions.put(gateway, new ObservedRevision(revision, now));
         }
     }
 
-    /** An operator asks that the gate be opened or shut; gives what to call when it is acknowledged. */
-    public Runnable gate(final boolean open, final long requestedAt) {
-        final int index = gate.size();
-        gate.add(new GateChange(open, requestedAt, NEVER));
-        return () -> gate.set(index, new GateChange(open, requestedAt, observer.now()));
+    /** Records a requested change of the gateChanges; the returned task records its acknowledgement. */
+    public Runnable gateChangeRequested(final boolean open, final long requestedAt) {
+        final int index = gateChanges.size();
+        gateChanges.add(new GateChange(open, requestedAt, NEVER));
+        return () -> gateChanges.set(index, new GateChange(open, requestedAt, observer.now()));
     }
 
-    /** Something came of a gateway's table at this moment: the gate held it up or not. Gives the turns that it can have known, if any. */
-    public int obeyed(final String gateway, final boolean open, final String what, final long now) {
+    /**
+     * Checks that a gateway's decision agrees with a gate change that may be in force, that is, with none that was superseded by one
+     * acknowledged more than 3 s ago.
+     *
+     * @return the index of the newest gate change that agrees with the decision, or -1 if there is none or it can't be known
+     */
+    public int requireGateInForce(final String gateway, final boolean open, final String what, final long now) {
         final int oldestAllowed = newestBindingChange(now);
         if (oldestAllowed > 0) {
             observer.exercise(Invariant.TABLE_IN_FORCE);
         }
-        for (int i = gate.size() - 1; i >= Math.max(0, oldestAllowed); i--) {
-            if (gate.get(i).open() == open) {
+        for (int i = gateChanges.size() - 1; i >= Math.max(0, oldestAllowed); i--) {
+            if (gateChanges.get(i).open() == open) {
                 return oldestAllowed < 0 ? -1 : i;
             }
         }
@@ -146,29 +157,32 @@
             observer.violated(
                     Invariant.TABLE_IN_FORCE,
                     what + " at " + gateway + " as if the gate were " + (open ? "open" : "shut") + " "
-                            + (now - gate.get(oldestAllowed).acknowledgedAt()) / 1000
+                            + (now - gateChanges.get(oldestAllowed).acknowledgedAt()) / 1000
                             + " ms after the other was acknowledged");
         }
         return -1;
     }
 
-    /** The last turn that every gateway must know by now, or -1. */
+    /** Returns the index of the last gate change that every gateway must apply by now, or -1. */
     private int newestBindingChange(final long now) {
         int newest = -1;
-        for (int i = 0; i < gate.size(); i++) {
-            newest = now - gate.get(i).acknowledgedAt() > 3 * SECOND ? i : newest;
+        for (int i = 0; i < gateChanges.size(); i++) {
+            newest = now - gateChanges.get(i).acknowledgedAt() > 3 * SECOND ? i : newest;
         }
         return newest;
     }
 
-    /** A gateway decided by its table, which is all the observer believes of what it holds. */
+    /**
+     * Checks that a gateway's decision agrees with the gate, and doesn't fall back to an older gate change than one that it applied
+     * more than 250 ms ago. The observer infers a gateway's table from such decisions alone.
+     */
     public void gateObserved(final String gateway, final boolean open, final String what, final long now) {
-        final int newestPossible = obeyed(gateway, open, what, now);
+        final int newestPossible = requireGateInForce(gateway, open, what, now);
         if (newestPossible < 0) {
             return;
         }
-        final ObservedRevision last = obeyed.getOrDefault(gateway, new ObservedRevision(-1, 0));
-        if (last.revision() >= 0 && gate.size() > 1) {
+        final ObservedRevision last = appliedGateChanges.getOrDefault(gateway, new ObservedRevision(-1, 0));
+        if (last.revision() >= 0 && gateChanges.size() > 1) {
             observer.exercise(Invariant.MONOTONIC_TABLE);
         }
         if (newestPossible < last.revision() && now - last.time() > SECOND / 4) {
@@ -179,29 +193,36 @@
         }
         int oldestPossible = newestPossible;
         for (int i = newestPossible; i >= newestBindingChange(now); i--) {
-            oldestPossible = gate.get(i).open() == open ? i : oldestPossible;
+            oldestPossible = gateChanges.get(i).open() == open ? i : oldestPossible;
         }
         if (oldestPossible > last.revision()) {
-            obeyed.put(gateway, new ObservedRevision(oldestPossible, now));
+            appliedGateChanges.put(gateway, new ObservedRevision(oldestPossible, now));
         }
     }
 
-    /** An operator asked to empty a zone. */
+    /** Records that an operator requested to drain a zone. */
     public void drainRequested(final String zone, final long now) {
         drains.putIfAbsent(zone, new Drain(now, NEVER));
     }
 
-    /** The order was acknowledged. */
+    /** Records that a drain was acknowledged. */
     public void drainAcknowledged(final String zone, final long now) {
         drains.computeIfPresent(zone, (k, d) -> d.acknowledgedAt() == NEVER ? new Drain(d.requestedAt(), now) : d);
     }
 
-    /** An operator asked to give a zone back, or it may be so for all that is known. */
+    /** Records that a zone may be in service again: an operator requested that, or the outcome of a race is unknown. */
     public void drainWithdrawn(final String zone) {
         drains.remove(zone);
     }
 
-    /** What an operator was told of a change: kept, rejected or unknown. */
+    /**
+     * Records the reply to a change of the table.
+     *
+     * @param value    the rate that identifies the change, as {@link Operators#cellValue} returns it
+     * @param outcome  kept, rejected or unknown
+     * @param sequence the sequence number at which the change was applied
+     * @param match    the sequence number on top of which it was made, or -1 for any
+     */
     public void changeEnded(
             final String value, final String outcome, final long sequence, final long match, final long now) {
         observer.count("change-" + outcome);
@@ -226,12 +247,17 @@
         }
     }
 
-    /** The newest sequence that was acknowledged to an operator. */
+    /** Returns the highest sequence number that was acknowledged to an operator. */
     public long newestAcknowledged() {
         return newestAcknowledged;
     }
 
-    /** A read of the table, asked for when so much was acknowledged; stirred when the chain was not whole meanwhile. */
+    /**
+     * Checks a read of the table.
+     *
+     * @param newestBefore the highest sequence number that was acknowledged before the read
+     * @param disturbed    whether the chain wasn't complete at the beginning or the end of the read
+     */
     public void tableRead(
             final long newestBefore, final long sequence, final Set<String> values, final boolean disturbed) {
         observer.count("reads");
@@ -246,7 +272,7 @@
         valuesObserved(values, "was read back");
     }
 
-    /** Values that some gateway goes by. */
+    /** Checks that none of the values that a table holds belongs to a rejected change. */
     public void valuesObserved(final Set<String> values, final String where) {
         for (final String value : values) {
             if (outcomes.getOrDefault(value, "").equals("rejected")) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/Operators.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Operators.java
@@ -81,7 +81,8 @@
             controller.submit(command, LOAD_TIMEOUT, result -> acknowledge.run());
         }
         world.scheduler().runUntil(world.scheduler().now() + 2 * SECOND);
-        final Runnable acknowledge = history.gate(true, world.scheduler().now());
+        final Runnable acknowledge =
+                history.gateChangeRequested(true, world.scheduler().now());
         final Command command =
                 new Command.PutTable("load-table", TableValues.rows(world.plan(), TableValues.FIRST_RATE, false), -1);
         controller.submit(command, LOAD_TIMEOUT, result -> {
@@ -199,7 +200,8 @@
         }
         gateOpen = !gateOpen;
         final Command.Cell cell = new Command.Cell("*", GATE_KIND, "once", "" + !gateOpen);
-        final Runnable acknowledge = history.gate(gateOpen, world.scheduler().now());
+        final Runnable acknowledge =
+                history.gateChangeRequested(gateOpen, world.scheduler().now());
         submitter.submitUntilApplied(
                 TABLE, "", match -> new Command.PatchTable(nextCommandId("gate"), List.of(cell), match), sequence -> {
                     acknowledge.run();
--- a/simulation/src/main/java/silverlatch/simulation/sim/ProcessFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ProcessFaults.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import silverlatch.simulation.fleet.Plan;
 
-/** Faults of processes and their disks, one by one, in a region, or all at once. Durations are microseconds. */
+/** Faults of processes and their disks: of a single node, of a region, or of all nodes at once. Durations are microseconds. */
 final class ProcessFaults {
     private static final long SECOND = 1_000_000L;
     private static final long CONTROLLER_START = 3 * SECOND;
@@ -96,8 +96,8 @@
     static void diskFull(final World world, final long duration) {
         final SimulatedNode node = world.randomOf(world.controllers());
         world.record("full " + node.name());
-        node.disk().ifPresent(d -> d.full(true));
-        world.disturbances().scheduleChange(duration, () -> node.disk().ifPresent(d -> d.full(false)));
+        node.disk().ifPresent(d -> d.setFull(true));
+        world.disturbances().scheduleChange(duration, () -> node.disk().ifPresent(d -> d.setFull(false)));
     }
 
     static void diskSlow(final World world, final long duration) {
@@ -129,7 +129,7 @@
         killAndRestartAll(world, duration, () -> {});
     }
 
-    /** Beside the voters and gateways a controller without a vote runs by then; each fault of this kind adds one. */
+    /** Adds a controller without a vote before the kill, which also loses its power; each fault of this kind adds another one. */
     static void diskLostAllKilled(final World world, final long duration) {
         world.addControllerWithoutVote();
         world.disturbances().expectDiskLossesFor(MAX_WAIT_FOR_ACKNOWLEDGEMENT + duration);
@@ -139,7 +139,10 @@
                         () -> world.operators().afterAcknowledgement(() -> loseDiskAndKillAll(world, duration)));
     }
 
-    /** Waits for another acknowledgement while a controller is missing: the core bears the loss of one disk at a time. */
+    /**
+     * Wipes one voter's disk and kills all nodes. While a controller is missing from the chain it waits for another acknowledgement
+     * first, because the controllers tolerate the loss of only one disk at a time.
+     */
     private static void loseDiskAndKillAll(final World world, final long duration) {
         if (!world.isChainComplete()) {
             world.operators().afterAcknowledgement(() -> loseDiskAndKillAll(world, duration));
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedClock.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedClock.java
@@ -3,8 +3,8 @@
 import silverlatch.clock.NtpTime;
 
 /**
- * The clocks of one simulated machine: a monotonic clock in microseconds, which begins anywhere and drifts a little with
- * each start, and a wall clock that is off by a fixed skew and by what a fault adds.
+ * The clocks of one simulated machine: a monotonic clock in microseconds, whose origin and drift are drawn at each start, and a
+ * wall clock with a fixed skew plus an offset that faults set.
  */
 final class SimulatedClock {
     /** The Unix time at which simulated days begin, in microseconds. */
@@ -23,33 +23,33 @@
         this.skew = scheduler.random().nextLong(2 * MAX_SKEW) - MAX_SKEW;
     }
 
-    /** The machine starts: its monotonic clock begins anew. */
+    /** Draws a new origin and drift for the monotonic clock, as after a restart of the machine. */
     void restart() {
         base = scheduler.random().nextLong(1_000_000_000_000L);
         rate = 1 + (scheduler.random().nextDouble() - 0.5) * MAX_DRIFT;
     }
 
-    /** The wall clock is off by so many microseconds from now on. */
+    /** Sets the offset of the wall clock in microseconds, in addition to its fixed skew. */
     void setWallOffset(final long offset) {
         wallOffset = offset;
     }
 
-    /** Whether a fault has set the wall clock off. */
+    /** Returns whether a fault has set an offset of the wall clock. */
     boolean isWallClockOff() {
         return wallOffset != 0;
     }
 
-    /** The monotonic clock, in microseconds. */
+    /** Returns the monotonic clock, in microseconds. */
     long now() {
         return base + (long) (scheduler.now() * rate);
     }
 
-    /** The wall clock, in nanoseconds of Unix time. */
+    /** Returns the wall clock, in nanoseconds of Unix time. */
     long wallNanos() {
         return WALL_CLOCK_START * 1000 + (scheduler.now() + wallOffset + skew) * 1000;
     }
 
-    /** True time, as a stamp has it. */
+    /** Returns the true time without skew or offset, as the NTP time that stamps use. */
     long trueNtpTime() {
         return NtpTime.fromUnixNanos((WALL_CLOCK_START + scheduler.now()) * 1000);
     }
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedDisk.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedDisk.java
@@ -6,7 +6,10 @@
 import silverlatch.log.LogRecord;
 import silverlatch.node.Effect;
 
-/** A simulated disk: what is synced stays, what is not may be gone; it can stall, fill up, slow down, lie, or be lost. */
+/**
+ * A simulated disk. Synced records survive a power loss, others may be lost. The disk can stall, be full, slow down, report a sync
+ * before it is durable, or be replaced by an empty one. Times are microseconds.
+ */
 public final class SimulatedDisk {
     private static final long MIN_SYNC = 300L;
     private static final long SYNC_JITTER = 2_000L;
@@ -25,28 +28,28 @@
     private long tornWrites;
     private long slowdown = 1;
 
-    /** An empty disk. */
-    public SimulatedDisk(final EventScheduler engine) {
-        this.scheduler = engine;
+    /** Creates an empty disk with a random identity. */
+    public SimulatedDisk(final EventScheduler scheduler) {
+        this.scheduler = scheduler;
         this.identity = randomIdentity();
     }
 
-    /** The identity made with the data folder. */
+    /** Returns the identity that was created with the data directory. */
     public String identity() {
         return identity;
     }
 
-    /** All that was synced. */
+    /** Returns the synced records, from the newest snapshot on. */
     public List<LogRecord> records() {
         return List.copyOf(records);
     }
 
     /**
-     * Writes and syncs, unless the power goes before.
+     * Writes and syncs records, unless the power fails first.
      *
-     * @param persist  what is written
-     * @param onSynced is given the write's token once the disk says that it is synced
-     * @param onFailed is given the reason when the disk is full
+     * @param persist  the records to write
+     * @param onSynced receives the write's token when the disk reports the sync
+     * @param onFailed receives the reason if the disk is full
      */
     public void write(final Effect.Persist persist, final Consumer<Long> onSynced, final Consumer<String> onFailed) {
         if (full) {
@@ -93,17 +96,17 @@
         onSynced.accept(persist.token());
     }
 
-    /** How often the power went and left a torn tail. */
+    /** Returns how many power losses left a random prefix of the unsynced writes on the disk. */
     public long tornWrites() {
         return tornWrites;
     }
 
-    /** The disk says that it synced what is still in its cache. */
-    public void lying(final boolean lie) {
-        lying = lie;
+    /** Sets whether the disk reports a sync at once, while the records stay in a volatile cache for another 3 s. */
+    public void setLying(final boolean newLying) {
+        lying = newLying;
     }
 
-    /** The power goes: what is not synced is gone, or the first part of it is there all the same, torn anywhere. */
+    /** Simulates a power loss: unsynced writes are lost, or a random prefix of them has become durable all the same. */
     public void losePower() {
         generation++;
         if (!lying && !unsynced.isEmpty() && scheduler.random().nextBoolean()) {
@@ -111,14 +114,14 @@
             final List<Effect.Persist> unsyncedWrites = List.copyOf(unsynced);
             unsyncedWrites
                     .subList(0, scheduler.random().nextInt(unsyncedWrites.size() + 1))
-                    .forEach(k -> append(k.records()));
+                    .forEach(write -> append(write.records()));
         }
         unsynced.clear();
         stalledWrites.clear();
         idleAt = 0;
     }
 
-    /** The disk stops or goes on. */
+    /** Stalls all writes, or resumes the stalled ones. */
     public void stall(final boolean stall) {
         stalled = stall;
         if (!stall) {
@@ -128,17 +131,17 @@
         }
     }
 
-    /** The disk is full or not. */
-    public void full(final boolean nowFull) {
-        full = nowFull;
+    /** Sets whether the disk is full, that is, rejects writes. */
+    public void setFull(final boolean newFull) {
+        full = newFull;
     }
 
-    /** Whether writes are refused. */
-    public boolean full() {
+    /** Returns whether the disk is full, that is, rejects writes. */
+    public boolean isFull() {
         return full;
     }
 
-    /** All that was synced, after a failed write; what was still under way is given up. */
+    /** Discards the pending writes after a failed one, and returns the synced records. */
     public List<LogRecord> reopen() {
         generation++;
         unsynced.clear();
@@ -146,12 +149,12 @@
         return records();
     }
 
-    /** The disk takes so many times as long. */
+    /** Multiplies the duration of each sync by a factor from now on. */
     public void slowDown(final long factor) {
         slowdown = factor;
     }
 
-    /** The disk is replaced by an empty one: a new identity. */
+    /** Replaces the disk by an empty one with a new identity. */
     public void wipe() {
         generation++;
         unsynced.clear();
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedGateway.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedGateway.java
@@ -20,8 +20,8 @@
 import silverlatch.state.Value;
 
 /**
- * What a gateway has beside its node: the shipping dispatcher, the calls of clients that are open, and the attempts that it
- * can cancel. All of it ends with the process; the newest snapshot of the cluster stays to be looked at.
+ * The gateway's part of a {@link SimulatedNode}: the production dispatcher, the open calls of clients, and the attempts that can
+ * be cancelled. They end with the process; only the newest cluster snapshot is retained, for the observer.
  */
 final class SimulatedGateway {
     private final World world;
@@ -36,7 +36,7 @@
         this.host = host;
     }
 
-    /** The process starts. */
+    /** Creates the dispatcher for a new process. */
     void start(final Node node) {
         clusterSnapshot = Optional.of(node.clusterSnapshot());
         dispatcher = Optional.of(new Dispatcher(
@@ -47,7 +47,7 @@
                 world.scheduler().random().split()));
     }
 
-    /** The process has ended: every connection breaks. */
+    /** Breaks every connection to clients and workers, because the process has ended. */
     void kill() {
         dispatcher = Optional.empty();
         final List<Consumer<DispatchEffect>> brokenCalls = List.copyOf(openCalls.values());
@@ -58,22 +58,22 @@
         brokenRuns.forEach(run -> run.accept("cut"));
     }
 
-    /** No new request is accepted from now on. */
+    /** Stops accepting new requests. */
     void stopAccepting() {
         dispatcher.ifPresent(Dispatcher::stopAccepting);
     }
 
-    /** What is still under way is given up. */
+    /** Ends the requests that are still in flight. */
     void shutdown() {
         dispatcher.ifPresent(running -> running.shutdown(host.now()));
     }
 
-    /** The snapshot that the dispatcher goes by. */
+    /** Returns the snapshot that the dispatcher uses or, if the process ended, used last. */
     Optional<ClusterSnapshot> clusterSnapshot() {
         return clusterSnapshot;
     }
 
-    /** The values of the marked cells that this gateway goes by. */
+    /** Returns the request rates in the table that this gateway uses, in the form of {@link Operators#cellValue}. */
     Set<String> rateValues() {
         final Set<String> values = new HashSet<>();
         clusterSnapshot.ifPresent(snapshot -> snapshot.policy().values().forEach(value -> {
@@ -84,13 +84,13 @@
         return values;
     }
 
-    /** Opens a client's call; the effects for its token come back to the client. */
+    /** Opens a client's call; {@code onEffect} receives the dispatcher's effects for its token. */
     void openCall(final long token, final ObjLongConsumer<Dispatcher> call, final Consumer<DispatchEffect> onEffect) {
         openCalls.put(token, onEffect);
         dispatcher.ifPresent(running -> call.accept(running, token));
     }
 
-    /** A client hangs up. */
+    /** Closes a client's call, as if the client had disconnected. */
     void disconnectClient(final long callToken) {
         openCalls.remove(callToken);
         dispatcher.ifPresent(running -> running.onReaderDisconnected(callToken, host.now()));
@@ -100,7 +100,7 @@
         dispatcher.ifPresent(task);
     }
 
-    /** Advances the dispatcher's clock; whether it is ready then. A process that has ended keeps what it said. */
+    /** Advances the dispatcher's clock and returns whether it is ready; returns {@code readyBefore} if the process has ended. */
     boolean tick(final boolean readyBefore) {
         return dispatcher
                 .map(running -> {
@@ -110,7 +110,7 @@
                 .orElse(readyBefore);
     }
 
-    /** Hands the newest snapshot to the dispatcher. */
+    /** Passes the node's newest cluster snapshot to the dispatcher. */
     void updateSnapshot(final Node node) {
         dispatcher.ifPresent(running -> {
             final ClusterSnapshot snapshot = node.clusterSnapshot();
@@ -119,7 +119,7 @@
         });
     }
 
-    /** Performs what the dispatcher wants done; whether there was anything. */
+    /** Performs the dispatcher's pending effects, and returns whether there were any. */
     boolean performEffects() {
         final List<DispatchEffect> effects =
                 dispatcher.map(Dispatcher::drainEffects).orElse(List.of());
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNetwork.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNetwork.java
@@ -7,7 +7,10 @@
 import java.util.Set;
 import java.util.function.BiPredicate;
 
-/** The network between places: delays by region, loss, cuts one way or both, late delivery of what was buffered. */
+/**
+ * The simulated network between named endpoints: delays by region, frame loss and newReorderProbability, one-way and two-way partitions, and
+ * late delivery of buffered frames. Times are microseconds.
+ */
 public final class SimulatedNetwork {
     private final EventScheduler scheduler;
     private final Map<String, String> regions = new HashMap<>();
@@ -18,47 +21,48 @@
     private long extraDelay;
     private long framesSent;
 
-    /** A network on an engine. */
-    public SimulatedNetwork(final EventScheduler engine) {
-        this.scheduler = engine;
+    /** Creates a network without endpoints or faults, which delivers with the given scheduler. */
+    public SimulatedNetwork(final EventScheduler scheduler) {
+        this.scheduler = scheduler;
     }
 
-    /** Puts a place in a region. */
+    /** Assigns an endpoint to a region. */
     public void place(final String endpoint, final String region) {
         regions.put(endpoint, region);
     }
 
-    /** Sets the chance that a frame is lost, and that it overtakes others. */
-    public void setLossAndReordering(final double losing, final double reordering) {
-        lossProbability = losing;
-        reorderProbability = reordering;
+    /** Sets the probabilities that a frame is lost, and that it is delayed by up to 200 ms, so that later frames may overtake it. */
+    public void setLossAndReordering(final double newLossProbability, final double newReorderProbability) {
+        lossProbability = newLossProbability;
+        reorderProbability = newReorderProbability;
     }
 
-    /** Makes the ways between regions longer by so much, and by up to as much again. */
-    public void extraDelay(final long delay) {
+    /** Adds between {@code delay} and twice as many microseconds to each delivery between regions. */
+    public void setExtraDelay(final long delay) {
         extraDelay = delay;
     }
 
-    /** Cuts the way from some places to others; gives back what heals it. */
+    /** Blocks delivery from some endpoints to others; running the returned task heals the partition. */
     public Runnable blockOneWay(final Set<String> from, final Set<String> to) {
         final Partition partition = new Partition((a, b) -> from.contains(a) && to.contains(b));
         partitions.add(partition);
         return () -> partitions.remove(partition);
     }
 
-    /** Cuts places off from all others, both ways. */
+    /** Blocks delivery in both directions between the given endpoints and all others; running the returned task heals it. */
     public Runnable isolate(final Set<String> endpoints) {
         final Partition partition = new Partition((a, b) -> endpoints.contains(a) != endpoints.contains(b));
         partitions.add(partition);
         return () -> partitions.remove(partition);
     }
 
-    /** Whether the way is open. */
+    /** Returns whether no partition blocks delivery from one endpoint to another. */
     public boolean isReachable(final String from, final String to) {
-        return from.equals(to) || partitions.stream().noneMatch(c -> c.blocks().test(from, to));
+        return from.equals(to)
+                || partitions.stream().noneMatch(partition -> partition.blocks().test(from, to));
     }
 
-    /** How long the way takes this time. */
+    /** Draws the delay of one delivery in microseconds: below 1 ms within a region, 8 to 20 ms and any extra delay between regions. */
     public long delay(final String from, final String to) {
         final boolean sameRegion = regions.getOrDefault(from, "").equals(regions.getOrDefault(to, ""));
         return sameRegion
@@ -68,7 +72,10 @@
                         + (extraDelay == 0 ? 0 : extraDelay + scheduler.random().nextLong(extraDelay));
     }
 
-    /** A frame between daemons: kept in order as a rule; behind a cut it is lost or comes late. */
+    /**
+     * Sends a frame between nodes. Frames arrive in order unless one is drawn to be reordered. During a partition three of four
+     * frames are lost, and the others are delivered late.
+     */
     public void sendFrame(final String from, final String to, final Runnable delivery) {
         framesSent++;
         if (scheduler.random().nextDouble() < lossProbability) {
@@ -91,7 +98,7 @@
         scheduler.scheduleAt(deliveryTime, delivery);
     }
 
-    /** Bytes of an open exchange: in order, and behind a cut they wait until it heals. */
+    /** Sends bytes on an open connection: they arrive in order, and during a partition they wait until it heals. */
     public void sendBytes(final String connection, final String from, final String to, final Runnable delivery) {
         final long deliveryTime =
                 Math.max(scheduler.now() + delay(from, to), connectionFreeAt.getOrDefault(connection, 0L));
@@ -99,7 +106,7 @@
         scheduler.scheduleAt(deliveryTime, () -> deliverOnceReachable(from, to, delivery));
     }
 
-    /** How many frames were sent. */
+    /** Returns how many frames were sent, lost ones included. */
     public long framesSent() {
         return framesSent;
     }
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
@@ -28,9 +28,9 @@
 import silverlatch.wire.Frame;
 
 /**
- * A machine of the simulator that runs the shipping node and, as a gateway, the shipping dispatcher; disk, network and clocks
- * are simulated. Its process starts, ends and freezes; what was begun in one process never reaches the next. A node listens
- * at its name. Durations are microseconds.
+ * A simulated machine that runs the production {@link Node} and, on a gateway, the production {@link Dispatcher}, with simulated
+ * disk, network and clocks. Its process can be started, killed, stopped and frozen; callbacks of one process never run in the
+ * next one. The node's name is also its address. Durations are microseconds.
  */
 final class SimulatedNode {
     private static final long TICK_INTERVAL = 20_000L;
@@ -109,7 +109,7 @@
         return stampChecker;
     }
 
-    /** The node while its process runs. */
+    /** Returns the node, or nothing while its process isn't running. */
     Optional<Node> process() {
         return process;
     }
@@ -118,7 +118,7 @@
         return gateway.clusterSnapshot();
     }
 
-    /** The values of the marked cells that this gateway goes by. */
+    /** Returns the request rates in the table that this gateway uses; each change of the table sets a rate of its own. */
     Set<String> rateValues() {
         return gateway.rateValues();
     }
@@ -135,17 +135,17 @@
         return ready && isAlive() && !frozen;
     }
 
-    /** Rises with each start and end of the process. */
+    /** Returns a number that increases with each start and end of the process. */
     long generation() {
         return generation;
     }
 
-    /** The monotonic clock, in microseconds. */
+    /** Returns the monotonic clock, in microseconds. */
     long now() {
         return clock.now();
     }
 
-    /** Starts the process from its disk, unless it runs. */
+    /** Starts the process with the records on its disk, unless it is already running. */
     void start() {
         if (isAlive()) {
             return;
@@ -187,7 +187,7 @@
         return Member.starting(name, role, zone, region, address(), address(), clock.wallNanos() / 1000);
     }
 
-    /** The process ends at once; with the power also what was not synced is gone. */
+    /** Ends the process as a power loss does: records that aren't synced to disk may be lost. */
     void kill() {
         if (!isAlive()) {
             return;
@@ -201,7 +201,7 @@
         gateway.kill();
     }
 
-    /** Stops gracefully, as a process does when it is asked to. */
+    /** Shuts the process down gracefully: it drains for 3 s, leaves the cluster, and ends 4.5 s after this call. */
     void stop() {
         gateway.stopAccepting();
         execute(() -> {
@@ -216,15 +216,15 @@
                             process.ifPresent(node -> node.leave(now()));
                             flush();
                         }));
-        final long stoppingIn = generation;
+        final long stoppingGeneration = generation;
         world.scheduler().schedule(STOP_TIME, () -> {
-            if (stoppingIn == generation) {
+            if (stoppingGeneration == generation) {
                 kill();
             }
         });
     }
 
-    /** The process freezes, or goes on with all that it missed. */
+    /** Freezes the process, or resumes it and runs the tasks that were deferred meanwhile. */
     void freeze(final boolean freeze) {
         if (!isAlive()) {
             return;
@@ -237,7 +237,7 @@
         }
     }
 
-    /** Does something in this process, unless it ends before; when it is frozen, once it goes on. */
+    /** Runs a task in the current process: at once, or on resume if the process is frozen. Drops it if the process ends first. */
     void execute(final Runnable task) {
         if (!isAlive()) {
             return;
@@ -259,7 +259,7 @@
         };
     }
 
-    /** Does something with the node, and then what the node wants done. */
+    /** Runs a task with the node, and then performs the effects that the node returns. */
     void executeOnNode(final Consumer<Node> task) {
         execute(() -> {
             process.ifPresent(task);
@@ -267,7 +267,7 @@
         });
     }
 
-    /** A frame arrives. */
+    /** Passes a received frame to the node. */
     void frameReceived(final Frame frame) {
         executeOnNode(node -> {
             node.onFrame(frame, now());
@@ -275,31 +275,37 @@
         });
     }
 
-    /** Submits a command; its result comes back, if the process lives so long. */
-    void submit(final Command command, final long timeout, final Consumer<Object> whenAnswered) {
-        startQuery(whenAnswered, (node, token) -> node.submit(command, token, now(), now() + timeout));
+    /** Submits a command; {@code onReply} gets the result unless the process ends first. */
+    void submit(final Command command, final long timeout, final Consumer<Object> onReply) {
+        startQuery(onReply, (node, token) -> node.submit(command, token, now(), now() + timeout));
     }
 
-    /** Reads the entries whose keys start so; the result comes back, if the process lives so long. */
-    void read(final String keyPrefix, final long timeout, final Consumer<Object> whenAnswered) {
-        startQuery(whenAnswered, (node, token) -> node.read(keyPrefix, token, now(), now() + timeout));
+    /** Reads the entries with a key prefix; {@code onReply} gets the result unless the process ends first. */
+    void read(final String keyPrefix, final long timeout, final Consumer<Object> onReply) {
+        startQuery(onReply, (node, token) -> node.read(keyPrefix, token, now(), now() + timeout));
     }
 
-    private void startQuery(final Consumer<Object> whenAnswered, final ObjLongConsumer<Node> question) {
+    private void startQuery(final Consumer<Object> onReply, final ObjLongConsumer<Node> query) {
         execute(() -> {
             lastToken++;
-            pendingReplies.put(lastToken, whenAnswered);
-            process.ifPresent(node -> question.accept(node, lastToken));
+            pendingReplies.put(lastToken, onReply);
+            process.ifPresent(node -> query.accept(node, lastToken));
             flush();
         });
     }
 
-    /** A worker announces itself; the echo that it is to send next time comes back. */
-    void announce(final Worker report, final long echo, final LongConsumer whenEchoed) {
-        executeOnNode(node -> whenEchoed.accept(node.onAnnouncement(report, echo, now())));
+    /** Passes on a worker's announcement; {@code onEcho} gets the echo that the worker must send with its next one. */
+    void announce(final Worker report, final long echo, final LongConsumer onEcho) {
+        executeOnNode(node -> onEcho.accept(node.onAnnouncement(report, echo, now())));
     }
 
-    /** A client's call: it is given the dispatcher and a token; the effects for the token come back to the client. */
+    /**
+     * Opens a client's call to the dispatcher.
+     *
+     * @param call     the call, which gets the dispatcher and the token of the call
+     * @param onEffect receives the dispatcher's effects for that token
+     * @param onToken  receives the token, with which the client can disconnect
+     */
     void openCall(
             final ObjLongConsumer<Dispatcher> call,
             final Consumer<DispatchEffect> onEffect,
@@ -312,7 +318,7 @@
         });
     }
 
-    /** Does something with the dispatcher, if this is a gateway. */
+    /** Runs a task with the dispatcher if this is a gateway. */
     void withDispatcher(final Consumer<Dispatcher> task) {
         execute(() -> {
             gateway.withDispatcher(task);
@@ -320,7 +326,7 @@
         });
     }
 
-    /** A client hangs up its call. */
+    /** Closes a client's call, as if the client had disconnected. */
     void disconnectClient(final long callToken) {
         execute(() -> {
             gateway.disconnectClient(callToken);
@@ -328,8 +334,8 @@
         });
     }
 
-    private void scheduleTick(final long startedIn) {
-        if (startedIn != generation) {
+    private void scheduleTick(final long startedGeneration) {
+        if (startedGeneration != generation) {
             return;
         }
         execute(() -> {
@@ -337,7 +343,7 @@
             flush();
             process.ifPresent(this::updateReadiness);
         });
-        world.scheduler().schedule(TICK_INTERVAL, () -> scheduleTick(startedIn));
+        world.scheduler().schedule(TICK_INTERVAL, () -> scheduleTick(startedGeneration));
     }
 
     private void updateReadiness(final Node node) {
@@ -355,7 +361,7 @@
                 .orElse(node.gossip().stateAge(now()) < MAX_STATE_AGE);
     }
 
-    /** Performs what the node and the dispatcher want done, until neither wants more. */
+    /** Performs the effects of the node and the dispatcher until neither returns another. */
     private void flush() {
         if (process.isEmpty()) {
             return;
@@ -394,7 +400,9 @@
                 stampChecker.onLogged(log.event());
                 world.log(this, log);
             }
-            case Effect.Send send -> throw new IllegalStateException("a message left the node without a stamp");
+            case Effect.Send send ->
+                throw new IllegalStateException(
+                        "the node returned an unstamped message as an effect instead of a frame");
         }
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedWorker.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedWorker.java
@@ -16,8 +16,8 @@
 import silverlatch.simulation.worker.WorkerFault;
 
 /**
- * A worker in the simulator: it has so many slots and a queue of as many, caches prefixes, streams its responses chunk by
- * chunk, announces itself to the gateways nearby, and misbehaves as a {@link WorkerFault} says. Times are microseconds.
+ * A simulated worker. It runs up to {@code slots} attempts and queues as many, caches prompt prefixes, streams responses chunk by
+ * chunk, announces itself to the gateways of its region, and injects the current {@link WorkerFault}. Times are microseconds.
  */
 final class SimulatedWorker {
     private static final int PREFIX_CACHE_SIZE = 64;
@@ -48,22 +48,25 @@
     private WorkerFault fault = WorkerFault.NONE;
     private long lastExchange;
 
-    /** An attempt at this worker, and the process in which it started. */
+    /** An attempt at this worker, and the generation of the worker's process in which it arrived. */
     private record Run(
-            long exchange, long startedIn, ScriptedResponse response, BiConsumer<StreamRecord, Boolean> output) {}
+            long exchange,
+            long startedGeneration,
+            ScriptedResponse response,
+            BiConsumer<StreamRecord, Boolean> output) {}
 
     SimulatedWorker(
             final World world,
             final String name,
             final String zone,
             final String region,
-            final List<SimulatedNode> near,
+            final List<SimulatedNode> nearbyGateways,
             final int slots) {
         this.world = world;
         this.name = name;
         this.zone = zone;
         this.region = region;
-        this.nearbyGateways = near;
+        this.nearbyGateways = nearbyGateways;
         this.slots = slots;
     }
 
@@ -121,7 +124,7 @@
         }
     }
 
-    void fault(final WorkerFault newFault) {
+    void setFault(final WorkerFault newFault) {
         fault = newFault;
     }
 
@@ -130,11 +133,11 @@
     }
 
     /**
-     * An attempt arrives.
+     * Runs an attempt, or queues it while all slots are busy.
      *
-     * @param attempt what is asked
-     * @param output  takes each record that is sent back, and whether the connection ends with it
-     * @return the number of the exchange, or -1 when the worker rejects it
+     * @param attempt the attempt to run
+     * @param output  receives each record of the response, and whether the connection ends with it
+     * @return the exchange number for {@link #cancel}, or -1 if the worker rejects the attempt
      */
     long startRun(final DispatchEffect.StartAttempt attempt, final BiConsumer<StreamRecord, Boolean> output) {
         if (fault == WorkerFault.DENY || queue.size() >= slots) {
@@ -170,7 +173,7 @@
     }
 
     private void streamNext(final Run run, final int index) {
-        if (run.startedIn() != generation) {
+        if (run.startedGeneration() != generation) {
             return;
         }
         if (!openExchanges.contains(run.exchange())) {
@@ -227,15 +230,15 @@
         }
     }
 
-    private void scheduleAnnouncement(final long startedIn) {
-        if (startedIn != generation) {
+    private void scheduleAnnouncement(final long startedGeneration) {
+        if (startedGeneration != generation) {
             return;
         }
         announce();
         world.scheduler()
                 .schedule(
                         MIN_ANNOUNCEMENT_INTERVAL + world.scheduler().random().nextLong(ANNOUNCEMENT_JITTER),
-                        () -> scheduleAnnouncement(startedIn));
+                        () -> scheduleAnnouncement(startedGeneration));
     }
 
     private void announce() {
@@ -255,20 +258,24 @@
                     draining,
                     world.scheduler().now() - startedAt);
             final long lastEcho = echoes.getOrDefault(gateway.name(), 0L);
-            final long sentIn = generation;
+            final long sentGeneration = generation;
             world.network()
                     .sendBytes(
                             name + ">" + gateway.name() + gateway.generation(),
                             name,
                             gateway.name(),
-                            () -> gateway.announce(report, lastEcho, echo -> returnEcho(gateway, echo, sentIn)));
+                            () -> gateway.announce(
+                                    report, lastEcho, echo -> returnEcho(gateway, echo, sentGeneration)));
         }
     }
 
-    /** The echo dates the next announcement: it goes back with it, if this process is still the same. */
-    private void returnEcho(final SimulatedNode gateway, final long echo, final long sentIn) {
+    /**
+     * Sends the echo to the worker, which includes it in its next announcement so that the gateway can date that one. An echo that
+     * arrives after the worker restarted is dropped.
+     */
+    private void returnEcho(final SimulatedNode gateway, final long echo, final long sentGeneration) {
         world.network().sendBytes(gateway.name() + ">" + name + gateway.generation(), gateway.name(), name, () -> {
-            if (sentIn == generation) {
+            if (sentGeneration == generation) {
                 echoes.put(gateway.name(), echo);
             }
         });
--- a/simulation/src/main/java/silverlatch/simulation/sim/TargetedFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/TargetedFaults.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Faults that strike when a node reaches an {@link InjectionPoint}. Durations are microseconds. */
+/** Faults that are injected when a node reaches an {@link InjectionPoint}. Durations are microseconds. */
 final class TargetedFaults {
     private TargetedFaults() {}
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/WorkloadFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/WorkloadFaults.java
@@ -19,11 +19,11 @@
     static void workerUnresponsive(final World world, final long duration) {
         final SimulatedWorker worker = world.randomOf(world.workers());
         world.record("dark " + worker.name());
-        worker.fault(WorkerFault.DARK);
+        worker.setFault(WorkerFault.DARK);
         final Runnable heal = world.network().isolate(Set.of(worker.name()));
         world.disturbances().scheduleChange(duration, () -> {
             heal.run();
-            worker.fault(WorkerFault.NONE);
+            worker.setFault(WorkerFault.NONE);
         });
     }
 
@@ -68,8 +68,8 @@
                     final WorkerFault fault =
                             faults.remove(world.scheduler().random().nextInt(faults.size()));
                     world.record(fault + " " + worker.name());
-                    worker.fault(fault);
-                    world.disturbances().scheduleChange(duration - 1, () -> worker.fault(WorkerFault.NONE));
+                    worker.setFault(fault);
+                    world.disturbances().scheduleChange(duration - 1, () -> worker.setFault(WorkerFault.NONE));
                 }
             });
         }
@@ -105,20 +105,21 @@
 
     static void workersReject(final World world, final long duration) {
         world.record("most workers deny");
-        world.workers().stream().skip(world.workers().size() / 3).forEach(m -> m.fault(WorkerFault.DENY));
+        world.workers().stream().skip(world.workers().size() / 3).forEach(m -> m.setFault(WorkerFault.DENY));
         world.disturbances()
-                .scheduleChange(duration + 20_000_000, () -> world.workers().forEach(m -> m.fault(WorkerFault.NONE)));
+                .scheduleChange(
+                        duration + 20_000_000, () -> world.workers().forEach(m -> m.setFault(WorkerFault.NONE)));
     }
 
     static void workerSlowUnderLoad(final World world, final long duration) {
         final SimulatedWorker worker = world.randomOf(world.workers());
         final long usualRate = world.load().requestsPerSecond();
         world.record("crowd, and " + worker.name() + " limps");
-        worker.fault(WorkerFault.SLOW);
+        worker.setFault(WorkerFault.SLOW);
         world.load().setLoad(usualRate * 4, 0);
         world.disturbances().scheduleChange(Math.min(duration, 5_000_000), () -> {
             world.load().setLoad(usualRate, 0);
-            worker.fault(WorkerFault.NONE);
+            worker.setFault(WorkerFault.NONE);
         });
     }
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/World.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/World.java
@@ -12,8 +12,9 @@
 import silverlatch.simulation.fleet.Plan;
 
 /**
- * A whole deployment on one fake clock: nodes of the shipping code, workers, clients, operators, and the observer. The same
- * plan, seed and faults give the same events; times are microseconds.
+ * A simulated deployment on one virtual clock: nodes that run the production code, simulated workers, clients and operators, and
+ * the {@link Observer}. Deterministic: the same plan, seed and faults give the same events. Times are microseconds. Runs on
+ * one thread.
  */
 public final class World {
     private static final long SECOND = 1_000_000L;
@@ -40,12 +41,12 @@
     private long nextSerial;
 
     /**
-     * A world of a plan.
+     * Creates a world whose processes are not started yet.
      *
-     * @param plan              its regions, tenants and kinds of requests
-     * @param seed              decides all that is left to chance
-     * @param requestsPerSecond how many requests clients send
-     * @param safeguards        the safeguards that hold
+     * @param plan              the regions, tenants and kinds of requests to simulate
+     * @param seed              seeds every random choice
+     * @param requestsPerSecond the clients' request rate at the start
+     * @param safeguards        the safeguards that are enabled
      * @param verbose           whether the timeline and the nodes' logs are printed
      */
     public World(
@@ -57,7 +58,7 @@
         this(plan, seed, requestsPerSecond, safeguards, verbose, WorldListener.NONE);
     }
 
-    /** A world whose listener is told of all that its processes do. */
+    /** Creates a world that notifies a listener of every frame and effect of its processes. */
     World(
             final Plan plan,
             final long seed,
@@ -113,22 +114,22 @@
         return node;
     }
 
-    /** The clock, and the source of chance. */
+    /** Returns the scheduler: the virtual clock and the source of randomness. */
     public EventScheduler scheduler() {
         return scheduler;
     }
 
-    /** The network. */
+    /** Returns the simulated network. */
     public SimulatedNetwork network() {
         return network;
     }
 
-    /** The observer. */
+    /** Returns the observer that checks the invariants. */
     public Observer observer() {
         return observer;
     }
 
-    /** What was done to this world, in order. */
+    /** Returns the injected faults and operator actions, in order. */
     public List<String> timeline() {
         return List.copyOf(timeline);
     }
@@ -195,7 +196,7 @@
         return list.get(scheduler.random().nextInt(list.size()));
     }
 
-    /** Puts something that is done to the world down in its timeline. */
+    /** Adds a fault or an operator action to the timeline, and prints it if the world is verbose. */
     void record(final String event) {
         timeline.add(scheduler.now() / 1000 + " ms " + event);
         if (verbose) {
@@ -203,14 +204,17 @@
         }
     }
 
-    /** Prints a node's log event, if the world is verbose. */
+    /** Prints a node's log event if the world is verbose. */
     void log(final SimulatedNode node, final Effect.Log log) {
         if (verbose) {
             System.out.println(scheduler.now() / 1000 + " ms " + node.name() + " " + log.event() + " " + log.text());
         }
     }
 
-    /** Waits until the controllers form one chain again, so that a disk may be lost for good. */
+    /**
+     * Waits until no disk is about to be lost and all controllers form one chain again, or for at most 90 s: the chain tolerates
+     * the permanent loss of only one disk at a time.
+     */
     void waitForFullChain() {
         for (int i = 0;
                 i < MAX_SECONDS_TO_FULL_CHAIN && (disturbances.areDiskLossesExpected() || !isChainComplete());
@@ -219,7 +223,7 @@
         }
     }
 
-    /** Whether all controllers are ready, and as many as there are regions form the chain. */
+    /** Returns whether all controllers are ready and each sees a chain with as many replicas as there are regions. */
     boolean isChainComplete() {
         return controllers().stream()
                 .allMatch(controller -> controller.isReady()
@@ -230,7 +234,7 @@
                                 .orElse(false));
     }
 
-    /** Replaces a controller by an empty machine at a new address. */
+    /** Kills a controller for good and starts a replacement with an empty disk at a new address. */
     SimulatedNode replaceController(final SimulatedNode replaced) {
         replaced.kill();
         nodes.remove(replaced.name());
@@ -251,7 +255,7 @@
                 .orElseThrow();
     }
 
-    /** Adds a controller without a data folder, and hence without a vote. */
+    /** Starts another controller that has no data directory and hence no vote. */
     void addControllerWithoutVote() {
         final Plan.Region region = randomOf(plan.regions());
         final List<String> seeds =
@@ -260,7 +264,7 @@
                 .start();
     }
 
-    /** Starts everything, waits until it is ready, and gives it its tenants, its table and its load. */
+    /** Starts all processes, waits until they are ready, loads the tenants and the table, and starts clients and operators. */
     public void start() {
         nodes.values().forEach(SimulatedNode::start);
         workers.values().forEach(SimulatedWorker::start);
@@ -290,13 +294,13 @@
                         .orElse(false);
     }
 
-    /** No new request and no new change from now on. */
+    /** Stops the clients and the operators from sending new requests and changes. */
     public void stopLoad() {
         load.stop();
         operators.stop();
     }
 
-    /** A client sends a request, for the first time or after so many attempts. */
+    /** Starts a client request, which {@code previousAttempts} requests with the same content preceded. */
     void startRequest(
             final ClientRequest.Content content, final int previousAttempts, final boolean movesBetweenGateways) {
         new ClientRequest(this, content, previousAttempts, movesBetweenGateways, nextSerialNumber()).start();
