--- a/simulation/src/main/java/silverlatch/simulation/sim/ClientRequest.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ClientRequest.java
@@ -14,7 +14,7 @@
 import silverlatch.simulation.fleet.Plan;
 import silverlatch.simulation.response.ResponseVerifier;
 
-/** One client's request in the simulator, from its placement to its end, its response verified as it comes. */
+/** One request of a simulated client, from its placement to its end; verifies the response as it arrives. Times are microseconds. */
 final class ClientRequest {
     private static final long SECOND = 1_000_000L;
     private static final long CLIENT_TIMEOUT = 12 * SECOND;
@@ -47,7 +47,7 @@
     private long startedAt;
     private long firstChunkAt;
 
-    /** What a client asks: it stays the same when the request is sent again. */
+    /** The content of a request, which stays the same when the client retries it. */
     record Content(
             Plan.Tenant tenant,
             Plan.Kind kind,
@@ -109,7 +109,7 @@
         world.network().sendBytes(connection, content.endpoint(), node.name(), call);
     }
 
-    /** Asks for the response's stream, which this client can hang up; the dispatcher's effects come back one by one. */
+    /** Opens a call for the response's stream, which this client can close; {@code onAnswer} receives the dispatcher's effects. */
     private void openStream(
             final SimulatedNode node, final ObjLongConsumer<Dispatcher> call, final Consumer<DispatchEffect> onAnswer) {
         world.network()
@@ -204,7 +204,7 @@
                 content.tenant().key(), permit, content.prefix(), content.prompt(), REQUEST_TIMEOUT);
     }
 
-    /** The same permit is sent once more, late; the answer doesn't matter. */
+    /** Submits the same permit a second time and ignores the reply; the request must not run twice. */
     private void submitDuplicate(final SimulatedNode node, final String permit) {
         if (node.isAlive()) {
             world.observer().duplicateSent(requestId);
@@ -232,7 +232,7 @@
                 }));
     }
 
-    /** A response that is read again must be kept in a region of the tenant's homes. */
+    /** Requires that the gateway which returns a retained response is in one of the tenant's home regions. */
     private void requireRetainedInHomeRegion(final SimulatedNode node, final DispatchEffect answer, final long time) {
         if (answer instanceof DispatchEffect.StreamWrite) {
             world.observer()
@@ -246,11 +246,11 @@
         }
     }
 
-    private void deliver(final SimulatedNode node, final DispatchEffect answer, final Runnable whenDelivered) {
+    private void deliver(final SimulatedNode node, final DispatchEffect answer, final Runnable onDelivered) {
         if (answer instanceof DispatchEffect.StreamWrite stream) {
             stream.records().forEach(this::requireServedInHomeRegion);
         }
-        world.network().sendBytes(connection(node) + "<", node.name(), content.endpoint(), whenDelivered);
+        world.network().sendBytes(connection(node) + "<", node.name(), content.endpoint(), onDelivered);
     }
 
     private void requireServedInHomeRegion(final StreamRecord record) {
@@ -300,8 +300,8 @@
 
     private void onRejected(final DispatchEffect.Rejected rejection) {
         final int status = rejection.statusCode();
-        final boolean isSpent = status == 409 && rejection.reason().equals(Dispatcher.ALREADY_SUBMITTED);
-        if (status == 0 || status == 410 || isSpent) {
+        final boolean isPermitUsed = status == 409 && rejection.reason().equals(Dispatcher.ALREADY_SUBMITTED);
+        if (status == 0 || status == 410 || isPermitUsed) {
             end("broken");
             return;
         }
@@ -331,7 +331,7 @@
         world.scheduler().schedule(delay, () -> world.startRequest(content, previousAttempts + 1, false));
     }
 
-    /** A response that ended is read once more, as long as it may be kept. */
+    /** Reads a complete response again, which the gateway may still retain. */
     private void readAgain(final SimulatedNode node) {
         if (node.isAlive()) {
             world.observer().count("rereads");
--- a/simulation/src/main/java/silverlatch/simulation/sim/CommandSubmitter.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/CommandSubmitter.java
@@ -15,11 +15,11 @@
 import silverlatch.state.Entry;
 
 /**
- * How operators reach the controllers: reads and commands go to any controller that is up, and commands on one key go one
- * after another, each submitted anew until it is applied.
+ * Sends the operators' reads and commands to a random running controller. Commands on one key are submitted one after another,
+ * and each is retried until it is applied.
  */
 final class CommandSubmitter {
-    /** How long an operator waits for an answer, in microseconds. */
+    /** How long an operator waits for a reply, in microseconds. */
     static final long TIMEOUT = 3_000_000L;
 
     private static final long RETRY_DELAY = 200_000L;
@@ -31,23 +31,23 @@
         this.world = world;
     }
 
-    /** Any controller that is up, if there is one. */
+    /** Returns a random running controller, if there is one. */
     Optional<SimulatedNode> randomController() {
         final List<SimulatedNode> running =
                 world.controllers().stream().filter(SimulatedNode::isAlive).toList();
         return running.isEmpty() ? Optional.empty() : Optional.of(world.randomOf(running));
     }
 
-    /** Reads the entries whose keys start so; nothing comes back when the controller can't answer in time. */
-    void read(final SimulatedNode controller, final String prefix, final Consumer<ChainClient.ReadResult> whenRead) {
+    /** Reads the entries with a key prefix; doesn't call {@code onRead} if the controller doesn't reply in time. */
+    void read(final SimulatedNode controller, final String prefix, final Consumer<ChainClient.ReadResult> onRead) {
         controller.read(prefix, TIMEOUT, reply -> {
             if (reply instanceof ChainClient.ReadResult page && page.answered()) {
-                whenRead.accept(page);
+                onRead.accept(page);
             }
         });
     }
 
-    /** The sequence of the entry of a key, or 0 where there is none. */
+    /** Returns the sequence number of a key's entry, or 0 if there is none. */
     static long sequenceOf(final ChainClient.ReadResult page, final String key) {
         return page.entries().stream()
                 .filter(entry -> entry.key().equals(key))
@@ -56,38 +56,35 @@
                 .orElse(0);
     }
 
-    /** The sequence of the newest entry, or 0 where there is none. */
+    /** Returns the sequence number of the newest entry, or 0 if there is none. */
     static long newestSequence(final ChainClient.ReadResult page) {
         return page.entries().stream().mapToLong(Entry::sequence).max().orElse(0);
     }
 
     /**
-     * Submits a command until it is applied.
+     * Submits a command, and retries until it is applied.
      *
-     * @param prefix      what is read before each attempt
-     * @param key         the entry that the command changes, behind the commands on it that were submitted before; an empty
-     *                    key goes at once, and matches the newest of all entries read
-     * @param command     makes the command, given the sequence that it is to match
-     * @param whenApplied is given the sequence at which it was applied
+     * @param prefix      the key prefix that is read before each attempt
+     * @param key         the key of the entry that the command changes; commands on one key wait for earlier ones. With an empty
+     *                    key the command doesn't wait, and matches the newest of all entries read
+     * @param command     creates the command from the sequence number that it must match
+     * @param onApplied receives the sequence number at which the command was applied
      */
     void submitUntilApplied(
-            final String prefix,
-            final String key,
-            final LongFunction<Command> command,
-            final LongConsumer whenApplied) {
+            final String prefix, final String key, final LongFunction<Command> command, final LongConsumer onApplied) {
         if (key.isEmpty()) {
-            attempt(new Submission(prefix, key, command, whenApplied));
+            attempt(new Submission(prefix, key, command, onApplied));
             return;
         }
         enqueue(
                 key,
                 done -> attempt(new Submission(prefix, key, command, sequence -> {
-                    whenApplied.accept(sequence);
+                    onApplied.accept(sequence);
                     done.run();
                 })));
     }
 
-    /** Does something once all that was queued on a key before is done; it must run what it is given at its end. */
+    /** Runs a task once all tasks queued before on its key are done; the task must run the callback that it gets when it is done. */
     void enqueue(final String key, final Consumer<Runnable> task) {
         final Deque<Runnable> queue = queuesByKey.computeIfAbsent(key, k -> new ArrayDeque<>());
         queue.add(() -> task.accept(() -> {
@@ -99,13 +96,13 @@
         }
     }
 
-    private record Submission(String prefix, String key, LongFunction<Command> command, LongConsumer whenApplied) {
+    private record Submission(String prefix, String key, LongFunction<Command> command, LongConsumer onApplied) {
         long match(final ChainClient.ReadResult page) {
             return key.isEmpty() ? newestSequence(page) : sequenceOf(page, key);
         }
     }
 
-    /** One attempt at one controller; what it ends with counts once, also when the controller's process ends. */
+    /** One attempt at one controller. It ends once: with a reply, or by a timeout if the controller's process has ended. */
     private final class Attempt {
         private final Submission submission;
         private final SimulatedNode controller;
@@ -117,9 +114,9 @@
         }
 
         void start() {
-            final long askedIn = controller.generation();
+            final long askedGeneration = controller.generation();
             world.scheduler().schedule(LOST_REPLY_TIMEOUT, () -> {
-                if (askedIn != controller.generation()) {
+                if (askedGeneration != controller.generation()) {
                     failed();
                 }
             });
@@ -142,7 +139,7 @@
             if (result instanceof CommandResult.Applied applied) {
                 if (!ended) {
                     ended = true;
-                    submission.whenApplied().accept(applied.sequence());
+                    submission.onApplied().accept(applied.sequence());
                 }
             } else {
                 failed();
@@ -157,7 +154,7 @@
         }
     }
 
-    /** Each attempt matches the sequence just read, so that no earlier copy of the command can take effect late. */
+    /** Starts an attempt. Each one matches the sequence number that it just read, so that no earlier attempt can take effect late. */
     private void attempt(final Submission submission) {
         randomController()
                 .ifPresentOrElse(
--- a/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationHistory.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationHistory.java
@@ -7,8 +7,9 @@
 import java.util.Set;
 
 /**
- * What operators were answered to configurations, each answer held against those before it: one document a revision and
- * one a version built on, an answer that never turns, and reads no older than any acknowledgement that came before them.
+ * Checks the replies to configuration writes against each other: at most one document is acknowledged under a revision, and at
+ * most one on top of a revision; the reply to a repeated write never changes; and no read returns a revision older than the
+ * highest one acknowledged before the read.
  */
 final class ConfigurationHistory {
     private final Observer observer;
@@ -18,21 +19,21 @@
     private final Set<String> rejected = new HashSet<>();
     private long newest;
 
-    ConfigurationHistory(final Observer watch) {
-        this.observer = watch;
+    ConfigurationHistory(final Observer observer) {
+        this.observer = observer;
     }
 
-    /** The highest revision that was acknowledged. */
+    /** Returns the highest revision that was acknowledged. */
     long newest() {
         return newest;
     }
 
-    /** Whether a document was acknowledged. */
-    boolean acknowledged(final String document) {
+    /** Returns whether a document was acknowledged. */
+    boolean isAcknowledged(final String document) {
         return acknowledged.contains(document);
     }
 
-    /** A document was acknowledged under its revision, on top of the version that it matched. */
+    /** Records that a document was acknowledged under its revision, on top of the revision that it matched. */
     void recordAcknowledgement(final String document, final long revision, final long match) {
         observer.count("configurations-acknowledged");
         if (!acknowledged.add(document)) {
@@ -47,7 +48,7 @@
         }
     }
 
-    /** A document was refused. */
+    /** Records that a document was rejected. */
     void recordRejection(final String document) {
         observer.count("configurations-refused");
         observer.exercise(Invariant.REJECTED_CHANGE);
@@ -58,7 +59,7 @@
         }
     }
 
-    /** A document was read back; the read began when {@code before} was the highest revision acknowledged. */
+    /** Records a read of the newest document, which began when {@code before} was the highest revision acknowledged. */
     void recordRead(final String document, final long revision, final long before) {
         observer.count("configurations-read");
         if (revision < before) {
@@ -75,12 +76,13 @@
                         Invariant.REJECTED_CHANGE, d + " was acknowledged, but " + document + " is in force"));
     }
 
-    private void requireUnique(final Map<Long, String> held, final long key, final String document, final String what) {
-        final String old = held.getOrDefault(key, document);
-        held.putIfAbsent(key, document);
-        if (!old.equals(document)) {
+    private void requireUnique(
+            final Map<Long, String> documentByKey, final long key, final String document, final String what) {
+        final String earlier = documentByKey.getOrDefault(key, document);
+        documentByKey.putIfAbsent(key, document);
+        if (!earlier.equals(document)) {
             observer.violated(
-                    Invariant.REJECTED_CHANGE, old + " and " + document + " were both acknowledged " + what + key);
+                    Invariant.REJECTED_CHANGE, earlier + " and " + document + " were both acknowledged " + what + key);
         }
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationOperators.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationOperators.java
@@ -10,8 +10,9 @@
 import silverlatch.state.Value;
 
 /**
- * Operators of routing configurations: up to eight orders under way at once, each sent to any controller, rivals under one
- * revision or on top of one, invalid ones among them, answers lost, and orders sent again long after they were taken.
+ * Simulates operators of routing configurations. Up to eight writes are in flight at once, each sent to a random controller. Some
+ * conflict under one revision or on top of one, some are invalid, some replies are lost, and some writes are sent again long after
+ * they were acknowledged. Durations are microseconds.
  */
 final class ConfigurationOperators {
     private static final long SECOND = 1_000_000L;
@@ -33,7 +34,7 @@
 
     private record ConfigurationWrite(String document, long revision, long match, boolean valid) {}
 
-    /** Starts orders for a span from now on. */
+    /** Sends writes for the given time from now on. */
     void run(final long duration) {
         final boolean idle = endTime <= world.scheduler().now();
         endTime = Math.max(endTime, world.scheduler().now() + duration);
@@ -42,7 +43,7 @@
         }
     }
 
-    /** Reads the newest configuration back through every controller that is up. */
+    /** Reads the newest configuration through every running controller. */
     void readBack() {
         world.controllers().stream().filter(SimulatedNode::isAlive).forEach(this::read);
     }
@@ -69,55 +70,55 @@
         return new ConfigurationWrite("document-" + ++nextDocument, revision, match, valid);
     }
 
-    private void send(final ConfigurationWrite order) {
+    private void send(final ConfigurationWrite write) {
         inFlight++;
-        call(order, MAX_CALLS, () -> inFlight--);
+        call(write, MAX_CALLS, () -> inFlight--);
     }
 
-    /** Calls some controller; where no answer comes, or it is lost, the same order goes to any controller again. */
-    private void call(final ConfigurationWrite order, final int callsLeft, final Runnable whenDone) {
+    /** Sends a write to a random controller; if the reply doesn't arrive or is drawn to be lost, sends the same write again. */
+    private void call(final ConfigurationWrite write, final int callsLeft, final Runnable onDone) {
         final boolean[] ended = {false};
-        final Consumer<Boolean> done = decided -> {
+        final Consumer<Boolean> onReply = decided -> {
             if (!ended[0]) {
                 ended[0] = true;
                 if (decided || callsLeft == 1) {
-                    whenDone.run();
-                    resendLater(order);
+                    onDone.run();
+                    resendLater(write);
                 } else {
                     world.scheduler()
-                            .schedule(SECOND / 5 + randomBelow(SECOND), () -> call(order, callsLeft - 1, whenDone));
+                            .schedule(SECOND / 5 + randomBelow(SECOND), () -> call(write, callsLeft - 1, onDone));
                 }
             }
         };
-        world.scheduler().schedule(SECOND, () -> done.accept(false));
+        world.scheduler().schedule(SECOND, () -> onReply.accept(false));
         controller()
-                .ifPresent(controller -> controller.submit(command(order), CALL_TIMEOUT, result -> {
-                    final boolean decided = recordResult(order, (CommandResult) result);
+                .ifPresent(controller -> controller.submit(command(write), CALL_TIMEOUT, result -> {
+                    final boolean decided = recordResult(write, (CommandResult) result);
                     if (randomBelow(10) >= 7) {
-                        done.accept(decided);
+                        onReply.accept(decided);
                     }
                 }));
     }
 
-    private void resendLater(final ConfigurationWrite order) {
-        if (history.acknowledged(order.document()) && randomBelow(4) == 0) {
-            world.scheduler().schedule(2 * SECOND + randomBelow(18 * SECOND), () -> call(order, 1, () -> {}));
+    private void resendLater(final ConfigurationWrite write) {
+        if (history.isAcknowledged(write.document()) && randomBelow(4) == 0) {
+            world.scheduler().schedule(2 * SECOND + randomBelow(18 * SECOND), () -> call(write, 1, () -> {}));
         }
     }
 
-    private boolean recordResult(final ConfigurationWrite order, final CommandResult result) {
+    private boolean recordResult(final ConfigurationWrite write, final CommandResult result) {
         return switch (result) {
             case CommandResult.Applied applied -> {
-                history.recordAcknowledgement(order.document(), order.revision(), order.match());
-                if (!order.valid()) {
+                history.recordAcknowledgement(write.document(), write.revision(), write.match());
+                if (!write.valid()) {
                     world.observer()
-                            .violated(Invariant.REJECTED_CHANGE, order.document() + " is invalid and was acknowledged");
+                            .violated(Invariant.REJECTED_CHANGE, write.document() + " is invalid and was acknowledged");
                 }
                 yield true;
             }
             case CommandResult.Rejected rejected -> {
                 if (rejected.code() != 503) {
-                    history.recordRejection(order.document());
+                    history.recordRejection(write.document());
                 }
                 yield rejected.code() != 503;
             }
@@ -141,12 +142,12 @@
         });
     }
 
-    /** Each call bears an id of its own, as one over HTTP does. */
-    private Command command(final ConfigurationWrite order) {
+    /** Returns the command of a write. Each call has a command id of its own, as over HTTP. */
+    private Command command(final ConfigurationWrite write) {
         final Value.BackendPool pool = new Value.BackendPool("pool", "/", 1, 0, 1, 1, 0, 1);
         final Value.Route route = new Value.Route(
                 "route",
-                order.document() + ".example",
+                write.document() + ".example",
                 "/",
                 false,
                 false,
@@ -158,14 +159,14 @@
                 0,
                 1,
                 List.of(),
-                List.of(new Value.WeightedBackend(order.valid() ? "pool" : "unknown", 1)));
+                List.of(new Value.WeightedBackend(write.valid() ? "pool" : "unknown", 1)));
         return new Command.PutConfiguration(
                 "configuration-" + ++nextCall,
-                new Value.RoutingConfiguration(order.revision(), 1, 1, 1, 1),
+                new Value.RoutingConfiguration(write.revision(), 1, 1, 1, 1),
                 List.of(route),
                 List.of(pool),
-                order.document(),
-                order.match());
+                write.document(),
+                write.match());
     }
 
     private Optional<SimulatedNode> controller() {
--- a/simulation/src/main/java/silverlatch/simulation/sim/FailoverMeasurement.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/FailoverMeasurement.java
@@ -7,7 +7,10 @@
 import silverlatch.state.Command;
 import silverlatch.util.Lists;
 
-/** Measures in simulated time how long writes stop when a member of the chain dies, and what is served without a region. */
+/**
+ * Measures in simulated time how long writes are unavailable after a replica of the chain fails, and how many requests are completed
+ * while a region is lost.
+ */
 public final class FailoverMeasurement {
     private static final long SECOND = 1_000_000L;
     private static final List<String> POSITIONS = List.of("head", "middle", "tail");
@@ -15,7 +18,7 @@
 
     private FailoverMeasurement() {}
 
-    /** Prints a table by the position that is lost in the chain, and one by the region that is lost. */
+    /** Prints one table by the chain position of the failed replica, and one by the lost region. */
     public static void run(final Plan plan, final long seed) {
         System.out.println("| lost | first ack after, ms min/median/max of 12 |");
         System.out.println("| --- | --- |");
--- a/simulation/src/main/java/silverlatch/simulation/sim/LoadGenerator.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/LoadGenerator.java
@@ -5,12 +5,15 @@
 import java.util.SplittableRandom;
 import silverlatch.simulation.fleet.Plan;
 
-/** Sends the clients' requests: an open load, drawn from the plan's kinds and tenants, with some duplicates. */
+/**
+ * Generates the clients' requests as an open-loop load, drawn from the plan's kinds and tenants. Some requests with an idempotency
+ * key are sent twice.
+ */
 final class LoadGenerator {
     private static final long SECOND = 1_000_000L;
     private static final int CONVERSATIONS = 5;
-    private static final int CONVERSATIONS_OF_LONG_PROMPTS = 60;
-    private static final int MANY_CHUNKS = 3;
+    private static final int LONG_PROMPT_CONVERSATIONS = 60;
+    private static final int LONG_RESPONSE_FACTOR = 3;
     private static final Plan.Kind GATE = new Plan.Kind(Operators.GATE_KIND, 0, 3, 1, false);
     private final World world;
     private final SplittableRandom random;
@@ -30,12 +33,12 @@
         this.requestsPerSecond = requestsPerSecond;
     }
 
-    /** Begins the load; it goes on until it is stopped. */
+    /** Starts the load, which continues until {@link #stop}. */
     void start() {
         scheduleArrival();
     }
 
-    /** No new request from now on. */
+    /** Stops sending new requests. */
     void stop() {
         stopped = true;
     }
@@ -44,13 +47,13 @@
         return requestsPerSecond;
     }
 
-    /** Sets the requests a second, and how far the mix leans to long prompts (above 0) or to long responses (below 0). */
+    /** Sets the requests per second, and whether prompts (length bias above 0) or responses (below 0) are longer than usual. */
     void setLoad(final long newRate, final int newLengthBias) {
         requestsPerSecond = newRate;
         lengthBias = newLengthBias;
     }
 
-    /** Whether some clients move to another gateway in the middle of a response from now on. */
+    /** Sets whether some clients reconnect in the middle of a response. */
     void setClientsMoving(final boolean moving) {
         clientsMoving = moving;
     }
@@ -59,9 +62,9 @@
         return clientsMoving;
     }
 
-    /** One tenant sends so many times as much as each other. */
-    void multiplyFirstTenant(final int times) {
-        for (int i = 1; i < times; i++) {
+    /** Makes the first tenant send the given multiple of each other tenant's requests. */
+    void multiplyFirstTenant(final int factor) {
+        for (int i = 1; i < factor; i++) {
             tenants.add(tenants.get(0));
         }
     }
@@ -99,8 +102,8 @@
 
     private ClientRequest.Content randomContent(final Plan.Tenant tenant, final Plan.Kind kind) {
         final String idempotencyKey = kind.atMostOnce() ? "key-" + arrivals : "";
-        final int chunks = 1 + random.nextInt(kind.chunks() * (lengthBias < 0 ? MANY_CHUNKS : 1));
-        final int conversation = random.nextInt(lengthBias > 0 ? CONVERSATIONS_OF_LONG_PROMPTS : CONVERSATIONS);
+        final int chunks = 1 + random.nextInt(kind.chunks() * (lengthBias < 0 ? LONG_RESPONSE_FACTOR : 1));
+        final int conversation = random.nextInt(lengthBias > 0 ? LONG_PROMPT_CONVERSATIONS : CONVERSATIONS);
         final List<String> prefix = new ArrayList<>();
         for (int i = 0; i < kind.prefixParts() * (lengthBias > 0 ? 2 : 1); i++) {
             prefix.add(kind.kind() + conversation + "/" + i);
@@ -111,7 +114,7 @@
         return new ClientRequest.Content(tenant, kind, idempotencyKey, endpoint, prompt, prefix);
     }
 
-    /** A request of the kind whose row is the gate; see {@link Operators#GATE_KIND}. */
+    /** Returns a request of the kind whose row is the gate; see {@link Operators#GATE_KIND}. */
     private ClientRequest.Content gateContent(final Plan.Tenant tenant, final String endpoint) {
         final String prompt = "2 " + tenant.name() + " t" + arrivals;
         return new ClientRequest.Content(tenant, GATE, "", endpoint, prompt, List.of("trial"));
--- a/simulation/src/main/java/silverlatch/simulation/sim/LoadMeasurement.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/LoadMeasurement.java
@@ -4,7 +4,7 @@
 import silverlatch.safeguard.Safeguards;
 import silverlatch.simulation.fleet.Plan;
 
-/** Measures in simulated time what is served under load, by kind of request and by tenant. */
+/** Measures in simulated time how many requests are completed under load, by kind of request and by tenant. Times are microseconds. */
 public final class LoadMeasurement {
     private static final long SECOND = 1_000_000L;
     private static final long LOAD_TIME = 15 * SECOND;
@@ -14,7 +14,7 @@
 
     private LoadMeasurement() {}
 
-    /** Prints a table by load and kind, and one by tenant. */
+    /** Prints one table by load and kind, and one by tenant while the first tenant sends ten times as much as each other. */
     public static void run(final Plan plan, final long seed) {
         System.out.println(
                 "| tickets a second | kind | sent | done | key taken | first piece ms median/p95 | prefix kept | crossings |");
--- a/simulation/src/main/java/silverlatch/simulation/sim/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Main.java
@@ -27,7 +27,10 @@
 import silverlatch.simulation.fleet.Plan;
 import silverlatch.util.Threads;
 
-/** Runs many days. Ends with 0 when all are right, 1 when a day is wrong or a check was put to no test, 2 on wrong use. */
+/**
+ * Command line program that runs simulated days. Exit codes: 0 if no invariant was violated, 1 if one was or if, over at minimum 100
+ * days, one was never exercised, 2 if the arguments are invalid.
+ */
 public final class Main {
     private static final int MIN_SCENARIOS_FOR_COVERAGE = 100;
     private static final int MAX_VIOLATIONS_PRINTED = 6;
@@ -60,17 +63,17 @@
 
     private Main() {}
 
-    /** Runs the sweep. */
+    /** Runs the days and exits with the program's exit code. */
     public static void main(final String[] args) throws Exception {
         System.exit(new Main().run(args));
     }
 
-    /** What wrong words end with. */
+    /** Runs the program and returns its exit code. */
     public static int exitCode(final String[] args) throws Exception {
         return new Main().run(args);
     }
 
-    /** Reads the words, says every fault in them with its place, and else runs the days. */
+    /** Parses the arguments; prints every error in them with its position, or runs the days if there is none. */
     private int run(final String[] args) throws Exception {
         final CmdLineParser parser = new CmdLineParser(this);
         try {
@@ -87,12 +90,12 @@
                 disabledSafeguards.isEmpty()
                         ? List.of()
                         : parseNames("--down", disabledSafeguards, Safeguard.class, FormerNames::currentSafeguard)));
-        final Optional<Plan> read = readPlan();
+        final Optional<Plan> parsedPlan = readPlan();
         if (!errors.isEmpty()) {
             errors.forEach(System.err::println);
             return 2;
         }
-        return sweep(read.orElseThrow(), scenarios, safeguards);
+        return runDays(parsedPlan.orElseThrow(), scenarios, safeguards);
     }
 
     private List<Day.Scenario> parseScenarios() {
@@ -130,20 +133,20 @@
         return Optional.empty();
     }
 
-    private int sweep(final Plan plan, final List<Day.Scenario> scenarios, final Safeguards safeguards)
+    private int runDays(final Plan plan, final List<Day.Scenario> scenarios, final Safeguards safeguards)
             throws InterruptedException, ExecutionException {
         final int threads = verbose ? 1 : Runtime.getRuntime().availableProcessors();
         final ExecutorService pool = Executors.newFixedThreadPool(threads, task -> Threads.daemon("days", task));
         final List<Future<Day.Result>> days = scenarios.stream()
                 .map(scenario -> pool.submit(() -> Day.run(plan, scenario, safeguards, verbose)))
                 .toList();
-        int wrongDays = 0;
+        int daysWithViolations = 0;
         final Map<String, Long> totals = new TreeMap<>();
         for (final Future<Day.Result> day : days) {
             final Day.Result result = day.get();
             accumulate(totals, result.counters());
             if (!result.violations().isEmpty()) {
-                wrongDays++;
+                daysWithViolations++;
                 printViolations(plan, result, safeguards);
             }
         }
@@ -154,8 +157,8 @@
         if (!notExercised.isEmpty()) {
             System.out.println("put to no test: " + notExercised);
         }
-        System.out.println(days.size() + " days, " + wrongDays + " wrong");
-        return wrongDays == 0 && notExercised.isEmpty() ? 0 : 1;
+        System.out.println(days.size() + " days, " + daysWithViolations + " wrong");
+        return daysWithViolations == 0 && notExercised.isEmpty() ? 0 : 1;
     }
 
     private void printViolations(final Plan plan, final Day.Result result, final Safeguards safeguards) {
@@ -177,7 +180,7 @@
                 .toList();
     }
 
-    /** The day without each fault that is not needed for the mark it shows. */
+    /** Returns the day's scenario without the faults that aren't needed to reproduce a violation of its first violated invariant. */
     static Day.Scenario shrinkScenario(final Plan plan, final Day.Result result, final Safeguards safeguards) {
         final String invariant = result.violations().get(0).split(" ")[0];
         Day.Scenario best = result.scenario();
@@ -193,23 +196,23 @@
         return best;
     }
 
-    /** Adds a day's counts to those of a sweep: the largest of what is a largest, the sum of all else. */
+    /** Adds a day's counters to the totals: takes the maximum of counters with the prefix {@code maximum-}, and the sum of the others. */
     static void accumulate(final Map<String, Long> totals, final Map<String, Long> dayCounters) {
         dayCounters.forEach((k, v) -> totals.merge(k, v, k.startsWith("most-") ? Math::max : Long::sum));
     }
 
-    private long parseNumber(final String argument, final String text, final long least, final long most) {
+    private long parseNumber(final String argument, final String text, final long minimum, final long maximum) {
         try {
             final long number = Long.parseLong(text);
-            if (number >= least && number <= most) {
+            if (number >= minimum && number <= maximum) {
                 return number;
             }
         } catch (final NumberFormatException failure) {
             errors.add(argument + ": not a whole number: " + text);
-            return least;
+            return minimum;
         }
-        errors.add(argument + ": " + text + " is not within " + least + " and " + most);
-        return least;
+        errors.add(argument + ": " + text + " is not within " + minimum + " and " + maximum);
+        return minimum;
     }
 
     private <E extends Enum<E>> List<E> parseNames(
--- a/simulation/src/main/java/silverlatch/simulation/sim/NetworkFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/NetworkFaults.java
@@ -7,7 +7,7 @@
 import java.util.stream.Collectors;
 import silverlatch.util.Lists;
 
-/** Faults of the network and of clocks. Durations are microseconds. */
+/** Faults of the network and of wall clocks. Durations are microseconds. */
 final class NetworkFaults {
     private NetworkFaults() {}
 
@@ -30,12 +30,12 @@
 
     static void controllersPartitioned(final World world, final long duration) {
         world.record("cut the controllers off");
-        final Set<String> core =
+        final Set<String> controllers =
                 world.controllers().stream().map(SimulatedNode::name).collect(Collectors.toSet());
         final Set<String> rest =
                 world.gateways().stream().map(SimulatedNode::name).collect(Collectors.toSet());
-        final Runnable healOutbound = world.network().blockOneWay(core, rest);
-        final Runnable healInbound = world.network().blockOneWay(rest, core);
+        final Runnable healOutbound = world.network().blockOneWay(controllers, rest);
+        final Runnable healInbound = world.network().blockOneWay(rest, controllers);
         world.disturbances().scheduleChange(duration, () -> {
             healOutbound.run();
             healInbound.run();
--- a/simulation/src/main/java/silverlatch/simulation/sim/Operators.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Operators.java
@@ -13,12 +13,15 @@
 import silverlatch.state.Value;
 
 /**
- * The operators of a simulated day: at times two at once, they read the table, change it, drain zones and move tenants, and
- * tell the observer what they asked for and what they were answered. Each change bears a rate of its own, by which it is
- * known again in a table.
+ * The operators of a simulated day, at times two at once. They read and change the table, drain zones and move tenants, and report
+ * their requests and the replies to the observer. Each change of the table sets a request rate of its own, which identifies the
+ * change in a table. Durations are microseconds.
  */
 final class Operators {
-    /** The kind whose row is the gate: its requests bear no idempotency key, and its cell "once" demands one or not. */
+    /**
+     * The kind of request whose row is the gate. Its requests have no idempotency key, so that a gateway rejects them exactly while
+     * the cell "once" of its table requires a key (the gate is shut). That shows which version of the table a gateway uses.
+     */
     static final String GATE_KIND = "trial";
 
     private static final long SECOND = 1_000_000L;
@@ -47,7 +50,7 @@
         this.configurations = new ConfigurationOperators(world);
     }
 
-    /** The operators of routing configurations. */
+    /** Returns the operators of routing configurations. */
     ConfigurationOperators configurations() {
         return configurations;
     }
@@ -56,22 +59,22 @@
         return submitter;
     }
 
-    /** An id that no command had before. */
+    /** Returns a new command id with the given prefix. */
     String nextCommandId(final String what) {
         return what + "-" + ++lastCommand;
     }
 
-    /** The value of a marked cell, as the observer knows it. */
+    /** Returns a request rate in the form in which the observer identifies a change by it. */
     static String cellValue(final double rate) {
         return "" + rate;
     }
 
-    /** No new change from now on. */
+    /** Stops starting new reads and changes. */
     void stop() {
         stopped = true;
     }
 
-    /** Gives the fleet its tenants and its first table; takes four seconds. */
+    /** Loads the tenants and the first table, which takes four seconds of simulated time. */
     void loadTenantsAndTable() {
         final SimulatedNode controller = world.controllers().get(0);
         for (final Plan.Tenant tenant : world.plan().tenants()) {
@@ -100,7 +103,7 @@
                 tenant.name(), Set.copyOf(homeRegions), false, world.scheduler().now());
     }
 
-    /** Begins to read, to change and to turn the gate. */
+    /** Starts reading and changing the table, and toggling the gate. */
     void start() {
         readAndEdit();
         world.scheduler().schedule(3 * SECOND, this::toggleGate);
@@ -137,7 +140,7 @@
                 .anyMatch(value -> value instanceof Value.Row row && row.kind().equals(GATE_KIND) && row.atMostOnce());
     }
 
-    /** One change, at times a rival on top of the same sequence, and at times an invalid table. */
+    /** Sends a change, at times a conflicting one on top of the same sequence number, and at times an invalid table. */
     private void editTable(
             final SimulatedNode first, final SimulatedNode second, final long match, final boolean gateShut) {
         changeTable(first, match, gateShut);
@@ -188,12 +191,12 @@
         }
     }
 
-    /** Does something at the moment at which the next change of the table is acknowledged to an operator. */
+    /** Runs a task when the next change of the table is acknowledged to an operator. */
     void afterAcknowledgement(final Runnable task) {
         afterAcknowledgement = Optional.of(task);
     }
 
-    /** Opens or shuts the gate; the next turn comes when this one is acknowledged and a while has passed. */
+    /** Opens or shuts the gate; the next toggle follows 7 to 8 s after the acknowledgement of this one. */
     private void toggleGate() {
         if (stopped) {
             return;
@@ -211,7 +214,7 @@
                 });
     }
 
-    /** Drains a zone or gives it back, through some controller, until it is acknowledged. */
+    /** Drains a zone or returns it to service; retries until that is acknowledged. */
     void drain(final String zone, final boolean drain) {
         world.record((drain ? "drain " : "undrain ") + zone);
         if (drain) {
@@ -232,12 +235,12 @@
                 });
     }
 
-    /** Two operators race on a zone, once all earlier commands on it have ended. */
+    /** Starts a {@link ZoneRace} once all earlier commands on the zone have ended. */
     void raceOnZone(final String zone) {
         submitter.enqueue("z/" + zone, done -> new ZoneRace(world, this, zone, done).start());
     }
 
-    /** A tenant's homes are changed while its requests queue, run, and are kept to be read again. */
+    /** Changes a tenant's home regions, while its requests are queued, running and retained; retries until that is acknowledged. */
     void changeHomes(final Plan.Tenant tenant, final List<String> homeRegions) {
         world.record("homes of " + tenant.name() + " become " + homeRegions);
         final Runnable acknowledge = requestHomes(tenant, homeRegions);
@@ -249,7 +252,7 @@
                 sequence -> tenantChanged(acknowledge, "homeMoves"));
     }
 
-    /** A tenant is taken away. */
+    /** Removes a tenant; retries until that is acknowledged. */
     void removeTenant(final Plan.Tenant tenant) {
         world.record("tenant " + tenant.name() + " is taken away");
         final Runnable acknowledge = history.homesRequested(
@@ -267,7 +270,7 @@
         observer.count(counter);
     }
 
-    /** The table grows by so many rows, a part of them at a time. */
+    /** Adds rows to the table, in batches of 1,000. */
     void growTable(final int rows) {
         world.record("the table grows by " + rows + " rows");
         final List<Plan.Tenant> tenants = world.plan().tenants();
@@ -287,9 +290,9 @@
     }
 
     /**
-     * Reads the table back through every controller that is up, and changes it once more, at the end of a day.
+     * Reads the table through every running controller and changes it once more, at the end of a day.
      *
-     * @param commandId the id of the change; a second change of a day needs another
+     * @param commandId the command id of the change, unique within the day
      */
     void readBackAndChange(final String commandId) {
         lastChangeApplied = false;
@@ -313,12 +316,12 @@
         world.scheduler().runUntil(world.scheduler().now() + 5 * SECOND);
     }
 
-    /** How many controllers answered when the table was last read back. */
+    /** Returns how many controllers replied in the last {@link #readBackAndChange}. */
     int lastReadsAnswered() {
         return lastReadsAnswered;
     }
 
-    /** Whether the last change was acknowledged. */
+    /** Returns whether the change of the last {@link #readBackAndChange} was acknowledged. */
     boolean lastChangeApplied() {
         return lastChangeApplied;
     }
--- a/simulation/src/main/java/silverlatch/simulation/sim/SpreadMeasurement.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SpreadMeasurement.java
@@ -9,7 +9,10 @@
 import silverlatch.state.CommandResult;
 import silverlatch.util.Lists;
 
-/** Measures in simulated time how fast a change of the table spreads, and how old workers' reports are, by fleet size. */
+/**
+ * Measures in simulated time how long a change of the table takes to reach all gateways, and how old workers' reports are, for
+ * several cluster sizes. Times are microseconds unless a name says otherwise.
+ */
 public final class SpreadMeasurement {
     private static final long SECOND = 1_000_000L;
     private static final long POLL_INTERVAL = 5_000L;
@@ -35,7 +38,7 @@
         this.world = new World(sized, seed, 5, Safeguards.ALL, false);
     }
 
-    /** Prints a table with a row for each of three fleet sizes. */
+    /** Prints a table with a row for each of three cluster sizes. */
     public static void run(final Plan plan, final long seed) {
         System.out.println(
                 "| daemons | change at the last gateway, ms min/median/max of 20 | word age ms median/max | words over 2 s | frames a daemon a second |");
@@ -63,7 +66,7 @@
         world.scheduler().runUntil(world.scheduler().now() + duration);
     }
 
-    /** Changes a cell; gives how long it took from the acknowledgement until all gateways followed it. */
+    /** Changes a cell and returns the time from its acknowledgement until all gateways used it, as observed every 5 ms. */
     private long measureSpread(final int trial) {
         final long[] acknowledged = {0, 0};
         final Command.Cell cell = new Command.Cell("*", plan.kinds().get(0).kind(), "rate", "" + (2_000 + trial));
--- a/simulation/src/main/java/silverlatch/simulation/sim/StampChecker.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/StampChecker.java
@@ -6,8 +6,9 @@
 import silverlatch.wire.Frame;
 
 /**
- * What the observer knows of one node's stamps: a frame sent must be above all that the node heard within bounds, and sent,
- * before; and while some clock is off, a node whose own clock is right must stay near true time.
+ * Checks the stamps of one node. The stamp of each sent frame must be higher than those of all frames that the node sent before,
+ * and of those that it received within the allowed clock skew. While some clock is off, the stamps of a node whose own clock is
+ * right must stay near true time. Durations are microseconds.
  */
 final class StampChecker {
     private static final long MAX_CLOCK_SKEW = 50_000L;
@@ -25,21 +26,21 @@
         this.checked = checked;
     }
 
-    /** The node starts: nothing that it heard or sent before binds it. */
+    /** Resets the state when the node starts: frames of its earlier process no longer count. */
     void onStarted() {
         highestReceived = 0;
         highestSent = 0;
         clockResetAt = world.scheduler().now();
     }
 
-    /** The node logs an event; a rejoin resets its clock. */
+    /** Observes a log event of the node; a rejoin resets its clock. */
     void onLogged(final Event event) {
         if (event == Event.REJOIN) {
             clockResetAt = world.scheduler().now();
         }
     }
 
-    /** The node sends a frame. */
+    /** Checks the stamp of a frame that the node sends. */
     void onFrameSent(final Frame frame) {
         final long bits = frame.stamp().bits();
         world.observer().exercise(Invariant.STAMP_ORDER);
@@ -79,7 +80,7 @@
         }
     }
 
-    /** The node heard a frame. */
+    /** Records the stamp of a received frame unless the node may delay it or the stamp exceeds the allowed skew. */
     void onFrameReceived(final Frame frame, final Node node) {
         final long bits = frame.stamp().bits();
         if (!node.hasDelayedFrames() && isWithinSkew(bits, node)) {
@@ -87,7 +88,7 @@
         }
     }
 
-    /** Whether a stamp is one that the node may believe by its physical clock as it is now. */
+    /** Returns whether a stamp is at most the allowed skew ahead of the node's physical clock. */
     private boolean isWithinSkew(final long bits, final Node node) {
         return bits - node.physicalClock().physicalTime(checked.now()) <= NtpTime.fromMicros(MAX_CLOCK_SKEW);
     }
--- a/simulation/src/main/java/silverlatch/simulation/sim/TableValues.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/TableValues.java
@@ -7,9 +7,9 @@
 import silverlatch.state.Value;
 import silverlatch.util.Digests;
 
-/** The tables and tenants that the operators of a simulated day put. */
+/** Creates the tables and tenants that the operators of a simulated day write. */
 final class TableValues {
-    /** The request rate of every row at first. */
+    /** The request rate of every row of the first table. */
     static final double FIRST_RATE = 900;
 
     private static final double BURST = 2_000;
@@ -21,7 +21,7 @@
 
     private TableValues() {}
 
-    /** A row for each kind of the plan, with a rate that marks this table, and the row that is the gate. */
+    /** Returns a row for each kind of the plan, with a rate that identifies this table, and the row that is the gate. */
     static List<Value.Row> rows(final Plan plan, final double rate, final boolean gateShut) {
         final List<Value.Row> rows = new ArrayList<>(
                 plan.kinds().stream().map(kind -> row(kind, rate)).toList());
@@ -61,7 +61,7 @@
                 priority);
     }
 
-    /** A tenant of the plan, at home in the given regions. */
+    /** Returns a tenant of the plan with the given home regions. */
     static Value.Tenant tenant(final Plan.Tenant tenant, final List<String> homeRegions) {
         return new Value.Tenant(
                 tenant.name(), homeRegions, tenant.share(), Digests.sha256Hex(tenant.key()), "salt-" + tenant.name());
--- a/simulation/src/main/java/silverlatch/simulation/sim/WorkloadFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/WorkloadFaults.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import silverlatch.simulation.worker.WorkerFault;
 
-/** Faults of workers, and what clients do: crashes, slowness, broken streams, bursts of load. Durations are microseconds. */
+/** Faults of workers, and load changes by clients: crashes, slowness, broken streams, load spikes. Durations are microseconds. */
 final class WorkloadFaults {
     private WorkloadFaults() {}
 
--- a/simulation/src/main/java/silverlatch/simulation/sim/ZoneRace.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ZoneRace.java
@@ -5,23 +5,23 @@
 import silverlatch.state.Command;
 import silverlatch.state.CommandResult;
 
-/** Two operators race on a zone: one drains it, the other gives it back, both on top of the same sequence. */
+/** Two operators concurrently drain a zone and return it to service, both on top of the same sequence number. */
 final class ZoneRace {
     private static final long TIMEOUT = 8_000_000L;
     private final World world;
     private final Operators operators;
     private final String zone;
-    private final Runnable whenDone;
+    private final Runnable onDone;
     private Optional<CommandResult> drainResult = Optional.empty();
     private Optional<CommandResult> undrainResult = Optional.empty();
     private boolean ended;
 
-    /** A race; what is given is run once, when both answers came or when they take too long. */
-    ZoneRace(final World world, final Operators operators, final String zone, final Runnable whenDone) {
+    /** Creates a race; {@code onDone} runs once, when both replies have arrived or after 8 s. */
+    ZoneRace(final World world, final Operators operators, final String zone, final Runnable onDone) {
         this.world = world;
         this.operators = operators;
         this.zone = zone;
-        this.whenDone = whenDone;
+        this.onDone = onDone;
     }
 
     void start() {
@@ -48,12 +48,12 @@
                 } else {
                     undrainResult = Optional.of((CommandResult) result);
                 }
-                judge(match, requestedAt);
+                checkResults(match, requestedAt);
             });
         }
     }
 
-    private void judge(final long match, final long requestedAt) {
+    private void checkResults(final long match, final long requestedAt) {
         if (ended || drainResult.isEmpty() || undrainResult.isEmpty()) {
             return;
         }
@@ -76,7 +76,7 @@
     private void end() {
         if (!ended) {
             ended = true;
-            whenDone.run();
+            onDone.run();
         }
     }
 }
--- a/simulation/src/test/java/silverlatch/simulation/sim/BriefTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/BriefTest.java
@@ -19,7 +19,10 @@
 import org.junit.jupiter.api.Test;
 import silverlatch.safeguard.Safeguard;
 
-/** Holds docs/brief.md to what there is: each name in it exists, and no fault, guard or mark is left out. */
+/**
+ * Guards docs/brief.md against getting out of date: each test that it names exists, and it names every fault, safeguard and
+ * invariant.
+ */
 final class BriefTest {
     private static final Path ROOT = Path.of("..");
 
--- a/simulation/src/test/java/silverlatch/simulation/sim/ConfigurationHistoryTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/ConfigurationHistoryTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The observer of configurations notices each answer that another one forbids. */
+/** Guards the check of configuration writes: {@link ConfigurationHistory} must report each reply that contradicts an earlier one. */
 final class ConfigurationHistoryTest {
     private final Observer observer = new Observer(() -> 0L);
     private final ConfigurationHistory history = new ConfigurationHistory(observer);
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayDigest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayDigest.java
@@ -14,9 +14,9 @@
 import silverlatch.wire.Codec;
 
 /**
- * Digests of a simulated day: of its course (what each process does, and when) and of the bytes of its frames. The course
- * holds times, node names, numbers and outcomes, and no text, no name of a type and no name of a constant, so it is the
- * same before and after a renaming.
+ * Computes two digests of a simulated day: of its course (what each process does, and when) and of the bytes of its frames. The
+ * course contains times, node names, numbers and outcomes, but no message texts and no names of types or constants, so that
+ * renaming doesn't change it.
  */
 final class DayDigest implements WorldListener {
     private final MessageDigest course = sha256();
@@ -25,7 +25,7 @@
     private final ByteBuffer word = ByteBuffer.allocate(Long.BYTES);
     private long events;
 
-    /** The number of events, the digest of the day's course and counts, and the digest of all frames' bytes. */
+    /** Returns the number of events, the digest of the day's course and counters, and the digest of the bytes of all frames. */
     String of(final Day.Result day) {
         number(day.violations().size());
         day.counters().values().stream().sorted().forEach(this::number);
@@ -46,7 +46,7 @@
     public void effect(final long time, final String node, final Effect effect) {
         event('e', time, node);
         switch (effect) {
-            case Effect.Send send -> throw new IllegalArgumentException("a message without a stamp");
+            case Effect.Send send -> throw new IllegalArgumentException("a node returned a message without a stamp");
             case Effect.Persist keep ->
                 numbers('k', keep.token(), keep.records().size());
             case Effect.Respond answer -> {
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayDigestTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayDigestTest.java
@@ -15,8 +15,8 @@
 import silverlatch.simulation.fleet.Plan;
 
 /**
- * Holds ten simulated days to the digests in {@code days/digests.txt}: a change of the code that claims to change no
- * behaviour leaves them as they are. A line is: plan, seed, events, digest of the course, digest of the frames' bytes.
+ * Compares ten simulated days with the digests recorded in {@code days/digests.txt}, which guards against unintended changes of
+ * behaviour. A line consists of: plan, seed, events, digest of the course, digest of the frames' bytes.
  */
 final class DayDigestTest {
     private static final long RATE = 60;
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayTest.java
@@ -29,25 +29,28 @@
 import silverlatch.simulation.explore.Mutant;
 import silverlatch.simulation.fleet.Plan;
 
-/** Days of failure on the fake clock, for both deployments; a failing day names its seed. */
+/**
+ * Runs simulated days with faults for both example plans, and checks that no invariant is violated, that every invariant is
+ * exercised, and that the observer reports a violation with a safeguard disabled. A failure names the day's seed.
+ */
 final class DayTest {
     private static final long RATE = 40;
 
     /**
-     * What {@code OrdersTest.theCheckerNoticesASafeguardLetDown} lets down: the operators of these days send no order
+     * The safeguards that {@code OperatorWritesTest} disables instead of this test: the operators of these days never send a command
      * again under another id, so nothing here depends on them.
      */
     private static final Set<Safeguard> DISABLED_IN_ORDERS_TEST =
             Set.of(Safeguard.ACCEPTED_REMEMBERED, Safeguard.COMMITTED_REFUSAL, Safeguard.LATEST_EVACUATION);
 
-    /** What {@code MembershipModelTest} and {@code MembershipTest} let down. */
+    /** The safeguards that {@code MembershipModelTest} and {@code MembershipTest} disable. */
     private static final Set<Safeguard> DISABLED_IN_MEMBERSHIP_TESTS = Set.of(Safeguard.DEAD_VOTES, Safeguard.HANDOVER);
 
-    /** What {@code DrainAcknowledgementTest} and {@code GatewayStartupTest} let down. */
+    /** The safeguards that {@code DrainAcknowledgementTest} and {@code GatewayStartupTest} disable. */
     private static final Set<Safeguard> DISABLED_IN_NODE_TESTS =
             Set.of(Safeguard.REPORT_QUORUM, Safeguard.STARTUP_GRACE, Safeguard.REVOCATION_LEASE);
 
-    /** What {@code MutantTest} and {@code FoundScheduleTest} let down: the explorer's mutants bear the names of their safeguards. */
+    /** Returns the safeguards that {@code MutantTest} and {@code FoundScheduleTest} disable: mutants have their safeguards' names. */
     private static Set<Safeguard> disabledInExplorer() {
         final Set<String> mutants =
                 Arrays.stream(Mutant.values()).map(Mutant::name).collect(Collectors.toSet());
@@ -139,7 +142,7 @@
         assertThat(Day.run(plan, day, Safeguards.ALL, false).counters(), is(once));
     }
 
-    /** A check, the guards let down, the fault under which the check must trip, tickets a second, seeds. */
+    /** The invariant whose violation must be found, the disabled safeguards, the injected fault, requests per second, and seeds. */
     private record DisabledSafeguards(
             Invariant invariant, Set<Safeguard> disabled, Fault fault, long rate, long seeds) {}
 
@@ -147,7 +150,7 @@
         return Stream.of(onStreams(), onPlacement(), onControl()).flatMap(List::stream);
     }
 
-    /** What concerns runs and streams. */
+    /** Returns the cases of attempts and streams. */
     private static List<DisabledSafeguards> onStreams() {
         return List.of(
                 new DisabledSafeguards(Invariant.AT_MOST_ONCE, Set.of(Safeguard.CLAIM), Fault.CLIENTS_MOVE, 60, 2),
@@ -177,7 +180,7 @@
                         8));
     }
 
-    /** What concerns where and how fast work goes. */
+    /** Returns the cases of placement, retries and load. */
     private static List<DisabledSafeguards> onPlacement() {
         return List.of(
                 new DisabledSafeguards(
@@ -213,7 +216,7 @@
                         Invariant.RECOVERY_TIME, Set.of(Safeguard.SLOW_START_END), Fault.REGION_WORKERS_LOST, 60, 4));
     }
 
-    /** What concerns tables, the chain and clocks. */
+    /** Returns the cases of tables, the chain and clocks. */
     private static List<DisabledSafeguards> onControl() {
         return List.of(
                 new DisabledSafeguards(
@@ -268,7 +271,7 @@
         assertThat(found, hasItem(startsWith(Invariant.LINEARIZABLE_READ + " ")));
     }
 
-    /** Scenarios whose closing fault is the loss of a disk while all other machines lose their power. */
+    /** Returns scenarios that end with the loss of a disk while all other nodes lose power. */
     private static List<Day.Scenario> endingWithADiskLost(final boolean lyingDisks) {
         return Stream.of(12L, 26L, 40L, 54L)
                 .map(seed -> new Day.Scenario(seed, List.of(), 60, lyingDisks))
--- a/simulation/src/test/java/silverlatch/simulation/sim/GlossaryTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/GlossaryTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Holds the glossary and the page on the architecture to the sources: each type and member that they name exists. */
+/** Guards the glossary and the architecture page against getting out of date: each type and member that they name exists. */
 final class GlossaryTest {
     private static final Path ROOT = Path.of("..");
     private static final Pattern CODE =
