--- a/simulation/src/main/java/silverlatch/simulation/sim/Baseline.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Baseline.java
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Checks the service in the window from a time on, and that the table could be read back and changed. Both must have been tried
-     * before this call.
+     * Checks the service in the window from a time on, and that the table could be read back and changed. Both must have been
+     * tried before this call.
      *
      * @param keepsState whether the cluster must have kept its state; otherwise nothing is required of it
      */
--- a/simulation/src/main/java/silverlatch/simulation/sim/ClientRequest.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ClientRequest.java
@@ -14,7 +14,10 @@
 import silverlatch.simulation.fleet.Plan;
 import silverlatch.simulation.response.ResponseVerifier;
 
-/** One request of a simulated client, from its placement to its end; verifies the response as it arrives. Times are microseconds. */
+/**
+ * One request of a simulated client, from its placement to its end; verifies the response as it arrives. Times are
+ * microseconds.
+ */
 final class ClientRequest {
     private static final long SECOND = 1_000_000L;
     private static final long CLIENT_TIMEOUT = 12 * SECOND;
@@ -109,7 +112,9 @@
         world.network().sendBytes(connection, content.endpoint(), node.name(), call);
     }
 
-    /** Opens a call for the response's stream, which this client can close; {@code onAnswer} receives the dispatcher's effects. */
+    /**
+     * Opens a call for the response's stream, which this client can close; {@code onAnswer} receives the dispatcher's effects.
+     */
     private void openStream(
             final SimulatedNode node, final ObjLongConsumer<Dispatcher> call, final Consumer<DispatchEffect> onAnswer) {
         world.network()
--- a/simulation/src/main/java/silverlatch/simulation/sim/CommandSubmitter.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/CommandSubmitter.java
@@ -84,7 +84,10 @@
                 })));
     }
 
-    /** Runs a task once all tasks queued before on its key are done; the task must run the callback that it gets when it is done. */
+    /**
+     * Runs a task once all tasks queued before on its key are done; the task must run the callback that it gets when it is
+     * done.
+     */
     void enqueue(final String key, final Consumer<Runnable> task) {
         final Deque<Runnable> queue = queuesByKey.computeIfAbsent(key, k -> new ArrayDeque<>());
         queue.add(() -> task.accept(() -> {
@@ -154,7 +157,10 @@
         }
     }
 
-    /** Starts an attempt. Each one matches the sequence number that it just read, so that no earlier attempt can take effect late. */
+    /**
+     * Starts an attempt. Each one matches the sequence number that it just read, so that no earlier attempt can take effect
+     * late.
+     */
     private void attempt(final Submission submission) {
         randomController()
                 .ifPresentOrElse(
--- a/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationOperators.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationOperators.java
@@ -11,8 +11,8 @@
 
 /**
  * Simulates operators of routing configurations. Up to eight writes are in flight at once, each sent to a random controller. Some
- * conflict under one revision or on top of one, some are invalid, some replies are lost, and some writes are sent again long after
- * they were acknowledged. Durations are microseconds.
+ * conflict under one revision or on top of one, some are invalid, some replies are lost, and some writes are sent again long
+ * after they were acknowledged. Durations are microseconds.
  */
 final class ConfigurationOperators {
     private static final long SECOND = 1_000_000L;
--- a/simulation/src/main/java/silverlatch/simulation/sim/Day.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Day.java
@@ -26,7 +26,10 @@
 
     private Day() {}
 
-    /** The input of a day: its seed, the faults to inject, the clients' requests per second, and whether disks report syncs early. */
+    /**
+     * The input of a day: its seed, the faults to inject, the clients' requests per second, and whether disks report syncs
+     * early.
+     */
     public record Scenario(long seed, List<Fault> faults, long rate, boolean lyingDisks) {
         /** Copies the faults. */
         public Scenario {
@@ -113,7 +116,10 @@
         baseline.checkService(start, keepsState);
     }
 
-    /** Injects the last fault; if that destroys a disk, acknowledged changes are then read back, and the cluster must serve again. */
+    /**
+     * Injects the last fault; if that destroys a disk, acknowledged changes are then read back, and the cluster must serve
+     * again.
+     */
     private static void injectClosingFault(final World world, final Baseline baseline, final long seed) {
         final Fault fault = CLOSING_FAULTS.get((int) (seed / 2 % CLOSING_FAULTS.size()));
         inject(world, fault);
@@ -146,8 +152,9 @@
     }
 
     /**
-     * Draws a day's three to six faults from a seed; a fault may occur twice. Never drawn are {@link Fault#REBOOTSTRAP}, after which
-     * the earlier state isn't expected to survive, and {@link Fault#DISK_LOST_ALL_KILLED}, which occurs only at the end of a day.
+     * Draws a day's three to six faults from a seed; a fault may occur twice. Never drawn are {@link Fault#REBOOTSTRAP}, after
+     * which the earlier state isn't expected to survive, and {@link Fault#DISK_LOST_ALL_KILLED}, which occurs only at the end
+     * of a day.
      */
     public static List<Fault> randomFaults(final long seed) {
         final SplittableRandom random = new SplittableRandom(seed * 7919);
--- a/simulation/src/main/java/silverlatch/simulation/sim/EventScheduler.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/EventScheduler.java
@@ -3,7 +3,10 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** The virtual clock of a simulated day, which runs events in order of their times; events of one time run as they were scheduled. */
+/**
+ * The virtual clock of a simulated day, which runs events in order of their times; events of one time run as they were
+ * scheduled.
+ */
 public final class EventScheduler {
     private final PriorityQueue<ScheduledEvent> queue = new PriorityQueue<>();
     private final SplittableRandom random;
--- a/simulation/src/main/java/silverlatch/simulation/sim/FailoverMeasurement.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/FailoverMeasurement.java
@@ -8,8 +8,8 @@
 import silverlatch.util.Lists;
 
 /**
- * Measures in simulated time how long writes are unavailable after a replica of the chain fails, and how many requests are completed
- * while a region is lost.
+ * Measures in simulated time how long writes are unavailable after a replica of the chain fails, and how many requests are
+ * completed while a region is lost.
  */
 public final class FailoverMeasurement {
     private static final long SECOND = 1_000_000L;
--- a/simulation/src/main/java/silverlatch/simulation/sim/Fault.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Fault.java
@@ -71,15 +71,18 @@
     NETWORK_LOSSY(NetworkFaults::lossyNetwork),
     /** A zone is drained and then returned to service. */
     ZONE_EVACUATED(OperatorFaults::zoneDrained),
-    /** One gateway is partitioned from all other nodes while clients and most workers still reach it; meanwhile a worker drains. */
+    /**
+     * One gateway is partitioned from all other nodes while clients and most workers still reach it; meanwhile a worker
+     * drains.
+     */
     GATEWAY_PARTITIONED(NetworkFaults::gatewayPartitionedFromNodes),
     /** Most workers reject requests for a while, so that each request would be retried. */
     WORKERS_REJECT(WorkloadFaults::workersReject),
     /** Most nodes restart with their wall clocks ahead, either all by the same offset or each by its own. */
     CLOCKS_SKEWED(NetworkFaults::clocksSkewed),
     /**
-     * A gateway is flooded with copies of the frame with the highest stamp that it received, as from a node whose clock runs ahead
-     * within the allowed skew.
+     * A gateway is flooded with copies of the frame with the highest stamp that it received, as from a node whose clock runs
+     * ahead within the allowed skew.
      */
     OVERFLOW_STORM(NetworkFaults::overflowStorm),
     /** A region is partitioned from the others in one direction only. */
@@ -95,8 +98,8 @@
     /** Operators write configurations concurrently, up to eight at once, with lost replies and late duplicates. */
     CONFIGURATIONS_RACE(OperatorFaults::configurationsRace),
     /**
-     * A tenant's home regions change and another tenant is removed, while requests are queued, running and retained; both are then
-     * restored.
+     * A tenant's home regions change and another tenant is removed, while requests are queued, running and retained; both are
+     * then restored.
      */
     TENANTS_MOVE(OperatorFaults::tenantHomesChange),
     /** The table grows by 3,000 rows. */
@@ -106,8 +109,8 @@
     /** A gateway freezes as it claims an idempotency key. */
     FROZEN_AT_CLAIM(TargetedFaults::frozenAtClaim),
     /**
-     * A gateway freezes between its last check and the first byte to the worker; meanwhile a zone is drained and a worker begins to
-     * drain.
+     * A gateway freezes between its last check and the first byte to the worker; meanwhile a zone is drained and a worker
+     * begins to drain.
      */
     FROZEN_AT_SEND(TargetedFaults::frozenAtSend),
     /** A gateway freezes as it forwards a chunk. */
--- a/simulation/src/main/java/silverlatch/simulation/sim/FrameTransport.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/FrameTransport.java
@@ -18,7 +18,10 @@
         this.world = world;
     }
 
-    /** Sends a frame to the node at its address, if there is one; drops it if that node's process ends or restarts before arrival. */
+    /**
+     * Sends a frame to the node at its address, if there is one; drops it if that node's process ends or restarts before
+     * arrival.
+     */
     void send(final SimulatedNode sender, final OutgoingFrame outgoing) {
         world.listener().frameSent(world.scheduler().now(), sender.name(), outgoing);
         sender.stampChecker().onFrameSent(outgoing.frame());
--- a/simulation/src/main/java/silverlatch/simulation/sim/Invariant.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Invariant.java
@@ -1,8 +1,8 @@
 package silverlatch.simulation.sim;
 
 /**
- * The invariants that must hold on every simulated day, as the observer sees it. Each constant names one kind of violation, so that
- * a check of one can't hide that another was never exercised. The comments describe the violations.
+ * The invariants that must hold on every simulated day, as the observer sees it. Each constant names one kind of violation, so
+ * that a check of one can't hide that another was never exercised. The comments describe the violations.
  */
 public enum Invariant {
     /** A request, or two requests of one idempotency key, run twice. */
--- a/simulation/src/main/java/silverlatch/simulation/sim/LoadGenerator.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/LoadGenerator.java
@@ -6,8 +6,8 @@
 import silverlatch.simulation.fleet.Plan;
 
 /**
- * Generates the clients' requests as an open-loop load, drawn from the plan's kinds and tenants. Some requests with an idempotency
- * key are sent twice.
+ * Generates the clients' requests as an open-loop load, drawn from the plan's kinds and tenants. Some requests with an
+ * idempotency key are sent twice.
  */
 final class LoadGenerator {
     private static final long SECOND = 1_000_000L;
--- a/simulation/src/main/java/silverlatch/simulation/sim/LoadMeasurement.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/LoadMeasurement.java
@@ -4,7 +4,10 @@
 import silverlatch.safeguard.Safeguards;
 import silverlatch.simulation.fleet.Plan;
 
-/** Measures in simulated time how many requests are completed under load, by kind of request and by tenant. Times are microseconds. */
+/**
+ * Measures in simulated time how many requests are completed under load, by kind of request and by tenant. Times are
+ * microseconds.
+ */
 public final class LoadMeasurement {
     private static final long SECOND = 1_000_000L;
     private static final long LOAD_TIME = 15 * SECOND;
--- a/simulation/src/main/java/silverlatch/simulation/sim/Main.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Main.java
@@ -28,8 +28,8 @@
 import silverlatch.util.Threads;
 
 /**
- * Command line program that runs simulated days. Exit codes: 0 if no invariant was violated, 1 if one was or if, over at minimum 100
- * days, one was never exercised, 2 if the arguments are invalid.
+ * Command line program that runs simulated days. Exit codes: 0 if no invariant was violated, 1 if one was or if, over at least
+ * 100 days, one was never exercised, 2 if the arguments are invalid.
  */
 public final class Main {
     private static final int MIN_SCENARIOS_FOR_COVERAGE = 100;
@@ -180,7 +180,10 @@
                 .toList();
     }
 
-    /** Returns the day's scenario without the faults that aren't needed to reproduce a violation of its first violated invariant. */
+    /**
+     * Returns the day's scenario without the faults that aren't needed to reproduce a violation of its first violated
+     * invariant.
+     */
     static Day.Scenario shrinkScenario(final Plan plan, final Day.Result result, final Safeguards safeguards) {
         final String invariant = result.violations().get(0).split(" ")[0];
         Day.Scenario best = result.scenario();
@@ -196,7 +199,10 @@
         return best;
     }
 
-    /** Adds a day's counters to the totals: takes the maximum of counters with the prefix {@code maximum-}, and the sum of the others. */
+    /**
+     * Adds a day's counters to the totals: takes the maximum of counters with the prefix {@code most-}, and the sum of the
+     * others.
+     */
     static void accumulate(final Map<String, Long> totals, final Map<String, Long> dayCounters) {
         dayCounters.forEach((k, v) -> totals.merge(k, v, k.startsWith("most-") ? Math::max : Long::sum));
     }
--- a/simulation/src/main/java/silverlatch/simulation/sim/Observer.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Observer.java
@@ -210,9 +210,9 @@
     }
 
     /**
-     * Checks how many attempts a worker in slow start has at once, running or queued. The limit is its warm-up share of the slots,
-     * which rises from 0.1 to 1 within 6 s, as attempts above it would only wait, plus one attempt for each gateway, which the
-     * worker's last report may not have counted yet.
+     * Checks how many attempts a worker in slow start has at once, running or queued. The limit is its warm-up share of the
+     * slots, which rises from 0.1 to 1 within 6 s, as attempts above it would only wait, plus one attempt for each gateway,
+     * which the worker's last report may not have counted yet.
      */
     public void workerLoad(
             final String worker, final int running, final int slots, final int gateways, final long now) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/OperatorHistory.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/OperatorHistory.java
@@ -37,7 +37,10 @@
     /** One change of the gate to open or shut, when it was requested, and when it was acknowledged. */
     private record GateChange(boolean open, long requestedAt, long acknowledgedAt) {}
 
-    /** One setting of a tenant's home regions: it may be in force from its request on, and is so for sure from the acknowledgement on. */
+    /**
+     * One setting of a tenant's home regions: it may be in force from its request on, and is so for sure from the
+     * acknowledgement on.
+     */
     private record HomeRegions(Set<String> regions, boolean removed, long requestedAt, long acknowledgedAt) {
         boolean allows(final String region) {
             return !removed && (regions.isEmpty() || regions.contains(region));
@@ -130,7 +133,7 @@
         }
     }
 
-    /** Records a requested change of the gateChanges; the returned task records its acknowledgement. */
+    /** Records a requested change of the gate; the returned task records its acknowledgement. */
     public Runnable gateChangeRequested(final boolean open, final long requestedAt) {
         final int index = gateChanges.size();
         gateChanges.add(new GateChange(open, requestedAt, NEVER));
@@ -138,8 +141,8 @@
     }
 
     /**
-     * Checks that a gateway's decision agrees with a gate change that may be in force, that is, with none that was superseded by one
-     * acknowledged more than 3 s ago.
+     * Checks that a gateway's decision agrees with a gate change that may be in force, that is, with none that was superseded
+     * by one acknowledged more than 3 s ago.
      *
      * @return the index of the newest gate change that agrees with the decision, or -1 if there is none or it can't be known
      */
@@ -173,8 +176,8 @@
     }
 
     /**
-     * Checks that a gateway's decision agrees with the gate, and doesn't fall back to an older gate change than one that it applied
-     * more than 250 ms ago. The observer infers a gateway's table from such decisions alone.
+     * Checks that a gateway's decision agrees with the gate, and doesn't fall back to an older gate change than one that it
+     * applied more than 250 ms ago. The observer infers a gateway's table from such decisions alone.
      */
     public void gateObserved(final String gateway, final boolean open, final String what, final long now) {
         final int newestPossible = requireGateInForce(gateway, open, what, now);
--- a/simulation/src/main/java/silverlatch/simulation/sim/Operators.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Operators.java
@@ -13,14 +13,15 @@
 import silverlatch.state.Value;
 
 /**
- * The operators of a simulated day, at times two at once. They read and change the table, drain zones and move tenants, and report
- * their requests and the replies to the observer. Each change of the table sets a request rate of its own, which identifies the
- * change in a table. Durations are microseconds.
+ * The operators of a simulated day, at times two at once. They read and change the table, drain zones and move tenants, and
+ * report their requests and the replies to the observer. Each change of the table sets a request rate of its own, which
+ * identifies the change in a table. Durations are microseconds.
  */
 final class Operators {
     /**
-     * The kind of request whose row is the gate. Its requests have no idempotency key, so that a gateway rejects them exactly while
-     * the cell "once" of its table requires a key (the gate is shut). That shows which version of the table a gateway uses.
+     * The kind of request whose row is the gate. Its requests have no idempotency key, so that a gateway rejects them exactly
+     * while the cell "once" of its table requires a key (the gate is shut). That shows which version of the table a gateway
+     * uses.
      */
     static final String GATE_KIND = "trial";
 
@@ -240,7 +241,10 @@
         submitter.enqueue("z/" + zone, done -> new ZoneRace(world, this, zone, done).start());
     }
 
-    /** Changes a tenant's home regions, while its requests are queued, running and retained; retries until that is acknowledged. */
+    /**
+     * Changes a tenant's home regions, while its requests are queued, running and retained; retries until that is
+     * acknowledged.
+     */
     void changeHomes(final Plan.Tenant tenant, final List<String> homeRegions) {
         world.record("homes of " + tenant.name() + " become " + homeRegions);
         final Runnable acknowledge = requestHomes(tenant, homeRegions);
--- a/simulation/src/main/java/silverlatch/simulation/sim/ProcessFaults.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ProcessFaults.java
@@ -140,8 +140,8 @@
     }
 
     /**
-     * Wipes one voter's disk and kills all nodes. While a controller is missing from the chain it waits for another acknowledgement
-     * first, because the controllers tolerate the loss of only one disk at a time.
+     * Wipes one voter's disk and kills all nodes. While a controller is missing from the chain it waits for another
+     * acknowledgement first, because the controllers tolerate the loss of only one disk at a time.
      */
     private static void loseDiskAndKillAll(final World world, final long duration) {
         if (!world.isChainComplete()) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedDisk.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedDisk.java
@@ -7,8 +7,8 @@
 import silverlatch.node.Effect;
 
 /**
- * A simulated disk. Synced records survive a power loss, others may be lost. The disk can stall, be full, slow down, report a sync
- * before it is durable, or be replaced by an empty one. Times are microseconds.
+ * A simulated disk. Synced records survive a power loss, others may be lost. The disk can stall, be full, slow down, report a
+ * sync before it is durable, or be replaced by an empty one. Times are microseconds.
  */
 public final class SimulatedDisk {
     private static final long MIN_SYNC = 300L;
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNetwork.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNetwork.java
@@ -8,8 +8,8 @@
 import java.util.function.BiPredicate;
 
 /**
- * The simulated network between named endpoints: delays by region, frame loss and newReorderProbability, one-way and two-way partitions, and
- * late delivery of buffered frames. Times are microseconds.
+ * The simulated network between named endpoints: delays by region, frame loss and newReorderProbability, one-way and two-way
+ * partitions, and late delivery of buffered frames. Times are microseconds.
  */
 public final class SimulatedNetwork {
     private final EventScheduler scheduler;
@@ -31,7 +31,10 @@
         regions.put(endpoint, region);
     }
 
-    /** Sets the probabilities that a frame is lost, and that it is delayed by up to 200 ms, so that later frames may overtake it. */
+    /**
+     * Sets the probabilities that a frame is lost, and that it is delayed by up to 200 ms, so that later frames may overtake
+     * it.
+     */
     public void setLossAndReordering(final double newLossProbability, final double newReorderProbability) {
         lossProbability = newLossProbability;
         reorderProbability = newReorderProbability;
@@ -62,7 +65,10 @@
                 || partitions.stream().noneMatch(partition -> partition.blocks().test(from, to));
     }
 
-    /** Draws the delay of one delivery in microseconds: below 1 ms within a region, 8 to 20 ms and any extra delay between regions. */
+    /**
+     * Draws the delay of one delivery in microseconds: below 1 ms within a region, 8 to 20 ms and any extra delay between
+     * regions.
+     */
     public long delay(final String from, final String to) {
         final boolean sameRegion = regions.getOrDefault(from, "").equals(regions.getOrDefault(to, ""));
         return sameRegion
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedWorker.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedWorker.java
@@ -270,8 +270,8 @@
     }
 
     /**
-     * Sends the echo to the worker, which includes it in its next announcement so that the gateway can date that one. An echo that
-     * arrives after the worker restarted is dropped.
+     * Sends the echo to the worker, which includes it in its next announcement so that the gateway can date that one. An echo
+     * that arrives after the worker restarted is dropped.
      */
     private void returnEcho(final SimulatedNode gateway, final long echo, final long sentGeneration) {
         world.network().sendBytes(gateway.name() + ">" + name + gateway.generation(), gateway.name(), name, () -> {
--- a/simulation/src/test/java/silverlatch/simulation/sim/ConfigurationHistoryTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/ConfigurationHistoryTest.java
@@ -7,7 +7,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Guards the check of configuration writes: {@link ConfigurationHistory} must report each reply that contradicts an earlier one. */
+/**
+ * Guards the check of configuration writes: {@link ConfigurationHistory} must report each reply that contradicts an earlier
+ * one.
+ */
 final class ConfigurationHistoryTest {
     private final Observer observer = new Observer(() -> 0L);
     private final ConfigurationHistory history = new ConfigurationHistory(observer);
--- a/simulation/src/test/java/silverlatch/simulation/sim/DayTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/sim/DayTest.java
@@ -37,8 +37,8 @@
     private static final long RATE = 40;
 
     /**
-     * The safeguards that {@code OperatorWritesTest} disables instead of this test: the operators of these days never send a command
-     * again under another id, so nothing here depends on them.
+     * The safeguards that {@code OrdersTest.theCheckerNoticesASafeguardLetDown} disables instead of this test: the operators
+     * of these days never send a command again under another id, so nothing here depends on them.
      */
     private static final Set<Safeguard> DISABLED_IN_ORDERS_TEST =
             Set.of(Safeguard.ACCEPTED_REMEMBERED, Safeguard.COMMITTED_REFUSAL, Safeguard.LATEST_EVACUATION);
@@ -50,7 +50,10 @@
     private static final Set<Safeguard> DISABLED_IN_NODE_TESTS =
             Set.of(Safeguard.REPORT_QUORUM, Safeguard.STARTUP_GRACE, Safeguard.REVOCATION_LEASE);
 
-    /** Returns the safeguards that {@code MutantTest} and {@code FoundScheduleTest} disable: mutants have their safeguards' names. */
+    /**
+     * Returns the safeguards that {@code MutantTest} and {@code FoundScheduleTest} disable: mutants have their safeguards'
+     * names.
+     */
     private static Set<Safeguard> disabledInExplorer() {
         final Set<String> mutants =
                 Arrays.stream(Mutant.values()).map(Mutant::name).collect(Collectors.toSet());
@@ -142,7 +145,10 @@
         assertThat(Day.run(plan, day, Safeguards.ALL, false).counters(), is(once));
     }
 
-    /** The invariant whose violation must be found, the disabled safeguards, the injected fault, requests per second, and seeds. */
+    /**
+     * The invariant whose violation must be found, the disabled safeguards, the injected fault, requests per second, and
+     * seeds.
+     */
     private record DisabledSafeguards(
             Invariant invariant, Set<Safeguard> disabled, Fault fault, long rate, long seeds) {}
 
