--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedNode.java
@@ -299,13 +299,7 @@
         executeOnNode(node -> onEcho.accept(node.onAnnouncement(report, echo, now())));
     }
 
-    /**
-     * Opens a client's call to the dispatcher.
-     *
-     * @param call     the call, which gets the dispatcher and the token of the call
-     * @param onEffect receives the dispatcher's effects for that token
-     * @param onToken  receives the token, with which the client can disconnect
-     */
+    /** Opens a client's call. {@code onToken} receives its token, {@code onEffect} the dispatcher's effects for that token. */
     void openCall(
             final ObjLongConsumer<Dispatcher> call,
             final Consumer<DispatchEffect> onEffect,
@@ -400,9 +394,7 @@
                 stampChecker.onLogged(log.event());
                 world.log(this, log);
             }
-            case Effect.Send send ->
-                throw new IllegalStateException(
-                        "the node returned an unstamped message as an effect instead of a frame");
+            case Effect.Send send -> throw new IllegalStateException("the node returned a message without a stamp");
         }
     }
 }
