--- a/simulation/src/main/java/silverlatch/simulation/sim/Baseline.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/Baseline.java
@@ -3,12 +3,15 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How much was served before the first fault, and every recovery judged by it. Times and durations are microseconds. */
+/**
+ * The number of requests that were completed before the first fault, against which the service after each recovery is checked.
+ * Times and durations are microseconds.
+ */
 final class Baseline {
-    /** How long after a recovery service is judged again. */
+    /** How long after a recovery the service is checked. */
     static final long RECOVERY_TIME = 12_000_000L;
 
-    /** Over how long completed requests are counted. */
+    /** The window in which completed requests are counted. */
     static final long WINDOW = 3_000_000L;
 
     private static final long SECOND = 1_000_000L;
@@ -16,7 +19,7 @@
     private final World world;
     private final long completed;
     private final Map<String, Long> completedByTenant = new HashMap<>();
-    private long judgedUntil;
+    private long checkedUntil;
 
     Baseline(final World world, final long from, final long to) {
         this.world = world;
@@ -28,30 +31,34 @@
                         world.observer().completedBetween(tenant.name(), from, to) * WINDOW / (to - from)));
     }
 
-    /** How many requests were completed in a window before the faults. */
+    /** Returns how many requests were completed in a window before the faults. */
     long completed() {
         return completed;
     }
 
-    /** Lets time pass; 12 s after what came back, or after what was done or healed on top of it, service is judged. */
+    /**
+     * Lets time pass. Checks the service of each recovery in the window that begins 12 s after it or after the last change that
+     * overlapped with it.
+     */
     void advance(final long duration) {
         final long end = world.scheduler().now() + duration;
         while (world.scheduler().now() < end) {
             world.scheduler().runUntil(Math.min(end, world.scheduler().now() + SECOND));
             final long now = world.scheduler().now();
-            if (world.disturbances().areHealed() && now - world.disturbances().lastAt() >= RECOVERY_TIME + WINDOW) {
+            if (world.disturbances().isEverythingHealed()
+                    && now - world.disturbances().lastChangeAt() >= RECOVERY_TIME + WINDOW) {
                 world.disturbances().recoveries().stream()
-                        .filter(recovery -> recovery.time() > judgedUntil)
+                        .filter(recovery -> recovery.time() > checkedUntil)
                         .toList()
                         .forEach(recovery -> {
-                            judgedUntil = Math.max(judgedUntil, recovery.time());
-                            judgeRecovery(recovery, now);
+                            checkedUntil = Math.max(checkedUntil, recovery.time());
+                            checkRecovery(recovery, now);
                         });
             }
         }
     }
 
-    private void judgeRecovery(final Disturbances.Recovery recovery, final long now) {
+    private void checkRecovery(final Disturbances.Recovery recovery, final long now) {
         world.observer().exercise(Invariant.RECOVERY_TIME);
         final long completedNow = world.observer().completedBetween(now - WINDOW, now);
         if (completedNow * 4 < completed) {
@@ -77,8 +84,13 @@
         });
     }
 
-    /** Judges service from a time on, and that the table could be read back and changed; call it after both. */
-    void judgeService(final long from, final boolean keepsState) {
+    /**
+     * Checks the service in the window from a time on, and that the table could be read back and changed. Both must have been
+     * tried before this call.
+     *
+     * @param keepsState whether the cluster must have kept its state; otherwise nothing is required of it
+     */
+    void checkService(final long from, final boolean keepsState) {
         world.observer().exercise(Invariant.SERVES_AFTER_FAULTS);
         final long completedAfter = world.observer().completedBetween(from, from + WINDOW);
         if (completedAfter * 4 < completed && keepsState) {
--- a/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationHistory.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/ConfigurationHistory.java
@@ -7,66 +7,67 @@
 import java.util.Set;
 
 /**
- * What operators were answered to configurations, each answer held against those before it: one document a revision and
- * one a version built on, an answer that never turns, and reads no older than any acknowledgement that came before them.
+ * Checks the replies to configuration writes against each other: at most one document is acknowledged under a revision, and at
+ * most one on top of a revision; the reply to a repeated write never changes; and no read returns a revision older than the
+ * highest one acknowledged before the read.
  */
 final class ConfigurationHistory {
     private final Observer observer;
     private final Map<Long, String> byRevision = new HashMap<>();
     private final Map<Long, String> byMatch = new HashMap<>();
     private final Set<String> acknowledged = new HashSet<>();
-    private final Set<String> refused = new HashSet<>();
+    private final Set<String> rejected = new HashSet<>();
     private long newest;
 
-    ConfigurationHistory(final Observer watch) {
-        this.observer = watch;
+    ConfigurationHistory(final Observer observer) {
+        this.observer = observer;
     }
 
-    /** The highest revision that was acknowledged. */
+    /** Returns the highest revision that was acknowledged. */
     long newest() {
         return newest;
     }
 
-    /** Whether a document was acknowledged. */
-    boolean acknowledged(final String document) {
+    /** Returns whether a document was acknowledged. */
+    boolean isAcknowledged(final String document) {
         return acknowledged.contains(document);
     }
 
-    /** A document was acknowledged under its revision, on top of the version that it matched. */
-    void acknowledge(final String document, final long revision, final long match) {
+    /** Records that a document was acknowledged under its revision, on top of the revision that it matched. */
+    void recordAcknowledgement(final String document, final long revision, final long match) {
         observer.count("configurations-acknowledged");
         if (!acknowledged.add(document)) {
             observer.count("configurations-acknowledged-again");
         }
         newest = Math.max(newest, revision);
-        requireSingle(byRevision, revision, document, "under revision ");
-        requireSingle(byMatch, match, document, "on top of revision ");
-        if (refused.contains(document)) {
+        requireUnique(byRevision, revision, document, "under revision ");
+        requireUnique(byMatch, match, document, "on top of revision ");
+        if (rejected.contains(document)) {
             observer.violated(
                     Invariant.REJECTED_CHANGE, document + " was refused, and acknowledged when it was sent again");
         }
     }
 
-    /** A document was refused. */
-    void refuse(final String document) {
+    /** Records that a document was rejected. */
+    void recordRejection(final String document) {
         observer.count("configurations-refused");
         observer.exercise(Invariant.REJECTED_CHANGE);
-        refused.add(document);
+        rejected.add(document);
         if (acknowledged.contains(document)) {
             observer.violated(
                     Invariant.REJECTED_CHANGE, document + " was acknowledged, and refused when it was sent again");
         }
     }
 
-    /** A document was read back; the read began when {@code before} was the highest revision acknowledged. */
-    void read(final String document, final long revision, final long before) {
+    /** Records a read of the newest document, which began when {@code before} was the highest revision acknowledged. */
+    void recordRead(final String document, final long revision, final long before) {
         observer.count("configurations-read");
         if (revision < before) {
             observer.violated(
                     Invariant.LINEARIZABLE_READ,
                     document + " was read back after revision " + before + " was acknowledged");
         }
-        if (refused.contains(document)) {
+        if (rejected.contains(document)) {
             observer.violated(Invariant.REJECTED_CHANGE, document + " was refused and is in force");
         }
         Optional.ofNullable(byRevision.get(revision))
@@ -75,12 +76,13 @@
                         Invariant.REJECTED_CHANGE, d + " was acknowledged, but " + document + " is in force"));
     }
 
-    private void requireSingle(final Map<Long, String> held, final long key, final String document, final String what) {
-        final String old = held.getOrDefault(key, document);
-        held.putIfAbsent(key, document);
-        if (!old.equals(document)) {
+    private void requireUnique(
+            final Map<Long, String> documentByKey, final long key, final String document, final String what) {
+        final String earlier = documentByKey.getOrDefault(key, document);
+        documentByKey.putIfAbsent(key, document);
+        if (!earlier.equals(document)) {
             observer.violated(
-                    Invariant.REJECTED_CHANGE, old + " and " + document + " were both acknowledged " + what + key);
+                    Invariant.REJECTED_CHANGE, earlier + " and " + document + " were both acknowledged " + what + key);
         }
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/sim/SimulatedGateway.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SimulatedGateway.java
@@ -20,14 +20,14 @@
 import silverlatch.state.Value;
 
 /**
- * What a gateway has beside its node: the shipping dispatcher, the calls of clients that are open, and the attempts that it
- * can cancel. All of it ends with the process; the newest snapshot of the cluster stays to be looked at.
+ * The gateway's part of a {@link SimulatedNode}: the production dispatcher, the open calls of clients, and the attempts that can
+ * be cancelled. They end with the process; only the newest cluster snapshot is retained, for the observer.
  */
 final class SimulatedGateway {
     private final World world;
     private final SimulatedNode host;
     private final Map<Long, Consumer<DispatchEffect>> openCalls = new HashMap<>();
-    private final Map<Long, Consumer<String>> openRuns = new HashMap<>();
+    private final Map<Long, Consumer<String>> openAttempts = new HashMap<>();
     private Optional<Dispatcher> dispatcher = Optional.empty();
     private Optional<ClusterSnapshot> clusterSnapshot = Optional.empty();
 
@@ -36,7 +36,7 @@
         this.host = host;
     }
 
-    /** The process starts. */
+    /** Creates the dispatcher for a new process. */
     void start(final Node node) {
         clusterSnapshot = Optional.of(node.clusterSnapshot());
         dispatcher = Optional.of(new Dispatcher(
@@ -47,34 +47,34 @@
                 world.scheduler().random().split()));
     }
 
-    /** The process has ended: every connection breaks. */
+    /** Breaks every connection to clients and workers, because the process has ended. */
     void kill() {
         dispatcher = Optional.empty();
         final List<Consumer<DispatchEffect>> brokenCalls = List.copyOf(openCalls.values());
         openCalls.clear();
         brokenCalls.forEach(call -> call.accept(new DispatchEffect.Rejected(0, 0, "", "the connection broke", 0, "")));
-        final List<Consumer<String>> brokenRuns = List.copyOf(openRuns.values());
-        openRuns.clear();
+        final List<Consumer<String>> brokenRuns = List.copyOf(openAttempts.values());
+        openAttempts.clear();
         brokenRuns.forEach(run -> run.accept("cut"));
     }
 
-    /** No new request is accepted from now on. */
+    /** Stops accepting new requests. */
     void stopAccepting() {
         dispatcher.ifPresent(Dispatcher::stopAccepting);
     }
 
-    /** What is still under way is given up. */
+    /** Ends the requests that are still in flight. */
     void shutdown() {
         dispatcher.ifPresent(running -> running.shutdown(host.now()));
     }
 
-    /** The snapshot that the dispatcher goes by. */
+    /** Returns the snapshot that the dispatcher uses or, if the process ended, used last. */
     Optional<ClusterSnapshot> clusterSnapshot() {
         return clusterSnapshot;
     }
 
-    /** The values of the marked cells that this gateway goes by. */
-    Set<String> followedValues() {
+    /** Returns the request rates in the table that this gateway uses, in the form of {@link Operators#cellValue}. */
+    Set<String> rateValues() {
         final Set<String> values = new HashSet<>();
         clusterSnapshot.ifPresent(snapshot -> snapshot.policy().values().forEach(value -> {
             if (value instanceof Value.Row row) {
@@ -84,14 +84,14 @@
         return values;
     }
 
-    /** Opens a client's call; the effects for its token come back to the client. */
-    void call(final long token, final ObjLongConsumer<Dispatcher> call, final Consumer<DispatchEffect> onEffect) {
+    /** Opens a client's call; {@code onEffect} receives the dispatcher's effects for its token. */
+    void openCall(final long token, final ObjLongConsumer<Dispatcher> call, final Consumer<DispatchEffect> onEffect) {
         openCalls.put(token, onEffect);
         dispatcher.ifPresent(running -> call.accept(running, token));
     }
 
-    /** A client hangs up. */
-    void hangUp(final long callToken) {
+    /** Closes a client's call, as if the client had disconnected. */
+    void disconnectClient(final long callToken) {
         openCalls.remove(callToken);
         dispatcher.ifPresent(running -> running.onReaderDisconnected(callToken, host.now()));
     }
@@ -100,7 +100,7 @@
         dispatcher.ifPresent(task);
     }
 
-    /** Advances the dispatcher's clock; whether it is ready then. A process that has ended keeps what it said. */
+    /** Advances the dispatcher's clock and returns whether it is ready; returns {@code readyBefore} if the process has ended. */
     boolean tick(final boolean readyBefore) {
         return dispatcher
                 .map(running -> {
@@ -110,7 +110,7 @@
                 .orElse(readyBefore);
     }
 
-    /** Hands the newest snapshot to the dispatcher. */
+    /** Passes the node's newest cluster snapshot to the dispatcher. */
     void updateSnapshot(final Node node) {
         dispatcher.ifPresent(running -> {
             final ClusterSnapshot snapshot = node.clusterSnapshot();
@@ -119,7 +119,7 @@
         });
     }
 
-    /** Performs what the dispatcher wants done; whether there was anything. */
+    /** Performs the dispatcher's pending effects, and returns whether there were any. */
     boolean performEffects() {
         final List<DispatchEffect> effects =
                 dispatcher.map(Dispatcher::drainEffects).orElse(List.of());
@@ -141,15 +141,16 @@
         world.listener().action(world.scheduler().now(), host.name(), effect);
         switch (effect) {
             case DispatchEffect.Placed placed -> {
-                answer(placed.callId(), effect, true);
+                reply(placed.callId(), effect, true);
                 reportInjectionPoint(effect);
             }
-            case DispatchEffect.Redirected redirected -> answer(redirected.callId(), effect, true);
-            case DispatchEffect.Rejected rejected -> answer(rejected.callId(), effect, true);
-            case DispatchEffect.StreamWrite write -> answer(write.callId(), effect, write.endOfStream());
+            case DispatchEffect.Redirected redirected -> reply(redirected.callId(), effect, true);
+            case DispatchEffect.Rejected rejected -> reply(rejected.callId(), effect, true);
+            case DispatchEffect.StreamWrite write -> reply(write.callId(), effect, write.endOfStream());
             case DispatchEffect.StartAttempt attempt -> start(attempt);
             case DispatchEffect.CancelAttempt cancelled ->
-                Optional.ofNullable(openRuns.remove(cancelled.operationId())).ifPresent(run -> run.accept("cut"));
+                Optional.ofNullable(openAttempts.remove(cancelled.operationId()))
+                        .ifPresent(run -> run.accept("cut"));
             case DispatchEffect.SubmitCommand submitted -> submit(submitted);
             case DispatchEffect.PlacementDecided decided -> world.observer().count("judged");
             case DispatchEffect.RequestEnded request -> world.observer().count("ended-" + request.state());
@@ -162,7 +163,7 @@
             dispatcher.ifPresent(running ->
                     running.onAttemptFailed(attempt.operationId(), false, "it was not sent in time", host.now()));
         } else {
-            world.attempts().start(host, attempt, openRuns);
+            world.attempts().start(host, attempt, openAttempts);
         }
     }
 
@@ -174,20 +175,21 @@
                         running -> running.onClaimResult(submitted.operationId(), (CommandResult) result, host.now())));
     }
 
-    private void answer(final long callToken, final DispatchEffect effect, final boolean last) {
+    private void reply(final long callToken, final DispatchEffect effect, final boolean last) {
         Optional.ofNullable(last ? openCalls.remove(callToken) : openCalls.get(callToken))
                 .ifPresent(call -> call.accept(effect));
     }
 
     private void reportInjectionPoint(final DispatchEffect effect) {
         switch (effect) {
-            case DispatchEffect.Placed placed -> world.disturbances().reached(InjectionPoint.PLACED, host);
+            case DispatchEffect.Placed placed -> world.disturbances().onPointReached(InjectionPoint.PLACED, host);
             case DispatchEffect.SubmitCommand submitted -> {
                 if (submitted.command() instanceof Command.Claim) {
-                    world.disturbances().reached(InjectionPoint.CLAIMING, host);
+                    world.disturbances().onPointReached(InjectionPoint.CLAIMING, host);
                 }
             }
-            case DispatchEffect.StartAttempt attempt -> world.disturbances().reached(InjectionPoint.SENDING, host);
+            case DispatchEffect.StartAttempt attempt ->
+                world.disturbances().onPointReached(InjectionPoint.SENDING, host);
             default -> {}
         }
     }
--- a/simulation/src/main/java/silverlatch/simulation/sim/SpreadMeasurement.java
+++ b/simulation/src/main/java/silverlatch/simulation/sim/SpreadMeasurement.java
@@ -9,14 +9,17 @@
 import silverlatch.state.CommandResult;
 import silverlatch.util.Lists;
 
-/** Measures in simulated time how fast a change of the table spreads, and how old workers' reports are, by fleet size. */
+/**
+ * Measures in simulated time how long a change of the table takes to reach all gateways, and how old workers' reports are, for
+ * several cluster sizes. Times are microseconds unless a name says otherwise.
+ */
 public final class SpreadMeasurement {
     private static final long SECOND = 1_000_000L;
     private static final long POLL_INTERVAL = 5_000L;
     private static final int MAX_POLLS = 2_000;
     private static final int TRIALS = 20;
     private static final int CONTROLLERS = 3;
-    private static final int WORKERS_OF_REGION = 4;
+    private static final int WORKERS_PER_REGION = 4;
     private final Plan plan;
     private final World world;
     private final List<Long> durationsMillis = new ArrayList<>();
@@ -29,13 +32,13 @@
         for (int i = 0; i < CONTROLLERS; i++) {
             final Plan.Region region = plan.regions().get(i);
             final int gateways = (nodes - CONTROLLERS + i) / CONTROLLERS;
-            regions.add(new Plan.Region(region.region(), region.zone(), gateways, WORKERS_OF_REGION));
+            regions.add(new Plan.Region(region.region(), region.zone(), gateways, WORKERS_PER_REGION));
         }
         final Plan sized = new Plan("size", regions, plan.kinds(), plan.tenants(), plan.table());
         this.world = new World(sized, seed, 5, Safeguards.ALL, false);
     }
 
-    /** Prints a table with a row for each of three fleet sizes. */
+    /** Prints a table with a row for each of three cluster sizes. */
     public static void run(final Plan plan, final long seed) {
         System.out.println(
                 "| daemons | change at the last gateway, ms min/median/max of 20 | word age ms median/max | words over 2 s | frames a daemon a second |");
@@ -52,7 +55,7 @@
         final long sentBefore = world.network().framesSent();
         final long start = world.scheduler().now();
         for (int i = 0; i < TRIALS; i++) {
-            durationsMillis.add(spreadChange(i) / 1000);
+            durationsMillis.add(measureSpread(i) / 1000);
             recordAges();
             advance(SECOND);
         }
@@ -63,8 +66,8 @@
         world.scheduler().runUntil(world.scheduler().now() + duration);
     }
 
-    /** Changes a cell; gives how long it took from the acknowledgement until all gateways followed it. */
-    private long spreadChange(final int trial) {
+    /** Changes a cell and returns the time from its acknowledgement until all gateways used it, as observed every 5 ms. */
+    private long measureSpread(final int trial) {
         final long[] acknowledged = {0, 0};
         final Command.Cell cell = new Command.Cell("*", plan.kinds().get(0).kind(), "rate", "" + (2_000 + trial));
         final Command command = new Command.PatchTable("m" + trial, List.of(cell), -1);
@@ -77,12 +80,12 @@
         boolean isSpread = false;
         for (int poll = 0; poll < MAX_POLLS && !isSpread; poll++) {
             advance(POLL_INTERVAL);
-            isSpread = acknowledged[0] > 0 && isFollowed(acknowledged[0]);
+            isSpread = acknowledged[0] > 0 && isAppliedEverywhere(acknowledged[0]);
         }
         return world.scheduler().now() - acknowledged[1];
     }
 
-    private boolean isFollowed(final long sequence) {
+    private boolean isAppliedEverywhere(final long sequence) {
         return world.gateways().stream()
                 .allMatch(gateway -> gateway.clusterSnapshot()
                         .map(snapshot -> snapshot.revision() >= sequence)
