--- a/core/src/main/java/silverlatch/state/Value.java
+++ b/core/src/main/java/silverlatch/state/Value.java
@@ -41,7 +41,7 @@
      * @param maxQueued         the maximum number of queued requests
      * @param timeoutMicros     the maximum time that a request is queued
      * @param atMostOnce        whether a request whose execution may have begun is never executed again
-     * @param priority          the priority; 0 is the highest
+     * @param priority          the priority, 0 to 9; a higher value is served first within its tenant and shed last
      */
     record Row(
             String tenant,
