--- a/simulation/src/main/java/silverlatch/simulation/FormerNames.java
+++ b/simulation/src/main/java/silverlatch/simulation/FormerNames.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 
 /**
- * The names that faults and safeguards had before they took the field's terms. The command lines of the simulator and of the
- * explorer accept them for one version more.
+ * Maps the deprecated names of faults and safeguards to the current ones. The command lines of the simulator and of the
+ * explorer accept the deprecated names for one more version.
  */
 public final class FormerNames {
     private static final Map<String, String> FAULTS = Map.ofEntries(
@@ -70,12 +70,15 @@
 
     private FormerNames() {}
 
-    /** Returns the present name of a fault; a name that isn't a former one comes back as it is. */
+    /** Returns the current name of a fault; a name that isn't deprecated is returned unchanged. */
     public static String currentFault(final String name) {
         return FAULTS.getOrDefault(name, name);
     }
 
-    /** Returns the present name of a safeguard, or of the explorer's mutant of that name; others come back as they are. */
+    /**
+     * Returns the current name of a safeguard, or of the explorer's mutant of the same name; a name that isn't deprecated is
+     * returned unchanged.
+     */
     public static String currentSafeguard(final String name) {
         return SAFEGUARDS.getOrDefault(name, name);
     }
--- a/simulation/src/main/java/silverlatch/simulation/client/TrackedRequest.java
+++ b/simulation/src/main/java/silverlatch/simulation/client/TrackedRequest.java
@@ -21,7 +21,7 @@
 import silverlatch.simulation.response.ResponseVerifier;
 import silverlatch.util.Digests;
 
-/** One request over HTTP, from its placement to its end; its response is verified and its receipt written. */
+/** One request over HTTP, from its placement to its end. Verifies the response and writes the receipt. */
 final class TrackedRequest {
     private static final int MAX_REDIRECTS = 3;
     private static final int MAX_ANSWER = 1 << 20;
@@ -56,7 +56,7 @@
         this.verifier = new ResponseVerifier(content.prompt(), (problem, what) -> violation = what);
     }
 
-    /** Starts the request at any endpoint; the rest happens on the HTTP client's threads. */
+    /** Starts the request at a random endpoint; it continues on the HTTP client's threads. */
     void start() {
         receipts.requestStarted();
         requestPlacement(endpoints.get(random.nextInt(endpoints.size())), 0);
@@ -181,7 +181,7 @@
                 : JsonDocument.empty();
     }
 
-    /** Hands over an answer's status, or 0 when none came, and its body. */
+    /** Passes on the status of an answer, or 0 if there was none, and its JSON body. */
     private static final class AnswerListener extends BufferingResponseListener {
         private final BiConsumer<Integer, JsonDocument> whenAnswered;
 
--- a/simulation/src/main/java/silverlatch/simulation/explore/Schedule.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Schedule.java
@@ -3,17 +3,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The options of a world and the actions taken in it: as text, a line each. Lines that begin with # are comments. */
+/**
+ * The options of a world and the actions taken in it. Its text form has a line for the options and one for each action; lines
+ * that begin with # are comments.
+ */
 public record Schedule(WorldOptions options, List<Action> actions) {
     private static final String HEADER = "world";
     private static final int HEADER_WORDS = 5;
 
-    /** Copies the actions. */
+    /** Copies the list of actions. */
     public Schedule {
         actions = List.copyOf(actions);
     }
 
-    /** Runs all actions in a new world; stops at the first violation. */
+    /** Runs the actions in a new world up to the first violation, and returns the world. */
     World replay() {
         final World world = new World(options);
         for (final Action action : actions) {
@@ -26,7 +29,7 @@
         return world;
     }
 
-    /** The schedule as text. */
+    /** Returns the text form of the schedule. */
     public String text() {
         final StringBuilder text = new StringBuilder(HEADER + " " + options.replicas() + " " + options.copies() + " "
                 + options.driftPercent() + " " + options.mutant() + "\n");
@@ -34,7 +37,11 @@
         return text.toString();
     }
 
-    /** Reads a schedule; an {@link IllegalArgumentException} tells what is wrong with it. */
+    /**
+     * Parses the text form of a schedule.
+     *
+     * @throws IllegalArgumentException if the text isn't a schedule; its message names the fault
+     */
     public static Schedule parse(final String text) {
         final List<String> lines = text.lines()
                 .map(String::trim)
--- a/simulation/src/main/java/silverlatch/simulation/explore/ScheduleShrinker.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/ScheduleShrinker.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Delta debugging: drops parts of a failing schedule, ever smaller, as long as the same property still breaks. */
+/**
+ * Shrinks a schedule by delta debugging: removes ever smaller parts of it as long as the rest still violates the same
+ * property.
+ */
 final class ScheduleShrinker {
     private final WorldOptions options;
     private final Property property;
@@ -15,7 +18,7 @@
         this.remainingReplays = replays;
     }
 
-    /** The shortest schedule found within a count of replays. */
+    /** Returns the shortest schedule found with a limited number of replays. */
     static Schedule shrink(final Schedule schedule, final Property property, final int replays) {
         return new ScheduleShrinker(schedule.options(), property, replays).shrink(schedule.actions());
     }
@@ -35,7 +38,7 @@
         return new Schedule(options, actions);
     }
 
-    /** Tries to do without each part of a length, from the end. */
+    /** Tries to remove each part of a length, from the end of the schedule to its start. */
     private List<Action> removeParts(final List<Action> all, final int part) {
         List<Action> actions = all;
         for (int from = actions.size() - part; from > -part && remainingReplays > 0; from -= part) {
--- a/simulation/src/main/java/silverlatch/simulation/explore/Violation.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/Violation.java
@@ -1,4 +1,4 @@
 package silverlatch.simulation.explore;
 
-/** A property that was broken, and how. */
+/** A violated property and a description of the violation. */
 public record Violation(Property property, String detail) {}
--- a/simulation/src/main/java/silverlatch/simulation/explore/WalkPlan.java
+++ b/simulation/src/main/java/silverlatch/simulation/explore/WalkPlan.java
@@ -7,46 +7,46 @@
 import java.util.Set;
 
 /**
- * What one random walk does and when, drawn from its seed: a few kinds of trouble at a few steps (most walks have only
- * some of the kinds), and operations at others.
+ * The plan of one random walk, drawn from its seed: faults of a few kinds at a few steps (most walks use only some of the
+ * kinds), and operations at other steps.
  *
- * @param steps    how many steps the walk has
- * @param faultSteps the steps at which something goes wrong or is mended
- * @param operationSteps     the steps at which an operation begins
- * @param faultKinds    the kinds of trouble this walk has
+ * @param steps          the number of steps of the walk
+ * @param faultSteps     the steps at which a fault begins or ends
+ * @param operationSteps the steps at which an operation begins
+ * @param faultKinds     the kinds of faults of this walk
  */
 record WalkPlan(int steps, Set<Integer> faultSteps, Set<Integer> operationSteps, List<FaultKind> faultKinds) {
-    /** The kinds of trouble of a walk. */
+    /** The kinds of faults of a walk. */
     enum FaultKind {
-        /** A channel or a disk falls behind everything else, the clock too. */
+        /** Stops handling a channel or a disk until a release, while everything else and the clock proceed. */
         DELAY,
-        /** Whatever fell behind is at work again. */
+        /** Thaws and restarts some machines, and may restore the links and end the delays. */
         RELEASE,
-        /** A message is lost. */
+        /** Drops a message. */
         DROP,
-        /** A message is duplicated. */
+        /** Duplicates a message. */
         DUPLICATE,
-        /** A later message overtakes an earlier one. */
+        /** Delivers a message before earlier ones of its channel. */
         REORDER,
-        /** A process ends, with or without its unsynced writes. */
+        /** Crashes a process; some of its unsynced writes may reach the disk. */
         CRASH,
-        /** A process that has unsynced writes ends without them, and may start again at once. */
+        /** Crashes a process that has unsynced writes, all of which are lost, and may restart it at once. */
         CRASH_UNSYNCED,
-        /** All processes end at once. */
+        /** Crashes all processes at once. */
         CRASH_ALL,
-        /** A disk is lost. */
+        /** Erases a disk. */
         LOSE_DISK,
-        /** A process freezes. */
+        /** Freezes a process. */
         FREEZE,
-        /** A machine is cut off, in one direction or both. */
+        /** Cuts all links of a machine, in one direction or both. */
         ISOLATE,
-        /** Two machines don't hear each other, though others hear both. */
+        /** Cuts the links between two machines, while both keep their links to the others. */
         CUT_LINK,
-        /** Some time passes, whatever is in flight. */
+        /** Advances the clock although work is pending. */
         JUMP
     }
 
-    /** What makes several machines propose different views at once, and forget. */
+    /** The kinds by which several machines propose different views concurrently and lose unsynced promises. */
     private static final Set<FaultKind> ELECTION = EnumSet.of(
             FaultKind.CUT_LINK, FaultKind.CRASH_UNSYNCED, FaultKind.DELAY, FaultKind.JUMP, FaultKind.RELEASE);
 
@@ -55,18 +55,18 @@
     private static final int MAX_OPERATIONS = 16;
     private static final int MIN_OPERATIONS = 4;
 
-    /** Copies the list. */
+    /** Copies the list of kinds. */
     WalkPlan {
         faultKinds = List.copyOf(faultKinds);
     }
 
-    /** Draws a plan of so many steps. */
+    /** Draws a plan for a number of steps. */
     static WalkPlan draw(final Random random, final int steps) {
         final Set<FaultKind> kinds = random.nextInt(ELECTION_WALKS) == 0 ? ELECTION : randomKinds(random);
-        final Set<Integer> troubles = randomSteps(random, steps, 1 + random.nextInt(MAX_FAULTS));
-        final Set<Integer> work =
+        final Set<Integer> faultSteps = randomSteps(random, steps, 1 + random.nextInt(MAX_FAULTS));
+        final Set<Integer> operationSteps =
                 randomSteps(random, steps, MIN_OPERATIONS + random.nextInt(MAX_OPERATIONS - MIN_OPERATIONS));
-        return new WalkPlan(steps, troubles, work, new ArrayList<>(kinds));
+        return new WalkPlan(steps, faultSteps, operationSteps, new ArrayList<>(kinds));
     }
 
     private static Set<FaultKind> randomKinds(final Random random) {
@@ -80,10 +80,10 @@
     }
 
     private static Set<Integer> randomSteps(final Random random, final int steps, final int count) {
-        final Set<Integer> places = new java.util.HashSet<>();
+        final Set<Integer> drawn = new java.util.HashSet<>();
         for (int i = 0; i < count; i++) {
-            places.add(random.nextInt(steps));
+            drawn.add(random.nextInt(steps));
         }
-        return places;
+        return drawn;
     }
 }
--- a/simulation/src/main/java/silverlatch/simulation/measure/DiskLatency.java
+++ b/simulation/src/main/java/silverlatch/simulation/measure/DiskLatency.java
@@ -14,7 +14,7 @@
 import silverlatch.state.Entry;
 import silverlatch.state.Value;
 
-/** How long the ledger takes on this machine's disk: to write and sync batches, and to be read again. */
+/** Measures how long the write-ahead log takes on this machine's disk to write and sync batches, and to be opened again. */
 final class DiskLatency {
     private DiskLatency() {}
 
--- a/simulation/src/main/java/silverlatch/simulation/measure/LogicalBits.java
+++ b/simulation/src/main/java/silverlatch/simulation/measure/LogicalBits.java
@@ -8,7 +8,10 @@
 import silverlatch.clock.PwcClock;
 import silverlatch.clock.Stamp;
 
-/** How many low bits stamps need, by rate and skew: algorithm 1 on random graphs, as in section 5.1 of the source. */
+/**
+ * Measures how many logical (low) bits timestamps need, depending on message rate and clock skew. Runs algorithm 1 of the
+ * paper that describes the PWC clock on random communication graphs, as in its section 5.1.
+ */
 final class LogicalBits {
     private static final int LOGICAL_BITS = 12;
     private static final int REJECTED = LOGICAL_BITS + 1;
@@ -26,7 +29,10 @@
 
     private record InFlightMessage(long deliveryTime, long number, int to, Stamp stamp) {}
 
-    /** Clocks that are off by up to a skew in milliseconds: each by its own, or only the first one's, by all of it. */
+    /**
+     * Creates nodes whose clocks are skewed by up to {@code skewMillis} milliseconds: each by a random amount or, with
+     * {@code leader}, only the clock of the first node, by the full amount.
+     */
     private LogicalBits(final long seed, final double skewMillis, final boolean leader) {
         random = new SplittableRandom(seed);
         final long maxSkew = NtpTime.fromMicros((long) (skewMillis * 1000));
@@ -36,7 +42,7 @@
         }
     }
 
-    /** Prints a table by skew, rate and mode, each row of so many simulated seconds. */
+    /** Prints a table by skew, rate and mode; each row is measured over a number of simulated seconds. */
     static void run(final long seed, final int seconds) {
         System.out.println(
                 "| skew ms | rate a node | mode | events | bits max | over 4 bits | over 6 bits | over 7 bits |");
@@ -52,7 +58,7 @@
         }
     }
 
-    /** Each node sends so many thousand messages a second on average. */
+    /** Simulates nodes that send {@code rate} thousand messages per second each on average. */
     private void simulate(final int seconds, final int rate) {
         final double interval = 1000.0 / rate / NODES;
         final long end = seconds * 1_000_000L;
--- a/simulation/src/main/java/silverlatch/simulation/measure/LossReport.java
+++ b/simulation/src/main/java/silverlatch/simulation/measure/LossReport.java
@@ -14,9 +14,9 @@
 import silverlatch.json.JsonDocument;
 
 /**
- * Where a day of the users' bench lost its worth: a row for each part and each price of the report that {@code fleetbench run
- * --report} writes, largest first, and what no row explains. Then the rows of requests that were late, refused or failed by
- * class, by zone and by window, and how unserved requests ended.
+ * Shows why a day of the fleetbench benchmark scored less than 1: the loss of each part and each price of the report that
+ * {@code fleetbench run --report} writes, largest first, and the loss that no row explains. Then the numbers of requests that
+ * were late, rejected or failed by class, by zone and by window, and the outcomes of unserved requests.
  */
 public final class LossReport {
     private static final int MAX_BYTES = 64 << 20;
@@ -29,10 +29,10 @@
     private final Map<String, Object> report;
 
     /**
-     * One reason why worth was lost.
+     * One reason for a loss of score.
      *
-     * @param name what it was lost to
-     * @param lost how much of the day's worth, which is 1 when nothing is lost
+     * @param name the part or price of the report
+     * @param lost the share of the day's score that was lost; the score is 1 without losses
      */
     public record Loss(String name, double lost) {}
 
@@ -40,7 +40,7 @@
         this.report = report;
     }
 
-    /** Prints the losses of a report; the argument is its file. */
+    /** Prints the losses of the report whose file is the argument; exits with 2 if the file isn't a report. */
     public static void main(final String[] arguments) throws IOException {
         final Optional<LossReport> parsed = parse(Files.readAllBytes(Path.of(arguments[0])));
         if (parsed.isEmpty()) {
@@ -50,7 +50,7 @@
         parsed.get().print(System.out);
     }
 
-    /** A report's content, or nothing where it isn't a JSON object with parts and prices. */
+    /** Parses a report; empty if it isn't a JSON object with parts and prices. */
     public static Optional<LossReport> parse(final byte[] content) {
         return JsonDocument.parse(content, MAX_BYTES) instanceof JsonDocument.ParseResult.Valid valid
                         && valid.document().has("parts")
@@ -59,7 +59,7 @@
                 : Optional.empty();
     }
 
-    /** All losses, largest first. */
+    /** Returns all losses, largest first. */
     public List<Loss> losses() {
         final List<Loss> losses = new ArrayList<>();
         for (final List<?> part : rows("parts")) {
@@ -73,12 +73,12 @@
         return losses;
     }
 
-    /** What the day is worth by the report, or 1 less all losses where it doesn't say. */
+    /** Returns the day's score from the report, or 1 minus all losses if the report has none. */
     public double worth() {
         return report.get("G") instanceof Number worth ? worth.doubleValue() : 1 - explained();
     }
 
-    /** What was lost and is in no row. */
+    /** Returns the loss that isn't the sum of {@link #losses}. */
     public double unexplained() {
         return 1 - explained() - worth();
     }
--- a/simulation/src/main/java/silverlatch/simulation/response/ResponseVerifier.java
+++ b/simulation/src/main/java/silverlatch/simulation/response/ResponseVerifier.java
@@ -8,21 +8,21 @@
 import silverlatch.util.Digests;
 
 /**
- * Verifies the records of one response as a client gets them: chunks without gaps, of its own request and of one attempt,
- * with the text that {@link ExpectedResponse} gives, and a trailer that fits them. Each problem is reported as it is found.
+ * Verifies the records of one response as a client receives them: chunks without gaps, of its own request and of one attempt,
+ * with the text of {@link ExpectedResponse}, and a trailer that matches them. Each problem is reported as it is found.
  */
 public final class ResponseVerifier {
-    /** What can be wrong with a response. */
+    /** The kinds of problems of a response. */
     public enum Problem {
-        /** A chunk comes after the trailer or after the loss of the stream. */
+        /** A chunk follows the trailer or the record that the response is lost. */
         AFTER_END,
         /** A chunk is skipped or repeated. */
         WRONG_INDEX,
         /** A chunk or a trailer is of another request, or has another request's text. */
         OTHER_REQUEST,
-        /** A chunk is of another attempt than the one before. */
+        /** A chunk is of another attempt than the first chunk. */
         OTHER_ATTEMPT,
-        /** The trailer doesn't fit the chunks that came, or they aren't all. */
+        /** The trailer doesn't match the received chunks, or chunks are missing. */
         WRONG_TRAILER
     }
 
@@ -36,22 +36,22 @@
     private boolean lost;
 
     /**
-     * A verifier of one response.
+     * Creates a verifier of one response.
      *
-     * @param prompt what was asked
-     * @param report is called with each problem and its description
+     * @param prompt the prompt of the request
+     * @param report receives each problem and its description
      */
     public ResponseVerifier(final String prompt, final BiConsumer<Problem, String> report) {
         this.prompt = prompt;
         this.report = report;
     }
 
-    /** The request got its id. */
+    /** Sets the id that the gateway issued for the request. */
     public void requestIssued(final String id) {
         requestId = id;
     }
 
-    /** Takes the next record. */
+    /** Verifies the next record. */
     public void verify(final StreamRecord record) {
         switch (record) {
             case StreamRecord.Chunk chunk -> verifyChunk(chunk);
@@ -97,22 +97,22 @@
         }
     }
 
-    /** The attempt that the first chunk names, or an empty text. */
+    /** Returns the attempt id of the first chunk, or an empty text before it. */
     public String attemptId() {
         return attemptId;
     }
 
-    /** The index of the chunk that is due next; 0 until the first came. */
+    /** Returns the index of the next expected chunk, which is 0 before the first chunk. */
     public long nextChunk() {
         return nextChunk;
     }
 
-    /** Whether the stream ended with a trailer. */
+    /** Returns whether the stream ended with a trailer. */
     public boolean isComplete() {
         return trailerSeen;
     }
 
-    /** Whether the stream ended with the word that the response is lost. */
+    /** Returns whether the stream ended with the record that the response is lost. */
     public boolean isLost() {
         return lost;
     }
--- a/simulation/src/main/java/silverlatch/simulation/training/TrainingWorker.java
+++ b/simulation/src/main/java/silverlatch/simulation/training/TrainingWorker.java
@@ -13,8 +13,8 @@
 import silverlatch.util.Threads;
 
 /**
- * A worker that answers every request with a stream of a few events. It echoes the header field that names the attempt and
- * seals its responses in another; the names of both are arguments, since each deployment has its own.
+ * A worker that answers every request with a stream of four events. It echoes the header field of the attempt id and adds its
+ * seal to the response in another header field; the names of both are arguments, since each deployment has its own.
  */
 public final class TrainingWorker {
     private static final int EVENTS = 4;
@@ -32,10 +32,10 @@
     }
 
     /**
-     * Serves until the process is ended.
+     * Serves requests until the process is stopped.
      *
      * @param arguments the IP address and the port to listen at, and the names of the header fields of attempt id and seal
-     * @throws IOException when the address can't be bound
+     * @throws IOException if the address can't be bound
      */
     public static void main(final String[] arguments) throws IOException {
         final List<String> given = List.of(arguments);
--- a/simulation/src/main/java/silverlatch/simulation/training/package-info.java
+++ b/simulation/src/main/java/silverlatch/simulation/training/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The stand-in worker of the training run in which {@code bin/build-platform} notes the classes, lambdas and methods that the
- * programs use: without a worker that answers, the path of a response would be missing from the archives.
+ * A simulated worker for the training run in which {@code bin/build-platform} records the classes, lambdas and methods that
+ * the programs use. Without a worker that responds, the code that handles responses would be missing from the archives.
  */
 package silverlatch.simulation.training;
--- a/simulation/src/main/java/silverlatch/simulation/worker/PrefixCache.java
+++ b/simulation/src/main/java/silverlatch/simulation/worker/PrefixCache.java
@@ -5,17 +5,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** The prefixes that a worker has in its KV cache, by their digests; the one that was used longest ago is evicted first. */
+/** The prefixes in a worker's KV cache, identified by their digests. The least recently used one is evicted first. */
 public final class PrefixCache {
     private final int capacity;
     private final Map<Long, Boolean> used = new LinkedHashMap<>(16, 0.75f, true);
 
-    /** A cache of so many digests, empty at first. */
+    /** Creates an empty cache for up to {@code capacity} digests. */
     public PrefixCache(final int capacity) {
         this.capacity = capacity;
     }
 
-    /** Takes in the digests of a prompt's prefix; gives how many of them weren't there. */
+    /** Adds the digests of a prompt's prefix and returns how many of them weren't cached. */
     public long admit(final List<Long> prefixDigests) {
         final long missing = prefixDigests.stream()
                 .filter(digest -> !used.containsKey(digest))
@@ -27,12 +27,12 @@
         return missing;
     }
 
-    /** What is cached, the digest that was used longest ago first. */
+    /** Returns the cached digests, the least recently used one first. */
     public List<Long> digests() {
         return new ArrayList<>(used.keySet());
     }
 
-    /** Forgets everything. */
+    /** Removes all digests. */
     public void clear() {
         used.clear();
     }
--- a/simulation/src/test/java/silverlatch/simulation/explore/MutantTest.java
+++ b/simulation/src/test/java/silverlatch/simulation/explore/MutantTest.java
@@ -9,9 +9,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Each safeguard that is let down is noticed by name, by a schedule that breaks nothing while it stands. Walks are too rare
- * that need {@code REPAIR_PENDING}, {@code VIEW_SYNC} or {@code TAKEOVER}: {@code RepairOfPendingTest} lets the first down with
- * two replicas, and {@link FoundScheduleTest} replays a schedule under each of the others.
+ * Checks that random walks detect each disabled safeguard by an expected property, with a schedule that violates nothing
+ * while the safeguard is enabled. Walks that need {@code REPAIR_PENDING}, {@code VIEW_SYNC} or {@code TAKEOVER} are too rare:
+ * {@code RepairOfPendingTest} disables the first with two replicas, and {@link FoundScheduleTest} replays a schedule with each
+ * of the others disabled.
  */
 final class MutantTest {
     private static final int STEPS = 700;
